--- a/cmd/mfsim/main.go
+++ b/cmd/mfsim/main.go
@@ -5,6 +5,7 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"os"
 	"runtime"
 	"runtime/debug"
@@ -33,6 +34,7 @@
 	availability bool
 	trace        int
 	plan         string
+	digest       bool
 	check        *check // nil: days are run
 }
 
@@ -54,6 +56,7 @@
 	app.Flag("availability", "what each kind of fault leaves of the service (with --pairs: the worst pairs)").BoolVar(&o.availability)
 	app.Flag("trace", "lines of trace for a failing seed").Default("40").IntVar(&o.trace)
 	app.Flag("plan", "small, kelani or kiyihat").Default("small").EnumVar(&o.plan, "small", "kelani", "kiyihat")
+	app.Flag("digest", "print each day's or scene's digest: a hash of all events, commands and messages").BoolVar(&o.digest)
 	app.Command("days", "Runs seeds through days of faults, or a rule's scene (the default).").Default()
 	check := checkCommand(app)
 	command, err := app.Parse(args)
@@ -82,6 +85,8 @@
 		for _, f := range sim.Faults {
 			fmt.Println(f.Name)
 		}
+	case o.listRules && o.digest:
+		os.Exit(sceneDigests(o))
 	case o.listRules:
 		for _, s := range sim.Scenes {
 			fmt.Printf("%-14s %s; guard: %s\n", s.Name, s.Threat, s.Sabotage)
@@ -91,7 +96,7 @@
 		if i < 0 {
 			usage("no rule %q, see --rules", o.rule)
 		}
-		os.Exit(stage(&sim.Scenes[i], o.from, o.seeds, sim.Plans[o.plan], o.withoutGuard, o.trace))
+		os.Exit(stage(&sim.Scenes[i], o))
 	case o.availability:
 		os.Exit(availability(o.from, o.seeds, sim.Plans[o.plan], o.pairs))
 	default:
@@ -116,16 +121,17 @@
 	jobs := make(chan job)
 	go o.deal(jobs, o.only())
 	results := make(chan result)
+	plan := o.fleet()
 	start := time.Now()
 	for range runtime.GOMAXPROCS(0) {
 		go func() {
 			for j := range jobs {
-				results <- result{j, sim.Day(j.seed, sim.Plans[o.plan], j.kinds, o.count(), o.span)}
+				results <- result{j, sim.Day(j.seed, plan, j.kinds, o.count(), o.span)}
 			}
 			results <- result{}
 		}()
 	}
-	sum := summary{rules: map[string]int{}}
+	sum := summary{rules: map[string]int{}, digests: map[uint64]string{}}
 	for left := runtime.GOMAXPROCS(0); left > 0; {
 		r := <-results
 		if r.world == nil {
@@ -134,6 +140,9 @@
 		}
 		sum.add(o, r)
 	}
+	for _, seed := range slices.Sorted(maps.Keys(sum.digests)) {
+		fmt.Printf("digest %s faults %d seed %d: %s\n", o.plan, o.count(), seed, sum.digests[seed])
+	}
 	fmt.Printf("%d days, %d steps, %d of %d exchanges served, latest exchange to a leaving target %v, to a gone one %v, broken rules %v, %.1f s\n",
 		sum.ran, sum.steps, sum.served, sum.total, sum.leave, sum.gone, sum.rules, time.Since(start).Seconds())
 	fmt.Printf("%d passed, %d failed\n", sum.ran-sum.failed, sum.failed)
@@ -143,6 +152,13 @@
 	return 0
 }
 
+// fleet is the plan that the command line names.
+func (o options) fleet() sim.Plan {
+	plan := sim.Plans[o.plan]
+	plan.Digest = o.digest
+	return plan
+}
+
 // only returns the kinds of faults that the command line names.
 func (o options) only() []sim.Fault {
 	var only []sim.Fault
@@ -186,9 +202,10 @@
 // summary adds up what days had.
 type summary struct {
 	failed, ran, steps int
-	served, total      int            // requests
-	leave, gone        time.Duration  // latest request to a leaving target and to a gone one
-	rules              map[string]int // days by the rule that they broke
+	served, total      int               // requests
+	leave, gone        time.Duration     // latest request to a leaving target and to a gone one
+	rules              map[string]int    // days by the rule that they broke
+	digests            map[uint64]string // by seed, if they are asked for
 }
 
 // add takes in a day, and prints it if it broke a rule.
@@ -198,6 +215,9 @@
 	s.steps += stats.Steps
 	s.leave, s.gone = max(s.leave, stats.MaxLeave), max(s.gone, stats.MaxGone)
 	s.served, s.total = s.served+stats.Served, s.total+stats.Exchanges
+	if o.digest {
+		s.digests[r.seed] = r.world.Digest()
+	}
 	if r.world.Fail == "" {
 		return
 	}
@@ -216,10 +236,13 @@
 }
 
 // stage runs one scene; without its guard it is the seeds that hold which fail.
-func stage(s *sim.Scene, from, n uint64, p sim.Plan, broken bool, trace int) int {
+func stage(s *sim.Scene, o options) int {
 	held, showed, caused := 0, 0, 0
-	for seed := from; seed < from+n; seed++ {
-		w := s.Stage(seed, p, broken)
+	for seed := o.from; seed < o.from+o.seeds; seed++ {
+		w := s.Stage(seed, o.fleet(), o.withoutGuard)
+		if o.digest {
+			fmt.Printf("digest scene %s seed %d: %s\n", s.Name, seed, w.Digest())
+		}
 		caused += s.Caused(&w.Stats)
 		switch {
 		case w.Fail == "":
@@ -229,13 +252,47 @@
 		}
 		if w.Fail != "" && held+showed <= 3 {
 			fmt.Printf("seed %d: %s\n", seed, w.Fail)
-			if !broken {
-				fmt.Println(w.Trace(trace))
+			if !o.withoutGuard {
+				fmt.Println(w.Trace(o.trace))
 			}
 		}
 	}
-	fmt.Printf("%s: %s\ncaused %d times in %d seeds; held in %d, broke %q in %d\n", s.Name, s.Threat, caused, n, held, s.Rule, showed)
-	if !broken && held < int(n) || broken && showed == 0 || caused == 0 {
+	fmt.Printf("%s: %s\ncaused %d times in %d seeds; held in %d, broke %q in %d\n", s.Name, s.Threat, caused, o.seeds, held, s.Rule, showed)
+	if !o.withoutGuard && held < int(o.seeds) || o.withoutGuard && showed == 0 || caused == 0 {
+		return 1
+	}
+	return 0
+}
+
+// sceneDigests runs all scenes, as many at once as there are processors, and prints their digests.
+func sceneDigests(o options) int {
+	lines := make([][]string, len(sim.Scenes))
+	failed := false
+	var wg sync.WaitGroup
+	turn := make(chan bool, runtime.GOMAXPROCS(0))
+	var lock sync.Mutex
+	for i := range sim.Scenes {
+		wg.Go(func() {
+			turn <- true
+			defer func() { <-turn }()
+			scene := &sim.Scenes[i]
+			for seed := o.from; seed < o.from+o.seeds; seed++ {
+				w := scene.Stage(seed, o.fleet(), false)
+				lines[i] = append(lines[i], fmt.Sprintf("digest scene %s seed %d: %s", scene.Name, seed, w.Digest()))
+				if w.Fail != "" {
+					lines[i] = append(lines[i], w.Fail)
+					lock.Lock()
+					failed = true
+					lock.Unlock()
+				}
+			}
+		})
+	}
+	wg.Wait()
+	for _, l := range lines {
+		fmt.Println(strings.Join(l, "\n"))
+	}
+	if failed {
 		return 1
 	}
 	return 0
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -41,6 +41,7 @@
 	Losses       int            // core machines that may be lost at once, 0: not told
 	Kept         int            // connections that callers keep and use on until they are closed; 0: callers go to a ready proxy each time
 	Grace        time.Duration  // how long after the polite signal a proxy is ended by force, as its settings tell; 0: not told
+	Digest       bool           // sum up events, commands and messages, see World.Digest
 }
 
 // Small is a fleet that shows all behaviour and still runs fast.
@@ -124,6 +125,7 @@
 	planned          bool          // only planned work is done: nothing may be lost
 	sabotage         string
 	lastOk           map[string]time.Duration
+	digest           *digest // nil: the plan asks for none
 }
 
 // Stats are what a run saw, for reports.
@@ -156,6 +158,9 @@
 	w := &World{Plan: p, Seed: seed, rnd: rand.New(rand.NewPCG(seed, 0x6d79727465)), procs: map[string]*Proc{}, byAddr: map[string]*Proc{},
 		listen: map[string]*Target{}, cut: map[[2]string]bool{}, thin: map[string]*thinLink{}, open: map[uint64]*request{}, link: map[[2]string]time.Duration{}, resets: map[[2]string]linkReset{},
 		asks: map[uint64]*ask{}, ackedAt: map[uint64]time.Duration{}, emptied: map[string]time.Duration{}, sends: map[string][]tick{}, delay: time.Millisecond, lastOk: map[string]time.Duration{}}
+	if p.Digest {
+		w.digest = newDigest()
+	}
 	for i := range p.Cores {
 		w.addProc("core", fmt.Sprintf("c%d", i+1), i%p.Domains)
 	}
--- a/sim/slow.go
+++ b/sim/slow.go
@@ -146,6 +146,9 @@
 	} else {
 		cmds = p.gate.Step(now, ev)
 	}
+	if w.digest != nil {
+		w.digest.step(p.name, now, ev, cmds)
+	}
 	if p.pauseAfterStep > 0 && slices.ContainsFunc(cmds, tellsOthers) {
 		w.pauseBeforeCommands(p, cmds)
 		return
