--- /dev/null
+++ b/host/recorded_test.go
@@ -0,0 +1,78 @@
+package host
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/alecthomas/kingpin/v2"
+	"github.com/prometheus/client_golang/prometheus"
+
+	"myrtlefold/core"
+	"myrtlefold/forward"
+	"myrtlefold/proxy"
+)
+
+var update = flag.Bool("update", false, "record names anew, which only an intended change may need")
+
+// asRecorded fails unless lines are those of the file in testdata.
+func asRecorded(t *testing.T, name string, lines []byte) {
+	t.Helper()
+	file := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(file, lines, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(lines, want) {
+		t.Fatalf("%s differs from what is recorded:\n%s", name, lines)
+	}
+}
+
+// The counters on /metrics keep their names.
+func TestMetricNames(t *testing.T) {
+	h := &Host{Metrics: prometheus.NewRegistry()}
+	h.Counters("core", func() any { return &core.Counts{} })
+	h.Counters("gate", func() any { return &proxy.Counts{} })
+	h.Counters("carry", func() any { return &forward.Counts{} })
+	families, err := h.Metrics.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var lines bytes.Buffer
+	for _, f := range families {
+		fmt.Fprintln(&lines, f.GetName())
+	}
+	asRecorded(t, "metrics.txt", lines.Bytes())
+}
+
+// The commands of mfctl keep their names, arguments and flags.
+func TestCommandNames(t *testing.T) {
+	app := kingpin.New("mfctl", "")
+	(&ctl{}).define(app)
+	var lines bytes.Buffer
+	var list func(name string, commands []*kingpin.CmdModel)
+	list = func(name string, commands []*kingpin.CmdModel) {
+		for _, c := range commands {
+			full := name + " " + c.Name
+			fmt.Fprint(&lines, full)
+			for _, a := range c.Args {
+				fmt.Fprintf(&lines, " %s required %v;", a.Name, a.Required)
+			}
+			for _, f := range c.Flags {
+				fmt.Fprintf(&lines, " --%s default %q;", f.Name, f.Default)
+			}
+			fmt.Fprintln(&lines)
+			list(full, c.Commands)
+		}
+	}
+	list("mfctl", app.Model().Commands)
+	asRecorded(t, "commands.txt", lines.Bytes())
+}
--- /dev/null
+++ b/sim/stored_test.go
@@ -0,0 +1,156 @@
+package sim
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"myrtlefold/core"
+	"myrtlefold/limit"
+	"myrtlefold/quorum"
+	"myrtlefold/ring"
+	"myrtlefold/wire"
+)
+
+var update = flag.Bool("update", false, "record the stored data in testdata anew, which only an intended change of its form may need")
+
+// recordedFile returns the recorded bytes of that name, after writing got to them if asked to.
+func recordedFile(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	file := filepath.Join("testdata", "stored", name)
+	if *update {
+		if err := os.WriteFile(file, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// storedImages are what members' disks held at moments of simulated runs: nothing yet, a bootstrap
+// lock, a log from the beginning, and a snapshot with a log.
+func storedImages(t *testing.T) map[string]quorum.Image {
+	t.Helper()
+	images := map[string]quorum.Image{"fresh": New(11, Small).procs["c1"].disk.img}
+	locked := New(11, Small)
+	for locked.procs["c1"].disk.img.Lock == 0 {
+		if locked.now > 5*time.Second {
+			t.Fatal("no bootstrap lock")
+		}
+		locked.Run(locked.now + time.Millisecond)
+	}
+	images["locked"] = locked.procs["c1"].disk.img
+	w := Start(11, Small)
+	images["log"] = w.procs["c2"].disk.img
+	for n := 2; images["snapshot"].Snap.Index <= 1 && w.Fail == "" && n < 2*limit.LogMax; n++ {
+		w.PutConfig(w.Leader(), w.Revision(), n)
+		w.Run(w.now + 100*time.Millisecond)
+		images["snapshot"] = w.procs["c2"].disk.img
+	}
+	if w.Fail != "" || images["snapshot"].Snap.Index <= 1 || len(images["snapshot"].Log) == 0 {
+		t.Fatal("no disk with a snapshot and a log:", w.Fail)
+	}
+	return images
+}
+
+// What earlier code wrote to members' disks is read to the same state, and written again byte for byte.
+func TestStoredImages(t *testing.T) {
+	for name, img := range storedImages(t) {
+		t.Run(name, func(t *testing.T) {
+			got, err := wire.EncodeBatch(img.Whole())
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := recordedFile(t, name+".batch", got)
+			if !bytes.Equal(got, want) {
+				t.Error("a run writes otherwise than recorded")
+			}
+			b, err := wire.DecodeBatch(want)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var read quorum.Image
+			read.Fold(b)
+			if err := core.CheckImage(&read); err != nil {
+				t.Fatal(err)
+			}
+			if again, err := wire.EncodeBatch(read.Whole()); err != nil || !bytes.Equal(again, want) {
+				t.Fatalf("%v; read and written again it is another image", err)
+			}
+			status, err := json.MarshalIndent(core.New(0, core.Settings{Self: wire.Daemon{Name: "c1", Kind: "core"}}, read).Status(0), "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			if want := recordedFile(t, name+".status.json", status); !bytes.Equal(status, want) {
+				t.Errorf("its member says %s", status)
+			}
+			inRing(t, want)
+		})
+	}
+}
+
+// inRing takes a record through a ring of the daemons' size.
+func inRing(t *testing.T, record []byte) {
+	t.Helper()
+	dir := t.TempDir()
+	r, err := ring.Recreate(dir, limit.RingFiles, limit.RingFileSize, record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.Close()
+	r, records, err := ring.Open(dir, limit.RingFiles, limit.RingFileSize)
+	if err != nil || len(records) != 1 || !bytes.Equal(records[0], record) {
+		t.Fatal(len(records), err)
+	}
+	r.Close()
+}
+
+// What a proxy remembers for a core that has lost all is read, and written again byte for byte.
+func TestStoredProxyMemory(t *testing.T) {
+	w := Start(11, Small)
+	for _, name := range w.all("core") {
+		w.Kill(w.procs[name])
+	}
+	w.Run(w.now + 3*time.Second)
+	gate, member := w.procs["g1"], w.procs["c1"]
+	self := wire.Daemon{Name: member.name, Kind: "core", Domain: member.domain, Addr: member.addr, Inc: 1}
+	gate.gate.Step(gate.local(), core.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
+	var memory []byte
+	for step := time.Duration(0); memory == nil; step += limit.TickEvery {
+		if step > 5*time.Second {
+			t.Fatal("the proxy says nothing of what it remembers")
+		}
+		for _, cmd := range gate.gate.Step(gate.local()+step, core.Tick{}) {
+			if send, ok := cmd.(core.Send); ok && send.M.Hello != nil && len(send.M.Hello.Legacy) > 0 {
+				memory = send.M.Hello.Legacy
+			}
+		}
+	}
+	want := recordedFile(t, "proxy-memory.bin", memory)
+	if !bytes.Equal(memory, want) {
+		t.Error("a proxy says otherwise than recorded")
+	}
+	plain, err := wire.Decompress(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var recovered core.RecoveredState
+	if err := json.Unmarshal(plain, &recovered); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(recovered)
+	if err != nil || !bytes.Equal(wire.Compress(again), want) {
+		t.Fatalf("%v; read and written again it is another memory", err)
+	}
+	var state core.State
+	if err := json.Unmarshal(recovered.State, &state); err != nil || state.Revision != w.acked || w.acked == 0 {
+		t.Fatal(state.Revision, err)
+	}
+}
