--- a/core/core.go
+++ b/core/core.go
@@ -15,10 +15,10 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
 	"myrtlefold/model"
 	"myrtlefold/policy"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -124,8 +124,8 @@
 // Core is the owner of a core daemon's state: a member or a standby of the core.
 type Core struct {
 	settings        Settings
-	image           quorum.Image
-	node            *quorum.Node
+	image           consensus.Image
+	node            *consensus.Node
 	state           State
 	directory       Directory
 	bootAt          time.Duration
@@ -227,7 +227,7 @@
 
 // New starts a member from what its disk holds; a disk without a number yet is
 // given the shell's.
-func New(now time.Duration, set Settings, img quorum.Image) *Core {
+func New(now time.Duration, set Settings, img consensus.Image) *Core {
 	c := &Core{settings: set, image: img, bootAt: now, directory: Directory{}, proxyMemories: map[string]proxyMemory{}, unreadMemories: map[string][]byte{}, proxies: map[string]*proxyState{},
 		pendingChanges: map[string]*pending{}, relayedCalls: map[uint64]*pending{}, requestedMembers: map[string]bool{}, heard: map[string]heard{}, toldLists: map[string]toldList{}, learning: map[string]learning{}, restored: map[string]time.Duration{}, state: newState(), relayID: set.Self.Inc << 20}
 	c.settings.Self.Disk = img.Disk
@@ -246,7 +246,7 @@
 }
 
 func (c *Core) start(now time.Duration) {
-	c.node = quorum.New(now, c.settings.Self.Name, c.image)
+	c.node = consensus.New(now, c.settings.Self.Name, c.image)
 	c.undecodable = nil
 	c.restore(&c.image.Snap)
 }
--- a/core/corestatus.go
+++ b/core/corestatus.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 )
 
 // MemberState is what a core daemon is to the core, as the leader sees it.
@@ -109,7 +109,7 @@
 	v := CoreView{Leader: c.leader(now), Commit: c.node.Commit(), Last: c.node.Last()}
 	v.Voters = len(c.node.Members())
 	v.Majority = v.Voters/2 + 1
-	if c.node.Role() != quorum.Leader {
+	if c.node.Role() != consensus.Leader {
 		v.LeaderHeardMs = (now - max(c.node.LeaderHeardAt(), c.leadAt)).Milliseconds() // leadAt: when it led last
 		return v
 	}
@@ -128,12 +128,12 @@
 }
 
 // memberViews are the members, those that learn, and the standbys, in this order.
-func (c *Core) memberViews(now time.Duration, progress []quorum.Progress) []MemberView {
+func (c *Core) memberViews(now time.Duration, progress []consensus.Progress) []MemberView {
 	var l []MemberView
 	listed := map[string]bool{}
 	for _, m := range c.node.Members() {
-		i := slices.IndexFunc(progress, func(p quorum.Progress) bool { return p.Member == m })
-		p := quorum.Progress{Member: m, Voter: true}
+		i := slices.IndexFunc(progress, func(p consensus.Progress) bool { return p.Member == m })
+		p := consensus.Progress{Member: m, Voter: true}
 		if i >= 0 {
 			p = progress[i]
 		}
@@ -160,7 +160,7 @@
 }
 
 // voterView is one place of the member list.
-func (c *Core) voterView(now time.Duration, p quorum.Progress) MemberView {
+func (c *Core) voterView(now time.Duration, p consensus.Progress) MemberView {
 	name := p.Member.Name
 	v := MemberView{Name: name, Domain: c.domainOf(name), Voter: true, Match: p.Match}
 	switch {
@@ -185,7 +185,7 @@
 
 // unansweredFor is how long a daemon has neither answered the log nor said hello, as far
 // as this process and this lead have listened.
-func (c *Core) unansweredFor(now time.Duration, p quorum.Progress) time.Duration {
+func (c *Core) unansweredFor(now time.Duration, p consensus.Progress) time.Duration {
 	return now - max(c.heard[p.Member.Name].at, p.AckedAt, c.bootAt)
 }
 
@@ -262,14 +262,14 @@
 }
 
 // countOutput counts what the node sends and agrees that operators look for.
-func (c *Core) countOutput(o *quorum.Out) {
+func (c *Core) countOutput(o *consensus.Out) {
 	for _, m := range o.Send {
 		if m.Append != nil && !m.Append.Reply && m.Append.Piece.BeginsSnapshot() {
 			c.counts.SnapshotsSent++
 		}
 	}
 	for _, e := range o.Apply {
-		if e.Kind == quorum.EntryMembers {
+		if e.Kind == consensus.EntryMembers {
 			c.counts.MemberChanges++
 		}
 	}
--- a/core/damage_test.go
+++ b/core/damage_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -21,7 +21,7 @@
 
 func newRefounded(memories ...RecoveredState) *refounded {
 	self := wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}
-	im := quorum.Image{Disk: 7, Epoch: 2, Snap: wire.Snap{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
+	im := consensus.Image{Disk: 7, Epoch: 2, Snap: wire.Snap{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
 	return &refounded{rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, im)}, memories}
 }
 
@@ -109,34 +109,34 @@
 	}
 	change := encodeCommand(command{Op: "empty", Name: "d1", Token: "x"})
 	long := encodeCommand(command{Op: "empty", Name: strings.Repeat("d", 2*limit.CompressFrom)})
-	image := func(snap []byte, log ...wire.Entry) *quorum.Image {
-		return &quorum.Image{Epoch: 1, Disk: 7, Snap: wire.Snap{Index: 1, Data: snap}, Log: log}
+	image := func(snap []byte, log ...wire.Entry) *consensus.Image {
+		return &consensus.Image{Epoch: 1, Disk: 7, Snap: wire.Snap{Index: 1, Data: snap}, Log: log}
 	}
 	sound := encodeState(&s)
-	for name, im := range map[string]*quorum.Image{
+	for name, im := range map[string]*consensus.Image{
 		"empty":   {Disk: 7},
 		"founded": image(nil),
-		"whole":   image(sound, entry(2, quorum.EntryNoop, nil), entry(3, quorum.EntryMembers, []byte("[]")), entry(4, quorum.EntryData, change), entry(5, quorum.EntryData, long)),
+		"whole":   image(sound, entry(2, consensus.EntryNoop, nil), entry(3, consensus.EntryMembers, []byte("[]")), entry(4, consensus.EntryData, change), entry(5, consensus.EntryData, long)),
 	} {
 		if err := CheckImage(im); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for name, im := range map[string]*quorum.Image{
+	for name, im := range map[string]*consensus.Image{
 		"snapshot":          image(sound[:len(sound)-1]),
-		"entry":             image(sound, entry(2, quorum.EntryData, change[:len(change)-1])),
-		"compressed entry":  image(sound, entry(2, quorum.EntryData, long[:len(long)-1])),
-		"members":           image(sound, entry(2, quorum.EntryMembers, []byte("["))),
-		"gap":               image(sound, entry(3, quorum.EntryData, change)),
-		"gap between":       image(sound, entry(2, quorum.EntryNoop, nil), entry(4, quorum.EntryNoop, nil)),
-		"undecoded epoch":   image(nil, entry(2, quorum.EntryData, encodeCommand(command{Op: "adopt", State: json.RawMessage(`7`)}))),
+		"entry":             image(sound, entry(2, consensus.EntryData, change[:len(change)-1])),
+		"compressed entry":  image(sound, entry(2, consensus.EntryData, long[:len(long)-1])),
+		"members":           image(sound, entry(2, consensus.EntryMembers, []byte("["))),
+		"gap":               image(sound, entry(3, consensus.EntryData, change)),
+		"gap between":       image(sound, entry(2, consensus.EntryNoop, nil), entry(4, consensus.EntryNoop, nil)),
+		"undecoded epoch":   image(nil, entry(2, consensus.EntryData, encodeCommand(command{Op: "adopt", State: json.RawMessage(`7`)}))),
 		"snapshot no state": image([]byte(`{"seq":"x"}`)),
 	} {
 		if err := CheckImage(im); !errors.Is(err, ErrDamaged) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	got, _, err := stateFromDisk(image(sound, entry(2, quorum.EntryData, change), entry(3, quorum.EntryData, []byte("{"))))
+	got, _, err := stateFromDisk(image(sound, entry(2, consensus.EntryData, change), entry(3, consensus.EntryData, []byte("{"))))
 	if err == nil || got.Seq != 2 || len(got.Emptied) != 1 {
 		t.Errorf("before the damage there is %+v, %v", got, err)
 	}
--- a/core/encoding.go
+++ b/core/encoding.go
@@ -9,8 +9,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/policy"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -70,8 +70,8 @@
 
 // CheckImage says what of an image from disk can't be used. A member whose image is damaged
 // must not take part with it: it is one that lost its disk.
-func CheckImage(im *quorum.Image) error {
-	if err := quorum.CheckImage(im); err != nil {
+func CheckImage(im *consensus.Image) error {
+	if err := consensus.CheckImage(im); err != nil {
 		return errors.Mark(err, ErrDamaged)
 	}
 	_, _, err := stateFromDisk(im)
--- a/core/memory_test.go
+++ b/core/memory_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -35,13 +35,13 @@
 	}
 
 	now := time.Second
-	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: "core", Addr: "c9", Inc: 1}}, quorum.Image{Disk: 9})
+	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: "core", Addr: "c9", Inc: 1}}, consensus.Image{Disk: 9})
 	empty.Step(now, remembering(t, "g1", 1))
 	if len(empty.proxyMemories) != 1 {
 		t.Error("an empty member has not read what a proxy remembers")
 	}
 
-	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}}, quorum.Image{Disk: 7, Epoch: 1,
+	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}}, consensus.Image{Disk: 7, Epoch: 1,
 		Snap: wire.Snap{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}}})
 	member.Step(now, remembering(t, "g1", 1))
 	for range 3 * limit.HelloEvery / limit.TickEvery {
--- a/core/recovery.go
+++ b/core/recovery.go
@@ -22,9 +22,9 @@
 	"strings"
 	"time"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
 	"myrtlefold/model"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -331,7 +331,7 @@
 func (c *Core) beginEpoch(now time.Duration) {
 	epoch := c.image.Founding
 	// The founding is entry 1, so that a member that was too slow to found learns it as a snapshot.
-	img := quorum.Image{Epoch: epoch, Disk: c.image.Disk, Lock: c.image.Lock, Founders: c.image.Founders, Founding: epoch,
+	img := consensus.Image{Epoch: epoch, Disk: c.image.Disk, Lock: c.image.Lock, Founders: c.image.Founders, Founding: epoch,
 		Snap: wire.Snap{Index: 1, Members: c.image.Founders}}
 	img.Legacy = c.image.Legacy
 	s, term, err := stateFromDisk(&c.image)
@@ -358,7 +358,7 @@
 func (c *Core) join(now time.Duration, epoch uint64) {
 	c.emit(Change{"epoch", fmt.Sprint(c.image.Epoch), fmt.Sprint(epoch), "joined"})
 	c.node, c.offer = nil, 0
-	c.image = quorum.Image{Epoch: epoch, Disk: c.image.Disk}
+	c.image = consensus.Image{Epoch: epoch, Disk: c.image.Disk}
 	c.batchOffset += 1 << 32
 	c.syncImage()
 	c.start(now)
--- a/core/rest_test.go
+++ b/core/rest_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
 	"myrtlefold/model"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -70,7 +70,7 @@
 
 func atRest(gates, targets int) *rest {
 	self := wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}
-	r := &rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, quorum.Image{Disk: 7}), keys: make([]*wire.Table, gates)}
+	r := &rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, consensus.Image{Disk: 7}), keys: make([]*wire.Table, gates)}
 	for i := range gates {
 		n := fmt.Sprintf("g%d", i+1)
 		r.gates = append(r.gates, wire.Daemon{Name: n, Kind: "gate", Addr: n, Inc: uint64(i + 1), Domain: fmt.Sprintf("d%d", i%3)})
--- a/core/resume.go
+++ b/core/resume.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
 	"myrtlefold/policy"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -34,7 +34,7 @@
 func (c *Core) handOverIfLate(now time.Duration) {
 	recent := func(at time.Duration) bool { return now-at < limit.LateLeadSpan }
 	c.leadsLostAt = slices.DeleteFunc(c.leadsLostAt, func(at time.Duration) bool { return !recent(at) })
-	if c.lead != Idle || c.stopping || len(c.leadsLostAt) < limit.LateLeads || c.node == nil || c.node.Role() != quorum.Leader ||
+	if c.lead != Idle || c.stopping || len(c.leadsLostAt) < limit.LateLeads || c.node == nil || c.node.Role() != consensus.Leader ||
 		c.handedOverAt > 0 && now-c.handedOverAt < limit.HandOverEvery {
 		return
 	}
--- a/core/shutdown.go
+++ b/core/shutdown.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -34,7 +34,7 @@
 
 // tickStop goes on with the end, and ends the process once nothing is left to hand over.
 func (c *Core) tickStop(now time.Duration) {
-	if c.node != nil && c.node.Role() == quorum.Leader && c.node.CanChangeMembers() {
+	if c.node != nil && c.node.Role() == consensus.Leader && c.node.CanChangeMembers() {
 		c.handOver(now)
 	}
 	if c.mayExit(now) && !c.ended {
@@ -65,7 +65,7 @@
 	case !c.isNonVoter() && (c.hasStandby(now) || len(c.node.Members())%2 == 0):
 		return false // its successor is to come, or is in and it is to be removed: its vote may be needed for that
 	}
-	return waited > limit.ElectMin || c.node.Role() != quorum.Leader
+	return waited > limit.ElectMin || c.node.Role() != consensus.Leader
 }
 
 // hasStandby says that a core daemon is there that could take this member's place.
--- a/core/state.go
+++ b/core/state.go
@@ -12,8 +12,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -242,13 +242,13 @@
 // survived is the state that a disk leads to when nobody can say any more what
 // of its log was agreed: all of it, since any of it may have been acknowledged. With
 // an error it is what comes before the damage.
-func stateFromDisk(im *quorum.Image) (s State, term uint64, err error) {
+func stateFromDisk(im *consensus.Image) (s State, term uint64, err error) {
 	if s, err = decodeState(im.Snap.Data); err != nil {
 		return s, 0, errors.Wrapf(err, "snapshot %d", im.Snap.Index)
 	}
 	term = im.Snap.Term
 	for _, e := range im.Log {
-		if e.Kind == quorum.EntryData {
+		if e.Kind == consensus.EntryData {
 			o, err := decodeCommand(e.Data)
 			if err != nil {
 				return s, term, errors.Wrapf(err, "entry %d", e.Index)
@@ -271,7 +271,7 @@
 	if c.undecodable != nil {
 		return // the state before the damage is no base for what comes after it
 	}
-	if e.Kind != quorum.EntryData {
+	if e.Kind != consensus.EntryData {
 		c.state.Seq = e.Index
 		return
 	}
--- a/core/undecodable.go
+++ b/core/undecodable.go
@@ -12,7 +12,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/quorum"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/wire"
 )
 
@@ -31,7 +31,7 @@
 // reaches no other goes on until its node steps down by itself; it is not
 // ticked as a follower, so it never stands for election.
 func (c *Core) resign(now time.Duration) {
-	if c.node.Role() == quorum.Leader && !c.node.TransferLeadership(now) {
+	if c.node.Role() == consensus.Leader && !c.node.TransferLeadership(now) {
 		c.node.Tick(now)
 	}
 }
--- a/core/undecodable_test.go
+++ b/core/undecodable_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -55,7 +55,7 @@
 			}
 			snap := r.c.node.Snap().Index
 			for i := range 10 {
-				r.c.apply(r.now, wire.Entry{Index: 1000 + uint64(i), Kind: quorum.EntryData, Data: encodeCommand(command{Op: "empty", Name: "d"})})
+				r.c.apply(r.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: encodeCommand(command{Op: "empty", Name: "d"})})
 			}
 			if len(r.c.state.Emptied) > 0 || r.c.node.Snap().Index != snap {
 				t.Error("entries after the one that did not decode are applied")
@@ -86,7 +86,7 @@
 	k := &cluster{now: time.Second, members: map[string]*Core{}, names: []string{"c1", "c2", "c3"}}
 	for i, n := range k.names {
 		self := wire.Daemon{Name: n, Kind: "core", Addr: n, Inc: 1}
-		k.members[n] = New(k.now, Settings{Self: self, Size: 3, Seeds: k.names}, quorum.Image{Disk: uint64(i + 7)})
+		k.members[n] = New(k.now, Settings{Self: self, Size: 3, Seeds: k.names}, consensus.Image{Disk: uint64(i + 7)})
 	}
 	return k
 }
--- a/explore/action.go
+++ b/explore/action.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/quorum"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/wire"
 )
 
@@ -110,7 +110,7 @@
 		if m.applied.index > m.node.Snap().Index {
 			add(Action{Kind: Compact, Machine: i})
 		}
-		if m.node.Role() == quorum.Leader {
+		if m.node.Role() == consensus.Leader {
 			add(Action{Kind: Transfer, Machine: i})
 		}
 		if m.node.HasLease(m.clock(w.now)) {
@@ -160,14 +160,14 @@
 	if !free[a.Kind] {
 		c.used[a.Kind]++
 	}
-	step := func(f func(n *quorum.Node, now time.Duration)) { c.act(a.Machine, f) }
+	step := func(f func(n *consensus.Node, now time.Duration)) { c.act(a.Machine, f) }
 	switch a.Kind {
 	case Deliver, Duplicate:
 		return c.deliver(a)
 	case Tick:
-		step(func(n *quorum.Node, now time.Duration) { n.Tick(now) })
+		step(func(n *consensus.Node, now time.Duration) { n.Tick(now) })
 	case Sync:
-		step(func(_ *quorum.Node, now time.Duration) { c.sync(c.machines[a.Machine], a.Count, now) })
+		step(func(_ *consensus.Node, now time.Duration) { c.sync(c.machines[a.Machine], a.Count, now) })
 	case Advance:
 		c.now += a.Span
 		c.checkLeases()
@@ -176,15 +176,15 @@
 	case Wipe:
 		c.wipe(a.Machine)
 	case Propose:
-		step(func(n *quorum.Node, now time.Duration) { n.Propose(now, []byte{c.used[Propose]}) })
+		step(func(n *consensus.Node, now time.Duration) { n.Propose(now, []byte{c.used[Propose]}) })
 	case AddLearner:
-		step(func(n *quorum.Node, _ time.Duration) { n.AddLearner(a.Member) })
+		step(func(n *consensus.Node, _ time.Duration) { n.AddLearner(a.Member) })
 	case AddMember, DropMember:
-		step(func(n *quorum.Node, now time.Duration) { c.changeMembers(n, now, a) })
+		step(func(n *consensus.Node, now time.Duration) { c.changeMembers(n, now, a) })
 	case Compact:
-		step(func(n *quorum.Node, now time.Duration) { n.Compact(now, c.machines[a.Machine].applied.encode()) })
+		step(func(n *consensus.Node, now time.Duration) { n.Compact(now, c.machines[a.Machine].applied.encode()) })
 	case Transfer:
-		step(func(n *quorum.Node, now time.Duration) { n.TransferLeadership(now) })
+		step(func(n *consensus.Node, now time.Duration) { n.TransferLeadership(now) })
 	}
 	return c
 }
@@ -212,7 +212,7 @@
 		c.network = slices.Delete(c.network, i, i+1)
 	}
 	msg := w.network[i].m
-	c.act(c.place(msg.To), func(n *quorum.Node, now time.Duration) {
+	c.act(c.place(msg.To), func(n *consensus.Node, now time.Duration) {
 		if hook := w.scenario.Faults.Deliver; hook != nil {
 			msg = copyOf(msg)
 			hook(n, msg)
@@ -235,7 +235,7 @@
 	return &c
 }
 
-func (w *World) changeMembers(n *quorum.Node, now time.Duration, a Action) {
+func (w *World) changeMembers(n *consensus.Node, now time.Duration, a Action) {
 	members := n.Members()
 	if a.Kind == AddMember {
 		members = append(members, a.Member)
--- a/explore/canonical.go
+++ b/explore/canonical.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/quorum"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/wire"
 )
 
@@ -21,7 +21,7 @@
 
 // keeper makes keys; it keeps its buffers, so each worker has one.
 type keeper struct {
-	canon  quorum.Canon
+	canon  consensus.Canon
 	place  [32]byte // the new place of each machine
 	best   []byte
 	chunks [][]byte
--- a/explore/invariant.go
+++ b/explore/invariant.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"slices"
 
-	"myrtlefold/quorum"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/wire"
 )
 
@@ -80,7 +80,7 @@
 
 // checkLeader records who leads a term, and that a majority of members voted for it.
 func (w *World) checkLeader(m *machine) {
-	if m.node.Role() != quorum.Leader {
+	if m.node.Role() != consensus.Leader {
 		return
 	}
 	term := m.node.Term()
@@ -176,14 +176,14 @@
 	}
 }
 
-func entryAt(n *quorum.Node, i uint64) wire.Entry { return n.Log()[i-n.Snap().Index-1] }
+func entryAt(n *consensus.Node, i uint64) wire.Entry { return n.Log()[i-n.Snap().Index-1] }
 
 // checkLists wants each list of members in a log to share a member between any
 // majority of it and any majority of the list before.
 func (w *World) checkLists(m *machine) {
 	list := m.node.Snap().Members
 	for _, e := range m.node.Log() {
-		if e.Kind != quorum.EntryMembers {
+		if e.Kind != consensus.EntryMembers {
 			continue
 		}
 		var after []wire.Member
--- a/explore/scenario.go
+++ b/explore/scenario.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -33,13 +33,13 @@
 	// AckEarly says which batches the node is told are on disk before they are.
 	AckEarly func(b *wire.Batch) bool
 	// Restart changes what a restart finds on its disk.
-	Restart func(im *quorum.Image)
+	Restart func(im *consensus.Image)
 	// Deliver changes a copy of a message on its way to n.
-	Deliver func(n *quorum.Node, m *wire.Msg)
+	Deliver func(n *consensus.Node, m *wire.Msg)
 	// AfterStep is called after each step of a node.
-	AfterStep func(n *quorum.Node, now time.Duration)
+	AfterStep func(n *consensus.Node, now time.Duration)
 	// ChangeMembers is called in place of Node.ProposeMembers.
-	ChangeMembers func(n *quorum.Node, now time.Duration, members []wire.Member)
+	ChangeMembers func(n *consensus.Node, now time.Duration, members []wire.Member)
 	// Ignore names invariants that are not looked at, so that what follows shows.
 	Ignore []string
 }
@@ -59,7 +59,7 @@
 func elected(w *World) {
 	w.settle(2 * time.Second)
 	i := w.leader()
-	w.act(i, func(n *quorum.Node, now time.Duration) { n.Propose(now, []byte("start")) })
+	w.act(i, func(n *consensus.Node, now time.Duration) { n.Propose(now, []byte("start")) })
 	w.drain()
 	w.settle(2 * heartbeat)
 }
@@ -69,7 +69,7 @@
 func compacted(w *World) {
 	elected(w)
 	i := w.leader()
-	w.act(i, func(n *quorum.Node, now time.Duration) { n.Compact(now, w.machines[i].applied.encode()) })
+	w.act(i, func(n *consensus.Node, now time.Duration) { n.Compact(now, w.machines[i].applied.encode()) })
 	w.drain()
 }
 
@@ -77,19 +77,19 @@
 func electWith(w *World, i, j int) {
 	w.network = nil
 	before := w.machines[i].node.Term()
-	for w.machines[i].node.Role() != quorum.Leader || w.machines[i].node.Term() == before {
+	for w.machines[i].node.Role() != consensus.Leader || w.machines[i].node.Term() == before {
 		for _, k := range []int{i, j} {
-			w.act(k, func(_ *quorum.Node, now time.Duration) { w.sync(w.machines[k], len(w.machines[k].pending), now) })
+			w.act(k, func(_ *consensus.Node, now time.Duration) { w.sync(w.machines[k], len(w.machines[k].pending), now) })
 		}
 		w.network = slices.DeleteFunc(w.network, func(p packet) bool { to := w.place(p.m.To); return to != i && to != j })
 		if len(w.network) == 0 {
 			w.now += timeout
-			w.act(i, func(n *quorum.Node, now time.Duration) { n.Tick(now) })
+			w.act(i, func(n *consensus.Node, now time.Duration) { n.Tick(now) })
 			continue
 		}
 		p := w.network[0]
 		w.network = w.network[1:]
-		w.act(w.place(p.m.To), func(n *quorum.Node, now time.Duration) { n.Recv(now, p.m) })
+		w.act(w.place(p.m.To), func(n *consensus.Node, now time.Duration) { n.Recv(now, p.m) })
 	}
 }
 
@@ -102,7 +102,7 @@
 	elected(w)
 	a := w.leader()
 	b, c := (a+1)%len(w.machines), (a+2)%len(w.machines)
-	w.act(a, func(n *quorum.Node, now time.Duration) { n.Propose(now, []byte("first")) })
+	w.act(a, func(n *consensus.Node, now time.Duration) { n.Propose(now, []byte("first")) })
 	w.network = nil
 	w.drain()
 	electWith(w, c, b)
@@ -120,9 +120,9 @@
 		p := w.network[0]
 		w.network = w.network[1:]
 		if to := w.place(p.m.To); to == i || to == j {
-			w.act(to, func(n *quorum.Node, now time.Duration) { n.Recv(now, p.m) })
+			w.act(to, func(n *consensus.Node, now time.Duration) { n.Recv(now, p.m) })
 		}
-		w.act(j, func(_ *quorum.Node, now time.Duration) { w.sync(w.machines[j], len(w.machines[j].pending), now) })
+		w.act(j, func(_ *consensus.Node, now time.Duration) { w.sync(w.machines[j], len(w.machines[j].pending), now) })
 	}
 }
 
@@ -133,10 +133,10 @@
 	i := w.leader()
 	late := w.machines[(i+1)%len(w.machines)].name
 	for range 2 {
-		w.act(i, func(n *quorum.Node, now time.Duration) { n.Propose(now, []byte("more")) })
+		w.act(i, func(n *consensus.Node, now time.Duration) { n.Propose(now, []byte("more")) })
 		w.drainExcept(late)
 	}
-	w.act(i, func(n *quorum.Node, now time.Duration) { n.Compact(now, w.machines[i].applied.encode()) })
+	w.act(i, func(n *consensus.Node, now time.Duration) { n.Compact(now, w.machines[i].applied.encode()) })
 	w.drainExcept(late)
 	w.restart(i, 0) // what a leader keeps of the compacted log in memory is gone
 	electWith(w, i, (i+2)%len(w.machines))
@@ -146,12 +146,12 @@
 		}
 		if len(w.network) == 0 {
 			w.now += heartbeat
-			w.act(i, func(n *quorum.Node, now time.Duration) { n.Tick(now) })
+			w.act(i, func(n *consensus.Node, now time.Duration) { n.Tick(now) })
 			continue
 		}
 		p := w.network[0]
 		w.network = w.network[1:]
-		w.act(w.place(p.m.To), func(n *quorum.Node, now time.Duration) { n.Recv(now, p.m) })
+		w.act(w.place(p.m.To), func(n *consensus.Node, now time.Duration) { n.Recv(now, p.m) })
 	}
 	panic("no snapshot is under way")
 }
--- a/explore/world.go
+++ b/explore/world.go
@@ -16,8 +16,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -69,9 +69,9 @@
 // machine is one core machine: its process, its disk and its clock.
 type machine struct {
 	name    string
-	node    *quorum.Node
-	disk    quorum.Image  // what a restart finds at least
-	pending []*wire.Batch // handed to the disk, not known to be synced
+	node    *consensus.Node
+	disk    consensus.Image // what a restart finds at least
+	pending []*wire.Batch   // handed to the disk, not known to be synced
 	applied progress
 	disks   uint64 // how many disks it has had
 	rate    int64  // of its clock, in thousandths of the true time
@@ -118,7 +118,7 @@
 		members = append(members, wire.Member{Name: fmt.Sprintf("%s-kept", machineName(i))})
 	}
 	for i := range s.Machines {
-		m := &machine{name: machineName(i), rate: nominalRate, disk: quorum.Image{Epoch: epoch, Disk: diskNumber(i, 0)}}
+		m := &machine{name: machineName(i), rate: nominalRate, disk: consensus.Image{Epoch: epoch, Disk: diskNumber(i, 0)}}
 		if len(s.Rates) > 0 {
 			m.rate = s.Rates[i%len(s.Rates)]
 		}
@@ -129,7 +129,7 @@
 		if i >= s.Voters {
 			m.applied = progress{}
 		}
-		m.node = quorum.New(m.clock(w.now), m.name, m.disk)
+		m.node = consensus.New(m.clock(w.now), m.name, m.disk)
 		w.machines = append(w.machines, m)
 	}
 	w.history.committed = []commitRecord{{progress: progress{index: firstIndex}}}
@@ -162,7 +162,7 @@
 
 // act has one machine take a step and carries out what it left to do. The world
 // must be a fresh clone.
-func (w *World) act(i int, step func(n *quorum.Node, now time.Duration)) {
+func (w *World) act(i int, step func(n *consensus.Node, now time.Duration)) {
 	m := w.machines[i].clone()
 	w.machines[i] = m
 	defer func() {
@@ -239,7 +239,7 @@
 }
 
 func messageID(m *wire.Msg) uint64 {
-	c := quorum.Canon{Name: func(name string) byte { return (name + "\xff")[0] }, Disk: func(d uint64) uint64 { return d }}
+	c := consensus.Canon{Name: func(name string) byte { return (name + "\xff")[0] }, Disk: func(d uint64) uint64 { return d }}
 	c.Message(m, 0)
 	c.Uint(uint64(m.Stamp))
 	h := fnv.New64a()
@@ -267,7 +267,7 @@
 	m := w.machines[i].clone()
 	w.machines[i] = m
 	m.disks++
-	m.disk = quorum.Image{Epoch: epoch, Disk: diskNumber(i, m.disks)}
+	m.disk = consensus.Image{Epoch: epoch, Disk: diskNumber(i, m.disks)}
 	w.boot(i, m)
 }
 
@@ -282,7 +282,7 @@
 	if m.disk.Snap.Index > 0 {
 		m.applied = decodeProgress(m.disk.Snap.Data)
 	}
-	m.node = quorum.New(m.clock(w.now), m.name, m.disk)
+	m.node = consensus.New(m.clock(w.now), m.name, m.disk)
 	w.check(i)
 }
 
@@ -290,7 +290,7 @@
 func (w *World) settle(d time.Duration) {
 	for end := w.now + d; w.now < end; w.now += limit.TickEvery {
 		for i := range w.machines {
-			w.act(i, func(n *quorum.Node, now time.Duration) { n.Tick(now) })
+			w.act(i, func(n *consensus.Node, now time.Duration) { n.Tick(now) })
 		}
 		w.drain()
 	}
@@ -305,7 +305,7 @@
 		busy = false
 		for i, m := range w.machines {
 			if k := len(m.pending); k > 0 {
-				w.act(i, func(_ *quorum.Node, now time.Duration) { w.sync(w.machines[i], k, now) })
+				w.act(i, func(_ *consensus.Node, now time.Duration) { w.sync(w.machines[i], k, now) })
 				busy = true
 			}
 		}
@@ -316,7 +316,7 @@
 			if p.m.To == name {
 				continue
 			}
-			w.act(w.place(p.m.To), func(n *quorum.Node, now time.Duration) { n.Recv(now, p.m) })
+			w.act(w.place(p.m.To), func(n *consensus.Node, now time.Duration) { n.Recv(now, p.m) })
 		}
 	}
 }
--- a/fuzz/step_test.go
+++ b/fuzz/step_test.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
 	"myrtlefold/model"
 	"myrtlefold/proxy"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -68,7 +68,7 @@
 func newLeader(t *testing.T) *leader {
 	self := wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}
 	l := &leader{now: time.Second}
-	l.core = core.New(l.now, core.Settings{Self: self, Size: 1}, quorum.Image{Disk: 7})
+	l.core = core.New(l.now, core.Settings{Self: self, Size: 1}, consensus.Image{Disk: 7})
 	for range 12 {
 		l.second()
 	}
--- a/host/disk.go
+++ b/host/disk.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/ring"
 	"myrtlefold/wire"
 )
@@ -29,7 +29,7 @@
 type Disk struct {
 	h      *Host
 	ring   store
-	img    quorum.Image
+	img    consensus.Image
 	queue  chan *wire.Batch
 	retry  time.Duration // how long after a refused write the next is tried
 	failed error         // why writes are refused now
@@ -37,15 +37,15 @@
 
 // OpenDisk reads what the folder holds; an empty one gets a number of its own. An error that
 // is marked ring.ErrDamaged or core.ErrDamaged says that it can't be read whole.
-func (h *Host) OpenDisk() (*Disk, quorum.Image, error) {
+func (h *Host) OpenDisk() (*Disk, consensus.Image, error) {
 	r, recs, err := ring.Open(h.Settings.Data, limit.RingFiles, limit.RingFileSize)
 	if err != nil {
-		return nil, quorum.Image{}, err
+		return nil, consensus.Image{}, err
 	}
 	d := h.newDisk(r)
 	if err := d.load(recs); err != nil {
 		r.Close()
-		return nil, quorum.Image{}, err
+		return nil, consensus.Image{}, err
 	}
 	return d, d.image(), nil
 }
@@ -75,7 +75,7 @@
 // newDiskNumber is drawn so that no two disks have the same; 0 is none.
 func newDiskNumber() uint64 { return rand.Uint64() | 1 }
 
-func (d *Disk) image() quorum.Image {
+func (d *Disk) image() consensus.Image {
 	img := d.img
 	img.Log = slices.Clone(img.Log)
 	return img
@@ -83,8 +83,8 @@
 
 // recreateDisk begins a damaged disk anew under another number: to the core this member's
 // disk is lost, so it learns all again and votes once it has been added again.
-func (h *Host) recreateDisk() (*Disk, quorum.Image, error) {
-	img := quorum.Image{Disk: newDiskNumber()}
+func (h *Host) recreateDisk() (*Disk, consensus.Image, error) {
+	img := consensus.Image{Disk: newDiskNumber()}
 	whole, err := wire.EncodeBatch(img.Whole())
 	if err != nil {
 		return nil, img, err
@@ -101,7 +101,7 @@
 // openDiskInTime opens the disk, however often that has to be tried; damage is what was
 // found if it had to be begun anew. A process that ended instead would be started again to
 // meet the same.
-func (h *Host) openDiskInTime() (d *Disk, img quorum.Image, damage error) {
+func (h *Host) openDiskInTime() (d *Disk, img consensus.Image, damage error) {
 	said := ""
 	for {
 		d, img, err := h.OpenDisk()
--- a/host/disk_test.go
+++ b/host/disk_test.go
@@ -12,8 +12,8 @@
 	"github.com/sirupsen/logrus"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -133,7 +133,7 @@
 			return []byte(text)
 		}
 		for i, text := range []string{"first", "second", "third"} {
-			e := wire.Entry{Index: uint64(i) + 1, Term: 1, Kind: quorum.EntryData, Data: data(text)}
+			e := wire.Entry{Index: uint64(i) + 1, Term: 1, Kind: consensus.EntryData, Data: data(text)}
 			d.sync([]*wire.Batch{{Seq: uint64(i) + 1, Hard: true, Term: 1, Vote: "b", Entries: []wire.Entry{e}}})
 		}
 		damage(t, h.Settings.Data)
@@ -158,7 +158,7 @@
 	if _, _, err := h.OpenDisk(); err == nil {
 		t.Fatal("opened")
 	}
-	opened := make(chan quorum.Image)
+	opened := make(chan consensus.Image)
 	go func() {
 		_, im, _ := h.openDiskInTime()
 		opened <- im
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -12,8 +12,8 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -82,10 +82,10 @@
 		t.Fatal(err, img)
 	}
 	go d.Run()
-	want := quorum.Image{Disk: img.Disk}
+	want := consensus.Image{Disk: img.Disk}
 	big := []byte(`{"op":"restore","name":"` + strings.Repeat("x", 100<<10) + `"}`) // an entry that decodes, and a state
 	for i := range uint64(200) {
-		b := &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1, Kind: quorum.EntryData, Data: big}}}
+		b := &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1, Kind: consensus.EntryData, Data: big}}}
 		if i%8 == 7 {
 			b.Snap = &wire.Snap{Index: i, Term: 1, Data: big}
 		}
--- a/host/restart_test.go
+++ b/host/restart_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
@@ -86,7 +86,7 @@
 	}
 }
 
-func imageBytes(tb testing.TB, im *quorum.Image) int {
+func imageBytes(tb testing.TB, im *consensus.Image) int {
 	tb.Helper()
 	b, err := wire.EncodeBatch(im.Whole())
 	if err != nil {
--- a/quorum/disk.go
+++ b/internal/controlplane/consensus/disk.go
@@ -1,7 +1,7 @@
 // This file numbers the batches that have to be synced, and keeps back messages
 // until what they promise is on disk.
 
-package quorum
+package consensus
 
 import (
 	"slices"
--- a/quorum/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -1,7 +1,7 @@
 // This file is the election: who asks for votes, who leases them, and when a
 // candidate leads.
 
-package quorum
+package consensus
 
 import (
 	"cmp"
--- a/quorum/explore.go
+++ b/internal/controlplane/consensus/explore.go
@@ -1,7 +1,7 @@
 // This file lets a node be copied and its state be written down in a canonical
 // form, for the systematic exploration in package explore. Nothing else uses it.
 
-package quorum
+package consensus
 
 import (
 	"cmp"
--- a/quorum/explore_test.go
+++ b/internal/controlplane/consensus/explore_test.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 import (
 	"bytes"
--- a/quorum/image.go
+++ b/internal/controlplane/consensus/image.go
@@ -1,6 +1,6 @@
 // This file is what a member's disk holds: every synced batch folded in order.
 
-package quorum
+package consensus
 
 import (
 	"encoding/json"
--- a/quorum/member.go
+++ b/internal/controlplane/consensus/member.go
@@ -1,6 +1,6 @@
 // This file is the list of members: who votes, who learns, and changes by one.
 
-package quorum
+package consensus
 
 import (
 	"encoding/json"
--- a/quorum/mutation_test.go
+++ b/internal/controlplane/consensus/mutation_test.go
@@ -1,4 +1,4 @@
-package quorum_test
+package consensus_test
 
 import (
 	"slices"
@@ -7,7 +7,7 @@
 	"time"
 
 	"myrtlefold/explore"
-	"myrtlefold/quorum"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/wire"
 )
 
@@ -44,52 +44,52 @@
 	{name: "snapshot confirmed before it is synced", scenario: "snapshot-under-way", breaks: []string{explore.PromisesAreSynced},
 		faults: explore.Faults{AckEarly: func(b *wire.Batch) bool { return b.Snap != nil && b.Cut != 0 }}},
 	{name: "vote forgotten by a restart", seed: 1, scenario: "election", walks: 3000, breaks: []string{explore.OneVotePerTerm},
-		faults: explore.Faults{Restart: func(im *quorum.Image) { im.Vote = "" }}},
+		faults: explore.Faults{Restart: func(im *consensus.Image) { im.Vote = "" }}},
 	{name: "vote forgotten by a restart: what follows", seed: 11, scenario: "election", walks: 6000, breaks: []string{explore.OneLeaderPerTerm},
-		faults: explore.Faults{Restart: func(im *quorum.Image) { im.Vote = "" }, Ignore: []string{explore.OneVotePerTerm, explore.VotersAreMembers}}},
+		faults: explore.Faults{Restart: func(im *consensus.Image) { im.Vote = "" }, Ignore: []string{explore.OneVotePerTerm, explore.VotersAreMembers}}},
 	{name: "commit by count of an earlier term", scenario: "overtaken", seed: 1, walks: 20000, breaks: []string{explore.LeaderComplete, explore.CommittedKept},
-		faults: explore.Faults{AfterStep: (*quorum.Node).CommitByCount}},
+		faults: explore.Faults{AfterStep: (*consensus.Node).CommitByCount}},
 	{name: "commit before a majority", seed: 2, scenario: "diverged", walks: 3000, breaks: []string{explore.LeaderComplete, explore.CommittedKept},
-		faults: explore.Faults{AfterStep: (*quorum.Node).CommitOwn}},
+		faults: explore.Faults{AfterStep: (*consensus.Node).CommitOwn}},
 	{name: "votes for whoever lacks entries", seed: 8, scenario: "diverged", walks: 3000, breaks: []string{explore.LeaderComplete},
-		faults: explore.Faults{Deliver: func(_ *quorum.Node, m *wire.Msg) {
+		faults: explore.Faults{Deliver: func(_ *consensus.Node, m *wire.Msg) {
 			if m.Vote != nil && !m.Vote.Reply {
 				m.Vote.LastTerm, m.Vote.LastIndex = m.Term, 1<<40
 			}
 		}}},
 	{name: "entries taken after one that differs", seed: 1, scenario: "diverged", walks: 3000, breaks: []string{explore.LogMatching, explore.CommittedKept, explore.NoPanic},
-		faults: explore.Faults{Deliver: func(n *quorum.Node, m *wire.Msg) {
+		faults: explore.Faults{Deliver: func(n *consensus.Node, m *wire.Msg) {
 			if a := m.Append; a != nil && !a.Reply && n.TermAt(a.PrevIndex) != 0 {
 				a.PrevTerm = n.TermAt(a.PrevIndex)
 			}
 		}}},
 	{name: "agreed entries kept from the state machine", scenario: "late-sync", breaks: []string{explore.StateMachineSafety},
-		faults: explore.Faults{AfterStep: func(n *quorum.Node, _ time.Duration) { n.SkipApplied() }}},
+		faults: explore.Faults{AfterStep: func(n *consensus.Node, _ time.Duration) { n.SkipApplied() }}},
 	{name: "lease longer than the refusal", seed: 12, scenario: "second-leader", rates: []int64{450, 1000, 1000}, walks: 3000, breaks: []string{explore.OneLease},
 		faults: explore.Faults{Ignore: []string{explore.LeaseIsCurrent}}},
 	{name: "lease longer than the refusal: what follows", seed: 12, scenario: "second-leader", rates: []int64{450, 1000, 1000}, walks: 3000,
 		faults: explore.Faults{Ignore: []string{explore.OneLease}}, breaks: []string{explore.LeaseIsCurrent}},
 	{name: "vote of a disk that is no member", seed: 4, scenario: "members", walks: 6000,
 		breaks: []string{explore.VotersAreMembers, explore.LeaderComplete, explore.CommittedKept, explore.OneLeaderPerTerm},
-		faults: explore.Faults{Deliver: func(n *quorum.Node, m *wire.Msg) {
+		faults: explore.Faults{Deliver: func(n *consensus.Node, m *wire.Msg) {
 			if d := n.DiskOf(m.From); d != 0 {
 				m.Disk = d
 			}
 		}}},
 	{name: "vote of a disk that is no member: what follows", seed: 10, scenario: "members", walks: 6000,
 		breaks: []string{explore.LeaderComplete, explore.CommittedKept, explore.OneLeaderPerTerm},
-		faults: explore.Faults{Ignore: []string{explore.VotersAreMembers}, Deliver: func(n *quorum.Node, m *wire.Msg) {
+		faults: explore.Faults{Ignore: []string{explore.VotersAreMembers}, Deliver: func(n *consensus.Node, m *wire.Msg) {
 			if d := n.DiskOf(m.From); d != 0 {
 				m.Disk = d
 			}
 		}}},
 	{name: "two members changed at once: what follows", seed: 11, scenario: "members", walks: 6000,
 		breaks: []string{explore.LeaderComplete, explore.CommittedKept, explore.OneLeaderPerTerm, explore.OneLease},
-		faults: explore.Faults{Ignore: []string{explore.MajoritiesMeet}, ChangeMembers: func(n *quorum.Node, now time.Duration, ms []wire.Member) {
+		faults: explore.Faults{Ignore: []string{explore.MajoritiesMeet}, ChangeMembers: func(n *consensus.Node, now time.Duration, ms []wire.Member) {
 			n.ProposeAnyMembers(now, withoutFirst(ms))
 		}}},
 	{name: "two members changed at once", scenario: "members", breaks: []string{explore.MajoritiesMeet},
-		faults: explore.Faults{ChangeMembers: func(n *quorum.Node, now time.Duration, ms []wire.Member) {
+		faults: explore.Faults{ChangeMembers: func(n *consensus.Node, now time.Duration, ms []wire.Member) {
 			n.ProposeAnyMembers(now, withoutFirst(ms))
 		}}},
 }
--- a/quorum/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -1,6 +1,6 @@
 // This file tells operators how the members stand, as their leader sees them.
 
-package quorum
+package consensus
 
 import (
 	"time"
--- a/quorum/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -14,7 +14,7 @@
 // a start of them all: a candidate that stands so leads only once each member, also
 // of the list before a change that may be under way, has taken its term on disk. Who
 // has can lead in no earlier one any more, so nobody else is left who may decide.
-package quorum
+package consensus
 
 import (
 	"hash/fnv"
--- a/quorum/refusal.go
+++ b/internal/controlplane/consensus/refusal.go
@@ -2,7 +2,7 @@
 // they say is taken in: from outside nothing may make a node panic, believe in a list
 // of members that can't be read, or go back on what is agreed.
 
-package quorum
+package consensus
 
 import (
 	"encoding/json"
--- a/quorum/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -1,7 +1,7 @@
 // This file replicates the log from the leader to the others and counts what a
 // majority has synced.
 
-package quorum
+package consensus
 
 import (
 	"slices"
--- a/quorum/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -1,6 +1,6 @@
 // This file replaces the applied log by the state that it led to.
 
-package quorum
+package consensus
 
 import (
 	"slices"
--- a/quorum/transfer.go
+++ b/internal/controlplane/consensus/transfer.go
@@ -4,7 +4,7 @@
 // beside it and their answers say how much that is, so a lost piece is noticed by the
 // answer to any heartbeat that was sent after it, without a timer.
 
-package quorum
+package consensus
 
 import (
 	"hash/fnv"
--- a/sim/process.go
+++ b/sim/process.go
@@ -10,14 +10,14 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
 	"myrtlefold/proxy"
-	"myrtlefold/quorum"
 	"myrtlefold/wire"
 )
 
 type disk struct {
-	img      quorum.Image
+	img      consensus.Image
 	open     []*wire.Batch
 	stalled  bool
 	slow     int  // how many times longer a sync takes, 0: as usual
@@ -161,7 +161,7 @@
 func (w *World) WipeDisk(p *Proc) {
 	w.log("wipe disk of %s", p.name)
 	w.loseMajority(p)
-	p.disk = &disk{img: quorum.Image{Disk: w.rnd.Uint64() | 1}}
+	p.disk = &disk{img: consensus.Image{Disk: w.rnd.Uint64() | 1}}
 }
 
 // Restart starts a dead process again, unless its machine is gone.
--- a/sim/stored_test.go
+++ b/sim/stored_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/limit"
-	"myrtlefold/quorum"
 	"myrtlefold/ring"
 	"myrtlefold/wire"
 )
@@ -36,9 +36,9 @@
 
 // storedImages are what members' disks held at moments of simulated runs: nothing yet, a bootstrap
 // lock, a log from the beginning, and a snapshot with a log.
-func storedImages(t *testing.T) map[string]quorum.Image {
+func storedImages(t *testing.T) map[string]consensus.Image {
 	t.Helper()
-	images := map[string]quorum.Image{"fresh": New(11, Small).procs["c1"].disk.img}
+	images := map[string]consensus.Image{"fresh": New(11, Small).procs["c1"].disk.img}
 	locked := New(11, Small)
 	for locked.procs["c1"].disk.img.Lock == 0 {
 		if locked.now > 5*time.Second {
@@ -76,7 +76,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var read quorum.Image
+			var read consensus.Image
 			read.Fold(b)
 			if err := core.CheckImage(&read); err != nil {
 				t.Fatal(err)
