--- a/host/disk.go
+++ b/host/disk.go
@@ -14,8 +14,8 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/controlplane/wal"
 	"myrtlefold/limit"
-	"myrtlefold/ring"
 	"myrtlefold/wire"
 )
 
@@ -38,7 +38,7 @@
 // OpenDisk reads what the folder holds; an empty one gets a number of its own. An error that
 // is marked ring.ErrDamaged or core.ErrDamaged says that it can't be read whole.
 func (h *Host) OpenDisk() (*Disk, consensus.Image, error) {
-	r, recs, err := ring.Open(h.Settings.Data, limit.RingFiles, limit.RingFileSize)
+	r, recs, err := wal.Open(h.Settings.Data, limit.RingFiles, limit.RingFileSize)
 	if err != nil {
 		return nil, consensus.Image{}, err
 	}
@@ -58,7 +58,7 @@
 	for _, rec := range recs {
 		b, err := wire.DecodeBatch(rec)
 		if err != nil {
-			return errors.Mark(errors.Wrap(err, "ring record"), ring.ErrDamaged)
+			return errors.Mark(errors.Wrap(err, "ring record"), wal.ErrDamaged)
 		}
 		d.img.Fold(b)
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, img, err
 	}
-	r, err := ring.Recreate(h.Settings.Data, limit.RingFiles, limit.RingFileSize, whole)
+	r, err := wal.Recreate(h.Settings.Data, limit.RingFiles, limit.RingFileSize, whole)
 	if err != nil {
 		return nil, img, err
 	}
@@ -105,7 +105,7 @@
 	said := ""
 	for {
 		d, img, err := h.OpenDisk()
-		if errors.IsAny(err, ring.ErrDamaged, core.ErrDamaged) {
+		if errors.IsAny(err, wal.ErrDamaged, core.ErrDamaged) {
 			h.Log.WithError(err).Error("state on disk can't be read whole; it counts as lost, and this member learns all again")
 			damage = err
 			d, img, err = h.recreateDisk()
--- a/ring/recorded_test.go
+++ b/internal/controlplane/wal/recorded_test.go
@@ -1,4 +1,4 @@
-package ring
+package wal
 
 import (
 	"bytes"
--- a/ring/ring.go
+++ b/internal/controlplane/wal/ring.go
@@ -8,7 +8,7 @@
 // was cut short at the end of the newest file by a crash, and never promised, can
 // be told from damage to what was synced last: the one has no echo and is dropped,
 // the other is read from it. Damage followed by sound records is refused aloud.
-package ring
+package wal
 
 import (
 	"bytes"
--- a/sim/stored_test.go
+++ b/sim/stored_test.go
@@ -11,8 +11,8 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/controlplane/wal"
 	"myrtlefold/limit"
-	"myrtlefold/ring"
 	"myrtlefold/wire"
 )
 
@@ -100,12 +100,12 @@
 func inRing(t *testing.T, record []byte) {
 	t.Helper()
 	dir := t.TempDir()
-	r, err := ring.Recreate(dir, limit.RingFiles, limit.RingFileSize, record)
+	r, err := wal.Recreate(dir, limit.RingFiles, limit.RingFileSize, record)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Close()
-	r, records, err := ring.Open(dir, limit.RingFiles, limit.RingFileSize)
+	r, records, err := wal.Open(dir, limit.RingFiles, limit.RingFileSize)
 	if err != nil || len(records) != 1 || !bytes.Equal(records[0], record) {
 		t.Fatal(len(records), err)
 	}
