--- a/cmd/mflab/hollow_test.go
+++ b/cmd/mflab/hollow_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"myrtlefold/host"
-	"myrtlefold/policy"
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/proxy"
 	"myrtlefold/wire"
 )
@@ -40,7 +40,7 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
 		targets, routes := 1+rnd.IntN(1200), 1+rnd.IntN(2500)
-		cfg, faults, err := policy.CheckConfig(hollowConfig(targets, routes))
+		cfg, faults, err := outlier.CheckConfig(hollowConfig(targets, routes))
 		if err != nil || len(faults) > 0 || len(cfg.Routes) != routes {
 			t.Fatalf("%d targets, %d routes: %v %v, %d routes", targets, routes, err, faults, len(cfg.Routes))
 		}
--- a/compat/compat_test.go
+++ b/compat/compat_test.go
@@ -24,8 +24,8 @@
 	"myrtlefold/core"
 	"myrtlefold/forward"
 	"myrtlefold/host"
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 	"myrtlefold/proxy"
 	"myrtlefold/wire"
 )
@@ -145,9 +145,9 @@
 	jsonForm[core.TargetView](t, "core-target", readBack)
 	jsonForm[core.Note](t, "stream-note", readBack)
 	jsonForm[proxy.View](t, "proxy-status", readBack)
-	jsonForm[policy.Stat](t, "policy-stat", readBack)
-	jsonForm[policy.Event](t, "policy-event", readBack)
-	jsonForm[policy.Decision](t, "policy-decision", readBack)
+	jsonForm[outlier.Stat](t, "policy-stat", readBack)
+	jsonForm[outlier.Event](t, "policy-event", readBack)
+	jsonForm[outlier.Decision](t, "policy-decision", readBack)
 	jsonForm[wire.Daemon](t, "daemon", writtenOnly)
 	// What operators and targets send.
 	jsonForm[model.Config](t, "config", readBack)
--- a/core/configcall.go
+++ b/core/configcall.go
@@ -12,9 +12,9 @@
 	"github.com/cockroachdb/errors"
 	jsonpatch "github.com/evanphx/json-patch/v5"
 
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 	"myrtlefold/wire"
 )
 
@@ -104,7 +104,7 @@
 		c.answer(p, tooLarge())
 		return
 	}
-	cfg, faults, err := policy.CheckConfig(doc)
+	cfg, faults, err := outlier.CheckConfig(doc)
 	if err == nil && cfg.Revision != 0 && cfg.Revision <= c.state.Revision {
 		faults = append(faults, model.Fault{Path: "revision", Text: fmt.Sprintf("not above the present %d", c.state.Revision)})
 	}
--- a/core/core.go
+++ b/core/core.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 	"myrtlefold/wire"
 )
 
@@ -75,8 +75,8 @@
 	}
 	// Note is a target event or a decision for those who read the stream.
 	Note struct {
-		Event    *policy.Event    `json:"event,omitempty"`
-		Decision *policy.Decision `json:"decision,omitempty"`
+		Event    *outlier.Event    `json:"event,omitempty"`
+		Decision *outlier.Decision `json:"decision,omitempty"`
 	}
 	// Change is a change of state worth a line in the log.
 	Change struct{ What, From, To, Why string }
@@ -182,8 +182,8 @@
 	restored               map[string]time.Duration  // when emptied domains were last restored
 	checked                checked
 	compressed             struct{ plain, doc []byte } // the document as last told, and its form in tables
-	judge                  *policy.Judge
-	scorer                 *policy.Scorer
+	judge                  *outlier.Judge
+	scorer                 *outlier.Scorer
 	policyRevision         uint64 // revision whose policies are in force
 	cfg                    *model.Config
 	waiters                []*commitWaiter
--- a/core/encoding.go
+++ b/core/encoding.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/policy"
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/wire"
 )
 
@@ -63,7 +63,7 @@
 func decodeRecovered(l RecoveredState) (State, error) {
 	s, err := decodeState(l.State)
 	if err == nil && len(s.Doc) > 0 {
-		_, _, err = policy.CheckConfig(s.Doc)
+		_, _, err = outlier.CheckConfig(s.Doc)
 	}
 	return s, errors.Mark(err, ErrDamaged)
 }
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -12,9 +12,9 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 	"myrtlefold/wire"
 )
 
@@ -170,7 +170,7 @@
 	cfg := c.checked.cfg
 	if cfg == nil || !bytes.Equal(c.checked.doc, c.state.Doc) {
 		var err error
-		if cfg, _, err = policy.CheckConfig(c.state.Doc); err != nil {
+		if cfg, _, err = outlier.CheckConfig(c.state.Doc); err != nil {
 			c.cannotDecode(fmt.Sprintf("configuration %d", c.state.Revision), err)
 			if c.cfg == nil {
 				c.cfg = &model.Config{} // for the rest of this step, in which the lead ends
--- a/core/resume.go
+++ b/core/resume.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
-	"myrtlefold/policy"
 	"myrtlefold/wire"
 )
 
@@ -132,8 +132,8 @@
 // forgetLead begins a lead with the targets that are agreed, and nothing else.
 func (c *Core) forgetLead(now time.Duration) {
 	c.abandonWaiters()
-	c.targets, c.claims, c.judge, c.policyRevision = map[wire.ID]*target{}, map[wire.ID]*target{}, policy.New(), 0
-	c.scorer = policy.NewScorer(c.judge)
+	c.targets, c.claims, c.judge, c.policyRevision = map[wire.ID]*target{}, map[wire.ID]*target{}, outlier.New(), 0
+	c.scorer = outlier.NewScorer(c.judge)
 	c.lastTurn, c.turnByName = map[string]uint32{}, map[[2]string]uint32{}
 	c.tombstones, c.leaving = map[wire.ID]time.Duration{}, map[wire.ID]time.Duration{}
 	c.withdrawnAt = map[wire.ID]uint64{}
--- a/core/status.go
+++ b/core/status.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 	"myrtlefold/wire"
 )
 
@@ -71,7 +71,7 @@
 }
 
 // policyStats are the policies in force with their scores since this leader began.
-func (c *Core) policyStats(now time.Duration) map[string]policy.Stat {
+func (c *Core) policyStats(now time.Duration) map[string]outlier.Stat {
 	l := c.judge.Stats()
 	for name, s := range c.scorer.Scores(now) {
 		x := l[name]
--- a/core/target.go
+++ b/core/target.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 	"myrtlefold/wire"
 )
 
@@ -123,7 +123,7 @@
 	}
 	t.Held, t.State = true, model.Leaving
 	c.counts.Holds++
-	d := policy.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Inc: t.Inc, Why: why}
+	d := outlier.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Inc: t.Inc, Why: why}
 	c.emit(Note{Decision: &d})
 }
 
@@ -138,7 +138,7 @@
 		c.leaving[id] = now
 	}
 	c.scorer.Forget(now, id)
-	d := policy.Decision{At: now, Policy: "registry", Kind: "gone", Service: id.Service, Name: id.Name, Inc: id.Inc, Why: why}
+	d := outlier.Decision{At: now, Policy: "registry", Kind: "gone", Service: id.Service, Name: id.Name, Inc: id.Inc, Why: why}
 	c.emit(Note{Decision: &d})
 }
 
@@ -181,10 +181,10 @@
 	}
 	c.updateFromReport(now, t, w)
 	c.advanceState(now, t, w.State)
-	e := policy.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Inc, Ok: true, State: t.State}
+	e := outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Inc, Ok: true, State: t.State}
 	c.judgeEvent(e)
 	if t.HasDemand {
-		c.judgeEvent(policy.Event{At: now, Slice: "demand", Service: t.Service, Name: t.Name, Inc: t.Inc, Demand: t.Demand})
+		c.judgeEvent(outlier.Event{At: now, Slice: "demand", Service: t.Service, Name: t.Name, Inc: t.Inc, Demand: t.Demand})
 	}
 	c.targetChanged(now, t)
 }
@@ -321,12 +321,12 @@
 	}
 }
 
-func (c *Core) judgeEvent(e policy.Event) {
+func (c *Core) judgeEvent(e outlier.Event) {
 	c.emit(Note{Event: &e})
 	c.decided(c.scorer.Step(e))
 }
 
-func (c *Core) decided(ds []policy.Decision) {
+func (c *Core) decided(ds []outlier.Decision) {
 	for i := range ds {
 		if !ds[i].Shadow {
 			c.decisions++
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 	"myrtlefold/wire"
 )
 
@@ -25,13 +25,13 @@
 			t.seenAt = now
 			if s := t.seen; s.Ok+s.Errors > 0 {
 				t.seen = wire.Seen{}
-				c.judgeEvent(policy.Event{At: now, Slice: "exchange", Service: t.Service, Name: t.Name, Inc: t.Inc,
+				c.judgeEvent(outlier.Event{At: now, Slice: "exchange", Service: t.Service, Name: t.Name, Inc: t.Inc,
 					Count: int(s.Ok + s.Errors), Errors: int(s.Errors), Slow: int(s.Slow), Ms: s.SumMs})
 			}
 		}
 		if silent := now - t.beatAt; silent > limit.BeatLapse && now-t.silentAt >= limit.SeenEvery {
 			t.silentAt = now
-			c.judgeEvent(policy.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Inc, State: t.State, Ms: float64(silent) / 1e6})
+			c.judgeEvent(outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Inc, State: t.State, Ms: float64(silent) / 1e6})
 		}
 		if now-t.aliveAt > limit.TargetGone {
 			c.drop(now, id, "silent and unreachable")
@@ -197,7 +197,7 @@
 	}
 	t.sentAt = 0
 	proved := t.unconfirmed
-	e := policy.Event{At: now, Slice: "probe", Service: t.Service, Name: t.Name, Inc: t.Inc, Ms: p.Ms}
+	e := outlier.Event{At: now, Slice: "probe", Service: t.Service, Name: t.Name, Inc: t.Inc, Ms: p.Ms}
 	b := p.Beat
 	e.Ok = b != nil && b.ID() == p.ID
 	t.missed = !e.Ok
--- a/host/ctl_config.go
+++ b/host/ctl_config.go
@@ -16,8 +16,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 )
 
 // read reads a file, or standard input.
@@ -101,7 +101,7 @@
 			doc, faults, err = changed(doc, b)
 		}
 		if err == nil && len(faults) == 0 {
-			_, faults, err = policy.CheckConfig(doc)
+			_, faults, err = outlier.CheckConfig(doc)
 		}
 		if err != nil {
 			return failed(errors.Wrap(err, f), exitInvalid)
@@ -165,7 +165,7 @@
 	if err != nil {
 		return failed(err, exitUsage)
 	}
-	cfg, faults, err := policy.CheckConfig(b)
+	cfg, faults, err := outlier.CheckConfig(b)
 	if err != nil {
 		return failed(err, exitInvalid)
 	}
--- a/host/ctl_policy.go
+++ b/host/ctl_policy.go
@@ -17,9 +17,9 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 )
 
 // compare prints each policy's score on a recording; policies are files named for the policy.
@@ -41,11 +41,11 @@
 		defer f.Close()
 		in = f
 	}
-	var events []policy.Event
-	if err := policy.ReadEvents(in, func(e policy.Event) error { events = append(events, e); return nil }); err != nil {
+	var events []outlier.Event
+	if err := outlier.ReadEvents(in, func(e outlier.Event) error { events = append(events, e); return nil }); err != nil {
 		return failed(err, exitInvalid)
 	}
-	scores := policy.Compare(events, policies)
+	scores := outlier.Compare(events, policies)
 	if c.json {
 		printJSON(scores)
 		return exitOK
@@ -71,7 +71,7 @@
 		failed(errors.Wrap(err, file), exitInvalid)
 		return p, false
 	}
-	faults = append(faults, policy.Check(p)...)
+	faults = append(faults, outlier.Check(p)...)
 	for _, f := range faults {
 		fmt.Fprintf(os.Stderr, "mfctl: %s: %s: %s\n", file, f.Path, f.Text)
 	}
@@ -85,14 +85,14 @@
 		b, err := os.ReadFile(config)
 		var faults []model.Fault
 		if err == nil {
-			cfg, faults, err = policy.CheckConfig(b)
+			cfg, faults, err = outlier.CheckConfig(b)
 		}
 		if err != nil || len(faults) > 0 {
 			fmt.Fprintf(os.Stderr, "mfctl: %s: %v %v\n", config, err, faults)
 			return exitInvalid
 		}
 	}
-	session := policy.NewSession(cfg)
+	session := outlier.NewSession(cfg)
 	enc := json.NewEncoder(os.Stdout)
 	code := exitOK
 	sc := bufio.NewScanner(os.Stdin)
--- a/host/ctl_views.go
+++ b/host/ctl_views.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"myrtlefold/core"
-	"myrtlefold/policy"
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/proxy"
 )
 
@@ -173,14 +173,14 @@
 	var v struct {
 		Revision uint64
 		Since    float64 `json:"since_ms"`
-		Policies map[string]policy.Stat
+		Policies map[string]outlier.Stat
 	}
 	json.Unmarshal(b, &v)
 	tw := newTable()
 	fmt.Fprintf(tw, "revision %d, scores of the last %.0f s\nNAME\tMODE\tSLICE\tDECIDES\tTTL MS\tEVALUATED\tFAILED\tOUT\tBARS\tWRONG\tERRORS\tMISSED\tTO BAR MS\tWHEN\tLAST ERROR\n", v.Revision, v.Since/1000)
 	for _, n := range slices.Sorted(maps.Keys(v.Policies)) {
 		s := v.Policies[n]
-		x := policy.Score{}
+		x := outlier.Score{}
 		if s.Score != nil {
 			x = *s.Score
 		}
--- a/host/session.go
+++ b/host/session.go
@@ -12,14 +12,14 @@
 	"net/http"
 	"time"
 
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 )
 
 // session is a policy session with its client's state.
 type session struct {
-	*policy.Session
+	*outlier.Session
 	id   string
 	left time.Time // when its client went, zero while it is there
 }
@@ -78,7 +78,7 @@
 	case len(kept) >= limit.Sessions:
 		return sessionReply{status: http.StatusServiceUnavailable, why: fmt.Sprintf("%d streams are open", limit.Sessions)}
 	default:
-		s = &session{Session: policy.NewSession(&model.Config{}), id: fmt.Sprintf("%016x", rand.Uint64())}
+		s = &session{Session: outlier.NewSession(&model.Config{}), id: fmt.Sprintf("%016x", rand.Uint64())}
 		kept[s.id] = s
 	}
 	return sessionReply{session: s}
@@ -128,6 +128,6 @@
 		}
 	}
 	if err := sc.Err(); err != nil {
-		enc.Encode(policy.OutLine{Line: got.session.Line + 1, Error: err.Error()})
+		enc.Encode(outlier.OutLine{Line: got.session.Line + 1, Error: err.Error()})
 	}
 }
--- a/host/stream_test.go
+++ b/host/stream_test.go
@@ -9,11 +9,11 @@
 	"testing"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
-	"myrtlefold/policy"
 )
 
-func note() core.Note { return core.Note{Event: &policy.Event{}} }
+func note() core.Note { return core.Note{Event: &outlier.Event{}} }
 
 // A reader resumes after the line it names, and is told of what it missed, be it
 // for coming late or for reading too slowly.
@@ -82,7 +82,7 @@
 		Stream string
 		Line   uint64
 	}
-	var l policy.OutLine
+	var l outlier.OutLine
 	w, d, resp := open("")
 	if err := d.Decode(&hello); err != nil || hello.Line != 0 {
 		t.Fatal(err, hello)
--- a/policy/compare.go
+++ b/internal/shared/outlier/compare.go
@@ -2,7 +2,7 @@
 // itself over the same events; what it decided is held against what the events
 // show, so a recording always gives the same scores.
 
-package policy
+package outlier
 
 import (
 	"bufio"
--- a/policy/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -1,6 +1,6 @@
 // This file compiles and checks policies and their conditions.
 
-package policy
+package outlier
 
 import (
 	"fmt"
--- a/policy/policy.go
+++ b/internal/shared/outlier/policy.go
@@ -6,7 +6,7 @@
 // come out, and the same events always give the same decisions, which is what
 // shadow runs and comparisons rest on. A policy that fails to evaluate decides
 // nothing, is counted, and what it had decided runs out.
-package policy
+package outlier
 
 import (
 	"cmp"
--- a/policy/policy_test.go
+++ b/internal/shared/outlier/policy_test.go
@@ -1,4 +1,4 @@
-package policy
+package outlier
 
 import (
 	"encoding/json"
--- a/policy/session.go
+++ b/internal/shared/outlier/session.go
@@ -2,7 +2,7 @@
 // decisions come out, and a line may replace policies in between. A line that can't be
 // taken is answered with an error and changes nothing.
 
-package policy
+package outlier
 
 import (
 	"encoding/json"
--- a/policy/slice.go
+++ b/internal/shared/outlier/slice.go
@@ -1,6 +1,6 @@
 // This file is the slices: what a policy's condition may name, and how it follows from the events.
 
-package policy
+package outlier
 
 import (
 	"iter"
--- a/proxy/unsound.go
+++ b/proxy/unsound.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/model"
-	"myrtlefold/policy"
 	"myrtlefold/wire"
 )
 
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration not decompressed")
 	}
-	cfg, faults, err := policy.CheckConfig(doc)
+	cfg, faults, err := outlier.CheckConfig(doc)
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration not decoded")
 	}
