--- a/cmd/mflab/history.go
+++ b/cmd/mflab/history.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"myrtlefold/history"
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 )
 
 // Exit codes of mfctl that tell what became of an order; any other leaves it open.
@@ -90,7 +90,7 @@
 
 // canonical is one form for all documents that say the same.
 func canonical(doc []byte) string {
-	if c, err := model.Canonical(doc); err == nil {
+	if c, err := config.Canonical(doc); err == nil {
 		return string(c)
 	}
 	return string(doc)
--- a/cmd/mflab/hollow.go
+++ b/cmd/mflab/hollow.go
@@ -21,8 +21,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -112,13 +112,13 @@
 
 // hollowConfig is a configuration with so many routes over the targets' services.
 func hollowConfig(targets, routes int) []byte {
-	c := model.Config{Services: map[string]model.Service{}, Rules: []model.Rule{}, Routes: map[string]model.Route{}}
+	c := config.Config{Services: map[string]config.Service{}, Rules: []config.Rule{}, Routes: map[string]config.Route{}}
 	n := hollowServices(targets)
 	for i := range n {
-		c.Services[fmt.Sprintf("s-%03d", i)] = model.Service{Cap: 64, WarmCap: 4, TimeoutMs: 2000, BodyMax: limit.BodyMax, Tries: 2}
+		c.Services[fmt.Sprintf("s-%03d", i)] = config.Service{Cap: 64, WarmCap: 4, TimeoutMs: 2000, BodyMax: limit.BodyMax, Tries: 2}
 	}
 	for i := range routes {
-		c.Routes[hollowRoute(i)] = model.Route{Host: fmt.Sprintf("h%d.example", i%97), Prefix: fmt.Sprintf("/r%d/", i), Kind: model.Repeatable,
+		c.Routes[hollowRoute(i)] = config.Route{Host: fmt.Sprintf("h%d.example", i%97), Prefix: fmt.Sprintf("/r%d/", i), Kind: config.Repeatable,
 			TimeoutMs: 2000, AimMs: 200, Attempts: 2, Service: fmt.Sprintf("s-%03d", i%n)}
 	}
 	b, _ := json.Marshal(c)
@@ -236,7 +236,7 @@
 		var t wire.Table
 		for i := range n {
 			s, name := hollowTarget(i, n)
-			t.Targets = append(t.Targets, wire.Target{Service: s, Name: name, Inc: 1 << 60, Addr: hollowIP(40, targetBlock, i%4000) + ":7301", Domain: hollowDomain(i), State: model.Ready,
+			t.Targets = append(t.Targets, wire.Target{Service: s, Name: name, Inc: 1 << 60, Addr: hollowIP(40, targetBlock, i%4000) + ":7301", Domain: hollowDomain(i), State: config.Ready,
 				Demand: 0.25, HasDemand: true, Beating: true, Turn: uint32(i)})
 		}
 		fmt.Fprintf(&b, "table with %d targets: %d bytes\n", n, size(&t))
--- a/cmd/mflab/hollow_part.go
+++ b/cmd/mflab/hollow_part.go
@@ -23,8 +23,8 @@
 	"github.com/sirupsen/logrus"
 
 	"myrtlefold/host"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/proxy"
 	"myrtlefold/wire"
 )
@@ -173,12 +173,12 @@
 	client                      *http.Client
 }
 
-func (t *hollowBack) beat() model.Beat {
-	s, d := model.Ready, 0.25
+func (t *hollowBack) beat() config.Beat {
+	s, d := config.Ready, 0.25
 	if t.leaves.Load() {
-		s = model.Leaving
+		s = config.Leaving
 	}
-	return model.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: s, Demand: &d}
+	return config.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: s, Demand: &d}
 }
 
 func (t *hollowBack) tell(daemon string) bool {
@@ -242,7 +242,7 @@
 			return nil, err
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("GET "+model.IdentityPath, func(w http.ResponseWriter, r *http.Request) {
+		mux.HandleFunc("GET "+config.IdentityPath, func(w http.ResponseWriter, r *http.Request) {
 			if t.hangs.Load() {
 				<-r.Context().Done()
 				return
--- a/cmd/mflab/main.go
+++ b/cmd/mflab/main.go
@@ -25,7 +25,7 @@
 
 	"myrtlefold/history"
 	"myrtlefold/host"
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 )
 
 // Deployment is a fleet's shape.
@@ -185,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	if l.config, err = model.Unnumbered(doc); err != nil { // it is put again and again
+	if l.config, err = config.Unnumbered(doc); err != nil { // it is put again and again
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	return nil
--- a/cmd/mfstub/main.go
+++ b/cmd/mfstub/main.go
@@ -29,8 +29,8 @@
 
 	"myrtlefold/forward"
 	"myrtlefold/host"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // Entry is a ledger's line.
@@ -167,10 +167,10 @@
 		s.inc = 1
 	}
 	s.coldTill = time.Now().Add(o.cold)
-	s.state.Store(model.Ready)
+	s.state.Store(config.Ready)
 	if o.warm > 0 {
-		s.state.Store(model.Warming)
-		time.AfterFunc(o.warm, func() { s.state.CompareAndSwap(model.Warming, model.Ready) })
+		s.state.Store(config.Warming)
+		time.AfterFunc(o.warm, func() { s.state.CompareAndSwap(config.Warming, config.Ready) })
 	}
 	s.mode.Store(modeOK)
 	s.slots = make(chan struct{}, s.bears)
@@ -195,7 +195,7 @@
 
 func (s *stub) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+model.IdentityPath, s.identity)
+	mux.HandleFunc("GET "+config.IdentityPath, s.identity)
 	if s.health != "" {
 		mux.HandleFunc("GET "+s.health, s.healthy)
 	}
@@ -211,9 +211,9 @@
 }
 
 // beat is what the stub says of itself now.
-func (s *stub) beat() model.Beat {
+func (s *stub) beat() config.Beat {
 	d := float64(s.inWork.Load()) / float64(s.bears)
-	b := model.Beat{Service: s.service, Name: s.name, Incarnation: s.inc, Address: s.addr, Domain: s.domain, State: s.state.Load().(string), Demand: &d}
+	b := config.Beat{Service: s.service, Name: s.name, Incarnation: s.inc, Address: s.addr, Domain: s.domain, State: s.state.Load().(string), Demand: &d}
 	if s.health != "" {
 		b.Slots, b.ColdLeftMs = s.bears, s.coldLeft()
 	}
@@ -257,12 +257,12 @@
 	if left := s.coldLeft(); left > 0 {
 		h.Set(names.Cold, strconv.FormatInt(left, 10))
 	}
-	if st := s.state.Load().(string); st != model.Ready {
+	if st := s.state.Load().(string); st != config.Ready {
 		s.turned(w, r, http.StatusServiceUnavailable, st) // alive, and not yet or no more what 200 would say
 		return
 	}
 	s.load(h)
-	host.WriteJSON(w, http.StatusOK, healthAnswer{State: model.Ready})
+	host.WriteJSON(w, http.StatusOK, healthAnswer{State: config.Ready})
 }
 
 // repeats puts the id of the request in an answer's headers.
@@ -328,7 +328,7 @@
 // leave says so to every daemon, serves on until its work is done and callers
 // have had time to hear of it, then signs off and ends.
 func (s *stub) leave() {
-	if s.state.Swap(model.Leaving) != model.Leaving {
+	if s.state.Swap(config.Leaving) != config.Leaving {
 		s.leftAt.Store(time.Now().UnixNano())
 	}
 	for _, d := range s.daemons {
--- a/compat/compat_test.go
+++ b/compat/compat_test.go
@@ -24,8 +24,8 @@
 	"myrtlefold/core"
 	"myrtlefold/forward"
 	"myrtlefold/host"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/model"
 	"myrtlefold/proxy"
 	"myrtlefold/wire"
 )
@@ -150,8 +150,8 @@
 	jsonForm[outlier.Decision](t, "policy-decision", readBack)
 	jsonForm[wire.Daemon](t, "daemon", writtenOnly)
 	// What operators and targets send.
-	jsonForm[model.Config](t, "config", readBack)
-	jsonForm[model.Beat](t, "target-report", readBack)
+	jsonForm[config.Config](t, "config", readBack)
+	jsonForm[config.Beat](t, "target-report", readBack)
 	jsonForm[host.Settings](t, "settings", readBack)
 }
 
@@ -252,12 +252,12 @@
 		name   string
 		status int
 		retry  time.Duration
-		body   model.Trouble
+		body   config.Trouble
 	}{
-		{"refusal-busy", 503, 250 * time.Millisecond, model.Trouble{Code: "busy", Message: "no target has room"}},
-		{"refusal-unclear", 502, 0, model.Trouble{Code: "unclear", Message: "the answer was lost", Ran: "unknown"}},
-		{"refusal-stale", 412, 3 * time.Second, model.Trouble{Code: "stale", Refusal: model.RefusalOf(412), Message: "another revision is in force", Revision: 7, Id: "a",
-			Faults: []model.Fault{{Path: "services.a.cap", Text: "is below 0"}}}},
+		{"refusal-busy", 503, 250 * time.Millisecond, config.Trouble{Code: "busy", Message: "no target has room"}},
+		{"refusal-unclear", 502, 0, config.Trouble{Code: "unclear", Message: "the answer was lost", Ran: "unknown"}},
+		{"refusal-stale", 412, 3 * time.Second, config.Trouble{Code: "stale", Refusal: config.RefusalOf(412), Message: "another revision is in force", Revision: 7, Id: "a",
+			Faults: []config.Fault{{Path: "services.a.cap", Text: "is below 0"}}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
--- a/core/configcall.go
+++ b/core/configcall.go
@@ -12,9 +12,9 @@
 	"github.com/cockroachdb/errors"
 	jsonpatch "github.com/evanphx/json-patch/v5"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -26,7 +26,7 @@
 }
 
 func unnumbered(doc []byte) []byte {
-	d, err := model.Unnumbered(doc)
+	d, err := config.Unnumbered(doc)
 	if err != nil {
 		panic(errors.Wrap(err, "an agreed document"))
 	}
@@ -43,13 +43,13 @@
 	}
 	b, named := number(a.Query, "base")
 	if !named {
-		c.answer(p, problem(428, model.Trouble{Code: "base_missing", Message: "name the revision this was built on: base=N or If-Match", Revision: c.state.Revision}))
+		c.answer(p, problem(428, config.Trouble{Code: "base_missing", Message: "name the revision this was built on: base=N or If-Match", Revision: c.state.Revision}))
 		return nil, false
 	}
-	said, err := model.Canonical(text)
+	said, err := config.Canonical(text)
 	if err != nil {
 		c.counts.Refused++
-		c.answer(p, problem(400, model.Trouble{Code: "not_json", Message: err.Error()}))
+		c.answer(p, problem(400, config.Trouble{Code: "not_json", Message: err.Error()}))
 		return nil, false
 	}
 	digest := digestOf([]byte(what), strconv.AppendUint(nil, b, 10), said)
@@ -82,8 +82,8 @@
 	}
 	var doc []byte
 	var err error
-	if what == "partial" && model.IsNamed(patch) {
-		n, faults, err := model.ParseNamed(patch)
+	if what == "partial" && config.IsNamed(patch) {
+		n, faults, err := config.ParseNamed(patch)
 		if err == nil && len(faults) == 0 {
 			doc, faults, err = n.Apply(c.state.Doc)
 		}
@@ -91,7 +91,7 @@
 			c.refuseInvalid(p, faults, err)
 			return
 		}
-	} else if doc, err = model.Merge(unnumbered(c.state.Doc), patch); err != nil {
+	} else if doc, err = config.Merge(unnumbered(c.state.Doc), patch); err != nil {
 		c.refuseInvalid(p, nil, err)
 		return
 	}
@@ -106,7 +106,7 @@
 	}
 	cfg, faults, err := outlier.CheckConfig(doc)
 	if err == nil && cfg.Revision != 0 && cfg.Revision <= c.state.Revision {
-		faults = append(faults, model.Fault{Path: "revision", Text: fmt.Sprintf("not above the present %d", c.state.Revision)})
+		faults = append(faults, config.Fault{Path: "revision", Text: fmt.Sprintf("not above the present %d", c.state.Revision)})
 	}
 	if err != nil || len(faults) > 0 {
 		c.refuseInvalid(p, faults, err)
@@ -138,7 +138,7 @@
 		x = json.RawMessage(`{}`)
 	}
 	if x == nil || y == nil {
-		c.answer(p, problem(404, model.Trouble{Code: "not_found", Message: "one of the revisions is not kept"}))
+		c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: "one of the revisions is not kept"}))
 		return
 	}
 	d, err := jsonpatch.CreateMergePatch(x, y)
--- a/core/core.go
+++ b/core/core.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -37,7 +37,7 @@
 		ID     wire.ID
 		SentAt time.Duration
 		Ms     float64
-		Beat   *model.Beat   // nil: no sound answer; its state may be "": alive, and nothing said of it
+		Beat   *config.Beat  // nil: no sound answer; its state may be "": alive, and nothing said of it
 		Cold   time.Duration // how much longer it says it is cold
 	}
 	// Ask is an operator's or a back end's call. Token names a change for good.
@@ -118,7 +118,7 @@
 // checked is the configuration last found sound, so that it need not be read again.
 type checked struct {
 	doc []byte
-	cfg *model.Config
+	cfg *config.Config
 }
 
 // Core is the owner of a core daemon's state: a member or a standby of the core.
@@ -185,7 +185,7 @@
 	judge                  *outlier.Judge
 	scorer                 *outlier.Scorer
 	policyRevision         uint64 // revision whose policies are in force
-	cfg                    *model.Config
+	cfg                    *config.Config
 	waiters                []*commitWaiter
 	pendingChanges         map[string]*pending
 	relayedCalls           map[uint64]*pending
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -12,9 +12,9 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -173,7 +173,7 @@
 		if cfg, _, err = outlier.CheckConfig(c.state.Doc); err != nil {
 			c.cannotDecode(fmt.Sprintf("configuration %d", c.state.Revision), err)
 			if c.cfg == nil {
-				c.cfg = &model.Config{} // for the rest of this step, in which the lead ends
+				c.cfg = &config.Config{} // for the rest of this step, in which the lead ends
 			}
 			return
 		}
--- a/core/numbers_test.go
+++ b/core/numbers_test.go
@@ -5,14 +5,14 @@
 	"math"
 	"testing"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/wire"
 )
 
 // A demand that is no finite number does not end a leader, and is not told to operators.
 func TestUnsoundDemandIsDiscarded(t *testing.T) {
 	for _, demand := range []float64{math.Inf(1), math.Inf(-1), math.NaN()} {
-		target := wire.Target{Service: "s0", Name: "t0", Inc: 9, Addr: "10.0.0.1:1", State: model.Ready, Demand: demand, HasDemand: true}
+		target := wire.Target{Service: "s0", Name: "t0", Inc: 9, Addr: "10.0.0.1:1", State: config.Ready, Demand: demand, HasDemand: true}
 		seen := wire.Seen{Service: "s0", Name: "t0", Inc: 9, Ok: 1, SumMs: demand, Demand: demand, HasDemand: true}
 		for name, m := range map[string]wire.Msg{
 			"beat":    {Kind: uint16(wire.KBeat), Stamp: 1, Beat: &target},
--- a/core/operator.go
+++ b/core/operator.go
@@ -15,8 +15,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -137,7 +137,7 @@
 	call := a.Method + " " + seg[1]
 	switch {
 	case call == "GET config" && seg[2] == "" && has(a.Query, "plain"):
-		doc, err := model.Numbered(c.state.Doc, c.state.Revision)
+		doc, err := config.Numbered(c.state.Doc, c.state.Revision)
 		if err != nil {
 			panic(errors.Wrap(err, "an agreed document"))
 		}
@@ -158,7 +158,7 @@
 		to, ok := number(a.Query, "to")
 		doc := c.docAt(to)
 		if !ok || doc == nil {
-			c.answer(p, problem(404, model.Trouble{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, limit.ChangesKept)}))
+			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, limit.ChangesKept)}))
 			return
 		}
 		what := fmt.Sprintf("rollback to %d", to)
@@ -172,7 +172,7 @@
 			c.answer(p, Reply{Status: 200, Body: body(t)})
 			return
 		}
-		c.answer(p, problem(404, model.Trouble{Code: "not_found", Ran: "unknown", Message: "no such change has been agreed so far"}))
+		c.answer(p, problem(404, config.Trouble{Code: "not_found", Ran: "unknown", Message: "no such change has been agreed so far"}))
 	case call == "GET roster":
 		c.answer(p, Reply{Status: 200, Body: body(map[string]any{"daemons": c.daemonViews(now)})})
 	case call == "GET targets":
@@ -187,31 +187,31 @@
 		c.answer(p, Reply{Status: 200, Body: body(map[string]any{"emptied": append([]string{}, c.state.Emptied...), "domains": c.domains()})})
 	case call == "POST domains" && (seg[3] == "empty" || seg[3] == "restore"):
 		if !slices.Contains(c.domains(), seg[2]) && !slices.Contains(c.state.Emptied, seg[2]) {
-			c.answer(p, problem(404, model.Trouble{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
+			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
 			return
 		}
 		c.change(now, p, command{Op: seg[3], Name: seg[2]})
 	case call == "POST gates" && seg[3] == "forget":
 		if !c.inRoster(seg[2]) {
-			c.answer(p, problem(404, model.Trouble{Code: "not_found", Message: "no such proxy in the roster"}))
+			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: "no such proxy in the roster"}))
 			return
 		}
 		if g := c.proxies[seg[2]]; g != nil && now-g.pullAt < limit.ProxyLive {
-			c.answer(p, problem(409, model.Trouble{Code: "alive", Message: "that proxy is still asking for its table"}))
+			c.answer(p, problem(409, config.Trouble{Code: "alive", Message: "that proxy is still asking for its table"}))
 			return
 		}
 		c.change(now, p, command{Op: "forget", Name: seg[2]})
 	case call == "POST core" && (seg[3] == "add" || seg[3] == "remove"):
 		c.changeMember(now, p, seg[2], seg[3])
 	default:
-		c.answer(p, problem(404, model.Trouble{Code: "not_found", Message: "no such call: " + a.Method + " " + a.Path}))
+		c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: "no such call: " + a.Method + " " + a.Path}))
 	}
 }
 
 func (c *Core) change(now time.Duration, p *pending, o command) bool {
 	o.Token = p.token
 	if c.node.UncommittedBytes() > limit.OpenBytes {
-		c.answer(p, problem(503, model.Trouble{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
+		c.answer(p, problem(503, config.Trouble{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
 		return false
 	}
 	c.pendingChanges[p.token] = p
@@ -230,19 +230,19 @@
 	i := slices.IndexFunc(ms, func(m wire.Member) bool { return m.Name == name })
 	switch {
 	case what == "add" && i >= 0:
-		c.answer(p, problem(409, model.Trouble{Code: "member", Message: name + " is a member"}))
+		c.answer(p, problem(409, config.Trouble{Code: "member", Message: name + " is a member"}))
 	case what == "add":
 		if k := c.directory[name]; k == nil || k.Kind != "core" {
-			c.answer(p, problem(404, model.Trouble{Code: "not_found", Message: "no core daemon of that name has been heard"}))
+			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: "no core daemon of that name has been heard"}))
 			return
 		}
 		c.change(now, p, command{Op: "in", Name: name})
 	case i < 0:
-		c.answer(p, problem(404, model.Trouble{Code: "not_found", Message: name + " is no member"}))
+		c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: name + " is no member"}))
 	case len(ms) == 1 || !c.node.CanChangeMembers():
-		c.answer(p, problem(409, model.Trouble{Code: "busy", Message: "the last member stays, and changes of members go one at a time"}))
+		c.answer(p, problem(409, config.Trouble{Code: "busy", Message: "the last member stays, and changes of members go one at a time"}))
 	case name == c.settings.Self.Name:
-		c.answer(p, problem(503, model.Trouble{Code: "leading", Message: name + " leads; it hands leadership over first and nothing was changed; ask again"}))
+		c.answer(p, problem(503, config.Trouble{Code: "leading", Message: name + " leads; it hands leadership over first and nothing was changed; ask again"}))
 		c.node.TransferLeadership(now)
 	default:
 		if c.change(now, p, command{Op: "out", Name: name}) && c.node.CanChangeMembers() {
--- a/core/recovery.go
+++ b/core/recovery.go
@@ -23,8 +23,8 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -370,7 +370,7 @@
 // confirmed to be gone for good count as lost, unless they were heard of lately.
 func (c *Core) recoverByOperator(now time.Duration, list string) Reply {
 	no := func(code, f string, a ...any) Reply {
-		return problem(409, model.Trouble{Code: code, Message: fmt.Sprintf(f, a...) + "; nothing was changed"})
+		return problem(409, config.Trouble{Code: code, Message: fmt.Sprintf(f, a...) + "; nothing was changed"})
 	}
 	if c.lead == Adopting && !c.canAdopt() {
 		c.adoptEmpty = true
--- a/core/refusal_test.go
+++ b/core/refusal_test.go
@@ -15,31 +15,31 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/wire"
 )
 
 // refusals are all errors that the operators' interface answers with: the kind of
 // each code. A new code has to be entered here, with the kind that its readers see.
-var refusals = map[string][]model.Refusal{
-	"stale":        {model.RefusedVersion},
-	"invalid":      {model.RefusedInvalid},
-	"not_json":     {model.RefusedInvalid},
-	"too_large":    {model.RefusedInvalid},
-	"method":       {model.RefusedInvalid},
-	"base_missing": {model.RefusedInvalid},
-	"bad_request":  {model.RefusedInvalid},
-	"no_leader":    {model.RefusedCannotTell},
-	"leading":      {model.RefusedCannotTell},
-	"unheard":      {model.RefusedCannotTell},
-	"unknown":      {model.RefusedCannotTell},
-	"stream":       {model.RefusedCannotTell},
-	"busy":         {model.RefusedCannotTell, model.RefusedConflict},
-	"alive":        {model.RefusedConflict},
-	"member":       {model.RefusedConflict},
-	"living":       {model.RefusedConflict},
-	"may_live":     {model.RefusedConflict},
-	"not_found":    {model.RefusedNotFound},
+var refusals = map[string][]config.Refusal{
+	"stale":        {config.RefusedVersion},
+	"invalid":      {config.RefusedInvalid},
+	"not_json":     {config.RefusedInvalid},
+	"too_large":    {config.RefusedInvalid},
+	"method":       {config.RefusedInvalid},
+	"base_missing": {config.RefusedInvalid},
+	"bad_request":  {config.RefusedInvalid},
+	"no_leader":    {config.RefusedCannotTell},
+	"leading":      {config.RefusedCannotTell},
+	"unheard":      {config.RefusedCannotTell},
+	"unknown":      {config.RefusedCannotTell},
+	"stream":       {config.RefusedCannotTell},
+	"busy":         {config.RefusedCannotTell, config.RefusedConflict},
+	"alive":        {config.RefusedConflict},
+	"member":       {config.RefusedConflict},
+	"living":       {config.RefusedConflict},
+	"may_live":     {config.RefusedConflict},
+	"not_found":    {config.RefusedNotFound},
 }
 
 // replyPath is one place in the source that answers with an error.
@@ -127,7 +127,7 @@
 			if p.status == 0 {
 				continue
 			}
-			kind, fits := model.RefusalOf(p.status), false
+			kind, fits := config.RefusalOf(p.status), false
 			for _, k := range kinds {
 				fits = fits || k == kind
 			}
@@ -147,7 +147,7 @@
 type refusal struct {
 	status int
 	code   string
-	kind   model.Refusal
+	kind   config.Refusal
 }
 
 // ask makes a call of a core and reads the refusal.
@@ -158,7 +158,7 @@
 		if !ok {
 			continue
 		}
-		var v struct{ Error model.Trouble }
+		var v struct{ Error config.Trouble }
 		if err := json.Unmarshal(r.Body, &v); err != nil {
 			t.Fatalf("%d %s: %v", r.Status, r.Body, err)
 		}
@@ -178,11 +178,11 @@
 		query, body string
 		want        refusal
 	}{
-		{"built on another version", r.c, "base=9", `{"services":{}}`, refusal{412, "stale", model.RefusedVersion}},
-		{"invalid", r.c, "base=0", `{"services":{"a":{"cap":-1}}}`, refusal{422, "invalid", model.RefusedInvalid}},
-		{"not JSON", r.c, "base=0", `{`, refusal{400, "not_json", model.RefusedInvalid}},
-		{"no base", r.c, "", `{}`, refusal{428, "base_missing", model.RefusedInvalid}},
-		{"no leader", alone, "base=0", `{}`, refusal{503, "no_leader", model.RefusedCannotTell}},
+		{"built on another version", r.c, "base=9", `{"services":{}}`, refusal{412, "stale", config.RefusedVersion}},
+		{"invalid", r.c, "base=0", `{"services":{"a":{"cap":-1}}}`, refusal{422, "invalid", config.RefusedInvalid}},
+		{"not JSON", r.c, "base=0", `{`, refusal{400, "not_json", config.RefusedInvalid}},
+		{"no base", r.c, "", `{}`, refusal{428, "base_missing", config.RefusedInvalid}},
+		{"no leader", alone, "base=0", `{}`, refusal{503, "no_leader", config.RefusedCannotTell}},
 	} {
 		if got := ask(t, x.c, r.now, "PUT", "/v1/config", x.query, x.body); got != x.want {
 			t.Errorf("%s: %+v, want %+v", x.name, got, x.want)
--- a/core/registry.go
+++ b/core/registry.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -98,11 +98,11 @@
 	}
 	for _, p := range c.state.Registrations {
 		c.persistedRegistrations[p.ID()] = p
-		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Inc: p.Inc, Addr: p.Addr, Domain: p.Domain, State: model.Warming, Slots: p.Slots, Turn: p.Turn},
+		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Inc: p.Inc, Addr: p.Addr, Domain: p.Domain, State: config.Warming, Slots: p.Slots, Turn: p.Turn},
 			unconfirmed: true, beatAt: now - limit.BeatLapse/2, aliveAt: now, seenAt: now,
 			probeAt: now - limit.ProbeEvery}
 		if p.Leaving {
-			t.Held, t.State = true, model.Leaving
+			t.Held, t.State = true, config.Leaving
 		}
 		if p.Cold {
 			svc := c.cfg.Services[p.Service]
--- a/core/reply.go
+++ b/core/reply.go
@@ -6,8 +6,8 @@
 	"encoding/json"
 	"fmt"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -20,8 +20,8 @@
 }
 
 // problem is a refusal, or an answer that promises nothing; its kind goes by the status.
-func problem(status int, t model.Trouble) Reply {
-	t.Refusal = model.RefusalOf(status)
+func problem(status int, t config.Trouble) Reply {
+	t.Refusal = config.RefusalOf(status)
 	r := Reply{Status: status, Body: t.JSON()}
 	if status == 503 {
 		r.Retry = limit.RetryAfterMin
@@ -34,7 +34,7 @@
 }
 
 func (c *Core) staleBase(token string) Reply {
-	return problem(412, model.Trouble{Code: "stale", Revision: c.state.Revision, Id: token,
+	return problem(412, config.Trouble{Code: "stale", Revision: c.state.Revision, Id: token,
 		Message: fmt.Sprintf("built on another revision than the present %d; nothing was changed", c.state.Revision)})
 }
 
@@ -76,29 +76,29 @@
 		c.answer(p, notPropagated())
 		return
 	}
-	c.answer(p, problem(504, model.Trouble{Code: "unknown", Ran: "unknown", Id: p.token,
+	c.answer(p, problem(504, config.Trouble{Code: "unknown", Ran: "unknown", Id: p.token,
 		Message: "it cannot be told whether the change was agreed or is in force everywhere; ask for it by its id"}))
 }
 
 func noLeader() Reply {
-	return problem(503, model.Trouble{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
+	return problem(503, config.Trouble{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
 }
 
 // unheard promises nothing to a target that says it leaves or is gone: it is to tell
 // another daemon.
 func notPropagated() Reply {
-	return problem(503, model.Trouble{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
+	return problem(503, config.Trouble{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
 }
 
 func tooLarge() Reply {
-	return problem(413, model.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", limit.DocMax)})
+	return problem(413, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", limit.DocMax)})
 }
 
-func (c *Core) refuseInvalid(p *pending, faults []model.Fault, err error) {
+func (c *Core) refuseInvalid(p *pending, faults []config.Fault, err error) {
 	c.counts.Refused++
 	if err != nil {
-		c.answer(p, problem(400, model.Trouble{Code: "not_json", Message: err.Error()}))
+		c.answer(p, problem(400, config.Trouble{Code: "not_json", Message: err.Error()}))
 		return
 	}
-	c.answer(p, problem(422, model.Trouble{Code: "invalid", Message: fmt.Sprintf("%d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision}))
+	c.answer(p, problem(422, config.Trouble{Code: "invalid", Message: fmt.Sprintf("%d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision}))
 }
--- a/core/rest_test.go
+++ b/core/rest_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -27,7 +27,7 @@
 		case Sync:
 			r.step(Synced{Seq: c.B.Seq})
 		case Probe:
-			b := model.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Inc, Address: c.Addr, State: model.Ready}
+			b := config.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Inc, Address: c.Addr, State: config.Ready}
 			r.step(Probed{ID: c.ID, SentAt: r.now, Ms: 1, Beat: &b})
 		case Send:
 			r.sent++
@@ -76,7 +76,7 @@
 		r.gates = append(r.gates, wire.Daemon{Name: n, Kind: "gate", Addr: n, Inc: uint64(i + 1), Domain: fmt.Sprintf("d%d", i%3)})
 	}
 	for i := range targets {
-		r.target = append(r.target, wire.Target{Service: fmt.Sprintf("s%d", i%12), Name: fmt.Sprintf("t%d", i), Inc: 9, Addr: fmt.Sprintf("10.0.0.1:%d", i+1), State: model.Ready})
+		r.target = append(r.target, wire.Target{Service: fmt.Sprintf("s%d", i%12), Name: fmt.Sprintf("t%d", i), Inc: 9, Addr: fmt.Sprintf("10.0.0.1:%d", i+1), State: config.Ready})
 	}
 	for range 12 {
 		r.second()
--- a/core/status.go
+++ b/core/status.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -60,7 +60,7 @@
 			v.Why = "pending: its address's earlier target is not yet out of every table"
 		case slices.Contains(c.state.Emptied, t.Domain):
 			v.Why = "its domain is emptied"
-		case t.State == model.Warming:
+		case t.State == config.Warming:
 			v.Why = "warming: up to its share"
 		case v.ColdLeft > 0:
 			v.Why = "cold: up to its service's cold rate"
--- a/core/table.go
+++ b/core/table.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -186,7 +186,7 @@
 // worse says that requests that were right by the facts before may be wrong by later ones.
 func (f routingFacts) worse(o routingFacts) bool {
 	return f.known && (f.addr != o.addr || f.domain != o.domain || o.held && !f.held || o.pending && !f.pending || o.cold != f.cold ||
-		o.bar != "" && f.bar != o.bar || f.beating && !o.beating || f.state != o.state && o.state != model.Ready)
+		o.bar != "" && f.bar != o.bar || f.beating && !o.beating || f.state != o.state && o.state != config.Ready)
 }
 
 // moved is rebuild after an event of one target: if nothing was decided, only its own
--- a/core/target.go
+++ b/core/target.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -121,7 +121,7 @@
 	if t.Held {
 		return
 	}
-	t.Held, t.State = true, model.Leaving
+	t.Held, t.State = true, config.Leaving
 	c.counts.Holds++
 	d := outlier.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Inc: t.Inc, Why: why}
 	c.emit(Note{Decision: &d})
@@ -157,7 +157,7 @@
 		return
 	}
 	t := c.targets[id]
-	if w.State == model.Gone {
+	if w.State == config.Gone {
 		c.drop(now, id, "signed off")
 		delete(c.claims, id)
 		c.tombstones[id] = now
@@ -167,12 +167,12 @@
 	if o := cmp.Or(t, c.claims[id]); o != nil && w.Number != 0 && w.Number <= o.Number {
 		return
 	}
-	if t != nil && t.Addr != w.Addr && w.State != model.Leaving {
+	if t != nil && t.Addr != w.Addr && w.State != config.Leaving {
 		c.counts.Refused++
 		return
 	}
 	if t == nil {
-		if w.State == model.Leaving {
+		if w.State == config.Leaving {
 			c.leaving[id] = now // also if it only claims its place so far
 		}
 		if t = c.register(now, w); t == nil {
@@ -225,9 +225,9 @@
 // stays held until it signs off.
 func (c *Core) advanceState(now time.Duration, t *target, s string) {
 	switch {
-	case s == model.Leaving:
+	case s == config.Leaving:
 		c.hold(now, t, "a beat says leaving")
-	case s == model.Ready && !t.Held:
+	case s == config.Ready && !t.Held:
 		t.State = s
 	}
 }
@@ -261,7 +261,7 @@
 func (c *Core) register(now time.Duration, w wire.Target) *target {
 	t := c.claims[w.ID()]
 	if t == nil {
-		t = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Inc: w.Inc, Addr: w.Addr, Domain: w.Domain, State: model.Warming},
+		t = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Inc: w.Inc, Addr: w.Addr, Domain: w.Domain, State: config.Warming},
 			beatAt: now, aliveAt: now, probeAt: now - limit.ProbeEvery, seenAt: now, unconfirmed: true}
 	}
 	if len(c.conflictingTargets(w)) > 0 {
@@ -301,8 +301,8 @@
 // enter puts a target into the registry.
 func (c *Core) admitTarget(now time.Duration, t *target, state string) {
 	id := t.ID()
-	if state == model.Ready {
-		t.State = model.Ready
+	if state == config.Ready {
+		t.State = config.Ready
 	}
 	t.Pending = t.addressReused
 	name := [2]string{id.Service, id.Name}
--- a/core/targetcall.go
+++ b/core/targetcall.go
@@ -9,23 +9,23 @@
 	"strings"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
 // leaves says that a word has to be safe before it is acknowledged.
-func isLeaving(w wire.Target) bool { return w.State == model.Leaving || w.State == model.Gone }
+func isLeaving(w wire.Target) bool { return w.State == config.Leaving || w.State == config.Gone }
 
 // readWord reads a back end's own call; a reply with a status refuses it. A sign-off by
 // name alone has no service.
 func parseTargetReport(e Ask) (t wire.Target, r Reply) {
-	var fs []model.Fault
+	var fs []config.Fault
 	rest, named := strings.CutPrefix(e.Path, "/v1/targets/")
 	svc, name, both := strings.Cut(rest, "/")
 	switch {
 	case named && e.Method == "DELETE":
-		b := model.Beat{Service: svc, Name: name, Address: "127.0.0.1:1", State: model.Gone}
+		b := config.Beat{Service: svc, Name: name, Address: "127.0.0.1:1", State: config.Gone}
 		if b.Incarnation, _ = strconv.ParseUint(query(e.Query, "incarnation"), 10, 64); !both {
 			b.Service, b.Name, b.Incarnation = "any", rest, 1
 		}
@@ -33,14 +33,14 @@
 			t.Service, t.Inc = "", 0
 		}
 	case named && !both && e.Method == "PUT":
-		t, fs = model.ParseNamedBeat(rest, e.Body)
+		t, fs = config.ParseNamedBeat(rest, e.Body)
 	case e.Method == "POST" && e.Path == "/v1/targets":
-		t, fs = model.ParseBeat(e.Body)
+		t, fs = config.ParseBeat(e.Body)
 	default:
-		return t, problem(405, model.Trouble{Code: "method", Message: "POST /v1/targets, PUT /v1/targets/{name}, DELETE /v1/targets/{name} or DELETE /v1/targets/{service}/{name}?incarnation=N"})
+		return t, problem(405, config.Trouble{Code: "method", Message: "POST /v1/targets, PUT /v1/targets/{name}, DELETE /v1/targets/{name} or DELETE /v1/targets/{service}/{name}?incarnation=N"})
 	}
 	if len(fs) > 0 {
-		return t, problem(422, model.Trouble{Code: "invalid", Message: "not a target's word", Faults: fs})
+		return t, problem(422, config.Trouble{Code: "invalid", Message: "not a target's word", Faults: fs})
 	}
 	return t, Reply{}
 }
@@ -62,7 +62,7 @@
 		return r
 	}
 	if t.Service == "" {
-		return problem(405, model.Trouble{Code: "method", Message: "a sign-off by name alone is for a core member"})
+		return problem(405, config.Trouble{Code: "method", Message: "a sign-off by name alone is for a core member"})
 	}
 	beat(t)
 	return Reply{Status: 202, Body: reportAccepted(t).Body}
--- a/core/targetcall_test.go
+++ b/core/targetcall_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/wire"
 )
 
@@ -15,7 +15,7 @@
 // What a target is acknowledged with is small, and names no address for later heartbeats:
 // each member takes them, so there is none to prefer.
 func TestAcknowledgementsAreSmall(t *testing.T) {
-	for _, state := range []string{model.Ready, model.Warming, model.Leaving, model.Gone} {
+	for _, state := range []string{config.Ready, config.Warming, config.Leaving, config.Gone} {
 		r := reportAccepted(wire.Target{State: state})
 		var fields map[string]any
 		if err := json.Unmarshal(r.Body, &fields); err != nil {
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -117,7 +117,7 @@
 		return
 	}
 	if t.missed && t.misses < limit.ProbeMisses && t.sentAt != 0 && t.askedFor != t.sentAt && now-t.sentAt >= limit.IndirectAfter &&
-		t.okAt < t.sentAt+limit.IndirectAfter && !t.Held && t.State != model.Leaving {
+		t.okAt < t.sentAt+limit.IndirectAfter && !t.Held && t.State != config.Leaving {
 		t.askedFor = t.sentAt
 		c.indirect(now, id)
 	}
--- a/forward/ahead_test.go
+++ b/forward/ahead_test.go
@@ -14,8 +14,8 @@
 
 	"pgregory.net/rapid"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/proxy"
 	"myrtlefold/wire"
 )
@@ -35,7 +35,7 @@
 		w.Header().Set("P", "a")
 		fmt.Fprint(w, r.URL.Path, strings.Repeat("x", 3*limit.AnswerHeld))
 	})
-	f := carrier(t, a.Target).asked(model.Repeatable)
+	f := carrier(t, a.Target).asked(config.Repeatable)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -178,7 +178,7 @@
 		kind   string
 		more   bool
 		second int64
-	}{{model.Repeatable, true, 1}, {model.Once, true, 0}, {model.Repeatable, false, 0}} {
+	}{{config.Repeatable, true, 1}, {config.Once, true, 0}, {config.Repeatable, false, 0}} {
 		over := make(chan bool)
 		a := serve(t, "a", func(w http.ResponseWriter, _ *http.Request) {
 			<-over
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -23,8 +23,8 @@
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sys/unix"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -266,15 +266,15 @@
 
 // Identify asks a target that says so itself who it is. again says whether the connection
 // can be used once more.
-func (p *Conn) Identify(till time.Time, addr string) (beat *model.Beat, again bool, err error) {
-	resp, b, again, err := p.Get(till, addr, model.IdentityPath)
+func (p *Conn) Identify(till time.Time, addr string) (beat *config.Beat, again bool, err error) {
+	resp, b, again, err := p.Get(till, addr, config.IdentityPath)
 	if err != nil {
 		return nil, false, err
 	}
 	if resp.StatusCode != 200 {
 		return nil, false, errors.Newf("identity answered %d", resp.StatusCode)
 	}
-	beat = &model.Beat{}
+	beat = &config.Beat{}
 	return beat, again, errors.Wrap(json.Unmarshal(b, beat), "identity")
 }
 
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -24,8 +24,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/proxy"
 	"myrtlefold/wire"
 )
@@ -100,7 +100,7 @@
 	// Intake is callers' connections.
 	Intake Intake
 	// Limits are the configuration's bounds on callers, nil: the program's own.
-	Limits atomic.Pointer[model.Limits]
+	Limits atomic.Pointer[config.Limits]
 	// From is where connections leave from, nil for the system's choice.
 	From net.Addr
 	// Headers are the names of the headers that it speaks.
@@ -158,7 +158,7 @@
 	start := time.Now()
 	c.Counts.Exchanges.Add(1)
 	status, svc := 0, ""
-	fail := func(s int, retry time.Duration, t model.Trouble) {
+	fail := func(s int, retry time.Duration, t config.Trouble) {
 		status = s
 		if t.Ran == "unknown" {
 			c.Counts.Unknown.Add(1)
@@ -178,18 +178,18 @@
 		}
 	}()
 	if headerSize(r.Header) > c.headerMost() {
-		fail(431, 0, model.Trouble{Code: "header", Message: "the header is too large"})
+		fail(431, 0, config.Trouble{Code: "header", Message: "the header is too large"})
 		return
 	}
 	if r.Method == "CONNECT" || r.Method == "TRACE" || !plain(r) {
-		fail(400, 0, model.Trouble{Code: "bad_request", Message: "neither tunnels nor paths that could be read two ways are carried"})
+		fail(400, 0, config.Trouble{Code: "bad_request", Message: "neither tunnels nor paths that could be read two ways are carried"})
 		return
 	}
 	var timeout time.Duration
 	if v := r.Header.Get(c.Headers.Deadline); v != "" {
 		ms, err := strconv.Atoi(v)
 		if err != nil || ms <= 0 {
-			fail(400, 0, model.Trouble{Code: "bad_request", Message: c.Headers.Deadline + " must be a whole number over 0"})
+			fail(400, 0, config.Trouble{Code: "bad_request", Message: c.Headers.Deadline + " must be a whole number over 0"})
 			return
 		}
 		timeout = time.Duration(ms) * time.Millisecond
@@ -199,11 +199,11 @@
 		var ne net.Error
 		switch {
 		case errors.As(err, &ne) && ne.Timeout():
-			fail(408, limit.RetryAfterMin, model.Trouble{Code: "late", Message: "the body did not come in the time that the caller gave"})
+			fail(408, limit.RetryAfterMin, config.Trouble{Code: "late", Message: "the body did not come in the time that the caller gave"})
 		case r.Context().Err() != nil:
 			gone()
 		default:
-			fail(400, 0, model.Trouble{Code: "bad_request", Message: "the body ended early"})
+			fail(400, 0, config.Trouble{Code: "bad_request", Message: "the body ended early"})
 		}
 		return
 	}
@@ -244,7 +244,7 @@
 			if len(no.Allowed) > 0 {
 				w.Header().Set("Allow", strings.Join(no.Allowed, ", "))
 			}
-			fail(st, retry, model.Trouble{Code: code, Message: msg, Ran: ran})
+			fail(st, retry, config.Trouble{Code: code, Message: msg, Ran: ran})
 			return
 		}
 		g := ans.(proxy.Give)
@@ -252,7 +252,7 @@
 		most := c.bodyMost(&g.Set)
 		if body.room = most - int64(len(body.kept)); r.ContentLength > most || body.room < 0 {
 			c.owner.Tell(proxy.Done{ID: id, Outcome: proxy.Dropped, Last: true})
-			fail(413, 0, model.Trouble{Code: "body", Message: "the body is over the service's limit"})
+			fail(413, 0, config.Trouble{Code: "body", Message: "the body is over the service's limit"})
 			return
 		}
 		repeats := g.Route.Repeats()
@@ -280,10 +280,10 @@
 			}
 			gone()
 		case body.over:
-			fail(413, 0, model.Trouble{Code: "body", Message: "the body is over the service's limit", Ran: "unknown"})
+			fail(413, 0, config.Trouble{Code: "body", Message: "the body is over the service's limit", Ran: "unknown"})
 			return
 		case body.bad:
-			fail(400, 0, model.Trouble{Code: "bad_request", Message: "the body ended early", Ran: "unknown"})
+			fail(400, 0, config.Trouble{Code: "bad_request", Message: "the body ended early", Ran: "unknown"})
 			return
 		}
 		last = t.code
@@ -309,7 +309,7 @@
 			if st == 0 {
 				st = 503
 			}
-			fail(st, limit.RetryAfterMin+time.Duration(id*2654435761>>8)%limit.RetryAfterSpan, model.Trouble{Code: last, Message: t.msg, Ran: ran})
+			fail(st, limit.RetryAfterMin+time.Duration(id*2654435761>>8)%limit.RetryAfterSpan, config.Trouble{Code: last, Message: t.msg, Ran: ran})
 			return
 		}
 		ans = c.owner.Ask(r.Context(), id, proxy.Again{ID: id, Sent: t.sent})
--- a/forward/ledger_test.go
+++ b/forward/ledger_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/proxy"
 	"myrtlefold/wire"
 )
@@ -133,7 +133,7 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		if r.URL.Path == model.IdentityPath {
+		if r.URL.Path == config.IdentityPath {
 			addr := c.LocalAddr().String()
 			i := slices.IndexFunc(l.targets, func(t wire.Target) bool { return t.Addr == addr })
 			b := fmt.Sprintf(`{"service":"s","name":"%s","incarnation":7}`, l.targets[i].Name)
@@ -240,9 +240,9 @@
 		rnd := <-turn
 		defer func() { turn <- rnd }()
 		if a, ok := ev.(proxy.Admit); ok {
-			states[id] = &state{kind: model.Repeatable}
+			states[id] = &state{kind: config.Repeatable}
 			if strings.HasPrefix(a.Path, "/once/") {
-				states[id].kind = model.Once
+				states[id].kind = config.Once
 			}
 		}
 		s := states[id]
@@ -254,11 +254,11 @@
 			n = (n + 1) % len(l.targets)
 		}
 		s.tried = append(s.tried, n)
-		set := model.Service{BodyMax: 1 << 20}
+		set := config.Service{BodyMax: 1 << 20}
 		if asked {
 			set.HealthPath = "/h"
 		}
-		return proxy.Give{ID: id, Service: "s", Target: l.targets[n], Left: time.Minute, Till: time.Hour, Set: set, Route: model.Route{Kind: s.kind}, Idle: limit.IdleConnsMax, Connect: limit.ConnectCap}
+		return proxy.Give{ID: id, Service: "s", Target: l.targets[n], Left: time.Minute, Till: time.Hour, Set: set, Route: config.Route{Kind: s.kind}, Idle: limit.IdleConnsMax, Connect: limit.ConnectCap}
 	}}, f.pool)
 	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", Expect: "E", NotRun: "N", Load: "L", Identity: "I", Cold: "C", Proof: "P"}
 	f.srv = httptest.NewUnstartedServer(f.car)
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -8,15 +8,15 @@
 import (
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
-func (c *Forwarder) limits() model.Limits {
+func (c *Forwarder) limits() config.Limits {
 	if l := c.Limits.Load(); l != nil {
 		return *l
 	}
-	return model.Limits{}
+	return config.Limits{}
 }
 
 // headerMost is how large a caller's header may be.
@@ -29,7 +29,7 @@
 
 // bodyMost is how large a caller's body for a service may be. One whose targets are asked
 // for their health has the configuration's bound alone, others the smaller of both.
-func (c *Forwarder) bodyMost(s *model.Service) int64 {
+func (c *Forwarder) bodyMost(s *config.Service) int64 {
 	own, all := int64(s.BodyMax), int64(c.limits().BodyBytes)
 	switch {
 	case s.Asked() && all > 0:
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/proxy"
 )
 
@@ -21,7 +21,7 @@
 	b := serve(t, "b", fine)
 	f := carrier(t, b.Target)
 	big := strings.Repeat("x", 3000)
-	ask := func(l *model.Limits, set model.Service, header, body string, want int) {
+	ask := func(l *config.Limits, set config.Service, header, body string, want int) {
 		t.Helper()
 		f.car.Limits.Store(l)
 		f.set = set
@@ -29,28 +29,28 @@
 			t.Fatalf("%+v: %d %s, not %d", l, status, text, want)
 		}
 	}
-	own := model.Service{BodyMax: 100 << 10, Tries: 3}
+	own := config.Service{BodyMax: 100 << 10, Tries: 3}
 	ask(nil, own, big, big, 200)
-	ask(&model.Limits{HeaderBytes: 2000}, own, big, "", 431)
-	ask(&model.Limits{HeaderBytes: 2000}, own, "", big, 200)
-	ask(&model.Limits{HeaderBytes: 2 * limit.HeaderMax}, own, strings.Repeat("x", limit.HeaderMax+1), "", 200)
+	ask(&config.Limits{HeaderBytes: 2000}, own, big, "", 431)
+	ask(&config.Limits{HeaderBytes: 2000}, own, "", big, 200)
+	ask(&config.Limits{HeaderBytes: 2 * limit.HeaderMax}, own, strings.Repeat("x", limit.HeaderMax+1), "", 200)
 	ask(nil, own, strings.Repeat("x", limit.HeaderMax+1), "", 431)
-	ask(&model.Limits{BodyBytes: 2999}, own, "", big, 413)
-	ask(&model.Limits{BodyBytes: 3000}, own, "", big, 200)
+	ask(&config.Limits{BodyBytes: 2999}, own, "", big, 413)
+	ask(&config.Limits{BodyBytes: 3000}, own, "", big, 200)
 	own.BodyMax = 2000 // the service's own bound stays
-	ask(&model.Limits{BodyBytes: 3000}, own, "", big, 413)
+	ask(&config.Limits{BodyBytes: 3000}, own, "", big, 413)
 	if n := b.runs.Load(); n != 4 {
 		t.Fatal(n, "ran")
 	}
 	for _, c := range []struct {
-		s    model.Service
-		l    *model.Limits
+		s    config.Service
+		l    *config.Limits
 		want int64
 	}{
-		{model.Service{BodyMax: 5, HealthPath: "/h"}, nil, limit.CallerBody},
-		{model.Service{BodyMax: 5, HealthPath: "/h"}, &model.Limits{BodyBytes: 9}, 9},
-		{model.Service{BodyMax: 5}, &model.Limits{BodyBytes: 9}, 5},
-		{model.Service{BodyMax: 5}, &model.Limits{HeaderBytes: 9}, 5},
+		{config.Service{BodyMax: 5, HealthPath: "/h"}, nil, limit.CallerBody},
+		{config.Service{BodyMax: 5, HealthPath: "/h"}, &config.Limits{BodyBytes: 9}, 9},
+		{config.Service{BodyMax: 5}, &config.Limits{BodyBytes: 9}, 5},
+		{config.Service{BodyMax: 5}, &config.Limits{HeaderBytes: 9}, 5},
 	} {
 		f.car.Limits.Store(c.l)
 		if n := f.car.bodyMost(&c.s); n != c.want {
@@ -90,13 +90,13 @@
 func TestWaits(t *testing.T) {
 	const min = 60 * 1000
 	for _, c := range []struct {
-		l    *model.Limits
+		l    *config.Limits
 		want [4]time.Duration // each deadline's upper end: header, body, unused, next header
 	}{
 		{nil, [4]time.Duration{limit.CallerHeader, 30 * time.Minute, limit.CallerIdle, limit.CallerHeader}},
-		{&model.Limits{HeaderMs: 10 * min, IdleMs: 20 * min}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, 20*time.Minute + limit.IdleSlack, 10 * time.Minute}},
-		{&model.Limits{HeaderMs: 10 * min}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, limit.CallerIdle, 10 * time.Minute}},
-		{&model.Limits{IdleMs: 20 * min}, [4]time.Duration{limit.CallerHeader, 30 * time.Minute, 20*time.Minute + limit.IdleSlack, limit.CallerHeader}},
+		{&config.Limits{HeaderMs: 10 * min, IdleMs: 20 * min}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, 20*time.Minute + limit.IdleSlack, 10 * time.Minute}},
+		{&config.Limits{HeaderMs: 10 * min}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, limit.CallerIdle, 10 * time.Minute}},
+		{&config.Limits{IdleMs: 20 * min}, [4]time.Duration{limit.CallerHeader, 30 * time.Minute, 20*time.Minute + limit.IdleSlack, limit.CallerHeader}},
 	} {
 		car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, _ any) any {
 			return proxy.Refuse{ID: id, Status: 503, Code: "busy"}
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 )
 
 // After is a Retry-After header's value: seconds, with fractions below one.
@@ -19,11 +19,11 @@
 }
 
 // Error answers with the one error shape.
-func Error(w http.ResponseWriter, status int, retry time.Duration, t model.Trouble) {
+func Error(w http.ResponseWriter, status int, retry time.Duration, t config.Trouble) {
 	fault(w, RanHeader, status, retry, t)
 }
 
-func fault(w http.ResponseWriter, ranHeader string, status int, retry time.Duration, t model.Trouble) {
+func fault(w http.ResponseWriter, ranHeader string, status int, retry time.Duration, t config.Trouble) {
 	if t.Ran == "" {
 		t.Ran = "no"
 	}
--- a/fuzz/source_test.go
+++ b/fuzz/source_test.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"myrtlefold/core"
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/wire"
 )
 
 // fuzzNames are drawn for texts more often than others, so that messages concern what there is.
-var fuzzNames = []string{"", "c1", "c2", "g1", "g2", "s0", "s1", "t0", "t1", "core", "gate", "d0", model.Ready, model.Warming, model.Leaving, model.Gone, "10.0.0.1:1", "x"}
+var fuzzNames = []string{"", "c1", "c2", "g1", "g2", "s0", "s1", "t0", "t1", "core", "gate", "d0", config.Ready, config.Warming, config.Leaving, config.Gone, "10.0.0.1:1", "x"}
 
 // fuzzSource turns fuzzed bytes into values; at their end all are zero.
 type fuzzSource struct{ data []byte }
@@ -129,7 +129,7 @@
 	case 1:
 		p := core.Probed{ID: wire.ID{Service: s.text(), Name: s.text(), Inc: s.number()}, SentAt: time.Duration(s.number()), Ms: 1}
 		if s.byte()%2 == 1 {
-			p.Beat = &model.Beat{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: s.text()}
+			p.Beat = &config.Beat{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: s.text()}
 		}
 		return p
 	default:
--- a/fuzz/step_test.go
+++ b/fuzz/step_test.go
@@ -7,8 +7,8 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/proxy"
 	"myrtlefold/wire"
 )
@@ -49,7 +49,7 @@
 
 func (l *leader) second() {
 	gate := wire.Daemon{Name: "g1", Kind: "gate", Addr: "g1", Inc: 1, Domain: "d0"}
-	beat := wire.Target{Service: "s0", Name: "t0", Inc: 9, Addr: "10.0.0.1:1", State: model.Ready}
+	beat := wire.Target{Service: "s0", Name: "t0", Inc: 9, Addr: "10.0.0.1:1", State: config.Ready}
 	l.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: "g1", Hello: &wire.Hello{Self: gate}}})
 	for range int(time.Second / limit.PullEvery) {
 		for range int(limit.PullEvery / limit.TickEvery) {
@@ -100,7 +100,7 @@
 		Doc:   []byte(`{"services":{"s0":{"cap":8,"warm_cap":3},"s1":{"cap":4,"warm_cap":2}},"rules":[{"path":"/s","service":"s0"}]}`),
 		Gates: []wire.Gate{{Name: "g1", Addr: "g1", Live: true}, {Name: "g2", Addr: "g2", Live: true}}}
 	for i := range 2 {
-		table.Targets = append(table.Targets, wire.Target{Service: "s0", Name: fmt.Sprint("t", i), Inc: 9, Addr: fmt.Sprint("10.0.0.1:", i+1), State: model.Ready, Beating: true})
+		table.Targets = append(table.Targets, wire.Target{Service: "s0", Name: fmt.Sprint("t", i), Inc: 9, Addr: fmt.Sprint("10.0.0.1:", i+1), State: config.Ready, Beating: true})
 	}
 	p.Step(now, core.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(now), Disk: 9,
 		Push: &wire.Push{Grant: true, Key: table.Key, Table: table}}})
--- a/host/ctl.go
+++ b/host/ctl.go
@@ -20,8 +20,8 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // Exit codes of mfctl.
@@ -115,7 +115,7 @@
 
 // lostAnswer is the end of a change that may have been taken by a member that did not answer.
 func lostAnswer(id string) []byte {
-	return model.Trouble{Code: "unknown", Refusal: model.RefusedCannotTell, Ran: "unknown", Id: id,
+	return config.Trouble{Code: "unknown", Refusal: config.RefusedCannotTell, Ran: "unknown", Id: id,
 		Message: "a member's answer was lost; the change may have been agreed: ask for it by its id"}.JSON()
 }
 
@@ -153,7 +153,7 @@
 
 // printTrouble prints an error answer for people.
 func printTrouble(out []byte) {
-	var e struct{ Error model.Trouble }
+	var e struct{ Error config.Trouble }
 	json.Unmarshal(out, &e)
 	fmt.Fprintf(os.Stderr, "mfctl: %s: %s\n", refusalText(e.Error), e.Error.Message)
 	for _, f := range e.Error.Faults {
@@ -182,13 +182,13 @@
 }
 
 // refusalText is a refusal's kind and code for a reader: "cannot tell now (no_leader)".
-func refusalText(t model.Trouble) string {
-	kind := map[model.Refusal]string{
-		model.RefusedVersion:    "another version",
-		model.RefusedInvalid:    "invalid",
-		model.RefusedCannotTell: "cannot tell now",
-		model.RefusedConflict:   "conflict",
-		model.RefusedNotFound:   "not found",
+func refusalText(t config.Trouble) string {
+	kind := map[config.Refusal]string{
+		config.RefusedVersion:    "another version",
+		config.RefusedInvalid:    "invalid",
+		config.RefusedCannotTell: "cannot tell now",
+		config.RefusedConflict:   "conflict",
+		config.RefusedNotFound:   "not found",
 	}[t.Refusal]
 	if kind == "" {
 		return t.Code
--- a/host/ctl_commands.go
+++ b/host/ctl_commands.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 )
 
 // handler carries out a command whose arguments have been parsed, and returns the exit code.
@@ -171,7 +171,7 @@
 	names := cmd.Arg("name", "names to remove; one that is not there is no fault").Required().Strings()
 	base, own := baseFlag(cmd, builtOn), ownRevisionFlag(cmd)
 	return func() int {
-		return c.named(model.Named{Revision: *own, Drop: map[string][]string{*kind: *names}}, basedOn(*base))
+		return c.named(config.Named{Revision: *own, Drop: map[string][]string{*kind: *names}}, basedOn(*base))
 	}
 }
 
@@ -213,7 +213,7 @@
 	path := cmd.Arg("path", "path of the exchange").Required().String()
 	method := cmd.Flag("method", "method, for rules").Default(http.MethodGet).String()
 	return func() int {
-		return c.routes(func(cfg *model.Config) bool { return c.match(cfg, *host, *path, *method) })
+		return c.routes(func(cfg *config.Config) bool { return c.match(cfg, *host, *path, *method) })
 	}
 }
 
@@ -267,6 +267,6 @@
 }
 
 // setOne is the change that adds or replaces one item.
-func setOne(kind, name string, item []byte) model.Named {
-	return model.Named{Set: map[string]map[string]json.RawMessage{kind: {name: item}}}
+func setOne(kind, name string, item []byte) config.Named {
+	return config.Named{Set: map[string]map[string]json.RawMessage{kind: {name: item}}}
 }
--- a/host/ctl_config.go
+++ b/host/ctl_config.go
@@ -16,8 +16,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/model"
 )
 
 // read reads a file, or standard input.
@@ -44,8 +44,8 @@
 		return failed(err, exitUsage)
 	}
 	if own > 0 {
-		if b, err = model.Unnumbered(b); err == nil {
-			b, err = model.Numbered(b, own)
+		if b, err = config.Unnumbered(b); err == nil {
+			b, err = config.Numbered(b, own)
 		}
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "mfctl: %s: %v\n", name, err)
@@ -71,7 +71,7 @@
 }
 
 // named sends a partial change by names.
-func (c *ctl) named(change model.Named, q url.Values) int {
+func (c *ctl) named(change config.Named, q url.Values) int {
 	b, err := json.Marshal(change)
 	if err != nil {
 		return failed(err, exitUsage)
@@ -81,9 +81,9 @@
 
 // checked is the result of checking one file, printed as JSON.
 type checked struct {
-	Faults []model.Fault `json:"faults"`
-	File   string        `json:"file"`
-	Sound  bool          `json:"sound"`
+	Faults []config.Fault `json:"faults"`
+	File   string         `json:"file"`
+	Sound  bool           `json:"sound"`
 }
 
 // check checks a configuration and then what each change makes of it.
@@ -94,7 +94,7 @@
 		if err != nil {
 			return failed(err, exitUsage)
 		}
-		var faults []model.Fault
+		var faults []config.Fault
 		if i == 0 {
 			doc = b
 		} else {
@@ -128,7 +128,7 @@
 }
 
 // printFaults prints the faults of a document for people.
-func printFaults(faults []model.Fault) {
+func printFaults(faults []config.Fault) {
 	for _, f := range faults {
 		fmt.Fprintf(os.Stderr, "  %s: %s\n", f.Path, f.Text)
 	}
@@ -138,12 +138,12 @@
 func printJSON(v any) { json.NewEncoder(os.Stdout).Encode(v) }
 
 // changed returns what a partial change of either form makes of a document.
-func changed(doc, change []byte) ([]byte, []model.Fault, error) {
-	if !model.IsNamed(change) {
-		out, err := model.Merge(doc, change)
+func changed(doc, change []byte) ([]byte, []config.Fault, error) {
+	if !config.IsNamed(change) {
+		out, err := config.Merge(doc, change)
 		return out, nil, err
 	}
-	n, faults, err := model.ParseNamed(change)
+	n, faults, err := config.ParseNamed(change)
 	if err != nil || len(faults) > 0 {
 		return nil, faults, err
 	}
@@ -151,7 +151,7 @@
 }
 
 // routes passes a configuration to show, which reports whether there was what it looked for.
-func (c *ctl) routes(show func(*model.Config) bool) int {
+func (c *ctl) routes(show func(*config.Config) bool) int {
 	var b []byte
 	var err error
 	if c.routesFile != "" {
@@ -180,7 +180,7 @@
 }
 
 // split tells people where a route's requests go, and in which parts.
-func split(r model.Route) string {
+func split(r config.Route) string {
 	sum := 0.0
 	for _, s := range r.Shares() {
 		sum += s.Weight
@@ -197,12 +197,12 @@
 
 // routeList is the routes and rules of a configuration, printed as JSON.
 type routeList struct {
-	Routes map[string]model.Route `json:"routes"`
-	Rules  []model.Rule           `json:"rules"`
+	Routes map[string]config.Route `json:"routes"`
+	Rules  []config.Rule           `json:"rules"`
 }
 
 // listRoutes prints all routes, sorted by host and prefix, and then the rules.
-func (c *ctl) listRoutes(cfg *model.Config) bool {
+func (c *ctl) listRoutes(cfg *config.Config) bool {
 	if c.json {
 		printJSON(routeList{Routes: cfg.Routes, Rules: cfg.Rules})
 		return true
@@ -228,8 +228,8 @@
 // routeMatch and ruleMatch are what a request goes by, printed as JSON.
 type (
 	routeMatch struct {
-		Is    model.Route `json:"is"`
-		Route string      `json:"route"`
+		Is    config.Route `json:"is"`
+		Route string       `json:"route"`
 	}
 	ruleMatch struct {
 		Allowed []string `json:"allowed"` // the methods that the rule takes
@@ -238,7 +238,7 @@
 )
 
 // match prints the route or rule that a request goes by, and reports whether there is one.
-func (c *ctl) match(cfg *model.Config, host, path, method string) bool {
+func (c *ctl) match(cfg *config.Config, host, path, method string) bool {
 	n, r, isRoute := cfg.Route(host, path)
 	svc, allowed, isRule := cfg.Match(host, path, method)
 	switch {
--- a/host/ctl_policy.go
+++ b/host/ctl_policy.go
@@ -17,14 +17,14 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // compare prints each policy's score on a recording; policies are files named for the policy.
 func (c *ctl) compare(recording string, files []string) int {
-	policies := map[string]model.Policy{model.DefaultPolicy: model.Default()}
+	policies := map[string]config.Policy{config.DefaultPolicy: config.Default()}
 	for _, f := range files {
 		p, sound := readPolicy(f)
 		if !sound {
@@ -60,12 +60,12 @@
 }
 
 // readPolicy reads a policy's file and prints what is wrong with it.
-func readPolicy(file string) (p model.Policy, sound bool) {
-	p.Mode = model.ModeLive
-	var faults []model.Fault
+func readPolicy(file string) (p config.Policy, sound bool) {
+	p.Mode = config.ModeLive
+	var faults []config.Fault
 	b, err := os.ReadFile(file)
 	if err == nil {
-		faults, err = model.Decode(b, &p)
+		faults, err = config.Decode(b, &p)
 	}
 	if err != nil {
 		failed(errors.Wrap(err, file), exitInvalid)
@@ -79,16 +79,16 @@
 }
 
 // judgeLines evaluates policies on standard input's events and prints each answer.
-func judgeLines(config string) int {
-	cfg := &model.Config{}
-	if config != "" {
-		b, err := os.ReadFile(config)
-		var faults []model.Fault
+func judgeLines(file string) int {
+	cfg := &config.Config{}
+	if file != "" {
+		b, err := os.ReadFile(file)
+		var faults []config.Fault
 		if err == nil {
 			cfg, faults, err = outlier.CheckConfig(b)
 		}
 		if err != nil || len(faults) > 0 {
-			fmt.Fprintf(os.Stderr, "mfctl: %s: %v %v\n", config, err, faults)
+			fmt.Fprintf(os.Stderr, "mfctl: %s: %v %v\n", file, err, faults)
 			return exitInvalid
 		}
 	}
--- a/host/ctl_test.go
+++ b/host/ctl_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/model"
 )
 
 // said runs mfctl and gives its exit code and what it said on both of its outputs.
@@ -209,16 +209,16 @@
 func TestCtlSaysWhichRefusal(t *testing.T) {
 	for _, x := range []struct {
 		status int
-		t      model.Trouble
+		t      config.Trouble
 		code   int
 		want   string
 	}{
-		{412, model.Trouble{Code: "stale", Refusal: model.RefusedVersion}, exitStale, "another version (stale)"},
-		{422, model.Trouble{Code: "invalid", Refusal: model.RefusedInvalid}, exitInvalid, "invalid (invalid)"},
-		{503, model.Trouble{Code: "no_leader", Refusal: model.RefusedCannotTell}, exitNoLeader, "cannot tell now (no_leader)"},
-		{504, model.Trouble{Code: "unknown", Refusal: model.RefusedCannotTell}, exitUnknown, "cannot tell now (unknown)"},
-		{409, model.Trouble{Code: "member", Refusal: model.RefusedConflict}, exitFailed, "conflict (member)"},
-		{404, model.Trouble{Code: "not_found", Refusal: model.RefusedNotFound}, exitFailed, "not found (not_found)"},
+		{412, config.Trouble{Code: "stale", Refusal: config.RefusedVersion}, exitStale, "another version (stale)"},
+		{422, config.Trouble{Code: "invalid", Refusal: config.RefusedInvalid}, exitInvalid, "invalid (invalid)"},
+		{503, config.Trouble{Code: "no_leader", Refusal: config.RefusedCannotTell}, exitNoLeader, "cannot tell now (no_leader)"},
+		{504, config.Trouble{Code: "unknown", Refusal: config.RefusedCannotTell}, exitUnknown, "cannot tell now (unknown)"},
+		{409, config.Trouble{Code: "member", Refusal: config.RefusedConflict}, exitFailed, "conflict (member)"},
+		{404, config.Trouble{Code: "not_found", Refusal: config.RefusedNotFound}, exitFailed, "not found (not_found)"},
 	} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(x.status)
@@ -238,7 +238,7 @@
 	down.Close()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(503)
-		w.Write(model.Trouble{Code: "no_leader", Refusal: model.RefusedCannotTell}.JSON())
+		w.Write(config.Trouble{Code: "no_leader", Refusal: config.RefusedCannotTell}.JSON())
 	}))
 	defer up.Close()
 	at := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
@@ -257,7 +257,7 @@
 	defer broken.Close()
 	idle := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(503)
-		w.Write(model.Trouble{Code: "no_leader", Refusal: model.RefusedCannotTell}.JSON())
+		w.Write(config.Trouble{Code: "no_leader", Refusal: config.RefusedCannotTell}.JSON())
 	}))
 	defer idle.Close()
 	at := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
--- a/host/host.go
+++ b/host/host.go
@@ -24,8 +24,8 @@
 
 	"myrtlefold/core"
 	"myrtlefold/forward"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -47,7 +47,7 @@
 	// Headers are the names of the headers on probes; none: the product's own.
 	Headers forward.Headers
 
-	load        func() (Settings, []byte, []model.Fault, error)
+	load        func() (Settings, []byte, []config.Fault, error)
 	dialect     Dialect
 	rawSettings []byte         // the text that Settings were read from
 	hup         chan os.Signal // SIGHUP, caught from the start on: by default it ends a process
@@ -75,7 +75,7 @@
 	load := dialect.Load
 	if load == nil {
 		f.Bind(app, kind)
-		load = func() (Settings, []byte, []model.Fault, error) { return f.Load(kind) }
+		load = func() (Settings, []byte, []config.Fault, error) { return f.Load(kind) }
 	}
 	check := app.Flag("check", "check the settings and exit").Bool()
 	if _, err := app.Parse(args); err != nil {
--- a/host/http.go
+++ b/host/http.go
@@ -16,8 +16,8 @@
 
 	"myrtlefold/core"
 	"myrtlefold/forward"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // liveAnswer and readyAnswer are the bodies of /live and /ready.
@@ -57,8 +57,8 @@
 }
 
 // refuse answers an operator's call with an error of the kind that its status stands for.
-func refuse(w http.ResponseWriter, status int, retry time.Duration, t model.Trouble) {
-	t.Refusal = model.RefusalOf(status)
+func refuse(w http.ResponseWriter, status int, retry time.Duration, t config.Trouble) {
+	t.Refusal = config.RefusalOf(status)
 	forward.Error(w, status, retry, t)
 }
 
@@ -103,7 +103,7 @@
 		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit.DocMax+1))
 		var mb *http.MaxBytesError
 		if errors.As(err, &mb) {
-			refuse(w, http.StatusRequestEntityTooLarge, 0, model.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", limit.DocMax)})
+			refuse(w, http.StatusRequestEntityTooLarge, 0, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", limit.DocMax)})
 			return
 		}
 		if err != nil {
--- a/host/probe.go
+++ b/host/probe.go
@@ -13,8 +13,8 @@
 
 	"myrtlefold/core"
 	"myrtlefold/forward"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -78,7 +78,7 @@
 }
 
 // ask probes a target on the kept connection, and once more on a new one if that fails.
-func ask(s *probed, p core.Probe, names *forward.Headers, h *Host) (*model.Beat, time.Duration) {
+func ask(s *probed, p core.Probe, names *forward.Headers, h *Host) (*config.Beat, time.Duration) {
 	deadline := time.Now().Add(limit.ProbeCap)
 	conn := s.conn.Swap(nil)
 	for conn != nil && conn.Addr() != p.Addr {
@@ -110,7 +110,7 @@
 }
 
 // look asks on a connection and reads what the answer says of the target.
-func look(conn *forward.Conn, p core.Probe, names *forward.Headers, deadline time.Time) (b *model.Beat, cold time.Duration, again bool, err error) {
+func look(conn *forward.Conn, p core.Probe, names *forward.Headers, deadline time.Time) (b *config.Beat, cold time.Duration, again bool, err error) {
 	if p.Path == "" {
 		b, again, err = conn.Identify(deadline, p.Addr)
 		if err != nil {
@@ -123,13 +123,13 @@
 	if err != nil {
 		return nil, 0, false, err
 	}
-	b = &model.Beat{Service: p.ID.Service, Name: p.ID.Name, Incarnation: p.ID.Inc}
+	b = &config.Beat{Service: p.ID.Service, Name: p.ID.Name, Incarnation: p.ID.Inc}
 	if n := resp.Header.Get(names.Identity); n != "" {
 		b.Name = n
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		b.State = model.Ready
+		b.State = config.Ready
 	case resp.Header.Get(names.NotRun) != "" || resp.StatusCode == http.StatusTooManyRequests:
 		// alive, and too busy to say more
 	default:
--- a/host/probe_test.go
+++ b/host/probe_test.go
@@ -14,8 +14,8 @@
 
 	"myrtlefold/core"
 	"myrtlefold/forward"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -56,11 +56,11 @@
 		cold   time.Duration
 		demand *float64
 	}{
-		{"well", 200, []string{"I", "x"}, false, "x", model.Ready, 0, nil},
-		{"well, says no name", 200, nil, false, "x", model.Ready, 0, nil},
-		{"cold and loaded", 200, []string{"I", "x", "C", "1500", "L", "1,1,4"}, false, "x", model.Ready, 1500 * time.Millisecond, &half},
-		{"nonsense", 200, []string{"C", "-3", "L", "1,,4"}, false, "x", model.Ready, 0, nil},
-		{"another", 200, []string{"I", "y"}, false, "y", model.Ready, 0, nil},
+		{"well", 200, []string{"I", "x"}, false, "x", config.Ready, 0, nil},
+		{"well, says no name", 200, nil, false, "x", config.Ready, 0, nil},
+		{"cold and loaded", 200, []string{"I", "x", "C", "1500", "L", "1,1,4"}, false, "x", config.Ready, 1500 * time.Millisecond, &half},
+		{"nonsense", 200, []string{"C", "-3", "L", "1,,4"}, false, "x", config.Ready, 0, nil},
+		{"another", 200, []string{"I", "y"}, false, "y", config.Ready, 0, nil},
 		{"too busy", 503, []string{"N", "1"}, false, "x", "", 0, nil},
 		{"too many", 429, nil, false, "x", "", 0, nil},
 		{"unwell", 503, nil, true, "", "", 0, nil},
@@ -97,15 +97,15 @@
 // Targets without a health path are asked who they are, also on a connection that stays.
 func TestProbeIdentity(t *testing.T) {
 	addr, conns := counting(t, func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != model.IdentityPath {
+		if r.URL.Path != config.IdentityPath {
 			t.Error(r.URL)
 		}
-		json.NewEncoder(w).Encode(model.Beat{Service: "s", Name: "z", Incarnation: 4, State: model.Leaving})
+		json.NewEncoder(w).Encode(config.Beat{Service: "s", Name: "z", Incarnation: 4, State: config.Leaving})
 	})
 	h := prober()
 	for range 3 {
 		got := h.probeOnce(core.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr})
-		if b := got.Beat; b == nil || b.ID() != (wire.ID{Service: "s", Name: "z", Inc: 4}) || b.State != model.Leaving {
+		if b := got.Beat; b == nil || b.ID() != (wire.ID{Service: "s", Name: "z", Inc: 4}) || b.State != config.Leaving {
 			t.Fatalf("%+v", got)
 		}
 	}
--- a/host/session.go
+++ b/host/session.go
@@ -12,9 +12,9 @@
 	"net/http"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // session is a policy session with its client's state.
@@ -78,7 +78,7 @@
 	case len(kept) >= limit.Sessions:
 		return sessionReply{status: http.StatusServiceUnavailable, why: fmt.Sprintf("%d streams are open", limit.Sessions)}
 	default:
-		s = &session{Session: outlier.NewSession(&model.Config{}), id: fmt.Sprintf("%016x", rand.Uint64())}
+		s = &session{Session: outlier.NewSession(&config.Config{}), id: fmt.Sprintf("%016x", rand.Uint64())}
 		kept[s.id] = s
 	}
 	return sessionReply{session: s}
@@ -105,7 +105,7 @@
 			retry = limit.RetryAfterMin
 		}
 		w.Header().Set("Connection", "close")
-		refuse(w, got.status, retry, model.Trouble{Code: "stream", Message: got.why})
+		refuse(w, got.status, retry, config.Trouble{Code: "stream", Message: got.why})
 		return
 	}
 	defer func() { u.requests <- sessionRequest{leave: got.session} }()
--- a/host/settings.go
+++ b/host/settings.go
@@ -16,8 +16,8 @@
 	"github.com/sirupsen/logrus"
 
 	"myrtlefold/forward"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // Settings are a daemon's own: its place in the fleet, not what the fleet serves.
@@ -58,7 +58,7 @@
 type Dialect struct {
 	// Load reads the settings, and returns with them the text that they were read from and their
 	// faults; nil: they come from flags and a file.
-	Load func() (Settings, []byte, []model.Fault, error)
+	Load func() (Settings, []byte, []config.Fault, error)
 	// Headers are the names of the headers that requests carry.
 	Headers forward.Headers
 }
@@ -67,10 +67,10 @@
 func Own() Dialect { return Dialect{Headers: forward.Defaults()} }
 
 // settingsCheck collects the faults of settings.
-type settingsCheck struct{ faults []model.Fault }
+type settingsCheck struct{ faults []config.Fault }
 
 func (c *settingsCheck) add(path, format string, a ...any) {
-	c.faults = append(c.faults, model.Fault{Path: path, Text: fmt.Sprintf(format, a...)})
+	c.faults = append(c.faults, config.Fault{Path: path, Text: fmt.Sprintf(format, a...)})
 }
 
 // reachable checks an address that others connect to.
@@ -81,7 +81,7 @@
 }
 
 // Check returns the faults of settings for a kind of daemon, by the settings' names.
-func (s *Settings) Check(kind string) []model.Fault {
+func (s *Settings) Check(kind string) []config.Fault {
 	c := &settingsCheck{}
 	if s.Name == "" || len(s.Name) > limit.ItemNameMax || strings.ContainsAny(s.Name, " /\"") {
 		c.add("name", "must be 1 to %d characters without spaces, quotes or /", limit.ItemNameMax)
@@ -201,19 +201,19 @@
 
 // Load reads the file, lays the flags over it and checks the whole. It returns the file's text, and
 // the faults of the settings by their names; errors are those of reading the file.
-func (f *Flags) Load(kind string) (Settings, []byte, []model.Fault, error) {
+func (f *Flags) Load(kind string) (Settings, []byte, []config.Fault, error) {
 	s := Settings{Log: "info"}
 	if kind == "core" {
 		s.Size = 3
 	}
 	var raw []byte
-	var faults []model.Fault
+	var faults []config.Fault
 	if f.File != "" {
 		var err error
 		if raw, err = os.ReadFile(f.File); err != nil {
 			return s, nil, nil, errors.Wrap(err, "settings file")
 		}
-		if faults, err = model.Decode(raw, &s); err != nil {
+		if faults, err = config.Decode(raw, &s); err != nil {
 			return s, raw, nil, errors.Wrapf(err, "settings file %s", f.File)
 		}
 	}
--- a/model/check.go
+++ b/internal/shared/config/check.go
@@ -1,6 +1,6 @@
 // This file checks a document and collects its faults by their paths.
 
-package model
+package config
 
 import (
 	"fmt"
--- a/model/heartbeat.go
+++ b/internal/shared/config/heartbeat.go
@@ -1,6 +1,6 @@
 // This file reads the heartbeats of back ends.
 
-package model
+package config
 
 import (
 	"encoding/json"
--- a/model/match.go
+++ b/internal/shared/config/match.go
@@ -1,6 +1,6 @@
 // This file finds the rule for a request.
 
-package model
+package config
 
 import (
 	"slices"
--- a/model/model.go
+++ b/internal/shared/config/model.go
@@ -3,7 +3,7 @@
 // its path, unknown fields included, so that nothing unread ever takes effect.
 // It also has the other texts that daemons take from and give to their users:
 // heartbeats of back ends and the body of an error answer.
-package model
+package config
 
 import (
 	"fmt"
--- a/model/named.go
+++ b/internal/shared/config/named.go
@@ -1,6 +1,6 @@
 // This file is partial changes by names, such as one route of many, and the document's own revision.
 
-package model
+package config
 
 import (
 	"encoding/json"
--- a/model/parse.go
+++ b/internal/shared/config/parse.go
@@ -1,7 +1,7 @@
 // This file reads a configuration from JSON, section by section, and then checks what sections
 // say of each other.
 
-package model
+package config
 
 import (
 	"fmt"
--- a/model/refusal.go
+++ b/internal/shared/config/refusal.go
@@ -1,6 +1,6 @@
 // This file classes refusals by what their reader can do about them.
 
-package model
+package config
 
 import "net/http"
 
--- a/model/route.go
+++ b/internal/shared/config/route.go
@@ -3,7 +3,7 @@
 // or a weighted split over several. An index by host and prefix makes a lookup cost
 // the path's depth, however many routes there are.
 
-package model
+package config
 
 import (
 	"slices"
--- a/model/routeread.go
+++ b/internal/shared/config/routeread.go
@@ -1,6 +1,6 @@
 // This file reads routes and limits from parsed JSON, field by field, and checks them.
 
-package model
+package config
 
 import (
 	"fmt"
--- a/model/speed_test.go
+++ b/internal/shared/config/speed_test.go
@@ -1,4 +1,4 @@
-package model
+package config
 
 import (
 	"encoding/json"
--- a/model/tree.go
+++ b/internal/shared/config/tree.go
@@ -2,7 +2,7 @@
 // common readers silently keep the last, is refused with its place; and a canonical
 // form tells whether two documents say the same, whatever their spacing and order.
 
-package model
+package config
 
 import (
 	"encoding/json"
--- a/model/trouble.go
+++ b/internal/shared/config/trouble.go
@@ -1,6 +1,6 @@
 // This file is the body of an error answer.
 
-package model
+package config
 
 import "encoding/json"
 
--- a/internal/shared/outlier/compare.go
+++ b/internal/shared/outlier/compare.go
@@ -13,8 +13,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -57,10 +57,10 @@
 			continue
 		}
 		switch e.Slice {
-		case model.SliceExchange:
+		case config.SliceExchange:
 			n += e.Count
 			bad += e.Errors + e.Slow
-		case model.SliceProbe, model.SliceBeat:
+		case config.SliceProbe, config.SliceBeat:
 			if !e.Ok {
 				return false
 			}
@@ -79,7 +79,7 @@
 
 type tally struct {
 	Score
-	of    model.Policy
+	of    config.Policy
 	out   map[wire.ID]time.Duration // since when it has kept a target out
 	toBar []float64
 }
@@ -105,7 +105,7 @@
 			s.scores[name] = y
 		}
 		y.Events++
-		if e.Slice == model.SliceExchange {
+		if e.Slice == config.SliceExchange {
 			_, out := y.out[id]
 			y.Errors += e.Errors
 			y.Slow += e.Slow
@@ -115,8 +115,8 @@
 			}
 		}
 	}
-	bad := (e.Slice == model.SliceProbe || e.Slice == model.SliceBeat) && !e.Ok || e.Slice == model.SliceExchange && (e.Errors+e.Slow)*2 > e.Count
-	good := e.Slice == model.SliceProbe && e.Ok && t.lastBad() == model.SliceProbe || e.Slice == model.SliceExchange && t.lastBad() != model.SliceProbe && e.Count > 0 && (e.Errors+e.Slow)*10 < e.Count
+	bad := (e.Slice == config.SliceProbe || e.Slice == config.SliceBeat) && !e.Ok || e.Slice == config.SliceExchange && (e.Errors+e.Slow)*2 > e.Count
+	good := e.Slice == config.SliceProbe && e.Ok && t.lastBad() == config.SliceProbe || e.Slice == config.SliceExchange && t.lastBad() != config.SliceProbe && e.Count > 0 && (e.Errors+e.Slow)*10 < e.Count
 	if bad && t.trouble == 0 {
 		t.trouble = e.At
 	} else if good {
@@ -209,10 +209,10 @@
 
 // Compare scores each of the policies by itself on the events, and returns the scores in order of
 // their names.
-func Compare(events []Event, policies map[string]model.Policy) []Score {
-	cfg := &model.Config{Policies: map[string]model.Policy{}}
+func Compare(events []Event, policies map[string]config.Policy) []Score {
+	cfg := &config.Config{Policies: map[string]config.Policy{}}
 	for name, p := range policies {
-		p.Mode = model.ModeShadow
+		p.Mode = config.ModeShadow
 		cfg.Policies[name] = p
 	}
 	j := New()
@@ -235,7 +235,7 @@
 // lastBad is the slice of the latest bad event.
 func (t *track) lastBad() string {
 	for _, e := range slices.Backward(t.events) {
-		if e.Slice == model.SliceProbe && !e.Ok || e.Slice == model.SliceExchange && e.Errors+e.Slow > 0 {
+		if e.Slice == config.SliceProbe && !e.Ok || e.Slice == config.SliceExchange && e.Errors+e.Slow > 0 {
 			return e.Slice
 		}
 	}
--- a/internal/shared/outlier/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -14,8 +14,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // allowed are the functions of the library that a condition may call. They take the same time
@@ -52,10 +52,10 @@
 }
 
 // Check returns a policy's faults by the names of its fields.
-func Check(p model.Policy) []model.Fault {
-	var faults []model.Fault
+func Check(p config.Policy) []config.Fault {
+	var faults []config.Fault
 	add := func(path, f string, a ...any) {
-		faults = append(faults, model.Fault{Path: path, Text: fmt.Sprintf(f, a...)})
+		faults = append(faults, config.Fault{Path: path, Text: fmt.Sprintf(f, a...)})
 	}
 	if _, ok := facts[p.Slice]; !ok {
 		add("slice", unknownSlice, p.Slice)
@@ -67,25 +67,25 @@
 	}
 	ttl := time.Duration(p.TTLMs) * time.Millisecond
 	switch p.Decide {
-	case model.DecideBar:
+	case config.DecideBar:
 		if ttl <= 0 || ttl > limit.EjectionMaxTTL {
 			add("ttl_ms", "a bar needs a ttl_ms between 1 and %d", limit.EjectionMaxTTL.Milliseconds())
 		}
-	case model.DecideHold:
+	case config.DecideHold:
 		if p.TTLMs != 0 {
 			add("ttl_ms", "a hold has none: it ends with its condition")
 		}
 	default:
 		add("decide", "bar or hold, not %q", p.Decide)
 	}
-	if !slices.Contains([]string{model.ModeLive, model.ModeShadow, model.ModeOff}, p.Mode) {
+	if !slices.Contains([]string{config.ModeLive, config.ModeShadow, config.ModeOff}, p.Mode) {
 		add("mode", "live, shadow or off, not %q", p.Mode)
 	}
 	return faults
 }
 
 // checkCondition returns the fault of the condition in a field, if it has one.
-func checkCondition(slice, field, condition string) []model.Fault {
+func checkCondition(slice, field, condition string) []config.Fault {
 	_, err := compile(slice, condition)
 	if err == nil {
 		return nil
@@ -95,8 +95,8 @@
 	if errors.As(err, &at) {
 		text = fmt.Sprintf("line %d, column %d: %s", at.Line, at.Column+1, at.Message)
 	}
-	return []model.Fault{{Path: field, Text: text}}
+	return []config.Fault{{Path: field, Text: text}}
 }
 
 // CheckConfig is model.Parse with the check of policies, and returns the same.
-func CheckConfig(doc []byte) (*model.Config, []model.Fault, error) { return model.Parse(doc, Check) }
+func CheckConfig(doc []byte) (*config.Config, []config.Fault, error) { return config.Parse(doc, Check) }
--- a/internal/shared/outlier/policy.go
+++ b/internal/shared/outlier/policy.go
@@ -18,8 +18,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -64,7 +64,7 @@
 // policy is a policy in force.
 type policy struct {
 	name      string
-	spec      model.Policy
+	spec      config.Policy
 	when      *vm.Program
 	clear     *vm.Program // nil: none
 	machine   vm.VM
@@ -81,12 +81,12 @@
 
 // Stat describes a policy in force and what it has done since it came into force.
 type Stat struct {
-	Policy model.Policy `json:"policy"`
-	Ran    uint64       `json:"evaluated"`
-	Failed uint64       `json:"failed"`
-	Error  string       `json:"last_error,omitempty"`
-	Marks  int          `json:"targets_out"` // targets that it keeps requests from now
-	Score  *Score       `json:"score,omitempty"`
+	Policy config.Policy `json:"policy"`
+	Ran    uint64        `json:"evaluated"`
+	Failed uint64        `json:"failed"`
+	Error  string        `json:"last_error,omitempty"`
+	Marks  int           `json:"targets_out"` // targets that it keeps requests from now
+	Score  *Score        `json:"score,omitempty"`
 }
 
 // Judge evaluates the policies in force on events of any number of targets.
@@ -105,10 +105,10 @@
 // Replace puts the policies of a configuration, which must have passed Check, in force. What a kept or changed ejection
 // policy had decided stays until it lapses; a policy's marks go at once when it
 // is removed, off, or goes between live and shadow.
-func (j *Judge) Replace(c *model.Config) {
+func (j *Judge) Replace(c *config.Config) {
 	next := map[string]*policy{}
 	for name, p := range c.All() {
-		if p.Mode == model.ModeOff {
+		if p.Mode == config.ModeOff {
 			continue
 		}
 		if old := j.policies[name]; old != nil && old.spec == p {
@@ -154,7 +154,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(j.marks[id])) {
 		m, p := j.marks[id][name], j.policies[name]
-		if p != nil && p.spec.Mode == model.ModeLive && m.until > now && m.until > until {
+		if p != nil && p.spec.Mode == config.ModeLive && m.until > now && m.until > until {
 			until, why = m.until, name
 		}
 	}
@@ -163,8 +163,8 @@
 
 // Adopt takes over a decision of an earlier leader, which has left to run.
 func (j *Judge) Adopt(now time.Duration, id wire.ID, policy string, left time.Duration) {
-	if p := j.policies[policy]; p != nil && p.spec.Mode == model.ModeLive && left > 0 {
-		j.mark(id, policy, mark{until: now + min(left, limit.EjectionMaxTTL), hold: p.spec.Decide == model.DecideHold})
+	if p := j.policies[policy]; p != nil && p.spec.Mode == config.ModeLive && left > 0 {
+		j.mark(id, policy, mark{until: now + min(left, limit.EjectionMaxTTL), hold: p.spec.Decide == config.DecideHold})
 	}
 }
 
@@ -194,8 +194,8 @@
 }
 
 func (p *policy) decision(now time.Duration, kind string, id wire.ID, why string) Decision {
-	d := Decision{At: now, Policy: p.name, Kind: kind, Service: id.Service, Name: id.Name, Inc: id.Inc, Shadow: p.spec.Mode == model.ModeShadow, Why: why}
-	if kind == model.DecideBar {
+	d := Decision{At: now, Policy: p.name, Kind: kind, Service: id.Service, Name: id.Name, Inc: id.Inc, Shadow: p.spec.Mode == config.ModeShadow, Why: why}
+	if kind == config.DecideBar {
 		d.TTLMs = int64(p.spec.TTLMs)
 	}
 	return d
@@ -236,15 +236,15 @@
 	}
 	m, marked := j.marks[id][p.name]
 	switch {
-	case hit && p.spec.Decide == model.DecideHold:
+	case hit && p.spec.Decide == config.DecideHold:
 		j.mark(id, p.name, mark{until: now + limit.EjectionTTL, hold: true})
 		if !marked {
-			return []Decision{p.decision(now, model.DecideHold, id, p.spec.When)}
+			return []Decision{p.decision(now, config.DecideHold, id, p.spec.When)}
 		}
 	case hit:
 		j.mark(id, p.name, mark{until: now + time.Duration(p.spec.TTLMs)*time.Millisecond})
 		if !marked || m.until <= now {
-			return []Decision{p.decision(now, model.DecideBar, id, p.spec.When)}
+			return []Decision{p.decision(now, config.DecideBar, id, p.spec.When)}
 		}
 	case marked && (clear || m.hold && p.clear == nil):
 		delete(j.marks[id], p.name)
--- a/internal/shared/outlier/policy_test.go
+++ b/internal/shared/outlier/policy_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -26,9 +26,9 @@
 	return strings.Join(l, ",")
 }
 
-func with(ps map[string]model.Policy) *Judge {
+func with(ps map[string]config.Policy) *Judge {
 	j := New()
-	j.Replace(&model.Config{Policies: ps})
+	j.Replace(&config.Config{Policies: ps})
 	return j
 }
 
@@ -66,30 +66,30 @@
 }
 
 func TestBadPolicies(t *testing.T) {
-	good := model.Policy{Slice: "probe", When: "missed > 3", Decide: "bar", TTLMs: 1000, Mode: "live"}
+	good := config.Policy{Slice: "probe", When: "missed > 3", Decide: "bar", TTLMs: 1000, Mode: "live"}
 	if fs := Check(good); len(fs) > 0 {
 		t.Fatal(fs)
 	}
 	for _, c := range []struct {
-		change func(*model.Policy)
+		change func(*config.Policy)
 		path   string
 		text   string
 	}{
-		{func(p *model.Policy) { p.Slice = "weather" }, "slice", "no slice"},
-		{func(p *model.Policy) { p.When = "misssed > 3" }, "when", "line 1, column 1: unknown name misssed"},
-		{func(p *model.Policy) { p.When = "error_ratio > 1" }, "when", "unknown name error_ratio"},
-		{func(p *model.Policy) { p.When = "missed > \"x\"" }, "when", "column 8"},
-		{func(p *model.Policy) { p.When = "missed + 3" }, "when", "bool"},
-		{func(p *model.Policy) { p.When = "" }, "when", ""},
-		{func(p *model.Policy) { p.Clear = "missed >" }, "clear", "unexpected"},
-		{func(p *model.Policy) { p.TTLMs = 0 }, "ttl_ms", "a bar needs"},
-		{func(p *model.Policy) { p.TTLMs = 1 << 30 }, "ttl_ms", "a bar needs"},
-		{func(p *model.Policy) { p.Decide = "hold" }, "ttl_ms", "a hold has none"},
-		{func(p *model.Policy) { p.Decide = "ban" }, "decide", "bar or hold"},
-		{func(p *model.Policy) { p.Mode = "maybe" }, "mode", "live, shadow or off"},
-		{func(p *model.Policy) { p.When = "missed in 1..100000000" }, "when", ""},
-		{func(p *model.Policy) { p.When = "missed > 0" + strings.Repeat(" or missed > 0", 100) }, "when", ""},
-		{func(p *model.Policy) { p.When = "all([1,2,3], # > missed)" }, "when", ""},
+		{func(p *config.Policy) { p.Slice = "weather" }, "slice", "no slice"},
+		{func(p *config.Policy) { p.When = "misssed > 3" }, "when", "line 1, column 1: unknown name misssed"},
+		{func(p *config.Policy) { p.When = "error_ratio > 1" }, "when", "unknown name error_ratio"},
+		{func(p *config.Policy) { p.When = "missed > \"x\"" }, "when", "column 8"},
+		{func(p *config.Policy) { p.When = "missed + 3" }, "when", "bool"},
+		{func(p *config.Policy) { p.When = "" }, "when", ""},
+		{func(p *config.Policy) { p.Clear = "missed >" }, "clear", "unexpected"},
+		{func(p *config.Policy) { p.TTLMs = 0 }, "ttl_ms", "a bar needs"},
+		{func(p *config.Policy) { p.TTLMs = 1 << 30 }, "ttl_ms", "a bar needs"},
+		{func(p *config.Policy) { p.Decide = "hold" }, "ttl_ms", "a hold has none"},
+		{func(p *config.Policy) { p.Decide = "ban" }, "decide", "bar or hold"},
+		{func(p *config.Policy) { p.Mode = "maybe" }, "mode", "live, shadow or off"},
+		{func(p *config.Policy) { p.When = "missed in 1..100000000" }, "when", ""},
+		{func(p *config.Policy) { p.When = "missed > 0" + strings.Repeat(" or missed > 0", 100) }, "when", ""},
+		{func(p *config.Policy) { p.When = "all([1,2,3], # > missed)" }, "when", ""},
 	} {
 		p := good
 		c.change(&p)
@@ -103,7 +103,7 @@
 // A policy that fails while running decides nothing, is counted, and what it had
 // decided lapses.
 func TestFailingPolicy(t *testing.T) {
-	j := with(map[string]model.Policy{"odd": {Slice: "exchange", When: "count % errors == 0", Decide: "bar", TTLMs: 1000, Mode: "live"}})
+	j := with(map[string]config.Policy{"odd": {Slice: "exchange", When: "count % errors == 0", Decide: "bar", TTLMs: 1000, Mode: "live"}})
 	e := Event{At: time.Second, Slice: "exchange", Service: "s", Name: "a", Inc: 1, Count: 4, Errors: 2}
 	if got := kinds(j.Step(e)); got != "odd bar" {
 		t.Fatal(got)
@@ -123,11 +123,11 @@
 // Replacing policies keeps what a changed ejection policy had decided, drops what a
 // removed one had, and a shadow decides without effect.
 func TestReplace(t *testing.T) {
-	p := model.Policy{Slice: "probe", When: "missed >= 1", Decide: "bar", TTLMs: 60000, Mode: "live"}
+	p := config.Policy{Slice: "probe", When: "missed >= 1", Decide: "bar", TTLMs: 60000, Mode: "live"}
 	shadow := p
 	shadow.Mode = "shadow"
 	id := wire.ID{Service: "s", Name: "a", Inc: 1}
-	j := with(map[string]model.Policy{"p": p, "q": shadow})
+	j := with(map[string]config.Policy{"p": p, "q": shadow})
 	ds := j.Step(probe(1, "a", false))
 	if kinds(ds) != "p bar,q bar" || ds[0].Shadow || !ds[1].Shadow {
 		t.Fatal(ds)
@@ -136,16 +136,16 @@
 		t.Fatal(why)
 	}
 	p.When = "missed >= 5"
-	j.Replace(&model.Config{Policies: map[string]model.Policy{"p": p, "q": shadow}})
+	j.Replace(&config.Config{Policies: map[string]config.Policy{"p": p, "q": shadow}})
 	if _, why := j.Barred(3, id); why != "p" {
 		t.Fatalf("a changed policy's bar went: %q", why)
 	}
-	j.Replace(&model.Config{Policies: map[string]model.Policy{"q": shadow}})
+	j.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
 	if _, why := j.Barred(4, id); why != "" {
 		t.Fatalf("a removed policy's bar stayed: %q", why)
 	}
 	shadow.Mode = "live"
-	j.Replace(&model.Config{Policies: map[string]model.Policy{"q": shadow}})
+	j.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
 	if _, why := j.Barred(5, id); why != "" {
 		t.Fatal("what a policy decided as a shadow took effect")
 	}
@@ -162,7 +162,7 @@
 			pr, ex, be, de := e, e, e, e
 			pr.Slice, pr.Ok, pr.Ms = "probe", true, 2
 			ex.Slice, ex.Count, ex.Ms = "exchange", 10, 200
-			be.Slice, be.Ok, be.State = "beat", true, model.Ready
+			be.Slice, be.Ok, be.State = "beat", true, config.Ready
 			de.Slice, de.Demand = "demand", 0.3
 			beats := true
 			if sick {
@@ -210,12 +210,12 @@
 	for _, f := range files {
 		name := strings.TrimSuffix(filepath.Base(f), ".json")
 		b, err := os.ReadFile(f)
-		p := model.Policy{Mode: "live"}
-		faults, derr := model.Decode(b, &p)
+		p := config.Policy{Mode: "live"}
+		faults, derr := config.Decode(b, &p)
 		if err != nil || derr != nil || len(append(faults, Check(p)...)) > 0 {
 			t.Fatal(f, err, derr, faults)
 		}
-		ps := map[string]model.Policy{"default": model.Default(), name: p}
+		ps := map[string]config.Policy{"default": config.Default(), name: p}
 		for _, s := range Compare(day("none"), ps) {
 			if s.Bars+s.Wrong+s.Moves > 0 {
 				t.Errorf("healthy day: %+v", s)
@@ -231,7 +231,7 @@
 			t.Errorf("%s does not beat the default: %+v against %+v", name, own, def)
 		}
 	}
-	if s := Compare(day("crash"), map[string]model.Policy{"default": model.Default()})[0]; s.Bars != 1 || s.ToBarMs != 500 || s.Wrong != 0 {
+	if s := Compare(day("crash"), map[string]config.Policy{"default": config.Default()})[0]; s.Bars != 1 || s.ToBarMs != 500 || s.Wrong != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -244,8 +244,8 @@
 	}
 	n := 0
 	for _, m := range regexp.MustCompile("(?s)```json\n(.*?)```").FindAllSubmatch(b, -1) {
-		p := model.Policy{Mode: "live"}
-		faults, err := model.Decode(m[1], &p)
+		p := config.Policy{Mode: "live"}
+		faults, err := config.Decode(m[1], &p)
 		if err != nil || len(append(faults, Check(p)...)) > 0 {
 			t.Errorf("%s\n%v %v %v", m[1], err, faults, Check(p))
 		}
@@ -254,8 +254,8 @@
 	if n < 3 {
 		t.Fatalf("%d examples", n)
 	}
-	x, _ := json.Marshal(Compare(day("flapping"), map[string]model.Policy{"default": model.Default()}))
-	y, _ := json.Marshal(Compare(day("flapping"), map[string]model.Policy{"default": model.Default()}))
+	x, _ := json.Marshal(Compare(day("flapping"), map[string]config.Policy{"default": config.Default()}))
+	y, _ := json.Marshal(Compare(day("flapping"), map[string]config.Policy{"default": config.Default()}))
 	if string(x) != string(y) {
 		t.Fatal("two comparisons differ")
 	}
@@ -264,7 +264,7 @@
 // A stream of lines: events in, decisions out, a policy replaced in between, and
 // lines that can't be taken answered one by one.
 func TestSession(t *testing.T) {
-	d := NewSession(&model.Config{})
+	d := NewSession(&config.Config{})
 	ev := func(ms int, ok bool) string {
 		b, _ := json.Marshal(Event{At: time.Duration(ms) * time.Millisecond, Slice: "probe", Service: "s", Name: "a", Inc: 1, Ok: ok})
 		return string(b)
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -12,8 +12,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -40,24 +40,24 @@
 
 // OutLine is an answer to a line: one decision, the policies that it replaced, or why it was not taken.
 type OutLine struct {
-	Line     uint64        `json:"line"` // the number of the line that it answers, from 1
-	Decision *Decision     `json:"decision,omitempty"`
-	Replaced []string      `json:"replaced,omitempty"`
-	Error    string        `json:"error,omitempty"`
-	Faults   []model.Fault `json:"faults,omitempty"`
+	Line     uint64         `json:"line"` // the number of the line that it answers, from 1
+	Decision *Decision      `json:"decision,omitempty"`
+	Replaced []string       `json:"replaced,omitempty"`
+	Error    string         `json:"error,omitempty"`
+	Faults   []config.Fault `json:"faults,omitempty"`
 }
 
 // Session evaluates policies over one stream. It takes no part in what the fleet does.
 type Session struct {
 	Line    uint64 // lines taken so far
 	judge   *Judge
-	cfg     model.Config
+	cfg     config.Config
 	last    time.Duration
 	targets map[wire.ID]bool
 }
 
 // NewSession returns a Session that begins with the policies of a configuration.
-func NewSession(c *model.Config) *Session {
+func NewSession(c *config.Config) *Session {
 	s := &Session{judge: New(), cfg: *c, targets: map[wire.ID]bool{}}
 	s.judge.Replace(&s.cfg)
 	return s
@@ -105,17 +105,17 @@
 	next := s.cfg
 	next.Policies = maps.Clone(s.cfg.Policies)
 	if next.Policies == nil {
-		next.Policies = map[string]model.Policy{}
+		next.Policies = map[string]config.Policy{}
 	}
 	out := OutLine{Line: s.Line}
 	for name, raw := range ps {
 		if string(raw) == "null" {
 			delete(next.Policies, name)
 		} else {
-			p := model.Policy{Mode: model.ModeLive}
-			faults, err := model.Decode(raw, &p)
+			p := config.Policy{Mode: config.ModeLive}
+			faults, err := config.Decode(raw, &p)
 			if err != nil {
-				faults = append(faults, model.Fault{Text: errors.UnwrapAll(err).Error()})
+				faults = append(faults, config.Fault{Text: errors.UnwrapAll(err).Error()})
 			}
 			for _, f := range append(faults, Check(p)...) {
 				f.Path = "policies." + name + "." + f.Path
@@ -126,7 +126,7 @@
 		out.Replaced = append(out.Replaced, name)
 	}
 	if len(next.Policies) > limit.PolicyMax {
-		out.Faults = append(out.Faults, model.Fault{Path: "policies", Text: fmt.Sprintf("at most %d", limit.PolicyMax)})
+		out.Faults = append(out.Faults, config.Fault{Path: "policies", Text: fmt.Sprintf("at most %d", limit.PolicyMax)})
 	}
 	if len(out.Faults) > 0 {
 		out.Replaced, out.Error = nil, "unsound policies; those before stay"
--- a/internal/shared/outlier/slice.go
+++ b/internal/shared/outlier/slice.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -58,10 +58,10 @@
 
 // facts has, for each slice, the type that conditions on it are compiled for.
 var facts = map[string]any{
-	model.SliceProbe:    probeFacts{},
-	model.SliceBeat:     beatFacts{},
-	model.SliceExchange: exchangeFacts{},
-	model.SliceDemand:   demandFacts{},
+	config.SliceProbe:    probeFacts{},
+	config.SliceBeat:     beatFacts{},
+	config.SliceExchange: exchangeFacts{},
+	config.SliceDemand:   demandFacts{},
 }
 
 // unknownSlice is the text of a fault.
@@ -80,7 +80,7 @@
 // add takes an event in.
 func (w *window) add(e Event) {
 	good := e.Ok
-	if e.Slice == model.SliceExchange {
+	if e.Slice == config.SliceExchange {
 		good = e.Errors == 0
 	}
 	if w.ok != good {
@@ -97,11 +97,11 @@
 // facts returns what a condition on the event's slice may name, right after the event.
 func (j *Judge) facts(id wire.ID, e Event, w *window) any {
 	switch e.Slice {
-	case model.SliceProbe:
+	case config.SliceProbe:
 		return w.probeFacts(e)
-	case model.SliceBeat:
+	case config.SliceBeat:
 		return w.beatFacts(e)
-	case model.SliceExchange:
+	case config.SliceExchange:
 		return j.exchangeFacts(id, e.At, w)
 	}
 	return j.demandFacts(id, e, w)
@@ -160,7 +160,7 @@
 		x.ErrorRatio, x.MeanMs = float64(own.Errors)/float64(own.Count), own.Ms/float64(own.Count)
 	}
 	rest := Event{}
-	for _, other := range j.others(id, model.SliceExchange) {
+	for _, other := range j.others(id, config.SliceExchange) {
 		t := other.total(now)
 		rest.Count += t.Count
 		rest.Errors += t.Errors
@@ -179,7 +179,7 @@
 		d.Mean += x.Demand / float64(len(w.events))
 	}
 	n := 0.0
-	for _, other := range j.others(id, model.SliceDemand) {
+	for _, other := range j.others(id, config.SliceDemand) {
 		if latest := other.events[len(other.events)-1]; e.At-latest.At < exchangeWindow {
 			d.ServiceMean += latest.Demand
 			n++
--- a/proxy/choice.go
+++ b/proxy/choice.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // standing of a target before a request.
@@ -21,7 +21,7 @@
 )
 
 func (g *Proxy) standing(now time.Duration, t *target, x *request) standing {
-	if t.held || t.Held || t.Pending || t.State == model.Leaving ||
+	if t.held || t.Held || t.Pending || t.State == config.Leaving ||
 		slices.Contains(g.table.Emptied, t.Domain) || len(x.tried) > 0 && slices.Contains(x.tried, t.ID()) {
 		return out
 	}
@@ -216,7 +216,7 @@
 	switch {
 	case t.fullTill > now || t.inflight >= t.slots:
 		return none
-	case t.State == model.Warming && t.inflight >= t.part:
+	case t.State == config.Warming && t.inflight >= t.part:
 		return none
 	case t.cold(now, x):
 		if now < t.coldNext {
--- a/proxy/cold.go
+++ b/proxy/cold.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 )
 
 // coldOf is how long a target of a service is cold from its start.
@@ -29,7 +29,7 @@
 // each beyond the rate stays within half of it; while a change of the roster is under
 // way, only those that both rosters draw have a part, and the smaller one. Of a target
 // that is still warming too only those are drawn that have a part of its warming cap.
-func (g *Proxy) coldGapOf(t *target, set model.Service) time.Duration {
+func (g *Proxy) coldGapOf(t *target, set config.Service) time.Duration {
 	perS := set.ColdPerS
 	if perS <= 0 {
 		return 0
@@ -40,7 +40,7 @@
 		if len(names) == 0 {
 			continue
 		}
-		if t.State == model.Warming {
+		if t.State == config.Warming {
 			names = holders(set.WarmCap, t.place(set.WarmCap, names), names)
 		}
 		n := min(max(1, int(perS/2)), len(names))
--- a/proxy/connections.go
+++ b/proxy/connections.go
@@ -6,15 +6,15 @@
 import (
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // idleConns is how many unused connections to a target this proxy may keep. A target that bounds its
 // connections is left half of them for requests under way and for probes; of the others each proxy may keep one for
 // each slot that is dealt to it, and what is left over is shared evenly. So all proxies together keep no more
 // than half, or than the target has slots, also when there are more proxies than connections.
-func (g *Proxy) idleConns(t *target, set model.Service) int {
+func (g *Proxy) idleConns(t *target, set config.Service) int {
 	if set.ConnCap <= 0 {
 		return limit.IdleConnsMax
 	}
@@ -25,6 +25,6 @@
 
 // connectTime is how long a connection for a request of a route may take to open: a target that is full
 // takes it up once one of its requests ends, which is soon by the measure of the route's own aim.
-func connectTime(route *model.Route) time.Duration {
+func connectTime(route *config.Route) time.Duration {
 	return min(max(limit.ConnectCap, route.Aim()/limit.ConnectParts), limit.DialCap)
 }
--- a/proxy/connections_test.go
+++ b/proxy/connections_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -21,13 +21,13 @@
 		for i := range x.proxies {
 			g := &Proxy{alive: names}
 			at := &target{Target: wire.Target{Slots: uint32(x.slots)}, slots: x.slots, part: deal(x.slots, 5, names[i], names)}
-			kept += g.idleConns(at, model.Service{ConnCap: x.cap})
+			kept += g.idleConns(at, config.Service{ConnCap: x.cap})
 		}
 		if most := x.cap / limit.IdleConnParts; kept > most && kept > x.slots || kept == 0 {
 			t.Errorf("%+v: %d connections are kept, at most %d are wanted", x, kept, most)
 		}
 	}
-	if n := (&Proxy{}).idleConns(&target{}, model.Service{}); n != limit.IdleConnsMax {
+	if n := (&Proxy{}).idleConns(&target{}, config.Service{}); n != limit.IdleConnsMax {
 		t.Errorf("%d are kept where the target names no bound", n)
 	}
 }
@@ -36,7 +36,7 @@
 // choice still lives when it opens last.
 func TestConnectTime(t *testing.T) {
 	for aim, want := range map[int]time.Duration{0: limit.ConnectCap, 300: limit.ConnectCap, 600: 150 * time.Millisecond, 1500: 375 * time.Millisecond, 60000: limit.DialCap} {
-		if got := connectTime(&model.Route{AimMs: aim}); got != want || got >= limit.ChoiceLife {
+		if got := connectTime(&config.Route{AimMs: aim}); got != want || got >= limit.ChoiceLife {
 			t.Errorf("aim %d ms: %v", aim, got)
 		}
 	}
--- a/proxy/deal.go
+++ b/proxy/deal.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -106,10 +106,10 @@
 		g.prepareTarget(now, t, set)
 		switch {
 		case t.coldUntil > now:
-		case t.Held || t.Pending || t.State == model.Leaving || slices.Contains(g.table.Emptied, t.Domain):
+		case t.Held || t.Pending || t.State == config.Leaving || slices.Contains(g.table.Emptied, t.Domain):
 		case t.BarLeft > 0:
 			barred = append(barred, lot{key(t.ID()), t.Domain, t.slots, t})
-		case t.State == model.Warming:
+		case t.State == config.Warming:
 			total += t.slots
 		default:
 			total += t.slots
@@ -132,7 +132,7 @@
 
 // prepareTarget readies one target: the bounds that hold for it, its cold rate and, while it is warming, the
 // part of its cap that this proxy has.
-func (g *Proxy) prepareTarget(now time.Duration, t *target, set model.Service) {
+func (g *Proxy) prepareTarget(now time.Duration, t *target, set config.Service) {
 	t.part, t.slots, t.near = 0, int(t.Slots), t.Domain == g.settings.Self.Domain
 	if t.strict = t.slots == 0 || set.Cap < t.slots; t.strict {
 		t.slots = set.Cap
@@ -146,8 +146,8 @@
 	if t.coldUntil > now && (g.coldEnd == 0 || t.coldUntil < g.coldEnd) {
 		g.coldEnd = t.coldUntil
 	}
-	isOut := t.Held || t.Pending || t.State == model.Leaving || slices.Contains(g.table.Emptied, t.Domain) || t.BarLeft > 0
-	if t.State == model.Warming && (t.coldUntil > now || !isOut) {
+	isOut := t.Held || t.Pending || t.State == config.Leaving || slices.Contains(g.table.Emptied, t.Domain) || t.BarLeft > 0
+	if t.State == config.Warming && (t.coldUntil > now || !isOut) {
 		t.part = g.room(now, t, set)
 	}
 }
@@ -265,11 +265,11 @@
 // cap, whatever tables the proxies stand on: its cap is dealt among the whole roster,
 // and while a change of that is not in force everywhere, a proxy has the smaller of
 // both parts.
-func (g *Proxy) room(now time.Duration, t *target, set model.Service) int {
+func (g *Proxy) room(now time.Duration, t *target, set config.Service) int {
 	part := func(c int, among []string) int {
 		return deal(c, t.place(c, among), g.settings.Self.Name, among)
 	}
-	if t.State == model.Warming {
+	if t.State == config.Warming {
 		n := part(set.WarmCap, g.listed)
 		if len(g.table.Was) > 0 {
 			n = min(n, part(set.WarmCap, g.table.Was))
@@ -296,8 +296,8 @@
 // rise keeps this proxy's part of a warming target's cap from growing before all that
 // others sent there under the parts of an earlier roster must be over: the parts of one
 // table add up to the cap, those of two tables that follow one another need not.
-func (g *Proxy) rise(now time.Duration, t *target, set model.Service) {
-	if t.State != model.Warming {
+func (g *Proxy) rise(now time.Duration, t *target, set config.Service) {
+	if t.State != config.Warming {
 		t.warmPart, t.warmNext, t.riseAt = 0, 0, 0
 		return
 	}
@@ -322,7 +322,7 @@
 func (g *Proxy) longest(svc string) time.Duration {
 	d := time.Duration(g.cfg.Services[svc].TimeoutMs) * time.Millisecond
 	for _, r := range g.cfg.Routes {
-		if r.Service == svc || slices.ContainsFunc(r.Split, func(s model.Share) bool { return s.Service == svc }) {
+		if r.Service == svc || slices.ContainsFunc(r.Split, func(s config.Share) bool { return s.Service == svc }) {
 			d = max(d, r.Timeout())
 		}
 	}
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -7,15 +7,15 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
 // way is what is kept by route: whose turn in its split it is and what its
 // requests usually take.
 type routeState struct {
-	shares []model.Share
+	shares []config.Share
 	owed   []float64 // how far each of them is behind its weight
 	sum    float64
 	mean   float64
@@ -23,7 +23,7 @@
 }
 
 // way is a route's, begun anew when its split has changed.
-func (g *Proxy) routeState(name string, r *model.Route) *routeState {
+func (g *Proxy) routeState(name string, r *config.Route) *routeState {
 	w := g.routeStates[name]
 	if w == nil {
 		w = &routeState{}
@@ -123,9 +123,9 @@
 			return
 		}
 		set := g.cfg.Services[svc]
-		x.svc, x.route = svc, model.Route{Kind: model.Once, TimeoutMs: set.TimeoutMs, Attempts: set.Tries, Service: svc}
+		x.svc, x.route = svc, config.Route{Kind: config.Once, TimeoutMs: set.TimeoutMs, Attempts: set.Tries, Service: svc}
 		if idempotent(e.Method) {
-			x.route.Kind = model.Repeatable
+			x.route.Kind = config.Repeatable
 		}
 	}
 	x.set = g.cfg.Services[x.svc]
--- a/proxy/lease.go
+++ b/proxy/lease.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -172,7 +172,7 @@
 		l := g.targets[id]
 		w := l.Target
 		if w.BarLeft = max(0, int64(l.ejectedUntil-now)); l.ownEjection > now && w.BarLeft == 0 {
-			w.BarLeft, w.BarWhy = int64(l.ownEjection-now), model.DefaultPolicy
+			w.BarLeft, w.BarWhy = int64(l.ownEjection-now), config.DefaultPolicy
 		}
 		w.Held = w.Held || l.held
 		w.ColdLeft = max(0, int64(l.coldUntil-now))
--- a/proxy/probe.go
+++ b/proxy/probe.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -37,10 +37,10 @@
 func (g *Proxy) heardBeat(now time.Duration, w wire.Target) {
 	if t := g.targets[w.ID()]; t != nil {
 		t.streak.Hear(now)
-	} else if g.state == PeerServing && w.State != model.Gone {
+	} else if g.state == PeerServing && w.State != config.Gone {
 		g.claim(now, w)
 	}
-	if w.State != model.Leaving && w.State != model.Gone {
+	if w.State != config.Leaving && w.State != config.Gone {
 		return
 	}
 	if g.leaving[w.ID()] == 0 {
@@ -69,7 +69,7 @@
 		return
 	}
 	if at.successor == nil || at.successor.ID() != w.ID() || at.successor.Addr != w.Addr {
-		at.successor = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Inc: w.Inc, Addr: w.Addr, Domain: w.Domain, State: model.Warming, Turn: at.Turn, Slots: w.Slots, ColdLeft: w.ColdLeft}}
+		at.successor = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Inc: w.Inc, Addr: w.Addr, Domain: w.Domain, State: config.Warming, Turn: at.Turn, Slots: w.Slots, ColdLeft: w.ColdLeft}}
 	}
 	at.successor.streak.Hear(now)
 }
@@ -84,11 +84,11 @@
 		}
 		h.sentAt = 0
 		gone := t.held || t.Held || t.misses >= limit.ProbeMisses || t.Addr == h.Addr
-		if g.state != PeerServing || !gone || p.Beat == nil || p.Beat.ID() != p.ID || p.Beat.State == model.Leaving {
+		if g.state != PeerServing || !gone || p.Beat == nil || p.Beat.ID() != p.ID || p.Beat.State == config.Leaving {
 			return
 		}
-		if p.Beat.State == model.Ready {
-			h.State = model.Ready
+		if p.Beat.State == config.Ready {
+			h.State = config.Ready
 		}
 		g.emit(core.Change{What: "target", From: fmt.Sprint(id.Inc), To: fmt.Sprint(h.Inc), Why: "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there"})
 		g.succeed(now, id, h)
@@ -164,19 +164,19 @@
 	if asked {
 		t.seen.Alive, g.telling = true, true
 	}
-	if b.State == model.Ready && t.State == model.Warming && g.state == PeerServing {
-		t.State, t.warmAt = model.Ready, now
+	if b.State == config.Ready && t.State == config.Warming && g.state == PeerServing {
+		t.State, t.warmAt = config.Ready, now
 	}
 	if t.ownEjection > now && (!asked || g.doubts(now)) {
 		t.ownEjection, t.backAt = 0, now
 	}
-	if b.State == model.Leaving {
+	if b.State == config.Leaving {
 		g.heardBeat(now, t.leavingWord())
 	}
 }
 
 func (t *target) leavingWord() wire.Target {
 	w := t.Target
-	w.State = model.Leaving
+	w.State = config.Leaving
 	return w
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -78,9 +78,9 @@
 	Give struct {
 		ID      uint64
 		Service string
-		Set     model.Service
-		Name    string      // the route's, "" for a rule
-		Route   model.Route // what holds for the request; a rule's has its service's numbers
+		Set     config.Service
+		Name    string       // the route's, "" for a rule
+		Route   config.Route // what holds for the request; a rule's has its service's numbers
 		Target  wire.Target
 		Left    time.Duration // until the request's deadline
 		Work    time.Duration // how long the target may work on it: Left, or less in a proxy that stops
@@ -111,7 +111,7 @@
 	// what its configuration bounds callers by, nil: nothing.
 	Targets struct {
 		Live   map[wire.ID]string
-		Limits *model.Limits
+		Limits *config.Limits
 	}
 )
 
@@ -195,7 +195,7 @@
 	id       uint64
 	svc      string
 	name     string
-	route    model.Route
+	route    config.Route
 	priority int      // what it goes by: its route's, unless that starves
 	askedAt  *service // where it was counted when it came
 	way      *routeState
@@ -211,7 +211,7 @@
 	last     Outcome // of the latest try
 	earned   bool    // it has been given to a target and has earned its service credit
 	repeat   bool    // something of it has reached a target: a further one draws on the budget
-	set      model.Service
+	set      config.Service
 }
 
 // tally counts an aim's requests by the minute.
@@ -263,7 +263,7 @@
 	said         wire.Daemon              // what it was last told of this one, and which leader that was
 	saidTo       string
 	memoryToldAt map[string]time.Duration // when core daemons were last told what is remembered here, by name and process
-	cfg          *model.Config
+	cfg          *config.Config
 	revision     uint64
 	unsound      unsoundDocument // the one reported last
 	targets      map[wire.ID]*target
@@ -292,7 +292,7 @@
 	if set.Retry.Window < limit.CountSlices {
 		set.Retry = Retry{1 / float64(limit.RetryShare), limit.RetryWindow, limit.RetryFree}
 	}
-	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: core.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &model.Config{},
+	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: core.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &config.Config{},
 		targets: map[wire.ID]*target{}, leaving: map[wire.ID]time.Duration{}, services: map[string]*service{}, requests: map[uint64]*request{}, aims: map[string]*aimCounts{}, leaseUntil: -1}
 }
 
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -59,7 +59,7 @@
 }
 
 func to(n string, mods ...func(*wire.Target)) wire.Target {
-	t := wire.Target{Service: "s", Name: n, Inc: 1, Addr: n, State: model.Ready, Beating: true}
+	t := wire.Target{Service: "s", Name: n, Inc: 1, Addr: n, State: config.Ready, Beating: true}
 	for _, m := range mods {
 		m(&t)
 	}
@@ -67,7 +67,7 @@
 }
 
 func barred(t *wire.Target)  { t.BarLeft, t.BarWhy = int64(limit.EjectionTTL), "default" }
-func warming(t *wire.Target) { t.State = model.Warming }
+func warming(t *wire.Target) { t.State = config.Warming }
 func busy(t *wire.Target)    { t.Demand = 0.9 }
 
 const plain = `{"services":{"s":{"cap":8,"warm_cap":3}},"rules":[{"path":"/s","service":"s"}]}`
@@ -299,25 +299,25 @@
 	for _, c := range []struct {
 		name  string
 		heir  wire.Target
-		beat  *model.Beat
+		beat  *config.Beat
 		taken bool
 	}{
-		{"the same place", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "a"}, &model.Beat{Service: "s", Name: "a", Incarnation: 2, State: model.Ready}, true},
-		{"another place", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "z"}, &model.Beat{Service: "s", Name: "a", Incarnation: 2, State: model.Ready}, true},
+		{"the same place", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "a"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
+		{"another place", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
 		{"no answer", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "z"}, nil, false},
-		{"somebody else answers", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "z"}, &model.Beat{Service: "s", Name: "a", Incarnation: 3, State: model.Ready}, false},
-		{"a name that the table lacks", wire.Target{Service: "s", Name: "new", Inc: 2, Addr: "z"}, &model.Beat{Service: "s", Name: "new", Incarnation: 2, State: model.Ready}, false},
-		{"another target's address", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "other"}, &model.Beat{Service: "s", Name: "a", Incarnation: 2, State: model.Ready}, false},
-		{"one that has left", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "gone"}, &model.Beat{Service: "s", Name: "a", Incarnation: 2, State: model.Leaving}, false},
+		{"somebody else answers", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "a", Incarnation: 3, State: config.Ready}, false},
+		{"a name that the table lacks", wire.Target{Service: "s", Name: "new", Inc: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "new", Incarnation: 2, State: config.Ready}, false},
+		{"another target's address", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "other"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, false},
+		{"one that has left", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "gone"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Leaving}, false},
 	} {
-		away := wire.Target{Service: "t", Name: "other", Inc: 1, Addr: "other", State: model.Ready}
+		away := wire.Target{Service: "t", Name: "other", Inc: 1, Addr: "other", State: config.Ready}
 		b := newBench("g1", 3, plain, to("a", func(t *wire.Target) { t.Turn = 5 }), away)
 		word := c.heir
-		word.State = model.Ready
+		word.State = config.Ready
 		b.hear(word)
 		b.orphan()
 		old := to("a")
-		old.State = model.Gone
+		old.State = config.Gone
 		b.hear(old)
 		b.hear(word)
 		b.now += limit.TickEvery
@@ -393,7 +393,7 @@
 		if i := rapid.IntRange(-1, len(before)-1).Draw(t, "leaves"); i >= 0 && len(before) > 1 {
 			after = append(append([]string{}, before[:i]...), before[i+1:]...)
 		}
-		set := model.Service{Cap: 64, WarmCap: rapid.IntRange(1, 30).Draw(t, "cap")}
+		set := config.Service{Cap: 64, WarmCap: rapid.IntRange(1, 30).Draw(t, "cap")}
 		fleet := rapid.IntRange(1, 12).Draw(t, "targets")
 		first := rapid.Uint32Range(1, 1000).Draw(t, "turn")
 		part := func(name string, turn uint32, among, was []string) int {
@@ -403,7 +403,7 @@
 				g.table.Gates = append(g.table.Gates, wire.Gate{Name: n, Live: true})
 			}
 			g.index(0)
-			return g.room(0, &target{Target: wire.Target{Service: "s", State: model.Warming, Turn: turn}}, set)
+			return g.room(0, &target{Target: wire.Target{Service: "s", State: config.Warming, Turn: turn}}, set)
 		}
 		every := append(append([]string{}, before...), after[len(after)-1])
 		if len(after) < len(before) {
@@ -645,7 +645,7 @@
 		t.Fatal("a miss was told")
 	}
 	ask()
-	b.step(core.Probed{ID: id, Beat: &model.Beat{Service: "s", Name: "a", Incarnation: 1, State: model.Ready}})
+	b.step(core.Probed{ID: id, Beat: &config.Beat{Service: "s", Name: "a", Incarnation: 1, State: config.Ready}})
 	if told() != 1 || told() != 0 || b.g.targets[id].ownEjection == 0 {
 		t.Fatal("an answer is told once, with the next tick, and clears no own bar")
 	}
--- a/proxy/route_test.go
+++ b/proxy/route_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -56,10 +56,10 @@
 		t.Fatalf("%+v: without a fresh table nobody knows", r)
 	}
 	r := newBench("g1", 1, plain, to("a"))
-	if g := r.admit(1).(Give); g.Route.Kind != model.Repeatable || g.Route.TimeoutMs != g.Set.TimeoutMs || g.Name != "" {
+	if g := r.admit(1).(Give); g.Route.Kind != config.Repeatable || g.Route.TimeoutMs != g.Set.TimeoutMs || g.Name != "" {
 		t.Fatalf("%+v", g)
 	}
-	if g := answer(2, r.step(Admit{ID: 2, Path: "/s", Method: "POST"})).(Give); g.Route.Kind != model.Once {
+	if g := answer(2, r.step(Admit{ID: 2, Path: "/s", Method: "POST"})).(Give); g.Route.Kind != config.Once {
 		t.Fatalf("%+v", g)
 	}
 }
@@ -422,8 +422,8 @@
 		perS := rapid.Float64Range(0.3, 40).Draw(t, "rate")
 		r := Retry{0.2, 10 * time.Second, rapid.Float64Range(1, 90).Draw(t, "slack")}
 		late := rapid.Bool().Draw(t, "late")
-		state := rapid.SampledFrom([]string{model.Ready, model.Warming}).Draw(t, "state")
-		set := model.Service{ColdPerS: perS, WarmCap: rapid.IntRange(1, 20).Draw(t, "warming cap")}
+		state := rapid.SampledFrom([]string{config.Ready, config.Warming}).Draw(t, "state")
+		set := config.Service{ColdPerS: perS, WarmCap: rapid.IntRange(1, 20).Draw(t, "warming cap")}
 		rate, slack, least := 0.0, 0.0, 0
 		for _, n := range all {
 			g := New(Settings{Self: wire.Daemon{Name: n}, Retry: r})
@@ -778,7 +778,7 @@
 // What the configuration bounds callers by goes to the shell with each table, and goes
 // again when a later configuration does without it.
 func TestLimitsAreTold(t *testing.T) {
-	told := func(cmds []any) *model.Limits {
+	told := func(cmds []any) *config.Limits {
 		for _, c := range cmds {
 			if x, ok := c.(Targets); ok {
 				return x.Limits
@@ -788,7 +788,7 @@
 		return nil
 	}
 	b := newBench("g1", 1, plain, to("a"))
-	if l := told(b.table(1, strings.Replace(plain, "{", `{"limits":{"header_bytes":99,"idle_ms":7},`, 1), to("a"))); l == nil || *l != (model.Limits{HeaderBytes: 99, IdleMs: 7}) {
+	if l := told(b.table(1, strings.Replace(plain, "{", `{"limits":{"header_bytes":99,"idle_ms":7},`, 1), to("a"))); l == nil || *l != (config.Limits{HeaderBytes: 99, IdleMs: 7}) {
 		t.Fatal(l)
 	}
 	if l := told(b.table(1, plain, to("a"))); l != nil {
--- a/proxy/shutdown.go
+++ b/proxy/shutdown.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // stop is how long a stopping proxy serves on in any case, and at most.
@@ -68,7 +68,7 @@
 
 // wantedTime is how long a request of a route is meant to take at most: its aim, or without one the part of its
 // timeout that stands for it.
-func wantedTime(r *model.Route) time.Duration {
+func wantedTime(r *config.Route) time.Duration {
 	if aim := r.Aim(); aim > 0 {
 		return aim
 	}
--- a/proxy/table.go
+++ b/proxy/table.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -144,12 +144,12 @@
 			n = &target{anew: g.state == Granted}
 		}
 		was := n.ejectedUntil > now
-		if n.State == model.Warming && w.State == model.Ready {
+		if n.State == config.Warming && w.State == config.Ready {
 			n.warmAt = now
 		}
 		n.Target = w
 		n.chill(now, w.ColdLeft)
-		n.ejectedUntil, n.unheard = 0, w.BarWhy == model.DefaultPolicy
+		n.ejectedUntil, n.unheard = 0, w.BarWhy == config.DefaultPolicy
 		if w.BarLeft > 0 {
 			n.ejectedUntil = now + time.Duration(w.BarLeft)
 		} else if was {
--- a/proxy/unsound.go
+++ b/proxy/unsound.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/model"
 	"myrtlefold/wire"
 )
 
@@ -19,7 +19,7 @@
 type unsoundDocument struct{ epoch, revision uint64 }
 
 // readConfig reads the configuration of a whole table. The error says why it can't be put in force.
-func readConfig(t *wire.Table) (*model.Config, error) {
+func readConfig(t *wire.Table) (*config.Config, error) {
 	doc, err := wire.Decompress(t.Doc)
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration not decompressed")
--- a/proxy/view.go
+++ b/proxy/view.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/wire"
 )
 
@@ -28,7 +28,7 @@
 // AimView is this proxy's part in an aim over its window.
 type AimView struct {
 	Name string `json:"name"`
-	model.Aim
+	config.Aim
 	Good int `json:"good"`
 	All  int `json:"all"`
 }
--- a/sim/backend.go
+++ b/sim/backend.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // Target is one start of a back end; a restart is another Target.
@@ -41,7 +41,7 @@
 func (w *World) AddTarget(svc, name, domain, addr string, warm time.Duration) *Target {
 	w.nextInc++
 	t := &Target{service: svc, name: name, domain: domain, addr: addr, inc: w.nextInc + uint64(w.rnd.IntN(1000))*100000, alive: true,
-		state: model.Ready, usual: w.ms(5, 30)}
+		state: config.Ready, usual: w.ms(5, 30)}
 	t.work = t.usual
 	t.named = w.nextInc%3 != 0
 	if w.Plan.ColdPerS > 0 && w.now > coldSpan {
@@ -50,10 +50,10 @@
 	}
 	t.resets = w.nextInc%5 == 0
 	if warm > 0 && w.Plan.ColdPerS == 0 {
-		t.state = model.Warming
+		t.state = config.Warming
 		w.at(warm, func() {
-			if t.state == model.Warming {
-				t.state = model.Ready
+			if t.state == config.Warming {
+				t.state = config.Ready
 			}
 		})
 	}
@@ -113,7 +113,7 @@
 		if cold > w.now && t.coldTold != cold {
 			t.coldTold, t.coldFrom = cold, w.now+coldHeard
 		}
-		if state == model.Leaving && t.leftAt == 0 {
+		if state == config.Leaving && t.leftAt == 0 {
 			t.leftAt = w.now
 			w.Stats.Leaves++
 			w.log("%s/%s leaving, taken by %s", t.service, t.name, p.name)
@@ -124,7 +124,7 @@
 
 // word is a call that says how a target is.
 func (w *World) word(t *Target, state string) (method, path string, body []byte) {
-	b := model.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state, Slots: int64(w.Plan.Slots)}
+	b := config.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state, Slots: int64(w.Plan.Slots)}
 	if t.coldTill > w.now && w.sabotage != "cold" {
 		b.ColdLeftMs = (t.coldTill - w.now).Milliseconds() + 1
 	}
@@ -141,7 +141,7 @@
 
 // say has a daemon hear a target's word, as a late or repeated one would be.
 func (w *World) say(p *Proc, t *Target, state string) {
-	b, _ := json.Marshal(model.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state})
+	b, _ := json.Marshal(config.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state})
 	w.call(p, "POST", "/v1/targets", "", b, "", func(core.Reply) {})
 }
 
@@ -160,7 +160,7 @@
 
 // Leave has a back end announce that it leaves, wait, sign off and end; then runs after.
 func (w *World) Leave(t *Target, after func()) {
-	t.state = model.Leaving
+	t.state = config.Leaving
 	t.number++
 	w.beat(t, 0)
 	var end func()
@@ -184,7 +184,7 @@
 
 func (w *World) probe(p *Proc, c core.Probe) {
 	gen, sent := p.gen, p.local()
-	answer := func(d time.Duration, b *model.Beat) {
+	answer := func(d time.Duration, b *config.Beat) {
 		w.at(d, func() {
 			if p.gen == gen {
 				w.deliver(p, core.Probed{ID: c.ID, SentAt: sent, Ms: float64(d) / 1e6, Beat: b})
@@ -194,7 +194,7 @@
 	t := w.listen[c.Addr]
 	switch {
 	case w.sabotage == "probes":
-		answer(w.ms(1, 5), &model.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Inc, State: model.Ready})
+		answer(w.ms(1, 5), &config.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Inc, State: config.Ready})
 	case t != nil && (t.hang || t.deaf || !w.reach(p.name, t.name) || !w.reach(t.name, p.name)):
 		answer(limit.ProbeCap, nil)
 	case t == nil:
@@ -204,14 +204,14 @@
 			answer(limit.ProbeCap, nil)
 		}
 	default:
-		answer(w.ms(1, 5), &model.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: w.heard(t.state)})
+		answer(w.ms(1, 5), &config.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: w.heard(t.state)})
 	}
 }
 
 func (w *World) pickTarget() *Target {
 	var l []*Target
 	for _, t := range w.targets {
-		if t.alive && t.state != model.Leaving {
+		if t.alive && t.state != config.Leaving {
 			l = append(l, t)
 		}
 	}
--- a/sim/day.go
+++ b/sim/day.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/proxy"
 )
 
@@ -119,7 +119,7 @@
 // not offer. Of two that claim one name, one is enough.
 func (w *World) missing() string {
 	for _, t := range w.targets {
-		if t.alive && t.state == model.Ready && w.listen[t.addr] == t && !w.served(t) &&
+		if t.alive && t.state == config.Ready && w.listen[t.addr] == t && !w.served(t) &&
 			!slices.ContainsFunc(w.targets, func(o *Target) bool { return o.service == t.service && o.name == t.name && w.served(o) }) {
 			return t.service + "/" + t.name
 		}
--- a/sim/faults_network.go
+++ b/sim/faults_network.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 )
 
 // networkFaults are the faults of domains and links, and of messages that come late.
@@ -21,7 +21,7 @@
 		for range 6 {
 			t := w.targets[w.rnd.IntN(len(w.targets))]
 			if p := w.pick([]string{"core", "gate"}[w.rnd.IntN(2)], true); p != nil && !t.alive {
-				state := []string{model.Ready, model.Warming}[w.rnd.IntN(2)]
+				state := []string{config.Ready, config.Warming}[w.rnd.IntN(2)]
 				w.at(w.ms(0, 3000), func() { w.say(p, t, state) })
 			}
 		}
--- a/sim/grown_test.go
+++ b/sim/grown_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/proxy"
 )
 
@@ -125,10 +125,10 @@
 		panic(err)
 	}
 	svcs := slices.Sorted(maps.Keys(w.Plan.Services))
-	all := map[string]model.Route{}
+	all := map[string]config.Route{}
 	for i := range routes {
 		x := uint64(i) * 0x9e3779b97f4a7c15
-		all[fmt.Sprintf("r-%07x", x>>36)] = model.Route{Host: fmt.Sprintf("%05x.example", x>>44), Prefix: fmt.Sprintf("/%07x/%04x/", x>>36, i), Kind: model.Repeatable,
+		all[fmt.Sprintf("r-%07x", x>>36)] = config.Route{Host: fmt.Sprintf("%05x.example", x>>44), Prefix: fmt.Sprintf("/%07x/%04x/", x>>36, i), Kind: config.Repeatable,
 			TimeoutMs: 2000, AimMs: 300, Priority: 2, Attempts: 2, Service: svcs[i%len(svcs)]}
 	}
 	doc["routes"] = all
--- a/sim/guards_test.go
+++ b/sim/guards_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 	"myrtlefold/proxy"
 	"myrtlefold/wire"
 )
@@ -223,9 +223,9 @@
 	}
 	// A leaving target answers probes and even says that it is ready: it stays held.
 	l := w.targets[1]
-	l.state = model.Leaving
+	l.state = config.Leaving
 	w.Run(w.now + time.Second)
-	l.state = model.Ready
+	l.state = config.Ready
 	w.Run(w.now + 3*time.Second)
 	check(t, w)
 	for _, x := range w.Leader().core.Table().Targets {
@@ -248,7 +248,7 @@
 			fares = append(fares, tg)
 		}
 	}
-	fares[0].state = model.Leaving
+	fares[0].state = config.Leaving
 	w.quiet = true
 	w.Run(w.now + 4*time.Second)
 	w.quiet = false
--- a/sim/history.go
+++ b/sim/history.go
@@ -13,7 +13,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/history"
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 )
 
 // changesConfiguration says whether a call changes the configuration if it is taken.
@@ -63,7 +63,7 @@
 
 // canonicalOr is one form for all documents that say the same, and any other text as it is.
 func canonicalOr(doc []byte) string {
-	if c, err := model.Canonical(doc); err == nil {
+	if c, err := config.Canonical(doc); err == nil {
 		return string(c)
 	}
 	return string(doc)
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"myrtlefold/core"
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 )
 
 type change struct {
@@ -104,7 +104,7 @@
 
 // DocOf is one for some services, with a cap per target.
 func (w *World) DocOf(n, cap int, services []string) []byte {
-	svcs, routes := map[string]any{}, map[string]model.Route{}
+	svcs, routes := map[string]any{}, map[string]config.Route{}
 	var rules []any
 	for _, s := range services {
 		svc := map[string]any{"cap": cap, "warm_cap": w.warm(cap), "timeout_ms": 1000 + n}
@@ -115,8 +115,8 @@
 			svc["conn_cap"] = w.Plan.ConnCap
 		}
 		svcs[s] = svc
-		for kind, prefix := range map[string]string{model.Repeatable: "/" + s + "/", model.Once: "/" + s + "/once/"} {
-			routes[s+"-"+kind] = model.Route{Prefix: prefix, Kind: kind, TimeoutMs: 1000 + n, AimMs: 400, Attempts: 3, Service: s}
+		for kind, prefix := range map[string]string{config.Repeatable: "/" + s + "/", config.Once: "/" + s + "/once/"} {
+			routes[s+"-"+kind] = config.Route{Prefix: prefix, Kind: kind, TimeoutMs: 1000 + n, AimMs: 400, Attempts: 3, Service: s}
 		}
 		rules = append(rules, map[string]any{"path": "/" + s + "/", "service": s})
 	}
--- a/sim/overload_test.go
+++ b/sim/overload_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/limit"
-	"myrtlefold/model"
 )
 
 // busyFerry is the ferry fleet under so much traffic that every target is heard of all the time.
@@ -33,7 +33,7 @@
 func (w *World) release(share float64, atOnce int, gap time.Duration) {
 	var all []*Target
 	for _, t := range w.targets {
-		if t.alive && t.state != model.Leaving {
+		if t.alive && t.state != config.Leaving {
 			all = append(all, t)
 		}
 	}
--- a/sim/scenes.go
+++ b/sim/scenes.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"myrtlefold/core"
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/wire"
 )
 
@@ -171,8 +171,8 @@
 
 // heard is a target's state as daemons hear it.
 func (w *World) heard(state string) string {
-	if w.sabotage == "holds" && state == model.Leaving {
-		return model.Ready
+	if w.sabotage == "holds" && state == config.Leaving {
+		return config.Ready
 	}
 	return state
 }
--- a/sim/targets_test.go
+++ b/sim/targets_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/model"
+	"myrtlefold/internal/shared/config"
 )
 
 // Silence alone refuses nobody: a domain cut off for longer than a silent target's
@@ -51,11 +51,11 @@
 			for w.Leader() == nil && w.now < 30*time.Second {
 				w.Run(w.now + 5*time.Millisecond)
 			}
-			w.say(w.Leader(), old, model.Ready) // before anything else is heard
+			w.say(w.Leader(), old, config.Ready) // before anything else is heard
 		}
 		for range 20 {
-			w.say(w.pick("gate", true), old, model.Ready)
-			w.say(w.Leader(), old, model.Warming)
+			w.say(w.pick("gate", true), old, config.Ready)
+			w.say(w.Leader(), old, config.Warming)
 			w.Run(w.now + 50*time.Millisecond)
 			if w.served(old) {
 				t.Fatalf("seed %d: the old start is served\n%s", seed, w.Trace(20))
@@ -125,7 +125,7 @@
 			w.Run(w.now + 5*time.Millisecond)
 		}
 		for range 10 {
-			w.say(w.Leader(), old, model.Ready)
+			w.say(w.Leader(), old, config.Ready)
 			w.Run(w.now + 30*time.Millisecond)
 			if w.served(old) {
 				t.Fatalf("seed %d: served again\n%s", seed, w.Trace(20))
@@ -150,8 +150,8 @@
 		}
 		w.Run(w.now + 3*time.Second)
 		for _, x := range dead {
-			w.say(w.Leader(), x, model.Ready)
-			w.say(w.pick("gate", true), x, model.Ready)
+			w.say(w.Leader(), x, config.Ready)
+			w.say(w.pick("gate", true), x, config.Ready)
 		}
 		w.Run(w.now + 2*time.Second)
 		check(t, w)
