--- a/sim/resume_test.go
+++ b/sim/resume_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // known is how many targets a leader knows, and hearsay how many of them have to prove themselves
@@ -45,11 +45,11 @@
 		}
 		had, _ := w.known(l)
 		before := l.core.Status(w.now)
-		w.cutOff(l, limit.LeaderLease+time.Duration(seed%2)*limit.HeartbeatEvery)
+		w.cutOff(l, tuning.LeaderLease+time.Duration(seed%2)*tuning.HeartbeatEvery)
 		w.until(time.Second, func() bool { return !l.core.Leading() })
 		fewest, unproved := had, 0
 		for end := w.now + 2*time.Second; w.now < end && w.Leader() == nil; {
-			w.Run(w.now + limit.TickEvery)
+			w.Run(w.now + tuning.TickEvery)
 			n, hearsay := w.known(l)
 			fewest, unproved = min(fewest, n), max(unproved, hearsay)
 		}
@@ -82,14 +82,14 @@
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
 		first := w.Leader()
-		w.cutOff(first, limit.LeadKept/2)
+		w.cutOff(first, tuning.LeadKept/2)
 		w.until(2*time.Second, func() bool { return w.Leader() != nil && w.Leader() != first })
 		second := w.Leader()
 		if second == nil || second == first {
 			continue
 		}
 		w.Crash(w.targets[0])
-		w.Run(w.now + limit.LeadKept/2)
+		w.Run(w.now + tuning.LeadKept/2)
 		w.Kill(second)
 		elections := first.core.Status(w.now).Counts.Elections
 		if !w.until(3*time.Second, func() bool { return w.Leader() != nil }) || w.Leader() != first {
@@ -115,7 +115,7 @@
 		for _, c := range cores {
 			w.cutOff(w.procs[c], 2300*time.Millisecond)
 		}
-		w.Run(w.now + limit.LeaderLease - 200*time.Millisecond)
+		w.Run(w.now + tuning.LeaderLease - 200*time.Millisecond)
 		w.Crash(w.targets[int(seed)%len(w.targets)])
 		w.Run(w.now + 300*time.Millisecond)
 		for _, g := range gates {
--- a/sim/rules.go
+++ b/sim/rules.go
@@ -9,7 +9,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/proxy"
 )
 
@@ -60,7 +60,7 @@
 // checkWrite: the same once more when the first byte goes out, which a frozen process
 // does late. A choice that was right may be carried out for its short life.
 func (w *World) checkWrite(p *Proc, c *proxy.Give, x *request) {
-	life := limit.ChoiceLife * 21 / 20
+	life := tuning.ChoiceLife * 21 / 20
 	for r, at := range w.ackedAt {
 		if r > x.rev && w.now-at > life {
 			w.broken("not in force", "%s writes what it chose on revision %d, %d was acknowledged %v ago", p.name, x.rev, r, w.now-at)
@@ -136,7 +136,7 @@
 
 // CheckBudget holds that retries stay within a fifth of the traffic of any 10 s, plus the allowance.
 func (w *World) CheckBudget() {
-	free := max(limit.RetryFree, w.Plan.Gates)
+	free := max(tuning.RetryFree, w.Plan.Gates)
 	for svc, l := range w.sends {
 		from, retries, traffic := 0, 0, 0
 		for _, e := range l {
@@ -144,14 +144,14 @@
 			if e.retry {
 				retries++
 			}
-			for l[from].at < e.at-limit.RetryWindow {
+			for l[from].at < e.at-tuning.RetryWindow {
 				traffic--
 				if l[from].retry {
 					retries--
 				}
 				from++
 			}
-			if retries > traffic/limit.RetryShare+free+2 {
+			if retries > traffic/tuning.RetryShare+free+2 {
 				w.broken("retry budget", "%s: %d retries among %d sends in 10 s", svc, retries, traffic)
 			}
 		}
--- a/sim/scarce.go
+++ b/sim/scarce.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"myrtlefold/core"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -91,14 +91,14 @@
 	n := weigh(m)
 	at := w.work(p, workOnMessage(m, "send"), messageCost(n))
 	if p.kind == "gate" {
-		if p.out-w.now > limit.SendLate {
+		if p.out-w.now > tuning.SendLate {
 			return
 		}
 		at = w.pass(at, &p.out, n)
 	}
 	at += d
 	if to.kind == "gate" {
-		if to.in-w.now > limit.SendLate {
+		if to.in-w.now > tuning.SendLate {
 			return
 		}
 		at = w.pass(at, &to.in, n)
--- a/sim/slow.go
+++ b/sim/slow.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/core"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // slowShare is the part of a processor that a machine has in the users' deployments: what a
@@ -104,7 +104,7 @@
 // acknowledges nothing meanwhile and tries again every limit.DiskRetry.
 func (w *World) refuseWrite(p *Proc, gen int, d *disk) {
 	w.Stats.DiskRefusals++
-	w.at(limit.DiskRetry, func() { w.retryWrite(p, gen, d) })
+	w.at(tuning.DiskRetry, func() { w.retryWrite(p, gen, d) })
 	if !d.refusing {
 		d.refusing = true
 		w.log("disk of %s refuses writes", p.name)
@@ -117,7 +117,7 @@
 	switch {
 	case p.gen != gen || !p.alive || d != p.disk:
 	case p.frozen || d.stalled:
-		w.at(limit.DiskRetry, func() { w.retryWrite(p, gen, d) })
+		w.at(tuning.DiskRetry, func() { w.retryWrite(p, gen, d) })
 	case d.full:
 		w.refuseWrite(p, gen, d)
 	default:
--- a/sim/stored_test.go
+++ b/sim/stored_test.go
@@ -12,7 +12,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/controlplane/wal"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -49,7 +49,7 @@
 	images["locked"] = locked.procs["c1"].disk.img
 	w := Start(11, Small)
 	images["log"] = w.procs["c2"].disk.img
-	for n := 2; images["snapshot"].Snap.Index <= 1 && w.Fail == "" && n < 2*limit.LogMax; n++ {
+	for n := 2; images["snapshot"].Snap.Index <= 1 && w.Fail == "" && n < 2*tuning.LogMax; n++ {
 		w.PutConfig(w.Leader(), w.Revision(), n)
 		w.Run(w.now + 100*time.Millisecond)
 		images["snapshot"] = w.procs["c2"].disk.img
@@ -100,12 +100,12 @@
 func inRing(t *testing.T, record []byte) {
 	t.Helper()
 	dir := t.TempDir()
-	r, err := wal.Recreate(dir, limit.RingFiles, limit.RingFileSize, record)
+	r, err := wal.Recreate(dir, tuning.RingFiles, tuning.RingFileSize, record)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Close()
-	r, records, err := wal.Open(dir, limit.RingFiles, limit.RingFileSize)
+	r, records, err := wal.Open(dir, tuning.RingFiles, tuning.RingFileSize)
 	if err != nil || len(records) != 1 || !bytes.Equal(records[0], record) {
 		t.Fatal(len(records), err)
 	}
@@ -123,7 +123,7 @@
 	self := wire.Daemon{Name: member.name, Kind: "core", Domain: member.domain, Addr: member.addr, Inc: 1}
 	gate.gate.Step(gate.local(), core.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
 	var memory []byte
-	for step := time.Duration(0); memory == nil; step += limit.TickEvery {
+	for step := time.Duration(0); memory == nil; step += tuning.TickEvery {
 		if step > 5*time.Second {
 			t.Fatal("the proxy says nothing of what it remembers")
 		}
--- a/sim/thinlink.go
+++ b/sim/thinlink.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // thinLink is the way into one process.
@@ -31,7 +31,7 @@
 // as a shell does.
 func (l *thinLink) pass(now time.Duration, bytes int) (d time.Duration, ok bool) {
 	free := max(l.free, now)
-	if free-now > limit.SendLate {
+	if free-now > tuning.SendLate {
 		return 0, false
 	}
 	l.free = free + time.Duration(float64(bytes)/l.rate*float64(time.Second))
--- a/sim/thinlink_test.go
+++ b/sim/thinlink_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // A member that lost its disk, on a link of 128 KiB a second, learns all and votes again while
@@ -30,7 +30,7 @@
 			w.WipeDisk(p)
 		}
 		w.Run(w.now + 3*time.Second)
-		w.ThinLink(p, limit.SlowLink)
+		w.ThinLink(p, tuning.SlowLink)
 		w.Restart(p)
 		from := w.now
 		caught := func() bool {
--- a/sim/trouble_test.go
+++ b/sim/trouble_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // Random days hold at any size of the core, also where it bears no loss.
@@ -39,8 +39,8 @@
 		if w.Stats.DiskRefusals == 0 || w.acked < 3 {
 			t.Fatalf("seed %d: its disk refused %d writes, revision %d acknowledged\n%s", w.Seed, w.Stats.DiskRefusals, w.acked, w.Trace(30))
 		}
-		if most := int(6*time.Second/limit.DiskRetry) + 1; w.Stats.DiskRefusals > most {
-			t.Errorf("seed %d: %d writes were refused, one each %v makes %d", w.Seed, w.Stats.DiskRefusals, limit.DiskRetry, most)
+		if most := int(6*time.Second/tuning.DiskRetry) + 1; w.Stats.DiskRefusals > most {
+			t.Errorf("seed %d: %d writes were refused, one each %v makes %d", w.Seed, w.Stats.DiskRefusals, tuning.DiskRetry, most)
 		}
 		if len(p.disk.img.Log) != written {
 			t.Errorf("seed %d: the full disk of %s took writes", w.Seed, p.name)
--- a/sim/waiters_test.go
+++ b/sim/waiters_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"myrtlefold/core"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // An order that is under way when its leader loses the lead for a moment is answered with what became of
@@ -22,8 +22,8 @@
 			t.Fatalf("seed %d: nobody leads", seed)
 		}
 		term, status := l.core.Status(w.now).Term, -1
-		w.cutOff(l, limit.LeaderLease+time.Duration(seed%2)*limit.HeartbeatEvery)
-		w.Run(w.now + limit.LeaderLease/2)
+		w.cutOff(l, tuning.LeaderLease+time.Duration(seed%2)*tuning.HeartbeatEvery)
+		w.Run(w.now + tuning.LeaderLease/2)
 		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Doc(5), "", func(r core.Reply) { status = r.Status })
 		w.until(4*time.Second, func() bool { return status >= 0 })
 		if w.until(2*time.Second, func() bool { return w.Leader() != nil }); w.Leader() != l || w.leadsLost() == before {
@@ -55,7 +55,7 @@
 		w.cutOff(l, 10*time.Second)
 		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Doc(5), "", func(r core.Reply) { status = r.Status })
 		w.until(10*time.Second, func() bool { return status >= 0 })
-		if status != 504 || w.now-asked > limit.LeaderLease+limit.WaitersKept+100*time.Millisecond {
+		if status != 504 || w.now-asked > tuning.LeaderLease+tuning.WaitersKept+100*time.Millisecond {
 			t.Errorf("seed %d: answered %d after %v", seed, status, w.now-asked)
 		}
 		w.Run(w.now + 12*time.Second)
--- a/sim/words_test.go
+++ b/sim/words_test.go
@@ -8,7 +8,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -141,7 +141,7 @@
 	w.isolate([]string{"g1", "g2"}, 3*time.Second, true, true)
 	from := w.now
 	r, _ := w.inquire(t, followers(w)[0], "PUT", "/v1/targets/"+a.name, "", numbered(a, config.Leaving, 1000, ""), "")
-	if r.Status != 200 || w.now-from > limit.PullEvery*2 {
+	if r.Status != 200 || w.now-from > tuning.PullEvery*2 {
 		t.Errorf("%d after %v", r.Status, w.now-from)
 	}
 	check(t, w)
@@ -401,13 +401,13 @@
 	t.Parallel()
 	w := Start(24, Small)
 	w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Doc(2)), "")
-	for range limit.ChangesKept + 4 {
+	for range tuning.ChangesKept + 4 {
 		w.inquire(t, w.Leader(), "POST", "/v1/domains/d1/restore", "", "", "")
 	}
 	if r, m := w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Doc(2)), ""); r.Status != 200 || m["revision"] != 2.0 {
 		t.Errorf("%s", r.Body)
 	}
-	if n := len(w.Leader().core.Records()); n > 2*limit.ChangesKept {
+	if n := len(w.Leader().core.Records()); n > 2*tuning.ChangesKept {
 		t.Errorf("%d records", n)
 	}
 }
--- a/wire/compress.go
+++ b/wire/compress.go
@@ -13,7 +13,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // compressedMark is the first byte of a compressed text.
@@ -22,7 +22,7 @@
 // Compress returns a form of text that Decompress reads: text itself, if it is shorter than
 // limit.CompressFrom or would not become shorter. The same text always gives the same bytes.
 func Compress(text []byte) []byte {
-	if len(text) < limit.CompressFrom {
+	if len(text) < tuning.CompressFrom {
 		return text
 	}
 	var b bytes.Buffer
@@ -48,12 +48,12 @@
 	if len(b) == 0 || b[0] != compressedMark {
 		return b, nil
 	}
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b[1:])), limit.WireMax+1))
+	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b[1:])), tuning.WireMax+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "compressed text")
 	}
-	if len(text) > limit.WireMax {
-		return nil, errors.Newf("compressed text is over %d bytes", limit.WireMax)
+	if len(text) > tuning.WireMax {
+		return nil, errors.Newf("compressed text is over %d bytes", tuning.WireMax)
 	}
 	return text, nil
 }
--- a/wire/compress_test.go
+++ b/wire/compress_test.go
@@ -7,13 +7,13 @@
 	"math/rand/v2"
 	"testing"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // What is compressed decompresses to the same text, and is shorter where that can be.
 func TestCompressedTextDecompresses(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(7, 7))
-	noise := make([]byte, 5*limit.CompressFrom)
+	noise := make([]byte, 5*tuning.CompressFrom)
 	for i := range noise {
 		noise[i] = byte(1 + rnd.IntN(255))
 	}
@@ -21,7 +21,7 @@
 	for range 1400 {
 		fmt.Fprintf(&routes, `"r-%07x":{"host":"%05x.example","prefix":"/%07x/","kind":"repeatable","timeout_ms":2000},`, rnd.Uint32(), rnd.Uint32N(1<<20), rnd.Uint32())
 	}
-	for _, text := range [][]byte{nil, []byte("{}"), bytes.Repeat([]byte("a"), limit.CompressFrom-1), bytes.Repeat([]byte("a"), limit.CompressFrom), noise, routes.Bytes()} {
+	for _, text := range [][]byte{nil, []byte("{}"), bytes.Repeat([]byte("a"), tuning.CompressFrom-1), bytes.Repeat([]byte("a"), tuning.CompressFrom), noise, routes.Bytes()} {
 		b := Compress(text)
 		if len(b) > len(text) {
 			t.Errorf("%d bytes grew to %d", len(text), len(b))
@@ -40,7 +40,7 @@
 
 // A text that breaks off is an error, and so is one that grows without a bound.
 func TestUnsoundCompressedTextIsRefused(t *testing.T) {
-	whole := Compress(bytes.Repeat([]byte("one and another "), limit.CompressFrom))
+	whole := Compress(bytes.Repeat([]byte("one and another "), tuning.CompressFrom))
 	for n := 1; n < len(whole); n++ {
 		if _, err := Decompress(whole[:n]); err == nil {
 			t.Fatalf("%d of %d bytes were opened", n, len(whole))
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 2*limit.WireMax>>20 + 1 {
+	for range 2*tuning.WireMax>>20 + 1 {
 		if _, err := w.Write(make([]byte, 1<<20)); err != nil {
 			t.Fatal(err)
 		}
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -14,7 +14,7 @@
 	"capnproto.org/go/capnp/v3/packed"
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // Writer puts messages on one connection.
@@ -25,7 +25,7 @@
 }
 
 // NewWriter returns a Writer to a connection. Nothing reaches it before Flush, or a full buffer.
-func NewWriter(w io.Writer) *Writer { return &Writer{w: bufio.NewWriterSize(w, limit.WireBuffer)} }
+func NewWriter(w io.Writer) *Writer { return &Writer{w: bufio.NewWriterSize(w, tuning.WireBuffer)} }
 
 // Put writes a message to the buffer and returns how many bytes it takes on the connection.
 func (w *Writer) Put(m *Msg) (size int, err error) {
@@ -64,7 +64,7 @@
 			_, err = w.w.Write(p)
 		}
 	}
-	if cap(w.buf) > limit.WireBuffer {
+	if cap(w.buf) > tuning.WireBuffer {
 		w.buf = nil
 	}
 	return n + size, err
@@ -83,7 +83,7 @@
 
 // NewReader returns a Reader of a connection.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{r: bufio.NewReaderSize(r, limit.WireBuffer)}
+	return &Reader{r: bufio.NewReaderSize(r, tuning.WireBuffer)}
 }
 
 // Next returns the next message's bytes for Decode; they are valid until the next call. A message
@@ -97,10 +97,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if words > limit.WireMax/word || n > limit.WireMax*2 {
-		return nil, errors.Newf("message of %d words, packed in %d bytes, is over %d bytes", words, n, limit.WireMax)
+	if words > tuning.WireMax/word || n > tuning.WireMax*2 {
+		return nil, errors.Newf("message of %d words, packed in %d bytes, is over %d bytes", words, n, tuning.WireMax)
 	}
-	if cap(r.packed) > limit.WireBuffer {
+	if cap(r.packed) > tuning.WireBuffer {
 		r.packed, r.raw = nil, nil
 	}
 	if r.packed, err = grown(r.packed, r.r, int(n)); err != nil {
@@ -115,7 +115,7 @@
 func grown(b []byte, r io.Reader, n int) ([]byte, error) {
 	b = b[:0]
 	for len(b) < n {
-		k := min(n-len(b), max(limit.WireBuffer, len(b)))
+		k := min(n-len(b), max(tuning.WireBuffer, len(b)))
 		if cap(b)-len(b) < k {
 			b = append(make([]byte, 0, len(b)+k), b...)
 		}
