--- a/cmd/mflab/hollow.go
+++ b/cmd/mflab/hollow.go
@@ -23,7 +23,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Times and bounds of a run: each wait ends, whatever the fleet does.
--- a/cmd/mflab/hollow_part.go
+++ b/cmd/mflab/hollow_part.go
@@ -25,8 +25,8 @@
 	"myrtlefold/host"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 type hollowReport struct {
--- a/cmd/mflab/hollow_test.go
+++ b/cmd/mflab/hollow_test.go
@@ -9,8 +9,8 @@
 
 	"myrtlefold/host"
 	"myrtlefold/internal/shared/outlier"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // No two of a fleet's parts share an address, all are on loopback, and two fleets on
--- a/compat/compat_test.go
+++ b/compat/compat_test.go
@@ -26,8 +26,8 @@
 	"myrtlefold/host"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 var update = flag.Bool("update", false, "record the forms anew")
--- a/core/configcall.go
+++ b/core/configcall.go
@@ -15,7 +15,7 @@
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func patchOf(name string, doc []byte) []byte {
--- a/core/core.go
+++ b/core/core.go
@@ -19,7 +19,7 @@
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Events.
--- a/core/damage_test.go
+++ b/core/damage_test.go
@@ -10,7 +10,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // refounded is a lone member at the beginning of epoch 2, told what proxies remember.
--- a/core/discovery.go
+++ b/core/discovery.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Known is what a daemon has heard of another.
--- a/core/encoding.go
+++ b/core/encoding.go
@@ -11,7 +11,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // ErrDamaged marks a state, or an entry that leads to it, which can't be read whole.
--- a/core/inforce.go
+++ b/core/inforce.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // force is something that waits until a table is in force everywhere.
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -15,7 +15,7 @@
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Lead is a member's standing as the one who decides.
--- a/core/lease.go
+++ b/core/lease.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 type proxyState struct {
--- a/core/membership.go
+++ b/core/membership.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // learning is a learner's progress.
--- a/core/memory_test.go
+++ b/core/memory_test.go
@@ -7,7 +7,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // remembering is the hello of a proxy that tells what it remembers of an epoch.
--- a/core/message.go
+++ b/core/message.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func (c *Core) emit(cmd any) { c.out = append(c.out, cmd) }
--- a/core/numbers.go
+++ b/core/numbers.go
@@ -6,7 +6,7 @@
 import (
 	"math"
 
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // DiscardUnsoundNumbers takes infinite and undefined numbers out of a message that was received:
--- a/core/numbers_test.go
+++ b/core/numbers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // A demand that is no finite number does not end a leader, and is not told to operators.
--- a/core/operator.go
+++ b/core/operator.go
@@ -17,7 +17,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // ask takes a call at this daemon: some it answers itself, the others it
--- a/core/recovery.go
+++ b/core/recovery.go
@@ -25,7 +25,7 @@
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // membership is a list of members as of an epoch and a place in its log.
--- a/core/refusal_test.go
+++ b/core/refusal_test.go
@@ -16,7 +16,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // refusals are all errors that the operators' interface answers with: the kind of
--- a/core/registry.go
+++ b/core/registry.go
@@ -13,7 +13,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Registration is a target in the agreed registry.
--- a/core/replacement.go
+++ b/core/replacement.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // coreView is what the leader knows of the core's machines at one look.
--- a/core/reply.go
+++ b/core/reply.go
@@ -8,7 +8,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func body(v any) []byte {
--- a/core/rest_test.go
+++ b/core/rest_test.go
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // rest is a lone member that leads a fleet at rest.
--- a/core/resume.go
+++ b/core/resume.go
@@ -11,7 +11,7 @@
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // keptLead is what tells whether a lead that was lost can be gone on with.
--- a/core/resume_test.go
+++ b/core/resume_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // A lead that is lost for a moment, and again and again, has no target probed more often.
--- a/core/shutdown.go
+++ b/core/shutdown.go
@@ -10,7 +10,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // stop begins the end: everybody is told, and leadership goes to another member.
--- a/core/state.go
+++ b/core/state.go
@@ -14,7 +14,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // RosterEntry is a proxy's place in the durable roster.
--- a/core/status.go
+++ b/core/status.go
@@ -11,7 +11,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func (c *Core) domains() []string {
--- a/core/table.go
+++ b/core/table.go
@@ -12,7 +12,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 type withdrawnTarget struct {
--- a/core/target.go
+++ b/core/target.go
@@ -12,7 +12,7 @@
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // HeartbeatStreak is how a target's heartbeats come: how many there were without a gap, and since when.
--- a/core/targetcall.go
+++ b/core/targetcall.go
@@ -11,7 +11,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // leaves says that a word has to be safe before it is acknowledged.
--- a/core/targetcall_test.go
+++ b/core/targetcall_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // acknowledgementMax is the largest answer that targets of the users' platform take as an
--- a/core/undecodable.go
+++ b/core/undecodable.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // cannotDecode reports agreed data that did not decode and has this member abstain.
--- a/core/undecodable_test.go
+++ b/core/undecodable_test.go
@@ -10,7 +10,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // undecodableCases are agreed data that this member can't decode.
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -13,7 +13,7 @@
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // watch is the watchdog and what else recurs while deciding.
--- a/explore/action.go
+++ b/explore/action.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Kind is what sort of action it is.
--- a/explore/canonical.go
+++ b/explore/canonical.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // key is a sum over the canonical form of a state.
--- a/explore/invariant.go
+++ b/explore/invariant.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Names of the invariants, with which a violation begins.
--- a/explore/scenario.go
+++ b/explore/scenario.go
@@ -8,7 +8,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Scenario is a start and the bounds of what may happen from there.
--- a/explore/world.go
+++ b/explore/world.go
@@ -18,7 +18,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // epoch is the only epoch of an exploration: foundings are the core's, not the node's.
--- a/forward/ahead_test.go
+++ b/forward/ahead_test.go
@@ -16,8 +16,8 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // A pipelined request reaches its target while the one ahead of it runs; the answers
--- a/forward/callers_test.go
+++ b/forward/callers_test.go
@@ -13,8 +13,8 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // A pipelined request of a route whose requests may run once only is not begun ahead:
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -25,7 +25,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 var (
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -26,8 +26,8 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // Headers of the project's own.
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -18,8 +18,8 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // backend is a back end whose requests do what the test says.
--- a/forward/ledger_test.go
+++ b/forward/ledger_test.go
@@ -20,8 +20,8 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // misbehaviour is what a stand-in target does with a request besides answering it.
--- a/fuzz/source_test.go
+++ b/fuzz/source_test.go
@@ -11,7 +11,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // fuzzNames are drawn for texts more often than others, so that messages concern what there is.
--- a/fuzz/step_test.go
+++ b/fuzz/step_test.go
@@ -9,8 +9,8 @@
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // mostEvents are given to an owner in one run.
--- a/host/disk.go
+++ b/host/disk.go
@@ -16,7 +16,7 @@
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/controlplane/wal"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // store is where a disk's records go: a *ring.Ring, or a stand-in that fails in tests.
--- a/host/disk_test.go
+++ b/host/disk_test.go
@@ -14,7 +14,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func diskHost(t testing.TB) *Host {
--- a/host/host.go
+++ b/host/host.go
@@ -26,7 +26,7 @@
 	"myrtlefold/forward"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Version is what the programs answer to --version.
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -14,7 +14,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func load(t *testing.T, kind, doc string, over Settings) (Settings, []string) {
--- a/host/probe.go
+++ b/host/probe.go
@@ -15,7 +15,7 @@
 	"myrtlefold/forward"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // probed is one target's connection while no probe uses it.
--- a/host/probe_test.go
+++ b/host/probe_test.go
@@ -16,7 +16,7 @@
 	"myrtlefold/forward"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func prober() *Host {
--- a/host/restart_test.go
+++ b/host/restart_test.go
@@ -9,7 +9,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // loneCore is a core of one member on a real ring, whose clock the test moves.
--- a/host/traffic_test.go
+++ b/host/traffic_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Messages are counted by way and kind, with their frames; a kind that is not known
--- a/host/transport.go
+++ b/host/transport.go
@@ -13,7 +13,7 @@
 	"myrtlefold/core"
 	"myrtlefold/forward"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Listen opens the daemon's address and passes the messages of other daemons to the owner.
--- a/host/transport_test.go
+++ b/host/transport_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // A table that goes to many is packed once, and what is kept of past ones is bounded.
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // hearsNone says that this node leads nobody and that no leader has spoken to it lately.
--- a/internal/controlplane/consensus/explore.go
+++ b/internal/controlplane/consensus/explore.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Clone returns a node that shares nothing with n that either of them changes.
--- a/internal/controlplane/consensus/explore_test.go
+++ b/internal/controlplane/consensus/explore_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // A field that is added to one of these types has to be thought of in Clone and Canon: one
--- a/internal/controlplane/consensus/export_test.go
+++ b/internal/controlplane/consensus/export_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // What follows takes a guard of the node out, to see that the exploration notices.
--- a/internal/controlplane/consensus/fuzz_test.go
+++ b/internal/controlplane/consensus/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // script turns a fuzzer's bytes into choices; without bytes left it chooses zero.
--- a/internal/controlplane/consensus/image.go
+++ b/internal/controlplane/consensus/image.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Image is what a disk holds: every batch folded in order.
--- a/internal/controlplane/consensus/member.go
+++ b/internal/controlplane/consensus/member.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Members is the latest list in the log, agreed or not, with the places that nobody has taken.
--- a/internal/controlplane/consensus/mutation_test.go
+++ b/internal/controlplane/consensus/mutation_test.go
@@ -8,7 +8,7 @@
 
 	"myrtlefold/explore"
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func anyBatch(*wire.Batch) bool { return true }
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Progress is how far a member, or a daemon that learns to become one, has come.
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Role is what a node is in its term.
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func node(name string) (*Node, Image) {
--- a/internal/controlplane/consensus/refusal.go
+++ b/internal/controlplane/consensus/refusal.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // ErrMalformed marks a message that contradicts itself, ErrContradiction one that
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // noStamp is in the answer to an append of an earlier term, which proves nothing to the
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Snap is the latest snapshot, which the log goes on from. It must not be changed.
--- a/internal/controlplane/consensus/stamp_test.go
+++ b/internal/controlplane/consensus/stamp_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // A late append of a leader's earlier process is answered in the present term. The
--- a/internal/controlplane/consensus/transfer.go
+++ b/internal/controlplane/consensus/transfer.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // transfer is a snapshot or an entry on its way to a peer. It keeps what it began with:
--- a/internal/controlplane/consensus/transfer_test.go
+++ b/internal/controlplane/consensus/transfer_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // linkedCluster plays members whose links carry so many bytes a second and whose syncs take
--- a/internal/shared/config/fuzz_test.go
+++ b/internal/shared/config/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func nothing(Policy) []Fault { return nil }
--- a/internal/shared/config/heartbeat.go
+++ b/internal/shared/config/heartbeat.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // IdentityPath is the HTTP path at which a back end answers with its Beat.
--- a/internal/shared/outlier/compare.go
+++ b/internal/shared/outlier/compare.go
@@ -15,7 +15,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Score is how one policy did on a recording.
--- a/internal/shared/outlier/policy.go
+++ b/internal/shared/outlier/policy.go
@@ -20,7 +20,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Event is one thing learnt about a target. Only the fields of its slice count.
--- a/internal/shared/outlier/policy_test.go
+++ b/internal/shared/outlier/policy_test.go
@@ -11,7 +11,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func probe(at time.Duration, name string, ok bool) Event {
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -14,7 +14,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // bareEvent lets a line be an event itself.
--- a/internal/shared/outlier/slice.go
+++ b/internal/shared/outlier/slice.go
@@ -10,7 +10,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // probeFacts is what a condition on probes may name.
--- a/proxy/connections_test.go
+++ b/proxy/connections_test.go
@@ -7,7 +7,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // All proxies of a fleet together keep no more than half of the connections that a target takes.
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -9,7 +9,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // way is what is kept by route: whose turn in its split it is and what its
--- a/proxy/lease.go
+++ b/proxy/lease.go
@@ -14,7 +14,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // inTouch says that a majority of the roster, and of the one before while that still
--- a/proxy/lease_test.go
+++ b/proxy/lease_test.go
@@ -6,7 +6,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // leased is a proxy that a leader gives a table with a state now and leases it.
--- a/proxy/probe.go
+++ b/proxy/probe.go
@@ -12,7 +12,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func (g *Proxy) ask(now time.Duration, e core.Ask) {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -17,7 +17,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Events besides core.Recv, core.Tick, core.Probed, core.Ask and core.Stop,
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -10,7 +10,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // bench is one proxy with a granted table.
--- a/proxy/route_test.go
+++ b/proxy/route_test.go
@@ -12,7 +12,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 func slots(n uint32) func(*wire.Target) { return func(t *wire.Target) { t.Slots = n } }
--- a/proxy/table.go
+++ b/proxy/table.go
@@ -11,7 +11,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // retarget follows a change of the targets: choices go by the new ones, and connections to
--- a/proxy/unsound.go
+++ b/proxy/unsound.go
@@ -12,7 +12,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // unsoundDocument identifies a configuration that was refused.
--- a/proxy/unsound_test.go
+++ b/proxy/unsound_test.go
@@ -6,7 +6,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // A table whose configuration can't be read is not put in force: the proxy keeps the one it
--- a/proxy/view.go
+++ b/proxy/view.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // View is what the daemon shows of itself.
--- a/sim/connection.go
+++ b/sim/connection.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // connection leads from a proxy to a target; the proxy keeps it between requests.
--- a/sim/digest.go
+++ b/sim/digest.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"myrtlefold/core"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // digest takes in steps; the zero value is not usable.
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -8,8 +8,8 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // Here the core's size is not given: seeds found it, and the leader grows and mends it.
--- a/sim/guards_test.go
+++ b/sim/guards_test.go
@@ -7,8 +7,8 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // Each test here is aimed at one guard that random days seldom hit; docs/rules.md
--- a/sim/operate_test.go
+++ b/sim/operate_test.go
@@ -9,7 +9,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // inquire makes a call at a member and waits for its answer.
--- a/sim/operators_bounds_test.go
+++ b/sim/operators_bounds_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"myrtlefold/core"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Bounds of the users' platform on operators' work in calm times.
--- a/sim/process.go
+++ b/sim/process.go
@@ -12,8 +12,8 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 type disk struct {
--- a/sim/registry_test.go
+++ b/sim/registry_test.go
@@ -7,7 +7,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // lossOfAll ends all daemons, some of them with what their disks had only, and starts them again.
--- a/sim/scarce.go
+++ b/sim/scarce.go
@@ -9,7 +9,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Scarce has processes take time for what they handle, and links for what goes over them.
--- a/sim/scenes.go
+++ b/sim/scenes.go
@@ -14,7 +14,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Scene is a rule's own run.
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -17,8 +17,8 @@
 
 	"myrtlefold/core"
 	"myrtlefold/history"
+	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
-	"myrtlefold/wire"
 )
 
 // Plan is the fleet's size.
--- a/sim/stored_test.go
+++ b/sim/stored_test.go
@@ -13,7 +13,7 @@
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/controlplane/wal"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 var update = flag.Bool("update", false, "record the stored data in testdata anew, which only an intended change of its form may need")
--- a/sim/words_test.go
+++ b/sim/words_test.go
@@ -9,7 +9,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/wire"
+	"myrtlefold/internal/shared/wire"
 )
 
 // entry is a target in a table, nil if it is not there.
