--- a/cmd/mflab/faults.go
+++ b/cmd/mflab/faults.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"myrtlefold/history"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/verification/linearizability"
 )
 
 type fault struct {
@@ -267,7 +267,7 @@
 			return
 		}
 		docs := [][]byte{l.config, other}
-		writes := []*history.Operation{l.recordOrder(docs[0], b), l.recordOrder(docs[1], b)}
+		writes := []*linearizability.Operation{l.recordOrder(docs[0], b), l.recordOrder(docs[1], b)}
 		answers := []chan configCall{make(chan configCall, 1), make(chan configCall, 1)}
 		for i := range docs {
 			go func() { answers[i] <- l.runPut(docs[i], b) }()
--- a/cmd/mflab/history.go
+++ b/cmd/mflab/history.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
-	"myrtlefold/history"
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/verification/linearizability"
 )
 
 // Exit codes of mfctl that tell what became of an order; any other leaves it open.
@@ -35,9 +35,9 @@
 }
 
 // recordOrder takes an order into the history as it is sent.
-func (l *lab) recordOrder(doc []byte, base int) *history.Operation {
+func (l *lab) recordOrder(doc []byte, base int) *linearizability.Operation {
 	text := canonical(doc)
-	return l.history.Write(time.Since(l.start), history.Order{Base: uint64(base), Key: text, Value: text})
+	return l.history.Write(time.Since(l.start), linearizability.Order{Base: uint64(base), Key: text, Value: text})
 }
 
 // runPut runs mfctl. It touches nothing of the lab, so that several may run at once.
@@ -48,7 +48,7 @@
 }
 
 // recordAnswer takes an order's answer into the history.
-func recordAnswer(write *history.Operation, call configCall) {
+func recordAnswer(write *linearizability.Operation, call configCall) {
 	var v struct {
 		Revision uint64 `json:"revision"`
 		Error    struct {
--- a/cmd/mflab/main.go
+++ b/cmd/mflab/main.go
@@ -23,9 +23,9 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/history"
 	"myrtlefold/host"
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/verification/linearizability"
 )
 
 // Deployment is a fleet's shape.
@@ -83,7 +83,7 @@
 	forces  []float64
 	net     fabric
 	broken  map[string]int
-	history history.Log
+	history linearizability.Log
 	notes   []string
 	grace   time.Duration // until a process that was asked to stop is ended by force, as daemons are told; 0: they are not
 	routes  bool          // by routes: targets have health paths, slots, cold times and names of one start
--- a/history/history.go
+++ b/internal/verification/linearizability/history.go
@@ -6,7 +6,7 @@
 // A call without a clear answer stays open: it may have taken effect at any moment after
 // its sending, or never. The same order sent again is acknowledged with the revision that
 // it led to the first time.
-package history
+package linearizability
 
 import (
 	"cmp"
--- a/history/history_test.go
+++ b/internal/verification/linearizability/history_test.go
@@ -1,4 +1,4 @@
-package history
+package linearizability
 
 import (
 	"strconv"
--- a/sim/history.go
+++ b/sim/history.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"myrtlefold/core"
-	"myrtlefold/history"
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/verification/linearizability"
 )
 
 // changesConfiguration says whether a call changes the configuration if it is taken.
@@ -39,9 +39,9 @@
 
 // orderOf is a call as the history knows it. What the result of a partial change is, only
 // the leader knows.
-func orderOf(method, path, query string, body []byte, token string) history.Order {
+func orderOf(method, path, query string, body []byte, token string) linearizability.Order {
 	text := canonicalOr(body)
-	o := history.Order{Base: queryNumber(query, "base"), Key: fmt.Sprintf("%s %s %s %s", method, path, query, text), Token: token}
+	o := linearizability.Order{Base: queryNumber(query, "base"), Key: fmt.Sprintf("%s %s %s %s", method, path, query, text), Token: token}
 	if method == "PUT" && path == "/v1/config" {
 		o.Value = text
 	}
@@ -69,7 +69,7 @@
 	return string(doc)
 }
 
-func (w *World) recordRead(read *history.Operation, r core.Reply) {
+func (w *World) recordRead(read *linearizability.Operation, r core.Reply) {
 	var v struct {
 		Revision uint64          `json:"revision"`
 		Config   json.RawMessage `json:"config"`
@@ -85,7 +85,7 @@
 	read.Return(w.now, v.Revision, value)
 }
 
-func (w *World) recordWrite(write *history.Operation, r core.Reply) {
+func (w *World) recordWrite(write *linearizability.Operation, r core.Reply) {
 	switch r.Status {
 	case 200:
 		write.Acknowledge(w.now, revisionOf(r))
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"myrtlefold/core"
-	"myrtlefold/history"
 	"myrtlefold/internal/shared/wire"
+	"myrtlefold/internal/verification/linearizability"
 	"myrtlefold/proxy"
 )
 
@@ -102,7 +102,7 @@
 	asks             map[uint64]*ask
 	nextAsk          uint64
 	changes          []*change
-	history          history.Log
+	history          linearizability.Log
 	bulkOrders       int           // operators' orders in bulk so far
 	answersLostUntil time.Duration // until when most answers to operators' changes are lost
 	acked            uint64
