--- a/cmd/mfsim/check.go
+++ b/cmd/mfsim/check.go
@@ -7,7 +7,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/explore"
+	"myrtlefold/internal/verification/modelcheck"
 )
 
 // check is the command that explores the quorum node systematically.
@@ -40,13 +40,13 @@
 
 // run explores and returns the process's exit status.
 func (c *check) run() int {
-	if *c.scenario != "" && explore.ByName(*c.scenario) == nil {
+	if *c.scenario != "" && modelcheck.ByName(*c.scenario) == nil {
 		fmt.Fprintf(os.Stderr, "mfsim: no scenario %q, see check --scenarios\n", *c.scenario)
 		return 2
 	}
 	status := 0
-	for i := range explore.Scenarios {
-		s := &explore.Scenarios[i]
+	for i := range modelcheck.Scenarios {
+		s := &modelcheck.Scenarios[i]
 		if *c.scenario != "" && s.Name != *c.scenario {
 			continue
 		}
@@ -62,13 +62,13 @@
 }
 
 // explore searches one scenario and then walks in it; it says whether all held.
-func (c *check) explore(s *explore.Scenario) bool {
-	limits := explore.Limits{States: *c.states, Depth: *c.depth, Workers: *c.workers}
+func (c *check) explore(s *modelcheck.Scenario) bool {
+	limits := modelcheck.Limits{States: *c.states, Depth: *c.depth, Workers: *c.workers}
 	started := time.Now()
-	found := explore.Search(s, limits)
+	found := modelcheck.Search(s, limits)
 	fmt.Printf("%v, %.1f s\n", found, time.Since(started).Seconds())
 	started = time.Now()
-	walked := explore.Walk(s, *c.seed, *c.walks, *c.length)
+	walked := modelcheck.Walk(s, *c.seed, *c.walks, *c.length)
 	fmt.Printf("%v, %.1f s\n", walked, time.Since(started).Seconds())
 	return found.Broken == "" && walked.Broken == ""
 }
--- a/explore/action.go
+++ b/internal/verification/modelcheck/action.go
@@ -1,6 +1,6 @@
 // This file lists what may happen next in a state and makes it happen.
 
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/explore/canonical.go
+++ b/internal/verification/modelcheck/canonical.go
@@ -1,7 +1,7 @@
 // This file makes the key of a state: states with the same key go on alike but for
 // the length of timeouts drawn later, and one of them is enough.
 
-package explore
+package modelcheck
 
 import (
 	"bytes"
--- a/explore/explore_test.go
+++ b/internal/verification/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import "testing"
 
--- a/explore/invariant.go
+++ b/internal/verification/modelcheck/invariant.go
@@ -1,6 +1,6 @@
 // This file is what must hold in every state, and the history that it needs.
 
-package explore
+package modelcheck
 
 import (
 	"encoding/json"
--- a/explore/scenario.go
+++ b/internal/verification/modelcheck/scenario.go
@@ -1,6 +1,6 @@
 // This file is the scenarios: where an exploration starts and what may happen in it.
 
-package explore
+package modelcheck
 
 import (
 	"slices"
--- a/explore/search.go
+++ b/internal/verification/modelcheck/search.go
@@ -1,7 +1,7 @@
 // This file is the bounded search, breadth first, so that the first violation found
 // is one with the fewest actions.
 
-package explore
+package modelcheck
 
 import (
 	"bytes"
--- a/explore/walk.go
+++ b/internal/verification/modelcheck/walk.go
@@ -1,6 +1,6 @@
 // This file is the seeded random walk, for what lies deeper than a search gets.
 
-package explore
+package modelcheck
 
 import (
 	"math/rand/v2"
--- a/explore/world.go
+++ b/internal/verification/modelcheck/world.go
@@ -7,7 +7,7 @@
 //
 // A World is one state. It is never changed: an action makes a new World that
 // shares with the old one all machines but the one that acted.
-package explore
+package modelcheck
 
 import (
 	"encoding/binary"
