--- a/cmd/mfsim/main.go
+++ b/cmd/mfsim/main.go
@@ -17,7 +17,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"myrtlefold/host"
-	"myrtlefold/sim"
+	"myrtlefold/internal/verification/simulator"
 )
 
 // options are the command line.
@@ -76,29 +76,29 @@
 }
 
 func main() {
-	debug.SetGCPercent(sim.GCPercent)
+	debug.SetGCPercent(simulator.GCPercent)
 	o := parse(os.Args[1:])
 	switch {
 	case o.check != nil:
 		os.Exit(o.check.run())
 	case o.listKinds:
-		for _, f := range sim.Faults {
+		for _, f := range simulator.Faults {
 			fmt.Println(f.Name)
 		}
 	case o.listRules && o.digest:
 		os.Exit(sceneDigests(o))
 	case o.listRules:
-		for _, s := range sim.Scenes {
+		for _, s := range simulator.Scenes {
 			fmt.Printf("%-14s %s; guard: %s\n", s.Name, s.Threat, s.Sabotage)
 		}
 	case o.rule != "":
-		i := slices.IndexFunc(sim.Scenes, func(s sim.Scene) bool { return s.Name == o.rule })
+		i := slices.IndexFunc(simulator.Scenes, func(s simulator.Scene) bool { return s.Name == o.rule })
 		if i < 0 {
 			usage("no rule %q, see --rules", o.rule)
 		}
-		os.Exit(stage(&sim.Scenes[i], o))
+		os.Exit(stage(&simulator.Scenes[i], o))
 	case o.availability:
-		os.Exit(availability(o.from, o.seeds, sim.Plans[o.plan], o.pairs))
+		os.Exit(availability(o.from, o.seeds, simulator.Plans[o.plan], o.pairs))
 	default:
 		os.Exit(days(o))
 	}
@@ -107,13 +107,13 @@
 // job is a day to run, by its seed and the kinds of faults in it (none: all).
 type job struct {
 	seed  uint64
-	kinds []sim.Fault
+	kinds []simulator.Fault
 }
 
 // result is a day that was run.
 type result struct {
 	job
-	world *sim.World
+	world *simulator.World
 }
 
 // days runs days by seed, prints those that broke a rule and a summary, and returns the exit code.
@@ -126,7 +126,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		go func() {
 			for j := range jobs {
-				results <- result{j, sim.Day(j.seed, plan, j.kinds, o.count(), o.span)}
+				results <- result{j, simulator.Day(j.seed, plan, j.kinds, o.count(), o.span)}
 			}
 			results <- result{}
 		}()
@@ -153,17 +153,17 @@
 }
 
 // fleet is the plan that the command line names.
-func (o options) fleet() sim.Plan {
-	plan := sim.Plans[o.plan]
+func (o options) fleet() simulator.Plan {
+	plan := simulator.Plans[o.plan]
 	plan.Digest = o.digest
 	return plan
 }
 
 // only returns the kinds of faults that the command line names.
-func (o options) only() []sim.Fault {
-	var only []sim.Fault
+func (o options) only() []simulator.Fault {
+	var only []simulator.Fault
 	for _, name := range o.kinds {
-		f, ok := sim.ByName(name)
+		f, ok := simulator.ByName(name)
 		if !ok {
 			usage("no kind %q, see --kinds", name)
 		}
@@ -181,16 +181,16 @@
 }
 
 // deal sends the days to run, and closes the channel.
-func (o options) deal(jobs chan<- job, only []sim.Fault) {
+func (o options) deal(jobs chan<- job, only []simulator.Fault) {
 	defer close(jobs)
 	for seed := o.from; seed < o.from+o.seeds; seed++ {
 		if !o.pairs {
 			jobs <- job{seed, only}
 			continue
 		}
-		for i, a := range sim.Faults {
-			for _, b := range sim.Faults[i:] {
-				jobs <- job{seed, []sim.Fault{a, b}}
+		for i, a := range simulator.Faults {
+			for _, b := range simulator.Faults[i:] {
+				jobs <- job{seed, []simulator.Fault{a, b}}
 			}
 		}
 	}
@@ -236,7 +236,7 @@
 }
 
 // stage runs one scene; without its guard it is the seeds that hold which fail.
-func stage(s *sim.Scene, o options) int {
+func stage(s *simulator.Scene, o options) int {
 	held, showed, caused := 0, 0, 0
 	for seed := o.from; seed < o.from+o.seeds; seed++ {
 		w := s.Stage(seed, o.fleet(), o.withoutGuard)
@@ -266,16 +266,16 @@
 
 // sceneDigests runs all scenes, as many at once as there are processors, and prints their digests.
 func sceneDigests(o options) int {
-	lines := make([][]string, len(sim.Scenes))
+	lines := make([][]string, len(simulator.Scenes))
 	failed := false
 	var wg sync.WaitGroup
 	turn := make(chan bool, runtime.GOMAXPROCS(0))
 	var lock sync.Mutex
-	for i := range sim.Scenes {
+	for i := range simulator.Scenes {
 		wg.Go(func() {
 			turn <- true
 			defer func() { <-turn }()
-			scene := &sim.Scenes[i]
+			scene := &simulator.Scenes[i]
 			for seed := o.from; seed < o.from+o.seeds; seed++ {
 				w := scene.Stage(seed, o.fleet(), false)
 				lines[i] = append(lines[i], fmt.Sprintf("digest scene %s seed %d: %s", scene.Name, seed, w.Digest()))
@@ -299,7 +299,7 @@
 }
 
 // availability prints a row for each kind of fault, or pair of kinds: figures over all seeds, worst first.
-func availability(from, n uint64, p sim.Plan, pairs bool) int {
+func availability(from, n uint64, p simulator.Plan, pairs bool) int {
 	var lines []line
 	code := 0
 	for _, rows := range measure(from, n, p, sets(pairs)) {
@@ -325,29 +325,29 @@
 const pairsShown = 40
 
 // sets returns each kind of fault by itself, or each pair of two.
-func sets(pairs bool) (sets [][]sim.Fault) {
-	for i, a := range sim.Faults {
+func sets(pairs bool) (sets [][]simulator.Fault) {
+	for i, a := range simulator.Faults {
 		if !pairs {
-			sets = append(sets, []sim.Fault{a})
+			sets = append(sets, []simulator.Fault{a})
 			continue
 		}
-		for _, b := range sim.Faults[i+1:] {
-			sets = append(sets, []sim.Fault{a, b})
+		for _, b := range simulator.Faults[i+1:] {
+			sets = append(sets, []simulator.Fault{a, b})
 		}
 	}
 	return sets
 }
 
 // measure runs each set of faults with each seed, as many at once as there are processors.
-func measure(from, n uint64, p sim.Plan, sets [][]sim.Fault) [][]sim.Row {
-	rows := make([][]sim.Row, len(sets))
+func measure(from, n uint64, p simulator.Plan, sets [][]simulator.Fault) [][]simulator.Row {
+	rows := make([][]simulator.Row, len(sets))
 	var wg sync.WaitGroup
 	turn := make(chan bool, runtime.GOMAXPROCS(0))
 	for i, set := range sets {
 		wg.Go(func() {
 			turn <- true
 			for seed := from; seed < from+n; seed++ {
-				rows[i] = append(rows[i], sim.Measure(seed, p, set...))
+				rows[i] = append(rows[i], simulator.Measure(seed, p, set...))
 			}
 			<-turn
 		})
@@ -363,8 +363,8 @@
 }
 
 // lineOf adds up the seeds of one set of faults.
-func lineOf(rows []sim.Row) line {
-	var sum sim.Row
+func lineOf(rows []simulator.Row) line {
+	var sum simulator.Row
 	var gaps, wholes, forces []time.Duration
 	outcomes := map[string]int{}
 	for _, r := range rows {
--- a/sim/backend.go
+++ b/internal/verification/simulator/backend.go
@@ -1,6 +1,6 @@
 // This file is the simulated back ends: their words, probes, crashes and leavings.
 
-package sim
+package simulator
 
 import (
 	"encoding/json"
--- a/sim/bulk_orders.go
+++ b/internal/verification/simulator/bulk_orders.go
@@ -1,7 +1,7 @@
 // This file holds operators' orders in bulk: many in a row, many at once, and many whose
 // answers are lost, so that they are sent again.
 
-package sim
+package simulator
 
 import (
 	"net/http"
--- a/sim/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -2,7 +2,7 @@
 // answers come and which are reset, and those between daemons, whose messages in flight a
 // reset loses.
 
-package sim
+package simulator
 
 import (
 	"slices"
--- a/sim/day.go
+++ b/internal/verification/simulator/day.go
@@ -2,7 +2,7 @@
 // seed, lets them overlap, heals all, and then wants service back and everything
 // acknowledged still in force.
 
-package sim
+package simulator
 
 import (
 	"fmt"
--- a/sim/digest.go
+++ b/internal/verification/simulator/digest.go
@@ -3,7 +3,7 @@
 // names each kind by a constant of its own and writes fields one by one, so that it depends on
 // what the daemons do and not on how their code is named. The texts of log lines are left out.
 
-package sim
+package simulator
 
 import (
 	"encoding/binary"
--- a/sim/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -3,7 +3,7 @@
 // faults_target.go, faults_proxy.go, faults_core.go, faults_network.go and
 // faults_operator.go.
 
-package sim
+package simulator
 
 import (
 	"cmp"
--- a/sim/faults_core.go
+++ b/internal/verification/simulator/faults_core.go
@@ -1,7 +1,7 @@
 // This file holds the faults of core members: kills, losses of power, freezes, disks
 // and cuts.
 
-package sim
+package simulator
 
 import (
 	"time"
--- a/sim/faults_network.go
+++ b/internal/verification/simulator/faults_network.go
@@ -1,6 +1,6 @@
 // This file holds the faults of domains and of the network between them.
 
-package sim
+package simulator
 
 import (
 	"fmt"
--- a/sim/faults_operator.go
+++ b/internal/verification/simulator/faults_operator.go
@@ -1,7 +1,7 @@
 // This file holds what operators do during a day: changes, races, members swapped,
 // machines restarted in turn, domains emptied and restored.
 
-package sim
+package simulator
 
 import (
 	"fmt"
--- a/sim/faults_proxy.go
+++ b/internal/verification/simulator/faults_proxy.go
@@ -1,6 +1,6 @@
 // This file holds the faults of proxies.
 
-package sim
+package simulator
 
 import (
 	"fmt"
--- a/sim/faults_target.go
+++ b/internal/verification/simulator/faults_target.go
@@ -1,7 +1,7 @@
 // This file holds the faults of targets: crashes, hangs, lost answers, planned
 // leavings, and addresses that go to another service.
 
-package sim
+package simulator
 
 import (
 	"fmt"
--- a/sim/history.go
+++ b/internal/verification/simulator/history.go
@@ -1,7 +1,7 @@
 // This file records the operators' calls for the configuration and checks at a day's end
 // that they are linearizable; see package history.
 
-package sim
+package simulator
 
 import (
 	"encoding/json"
--- a/sim/kept.go
+++ b/internal/verification/simulator/kept.go
@@ -1,7 +1,7 @@
 // This file is callers that keep their connections: a request goes to the proxy that its connection leads
 // to, ready or not, until that proxy closes the connection or is gone.
 
-package sim
+package simulator
 
 // keptConnection is a caller's connection to a start of a proxy.
 type keptConnection struct {
--- a/sim/operator.go
+++ b/internal/verification/simulator/operator.go
@@ -1,6 +1,6 @@
 // This file is the simulated operators and their changes.
 
-package sim
+package simulator
 
 import (
 	"encoding/json"
--- a/sim/operators_bounds_test.go
+++ b/internal/verification/simulator/operators_bounds_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulator
 
 import (
 	"fmt"
--- a/sim/process.go
+++ b/internal/verification/simulator/process.go
@@ -1,7 +1,7 @@
 // This file is one daemon's process in the simulator: its starts, kills, freezes
 // and disk.
 
-package sim
+package simulator
 
 import (
 	"fmt"
--- a/sim/replacement.go
+++ b/internal/verification/simulator/replacement.go
@@ -1,7 +1,7 @@
 // This file replaces core machines for good: the process and its disk never come
 // back, and an empty daemon at another address comes in their place.
 
-package sim
+package simulator
 
 import (
 	"fmt"
--- a/sim/request.go
+++ b/internal/verification/simulator/request.go
@@ -1,7 +1,7 @@
 // This file is the simulated callers and their requests, from the proxy's choice to
 // the last answer.
 
-package sim
+package simulator
 
 import (
 	"maps"
--- a/sim/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -1,7 +1,7 @@
 // This file holds the rules of what must never happen, as checks that the
 // simulator makes at each step they concern.
 
-package sim
+package simulator
 
 import (
 	"slices"
--- a/sim/scarce.go
+++ b/internal/verification/simulator/scarce.go
@@ -1,7 +1,7 @@
 // This file has processes take time for what they handle, and links for what goes
 // over them.
 
-package sim
+package simulator
 
 import (
 	"io"
--- a/sim/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -3,7 +3,7 @@
 // shell, makes the rule's check fail. It also measures what is left of the service
 // under each kind of fault, since a system that refuses everything breaks no rule.
 
-package sim
+package simulator
 
 import (
 	"fmt"
--- a/sim/sim.go
+++ b/internal/verification/simulator/sim.go
@@ -4,7 +4,7 @@
 // come back, back ends, callers and operators. The rules of what must never
 // happen are checked at every step they concern. One seed is one run: the same
 // seed gives the same trace, step by step.
-package sim
+package simulator
 
 import (
 	"container/heap"
--- a/sim/slow.go
+++ b/internal/verification/simulator/slow.go
@@ -1,6 +1,6 @@
 // This file is what makes single processes and disks of the simulator slow, full or stuck.
 
-package sim
+package simulator
 
 import (
 	"slices"
--- a/sim/thinlink.go
+++ b/internal/verification/simulator/thinlink.go
@@ -1,7 +1,7 @@
 // This file has a process's link carry only so many bytes a second, also where the plan's
 // links take no time, and storms of large changes.
 
-package sim
+package simulator
 
 import (
 	"encoding/json"
