--- a/compat/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -4,7 +4,7 @@
 // has its tests beside its writers, in packages ring and sim.
 //
 // `go test ./compat -update` records anew, which only an intended change of a form may need.
-package compat
+package compatibility
 
 import (
 	"bytes"
