--- a/fuzz/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -1,6 +1,6 @@
 // Package fuzz feeds the owners of both daemons with messages, calls and probe answers whose
 // fields are fuzzed: none may end the process.
-package fuzz
+package fuzzing
 
 import (
 	"encoding/binary"
--- a/fuzz/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -1,4 +1,4 @@
-package fuzz
+package fuzzing
 
 import (
 	"fmt"
