--- a/host/core.go
+++ b/host/core.go
@@ -8,13 +8,13 @@
 	"sync/atomic"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 )
 
 // coreDaemon is a control daemon's parts.
 type coreDaemon struct {
 	*Host
-	owner *core.Core
+	owner *controlplane.Core
 	disk  *Disk
 	hub   *Hub
 	term  atomic.Uint64 // the owner's, for the lines of the stream
@@ -25,7 +25,7 @@
 	h := Start("core", args, dialect)
 	disk, image, damage := h.openDiskInTime()
 	s := h.Settings
-	owner := core.New(h.Now(), core.Settings{
+	owner := controlplane.New(h.Now(), controlplane.Settings{
 		Self:    h.Daemon(),
 		Size:    s.Size,
 		Seeds:   s.Seeds,
@@ -43,7 +43,7 @@
 		d.Fatal(err, "start")
 	}
 	d.Counters("core", func() any {
-		var n core.Counts
+		var n controlplane.Counts
 		d.Loop.Look(func(now time.Duration) { n = d.owner.Status(now).Counts })
 		return n
 	})
@@ -69,9 +69,9 @@
 // execute carries out a command of the state machine; on the owner's goroutine.
 func (d *coreDaemon) execute(cmd any) {
 	switch c := cmd.(type) {
-	case core.Sync:
+	case controlplane.Sync:
 		d.disk.queue <- c.B
-	case core.Note:
+	case controlplane.Note:
 		d.hub.Put(d.term.Load(), c)
 	default:
 		d.Do(cmd)
--- a/host/ctl_core.go
+++ b/host/ctl_core.go
@@ -9,12 +9,12 @@
 	"text/tabwriter"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 )
 
 // coreText prints how the core stands as its leader sees it; without a leader's view it
 // says that nobody can tell.
-func coreText(w io.Writer, all []core.StatusView) {
+func coreText(w io.Writer, all []controlplane.StatusView) {
 	for _, s := range all {
 		troubleText(w, &s)
 	}
@@ -42,7 +42,7 @@
 }
 
 // troubleText says aloud what a member could not read, and that its disk takes no writes.
-func troubleText(w io.Writer, s *core.StatusView) {
+func troubleText(w io.Writer, s *controlplane.StatusView) {
 	for _, d := range s.Damage {
 		fmt.Fprintf(w, "\nDAMAGE at %s: %s: %s\n", s.Name, d.What, d.Why)
 	}
@@ -52,7 +52,7 @@
 }
 
 // leadersView is the view of the member that decides in the latest term, nil if none does.
-func leadersView(all []core.StatusView) (best *core.StatusView) {
+func leadersView(all []controlplane.StatusView) (best *controlplane.StatusView) {
 	for i := range all {
 		s := &all[i]
 		if s.Core.Decides && (best == nil || s.Epoch > best.Epoch || s.Epoch == best.Epoch && s.Term > best.Term) {
@@ -63,7 +63,7 @@
 }
 
 // heardText is what a member that does not decide says of its leader.
-func heardText(s *core.StatusView) string {
+func heardText(s *controlplane.StatusView) string {
 	v := s.Core
 	switch v.Leader {
 	case "":
@@ -74,7 +74,7 @@
 	return fmt.Sprintf("last heard %s %v ago", v.Leader, seconds(v.LeaderHeardMs))
 }
 
-func lossText(l core.LossView) string {
+func lossText(l controlplane.LossView) string {
 	switch {
 	case !l.Bearable:
 		return "cannot be borne now"
@@ -92,26 +92,26 @@
 }
 
 // obstacleText says why a member does not count, and until when.
-func obstacleText(o core.Obstacle, v core.CoreView) string {
+func obstacleText(o controlplane.Obstacle, v controlplane.CoreView) string {
 	switch o.Kind {
-	case core.ObstacleTooFew:
+	case controlplane.ObstacleTooFew:
 		if o.By == "" {
 			return fmt.Sprintf("%d of %d members are needed, until another core machine is there", v.Majority, v.Voters)
 		}
 		return fmt.Sprintf("%d of %d members are needed, until %s has come in", v.Majority, v.Voters, o.By)
-	case core.ObstacleCatchingUp:
+	case controlplane.ObstacleCatchingUp:
 		return fmt.Sprintf("%s is catching up, until it has the leader's snapshot", o.Member)
 	}
-	why := map[core.ObstacleKind]string{
-		core.ObstacleSilent:   "is silent",
-		core.ObstacleStopping: "said that it stops",
-		core.ObstaclePlace:    "is a place that nobody has taken yet",
+	why := map[controlplane.ObstacleKind]string{
+		controlplane.ObstacleSilent:   "is silent",
+		controlplane.ObstacleStopping: "said that it stops",
+		controlplane.ObstaclePlace:    "is a place that nobody has taken yet",
 	}[o.Kind]
 	return fmt.Sprintf("%s %s, until it is back%s", o.Member, why, replacementText(o))
 }
 
 // replacementText says who replaces a member, and when.
-func replacementText(o core.Obstacle) string {
+func replacementText(o controlplane.Obstacle) string {
 	switch {
 	case o.By == "":
 		return "; no other core machine is there to replace it"
@@ -123,7 +123,7 @@
 	return fmt.Sprintf("; %s replaces it as soon as it has caught up", o.By)
 }
 
-func silenceText(m core.MemberView) string {
+func silenceText(m controlplane.MemberView) string {
 	if m.SilentMs < 1000 {
 		return "-"
 	}
@@ -131,8 +131,8 @@
 }
 
 // logText is how much of what is agreed a member holds.
-func logText(m core.MemberView, commit uint64) string {
-	if m.State == core.MemberStandby || m.State == core.MemberPlace {
+func logText(m controlplane.MemberView, commit uint64) string {
+	if m.State == controlplane.MemberStandby || m.State == controlplane.MemberPlace {
 		return "-"
 	}
 	return fmt.Sprintf("%d of %d", min(m.Match, commit), commit)
--- a/host/ctl_views.go
+++ b/host/ctl_views.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/proxy"
 )
@@ -21,7 +21,7 @@
 func (c *ctl) status() int {
 	tw := newTable()
 	all := []json.RawMessage{}
-	views := []core.StatusView{}
+	views := []controlplane.StatusView{}
 	if !c.json {
 		fmt.Fprintln(tw, "MEMBER\tROLE\tLEAD\tLEADER\tEPOCH\tTERM\tREVISION\tTABLE\tTARGETS\tPROXIES\tEMPTIED")
 	}
@@ -32,7 +32,7 @@
 			return false
 		}
 		all = append(all, b)
-		var s core.StatusView
+		var s controlplane.StatusView
 		if !c.json && json.Unmarshal(b, &s) == nil {
 			views = append(views, s)
 			fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, s.Role, s.Lead, s.Leader, s.Epoch, s.Term, s.Revision, s.Table.Ver, s.Targets, s.Proxies, strings.Join(s.Emptied, ","))
@@ -46,7 +46,7 @@
 		}
 	}
 	if answers != "" {
-		var r struct{ Daemons []core.DaemonView }
+		var r struct{ Daemons []controlplane.DaemonView }
 		if b, err := c.view(answers, "/v1/roster"); err == nil && json.Unmarshal(b, &r) == nil {
 			for _, d := range r.Daemons {
 				if d.Kind == "core" && !slices.Contains(c.at, d.Http) {
@@ -84,7 +84,7 @@
 	if err != nil || status != 200 {
 		return c.end(status, out, err, nil)
 	}
-	var r struct{ Daemons []core.DaemonView }
+	var r struct{ Daemons []controlplane.DaemonView }
 	json.Unmarshal(out, &r)
 	sums := map[string]*proxy.AimView{}
 	for _, d := range r.Daemons {
@@ -131,7 +131,7 @@
 }
 
 func rosterText(b []byte) {
-	var v struct{ Daemons []core.DaemonView }
+	var v struct{ Daemons []controlplane.DaemonView }
 	json.Unmarshal(b, &v)
 	tw := newTable()
 	fmt.Fprintln(tw, "NAME\tKIND\tDOMAIN\tADDRESS\tHTTP\tREADY\tSTATE\tPLACE\tHEARD MS\tTABLE\tINCARNATION")
@@ -148,7 +148,7 @@
 }
 
 func targetsText(b []byte) {
-	var v struct{ Targets []core.TargetView }
+	var v struct{ Targets []controlplane.TargetView }
 	json.Unmarshal(b, &v)
 	tw := newTable()
 	fmt.Fprintln(tw, "SERVICE\tNAME\tADDRESS\tDOMAIN\tSTATE\tDEMAND\tSLOTS\tCOLD LEFT\tBEAT MS\tBAR LEFT\tWHY")
--- a/host/disk.go
+++ b/host/disk.go
@@ -12,7 +12,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/controlplane/wal"
 	"myrtlefold/internal/shared/tuning"
@@ -62,7 +62,7 @@
 		}
 		d.img.Fold(b)
 	}
-	if err := core.CheckImage(&d.img); err != nil {
+	if err := controlplane.CheckImage(&d.img); err != nil {
 		return err
 	}
 	if d.img.Disk != 0 {
@@ -105,7 +105,7 @@
 	said := ""
 	for {
 		d, img, err := h.OpenDisk()
-		if errors.IsAny(err, wal.ErrDamaged, core.ErrDamaged) {
+		if errors.IsAny(err, wal.ErrDamaged, controlplane.ErrDamaged) {
 			h.Log.WithError(err).Error("state on disk can't be read whole; it counts as lost, and this member learns all again")
 			damage = err
 			d, img, err = h.recreateDisk()
@@ -164,7 +164,7 @@
 		}
 		time.Sleep(d.retry)
 	}
-	d.h.Loop.Tell(core.Synced{Seq: batches[len(batches)-1].Seq})
+	d.h.Loop.Tell(controlplane.Synced{Seq: batches[len(batches)-1].Seq})
 }
 
 func (d *Disk) write(recs [][]byte) error {
@@ -187,5 +187,5 @@
 	default:
 		d.h.Log.WithError(err).Error("disk refuses writes; nothing is acknowledged until it takes them")
 	}
-	d.h.Loop.Tell(core.DiskRefuses{Err: err})
+	d.h.Loop.Tell(controlplane.DiskRefuses{Err: err})
 }
--- a/host/disk_test.go
+++ b/host/disk_test.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -83,13 +83,13 @@
 		for len(h.Loop.queue) > 0 {
 			told = append(told, (<-h.Loop.queue).ev)
 		}
-		if last, ok := told[len(told)-1].(core.Synced); !ok || last.Seq != 3 {
+		if last, ok := told[len(told)-1].(controlplane.Synced); !ok || last.Seq != 3 {
 			t.Fatalf("%s: %v", name, told)
 		}
 		before := told[:len(told)-1]
 		for i, ev := range before {
-			r, ok := ev.(core.DiskRefuses)
-			if !ok || (r.Err == nil) != (i == len(before)-1) || i > 0 && r.Err != nil && errors.Is(r.Err, before[i-1].(core.DiskRefuses).Err) {
+			r, ok := ev.(controlplane.DiskRefuses)
+			if !ok || (r.Err == nil) != (i == len(before)-1) || i > 0 && r.Err != nil && errors.Is(r.Err, before[i-1].(controlplane.DiskRefuses).Err) {
 				t.Errorf("%s: told %v", name, told)
 			}
 		}
--- a/host/host.go
+++ b/host/host.go
@@ -22,8 +22,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/core"
 	"myrtlefold/forward"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -152,15 +152,15 @@
 // Do carries out the commands that both kinds of owners give; on the owner's goroutine.
 func (h *Host) Do(cmd any) {
 	switch c := cmd.(type) {
-	case core.Send:
+	case controlplane.Send:
 		h.Send(c.Addr, c.M)
-	case core.Probe:
+	case controlplane.Probe:
 		h.Probe(c)
-	case core.Reply:
+	case controlplane.Reply:
 		h.Loop.Answer(c.ID, c)
-	case core.Change:
+	case controlplane.Change:
 		h.Log.WithFields(logrus.Fields{"what": c.What, "from": c.From, "to": c.To, "why": c.Why, "daemon": h.Settings.Name}).Info("change")
-	case core.Exit:
+	case controlplane.Exit:
 		select {
 		case h.Quit <- 0:
 		default:
@@ -174,7 +174,7 @@
 func (h *Host) Signals() {
 	go func() {
 		<-h.stops
-		h.Loop.Tell(core.Stop{})
+		h.Loop.Tell(controlplane.Stop{})
 		<-h.stops
 		h.Log.Warn("second signal")
 		os.Exit(1)
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -94,7 +94,7 @@
 	}
 	for seq := uint64(0); seq < 200; {
 		it := <-h.Loop.queue
-		seq = it.ev.(core.Synced).Seq
+		seq = it.ev.(controlplane.Synced).Seq
 	}
 	_, got, err := h.OpenDisk()
 	if err != nil || got.Disk != want.Disk || got.Snap.Index != want.Snap.Index || len(got.Log) != len(want.Log) || got.Log[0].Index != want.Log[0].Index {
--- a/host/http.go
+++ b/host/http.go
@@ -14,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"myrtlefold/core"
 	"myrtlefold/forward"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -115,8 +115,8 @@
 			q.Set("base", v)
 		}
 		token := newChangeID()
-		v := h.Loop.Ask(r.Context(), id, core.Ask{ID: id, Token: token, Method: r.Method, Path: r.URL.Path, Query: q.Encode(), Body: b}, nil)
-		a, ok := v.(core.Reply)
+		v := h.Loop.Ask(r.Context(), id, controlplane.Ask{ID: id, Token: token, Method: r.Method, Path: r.URL.Path, Query: q.Encode(), Body: b}, nil)
+		a, ok := v.(controlplane.Reply)
 		if !ok {
 			return
 		}
--- a/host/loop.go
+++ b/host/loop.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -86,7 +86,7 @@
 				do(it.ev)
 			}
 		case <-tick.C:
-			do(core.Tick{})
+			do(controlplane.Tick{})
 		}
 	}
 }
--- a/host/probe_test.go
+++ b/host/probe_test.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"myrtlefold/core"
 	"myrtlefold/forward"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -25,9 +25,9 @@
 	return h
 }
 
-func (h *Host) probeOnce(p core.Probe) core.Probed {
+func (h *Host) probeOnce(p controlplane.Probe) controlplane.Probed {
 	h.Probe(p)
-	return (<-h.Loop.queue).ev.(core.Probed)
+	return (<-h.Loop.queue).ev.(controlplane.Probed)
 }
 
 func counting(t *testing.T, hd http.HandlerFunc) (string, *atomic.Int64) {
@@ -77,7 +77,7 @@
 				w.WriteHeader(c.status)
 			})
 			h := prober()
-			p := core.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/well"}
+			p := controlplane.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/well"}
 			for range 3 {
 				got := h.probeOnce(p)
 				if got.ID != p.ID || got.Cold != c.cold || (got.Beat == nil) != c.miss {
@@ -104,7 +104,7 @@
 	})
 	h := prober()
 	for range 3 {
-		got := h.probeOnce(core.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr})
+		got := h.probeOnce(controlplane.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr})
 		if b := got.Beat; b == nil || b.ID() != (wire.ID{Service: "s", Name: "z", Inc: 4}) || b.State != config.Leaving {
 			t.Fatalf("%+v", got)
 		}
@@ -123,7 +123,7 @@
 		c.Close()
 	})
 	h := prober()
-	p := core.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/w"}
+	p := controlplane.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/w"}
 	for i := range 3 {
 		if got := h.probeOnce(p); got.Beat == nil || conns.Load() != int64(i+1) {
 			t.Fatal(got, conns.Load())
--- a/host/recorded_test.go
+++ b/host/recorded_test.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"myrtlefold/core"
 	"myrtlefold/forward"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/proxy"
 )
 
@@ -39,7 +39,7 @@
 // The counters on /metrics keep their names.
 func TestMetricNames(t *testing.T) {
 	h := &Host{Metrics: prometheus.NewRegistry()}
-	h.Counters("core", func() any { return &core.Counts{} })
+	h.Counters("core", func() any { return &controlplane.Counts{} })
 	h.Counters("gate", func() any { return &proxy.Counts{} })
 	h.Counters("carry", func() any { return &forward.Counts{} })
 	families, err := h.Metrics.Gather()
--- a/host/restart_test.go
+++ b/host/restart_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -15,7 +15,7 @@
 // loneCore is a core of one member on a real ring, whose clock the test moves.
 type loneCore struct {
 	disk  *Disk
-	core  *core.Core
+	core  *controlplane.Core
 	now   time.Duration
 	taken int
 }
@@ -27,7 +27,7 @@
 		tb.Fatal(err)
 	}
 	self := wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}
-	return &loneCore{disk: d, now: time.Second, core: core.New(time.Second, core.Settings{Self: self, Size: 1}, img)}
+	return &loneCore{disk: d, now: time.Second, core: controlplane.New(time.Second, controlplane.Settings{Self: self, Size: 1}, img)}
 }
 
 func (l *loneCore) step(tb testing.TB, ev any) {
@@ -35,9 +35,9 @@
 	var batches []*wire.Batch
 	for _, cmd := range l.core.Step(l.now, ev) {
 		switch c := cmd.(type) {
-		case core.Sync:
+		case controlplane.Sync:
 			batches = append(batches, c.B)
-		case core.Reply:
+		case controlplane.Reply:
 			if c.Status != 200 {
 				tb.Fatalf("%d %s", c.Status, c.Body)
 			}
@@ -55,7 +55,7 @@
 func (l *loneCore) lead(tb testing.TB) {
 	tb.Helper()
 	for end := l.now + 10*time.Second; !l.core.Leading() && l.now < end; l.now += tuning.TickEvery {
-		l.step(tb, core.Tick{})
+		l.step(tb, controlplane.Tick{})
 	}
 	if !l.core.Leading() {
 		tb.Fatal("it does not lead")
@@ -78,7 +78,7 @@
 	tb.Helper()
 	rnd := rand.New(rand.NewPCG(uint64(changes), uint64(services)))
 	for i := range changes {
-		l.step(tb, core.Ask{ID: uint64(i) + 1, Token: fmt.Sprint("t", i), Method: "PUT", Path: "/v1/config", Query: fmt.Sprintf("base=%d", l.core.Revision()), Body: changingConfig(rnd, services)})
+		l.step(tb, controlplane.Ask{ID: uint64(i) + 1, Token: fmt.Sprint("t", i), Method: "PUT", Path: "/v1/config", Query: fmt.Sprintf("base=%d", l.core.Revision()), Body: changingConfig(rnd, services)})
 		l.now += time.Millisecond
 	}
 	if l.taken != changes {
--- a/host/settings_test.go
+++ b/host/settings_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 )
 
 // settingsFile is a core member's, on its own folder.
@@ -81,7 +81,7 @@
 	h.Signals()
 	select {
 	case it := <-h.Loop.queue:
-		if _, ok := it.ev.(core.Stop); !ok {
+		if _, ok := it.ev.(controlplane.Stop); !ok {
 			t.Errorf("%T", it.ev)
 		}
 	case <-time.After(time.Minute):
--- a/host/stream.go
+++ b/host/stream.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"net/http"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -18,7 +18,7 @@
 type line struct {
 	Term uint64 `json:"term"`
 	Seq  uint64 `json:"seq"`
-	core.Note
+	controlplane.Note
 	Missed uint64 `json:"missed,omitempty"`
 	Why    string `json:"note,omitempty"`
 }
@@ -52,7 +52,7 @@
 }
 
 // Put adds a note; it never waits for readers.
-func (u *Hub) Put(term uint64, n core.Note) { u.put <- line{Term: term, Note: n} }
+func (u *Hub) Put(term uint64, n controlplane.Note) { u.put <- line{Term: term, Note: n} }
 
 // give passes a line to a reader, without waiting for it.
 func (r *reader) give(l line) {
--- a/host/stream_test.go
+++ b/host/stream_test.go
@@ -8,12 +8,12 @@
 	"net/http/httptest"
 	"testing"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
 )
 
-func note() core.Note { return core.Note{Event: &outlier.Event{}} }
+func note() controlplane.Note { return controlplane.Note{Event: &outlier.Event{}} }
 
 // A reader resumes after the line it names, and is told of what it missed, be it
 // for coming late or for reading too slowly.
--- a/host/transport.go
+++ b/host/transport.go
@@ -10,8 +10,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/core"
 	"myrtlefold/forward"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -59,7 +59,7 @@
 		}
 		from = m.From
 		h.Traffic.add(false, m.Kind, r.Size)
-		h.Loop.Tell(core.Recv{M: m})
+		h.Loop.Tell(controlplane.Recv{M: m})
 	}
 }
 
--- a/core/configcall.go
+++ b/internal/controlplane/configcall.go
@@ -1,6 +1,6 @@
 // This file takes operators' changes of the configuration.
 
-package core
+package controlplane
 
 import (
 	"bytes"
--- a/core/core.go
+++ b/internal/controlplane/core.go
@@ -7,7 +7,7 @@
 // probes, who holds which lease) lives in its lead. A member that leads again soon, with nobody
 // in between, goes on with it; any other makes it anew, and holds and ejections come back from
 // the proxies' tables and the beats.
-package core
+package controlplane
 
 import (
 	"fmt"
--- a/core/corestatus.go
+++ b/internal/controlplane/corestatus.go
@@ -2,7 +2,7 @@
 // majority, who is silent, who is learning and how far, and whether the next loss of
 // a machine or of a failure domain can be borne now.
 
-package core
+package controlplane
 
 import (
 	"cmp"
--- a/core/damage.go
+++ b/internal/controlplane/damage.go
@@ -1,7 +1,7 @@
 // This file reports what was found damaged, in the log and in the status, and keeps an
 // epoch from beginning with nothing while something is remembered that can't be read.
 
-package core
+package controlplane
 
 import (
 	"fmt"
--- a/core/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -1,6 +1,6 @@
 // This file is how daemons find one another: hellos, who is known, and who leads.
 
-package core
+package controlplane
 
 import (
 	"cmp"
--- a/core/encoding.go
+++ b/internal/controlplane/encoding.go
@@ -2,7 +2,7 @@
 // snapshots and on disk: JSON, compressed where it is long, so that disks, links and
 // memory hold a fraction. What does not decode is damage, and an error of that kind.
 
-package core
+package controlplane
 
 import (
 	"encoding/json"
--- a/core/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -1,6 +1,6 @@
 // This file tells when a table binds every proxy, and answers those who wait for it.
 
-package core
+package controlplane
 
 import (
 	"fmt"
--- a/core/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -1,7 +1,7 @@
 // This file decides whether this member leads, and what a new leader does before
 // it decides: it adopts the first state of an epoch, or gathers the proxies' tables.
 
-package core
+package controlplane
 
 import (
 	"bytes"
--- a/core/lease.go
+++ b/internal/controlplane/lease.go
@@ -1,7 +1,7 @@
 // This file leases leases to the proxies that pull from the leader, and sends each
 // the part of the table that it lacks.
 
-package core
+package controlplane
 
 import (
 	"slices"
--- a/core/membership.go
+++ b/internal/controlplane/membership.go
@@ -2,7 +2,7 @@
 // replaced and who is removed, one change at a time. Why it is done in this way
 // stands in docs/control/membership.md.
 
-package core
+package controlplane
 
 import (
 	"cmp"
--- a/core/message.go
+++ b/internal/controlplane/message.go
@@ -1,7 +1,7 @@
 // This file takes in messages from other daemons and hands each to the part of
 // the core that it concerns.
 
-package core
+package controlplane
 
 import (
 	"time"
--- a/core/numbers.go
+++ b/internal/controlplane/numbers.go
@@ -1,7 +1,7 @@
 // This file discards numbers that no sound daemon sends: they can't be told to operators in
 // JSON, and whatever is computed from them is lost too.
 
-package core
+package controlplane
 
 import (
 	"math"
--- a/core/operator.go
+++ b/internal/controlplane/operator.go
@@ -3,7 +3,7 @@
 // answered only once it is in force; when that cannot be told any more, the
 // answer is 'unknown' with the change's id, which can be asked about.
 
-package core
+package controlplane
 
 import (
 	"fmt"
--- a/core/orders.go
+++ b/internal/controlplane/orders.go
@@ -1,7 +1,7 @@
 // This file keeps which orders have been taken, apart from their texts, so that an
 // order that is sent again long after it was taken is known.
 
-package core
+package controlplane
 
 import (
 	"bytes"
--- a/core/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -8,7 +8,7 @@
 // a disk, so that any two foundings share a machine that locked both, one after the
 // other. docs/design.md goes through the cases.
 
-package core
+package controlplane
 
 import (
 	"bytes"
--- a/core/registry.go
+++ b/internal/controlplane/registry.go
@@ -4,7 +4,7 @@
 // a loss of all processes, begins from it; what it says is hearsay until a target has
 // answered this leader. A leaving or a sign-off is acknowledged only once it is in here.
 
-package core
+package controlplane
 
 import (
 	"maps"
--- a/core/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -1,7 +1,7 @@
 // This file grows and mends a core whose size nobody has given: each look takes at
 // most one step towards the members that outlive most, and keeps learners ready.
 
-package core
+package controlplane
 
 import (
 	"cmp"
--- a/core/reply.go
+++ b/internal/controlplane/reply.go
@@ -1,6 +1,6 @@
 // This file builds the answers to operators and targets.
 
-package core
+package controlplane
 
 import (
 	"encoding/json"
--- a/core/resume.go
+++ b/internal/controlplane/resume.go
@@ -2,7 +2,7 @@
 // and leads again, with nobody in between, goes on from the targets, ejections and holds that it
 // had, where learning all of them anew would make it late again.
 
-package core
+package controlplane
 
 import (
 	"slices"
--- a/core/resume_test.go
+++ b/internal/controlplane/resume_test.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"testing"
--- a/core/roster.go
+++ b/internal/controlplane/roster.go
@@ -1,6 +1,6 @@
 // This file keeps the roster, which is the agreed list of proxies.
 
-package core
+package controlplane
 
 import (
 	"cmp"
--- a/core/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -1,7 +1,7 @@
 // This file is how a control daemon stops: it hands leadership over, and its place to
 // a standby if there is one, before it goes.
 
-package core
+package controlplane
 
 import (
 	"maps"
--- a/core/state.go
+++ b/internal/controlplane/state.go
@@ -1,7 +1,7 @@
 // This file is the durable state that the members agree on, and the one function
 // that changes it by an agreed log entry.
 
-package core
+package controlplane
 
 import (
 	"cmp"
--- a/core/status.go
+++ b/internal/controlplane/status.go
@@ -1,7 +1,7 @@
 // This file is what operators may read: targets, daemons, policies and this
 // member's own status.
 
-package core
+package controlplane
 
 import (
 	"fmt"
--- a/core/table.go
+++ b/internal/controlplane/table.go
@@ -1,7 +1,7 @@
 // This file makes the forwarding table that all proxies choose targets from, when
 // it has something new to say.
 
-package core
+package controlplane
 
 import (
 	"bytes"
--- a/core/target.go
+++ b/internal/controlplane/target.go
@@ -1,7 +1,7 @@
 // This file is the leader's view of the targets: their heartbeats, who holds which
 // name and address, and what proxies' tables say of them.
 
-package core
+package controlplane
 
 import (
 	"cmp"
--- a/core/targetcall.go
+++ b/internal/controlplane/targetcall.go
@@ -1,6 +1,6 @@
 // This file takes the calls of targets: heartbeats, leavings and sign-offs.
 
-package core
+package controlplane
 
 import (
 	"maps"
--- a/core/undecodable.go
+++ b/internal/controlplane/undecodable.go
@@ -5,7 +5,7 @@
 // to acknowledge entries. At the next start its disk is found damaged (see CheckImage), counts
 // as lost, and the member learns all again under another disk number.
 
-package core
+package controlplane
 
 import (
 	"time"
--- a/core/watchdog.go
+++ b/internal/controlplane/watchdog.go
@@ -1,6 +1,6 @@
 // This file probes the targets and has the health policies judge what comes back.
 
-package core
+package controlplane
 
 import (
 	"cmp"
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -21,9 +21,9 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/core"
 	"myrtlefold/forward"
 	"myrtlefold/host"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/wire"
@@ -136,14 +136,14 @@
 func TestJSONForms(t *testing.T) {
 	const readBack, writtenOnly = true, false
 	// What members, their disks and proxies' memories hold.
-	jsonForm[core.State](t, "state", readBack)
-	jsonForm[core.RecoveredState](t, "recovered-state", readBack)
-	jsonForm[core.Record](t, "record", readBack)
+	jsonForm[controlplane.State](t, "state", readBack)
+	jsonForm[controlplane.RecoveredState](t, "recovered-state", readBack)
+	jsonForm[controlplane.Record](t, "record", readBack)
 	// What operators read.
-	jsonForm[core.StatusView](t, "core-status", readBack)
-	jsonForm[core.DaemonView](t, "core-daemon", readBack)
-	jsonForm[core.TargetView](t, "core-target", readBack)
-	jsonForm[core.Note](t, "stream-note", readBack)
+	jsonForm[controlplane.StatusView](t, "core-status", readBack)
+	jsonForm[controlplane.DaemonView](t, "core-daemon", readBack)
+	jsonForm[controlplane.TargetView](t, "core-target", readBack)
+	jsonForm[controlplane.Note](t, "stream-note", readBack)
 	jsonForm[proxy.View](t, "proxy-status", readBack)
 	jsonForm[outlier.Stat](t, "policy-stat", readBack)
 	jsonForm[outlier.Event](t, "policy-event", readBack)
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
@@ -35,14 +35,14 @@
 
 // leader is a lone member of the core with one proxy, founded and deciding.
 type leader struct {
-	core *core.Core
+	core *controlplane.Core
 	now  time.Duration
 }
 
 func (l *leader) step(ev any) {
 	for _, cmd := range l.core.Step(l.now, ev) {
-		if sync, ok := cmd.(core.Sync); ok {
-			l.step(core.Synced{Seq: sync.B.Seq})
+		if sync, ok := cmd.(controlplane.Sync); ok {
+			l.step(controlplane.Synced{Seq: sync.B.Seq})
 		}
 	}
 }
@@ -50,25 +50,25 @@
 func (l *leader) second() {
 	gate := wire.Daemon{Name: "g1", Kind: "gate", Addr: "g1", Inc: 1, Domain: "d0"}
 	beat := wire.Target{Service: "s0", Name: "t0", Inc: 9, Addr: "10.0.0.1:1", State: config.Ready}
-	l.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: "g1", Hello: &wire.Hello{Self: gate}}})
+	l.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: "g1", Hello: &wire.Hello{Self: gate}}})
 	for range int(time.Second / tuning.PullEvery) {
 		for range int(tuning.PullEvery / tuning.TickEvery) {
 			l.now += tuning.TickEvery
-			l.step(core.Tick{})
+			l.step(controlplane.Tick{})
 		}
 		pull := &wire.Pull{Self: gate}
 		if table := l.core.Table(); table != nil {
 			pull.Key, pull.Revision, pull.Seq = table.Key, table.Revision, table.Seq
 		}
-		l.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KPull), From: "g1", Stamp: int64(l.now), Pull: pull}})
-		l.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &beat}})
+		l.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPull), From: "g1", Stamp: int64(l.now), Pull: pull}})
+		l.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &beat}})
 	}
 }
 
 func newLeader(t *testing.T) *leader {
 	self := wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}
 	l := &leader{now: time.Second}
-	l.core = core.New(l.now, core.Settings{Self: self, Size: 1}, consensus.Image{Disk: 7})
+	l.core = controlplane.New(l.now, controlplane.Settings{Self: self, Size: 1}, consensus.Image{Disk: 7})
 	for range 12 {
 		l.second()
 	}
@@ -87,7 +87,7 @@
 		for id := uint64(1); len(s.data) > 0 && id <= mostEvents; id++ {
 			l.step(s.event(t, id))
 			l.now += tuning.TickEvery
-			l.step(core.Tick{})
+			l.step(controlplane.Tick{})
 		}
 		l.second()
 	})
@@ -102,7 +102,7 @@
 	for i := range 2 {
 		table.Targets = append(table.Targets, wire.Target{Service: "s0", Name: fmt.Sprint("t", i), Inc: 9, Addr: fmt.Sprint("10.0.0.1:", i+1), State: config.Ready, Beating: true})
 	}
-	p.Step(now, core.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(now), Disk: 9,
+	p.Step(now, controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(now), Disk: 9,
 		Push: &wire.Push{Grant: true, Key: table.Key, Table: table}}})
 	if !p.Serving() {
 		t.Fatal("does not serve")
@@ -121,7 +121,7 @@
 			p.Step(now, s.event(t, id))
 			p.Step(now, proxy.Admit{ID: id, Path: "/s", Method: "GET"})
 			now += tuning.TickEvery << (s.byte() % 8)
-			p.Step(now, core.Tick{})
+			p.Step(now, controlplane.Tick{})
 			p.Step(now, proxy.Done{ID: id, Outcome: proxy.Outcome(s.byte() % 8), Ms: 1, Last: true})
 			p.View(now)
 		}
--- a/internal/verification/simulator/corestatus_test.go
+++ b/internal/verification/simulator/corestatus_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
 // coreView is the leader's own view of the core.
-func (w *World) coreView(t *testing.T) core.CoreView {
+func (w *World) coreView(t *testing.T) controlplane.CoreView {
 	t.Helper()
 	l := w.Leader()
 	if l == nil {
@@ -21,13 +21,13 @@
 	return l.core.Status(l.local()).Core
 }
 
-func viewOf(v core.CoreView, name string) core.MemberView {
+func viewOf(v controlplane.CoreView, name string) controlplane.MemberView {
 	for _, m := range v.Members {
 		if m.Name == name {
 			return m
 		}
 	}
-	return core.MemberView{}
+	return controlplane.MemberView{}
 }
 
 // follower is a member that does not lead.
@@ -58,7 +58,7 @@
 	w.Kill(lost)
 	w.Run(w.now + 2*time.Second)
 	v = w.coreView(t)
-	if m := viewOf(v, lost.name); m.State != core.MemberSilent || m.SilentMs < 1200 || m.SilentMs > 2500 {
+	if m := viewOf(v, lost.name); m.State != controlplane.MemberSilent || m.SilentMs < 1200 || m.SilentMs > 2500 {
 		t.Errorf("the silent member: %+v", m)
 	}
 	if len(v.Lease) != 2 || slices.Contains(v.Lease, lost.name) {
@@ -71,14 +71,14 @@
 		t.Fatalf("%+v", v.Loss.Obstacles)
 	}
 	o := v.Loss.Obstacles[0]
-	if o.Kind != core.ObstacleSilent || o.Member != lost.name || o.By == "" || o.ReplaceableInMs == nil || *o.ReplaceableInMs > 10_000 {
+	if o.Kind != controlplane.ObstacleSilent || o.Member != lost.name || o.By == "" || o.ReplaceableInMs == nil || *o.ReplaceableInMs > 10_000 {
 		t.Errorf("%+v", o)
 	}
 	if !w.until(30*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).Loss.Bearable }) {
 		t.Fatalf("never bearable again: %+v", w.coreView(t))
 	}
 	v = w.coreView(t)
-	if m := viewOf(v, o.By); m.State != core.MemberFollows || !m.Voter || m.Match < 1 {
+	if m := viewOf(v, o.By); m.State != controlplane.MemberFollows || !m.Voter || m.Match < 1 {
 		t.Errorf("%s came in for it: %+v", o.By, m)
 	}
 	if n := w.Leader().core.Status(0).Counts.MemberChanges; n < 1 {
@@ -135,7 +135,7 @@
 	w := Start(5, open(1, 1))
 	w.until(10*time.Second, func() bool { return w.Leader() != nil })
 	v := w.coreView(t)
-	if v.Loss.Bearable || len(v.Loss.Obstacles) != 1 || v.Loss.Obstacles[0].Kind != core.ObstacleTooFew || v.Loss.Obstacles[0].By != "" {
+	if v.Loss.Bearable || len(v.Loss.Obstacles) != 1 || v.Loss.Obstacles[0].Kind != controlplane.ObstacleTooFew || v.Loss.Obstacles[0].By != "" {
 		t.Errorf("%+v", v.Loss)
 	}
 }
@@ -149,10 +149,10 @@
 	w.stop(f)
 	w.Run(w.now + 2*time.Second)
 	v := w.coreView(t)
-	if m := viewOf(v, f.name); m.State != core.MemberStopping {
+	if m := viewOf(v, f.name); m.State != controlplane.MemberStopping {
 		t.Errorf("%+v", m)
 	}
-	if len(v.Loss.Obstacles) != 1 || v.Loss.Obstacles[0].Kind != core.ObstacleStopping || v.Loss.Obstacles[0].ReplaceableInMs != nil {
+	if len(v.Loss.Obstacles) != 1 || v.Loss.Obstacles[0].Kind != controlplane.ObstacleStopping || v.Loss.Obstacles[0].ReplaceableInMs != nil {
 		t.Errorf("%+v", v.Loss.Obstacles)
 	}
 	w.Restart(f)
@@ -193,7 +193,7 @@
 	f := w.follower()
 	w.isolate([]string{l.name}, 4*time.Second, true, true)
 	unknown := 0
-	w.call(l, "PUT", "/v1/config", "base="+strconv.FormatUint(w.Revision(), 10), w.Doc(5), "", func(r core.Reply) { unknown = r.Status })
+	w.call(l, "PUT", "/v1/config", "base="+strconv.FormatUint(w.Revision(), 10), w.Doc(5), "", func(r controlplane.Reply) { unknown = r.Status })
 	w.Run(w.now + 2*time.Second)
 	if unknown != 504 {
 		t.Errorf("a change put to a leader that is cut off is answered %d", unknown)
@@ -272,7 +272,7 @@
 
 // chooseLoss draws as many voters as may go, or a whole domain that is not at risk; the
 // leader goes in every other round.
-func (w *World) chooseLoss(v core.CoreView, round int) (names []string) {
+func (w *World) chooseLoss(v controlplane.CoreView, round int) (names []string) {
 	var voters []string
 	for _, m := range v.Members {
 		if m.Voter && w.procs[m.Name] != nil && w.procs[m.Name].alive {
--- a/internal/verification/simulator/digest.go
+++ b/internal/verification/simulator/digest.go
@@ -16,7 +16,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/wire"
 	"myrtlefold/proxy"
 )
@@ -44,30 +44,30 @@
 
 func (d *digest) event(event any) {
 	switch e := event.(type) {
-	case core.Recv:
+	case controlplane.Recv:
 		d.text("recv")
 		d.message(e.M)
-	case core.Tick:
+	case controlplane.Tick:
 		d.text("tick")
-	case core.Synced:
+	case controlplane.Synced:
 		d.text("synced")
 		d.number(e.Seq)
-	case core.DiskRefuses:
+	case controlplane.DiskRefuses:
 		d.text("disk refuses")
 		d.flag(e.Err != nil)
-	case core.Probed:
+	case controlplane.Probed:
 		d.text("probed")
 		d.id(e.ID)
 		d.duration(e.SentAt)
 		d.float(e.Ms)
 		d.json(e.Beat)
 		d.duration(e.Cold)
-	case core.Ask:
+	case controlplane.Ask:
 		d.text("ask")
 		d.number(e.ID)
 		d.text(e.Token, e.Method, e.Path, e.Query)
 		d.bytes(e.Body)
-	case core.Stop:
+	case controlplane.Stop:
 		d.text("stop")
 	case proxy.Admit:
 		d.text("admit")
@@ -102,32 +102,32 @@
 
 func (d *digest) command(command any) {
 	switch c := command.(type) {
-	case core.Send:
+	case controlplane.Send:
 		d.text("send", c.Addr)
 		d.message(c.M)
-	case core.Sync:
+	case controlplane.Sync:
 		d.text("sync")
 		b, err := wire.EncodeBatch(c.B)
 		if err != nil {
 			panic(err)
 		}
 		d.bytes(b)
-	case core.Probe:
+	case controlplane.Probe:
 		d.text("probe")
 		d.id(c.ID)
 		d.text(c.Addr, c.Path)
-	case core.Reply:
+	case controlplane.Reply:
 		d.text("reply")
 		d.number(c.ID)
 		d.number(uint64(c.Status))
 		d.duration(c.Retry)
 		d.bytes(c.Body)
-	case core.Note:
+	case controlplane.Note:
 		d.text("note")
 		d.json(c)
-	case core.Change:
+	case controlplane.Change:
 		d.text("change")
-	case core.Exit:
+	case controlplane.Exit:
 		d.text("exit")
 	default:
 		d.proxyCommand(command)
--- a/internal/verification/simulator/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 )
 
 // Fault is one kind of trouble; Do starts it and makes sure that it ends.
@@ -123,7 +123,7 @@
 func (w *World) stop(p *Proc) {
 	w.Stats.Stops++
 	if w.sabotage == "stop" && p.gate != nil {
-		w.exec(p, core.Exit{})
+		w.exec(p, controlplane.Exit{})
 		return
 	}
 	p.asked = true
--- a/internal/verification/simulator/faults_operator.go
+++ b/internal/verification/simulator/faults_operator.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 )
 
 // operatorFaults are operators' changes, planned work, and the faults that meet them.
@@ -66,7 +66,7 @@
 				}
 				return
 			}
-			w.call(l, "POST", "/v1/core/"+name+"/"+what, "", nil, "", func(r core.Reply) {
+			w.call(l, "POST", "/v1/core/"+name+"/"+what, "", nil, "", func(r controlplane.Reply) {
 				if r.Status == 200 || r.Status == 409 && what == "add" {
 					then()
 				} else {
--- a/internal/verification/simulator/faults_proxy.go
+++ b/internal/verification/simulator/faults_proxy.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 )
 
 // proxyFaults are the faults of proxies: kills, freezes, cuts and planned stops.
@@ -42,7 +42,7 @@
 		w.Kill(p)
 		forget := func() {
 			if l := w.Leader(); l != nil && !p.alive {
-				w.call(l, "POST", "/v1/gates/"+p.name+"/forget", "", nil, "", func(core.Reply) {})
+				w.call(l, "POST", "/v1/gates/"+p.name+"/forget", "", nil, "", func(controlplane.Reply) {})
 			}
 		}
 		w.at(3*time.Second, forget)
--- a/internal/verification/simulator/operate_test.go
+++ b/internal/verification/simulator/operate_test.go
@@ -7,16 +7,16 @@
 	"testing"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
 // inquire makes a call at a member and waits for its answer.
-func (w *World) inquire(t *testing.T, p *Proc, method, path, query, body, token string) (core.Reply, map[string]any) {
+func (w *World) inquire(t *testing.T, p *Proc, method, path, query, body, token string) (controlplane.Reply, map[string]any) {
 	t.Helper()
-	var got *core.Reply
-	w.call(p, method, path, query, []byte(body), token, func(r core.Reply) { got = &r })
+	var got *controlplane.Reply
+	w.call(p, method, path, query, []byte(body), token, func(r controlplane.Reply) { got = &r })
 	for end := w.now + 10*time.Second; got == nil && w.now < end && w.Fail == ""; {
 		w.Run(w.now + 10*time.Millisecond)
 	}
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -42,7 +42,7 @@
 	boot     time.Duration
 	base     time.Duration
 	rate     float64
-	core     *core.Core
+	core     *controlplane.Core
 	gate     *proxy.Proxy
 	disk     *disk
 	pool     map[wire.ID][]*connection
@@ -93,7 +93,7 @@
 	p.slow, p.doneAt, p.attempts, p.disk.syncing = 0, 0, nil, false
 	p.disk.refusing = false
 	var seeds []string
-	set := core.Settings{Size: w.Plan.Cores, CatchUp: w.Plan.CatchUp, Losses: w.Plan.Losses, Grace: stopGrace}
+	set := controlplane.Settings{Size: w.Plan.Cores, CatchUp: w.Plan.CatchUp, Losses: w.Plan.Losses, Grace: stopGrace}
 	if w.Plan.Seeds > 0 {
 		set.Size, set.Found = 0, w.now < foundingTime
 	}
@@ -106,7 +106,7 @@
 		img := p.disk.img
 		img.Log = slices.Clone(img.Log)
 		set.Self, set.Seeds, set.Domains = self, seeds, w.Plan.Known
-		p.core = core.New(p.local(), set, img)
+		p.core = controlplane.New(p.local(), set, img)
 	} else {
 		p.gate = proxy.New(proxy.Settings{Self: self, Seeds: seeds, Grace: w.Plan.Grace})
 	}
@@ -119,13 +119,13 @@
 		switch {
 		case p.frozen:
 		case w.Plan.Scarce == nil:
-			w.deliver(p, core.Tick{})
+			w.deliver(p, controlplane.Tick{})
 		case !p.ticks: // else the one before still waits
 			p.ticks = true
 			w.at(w.work(p, "tick", costEvent)-w.now, func() {
 				if p.gen == gen {
 					p.ticks = false
-					w.deliver(p, core.Tick{})
+					w.deliver(p, controlplane.Tick{})
 				}
 			})
 		}
@@ -222,9 +222,9 @@
 // or a table or lease for a proxy.
 func tellsOthers(cmd any) bool {
 	switch c := cmd.(type) {
-	case core.Reply:
+	case controlplane.Reply:
 		return true
-	case core.Send:
+	case controlplane.Send:
 		return c.M.Push != nil
 	}
 	return false
@@ -247,7 +247,7 @@
 func (w *World) exec(p *Proc, cmd any) {
 	gen := p.gen
 	switch c := cmd.(type) {
-	case core.Send:
+	case controlplane.Send:
 		to := w.byAddr[c.Addr]
 		if to == nil || !w.reach(p.name, to.name) || w.rnd.Float64() < w.loss {
 			return
@@ -281,18 +281,18 @@
 		}
 		w.at(at-w.now, func() {
 			if to.gen == tg && w.reach(p.name, to.name) && sent >= w.resets[k].at {
-				w.deliver(to, core.Recv{M: m})
+				w.deliver(to, controlplane.Recv{M: m})
 			}
 		})
-	case core.Sync:
+	case controlplane.Sync:
 		p.disk.open = append(p.disk.open, c.B)
 		d := p.disk
 		if w.sabotage == "sync" {
-			w.at(0, func() { w.deliver(p, core.Synced{Seq: c.B.Seq}) })
+			w.at(0, func() { w.deliver(p, controlplane.Synced{Seq: c.B.Seq}) })
 			return
 		}
 		w.sync(p, gen, d)
-	case core.Probe:
+	case controlplane.Probe:
 		if p.kind == "gate" {
 			w.Stats.ProxyProbes++
 		}
@@ -300,12 +300,12 @@
 			w.work(p, "probe", w.probeCost(p, c))
 		}
 		w.probe(p, c)
-	case core.Reply:
+	case controlplane.Reply:
 		if a := w.asks[c.ID]; a != nil {
 			delete(w.asks, c.ID)
 			w.at(w.ms(0, 2), func() { a.fn(c) })
 		}
-	case core.Change:
+	case controlplane.Change:
 		w.log("%s %s %s -> %s (%s)", p.name, c.What, c.From, c.To, c.Why)
 		if w.sabotage == "early answer" && c.What == "revision" && p.core != nil {
 			w.acked = max(w.acked, p.core.Revision())
@@ -316,11 +316,11 @@
 		if c.To == "orphan" {
 			w.Stats.Orphaned++
 		}
-	case core.Note:
+	case controlplane.Note:
 		if c.Decision != nil && c.Decision.Kind != "lapse" {
 			w.log("%s %s %s %s/%s", p.name, c.Decision.Policy, c.Decision.Kind, c.Decision.Service, c.Decision.Name)
 		}
-	case core.Exit:
+	case controlplane.Exit:
 		if p.alive {
 			w.log("exit %s", p.name)
 			if p.gate != nil && p.gate.InFlight() > 0 {
@@ -359,7 +359,7 @@
 		seq = b.Seq
 	}
 	d.open = nil
-	w.deliver(p, core.Synced{Seq: seq})
+	w.deliver(p, controlplane.Synced{Seq: seq})
 }
 
 // Stall keeps a disk from syncing for a while.
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/proxy"
@@ -168,7 +168,7 @@
 	if r := l.core.Revision(); r < w.acked {
 		w.broken("forgotten", "revision %d was acknowledged, the leader has %d", w.acked, r)
 	}
-	kept := map[string]core.Record{}
+	kept := map[string]controlplane.Record{}
 	for _, r := range l.core.Records() {
 		kept[r.Id] = r
 	}
--- a/internal/verification/simulator/sim.go
+++ b/internal/verification/simulator/sim.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/wire"
 	"myrtlefold/internal/verification/linearizability"
 	"myrtlefold/proxy"
@@ -285,7 +285,7 @@
 	return true
 }
 
-var stopEvent = core.Stop{}
+var stopEvent = controlplane.Stop{}
 
 // Plans are the fleets by name: the brief's two deployments and the small one.
 var Plans = map[string]Plan{
--- a/internal/verification/simulator/slow.go
+++ b/internal/verification/simulator/slow.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -108,7 +108,7 @@
 	if !d.refusing {
 		d.refusing = true
 		w.log("disk of %s refuses writes", p.name)
-		w.deliver(p, core.DiskRefuses{Err: errDiskFull})
+		w.deliver(p, controlplane.DiskRefuses{Err: errDiskFull})
 	}
 }
 
@@ -123,7 +123,7 @@
 	default:
 		w.log("disk of %s takes writes again", p.name)
 		d.refusing = false
-		w.deliver(p, core.DiskRefuses{})
+		w.deliver(p, controlplane.DiskRefuses{})
 		w.sync(p, gen, d)
 	}
 }
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/controlplane/wal"
 	"myrtlefold/internal/shared/tuning"
@@ -78,13 +78,13 @@
 			}
 			var read consensus.Image
 			read.Fold(b)
-			if err := core.CheckImage(&read); err != nil {
+			if err := controlplane.CheckImage(&read); err != nil {
 				t.Fatal(err)
 			}
 			if again, err := wire.EncodeBatch(read.Whole()); err != nil || !bytes.Equal(again, want) {
 				t.Fatalf("%v; read and written again it is another image", err)
 			}
-			status, err := json.MarshalIndent(core.New(0, core.Settings{Self: wire.Daemon{Name: "c1", Kind: "core"}}, read).Status(0), "", " ")
+			status, err := json.MarshalIndent(controlplane.New(0, controlplane.Settings{Self: wire.Daemon{Name: "c1", Kind: "core"}}, read).Status(0), "", " ")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -121,14 +121,14 @@
 	w.Run(w.now + 3*time.Second)
 	gate, member := w.procs["g1"], w.procs["c1"]
 	self := wire.Daemon{Name: member.name, Kind: "core", Domain: member.domain, Addr: member.addr, Inc: 1}
-	gate.gate.Step(gate.local(), core.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
+	gate.gate.Step(gate.local(), controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
 	var memory []byte
 	for step := time.Duration(0); memory == nil; step += tuning.TickEvery {
 		if step > 5*time.Second {
 			t.Fatal("the proxy says nothing of what it remembers")
 		}
-		for _, cmd := range gate.gate.Step(gate.local()+step, core.Tick{}) {
-			if send, ok := cmd.(core.Send); ok && send.M.Hello != nil && len(send.M.Hello.Legacy) > 0 {
+		for _, cmd := range gate.gate.Step(gate.local()+step, controlplane.Tick{}) {
+			if send, ok := cmd.(controlplane.Send); ok && send.M.Hello != nil && len(send.M.Hello.Legacy) > 0 {
 				memory = send.M.Hello.Legacy
 			}
 		}
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var recovered core.RecoveredState
+	var recovered controlplane.RecoveredState
 	if err := json.Unmarshal(plain, &recovered); err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	if err != nil || !bytes.Equal(wire.Compress(again), want) {
 		t.Fatalf("%v; read and written again it is another memory", err)
 	}
-	var state core.State
+	var state controlplane.State
 	if err := json.Unmarshal(recovered.State, &state); err != nil || state.Revision != w.acked || w.acked == 0 {
 		t.Fatal(state.Revision, err)
 	}
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -100,7 +100,7 @@
 		}
 		var acks []int
 		ask := func(method, path, body string) {
-			w.call(at, method, path, "", []byte(body), "", func(r core.Reply) {
+			w.call(at, method, path, "", []byte(body), "", func(r controlplane.Reply) {
 				if r.Status == 200 && 2*w.out(a.name) <= w.Plan.Gates {
 					t.Errorf("seed %d: %s acknowledged with %d of %d proxies", seed, method, w.out(a.name), w.Plan.Gates)
 				}
@@ -193,7 +193,7 @@
 		if seed%2 == 1 {
 			method, word = "DELETE", ""
 		}
-		w.call(followers(w)[0], method, path, "", []byte(word), "", func(r core.Reply) {
+		w.call(followers(w)[0], method, path, "", []byte(word), "", func(r controlplane.Reply) {
 			status = r.Status
 			w.Kill(w.Leader())
 		})
@@ -360,7 +360,7 @@
 		same, other := w.Doc(2), w.Doc(3)
 		var got []string
 		for i, doc := range [][]byte{same, same, other} {
-			w.call(w.cores()[i%w.Plan.Cores], "PUT", "/v1/config", "base=1", doc, "", func(r core.Reply) {
+			w.call(w.cores()[i%w.Plan.Cores], "PUT", "/v1/config", "base=1", doc, "", func(r controlplane.Reply) {
 				var m struct {
 					Revision uint64 `json:"revision"`
 				}
--- a/proxy/lease.go
+++ b/proxy/lease.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -62,13 +62,13 @@
 					g.memoryToldAt[who] = now
 				}
 			}
-			g.emit(core.Send{Addr: k.Addr, M: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: h}})
+			g.emit(controlplane.Send{Addr: k.Addr, M: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: h}})
 		}
 	}
 	maps.DeleteFunc(g.memoryToldAt, func(_ string, at time.Duration) bool { return now-at >= tuning.MemoryEvery })
 	for _, a := range g.settings.Seeds {
 		if !sent[a] && a != g.settings.Self.Addr {
-			g.emit(core.Send{Addr: a, M: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
+			g.emit(controlplane.Send{Addr: a, M: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	self := g.self()
 	for i, r := range who[:min(n, len(who))] {
 		if k := g.directory[r.Name]; k == nil {
-			g.directory[r.Name] = &core.Known{Daemon: wire.Daemon{Name: r.Name, Kind: "gate", Addr: r.Addr, Domain: r.Domain}, At: now}
+			g.directory[r.Name] = &controlplane.Known{Daemon: wire.Daemon{Name: r.Name, Kind: "gate", Addr: r.Addr, Domain: r.Domain}, At: now}
 		}
 		g.asked[r.Name] = now
 		// Back from a freeze or a cut, what peers hold against targets is wanted too.
@@ -117,7 +117,7 @@
 	if g.table == nil || g.state == Granted {
 		return nil
 	}
-	l, ok := core.Remembered(g.table)
+	l, ok := controlplane.Remembered(g.table)
 	if !ok {
 		return nil
 	}
@@ -241,7 +241,7 @@
 		return
 	}
 	if m.Pull.Self.Kind == "gate" {
-		g.directory[m.From] = &core.Known{Daemon: m.Pull.Self, At: now}
+		g.directory[m.From] = &controlplane.Known{Daemon: m.Pull.Self, At: now}
 	}
 	p := &wire.Push{Grant: g.settled && g.table != nil}
 	if g.table != nil {
--- a/proxy/probe.go
+++ b/proxy/probe.go
@@ -9,14 +9,14 @@
 	"slices"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-func (g *Proxy) ask(now time.Duration, e core.Ask) {
-	r := core.TargetCall(e, func(t wire.Target) {
+func (g *Proxy) ask(now time.Duration, e controlplane.Ask) {
+	r := controlplane.TargetCall(e, func(t wire.Target) {
 		g.heardBeat(now, t)
 		if l := g.leader(now); l != "" {
 			g.send(l, &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &t})
@@ -76,7 +76,7 @@
 
 // inherit puts an heir that has answered for itself in its place, unless who
 // stands there still answers too.
-func (g *Proxy) inherit(now time.Duration, p core.Probed) {
+func (g *Proxy) inherit(now time.Duration, p controlplane.Probed) {
 	for id, t := range g.targets {
 		h := t.successor
 		if h == nil || h.ID() != p.ID {
@@ -90,7 +90,7 @@
 		if p.Beat.State == config.Ready {
 			h.State = config.Ready
 		}
-		g.emit(core.Change{What: "target", From: fmt.Sprint(id.Inc), To: fmt.Sprint(h.Inc), Why: "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there"})
+		g.emit(controlplane.Change{What: "target", From: fmt.Sprint(id.Inc), To: fmt.Sprint(h.Inc), Why: "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there"})
 		g.succeed(now, id, h)
 		return
 	}
@@ -134,11 +134,11 @@
 func (g *Proxy) ping(now time.Duration, t *target) {
 	if t.sentAt == 0 || now-t.sentAt > 2*tuning.ProbeCap {
 		t.probeAt, t.sentAt = now, now
-		g.emit(core.Probe{ID: t.ID(), Addr: t.Addr, Path: g.cfg.Services[t.Service].HealthPath})
+		g.emit(controlplane.Probe{ID: t.ID(), Addr: t.Addr, Path: g.cfg.Services[t.Service].HealthPath})
 	}
 }
 
-func (g *Proxy) probed(now time.Duration, p core.Probed) {
+func (g *Proxy) probed(now time.Duration, p controlplane.Probed) {
 	t := g.targets[p.ID]
 	if t == nil {
 		g.inherit(now, p)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -153,12 +153,12 @@
 
 type target struct {
 	wire.Target
-	ejectedUntil time.Duration        // the table's ejection
-	ownEjection  time.Duration        // a proxy that serves on its peers's ejection, from its own probes
-	unheard      bool                 // the table's ejection is for missed probes
-	held         bool                 // heard here that it leaves
-	streak       core.HeartbeatStreak // what was heard here of its beats
-	successor    *target              // a later start of it that claims its place while no leader can say
+	ejectedUntil time.Duration                // the table's ejection
+	ownEjection  time.Duration                // a proxy that serves on its peers's ejection, from its own probes
+	unheard      bool                         // the table's ejection is for missed probes
+	held         bool                         // heard here that it leaves
+	streak       controlplane.HeartbeatStreak // what was heard here of its beats
+	successor    *target                      // a later start of it that claims its place while no leader can say
 	avoidUntil   time.Duration
 	backAt       time.Duration // when an ejection was lifted
 	warmAt       time.Duration // when it ended its warming
@@ -244,7 +244,7 @@
 // Proxy is the state machine of a proxy daemon.
 type Proxy struct {
 	settings     Settings
-	directory    core.Directory
+	directory    controlplane.Directory
 	helloAt      time.Duration
 	pullAt       time.Duration
 	touchAt      time.Duration
@@ -292,7 +292,7 @@
 	if set.Retry.Window < tuning.CountSlices {
 		set.Retry = Retry{1 / float64(tuning.RetryShare), tuning.RetryWindow, tuning.RetryFree}
 	}
-	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: core.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &config.Config{},
+	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: controlplane.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &config.Config{},
 		targets: map[wire.ID]*target{}, leaving: map[wire.ID]time.Duration{}, services: map[string]*service{}, requests: map[uint64]*request{}, aims: map[string]*aimCounts{}, leaseUntil: -1}
 }
 
@@ -302,15 +302,15 @@
 func (g *Proxy) Step(now time.Duration, ev any) []any {
 	g.updateState(now) // time may have passed since the last step, and with it a lease
 	switch e := ev.(type) {
-	case core.Recv:
+	case controlplane.Recv:
 		g.recv(now, e.M)
-	case core.Tick:
+	case controlplane.Tick:
 		g.tick(now)
-	case core.Probed:
+	case controlplane.Probed:
 		g.probed(now, e)
-	case core.Ask:
+	case controlplane.Ask:
 		g.ask(now, e)
-	case core.Stop:
+	case controlplane.Stop:
 		g.beginStop(now)
 	case Admit:
 		g.admit(now, e)
@@ -346,7 +346,7 @@
 	if s == g.state {
 		return
 	}
-	g.emit(core.Change{What: "gate", From: g.state.String(), To: s.String(), Why: why})
+	g.emit(controlplane.Change{What: "gate", From: g.state.String(), To: s.String(), Why: why})
 	g.state = s
 	g.index(now)
 	if s == Granted {
@@ -378,7 +378,7 @@
 func (g *Proxy) send(name string, m *wire.Msg) {
 	if k := g.directory[name]; k != nil && name != g.settings.Self.Name {
 		m.To, m.From = name, g.settings.Self.Name
-		g.emit(core.Send{Addr: k.Addr, M: m})
+		g.emit(controlplane.Send{Addr: k.Addr, M: m})
 	}
 }
 
@@ -392,7 +392,7 @@
 }
 
 func (g *Proxy) recv(now time.Duration, m *wire.Msg) {
-	core.DiscardUnsoundNumbers(m)
+	controlplane.DiscardUnsoundNumbers(m)
 	switch wire.Kind(m.Kind) {
 	case wire.KHello:
 		if m.Hello == nil {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -32,7 +32,7 @@
 	for i := range gates {
 		t.Gates = append(t.Gates, wire.Gate{Name: fmt.Sprintf("g%d", i+1), Live: true})
 	}
-	return b.g.Step(b.now, core.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
+	return b.g.Step(b.now, controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
 		Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
 }
 
@@ -156,7 +156,7 @@
 	}
 	b.now += 201 * time.Millisecond
 	b.g.leaseUntil = b.now + time.Second
-	if r, ok := answer(4, b.step(core.Tick{})).(Refuse); !ok || r.Status != 503 {
+	if r, ok := answer(4, b.step(controlplane.Tick{})).(Refuse); !ok || r.Status != 503 {
 		t.Fatalf("%+v", r)
 	}
 	if out := b.step(Done{ID: 3, Outcome: Served, Last: true}); answer(4, out) != nil || b.g.InFlight() != 0 {
@@ -184,7 +184,7 @@
 			m.Term = 1
 		}
 		m.Push = &wire.Push{Grant: true, Key: b.g.Table().Key}
-		b.step(core.Recv{M: m})
+		b.step(controlplane.Recv{M: m})
 		if b.g.Serving() {
 			t.Fatalf("serving on %+v", m)
 		}
@@ -258,13 +258,13 @@
 
 func (b *bench) touch() {
 	for _, p := range []string{"g2", "g3"} {
-		b.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: p, Hello: &wire.Hello{Self: wire.Daemon{Name: p, Kind: "gate", Addr: p}}}})
-		b.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: b.g.Table().Key}}})
+		b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: p, Hello: &wire.Hello{Self: wire.Daemon{Name: p, Kind: "gate", Addr: p}}}})
+		b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: b.g.Table().Key}}})
 	}
 }
 
 func (b *bench) hear(t wire.Target) {
-	b.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KBeat), From: "g2", Stamp: 1, Beat: &t}})
+	b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KBeat), From: "g2", Stamp: 1, Beat: &t}})
 }
 
 // An proxy that serves on its peers whose table ejections every target uses those that beat now, not those that
@@ -322,8 +322,8 @@
 		b.hear(word)
 		b.now += tuning.TickEvery
 		probed := false
-		for _, cmd := range b.step(core.Tick{}) {
-			if p, ok := cmd.(core.Probe); ok && p.ID == word.ID() && p.Addr == word.Addr {
+		for _, cmd := range b.step(controlplane.Tick{}) {
+			if p, ok := cmd.(controlplane.Probe); ok && p.ID == word.ID() && p.Addr == word.Addr {
 				probed = true
 			}
 		}
@@ -331,7 +331,7 @@
 			t.Errorf("%s: chosen before it answered: %+v", c.name, r)
 		}
 		if probed {
-			b.step(core.Probed{ID: word.ID(), SentAt: b.now, Beat: c.beat})
+			b.step(controlplane.Probed{ID: word.ID(), SentAt: b.now, Beat: c.beat})
 		}
 		g, ok := b.admit(2).(Give)
 		if ok != c.taken || ok && (g.Target.Inc != 2 || g.Target.Turn != 5) {
@@ -355,8 +355,8 @@
 	}
 	b.now += 5 * time.Second
 	asked := false
-	for _, c := range b.step(core.Tick{}) {
-		if s, ok := c.(core.Send); ok && s.M.Pull != nil && s.M.To == "g2" {
+	for _, c := range b.step(controlplane.Tick{}) {
+		if s, ok := c.(controlplane.Send); ok && s.M.Pull != nil && s.M.To == "g2" {
 			asked = s.M.Pull.Want && s.M.Pull.Key == b.g.Table().Key
 		}
 	}
@@ -366,7 +366,7 @@
 	word := *b.g.Table()
 	word.Targets = []wire.Target{to("a", barred), to("b")}
 	for _, p := range []string{"g2", "g3"} {
-		b.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
+		b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
 	}
 	for id := range uint64(6) {
 		if g, ok := b.admit(id + 1).(Give); !ok || g.Target.Name != "b" {
@@ -487,7 +487,7 @@
 				now := 0
 				for _, b := range all {
 					b.now += 2*time.Second + tuning.ChoiceLife
-					b.step(core.Tick{})
+					b.step(controlplane.Tick{})
 					now += b.g.View(b.now).Targets[0].Room
 				}
 				if now != warmCap {
@@ -568,11 +568,11 @@
 	b := newBench("g1", 3, plain, to("a"))
 	b.orphan()
 	b.now += 5 * time.Second
-	b.step(core.Tick{})
+	b.step(controlplane.Tick{})
 	word := *b.g.Table()
 	word.Targets = []wire.Target{to("a", func(t *wire.Target) { t.Inc = 2 })}
 	for _, p := range []string{"g2", "g3"} {
-		b.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
+		b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
 	}
 	if g, ok := b.admit(1).(Give); !ok || g.Target.Inc != 2 {
 		t.Fatalf("%+v", g)
@@ -592,7 +592,7 @@
 		x.ver++
 		t := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: x.ver}, Base: old.Key, Revision: old.Revision, Seq: old.Seq,
 			Targets: []wire.Target{to("t007", slots(3), func(t *wire.Target) { t.Demand = float64(x.ver%10) / 10 })}}
-		x.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(x.now), Disk: 9,
+		x.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(x.now), Disk: 9,
 			Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
 		if x.g.Table().Key != t.Key {
 			b.Fatal("not taken")
@@ -604,12 +604,12 @@
 // tick, a miss is the leader's to judge, and own ejections are as before.
 func TestIndirectProbe(t *testing.T) {
 	b := newBench("g1", 1, plain, to("a"), to("b"))
-	b.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Epoch: 1, Term: 1, Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1, Epoch: 1}, Leader: "c1", Term: 1}}})
+	b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Epoch: 1, Term: 1, Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1, Epoch: 1}, Leader: "c1", Term: 1}}})
 	id := wire.ID{Service: "s", Name: "a", Inc: 1}
 	ask := func() (n int) {
-		for _, c := range b.step(core.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
+		for _, c := range b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
 			Push: &wire.Push{Key: b.g.table.Key, Probe: []wire.ID{id, {Service: "s", Name: "c", Inc: 1}}}}}) {
-			if p, ok := c.(core.Probe); ok && p.ID == id {
+			if p, ok := c.(controlplane.Probe); ok && p.ID == id {
 				n++
 			}
 		}
@@ -623,15 +623,15 @@
 		if n := ask(); n != 0 {
 			t.Fatal("two probes at once")
 		}
-		b.step(core.Probed{ID: id})
+		b.step(controlplane.Probed{ID: id})
 	}
 	if b.g.Counts.OwnBars != 0 {
 		t.Fatal("barred by itself")
 	}
 	told := func() (n int) {
 		b.now += tuning.TickEvery
-		for _, c := range b.step(core.Tick{}) {
-			if s, ok := c.(core.Send); ok && s.M.Pull != nil {
+		for _, c := range b.step(controlplane.Tick{}) {
+			if s, ok := c.(controlplane.Send); ok && s.M.Pull != nil {
 				for _, e := range s.M.Pull.Seen {
 					if e.Alive && e.Name == "a" && e.Ok == 0 {
 						n++
@@ -645,7 +645,7 @@
 		t.Fatal("a miss was told")
 	}
 	ask()
-	b.step(core.Probed{ID: id, Beat: &config.Beat{Service: "s", Name: "a", Incarnation: 1, State: config.Ready}})
+	b.step(controlplane.Probed{ID: id, Beat: &config.Beat{Service: "s", Name: "a", Incarnation: 1, State: config.Ready}})
 	if told() != 1 || told() != 0 || b.g.targets[id].ownEjection == 0 {
 		t.Fatal("an answer is told once, with the next tick, and clears no own bar")
 	}
--- a/proxy/route_test.go
+++ b/proxy/route_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -24,7 +24,7 @@
 func (b *bench) pass(d time.Duration) []any {
 	b.now += d
 	b.g.leaseUntil = b.now + time.Second
-	return b.step(core.Tick{})
+	return b.step(controlplane.Tick{})
 }
 
 func (b *bench) call(id uint64, path string, left time.Duration) any {
@@ -330,7 +330,7 @@
 					x.Was = append(x.Was, fmt.Sprintf("g%d", i+1))
 				}
 			}
-			b.g.Step(b.now, core.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: x.Key, Table: x}}})
+			b.g.Step(b.now, controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: x.Key, Table: x}}})
 		}
 		ver := make([]uint64, n+1)
 		highest := uint64(1)
@@ -379,7 +379,7 @@
 				b.now = now
 				b.g.leaseUntil = now + time.Second
 				id++
-				for _, c := range append(b.step(core.Tick{}), b.step(Admit{ID: id, Host: "h", Path: "/a/", Timeout: time.Second})...) {
+				for _, c := range append(b.step(controlplane.Tick{}), b.step(Admit{ID: id, Host: "h", Path: "/a/", Timeout: time.Second})...) {
 					if x, ok := c.(Give); ok {
 						sent = append(sent, now)
 						b.step(Done{ID: x.ID, Outcome: Served, Ms: 5, Last: true})
@@ -641,13 +641,13 @@
 	b := newBench("g1", 1, routed, to("a", slots(2)))
 	b.g.settings.Grace = 6 * time.Second
 	b.call(1, "/a/", 0)
-	b.step(core.Stop{})
+	b.step(controlplane.Stop{})
 	if b.g.Ready() || !b.g.Serving() {
 		t.Fatal("must serve on, unready")
 	}
 	exits := func(cmds []any) bool {
 		for _, c := range cmds {
-			if _, ok := c.(core.Exit); ok {
+			if _, ok := c.(controlplane.Exit); ok {
 				return true
 			}
 		}
--- a/proxy/shutdown.go
+++ b/proxy/shutdown.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -30,7 +30,7 @@
 	g.stopping, g.stopAt = true, now
 	g.emit(Leave{})
 	why := fmt.Sprintf("asked to, with %d requests under way", len(g.requests))
-	g.emit(core.Change{What: "stop", From: "serving", To: "stopping", Why: why})
+	g.emit(controlplane.Change{What: "stop", From: "serving", To: "stopping", Why: why})
 }
 
 // tail is what a stopping proxy keeps of its time, for targets' last answers and for its own.
@@ -101,6 +101,6 @@
 func (g *Proxy) endStop(left time.Duration, why string) {
 	g.intakeClosed = true
 	g.emit(CloseIntake{Left: left})
-	g.emit(core.Change{What: "stop", From: "stopping", To: "stopped", Why: why})
-	g.emit(core.Exit{})
+	g.emit(controlplane.Change{What: "stop", From: "stopping", To: "stopped", Why: why})
+	g.emit(controlplane.Exit{})
 }
--- a/proxy/shutdown_test.go
+++ b/proxy/shutdown_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -28,7 +28,7 @@
 		}
 	}
 	for _, cmd := range r.pass(tuning.TickEvery) {
-		if _, ok := cmd.(core.Exit); ok && r.exitAt == 0 {
+		if _, ok := cmd.(controlplane.Exit); ok && r.exitAt == 0 {
 			r.exitAt = r.now
 		}
 	}
@@ -45,7 +45,7 @@
 		r := &stopRun{bench: newBench("g1", 1, routed, to("a", slots(20)), to("b", slots(20))), ends: map[uint64]time.Duration{}}
 		r.grace = time.Duration(1000+rnd.IntN(9000)) * time.Millisecond
 		r.g.settings.Grace = r.grace
-		r.step(core.Stop{})
+		r.step(controlplane.Stop{})
 		r.stopAt = r.now
 		longest := r.grace / time.Duration(3+rnd.IntN(9))
 		for id := uint64(1); r.exitAt == 0 && r.now-r.stopAt < r.grace; id++ {
--- a/proxy/starved_test.go
+++ b/proxy/starved_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 )
 
 // load is how often a class of requests comes, and on which route.
@@ -43,7 +43,7 @@
 			take(b.step(Done{ID: e.id, Outcome: Served, Ms: float64(work.Milliseconds()), Last: true}))
 		}
 		if b.now%(10*time.Millisecond) == 0 {
-			take(b.step(core.Tick{}))
+			take(b.step(controlplane.Tick{}))
 		}
 		for _, c := range classes {
 			for next[c.path] <= b.now {
--- a/proxy/table.go
+++ b/proxy/table.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -117,7 +117,7 @@
 			return false
 		}
 		if t.Revision != g.revision {
-			g.emit(core.Change{What: "revision", From: fmt.Sprint(g.revision), To: fmt.Sprint(t.Revision), Why: fmt.Sprintf("table %v", t.Key)})
+			g.emit(controlplane.Change{What: "revision", From: fmt.Sprint(g.revision), To: fmt.Sprint(t.Revision), Why: fmt.Sprintf("table %v", t.Key)})
 		}
 		g.cfg, g.revision = cfg, t.Revision
 		g.forget()
--- a/proxy/unsound.go
+++ b/proxy/unsound.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/wire"
@@ -43,5 +43,5 @@
 		return
 	}
 	g.unsound = document
-	g.emit(core.Change{What: "damage", From: fmt.Sprintf("table %v, revision %d", t.Key, t.Revision), Why: err.Error()})
+	g.emit(controlplane.Change{What: "damage", From: fmt.Sprintf("table %v, revision %d", t.Key, t.Revision), Why: err.Error()})
 }
--- a/proxy/unsound_test.go
+++ b/proxy/unsound_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"myrtlefold/core"
+	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -25,7 +25,7 @@
 			b.now += tuning.PullEvery
 			for range 3 {
 				for _, cmd := range b.table(1, doc, to("z")) {
-					if change, ok := cmd.(core.Change); ok && change.What == "damage" {
+					if change, ok := cmd.(controlplane.Change); ok && change.What == "damage" {
 						reports++
 					}
 				}
