--- a/cmd/mflab/hollow_part.go
+++ b/cmd/mflab/hollow_part.go
@@ -23,10 +23,10 @@
 	"github.com/sirupsen/logrus"
 
 	"myrtlefold/host"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 type hollowReport struct {
@@ -50,14 +50,14 @@
 
 // standing is what a gate shows of itself; asking its owner would wait behind its work.
 type standing struct {
-	state    proxy.State
+	state    dataplane.State
 	revision uint64
 	table    *wire.Table
 }
 
 type hollowGate struct {
 	h   *host.Host
-	own *proxy.Proxy
+	own *dataplane.Proxy
 	now atomic.Pointer[standing]
 }
 
@@ -73,11 +73,11 @@
 func (r *hollowReport) look(s *standing, want uint64, service, name string) {
 	r.Gates++
 	switch s.state {
-	case proxy.Granted:
+	case dataplane.Granted:
 		r.Granted++
-	case proxy.PeerServing:
+	case dataplane.PeerServing:
 		r.Orphan++
-	case proxy.Isolated:
+	case dataplane.Isolated:
 		r.Cut++
 	}
 	if s.revision >= want && want > 0 {
@@ -124,7 +124,7 @@
 	for i := f.first; i < f.first+f.count; i++ {
 		s := gateSettings(f.net, i, strings.Split(f.seeds, ","))
 		h := host.New("gate", s, log)
-		g := &hollowGate{h: h, own: proxy.New(proxy.Settings{Self: h.Daemon(), Seeds: s.Seeds})}
+		g := &hollowGate{h: h, own: dataplane.New(dataplane.Settings{Self: h.Daemon(), Seeds: s.Seeds})}
 		g.now.Store(&standing{})
 		gs = append(gs, g)
 	}
@@ -133,7 +133,7 @@
 			g.h.Fatal(err, "hollow gate")
 		}
 		go g.h.Loop.Run(g.step, func(cmd any) {
-			if _, pipes := cmd.(proxy.Targets); !pipes {
+			if _, pipes := cmd.(dataplane.Targets); !pipes {
 				g.h.Do(cmd)
 			}
 		})
--- a/cmd/mflab/hollow_test.go
+++ b/cmd/mflab/hollow_test.go
@@ -8,9 +8,9 @@
 	"testing"
 
 	"myrtlefold/host"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // No two of a fleet's parts share an address, all are on loopback, and two fleets on
@@ -126,14 +126,14 @@
 	tab := &wire.Table{Targets: []wire.Target{{Service: "s", Name: "a"}, {Service: "s", Name: "b", Held: true}, {Service: "s", Name: "c", BarLeft: 1}, {Service: "s", Name: "d", Pending: true}, {Service: "r", Name: "c"}}}
 	for name, out := range map[string]int{"a": 0, "b": 1, "c": 1, "d": 1, "e": 1} {
 		var r hollowReport
-		r.look(&standing{proxy.Granted, 3, tab}, 3, "s", name)
+		r.look(&standing{dataplane.Granted, 3, tab}, 3, "s", name)
 		if r.Out != out || r.Usable != 2 || r.Granted != 1 || r.At != 1 {
 			t.Fatalf("%s: %+v", name, r)
 		}
 	}
 	var r, sum hollowReport
-	r.look(&standing{proxy.Isolated, 2, nil}, 3, "s", "a")
-	r.look(&standing{proxy.PeerServing, 4, tab}, 3, "s", "a")
+	r.look(&standing{dataplane.Isolated, 2, nil}, 3, "s", "a")
+	r.look(&standing{dataplane.PeerServing, 4, tab}, 3, "s", "a")
 	if r.Gates != 2 || r.Usable != 0 || r.At != 1 || r.Out != 1 || r.Cut != 1 || r.Orphan != 1 {
 		t.Fatalf("%+v", r)
 	}
--- a/forward/ahead_test.go
+++ b/forward/ahead_test.go
@@ -14,10 +14,10 @@
 
 	"pgregory.net/rapid"
 
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // A pipelined request reaches its target while the one ahead of it runs; the answers
@@ -114,7 +114,7 @@
 // ahead is the request that the server will read at that place.
 func TestAheadIsWhatComes(t *testing.T) {
 	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, _ any) any {
-		return proxy.Refuse{ID: id, Status: 503}
+		return dataplane.Refuse{ID: id, Status: 503}
 	}}, nil)
 	begun := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/forward/callers_test.go
+++ b/forward/callers_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // A pipelined request of a route whose requests may run once only is not begun ahead:
@@ -73,7 +73,7 @@
 	fmt.Fprint(c, "GET /1 HTTP/1.1\r\nHost: h\r\nA: 1\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nA: 2\r\n\r\n")
 	until(t, "both are looked at", func() bool { return f.car.Counts.Deferred.Load() == 2 })
 	for range 2 {
-		if d := (<-f.told).(proxy.Done); d.Outcome != proxy.Dropped || !d.Last {
+		if d := (<-f.told).(dataplane.Done); d.Outcome != dataplane.Dropped || !d.Last {
 			t.Fatal("the target was kept:", d)
 		}
 	}
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -24,10 +24,10 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // Headers of the project's own.
@@ -58,7 +58,7 @@
 }
 
 // ReadLoad reads a Load header, nil if it says nothing sound.
-func ReadLoad(v string) *proxy.Load {
+func ReadLoad(v string) *dataplane.Load {
 	a, rest, _ := strings.Cut(v, ",")
 	b, c, _ := strings.Cut(rest, ",")
 	var n [3]int
@@ -68,7 +68,7 @@
 			return nil
 		}
 	}
-	return &proxy.Load{Running: n[0], Waiting: n[1], Slots: n[2]}
+	return &dataplane.Load{Running: n[0], Waiting: n[1], Slots: n[2]}
 }
 
 // Owner passes events to the proxy's owner. Ask waits for the Give or Refuse
@@ -212,8 +212,8 @@
 	}
 	id := c.nextID.Add(1)
 	ahead, isAhead := w.(*early)
-	ans := c.owner.Ask(r.Context(), id, proxy.Admit{ID: id, Host: r.Host, Path: r.URL.Path, Method: r.Method, Timeout: timeout, Ahead: isAhead})
-	if no, ok := ans.(proxy.Refuse); ok && isAhead && no.Code == proxy.CodeNotAhead {
+	ans := c.owner.Ask(r.Context(), id, dataplane.Admit{ID: id, Host: r.Host, Path: r.URL.Path, Method: r.Method, Timeout: timeout, Ahead: isAhead})
+	if no, ok := ans.(dataplane.Refuse); ok && isAhead && no.Code == dataplane.CodeNotAhead {
 		ahead.deferred = true
 		return
 	}
@@ -224,7 +224,7 @@
 		if ans == nil {
 			gone() // while it waited; the owner has been told
 		}
-		if no, ok := ans.(proxy.Refuse); ok {
+		if no, ok := ans.(dataplane.Refuse); ok {
 			if spare != nil {
 				status = spare.resp.StatusCode
 				c.Counts.Served.Add(1)
@@ -247,11 +247,11 @@
 			fail(st, retry, config.Trouble{Code: code, Message: msg, Ran: ran})
 			return
 		}
-		g := ans.(proxy.Give)
+		g := ans.(dataplane.Give)
 		svc = g.Service
 		most := c.bodyMost(&g.Set)
 		if body.room = most - int64(len(body.kept)); r.ContentLength > most || body.room < 0 {
-			c.owner.Tell(proxy.Done{ID: id, Outcome: proxy.Dropped, Last: true})
+			c.owner.Tell(dataplane.Done{ID: id, Outcome: dataplane.Dropped, Last: true})
 			fail(413, 0, config.Trouble{Code: "body", Message: "the body is over the service's limit"})
 			return
 		}
@@ -260,7 +260,7 @@
 			repeats = r.Method == "GET" || r.Method == "HEAD" || r.Method == "OPTIONS"
 		}
 		if isAhead && !repeats { // the owner does not give these; nothing of it goes out in any case
-			c.owner.Tell(proxy.Done{ID: id, Outcome: proxy.Dropped, Last: true})
+			c.owner.Tell(dataplane.Done{ID: id, Outcome: dataplane.Dropped, Last: true})
 			ahead.deferred = true
 			return
 		}
@@ -275,8 +275,8 @@
 			}
 			return
 		case body.left(r):
-			if t.outcome != proxy.Dropped {
-				c.owner.Tell(proxy.Cancel{ID: id})
+			if t.outcome != dataplane.Dropped {
+				c.owner.Tell(dataplane.Cancel{ID: id})
 			}
 			gone()
 		case body.over:
@@ -298,7 +298,7 @@
 			spare = t.spare
 		}
 		if t.late || t.ran && !repeats || body.begun {
-			c.owner.Tell(proxy.Cancel{ID: id, Failed: true})
+			c.owner.Tell(dataplane.Cancel{ID: id, Failed: true})
 			if spare != nil {
 				status = spare.resp.StatusCode
 				c.Counts.Served.Add(1)
@@ -312,7 +312,7 @@
 			fail(st, tuning.RetryAfterMin+time.Duration(id*2654435761>>8)%tuning.RetryAfterSpan, config.Trouble{Code: last, Message: t.msg, Ran: ran})
 			return
 		}
-		ans = c.owner.Ask(r.Context(), id, proxy.Again{ID: id, Sent: t.sent})
+		ans = c.owner.Ask(r.Context(), id, dataplane.Again{ID: id, Sent: t.sent})
 	}
 }
 
@@ -340,12 +340,12 @@
 	spare   *answer
 	code    string
 	msg     string
-	load    *proxy.Load
-	outcome proxy.Outcome
+	load    *dataplane.Load
+	outcome dataplane.Outcome
 }
 
 // conn is an idle connection to the target or a new one; its deadline is set.
-func (c *Forwarder) conn(ctx context.Context, g *proxy.Give, idle time.Duration, till time.Time) (*Conn, error) {
+func (c *Forwarder) conn(ctx context.Context, g *dataplane.Give, idle time.Duration, till time.Time) (*Conn, error) {
 	if idle > 0 {
 		if p := c.pool.take(g.Target.ID(), idle, till); p != nil {
 			c.Counts.Reused.Add(1)
@@ -388,10 +388,10 @@
 }
 
 // give keeps a connection for later, as far as the owner lets this proxy keep any.
-func (c *Forwarder) give(g *proxy.Give, p *Conn) { c.pool.give(g.Target.ID(), p, g.Idle) }
+func (c *Forwarder) give(g *dataplane.Give, p *Conn) { c.pool.give(g.Target.ID(), p, g.Idle) }
 
 // compose writes the request's head, and its body as far as it is kept.
-func (c *Forwarder) compose(out []byte, r *http.Request, g *proxy.Give, u *upload, left time.Duration) []byte {
+func (c *Forwarder) compose(out []byte, r *http.Request, g *dataplane.Give, u *upload, left time.Duration) []byte {
 	uri := r.RequestURI
 	if !strings.HasPrefix(uri, "/") {
 		uri = r.URL.RequestURI()
@@ -461,16 +461,16 @@
 // planned work is no reason to end an answer sooner.
 func (c *Forwarder) dark(id wire.ID) bool { return !c.Leaving.Load() && c.pool.dark(id) }
 
-func (c *Forwarder) try(w http.ResponseWriter, r *http.Request, g *proxy.Give, u *upload, repeats bool) (t tried) {
+func (c *Forwarder) try(w http.ResponseWriter, r *http.Request, g *dataplane.Give, u *upload, repeats bool) (t tried) {
 	start := time.Now()
 	told := false
 	tell := func(t *tried, last bool) {
 		if !told {
 			told = true
-			c.owner.Tell(proxy.Done{ID: g.ID, Outcome: t.outcome, Ms: float64(time.Since(start)) / 1e6, Last: last, Load: t.load})
+			c.owner.Tell(dataplane.Done{ID: g.ID, Outcome: t.outcome, Ms: float64(time.Since(start)) / 1e6, Last: last, Load: t.load})
 		}
 	}
-	defer func() { tell(&t, t.status != 0 || t.outcome == proxy.Dropped) }()
+	defer func() { tell(&t, t.status != 0 || t.outcome == dataplane.Dropped) }()
 	till := start.Add(g.Left)
 	workTill := till
 	if g.Work > 0 {
@@ -488,20 +488,20 @@
 		if err != nil {
 			switch {
 			case r.Context().Err() != nil:
-				return tried{outcome: proxy.Dropped}
+				return tried{outcome: dataplane.Dropped}
 			case errors.Is(err, errForeign):
 				c.Counts.Foreign.Add(1)
-				return tried{outcome: proxy.Foreign, code: "foreign", msg: "the target's address answers for another"}
+				return tried{outcome: dataplane.Foreign, code: "foreign", msg: "the target's address answers for another"}
 			}
 			if !time.Now().Before(till) {
-				return tried{outcome: proxy.Stale, code: "late", msg: "the deadline came before a connection to the target", late: true}
+				return tried{outcome: dataplane.Stale, code: "late", msg: "the deadline came before a connection to the target", late: true}
 			}
-			return tried{outcome: proxy.Closed, code: "closed", msg: "no connection to the target"}
+			return tried{outcome: dataplane.Closed, code: "closed", msg: "no connection to the target"}
 		}
 		p.out = c.compose(p.out, r, g, u, time.Until(workTill))
 		if c.owner.Now() > g.Till {
 			c.give(g, p)
-			return tried{outcome: proxy.Stale, code: "stale", msg: "the choice of a target grew too old before anything was sent"}
+			return tried{outcome: dataplane.Stale, code: "stale", msg: "the choice of a target grew too old before anything was sent"}
 		}
 		stop := context.AfterFunc(r.Context(), func() { p.c.SetDeadline(past()) })
 		n, err := p.c.Write(p.out)
@@ -519,9 +519,9 @@
 			stop()
 			p.Close()
 			if r.Context().Err() != nil {
-				return tried{outcome: proxy.Dropped}
+				return tried{outcome: dataplane.Dropped}
 			}
-			return tried{outcome: proxy.Closed, code: "closed", msg: "the connection to the target was closed", late: !time.Now().Before(till)}
+			return tried{outcome: dataplane.Closed, code: "closed", msg: "the connection to the target was closed", late: !time.Now().Before(till)}
 		}
 		var sent chan error
 		if u.rest != nil {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // backend is a back end whose requests do what the test says.
@@ -92,16 +92,16 @@
 		f.asks = append(f.asks, ev)
 		n := 0
 		for _, a := range f.asks {
-			if _, ok := a.(proxy.Admit); ok {
+			if _, ok := a.(dataplane.Admit); ok {
 				n = 0
 			} else {
 				n++
 			}
 		}
 		if n >= len(targets) {
-			return proxy.Refuse{ID: id, Status: 503, Retry: 2 * time.Second, Code: "busy", Message: "none left"}
+			return dataplane.Refuse{ID: id, Status: 503, Retry: 2 * time.Second, Code: "busy", Message: "none left"}
 		}
-		return proxy.Give{ID: id, Service: "s", Target: targets[n], Left: f.left, Work: f.work, Till: tuning.ChoiceLife, Set: f.set, Route: f.route, More: f.more, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
+		return dataplane.Give{ID: id, Service: "s", Target: targets[n], Left: f.left, Work: f.work, Till: tuning.ChoiceLife, Set: f.set, Route: f.route, More: f.more, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
 	}}, f.pool)
 	f.car = c
 	srv := httptest.NewUnstartedServer(c)
@@ -215,10 +215,10 @@
 	f.now.Store(int64(tuning.ChoiceLife + 1)) // the pool holds a connection by now
 	for range 2 {
 		status, h, _ := f.do(t, "POST", "/x", "body")
-		if d := (<-f.told).(proxy.Done); status != 503 || h.Get(RanHeader) != "no" || d.Outcome != proxy.Stale {
+		if d := (<-f.told).(dataplane.Done); status != 503 || h.Get(RanHeader) != "no" || d.Outcome != dataplane.Stale {
 			t.Fatalf("%d, ran %q, outcome %v", status, h.Get(RanHeader), d.Outcome)
 		}
-		if e := f.asks[len(f.asks)-1].(proxy.Again); e.Sent {
+		if e := f.asks[len(f.asks)-1].(dataplane.Again); e.Sent {
 			t.Fatal("counted as sent")
 		}
 	}
@@ -234,7 +234,7 @@
 	for range 3 {
 		f.do(t, "GET", "/x", "")
 	}
-	if d := <-f.told; d.(proxy.Done).Outcome != proxy.Served {
+	if d := <-f.told; d.(dataplane.Done).Outcome != dataplane.Served {
 		t.Fatal(d)
 	}
 	take := func(p *Pool) *Conn { return p.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
@@ -419,35 +419,35 @@
 		ran     string
 		body    string // "": any
 		second  int64  // runs at the second target
-		outcome proxy.Outcome
+		outcome dataplane.Outcome
 	}
 	other := end{200, "", "fine", 1, 0}
-	is := func(e end, o proxy.Outcome) end { e.outcome = o; return e }
+	is := func(e end, o dataplane.Outcome) end { e.outcome = o; return e }
 	for _, c := range []struct {
 		name         string
 		say          func(int, int, *http.Request) (string, bool)
 		once, repeat end
 	}{
-		{"fine", says(200, "mine"), end{200, "", "mine", 0, proxy.Served}, end{200, "", "mine", 0, proxy.Served}},
-		{"turned away", says(503, "", "N", "1"), is(other, proxy.NotRun), is(other, proxy.NotRun)},
-		{"turned away as too many", says(429, "x", "N", "1", "Retry-After", "0.2"), is(other, proxy.NotRun), is(other, proxy.NotRun)},
-		{"another's address", says(421, ""), is(other, proxy.Foreign), is(other, proxy.Foreign)},
-		{"503 that says nothing", says(503, "x"), end{502, "unknown", "", 0, proxy.Broken}, is(other, proxy.Broken)},
-		{"429 that says nothing", says(429, "x"), end{502, "unknown", "", 0, proxy.Broken}, end{429, "", "x", 0, proxy.Served}},
-		{"500", says(500, "own"), end{500, "", "own", 0, proxy.Broken}, is(other, proxy.Broken)},
-		{"504", says(504, "own"), end{504, "", "own", 0, proxy.Broken}, end{504, "", "own", 0, proxy.Broken}},
-		{"404", says(404, "own"), end{404, "", "own", 0, proxy.Served}, end{404, "", "own", 0, proxy.Served}},
-		{"silence", bytesOnly(""), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"garbage", bytesOnly("\x00\xff no\r\n\r\n"), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"cut", head("HTTP/1.1 200 OK\r\nContent-Length: 9\r\nA: ID\r\nP: yes\r\n\r\nhalf"), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"chunks cut", head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nA: ID\r\nP: yes\r\n\r\n4\r\nhalf\r\n"), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"head cut", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n"), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"another exchange's", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: other\r\nP: yes\r\n\r\nnope"), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"another exchange was turned away", head("HTTP/1.1 503 X\r\nContent-Length: 0\r\nA: other\r\nN: 1\r\n\r\n"), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"no proof", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n\r\nnope"), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"success that did not run", says(200, "x", "N", "1"), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"another protocol", head("HTTP/1.1 101 X\r\nA: ID\r\nP: yes\r\n\r\n"), end{502, "unknown", "", 0, proxy.Lost}, is(other, proxy.Lost)},
-		{"interim first", head("HTTP/1.1 103 X\r\nZ: 1\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\nP: yes\r\n\r\nfine"), end{200, "", "fine", 0, proxy.Served}, end{200, "", "fine", 0, proxy.Served}},
+		{"fine", says(200, "mine"), end{200, "", "mine", 0, dataplane.Served}, end{200, "", "mine", 0, dataplane.Served}},
+		{"turned away", says(503, "", "N", "1"), is(other, dataplane.NotRun), is(other, dataplane.NotRun)},
+		{"turned away as too many", says(429, "x", "N", "1", "Retry-After", "0.2"), is(other, dataplane.NotRun), is(other, dataplane.NotRun)},
+		{"another's address", says(421, ""), is(other, dataplane.Foreign), is(other, dataplane.Foreign)},
+		{"503 that says nothing", says(503, "x"), end{502, "unknown", "", 0, dataplane.Broken}, is(other, dataplane.Broken)},
+		{"429 that says nothing", says(429, "x"), end{502, "unknown", "", 0, dataplane.Broken}, end{429, "", "x", 0, dataplane.Served}},
+		{"500", says(500, "own"), end{500, "", "own", 0, dataplane.Broken}, is(other, dataplane.Broken)},
+		{"504", says(504, "own"), end{504, "", "own", 0, dataplane.Broken}, end{504, "", "own", 0, dataplane.Broken}},
+		{"404", says(404, "own"), end{404, "", "own", 0, dataplane.Served}, end{404, "", "own", 0, dataplane.Served}},
+		{"silence", bytesOnly(""), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"garbage", bytesOnly("\x00\xff no\r\n\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"cut", head("HTTP/1.1 200 OK\r\nContent-Length: 9\r\nA: ID\r\nP: yes\r\n\r\nhalf"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"chunks cut", head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nA: ID\r\nP: yes\r\n\r\n4\r\nhalf\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"head cut", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"another exchange's", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: other\r\nP: yes\r\n\r\nnope"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"another exchange was turned away", head("HTTP/1.1 503 X\r\nContent-Length: 0\r\nA: other\r\nN: 1\r\n\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"no proof", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n\r\nnope"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"success that did not run", says(200, "x", "N", "1"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"another protocol", head("HTTP/1.1 101 X\r\nA: ID\r\nP: yes\r\n\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
+		{"interim first", head("HTTP/1.1 103 X\r\nZ: 1\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\nP: yes\r\n\r\nfine"), end{200, "", "fine", 0, dataplane.Served}, end{200, "", "fine", 0, dataplane.Served}},
 	} {
 		for kind, want := range map[string]end{config.Once: c.once, config.Repeatable: c.repeat} {
 			t.Run(kind+"/"+c.name, func(t *testing.T) {
@@ -455,7 +455,7 @@
 				f := carrier(t, a.Target, b.Target).asked(kind)
 				method := map[string]string{config.Once: "GET", config.Repeatable: "POST"}[kind] // the route says, not the method
 				status, h, body := f.do(t, method, "/x", "body", "A", "1f")
-				d := (<-f.told).(proxy.Done)
+				d := (<-f.told).(dataplane.Done)
 				if status != want.status || h.Get("R") != want.ran || want.body != "" && body != want.body || b.runs.Load() != want.second || d.Outcome != want.outcome || a.runs.Load() != 1 {
 					t.Fatalf("%d ran %q %q, outcome %v, runs %d and %d", status, h.Get("R"), body, d.Outcome, a.runs.Load(), b.runs.Load())
 				}
@@ -472,7 +472,7 @@
 	}
 }
 
-func (f *front) last() proxy.Again { return f.asks[len(f.asks)-1].(proxy.Again) }
+func (f *front) last() dataplane.Again { return f.asks[len(f.asks)-1].(dataplane.Again) }
 
 // A target's own failure is passed on unchanged if no other target does better.
 func TestFailurePassedOn(t *testing.T) {
@@ -533,10 +533,10 @@
 	if got, want := fmt.Sprint(r.Header), fmt.Sprint(http.Header{"A": {"77"}, "E": {"a"}, "Kept": {"v"}, "Content-Length": {"5"}}); got != want {
 		t.Fatal(got)
 	}
-	if d := (<-f.told).(proxy.Done); d.Load == nil || *d.Load != (proxy.Load{Running: 3, Waiting: 1, Slots: 4}) {
+	if d := (<-f.told).(dataplane.Done); d.Load == nil || *d.Load != (dataplane.Load{Running: 3, Waiting: 1, Slots: 4}) {
 		t.Fatal(d.Load)
 	}
-	if ad := f.asks[0].(proxy.Admit); ad.Timeout <= 0 || ad.Timeout > 900*time.Millisecond {
+	if ad := f.asks[0].(dataplane.Admit); ad.Timeout <= 0 || ad.Timeout > 900*time.Millisecond {
 		t.Fatal(ad.Timeout)
 	}
 	if a.conns.Load() != 1 || a.runs.Load() != 1 {
@@ -685,7 +685,7 @@
 	if b, _ := io.ReadAll(c); len(b) > 0 {
 		t.Fatalf("%q", b)
 	}
-	if d := (<-f.told).(proxy.Done); d.Outcome != proxy.Dropped || !d.Last {
+	if d := (<-f.told).(dataplane.Done); d.Outcome != dataplane.Dropped || !d.Last {
 		t.Fatal(d)
 	}
 }
@@ -726,7 +726,7 @@
 		if len(b) > 0 && !bytes.HasPrefix(b, []byte("HTTP/1.1 400")) {
 			t.Fatalf("%q", b)
 		}
-		if d := (<-f.told).(proxy.Done); d.Outcome != proxy.Dropped {
+		if d := (<-f.told).(dataplane.Done); d.Outcome != dataplane.Dropped {
 			t.Fatal(d)
 		}
 	}
@@ -776,7 +776,7 @@
 	if err != nil || resp.StatusCode != 502 || resp.Header.Get("R") != "unknown" {
 		t.Fatal(err, resp)
 	}
-	if d := (<-f.told).(proxy.Done); d.Outcome != proxy.Lost {
+	if d := (<-f.told).(dataplane.Done); d.Outcome != dataplane.Lost {
 		t.Fatal(d)
 	}
 }
@@ -813,7 +813,7 @@
 			t.Fatal(err)
 		}
 		opened = append(opened, p)
-		f.car.give(&proxy.Give{Target: a.Target, Idle: 2}, p)
+		f.car.give(&dataplane.Give{Target: a.Target, Idle: 2}, p)
 	}
 	take := func() *Conn { return f.pool.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
 	for _, want := range []*Conn{opened[4], opened[3], nil} {
@@ -830,7 +830,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.car.give(&proxy.Give{Target: a.Target}, p); take() != nil {
+	if f.car.give(&dataplane.Give{Target: a.Target}, p); take() != nil {
 		t.Fatal("one is kept where none may be")
 	}
 }
@@ -874,7 +874,7 @@
 	defer pool.Close()
 	pool.Live(map[wire.ID]string{a.ID(): a.Addr})
 	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, _ any) any {
-		return proxy.Give{ID: id, Service: "s", Target: a.Target, Left: time.Minute, Till: time.Hour, Set: config.Service{BodyMax: 1 << 20, HealthPath: "/h"}, Route: config.Route{Kind: config.Repeatable}, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
+		return dataplane.Give{ID: id, Service: "s", Target: a.Target, Left: time.Minute, Till: time.Hour, Set: config.Service{BodyMax: 1 << 20, HealthPath: "/h"}, Route: config.Route{Kind: config.Repeatable}, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
 	}}, pool)
 	car.Headers.Attempt = "A"
 	srv := httptest.NewServer(car)
@@ -1097,7 +1097,7 @@
 	defer pool.Close()
 	pool.Live(map[wire.ID]string{tg.ID(): tg.Addr})
 	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, _ any) any {
-		return proxy.Give{ID: id, Service: "s", Target: tg, Left: 5 * time.Second, Till: time.Hour, Set: config.Service{BodyMax: 1 << 20}, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
+		return dataplane.Give{ID: id, Service: "s", Target: tg, Left: 5 * time.Second, Till: time.Hour, Set: config.Service{BodyMax: 1 << 20}, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
 	}}, pool)
 	srv := httptest.NewServer(car)
 	defer srv.Close()
--- a/forward/ledger_test.go
+++ b/forward/ledger_test.go
@@ -18,10 +18,10 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // misbehaviour is what a stand-in target does with a request besides answering it.
@@ -239,7 +239,7 @@
 	f.car = New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, ev any) any {
 		rnd := <-turn
 		defer func() { turn <- rnd }()
-		if a, ok := ev.(proxy.Admit); ok {
+		if a, ok := ev.(dataplane.Admit); ok {
 			states[id] = &state{kind: config.Repeatable}
 			if strings.HasPrefix(a.Path, "/once/") {
 				states[id].kind = config.Once
@@ -247,7 +247,7 @@
 		}
 		s := states[id]
 		if len(s.tried) == 3 {
-			return proxy.Refuse{ID: id, Status: 503, Retry: time.Second, Code: "tries", Message: "no try is left"}
+			return dataplane.Refuse{ID: id, Status: 503, Retry: time.Second, Code: "tries", Message: "no try is left"}
 		}
 		n := rnd.IntN(len(l.targets))
 		for slices.Contains(s.tried, n) {
@@ -258,7 +258,7 @@
 		if asked {
 			set.HealthPath = "/h"
 		}
-		return proxy.Give{ID: id, Service: "s", Target: l.targets[n], Left: time.Minute, Till: time.Hour, Set: set, Route: config.Route{Kind: s.kind}, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
+		return dataplane.Give{ID: id, Service: "s", Target: l.targets[n], Left: time.Minute, Till: time.Hour, Set: set, Route: config.Route{Kind: s.kind}, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
 	}}, f.pool)
 	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", Expect: "E", NotRun: "N", Load: "L", Identity: "I", Cold: "C", Proof: "P"}
 	f.srv = httptest.NewUnstartedServer(f.car)
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/proxy"
 )
 
 // Callers' sizes are bounded by the configuration, as it stands at each request.
@@ -99,7 +99,7 @@
 		{&config.Limits{IdleMs: 20 * min}, [4]time.Duration{tuning.CallerHeader, 30 * time.Minute, 20*time.Minute + tuning.IdleSlack, tuning.CallerHeader}},
 	} {
 		car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, _ any) any {
-			return proxy.Refuse{ID: id, Status: 503, Code: "busy"}
+			return dataplane.Refuse{ID: id, Status: 503, Code: "busy"}
 		}}, NewPool())
 		car.Limits.Store(c.l)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/host/ctl_views.go
+++ b/host/ctl_views.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/proxy"
 )
 
 // status asks the members that are named and then those that the roster tells of.
@@ -86,7 +86,7 @@
 	}
 	var r struct{ Daemons []controlplane.DaemonView }
 	json.Unmarshal(out, &r)
-	sums := map[string]*proxy.AimView{}
+	sums := map[string]*dataplane.AimView{}
 	for _, d := range r.Daemons {
 		if d.Kind != "gate" {
 			continue
@@ -96,7 +96,7 @@
 			fmt.Fprintf(os.Stderr, "mfctl: %s left out: %v\n", d.Name, err)
 			continue
 		}
-		var v proxy.View
+		var v dataplane.View
 		err = json.NewDecoder(resp.Body).Decode(&v)
 		resp.Body.Close()
 		if err != nil {
--- a/host/gate.go
+++ b/host/gate.go
@@ -14,8 +14,8 @@
 	"github.com/sirupsen/logrus"
 
 	"myrtlefold/forward"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/proxy"
 )
 
 // firstCallID sets the ids of calls to the daemon's HTTP API apart from those of callers' requests.
@@ -24,7 +24,7 @@
 // gateDaemon is a proxy daemon's parts.
 type gateDaemon struct {
 	*Host
-	owner     *proxy.Proxy
+	owner     *dataplane.Proxy
 	pool      *forward.Pool
 	forwarder *forward.Forwarder
 	endBy     atomic.Int64 // when the last answers of a stop have to be written, by Now
@@ -71,15 +71,15 @@
 func newGateDaemon(h *Host) *gateDaemon {
 	s := h.Settings
 	d := &gateDaemon{Host: h, pool: forward.NewPool()}
-	d.owner = proxy.New(proxy.Settings{
+	d.owner = dataplane.New(dataplane.Settings{
 		Self:             h.Daemon(),
 		Seeds:            s.Seeds,
 		Grace:            milliseconds(s.GraceMs),
 		ReadyWhenEmptied: s.ReadyWhenEmptied,
-		Retry:            proxy.Retry{Ratio: s.RetryRatio, Window: milliseconds(s.RetryWindowMs), Slack: float64(s.RetrySlack)},
+		Retry:            dataplane.Retry{Ratio: s.RetryRatio, Window: milliseconds(s.RetryWindowMs), Slack: float64(s.RetrySlack)},
 	})
 	ask := func(ctx context.Context, id uint64, event any) any {
-		return h.Loop.Ask(ctx, id, event, proxy.Cancel{ID: id})
+		return h.Loop.Ask(ctx, id, event, dataplane.Cancel{ID: id})
 	}
 	d.forwarder = forward.New(forward.Owner{Now: h.Now, Tell: h.Loop.Tell, Ask: ask}, d.pool)
 	d.forwarder.From = h.From()
@@ -93,18 +93,18 @@
 // execute carries out a command of the state machine; on the owner's goroutine.
 func (d *gateDaemon) execute(cmd any) {
 	switch c := cmd.(type) {
-	case proxy.Give:
+	case dataplane.Give:
 		d.Loop.Answer(c.ID, c)
-	case proxy.Refuse:
+	case dataplane.Refuse:
 		d.Loop.Answer(c.ID, c)
-	case proxy.Dark:
+	case dataplane.Dark:
 		d.pool.Dark(c.IDs)
-	case proxy.Targets:
+	case dataplane.Targets:
 		d.pool.Live(c.Live)
 		d.forwarder.Limits.Store(c.Limits)
-	case proxy.Leave:
+	case dataplane.Leave:
 		d.forwarder.Leaving.Store(true)
-	case proxy.CloseIntake:
+	case dataplane.CloseIntake:
 		d.endBy.Store(int64(d.Now() + c.Left + tuning.StopLast))
 		d.forwarder.Intake.Close()
 	default:
@@ -124,7 +124,7 @@
 		seconds.WithLabelValues(service, strconv.Itoa(status)).Observe(sec)
 	}
 	d.Counters("gate", func() any {
-		var n proxy.Counts
+		var n dataplane.Counts
 		d.Loop.Look(func(time.Duration) { n = d.owner.Counts })
 		return n
 	})
@@ -132,7 +132,7 @@
 }
 
 // view is the proxy's state as operators may read it.
-func (d *gateDaemon) view() (v proxy.View) {
+func (d *gateDaemon) view() (v dataplane.View) {
 	d.Loop.Look(func(now time.Duration) { v = d.owner.View(now) })
 	return v
 }
--- a/host/recorded_test.go
+++ b/host/recorded_test.go
@@ -13,7 +13,7 @@
 
 	"myrtlefold/forward"
 	"myrtlefold/internal/controlplane"
-	"myrtlefold/proxy"
+	"myrtlefold/internal/dataplane"
 )
 
 var update = flag.Bool("update", false, "record names anew, which only an intended change may need")
@@ -40,7 +40,7 @@
 func TestMetricNames(t *testing.T) {
 	h := &Host{Metrics: prometheus.NewRegistry()}
 	h.Counters("core", func() any { return &controlplane.Counts{} })
-	h.Counters("gate", func() any { return &proxy.Counts{} })
+	h.Counters("gate", func() any { return &dataplane.Counts{} })
 	h.Counters("carry", func() any { return &forward.Counts{} })
 	families, err := h.Metrics.Gather()
 	if err != nil {
--- a/proxy/budget.go
+++ b/internal/dataplane/budget.go
@@ -4,7 +4,7 @@
 // window's start and what it earns within stay, summed over the fleet, under ratio
 // and slack, whichever proxies start anew: a new life begins with nothing.
 
-package proxy
+package dataplane
 
 import (
 	"time"
--- a/proxy/choice.go
+++ b/internal/dataplane/choice.go
@@ -1,7 +1,7 @@
 // This file is the choice of a target. Beyond the slots that are dealt to it a proxy borrows where little
 // load is known, within a window that shrinks when a target says that it is full.
 
-package proxy
+package dataplane
 
 import (
 	"slices"
--- a/proxy/cold.go
+++ b/internal/dataplane/cold.go
@@ -1,6 +1,6 @@
 // This file keeps cold targets to their rate, which is dealt over the whole roster.
 
-package proxy
+package dataplane
 
 import (
 	"time"
--- a/proxy/connections.go
+++ b/internal/dataplane/connections.go
@@ -1,7 +1,7 @@
 // This file deals the connections that a target takes among the proxies, and says how long one may
 // take to open.
 
-package proxy
+package dataplane
 
 import (
 	"time"
--- a/proxy/deal.go
+++ b/internal/dataplane/deal.go
@@ -3,7 +3,7 @@
 // talk at all nobody queues while every proxy keeps to its own. Where they do not, a configured cap is
 // shared out. Draws are made so that few parts move when a proxy or a target comes or goes.
 
-package proxy
+package dataplane
 
 import (
 	"cmp"
--- a/proxy/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -1,7 +1,7 @@
 // This file is a request's way through the proxy: which route it takes, whether it
 // gets a target, waits for one or is refused, what follows a try, and its end.
 
-package proxy
+package dataplane
 
 import (
 	"slices"
--- a/proxy/fairness.go
+++ b/internal/dataplane/fairness.go
@@ -2,7 +2,7 @@
 // first, but a priority that has been given targets far less often than the service's
 // requests together takes part as the most urgent does until it has caught up.
 
-package proxy
+package dataplane
 
 import (
 	"time"
--- a/proxy/lease.go
+++ b/internal/dataplane/lease.go
@@ -1,7 +1,7 @@
 // This file asks the leader for the table and a lease, and without one the other
 // proxies.
 
-package proxy
+package dataplane
 
 import (
 	"cmp"
--- a/proxy/load.go
+++ b/internal/dataplane/load.go
@@ -1,6 +1,6 @@
 // This file is what a proxy knows of its targets' load and speed, from their answers.
 
-package proxy
+package dataplane
 
 import (
 	"time"
--- a/proxy/probe.go
+++ b/internal/dataplane/probe.go
@@ -1,7 +1,7 @@
 // This file is what a proxy does about targets while it doubts its leader: it takes
 // their words and probes them itself.
 
-package proxy
+package dataplane
 
 import (
 	"fmt"
--- a/proxy/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -8,7 +8,7 @@
 // lease, and it has taken the highest table among them; since the leader calls a
 // change in force only when a majority has confirmed it and all other leases
 // have lapsed, a proxy that serves on its peers can't miss it. Otherwise it is cut and refuses.
-package proxy
+package dataplane
 
 import (
 	"slices"
--- a/proxy/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -3,7 +3,7 @@
 // callers may use open connections until then. At the first moment without a request under way, or when its time
 // is up, the intake closes, so that nothing more is taken on any connection, and the process ends.
 
-package proxy
+package dataplane
 
 import (
 	"fmt"
--- a/proxy/table.go
+++ b/internal/dataplane/table.go
@@ -1,6 +1,6 @@
 // This file takes tables from the leader, whole or as changes.
 
-package proxy
+package dataplane
 
 import (
 	"fmt"
--- a/proxy/unsound.go
+++ b/internal/dataplane/unsound.go
@@ -2,7 +2,7 @@
 // that it has: it neither confirms the unsound one nor gets a lease for it, so a leader can't
 // call that configuration in force here.
 
-package proxy
+package dataplane
 
 import (
 	"fmt"
--- a/proxy/unsound_test.go
+++ b/internal/dataplane/unsound_test.go
@@ -1,4 +1,4 @@
-package proxy
+package dataplane
 
 import (
 	"testing"
--- a/proxy/view.go
+++ b/internal/dataplane/view.go
@@ -1,6 +1,6 @@
 // This file is what operators may read of a proxy.
 
-package proxy
+package dataplane
 
 import (
 	"maps"
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -24,10 +24,10 @@
 	"myrtlefold/forward"
 	"myrtlefold/host"
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 var update = flag.Bool("update", false, "record the forms anew")
@@ -144,7 +144,7 @@
 	jsonForm[controlplane.DaemonView](t, "core-daemon", readBack)
 	jsonForm[controlplane.TargetView](t, "core-target", readBack)
 	jsonForm[controlplane.Note](t, "stream-note", readBack)
-	jsonForm[proxy.View](t, "proxy-status", readBack)
+	jsonForm[dataplane.View](t, "proxy-status", readBack)
 	jsonForm[outlier.Stat](t, "policy-stat", readBack)
 	jsonForm[outlier.Event](t, "policy-event", readBack)
 	jsonForm[outlier.Decision](t, "policy-decision", readBack)
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -7,10 +7,10 @@
 
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // mostEvents are given to an owner in one run.
@@ -94,8 +94,8 @@
 }
 
 // newProxy is a proxy that serves two targets under a lease.
-func newProxy(t *testing.T, now time.Duration) *proxy.Proxy {
-	p := proxy.New(proxy.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Addr: "g1", Inc: 9, Domain: "d0"}})
+func newProxy(t *testing.T, now time.Duration) *dataplane.Proxy {
+	p := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Addr: "g1", Inc: 9, Domain: "d0"}})
 	table := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: 1}, Revision: 1,
 		Doc:   []byte(`{"services":{"s0":{"cap":8,"warm_cap":3},"s1":{"cap":4,"warm_cap":2}},"rules":[{"path":"/s","service":"s0"}]}`),
 		Gates: []wire.Gate{{Name: "g1", Addr: "g1", Live: true}, {Name: "g2", Addr: "g2", Live: true}}}
@@ -119,10 +119,10 @@
 		s := &fuzzSource{data}
 		for id := uint64(1); len(s.data) > 0 && id <= mostEvents; id++ {
 			p.Step(now, s.event(t, id))
-			p.Step(now, proxy.Admit{ID: id, Path: "/s", Method: "GET"})
+			p.Step(now, dataplane.Admit{ID: id, Path: "/s", Method: "GET"})
 			now += tuning.TickEvery << (s.byte() % 8)
 			p.Step(now, controlplane.Tick{})
-			p.Step(now, proxy.Done{ID: id, Outcome: proxy.Outcome(s.byte() % 8), Ms: 1, Last: true})
+			p.Step(now, dataplane.Done{ID: id, Outcome: dataplane.Outcome(s.byte() % 8), Ms: 1, Last: true})
 			p.View(now)
 		}
 	})
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // connection leads from a proxy to a target; the proxy keeps it between requests.
@@ -173,7 +173,7 @@
 		if w.rnd.Float64() < part {
 			*count++
 			delete(w.open, id)
-			w.deliver(p, proxy.Cancel{ID: id})
+			w.deliver(p, dataplane.Cancel{ID: id})
 		}
 	}
 }
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/day.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/proxy"
 )
 
 // Start founds the fleet and puts a first configuration in force.
@@ -171,7 +171,7 @@
 	w.CheckHistory()
 	w.CheckBudget()
 	for _, n := range w.names {
-		if p := w.procs[n]; w.Fail == "" && p.gate != nil && p.alive && p.gate.State() == proxy.Granted && p.gate.InFlight() > 0 {
+		if p := w.procs[n]; w.Fail == "" && p.gate != nil && p.alive && p.gate.State() == dataplane.Granted && p.gate.InFlight() > 0 {
 			w.broken("forgotten exchange", "%s still counts %d in flight", n, p.gate.InFlight())
 		}
 	}
--- a/internal/verification/simulator/digest.go
+++ b/internal/verification/simulator/digest.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // digest takes in steps; the zero value is not usable.
@@ -69,17 +69,17 @@
 		d.bytes(e.Body)
 	case controlplane.Stop:
 		d.text("stop")
-	case proxy.Admit:
+	case dataplane.Admit:
 		d.text("admit")
 		d.number(e.ID)
 		d.text(e.Host, e.Path, e.Method)
 		d.duration(e.Timeout)
 		d.flag(e.Ahead)
-	case proxy.Again:
+	case dataplane.Again:
 		d.text("again")
 		d.number(e.ID)
 		d.flag(e.Sent)
-	case proxy.Done:
+	case dataplane.Done:
 		d.text("done")
 		d.number(e.ID)
 		d.number(uint64(e.Outcome))
@@ -91,7 +91,7 @@
 			d.number(uint64(e.Load.Waiting))
 			d.number(uint64(e.Load.Slots))
 		}
-	case proxy.Cancel:
+	case dataplane.Cancel:
 		d.text("cancel")
 		d.number(e.ID)
 		d.flag(e.Failed)
@@ -136,7 +136,7 @@
 
 func (d *digest) proxyCommand(command any) {
 	switch c := command.(type) {
-	case proxy.Give:
+	case dataplane.Give:
 		d.text("give")
 		d.number(c.ID)
 		d.text(c.Service, c.Name)
@@ -149,25 +149,25 @@
 		d.flag(c.More)
 		d.duration(c.Connect)
 		d.number(uint64(c.Idle))
-	case proxy.Refuse:
+	case dataplane.Refuse:
 		d.text("refuse")
 		d.number(c.ID)
 		d.number(uint64(c.Status))
 		d.duration(c.Retry)
 		d.text(c.Code, c.Message)
 		d.text(c.Allowed...)
-	case proxy.Leave:
+	case dataplane.Leave:
 		d.text("leave")
-	case proxy.CloseIntake:
+	case dataplane.CloseIntake:
 		d.text("close intake")
 		d.duration(c.Left)
-	case proxy.Dark:
+	case dataplane.Dark:
 		d.text("dark")
 		for _, id := range slices.SortedFunc(maps.Keys(c.IDs), wire.ID.Compare) {
 			d.id(id)
 			d.flag(c.IDs[id])
 		}
-	case proxy.Targets:
+	case dataplane.Targets:
 		d.text("targets")
 		for _, id := range slices.SortedFunc(maps.Keys(c.Live), wire.ID.Compare) {
 			d.id(id)
--- a/internal/verification/simulator/fleet_test.go
+++ b/internal/verification/simulator/fleet_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // Here the core's size is not given: seeds found it, and the leader grows and mends it.
@@ -384,7 +384,7 @@
 		seq   uint64
 		takes bool
 	}{{nil, 5, false}, {whole, 5, true}, {whole, 6, false}} {
-		g := proxy.New(proxy.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Inc: 9}})
+		g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Inc: 9}})
 		g.Step(1, controlplane.Recv{M: core1})
 		push := func(now time.Duration, t *wire.Table) []any {
 			return g.Step(now, controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: 1, Disk: 9, Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
--- a/internal/verification/simulator/grown_test.go
+++ b/internal/verification/simulator/grown_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/proxy"
 )
 
 // grown is a fleet of many proxies on little: a sixth of a processor and a thin link each.
@@ -22,7 +22,7 @@
 
 func granted(w *World) (n int) {
 	for _, g := range w.all("gate") {
-		if p := w.procs[g]; p.alive && p.gate.State() == proxy.Granted {
+		if p := w.procs[g]; p.alive && p.gate.State() == dataplane.Granted {
 			n++
 		}
 	}
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 // Each test here is aimed at one guard that random days seldom hit; docs/rules.md
@@ -161,7 +161,7 @@
 	for _, n := range []string{"g1", "g2", "g3", "g4", "g5"} {
 		tab.Gates = append(tab.Gates, wire.Gate{Name: n, Addr: n})
 	}
-	g := proxy.New(proxy.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Inc: 9}})
+	g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Inc: 9}})
 	say := func(now time.Duration, m *wire.Msg) []any { return g.Step(now, controlplane.Recv{M: m}) }
 	say(2, &wire.Msg{Kind: uint16(wire.KHello), From: "g2", Hello: &wire.Hello{Self: wire.Daemon{Name: "g2", Kind: "gate", Addr: "g2"}}})
 	say(3, &wire.Msg{Kind: uint16(wire.KPush), From: "g2", Stamp: 2, Disk: 9, Push: &wire.Push{Grant: true, Key: tab.Key, Table: tab}})
@@ -347,7 +347,7 @@
 		w.isolate([]string{"g1"}, d, true, true)
 		w.Run(w.now + d)
 		g := w.procs["g1"]
-		for i := 0; g.gate.State() != proxy.Granted && i < 100; i++ {
+		for i := 0; g.gate.State() != dataplane.Granted && i < 100; i++ {
 			w.Run(w.now + 10*time.Millisecond)
 		}
 		for _, x := range g.gate.View(g.local()).Targets {
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -11,9 +11,9 @@
 
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
-	"myrtlefold/proxy"
 )
 
 type disk struct {
@@ -43,7 +43,7 @@
 	base     time.Duration
 	rate     float64
 	core     *controlplane.Core
-	gate     *proxy.Proxy
+	gate     *dataplane.Proxy
 	disk     *disk
 	pool     map[wire.ID][]*connection
 	live     map[wire.ID]string
@@ -108,7 +108,7 @@
 		set.Self, set.Seeds, set.Domains = self, seeds, w.Plan.Known
 		p.core = controlplane.New(p.local(), set, img)
 	} else {
-		p.gate = proxy.New(proxy.Settings{Self: self, Seeds: seeds, Grace: w.Plan.Grace})
+		p.gate = dataplane.New(dataplane.Settings{Self: self, Seeds: seeds, Grace: w.Plan.Grace})
 	}
 	gen := p.gen
 	var beat func()
@@ -329,16 +329,16 @@
 			w.checkNoCallIsLeft(p)
 			w.Kill(p)
 		}
-	case proxy.Targets:
+	case dataplane.Targets:
 		p.live = c.Live
 		maps.DeleteFunc(p.pool, func(id wire.ID, _ []*connection) bool { _, ok := c.Live[id]; return !ok })
-	case proxy.Dark: // requests here wait for their deadlines
-	case proxy.Leave:
-	case proxy.CloseIntake:
+	case dataplane.Dark: // requests here wait for their deadlines
+	case dataplane.Leave:
+	case dataplane.CloseIntake:
 		p.intakeClosed = true
-	case proxy.Give:
+	case dataplane.Give:
 		w.give(p, c)
-	case proxy.Refuse:
+	case dataplane.Refuse:
 		w.refused(c)
 	default:
 		panic(fmt.Sprintf("%T", cmd))
--- a/internal/verification/simulator/sim.go
+++ b/internal/verification/simulator/sim.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/wire"
 	"myrtlefold/internal/verification/linearizability"
-	"myrtlefold/proxy"
 )
 
 // Plan is the fleet's size.
@@ -273,7 +273,7 @@
 		return false
 	}
 	for _, n := range w.names {
-		if p := w.procs[n]; p.gate != nil && p.alive && (p.gate.State() != proxy.Granted || p.gate.Table().Key.Term != l.core.Table().Key.Term) {
+		if p := w.procs[n]; p.gate != nil && p.alive && (p.gate.State() != dataplane.Granted || p.gate.Table().Key.Term != l.core.Table().Key.Term) {
 			return false
 		}
 	}
