--- a/cmd/mfload/main.go
+++ b/cmd/mfload/main.go
@@ -27,8 +27,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/forward"
 	"myrtlefold/host"
+	"myrtlefold/internal/dataplane/reverseproxy"
 )
 
 const (
@@ -288,7 +288,7 @@
 	req.GetBody = nil // the standard client must not send anything again by itself
 	req.Header.Set("Exchange-Id", id)
 	req.Header.Set("Exchange-Service", k.Service)
-	req.Header.Set(forward.Defaults().Attempt, id) // its answer must repeat it
+	req.Header.Set(reverseproxy.Defaults().Attempt, id) // its answer must repeat it
 	req.Header.Set("Stub-Size", strconv.Itoa(k.Answer))
 	if l.work >= 0 {
 		req.Header.Set("Stub-Work-Ms", strconv.Itoa(l.work))
@@ -299,7 +299,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	o.status, o.ran, o.retry = resp.StatusCode, resp.Header.Get(forward.RanHeader), resp.Header.Get("Retry-After")
+	o.status, o.ran, o.retry = resp.StatusCode, resp.Header.Get(reverseproxy.RanHeader), resp.Header.Get("Retry-After")
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
 		o.err = "cut: " + err.Error()
--- a/cmd/mfstub/main.go
+++ b/cmd/mfstub/main.go
@@ -27,8 +27,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/forward"
 	"myrtlefold/host"
+	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -227,7 +227,7 @@
 func (s *stub) coldLeft() int64 { return max(0, time.Until(s.coldTill).Milliseconds()) }
 
 // names are the headers that proxies use.
-var names = forward.Defaults()
+var names = reverseproxy.Defaults()
 
 // load puts the present load in an answer's headers.
 func (s *stub) load(h http.Header) {
--- a/host/gate.go
+++ b/host/gate.go
@@ -13,8 +13,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/forward"
 	"myrtlefold/internal/dataplane"
+	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -25,8 +25,8 @@
 type gateDaemon struct {
 	*Host
 	owner     *dataplane.Proxy
-	pool      *forward.Pool
-	forwarder *forward.Forwarder
+	pool      *reverseproxy.Pool
+	forwarder *reverseproxy.Forwarder
 	endBy     atomic.Int64 // when the last answers of a stop have to be written, by Now
 }
 
@@ -70,7 +70,7 @@
 
 func newGateDaemon(h *Host) *gateDaemon {
 	s := h.Settings
-	d := &gateDaemon{Host: h, pool: forward.NewPool()}
+	d := &gateDaemon{Host: h, pool: reverseproxy.NewPool()}
 	d.owner = dataplane.New(dataplane.Settings{
 		Self:             h.Daemon(),
 		Seeds:            s.Seeds,
@@ -81,10 +81,10 @@
 	ask := func(ctx context.Context, id uint64, event any) any {
 		return h.Loop.Ask(ctx, id, event, dataplane.Cancel{ID: id})
 	}
-	d.forwarder = forward.New(forward.Owner{Now: h.Now, Tell: h.Loop.Tell, Ask: ask}, d.pool)
+	d.forwarder = reverseproxy.New(reverseproxy.Owner{Now: h.Now, Tell: h.Loop.Tell, Ask: ask}, d.pool)
 	d.forwarder.From = h.From()
 	d.forwarder.Headers = h.dialect.Headers
-	d.forwarder.Forwarded = h.dialect.Headers == forward.Defaults()
+	d.forwarder.Forwarded = h.dialect.Headers == reverseproxy.Defaults()
 	return d
 }
 
--- a/host/host.go
+++ b/host/host.go
@@ -22,8 +22,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/forward"
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -45,7 +45,7 @@
 	// Traffic counts the messages between this daemon and others.
 	Traffic *Traffic
 	// Headers are the names of the headers on probes; none: the product's own.
-	Headers forward.Headers
+	Headers reverseproxy.Headers
 
 	load        func() (Settings, []byte, []config.Fault, error)
 	dialect     Dialect
--- a/host/http.go
+++ b/host/http.go
@@ -14,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"myrtlefold/forward"
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -59,7 +59,7 @@
 // refuse answers an operator's call with an error of the kind that its status stands for.
 func refuse(w http.ResponseWriter, status int, retry time.Duration, t config.Trouble) {
 	t.Refusal = config.RefusalOf(status)
-	forward.Error(w, status, retry, t)
+	reverseproxy.Error(w, status, retry, t)
 }
 
 // newChangeID names a change whose caller has not named it: a time for people and a random number.
@@ -73,12 +73,12 @@
 }
 
 // ServeCallers runs the forwarder's server for callers on addr until it is shut down.
-func (h *Host) ServeCallers(addr string, c *forward.Forwarder) (*http.Server, error) {
+func (h *Host) ServeCallers(addr string, c *reverseproxy.Forwarder) (*http.Server, error) {
 	return h.serve(addr, c, c)
 }
 
-func (h *Host) serve(addr string, hd http.Handler, c *forward.Forwarder) (*http.Server, error) {
-	ln, err := forward.Listen(addr, tuning.CallerUnacked)
+func (h *Host) serve(addr string, hd http.Handler, c *reverseproxy.Forwarder) (*http.Server, error) {
+	ln, err := reverseproxy.Listen(addr, tuning.CallerUnacked)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for HTTP")
 	}
@@ -121,7 +121,7 @@
 			return
 		}
 		if a.Retry > 0 {
-			w.Header().Set("Retry-After", forward.After(a.Retry))
+			w.Header().Set("Retry-After", reverseproxy.After(a.Retry))
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(a.Status)
--- a/host/probe.go
+++ b/host/probe.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"myrtlefold/forward"
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -20,13 +20,13 @@
 
 // probed is one target's connection while no probe uses it.
 type probed struct {
-	conn atomic.Pointer[forward.Conn]
+	conn atomic.Pointer[reverseproxy.Conn]
 	at   time.Duration // of the last probe
 	gone atomic.Bool   // no more probes go there
 }
 
 // put keeps a connection for the next probe, in place of the one kept before.
-func (s *probed) put(p *forward.Conn) {
+func (s *probed) put(p *reverseproxy.Conn) {
 	if old := s.conn.Swap(p); old != nil {
 		old.Close()
 	}
@@ -43,8 +43,8 @@
 	sent := h.Now()
 	if h.probes == nil {
 		h.probes = map[wire.ID]*probed{}
-		if h.Headers == (forward.Headers{}) {
-			h.Headers = forward.Defaults()
+		if h.Headers == (reverseproxy.Headers{}) {
+			h.Headers = reverseproxy.Defaults()
 		}
 	}
 	h.closeIdleProbes(sent)
@@ -78,7 +78,7 @@
 }
 
 // ask probes a target on the kept connection, and once more on a new one if that fails.
-func ask(s *probed, p controlplane.Probe, names *forward.Headers, h *Host) (*config.Beat, time.Duration) {
+func ask(s *probed, p controlplane.Probe, names *reverseproxy.Headers, h *Host) (*config.Beat, time.Duration) {
 	deadline := time.Now().Add(tuning.ProbeCap)
 	conn := s.conn.Swap(nil)
 	for conn != nil && conn.Addr() != p.Addr {
@@ -90,7 +90,7 @@
 		if !kept {
 			ctx, cancel := context.WithDeadline(context.Background(), deadline)
 			var err error
-			conn, err = forward.Open(ctx, p.Addr, h.From())
+			conn, err = reverseproxy.Open(ctx, p.Addr, h.From())
 			cancel()
 			if err != nil {
 				return nil, 0
@@ -110,7 +110,7 @@
 }
 
 // look asks on a connection and reads what the answer says of the target.
-func look(conn *forward.Conn, p controlplane.Probe, names *forward.Headers, deadline time.Time) (b *config.Beat, cold time.Duration, again bool, err error) {
+func look(conn *reverseproxy.Conn, p controlplane.Probe, names *reverseproxy.Headers, deadline time.Time) (b *config.Beat, cold time.Duration, again bool, err error) {
 	if p.Path == "" {
 		b, again, err = conn.Identify(deadline, p.Addr)
 		if err != nil {
@@ -138,7 +138,7 @@
 	if ms, err := strconv.ParseFloat(resp.Header.Get(names.Cold), 64); err == nil && ms > 0 && ms <= tuning.TimeoutMaxMs {
 		cold = time.Duration(ms * float64(time.Millisecond))
 	}
-	if l := forward.ReadLoad(resp.Header.Get(names.Load)); l != nil && l.Slots > 0 {
+	if l := reverseproxy.ReadLoad(resp.Header.Get(names.Load)); l != nil && l.Slots > 0 {
 		d := float64(l.Running+l.Waiting) / float64(l.Slots)
 		b.Demand = &d
 	}
--- a/host/probe_test.go
+++ b/host/probe_test.go
@@ -12,15 +12,15 @@
 
 	"golang.org/x/sys/unix"
 
-	"myrtlefold/forward"
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
 func prober() *Host {
-	h := &Host{start: time.Now(), Headers: forward.Headers{Deadline: "D", NotRun: "N", Load: "L", Identity: "I", Cold: "C"}}
+	h := &Host{start: time.Now(), Headers: reverseproxy.Headers{Deadline: "D", NotRun: "N", Load: "L", Identity: "I", Cold: "C"}}
 	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h}
 	return h
 }
@@ -161,12 +161,12 @@
 // Connections to and from daemons, callers and targets break when what is sent on
 // them stays unacknowledged.
 func TestSocketOptions(t *testing.T) {
-	ln, err := forward.Listen("127.0.0.1:0", tuning.CallerUnacked)
+	ln, err := reverseproxy.Listen("127.0.0.1:0", tuning.CallerUnacked)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	out, err := forward.Dialer(nil, time.Second).Dial("tcp", ln.Addr().String())
+	out, err := reverseproxy.Dialer(nil, time.Second).Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/host/recorded_test.go
+++ b/host/recorded_test.go
@@ -11,9 +11,9 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"myrtlefold/forward"
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane"
+	"myrtlefold/internal/dataplane/reverseproxy"
 )
 
 var update = flag.Bool("update", false, "record names anew, which only an intended change may need")
@@ -41,7 +41,7 @@
 	h := &Host{Metrics: prometheus.NewRegistry()}
 	h.Counters("core", func() any { return &controlplane.Counts{} })
 	h.Counters("gate", func() any { return &dataplane.Counts{} })
-	h.Counters("carry", func() any { return &forward.Counts{} })
+	h.Counters("carry", func() any { return &reverseproxy.Counts{} })
 	families, err := h.Metrics.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/host/settings.go
+++ b/host/settings.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/forward"
+	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -60,11 +60,11 @@
 	// faults; nil: they come from flags and a file.
 	Load func() (Settings, []byte, []config.Fault, error)
 	// Headers are the names of the headers that requests carry.
-	Headers forward.Headers
+	Headers reverseproxy.Headers
 }
 
 // Own returns the product's own dialect.
-func Own() Dialect { return Dialect{Headers: forward.Defaults()} }
+func Own() Dialect { return Dialect{Headers: reverseproxy.Defaults()} }
 
 // settingsCheck collects the faults of settings.
 type settingsCheck struct{ faults []config.Fault }
--- a/host/transport.go
+++ b/host/transport.go
@@ -10,15 +10,15 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/forward"
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
 // Listen opens the daemon's address and passes the messages of other daemons to the owner.
 func (h *Host) Listen() error {
-	ln, err := forward.Listen(cmp.Or(h.Settings.Bind, h.Settings.Addr), tuning.Unacked)
+	ln, err := reverseproxy.Listen(cmp.Or(h.Settings.Bind, h.Settings.Addr), tuning.Unacked)
 	if err != nil {
 		return errors.Wrap(err, "listen for daemons")
 	}
@@ -154,7 +154,7 @@
 
 // dial opens a connection for sending. The other side never sends: only its close is read.
 func (h *Host) dial(addr string) (net.Conn, error) {
-	d := forward.Dialer(h.From(), tuning.ProbeCap)
+	d := reverseproxy.Dialer(h.From(), tuning.ProbeCap)
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
--- a/forward/ahead.go
+++ b/internal/dataplane/reverseproxy/ahead.go
@@ -5,7 +5,7 @@
 // answer kept until the server comes to it in the usual way. So bytes, order and framing
 // stay the server's; whatever is not plain in every byte ends the looking ahead for good.
 
-package forward
+package reverseproxy
 
 import (
 	"bufio"
--- a/forward/answer.go
+++ b/internal/dataplane/reverseproxy/answer.go
@@ -1,6 +1,6 @@
 // This file reads a target's answer and passes it on to the caller.
 
-package forward
+package reverseproxy
 
 import (
 	"io"
--- a/forward/conn.go
+++ b/internal/dataplane/reverseproxy/conn.go
@@ -5,7 +5,7 @@
 // stand in a shelf per target, whose places are taken and filled by single atomic
 // steps. The sockets' own options are here too.
 
-package forward
+package reverseproxy
 
 import (
 	"bufio"
--- a/forward/forward.go
+++ b/internal/dataplane/reverseproxy/forward.go
@@ -8,7 +8,7 @@
 // before its caller gets any of it, so that one that is cut can be made up for.
 // Answers pass unaltered. Errors have one JSON shape that says whether the request
 // ran: no, or unknown. A large answer that is cut cuts the caller's connection.
-package forward
+package reverseproxy
 
 import (
 	"context"
--- a/forward/forward_test.go
+++ b/internal/dataplane/reverseproxy/forward_test.go
@@ -1,4 +1,4 @@
-package forward
+package reverseproxy
 
 import (
 	"bufio"
--- a/forward/intake.go
+++ b/internal/dataplane/reverseproxy/intake.go
@@ -1,7 +1,7 @@
 // This file is the intake: the listener and callers' connections, how many of them have a request
 // under way, and how a stopping proxy ends taking requests on them.
 
-package forward
+package reverseproxy
 
 import (
 	"net"
--- a/forward/limits.go
+++ b/internal/dataplane/reverseproxy/limits.go
@@ -3,7 +3,7 @@
 // deadlines that the library's server sets on it into the configured ones. What the
 // configuration leaves open has the program's own bounds.
 
-package forward
+package reverseproxy
 
 import (
 	"time"
--- a/forward/refusal.go
+++ b/internal/dataplane/reverseproxy/refusal.go
@@ -1,6 +1,6 @@
 // This file writes the answers that the proxy gives itself.
 
-package forward
+package reverseproxy
 
 import (
 	"net/http"
--- a/forward/upload.go
+++ b/internal/dataplane/reverseproxy/upload.go
@@ -1,6 +1,6 @@
 // This file reads a caller's body and sends it to a target.
 
-package forward
+package reverseproxy
 
 import (
 	"io"
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -21,10 +21,10 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/forward"
 	"myrtlefold/host"
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane"
+	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/wire"
@@ -261,7 +261,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
-			forward.Error(w, c.status, c.retry, c.body)
+			reverseproxy.Error(w, c.status, c.retry, c.body)
 			var got bytes.Buffer
 			fmt.Fprintf(&got, "%d\n", w.Code)
 			if err := w.Header().Write(&got); err != nil {
