--- a/cmd/mfcore/main.go
+++ b/cmd/mfcore/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"myrtlefold/host"
+	"myrtlefold/internal/daemon"
 )
 
-func main() { os.Exit(host.RunCore(os.Args[1:], host.Own())) }
+func main() { os.Exit(daemon.RunCore(os.Args[1:], daemon.Own())) }
--- a/cmd/mfctl/main.go
+++ b/cmd/mfctl/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"myrtlefold/host"
+	"myrtlefold/internal/daemon"
 )
 
-func main() { os.Exit(host.RunCtl(os.Args[1:])) }
+func main() { os.Exit(daemon.RunCtl(os.Args[1:])) }
--- a/cmd/mfgate/main.go
+++ b/cmd/mfgate/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"myrtlefold/host"
+	"myrtlefold/internal/daemon"
 )
 
-func main() { os.Exit(host.RunGate(os.Args[1:], host.Own())) }
+func main() { os.Exit(daemon.RunGate(os.Args[1:], daemon.Own())) }
--- a/cmd/mflab/hollow_figures.go
+++ b/cmd/mflab/hollow_figures.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"myrtlefold/host"
+	"myrtlefold/internal/daemon"
 )
 
 // figure is one measured number.
@@ -147,7 +147,7 @@
 	return m
 }
 
-func flowCounts(l []host.Flow) map[string]float64 {
+func flowCounts(l []daemon.Flow) map[string]float64 {
 	m := map[string]float64{}
 	for _, f := range l {
 		dir := "received"
--- a/cmd/mflab/hollow_lab.go
+++ b/cmd/mflab/hollow_lab.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"myrtlefold/host"
+	"myrtlefold/internal/daemon"
 )
 
 type hollowLab struct {
@@ -131,7 +131,7 @@
 }
 
 func (l *hollowLab) startCore(p *proc, seeds []string) error {
-	return l.with(p, host.Settings{Name: p.name, Domain: p.domain, Addr: p.addr, HTTP: p.http, From: hostOf(p.addr), Seeds: seeds, Log: "info", Data: l.path("data", p.name), Size: l.f.cores})
+	return l.with(p, daemon.Settings{Name: p.name, Domain: p.domain, Addr: p.addr, HTTP: p.http, From: hostOf(p.addr), Seeds: seeds, Log: "info", Data: l.path("data", p.name), Size: l.f.cores})
 }
 
 // startTargets starts the processes that stand for all targets.
@@ -198,7 +198,7 @@
 }
 
 // with writes a daemon's settings and starts it.
-func (l *hollowLab) with(p *proc, s host.Settings) error {
+func (l *hollowLab) with(p *proc, s daemon.Settings) error {
 	if err := l.settle(p, s); err != nil {
 		return err
 	}
--- a/cmd/mflab/hollow_part.go
+++ b/cmd/mflab/hollow_part.go
@@ -22,7 +22,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/host"
+	"myrtlefold/internal/daemon"
 	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
@@ -34,7 +34,7 @@
 	At                          int // hold the revision asked for, or a later one
 	Out                         int // would not choose the target asked for
 	Usable                      int // fewest targets that one of them may choose
-	Flows                       []host.Flow
+	Flows                       []daemon.Flow
 	Words, Failed               uint64
 	In, Sent                    uint64 // bytes, targets only
 }
@@ -56,7 +56,7 @@
 }
 
 type hollowGate struct {
-	h   *host.Host
+	h   *daemon.Host
 	own *dataplane.Proxy
 	now atomic.Pointer[standing]
 }
@@ -123,7 +123,7 @@
 	var gs []*hollowGate
 	for i := f.first; i < f.first+f.count; i++ {
 		s := gateSettings(f.net, i, strings.Split(f.seeds, ","))
-		h := host.New("gate", s, log)
+		h := daemon.New("gate", s, log)
 		g := &hollowGate{h: h, own: dataplane.New(dataplane.Settings{Self: h.Daemon(), Seeds: s.Seeds})}
 		g.now.Store(&standing{})
 		gs = append(gs, g)
@@ -155,14 +155,14 @@
 			rep.look(g.now.Load(), want, q.Get("service"), q.Get("name"))
 			rep.Flows = append(rep.Flows, g.h.Traffic.Flows()...)
 		}
-		host.WriteJSON(w, 200, rep)
+		daemon.WriteJSON(w, 200, rep)
 	})
 	return mux, nil
 }
 
-func gateSettings(net, i int, seeds []string) host.Settings {
+func gateSettings(net, i int, seeds []string) daemon.Settings {
 	ip := hollowIP(net, gateBlock, i)
-	return host.Settings{Name: fmt.Sprintf("gate-%04d", i), Domain: hollowDomain(i), Addr: ip + ":7001", HTTP: ip + ":7101", Listen: ip + ":7201", From: ip, Seeds: seeds, Log: "info"}
+	return daemon.Settings{Name: fmt.Sprintf("gate-%04d", i), Domain: hollowDomain(i), Addr: ip + ":7001", HTTP: ip + ":7101", Listen: ip + ":7201", From: ip, Seeds: seeds, Log: "info"}
 }
 
 // hollowBack is one hollow target.
@@ -247,7 +247,7 @@
 				<-r.Context().Done()
 				return
 			}
-			host.WriteJSON(w, 200, t.beat())
+			daemon.WriteJSON(w, 200, t.beat())
 		})
 		go http.Serve(countedListener{ln, &in, &sent}, mux)
 		ts = append(ts, t)
@@ -273,16 +273,16 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /report", func(w http.ResponseWriter, _ *http.Request) {
-		host.WriteJSON(w, 200, hollowReport{Words: words.Load(), Failed: failed.Load(), In: in.Load(), Sent: sent.Load()})
+		daemon.WriteJSON(w, 200, hollowReport{Words: words.Load(), Failed: failed.Load(), In: in.Load(), Sent: sent.Load()})
 	})
 	mux.HandleFunc("POST /leave", func(w http.ResponseWriter, r *http.Request) {
 		t := at(r)
 		t.leaves.Store(true)
-		host.WriteJSON(w, 200, t.tell(daemons[t.inc%uint64(len(daemons))]))
+		daemon.WriteJSON(w, 200, t.tell(daemons[t.inc%uint64(len(daemons))]))
 	})
 	mux.HandleFunc("POST /hang", func(w http.ResponseWriter, r *http.Request) {
 		at(r).hangs.Store(true)
-		host.WriteJSON(w, 200, true)
+		daemon.WriteJSON(w, 200, true)
 	})
 	return mux, nil
 }
--- a/cmd/mflab/hollow_test.go
+++ b/cmd/mflab/hollow_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"myrtlefold/host"
+	"myrtlefold/internal/daemon"
 	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/wire"
@@ -115,7 +115,7 @@
 	if len(a) != 2 || a["bytes sent push"] != 1500 || a["messages received hello"] != 4 {
 		t.Fatal(a)
 	}
-	b := flowCounts([]host.Flow{{Sent: true, Kind: "push", Msgs: 1, Bytes: 1500}, {Sent: true, Kind: "push", Msgs: 2, Bytes: 500}, {Kind: "hello", Msgs: 6, Bytes: 9}})
+	b := flowCounts([]daemon.Flow{{Sent: true, Kind: "push", Msgs: 1, Bytes: 1500}, {Sent: true, Kind: "push", Msgs: 2, Bytes: 500}, {Kind: "hello", Msgs: 6, Bytes: 9}})
 	if b["bytes sent push"] != 2000 || b["messages received hello"] != 6 || rate(a, b, "bytes sent", 2) != 250 || rate(a, b, "messages ", 1) != 5 {
 		t.Fatal(b, rate(a, b, "bytes sent", 2), rate(a, b, "messages ", 1))
 	}
--- a/cmd/mflab/main.go
+++ b/cmd/mflab/main.go
@@ -23,7 +23,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/host"
+	"myrtlefold/internal/daemon"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/verification/linearizability"
 )
@@ -136,7 +136,7 @@
 
 func main() {
 	app := kingpin.New("mflab", "Runs a whole fleet on loopback and breaks it by script.")
-	app.Version(host.Version)
+	app.Version(daemon.Version)
 	app.HelpFlag.Short('h')
 	l := &lab{broken: map[string]int{}, start: time.Now()}
 	o := &options{}
@@ -264,7 +264,7 @@
 				return err
 			}
 		}
-		s := host.Settings{Name: p.name, Domain: p.domain, Addr: p.addr, Bind: p.bind, From: hostOf(p.bind), HTTP: p.http, Listen: p.listen, Seeds: seeds, Log: "info", GraceMs: int(l.grace.Milliseconds())}
+		s := daemon.Settings{Name: p.name, Domain: p.domain, Addr: p.addr, Bind: p.bind, From: hostOf(p.bind), HTTP: p.http, Listen: p.listen, Seeds: seeds, Log: "info", GraceMs: int(l.grace.Milliseconds())}
 		if p.kind == "mfcore" {
 			s.Data, s.Size = l.path("data", p.name), l.dep.Cores
 		}
@@ -296,7 +296,7 @@
 }
 
 // settle writes a daemon's settings to its file and has it start with them.
-func (l *lab) settle(p *proc, s host.Settings) error {
+func (l *lab) settle(p *proc, s daemon.Settings) error {
 	b, _ := json.MarshalIndent(s, "", "  ")
 	f := l.path("set", p.name+".json")
 	if err := os.WriteFile(f, b, 0o644); err != nil {
--- a/cmd/mfstub/main.go
+++ b/cmd/mfstub/main.go
@@ -27,7 +27,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/host"
+	"myrtlefold/internal/daemon"
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
@@ -122,7 +122,7 @@
 
 func main() {
 	app := kingpin.New("mfstub", "A stand-in back end that can fail on request and keeps a ledger of what it ran.")
-	app.Version(host.Version)
+	app.Version(daemon.Version)
 	app.HelpFlag.Short('h')
 	s := &stub{ledger: make(chan Entry, ledgerQueue), done: make(chan struct{})}
 	o := s.define(app)
@@ -262,7 +262,7 @@
 		return
 	}
 	s.load(h)
-	host.WriteJSON(w, http.StatusOK, healthAnswer{State: config.Ready})
+	daemon.WriteJSON(w, http.StatusOK, healthAnswer{State: config.Ready})
 }
 
 // repeats puts the id of the request in an answer's headers.
@@ -277,7 +277,7 @@
 	repeats(w, r)
 	w.Header().Set(names.NotRun, "1")
 	s.load(w.Header())
-	host.WriteJSON(w, status, notRunAnswer{Error: why})
+	daemon.WriteJSON(w, status, notRunAnswer{Error: why})
 }
 
 // identity answers at model.IdentityPath.
@@ -286,7 +286,7 @@
 		<-r.Context().Done()
 		return
 	}
-	host.WriteJSON(w, http.StatusOK, s.beat())
+	daemon.WriteJSON(w, http.StatusOK, s.beat())
 }
 
 var client = &http.Client{Timeout: tuning.BeatEvery}
@@ -391,7 +391,7 @@
 	repeats(w, r)
 	s.load(w.Header())
 	if !inTime {
-		host.WriteJSON(w, http.StatusGatewayTimeout, failure{Error: "not done in the time given", ID: e.ID, Service: e.Service})
+		daemon.WriteJSON(w, http.StatusGatewayTimeout, failure{Error: "not done in the time given", ID: e.ID, Service: e.Service})
 		return
 	}
 	s.answer(w, mode, arg, s.answerTo(r, e, in))
@@ -514,7 +514,7 @@
 		}
 		buf.Flush()
 	case modeFail:
-		host.WriteJSON(w, http.StatusInternalServerError, failure{Error: "asked to fail", ID: a.ID, Service: a.Service})
+		daemon.WriteJSON(w, http.StatusInternalServerError, failure{Error: "asked to fail", ID: a.ID, Service: a.Service})
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(b)))
--- a/host/core.go
+++ b/internal/daemon/core.go
@@ -1,7 +1,7 @@
 // This file is the control daemon's process: it opens the disk, starts the core's state
 // machine, and carries out its commands.
 
-package host
+package daemon
 
 import (
 	"net/http"
--- a/host/ctl.go
+++ b/internal/daemon/ctl.go
@@ -2,7 +2,7 @@
 // next one where that is safe, names its changes itself so that asking again
 // can't apply one twice, and says by its exit code how a call ended.
 
-package host
+package daemon
 
 import (
 	"bytes"
--- a/host/ctl_config.go
+++ b/internal/daemon/ctl_config.go
@@ -1,6 +1,6 @@
 // This file is the operators' commands for configurations.
 
-package host
+package daemon
 
 import (
 	"cmp"
--- a/host/ctl_core.go
+++ b/internal/daemon/ctl_core.go
@@ -1,6 +1,6 @@
 // This file prints the core's own state for 'mfctl status'.
 
-package host
+package daemon
 
 import (
 	"fmt"
--- a/host/ctl_policy.go
+++ b/internal/daemon/ctl_policy.go
@@ -1,6 +1,6 @@
 // This file is the operators' commands that compare and stream policies.
 
-package host
+package daemon
 
 import (
 	"bufio"
--- a/host/ctl_views.go
+++ b/internal/daemon/ctl_views.go
@@ -1,6 +1,6 @@
 // This file is the operators' commands that show what there is.
 
-package host
+package daemon
 
 import (
 	"encoding/json"
--- a/host/disk.go
+++ b/internal/daemon/disk.go
@@ -2,7 +2,7 @@
 // that refuses writes is tried again until it takes them, and nothing is acknowledged
 // meanwhile; one whose contents can't be read whole counts as lost.
 
-package host
+package daemon
 
 import (
 	"math/rand/v2"
--- a/host/gate.go
+++ b/internal/daemon/gate.go
@@ -1,7 +1,7 @@
 // This file is the proxy daemon's process: it starts the proxy's state machine and the
 // forwarder, and carries out the state machine's commands.
 
-package host
+package daemon
 
 import (
 	"context"
--- a/host/host.go
+++ b/internal/daemon/host.go
@@ -2,7 +2,7 @@
 // the loop that feeds an owner on its one goroutine, messages between daemons over TCP,
 // probes, the disk, settings, logs and counters. Host is the one context that all of it
 // shares. Nothing here decides anything. The package also holds mfctl, the operators' command.
-package host
+package daemon
 
 import (
 	"context"
--- a/host/http.go
+++ b/internal/daemon/http.go
@@ -1,6 +1,6 @@
 // This file is the HTTP servers of a daemon.
 
-package host
+package daemon
 
 import (
 	"encoding/json"
--- a/host/loop.go
+++ b/internal/daemon/loop.go
@@ -1,6 +1,6 @@
 // This file runs an owner: events in, commands out, on one goroutine.
 
-package host
+package daemon
 
 import (
 	"context"
--- a/host/metrics.go
+++ b/internal/daemon/metrics.go
@@ -1,6 +1,6 @@
 // This file shows the owners' counters.
 
-package host
+package daemon
 
 import (
 	"reflect"
--- a/host/probe.go
+++ b/internal/daemon/probe.go
@@ -2,7 +2,7 @@
 // to the next, either for their health or, where a service has no path for that, for their
 // identity. What an answer means for a target is decided by the owners.
 
-package host
+package daemon
 
 import (
 	"context"
--- a/host/recorded_test.go
+++ b/internal/daemon/recorded_test.go
@@ -1,4 +1,4 @@
-package host
+package daemon
 
 import (
 	"bytes"
--- a/host/session.go
+++ b/internal/daemon/session.go
@@ -2,7 +2,7 @@
 // and answers each at once. A session that breaks off is kept for a while, so that its client goes
 // on from the line it had got to. Sessions have no effect on the fleet.
 
-package host
+package daemon
 
 import (
 	"bufio"
--- a/host/settings.go
+++ b/internal/daemon/settings.go
@@ -1,6 +1,6 @@
 // This file is a daemon's settings: where they come from and what is checked.
 
-package host
+package daemon
 
 import (
 	"fmt"
--- a/host/stream.go
+++ b/internal/daemon/stream.go
@@ -2,7 +2,7 @@
 // daemon serves as JSON lines. A reader resumes by the last line's term and
 // number; one that is too slow, or comes too late, is told what it missed.
 
-package host
+package daemon
 
 import (
 	"encoding/json"
--- a/host/traffic.go
+++ b/internal/daemon/traffic.go
@@ -1,7 +1,7 @@
 // This file is the count of messages between daemons, by direction and kind, as
 // /metrics shows it.
 
-package host
+package daemon
 
 import (
 	"sync/atomic"
--- a/host/transport.go
+++ b/internal/daemon/transport.go
@@ -1,6 +1,6 @@
 // This file is the connections between daemons.
 
-package host
+package daemon
 
 import (
 	"cmp"
--- a/host/watch.go
+++ b/internal/daemon/watch.go
@@ -1,6 +1,6 @@
 // This file watches a daemon's settings for changes while it runs.
 
-package host
+package daemon
 
 import (
 	"reflect"
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -21,8 +21,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/host"
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/daemon"
 	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
@@ -152,7 +152,7 @@
 	// What operators and targets send.
 	jsonForm[config.Config](t, "config", readBack)
 	jsonForm[config.Beat](t, "target-report", readBack)
-	jsonForm[host.Settings](t, "settings", readBack)
+	jsonForm[daemon.Settings](t, "settings", readBack)
 }
 
 // messages are one of each kind, with every field of its part set.
@@ -280,7 +280,7 @@
 	for _, kind := range []string{"core", "gate"} {
 		t.Run(kind, func(t *testing.T) {
 			file := filepath.Join("testdata", "mf"+kind+".json")
-			var flags host.Flags
+			var flags daemon.Flags
 			app := kingpin.New("test", "")
 			flags.Bind(app, kind)
 			if _, err := app.Parse([]string{"--settings", file}); err != nil {
@@ -306,7 +306,7 @@
 func TestFlags(t *testing.T) {
 	for _, kind := range []string{"core", "gate"} {
 		t.Run(kind, func(t *testing.T) {
-			var flags host.Flags
+			var flags daemon.Flags
 			app := kingpin.New("test", "")
 			flags.Bind(app, kind)
 			var names []string
