--- a/cmd/mfstub/main.go
+++ b/cmd/mfbackend/main.go
@@ -1,4 +1,4 @@
-// Command mfstub stands in for one back end. It registers and beats, serves
+// Command mfbackend stands in for one back end. It registers and beats, serves
 // its identity, keeps a ledger of every request that it ran, and on request
 // misbehaves in the ways that the fleet must bear: it hangs, runs a request
 // and loses the answer, sends garbage or half an answer, is slow, fails, warms
@@ -121,13 +121,13 @@
 }
 
 func main() {
-	app := kingpin.New("mfstub", "A stand-in back end that can fail on request and keeps a ledger of what it ran.")
+	app := kingpin.New("mfbackend", "A stand-in back end that can fail on request and keeps a ledger of what it ran.")
 	app.Version(daemon.Version)
 	app.HelpFlag.Short('h')
 	s := &stub{ledger: make(chan Entry, ledgerQueue), done: make(chan struct{})}
 	o := s.define(app)
 	if _, err := app.Parse(os.Args[1:]); err != nil {
-		fmt.Fprintf(os.Stderr, "mfstub: %v, see --help\n", err)
+		fmt.Fprintf(os.Stderr, "mfbackend: %v, see --help\n", err)
 		os.Exit(2)
 	}
 	if o.from != "" {
@@ -155,7 +155,7 @@
 }
 
 func fail(err error) {
-	fmt.Fprintln(os.Stderr, "mfstub:", err)
+	fmt.Fprintln(os.Stderr, "mfbackend:", err)
 	os.Exit(1)
 }
 
--- a/cmd/mflab/hollow.go
+++ b/cmd/mfchaos/hollow.go
@@ -1,10 +1,10 @@
 // This file measures what control costs at sizes that one machine could not carry as
 // processes of their own. Hollow gates are gate owners, many to a process, each with an
-// address of its own, that speak the daemons' real messages to real mfcore processes
+// address of its own, that speak the daemons' real messages to real mfcontrol processes
 // and carry no traffic; hollow targets, too, share a process, send their words and
 // answer probes. The driver reads processor time and memory from /proc and messages
 // from each side's counters, over a span in which nothing else happens, and then how
-// long changes take. One real mfgate stands among the hollow ones for comparison.
+// long changes take. One real mfproxy stands among the hollow ones for comparison.
 
 package main
 
@@ -131,7 +131,7 @@
 func (l *lab) hollow(f *hollowFlags) int {
 	sizes, along, err := f.sizes()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "mflab:", err)
+		fmt.Fprintln(os.Stderr, "mfchaos:", err)
 		return 2
 	}
 	if f.bytes {
@@ -143,7 +143,7 @@
 		defer os.Unsetenv("GOMAXPROCS")
 	}
 	if err := os.RemoveAll(l.dir); err != nil {
-		fmt.Fprintln(os.Stderr, "mflab:", err)
+		fmt.Fprintln(os.Stderr, "mfchaos:", err)
 		return 1
 	}
 	code := 0
@@ -159,7 +159,7 @@
 			err := h.measure()
 			h.fig("load average before", before)
 			if err != nil {
-				fmt.Fprintf(os.Stderr, "mflab: run %d: %v\n", k+1, err)
+				fmt.Fprintf(os.Stderr, "mfchaos: run %d: %v\n", k+1, err)
 				code = 1
 			}
 			h.end()
--- a/cmd/mflab/hollow_lab.go
+++ b/cmd/mfchaos/hollow_lab.go
@@ -116,7 +116,7 @@
 func (l *hollowLab) placeCores() (seeds, https []string) {
 	for i := range l.f.cores + l.f.spares {
 		ip := hollowIP(l.f.net, coreBlock, i)
-		p := &proc{name: fmt.Sprintf("core-%d", i+1), kind: "mfcore", domain: hollowDomain(i), addr: ip + ":7001", http: ip + ":7101"}
+		p := &proc{name: fmt.Sprintf("core-%d", i+1), kind: "mfcontrol", domain: hollowDomain(i), addr: ip + ":7001", http: ip + ":7101"}
 		if i >= l.f.cores {
 			l.spares = append(l.spares, p)
 			continue
@@ -168,7 +168,7 @@
 	}
 	for i := hollow; i < l.size.Gates; i++ {
 		s := gateSettings(l.f.net, i, seeds)
-		p := &proc{name: s.Name, kind: "mfgate", domain: s.Domain, addr: s.Addr, http: s.HTTP, listen: s.Listen}
+		p := &proc{name: s.Name, kind: "mfproxy", domain: s.Domain, addr: s.Addr, http: s.HTTP, listen: s.Listen}
 		l.gates = append(l.gates, p)
 		if err := l.with(p, s); err != nil {
 			return err
@@ -206,7 +206,7 @@
 }
 
 func (l *hollowLab) part(kind string, k, first, count int, daemons string) *proc {
-	p := &proc{name: fmt.Sprintf("%s-%d", kind, k), kind: "mflab", http: hollowIP(l.f.net, controlBlock, k) + ":7401"}
+	p := &proc{name: fmt.Sprintf("%s-%d", kind, k), kind: "mfchaos", http: hollowIP(l.f.net, controlBlock, k) + ":7401"}
 	p.args = []string{"hollow-part", "--kind", kind, "--net", strconv.Itoa(l.f.net), "--first", strconv.Itoa(first), "--count", strconv.Itoa(count),
 		"--of", strconv.Itoa(l.size.Targets), "--beat", l.f.beat.String(), "--daemons", daemons, "--control", p.http}
 	if kind == "gates" && l.f.ramp > 0 {
--- a/cmd/mflab/hollow_part.go
+++ b/cmd/mfchaos/hollow_part.go
@@ -113,7 +113,7 @@
 		mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
 		err = http.ListenAndServe(f.control, mux)
 	}
-	fmt.Fprintln(os.Stderr, "mflab:", err)
+	fmt.Fprintln(os.Stderr, "mfchaos:", err)
 	return 1
 }
 
--- a/cmd/mflab/main.go
+++ b/cmd/mfchaos/main.go
@@ -1,4 +1,4 @@
-// Command mflab runs a whole fleet on this machine's loopback as separate
+// Command mfchaos runs a whole fleet on this machine's loopback as separate
 // processes, breaks it by a seeded script while mfload sends a deployment's mix,
 // and prints a verdict per rule. It is the only program that starts processes,
 // and it ends only those, by their numbers.
@@ -106,7 +106,7 @@
 	net         int
 }
 
-// define puts the commands and flags on the command line; it returns the command that only mflab itself uses.
+// define puts the commands and flags on the command line; it returns the command that only mfchaos itself uses.
 func (l *lab) define(app *kingpin.Application, o *options) (part string) {
 	app.Flag("deployment", "kelani, kiyihat, small or press").Short('d').Default("small").EnumVar(&l.name, "kelani", "kiyihat", "small", "press")
 	app.Flag("dir", "folder for settings, state, logs and ledgers (made anew)").Default("lab").StringVar(&l.dir)
@@ -135,7 +135,7 @@
 }
 
 func main() {
-	app := kingpin.New("mflab", "Runs a whole fleet on loopback and breaks it by script.")
+	app := kingpin.New("mfchaos", "Runs a whole fleet on loopback and breaks it by script.")
 	app.Version(daemon.Version)
 	app.HelpFlag.Short('h')
 	l := &lab{broken: map[string]int{}, start: time.Now()}
@@ -143,7 +143,7 @@
 	part := l.define(app, o)
 	cmd, err := app.Parse(os.Args[1:])
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "mflab: %v, see --help\n", err)
+		fmt.Fprintf(os.Stderr, "mfchaos: %v, see --help\n", err)
 		os.Exit(2)
 	}
 	if cmd == part {
@@ -156,7 +156,7 @@
 		o.config = filepath.Join("sample", "kelani-routes.json")
 	}
 	if err := l.readConfig(o.config); err != nil {
-		fmt.Fprintln(os.Stderr, "mflab:", err)
+		fmt.Fprintln(os.Stderr, "mfchaos:", err)
 		os.Exit(2)
 	}
 	sig := make(chan os.Signal, 1)
@@ -198,7 +198,7 @@
 		return
 	}
 	if err := l.up(); err != nil {
-		fmt.Fprintln(os.Stderr, "mflab:", err)
+		fmt.Fprintln(os.Stderr, "mfchaos:", err)
 		done <- 1
 		return
 	}
@@ -246,7 +246,7 @@
 	var seeds []string
 	for i := range l.dep.Cores {
 		ip := l.machine(1, i)
-		p := &proc{name: fmt.Sprintf("core-%d", i+1), kind: "mfcore", domain: l.dep.Domains[i%len(l.dep.Domains)],
+		p := &proc{name: fmt.Sprintf("core-%d", i+1), kind: "mfcontrol", domain: l.dep.Domains[i%len(l.dep.Domains)],
 			addr: l.reached(1, i) + ":7001", bind: ip + ":7001", http: ip + ":7101"}
 		l.cores = append(l.cores, p)
 		if i < 3 {
@@ -255,7 +255,7 @@
 	}
 	for i := range l.dep.Gates {
 		ip := l.machine(2, i)
-		l.gates = append(l.gates, &proc{name: fmt.Sprintf("gate-%d", i+1), kind: "mfgate", domain: l.dep.Domains[i%len(l.dep.Domains)],
+		l.gates = append(l.gates, &proc{name: fmt.Sprintf("gate-%d", i+1), kind: "mfproxy", domain: l.dep.Domains[i%len(l.dep.Domains)],
 			addr: l.reached(2, i) + ":7001", bind: ip + ":7001", http: ip + ":7101", listen: ip + ":7201"})
 	}
 	for _, p := range slices.Concat(l.cores, l.gates) {
@@ -265,7 +265,7 @@
 			}
 		}
 		s := daemon.Settings{Name: p.name, Domain: p.domain, Addr: p.addr, Bind: p.bind, From: hostOf(p.bind), HTTP: p.http, Listen: p.listen, Seeds: seeds, Log: "info", GraceMs: int(l.grace.Milliseconds())}
-		if p.kind == "mfcore" {
+		if p.kind == "mfcontrol" {
 			s.Data, s.Size = l.path("data", p.name), l.dep.Cores
 		}
 		if err := l.settle(p, s); err != nil {
@@ -315,7 +315,7 @@
 // stub is a back end's process, not started yet.
 func (l *lab) stub(s Service, name, addr, domain, warm string) *proc {
 	bind := boundAt(addr)
-	p := &proc{name: name, kind: "mfstub", domain: domain, addr: addr, bind: bind, http: bind, service: s.Name}
+	p := &proc{name: name, kind: "mfbackend", domain: domain, addr: addr, bind: bind, http: bind, service: s.Name}
 	p.args = []string{"--service", s.Name, "--name", name, "--addr", addr, "--bind", bind, "--from", hostOf(bind), "--domain", domain, "--work", s.Work, "--bears", strconv.Itoa(s.Bears),
 		"--warm", warm, "--ledger", l.path("ledger", name+".ledger")}
 	if l.routes {
--- a/cmd/mflab/soak_script.go
+++ b/cmd/mfchaos/soak_script.go
@@ -138,7 +138,7 @@
 func (c *script) tend(now time.Time) {
 	for _, a := range slices.Concat(c.proxies, c.cores, c.targets) {
 		switch {
-		case a.phase == phaseStopping && now.Sub(a.stopAt) > c.soak.options.grace+stopSlack && a.kind != "mfstub":
+		case a.phase == phaseStopping && now.Sub(a.stopAt) > c.soak.options.grace+stopSlack && a.kind != "mfbackend":
 			c.soak.note("planned restart", "%s did not stop in its grace", a.name)
 			a.signal(syscall.SIGKILL)
 			a.stopAt = now
@@ -193,7 +193,7 @@
 	switch {
 	case a.phase == phaseUp:
 		c.soak.note("ended by itself", "%s: %v", a.name, end.err)
-	case a.phase == phaseStopping && c.logLength(a) == a.logged && a.kind != "mfstub":
+	case a.phase == phaseStopping && c.logLength(a) == a.logged && a.kind != "mfbackend":
 		// It was asked before the first line of its program ran: nothing was taken.
 	case a.phase == phaseStopping && end.err != nil:
 		c.soak.note("planned restart", "%s: %v", a.name, end.err)
--- a/cmd/mfcore/main.go
+++ b/cmd/mfcontrol/main.go
@@ -1,4 +1,4 @@
-// Command mfcore is described by its --help.
+// Command mfcontrol is described by its --help.
 package main
 
 import (
--- a/cmd/mfgate/main.go
+++ b/cmd/mfproxy/main.go
@@ -1,4 +1,4 @@
-// Command mfgate is described by its --help.
+// Command mfproxy is described by its --help.
 package main
 
 import (
--- a/internal/controlplane/refusal_test.go
+++ b/internal/controlplane/refusal_test.go
@@ -110,7 +110,7 @@
 // Every way to refuse a call says of which kind the refusal is, and always the same for a code.
 func TestEveryRefusalSaysItsKind(t *testing.T) {
 	seen := map[string]bool{}
-	for _, dir := range []string{".", "../host"} {
+	for _, dir := range []string{".", "../daemon"} {
 		paths := replyPaths(t, dir)
 		if len(paths) < 3 {
 			t.Fatalf("%s: only %d reply paths found", dir, len(paths))
@@ -192,7 +192,7 @@
 
 // The operators' page names every refusal and every counter of the core.
 func TestOperatorsPageNamesAll(t *testing.T) {
-	b, err := os.ReadFile("../docs/operate.md")
+	b, err := os.ReadFile("../../docs/operate.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -20,7 +20,7 @@
 	term  atomic.Uint64 // the owner's, for the lines of the stream
 }
 
-// RunCore is mfcore: it runs a control daemon until it is stopped, and returns the exit code.
+// RunCore is mfcontrol: it runs a control daemon until it is stopped, and returns the exit code.
 func RunCore(args []string, dialect Dialect) int {
 	h := Start("core", args, dialect)
 	disk, image, damage := h.openDiskInTime()
--- a/internal/daemon/ctl_test.go
+++ b/internal/daemon/ctl_test.go
@@ -44,14 +44,14 @@
 
 // Every sample is sound: configurations, the changes on them, and settings.
 func TestSamples(t *testing.T) {
-	changes := []string{"--change", "../sample/change-split.json", "--change", "../sample/change-unsplit.json"}
+	changes := []string{"--change", "../../sample/change-split.json", "--change", "../../sample/change-unsplit.json"}
 	for f, more := range map[string][]string{"kelani": nil, "kiyihat": nil, "press": nil, "kelani-routes": nil, "press-routes": nil, "kiyihat-routes": changes} {
-		if code, out := said(t, append([]string{"config", "check", "../sample/" + f + ".json"}, more...)...); code != exitOK {
+		if code, out := said(t, append([]string{"config", "check", "../../sample/" + f + ".json"}, more...)...); code != exitOK {
 			t.Errorf("%s: %d %s", f, code, out)
 		}
 	}
-	for f, kind := range map[string]string{"mfcore-seeds": "core", "mfgate-bounded": "gate"} {
-		b, err := os.ReadFile("../sample/" + f + ".json")
+	for f, kind := range map[string]string{"mfcontrol-seeds": "core", "mfproxy-bounded": "gate"} {
+		b, err := os.ReadFile("../../sample/" + f + ".json")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 		{`{"set":{"routes":[]}}`, "set.routes"},
 		{`{"set":{},"more":1}`, "more"},
 	} {
-		code, out := said(t, "config", "check", "../sample/kiyihat-routes.json", "--change", write(t, c.change))
+		code, out := said(t, "config", "check", "../../sample/kiyihat-routes.json", "--change", write(t, c.change))
 		if code != exitInvalid || !strings.Contains(out, c.at+": ") {
 			t.Errorf("%s: %d %s", c.change, code, out)
 		}
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -30,7 +30,7 @@
 	endBy     atomic.Int64 // when the last answers of a stop have to be written, by Now
 }
 
-// RunGate is mfgate: it runs a proxy daemon until it is stopped, and returns the exit code.
+// RunGate is mfproxy: it runs a proxy daemon until it is stopped, and returns the exit code.
 func RunGate(args []string, dialect Dialect) int {
 	d := newGateDaemon(Start("gate", args, dialect))
 	if err := d.Listen(); err != nil {
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -59,6 +59,12 @@
 	probesAt    time.Duration // when idle connections were last closed
 }
 
+// programs are the daemons' programs, by kind of daemon.
+var programs = map[string]struct{ name, help string }{
+	"core": {"mfcontrol", "A control daemon: keeps the configuration, the proxy membership and the health of targets."},
+	"gate": {"mfproxy", "A proxy daemon: forwards callers' requests to back ends."},
+}
+
 // Start reads command line and settings and returns the daemon's context. If anything is wrong it
 // prints each fault and ends the process with exit code 2.
 func Start(kind string, args []string, dialect Dialect) *Host {
@@ -66,9 +72,8 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	stops := make(chan os.Signal, 2)
 	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
-	app := kingpin.New("mf"+kind, map[string]string{
-		"core": "A control daemon: keeps the configuration, the roster and the judgement of targets.",
-		"gate": "A proxy daemon: carries callers' exchanges to back ends."}[kind])
+	program := programs[kind]
+	app := kingpin.New(program.name, program.help)
 	app.Version(Version)
 	app.HelpFlag.Short('h')
 	f := &Flags{}
@@ -79,16 +84,16 @@
 	}
 	check := app.Flag("check", "check the settings and exit").Bool()
 	if _, err := app.Parse(args); err != nil {
-		fmt.Fprintf(os.Stderr, "mf%s: %v, see --help\n", kind, err)
+		fmt.Fprintf(os.Stderr, "%s: %v, see --help\n", program.name, err)
 		os.Exit(2)
 	}
 	set, raw, faults, err := load()
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "mf%s: %v\n", kind, err)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", program.name, err)
 		os.Exit(2)
 	}
 	for _, x := range faults {
-		fmt.Fprintf(os.Stderr, "mf%s: settings: %s: %s\n", kind, x.Path, x.Text)
+		fmt.Fprintf(os.Stderr, "%s: settings: %s: %s\n", program.name, x.Path, x.Text)
 	}
 	if len(faults) > 0 {
 		os.Exit(2)
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/host_test.go
@@ -41,8 +41,8 @@
 	if want := []string{"addr", "bind", "data", "domain", "from", "http", "listen", "log", "name", "odd", "seeds[0]", "size"}; !slices.Equal(got, want) {
 		t.Fatalf("%v", got)
 	}
-	for _, k := range []string{"core", "gate"} {
-		b, err := os.ReadFile("../sample/mf" + k + ".json")
+	for k, program := range programs {
+		b, err := os.ReadFile("../../sample/" + program.name + ".json")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/shared/config/model_test.go
+++ b/internal/shared/config/model_test.go
@@ -68,7 +68,7 @@
 // What the repository ships is sound.
 func TestSamples(t *testing.T) {
 	for _, n := range []string{"kelani.json", "kiyihat.json"} {
-		b, err := os.ReadFile(filepath.Join("../sample", n))
+		b, err := os.ReadFile(filepath.Join("../../../sample", n))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/shared/outlier/policy_test.go
+++ b/internal/shared/outlier/policy_test.go
@@ -203,7 +203,7 @@
 // Each shipped policy beats the default on the fault that it is for, and costs
 // nothing on a healthy day.
 func TestShippedPolicies(t *testing.T) {
-	files, _ := filepath.Glob("../sample/policies/*.json")
+	files, _ := filepath.Glob("../../../sample/policies/*.json")
 	if len(files) < 4 {
 		t.Fatal(files)
 	}
@@ -238,7 +238,7 @@
 
 // Policies in the docs are sound, and comparing twice gives the same.
 func TestDocs(t *testing.T) {
-	b, err := os.ReadFile("../docs/policy.md")
+	b, err := os.ReadFile("../../../docs/policy.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/verification/simulator/clocks_test.go
+++ b/internal/verification/simulator/clocks_test.go
@@ -14,12 +14,12 @@
 // no chance and do no I/O; and the shells look at wall time only to name things.
 func TestClocks(t *testing.T) {
 	t.Parallel()
-	owners := []string{"core", "proxy", "policy", "quorum"}
+	owners := []string{"controlplane", "dataplane", "shared/outlier", "controlplane/consensus"}
 	barred := []string{"math/rand", "math/rand/v2", "os", "net", "net/http", "sync", "sync/atomic", "context"}
 	wall := []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "UTC", "Local", "Date", "Clock", "Format", "Round", "Truncate"}
-	naming := map[string]int{"../host/http.go": 2, "../host/ctl.go": 2} // a change's id begins with the date
-	for _, dir := range append(slices.Clone(owners), "forward", "host", "ring", "wire", "model") {
-		files, _ := filepath.Glob("../" + dir + "/*.go")
+	naming := map[string]int{"../../daemon/http.go": 2, "../../daemon/ctl.go": 2} // a change's id begins with the date
+	for _, dir := range append(slices.Clone(owners), "dataplane/reverseproxy", "daemon", "controlplane/wal", "shared/wire", "shared/config") {
+		files, _ := filepath.Glob("../../" + dir + "/*.go")
 		if len(files) == 0 {
 			t.Fatal("no files in", dir)
 		}
