--- a/cmd/mfbackend/main.go
+++ b/cmd/mfbackend/main.go
@@ -31,6 +31,7 @@
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/version"
 )
 
 // Entry is a ledger's line.
@@ -122,7 +123,7 @@
 
 func main() {
 	app := kingpin.New("mfbackend", "A stand-in back end that can fail on request and keeps a ledger of what it ran.")
-	app.Version(daemon.Version)
+	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	s := &stub{ledger: make(chan Entry, ledgerQueue), done: make(chan struct{})}
 	o := s.define(app)
--- a/cmd/mfchaos/main.go
+++ b/cmd/mfchaos/main.go
@@ -25,6 +25,7 @@
 
 	"myrtlefold/internal/daemon"
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/version"
 	"myrtlefold/internal/verification/linearizability"
 )
 
@@ -136,7 +137,7 @@
 
 func main() {
 	app := kingpin.New("mfchaos", "Runs a whole fleet on loopback and breaks it by script.")
-	app.Version(daemon.Version)
+	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	l := &lab{broken: map[string]int{}, start: time.Now()}
 	o := &options{}
--- a/cmd/mfctl/main.go
+++ b/cmd/mfctl/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"myrtlefold/internal/daemon"
+	"myrtlefold/internal/mfctl"
 )
 
-func main() { os.Exit(daemon.RunCtl(os.Args[1:])) }
+func main() { os.Exit(mfctl.Run(os.Args[1:])) }
--- a/cmd/mfload/main.go
+++ b/cmd/mfload/main.go
@@ -27,8 +27,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/internal/daemon"
 	"myrtlefold/internal/dataplane/reverseproxy"
+	"myrtlefold/internal/shared/version"
 )
 
 const (
@@ -132,7 +132,7 @@
 
 func main() {
 	app := kingpin.New("mfload", "Sends a deployment's mix of exchanges and checks every answer.")
-	app.Version(daemon.Version)
+	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	gates := app.Flag("gate", "caller address of a proxy, or ADDR=HTTP to ask HTTP/ready whether it takes callers (repeat)").Required().Strings()
 	mix := app.Flag("mix", "kelani, kiyihat, or a JSON file").Default("kiyihat").String()
--- a/cmd/mfsim/main.go
+++ b/cmd/mfsim/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/internal/daemon"
+	"myrtlefold/internal/shared/version"
 	"myrtlefold/internal/verification/simulator"
 )
 
@@ -40,7 +40,7 @@
 
 func parse(args []string) options {
 	app := kingpin.New("mfsim", "Runs a simulated fleet by seed through the faults that it must bear.")
-	app.Version(daemon.Version)
+	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	var o options
 	app.Flag("from", "first seed").Default("1").Uint64Var(&o.from)
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -26,12 +26,10 @@
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/version"
 	"myrtlefold/internal/shared/wire"
 )
 
-// Version is what the programs answer to --version.
-var Version = "0.1.0"
-
 // Host is the context that a daemon's parts share.
 type Host struct {
 	Kind        string // core or gate
@@ -74,7 +72,7 @@
 	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
 	program := programs[kind]
 	app := kingpin.New(program.name, program.help)
-	app.Version(Version)
+	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	f := &Flags{}
 	load := dialect.Load
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/host_test.go
@@ -53,6 +53,20 @@
 	}
 }
 
+// The other samples of settings are sound too, and leave the core's size to the seeds.
+func TestSampleSettings(t *testing.T) {
+	for f, kind := range map[string]string{"mfcontrol-seeds": "core", "mfproxy-bounded": "gate"} {
+		b, err := os.ReadFile("../../sample/" + f + ".json")
+		if err != nil {
+			t.Fatal(err)
+		}
+		s, faults := load(t, kind, string(b), Settings{})
+		if len(faults) > 0 || s.Size != 0 {
+			t.Errorf("%s: %v, size %d", f, faults, s.Size)
+		}
+	}
+}
+
 // Sizes by flag go before the file's, also 0; what is not given is 3.
 func TestSizeByFlag(t *testing.T) {
 	base := []string{"--name", "c", "--domain", "d", "--addr", "127.0.0.1:1", "--http", "127.0.0.1:2", "--data", "x", "--seed", "127.0.0.1:1"}
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net/http"
 	"strings"
 	"time"
@@ -16,6 +15,7 @@
 
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane/reverseproxy"
+	"myrtlefold/internal/shared/changeid"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -62,11 +62,6 @@
 	reverseproxy.Error(w, status, retry, t)
 }
 
-// newChangeID names a change whose caller has not named it: a time for people and a random number.
-func newChangeID() string {
-	return fmt.Sprintf("%s-%08x", time.Now().UTC().Format("20060102T150405Z"), rand.Uint32())
-}
-
 // Serve runs an HTTP server on addr until it is closed.
 func (h *Host) Serve(addr string, hd http.Handler) (*http.Server, error) {
 	return h.serve(addr, hd, nil)
@@ -114,7 +109,7 @@
 		if v := strings.Trim(r.Header.Get("If-Match"), `"`); v != "" && !q.Has("base") {
 			q.Set("base", v)
 		}
-		token := newChangeID()
+		token := changeid.New()
 		v := h.Loop.Ask(r.Context(), id, controlplane.Ask{ID: id, Token: token, Method: r.Method, Path: r.URL.Path, Query: q.Encode(), Body: b}, nil)
 		a, ok := v.(controlplane.Reply)
 		if !ok {
--- a/internal/daemon/ctl_commands.go
+++ b/internal/mfctl/commands.go
@@ -1,6 +1,6 @@
 // This file is the table of mfctl's commands: each with its arguments and its handler.
 
-package daemon
+package mfctl
 
 import (
 	"encoding/json"
--- a/internal/daemon/ctl_config.go
+++ b/internal/mfctl/config.go
@@ -1,6 +1,6 @@
 // This file is the operators' commands for configurations.
 
-package daemon
+package mfctl
 
 import (
 	"cmp"
--- a/internal/daemon/ctl_core.go
+++ b/internal/mfctl/core.go
@@ -1,6 +1,6 @@
 // This file prints the core's own state for 'mfctl status'.
 
-package daemon
+package mfctl
 
 import (
 	"fmt"
--- a/internal/daemon/ctl.go
+++ b/internal/mfctl/mfctl.go
@@ -1,8 +1,8 @@
-// This file is mfctl, the operators' command: it asks any core member, tries the
-// next one where that is safe, names its changes itself so that asking again
-// can't apply one twice, and says by its exit code how a call ended.
-
-package daemon
+// Package mfctl is the operators' command: it asks any core member, tries the next one where that is
+// safe, names its changes itself so that asking again can't apply one twice, and says by its exit
+// code how a call ended. It decides nothing; mfctl.go has the calls and exit codes, commands.go the
+// commands and their arguments, and a file for each group of commands what it prints.
+package mfctl
 
 import (
 	"bytes"
@@ -20,8 +20,10 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/cockroachdb/errors"
 
+	"myrtlefold/internal/shared/changeid"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/version"
 )
 
 // Exit codes of mfctl.
@@ -43,14 +45,14 @@
 	routesFile string // the commands on routes read this file, "": they ask a member
 }
 
-// RunCtl is mfctl: it parses the command line, runs the command and returns the exit code.
-func RunCtl(args []string) int {
+// Run is mfctl: it parses the command line, runs the command and returns the exit code.
+func Run(args []string) int {
 	app := kingpin.New("mfctl", `Operators' command for a myrtlefold core.
 
 Exit codes: 0 done; 1 refused or failed; 2 usage; 3 built on a stale revision;
 4 invalid, nothing changed; 5 no leader or nobody answers, nothing changed;
 6 unknown: ask with 'mfctl change ID'.`)
-	app.Version(Version)
+	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	c := &ctl{}
 	app.Flag("at", "HTTP address of a core member (repeat); also MFCTL_AT, split by commas").StringsVar(&c.at)
@@ -223,7 +225,7 @@
 
 // change makes a change under an id of its own, so that it is made once however often it is sent.
 func (c *ctl) change(method, path string, q url.Values, body []byte) int {
-	q.Set("id", newChangeID())
+	q.Set("id", changeid.New())
 	status, out, err := c.call(method, path, q, body)
 	return c.end(status, out, err, func(b []byte) {
 		var done changeDone
--- a/internal/daemon/ctl_policy.go
+++ b/internal/mfctl/policy.go
@@ -1,6 +1,6 @@
 // This file is the operators' commands that compare and stream policies.
 
-package daemon
+package mfctl
 
 import (
 	"bufio"
--- a/internal/daemon/ctl_views.go
+++ b/internal/mfctl/views.go
@@ -1,6 +1,6 @@
 // This file is the operators' commands that show what there is.
 
-package daemon
+package mfctl
 
 import (
 	"encoding/json"
