--- a/cmd/mfchaos/main.go
+++ b/cmd/mfchaos/main.go
@@ -102,13 +102,12 @@
 	rounds      int
 	phase       time.Duration
 	policyPhase time.Duration
-	hollow      hollowFlags
 	soak        soakOptions
 	net         int
 }
 
-// define puts the commands and flags on the command line; it returns the command that only mfchaos itself uses.
-func (l *lab) define(app *kingpin.Application, o *options) (part string) {
+// define puts the commands and flags on the command line.
+func (l *lab) define(app *kingpin.Application, o *options) {
 	app.Flag("deployment", "kelani, kiyihat, small or press").Short('d').Default("small").EnumVar(&l.name, "kelani", "kiyihat", "small", "press")
 	app.Flag("dir", "folder for settings, state, logs and ledgers (made anew)").Default("lab").StringVar(&l.dir)
 	app.Flag("bin", "folder of the programs").Default("bin").StringVar(&l.bin)
@@ -130,9 +129,6 @@
 	policies := app.Command("policies", "one target fails, then one is slow: load without and with the shipped policy, put in force under load, and compare on the recording")
 	policies.Flag("phase", "how long each load lasts").Default("12s").DurationVar(&o.policyPhase)
 	o.soak.bind(app.Command("soak", "stops, hangups and changes in series that overlap, under callers that use their connections until a process is gone"))
-	hidden := app.Command("hollow-part", "one process of a hollow fleet; hollow starts it").Hidden()
-	o.hollow.bind(app.Command("hollow", "measure what control costs with many gates and targets that share processes"), hidden)
-	return hidden.FullCommand()
 }
 
 func main() {
@@ -141,15 +137,12 @@
 	app.HelpFlag.Short('h')
 	l := &lab{broken: map[string]int{}, start: time.Now()}
 	o := &options{}
-	part := l.define(app, o)
+	l.define(app, o)
 	cmd, err := app.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "mfchaos: %v, see --help\n", err)
 		os.Exit(2)
 	}
-	if cmd == part {
-		os.Exit(runPart(&o.hollow))
-	}
 	addresses = addressesOf(o.net)
 	l.dep = deployments[l.name]
 	if cmd == "soak" {
@@ -194,10 +187,6 @@
 
 // perform carries out a command and sends the exit code; 'up' sends none, and lasts until a signal.
 func (l *lab) perform(cmd string, o *options, done chan<- int) {
-	if cmd == "hollow" {
-		done <- l.hollow(&o.hollow)
-		return
-	}
 	if err := l.up(); err != nil {
 		fmt.Fprintln(os.Stderr, "mfchaos:", err)
 		done <- 1
