--- a/internal/controlplane/configcall.go
+++ b/internal/controlplane/configcall.go
@@ -6,6 +6,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"strconv"
 	"time"
 
@@ -145,5 +146,5 @@
 	if err != nil {
 		panic(err)
 	}
-	c.answer(p, Reply{Status: 200, Body: body(map[string]any{"from": from, "to": to, "merge_patch": json.RawMessage(d)})})
+	c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"from": from, "to": to, "merge_patch": json.RawMessage(d)})})
 }
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -12,6 +12,7 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -22,68 +23,6 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Events.
-type (
-	// Recv is a message from another daemon.
-	Recv struct{ M *wire.Msg }
-	// Tick says that time has moved on.
-	Tick struct{}
-	// Synced says that the batch of that number is on disk.
-	Synced struct{ Seq uint64 }
-	// DiskRefuses says that the disk takes no writes now, and why; nil: it does again.
-	DiskRefuses struct{ Err error }
-	// Probed is the outcome of a Probe.
-	Probed struct {
-		ID     wire.ID
-		SentAt time.Duration
-		Ms     float64
-		Beat   *config.Beat  // nil: no sound answer; its state may be "": alive, and nothing said of it
-		Cold   time.Duration // how much longer it says it is cold
-	}
-	// Ask is an operator's or a back end's call. Token names a change for good.
-	Ask struct {
-		ID                  uint64
-		Token               string
-		Method, Path, Query string
-		Body                []byte
-	}
-	// Stop asks the process to hand over what it has and to end.
-	Stop struct{}
-)
-
-// Commands.
-type (
-	// Send asks for a message to be sent to a daemon.
-	Send struct {
-		Addr string
-		M    *wire.Msg
-	}
-	// Sync asks for a batch to be written and synced, which Synced answers.
-	Sync struct{ B *wire.Batch }
-	// Probe asks a target for its health or identity, which Probed answers.
-	Probe struct {
-		ID   wire.ID
-		Addr string
-		Path string // of the service's health answer, "": the identity request
-	}
-	// Reply is the answer to the Ask of the same ID.
-	Reply struct {
-		ID     uint64
-		Status int
-		Retry  time.Duration // when to ask again, 0: not said
-		Body   []byte
-	}
-	// Note is a target event or a decision for those who read the stream.
-	Note struct {
-		Event    *outlier.Event    `json:"event,omitempty"`
-		Decision *outlier.Decision `json:"decision,omitempty"`
-	}
-	// Change is a change of state worth a line in the log.
-	Change struct{ What, From, To, Why string }
-	// Exit says that the process may end.
-	Exit struct{}
-)
-
 // Settings are what a core daemon is told at its start.
 type Settings struct {
 	Self  wire.Daemon
@@ -197,7 +136,7 @@
 	damage                 []Damage
 	undecodable            error  // why agreed data of this epoch could not be decoded, nil: it could
 	diskError              string // why the disk refuses writes now, "" if it takes them
-	out                    []any
+	out                    []statemachine.Command
 	counts                 Counts
 	cleanAt                time.Duration
 	lastTurn               map[string]uint32 // last place dealt in each service, and each name's own
@@ -261,22 +200,22 @@
 }
 
 // Step is the owner: one event in, commands out.
-func (c *Core) Step(now time.Duration, ev any) []any {
+func (c *Core) Step(now time.Duration, ev statemachine.Event) []statemachine.Command {
 	c.leadership(now) // time may have passed since the last step, and with it the lease
 	switch e := ev.(type) {
-	case Recv:
-		c.recv(now, e.M)
-	case Tick:
+	case statemachine.Receive:
+		c.recv(now, e.Message)
+	case statemachine.Tick:
 		c.tick(now)
-	case Synced:
+	case statemachine.Synced:
 		c.synced(now, e.Seq)
-	case DiskRefuses:
+	case statemachine.DiskHealth:
 		c.diskRefuses(e.Err)
-	case Probed:
+	case statemachine.ProbeResult:
 		c.probed(now, e)
-	case Ask:
+	case statemachine.Call:
 		c.handleCall(now, e)
-	case Stop:
+	case statemachine.Stop:
 		c.stop(now)
 	}
 	c.applyNodeOutput(now)
@@ -295,7 +234,7 @@
 	for c.node != nil {
 		o := c.node.Take()
 		for _, r := range o.Refused {
-			c.emit(Change{"message", r.From, "refused", r.Err.Error()})
+			c.emit(statemachine.StateChange{Subject: statemachine.SubjectMessage, From: r.From, To: "refused", Reason: r.Err.Error()})
 		}
 		if len(o.Batches)+len(o.Send)+len(o.Apply) == 0 && o.Restore == nil {
 			return
@@ -304,7 +243,7 @@
 		for _, b := range o.Batches {
 			b.Seq += c.batchOffset
 			c.image.Fold(b)
-			c.emit(Sync{b})
+			c.emit(statemachine.Sync{Batch: b})
 		}
 		for _, m := range o.Send {
 			c.send(m.To, m)
@@ -336,7 +275,7 @@
 	c.batchOffset++
 	b := c.image.Whole()
 	b.Seq = c.batchOffset
-	c.emit(Sync{b})
+	c.emit(statemachine.Sync{Batch: b})
 }
 
 func (c *Core) tick(now time.Duration) {
--- a/internal/controlplane/damage.go
+++ b/internal/controlplane/damage.go
@@ -5,6 +5,7 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 
 	"myrtlefold/internal/shared/tuning"
 )
@@ -26,7 +27,7 @@
 	c.damage = append(c.damage, d)
 	c.damage = c.damage[max(0, len(c.damage)-tuning.DamageKept):]
 	c.counts.Damaged++
-	c.emit(Change{"damage", d.What, "", d.Why})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: d.What, To: "", Reason: d.Why})
 }
 
 // ReportDamage is for the shell, which reads the disk.
@@ -59,5 +60,5 @@
 	if c.diskError = ""; err != nil {
 		c.diskError = err.Error()
 	}
-	c.emit(Change{"disk", was, c.diskError, "writes refused"})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDisk, From: was, To: c.diskError, Reason: "writes refused"})
 }
--- a/internal/controlplane/damage_test.go
+++ b/internal/controlplane/damage_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"myrtlefold/internal/shared/statemachine"
 	"strings"
 	"testing"
 	"time"
@@ -30,7 +31,7 @@
 		for _, m := range r.memories {
 			b, _ := json.Marshal(m)
 			g := wire.Daemon{Name: "g" + string(m.State[:1]), Kind: "gate", Addr: "g"}
-			r.step(Recv{&wire.Msg{Kind: uint16(wire.KHello), From: g.Name, Hello: &wire.Hello{Self: g, Legacy: b}}})
+			r.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: g.Name, Hello: &wire.Hello{Self: g, Legacy: b}}})
 		}
 		r.second()
 	}
@@ -75,7 +76,7 @@
 		if r.c.Leading() || r.c.state.Adopted || len(r.c.Status(r.now).Damage) == 0 {
 			t.Errorf("%s: leads %v, adopted %v, damage %v", name, r.c.Leading(), r.c.state.Adopted, r.c.damage)
 		}
-		r.step(Ask{ID: 1, Method: "POST", Path: "/v1/core/refound"})
+		r.step(statemachine.Call{ID: 1, Method: "POST", Path: "/v1/core/refound"})
 		if r.seconds(3); !r.c.Leading() || r.c.state.Revision != 0 {
 			t.Errorf("%s: an operator's word did not count", name)
 		}
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -8,6 +8,7 @@
 	"hash/fnv"
 	"io"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -221,14 +222,14 @@
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
 		if k := c.directory[n]; k.Kind == "core" && !done[k.Addr] {
 			done[k.Addr] = true
-			c.emit(Send{k.Addr, c.helloMsg(now, n, false)})
+			c.emit(statemachine.Send{Addr: k.Addr, Message: c.helloMsg(now, n, false)})
 		}
 	}
 	for _, a := range c.settings.Seeds {
 		if !done[a] {
 			done[a] = true
 			delete(c.toldLists, "")
-			c.emit(Send{a, c.helloMsg(now, "", false)})
+			c.emit(statemachine.Send{Addr: a, Message: c.helloMsg(now, "", false)})
 		}
 	}
 }
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -5,6 +5,7 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -18,7 +19,7 @@
 	majorityAt   time.Duration
 	since        time.Duration
 	p            *pending // who waits for reply, if any
-	reply        Reply
+	reply        statemachine.Reply
 	clearPending wire.ID // target that may be served from then on
 	rosterChange bool    // a change of the roster
 	member       string  // a core member whose joining or leaving is waited for
@@ -130,7 +131,7 @@
 		return
 	}
 	f.reported = true
-	c.emit(Change{What: "in force", From: "asked", To: "waiting", Why: c.whatHolds(now, f)})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectConfiguration, From: "asked", To: "waiting", Reason: c.whatHolds(now, f)})
 }
 
 // whatHolds says for people what a waiter waits for.
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -9,6 +9,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -59,7 +60,7 @@
 	if l == c.lead {
 		return
 	}
-	c.emit(Change{"lead", c.lead.String(), l.String(), why})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectLeadership, From: c.lead.String(), To: l.String(), Reason: why})
 	was := c.lead
 	c.lead, c.leadAt = l, now
 	switch l {
@@ -103,7 +104,7 @@
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
-		c.emit(Send{c.directory[n].Addr, c.helloMsg(now, n, true)})
+		c.emit(statemachine.Send{Addr: c.directory[n].Addr, Message: c.helloMsg(now, n, true)})
 	}
 }
 
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -7,6 +7,7 @@
 import (
 	"cmp"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -59,7 +60,7 @@
 
 // proposeMembers proposes a list that differs by one from the present one.
 func (c *Core) proposeMembers(now time.Duration, list []wire.Member, name, change, why string) {
-	c.emit(Change{"member", name, change, why})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectMember, From: name, To: change, Reason: why})
 	c.membersChanging = true
 	c.node.ProposeMembers(now, list)
 }
--- a/internal/controlplane/memory_test.go
+++ b/internal/controlplane/memory_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
@@ -11,7 +12,7 @@
 )
 
 // remembering is the hello of a proxy that tells what it remembers of an epoch.
-func remembering(t *testing.T, proxy string, epoch uint64) Recv {
+func remembering(t *testing.T, proxy string, epoch uint64) statemachine.Receive {
 	t.Helper()
 	state, err := json.Marshal(State{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}})
 	if err != nil {
@@ -21,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Recv{&wire.Msg{Kind: uint16(wire.KHello), From: proxy, Hello: &wire.Hello{Self: wire.Daemon{Name: proxy, Kind: "gate", Addr: proxy, Inc: 1}, Legacy: wire.Compress(b)}}}
+	return statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: proxy, Hello: &wire.Hello{Self: wire.Daemon{Name: proxy, Kind: "gate", Addr: proxy, Inc: 1}, Legacy: wire.Compress(b)}}}
 }
 
 // Where a leader is heard nobody reads what proxies remember, which all of them tell at once when
@@ -46,7 +47,7 @@
 	member.Step(now, remembering(t, "g1", 1))
 	for range 3 * tuning.HelloEvery / tuning.TickEvery {
 		now += tuning.TickEvery
-		member.Step(now, Tick{})
+		member.Step(now, statemachine.Tick{})
 	}
 	if len(member.proxyMemories) != 1 {
 		t.Error("a member that hears no leader has not read what a proxy remembers")
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -4,12 +4,13 @@
 package controlplane
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"time"
 
 	"myrtlefold/internal/shared/wire"
 )
 
-func (c *Core) emit(cmd any) { c.out = append(c.out, cmd) }
+func (c *Core) emit(cmd statemachine.Command) { c.out = append(c.out, cmd) }
 
 func (c *Core) send(name string, m *wire.Msg) {
 	k := c.directory[name]
@@ -17,7 +18,7 @@
 		return
 	}
 	m.To, m.From = name, c.settings.Self.Name
-	c.emit(Send{k.Addr, m})
+	c.emit(statemachine.Send{Addr: k.Addr, Message: m})
 }
 
 func (c *Core) recv(now time.Duration, m *wire.Msg) {
@@ -74,7 +75,7 @@
 					return
 				}
 				delete(c.relayedCalls, m.Ask.Id)
-				c.deliver(p, Reply{p.ask, int(m.Ask.Status), time.Duration(m.Ask.RetryMs) * time.Millisecond, m.Ask.Body})
+				c.deliver(p, statemachine.Reply{ID: p.ask, Status: int(m.Ask.Status), RetryAfter: time.Duration(m.Ask.RetryMs) * time.Millisecond, Body: m.Ask.Body})
 			}
 			return
 		}
--- a/internal/controlplane/numbers_test.go
+++ b/internal/controlplane/numbers_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"math"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 
 	"myrtlefold/internal/shared/config"
@@ -20,8 +21,8 @@
 			"table":   {Kind: uint16(wire.KPull), From: "g1", Pull: &wire.Pull{Table: &wire.Table{Targets: []wire.Target{target}}}},
 		} {
 			r := atRest(1, 1)
-			r.step(Recv{&m})
-			r.step(Ask{ID: 1, Method: "GET", Path: "/v1/targets"})
+			r.step(statemachine.Receive{Message: &m})
+			r.step(statemachine.Call{ID: 1, Method: "GET", Path: "/v1/targets"})
 			if _, err := json.Marshal(r.c.Targets(r.now)); err != nil {
 				t.Errorf("%s with %v: %v", name, demand, err)
 			}
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -7,6 +7,7 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"net/url"
 	"slices"
 	"strconv"
@@ -22,7 +23,7 @@
 
 // ask takes a call at this daemon: some it answers itself, the others it
 // carries out as leader or passes to the leader.
-func (c *Core) handleCall(now time.Duration, e Ask) {
+func (c *Core) handleCall(now time.Duration, e statemachine.Call) {
 	p := &pending{token: e.Token, ask: e.ID, at: now}
 	if c.ended {
 		c.answer(p, noLeader())
@@ -42,7 +43,7 @@
 		return
 	}
 	if e.Path == "/v1/status" {
-		c.answer(p, Reply{Status: 200, Body: body(c.Status(now))})
+		c.answer(p, statemachine.Reply{Status: 200, Body: body(c.Status(now))})
 		return
 	}
 	if id := query(e.Query, "id"); id != "" {
@@ -105,7 +106,7 @@
 	}
 	if strings.HasPrefix(a.Path, "/v1/targets") && a.Method != "GET" {
 		p.targetReport = true
-		w, r := parseTargetReport(Ask{Method: a.Method, Path: a.Path, Query: a.Query, Body: a.Body})
+		w, r := parseTargetReport(statemachine.Call{Method: a.Method, Path: a.Path, Query: a.Query, Body: a.Body})
 		if r.Status != 0 {
 			c.answer(p, r)
 			return
@@ -141,9 +142,9 @@
 		if err != nil {
 			panic(errors.Wrap(err, "an agreed document"))
 		}
-		c.answer(p, Reply{Status: 200, Body: append(slices.Clone(doc), '\n')})
+		c.answer(p, statemachine.Reply{Status: 200, Body: append(slices.Clone(doc), '\n')})
 	case call == "GET config" && seg[2] == "":
-		c.answer(p, Reply{Status: 200, Body: body(map[string]any{"revision": c.state.Revision, "config": c.state.Doc})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"revision": c.state.Revision, "config": c.state.Doc})})
 	case call == "PUT config" && seg[2] == "":
 		if sum, ok := c.precheckChange(now, p, a, a.Body, "whole"); ok {
 			c.config(now, p, a.Body, "whole", sum)
@@ -151,7 +152,7 @@
 	case call == "PATCH config" && seg[2] == "":
 		c.patch(now, p, a, a.Body, "partial")
 	case call == "GET config" && seg[2] == "history":
-		c.answer(p, Reply{Status: 200, Body: body(map[string]any{"changes": c.state.Records})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"changes": c.state.Records})})
 	case call == "GET config" && seg[2] == "diff":
 		c.diff(p, a)
 	case call == "POST config" && seg[2] == "rollback":
@@ -169,22 +170,22 @@
 		if r := c.state.findByID(seg[2]); r != nil {
 			t := *r
 			t.Doc = nil
-			c.answer(p, Reply{Status: 200, Body: body(t)})
+			c.answer(p, statemachine.Reply{Status: 200, Body: body(t)})
 			return
 		}
 		c.answer(p, problem(404, config.Trouble{Code: "not_found", Ran: "unknown", Message: "no such change has been agreed so far"}))
 	case call == "GET roster":
-		c.answer(p, Reply{Status: 200, Body: body(map[string]any{"daemons": c.daemonViews(now)})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"daemons": c.daemonViews(now)})})
 	case call == "GET targets":
-		c.answer(p, Reply{Status: 200, Body: body(map[string]any{"revision": c.state.Revision, "targets": c.Targets(now)})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"revision": c.state.Revision, "targets": c.Targets(now)})})
 	case call == "GET policies":
-		c.answer(p, Reply{Status: 200, Body: body(map[string]any{"revision": c.state.Revision, "policies": c.policyStats(now), "since_ms": (now - c.leadAt).Milliseconds()})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"revision": c.state.Revision, "policies": c.policyStats(now), "since_ms": (now - c.leadAt).Milliseconds()})})
 	case call == "PUT policies":
 		c.patch(now, p, a, patchOf(seg[2], a.Body), "policy "+seg[2])
 	case call == "DELETE policies":
 		c.patch(now, p, a, patchOf(seg[2], []byte("null")), "policy "+seg[2]+" removed")
 	case call == "GET domains":
-		c.answer(p, Reply{Status: 200, Body: body(map[string]any{"emptied": append([]string{}, c.state.Emptied...), "domains": c.domains()})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"emptied": append([]string{}, c.state.Emptied...), "domains": c.domains()})})
 	case call == "POST domains" && (seg[3] == "empty" || seg[3] == "restore"):
 		if !slices.Contains(c.domains(), seg[2]) && !slices.Contains(c.state.Emptied, seg[2]) {
 			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -18,6 +18,7 @@
 	"fmt"
 	"hash/fnv"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"strings"
 	"time"
@@ -352,11 +353,11 @@
 	c.batchOffset += 1 << 32 // past every number of the old node
 	c.syncImage()
 	c.start(now)
-	c.emit(Change{"epoch", "", fmt.Sprint(epoch), fmt.Sprintf("%d of %d members agreed to found", there, len(img.Founders))})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: "", To: fmt.Sprint(epoch), Reason: fmt.Sprintf("%d of %d members agreed to found", there, len(img.Founders))})
 }
 
 func (c *Core) join(now time.Duration, epoch uint64) {
-	c.emit(Change{"epoch", fmt.Sprint(c.image.Epoch), fmt.Sprint(epoch), "joined"})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: fmt.Sprint(c.image.Epoch), To: fmt.Sprint(epoch), Reason: "joined"})
 	c.node, c.offer = nil, 0
 	c.image = consensus.Image{Epoch: epoch, Disk: c.image.Disk}
 	c.batchOffset += 1 << 32
@@ -368,13 +369,13 @@
 // members who are seen found again without waiting for anybody's memory. It is
 // refused while a majority of the last core may still live; machines that are
 // confirmed to be gone for good count as lost, unless they were heard of lately.
-func (c *Core) recoverByOperator(now time.Duration, list string) Reply {
-	no := func(code, f string, a ...any) Reply {
+func (c *Core) recoverByOperator(now time.Duration, list string) statemachine.Reply {
+	no := func(code, f string, a ...any) statemachine.Reply {
 		return problem(409, config.Trouble{Code: code, Message: fmt.Sprintf(f, a...) + "; nothing was changed"})
 	}
 	if c.lead == Adopting && !c.canAdopt() {
 		c.adoptEmpty = true
-		return Reply{Status: 202, Body: body(map[string]any{"begins_empty": true})}
+		return statemachine.Reply{Status: 202, Body: body(map[string]any{"begins_empty": true})}
 	}
 	gone := strings.FieldsFunc(list, func(r rune) bool { return r == ',' })
 	all := c.coreDaemons(now, true)
@@ -395,5 +396,5 @@
 		return no("living", "%d of %d members are here with their disks and can elect a leader", o.withDisk, len(o.last.list))
 	}
 	c.consent = consent{true, gone, now}
-	return Reply{Status: 202, Body: body(map[string]any{"refounding": true, "seen": len(all), "lost": o.lostDisk, "not_seen": o.unseen})}
+	return statemachine.Reply{Status: 202, Body: body(map[string]any{"refounding": true, "seen": len(all), "lost": o.lostDisk, "not_seen": o.unseen})}
 }
--- a/internal/controlplane/refusal_test.go
+++ b/internal/controlplane/refusal_test.go
@@ -5,6 +5,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -153,8 +154,8 @@
 // ask makes a call of a core and reads the refusal.
 func ask(t *testing.T, c *Core, now time.Duration, method, path, query, body string) refusal {
 	t.Helper()
-	for _, cmd := range c.Step(now, Ask{ID: 1, Token: "t-" + query + body, Method: method, Path: path, Query: query, Body: []byte(body)}) {
-		r, ok := cmd.(Reply)
+	for _, cmd := range c.Step(now, statemachine.Call{ID: 1, Token: "t-" + query + body, Method: method, Path: path, Query: query, Body: []byte(body)}) {
+		r, ok := cmd.(statemachine.Reply)
 		if !ok {
 			continue
 		}
--- a/internal/controlplane/reply.go
+++ b/internal/controlplane/reply.go
@@ -5,6 +5,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
@@ -20,20 +21,20 @@
 }
 
 // problem is a refusal, or an answer that promises nothing; its kind goes by the status.
-func problem(status int, t config.Trouble) Reply {
+func problem(status int, t config.Trouble) statemachine.Reply {
 	t.Refusal = config.RefusalOf(status)
-	r := Reply{Status: status, Body: t.JSON()}
+	r := statemachine.Reply{Status: status, Body: t.JSON()}
 	if status == 503 {
-		r.Retry = tuning.RetryAfterMin
+		r.RetryAfter = tuning.RetryAfterMin
 	}
 	return r
 }
 
-func accepted(token string, rev uint64) Reply {
-	return Reply{Status: 200, Body: body(map[string]any{"id": token, "revision": rev, "in_force": true})}
+func accepted(token string, rev uint64) statemachine.Reply {
+	return statemachine.Reply{Status: 200, Body: body(map[string]any{"id": token, "revision": rev, "in_force": true})}
 }
 
-func (c *Core) staleBase(token string) Reply {
+func (c *Core) staleBase(token string) statemachine.Reply {
 	return problem(412, config.Trouble{Code: "stale", Revision: c.state.Revision, Id: token,
 		Message: fmt.Sprintf("built on another revision than the present %d; nothing was changed", c.state.Revision)})
 }
@@ -47,7 +48,7 @@
 	c.answer(p, c.staleBase(p.token))
 }
 
-func (c *Core) answer(p *pending, r Reply) {
+func (c *Core) answer(p *pending, r statemachine.Reply) {
 	repetitions := p.repetitions
 	p.repetitions = nil
 	for _, same := range repetitions {
@@ -62,9 +63,9 @@
 }
 
 // deliver sends an answer to who asked, as it is: here or at the daemon that passed the call on.
-func (c *Core) deliver(p *pending, r Reply) {
+func (c *Core) deliver(p *pending, r statemachine.Reply) {
 	if p.relay != "" {
-		c.send(p.relay, &wire.Msg{Kind: uint16(wire.KAsk), Ask: &wire.Ask{Id: p.relayID, Reply: true, Status: uint16(r.Status), RetryMs: uint32(r.Retry.Milliseconds()), Body: r.Body}})
+		c.send(p.relay, &wire.Msg{Kind: uint16(wire.KAsk), Ask: &wire.Ask{Id: p.relayID, Reply: true, Status: uint16(r.Status), RetryMs: uint32(r.RetryAfter.Milliseconds()), Body: r.Body}})
 		return
 	}
 	r.ID = p.ask
@@ -80,17 +81,17 @@
 		Message: "it cannot be told whether the change was agreed or is in force everywhere; ask for it by its id"}))
 }
 
-func noLeader() Reply {
+func noLeader() statemachine.Reply {
 	return problem(503, config.Trouble{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
 }
 
 // unheard promises nothing to a target that says it leaves or is gone: it is to tell
 // another daemon.
-func notPropagated() Reply {
+func notPropagated() statemachine.Reply {
 	return problem(503, config.Trouble{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
 }
 
-func tooLarge() Reply {
+func tooLarge() statemachine.Reply {
 	return problem(413, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
 }
 
--- a/internal/controlplane/rest_test.go
+++ b/internal/controlplane/rest_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
@@ -21,19 +22,19 @@
 	sent   int
 }
 
-func (r *rest) step(ev any) {
+func (r *rest) step(ev statemachine.Event) {
 	for _, cmd := range r.c.Step(r.now, ev) {
 		switch c := cmd.(type) {
-		case Sync:
-			r.step(Synced{Seq: c.B.Seq})
-		case Probe:
+		case statemachine.Sync:
+			r.step(statemachine.Synced{Seq: c.Batch.Seq})
+		case statemachine.Probe:
 			b := config.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Inc, Address: c.Addr, State: config.Ready}
-			r.step(Probed{ID: c.ID, SentAt: r.now, Ms: 1, Beat: &b})
-		case Send:
+			r.step(statemachine.ProbeResult{ID: c.ID, SentAt: r.now, Milliseconds: 1, Report: &b})
+		case statemachine.Send:
 			r.sent++
-			if p := c.M.Push; p != nil && p.Table != nil {
+			if p := c.Message.Push; p != nil && p.Table != nil {
 				for i := range r.gates {
-					if r.gates[i].Name == c.M.To {
+					if r.gates[i].Name == c.Message.To {
 						r.keys[i] = p.Table
 					}
 				}
@@ -45,7 +46,7 @@
 func (r *rest) second() {
 	for tick := range int(time.Second / tuning.TickEvery) {
 		r.now += tuning.TickEvery
-		r.step(Tick{})
+		r.step(statemachine.Tick{})
 		at := time.Duration(tick) * tuning.TickEvery
 		for i, g := range r.gates {
 			if (at+time.Duration(i)*7*time.Millisecond)%tuning.PullEvery < tuning.TickEvery {
@@ -53,16 +54,16 @@
 				if r.keys[i] != nil {
 					p.Key, p.Revision, p.Seq = r.keys[i].Key, r.keys[i].Revision, r.keys[i].Seq
 				}
-				r.step(Recv{&wire.Msg{Kind: uint16(wire.KPull), From: g.Name, Stamp: int64(r.now), Pull: p}})
+				r.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPull), From: g.Name, Stamp: int64(r.now), Pull: p}})
 			}
 			if (at+time.Duration(i)*11*time.Millisecond)%tuning.HelloEvery < tuning.TickEvery {
-				r.step(Recv{&wire.Msg{Kind: uint16(wire.KHello), From: g.Name, Hello: &wire.Hello{Self: g}}})
+				r.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: g.Name, Hello: &wire.Hello{Self: g}}})
 			}
 		}
 		for i := range r.target {
 			if (at+time.Duration(i)*13*time.Millisecond)%tuning.BeatEvery < tuning.TickEvery {
 				w := r.target[i]
-				r.step(Recv{&wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &w}})
+				r.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &w}})
 			}
 		}
 	}
@@ -130,7 +131,7 @@
 func (r *rest) allocationsPerTick() float64 {
 	return testing.AllocsPerRun(200, func() {
 		r.now += tuning.TickEvery
-		r.c.Step(r.now, Tick{})
+		r.c.Step(r.now, statemachine.Tick{})
 	})
 }
 
@@ -159,7 +160,7 @@
 func (r *rest) allocationsPerPull() float64 {
 	m := &wire.Msg{Kind: uint16(wire.KPull), From: r.gates[0].Name, Stamp: int64(r.now),
 		Pull: &wire.Pull{Self: r.gates[0], Key: r.keys[0].Key, Revision: r.keys[0].Revision, Seq: r.keys[0].Seq}}
-	return testing.AllocsPerRun(200, func() { r.c.Step(r.now, Recv{m}) })
+	return testing.AllocsPerRun(200, func() { r.c.Step(r.now, statemachine.Receive{Message: m}) })
 }
 
 // waitFor has so many wait for a table that is not made yet, as in a release.
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -5,6 +5,7 @@
 package controlplane
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -41,7 +42,7 @@
 	// A late leader hears late, so that one which answered a while ago may well be there.
 	if c.node.TransferLeadershipTo(now, tuning.LeaderLease+tuning.ElectMin, func(m wire.Member) bool { return !c.isStopping(m.Name) }) {
 		c.handedOverAt = now
-		c.emit(Change{"leadership", c.settings.Self.Name, "", "the lease was lost again and again"})
+		c.emit(statemachine.StateChange{Subject: statemachine.SubjectTransfer, From: c.settings.Self.Name, To: "", Reason: "the lease was lost again and again"})
 	}
 }
 
--- a/internal/controlplane/resume_test.go
+++ b/internal/controlplane/resume_test.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
@@ -22,7 +23,7 @@
 		}
 		r.c.setLead(r.now, Idle, "late")
 		r.now += tuning.TickEvery
-		r.step(Tick{})
+		r.step(statemachine.Tick{})
 		if !r.c.Leading() {
 			t.Fatal("it does not lead again")
 		}
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -5,6 +5,7 @@
 
 import (
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -28,7 +29,7 @@
 func (c *Core) handOver(now time.Duration) {
 	stays := func(m wire.Member) bool { return !c.isStopping(m.Name) }
 	if c.node != nil && c.node.TransferLeadershipTo(now, tuning.LeaderLease, stays) {
-		c.emit(Change{"leadership", c.settings.Self.Name, "", "stopping"})
+		c.emit(statemachine.StateChange{Subject: statemachine.SubjectTransfer, From: c.settings.Self.Name, To: "", Reason: "stopping"})
 	}
 }
 
@@ -40,7 +41,7 @@
 	if c.mayExit(now) && !c.ended {
 		c.ended = true
 		c.abandonCalls()
-		c.emit(Exit{})
+		c.emit(statemachine.Exit{})
 	}
 }
 
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -7,6 +7,7 @@
 	"cmp"
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -291,7 +292,7 @@
 		return
 	}
 	if c.state.Revision != was {
-		c.emit(Change{"revision", fmt.Sprint(was), fmt.Sprint(c.state.Revision), o.What})
+		c.emit(statemachine.StateChange{Subject: statemachine.SubjectRevision, From: fmt.Sprint(was), To: fmt.Sprint(c.state.Revision), Reason: o.What})
 	}
 	switch o.Op { // whoever leads next goes on with it
 	case "in":
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -6,6 +6,7 @@
 import (
 	"cmp"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -124,7 +125,7 @@
 	t.Held, t.State = true, config.Leaving
 	c.counts.Holds++
 	d := outlier.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Inc: t.Inc, Why: why}
-	c.emit(Note{Decision: &d})
+	c.emit(statemachine.Publish{Decision: &d})
 }
 
 // drop takes a target's entry away; silence alone refuses nobody.
@@ -139,7 +140,7 @@
 	}
 	c.scorer.Forget(now, id)
 	d := outlier.Decision{At: now, Policy: "registry", Kind: "gone", Service: id.Service, Name: id.Name, Inc: id.Inc, Why: why}
-	c.emit(Note{Decision: &d})
+	c.emit(statemachine.Publish{Decision: &d})
 }
 
 // beat takes a back end's word, straight or passed on. A word whose number is not over
@@ -322,7 +323,7 @@
 }
 
 func (c *Core) judgeEvent(e outlier.Event) {
-	c.emit(Note{Event: &e})
+	c.emit(statemachine.Publish{Event: &e})
 	c.decided(c.scorer.Step(e))
 }
 
@@ -339,7 +340,7 @@
 				c.counts.Lapses++
 			}
 		}
-		c.emit(Note{Decision: &ds[i]})
+		c.emit(statemachine.Publish{Decision: &ds[i]})
 	}
 }
 
--- a/internal/controlplane/targetcall.go
+++ b/internal/controlplane/targetcall.go
@@ -4,6 +4,7 @@
 
 import (
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"strconv"
 	"strings"
@@ -19,7 +20,7 @@
 
 // readWord reads a back end's own call; a reply with a status refuses it. A sign-off by
 // name alone has no service.
-func parseTargetReport(e Ask) (t wire.Target, r Reply) {
+func parseTargetReport(e statemachine.Call) (t wire.Target, r statemachine.Reply) {
 	var fs []config.Fault
 	rest, named := strings.CutPrefix(e.Path, "/v1/targets/")
 	svc, name, both := strings.Cut(rest, "/")
@@ -42,12 +43,12 @@
 	if len(fs) > 0 {
 		return t, problem(422, config.Trouble{Code: "invalid", Message: "not a target's word", Faults: fs})
 	}
-	return t, Reply{}
+	return t, statemachine.Reply{}
 }
 
 // heard acknowledges a word: 200 if it is safe that it says leaving or gone, else 202.
-func reportAccepted(w wire.Target) Reply {
-	r := Reply{Status: 202, Body: body(map[string]any{"beat_ms": tuning.BeatEvery.Milliseconds()})}
+func reportAccepted(w wire.Target) statemachine.Reply {
+	r := statemachine.Reply{Status: 202, Body: body(map[string]any{"beat_ms": tuning.BeatEvery.Milliseconds()})}
 	if isLeaving(w) {
 		r.Status = 200
 	}
@@ -56,7 +57,7 @@
 
 // TargetCall is a back end's own call to a proxy, which acts on it at once and passes
 // it on. A sign-off without a service is for those who know all targets.
-func TargetCall(e Ask, beat func(wire.Target)) Reply {
+func TargetCall(e statemachine.Call, beat func(wire.Target)) statemachine.Reply {
 	t, r := parseTargetReport(e)
 	if r.Status != 0 {
 		return r
@@ -65,7 +66,7 @@
 		return problem(405, config.Trouble{Code: "method", Message: "a sign-off by name alone is for a core member"})
 	}
 	beat(t)
-	return Reply{Status: 202, Body: reportAccepted(t).Body}
+	return statemachine.Reply{Status: 202, Body: reportAccepted(t).Body}
 }
 
 // word takes a back end's word as leader. One that says leaving or gone is acknowledged
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
@@ -42,10 +43,10 @@
 			if !errors.Is(r.c.undecodable, ErrDamaged) {
 				t.Errorf("cause %v", r.c.undecodable)
 			}
-			for i, a := range []Ask{{Method: "GET", Path: "/v1/config"}, {Method: "PUT", Path: "/v1/config", Body: []byte(`{}`)}} {
+			for i, a := range []statemachine.Call{{Method: "GET", Path: "/v1/config"}, {Method: "PUT", Path: "/v1/config", Body: []byte(`{}`)}} {
 				a.ID, a.Token = uint64(i+1), fmt.Sprint("t", i)
 				for _, cmd := range r.c.Step(r.now, a) {
-					if reply, ok := cmd.(Reply); ok && reply.Status != 503 {
+					if reply, ok := cmd.(statemachine.Reply); ok && reply.Status != 503 {
 						t.Errorf("%s %s: %d %s", a.Method, a.Path, reply.Status, reply.Body)
 					}
 				}
@@ -91,17 +92,17 @@
 	return k
 }
 
-func (k *cluster) step(name string, ev any) {
+func (k *cluster) step(name string, ev statemachine.Event) {
 	if name == k.down {
 		return
 	}
 	for _, cmd := range k.members[name].Step(k.now, ev) {
 		switch c := cmd.(type) {
-		case Sync:
-			k.step(name, Synced{Seq: c.B.Seq})
-		case Send:
+		case statemachine.Sync:
+			k.step(name, statemachine.Synced{Seq: c.Batch.Seq})
+		case statemachine.Send:
 			if k.members[c.Addr] != nil {
-				k.step(c.Addr, Recv{c.M})
+				k.step(c.Addr, statemachine.Receive{Message: c.Message})
 			}
 		}
 	}
@@ -111,7 +112,7 @@
 	for range n * int(time.Second/tuning.TickEvery) {
 		k.now += tuning.TickEvery
 		for _, n := range k.names {
-			k.step(n, Tick{})
+			k.step(n, statemachine.Tick{})
 		}
 	}
 }
--- a/internal/controlplane/watchdog.go
+++ b/internal/controlplane/watchdog.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"hash/fnv"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -141,7 +142,7 @@
 func (c *Core) probe(now time.Duration, id wire.ID, t *target) {
 	t.probeAt, t.sentAt = now, now
 	c.counts.Probes++
-	c.emit(Probe{id, t.Addr, c.cfg.Services[id.Service].HealthPath})
+	c.emit(statemachine.Probe{ID: id, Addr: t.Addr, Path: c.cfg.Services[id.Service].HealthPath})
 }
 
 // indirect has some proxies probe a target that the leader itself can't reach, so that a
@@ -180,7 +181,7 @@
 	}
 }
 
-func (c *Core) probed(now time.Duration, p Probed) {
+func (c *Core) probed(now time.Duration, p statemachine.ProbeResult) {
 	if c.lead < Warming {
 		return
 	}
@@ -190,15 +191,15 @@
 			return
 		}
 		t.sentAt = 0
-		if b := p.Beat; b == nil || b.ID() != p.ID || !c.takeOver(now, t, true) {
+		if b := p.Report; b == nil || b.ID() != p.ID || !c.takeOver(now, t, true) {
 			return
 		}
-		c.admitTarget(now, t, p.Beat.State)
+		c.admitTarget(now, t, p.Report.State)
 	}
 	t.sentAt = 0
 	proved := t.unconfirmed
-	e := outlier.Event{At: now, Slice: "probe", Service: t.Service, Name: t.Name, Inc: t.Inc, Ms: p.Ms}
-	b := p.Beat
+	e := outlier.Event{At: now, Slice: "probe", Service: t.Service, Name: t.Name, Inc: t.Inc, Ms: p.Milliseconds}
+	b := p.Report
 	e.Ok = b != nil && b.ID() == p.ID
 	t.missed = !e.Ok
 	if !e.Ok {
@@ -215,7 +216,7 @@
 		if b.Demand != nil {
 			t.Demand, t.HasDemand = *b.Demand, true
 		}
-		t.coldTill = max(t.coldTill, now+p.Cold) // that it says nothing of it ends nothing
+		t.coldTill = max(t.coldTill, now+p.WarmupLeft) // that it says nothing of it ends nothing
 	}
 	c.judgeEvent(e)
 	if proved && !t.unconfirmed {
--- a/internal/controlplane/watchdog_test.go
+++ b/internal/controlplane/watchdog_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
@@ -23,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.step(Ask{ID: 1, Token: "first", Method: "PUT", Path: "/v1/config", Query: "base=0", Body: b})
+	r.step(statemachine.Call{ID: 1, Token: "first", Method: "PUT", Path: "/v1/config", Query: "base=0", Body: b})
 	if r.c.state.Revision == 0 {
 		t.Fatal("the configuration was not taken")
 	}
@@ -43,7 +44,7 @@
 	for r.now < from+tuning.ProbeEvery {
 		was := r.c.counts.Probes
 		r.now += tuning.TickEvery
-		r.step(Tick{})
+		r.step(statemachine.Tick{})
 		most = max(most, r.c.counts.Probes-was)
 	}
 	if steady := uint64(targets * tuning.TickEvery / tuning.ProbeEvery); most > steady+steady/2 {
@@ -67,7 +68,7 @@
 	}
 	missed.missed, missed.misses = true, 1
 	r.now += tuning.TickEvery
-	r.step(Tick{})
+	r.step(statemachine.Tick{})
 	if missed.probeAt != r.now {
 		t.Error("the one that missed a probe waits behind others")
 	}
@@ -83,7 +84,7 @@
 	most := time.Duration(0)
 	for range 100 {
 		r.now += tuning.TickEvery
-		r.step(Tick{})
+		r.step(statemachine.Tick{})
 		for _, x := range r.c.targets {
 			most = max(most, r.now-x.probeAt)
 		}
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -4,6 +4,7 @@
 package daemon
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -60,18 +61,18 @@
 }
 
 // step steps the state machine; on the owner's goroutine.
-func (d *coreDaemon) step(now time.Duration, event any) []any {
+func (d *coreDaemon) step(now time.Duration, event statemachine.Event) []statemachine.Command {
 	commands := d.owner.Step(now, event)
 	d.term.Store(d.owner.Term())
 	return commands
 }
 
 // execute carries out a command of the state machine; on the owner's goroutine.
-func (d *coreDaemon) execute(cmd any) {
+func (d *coreDaemon) execute(cmd statemachine.Command) {
 	switch c := cmd.(type) {
-	case controlplane.Sync:
-		d.disk.queue <- c.B
-	case controlplane.Note:
+	case statemachine.Sync:
+		d.disk.queue <- c.Batch
+	case statemachine.Publish:
 		d.hub.Put(d.term.Load(), c)
 	default:
 		d.Do(cmd)
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -6,6 +6,7 @@
 
 import (
 	"math/rand/v2"
+	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"slices"
 	"time"
@@ -164,7 +165,7 @@
 		}
 		time.Sleep(d.retry)
 	}
-	d.h.Loop.Tell(controlplane.Synced{Seq: batches[len(batches)-1].Seq})
+	d.h.Loop.Tell(statemachine.Synced{Seq: batches[len(batches)-1].Seq})
 }
 
 func (d *Disk) write(recs [][]byte) error {
@@ -187,5 +188,5 @@
 	default:
 		d.h.Log.WithError(err).Error("disk refuses writes; nothing is acknowledged until it takes them")
 	}
-	d.h.Loop.Tell(controlplane.DiskRefuses{Err: err})
+	d.h.Loop.Tell(statemachine.DiskHealth{Err: err})
 }
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"io"
+	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"path/filepath"
 	"syscall"
@@ -11,7 +12,6 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -79,17 +79,17 @@
 			batches = append(batches, &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1}}})
 		}
 		d.sync(batches)
-		var told []any
+		var told []statemachine.Event
 		for len(h.Loop.queue) > 0 {
 			told = append(told, (<-h.Loop.queue).ev)
 		}
-		if last, ok := told[len(told)-1].(controlplane.Synced); !ok || last.Seq != 3 {
+		if last, ok := told[len(told)-1].(statemachine.Synced); !ok || last.Seq != 3 {
 			t.Fatalf("%s: %v", name, told)
 		}
 		before := told[:len(told)-1]
 		for i, ev := range before {
-			r, ok := ev.(controlplane.DiskRefuses)
-			if !ok || (r.Err == nil) != (i == len(before)-1) || i > 0 && r.Err != nil && errors.Is(r.Err, before[i-1].(controlplane.DiskRefuses).Err) {
+			r, ok := ev.(statemachine.DiskHealth)
+			if !ok || (r.Err == nil) != (i == len(before)-1) || i > 0 && r.Err != nil && errors.Is(r.Err, before[i-1].(statemachine.DiskHealth).Err) {
 				t.Errorf("%s: told %v", name, told)
 			}
 		}
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 	"strconv"
 	"sync/atomic"
@@ -78,8 +79,8 @@
 		ReadyWhenEmptied: s.ReadyWhenEmptied,
 		Retry:            dataplane.Retry{Ratio: s.RetryRatio, Window: milliseconds(s.RetryWindowMs), Slack: float64(s.RetrySlack)},
 	})
-	ask := func(ctx context.Context, id uint64, event any) any {
-		return h.Loop.Ask(ctx, id, event, dataplane.Cancel{ID: id})
+	ask := func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command {
+		return h.Loop.Ask(ctx, id, event, statemachine.Cancel{ID: id})
 	}
 	d.forwarder = reverseproxy.New(reverseproxy.Owner{Now: h.Now, Tell: h.Loop.Tell, Ask: ask}, d.pool)
 	d.forwarder.From = h.From()
@@ -91,21 +92,21 @@
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // execute carries out a command of the state machine; on the owner's goroutine.
-func (d *gateDaemon) execute(cmd any) {
+func (d *gateDaemon) execute(cmd statemachine.Command) {
 	switch c := cmd.(type) {
-	case dataplane.Give:
+	case statemachine.Forward:
 		d.Loop.Answer(c.ID, c)
-	case dataplane.Refuse:
+	case statemachine.Reject:
 		d.Loop.Answer(c.ID, c)
-	case dataplane.Dark:
+	case statemachine.UnreachableTargets:
 		d.pool.Dark(c.IDs)
-	case dataplane.Targets:
-		d.pool.Live(c.Live)
+	case statemachine.TargetsChanged:
+		d.pool.Live(c.Addresses)
 		d.forwarder.Limits.Store(c.Limits)
-	case dataplane.Leave:
+	case statemachine.CloseAfterResponse:
 		d.forwarder.Leaving.Store(true)
-	case dataplane.CloseIntake:
-		d.endBy.Store(int64(d.Now() + c.Left + tuning.StopLast))
+	case statemachine.StopAccepting:
+		d.endBy.Store(int64(d.Now() + c.TimeLeft + tuning.StopLast))
 		d.forwarder.Intake.Close()
 	default:
 		d.Do(cmd)
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -8,6 +8,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"net/http"
 	"os"
@@ -22,7 +23,6 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
@@ -117,7 +117,7 @@
 	h := &Host{Kind: kind, Settings: set, Log: log, Metrics: prometheus.NewRegistry(), Incarnation: rand.Uint64() | 1, Traffic: &Traffic{},
 		start: time.Now(), queues: map[string]chan queued{}, Quit: make(chan int, 1)}
 	h.Metrics.MustRegister(h.Traffic)
-	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h, waiting: map[uint64]chan any{}}
+	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h, waiting: map[uint64]chan statemachine.Command{}}
 	return h
 }
 
@@ -153,17 +153,17 @@
 }
 
 // Do carries out the commands that both kinds of owners give; on the owner's goroutine.
-func (h *Host) Do(cmd any) {
+func (h *Host) Do(cmd statemachine.Command) {
 	switch c := cmd.(type) {
-	case controlplane.Send:
-		h.Send(c.Addr, c.M)
-	case controlplane.Probe:
+	case statemachine.Send:
+		h.Send(c.Addr, c.Message)
+	case statemachine.Probe:
 		h.Probe(c)
-	case controlplane.Reply:
+	case statemachine.Reply:
 		h.Loop.Answer(c.ID, c)
-	case controlplane.Change:
-		h.Log.WithFields(logrus.Fields{"what": c.What, "from": c.From, "to": c.To, "why": c.Why, "daemon": h.Settings.Name}).Info("change")
-	case controlplane.Exit:
+	case statemachine.StateChange:
+		h.Log.WithFields(logrus.Fields{"what": c.Subject, "from": c.From, "to": c.To, "why": c.Reason, "daemon": h.Settings.Name}).Info("change")
+	case statemachine.Exit:
 		select {
 		case h.Quit <- 0:
 		default:
@@ -177,7 +177,7 @@
 func (h *Host) Signals() {
 	go func() {
 		<-h.stops
-		h.Loop.Tell(controlplane.Stop{})
+		h.Loop.Tell(statemachine.Stop{})
 		<-h.stops
 		h.Log.Warn("second signal")
 		os.Exit(1)
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/host_test.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"os"
 	"path/filepath"
@@ -11,7 +12,6 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -108,7 +108,7 @@
 	}
 	for seq := uint64(0); seq < 200; {
 		it := <-h.Loop.queue
-		seq = it.ev.(controlplane.Synced).Seq
+		seq = it.ev.(statemachine.Synced).Seq
 	}
 	_, got, err := h.OpenDisk()
 	if err != nil || got.Disk != want.Disk || got.Snap.Index != want.Snap.Index || len(got.Log) != len(want.Log) || got.Log[0].Index != want.Log[0].Index {
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 	"strings"
 	"time"
@@ -13,7 +14,6 @@
 	"github.com/cockroachdb/errors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/changeid"
 	"myrtlefold/internal/shared/config"
@@ -110,13 +110,13 @@
 			q.Set("base", v)
 		}
 		token := changeid.New()
-		v := h.Loop.Ask(r.Context(), id, controlplane.Ask{ID: id, Token: token, Method: r.Method, Path: r.URL.Path, Query: q.Encode(), Body: b}, nil)
-		a, ok := v.(controlplane.Reply)
+		v := h.Loop.Ask(r.Context(), id, statemachine.Call{ID: id, Token: token, Method: r.Method, Path: r.URL.Path, Query: q.Encode(), Body: b}, nil)
+		a, ok := v.(statemachine.Reply)
 		if !ok {
 			return
 		}
-		if a.Retry > 0 {
-			w.Header().Set("Retry-After", reverseproxy.After(a.Retry))
+		if a.RetryAfter > 0 {
+			w.Header().Set("Retry-After", reverseproxy.After(a.RetryAfter))
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(a.Status)
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -4,20 +4,20 @@
 
 import (
 	"context"
+	"myrtlefold/internal/shared/statemachine"
 	"syscall"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
 // item is what the owner's goroutine takes: an event, a question, its cancellation, or a look.
 type item struct {
-	ev    any
+	ev    statemachine.Event
 	id    uint64
-	reply chan any
+	reply chan statemachine.Command
 	look  func(now time.Duration)
 }
 
@@ -25,16 +25,16 @@
 type Loop struct {
 	queue   chan item
 	host    *Host
-	waiting map[uint64]chan any
+	waiting map[uint64]chan statemachine.Command
 }
 
 // Tell queues an event for the owner; it waits while the queue is full.
-func (l *Loop) Tell(ev any) { l.queue <- item{ev: ev} }
+func (l *Loop) Tell(ev statemachine.Event) { l.queue <- item{ev: ev} }
 
 // Ask tells the owner the event ev, and returns the command that answers id. If the context ends
 // first it tells the owner cancel and returns nil.
-func (l *Loop) Ask(ctx context.Context, id uint64, ev, cancel any) any {
-	ch := make(chan any, 1)
+func (l *Loop) Ask(ctx context.Context, id uint64, ev, cancel statemachine.Event) statemachine.Command {
+	ch := make(chan statemachine.Command, 1)
 	l.queue <- item{ev: ev, id: id, reply: ch}
 	select {
 	case v := <-ch:
@@ -53,7 +53,7 @@
 }
 
 // Answer passes the answer to id to whoever waits in Ask; on the owner's goroutine.
-func (l *Loop) Answer(id uint64, v any) {
+func (l *Loop) Answer(id uint64, v statemachine.Command) {
 	if ch := l.waiting[id]; ch != nil {
 		delete(l.waiting, id)
 		ch <- v
@@ -62,10 +62,10 @@
 
 // Run is the owner's goroutine: it steps the state machine for each event and each tick, and passes
 // the commands to exec. It does not return.
-func (l *Loop) Run(step func(time.Duration, any) []any, exec func(cmd any)) {
+func (l *Loop) Run(step func(time.Duration, statemachine.Event) []statemachine.Command, exec func(cmd statemachine.Command)) {
 	tick := time.NewTicker(tuning.TickEvery)
 	defer tick.Stop()
-	do := func(ev any) {
+	do := func(ev statemachine.Event) {
 		for _, c := range step(l.host.Now(), ev) {
 			exec(c)
 		}
@@ -86,7 +86,7 @@
 				do(it.ev)
 			}
 		case <-tick.C:
-			do(controlplane.Tick{})
+			do(statemachine.Tick{})
 		}
 	}
 }
--- a/internal/daemon/probe.go
+++ b/internal/daemon/probe.go
@@ -6,12 +6,12 @@
 
 import (
 	"context"
+	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 	"strconv"
 	"sync/atomic"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
@@ -39,7 +39,7 @@
 
 // Probe probes a target and tells the owner the outcome, a core.Probed; called on the owner's
 // goroutine, which it does not keep waiting.
-func (h *Host) Probe(p controlplane.Probe) {
+func (h *Host) Probe(p statemachine.Probe) {
 	sent := h.Now()
 	if h.probes == nil {
 		h.probes = map[wire.ID]*probed{}
@@ -55,9 +55,9 @@
 	}
 	s.at = sent
 	go func() {
-		out := controlplane.Probed{ID: p.ID, SentAt: sent}
-		out.Beat, out.Cold = ask(s, p, &h.Headers, h)
-		out.Ms = float64(h.Now()-sent) / 1e6
+		out := statemachine.ProbeResult{ID: p.ID, SentAt: sent}
+		out.Report, out.WarmupLeft = ask(s, p, &h.Headers, h)
+		out.Milliseconds = float64(h.Now()-sent) / 1e6
 		h.Loop.Tell(out)
 	}()
 }
@@ -78,7 +78,7 @@
 }
 
 // ask probes a target on the kept connection, and once more on a new one if that fails.
-func ask(s *probed, p controlplane.Probe, names *reverseproxy.Headers, h *Host) (*config.Beat, time.Duration) {
+func ask(s *probed, p statemachine.Probe, names *reverseproxy.Headers, h *Host) (*config.Beat, time.Duration) {
 	deadline := time.Now().Add(tuning.ProbeCap)
 	conn := s.conn.Swap(nil)
 	for conn != nil && conn.Addr() != p.Addr {
@@ -110,7 +110,7 @@
 }
 
 // look asks on a connection and reads what the answer says of the target.
-func look(conn *reverseproxy.Conn, p controlplane.Probe, names *reverseproxy.Headers, deadline time.Time) (b *config.Beat, cold time.Duration, again bool, err error) {
+func look(conn *reverseproxy.Conn, p statemachine.Probe, names *reverseproxy.Headers, deadline time.Time) (b *config.Beat, cold time.Duration, again bool, err error) {
 	if p.Path == "" {
 		b, again, err = conn.Identify(deadline, p.Addr)
 		if err != nil {
--- a/internal/daemon/probe_test.go
+++ b/internal/daemon/probe_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -12,7 +13,6 @@
 
 	"golang.org/x/sys/unix"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
@@ -25,9 +25,9 @@
 	return h
 }
 
-func (h *Host) probeOnce(p controlplane.Probe) controlplane.Probed {
+func (h *Host) probeOnce(p statemachine.Probe) statemachine.ProbeResult {
 	h.Probe(p)
-	return (<-h.Loop.queue).ev.(controlplane.Probed)
+	return (<-h.Loop.queue).ev.(statemachine.ProbeResult)
 }
 
 func counting(t *testing.T, hd http.HandlerFunc) (string, *atomic.Int64) {
@@ -77,13 +77,13 @@
 				w.WriteHeader(c.status)
 			})
 			h := prober()
-			p := controlplane.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/well"}
+			p := statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/well"}
 			for range 3 {
 				got := h.probeOnce(p)
-				if got.ID != p.ID || got.Cold != c.cold || (got.Beat == nil) != c.miss {
+				if got.ID != p.ID || got.WarmupLeft != c.cold || (got.Report == nil) != c.miss {
 					t.Fatalf("%+v", got)
 				}
-				if b := got.Beat; b != nil && (b.ID() != (wire.ID{Service: "s", Name: c.who, Inc: 3}) || b.State != c.state || (b.Demand == nil) != (c.demand == nil) || b.Demand != nil && *b.Demand != *c.demand) {
+				if b := got.Report; b != nil && (b.ID() != (wire.ID{Service: "s", Name: c.who, Inc: 3}) || b.State != c.state || (b.Demand == nil) != (c.demand == nil) || b.Demand != nil && *b.Demand != *c.demand) {
 					t.Fatalf("%+v", b)
 				}
 			}
@@ -104,8 +104,8 @@
 	})
 	h := prober()
 	for range 3 {
-		got := h.probeOnce(controlplane.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr})
-		if b := got.Beat; b == nil || b.ID() != (wire.ID{Service: "s", Name: "z", Inc: 4}) || b.State != config.Leaving {
+		got := h.probeOnce(statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr})
+		if b := got.Report; b == nil || b.ID() != (wire.ID{Service: "s", Name: "z", Inc: 4}) || b.State != config.Leaving {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -123,9 +123,9 @@
 		c.Close()
 	})
 	h := prober()
-	p := controlplane.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/w"}
+	p := statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/w"}
 	for i := range 3 {
-		if got := h.probeOnce(p); got.Beat == nil || conns.Load() != int64(i+1) {
+		if got := h.probeOnce(p); got.Report == nil || conns.Load() != int64(i+1) {
 			t.Fatal(got, conns.Load())
 		}
 	}
@@ -139,7 +139,7 @@
 	s.Start()
 	defer s.Close()
 	p.Addr = s.Listener.Addr().String()
-	if got := h.probeOnce(p); got.Beat == nil {
+	if got := h.probeOnce(p); got.Report == nil {
 		t.Fatal("not asked where it is now")
 	}
 	h.start = h.start.Add(-2 * tuning.ProbeConnIdle)
@@ -153,7 +153,7 @@
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	p.Addr = ln.Addr().String()
 	ln.Close()
-	if got := h.probeOnce(p); got.Beat != nil {
+	if got := h.probeOnce(p); got.Report != nil {
 		t.Fatal("an answer from nobody")
 	}
 }
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
@@ -30,14 +31,14 @@
 	return &loneCore{disk: d, now: time.Second, core: controlplane.New(time.Second, controlplane.Settings{Self: self, Size: 1}, img)}
 }
 
-func (l *loneCore) step(tb testing.TB, ev any) {
+func (l *loneCore) step(tb testing.TB, ev statemachine.Event) {
 	tb.Helper()
 	var batches []*wire.Batch
 	for _, cmd := range l.core.Step(l.now, ev) {
 		switch c := cmd.(type) {
-		case controlplane.Sync:
-			batches = append(batches, c.B)
-		case controlplane.Reply:
+		case statemachine.Sync:
+			batches = append(batches, c.Batch)
+		case statemachine.Reply:
 			if c.Status != 200 {
 				tb.Fatalf("%d %s", c.Status, c.Body)
 			}
@@ -55,7 +56,7 @@
 func (l *loneCore) lead(tb testing.TB) {
 	tb.Helper()
 	for end := l.now + 10*time.Second; !l.core.Leading() && l.now < end; l.now += tuning.TickEvery {
-		l.step(tb, controlplane.Tick{})
+		l.step(tb, statemachine.Tick{})
 	}
 	if !l.core.Leading() {
 		tb.Fatal("it does not lead")
@@ -78,7 +79,7 @@
 	tb.Helper()
 	rnd := rand.New(rand.NewPCG(uint64(changes), uint64(services)))
 	for i := range changes {
-		l.step(tb, controlplane.Ask{ID: uint64(i) + 1, Token: fmt.Sprint("t", i), Method: "PUT", Path: "/v1/config", Query: fmt.Sprintf("base=%d", l.core.Revision()), Body: changingConfig(rnd, services)})
+		l.step(tb, statemachine.Call{ID: uint64(i) + 1, Token: fmt.Sprint("t", i), Method: "PUT", Path: "/v1/config", Query: fmt.Sprintf("base=%d", l.core.Revision()), Body: changingConfig(rnd, services)})
 		l.now += time.Millisecond
 	}
 	if l.taken != changes {
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -10,8 +11,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"myrtlefold/internal/controlplane"
 )
 
 // settingsFile is a core member's, on its own folder.
@@ -81,7 +80,7 @@
 	h.Signals()
 	select {
 	case it := <-h.Loop.queue:
-		if _, ok := it.ev.(controlplane.Stop); !ok {
+		if _, ok := it.ev.(statemachine.Stop); !ok {
 			t.Errorf("%T", it.ev)
 		}
 	case <-time.After(time.Minute):
--- a/internal/daemon/stream.go
+++ b/internal/daemon/stream.go
@@ -7,9 +7,9 @@
 import (
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -18,7 +18,7 @@
 type line struct {
 	Term uint64 `json:"term"`
 	Seq  uint64 `json:"seq"`
-	controlplane.Note
+	statemachine.Publish
 	Missed uint64 `json:"missed,omitempty"`
 	Why    string `json:"note,omitempty"`
 }
@@ -52,7 +52,7 @@
 }
 
 // Put adds a note; it never waits for readers.
-func (u *Hub) Put(term uint64, n controlplane.Note) { u.put <- line{Term: term, Note: n} }
+func (u *Hub) Put(term uint64, n statemachine.Publish) { u.put <- line{Term: term, Publish: n} }
 
 // give passes a line to a reader, without waiting for it.
 func (r *reader) give(l line) {
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -4,16 +4,16 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 	"net/http/httptest"
 	"testing"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
 )
 
-func note() controlplane.Note { return controlplane.Note{Event: &outlier.Event{}} }
+func note() statemachine.Publish { return statemachine.Publish{Event: &outlier.Event{}} }
 
 // A reader resumes after the line it names, and is told of what it missed, be it
 // for coming late or for reading too slowly.
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -5,12 +5,12 @@
 import (
 	"cmp"
 	"io"
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -59,7 +59,7 @@
 		}
 		from = m.From
 		h.Traffic.add(false, m.Kind, r.Size)
-		h.Loop.Tell(controlplane.Recv{M: m})
+		h.Loop.Tell(statemachine.Receive{Message: m})
 	}
 }
 
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -4,6 +4,7 @@
 package dataplane
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -90,7 +91,7 @@
 	return method == "GET" || method == "HEAD" || method == "OPTIONS"
 }
 
-func (g *Proxy) admit(now time.Duration, e Admit) {
+func (g *Proxy) admit(now time.Duration, e statemachine.Admit) {
 	x := &request{id: e.ID, start: now, unknown: e.Timeout <= 0, deadline: now + e.Timeout}
 	if g.intakeClosed {
 		g.refuseStopping(now, x)
@@ -102,8 +103,8 @@
 		return
 	}
 	name, route, ok := g.cfg.Route(e.Host, e.Path)
-	if ok && e.Ahead && !route.Repeats() {
-		g.emit(Refuse{ID: e.ID, Code: CodeNotAhead})
+	if ok && e.Pipelined && !route.Repeats() {
+		g.emit(statemachine.Reject{ID: e.ID, Code: statemachine.CodeNotPipelined})
 		return
 	}
 	if ok {
@@ -114,7 +115,7 @@
 		switch {
 		case !ok && len(allowed) > 0:
 			g.Counts.Refused++
-			g.emit(Refuse{ID: e.ID, Status: 405, Code: "method", Message: "the rule for this path takes other methods", Allowed: allowed})
+			g.emit(statemachine.Reject{ID: e.ID, Status: 405, Code: "method", Message: "the rule for this path takes other methods", Allowed: allowed})
 			return
 		case !ok:
 			g.Counts.Refused++
@@ -206,7 +207,7 @@
 	t.usedAt = now
 	s.inflight++
 	g.Counts.Admitted++
-	g.emit(Give{ID: x.id, Service: x.svc, Set: x.set, Name: x.name, Route: x.route, Target: t.Target, Left: x.deadline - now, Work: g.targetTime(now, x), Till: now + tuning.ChoiceLife, More: x.tries < x.route.Attempts, Connect: connectTime(&x.route), Idle: g.idleConns(t, x.set)})
+	g.emit(statemachine.Forward{ID: x.id, Service: x.svc, ServiceConfig: x.set, RouteName: x.name, Route: x.route, Target: t.Target, TimeLeft: x.deadline - now, WorkTime: g.targetTime(now, x), WriteBy: now + tuning.ChoiceLife, MayRetry: x.tries < x.route.Attempts, ConnectTimeout: connectTime(&x.route), MaxIdle: g.idleConns(t, x.set)})
 }
 
 // tooLate says that a service under pressure better spends its time on others.
@@ -270,17 +271,17 @@
 // refuse gives the final answer. A caller whose time is known is told to come back
 // while it still has some, each at another moment.
 func (g *Proxy) refuse(now time.Duration, x *request, status int, code, msg string) {
-	r := Refuse{ID: x.id, Status: status, Code: code, Message: msg}
+	r := statemachine.Reject{ID: x.id, Status: status, Code: code, Message: msg}
 	if status == 503 {
 		spread := x.id * 2654435761 >> 8
-		r.Retry = tuning.RetryAfterMin + time.Duration(spread%uint64(tuning.RetryAfterSpan))
+		r.RetryAfter = tuning.RetryAfterMin + time.Duration(spread%uint64(tuning.RetryAfterSpan))
 		if !x.unknown {
 			base := x.route.Aim()
 			if base == 0 {
 				base = x.deadline - x.start
 			}
 			base = max(base/8, 1)
-			r.Retry = max(tuning.RefuseMin, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/tuning.RefuseLeft))
+			r.RetryAfter = max(tuning.RefuseMin, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/tuning.RefuseLeft))
 		}
 	}
 	g.emit(r)
@@ -322,16 +323,16 @@
 
 // again gives another target to a request that may have one. The answer to one that
 // may run only once, and whose latest try may have run, is final.
-func (g *Proxy) again(now time.Duration, e Again) {
+func (g *Proxy) again(now time.Duration, e statemachine.Retry) {
 	x := g.requests[e.ID]
 	if x == nil || x.at != nil || x.waiting {
 		return
 	}
-	if !e.Sent && (x.last == Closed || x.last == Stale) {
+	if !e.Sent && (x.last == statemachine.ConnectFailed || x.last == statemachine.ChoiceExpired) {
 		x.tries, x.opens = x.tries-1, x.opens+1 // attempts are targets that it was sent to
 	}
-	ran := x.last == Served || x.last == Broken || x.last == Lost
-	x.repeat = x.repeat || e.Sent || x.last == NotRun || x.last == Foreign && x.set.Asked()
+	ran := x.last == statemachine.Served || x.last == statemachine.ServerError || x.last == statemachine.ResponseLost
+	x.repeat = x.repeat || e.Sent || x.last == statemachine.TargetRejected || x.last == statemachine.WrongIdentity && x.set.Asked()
 	switch {
 	case !x.route.Repeats() && ran && (e.Sent || x.way != nil):
 		g.Counts.OnceKept++
@@ -348,7 +349,7 @@
 	}
 }
 
-func (g *Proxy) done(now time.Duration, e Done) {
+func (g *Proxy) done(now time.Duration, e statemachine.AttemptDone) {
 	x := g.requests[e.ID]
 	if x == nil {
 		return
@@ -359,28 +360,28 @@
 		t.inflight--
 		s.inflight--
 		x.at, x.last = nil, e.Outcome
-		if e.Outcome != Stale {
+		if e.Outcome != statemachine.ChoiceExpired {
 			x.tried = append(x.tried, t.ID())
 		}
-		if e.Outcome != Stale && e.Outcome != Closed && e.Outcome != Foreign && e.Outcome != Dropped {
+		if e.Outcome != statemachine.ChoiceExpired && e.Outcome != statemachine.ConnectFailed && e.Outcome != statemachine.WrongIdentity && e.Outcome != statemachine.ClientGone {
 			t.closed = 0
 		}
 		switch e.Outcome {
-		case Served:
+		case statemachine.Served:
 			t.answeredAt = now
 			t.seen.Ok++
-			t.seen.SumMs += e.Ms
-			if x.set.SlowMs > 0 && e.Ms > float64(x.set.SlowMs) {
+			t.seen.SumMs += e.Milliseconds
+			if x.set.SlowMs > 0 && e.Milliseconds > float64(x.set.SlowMs) {
 				t.seen.Slow++
 			}
-		case Broken, Lost:
+		case statemachine.ServerError, statemachine.ResponseLost:
 			t.seen.Errors++
-			t.seen.SumMs += e.Ms
-		case NotRun:
+			t.seen.SumMs += e.Milliseconds
+		case statemachine.TargetRejected:
 			t.seen.NotRun++
-		case Stale:
+		case statemachine.ChoiceExpired:
 			g.Counts.StaleChoices++
-		case Closed, Foreign:
+		case statemachine.ConnectFailed, statemachine.WrongIdentity:
 			t.seen.Errors++
 			t.avoidUntil = now + tuning.AvoidFor
 			g.Counts.Shunned++
@@ -391,15 +392,15 @@
 		}
 	}
 	if e.Last {
-		if e.Outcome != Dropped {
-			g.aim(now, x, e.Outcome == Served)
+		if e.Outcome != statemachine.ClientGone {
+			g.aim(now, x, e.Outcome == statemachine.Served)
 		}
 		g.leave(x)
 	}
 	g.serveQueue(now, g.service(x.svc))
 }
 
-func (g *Proxy) cancel(now time.Duration, e Cancel) {
+func (g *Proxy) cancel(now time.Duration, e statemachine.Cancel) {
 	x := g.requests[e.ID]
 	if x == nil {
 		return
@@ -408,7 +409,7 @@
 		g.aim(now, x, false)
 	}
 	if x.at != nil {
-		g.done(now, Done{ID: e.ID, Outcome: Dropped, Last: true})
+		g.done(now, statemachine.AttemptDone{ID: e.ID, Outcome: statemachine.ClientGone, Last: true})
 		return
 	}
 	g.leave(x)
@@ -483,5 +484,5 @@
 		}
 	}
 	g.dark = dark
-	g.emit(Dark{dark})
+	g.emit(statemachine.UnreachableTargets{IDs: dark})
 }
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -8,6 +8,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -62,13 +63,13 @@
 					g.memoryToldAt[who] = now
 				}
 			}
-			g.emit(controlplane.Send{Addr: k.Addr, M: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: h}})
+			g.emit(statemachine.Send{Addr: k.Addr, Message: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: h}})
 		}
 	}
 	maps.DeleteFunc(g.memoryToldAt, func(_ string, at time.Duration) bool { return now-at >= tuning.MemoryEvery })
 	for _, a := range g.settings.Seeds {
 		if !sent[a] && a != g.settings.Self.Addr {
-			g.emit(controlplane.Send{Addr: a, M: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
+			g.emit(statemachine.Send{Addr: a, Message: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
 		}
 	}
 }
--- a/internal/dataplane/lease_test.go
+++ b/internal/dataplane/lease_test.go
@@ -1,10 +1,10 @@
 package dataplane
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -13,7 +13,7 @@
 func (b *bench) leased() {
 	b.ver++
 	t := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: b.ver}, Revision: 1, Seq: b.ver, Doc: []byte(plain), State: []byte("{}"), Gates: []wire.Gate{{Name: "g1"}, {Name: "g2"}, {Name: "g3"}}}
-	b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
+	b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
 }
 
 // A proxy that loses its lease again and again tells a core process no more often what it
@@ -29,9 +29,9 @@
 		if since := (b.now - from) % (tuning.ProxyLease + tuning.HelloEvery); since < tuning.TickEvery {
 			b.leased()
 		}
-		b.step(controlplane.Recv{M: hello})
-		for _, c := range b.step(controlplane.Tick{}) {
-			if s, ok := c.(controlplane.Send); ok && s.M.Hello != nil && len(s.M.Hello.Legacy) > 0 {
+		b.step(statemachine.Receive{Message: hello})
+		for _, c := range b.step(statemachine.Tick{}) {
+			if s, ok := c.(statemachine.Send); ok && s.Message.Hello != nil && len(s.Message.Hello.Legacy) > 0 {
 				told++
 			}
 		}
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -3,6 +3,7 @@
 package dataplane
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
@@ -43,34 +44,34 @@
 }
 
 // learn takes in what an answer tells of its target.
-func (g *Proxy) learn(now time.Duration, t *target, x *request, s *service, e Done) {
+func (g *Proxy) learn(now time.Duration, t *target, x *request, s *service, e statemachine.AttemptDone) {
 	if e.Load != nil {
 		t.others, t.loadAt = max(0, float64(e.Load.Running+e.Load.Waiting-t.inflight)), now
 	}
 	switch e.Outcome {
-	case NotRun:
+	case statemachine.TargetRejected:
 		t.fullTill = now + tuning.FullPause
 		s.window = max(s.least(), s.window*tuning.WindowCut)
 		s.pressAt = now
 		g.Counts.Full++
-	case Served:
+	case statemachine.Served:
 		if float64(s.inflight)+1 >= s.window {
 			s.window = min(s.most(), s.window+1/max(1, s.window))
 		}
-		if x.way == nil || e.Ms <= 0 {
+		if x.way == nil || e.Milliseconds <= 0 {
 			return
 		}
-		usual := x.way.see(e.Ms)
+		usual := x.way.see(e.Milliseconds)
 		if s.mean == 0 {
-			s.mean = e.Ms
+			s.mean = e.Milliseconds
 		}
-		s.mean += tuning.MeanWeight * (e.Ms - s.mean)
+		s.mean += tuning.MeanWeight * (e.Milliseconds - s.mean)
 		t.pace = 1 + t.slowness(now)
 		if t.pace == 1 {
 			t.paces = 0
 		}
 		t.paces++
-		t.pace += max(tuning.PaceWeight, 1/float64(t.paces+1)) * (e.Ms/usual - t.pace)
+		t.pace += max(tuning.PaceWeight, 1/float64(t.paces+1)) * (e.Milliseconds/usual - t.pace)
 		t.paceAt = now
 	}
 }
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -6,6 +6,7 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -15,7 +16,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func (g *Proxy) ask(now time.Duration, e controlplane.Ask) {
+func (g *Proxy) ask(now time.Duration, e statemachine.Call) {
 	r := controlplane.TargetCall(e, func(t wire.Target) {
 		g.heardBeat(now, t)
 		if l := g.leader(now); l != "" {
@@ -76,7 +77,7 @@
 
 // inherit puts an heir that has answered for itself in its place, unless who
 // stands there still answers too.
-func (g *Proxy) inherit(now time.Duration, p controlplane.Probed) {
+func (g *Proxy) inherit(now time.Duration, p statemachine.ProbeResult) {
 	for id, t := range g.targets {
 		h := t.successor
 		if h == nil || h.ID() != p.ID {
@@ -84,13 +85,13 @@
 		}
 		h.sentAt = 0
 		gone := t.held || t.Held || t.misses >= tuning.ProbeMisses || t.Addr == h.Addr
-		if g.state != PeerServing || !gone || p.Beat == nil || p.Beat.ID() != p.ID || p.Beat.State == config.Leaving {
+		if g.state != PeerServing || !gone || p.Report == nil || p.Report.ID() != p.ID || p.Report.State == config.Leaving {
 			return
 		}
-		if p.Beat.State == config.Ready {
+		if p.Report.State == config.Ready {
 			h.State = config.Ready
 		}
-		g.emit(controlplane.Change{What: "target", From: fmt.Sprint(id.Inc), To: fmt.Sprint(h.Inc), Why: "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there"})
+		g.emit(statemachine.StateChange{Subject: statemachine.SubjectTarget, From: fmt.Sprint(id.Inc), To: fmt.Sprint(h.Inc), Reason: "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there"})
 		g.succeed(now, id, h)
 		return
 	}
@@ -134,18 +135,18 @@
 func (g *Proxy) ping(now time.Duration, t *target) {
 	if t.sentAt == 0 || now-t.sentAt > 2*tuning.ProbeCap {
 		t.probeAt, t.sentAt = now, now
-		g.emit(controlplane.Probe{ID: t.ID(), Addr: t.Addr, Path: g.cfg.Services[t.Service].HealthPath})
+		g.emit(statemachine.Probe{ID: t.ID(), Addr: t.Addr, Path: g.cfg.Services[t.Service].HealthPath})
 	}
 }
 
-func (g *Proxy) probed(now time.Duration, p controlplane.Probed) {
+func (g *Proxy) probed(now time.Duration, p statemachine.ProbeResult) {
 	t := g.targets[p.ID]
 	if t == nil {
 		g.inherit(now, p)
 		return
 	}
 	t.sentAt = 0
-	b := p.Beat
+	b := p.Report
 	asked := t.indirect
 	t.indirect = false
 	if b == nil || b.ID() != p.ID {
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -11,6 +11,7 @@
 package dataplane
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -20,104 +21,6 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Events besides core.Recv, core.Tick, core.Probed, core.Ask and core.Stop,
-// which both daemons share.
-type (
-	// Admit asks for a target for a new request.
-	Admit struct {
-		ID                 uint64
-		Host, Path, Method string
-		Timeout            time.Duration // what the caller still gives, 0: not said
-		// Ahead: it comes behind another one on its connection. If it may run only once it
-		// gets no target now and is refused with CodeNotAhead, and comes again in its turn.
-		Ahead bool
-	}
-	// Again asks for another target after a try that may be repeated. Sent says
-	// that something of the request had been written.
-	Again struct {
-		ID   uint64
-		Sent bool
-	}
-	// Done ends a request's stay at its target.
-	Done struct {
-		ID      uint64
-		Outcome Outcome
-		Ms      float64
-		Last    bool  // no Again will follow
-		Load    *Load // what the target told of itself with the answer
-	}
-	// Cancel ends a request that is at no target or is to leave it: its client
-	// has gone, or, Failed, its caller got an error.
-	Cancel struct {
-		ID     uint64
-		Failed bool
-	}
-)
-
-// Load is what a target tells of itself with an answer.
-type Load struct{ Running, Waiting, Slots int }
-
-// Outcome is how a request's stay at a target ended.
-type Outcome int
-
-// The outcomes.
-const (
-	Served  Outcome = iota // a whole answer below 500
-	Broken                 // an answer of 500 and above
-	Lost                   // no answer, garbage, or one that was cut
-	Closed                 // no connection could be opened; nothing was written
-	Foreign                // another identity answered there; nothing was written
-	Stale                  // the choice grew too old before anything was written
-	Dropped                // the client went away
-	NotRun                 // the target turned it away and says that it did not run
-)
-
-// Commands besides those shared with core.
-type (
-	// Give sends a request to a target.
-	Give struct {
-		ID      uint64
-		Service string
-		Set     config.Service
-		Name    string       // the route's, "" for a rule
-		Route   config.Route // what holds for the request; a rule's has its service's numbers
-		Target  wire.Target
-		Left    time.Duration // until the request's deadline
-		Work    time.Duration // how long the target may work on it: Left, or less in a proxy that stops
-		Till    time.Duration // nothing of it may be written to this target later than this
-		More    bool          // it has attempts left after this one
-		Connect time.Duration // how long a connection to the target may take to open
-		Idle    int           // how many unused connections to the target may be kept after it
-	}
-	// Refuse is a request's final answer, given before anything was sent on its behalf
-	// (or, after Again, after a try that its caller has classified).
-	Refuse struct {
-		ID      uint64
-		Status  int
-		Retry   time.Duration // when to come back, 0: not said
-		Code    string
-		Message string
-		Allowed []string
-	}
-	// Leave has each answer from now on end its caller's connection: the proxy stops.
-	Leave struct{}
-	// CloseIntake ends the taking of requests, on new connections and on open ones. What was read before has
-	// Left to be answered.
-	CloseIntake struct{ Left time.Duration }
-	// Dark is the targets that are ejected because nothing reaches them: a request that may
-	// be repeated and has no answer from one yet need not wait for it.
-	Dark struct{ IDs map[wire.ID]bool }
-	// Targets is the table's targets; no connection to any other may be used again. Limits are
-	// what its configuration bounds callers by, nil: nothing.
-	Targets struct {
-		Live   map[wire.ID]string
-		Limits *config.Limits
-	}
-)
-
-// CodeNotAhead refuses a request that may run only once and was admitted ahead of its turn.
-const CodeNotAhead = "not_ahead"
-
 // State is by what right a proxy serves, if it does.
 type State int
 
@@ -208,9 +111,9 @@
 	tries    int // choices that may have been sent to their targets
 	opens    int // choices that ended before anything was sent
 	tried    []wire.ID
-	last     Outcome // of the latest try
-	earned   bool    // it has been given to a target and has earned its service credit
-	repeat   bool    // something of it has reached a target: a further one draws on the budget
+	last     statemachine.Outcome // of the latest try
+	earned   bool                 // it has been given to a target and has earned its service credit
+	repeat   bool                 // something of it has reached a target: a further one draws on the budget
 	set      config.Service
 }
 
@@ -282,7 +185,7 @@
 	stopping     bool
 	intakeClosed bool // it stops and takes no more requests
 	stopAt       time.Duration
-	out          []any
+	out          []statemachine.Command
 	dark         map[wire.ID]bool
 	Counts       Counts
 }
@@ -296,29 +199,29 @@
 		targets: map[wire.ID]*target{}, leaving: map[wire.ID]time.Duration{}, services: map[string]*service{}, requests: map[uint64]*request{}, aims: map[string]*aimCounts{}, leaseUntil: -1}
 }
 
-func (g *Proxy) emit(cmd any) { g.out = append(g.out, cmd) }
+func (g *Proxy) emit(cmd statemachine.Command) { g.out = append(g.out, cmd) }
 
 // Step is the owner: one event in, commands out.
-func (g *Proxy) Step(now time.Duration, ev any) []any {
+func (g *Proxy) Step(now time.Duration, ev statemachine.Event) []statemachine.Command {
 	g.updateState(now) // time may have passed since the last step, and with it a lease
 	switch e := ev.(type) {
-	case controlplane.Recv:
-		g.recv(now, e.M)
-	case controlplane.Tick:
+	case statemachine.Receive:
+		g.recv(now, e.Message)
+	case statemachine.Tick:
 		g.tick(now)
-	case controlplane.Probed:
+	case statemachine.ProbeResult:
 		g.probed(now, e)
-	case controlplane.Ask:
+	case statemachine.Call:
 		g.ask(now, e)
-	case controlplane.Stop:
+	case statemachine.Stop:
 		g.beginStop(now)
-	case Admit:
+	case statemachine.Admit:
 		g.admit(now, e)
-	case Again:
+	case statemachine.Retry:
 		g.again(now, e)
-	case Done:
+	case statemachine.AttemptDone:
 		g.done(now, e)
-	case Cancel:
+	case statemachine.Cancel:
 		g.cancel(now, e)
 	}
 	g.updateState(now)
@@ -346,7 +249,7 @@
 	if s == g.state {
 		return
 	}
-	g.emit(controlplane.Change{What: "gate", From: g.state.String(), To: s.String(), Why: why})
+	g.emit(statemachine.StateChange{Subject: statemachine.SubjectProxy, From: g.state.String(), To: s.String(), Reason: why})
 	g.state = s
 	g.index(now)
 	if s == Granted {
@@ -378,7 +281,7 @@
 func (g *Proxy) send(name string, m *wire.Msg) {
 	if k := g.directory[name]; k != nil && name != g.settings.Self.Name {
 		m.To, m.From = name, g.settings.Self.Name
-		g.emit(controlplane.Send{Addr: k.Addr, M: m})
+		g.emit(statemachine.Send{Addr: k.Addr, Message: m})
 	}
 }
 
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -26,30 +26,30 @@
 	return b
 }
 
-func (b *bench) table(gates int, doc string, ts ...wire.Target) []any {
+func (b *bench) table(gates int, doc string, ts ...wire.Target) []statemachine.Command {
 	b.ver++
 	t := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: b.ver}, Revision: b.ver, Doc: []byte(doc), Targets: ts}
 	for i := range gates {
 		t.Gates = append(t.Gates, wire.Gate{Name: fmt.Sprintf("g%d", i+1), Live: true})
 	}
-	return b.g.Step(b.now, controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
+	return b.g.Step(b.now, statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
 		Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
 }
 
-func (b *bench) step(ev any) []any { return b.g.Step(b.now, ev) }
+func (b *bench) step(ev statemachine.Event) []statemachine.Command { return b.g.Step(b.now, ev) }
 
 func (b *bench) admit(id uint64) any {
-	return answer(id, b.step(Admit{ID: id, Path: "/s", Method: "GET"}))
+	return answer(id, b.step(statemachine.Admit{ID: id, Path: "/s", Method: "GET"}))
 }
 
-func answer(id uint64, cmds []any) any {
+func answer(id uint64, cmds []statemachine.Command) any {
 	for _, c := range cmds {
 		switch x := c.(type) {
-		case Give:
+		case statemachine.Forward:
 			if x.ID == id {
 				return x
 			}
-		case Refuse:
+		case statemachine.Reject:
 			if x.ID == id {
 				return x
 			}
@@ -80,11 +80,11 @@
 	share := func(n int) (c int) {
 		for range n {
 			id++
-			g := b.admit(id).(Give)
+			g := b.admit(id).(statemachine.Forward)
 			if g.Target.Name == "c" {
 				c++
 			}
-			b.step(Done{ID: id, Outcome: Served, Ms: 1, Last: true})
+			b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Milliseconds: 1, Last: true})
 		}
 		return c
 	}
@@ -116,7 +116,7 @@
 			b.table(gates, plain, to("a", warming), to("b"))
 			n := 0
 			for id := uint64(1); ; id++ {
-				g, ok := b.admit(id).(Give)
+				g, ok := b.admit(id).(statemachine.Forward)
 				if !ok {
 					break
 				}
@@ -138,7 +138,7 @@
 // whose client left never runs.
 func TestWaiting(t *testing.T) {
 	b := newBench("g1", 1, `{"services":{"s":{"cap":1,"warm_cap":1,"wait_ms":200,"wait_len":3}},"rules":[{"path":"/s","service":"s"}]}`, to("a"))
-	if _, ok := b.admit(1).(Give); !ok {
+	if _, ok := b.admit(1).(statemachine.Forward); !ok {
 		t.Fatal("refused")
 	}
 	for id := uint64(2); id <= 4; id++ {
@@ -146,20 +146,20 @@
 			t.Fatalf("%d: %+v", id, x)
 		}
 	}
-	if r, ok := b.admit(5).(Refuse); !ok || r.Code != "busy" || r.Retry < tuning.RetryAfterMin || r.Retry >= tuning.RetryAfterMin+tuning.RetryAfterSpan {
+	if r, ok := b.admit(5).(statemachine.Reject); !ok || r.Code != "busy" || r.RetryAfter < tuning.RetryAfterMin || r.RetryAfter >= tuning.RetryAfterMin+tuning.RetryAfterSpan {
 		t.Fatalf("%+v", r)
 	}
-	b.step(Cancel{ID: 2})
-	out := b.step(Done{ID: 1, Outcome: Served, Last: true})
-	if _, ok := answer(3, out).(Give); !ok || answer(2, out) != nil {
+	b.step(statemachine.Cancel{ID: 2})
+	out := b.step(statemachine.AttemptDone{ID: 1, Outcome: statemachine.Served, Last: true})
+	if _, ok := answer(3, out).(statemachine.Forward); !ok || answer(2, out) != nil {
 		t.Fatalf("%+v", out)
 	}
 	b.now += 201 * time.Millisecond
 	b.g.leaseUntil = b.now + time.Second
-	if r, ok := answer(4, b.step(controlplane.Tick{})).(Refuse); !ok || r.Status != 503 {
+	if r, ok := answer(4, b.step(statemachine.Tick{})).(statemachine.Reject); !ok || r.Status != 503 {
 		t.Fatalf("%+v", r)
 	}
-	if out := b.step(Done{ID: 3, Outcome: Served, Last: true}); answer(4, out) != nil || b.g.InFlight() != 0 {
+	if out := b.step(statemachine.AttemptDone{ID: 3, Outcome: statemachine.Served, Last: true}); answer(4, out) != nil || b.g.InFlight() != 0 {
 		t.Fatalf("%+v, %d under way", out, b.g.InFlight())
 	}
 }
@@ -169,11 +169,11 @@
 func TestLapse(t *testing.T) {
 	b := newBench("g1", 3, plain, to("a"))
 	b.now += tuning.ProxyLease - time.Millisecond
-	if _, ok := b.admit(1).(Give); !ok {
+	if _, ok := b.admit(1).(statemachine.Forward); !ok {
 		t.Fatal("refused within the grant")
 	}
 	b.now += 2 * time.Millisecond
-	if r, ok := b.admit(2).(Refuse); !ok || r.Code != "not_serving" {
+	if r, ok := b.admit(2).(statemachine.Reject); !ok || r.Code != "not_serving" {
 		t.Fatalf("%+v", r)
 	}
 	for _, m := range []*wire.Msg{{Stamp: int64(b.now), Disk: 8}, {Stamp: int64(b.now + time.Hour), Disk: 9}, {Stamp: int64(b.now), Disk: 9, Term: 0}} {
@@ -184,7 +184,7 @@
 			m.Term = 1
 		}
 		m.Push = &wire.Push{Grant: true, Key: b.g.Table().Key}
-		b.step(controlplane.Recv{M: m})
+		b.step(statemachine.Receive{Message: m})
 		if b.g.Serving() {
 			t.Fatalf("serving on %+v", m)
 		}
@@ -198,16 +198,16 @@
 	for id := uint64(1); id <= 600; id++ {
 		b.now += 10 * time.Millisecond
 		b.g.leaseUntil = b.now + time.Second
-		if _, ok := b.admit(id).(Give); !ok {
+		if _, ok := b.admit(id).(statemachine.Forward); !ok {
 			t.Fatal("refused")
 		}
-		b.step(Done{ID: id, Outcome: Lost})
-		switch x := answer(id, b.step(Again{ID: id, Sent: true})).(type) {
-		case Give:
+		b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.ResponseLost})
+		switch x := answer(id, b.step(statemachine.Retry{ID: id, Sent: true})).(type) {
+		case statemachine.Forward:
 			retried++
-			b.step(Done{ID: id, Outcome: Served, Last: true})
-		case Refuse:
-			if x.Code != "retry_budget" || x.Retry == 0 {
+			b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Last: true})
+		case statemachine.Reject:
+			if x.Code != "retry_budget" || x.RetryAfter == 0 {
 				t.Fatalf("%+v", x)
 			}
 		}
@@ -223,7 +223,7 @@
 	b := newBench("g1", 1, `{"services":{"s":{"cap":1,"warm_cap":1}},"rules":[{"path":"/s","service":"s"}],
 		"aims":{"quick":{"service":"s","part":0.9,"under_ms":50,"window_min":2}}}`, to("a"))
 	id := uint64(0)
-	run := func(took time.Duration, end ...any) {
+	run := func(took time.Duration, end ...statemachine.Event) {
 		id++
 		b.admit(id)
 		b.now += took
@@ -233,15 +233,15 @@
 		}
 	}
 	for range 5 {
-		run(10*time.Millisecond, Done{ID: id + 1, Outcome: Served, Last: true})
+		run(10*time.Millisecond, statemachine.AttemptDone{ID: id + 1, Outcome: statemachine.Served, Last: true})
 	}
-	run(60*time.Millisecond, Done{ID: id + 1, Outcome: Served, Last: true})
-	run(time.Millisecond, Done{ID: id + 1, Outcome: Broken, Last: true})
-	run(time.Millisecond, Done{ID: id + 1, Outcome: Lost}, Cancel{ID: id + 1, Failed: true})
-	run(time.Millisecond, Cancel{ID: id + 1})
+	run(60*time.Millisecond, statemachine.AttemptDone{ID: id + 1, Outcome: statemachine.Served, Last: true})
+	run(time.Millisecond, statemachine.AttemptDone{ID: id + 1, Outcome: statemachine.ServerError, Last: true})
+	run(time.Millisecond, statemachine.AttemptDone{ID: id + 1, Outcome: statemachine.ResponseLost}, statemachine.Cancel{ID: id + 1, Failed: true})
+	run(time.Millisecond, statemachine.Cancel{ID: id + 1})
 	b.admit(90)
 	b.admit(91) // refused: the only place is taken
-	b.step(Done{ID: 90, Outcome: Dropped, Last: true})
+	b.step(statemachine.AttemptDone{ID: 90, Outcome: statemachine.ClientGone, Last: true})
 	if a := b.g.View(b.now).Aims[0]; a.Good != 5 || a.All != 9 {
 		t.Fatalf("%+v", a)
 	}
@@ -258,29 +258,29 @@
 
 func (b *bench) touch() {
 	for _, p := range []string{"g2", "g3"} {
-		b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: p, Hello: &wire.Hello{Self: wire.Daemon{Name: p, Kind: "gate", Addr: p}}}})
-		b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: b.g.Table().Key}}})
+		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: p, Hello: &wire.Hello{Self: wire.Daemon{Name: p, Kind: "gate", Addr: p}}}})
+		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: b.g.Table().Key}}})
 	}
 }
 
 func (b *bench) hear(t wire.Target) {
-	b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KBeat), From: "g2", Stamp: 1, Beat: &t}})
+	b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KBeat), From: "g2", Stamp: 1, Beat: &t}})
 }
 
 // An proxy that serves on its peers whose table ejections every target uses those that beat now, not those that
 // did when the leader still kept the table.
 func TestOrphansLastResort(t *testing.T) {
 	b := newBench("g1", 3, plain, to("a", barred), to("b", barred))
-	if _, ok := b.admit(1).(Give); !ok {
+	if _, ok := b.admit(1).(statemachine.Forward); !ok {
 		t.Fatal("the leader's word that they beat counts while it is fresh")
 	}
-	b.step(Done{ID: 1, Last: true})
+	b.step(statemachine.AttemptDone{ID: 1, Last: true})
 	b.orphan()
-	if r, ok := b.admit(2).(Refuse); !ok || r.Code != "no_target" {
+	if r, ok := b.admit(2).(statemachine.Reject); !ok || r.Code != "no_target" {
 		t.Fatalf("%+v", r)
 	}
 	b.hear(to("b"))
-	if r, ok := b.admit(3).(Refuse); !ok {
+	if r, ok := b.admit(3).(statemachine.Reject); !ok {
 		t.Fatalf("one late word made %+v the last resort", r)
 	}
 	for range 3 {
@@ -288,7 +288,7 @@
 		b.hear(to("b"))
 	}
 	b.touch()
-	if g, ok := b.admit(4).(Give); !ok || g.Target.Name != "b" {
+	if g, ok := b.admit(4).(statemachine.Forward); !ok || g.Target.Name != "b" {
 		t.Fatalf("%+v", g)
 	}
 }
@@ -322,24 +322,24 @@
 		b.hear(word)
 		b.now += tuning.TickEvery
 		probed := false
-		for _, cmd := range b.step(controlplane.Tick{}) {
-			if p, ok := cmd.(controlplane.Probe); ok && p.ID == word.ID() && p.Addr == word.Addr {
+		for _, cmd := range b.step(statemachine.Tick{}) {
+			if p, ok := cmd.(statemachine.Probe); ok && p.ID == word.ID() && p.Addr == word.Addr {
 				probed = true
 			}
 		}
-		if r, ok := b.admit(1).(Refuse); !ok {
+		if r, ok := b.admit(1).(statemachine.Reject); !ok {
 			t.Errorf("%s: chosen before it answered: %+v", c.name, r)
 		}
 		if probed {
-			b.step(controlplane.Probed{ID: word.ID(), SentAt: b.now, Beat: c.beat})
+			b.step(statemachine.ProbeResult{ID: word.ID(), SentAt: b.now, Report: c.beat})
 		}
-		g, ok := b.admit(2).(Give)
+		g, ok := b.admit(2).(statemachine.Forward)
 		if ok != c.taken || ok && (g.Target.Inc != 2 || g.Target.Turn != 5) {
 			t.Errorf("%s: %+v", c.name, g)
 		}
 		b.now += time.Millisecond
 		b.table(3, plain, to("a"), away)
-		if g, ok := b.admit(3).(Give); ok && g.Target.Inc == 2 {
+		if g, ok := b.admit(3).(statemachine.Forward); ok && g.Target.Inc == 2 {
 			t.Errorf("%s: still taken under a leader's table that lacks it", c.name)
 		}
 	}
@@ -355,9 +355,9 @@
 	}
 	b.now += 5 * time.Second
 	asked := false
-	for _, c := range b.step(controlplane.Tick{}) {
-		if s, ok := c.(controlplane.Send); ok && s.M.Pull != nil && s.M.To == "g2" {
-			asked = s.M.Pull.Want && s.M.Pull.Key == b.g.Table().Key
+	for _, c := range b.step(statemachine.Tick{}) {
+		if s, ok := c.(statemachine.Send); ok && s.Message.Pull != nil && s.Message.To == "g2" {
+			asked = s.Message.Pull.Want && s.Message.Pull.Key == b.g.Table().Key
 		}
 	}
 	if !asked || b.g.Serving() {
@@ -366,13 +366,13 @@
 	word := *b.g.Table()
 	word.Targets = []wire.Target{to("a", barred), to("b")}
 	for _, p := range []string{"g2", "g3"} {
-		b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
+		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
 	}
 	for id := range uint64(6) {
-		if g, ok := b.admit(id + 1).(Give); !ok || g.Target.Name != "b" {
+		if g, ok := b.admit(id + 1).(statemachine.Forward); !ok || g.Target.Name != "b" {
 			t.Fatalf("%+v", g)
 		}
-		b.step(Done{ID: id + 1, Last: true})
+		b.step(statemachine.AttemptDone{ID: id + 1, Last: true})
 	}
 }
 
@@ -457,7 +457,7 @@
 				fill := func(bs []*bench) (n int) {
 					for _, b := range bs {
 						for id++; ; id++ {
-							if _, ok := b.admit(id).(Give); !ok {
+							if _, ok := b.admit(id).(statemachine.Forward); !ok {
 								break
 							}
 							n++
@@ -487,7 +487,7 @@
 				now := 0
 				for _, b := range all {
 					b.now += 2*time.Second + tuning.ChoiceLife
-					b.step(controlplane.Tick{})
+					b.step(statemachine.Tick{})
 					now += b.g.View(b.now).Targets[0].Room
 				}
 				if now != warmCap {
@@ -532,10 +532,10 @@
 			id := uint64(0)
 			for b.Loop() {
 				id++
-				if _, ok := x.admit(id).(Give); !ok {
+				if _, ok := x.admit(id).(statemachine.Forward); !ok {
 					b.Fatal("refused")
 				}
-				x.step(Done{ID: id, Last: true})
+				x.step(statemachine.AttemptDone{ID: id, Last: true})
 			}
 		})
 	}
@@ -553,10 +553,10 @@
 			id := uint64(0)
 			for b.Loop() {
 				id++
-				if _, ok := x.call(id, "/a/", time.Second).(Give); !ok {
+				if _, ok := x.call(id, "/a/", time.Second).(statemachine.Forward); !ok {
 					b.Fatal("refused")
 				}
-				x.step(Done{ID: id, Outcome: Served, Ms: 5, Last: true})
+				x.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Milliseconds: 5, Last: true})
 			}
 		})
 	}
@@ -568,13 +568,13 @@
 	b := newBench("g1", 3, plain, to("a"))
 	b.orphan()
 	b.now += 5 * time.Second
-	b.step(controlplane.Tick{})
+	b.step(statemachine.Tick{})
 	word := *b.g.Table()
 	word.Targets = []wire.Target{to("a", func(t *wire.Target) { t.Inc = 2 })}
 	for _, p := range []string{"g2", "g3"} {
-		b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
+		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
 	}
-	if g, ok := b.admit(1).(Give); !ok || g.Target.Inc != 2 {
+	if g, ok := b.admit(1).(statemachine.Forward); !ok || g.Target.Inc != 2 {
 		t.Fatalf("%+v", g)
 	}
 }
@@ -592,7 +592,7 @@
 		x.ver++
 		t := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: x.ver}, Base: old.Key, Revision: old.Revision, Seq: old.Seq,
 			Targets: []wire.Target{to("t007", slots(3), func(t *wire.Target) { t.Demand = float64(x.ver%10) / 10 })}}
-		x.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(x.now), Disk: 9,
+		x.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(x.now), Disk: 9,
 			Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
 		if x.g.Table().Key != t.Key {
 			b.Fatal("not taken")
@@ -604,12 +604,12 @@
 // tick, a miss is the leader's to judge, and own ejections are as before.
 func TestIndirectProbe(t *testing.T) {
 	b := newBench("g1", 1, plain, to("a"), to("b"))
-	b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Epoch: 1, Term: 1, Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1, Epoch: 1}, Leader: "c1", Term: 1}}})
+	b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Epoch: 1, Term: 1, Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1, Epoch: 1}, Leader: "c1", Term: 1}}})
 	id := wire.ID{Service: "s", Name: "a", Inc: 1}
 	ask := func() (n int) {
-		for _, c := range b.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
+		for _, c := range b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
 			Push: &wire.Push{Key: b.g.table.Key, Probe: []wire.ID{id, {Service: "s", Name: "c", Inc: 1}}}}}) {
-			if p, ok := c.(controlplane.Probe); ok && p.ID == id {
+			if p, ok := c.(statemachine.Probe); ok && p.ID == id {
 				n++
 			}
 		}
@@ -623,16 +623,16 @@
 		if n := ask(); n != 0 {
 			t.Fatal("two probes at once")
 		}
-		b.step(controlplane.Probed{ID: id})
+		b.step(statemachine.ProbeResult{ID: id})
 	}
 	if b.g.Counts.OwnBars != 0 {
 		t.Fatal("barred by itself")
 	}
 	told := func() (n int) {
 		b.now += tuning.TickEvery
-		for _, c := range b.step(controlplane.Tick{}) {
-			if s, ok := c.(controlplane.Send); ok && s.M.Pull != nil {
-				for _, e := range s.M.Pull.Seen {
+		for _, c := range b.step(statemachine.Tick{}) {
+			if s, ok := c.(statemachine.Send); ok && s.Message.Pull != nil {
+				for _, e := range s.Message.Pull.Seen {
 					if e.Alive && e.Name == "a" && e.Ok == 0 {
 						n++
 					}
@@ -645,7 +645,7 @@
 		t.Fatal("a miss was told")
 	}
 	ask()
-	b.step(controlplane.Probed{ID: id, Beat: &config.Beat{Service: "s", Name: "a", Incarnation: 1, State: config.Ready}})
+	b.step(statemachine.ProbeResult{ID: id, Report: &config.Beat{Service: "s", Name: "a", Incarnation: 1, State: config.Ready}})
 	if told() != 1 || told() != 0 || b.g.targets[id].ownEjection == 0 {
 		t.Fatal("an answer is told once, with the next tick, and clears no own bar")
 	}
--- a/internal/dataplane/reverseproxy/ahead_test.go
+++ b/internal/dataplane/reverseproxy/ahead_test.go
@@ -6,6 +6,7 @@
 	"context"
 	"fmt"
 	"io"
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"net/http"
 	"strings"
@@ -14,7 +15,6 @@
 
 	"pgregory.net/rapid"
 
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -64,7 +64,7 @@
 // The connection's end ends what was begun ahead on it.
 func TestAheadGone(t *testing.T) {
 	asked, ended := make(chan bool, 4), make(chan bool)
-	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(ctx context.Context, id uint64, _ any) any {
+	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(ctx context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 		asked <- true
 		if id == 2 {
 			<-ctx.Done()
@@ -113,8 +113,8 @@
 // Whatever comes in whatever pieces, the server reads it unaltered, and what is begun
 // ahead is the request that the server will read at that place.
 func TestAheadIsWhatComes(t *testing.T) {
-	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, _ any) any {
-		return dataplane.Refuse{ID: id, Status: 503}
+	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+		return statemachine.Reject{ID: id, Status: 503}
 	}}, nil)
 	begun := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/dataplane/reverseproxy/answer.go
+++ b/internal/dataplane/reverseproxy/answer.go
@@ -5,12 +5,12 @@
 import (
 	"io"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 	"slices"
 	"strconv"
 	"time"
 
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -22,7 +22,7 @@
 }
 
 // readAnswer reads the answer to what was written on p and says what it means.
-func (c *Forwarder) readAnswer(w http.ResponseWriter, r *http.Request, g *dataplane.Give, p *Conn, u *upload, repeats bool, till time.Time, sent chan error, tell func(*tried, bool), stop func() bool) (t tried) {
+func (c *Forwarder) readAnswer(w http.ResponseWriter, r *http.Request, g *statemachine.Forward, p *Conn, u *upload, repeats bool, till time.Time, sent chan error, tell func(*tried, bool), stop func() bool) (t tried) {
 	// done ends the connection's part: it is kept if all of the request is over on it.
 	ended := false
 	done := func(keep bool) {
@@ -53,16 +53,16 @@
 	defer func() { done(false) }()
 	lost := func(code, msg string) tried {
 		done(false)
-		t := tried{sent: true, ran: true, outcome: dataplane.Lost, code: code, msg: msg, load: t.load}
+		t := tried{sent: true, ran: true, outcome: statemachine.ResponseLost, code: code, msg: msg, load: t.load}
 		switch {
 		case u.left(r) || u.bad || u.over:
-			t.outcome = dataplane.Dropped
+			t.outcome = statemachine.ClientGone
 		case !time.Now().Before(till):
 			t.late, t.code, t.msg = true, "late", "no answer within the deadline"
 		}
 		return t
 	}
-	if repeats && g.More && u.rest == nil && !p.await(r.Context(), till, func() bool { return c.dark(g.Target.ID()) }) {
+	if repeats && g.MayRetry && u.rest == nil && !p.await(r.Context(), till, func() bool { return c.dark(g.Target.ID()) }) {
 		c.Counts.GivenUp.Add(1)
 		return lost("dark", "nothing reaches the target, which has not answered")
 	}
@@ -83,10 +83,10 @@
 	if v := resp.Header.Get(h.Load); v != "" {
 		t.load = ReadLoad(v)
 	}
-	asked := g.Set.Asked()
+	asked := g.ServiceConfig.Asked()
 	if asked && resp.StatusCode == http.StatusMisdirectedRequest {
 		c.Counts.Foreign.Add(1)
-		return tried{sent: true, outcome: dataplane.Foreign, code: "foreign", msg: "the target's address answers for another"}
+		return tried{sent: true, outcome: statemachine.WrongIdentity, code: "foreign", msg: "the target's address answers for another"}
 	}
 	notRun := resp.Header.Get(h.NotRun) != ""
 	a := &answer{resp: resp}
@@ -98,23 +98,23 @@
 	if notRun {
 		c.Counts.TurnedAway.Add(1)
 		done(a.done && !resp.Close)
-		return tried{sent: true, outcome: dataplane.NotRun, code: "turned_away", msg: "the target turned it away", load: t.load}
+		return tried{sent: true, outcome: statemachine.TargetRejected, code: "turned_away", msg: "the target turned it away", load: t.load}
 	}
 	if err != nil {
 		return lost("lost", "the target's answer was cut")
 	}
-	t.outcome = dataplane.Served
+	t.outcome = statemachine.Served
 	if resp.StatusCode >= 500 {
-		t.outcome = dataplane.Broken
+		t.outcome = statemachine.ServerError
 	}
 	if asked && !repeats && promises(resp.StatusCode) {
 		// To a caller it would say that nothing ran, which its target has not said.
 		done(a.done && !resp.Close)
-		return tried{sent: true, ran: true, outcome: dataplane.Broken, code: "unclear", msg: "the target failed", load: t.load}
+		return tried{sent: true, ran: true, outcome: statemachine.ServerError, code: "unclear", msg: "the target failed", load: t.load}
 	}
 	if a.done {
 		done(!resp.Close)
-		if t.outcome == dataplane.Broken && repeats && g.Route.Kind != "" && resp.StatusCode != http.StatusGatewayTimeout && time.Until(till) > tuning.TryLeast {
+		if t.outcome == statemachine.ServerError && repeats && g.Route.Kind != "" && resp.StatusCode != http.StatusGatewayTimeout && time.Until(till) > tuning.TryLeast {
 			t.sent, t.ran, t.spare, t.code, t.msg = true, true, a, "failed", "the target failed"
 			return t
 		}
@@ -126,9 +126,9 @@
 	t.status = resp.StatusCode
 	if err := c.passAnswer(w, r, a); err != nil {
 		t.cut = true
-		t.outcome = dataplane.Lost
+		t.outcome = statemachine.ResponseLost
 		if u.left(r) {
-			t.outcome = dataplane.Dropped
+			t.outcome = statemachine.ClientGone
 		}
 		return t
 	}
--- a/internal/dataplane/reverseproxy/callers_test.go
+++ b/internal/dataplane/reverseproxy/callers_test.go
@@ -5,13 +5,13 @@
 	"errors"
 	"fmt"
 	"io"
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -73,7 +73,7 @@
 	fmt.Fprint(c, "GET /1 HTTP/1.1\r\nHost: h\r\nA: 1\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nA: 2\r\n\r\n")
 	until(t, "both are looked at", func() bool { return f.car.Counts.Deferred.Load() == 2 })
 	for range 2 {
-		if d := (<-f.told).(dataplane.Done); d.Outcome != dataplane.Dropped || !d.Last {
+		if d := (<-f.told).(statemachine.AttemptDone); d.Outcome != statemachine.ClientGone || !d.Last {
 			t.Fatal("the target was kept:", d)
 		}
 	}
--- a/internal/dataplane/reverseproxy/forward.go
+++ b/internal/dataplane/reverseproxy/forward.go
@@ -12,6 +12,7 @@
 
 import (
 	"context"
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"net/http"
 	"net/textproto"
@@ -24,7 +25,6 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -58,7 +58,7 @@
 }
 
 // ReadLoad reads a Load header, nil if it says nothing sound.
-func ReadLoad(v string) *dataplane.Load {
+func ReadLoad(v string) *statemachine.TargetLoad {
 	a, rest, _ := strings.Cut(v, ",")
 	b, c, _ := strings.Cut(rest, ",")
 	var n [3]int
@@ -68,15 +68,15 @@
 			return nil
 		}
 	}
-	return &dataplane.Load{Running: n[0], Waiting: n[1], Slots: n[2]}
+	return &statemachine.TargetLoad{Running: n[0], Waiting: n[1], Slots: n[2]}
 }
 
 // Owner passes events to the proxy's owner. Ask waits for the Give or Refuse
 // that answers an event for a request.
 type Owner struct {
 	Now  func() time.Duration
-	Tell func(ev any)
-	Ask  func(ctx context.Context, id uint64, ev any) any
+	Tell func(ev statemachine.Event)
+	Ask  func(ctx context.Context, id uint64, ev statemachine.Event) statemachine.Command
 }
 
 // Counts are the forwarder's counters.
@@ -212,8 +212,8 @@
 	}
 	id := c.nextID.Add(1)
 	ahead, isAhead := w.(*early)
-	ans := c.owner.Ask(r.Context(), id, dataplane.Admit{ID: id, Host: r.Host, Path: r.URL.Path, Method: r.Method, Timeout: timeout, Ahead: isAhead})
-	if no, ok := ans.(dataplane.Refuse); ok && isAhead && no.Code == dataplane.CodeNotAhead {
+	ans := c.owner.Ask(r.Context(), id, statemachine.Admit{ID: id, Host: r.Host, Path: r.URL.Path, Method: r.Method, Timeout: timeout, Pipelined: isAhead})
+	if no, ok := ans.(statemachine.Reject); ok && isAhead && no.Code == statemachine.CodeNotPipelined {
 		ahead.deferred = true
 		return
 	}
@@ -224,14 +224,14 @@
 		if ans == nil {
 			gone() // while it waited; the owner has been told
 		}
-		if no, ok := ans.(dataplane.Refuse); ok {
+		if no, ok := ans.(statemachine.Reject); ok {
 			if spare != nil {
 				status = spare.resp.StatusCode
 				c.Counts.Served.Add(1)
 				c.passAnswer(w, r, spare)
 				return
 			}
-			retry, code, msg, st := no.Retry, no.Code, no.Message, no.Status
+			retry, code, msg, st := no.RetryAfter, no.Code, no.Message, no.Status
 			if last != "" {
 				code, msg = last, no.Message+"; before that: "+last
 				if lastStatus != 0 {
@@ -247,11 +247,11 @@
 			fail(st, retry, config.Trouble{Code: code, Message: msg, Ran: ran})
 			return
 		}
-		g := ans.(dataplane.Give)
+		g := ans.(statemachine.Forward)
 		svc = g.Service
-		most := c.bodyMost(&g.Set)
+		most := c.bodyMost(&g.ServiceConfig)
 		if body.room = most - int64(len(body.kept)); r.ContentLength > most || body.room < 0 {
-			c.owner.Tell(dataplane.Done{ID: id, Outcome: dataplane.Dropped, Last: true})
+			c.owner.Tell(statemachine.AttemptDone{ID: id, Outcome: statemachine.ClientGone, Last: true})
 			fail(413, 0, config.Trouble{Code: "body", Message: "the body is over the service's limit"})
 			return
 		}
@@ -260,7 +260,7 @@
 			repeats = r.Method == "GET" || r.Method == "HEAD" || r.Method == "OPTIONS"
 		}
 		if isAhead && !repeats { // the owner does not give these; nothing of it goes out in any case
-			c.owner.Tell(dataplane.Done{ID: id, Outcome: dataplane.Dropped, Last: true})
+			c.owner.Tell(statemachine.AttemptDone{ID: id, Outcome: statemachine.ClientGone, Last: true})
 			ahead.deferred = true
 			return
 		}
@@ -275,8 +275,8 @@
 			}
 			return
 		case body.left(r):
-			if t.outcome != dataplane.Dropped {
-				c.owner.Tell(dataplane.Cancel{ID: id})
+			if t.outcome != statemachine.ClientGone {
+				c.owner.Tell(statemachine.Cancel{ID: id})
 			}
 			gone()
 		case body.over:
@@ -298,7 +298,7 @@
 			spare = t.spare
 		}
 		if t.late || t.ran && !repeats || body.begun {
-			c.owner.Tell(dataplane.Cancel{ID: id, Failed: true})
+			c.owner.Tell(statemachine.Cancel{ID: id, Failed: true})
 			if spare != nil {
 				status = spare.resp.StatusCode
 				c.Counts.Served.Add(1)
@@ -312,7 +312,7 @@
 			fail(st, tuning.RetryAfterMin+time.Duration(id*2654435761>>8)%tuning.RetryAfterSpan, config.Trouble{Code: last, Message: t.msg, Ran: ran})
 			return
 		}
-		ans = c.owner.Ask(r.Context(), id, dataplane.Again{ID: id, Sent: t.sent})
+		ans = c.owner.Ask(r.Context(), id, statemachine.Retry{ID: id, Sent: t.sent})
 	}
 }
 
@@ -340,25 +340,25 @@
 	spare   *answer
 	code    string
 	msg     string
-	load    *dataplane.Load
-	outcome dataplane.Outcome
+	load    *statemachine.TargetLoad
+	outcome statemachine.Outcome
 }
 
 // conn is an idle connection to the target or a new one; its deadline is set.
-func (c *Forwarder) conn(ctx context.Context, g *dataplane.Give, idle time.Duration, till time.Time) (*Conn, error) {
+func (c *Forwarder) conn(ctx context.Context, g *statemachine.Forward, idle time.Duration, till time.Time) (*Conn, error) {
 	if idle > 0 {
 		if p := c.pool.take(g.Target.ID(), idle, till); p != nil {
 			c.Counts.Reused.Add(1)
 			return p, nil
 		}
 	}
-	open, cancel := context.WithDeadline(ctx, earlier(till, time.Now().Add(g.Connect)))
+	open, cancel := context.WithDeadline(ctx, earlier(till, time.Now().Add(g.ConnectTimeout)))
 	defer cancel()
 	p, err := Open(open, g.Target.Addr, c.From)
 	if err != nil {
 		return nil, err
 	}
-	if !g.Set.Asked() {
+	if !g.ServiceConfig.Asked() {
 		b, again, err := p.Identify(earlier(till, time.Now().Add(tuning.DialCap)), g.Target.Addr)
 		if err == nil && b.ID() != g.Target.ID() {
 			err = errors.Wrapf(errForeign, "%s/%s/%d", b.Service, b.Name, b.Incarnation)
@@ -388,10 +388,10 @@
 }
 
 // give keeps a connection for later, as far as the owner lets this proxy keep any.
-func (c *Forwarder) give(g *dataplane.Give, p *Conn) { c.pool.give(g.Target.ID(), p, g.Idle) }
+func (c *Forwarder) give(g *statemachine.Forward, p *Conn) { c.pool.give(g.Target.ID(), p, g.MaxIdle) }
 
 // compose writes the request's head, and its body as far as it is kept.
-func (c *Forwarder) compose(out []byte, r *http.Request, g *dataplane.Give, u *upload, left time.Duration) []byte {
+func (c *Forwarder) compose(out []byte, r *http.Request, g *statemachine.Forward, u *upload, left time.Duration) []byte {
 	uri := r.RequestURI
 	if !strings.HasPrefix(uri, "/") {
 		uri = r.URL.RequestURI()
@@ -403,7 +403,7 @@
 		if k == "Content-Length" || k == "Host" || strings.EqualFold(k, c.Headers.Deadline) || strings.EqualFold(k, c.Headers.Expect) || drops(named, k) {
 			continue
 		}
-		if c.Forwarded && k == "X-Forwarded-For" && !g.Set.Asked() {
+		if c.Forwarded && k == "X-Forwarded-For" && !g.ServiceConfig.Asked() {
 			continue
 		}
 		for _, v := range vs {
@@ -413,12 +413,12 @@
 	if slices.Contains(r.Header["Te"], "trailers") {
 		out = line(out, "Te", "trailers")
 	}
-	if c.Forwarded && !g.Set.Asked() {
+	if c.Forwarded && !g.ServiceConfig.Asked() {
 		if ip, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 			out = line(out, "X-Forwarded-For", strings.Join(append(slices.Clone(r.Header["X-Forwarded-For"]), ip), ", "))
 		}
 	}
-	if g.Set.Asked() {
+	if g.ServiceConfig.Asked() {
 		out = line(out, c.Headers.Expect, g.Target.Name)
 	}
 	out = append(append(out, c.Headers.Deadline...), ": "...)
@@ -461,24 +461,24 @@
 // planned work is no reason to end an answer sooner.
 func (c *Forwarder) dark(id wire.ID) bool { return !c.Leaving.Load() && c.pool.dark(id) }
 
-func (c *Forwarder) try(w http.ResponseWriter, r *http.Request, g *dataplane.Give, u *upload, repeats bool) (t tried) {
+func (c *Forwarder) try(w http.ResponseWriter, r *http.Request, g *statemachine.Forward, u *upload, repeats bool) (t tried) {
 	start := time.Now()
 	told := false
 	tell := func(t *tried, last bool) {
 		if !told {
 			told = true
-			c.owner.Tell(dataplane.Done{ID: g.ID, Outcome: t.outcome, Ms: float64(time.Since(start)) / 1e6, Last: last, Load: t.load})
+			c.owner.Tell(statemachine.AttemptDone{ID: g.ID, Outcome: t.outcome, Milliseconds: float64(time.Since(start)) / 1e6, Last: last, Load: t.load})
 		}
 	}
-	defer func() { tell(&t, t.status != 0 || t.outcome == dataplane.Dropped) }()
-	till := start.Add(g.Left)
+	defer func() { tell(&t, t.status != 0 || t.outcome == statemachine.ClientGone) }()
+	till := start.Add(g.TimeLeft)
 	workTill := till
-	if g.Work > 0 {
-		workTill = earlier(till, start.Add(g.Work))
+	if g.WorkTime > 0 {
+		workTill = earlier(till, start.Add(g.WorkTime))
 	}
 	idle := tuning.ConnIdle
 	switch {
-	case g.Set.Asked() && r.Header.Get(c.Headers.Attempt) == "":
+	case g.ServiceConfig.Asked() && r.Header.Get(c.Headers.Attempt) == "":
 		idle = 0 // a surplus answer on a used connection could not be told from its own
 	case !repeats:
 		idle = tuning.OnceIdle
@@ -488,20 +488,20 @@
 		if err != nil {
 			switch {
 			case r.Context().Err() != nil:
-				return tried{outcome: dataplane.Dropped}
+				return tried{outcome: statemachine.ClientGone}
 			case errors.Is(err, errForeign):
 				c.Counts.Foreign.Add(1)
-				return tried{outcome: dataplane.Foreign, code: "foreign", msg: "the target's address answers for another"}
+				return tried{outcome: statemachine.WrongIdentity, code: "foreign", msg: "the target's address answers for another"}
 			}
 			if !time.Now().Before(till) {
-				return tried{outcome: dataplane.Stale, code: "late", msg: "the deadline came before a connection to the target", late: true}
+				return tried{outcome: statemachine.ChoiceExpired, code: "late", msg: "the deadline came before a connection to the target", late: true}
 			}
-			return tried{outcome: dataplane.Closed, code: "closed", msg: "no connection to the target"}
+			return tried{outcome: statemachine.ConnectFailed, code: "closed", msg: "no connection to the target"}
 		}
 		p.out = c.compose(p.out, r, g, u, time.Until(workTill))
-		if c.owner.Now() > g.Till {
+		if c.owner.Now() > g.WriteBy {
 			c.give(g, p)
-			return tried{outcome: dataplane.Stale, code: "stale", msg: "the choice of a target grew too old before anything was sent"}
+			return tried{outcome: statemachine.ChoiceExpired, code: "stale", msg: "the choice of a target grew too old before anything was sent"}
 		}
 		stop := context.AfterFunc(r.Context(), func() { p.c.SetDeadline(past()) })
 		n, err := p.c.Write(p.out)
@@ -519,9 +519,9 @@
 			stop()
 			p.Close()
 			if r.Context().Err() != nil {
-				return tried{outcome: dataplane.Dropped}
+				return tried{outcome: statemachine.ClientGone}
 			}
-			return tried{outcome: dataplane.Closed, code: "closed", msg: "the connection to the target was closed", late: !time.Now().Before(till)}
+			return tried{outcome: statemachine.ConnectFailed, code: "closed", msg: "the connection to the target was closed", late: !time.Now().Before(till)}
 		}
 		var sent chan error
 		if u.rest != nil {
--- a/internal/dataplane/reverseproxy/forward_test.go
+++ b/internal/dataplane/reverseproxy/forward_test.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -16,7 +17,6 @@
 	"testing"
 	"time"
 
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -86,22 +86,22 @@
 	}
 	f.pool.Live(live)
 	turn := make(chan bool, 1)
-	c := New(Owner{Now: func() time.Duration { return time.Duration(f.now.Load()) }, Tell: func(ev any) { f.told <- ev }, Ask: func(_ context.Context, id uint64, ev any) any {
+	c := New(Owner{Now: func() time.Duration { return time.Duration(f.now.Load()) }, Tell: func(ev statemachine.Event) { f.told <- ev }, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
 		turn <- true
 		defer func() { <-turn }()
 		f.asks = append(f.asks, ev)
 		n := 0
 		for _, a := range f.asks {
-			if _, ok := a.(dataplane.Admit); ok {
+			if _, ok := a.(statemachine.Admit); ok {
 				n = 0
 			} else {
 				n++
 			}
 		}
 		if n >= len(targets) {
-			return dataplane.Refuse{ID: id, Status: 503, Retry: 2 * time.Second, Code: "busy", Message: "none left"}
+			return statemachine.Reject{ID: id, Status: 503, RetryAfter: 2 * time.Second, Code: "busy", Message: "none left"}
 		}
-		return dataplane.Give{ID: id, Service: "s", Target: targets[n], Left: f.left, Work: f.work, Till: tuning.ChoiceLife, Set: f.set, Route: f.route, More: f.more, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
+		return statemachine.Forward{ID: id, Service: "s", Target: targets[n], TimeLeft: f.left, WorkTime: f.work, WriteBy: tuning.ChoiceLife, ServiceConfig: f.set, Route: f.route, MayRetry: f.more, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectCap}
 	}}, f.pool)
 	f.car = c
 	srv := httptest.NewUnstartedServer(c)
@@ -215,10 +215,10 @@
 	f.now.Store(int64(tuning.ChoiceLife + 1)) // the pool holds a connection by now
 	for range 2 {
 		status, h, _ := f.do(t, "POST", "/x", "body")
-		if d := (<-f.told).(dataplane.Done); status != 503 || h.Get(RanHeader) != "no" || d.Outcome != dataplane.Stale {
+		if d := (<-f.told).(statemachine.AttemptDone); status != 503 || h.Get(RanHeader) != "no" || d.Outcome != statemachine.ChoiceExpired {
 			t.Fatalf("%d, ran %q, outcome %v", status, h.Get(RanHeader), d.Outcome)
 		}
-		if e := f.asks[len(f.asks)-1].(dataplane.Again); e.Sent {
+		if e := f.asks[len(f.asks)-1].(statemachine.Retry); e.Sent {
 			t.Fatal("counted as sent")
 		}
 	}
@@ -234,7 +234,7 @@
 	for range 3 {
 		f.do(t, "GET", "/x", "")
 	}
-	if d := <-f.told; d.(dataplane.Done).Outcome != dataplane.Served {
+	if d := <-f.told; d.(statemachine.AttemptDone).Outcome != statemachine.Served {
 		t.Fatal(d)
 	}
 	take := func(p *Pool) *Conn { return p.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
@@ -419,35 +419,35 @@
 		ran     string
 		body    string // "": any
 		second  int64  // runs at the second target
-		outcome dataplane.Outcome
+		outcome statemachine.Outcome
 	}
 	other := end{200, "", "fine", 1, 0}
-	is := func(e end, o dataplane.Outcome) end { e.outcome = o; return e }
+	is := func(e end, o statemachine.Outcome) end { e.outcome = o; return e }
 	for _, c := range []struct {
 		name         string
 		say          func(int, int, *http.Request) (string, bool)
 		once, repeat end
 	}{
-		{"fine", says(200, "mine"), end{200, "", "mine", 0, dataplane.Served}, end{200, "", "mine", 0, dataplane.Served}},
-		{"turned away", says(503, "", "N", "1"), is(other, dataplane.NotRun), is(other, dataplane.NotRun)},
-		{"turned away as too many", says(429, "x", "N", "1", "Retry-After", "0.2"), is(other, dataplane.NotRun), is(other, dataplane.NotRun)},
-		{"another's address", says(421, ""), is(other, dataplane.Foreign), is(other, dataplane.Foreign)},
-		{"503 that says nothing", says(503, "x"), end{502, "unknown", "", 0, dataplane.Broken}, is(other, dataplane.Broken)},
-		{"429 that says nothing", says(429, "x"), end{502, "unknown", "", 0, dataplane.Broken}, end{429, "", "x", 0, dataplane.Served}},
-		{"500", says(500, "own"), end{500, "", "own", 0, dataplane.Broken}, is(other, dataplane.Broken)},
-		{"504", says(504, "own"), end{504, "", "own", 0, dataplane.Broken}, end{504, "", "own", 0, dataplane.Broken}},
-		{"404", says(404, "own"), end{404, "", "own", 0, dataplane.Served}, end{404, "", "own", 0, dataplane.Served}},
-		{"silence", bytesOnly(""), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"garbage", bytesOnly("\x00\xff no\r\n\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"cut", head("HTTP/1.1 200 OK\r\nContent-Length: 9\r\nA: ID\r\nP: yes\r\n\r\nhalf"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"chunks cut", head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nA: ID\r\nP: yes\r\n\r\n4\r\nhalf\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"head cut", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"another exchange's", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: other\r\nP: yes\r\n\r\nnope"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"another exchange was turned away", head("HTTP/1.1 503 X\r\nContent-Length: 0\r\nA: other\r\nN: 1\r\n\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"no proof", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n\r\nnope"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"success that did not run", says(200, "x", "N", "1"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"another protocol", head("HTTP/1.1 101 X\r\nA: ID\r\nP: yes\r\n\r\n"), end{502, "unknown", "", 0, dataplane.Lost}, is(other, dataplane.Lost)},
-		{"interim first", head("HTTP/1.1 103 X\r\nZ: 1\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\nP: yes\r\n\r\nfine"), end{200, "", "fine", 0, dataplane.Served}, end{200, "", "fine", 0, dataplane.Served}},
+		{"fine", says(200, "mine"), end{200, "", "mine", 0, statemachine.Served}, end{200, "", "mine", 0, statemachine.Served}},
+		{"turned away", says(503, "", "N", "1"), is(other, statemachine.TargetRejected), is(other, statemachine.TargetRejected)},
+		{"turned away as too many", says(429, "x", "N", "1", "Retry-After", "0.2"), is(other, statemachine.TargetRejected), is(other, statemachine.TargetRejected)},
+		{"another's address", says(421, ""), is(other, statemachine.WrongIdentity), is(other, statemachine.WrongIdentity)},
+		{"503 that says nothing", says(503, "x"), end{502, "unknown", "", 0, statemachine.ServerError}, is(other, statemachine.ServerError)},
+		{"429 that says nothing", says(429, "x"), end{502, "unknown", "", 0, statemachine.ServerError}, end{429, "", "x", 0, statemachine.Served}},
+		{"500", says(500, "own"), end{500, "", "own", 0, statemachine.ServerError}, is(other, statemachine.ServerError)},
+		{"504", says(504, "own"), end{504, "", "own", 0, statemachine.ServerError}, end{504, "", "own", 0, statemachine.ServerError}},
+		{"404", says(404, "own"), end{404, "", "own", 0, statemachine.Served}, end{404, "", "own", 0, statemachine.Served}},
+		{"silence", bytesOnly(""), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"garbage", bytesOnly("\x00\xff no\r\n\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"cut", head("HTTP/1.1 200 OK\r\nContent-Length: 9\r\nA: ID\r\nP: yes\r\n\r\nhalf"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"chunks cut", head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nA: ID\r\nP: yes\r\n\r\n4\r\nhalf\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"head cut", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"another exchange's", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: other\r\nP: yes\r\n\r\nnope"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"another exchange was turned away", head("HTTP/1.1 503 X\r\nContent-Length: 0\r\nA: other\r\nN: 1\r\n\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"no proof", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n\r\nnope"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"success that did not run", says(200, "x", "N", "1"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"another protocol", head("HTTP/1.1 101 X\r\nA: ID\r\nP: yes\r\n\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"interim first", head("HTTP/1.1 103 X\r\nZ: 1\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\nP: yes\r\n\r\nfine"), end{200, "", "fine", 0, statemachine.Served}, end{200, "", "fine", 0, statemachine.Served}},
 	} {
 		for kind, want := range map[string]end{config.Once: c.once, config.Repeatable: c.repeat} {
 			t.Run(kind+"/"+c.name, func(t *testing.T) {
@@ -455,7 +455,7 @@
 				f := carrier(t, a.Target, b.Target).asked(kind)
 				method := map[string]string{config.Once: "GET", config.Repeatable: "POST"}[kind] // the route says, not the method
 				status, h, body := f.do(t, method, "/x", "body", "A", "1f")
-				d := (<-f.told).(dataplane.Done)
+				d := (<-f.told).(statemachine.AttemptDone)
 				if status != want.status || h.Get("R") != want.ran || want.body != "" && body != want.body || b.runs.Load() != want.second || d.Outcome != want.outcome || a.runs.Load() != 1 {
 					t.Fatalf("%d ran %q %q, outcome %v, runs %d and %d", status, h.Get("R"), body, d.Outcome, a.runs.Load(), b.runs.Load())
 				}
@@ -472,7 +472,7 @@
 	}
 }
 
-func (f *front) last() dataplane.Again { return f.asks[len(f.asks)-1].(dataplane.Again) }
+func (f *front) last() statemachine.Retry { return f.asks[len(f.asks)-1].(statemachine.Retry) }
 
 // A target's own failure is passed on unchanged if no other target does better.
 func TestFailurePassedOn(t *testing.T) {
@@ -533,10 +533,10 @@
 	if got, want := fmt.Sprint(r.Header), fmt.Sprint(http.Header{"A": {"77"}, "E": {"a"}, "Kept": {"v"}, "Content-Length": {"5"}}); got != want {
 		t.Fatal(got)
 	}
-	if d := (<-f.told).(dataplane.Done); d.Load == nil || *d.Load != (dataplane.Load{Running: 3, Waiting: 1, Slots: 4}) {
+	if d := (<-f.told).(statemachine.AttemptDone); d.Load == nil || *d.Load != (statemachine.TargetLoad{Running: 3, Waiting: 1, Slots: 4}) {
 		t.Fatal(d.Load)
 	}
-	if ad := f.asks[0].(dataplane.Admit); ad.Timeout <= 0 || ad.Timeout > 900*time.Millisecond {
+	if ad := f.asks[0].(statemachine.Admit); ad.Timeout <= 0 || ad.Timeout > 900*time.Millisecond {
 		t.Fatal(ad.Timeout)
 	}
 	if a.conns.Load() != 1 || a.runs.Load() != 1 {
@@ -685,7 +685,7 @@
 	if b, _ := io.ReadAll(c); len(b) > 0 {
 		t.Fatalf("%q", b)
 	}
-	if d := (<-f.told).(dataplane.Done); d.Outcome != dataplane.Dropped || !d.Last {
+	if d := (<-f.told).(statemachine.AttemptDone); d.Outcome != statemachine.ClientGone || !d.Last {
 		t.Fatal(d)
 	}
 }
@@ -726,7 +726,7 @@
 		if len(b) > 0 && !bytes.HasPrefix(b, []byte("HTTP/1.1 400")) {
 			t.Fatalf("%q", b)
 		}
-		if d := (<-f.told).(dataplane.Done); d.Outcome != dataplane.Dropped {
+		if d := (<-f.told).(statemachine.AttemptDone); d.Outcome != statemachine.ClientGone {
 			t.Fatal(d)
 		}
 	}
@@ -776,7 +776,7 @@
 	if err != nil || resp.StatusCode != 502 || resp.Header.Get("R") != "unknown" {
 		t.Fatal(err, resp)
 	}
-	if d := (<-f.told).(dataplane.Done); d.Outcome != dataplane.Lost {
+	if d := (<-f.told).(statemachine.AttemptDone); d.Outcome != statemachine.ResponseLost {
 		t.Fatal(d)
 	}
 }
@@ -813,7 +813,7 @@
 			t.Fatal(err)
 		}
 		opened = append(opened, p)
-		f.car.give(&dataplane.Give{Target: a.Target, Idle: 2}, p)
+		f.car.give(&statemachine.Forward{Target: a.Target, MaxIdle: 2}, p)
 	}
 	take := func() *Conn { return f.pool.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
 	for _, want := range []*Conn{opened[4], opened[3], nil} {
@@ -830,7 +830,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.car.give(&dataplane.Give{Target: a.Target}, p); take() != nil {
+	if f.car.give(&statemachine.Forward{Target: a.Target}, p); take() != nil {
 		t.Fatal("one is kept where none may be")
 	}
 }
@@ -873,8 +873,8 @@
 	pool := NewPool()
 	defer pool.Close()
 	pool.Live(map[wire.ID]string{a.ID(): a.Addr})
-	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, _ any) any {
-		return dataplane.Give{ID: id, Service: "s", Target: a.Target, Left: time.Minute, Till: time.Hour, Set: config.Service{BodyMax: 1 << 20, HealthPath: "/h"}, Route: config.Route{Kind: config.Repeatable}, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
+	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+		return statemachine.Forward{ID: id, Service: "s", Target: a.Target, TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20, HealthPath: "/h"}, Route: config.Route{Kind: config.Repeatable}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectCap}
 	}}, pool)
 	car.Headers.Attempt = "A"
 	srv := httptest.NewServer(car)
@@ -1096,8 +1096,8 @@
 	pool := NewPool()
 	defer pool.Close()
 	pool.Live(map[wire.ID]string{tg.ID(): tg.Addr})
-	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, _ any) any {
-		return dataplane.Give{ID: id, Service: "s", Target: tg, Left: 5 * time.Second, Till: time.Hour, Set: config.Service{BodyMax: 1 << 20}, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
+	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+		return statemachine.Forward{ID: id, Service: "s", Target: tg, TimeLeft: 5 * time.Second, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectCap}
 	}}, pool)
 	srv := httptest.NewServer(car)
 	defer srv.Close()
--- a/internal/dataplane/reverseproxy/ledger_test.go
+++ b/internal/dataplane/reverseproxy/ledger_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"maps"
 	"math/rand/v2"
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -18,7 +19,6 @@
 	"testing"
 	"time"
 
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -236,10 +236,10 @@
 	}
 	states, turn := map[uint64]*state{}, make(chan *rand.Rand, 1)
 	turn <- rand.New(rand.NewPCG(seed, 99))
-	f.car = New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, ev any) any {
+	f.car = New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
 		rnd := <-turn
 		defer func() { turn <- rnd }()
-		if a, ok := ev.(dataplane.Admit); ok {
+		if a, ok := ev.(statemachine.Admit); ok {
 			states[id] = &state{kind: config.Repeatable}
 			if strings.HasPrefix(a.Path, "/once/") {
 				states[id].kind = config.Once
@@ -247,7 +247,7 @@
 		}
 		s := states[id]
 		if len(s.tried) == 3 {
-			return dataplane.Refuse{ID: id, Status: 503, Retry: time.Second, Code: "tries", Message: "no try is left"}
+			return statemachine.Reject{ID: id, Status: 503, RetryAfter: time.Second, Code: "tries", Message: "no try is left"}
 		}
 		n := rnd.IntN(len(l.targets))
 		for slices.Contains(s.tried, n) {
@@ -258,7 +258,7 @@
 		if asked {
 			set.HealthPath = "/h"
 		}
-		return dataplane.Give{ID: id, Service: "s", Target: l.targets[n], Left: time.Minute, Till: time.Hour, Set: set, Route: config.Route{Kind: s.kind}, Idle: tuning.IdleConnsMax, Connect: tuning.ConnectCap}
+		return statemachine.Forward{ID: id, Service: "s", Target: l.targets[n], TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: set, Route: config.Route{Kind: s.kind}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectCap}
 	}}, f.pool)
 	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", Expect: "E", NotRun: "N", Load: "L", Identity: "I", Cold: "C", Proof: "P"}
 	f.srv = httptest.NewUnstartedServer(f.car)
--- a/internal/dataplane/reverseproxy/limits_test.go
+++ b/internal/dataplane/reverseproxy/limits_test.go
@@ -5,13 +5,13 @@
 	"context"
 	"fmt"
 	"io"
+	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -98,8 +98,8 @@
 		{&config.Limits{HeaderMs: 10 * min}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, tuning.CallerIdle, 10 * time.Minute}},
 		{&config.Limits{IdleMs: 20 * min}, [4]time.Duration{tuning.CallerHeader, 30 * time.Minute, 20*time.Minute + tuning.IdleSlack, tuning.CallerHeader}},
 	} {
-		car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(any) {}, Ask: func(_ context.Context, id uint64, _ any) any {
-			return dataplane.Refuse{ID: id, Status: 503, Code: "busy"}
+		car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+			return statemachine.Reject{ID: id, Status: 503, Code: "busy"}
 		}}, NewPool())
 		car.Limits.Store(c.l)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/dataplane/route_test.go
+++ b/internal/dataplane/route_test.go
@@ -3,13 +3,13 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"myrtlefold/internal/shared/statemachine"
 	"strings"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -21,14 +21,14 @@
 	return func(t *wire.Target) { t.ColdLeft = int64(d) }
 }
 
-func (b *bench) pass(d time.Duration) []any {
+func (b *bench) pass(d time.Duration) []statemachine.Command {
 	b.now += d
 	b.g.leaseUntil = b.now + time.Second
-	return b.step(controlplane.Tick{})
+	return b.step(statemachine.Tick{})
 }
 
 func (b *bench) call(id uint64, path string, left time.Duration) any {
-	return answer(id, b.step(Admit{ID: id, Host: "h:80", Path: path, Method: "GET", Timeout: left}))
+	return answer(id, b.step(statemachine.Admit{ID: id, Host: "h:80", Path: path, Method: "GET", Timeout: left}))
 }
 
 const routed = `{"services":{"s":{"health_path":"/h","cold_s":3,"cold_per_s":10},"t":{"health_path":"/h"}},"routes":{
@@ -41,25 +41,25 @@
 // both bound a request; there is no route for anything else.
 func TestRoutes(t *testing.T) {
 	b := newBench("g1", 3, routed, to("a", slots(8)))
-	g, ok := b.call(1, "/a/b", time.Second).(Give)
-	if !ok || g.Name != "r" || g.Route.Attempts != 2 || g.Left != time.Second || g.Service != "s" {
+	g, ok := b.call(1, "/a/b", time.Second).(statemachine.Forward)
+	if !ok || g.RouteName != "r" || g.Route.Attempts != 2 || g.TimeLeft != time.Second || g.Service != "s" {
 		t.Fatalf("%+v", g)
 	}
-	if g, ok := b.call(2, "/a/b", time.Minute).(Give); !ok || g.Left != 2*time.Second {
+	if g, ok := b.call(2, "/a/b", time.Minute).(statemachine.Forward); !ok || g.TimeLeft != 2*time.Second {
 		t.Fatalf("%+v", g)
 	}
-	if r, ok := b.call(3, "/b", time.Second).(Refuse); !ok || r.Status != 404 {
+	if r, ok := b.call(3, "/b", time.Second).(statemachine.Reject); !ok || r.Status != 404 {
 		t.Fatalf("%+v", r)
 	}
 	b.now += tuning.ProxyLease + time.Millisecond
-	if r, ok := b.call(4, "/b", time.Second).(Refuse); !ok || r.Status != 503 || r.Retry > time.Second/3 || r.Retry < tuning.RefuseMin {
+	if r, ok := b.call(4, "/b", time.Second).(statemachine.Reject); !ok || r.Status != 503 || r.RetryAfter > time.Second/3 || r.RetryAfter < tuning.RefuseMin {
 		t.Fatalf("%+v: without a fresh table nobody knows", r)
 	}
 	r := newBench("g1", 1, plain, to("a"))
-	if g := r.admit(1).(Give); g.Route.Kind != config.Repeatable || g.Route.TimeoutMs != g.Set.TimeoutMs || g.Name != "" {
+	if g := r.admit(1).(statemachine.Forward); g.Route.Kind != config.Repeatable || g.Route.TimeoutMs != g.ServiceConfig.TimeoutMs || g.RouteName != "" {
 		t.Fatalf("%+v", g)
 	}
-	if g := answer(2, r.step(Admit{ID: 2, Path: "/s", Method: "POST"})).(Give); g.Route.Kind != config.Once {
+	if g := answer(2, r.step(statemachine.Admit{ID: 2, Path: "/s", Method: "POST"})).(statemachine.Forward); g.Route.Kind != config.Once {
 		t.Fatalf("%+v", g)
 	}
 }
@@ -71,18 +71,18 @@
 	b := newBench("g1", 1, routed, to("a", slots(8)), at)
 	n := map[string]int{}
 	for id := uint64(1); id <= 200; id++ {
-		n[b.call(id, "/x/", 0).(Give).Service]++
-		b.step(Done{ID: id, Outcome: Served, Ms: 1, Last: true})
+		n[b.call(id, "/x/", 0).(statemachine.Forward).Service]++
+		b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Milliseconds: 1, Last: true})
 	}
 	if n["s"] != 180 || n["t"] != 20 {
 		t.Fatalf("%v", n)
 	}
 	b.table(1, routed, to("a", slots(8)))
 	for id := uint64(201); id <= 230; id++ {
-		if g, ok := b.call(id, "/x/", 0).(Give); !ok || g.Service != "s" {
+		if g, ok := b.call(id, "/x/", 0).(statemachine.Forward); !ok || g.Service != "s" {
 			t.Fatalf("%+v", g)
 		}
-		b.step(Done{ID: id, Outcome: Served, Ms: 1, Last: true})
+		b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Milliseconds: 1, Last: true})
 	}
 }
 
@@ -160,7 +160,7 @@
 	at := map[string]int{}
 	for i := range 12 {
 		b := newBench(fmt.Sprintf("g%d", i+1), 12, routed, ts...)
-		if g, ok := b.call(1, "/a/", 0).(Give); ok {
+		if g, ok := b.call(1, "/a/", 0).(statemachine.Forward); ok {
 			at[g.Target.Name]++
 		}
 	}
@@ -182,7 +182,7 @@
 	id, given := uint64(0), 0
 	for {
 		id++
-		if _, ok := b.call(id, "/a/", time.Second).(Give); !ok {
+		if _, ok := b.call(id, "/a/", time.Second).(statemachine.Forward); !ok {
 			break
 		}
 		given++
@@ -197,22 +197,22 @@
 	if x := b.call(101, "/once/", time.Second); x != nil {
 		t.Fatalf("%+v", x)
 	}
-	if r, ok := b.call(102, "/low/", time.Second).(Refuse); !ok || r.Retry < 50*time.Millisecond || r.Retry > 100*time.Millisecond {
+	if r, ok := b.call(102, "/low/", time.Second).(statemachine.Reject); !ok || r.RetryAfter < 50*time.Millisecond || r.RetryAfter > 100*time.Millisecond {
 		t.Fatalf("%+v", r)
 	}
-	out := b.step(Done{ID: 1, Outcome: Served, Last: true})
-	if _, ok := answer(101, out).(Give); !ok || answer(first, out) != nil {
+	out := b.step(statemachine.AttemptDone{ID: 1, Outcome: statemachine.Served, Last: true})
+	if _, ok := answer(101, out).(statemachine.Forward); !ok || answer(first, out) != nil {
 		t.Fatalf("the highest first: %+v", out)
 	}
 	out = b.pass(101 * time.Millisecond)
-	if r, ok := answer(first, out).(Refuse); !ok || r.Status != 503 || b.g.service("s").queue != nil && len(b.g.service("s").queue) > 0 {
+	if r, ok := answer(first, out).(statemachine.Reject); !ok || r.Status != 503 || b.g.service("s").queue != nil && len(b.g.service("s").queue) > 0 {
 		t.Fatalf("%+v", out)
 	}
 	// One that tells of room takes more than the window.
-	b.step(Done{ID: 2, Outcome: Served, Load: &Load{Running: 1, Slots: 4}, Last: true})
+	b.step(statemachine.AttemptDone{ID: 2, Outcome: statemachine.Served, Load: &statemachine.TargetLoad{Running: 1, Slots: 4}, Last: true})
 	n := 0
 	for id := uint64(200); id < 220; id++ {
-		if _, ok := b.call(id, "/a/", time.Second).(Give); ok {
+		if _, ok := b.call(id, "/a/", time.Second).(statemachine.Forward); ok {
 			n++
 		}
 	}
@@ -228,7 +228,7 @@
 	for i := range 5 {
 		b := newBench(fmt.Sprintf("g%d", i+1), 5, doc, to("a", slots(9)), to("b", slots(9)), to("c"))
 		for id := uint64(1); id < 40; id++ {
-			if g, ok := b.call(id, "/a/", 0).(Give); ok {
+			if g, ok := b.call(id, "/a/", 0).(statemachine.Forward); ok {
 				at[g.Target.Name]++
 			}
 		}
@@ -242,7 +242,7 @@
 func TestBarredAreDealt(t *testing.T) {
 	b := newBench("g1", 1, routed, to("a", slots(9), barred), to("b", slots(9), barred))
 	for id := uint64(1); id <= 18; id++ {
-		if _, ok := b.call(id, "/a/", 0).(Give); !ok {
+		if _, ok := b.call(id, "/a/", 0).(statemachine.Forward); !ok {
 			t.Fatalf("%d of 18", id-1)
 		}
 	}
@@ -251,17 +251,17 @@
 // A target that says it is full is left out for a moment and the window shrinks.
 func TestFull(t *testing.T) {
 	b := newBench("g1", 1, routed, to("a", slots(4)), to("b", slots(4)))
-	g := b.call(1, "/once/", time.Second).(Give)
+	g := b.call(1, "/once/", time.Second).(statemachine.Forward)
 	full := g.Target.Name
-	b.step(Done{ID: 1, Outcome: NotRun})
+	b.step(statemachine.AttemptDone{ID: 1, Outcome: statemachine.TargetRejected})
 	for id := uint64(2); id < 5; id++ {
-		if g, ok := b.call(id, "/a/", time.Second).(Give); !ok || g.Target.Name == full {
+		if g, ok := b.call(id, "/a/", time.Second).(statemachine.Forward); !ok || g.Target.Name == full {
 			t.Fatalf("%+v", g)
 		}
 	}
 	b.pass(tuning.FullPause + time.Millisecond)
 	for id := uint64(5); ; id++ {
-		g, ok := b.call(id, "/a/", time.Second).(Give)
+		g, ok := b.call(id, "/a/", time.Second).(statemachine.Forward)
 		if !ok {
 			t.Fatal("never again")
 		}
@@ -284,12 +284,12 @@
 			for range 4 {
 				id++
 				took[id] = 100
-				if b.call(id, "/a/", time.Second).(Give).Target.Name == "a" {
+				if b.call(id, "/a/", time.Second).(statemachine.Forward).Target.Name == "a" {
 					c, took[id] = c+1, slow
 				}
 			}
 			for i := id - 3; i <= id; i++ {
-				b.step(Done{ID: i, Outcome: Served, Ms: took[i], Last: true})
+				b.step(statemachine.AttemptDone{ID: i, Outcome: statemachine.Served, Milliseconds: took[i], Last: true})
 			}
 		}
 		return c
@@ -330,7 +330,7 @@
 					x.Was = append(x.Was, fmt.Sprintf("g%d", i+1))
 				}
 			}
-			b.g.Step(b.now, controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: x.Key, Table: x}}})
+			b.g.Step(b.now, statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: x.Key, Table: x}}})
 		}
 		ver := make([]uint64, n+1)
 		highest := uint64(1)
@@ -379,10 +379,10 @@
 				b.now = now
 				b.g.leaseUntil = now + time.Second
 				id++
-				for _, c := range append(b.step(controlplane.Tick{}), b.step(Admit{ID: id, Host: "h", Path: "/a/", Timeout: time.Second})...) {
-					if x, ok := c.(Give); ok {
+				for _, c := range append(b.step(statemachine.Tick{}), b.step(statemachine.Admit{ID: id, Host: "h", Path: "/a/", Timeout: time.Second})...) {
+					if x, ok := c.(statemachine.Forward); ok {
 						sent = append(sent, now)
-						b.step(Done{ID: x.ID, Outcome: Served, Ms: 5, Last: true})
+						b.step(statemachine.AttemptDone{ID: x.ID, Outcome: statemachine.Served, Milliseconds: 5, Last: true})
 					}
 				}
 			}
@@ -454,13 +454,13 @@
 // After its time a target bears what others do.
 func TestColdEnds(t *testing.T) {
 	b := newBench("g1", 1, routed, to("a", slots(4), cold(time.Second)))
-	if _, ok := b.call(1, "/a/", time.Second).(Give); ok {
+	if _, ok := b.call(1, "/a/", time.Second).(statemachine.Forward); ok {
 		t.Fatal("a new life of this proxy sends at once")
 	}
 	b.pass(time.Second)
 	b.pass(tuning.TickEvery)
 	for id := uint64(10); id < 13; id++ {
-		if g, ok := b.call(id, "/a/", time.Second).(Give); !ok {
+		if g, ok := b.call(id, "/a/", time.Second).(statemachine.Forward); !ok {
 			t.Fatalf("%+v", g)
 		}
 	}
@@ -496,24 +496,24 @@
 			for range rnd.IntN(15) {
 				id++
 				came = append(came, now)
-				g, ok := b.call(id, "/a/", time.Second).(Give)
+				g, ok := b.call(id, "/a/", time.Second).(statemachine.Forward)
 				if !ok {
 					continue
 				}
-				o := []Outcome{Lost, Broken, Broken, Served}[id%4]
+				o := []statemachine.Outcome{statemachine.ResponseLost, statemachine.ServerError, statemachine.ServerError, statemachine.Served}[id%4]
 				if id%40 == 1 {
-					o = NotRun
+					o = statemachine.TargetRejected
 				}
 				if calm > 0 && now/calm%2 == 0 {
-					o = Served // what is saved up meanwhile is spent at once
+					o = statemachine.Served // what is saved up meanwhile is spent at once
 				}
-				b.step(Done{ID: g.ID, Outcome: o, Ms: 5, Last: o == Served})
-				if o == Served {
+				b.step(statemachine.AttemptDone{ID: g.ID, Outcome: o, Milliseconds: 5, Last: o == statemachine.Served})
+				if o == statemachine.Served {
 					continue
 				}
-				if _, ok := answer(id, b.step(Again{ID: id, Sent: true})).(Give); ok {
+				if _, ok := answer(id, b.step(statemachine.Retry{ID: id, Sent: true})).(statemachine.Forward); ok {
 					again = append(again, now)
-					b.step(Done{ID: id, Outcome: Served, Ms: 5, Last: true})
+					b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Milliseconds: 5, Last: true})
 				}
 			}
 		}
@@ -541,13 +541,13 @@
 		b := newBench("g1", 1, routed, to("a", slots(9)), to("b", slots(9)), to("c", slots(9)))
 		for id := uint64(1000); id < 1200; id++ {
 			b.call(id, "/a/", 0)
-			b.step(Done{ID: id, Outcome: Served, Last: true})
+			b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Last: true})
 		}
 		b.pass(tuning.RetryWindow / 2)
 		may, sends, opens := false, 0, 0
 		x := b.call(1, "/once/", 0)
 		for {
-			if _, ok := x.(Give); !ok {
+			if _, ok := x.(statemachine.Forward); !ok {
 				break
 			}
 			if may {
@@ -556,18 +556,18 @@
 			if sends >= 3 || opens >= tuning.OpensMax {
 				t.Fatal("more than its attempts")
 			}
-			o := rapid.SampledFrom([]Outcome{Broken, Lost, Closed, Foreign, Stale, NotRun}).Draw(t, "outcome")
-			may = o == Broken || o == Lost
-			b.step(Done{ID: 1, Outcome: o})
+			o := rapid.SampledFrom([]statemachine.Outcome{statemachine.ServerError, statemachine.ResponseLost, statemachine.ConnectFailed, statemachine.WrongIdentity, statemachine.ChoiceExpired, statemachine.TargetRejected}).Draw(t, "outcome")
+			may = o == statemachine.ServerError || o == statemachine.ResponseLost
+			b.step(statemachine.AttemptDone{ID: 1, Outcome: o})
 			sent := may || rapid.Bool().Draw(t, "sent")
-			if !sent && (o == Closed || o == Stale) {
+			if !sent && (o == statemachine.ConnectFailed || o == statemachine.ChoiceExpired) {
 				opens++
 			} else {
 				sends++
 			}
-			x = answer(1, b.step(Again{ID: 1, Sent: sent}))
+			x = answer(1, b.step(statemachine.Retry{ID: 1, Sent: sent}))
 		}
-		if r, ok := x.(Refuse); may && (!ok || r.Status == 503 || r.Status == 429) {
+		if r, ok := x.(statemachine.Reject); may && (!ok || r.Status == 503 || r.Status == 429) {
 			t.Fatalf("%+v promises what nobody knows", x)
 		}
 	})
@@ -580,10 +580,10 @@
 		b := newBench("g1", 1, routed, to("a", slots(2)))
 		rank := map[uint64]int{}
 		at, waits := map[uint64]bool{}, []uint64{}
-		see := func(cmds []any) {
+		see := func(cmds []statemachine.Command) {
 			for _, c := range cmds {
 				switch c := c.(type) {
-				case Give:
+				case statemachine.Forward:
 					for _, w := range waits {
 						if rank[w] < rank[c.ID] || rank[w] == rank[c.ID] && w < c.ID {
 							t.Fatalf("%d of rank %d before %d of rank %d", c.ID, rank[c.ID], w, rank[w])
@@ -597,7 +597,7 @@
 					}
 					at[c.ID] = true
 					waits = drop(waits, c.ID)
-				case Refuse:
+				case statemachine.Reject:
 					waits = drop(waits, c.ID)
 				}
 			}
@@ -606,7 +606,7 @@
 			see(b.pass(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond))
 			path := rapid.SampledFrom([]string{"/a/", "/low/", "/once/"}).Draw(t, "path")
 			rank[id] = map[string]int{"/a/": 1, "/low/": 3, "/once/": 0}[path]
-			out := b.step(Admit{ID: id, Host: "h", Path: path, Timeout: time.Second})
+			out := b.step(statemachine.Admit{ID: id, Host: "h", Path: path, Timeout: time.Second})
 			if answer(id, out) == nil {
 				waits = append(waits, id)
 			}
@@ -614,7 +614,7 @@
 			for d := range at {
 				if rapid.Bool().Draw(t, "done") {
 					delete(at, d)
-					see(b.step(Done{ID: d, Outcome: Served, Ms: 20, Last: true}))
+					see(b.step(statemachine.AttemptDone{ID: d, Outcome: statemachine.Served, Milliseconds: 20, Last: true}))
 				}
 				break
 			}
@@ -641,13 +641,13 @@
 	b := newBench("g1", 1, routed, to("a", slots(2)))
 	b.g.settings.Grace = 6 * time.Second
 	b.call(1, "/a/", 0)
-	b.step(controlplane.Stop{})
+	b.step(statemachine.Stop{})
 	if b.g.Ready() || !b.g.Serving() {
 		t.Fatal("must serve on, unready")
 	}
-	exits := func(cmds []any) bool {
+	exits := func(cmds []statemachine.Command) bool {
 		for _, c := range cmds {
-			if _, ok := c.(controlplane.Exit); ok {
+			if _, ok := c.(statemachine.Exit); ok {
 				return true
 			}
 		}
@@ -662,7 +662,7 @@
 	if !exits(b.pass(20 * time.Millisecond)) {
 		t.Fatal("over its grace")
 	}
-	b.step(Done{ID: 1, Outcome: Served, Last: true})
+	b.step(statemachine.AttemptDone{ID: 1, Outcome: statemachine.Served, Last: true})
 }
 
 // Targets that no connection opens to cost no attempts, but their number is bounded.
@@ -672,26 +672,26 @@
 		id, most := uint64(len(path)), 0
 		ans := b.call(id, path, 0)
 		for ; ; most++ {
-			if _, ok := ans.(Give); !ok {
+			if _, ok := ans.(statemachine.Forward); !ok {
 				break
 			}
-			b.step(Done{ID: id, Outcome: Closed})
-			ans = answer(id, b.step(Again{ID: id}))
+			b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.ConnectFailed})
+			ans = answer(id, b.step(statemachine.Retry{ID: id}))
 		}
-		if r, ok := ans.(Refuse); most != tuning.OpensMax || !ok || r.Status != 503 || r.Code != "tries" {
+		if r, ok := ans.(statemachine.Reject); most != tuning.OpensMax || !ok || r.Status != 503 || r.Code != "tries" {
 			t.Fatalf("%s: %d choices, then %+v", path, most, ans)
 		}
 		b.pass(tuning.ClosedEjection)
 	}
 	ans := b.call(20, "/a/", 0)
-	for _, o := range []Outcome{Closed, Lost, Closed, Lost} {
-		if _, ok := ans.(Give); !ok {
+	for _, o := range []statemachine.Outcome{statemachine.ConnectFailed, statemachine.ResponseLost, statemachine.ConnectFailed, statemachine.ResponseLost} {
+		if _, ok := ans.(statemachine.Forward); !ok {
 			t.Fatalf("%+v before %v", ans, o)
 		}
-		b.step(Done{ID: 20, Outcome: o})
-		ans = answer(20, b.step(Again{ID: 20, Sent: o == Lost}))
+		b.step(statemachine.AttemptDone{ID: 20, Outcome: o})
+		ans = answer(20, b.step(statemachine.Retry{ID: 20, Sent: o == statemachine.ResponseLost}))
 	}
-	if _, ok := ans.(Refuse); !ok {
+	if _, ok := ans.(statemachine.Reject); !ok {
 		t.Fatalf("%+v: it was sent to two", ans)
 	}
 }
@@ -708,14 +708,14 @@
 		var took []float64
 		for range 6 {
 			id++
-			at := b.call(id, "/a/", time.Second).(Give).Target.Name
+			at := b.call(id, "/a/", time.Second).(statemachine.Forward).Target.Name
 			if round >= 40 {
 				n[at]++
 			}
 			took = append(took, usual[at]*(0.3+1.4*r.Float64()))
 		}
 		for i, ms := range took {
-			b.step(Done{ID: id - 5 + uint64(i), Outcome: Served, Ms: ms, Last: true})
+			b.step(statemachine.AttemptDone{ID: id - 5 + uint64(i), Outcome: statemachine.Served, Milliseconds: ms, Last: true})
 		}
 		b.pass(100 * time.Millisecond)
 	}
@@ -738,7 +738,7 @@
 	}
 	at["b"].part = 1
 	for i, want := range []string{"a", "a", "a", "a", "b", "c"} {
-		if g, ok := b.call(uint64(i+1), "/a/", time.Second).(Give); !ok || g.Target.Name != want {
+		if g, ok := b.call(uint64(i+1), "/a/", time.Second).(statemachine.Forward); !ok || g.Target.Name != want {
 			t.Fatalf("%d: %+v, not %s", i, g.Target, want)
 		}
 	}
@@ -746,9 +746,9 @@
 
 // It is told which targets missed their probes, once, and when they are back.
 func TestDarkIsTold(t *testing.T) {
-	told := func(out []any) (n int, ids map[wire.ID]bool) {
+	told := func(out []statemachine.Command) (n int, ids map[wire.ID]bool) {
 		for _, c := range out {
-			if d, ok := c.(Dark); ok {
+			if d, ok := c.(statemachine.UnreachableTargets); ok {
 				n, ids = n+1, d.IDs
 			}
 		}
@@ -766,11 +766,11 @@
 	if n, ids := told(b.pass(time.Millisecond)); n != 1 || len(ids) != 0 {
 		t.Fatalf("%d times %v", n, ids)
 	}
-	if g := b.call(1, "/a/", 0).(Give); !g.More {
+	if g := b.call(1, "/a/", 0).(statemachine.Forward); !g.MayRetry {
 		t.Fatal("it has a second attempt")
 	}
-	b.step(Done{ID: 1, Outcome: Lost})
-	if g, ok := answer(1, b.step(Again{ID: 1})).(Give); ok && g.More {
+	b.step(statemachine.AttemptDone{ID: 1, Outcome: statemachine.ResponseLost})
+	if g, ok := answer(1, b.step(statemachine.Retry{ID: 1})).(statemachine.Forward); ok && g.MayRetry {
 		t.Fatal("it has no third attempt")
 	}
 }
@@ -778,9 +778,9 @@
 // What the configuration bounds callers by goes to the shell with each table, and goes
 // again when a later configuration does without it.
 func TestLimitsAreTold(t *testing.T) {
-	told := func(cmds []any) *config.Limits {
+	told := func(cmds []statemachine.Command) *config.Limits {
 		for _, c := range cmds {
-			if x, ok := c.(Targets); ok {
+			if x, ok := c.(statemachine.TargetsChanged); ok {
 				return x.Limits
 			}
 		}
@@ -831,13 +831,13 @@
 							for range 200 {
 								for _, b := range bs {
 									id++
-									cmds := append(b.pass(tuning.TickEvery), b.step(Admit{ID: id, Host: "h:80", Path: "/a/", Method: "GET", Timeout: 100 * time.Millisecond})...)
+									cmds := append(b.pass(tuning.TickEvery), b.step(statemachine.Admit{ID: id, Host: "h:80", Path: "/a/", Method: "GET", Timeout: 100 * time.Millisecond})...)
 									for len(cmds) > 0 {
-										g, ok := cmds[0].(Give)
+										g, ok := cmds[0].(statemachine.Forward)
 										if cmds = cmds[1:]; ok {
 											n++
 											if done {
-												cmds = append(cmds, b.step(Done{ID: g.ID, Outcome: Served, Ms: 1, Last: true})...)
+												cmds = append(cmds, b.step(statemachine.AttemptDone{ID: g.ID, Outcome: statemachine.Served, Milliseconds: 1, Last: true})...)
 											}
 										}
 									}
@@ -850,7 +850,7 @@
 						}
 						for _, b := range bs {
 							for id := range b.g.requests {
-								b.step(Cancel{ID: id})
+								b.step(statemachine.Cancel{ID: id})
 							}
 						}
 						sent := run(true)
@@ -869,18 +869,18 @@
 func TestNotAhead(t *testing.T) {
 	b := newBench("g1", 1, routed, to("a", slots(9)))
 	ahead := func(id uint64, path string) any {
-		return answer(id, b.step(Admit{ID: id, Host: "h", Path: path, Method: "GET", Timeout: time.Second, Ahead: true}))
+		return answer(id, b.step(statemachine.Admit{ID: id, Host: "h", Path: path, Method: "GET", Timeout: time.Second, Pipelined: true}))
 	}
-	if r, ok := ahead(1, "/once/").(Refuse); !ok || r.Code != CodeNotAhead {
+	if r, ok := ahead(1, "/once/").(statemachine.Reject); !ok || r.Code != statemachine.CodeNotPipelined {
 		t.Fatalf("%+v", r)
 	}
 	if n := b.g.Counts; n.Admitted != 0 || n.Refused != 0 || b.g.InFlight() != 0 || b.g.service("s").budget.credit != 0 {
 		t.Fatalf("%+v, %d in flight, credit %v", n, b.g.InFlight(), b.g.service("s").budget.credit)
 	}
-	if _, ok := b.call(1, "/once/", 0).(Give); !ok {
+	if _, ok := b.call(1, "/once/", 0).(statemachine.Forward); !ok {
 		t.Fatal("not served in its turn")
 	}
-	if _, ok := ahead(2, "/a/").(Give); !ok {
+	if _, ok := ahead(2, "/a/").(statemachine.Forward); !ok {
 		t.Fatal("one that may be repeated is served ahead")
 	}
 }
@@ -899,14 +899,14 @@
 		b := newBench("g1", 1, routed, ts...)
 		for id := uint64(100000); id < 100300; id++ { // what repeats may draw on
 			b.call(id, []string{"/a/", "/x/"}[id%2], 0)
-			b.step(Done{ID: id, Outcome: Served, Last: true})
+			b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Last: true})
 		}
 		b.pass(tuning.RetryWindow / 2)
 		sentTo := map[uint64][]wire.ID{}
-		at := map[uint64]Give{}
-		see := func(cmds []any) {
+		at := map[uint64]statemachine.Forward{}
+		see := func(cmds []statemachine.Command) {
 			for _, c := range cmds {
-				if g, ok := c.(Give); ok {
+				if g, ok := c.(statemachine.Forward); ok {
 					at[g.ID] = g
 				}
 			}
@@ -916,7 +916,7 @@
 			if len(at) == 0 || rapid.IntRange(0, 2).Draw(t, "what") == 0 {
 				next++
 				path := rapid.SampledFrom([]string{"/a/", "/x/", "/once/", "/low/"}).Draw(t, "route")
-				see(b.step(Admit{ID: next, Host: "h", Path: path, Method: "GET", Timeout: time.Second}))
+				see(b.step(statemachine.Admit{ID: next, Host: "h", Path: path, Method: "GET", Timeout: time.Second}))
 				continue
 			}
 			if rapid.IntRange(0, 5).Draw(t, "time") == 0 {
@@ -931,8 +931,8 @@
 			id := rapid.SampledFrom(ids).Draw(t, "request")
 			g := at[id]
 			delete(at, id)
-			o := rapid.SampledFrom([]Outcome{Served, Broken, Lost, Lost, Closed, Foreign, Stale, NotRun, NotRun, Dropped}).Draw(t, "outcome")
-			sent := o != Closed && o != Stale && o != Dropped
+			o := rapid.SampledFrom([]statemachine.Outcome{statemachine.Served, statemachine.ServerError, statemachine.ResponseLost, statemachine.ResponseLost, statemachine.ConnectFailed, statemachine.WrongIdentity, statemachine.ChoiceExpired, statemachine.TargetRejected, statemachine.TargetRejected, statemachine.ClientGone}).Draw(t, "outcome")
+			sent := o != statemachine.ConnectFailed && o != statemachine.ChoiceExpired && o != statemachine.ClientGone
 			if sent {
 				for _, x := range sentTo[id] {
 					if x == g.Target.ID() {
@@ -940,17 +940,17 @@
 					}
 				}
 				if sentTo[id] = append(sentTo[id], g.Target.ID()); len(sentTo[id]) > g.Route.Attempts {
-					t.Fatalf("%d on %s is sent to %d targets", id, g.Name, len(sentTo[id]))
+					t.Fatalf("%d on %s is sent to %d targets", id, g.RouteName, len(sentTo[id]))
 				}
 				if len(sentTo[id]) == 2 {
 					second++
 				}
 			}
-			last := o == Served || o == Dropped
-			see(b.step(Done{ID: id, Outcome: o, Ms: 5, Last: last}))
+			last := o == statemachine.Served || o == statemachine.ClientGone
+			see(b.step(statemachine.AttemptDone{ID: id, Outcome: o, Milliseconds: 5, Last: last}))
 			if !last {
 				repeats++
-				see(b.step(Again{ID: id, Sent: sent}))
+				see(b.step(statemachine.Retry{ID: id, Sent: sent}))
 			}
 		}
 	})
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -7,9 +7,9 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -28,9 +28,9 @@
 		return
 	}
 	g.stopping, g.stopAt = true, now
-	g.emit(Leave{})
+	g.emit(statemachine.CloseAfterResponse{})
 	why := fmt.Sprintf("asked to, with %d requests under way", len(g.requests))
-	g.emit(controlplane.Change{What: "stop", From: "serving", To: "stopping", Why: why})
+	g.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "serving", To: "stopping", Reason: why})
 }
 
 // tail is what a stopping proxy keeps of its time, for targets' last answers and for its own.
@@ -100,7 +100,7 @@
 // endStop closes the intake and ends the process, which has so long for answers that are still being written.
 func (g *Proxy) endStop(left time.Duration, why string) {
 	g.intakeClosed = true
-	g.emit(CloseIntake{Left: left})
-	g.emit(controlplane.Change{What: "stop", From: "stopping", To: "stopped", Why: why})
-	g.emit(controlplane.Exit{})
+	g.emit(statemachine.StopAccepting{TimeLeft: left})
+	g.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "stopping", To: "stopped", Reason: why})
+	g.emit(statemachine.Exit{})
 }
--- a/internal/dataplane/shutdown_test.go
+++ b/internal/dataplane/shutdown_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"math/rand/v2"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -24,11 +24,11 @@
 	for id, end := range r.ends {
 		if end <= r.now {
 			delete(r.ends, id)
-			r.step(Done{ID: id, Outcome: Served, Last: true})
+			r.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Last: true})
 		}
 	}
 	for _, cmd := range r.pass(tuning.TickEvery) {
-		if _, ok := cmd.(controlplane.Exit); ok && r.exitAt == 0 {
+		if _, ok := cmd.(statemachine.Exit); ok && r.exitAt == 0 {
 			r.exitAt = r.now
 		}
 	}
@@ -45,24 +45,24 @@
 		r := &stopRun{bench: newBench("g1", 1, routed, to("a", slots(20)), to("b", slots(20))), ends: map[uint64]time.Duration{}}
 		r.grace = time.Duration(1000+rnd.IntN(9000)) * time.Millisecond
 		r.g.settings.Grace = r.grace
-		r.step(controlplane.Stop{})
+		r.step(statemachine.Stop{})
 		r.stopAt = r.now
 		longest := r.grace / time.Duration(3+rnd.IntN(9))
 		for id := uint64(1); r.exitAt == 0 && r.now-r.stopAt < r.grace; id++ {
 			switch a := r.call(id, "/a/", longest).(type) {
-			case Give:
+			case statemachine.Forward:
 				r.takenAt = r.now
-				if waited := r.now - r.stopAt; waited > min(r.grace/2, tuning.StopLingerMost) && waited+min(longest, a.Work, a.Left) > r.grace {
+				if waited := r.now - r.stopAt; waited > min(r.grace/2, tuning.StopLingerMost) && waited+min(longest, a.WorkTime, a.TimeLeft) > r.grace {
 					t.Fatalf("seed %d: grace %v, took a request of up to %v at %v after it was asked to stop", seed, r.grace, longest, waited)
 				}
 				works := time.Duration(rnd.Int64N(int64(longest)))
-				if a.Work > 0 && id%2 == 0 {
-					works = min(works, a.Work) // a target stops its work by then, and says so; others don't
+				if a.WorkTime > 0 && id%2 == 0 {
+					works = min(works, a.WorkTime) // a target stops its work by then, and says so; others don't
 				}
-				r.ends[id] = r.now + min(works, a.Left) // then the forwarder answers
-			case Refuse:
-				if a.Status != 503 || a.Retry <= 0 {
-					t.Fatalf("seed %d: refused with %d, to come back in %v", seed, a.Status, a.Retry)
+				r.ends[id] = r.now + min(works, a.TimeLeft) // then the forwarder answers
+			case statemachine.Reject:
+				if a.Status != 503 || a.RetryAfter <= 0 {
+					t.Fatalf("seed %d: refused with %d, to come back in %v", seed, a.Status, a.RetryAfter)
 				}
 				refused++
 			}
--- a/internal/dataplane/starved_test.go
+++ b/internal/dataplane/starved_test.go
@@ -1,10 +1,9 @@
 package dataplane
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
-
-	"myrtlefold/internal/controlplane"
 )
 
 // load is how often a class of requests comes, and on which route.
@@ -23,9 +22,9 @@
 		id uint64
 	}
 	var ends []end
-	take := func(cmds []any) {
+	take := func(cmds []statemachine.Command) {
 		for _, c := range cmds {
-			if g, ok := c.(Give); ok {
+			if g, ok := c.(statemachine.Forward); ok {
 				given[class[g.ID]]++
 				ends = append(ends, end{b.now + work, g.ID})
 			}
@@ -40,10 +39,10 @@
 		for len(ends) > 0 && ends[0].at <= b.now {
 			e := ends[0]
 			ends = ends[1:]
-			take(b.step(Done{ID: e.id, Outcome: Served, Ms: float64(work.Milliseconds()), Last: true}))
+			take(b.step(statemachine.AttemptDone{ID: e.id, Outcome: statemachine.Served, Milliseconds: float64(work.Milliseconds()), Last: true}))
 		}
 		if b.now%(10*time.Millisecond) == 0 {
-			take(b.step(controlplane.Tick{}))
+			take(b.step(statemachine.Tick{}))
 		}
 		for _, c := range classes {
 			for next[c.path] <= b.now {
@@ -51,7 +50,7 @@
 				id++
 				class[id] = c.path
 				asked[c.path]++
-				take(b.step(Admit{ID: id, Host: "h", Path: c.path, Timeout: 2 * time.Second}))
+				take(b.step(statemachine.Admit{ID: id, Host: "h", Path: c.path, Timeout: 2 * time.Second}))
 			}
 		}
 	}
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -5,10 +5,10 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -22,7 +22,7 @@
 	for id, t := range g.targets {
 		live[id] = t.Addr
 	}
-	g.emit(Targets{live, g.cfg.Limits})
+	g.emit(statemachine.TargetsChanged{Addresses: live, Limits: g.cfg.Limits})
 }
 
 // whole is a table with all that it leaves out because this proxy has it, nil if it has not.
@@ -117,7 +117,7 @@
 			return false
 		}
 		if t.Revision != g.revision {
-			g.emit(controlplane.Change{What: "revision", From: fmt.Sprint(g.revision), To: fmt.Sprint(t.Revision), Why: fmt.Sprintf("table %v", t.Key)})
+			g.emit(statemachine.StateChange{Subject: statemachine.SubjectRevision, From: fmt.Sprint(g.revision), To: fmt.Sprint(t.Revision), Reason: fmt.Sprintf("table %v", t.Key)})
 		}
 		g.cfg, g.revision = cfg, t.Revision
 		g.forget()
--- a/internal/dataplane/unsound.go
+++ b/internal/dataplane/unsound.go
@@ -6,10 +6,10 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/wire"
@@ -43,5 +43,5 @@
 		return
 	}
 	g.unsound = document
-	g.emit(controlplane.Change{What: "damage", From: fmt.Sprintf("table %v, revision %d", t.Key, t.Revision), Why: err.Error()})
+	g.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: fmt.Sprintf("table %v, revision %d", t.Key, t.Revision), Reason: err.Error()})
 }
--- a/internal/dataplane/unsound_test.go
+++ b/internal/dataplane/unsound_test.go
@@ -1,9 +1,9 @@
 package dataplane
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -25,7 +25,7 @@
 			b.now += tuning.PullEvery
 			for range 3 {
 				for _, cmd := range b.table(1, doc, to("z")) {
-					if change, ok := cmd.(controlplane.Change); ok && change.What == "damage" {
+					if change, ok := cmd.(statemachine.StateChange); ok && change.Subject == "damage" {
 						reports++
 					}
 				}
@@ -37,7 +37,7 @@
 			if b.g.Counts.UnsoundTables != 3 || reports != 1 {
 				t.Errorf("%d counted, %d reported", b.g.Counts.UnsoundTables, reports)
 			}
-			if given, ok := b.admit(1).(Give); !ok || given.Target.Name != "a" {
+			if given, ok := b.admit(1).(statemachine.Forward); !ok || given.Target.Name != "a" {
 				t.Errorf("not served by the table before: %v", given)
 			}
 			b.ver += 2
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -11,6 +11,7 @@
 	"encoding/json"
 	"flag"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"net/http/httptest"
 	"os"
 	"path/filepath"
@@ -143,7 +144,7 @@
 	jsonForm[controlplane.StatusView](t, "core-status", readBack)
 	jsonForm[controlplane.DaemonView](t, "core-daemon", readBack)
 	jsonForm[controlplane.TargetView](t, "core-target", readBack)
-	jsonForm[controlplane.Note](t, "stream-note", readBack)
+	jsonForm[statemachine.Publish](t, "stream-note", readBack)
 	jsonForm[dataplane.View](t, "proxy-status", readBack)
 	jsonForm[outlier.Stat](t, "policy-stat", readBack)
 	jsonForm[outlier.Event](t, "policy-event", readBack)
--- a/internal/verification/fuzzing/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -5,11 +5,11 @@
 import (
 	"encoding/binary"
 	"math"
+	"myrtlefold/internal/shared/statemachine"
 	"reflect"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/wire"
 )
@@ -109,8 +109,8 @@
 	"/v1/targets/s0/t0/leaving", "/v1/policies", "/v1/policies/p", "/v1/domains/d0/empty", "/v1/domains/d0/restore", "/v1/gates/g1/forget", "/v1/core/add", "/v1/core/c2/add",
 	"/v1/core/c1/remove", "/v1/core/refound", "/v1/status", "/v1/domains", "/", ""}
 
-func (s *fuzzSource) call(id uint64) controlplane.Ask {
-	a := controlplane.Ask{ID: id, Token: s.text(), Method: []string{"GET", "PUT", "PATCH", "POST", "DELETE", ""}[s.byte()%6]}
+func (s *fuzzSource) call(id uint64) statemachine.Call {
+	a := statemachine.Call{ID: id, Token: s.text(), Method: []string{"GET", "PUT", "PATCH", "POST", "DELETE", ""}[s.byte()%6]}
 	if b := int(s.byte()); b < 250 {
 		a.Path = fuzzPaths[b%len(fuzzPaths)]
 	} else {
@@ -122,17 +122,17 @@
 	return a
 }
 
-func (s *fuzzSource) event(t *testing.T, id uint64) any {
+func (s *fuzzSource) event(t *testing.T, id uint64) statemachine.Event {
 	switch s.byte() % 5 {
 	case 0:
 		return s.call(id)
 	case 1:
-		p := controlplane.Probed{ID: wire.ID{Service: s.text(), Name: s.text(), Inc: s.number()}, SentAt: time.Duration(s.number()), Ms: 1}
+		p := statemachine.ProbeResult{ID: wire.ID{Service: s.text(), Name: s.text(), Inc: s.number()}, SentAt: time.Duration(s.number()), Milliseconds: 1}
 		if s.byte()%2 == 1 {
-			p.Beat = &config.Beat{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: s.text()}
+			p.Report = &config.Beat{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: s.text()}
 		}
 		return p
 	default:
-		return controlplane.Recv{M: s.message(t)}
+		return statemachine.Receive{Message: s.message(t)}
 	}
 }
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
@@ -39,10 +40,10 @@
 	now  time.Duration
 }
 
-func (l *leader) step(ev any) {
+func (l *leader) step(ev statemachine.Event) {
 	for _, cmd := range l.core.Step(l.now, ev) {
-		if sync, ok := cmd.(controlplane.Sync); ok {
-			l.step(controlplane.Synced{Seq: sync.B.Seq})
+		if sync, ok := cmd.(statemachine.Sync); ok {
+			l.step(statemachine.Synced{Seq: sync.Batch.Seq})
 		}
 	}
 }
@@ -50,18 +51,18 @@
 func (l *leader) second() {
 	gate := wire.Daemon{Name: "g1", Kind: "gate", Addr: "g1", Inc: 1, Domain: "d0"}
 	beat := wire.Target{Service: "s0", Name: "t0", Inc: 9, Addr: "10.0.0.1:1", State: config.Ready}
-	l.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: "g1", Hello: &wire.Hello{Self: gate}}})
+	l.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: "g1", Hello: &wire.Hello{Self: gate}}})
 	for range int(time.Second / tuning.PullEvery) {
 		for range int(tuning.PullEvery / tuning.TickEvery) {
 			l.now += tuning.TickEvery
-			l.step(controlplane.Tick{})
+			l.step(statemachine.Tick{})
 		}
 		pull := &wire.Pull{Self: gate}
 		if table := l.core.Table(); table != nil {
 			pull.Key, pull.Revision, pull.Seq = table.Key, table.Revision, table.Seq
 		}
-		l.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPull), From: "g1", Stamp: int64(l.now), Pull: pull}})
-		l.step(controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &beat}})
+		l.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPull), From: "g1", Stamp: int64(l.now), Pull: pull}})
+		l.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &beat}})
 	}
 }
 
@@ -87,7 +88,7 @@
 		for id := uint64(1); len(s.data) > 0 && id <= mostEvents; id++ {
 			l.step(s.event(t, id))
 			l.now += tuning.TickEvery
-			l.step(controlplane.Tick{})
+			l.step(statemachine.Tick{})
 		}
 		l.second()
 	})
@@ -102,7 +103,7 @@
 	for i := range 2 {
 		table.Targets = append(table.Targets, wire.Target{Service: "s0", Name: fmt.Sprint("t", i), Inc: 9, Addr: fmt.Sprint("10.0.0.1:", i+1), State: config.Ready, Beating: true})
 	}
-	p.Step(now, controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(now), Disk: 9,
+	p.Step(now, statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(now), Disk: 9,
 		Push: &wire.Push{Grant: true, Key: table.Key, Table: table}}})
 	if !p.Serving() {
 		t.Fatal("does not serve")
@@ -119,10 +120,10 @@
 		s := &fuzzSource{data}
 		for id := uint64(1); len(s.data) > 0 && id <= mostEvents; id++ {
 			p.Step(now, s.event(t, id))
-			p.Step(now, dataplane.Admit{ID: id, Path: "/s", Method: "GET"})
+			p.Step(now, statemachine.Admit{ID: id, Path: "/s", Method: "GET"})
 			now += tuning.TickEvery << (s.byte() % 8)
-			p.Step(now, controlplane.Tick{})
-			p.Step(now, dataplane.Done{ID: id, Outcome: dataplane.Outcome(s.byte() % 8), Ms: 1, Last: true})
+			p.Step(now, statemachine.Tick{})
+			p.Step(now, statemachine.AttemptDone{ID: id, Outcome: statemachine.Outcome(s.byte() % 8), Milliseconds: 1, Last: true})
 			p.View(now)
 		}
 	})
--- a/internal/verification/simulator/backend.go
+++ b/internal/verification/simulator/backend.go
@@ -5,9 +5,9 @@
 import (
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -104,7 +104,7 @@
 		return
 	}
 	method, path, b := w.word(t, w.heard(state))
-	w.call(p, method, path, "", b, "", func(r controlplane.Reply) {
+	w.call(p, method, path, "", b, "", func(r statemachine.Reply) {
 		if r.Status >= 300 {
 			again()
 			return
@@ -142,7 +142,7 @@
 // say has a daemon hear a target's word, as a late or repeated one would be.
 func (w *World) say(p *Proc, t *Target, state string) {
 	b, _ := json.Marshal(config.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state})
-	w.call(p, "POST", "/v1/targets", "", b, "", func(controlplane.Reply) {})
+	w.call(p, "POST", "/v1/targets", "", b, "", func(statemachine.Reply) {})
 }
 
 // Crash ends a back end without a word.
@@ -173,7 +173,7 @@
 			return
 		}
 		p := w.procs[w.names[w.rnd.IntN(len(w.names))]]
-		w.call(p, "DELETE", "/v1/targets/"+t.service+"/"+t.name, fmt.Sprintf("incarnation=%d", t.inc), nil, "", func(controlplane.Reply) {})
+		w.call(p, "DELETE", "/v1/targets/"+t.service+"/"+t.name, fmt.Sprintf("incarnation=%d", t.inc), nil, "", func(statemachine.Reply) {})
 		w.at(w.ms(50, 100), func() {
 			w.Crash(t)
 			after()
@@ -182,12 +182,12 @@
 	w.at(3*time.Second, end)
 }
 
-func (w *World) probe(p *Proc, c controlplane.Probe) {
+func (w *World) probe(p *Proc, c statemachine.Probe) {
 	gen, sent := p.gen, p.local()
 	answer := func(d time.Duration, b *config.Beat) {
 		w.at(d, func() {
 			if p.gen == gen {
-				w.deliver(p, controlplane.Probed{ID: c.ID, SentAt: sent, Ms: float64(d) / 1e6, Beat: b})
+				w.deliver(p, statemachine.ProbeResult{ID: c.ID, SentAt: sent, Milliseconds: float64(d) / 1e6, Report: b})
 			}
 		})
 	}
--- a/internal/verification/simulator/bulk_orders.go
+++ b/internal/verification/simulator/bulk_orders.go
@@ -4,11 +4,10 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 	"slices"
 	"time"
-
-	"myrtlefold/internal/controlplane"
 )
 
 const (
@@ -39,10 +38,10 @@
 
 // sendOrder sends an order. While answers are lost in bulk it is sent again, to another
 // member, until one gets through.
-func (w *World) sendOrder(p *Proc, order *operatorOrder, answered func(controlplane.Reply)) {
+func (w *World) sendOrder(p *Proc, order *operatorOrder, answered func(statemachine.Reply)) {
 	sent := w.call(p, order.method, order.path, order.query, order.body, order.token, answered)
 	arrives := sent.fn
-	sent.fn = func(r controlplane.Reply) {
+	sent.fn = func(r statemachine.Reply) {
 		if !w.losesAnswer(order) {
 			arrives(r)
 			return
@@ -55,7 +54,7 @@
 
 // leavesOpen says whether a refusal leaves an order's fate open: a member that can't decide
 // now (503) says nothing of an earlier copy whose answer was lost. Any other refusal does.
-func (order *operatorOrder) leavesOpen(r controlplane.Reply) bool {
+func (order *operatorOrder) leavesOpen(r statemachine.Reply) bool {
 	return order.repetitions > 0 && r.Status == http.StatusServiceUnavailable
 }
 
@@ -68,7 +67,7 @@
 
 // repeatOrder sends an order again to another living member, or to the same one if there is
 // no other.
-func (w *World) repeatOrder(before *Proc, order *operatorOrder, answered func(controlplane.Reply)) {
+func (w *World) repeatOrder(before *Proc, order *operatorOrder, answered func(statemachine.Reply)) {
 	others := slices.DeleteFunc(w.all("core"), func(n string) bool { return !w.procs[n].alive || n == before.name })
 	to := before
 	if len(others) > 0 {
--- a/internal/verification/simulator/bulk_orders_test.go
+++ b/internal/verification/simulator/bulk_orders_test.go
@@ -1,10 +1,9 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
-
-	"myrtlefold/internal/controlplane"
 )
 
 // Days of orders in bulk hold: their history is one that a register could have, the faults
@@ -83,7 +82,7 @@
 		open                bool
 	}{{0, 503, false}, {1, 503, true}, {1, 412, false}, {1, 409, false}, {0, 412, false}} {
 		order := &operatorOrder{repetitions: c.repetitions}
-		if order.leavesOpen(controlplane.Reply{Status: c.status}) != c.open {
+		if order.leavesOpen(statemachine.Reply{Status: c.status}) != c.open {
 			t.Errorf("%d after %d repetitions: open %v, want %v", c.status, c.repetitions, !c.open, c.open)
 		}
 	}
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -5,10 +5,10 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -173,7 +173,7 @@
 		if w.rnd.Float64() < part {
 			*count++
 			delete(w.open, id)
-			w.deliver(p, dataplane.Cancel{ID: id})
+			w.deliver(p, statemachine.Cancel{ID: id})
 		}
 	}
 }
--- a/internal/verification/simulator/corestatus_test.go
+++ b/internal/verification/simulator/corestatus_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"strconv"
 	"testing"
@@ -193,7 +194,7 @@
 	f := w.follower()
 	w.isolate([]string{l.name}, 4*time.Second, true, true)
 	unknown := 0
-	w.call(l, "PUT", "/v1/config", "base="+strconv.FormatUint(w.Revision(), 10), w.Doc(5), "", func(r controlplane.Reply) { unknown = r.Status })
+	w.call(l, "PUT", "/v1/config", "base="+strconv.FormatUint(w.Revision(), 10), w.Doc(5), "", func(r statemachine.Reply) { unknown = r.Status })
 	w.Run(w.now + 2*time.Second)
 	if unknown != 504 {
 		t.Errorf("a change put to a leader that is cut off is answered %d", unknown)
--- a/internal/verification/simulator/cutoff_test.go
+++ b/internal/verification/simulator/cutoff_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -76,7 +76,7 @@
 	told := map[int]int{}
 	ask := func(method, path, query string, body []byte) {
 		asked := w.now
-		w.call(p, method, path, query, body, "", func(r controlplane.Reply) {
+		w.call(p, method, path, query, body, "", func(r statemachine.Reply) {
 			// What was asked before the loss can be known, and while the lease of the time may run.
 			if asked-begin > time.Second && w.now-begin < cutOffSpan {
 				told[r.Status]++
@@ -153,8 +153,8 @@
 		w := Start(seed, Small)
 		l, p := w.Leader(), followers(w)[seed%2]
 		w.Kill(l)
-		var got controlplane.Reply
-		w.call(p, "PUT", "/v1/config", "base=1", w.Doc(2), "", func(r controlplane.Reply) { got = r })
+		var got statemachine.Reply
+		w.call(p, "PUT", "/v1/config", "base=1", w.Doc(2), "", func(r statemachine.Reply) { got = r })
 		w.Run(w.now + w.ms(30, 200))
 		w.Restart(l)
 		w.Run(w.now + 4*time.Second)
--- a/internal/verification/simulator/digest.go
+++ b/internal/verification/simulator/digest.go
@@ -13,11 +13,10 @@
 	"hash/fnv"
 	"maps"
 	"math"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/controlplane"
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/wire"
 )
 
@@ -32,7 +31,7 @@
 func (w *World) Digest() string { return fmt.Sprintf("%x", w.digest.sum.Sum(nil)) }
 
 // step takes in one step of a process: its name and clock, the event and all commands.
-func (d *digest) step(process string, now time.Duration, event any, commands []any) {
+func (d *digest) step(process string, now time.Duration, event statemachine.Event, commands []statemachine.Command) {
 	d.text(process)
 	d.duration(now)
 	d.event(event)
@@ -42,48 +41,48 @@
 	}
 }
 
-func (d *digest) event(event any) {
+func (d *digest) event(event statemachine.Event) {
 	switch e := event.(type) {
-	case controlplane.Recv:
+	case statemachine.Receive:
 		d.text("recv")
-		d.message(e.M)
-	case controlplane.Tick:
+		d.message(e.Message)
+	case statemachine.Tick:
 		d.text("tick")
-	case controlplane.Synced:
+	case statemachine.Synced:
 		d.text("synced")
 		d.number(e.Seq)
-	case controlplane.DiskRefuses:
+	case statemachine.DiskHealth:
 		d.text("disk refuses")
 		d.flag(e.Err != nil)
-	case controlplane.Probed:
+	case statemachine.ProbeResult:
 		d.text("probed")
 		d.id(e.ID)
 		d.duration(e.SentAt)
-		d.float(e.Ms)
-		d.json(e.Beat)
-		d.duration(e.Cold)
-	case controlplane.Ask:
+		d.float(e.Milliseconds)
+		d.json(e.Report)
+		d.duration(e.WarmupLeft)
+	case statemachine.Call:
 		d.text("ask")
 		d.number(e.ID)
 		d.text(e.Token, e.Method, e.Path, e.Query)
 		d.bytes(e.Body)
-	case controlplane.Stop:
+	case statemachine.Stop:
 		d.text("stop")
-	case dataplane.Admit:
+	case statemachine.Admit:
 		d.text("admit")
 		d.number(e.ID)
 		d.text(e.Host, e.Path, e.Method)
 		d.duration(e.Timeout)
-		d.flag(e.Ahead)
-	case dataplane.Again:
+		d.flag(e.Pipelined)
+	case statemachine.Retry:
 		d.text("again")
 		d.number(e.ID)
 		d.flag(e.Sent)
-	case dataplane.Done:
+	case statemachine.AttemptDone:
 		d.text("done")
 		d.number(e.ID)
 		d.number(uint64(e.Outcome))
-		d.float(e.Ms)
+		d.float(e.Milliseconds)
 		d.flag(e.Last)
 		d.flag(e.Load != nil)
 		if e.Load != nil {
@@ -91,7 +90,7 @@
 			d.number(uint64(e.Load.Waiting))
 			d.number(uint64(e.Load.Slots))
 		}
-	case dataplane.Cancel:
+	case statemachine.Cancel:
 		d.text("cancel")
 		d.number(e.ID)
 		d.flag(e.Failed)
@@ -100,78 +99,78 @@
 	}
 }
 
-func (d *digest) command(command any) {
+func (d *digest) command(command statemachine.Command) {
 	switch c := command.(type) {
-	case controlplane.Send:
+	case statemachine.Send:
 		d.text("send", c.Addr)
-		d.message(c.M)
-	case controlplane.Sync:
+		d.message(c.Message)
+	case statemachine.Sync:
 		d.text("sync")
-		b, err := wire.EncodeBatch(c.B)
+		b, err := wire.EncodeBatch(c.Batch)
 		if err != nil {
 			panic(err)
 		}
 		d.bytes(b)
-	case controlplane.Probe:
+	case statemachine.Probe:
 		d.text("probe")
 		d.id(c.ID)
 		d.text(c.Addr, c.Path)
-	case controlplane.Reply:
+	case statemachine.Reply:
 		d.text("reply")
 		d.number(c.ID)
 		d.number(uint64(c.Status))
-		d.duration(c.Retry)
+		d.duration(c.RetryAfter)
 		d.bytes(c.Body)
-	case controlplane.Note:
+	case statemachine.Publish:
 		d.text("note")
 		d.json(c)
-	case controlplane.Change:
+	case statemachine.StateChange:
 		d.text("change")
-	case controlplane.Exit:
+	case statemachine.Exit:
 		d.text("exit")
 	default:
 		d.proxyCommand(command)
 	}
 }
 
-func (d *digest) proxyCommand(command any) {
+func (d *digest) proxyCommand(command statemachine.Command) {
 	switch c := command.(type) {
-	case dataplane.Give:
+	case statemachine.Forward:
 		d.text("give")
 		d.number(c.ID)
-		d.text(c.Service, c.Name)
-		d.json(c.Set)
+		d.text(c.Service, c.RouteName)
+		d.json(c.ServiceConfig)
 		d.json(c.Route)
 		d.json(c.Target)
-		d.duration(c.Left)
-		d.duration(c.Work)
-		d.duration(c.Till)
-		d.flag(c.More)
-		d.duration(c.Connect)
-		d.number(uint64(c.Idle))
-	case dataplane.Refuse:
+		d.duration(c.TimeLeft)
+		d.duration(c.WorkTime)
+		d.duration(c.WriteBy)
+		d.flag(c.MayRetry)
+		d.duration(c.ConnectTimeout)
+		d.number(uint64(c.MaxIdle))
+	case statemachine.Reject:
 		d.text("refuse")
 		d.number(c.ID)
 		d.number(uint64(c.Status))
-		d.duration(c.Retry)
+		d.duration(c.RetryAfter)
 		d.text(c.Code, c.Message)
 		d.text(c.Allowed...)
-	case dataplane.Leave:
+	case statemachine.CloseAfterResponse:
 		d.text("leave")
-	case dataplane.CloseIntake:
+	case statemachine.StopAccepting:
 		d.text("close intake")
-		d.duration(c.Left)
-	case dataplane.Dark:
+		d.duration(c.TimeLeft)
+	case statemachine.UnreachableTargets:
 		d.text("dark")
 		for _, id := range slices.SortedFunc(maps.Keys(c.IDs), wire.ID.Compare) {
 			d.id(id)
 			d.flag(c.IDs[id])
 		}
-	case dataplane.Targets:
+	case statemachine.TargetsChanged:
 		d.text("targets")
-		for _, id := range slices.SortedFunc(maps.Keys(c.Live), wire.ID.Compare) {
+		for _, id := range slices.SortedFunc(maps.Keys(c.Addresses), wire.ID.Compare) {
 			d.id(id)
-			d.text(c.Live[id])
+			d.text(c.Addresses[id])
 		}
 		d.json(c.Limits)
 	default:
--- a/internal/verification/simulator/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -8,11 +8,10 @@
 import (
 	"cmp"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"strings"
 	"time"
-
-	"myrtlefold/internal/controlplane"
 )
 
 // Fault is one kind of trouble; Do starts it and makes sure that it ends.
@@ -123,7 +122,7 @@
 func (w *World) stop(p *Proc) {
 	w.Stats.Stops++
 	if w.sabotage == "stop" && p.gate != nil {
-		w.exec(p, controlplane.Exit{})
+		w.exec(p, statemachine.Exit{})
 		return
 	}
 	p.asked = true
--- a/internal/verification/simulator/faults_operator.go
+++ b/internal/verification/simulator/faults_operator.go
@@ -6,10 +6,9 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
-
-	"myrtlefold/internal/controlplane"
 )
 
 // operatorFaults are operators' changes, planned work, and the faults that meet them.
@@ -66,7 +65,7 @@
 				}
 				return
 			}
-			w.call(l, "POST", "/v1/core/"+name+"/"+what, "", nil, "", func(r controlplane.Reply) {
+			w.call(l, "POST", "/v1/core/"+name+"/"+what, "", nil, "", func(r statemachine.Reply) {
 				if r.Status == 200 || r.Status == 409 && what == "add" {
 					then()
 				} else {
--- a/internal/verification/simulator/faults_proxy.go
+++ b/internal/verification/simulator/faults_proxy.go
@@ -5,10 +5,9 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
-
-	"myrtlefold/internal/controlplane"
 )
 
 // proxyFaults are the faults of proxies: kills, freezes, cuts and planned stops.
@@ -42,7 +41,7 @@
 		w.Kill(p)
 		forget := func() {
 			if l := w.Leader(); l != nil && !p.alive {
-				w.call(l, "POST", "/v1/gates/"+p.name+"/forget", "", nil, "", func(controlplane.Reply) {})
+				w.call(l, "POST", "/v1/gates/"+p.name+"/forget", "", nil, "", func(statemachine.Reply) {})
 			}
 		}
 		w.at(3*time.Second, forget)
--- a/internal/verification/simulator/fleet_test.go
+++ b/internal/verification/simulator/fleet_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -385,9 +385,9 @@
 		takes bool
 	}{{nil, 5, false}, {whole, 5, true}, {whole, 6, false}} {
 		g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Inc: 9}})
-		g.Step(1, controlplane.Recv{M: core1})
-		push := func(now time.Duration, t *wire.Table) []any {
-			return g.Step(now, controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: 1, Disk: 9, Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
+		g.Step(1, statemachine.Receive{Message: core1})
+		push := func(now time.Duration, t *wire.Table) []statemachine.Command {
+			return g.Step(now, statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: 1, Disk: 9, Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
 		}
 		if c.first != nil {
 			push(2, c.first)
@@ -399,9 +399,9 @@
 		if took := tab != nil && tab.Key.Ver == 2; took != c.takes || took && (string(tab.Doc) != "{}" || len(tab.State) == 0) {
 			t.Errorf("%+v: %+v", c, tab)
 		}
-		for _, cmd := range g.Step(time.Second, controlplane.Tick{}) {
-			if s, ok := cmd.(controlplane.Send); ok && s.M.Pull != nil {
-				if p := s.M.Pull; (p.Revision != 0) != (c.first != nil) || c.first != nil && p.Seq != 5 {
+		for _, cmd := range g.Step(time.Second, statemachine.Tick{}) {
+			if s, ok := cmd.(statemachine.Send); ok && s.Message.Pull != nil {
+				if p := s.Message.Pull; (p.Revision != 0) != (c.first != nil) || c.first != nil && p.Seq != 5 {
 					t.Errorf("it says that it holds %d, %d", p.Revision, p.Seq)
 				}
 			}
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -1,10 +1,10 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
@@ -162,12 +162,14 @@
 		tab.Gates = append(tab.Gates, wire.Gate{Name: n, Addr: n})
 	}
 	g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Inc: 9}})
-	say := func(now time.Duration, m *wire.Msg) []any { return g.Step(now, controlplane.Recv{M: m}) }
+	say := func(now time.Duration, m *wire.Msg) []statemachine.Command {
+		return g.Step(now, statemachine.Receive{Message: m})
+	}
 	say(2, &wire.Msg{Kind: uint16(wire.KHello), From: "g2", Hello: &wire.Hello{Self: wire.Daemon{Name: "g2", Kind: "gate", Addr: "g2"}}})
 	say(3, &wire.Msg{Kind: uint16(wire.KPush), From: "g2", Stamp: 2, Disk: 9, Push: &wire.Push{Grant: true, Key: tab.Key, Table: tab}})
 	for _, c := range say(4, &wire.Msg{Kind: uint16(wire.KPull), From: "g2", Stamp: 4, Pull: &wire.Pull{Self: wire.Daemon{Name: "g2", Kind: "gate", Addr: "g2"}}}) {
-		if s, ok := c.(controlplane.Send); ok && s.M.Push != nil {
-			if s.M.Push.Grant || g.Serving() {
+		if s, ok := c.(statemachine.Send); ok && s.Message.Push != nil {
+			if s.Message.Push.Grant || g.Serving() {
 				t.Fatal("an unsettled proxy vouches for its table, or serves")
 			}
 			return
--- a/internal/verification/simulator/history.go
+++ b/internal/verification/simulator/history.go
@@ -6,12 +6,12 @@
 import (
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"net/url"
 	"strconv"
 	"strings"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/verification/linearizability"
 )
@@ -25,16 +25,16 @@
 func readsConfiguration(method, path string) bool { return method == "GET" && path == "/v1/config" }
 
 // record takes a call into the history; what it returns is told the answer.
-func (w *World) record(method, path, query string, body []byte, token string) func(controlplane.Reply) {
+func (w *World) record(method, path, query string, body []byte, token string) func(statemachine.Reply) {
 	switch {
 	case readsConfiguration(method, path) && query == "":
 		read := w.history.Read(w.now)
-		return func(r controlplane.Reply) { w.recordRead(read, r) }
+		return func(r statemachine.Reply) { w.recordRead(read, r) }
 	case changesConfiguration(method, path):
 		write := w.history.Write(w.now, orderOf(method, path, query, body, token))
-		return func(r controlplane.Reply) { w.recordWrite(write, r) }
+		return func(r statemachine.Reply) { w.recordWrite(write, r) }
 	}
-	return func(controlplane.Reply) {}
+	return func(statemachine.Reply) {}
 }
 
 // orderOf is a call as the history knows it. What the result of a partial change is, only
@@ -69,7 +69,7 @@
 	return string(doc)
 }
 
-func (w *World) recordRead(read *linearizability.Operation, r controlplane.Reply) {
+func (w *World) recordRead(read *linearizability.Operation, r statemachine.Reply) {
 	var v struct {
 		Revision uint64          `json:"revision"`
 		Config   json.RawMessage `json:"config"`
@@ -85,7 +85,7 @@
 	read.Return(w.now, v.Revision, value)
 }
 
-func (w *World) recordWrite(write *linearizability.Operation, r controlplane.Reply) {
+func (w *World) recordWrite(write *linearizability.Operation, r statemachine.Reply) {
 	switch r.Status {
 	case 200:
 		write.Acknowledge(w.now, revisionOf(r))
@@ -116,7 +116,7 @@
 func (w *World) Readers(every time.Duration) {
 	cores := w.all("core")
 	if p := w.procs[cores[w.rnd.IntN(len(cores))]]; p.alive && !w.quiet {
-		w.call(p, "GET", "/v1/config", "", nil, "", func(controlplane.Reply) {})
+		w.call(p, "GET", "/v1/config", "", nil, "", func(statemachine.Reply) {})
 	}
 	w.at(every/2+time.Duration(w.rnd.Int64N(int64(every))), func() { w.Readers(every) })
 }
@@ -143,7 +143,7 @@
 const wipeSpan = 30 * time.Second
 
 // ignore is for calls whose answers only the history looks at.
-func (w *World) ignore(controlplane.Reply) {}
+func (w *World) ignore(statemachine.Reply) {}
 
 // Guards of the core's answers that a test takes out of the simulated shell.
 const (
@@ -159,19 +159,19 @@
 )
 
 // spoilCall answers a call in the place of a member whose guard is out, if that is so.
-func (w *World) spoilCall(p *Proc, a controlplane.Ask) (controlplane.Reply, bool) {
+func (w *World) spoilCall(p *Proc, a statemachine.Call) (statemachine.Reply, bool) {
 	if p.core == nil || !p.alive || p.frozen {
-		return controlplane.Reply{}, false
+		return statemachine.Reply{}, false
 	}
 	base := queryNumber(a.Query, "base")
 	switch {
 	case w.sabotage == followersAnswer && readsConfiguration(a.Method, a.Path):
-		return controlplane.Reply{ID: a.ID, Status: 200, Body: fmt.Appendf(nil, `{"revision":%d}`, p.core.Revision())}, true
+		return statemachine.Reply{ID: a.ID, Status: 200, Body: fmt.Appendf(nil, `{"revision":%d}`, p.core.Revision())}, true
 	case w.sabotage == answerBeforeMajority && changesConfiguration(a.Method, a.Path) && p.core.Leading() && base == p.core.Revision():
 		w.deliver(p, a)
-		return controlplane.Reply{ID: a.ID, Status: 200, Body: fmt.Appendf(nil, `{"revision":%d}`, base+1)}, true
+		return statemachine.Reply{ID: a.ID, Status: 200, Body: fmt.Appendf(nil, `{"revision":%d}`, base+1)}, true
 	case w.sabotage == repetitionRefused && changesConfiguration(a.Method, a.Path) && p.core.Leading() && base < p.core.Revision():
-		return controlplane.Reply{ID: a.ID, Status: 412, Body: fmt.Appendf(nil, `{"error":{"revision":%d}}`, p.core.Revision())}, true
+		return statemachine.Reply{ID: a.ID, Status: 412, Body: fmt.Appendf(nil, `{"error":{"revision":%d}}`, p.core.Revision())}, true
 	}
-	return controlplane.Reply{}, false
+	return statemachine.Reply{}, false
 }
--- a/internal/verification/simulator/kept_test.go
+++ b/internal/verification/simulator/kept_test.go
@@ -1,10 +1,9 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
-
-	"myrtlefold/internal/controlplane"
 )
 
 // keptPlan is a fleet whose callers rest for seconds on their connections, and whose targets take as long
@@ -57,8 +56,8 @@
 			if !p.alive {
 				return
 			}
-			w.call(p, "GET", "/v1/config", "", nil, "", func(controlplane.Reply) { answered++ })
-			w.call(p, "PATCH", "/v1/config", "base=1", []byte(`{"services":{"pay":{"timeout_ms":1234}}}`), "again", func(controlplane.Reply) { answered++ })
+			w.call(p, "GET", "/v1/config", "", nil, "", func(statemachine.Reply) { answered++ })
+			w.call(p, "PATCH", "/v1/config", "base=1", []byte(`{"services":{"pay":{"timeout_ms":1234}}}`), "again", func(statemachine.Reply) { answered++ })
 			w.at(time.Millisecond, ask)
 		}
 		w.at(0, ask)
--- a/internal/verification/simulator/operate_test.go
+++ b/internal/verification/simulator/operate_test.go
@@ -3,20 +3,20 @@
 import (
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"strings"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
 // inquire makes a call at a member and waits for its answer.
-func (w *World) inquire(t *testing.T, p *Proc, method, path, query, body, token string) (controlplane.Reply, map[string]any) {
+func (w *World) inquire(t *testing.T, p *Proc, method, path, query, body, token string) (statemachine.Reply, map[string]any) {
 	t.Helper()
-	var got *controlplane.Reply
-	w.call(p, method, path, query, []byte(body), token, func(r controlplane.Reply) { got = &r })
+	var got *statemachine.Reply
+	w.call(p, method, path, query, []byte(body), token, func(r statemachine.Reply) { got = &r })
 	for end := w.now + 10*time.Second; got == nil && w.now < end && w.Fail == ""; {
 		w.Run(w.now + 10*time.Millisecond)
 	}
@@ -111,7 +111,7 @@
 	}
 	w.Run(w.now + 2*time.Second)
 	r, m = w.inquire(t, l, "PUT", "/v1/config", "base=2", string(w.Doc(7)), "none")
-	if e := m["error"].(map[string]any); r.Status != 503 || r.Retry == 0 || e["ran"] != "no" {
+	if e := m["error"].(map[string]any); r.Status != 503 || r.RetryAfter == 0 || e["ran"] != "no" {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	check(t, w)
--- a/internal/verification/simulator/operator.go
+++ b/internal/verification/simulator/operator.go
@@ -6,11 +6,11 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"strings"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 )
 
@@ -27,21 +27,21 @@
 }
 
 type ask struct {
-	fn   func(controlplane.Reply)
+	fn   func(statemachine.Reply)
 	at   *Proc // who has read it, and in which start; nil: nobody yet
 	gen  int
 	what string
 }
 
 // call sends a call to a member; the answer goes to fn, and its arrival is the ask's.
-func (w *World) call(p *Proc, method, path, query string, body []byte, token string, fn func(controlplane.Reply)) *ask {
+func (w *World) call(p *Proc, method, path, query string, body []byte, token string, fn func(statemachine.Reply)) *ask {
 	w.nextAsk++
 	id := w.nextAsk
 	recorded := w.record(method, path, query, body, token)
 	if token == "" {
 		token = fmt.Sprintf("t%d", id)
 	}
-	answered := func(r controlplane.Reply) {
+	answered := func(r statemachine.Reply) {
 		recorded(r)
 		fn(r)
 	}
@@ -55,7 +55,7 @@
 		if w.sabotage == "base" && p.core != nil && strings.HasPrefix(query, "base=") {
 			query = fmt.Sprintf("base=%d", p.core.Revision())
 		}
-		call := controlplane.Ask{ID: id, Token: token, Method: method, Path: path, Query: query, Body: body}
+		call := statemachine.Call{ID: id, Token: token, Method: method, Path: path, Query: query, Body: body}
 		if r, spoilt := w.spoilCall(p, call); spoilt {
 			w.exec(p, r)
 			return
@@ -141,7 +141,7 @@
 		delete(w.emptied, c.empty) // from the asking on, requests may go there again
 	}
 	order := &operatorOrder{method: method, path: path, query: query, body: body, token: c.token}
-	w.sendOrder(p, order, func(r controlplane.Reply) {
+	w.sendOrder(p, order, func(r statemachine.Reply) {
 		switch {
 		case r.Status == 200:
 			var v struct {
@@ -194,7 +194,7 @@
 }
 
 // revisionOf is the revision that an answer names, 0 if none.
-func revisionOf(r controlplane.Reply) uint64 {
+func revisionOf(r statemachine.Reply) uint64 {
 	var v struct {
 		Revision uint64 `json:"revision"`
 	}
--- a/internal/verification/simulator/operators_bounds_test.go
+++ b/internal/verification/simulator/operators_bounds_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/wire"
 )
 
@@ -39,7 +39,7 @@
 			slowest := time.Duration(0)
 			for i, call := range []string{"d1/empty", "d2/empty", "d1/restore", "d1/empty", "d2/restore", "d1/restore"} {
 				from, took := w.now, time.Duration(0)
-				w.call(w.procs[cores[i%len(cores)]], "POST", "/v1/domains/"+call, "", nil, fmt.Sprintf("calm-%d", i), func(r controlplane.Reply) {
+				w.call(w.procs[cores[i%len(cores)]], "POST", "/v1/domains/"+call, "", nil, fmt.Sprintf("calm-%d", i), func(r statemachine.Reply) {
 					if r.Status == 200 {
 						took = w.now - from
 					}
--- a/internal/verification/simulator/orders_test.go
+++ b/internal/verification/simulator/orders_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -18,7 +18,7 @@
 	revision uint64 // that it led to, 0: it lost
 }
 
-func (w *World) send(t *testing.T, p *Proc, o order) (controlplane.Reply, uint64) {
+func (w *World) send(t *testing.T, p *Proc, o order) (statemachine.Reply, uint64) {
 	t.Helper()
 	r, m := w.inquire(t, p, "PUT", "/v1/config", fmt.Sprintf("base=%d", o.base), string(o.doc), o.token)
 	revision, _ := m["revision"].(float64)
@@ -102,7 +102,7 @@
 		var got []answer
 		for i := range 8 {
 			k := i % len(orders)
-			w.call(w.cores()[(i+int(seed))%w.Plan.Cores], "PUT", "/v1/config", "base=1", orders[k].doc, orders[k].token, func(r controlplane.Reply) {
+			w.call(w.cores()[(i+int(seed))%w.Plan.Cores], "PUT", "/v1/config", "base=1", orders[k].doc, orders[k].token, func(r statemachine.Reply) {
 				got = append(got, answer{k, r.Status, int(revisionOf(r))})
 			})
 			if seed%3 == 0 {
