--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -6,6 +6,7 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
@@ -36,7 +37,7 @@
 	alive    bool
 	gone     bool // its machine was replaced and never comes back
 	frozen   bool
-	held     []any
+	held     []statemachine.Event
 	thawed   []func()
 	gen      int
 	boot     time.Duration
@@ -119,13 +120,13 @@
 		switch {
 		case p.frozen:
 		case w.Plan.Scarce == nil:
-			w.deliver(p, controlplane.Tick{})
+			w.deliver(p, statemachine.Tick{})
 		case !p.ticks: // else the one before still waits
 			p.ticks = true
 			w.at(w.work(p, "tick", costEvent)-w.now, func() {
 				if p.gen == gen {
 					p.ticks = false
-					w.deliver(p, controlplane.Tick{})
+					w.deliver(p, statemachine.Tick{})
 				}
 			})
 		}
@@ -209,7 +210,7 @@
 	}
 }
 
-func (w *World) deliver(p *Proc, ev any) {
+func (w *World) deliver(p *Proc, ev statemachine.Event) {
 	if !p.alive {
 		return
 	}
@@ -220,19 +221,19 @@
 
 // tellsOthers says whether a command tells anybody what was decided: an operator's answer,
 // or a table or lease for a proxy.
-func tellsOthers(cmd any) bool {
+func tellsOthers(cmd statemachine.Command) bool {
 	switch c := cmd.(type) {
-	case controlplane.Reply:
+	case statemachine.Reply:
 		return true
-	case controlplane.Send:
-		return c.M.Push != nil
+	case statemachine.Send:
+		return c.Message.Push != nil
 	}
 	return false
 }
 
 // pauseBeforeCommands stops a process between a step and what the step says: all of it is
 // carried out when the process goes on, however late.
-func (w *World) pauseBeforeCommands(p *Proc, cmds []any) {
+func (w *World) pauseBeforeCommands(p *Proc, cmds []statemachine.Command) {
 	d := p.pauseAfterStep
 	p.pauseAfterStep = 0
 	w.Freeze(p, d)
@@ -244,10 +245,10 @@
 	})
 }
 
-func (w *World) exec(p *Proc, cmd any) {
+func (w *World) exec(p *Proc, cmd statemachine.Command) {
 	gen := p.gen
 	switch c := cmd.(type) {
-	case controlplane.Send:
+	case statemachine.Send:
 		to := w.byAddr[c.Addr]
 		if to == nil || !w.reach(p.name, to.name) || w.rnd.Float64() < w.loss {
 			return
@@ -256,7 +257,7 @@
 		k := [2]string{p.name, to.name}
 		sent, reset := w.now, w.resets[k]
 		at := max(w.now+d, w.link[k]+1, reset.until) // a connection keeps its order
-		m, tg := w.spoil(p, to, c.M), to.gen
+		m, tg := w.spoil(p, to, c.Message), to.gen
 		if m == nil {
 			return
 		}
@@ -281,18 +282,18 @@
 		}
 		w.at(at-w.now, func() {
 			if to.gen == tg && w.reach(p.name, to.name) && sent >= w.resets[k].at {
-				w.deliver(to, controlplane.Recv{M: m})
+				w.deliver(to, statemachine.Receive{Message: m})
 			}
 		})
-	case controlplane.Sync:
-		p.disk.open = append(p.disk.open, c.B)
+	case statemachine.Sync:
+		p.disk.open = append(p.disk.open, c.Batch)
 		d := p.disk
 		if w.sabotage == "sync" {
-			w.at(0, func() { w.deliver(p, controlplane.Synced{Seq: c.B.Seq}) })
+			w.at(0, func() { w.deliver(p, statemachine.Synced{Seq: c.Batch.Seq}) })
 			return
 		}
 		w.sync(p, gen, d)
-	case controlplane.Probe:
+	case statemachine.Probe:
 		if p.kind == "gate" {
 			w.Stats.ProxyProbes++
 		}
@@ -300,27 +301,27 @@
 			w.work(p, "probe", w.probeCost(p, c))
 		}
 		w.probe(p, c)
-	case controlplane.Reply:
+	case statemachine.Reply:
 		if a := w.asks[c.ID]; a != nil {
 			delete(w.asks, c.ID)
 			w.at(w.ms(0, 2), func() { a.fn(c) })
 		}
-	case controlplane.Change:
-		w.log("%s %s %s -> %s (%s)", p.name, c.What, c.From, c.To, c.Why)
-		if w.sabotage == "early answer" && c.What == "revision" && p.core != nil {
+	case statemachine.StateChange:
+		w.log("%s %s %s -> %s (%s)", p.name, c.Subject, c.From, c.To, c.Reason)
+		if w.sabotage == "early answer" && c.Subject == "revision" && p.core != nil {
 			w.acked = max(w.acked, p.core.Revision())
 		}
-		if c.What == "lead" && c.To == "idle" || c.To == "cut" || c.To == "orphan" {
+		if c.Subject == "lead" && c.To == "idle" || c.To == "cut" || c.To == "orphan" {
 			w.lostLead = w.now
 		}
 		if c.To == "orphan" {
 			w.Stats.Orphaned++
 		}
-	case controlplane.Note:
+	case statemachine.Publish:
 		if c.Decision != nil && c.Decision.Kind != "lapse" {
 			w.log("%s %s %s %s/%s", p.name, c.Decision.Policy, c.Decision.Kind, c.Decision.Service, c.Decision.Name)
 		}
-	case controlplane.Exit:
+	case statemachine.Exit:
 		if p.alive {
 			w.log("exit %s", p.name)
 			if p.gate != nil && p.gate.InFlight() > 0 {
@@ -329,16 +330,16 @@
 			w.checkNoCallIsLeft(p)
 			w.Kill(p)
 		}
-	case dataplane.Targets:
-		p.live = c.Live
-		maps.DeleteFunc(p.pool, func(id wire.ID, _ []*connection) bool { _, ok := c.Live[id]; return !ok })
-	case dataplane.Dark: // requests here wait for their deadlines
-	case dataplane.Leave:
-	case dataplane.CloseIntake:
+	case statemachine.TargetsChanged:
+		p.live = c.Addresses
+		maps.DeleteFunc(p.pool, func(id wire.ID, _ []*connection) bool { _, ok := c.Addresses[id]; return !ok })
+	case statemachine.UnreachableTargets: // requests here wait for their deadlines
+	case statemachine.CloseAfterResponse:
+	case statemachine.StopAccepting:
 		p.intakeClosed = true
-	case dataplane.Give:
+	case statemachine.Forward:
 		w.give(p, c)
-	case dataplane.Refuse:
+	case statemachine.Reject:
 		w.refused(c)
 	default:
 		panic(fmt.Sprintf("%T", cmd))
@@ -359,7 +360,7 @@
 		seq = b.Seq
 	}
 	d.open = nil
-	w.deliver(p, controlplane.Synced{Seq: seq})
+	w.deliver(p, statemachine.Synced{Seq: seq})
 }
 
 // Stall keeps a disk from syncing for a while.
--- a/internal/verification/simulator/request.go
+++ b/internal/verification/simulator/request.go
@@ -5,10 +5,10 @@
 
 import (
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -92,7 +92,7 @@
 	if m == "POST" {
 		path = "/once/a"
 	}
-	w.deliver(p, dataplane.Admit{ID: x.id, Host: "x", Path: "/" + svc + path, Method: m})
+	w.deliver(p, statemachine.Admit{ID: x.id, Host: "x", Path: "/" + svc + path, Method: m})
 }
 
 func (w *World) end(x *request, final string) {
@@ -123,12 +123,12 @@
 	}
 }
 
-func (w *World) refused(c dataplane.Refuse) {
+func (w *World) refused(c statemachine.Reject) {
 	x := w.open[c.ID]
 	if x == nil {
 		return
 	}
-	if c.Status == 503 && c.Retry == 0 {
+	if c.Status == 503 && c.RetryAfter == 0 {
 		w.broken("come back when", "a refusal without Retry-After")
 	}
 	if x.sent && w.sabotage != "say no" {
@@ -140,7 +140,7 @@
 
 // give plays the forwarder: a pooled connection or a new one with its identity checked,
 // then the request, then what its end means.
-func (w *World) give(p *Proc, c dataplane.Give) {
+func (w *World) give(p *Proc, c statemachine.Forward) {
 	x := w.open[c.ID]
 	if x == nil || x.gate != p || x.gen != p.gen {
 		return
@@ -165,20 +165,20 @@
 			}
 		})
 	}
-	fail := func(d time.Duration, o dataplane.Outcome, sent, late bool) {
+	fail := func(d time.Duration, o statemachine.Outcome, sent, late bool) {
 		back(d, func() {
-			w.deliver(p, dataplane.Done{ID: x.id, Outcome: o, Ms: float64(d) / 1e6})
+			w.deliver(p, statemachine.AttemptDone{ID: x.id, Outcome: o, Milliseconds: float64(d) / 1e6})
 			if w.open[x.id] != x {
 				return
 			}
-			if o == dataplane.NotRun {
+			if o == statemachine.TargetRejected {
 				x.retry = true
-				w.deliver(p, dataplane.Again{ID: x.id, Sent: w.sabotage != "budget"})
+				w.deliver(p, statemachine.Retry{ID: x.id, Sent: w.sabotage != "budget"})
 				return
 			}
 			x.sent = x.sent || sent
 			if late || sent && x.unsafe && w.sabotage != "resend" {
-				w.deliver(p, dataplane.Cancel{ID: x.id})
+				w.deliver(p, statemachine.Cancel{ID: x.id})
 				if x.sent {
 					w.end(x, "unknown")
 				} else {
@@ -187,19 +187,19 @@
 				return
 			}
 			x.retry = sent
-			w.deliver(p, dataplane.Again{ID: x.id, Sent: sent && w.sabotage != "budget"})
+			w.deliver(p, statemachine.Retry{ID: x.id, Sent: sent && w.sabotage != "budget"})
 		})
 	}
 	switch {
 	case t == nil:
-		fail(w.ms(1, 3), dataplane.Closed, false, false)
+		fail(w.ms(1, 3), statemachine.ConnectFailed, false, false)
 		return
 	case !pooled && (t.hang || !w.reach(p.name, t.name) || !w.reach(t.name, p.name)):
-		fail(min(c.Connect, c.Left), dataplane.Closed, false, false)
+		fail(min(c.ConnectTimeout, c.TimeLeft), statemachine.ConnectFailed, false, false)
 		return
 	case !pooled && (t.service != id.Service || t.name != id.Name || t.inc != id.Inc) && w.sabotage != "identity":
 		w.Stats.Foreign++
-		fail(w.ms(1, 3), dataplane.Foreign, false, false)
+		fail(w.ms(1, 3), statemachine.WrongIdentity, false, false)
 		return
 	}
 	w.at(w.ms(0, 2), func() { w.write(p, c, x, conn, pooled, back, fail) })
@@ -207,7 +207,7 @@
 
 // write is the moment at which a request's first byte goes out; a process that
 // is frozen then goes on with it when it thaws.
-func (w *World) write(p *Proc, c dataplane.Give, x *request, conn *connection, pooled bool, back func(time.Duration, func()), fail func(time.Duration, dataplane.Outcome, bool, bool)) {
+func (w *World) write(p *Proc, c statemachine.Forward, x *request, conn *connection, pooled bool, back func(time.Duration, func()), fail func(time.Duration, statemachine.Outcome, bool, bool)) {
 	id, t := c.Target.ID(), conn.target
 	if !p.alive || p.gen != x.gen {
 		return
@@ -216,8 +216,8 @@
 		p.thawed = append(p.thawed, func() { w.write(p, c, x, conn, pooled, back, fail) })
 		return
 	}
-	if p.local() > c.Till {
-		fail(0, dataplane.Stale, false, false)
+	if p.local() > c.WriteBy {
+		fail(0, statemachine.ChoiceExpired, false, false)
 		return
 	}
 	w.checkWrite(p, &c, x)
@@ -232,23 +232,23 @@
 		}
 		switch {
 		case !t.alive:
-			fail(0, dataplane.Lost, true, false)
+			fail(0, statemachine.ResponseLost, true, false)
 			return
 		case t.hang || !w.reach(p.name, t.name) || !w.reach(t.name, p.name):
 			x.sent = true
-			fail(c.Left, dataplane.Lost, true, true)
+			fail(c.TimeLeft, statemachine.ResponseLost, true, true)
 			return
 		}
 		w.checkCold(t)
 		if !pooled && w.overCap(t, id) {
 			x.sent = true
-			fail(0, dataplane.Lost, true, false)
+			fail(0, statemachine.ResponseLost, true, false)
 			return
 		}
 		if w.turnsAway(t) {
-			how := dataplane.NotRun
+			how := statemachine.TargetRejected
 			if t.resets {
-				how = dataplane.Lost
+				how = statemachine.ResponseLost
 			}
 			fail(0, how, true, false)
 			return
@@ -258,7 +258,7 @@
 		leave := func() { t.works = slices.DeleteFunc(t.works, func(o *request) bool { return o == x }) }
 		try := w.beginAttempt(p, x, conn, func() {
 			leave() // its connection is closed: the target drops what has run so far
-			fail(0, dataplane.Lost, true, false)
+			fail(0, statemachine.ResponseLost, true, false)
 		})
 		w.at(t.work, func() {
 			leave()
@@ -269,15 +269,15 @@
 				if x.unsafe {
 					w.Stats.LostUnsafe++
 				}
-				fail(0, dataplane.Lost, true, false)
+				fail(0, statemachine.ResponseLost, true, false)
 			default:
-				o := dataplane.Served
+				o := statemachine.Served
 				if t.fail {
-					o = dataplane.Broken
+					o = statemachine.ServerError
 				}
 				back(0, func() {
-					w.keepConnection(p, id, conn, c.Idle)
-					w.deliver(p, dataplane.Done{ID: x.id, Outcome: o, Ms: float64(t.work) / 1e6, Last: true})
+					w.keepConnection(p, id, conn, c.MaxIdle)
+					w.deliver(p, statemachine.AttemptDone{ID: x.id, Outcome: o, Milliseconds: float64(t.work) / 1e6, Last: true})
 					w.end(x, "served")
 				})
 			}
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -4,11 +4,11 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
 	"myrtlefold/internal/controlplane"
-	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -46,7 +46,7 @@
 }
 
 // checkGive: what a proxy may do with a request now.
-func (w *World) checkGive(p *Proc, c *dataplane.Give, x *request) {
+func (w *World) checkGive(p *Proc, c *statemachine.Forward, x *request) {
 	if r := p.gate.Revision(); r < w.acked {
 		w.broken("not in force", "%s serves on revision %d, %d was acknowledged", p.name, r, w.acked)
 	}
@@ -59,7 +59,7 @@
 
 // checkWrite: the same once more when the first byte goes out, which a frozen process
 // does late. A choice that was right may be carried out for its short life.
-func (w *World) checkWrite(p *Proc, c *dataplane.Give, x *request) {
+func (w *World) checkWrite(p *Proc, c *statemachine.Forward, x *request) {
 	life := tuning.ChoiceLife * 21 / 20
 	for r, at := range w.ackedAt {
 		if r > x.rev && w.now-at > life {
@@ -72,7 +72,7 @@
 	w.checkTarget(p, c)
 }
 
-func (w *World) checkTarget(p *Proc, c *dataplane.Give) {
+func (w *World) checkTarget(p *Proc, c *statemachine.Forward) {
 	for _, t := range w.targets {
 		if t.service != c.Target.Service || t.name != c.Target.Name || t.inc != c.Target.Inc {
 			continue
--- a/internal/verification/simulator/scarce.go
+++ b/internal/verification/simulator/scarce.go
@@ -5,9 +5,9 @@
 
 import (
 	"io"
+	"myrtlefold/internal/shared/statemachine"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -59,7 +59,7 @@
 }
 
 // probeCost is what a probe takes: the question and the answer, and a new connection unless there is one.
-func (w *World) probeCost(p *Proc, c controlplane.Probe) time.Duration {
+func (w *World) probeCost(p *Proc, c statemachine.Probe) time.Duration {
 	if p.probed == nil {
 		p.probed = map[wire.ID]bool{}
 	}
@@ -111,7 +111,7 @@
 		}
 		w.at(w.work(to, workOnMessage(m, "receive"), messageCost(n))-w.now, func() {
 			if to.gen == gen && w.reach(p.name, to.name) && sent >= w.resets[k].at {
-				w.deliver(to, controlplane.Recv{M: m})
+				w.deliver(to, statemachine.Receive{Message: m})
 			}
 		})
 	})
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -8,11 +8,11 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"strings"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/wire"
 )
@@ -279,7 +279,7 @@
 		return
 	}
 	done := false
-	w.call(p, "PATCH", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), fmt.Appendf(nil, `{"services":{"%s":{"timeout_ms":1777}}}`, svcs[len(svcs)-1]), "insisted", func(a controlplane.Reply) {
+	w.call(p, "PATCH", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), fmt.Appendf(nil, `{"services":{"%s":{"timeout_ms":1777}}}`, svcs[len(svcs)-1]), "insisted", func(a statemachine.Reply) {
 		if done {
 			return
 		}
--- a/internal/verification/simulator/sim.go
+++ b/internal/verification/simulator/sim.go
@@ -11,11 +11,11 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"strings"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/wire"
 	"myrtlefold/internal/verification/linearizability"
@@ -285,7 +285,7 @@
 	return true
 }
 
-var stopEvent = controlplane.Stop{}
+var stopEvent = statemachine.Stop{}
 
 // Plans are the fleets by name: the brief's two deployments and the small one.
 var Plans = map[string]Plan{
--- a/internal/verification/simulator/slow.go
+++ b/internal/verification/simulator/slow.go
@@ -3,12 +3,12 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -33,7 +33,7 @@
 
 // queued says whether a process still has to do what came before; the event then waits its
 // turn. Where processors are scarce for all, work counts a process's slowness instead.
-func (w *World) queued(p *Proc, ev any) bool {
+func (w *World) queued(p *Proc, ev statemachine.Event) bool {
 	if w.Plan.Scarce != nil || p.slow == 0 && p.doneAt <= w.now {
 		return false
 	}
@@ -108,7 +108,7 @@
 	if !d.refusing {
 		d.refusing = true
 		w.log("disk of %s refuses writes", p.name)
-		w.deliver(p, controlplane.DiskRefuses{Err: errDiskFull})
+		w.deliver(p, statemachine.DiskHealth{Err: errDiskFull})
 	}
 }
 
@@ -123,16 +123,16 @@
 	default:
 		w.log("disk of %s takes writes again", p.name)
 		d.refusing = false
-		w.deliver(p, controlplane.DiskRefuses{})
+		w.deliver(p, statemachine.DiskHealth{})
 		w.sync(p, gen, d)
 	}
 }
 
 // step has a process handle one event.
-func (w *World) step(p *Proc, ev any) { w.stepAt(p, ev, p.local()) }
+func (w *World) step(p *Proc, ev statemachine.Event) { w.stepAt(p, ev, p.local()) }
 
 // stepAt is the same by a time of the process's own clock.
-func (w *World) stepAt(p *Proc, ev any, now time.Duration) {
+func (w *World) stepAt(p *Proc, ev statemachine.Event, now time.Duration) {
 	if !p.alive {
 		return
 	}
@@ -140,7 +140,7 @@
 		p.held = append(p.held, ev)
 		return
 	}
-	var cmds []any
+	var cmds []statemachine.Command
 	if p.core != nil {
 		cmds = p.core.Step(now, ev)
 	} else {
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"flag"
+	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"path/filepath"
 	"testing"
@@ -121,15 +122,15 @@
 	w.Run(w.now + 3*time.Second)
 	gate, member := w.procs["g1"], w.procs["c1"]
 	self := wire.Daemon{Name: member.name, Kind: "core", Domain: member.domain, Addr: member.addr, Inc: 1}
-	gate.gate.Step(gate.local(), controlplane.Recv{M: &wire.Msg{Kind: uint16(wire.KHello), From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
+	gate.gate.Step(gate.local(), statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
 	var memory []byte
 	for step := time.Duration(0); memory == nil; step += tuning.TickEvery {
 		if step > 5*time.Second {
 			t.Fatal("the proxy says nothing of what it remembers")
 		}
-		for _, cmd := range gate.gate.Step(gate.local()+step, controlplane.Tick{}) {
-			if send, ok := cmd.(controlplane.Send); ok && send.M.Hello != nil && len(send.M.Hello.Legacy) > 0 {
-				memory = send.M.Hello.Legacy
+		for _, cmd := range gate.gate.Step(gate.local()+step, statemachine.Tick{}) {
+			if send, ok := cmd.(statemachine.Send); ok && send.Message.Hello != nil && len(send.Message.Hello.Legacy) > 0 {
+				memory = send.Message.Hello.Legacy
 			}
 		}
 	}
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -3,10 +3,10 @@
 import (
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -100,7 +100,7 @@
 		}
 		var acks []int
 		ask := func(method, path, body string) {
-			w.call(at, method, path, "", []byte(body), "", func(r controlplane.Reply) {
+			w.call(at, method, path, "", []byte(body), "", func(r statemachine.Reply) {
 				if r.Status == 200 && 2*w.out(a.name) <= w.Plan.Gates {
 					t.Errorf("seed %d: %s acknowledged with %d of %d proxies", seed, method, w.out(a.name), w.Plan.Gates)
 				}
@@ -159,7 +159,7 @@
 	for _, at := range []*Proc{w.Leader(), followers(w)[0]} {
 		from := w.now
 		r, m := w.inquire(t, at, "PUT", "/v1/targets/"+a.name, "", numbered(a, config.Leaving, 1000, ""), "")
-		if r.Status != 503 || r.Retry == 0 || m["error"].(map[string]any)["ran"] != "no" || w.now-from > 920*time.Millisecond {
+		if r.Status != 503 || r.RetryAfter == 0 || m["error"].(map[string]any)["ran"] != "no" || w.now-from > 920*time.Millisecond {
 			t.Errorf("%d after %v: %s", r.Status, w.now-from, r.Body)
 		}
 	}
@@ -169,7 +169,7 @@
 	}
 	w.Run(w.now + 2*time.Second)
 	for _, state := range []string{config.Ready, config.Leaving} {
-		if r, _ := w.inquire(t, l, "PUT", "/v1/targets/"+a.name, "", numbered(a, state, 1001, ""), ""); r.Status != 503 || r.Retry == 0 {
+		if r, _ := w.inquire(t, l, "PUT", "/v1/targets/"+a.name, "", numbered(a, state, 1001, ""), ""); r.Status != 503 || r.RetryAfter == 0 {
 			t.Errorf("%s without a leader: %d", state, r.Status)
 		}
 	}
@@ -193,7 +193,7 @@
 		if seed%2 == 1 {
 			method, word = "DELETE", ""
 		}
-		w.call(followers(w)[0], method, path, "", []byte(word), "", func(r controlplane.Reply) {
+		w.call(followers(w)[0], method, path, "", []byte(word), "", func(r statemachine.Reply) {
 			status = r.Status
 			w.Kill(w.Leader())
 		})
@@ -360,7 +360,7 @@
 		same, other := w.Doc(2), w.Doc(3)
 		var got []string
 		for i, doc := range [][]byte{same, same, other} {
-			w.call(w.cores()[i%w.Plan.Cores], "PUT", "/v1/config", "base=1", doc, "", func(r controlplane.Reply) {
+			w.call(w.cores()[i%w.Plan.Cores], "PUT", "/v1/config", "base=1", doc, "", func(r statemachine.Reply) {
 				var m struct {
 					Revision uint64 `json:"revision"`
 				}
