--- a/internal/controlplane/configcall.go
+++ b/internal/controlplane/configcall.go
@@ -6,6 +6,8 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/reply"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"strconv"
 	"time"
@@ -23,7 +25,7 @@
 	if !json.Valid(doc) {
 		return doc
 	}
-	return body(map[string]any{"policies": map[string]json.RawMessage{name: doc}})
+	return reply.Body(map[string]any{"policies": map[string]json.RawMessage{name: doc}})
 }
 
 func unnumbered(doc []byte) []byte {
@@ -37,30 +39,30 @@
 // screen looks at a change of the configuration before anything is made of it: its size,
 // its base, and whether the very same call has been taken already. sum stands for the
 // call: its kind, its base and what its body says.
-func (c *Core) precheckChange(now time.Duration, p *pending, a *wire.Ask, text []byte, what string) (sum *orderDigest, ok bool) {
+func (c *Core) precheckChange(now time.Duration, p *pending, a *wire.Ask, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
 	if len(text) > tuning.DocMax {
 		c.answer(p, tooLarge())
 		return nil, false
 	}
 	b, named := number(a.Query, "base")
 	if !named {
-		c.answer(p, problem(428, config.Trouble{Code: "base_missing", Message: "name the revision this was built on: base=N or If-Match", Revision: c.state.Revision}))
+		c.answer(p, reply.Problem(428, config.Trouble{Code: "base_missing", Message: "name the revision this was built on: base=N or If-Match", Revision: c.state.Revision}))
 		return nil, false
 	}
 	said, err := config.Canonical(text)
 	if err != nil {
 		c.counts.Refused++
-		c.answer(p, problem(400, config.Trouble{Code: "not_json", Message: err.Error()}))
+		c.answer(p, reply.Problem(400, config.Trouble{Code: "not_json", Message: err.Error()}))
 		return nil, false
 	}
-	digest := digestOf([]byte(what), strconv.AppendUint(nil, b, 10), said)
+	digest := state.DigestOf([]byte(what), strconv.AppendUint(nil, b, 10), said)
 	if b == c.state.Revision {
 		return &digest, true
 	}
-	switch verdict, revision := c.state.judgeOrder(digest, b); verdict {
-	case orderTaken:
+	switch verdict, revision := c.state.JudgeChange(digest, b); verdict {
+	case state.AlreadyAccepted:
 		c.answerWhenInForce(now, p, revision)
-	case orderForgotten:
+	case state.Forgotten:
 		c.answerUnknown(p)
 	default:
 		c.counts.Refused++
@@ -86,13 +88,13 @@
 	if what == "partial" && config.IsNamed(patch) {
 		n, faults, err := config.ParseNamed(patch)
 		if err == nil && len(faults) == 0 {
-			doc, faults, err = n.Apply(c.state.Doc)
+			doc, faults, err = n.Apply(c.state.Document)
 		}
 		if err != nil || len(faults) > 0 {
 			c.refuseInvalid(p, faults, err)
 			return
 		}
-	} else if doc, err = config.Merge(unnumbered(c.state.Doc), patch); err != nil {
+	} else if doc, err = config.Merge(unnumbered(c.state.Document), patch); err != nil {
 		c.refuseInvalid(p, nil, err)
 		return
 	}
@@ -100,7 +102,7 @@
 }
 
 // config proposes a whole configuration on the present revision.
-func (c *Core) config(now time.Duration, p *pending, doc []byte, what string, sum *orderDigest) {
+func (c *Core) config(now time.Duration, p *pending, doc []byte, what string, sum *state.ChangeDigest) {
 	if len(doc) > tuning.DocMax {
 		c.answer(p, tooLarge())
 		return
@@ -117,15 +119,15 @@
 	if json.Compact(&b, doc) != nil {
 		panic("a checked document is JSON")
 	}
-	if c.change(now, p, command{Op: "config", Base: c.state.Revision, Doc: b.Bytes(), What: what, Rev: cfg.Revision, Sum: sum}) {
+	if c.change(now, p, state.Command{Operation: state.OpConfigure, Base: c.state.Revision, Document: b.Bytes(), Description: what, Number: cfg.Revision, Digest: sum}) {
 		c.checked = checked{b.Bytes(), cfg}
 	}
 }
 
 func (c *Core) docAt(rev uint64) json.RawMessage {
 	for _, r := range c.state.Records {
-		if r.Revision == rev && r.Doc != nil {
-			return r.Doc
+		if r.Revision == rev && r.Document != nil {
+			return r.Document
 		}
 	}
 	return nil
@@ -139,12 +141,12 @@
 		x = json.RawMessage(`{}`)
 	}
 	if x == nil || y == nil {
-		c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: "one of the revisions is not kept"}))
+		c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: "one of the revisions is not kept"}))
 		return
 	}
 	d, err := jsonpatch.CreateMergePatch(x, y)
 	if err != nil {
 		panic(err)
 	}
-	c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"from": from, "to": to, "merge_patch": json.RawMessage(d)})})
+	c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"from": from, "to": to, "merge_patch": json.RawMessage(d)})})
 }
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -12,6 +12,8 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/discovery"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
@@ -65,8 +67,8 @@
 	settings        Settings
 	image           consensus.Image
 	node            *consensus.Node
-	state           State
-	directory       Directory
+	state           state.State
+	directory       discovery.Directory
 	bootAt          time.Duration
 	helloAt         time.Duration
 	offer           uint64
@@ -75,7 +77,7 @@
 	seenFoundersAt  time.Duration
 	proxyMemories   map[string]proxyMemory // what proxies said that they remember
 	unreadMemories  map[string][]byte      // the same as they sent it, not looked at yet
-	consent         consent
+	consent         discovery.RecoveryConsent
 	lockSeq         uint64 // batch that has the lock; it is told to nobody before that is synced
 	syncedSeq       uint64
 	leaderHint      string                   // who leads, as last heard of
@@ -129,10 +131,10 @@
 	pendingChanges         map[string]*pending
 	relayedCalls           map[uint64]*pending
 	relayID                uint64
-	requestedMembers       map[string]bool // members that an operator asked to add
-	recovered              RecoveredState  // the latest that others remember of an earlier epoch and that can be read, while adopting
-	unreadableMemory       bool            // something else that they remember can't be read
-	adoptEmpty             bool            // an operator said that the epoch may begin with nothing then
+	requestedMembers       map[string]bool      // members that an operator asked to add
+	recovered              state.RecoveredState // the latest that others remember of an earlier epoch and that can be read, while adopting
+	unreadableMemory       bool                 // something else that they remember can't be read
+	adoptEmpty             bool                 // an operator said that the epoch may begin with nothing then
 	damage                 []Damage
 	undecodable            error  // why agreed data of this epoch could not be decoded, nil: it could
 	diskError              string // why the disk refuses writes now, "" if it takes them
@@ -141,9 +143,9 @@
 	cleanAt                time.Duration
 	lastTurn               map[string]uint32 // last place dealt in each service, and each name's own
 	turnByName             map[[2]string]uint32
-	rosterPendingAt        uint64                   // entry of the roster's last change
-	proposed               bool                     // the epoch's first state, while adopting
-	persistedRegistrations map[wire.ID]Registration // what the log says of targets, with what is under way
+	rosterPendingAt        uint64                         // entry of the roster's last change
+	proposed               bool                           // the epoch's first state, while adopting
+	persistedRegistrations map[wire.ID]state.Registration // what the log says of targets, with what is under way
 	persistedTombstones    map[wire.ID]bool
 	persistedAt            time.Duration
 	persistNow             bool // a word waits for the next write
@@ -167,8 +169,8 @@
 // New starts a member from what its disk holds; a disk without a number yet is
 // given the shell's.
 func New(now time.Duration, set Settings, img consensus.Image) *Core {
-	c := &Core{settings: set, image: img, bootAt: now, directory: Directory{}, proxyMemories: map[string]proxyMemory{}, unreadMemories: map[string][]byte{}, proxies: map[string]*proxyState{},
-		pendingChanges: map[string]*pending{}, relayedCalls: map[uint64]*pending{}, requestedMembers: map[string]bool{}, heard: map[string]heard{}, toldLists: map[string]toldList{}, learning: map[string]learning{}, restored: map[string]time.Duration{}, state: newState(), relayID: set.Self.Inc << 20}
+	c := &Core{settings: set, image: img, bootAt: now, directory: discovery.Directory{}, proxyMemories: map[string]proxyMemory{}, unreadMemories: map[string][]byte{}, proxies: map[string]*proxyState{},
+		pendingChanges: map[string]*pending{}, relayedCalls: map[uint64]*pending{}, requestedMembers: map[string]bool{}, heard: map[string]heard{}, toldLists: map[string]toldList{}, learning: map[string]learning{}, restored: map[string]time.Duration{}, state: state.New(), relayID: set.Self.Inc << 20}
 	c.settings.Self.Disk = img.Disk
 	switch {
 	case set.Size > 0:
@@ -191,7 +193,7 @@
 }
 
 func (c *Core) restore(s *wire.Snap) {
-	state, err := decodeState(s.Data)
+	state, err := state.Decode(s.Data)
 	if err != nil {
 		c.cannotDecode(fmt.Sprintf("snapshot %d", s.Index), err)
 		return
@@ -255,7 +257,7 @@
 			c.apply(now, e)
 		}
 		if c.undecodable == nil && c.node.SnapshotDue() {
-			c.node.Compact(now, encodeState(&c.state))
+			c.node.Compact(now, state.Encode(&c.state))
 		}
 	}
 }
--- a/internal/controlplane/corestatus.go
+++ b/internal/controlplane/corestatus.go
@@ -152,7 +152,7 @@
 		}
 	}
 	for _, d := range c.coreDaemons(now, true) {
-		if !listed[d.Name] && d.Disk != 0 && d.State != stoppingState && c.state.Out[d.Name] == 0 {
+		if !listed[d.Name] && d.Disk != 0 && d.State != stoppingState && c.state.RemovedMembers[d.Name] == 0 {
 			l = append(l, MemberView{Name: d.Name, Domain: d.Domain, State: MemberStandby, SilentMs: c.silentFor(now, d.Name).Milliseconds()})
 		}
 	}
--- a/internal/controlplane/damage.go
+++ b/internal/controlplane/damage.go
@@ -5,6 +5,7 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 
 	"myrtlefold/internal/shared/tuning"
@@ -35,13 +36,13 @@
 
 // addRecovered takes what somebody remembers of an earlier epoch as the state to begin this
 // one with, if it is the latest so far that can be read whole.
-func (c *Core) addRecovered(l RecoveredState) {
-	if c.node == nil || c.state.Adopted || l.Epoch >= c.node.Epoch() || len(l.State) == 0 || !c.recovered.less(l) {
+func (c *Core) addRecovered(l state.RecoveredState) {
+	if c.node == nil || c.state.Adopted || l.Epoch >= c.node.Epoch() || len(l.State) == 0 || !c.recovered.Less(l) {
 		return
 	}
-	if _, err := decodeRecovered(l); err != nil {
+	if _, err := state.DecodeRecovered(l); err != nil {
 		c.unreadableMemory = true
-		c.reportDamage(fmt.Sprintf("memory of epoch %d, entry %d", l.Epoch, l.Seq), err)
+		c.reportDamage(fmt.Sprintf("memory of epoch %d, entry %d", l.Epoch, l.Index), err)
 		return
 	}
 	c.recovered = l
--- a/internal/controlplane/damage_test.go
+++ b/internal/controlplane/damage_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"strings"
 	"testing"
@@ -17,11 +18,11 @@
 // refounded is a lone member at the beginning of epoch 2, told what proxies remember.
 type refounded struct {
 	rest
-	memories []RecoveredState
+	memories []state.RecoveredState
 }
 
-func newRefounded(memories ...RecoveredState) *refounded {
-	self := wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}
+func newRefounded(memories ...state.RecoveredState) *refounded {
+	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}
 	im := consensus.Image{Disk: 7, Epoch: 2, Snap: wire.Snap{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
 	return &refounded{rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, im)}, memories}
 }
@@ -30,18 +31,18 @@
 	for range n {
 		for _, m := range r.memories {
 			b, _ := json.Marshal(m)
-			g := wire.Daemon{Name: "g" + string(m.State[:1]), Kind: "gate", Addr: "g"}
+			g := wire.Daemon{Name: "g" + string(m.State[:1]), Kind: wire.ProxyDaemon, Addr: "g"}
 			r.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: g.Name, Hello: &wire.Hello{Self: g, Legacy: b}}})
 		}
 		r.second()
 	}
 }
 
-func memory(seq, revision uint64) RecoveredState {
-	s := newState()
-	s.Adopted, s.Revision, s.Seq = true, revision, seq
+func memory(seq, revision uint64) state.RecoveredState {
+	s := state.New()
+	s.Adopted, s.Revision, s.Index = true, revision, seq
 	b, _ := json.Marshal(s)
-	return RecoveredState{Epoch: 1, Term: 3, Seq: seq, State: b}
+	return state.RecoveredState{Epoch: 1, Term: 3, Index: seq, State: b}
 }
 
 // unreadable are memories that are JSON and no state, or one that can't be put in force.
@@ -56,7 +57,7 @@
 // read is reported.
 func TestNextBestMemoryIsAdopted(t *testing.T) {
 	for name, text := range unreadable {
-		r := newRefounded(memory(40, 4), RecoveredState{Epoch: 1, Term: 3, Seq: 90, State: json.RawMessage(text)}, memory(50, 5))
+		r := newRefounded(memory(40, 4), state.RecoveredState{Epoch: 1, Term: 3, Index: 90, State: json.RawMessage(text)}, memory(50, 5))
 		r.seconds(6)
 		if !r.c.Leading() || r.c.state.Revision != 5 {
 			t.Errorf("%s: leads %v with revision %d", name, r.c.Leading(), r.c.state.Revision)
@@ -71,7 +72,7 @@
 // operator says so.
 func TestNothingIsNotAdoptedForTheUnreadable(t *testing.T) {
 	for name, text := range unreadable {
-		r := newRefounded(RecoveredState{Epoch: 1, Term: 3, Seq: 90, State: json.RawMessage(text)})
+		r := newRefounded(state.RecoveredState{Epoch: 1, Term: 3, Index: 90, State: json.RawMessage(text)})
 		r.seconds(20)
 		if r.c.Leading() || r.c.state.Adopted || len(r.c.Status(r.now).Damage) == 0 {
 			t.Errorf("%s: leads %v, adopted %v, damage %v", name, r.c.Leading(), r.c.state.Adopted, r.c.damage)
@@ -85,8 +86,8 @@
 
 // An agreed first state that does not decode is not adopted, and another is offered.
 func TestUndecodedAdoptionIsNone(t *testing.T) {
-	s := newState()
-	s.Apply(9, command{Op: "adopt", State: json.RawMessage(`{"seq":"ninety"}`)})
+	s := state.New()
+	s.Apply(9, state.Command{Operation: state.OpAdopt, State: json.RawMessage(`{"seq":"ninety"}`)})
 	if s.Adopted {
 		t.Error("adopted")
 	}
@@ -94,7 +95,7 @@
 	for r.c.lead != Adopting {
 		r.seconds(1)
 	}
-	r.c.propose(r.now, command{Op: "adopt", State: json.RawMessage(`{"seq":"ninety"}`)})
+	r.c.propose(r.now, state.Command{Operation: state.OpAdopt, State: json.RawMessage(`{"seq":"ninety"}`)})
 	r.seconds(6)
 	if !r.c.Leading() || r.c.state.Revision != 5 || len(r.c.damage) == 0 {
 		t.Errorf("leads %v with revision %d, damage %v", r.c.Leading(), r.c.state.Revision, r.c.damage)
@@ -103,17 +104,17 @@
 
 // What a disk holds is used whole or not at all.
 func TestCheckImage(t *testing.T) {
-	s := newState()
+	s := state.New()
 	s.Adopted = true
 	entry := func(i uint64, kind uint16, data []byte) wire.Entry {
 		return wire.Entry{Index: i, Term: 1, Kind: kind, Data: data}
 	}
-	change := encodeCommand(command{Op: "empty", Name: "d1", Token: "x"})
-	long := encodeCommand(command{Op: "empty", Name: strings.Repeat("d", 2*tuning.CompressFrom)})
+	change := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d1", Token: "x"})
+	long := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: strings.Repeat("d", 2*tuning.CompressFrom)})
 	image := func(snap []byte, log ...wire.Entry) *consensus.Image {
 		return &consensus.Image{Epoch: 1, Disk: 7, Snap: wire.Snap{Index: 1, Data: snap}, Log: log}
 	}
-	sound := encodeState(&s)
+	sound := state.Encode(&s)
 	for name, im := range map[string]*consensus.Image{
 		"empty":   {Disk: 7},
 		"founded": image(nil),
@@ -130,30 +131,30 @@
 		"members":           image(sound, entry(2, consensus.EntryMembers, []byte("["))),
 		"gap":               image(sound, entry(3, consensus.EntryData, change)),
 		"gap between":       image(sound, entry(2, consensus.EntryNoop, nil), entry(4, consensus.EntryNoop, nil)),
-		"undecoded epoch":   image(nil, entry(2, consensus.EntryData, encodeCommand(command{Op: "adopt", State: json.RawMessage(`7`)}))),
+		"undecoded epoch":   image(nil, entry(2, consensus.EntryData, state.EncodeCommand(state.Command{Operation: state.OpAdopt, State: json.RawMessage(`7`)}))),
 		"snapshot no state": image([]byte(`{"seq":"x"}`)),
 	} {
-		if err := CheckImage(im); !errors.Is(err, ErrDamaged) {
+		if err := CheckImage(im); !errors.Is(err, state.ErrDamaged) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	got, _, err := stateFromDisk(image(sound, entry(2, consensus.EntryData, change), entry(3, consensus.EntryData, []byte("{"))))
-	if err == nil || got.Seq != 2 || len(got.Emptied) != 1 {
+	if err == nil || got.Index != 2 || len(got.EmptiedDomains) != 1 {
 		t.Errorf("before the damage there is %+v, %v", got, err)
 	}
 }
 
 // Long entries and states take a fraction in the log, and are read again as they were.
 func TestLongEntriesAreCompressed(t *testing.T) {
-	o := command{Op: "config", Doc: json.RawMessage(`{"services":{` + strings.Repeat(`"fares":{"attempts":3},`, 2000) + `"x":{}}}`)}
-	b := encodeCommand(o)
-	if got, err := decodeCommand(b); err != nil || string(got.Doc) != string(o.Doc) || 5*len(b) > len(o.Doc) {
-		t.Errorf("%v: %d bytes for %d", err, len(b), len(o.Doc))
+	o := state.Command{Operation: state.OpConfigure, Document: json.RawMessage(`{"services":{` + strings.Repeat(`"fares":{"attempts":3},`, 2000) + `"x":{}}}`)}
+	b := state.EncodeCommand(o)
+	if got, err := state.DecodeCommand(b); err != nil || string(got.Document) != string(o.Document) || 5*len(b) > len(o.Document) {
+		t.Errorf("%v: %d bytes for %d", err, len(b), len(o.Document))
 	}
-	s := newState()
-	s.Doc = o.Doc
-	b = encodeState(&s)
-	if got, err := decodeState(b); err != nil || string(got.Doc) != string(o.Doc) || 5*len(b) > len(o.Doc) {
-		t.Errorf("%v: %d bytes for %d", err, len(b), len(o.Doc))
+	s := state.New()
+	s.Document = o.Document
+	b = state.Encode(&s)
+	if got, err := state.Decode(b); err != nil || string(got.Document) != string(o.Document) || 5*len(b) > len(o.Document) {
+		t.Errorf("%v: %d bytes for %d", err, len(b), len(o.Document))
 	}
 }
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -16,17 +16,6 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Known is what a daemon has heard of another.
-type Known struct {
-	wire.Daemon
-	At       time.Duration
-	Leader   string
-	Term     uint64
-	members  membership
-	founding uint64
-	consent  consent
-}
-
 // heard is what is kept of a core daemon after its silence.
 type heard struct {
 	at     time.Duration
@@ -44,32 +33,6 @@
 	stoppingState = "stopping" // it goes, and is to come back
 )
 
-// Directory is a daemon's list of the others, by name.
-type Directory map[string]*Known
-
-// Meet merges what a hello says of the daemons: its sender is taken at its word,
-// others are only added.
-func (b Directory) Meet(now time.Duration, self string, h *wire.Hello) {
-	if h.Self.Name == "" || h.Self.Name == self {
-		return
-	}
-	b[h.Self.Name] = &Known{Daemon: h.Self, At: now, Leader: h.Leader, Term: h.Term, founding: h.Founding,
-		members: membership{h.MembersEpoch, h.MembersIndex, h.Members}, consent: consent{h.Refound, h.Gone, now}}
-	for _, d := range h.Known {
-		if b[d.Name] == nil && d.Name != self && d.Name != "" {
-			b[d.Name] = &Known{Daemon: d, At: now - tuning.DaemonGone/2}
-		}
-	}
-}
-
-// List is the book as it is handed on.
-func (b Directory) List() (l []wire.Daemon) {
-	for _, n := range slices.Sorted(maps.Keys(b)) {
-		l = append(l, b[n].Daemon)
-	}
-	return l
-}
-
 func (c *Core) self() wire.Daemon {
 	d := c.settings.Self
 	d.Disk, d.Lock, d.Offer = c.image.Disk, c.image.Lock, c.offer
@@ -120,22 +83,6 @@
 	return c.leader(now)
 }
 
-// Leader is the one that core daemons last named, in the latest epoch and term.
-func (b Directory) Leader(now time.Duration) string {
-	var best *Known
-	for _, n := range slices.Sorted(maps.Keys(b)) {
-		k := b[n]
-		if k.Kind == "core" && k.Leader != "" && now-k.At < tuning.DaemonGone &&
-			(best == nil || cmp.Or(cmp.Compare(k.Epoch, best.Epoch), cmp.Compare(k.Term, best.Term)) > 0) {
-			best = k
-		}
-	}
-	if best == nil {
-		return ""
-	}
-	return best.Leader
-}
-
 // hearer is one of those seen that hears a leader, "" if none does.
 func (c *Core) whoHearsLeader(now time.Duration, all []wire.Daemon) string {
 	if c.heardLeader(now) != "" {
@@ -172,14 +119,14 @@
 // only, and nobody what it has been told lately.
 func (c *Core) directoryFor(now time.Duration, to string) (l []wire.Daemon) {
 	k := c.directory[to]
-	all := k == nil || k.Kind == "core"
+	all := k == nil || k.Kind == wire.ControlDaemon
 	h := fnv.New64a()
 	if k != nil {
 		fmt.Fprint(h, k.Inc) // another process of its name has been told nothing
 	}
 	names := c.sortedDaemons()
 	for _, n := range names {
-		if k := c.directory[n]; all || k.Kind == "core" {
+		if k := c.directory[n]; all || k.Kind == wire.ControlDaemon {
 			io.WriteString(h, n)
 			io.WriteString(h, " ")
 			io.WriteString(h, k.Addr)
@@ -190,7 +137,7 @@
 		return nil
 	}
 	for _, n := range names {
-		if k := c.directory[n]; all || k.Kind == "core" {
+		if k := c.directory[n]; all || k.Kind == wire.ControlDaemon {
 			l = append(l, k.Daemon)
 		}
 	}
@@ -204,12 +151,12 @@
 	if c.node != nil {
 		h.Term = c.node.Term()
 	}
-	if k := c.directory[to]; k != nil && k.Kind != "core" {
+	if k := c.directory[to]; k != nil && k.Kind != wire.ControlDaemon {
 		return &wire.Msg{Kind: uint16(wire.KHello), From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
 	}
 	m := c.lastMembers()
-	h.Members, h.MembersEpoch, h.MembersIndex = m.list, m.epoch, m.index
-	h.Refound, h.Gone = c.consent.refound, c.consent.gone
+	h.Members, h.MembersEpoch, h.MembersIndex = m.List, m.Epoch, m.Index
+	h.Refound, h.Gone = c.consent.Granted, c.consent.LostMembers
 	if c.node != nil && !c.state.Adopted {
 		h.Legacy = c.image.Legacy
 	}
@@ -220,7 +167,7 @@
 	maps.DeleteFunc(c.toldLists, func(n string, _ toldList) bool { return n != "" && c.directory[n] == nil })
 	done := map[string]bool{c.settings.Self.Addr: true}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
-		if k := c.directory[n]; k.Kind == "core" && !done[k.Addr] {
+		if k := c.directory[n]; k.Kind == wire.ControlDaemon && !done[k.Addr] {
 			done[k.Addr] = true
 			c.emit(statemachine.Send{Addr: k.Addr, Message: c.helloMsg(now, n, false)})
 		}
@@ -237,7 +184,7 @@
 func (c *Core) coreDaemons(now time.Duration, fresh bool) []wire.Daemon {
 	l := []wire.Daemon{c.self()}
 	for _, k := range c.directory {
-		if k.Kind == "core" && (!fresh || c.heardLately(now, k.Name)) {
+		if k.Kind == wire.ControlDaemon && (!fresh || c.heardLately(now, k.Name)) {
 			l = append(l, k.Daemon)
 		}
 	}
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -5,6 +5,7 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
@@ -49,12 +50,12 @@
 	if f.majorityAt == 0 {
 		f.majorityAt = now
 	}
-	for i := range c.state.Roster {
-		if c.mayBePast(now, c.state.Roster[i].Name, f) {
+	for i := range c.state.Proxies {
+		if c.mayBePast(now, c.state.Proxies[i].Name, f) {
 			return false
 		}
 	}
-	for _, n := range c.state.PreviousRoster {
+	for _, n := range c.state.PreviousProxies {
 		if c.mayBePast(now, n, f) {
 			return false
 		}
@@ -71,21 +72,21 @@
 // majorityConfirmed says that a majority of the roster, and of the one before while that counts, does.
 func (c *Core) majorityConfirmed(version uint64) bool {
 	confirmed := 0
-	for i := range c.state.Roster {
-		if c.hasConfirmed(c.state.Roster[i].Name, version) {
+	for i := range c.state.Proxies {
+		if c.hasConfirmed(c.state.Proxies[i].Name, version) {
 			confirmed++
 		}
 	}
-	if n := len(c.state.Roster); n > 0 && 2*confirmed <= n {
+	if n := len(c.state.Proxies); n > 0 && 2*confirmed <= n {
 		return false
 	}
 	confirmed = 0
-	for _, name := range c.state.PreviousRoster {
+	for _, name := range c.state.PreviousProxies {
 		if c.hasConfirmed(name, version) {
 			confirmed++
 		}
 	}
-	n := len(c.state.PreviousRoster)
+	n := len(c.state.PreviousProxies)
 	return n == 0 || 2*confirmed > n
 }
 
@@ -115,8 +116,8 @@
 		if f.p != nil {
 			c.answer(f.p, f.reply)
 		}
-		if f.rosterChange && len(c.state.PreviousRoster) > 0 && !slices.ContainsFunc(c.waiters, func(f *commitWaiter) bool { return f.rosterChange }) {
-			c.proposeRoster(now, command{Op: "enrolled", Base: c.state.RosterAt})
+		if f.rosterChange && len(c.state.PreviousProxies) > 0 && !slices.ContainsFunc(c.waiters, func(f *commitWaiter) bool { return f.rosterChange }) {
+			c.proposeRoster(now, state.Command{Operation: state.OpProxiesInForce, Base: c.state.ProxiesIndex})
 		}
 		if t := c.targets[f.clearPending]; t != nil && t.Pending {
 			t.Pending = false
@@ -137,11 +138,11 @@
 // whatHolds says for people what a waiter waits for.
 func (c *Core) whatHolds(now time.Duration, f *commitWaiter) string {
 	if !c.majorityConfirmed(f.version) {
-		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d before", f.version, len(c.state.Roster), len(c.state.PreviousRoster))
+		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d before", f.version, len(c.state.Proxies), len(c.state.PreviousProxies))
 	}
 	var past []string
-	for i := range c.state.Roster {
-		name := c.state.Roster[i].Name
+	for i := range c.state.Proxies {
+		name := c.state.Proxies[i].Name
 		if !c.mayBePast(now, name, f) {
 			continue
 		}
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -5,10 +5,11 @@
 
 import (
 	"bytes"
-	"cmp"
 	"encoding/json"
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/discovery"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
@@ -32,30 +33,6 @@
 
 func (l Lead) String() string { return [...]string{"idle", "adopting", "warming", "deciding"}[l] }
 
-// RecoveredState is what someone remembers of an earlier epoch.
-type RecoveredState struct {
-	Epoch uint64          `json:"epoch"`
-	Term  uint64          `json:"term"`
-	Seq   uint64          `json:"seq"`
-	State json.RawMessage `json:"state"`
-}
-
-// Remembered is what a table remembers of its epoch.
-func Remembered(t *wire.Table) (RecoveredState, bool) {
-	var s State
-	doc, err := wire.Decompress(t.Doc)
-	if err != nil || json.Unmarshal(t.State, &s) != nil {
-		return RecoveredState{}, false
-	}
-	s.Doc = doc
-	b, _ := json.Marshal(s)
-	return RecoveredState{t.Key.Epoch, t.Key.Term, t.Seq, b}, true
-}
-
-func (l RecoveredState) less(o RecoveredState) bool {
-	return cmp.Or(cmp.Compare(l.Epoch, o.Epoch), cmp.Compare(l.Seq, o.Seq), cmp.Compare(l.Term, o.Term)) < 0
-}
-
 func (c *Core) setLead(now time.Duration, l Lead, why string) {
 	if l == c.lead {
 		return
@@ -86,7 +63,7 @@
 			}
 			g.sentKey, g.bytesInFlight = wire.Key{}, 0
 		}
-		for _, n := range append(c.state.names(), c.state.PreviousRoster...) {
+		for _, n := range append(c.state.ProxyNames(), c.state.PreviousProxies...) {
 			if c.proxies[n] == nil {
 				c.proxies[n] = &proxyState{grantAt: now}
 			}
@@ -98,9 +75,9 @@
 // announce tells every daemon at once who leads now; the roster's proxies need not have
 // been heard for that.
 func (c *Core) announce(now time.Duration) {
-	for _, r := range c.state.Roster {
+	for _, r := range c.state.Proxies {
 		if c.directory[r.Name] == nil {
-			c.directory[r.Name] = &Known{Daemon: wire.Daemon{Name: r.Name, Kind: "gate", Addr: r.Addr, Domain: r.Domain}, At: now - tuning.DaemonGone/2}
+			c.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, At: now - tuning.DaemonGone/2}
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
@@ -122,9 +99,9 @@
 	switch c.lead {
 	case Idle:
 		if !c.state.Adopted {
-			c.recovered, c.unreadableMemory = RecoveredState{}, false
+			c.recovered, c.unreadableMemory = state.RecoveredState{}, false
 			if len(c.image.Legacy) > 0 {
-				var l RecoveredState
+				var l state.RecoveredState
 				if err := json.Unmarshal(c.image.Legacy, &l); err != nil {
 					c.unreadableMemory = true
 					c.reportDamage("memory of an earlier epoch on this disk", err)
@@ -147,11 +124,11 @@
 			c.setLead(now, Warming, "epoch's first state agreed")
 		} else if now-c.leadAt > tuning.RecoveryWait && !c.proposed && c.canAdopt() {
 			c.proposed = true
-			c.propose(now, command{Op: "adopt", State: c.recovered.State})
+			c.propose(now, state.Command{Operation: state.OpAdopt, State: c.recovered.State})
 		}
 	case Warming:
 		told, need := 0, 0
-		for _, r := range c.state.Roster {
+		for _, r := range c.state.Proxies {
 			need++
 			if g := c.proxies[r.Name]; g != nil && g.tableMerged {
 				told++
@@ -169,9 +146,9 @@
 		return
 	}
 	cfg := c.checked.cfg
-	if cfg == nil || !bytes.Equal(c.checked.doc, c.state.Doc) {
+	if cfg == nil || !bytes.Equal(c.checked.doc, c.state.Document) {
 		var err error
-		if cfg, _, err = outlier.CheckConfig(c.state.Doc); err != nil {
+		if cfg, _, err = outlier.CheckConfig(c.state.Document); err != nil {
 			c.cannotDecode(fmt.Sprintf("configuration %d", c.state.Revision), err)
 			if c.cfg == nil {
 				c.cfg = &config.Config{} // for the rest of this step, in which the lead ends
--- a/internal/controlplane/lease.go
+++ b/internal/controlplane/lease.go
@@ -4,6 +4,7 @@
 package controlplane
 
 import (
+	"myrtlefold/internal/shared/state"
 	"slices"
 	"time"
 
@@ -34,7 +35,7 @@
 }
 
 func (c *Core) inRoster(name string) bool {
-	return slices.ContainsFunc(c.state.Roster, func(g RosterEntry) bool { return g.Name == name })
+	return slices.ContainsFunc(c.state.Proxies, func(g state.ProxyEntry) bool { return g.Name == name })
 }
 
 func (c *Core) pull(now time.Duration, m *wire.Msg) {
@@ -54,7 +55,7 @@
 		k.At, k.Daemon = now, m.Pull.Self
 	}
 	if t := m.Pull.Table; t != nil && c.lead == Adopting && t.Key.Epoch < c.node.Epoch() {
-		if l, ok := Remembered(t); ok {
+		if l, ok := state.RecoveredFrom(t); ok {
 			c.addRecovered(l)
 		}
 	}
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -91,12 +91,12 @@
 			continue
 		}
 		switch {
-		case c.settings.Size > 0 && c.state.Out[d.Name] == 0 && ghost >= 0:
+		case c.settings.Size > 0 && c.state.RemovedMembers[d.Name] == 0 && ghost >= 0:
 			c.requestedMembers[d.Name] = true
 			c.proposeMembers(now, slices.Delete(slices.Clone(members), ghost, ghost+1), members[ghost].Name, "out",
 				"its place was kept for who was not there at the founding")
 			return true
-		case c.requestedMembers[d.Name] || len(members) < c.settings.Size && c.state.Out[d.Name] == 0:
+		case c.requestedMembers[d.Name] || len(members) < c.settings.Size && c.state.RemovedMembers[d.Name] == 0:
 			if c.admit(now, members, d) {
 				return true
 			}
--- a/internal/controlplane/memory_test.go
+++ b/internal/controlplane/memory_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
@@ -14,15 +15,15 @@
 // remembering is the hello of a proxy that tells what it remembers of an epoch.
 func remembering(t *testing.T, proxy string, epoch uint64) statemachine.Receive {
 	t.Helper()
-	state, err := json.Marshal(State{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}})
+	agreed, err := json.Marshal(state.State{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := json.Marshal(RecoveredState{Epoch: epoch, Term: 1, Seq: 5, State: state})
+	b, err := json.Marshal(state.RecoveredState{Epoch: epoch, Term: 1, Index: 5, State: agreed})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: proxy, Hello: &wire.Hello{Self: wire.Daemon{Name: proxy, Kind: "gate", Addr: proxy, Inc: 1}, Legacy: wire.Compress(b)}}}
+	return statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: proxy, Hello: &wire.Hello{Self: wire.Daemon{Name: proxy, Kind: wire.ProxyDaemon, Addr: proxy, Inc: 1}, Legacy: wire.Compress(b)}}}
 }
 
 // Where a leader is heard nobody reads what proxies remember, which all of them tell at once when
@@ -36,13 +37,13 @@
 	}
 
 	now := time.Second
-	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: "core", Addr: "c9", Inc: 1}}, consensus.Image{Disk: 9})
+	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: wire.ControlDaemon, Addr: "c9", Inc: 1}}, consensus.Image{Disk: 9})
 	empty.Step(now, remembering(t, "g1", 1))
 	if len(empty.proxyMemories) != 1 {
 		t.Error("an empty member has not read what a proxy remembers")
 	}
 
-	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}}, consensus.Image{Disk: 7, Epoch: 1,
+	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}}, consensus.Image{Disk: 7, Epoch: 1,
 		Snap: wire.Snap{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}}})
 	member.Step(now, remembering(t, "g1", 1))
 	for range 3 * tuning.HelloEvery / tuning.TickEvery {
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -22,14 +22,14 @@
 }
 
 func (c *Core) recv(now time.Duration, m *wire.Msg) {
-	DiscardUnsoundNumbers(m)
+	wire.DiscardNonFinite(m)
 	switch wire.Kind(m.Kind) {
 	case wire.KHello:
 		if m.Hello == nil {
 			return
 		}
 		c.directory.Meet(now, c.settings.Self.Name, m.Hello)
-		if d := m.Hello.Self; d.Kind == "core" && d.Name != c.settings.Self.Name {
+		if d := m.Hello.Self; d.Kind == wire.ControlDaemon && d.Name != c.settings.Self.Name {
 			h := heard{at: now, domain: d.Domain, stops: d.State == stoppingState, repliedAt: c.heard[d.Name].repliedAt}
 			if m.Hello.Reply {
 				h.repliedAt = now
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -7,7 +7,10 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/reply"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/targetreport"
 	"net/url"
 	"slices"
 	"strconv"
@@ -31,7 +34,7 @@
 	}
 	word := wire.Target{}
 	if strings.HasPrefix(e.Path, "/v1/targets") && e.Method != "GET" {
-		w, r := parseTargetReport(e)
+		w, r := targetreport.Parse(e)
 		if r.Status != 0 {
 			c.answer(p, r)
 			return
@@ -43,7 +46,7 @@
 		return
 	}
 	if e.Path == "/v1/status" {
-		c.answer(p, statemachine.Reply{Status: 200, Body: body(c.Status(now))})
+		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(c.Status(now))})
 		return
 	}
 	if id := query(e.Query, "id"); id != "" {
@@ -57,13 +60,13 @@
 	if !c.stopping {
 		l = c.leader(now)
 	}
-	if p.targetReport && !isLeaving(word) && l != "" {
+	if p.targetReport && !targetreport.IsLeaving(word) && l != "" {
 		c.heartbeat(now, word, true)
 		if !c.reaches(now, l) {
 			c.answer(p, notPropagated()) // the leader may be heard and not hear: another daemon is to be told too
 			return
 		}
-		c.answer(p, reportAccepted(word))
+		c.answer(p, targetreport.Accepted(word))
 		return
 	}
 	waits := p.targetReport && c.lead == Warming
@@ -106,7 +109,7 @@
 	}
 	if strings.HasPrefix(a.Path, "/v1/targets") && a.Method != "GET" {
 		p.targetReport = true
-		w, r := parseTargetReport(statemachine.Call{Method: a.Method, Path: a.Path, Query: a.Query, Body: a.Body})
+		w, r := targetreport.Parse(statemachine.Call{Method: a.Method, Path: a.Path, Query: a.Query, Body: a.Body})
 		if r.Status != 0 {
 			c.answer(p, r)
 			return
@@ -114,8 +117,8 @@
 		c.reportTarget(now, p, w)
 		return
 	}
-	if r := c.state.findByID(p.token); r != nil && a.Method != "GET" {
-		if r.Outcome != outcomeAccepted {
+	if r := c.state.FindRecord(p.token); r != nil && a.Method != "GET" {
+		if r.Outcome != state.OutcomeAccepted {
 			c.answerNotAccepted(p, r)
 			return
 		}
@@ -123,7 +126,7 @@
 		c.answerWhenInForce(now, p, r.Revision)
 		return
 	}
-	if revision, taken := c.state.tokenTaken(p.token); taken && a.Method != "GET" {
+	if revision, taken := c.state.TokenTaken(p.token); taken && a.Method != "GET" {
 		c.answerWhenInForce(now, p, revision)
 		return
 	}
@@ -138,13 +141,13 @@
 	call := a.Method + " " + seg[1]
 	switch {
 	case call == "GET config" && seg[2] == "" && has(a.Query, "plain"):
-		doc, err := config.Numbered(c.state.Doc, c.state.Revision)
+		doc, err := config.Numbered(c.state.Document, c.state.Revision)
 		if err != nil {
 			panic(errors.Wrap(err, "an agreed document"))
 		}
 		c.answer(p, statemachine.Reply{Status: 200, Body: append(slices.Clone(doc), '\n')})
 	case call == "GET config" && seg[2] == "":
-		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"revision": c.state.Revision, "config": c.state.Doc})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "config": c.state.Document})})
 	case call == "PUT config" && seg[2] == "":
 		if sum, ok := c.precheckChange(now, p, a, a.Body, "whole"); ok {
 			c.config(now, p, a.Body, "whole", sum)
@@ -152,14 +155,14 @@
 	case call == "PATCH config" && seg[2] == "":
 		c.patch(now, p, a, a.Body, "partial")
 	case call == "GET config" && seg[2] == "history":
-		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"changes": c.state.Records})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"changes": c.state.Records})})
 	case call == "GET config" && seg[2] == "diff":
 		c.diff(p, a)
 	case call == "POST config" && seg[2] == "rollback":
 		to, ok := number(a.Query, "to")
 		doc := c.docAt(to)
 		if !ok || doc == nil {
-			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, tuning.ChangesKept)}))
+			c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, tuning.ChangesKept)}))
 			return
 		}
 		what := fmt.Sprintf("rollback to %d", to)
@@ -167,52 +170,52 @@
 			c.config(now, p, unnumbered(doc), what, sum)
 		}
 	case call == "GET changes":
-		if r := c.state.findByID(seg[2]); r != nil {
+		if r := c.state.FindRecord(seg[2]); r != nil {
 			t := *r
-			t.Doc = nil
-			c.answer(p, statemachine.Reply{Status: 200, Body: body(t)})
+			t.Document = nil
+			c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(t)})
 			return
 		}
-		c.answer(p, problem(404, config.Trouble{Code: "not_found", Ran: "unknown", Message: "no such change has been agreed so far"}))
+		c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Ran: "unknown", Message: "no such change has been agreed so far"}))
 	case call == "GET roster":
-		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"daemons": c.daemonViews(now)})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"daemons": c.daemonViews(now)})})
 	case call == "GET targets":
-		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"revision": c.state.Revision, "targets": c.Targets(now)})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "targets": c.Targets(now)})})
 	case call == "GET policies":
-		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"revision": c.state.Revision, "policies": c.policyStats(now), "since_ms": (now - c.leadAt).Milliseconds()})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "policies": c.policyStats(now), "since_ms": (now - c.leadAt).Milliseconds()})})
 	case call == "PUT policies":
 		c.patch(now, p, a, patchOf(seg[2], a.Body), "policy "+seg[2])
 	case call == "DELETE policies":
 		c.patch(now, p, a, patchOf(seg[2], []byte("null")), "policy "+seg[2]+" removed")
 	case call == "GET domains":
-		c.answer(p, statemachine.Reply{Status: 200, Body: body(map[string]any{"emptied": append([]string{}, c.state.Emptied...), "domains": c.domains()})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"emptied": append([]string{}, c.state.EmptiedDomains...), "domains": c.domains()})})
 	case call == "POST domains" && (seg[3] == "empty" || seg[3] == "restore"):
-		if !slices.Contains(c.domains(), seg[2]) && !slices.Contains(c.state.Emptied, seg[2]) {
-			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
+		if !slices.Contains(c.domains(), seg[2]) && !slices.Contains(c.state.EmptiedDomains, seg[2]) {
+			c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
 			return
 		}
-		c.change(now, p, command{Op: seg[3], Name: seg[2]})
+		c.change(now, p, state.Command{Operation: state.Operation(seg[3]), Name: seg[2]})
 	case call == "POST gates" && seg[3] == "forget":
 		if !c.inRoster(seg[2]) {
-			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: "no such proxy in the roster"}))
+			c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: "no such proxy in the roster"}))
 			return
 		}
 		if g := c.proxies[seg[2]]; g != nil && now-g.pullAt < tuning.ProxyLive {
-			c.answer(p, problem(409, config.Trouble{Code: "alive", Message: "that proxy is still asking for its table"}))
+			c.answer(p, reply.Problem(409, config.Trouble{Code: "alive", Message: "that proxy is still asking for its table"}))
 			return
 		}
-		c.change(now, p, command{Op: "forget", Name: seg[2]})
+		c.change(now, p, state.Command{Operation: state.OpForgetProxy, Name: seg[2]})
 	case call == "POST core" && (seg[3] == "add" || seg[3] == "remove"):
 		c.changeMember(now, p, seg[2], seg[3])
 	default:
-		c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: "no such call: " + a.Method + " " + a.Path}))
+		c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: "no such call: " + a.Method + " " + a.Path}))
 	}
 }
 
-func (c *Core) change(now time.Duration, p *pending, o command) bool {
+func (c *Core) change(now time.Duration, p *pending, o state.Command) bool {
 	o.Token = p.token
 	if c.node.UncommittedBytes() > tuning.OpenBytes {
-		c.answer(p, problem(503, config.Trouble{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
+		c.answer(p, reply.Problem(503, config.Trouble{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
 		return false
 	}
 	c.pendingChanges[p.token] = p
@@ -231,22 +234,22 @@
 	i := slices.IndexFunc(ms, func(m wire.Member) bool { return m.Name == name })
 	switch {
 	case what == "add" && i >= 0:
-		c.answer(p, problem(409, config.Trouble{Code: "member", Message: name + " is a member"}))
+		c.answer(p, reply.Problem(409, config.Trouble{Code: "member", Message: name + " is a member"}))
 	case what == "add":
-		if k := c.directory[name]; k == nil || k.Kind != "core" {
-			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: "no core daemon of that name has been heard"}))
+		if k := c.directory[name]; k == nil || k.Kind != wire.ControlDaemon {
+			c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: "no core daemon of that name has been heard"}))
 			return
 		}
-		c.change(now, p, command{Op: "in", Name: name})
+		c.change(now, p, state.Command{Operation: state.OpAddMember, Name: name})
 	case i < 0:
-		c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: name + " is no member"}))
+		c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: name + " is no member"}))
 	case len(ms) == 1 || !c.node.CanChangeMembers():
-		c.answer(p, problem(409, config.Trouble{Code: "busy", Message: "the last member stays, and changes of members go one at a time"}))
+		c.answer(p, reply.Problem(409, config.Trouble{Code: "busy", Message: "the last member stays, and changes of members go one at a time"}))
 	case name == c.settings.Self.Name:
-		c.answer(p, problem(503, config.Trouble{Code: "leading", Message: name + " leads; it hands leadership over first and nothing was changed; ask again"}))
+		c.answer(p, reply.Problem(503, config.Trouble{Code: "leading", Message: name + " leads; it hands leadership over first and nothing was changed; ask again"}))
 		c.node.TransferLeadership(now)
 	default:
-		if c.change(now, p, command{Op: "out", Name: name}) && c.node.CanChangeMembers() {
+		if c.change(now, p, state.Command{Operation: state.OpRemoveMember, Name: name}) && c.node.CanChangeMembers() {
 			c.node.ProposeMembers(now, slices.Delete(slices.Clone(ms), i, i+1))
 		}
 	}
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -18,6 +18,9 @@
 	"fmt"
 	"hash/fnv"
 	"maps"
+	"myrtlefold/internal/shared/discovery"
+	"myrtlefold/internal/shared/reply"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"strings"
@@ -29,24 +32,6 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// membership is a list of members as of an epoch and a place in its log.
-type membership struct {
-	epoch, index uint64
-	list         []wire.Member
-}
-
-func (m membership) less(o membership) bool {
-	return cmp.Or(cmp.Compare(m.epoch, o.epoch), cmp.Compare(m.index, o.index)) < 0
-}
-
-// consent is an operator's word that a core must be founded again, and that the disks of
-// some of its members will never come back.
-type consent struct {
-	refound bool
-	gone    []string
-	at      time.Duration
-}
-
 // retired says that this member has locked a later founding than the epoch it stands in.
 func (c *Core) superseded() bool { return c.node != nil && c.image.Founding > c.node.Epoch() }
 
@@ -60,8 +45,8 @@
 
 // memory is what a proxy remembers, and the members that it names.
 type proxyMemory struct {
-	RecoveredState
-	members membership
+	state.RecoveredState
+	members discovery.Membership
 }
 
 // hearMemory takes what another daemon says that it remembers. A proxy's is long, and all proxies
@@ -71,7 +56,7 @@
 	if len(m.Hello.Legacy) == 0 {
 		return
 	}
-	if m.Hello.Self.Kind == "gate" {
+	if m.Hello.Self.Kind == wire.ProxyDaemon {
 		c.unreadMemories[m.From] = m.Hello.Legacy
 		if c.node == nil || c.lead == Adopting {
 			c.readMemories()
@@ -95,38 +80,38 @@
 }
 
 // decodeMemory reads a state as hellos carry it.
-func decodeMemory(b []byte) (l RecoveredState, ok bool) {
+func decodeMemory(b []byte) (l state.RecoveredState, ok bool) {
 	plain, err := wire.Decompress(b)
 	return l, err == nil && json.Unmarshal(plain, &l) == nil
 }
 
 // rememberProxy keeps what a proxy remembers. It says so again and again while it has no leader,
 // so only what is new is read.
-func (c *Core) rememberProxy(from string, l RecoveredState) {
-	if m := c.proxyMemories[from]; m.Epoch == l.Epoch && m.Term == l.Term && m.Seq == l.Seq && bytes.Equal(m.State, l.State) {
+func (c *Core) rememberProxy(from string, l state.RecoveredState) {
+	if m := c.proxyMemories[from]; m.Epoch == l.Epoch && m.Term == l.Term && m.Index == l.Index && bytes.Equal(m.State, l.State) {
 		return
 	}
 	m := proxyMemory{RecoveredState: l}
-	if s, err := decodeState(l.State); err != nil {
+	if s, err := state.Decode(l.State); err != nil {
 		c.reportDamage("memory of proxy "+from, err)
 	} else if len(s.Members) > 0 {
-		m.members = membership{l.Epoch, l.Seq, s.Members}
+		m.members = discovery.Membership{Epoch: l.Epoch, Index: l.Index, List: s.Members}
 	}
 	c.proxyMemories[from] = m
 }
 
 // lastMembers is the latest list known here: its own, other members', or proxies'.
-func (c *Core) lastMembers() (m membership) {
+func (c *Core) lastMembers() (m discovery.Membership) {
 	if c.node != nil && len(c.node.Members()) > 0 {
-		m = membership{c.node.Epoch(), c.node.Commit(), c.node.Members()}
+		m = discovery.Membership{Epoch: c.node.Epoch(), Index: c.node.Commit(), List: c.node.Members()}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
-		if k := c.directory[n]; k.Kind == "core" && m.less(k.members) {
-			m = k.members
+		if k := c.directory[n]; k.Kind == wire.ControlDaemon && m.Less(k.Members) {
+			m = k.Members
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.proxyMemories)) {
-		if k := c.proxyMemories[n].members; m.less(k) {
+		if k := c.proxyMemories[n].members; m.Less(k) {
 			m = k
 		}
 	}
@@ -135,7 +120,7 @@
 
 // outlook is what can be said of the last core from those who are seen.
 type survivors struct {
-	last                       membership
+	last                       discovery.Membership
 	sized                      bool
 	places                     int // how many members a founding has
 	lostDisk, withDisk, unseen int // of the last members: disk gone, here with their disk and no later lock, not seen
@@ -143,14 +128,14 @@
 
 func (c *Core) surveySurvivors(all []wire.Daemon, gone []string) survivors {
 	o := survivors{last: c.lastMembers(), sized: c.settings.Size > 0}
-	o.places = cmp.Or(len(o.last.list), c.bootstrapSize)
+	o.places = cmp.Or(len(o.last.List), c.bootstrapSize)
 	for _, n := range gone {
 		if !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name == n }) &&
-			(len(o.last.list) == 0 || slices.ContainsFunc(o.last.list, func(m wire.Member) bool { return m.Name == n })) {
+			(len(o.last.List) == 0 || slices.ContainsFunc(o.last.List, func(m wire.Member) bool { return m.Name == n })) {
 			o.places--
 		}
 	}
-	for _, m := range o.last.list {
+	for _, m := range o.last.List {
 		i := slices.IndexFunc(all, func(d wire.Daemon) bool { return d.Name == m.Name })
 		switch {
 		case m.Disk == 0: // nobody
@@ -158,7 +143,7 @@
 			o.lostDisk++
 		case i < 0:
 			o.unseen++
-		case c.foundingOf(m.Name) <= o.last.epoch:
+		case c.foundingOf(m.Name) <= o.last.Epoch:
 			o.withDisk++
 		}
 	}
@@ -169,34 +154,34 @@
 	if name == c.settings.Self.Name {
 		return c.image.Founding
 	}
-	return c.directory[name].founding
+	return c.directory[name].BootstrapEpoch
 }
 
 // founders are those of the seen who may found: the last core's members by name,
 // or, if nobody remembers one, whoever says that it may found the first.
 func (o survivors) founders(all []wire.Daemon) []wire.Daemon {
 	return slices.DeleteFunc(slices.Clone(all), func(d wire.Daemon) bool {
-		if len(o.last.list) == 0 {
+		if len(o.last.List) == 0 {
 			return !o.sized && d.State != emptyState
 		}
-		return !slices.ContainsFunc(o.last.list, func(m wire.Member) bool { return m.Name == d.Name })
+		return !slices.ContainsFunc(o.last.List, func(m wire.Member) bool { return m.Name == d.Name })
 	})
 }
 
 // elects says that the last core can go on by itself.
-func (o survivors) canElect() bool { return 2*o.withDisk > len(o.last.list) }
+func (o survivors) canElect() bool { return 2*o.withDisk > len(o.last.List) }
 
 // certain says that it can't decide, whatever those that are not seen still hold.
-func (o survivors) canNeverElect() bool { return 2*(o.withDisk+o.unseen) <= len(o.last.list) }
+func (o survivors) canNeverElect() bool { return 2*(o.withDisk+o.unseen) <= len(o.last.List) }
 
 func (c *Core) operatorConsent(all []wire.Daemon) (refound bool, gone []string) {
 	for _, d := range all {
 		v := c.consent
 		if k := c.directory[d.Name]; d.Name != c.settings.Self.Name && k != nil {
-			v = k.consent
+			v = k.Consent
 		}
-		refound = refound || v.refound
-		gone = append(gone, v.gone...)
+		refound = refound || v.Granted
+		gone = append(gone, v.LostMembers...)
 	}
 	slices.Sort(gone)
 	return refound, slices.Compact(gone)
@@ -208,8 +193,8 @@
 // must be over whatever those not seen still hold, or an operator must say so. All
 // must offer the same founding, and have locked it on disk, before any acts on it.
 func (c *Core) bootstrap(now time.Duration) {
-	if c.consent.refound && now-c.consent.at > tuning.ConsentLife {
-		c.consent = consent{}
+	if c.consent.Granted && now-c.consent.At > tuning.ConsentLife {
+		c.consent = discovery.RecoveryConsent{}
 	}
 	all := c.coreDaemons(now, true)
 	if c.lockedFor() > c.image.Epoch && c.completeBootstrap(now, all) {
@@ -267,7 +252,7 @@
 		ms = append(ms, wire.Member{Name: d.Name, Disk: d.Disk})
 	}
 	for _, k := range c.directory {
-		epoch = max(epoch, k.Epoch, k.founding)
+		epoch = max(epoch, k.Epoch, k.BootstrapEpoch)
 	}
 	for i := len(ms); i < places; i++ {
 		ms = append(ms, wire.Member{Name: fmt.Sprintf("absent-%d", i+1)})
@@ -341,7 +326,7 @@
 	}
 	if s.Adopted && !c.isNonVoter() {
 		b, _ := json.Marshal(s)
-		img.Legacy, _ = json.Marshal(RecoveredState{c.node.Epoch(), term, s.Seq, b})
+		img.Legacy, _ = json.Marshal(state.RecoveredState{Epoch: c.node.Epoch(), Term: term, Index: s.Index, State: b})
 	}
 	there := 0
 	for _, m := range img.Founders {
@@ -349,7 +334,7 @@
 			there++
 		}
 	}
-	c.node, c.image, c.offer, c.consent = nil, img, 0, consent{}
+	c.node, c.image, c.offer, c.consent = nil, img, 0, discovery.RecoveryConsent{}
 	c.batchOffset += 1 << 32 // past every number of the old node
 	c.syncImage()
 	c.start(now)
@@ -371,11 +356,11 @@
 // confirmed to be gone for good count as lost, unless they were heard of lately.
 func (c *Core) recoverByOperator(now time.Duration, list string) statemachine.Reply {
 	no := func(code, f string, a ...any) statemachine.Reply {
-		return problem(409, config.Trouble{Code: code, Message: fmt.Sprintf(f, a...) + "; nothing was changed"})
+		return reply.Problem(409, config.Trouble{Code: code, Message: fmt.Sprintf(f, a...) + "; nothing was changed"})
 	}
 	if c.lead == Adopting && !c.canAdopt() {
 		c.adoptEmpty = true
-		return statemachine.Reply{Status: 202, Body: body(map[string]any{"begins_empty": true})}
+		return statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"begins_empty": true})}
 	}
 	gone := strings.FieldsFunc(list, func(r rune) bool { return r == ',' })
 	all := c.coreDaemons(now, true)
@@ -393,8 +378,8 @@
 	case 2*len(all) <= o.places:
 		return no("may_live", "%d of %d machines are seen, and the others may be a living majority; name those that are gone for good", len(all), o.places)
 	case o.canElect():
-		return no("living", "%d of %d members are here with their disks and can elect a leader", o.withDisk, len(o.last.list))
+		return no("living", "%d of %d members are here with their disks and can elect a leader", o.withDisk, len(o.last.List))
 	}
-	c.consent = consent{true, gone, now}
-	return statemachine.Reply{Status: 202, Body: body(map[string]any{"refounding": true, "seen": len(all), "lost": o.lostDisk, "not_seen": o.unseen})}
+	c.consent = discovery.RecoveryConsent{Granted: true, LostMembers: gone, At: now}
+	return statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"refounding": true, "seen": len(all), "lost": o.lostDisk, "not_seen": o.unseen})}
 }
--- a/internal/controlplane/refusal_test.go
+++ b/internal/controlplane/refusal_test.go
@@ -111,7 +111,7 @@
 // Every way to refuse a call says of which kind the refusal is, and always the same for a code.
 func TestEveryRefusalSaysItsKind(t *testing.T) {
 	seen := map[string]bool{}
-	for _, dir := range []string{".", "../daemon"} {
+	for _, dir := range []string{".", "../shared/targetreport", "../daemon"} {
 		paths := replyPaths(t, dir)
 		if len(paths) < 3 {
 			t.Fatalf("%s: only %d reply paths found", dir, len(paths))
@@ -172,7 +172,7 @@
 // The three kinds that a change may meet, as a caller reads them.
 func TestRefusalsOfChanges(t *testing.T) {
 	r := atRest(1, 1)
-	alone := New(time.Second, Settings{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}, Size: 3}, consensus.Image{Disk: 7})
+	alone := New(time.Second, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}, Size: 3}, consensus.Image{Disk: 7})
 	for _, x := range []struct {
 		name        string
 		c           *Core
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -7,7 +7,7 @@
 package controlplane
 
 import (
-	"maps"
+	"myrtlefold/internal/shared/state"
 	"slices"
 	"time"
 
@@ -16,78 +16,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Registration is a target in the agreed registry.
-type Registration struct {
-	Service string `json:"s"`
-	Name    string `json:"n"`
-	Inc     uint64 `json:"i"`
-	Addr    string `json:"a"`
-	Domain  string `json:"d,omitempty"`
-	Slots   uint32 `json:"sl,omitempty"`
-	Turn    uint32 `json:"t,omitempty"`
-	Cold    bool   `json:"c,omitempty"` // it said so when this was written
-	Leaving bool   `json:"l,omitempty"`
-}
-
-// ID names the target's start.
-func (p Registration) ID() wire.ID { return wire.ID{Service: p.Service, Name: p.Name, Inc: p.Inc} }
-
-// Tombstone is what is remembered of a target without a registration: that it was leaving when it
-// fell silent, or, Gone, that it signed off or was superseded.
-type Tombstone struct {
-	Service string `json:"s"`
-	Name    string `json:"n"`
-	Inc     uint64 `json:"i"`
-	Gone    bool   `json:"g,omitempty"`
-}
-
-// ID names the target's start.
-func (m Tombstone) ID() wire.ID { return wire.ID{Service: m.Service, Name: m.Name, Inc: m.Inc} }
-
-// registry is a batch of changes.
-type registry struct {
-	Put    []Registration `json:"put,omitempty"`
-	Drop   []Registration `json:"drop,omitempty"` // by identity alone
-	Mark   []Tombstone    `json:"mark,omitempty"`
-	Unmark []Tombstone    `json:"unmark,omitempty"`
-}
-
-func (s *State) register(r *registry) {
-	if r != nil {
-		s.Registrations = merged(s.Registrations, r.Put, r.Drop, Registration.ID)
-		s.Tombstones = merged(s.Tombstones, r.Mark, r.Unmark, Tombstone.ID)
-	}
-}
-
-// merged is a sorted list with some put in, in the place of their like, and some taken out.
-func merged[T any](l, put, drop []T, id func(T) wire.ID) []T {
-	if len(put)+len(drop) == 0 {
-		return l
-	}
-	m := map[wire.ID]T{}
-	for _, v := range l {
-		m[id(v)] = v
-	}
-	for _, v := range drop {
-		delete(m, id(v))
-	}
-	for _, v := range put {
-		m[id(v)] = v
-	}
-	return slices.SortedFunc(maps.Values(m), func(a, b T) int { return id(a).Compare(id(b)) })
-}
-
-func found[T any](l []T, at wire.ID, id func(T) wire.ID) (v T, ok bool) {
-	i, ok := slices.BinarySearchFunc(l, at, func(v T, at wire.ID) int { return id(v).Compare(at) })
-	if ok {
-		v = l[i]
-	}
-	return v, ok
-}
-
 // recollect begins a lead with the targets that are agreed.
 func (c *Core) loadRegistrations(now time.Duration) {
-	c.persistedRegistrations, c.persistedTombstones = map[wire.ID]Registration{}, map[wire.ID]bool{}
+	c.persistedRegistrations, c.persistedTombstones = map[wire.ID]state.Registration{}, map[wire.ID]bool{}
 	for _, m := range c.state.Tombstones {
 		c.persistedTombstones[m.ID()] = m.Gone
 		if m.Gone {
@@ -104,7 +35,7 @@
 		if p.Leaving {
 			t.Held, t.State = true, config.Leaving
 		}
-		if p.Cold {
+		if p.WarmingUp {
 			svc := c.cfg.Services[p.Service]
 			t.coldTill = now + svc.Cold()
 		}
@@ -121,35 +52,35 @@
 	if now-c.persistedAt < every && !(c.persistNow && now-c.persistedAt >= tuning.TickEvery) || c.node.UncommittedBytes() > tuning.OpenBytes/4 {
 		return
 	}
-	r := registry{}
+	r := state.RegistryChange{}
 	c.changedRegistrations(now, &r)
 	c.changedTombstones(&r)
-	if len(r.Put)+len(r.Drop)+len(r.Mark)+len(r.Unmark) == 0 {
+	if len(r.Put)+len(r.Drop)+len(r.AddTombstones)+len(r.DropTombstones) == 0 {
 		return
 	}
 	c.persistedAt, c.persistNow = now, false
-	c.propose(now, command{Op: "targets", Reg: &r})
+	c.propose(now, state.Command{Operation: state.OpRegisterTargets, Targets: &r})
 }
 
 // changedRegistrations adds to a write the targets that are not in the log as they are now. It is
 // called at each tick, so it sorts only what has changed.
-func (c *Core) changedRegistrations(now time.Duration, r *registry) {
+func (c *Core) changedRegistrations(now time.Duration, r *state.RegistryChange) {
 	for id, t := range c.targets {
-		p := Registration{id.Service, id.Name, id.Inc, t.Addr, t.Domain, t.Slots, t.Turn, t.coldLeft(now) > 0, t.Held}
+		p := state.Registration{Service: id.Service, Name: id.Name, Inc: id.Inc, Addr: t.Addr, Domain: t.Domain, Slots: t.Slots, Turn: t.Turn, WarmingUp: t.coldLeft(now) > 0, Leaving: t.Held}
 		was, ok := c.persistedRegistrations[id]
 		if ok && was == p || !ok && (t.unconfirmed && !t.Held || len(c.persistedRegistrations) >= tuning.RegistryMax) {
 			continue
 		}
 		r.Put = append(r.Put, p)
 	}
-	slices.SortFunc(r.Put, func(a, b Registration) int { return a.ID().Compare(b.ID()) })
+	slices.SortFunc(r.Put, func(a, b state.Registration) int { return a.ID().Compare(b.ID()) })
 	r.Put = r.Put[:min(len(r.Put), tuning.RegistryBatch, max(1, tuning.RegistryMax-len(c.persistedRegistrations)))]
 	for id := range c.persistedRegistrations {
 		if c.targets[id] == nil {
-			r.Drop = append(r.Drop, Registration{Service: id.Service, Name: id.Name, Inc: id.Inc})
+			r.Drop = append(r.Drop, state.Registration{Service: id.Service, Name: id.Name, Inc: id.Inc})
 		}
 	}
-	slices.SortFunc(r.Drop, func(a, b Registration) int { return a.ID().Compare(b.ID()) })
+	slices.SortFunc(r.Drop, func(a, b state.Registration) int { return a.ID().Compare(b.ID()) })
 	for _, p := range r.Put {
 		c.persistedRegistrations[p.ID()] = p
 	}
@@ -159,11 +90,11 @@
 }
 
 // changedTombstones does the same for those that have no place: leaving when they fell silent, or gone.
-func (c *Core) changedTombstones(r *registry) {
+func (c *Core) changedTombstones(r *state.RegistryChange) {
 	changed := func(id wire.ID, gone bool) {
 		was, ok := c.persistedTombstones[id]
 		if (!ok || was != gone) && (ok || len(c.persistedTombstones) < tuning.RegistryMax) {
-			r.Mark = append(r.Mark, Tombstone{id.Service, id.Name, id.Inc, gone})
+			r.AddTombstones = append(r.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Inc: id.Inc, Gone: gone})
 		}
 	}
 	for id := range c.leaving {
@@ -174,19 +105,19 @@
 	for id := range c.tombstones {
 		changed(id, true)
 	}
-	slices.SortFunc(r.Mark, func(a, b Tombstone) int { return a.ID().Compare(b.ID()) })
-	r.Mark = r.Mark[:min(len(r.Mark), tuning.RegistryBatch, max(1, tuning.RegistryMax-len(c.persistedTombstones)))]
+	slices.SortFunc(r.AddTombstones, func(a, b state.Tombstone) int { return a.ID().Compare(b.ID()) })
+	r.AddTombstones = r.AddTombstones[:min(len(r.AddTombstones), tuning.RegistryBatch, max(1, tuning.RegistryMax-len(c.persistedTombstones)))]
 	for id := range c.persistedTombstones {
 		_, leaves := c.leaving[id]
 		if _, gone := c.tombstones[id]; !leaves && !gone {
-			r.Unmark = append(r.Unmark, Tombstone{Service: id.Service, Name: id.Name, Inc: id.Inc})
+			r.DropTombstones = append(r.DropTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Inc: id.Inc})
 		}
 	}
-	slices.SortFunc(r.Unmark, func(a, b Tombstone) int { return a.ID().Compare(b.ID()) })
-	for _, m := range r.Mark {
+	slices.SortFunc(r.DropTombstones, func(a, b state.Tombstone) int { return a.ID().Compare(b.ID()) })
+	for _, m := range r.AddTombstones {
 		c.persistedTombstones[m.ID()] = m.Gone
 	}
-	for _, m := range r.Unmark {
+	for _, m := range r.DropTombstones {
 		delete(c.persistedTombstones, m.ID())
 	}
 }
@@ -194,7 +125,7 @@
 // agreed says that what is known of a target's leaving or sign-off is in the log. A
 // registry that is full takes no more: then the proxies' tables alone vouch for it.
 func (c *Core) agreed(id wire.ID) bool {
-	mark, marked := found(c.state.Tombstones, id, Tombstone.ID)
+	mark, marked := c.state.Tombstone(id)
 	full := len(c.state.Tombstones) >= tuning.RegistryMax || len(c.state.Registrations) >= tuning.RegistryMax
 	t := c.targets[id]
 	switch {
@@ -203,7 +134,7 @@
 	case c.tombstones[id] != 0:
 		return marked && mark.Gone
 	case t != nil && t.Held:
-		p, ok := found(c.state.Registrations, id, Registration.ID)
+		p, ok := c.state.Registration(id)
 		return ok && p.Leaving
 	case c.leaving[id] != 0:
 		return marked
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -46,7 +46,7 @@
 			v.removed = append(v.removed, d)
 		}
 		switch {
-		case d.State == stoppingState || c.state.Out[d.Name] != 0:
+		case d.State == stoppingState || c.state.RemovedMembers[d.Name] != 0:
 		case c.isStuck(now, d):
 			v.stuck = append(v.stuck, d)
 		default:
--- a/internal/controlplane/reply.go
+++ b/internal/controlplane/reply.go
@@ -3,8 +3,9 @@
 package controlplane
 
 import (
-	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/reply"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 
 	"myrtlefold/internal/shared/config"
@@ -12,36 +13,18 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func body(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic(err)
-	}
-	return append(b, '\n')
-}
-
-// problem is a refusal, or an answer that promises nothing; its kind goes by the status.
-func problem(status int, t config.Trouble) statemachine.Reply {
-	t.Refusal = config.RefusalOf(status)
-	r := statemachine.Reply{Status: status, Body: t.JSON()}
-	if status == 503 {
-		r.RetryAfter = tuning.RetryAfterMin
-	}
-	return r
-}
-
 func accepted(token string, rev uint64) statemachine.Reply {
-	return statemachine.Reply{Status: 200, Body: body(map[string]any{"id": token, "revision": rev, "in_force": true})}
+	return statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"id": token, "revision": rev, "in_force": true})}
 }
 
 func (c *Core) staleBase(token string) statemachine.Reply {
-	return problem(412, config.Trouble{Code: "stale", Revision: c.state.Revision, Id: token,
+	return reply.Problem(412, config.Trouble{Code: "stale", Revision: c.state.Revision, Id: token,
 		Message: fmt.Sprintf("built on another revision than the present %d; nothing was changed", c.state.Revision)})
 }
 
 // answerNotAccepted tells of a change that has been agreed on without taking effect.
-func (c *Core) answerNotAccepted(p *pending, r *Record) {
-	if r.Outcome == outcomeUnknown {
+func (c *Core) answerNotAccepted(p *pending, r *state.Record) {
+	if r.Outcome == state.OutcomeUnknown {
 		c.answerUnknown(p)
 		return
 	}
@@ -77,29 +60,29 @@
 		c.answer(p, notPropagated())
 		return
 	}
-	c.answer(p, problem(504, config.Trouble{Code: "unknown", Ran: "unknown", Id: p.token,
+	c.answer(p, reply.Problem(504, config.Trouble{Code: "unknown", Ran: "unknown", Id: p.token,
 		Message: "it cannot be told whether the change was agreed or is in force everywhere; ask for it by its id"}))
 }
 
 func noLeader() statemachine.Reply {
-	return problem(503, config.Trouble{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
+	return reply.Problem(503, config.Trouble{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
 }
 
 // unheard promises nothing to a target that says it leaves or is gone: it is to tell
 // another daemon.
 func notPropagated() statemachine.Reply {
-	return problem(503, config.Trouble{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
+	return reply.Problem(503, config.Trouble{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
 }
 
 func tooLarge() statemachine.Reply {
-	return problem(413, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
+	return reply.Problem(413, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
 }
 
 func (c *Core) refuseInvalid(p *pending, faults []config.Fault, err error) {
 	c.counts.Refused++
 	if err != nil {
-		c.answer(p, problem(400, config.Trouble{Code: "not_json", Message: err.Error()}))
+		c.answer(p, reply.Problem(400, config.Trouble{Code: "not_json", Message: err.Error()}))
 		return
 	}
-	c.answer(p, problem(422, config.Trouble{Code: "invalid", Message: fmt.Sprintf("%d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision}))
+	c.answer(p, reply.Problem(422, config.Trouble{Code: "invalid", Message: fmt.Sprintf("%d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision}))
 }
--- a/internal/controlplane/rest_test.go
+++ b/internal/controlplane/rest_test.go
@@ -70,11 +70,11 @@
 }
 
 func atRest(gates, targets int) *rest {
-	self := wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}
+	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}
 	r := &rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, consensus.Image{Disk: 7}), keys: make([]*wire.Table, gates)}
 	for i := range gates {
 		n := fmt.Sprintf("g%d", i+1)
-		r.gates = append(r.gates, wire.Daemon{Name: n, Kind: "gate", Addr: n, Inc: uint64(i + 1), Domain: fmt.Sprintf("d%d", i%3)})
+		r.gates = append(r.gates, wire.Daemon{Name: n, Kind: wire.ProxyDaemon, Addr: n, Inc: uint64(i + 1), Domain: fmt.Sprintf("d%d", i%3)})
 	}
 	for i := range targets {
 		r.target = append(r.target, wire.Target{Service: fmt.Sprintf("s%d", i%12), Name: fmt.Sprintf("t%d", i), Inc: 9, Addr: fmt.Sprintf("10.0.0.1:%d", i+1), State: config.Ready})
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -120,7 +120,7 @@
 	c.setLead(now, Deciding, why)
 	c.rebuild(now, refresh)
 	c.waiters = slices.DeleteFunc(c.waiters, func(f *commitWaiter) bool { return f.p == nil && f.member == "" }) // made again below
-	if len(c.state.PreviousRoster) > 0 {
+	if len(c.state.PreviousProxies) > 0 {
 		c.waiters = append(c.waiters, &commitWaiter{version: c.tableVersion, since: now, rosterChange: true})
 	}
 	for _, id := range c.sorted() {
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -4,6 +4,7 @@
 
 import (
 	"cmp"
+	"myrtlefold/internal/shared/state"
 	"slices"
 	"time"
 
@@ -13,32 +14,34 @@
 // roster admits and drops proxies, all that wait in one step. The roster before counts
 // with it until it is in force everywhere, so that majorities always meet.
 func (c *Core) roster(now time.Duration) {
-	if slices.ContainsFunc(c.waiters, func(f *commitWaiter) bool { return f.rosterChange }) || c.rosterPendingAt > c.state.Seq || !c.node.CanChangeMembers() {
+	if slices.ContainsFunc(c.waiters, func(f *commitWaiter) bool { return f.rosterChange }) || c.rosterPendingAt > c.state.Index || !c.node.CanChangeMembers() {
 		return
 	}
-	o := command{Op: "roster"}
+	o := state.Command{Operation: state.OpChangeProxies}
 	for n, g := range c.proxies {
 		k := c.directory[n]
 		if k == nil || now-g.pullAt > tuning.ProxyLive || g.pullAt == 0 {
 			continue
 		}
-		i, ok := slices.BinarySearchFunc(c.state.Roster, n, func(r RosterEntry, n string) int { return cmp.Compare(r.Name, n) })
-		if r := (RosterEntry{n, k.Addr, k.Domain}); !ok || c.state.Roster[i] != r {
-			o.Gates = append(o.Gates, r)
+		i, ok := slices.BinarySearchFunc(c.state.Proxies, n, func(r state.ProxyEntry, n string) int { return cmp.Compare(r.Name, n) })
+		if r := (state.ProxyEntry{Name: n, Addr: k.Addr, Domain: k.Domain}); !ok || c.state.Proxies[i] != r {
+			o.Proxies = append(o.Proxies, r)
 		}
 	}
-	slices.SortFunc(o.Gates, func(a, b RosterEntry) int { return cmp.Compare(a.Name, b.Name) })
-	if len(o.Gates) > 0 && len(c.state.Roster) == 0 && now-c.leadAt < tuning.FirstRoster {
+	slices.SortFunc(o.Proxies, func(a, b state.ProxyEntry) int { return cmp.Compare(a.Name, b.Name) })
+	if len(o.Proxies) > 0 && len(c.state.Proxies) == 0 && now-c.leadAt < tuning.FirstRoster {
 		return
 	}
-	for _, r := range c.state.Roster {
+	for _, r := range c.state.Proxies {
 		if g := c.proxies[r.Name]; now-c.leadAt > tuning.ProxyForget && (g == nil || now-g.pullAt > tuning.ProxyForget) {
-			o.Gone = append(o.Gone, r.Name)
+			o.RemovedProxies = append(o.RemovedProxies, r.Name)
 		}
 	}
-	if len(o.Gates)+len(o.Gone) > 0 {
+	if len(o.Proxies)+len(o.RemovedProxies) > 0 {
 		c.proposeRoster(now, o)
 	}
 }
 
-func (c *Core) proposeRoster(now time.Duration, o command) { c.rosterPendingAt = c.propose(now, o) }
+func (c *Core) proposeRoster(now time.Duration, o state.Command) {
+	c.rosterPendingAt = c.propose(now, o)
+}
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -73,7 +73,7 @@
 func (c *Core) hasStandby(now time.Duration) bool {
 	members := c.node.Members()
 	for _, d := range c.coreDaemons(now, true) {
-		if d.Name != c.settings.Self.Name && d.Disk != 0 && d.State != stoppingState && c.state.Out[d.Name] == 0 &&
+		if d.Name != c.settings.Self.Name && d.Disk != 0 && d.State != stoppingState && c.state.RemovedMembers[d.Name] == 0 &&
 			!slices.Contains(namesOf(members), d.Name) {
 			return true
 		}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -6,6 +6,7 @@
 import (
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/state"
 	"slices"
 	"time"
 
@@ -19,7 +20,7 @@
 	for _, t := range c.targets {
 		m[t.Domain] = true
 	}
-	for _, g := range c.state.Roster {
+	for _, g := range c.state.Proxies {
 		m[g.Domain] = true
 	}
 	for _, d := range c.settings.Domains {
@@ -58,7 +59,7 @@
 			v.Why = "known by hearsay: not served until it has answered for itself"
 		case t.Pending:
 			v.Why = "pending: its address's earlier target is not yet out of every table"
-		case slices.Contains(c.state.Emptied, t.Domain):
+		case slices.Contains(c.state.EmptiedDomains, t.Domain):
 			v.Why = "its domain is emptied"
 		case t.State == config.Warming:
 			v.Why = "warming: up to its share"
@@ -110,7 +111,7 @@
 func (c *Core) proxyDaemons() []wire.Daemon {
 	var l []wire.Daemon
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
-		if c.directory[n].Kind != "core" {
+		if c.directory[n].Kind != wire.ControlDaemon {
 			l = append(l, c.directory[n].Daemon)
 		}
 	}
@@ -143,8 +144,8 @@
 
 // Status is this member's own view.
 func (c *Core) Status(now time.Duration) StatusView {
-	v := StatusView{Current: c.lead == Deciding && c.Deciding(now), Name: c.settings.Self.Name, Role: "empty", Lead: c.lead.String(), Revision: c.state.Revision, Seq: c.state.Seq,
-		Emptied: append([]string{}, c.state.Emptied...), Targets: len(c.targets), Proxies: len(c.state.Roster), Core: c.coreStatus(now), Damage: c.damage, Disk: c.diskError, Counts: c.counts}
+	v := StatusView{Current: c.lead == Deciding && c.Deciding(now), Name: c.settings.Self.Name, Role: "empty", Lead: c.lead.String(), Revision: c.state.Revision, Seq: c.state.Index,
+		Emptied: append([]string{}, c.state.EmptiedDomains...), Targets: len(c.targets), Proxies: len(c.state.Proxies), Core: c.coreStatus(now), Damage: c.damage, Disk: c.diskError, Counts: c.counts}
 	if c.node != nil {
 		v.Role, v.Leader, v.Epoch, v.Term, v.Members = c.node.Role().String(), c.node.Leader(), c.node.Epoch(), c.node.Term(), c.node.Members()
 	}
@@ -190,4 +191,4 @@
 func (c *Core) Revision() uint64 { return c.state.Revision }
 
 // Records are the changes that this member keeps.
-func (c *Core) Records() []Record { return c.state.Records }
+func (c *Core) Records() []state.Record { return c.state.Records }
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -40,10 +40,10 @@
 			return
 		}
 	}
-	t := &wire.Table{Was: c.state.PreviousRoster, Seq: c.state.Seq, Revision: c.state.Revision, Doc: c.compressedDocument(), State: c.state.forProxies(c.node.Members()), Emptied: c.state.Emptied}
+	t := &wire.Table{Was: c.state.PreviousProxies, Seq: c.state.Index, Revision: c.state.Revision, Doc: c.compressedDocument(), State: c.state.ForProxies(c.node.Members()), Emptied: c.state.EmptiedDomains}
 	c.tableVersion++
 	c.madeAt[c.tableVersion%tuning.TablesKept] = now
-	for _, r := range c.state.Roster {
+	for _, r := range c.state.Proxies {
 		t.Gates = append(t.Gates, wire.Gate{Name: r.Name, Addr: r.Addr, Domain: r.Domain, Live: c.live(now, r.Name)})
 	}
 	if c.table == nil || !slices.Equal(t.Gates, c.table.Gates) {
@@ -95,7 +95,7 @@
 // where it comes again and again, as in a release, one table tells of all that came meanwhile: a table
 // costs the leader messages to and from every proxy, and may not take more of it the more there is to say.
 func (c *Core) tableSpacing(news urgency) time.Duration {
-	proxies := len(c.state.Roster)
+	proxies := len(c.state.Proxies)
 	if news == urgent {
 		return min(time.Duration(proxies)*tuning.UrgentTableRow, tuning.UrgentTableMost)
 	}
@@ -104,8 +104,8 @@
 
 // compressed is the document as tables carry it.
 func (c *Core) compressedDocument() []byte {
-	if !bytes.Equal(c.compressed.plain, c.state.Doc) {
-		c.compressed.plain, c.compressed.doc = c.state.Doc, wire.Compress(c.state.Doc)
+	if !bytes.Equal(c.compressed.plain, c.state.Document) {
+		c.compressed.plain, c.compressed.doc = c.state.Document, wire.Compress(c.state.Document)
 	}
 	return c.compressed.doc
 }
@@ -152,7 +152,7 @@
 // news is what a table made now would say that the present one does not. All that is agreed
 // shows in the log's index. What takes something away from requests is pressing.
 func (c *Core) pendingNews(now time.Duration) urgency {
-	if c.table == nil || c.table.Seq != c.state.Seq || c.table.Revision != c.state.Revision || len(c.table.Gates) != len(c.state.Roster) {
+	if c.table == nil || c.table.Seq != c.state.Index || c.table.Revision != c.state.Revision || len(c.table.Gates) != len(c.state.Proxies) {
 		return urgent
 	}
 	r, fresh := unchanged, 0
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -7,6 +7,7 @@
 	"cmp"
 	"maps"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/targetreport"
 	"slices"
 	"time"
 
@@ -16,26 +17,6 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// HeartbeatStreak is how a target's heartbeats come: how many there were without a gap, and since when.
-type HeartbeatStreak struct {
-	beats       int
-	first, last time.Duration
-}
-
-// Hear counts a heartbeat; one that comes after a gap begins a new streak.
-func (v *HeartbeatStreak) Hear(now time.Duration) {
-	if v.beats == 0 || now-v.last > tuning.BeatLapse {
-		v.beats, v.first = 0, now
-	}
-	v.beats++
-	v.last = now
-}
-
-// Speaks says that they come as a living one's do, not as one late word.
-func (v *HeartbeatStreak) Speaks(now time.Duration) bool {
-	return v.beats >= tuning.ProofWords && v.last-v.first >= tuning.ProofSpan && now-v.last < tuning.BeatLapse
-}
-
 type target struct {
 	wire.Target
 	beatAt           time.Duration
@@ -49,7 +30,7 @@
 	seenAt           time.Duration
 	silentAt         time.Duration
 	misses           int // probes in a row without its own answer
-	streak           HeartbeatStreak
+	streak           targetreport.Streak
 	unconfirmed      bool         // known by hearsay: one word, or a proxy's table; not served until it has proved itself
 	publishedFacts   routingFacts // what the table says of it
 	publishedDemand  float64
@@ -237,13 +218,13 @@
 // start that is over; who goes on beating is there, even if no probe gets through.
 func (c *Core) countHeartbeat(now time.Duration, t *target) {
 	t.beatAt = now
-	t.streak.Hear(now)
-	t.unconfirmed = t.unconfirmed && !t.streak.Speaks(now)
+	t.streak.Add(now)
+	t.unconfirmed = t.unconfirmed && !t.streak.Steady(now)
 }
 
 // beats is what the table says of it: one that misses its probes has to speak on.
 func (t *target) isBeating(now time.Duration) bool {
-	return now-t.beatAt < tuning.BeatLapse && (t.misses < tuning.ProbeMisses || t.streak.Speaks(now))
+	return now-t.beatAt < tuning.BeatLapse && (t.misses < tuning.ProbeMisses || t.streak.Steady(now))
 }
 
 // rivals are the known targets under w's name or at its address.
--- a/internal/controlplane/undecodable.go
+++ b/internal/controlplane/undecodable.go
@@ -8,6 +8,7 @@
 package controlplane
 
 import (
+	"myrtlefold/internal/shared/state"
 	"time"
 
 	"github.com/cockroachdb/errors"
@@ -20,7 +21,7 @@
 func (c *Core) cannotDecode(what string, err error) {
 	c.reportDamage("agreed "+what, err)
 	if c.undecodable == nil {
-		c.undecodable = errors.Mark(errors.Wrap(err, what), ErrDamaged)
+		c.undecodable = errors.Mark(errors.Wrap(err, what), state.ErrDamaged)
 	}
 }
 
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
@@ -21,7 +22,7 @@
 	"entry compressed": func(r *rest) { r.c.node.Propose(r.now, []byte("\x28\xb5\x2f\xfd broken off")) },
 	"snapshot":         func(r *rest) { r.c.restore(&wire.Snap{Index: 900, Data: []byte(`{"seq":"x"}`)}) },
 	"configuration": func(r *rest) {
-		r.c.propose(r.now, command{Op: "config", Base: r.c.state.Revision, Doc: json.RawMessage(`[]`)})
+		r.c.propose(r.now, state.Command{Operation: state.OpConfigure, Base: r.c.state.Revision, Document: json.RawMessage(`[]`)})
 	},
 }
 
@@ -40,7 +41,7 @@
 			if r.c.Leading() || r.c.Deciding(r.now) || status.Current || len(status.Damage) != 1 || r.c.counts.Damaged != 1 {
 				t.Fatalf("leads %v, damage %v", r.c.Leading(), status.Damage)
 			}
-			if !errors.Is(r.c.undecodable, ErrDamaged) {
+			if !errors.Is(r.c.undecodable, state.ErrDamaged) {
 				t.Errorf("cause %v", r.c.undecodable)
 			}
 			for i, a := range []statemachine.Call{{Method: "GET", Path: "/v1/config"}, {Method: "PUT", Path: "/v1/config", Body: []byte(`{}`)}} {
@@ -56,9 +57,9 @@
 			}
 			snap := r.c.node.Snap().Index
 			for i := range 10 {
-				r.c.apply(r.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: encodeCommand(command{Op: "empty", Name: "d"})})
+				r.c.apply(r.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d"})})
 			}
-			if len(r.c.state.Emptied) > 0 || r.c.node.Snap().Index != snap {
+			if len(r.c.state.EmptiedDomains) > 0 || r.c.node.Snap().Index != snap {
 				t.Error("entries after the one that did not decode are applied")
 			}
 		})
@@ -86,7 +87,7 @@
 func newCluster() *cluster {
 	k := &cluster{now: time.Second, members: map[string]*Core{}, names: []string{"c1", "c2", "c3"}}
 	for i, n := range k.names {
-		self := wire.Daemon{Name: n, Kind: "core", Addr: n, Inc: 1}
+		self := wire.Daemon{Name: n, Kind: wire.ControlDaemon, Addr: n, Inc: 1}
 		k.members[n] = New(k.now, Settings{Self: self, Size: 3, Seeds: k.names}, consensus.Image{Disk: uint64(i + 7)})
 	}
 	return k
@@ -156,7 +157,7 @@
 func TestUndecodableByAll(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"entry":         []byte("{"),
-		"configuration": encodeCommand(command{Op: "config", Rev: 9, Doc: json.RawMessage(`[]`)}),
+		"configuration": state.EncodeCommand(state.Command{Operation: state.OpConfigure, Number: 9, Document: json.RawMessage(`[]`)}),
 	} {
 		k := newCluster()
 		k.seconds(15)
--- a/internal/controlplane/watchdog.go
+++ b/internal/controlplane/watchdog.go
@@ -114,7 +114,7 @@
 	if _, named := c.cfg.Services[id.Service]; !named {
 		// Nothing is sent there; once it is, probes are spread, and who beat and fell silent must answer one.
 		t.probeAt = now - tuning.ProbeEvery + time.Duration(t.Turn)*tuning.TickEvery%tuning.NamedSpread
-		t.unconfirmed = t.unconfirmed || t.streak.beats >= tuning.ProofWords && now-t.beatAt > tuning.NamedSilent
+		t.unconfirmed = t.unconfirmed || t.streak.Count() >= tuning.ProofWords && now-t.beatAt > tuning.NamedSilent
 		return
 	}
 	if t.missed && t.misses < tuning.ProbeMisses && t.sentAt != 0 && t.askedFor != t.sentAt && now-t.sentAt >= tuning.IndirectAfter &&
@@ -156,7 +156,7 @@
 		draw         uint32
 	}
 	var all []choice
-	for _, r := range c.state.Roster {
+	for _, r := range c.state.Proxies {
 		if g := c.proxies[r.Name]; g != nil && g.tableMerged && c.live(now, r.Name) {
 			h := fnv.New32a()
 			fmt.Fprint(h, r.Name, id, now)
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -5,6 +5,7 @@
 
 import (
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -23,7 +24,7 @@
 
 // RunCore is mfcontrol: it runs a control daemon until it is stopped, and returns the exit code.
 func RunCore(args []string, dialect Dialect) int {
-	h := Start("core", args, dialect)
+	h := Start(wire.ControlDaemon, args, dialect)
 	disk, image, damage := h.openDiskInTime()
 	s := h.Settings
 	owner := controlplane.New(h.Now(), controlplane.Settings{
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -6,6 +6,7 @@
 
 import (
 	"math/rand/v2"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"slices"
@@ -106,7 +107,7 @@
 	said := ""
 	for {
 		d, img, err := h.OpenDisk()
-		if errors.IsAny(err, wal.ErrDamaged, controlplane.ErrDamaged) {
+		if errors.IsAny(err, wal.ErrDamaged, state.ErrDamaged) {
 			h.Log.WithError(err).Error("state on disk can't be read whole; it counts as lost, and this member learns all again")
 			damage = err
 			d, img, err = h.recreateDisk()
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"net/http"
 	"strconv"
 	"sync/atomic"
@@ -33,7 +34,7 @@
 
 // RunGate is mfproxy: it runs a proxy daemon until it is stopped, and returns the exit code.
 func RunGate(args []string, dialect Dialect) int {
-	d := newGateDaemon(Start("gate", args, dialect))
+	d := newGateDaemon(Start(wire.ProxyDaemon, args, dialect))
 	if err := d.Listen(); err != nil {
 		d.Fatal(err, "start")
 	}
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -32,7 +32,7 @@
 
 // Host is the context that a daemon's parts share.
 type Host struct {
-	Kind        string // core or gate
+	Kind        wire.DaemonKind
 	Settings    Settings
 	Log         *logrus.Logger
 	Metrics     *prometheus.Registry
@@ -57,15 +57,24 @@
 	probesAt    time.Duration // when idle connections were last closed
 }
 
+// Kind says which of the two daemons a process is.
+type Kind = wire.DaemonKind
+
+// The two daemons.
+const (
+	ControlDaemon = wire.ControlDaemon
+	ProxyDaemon   = wire.ProxyDaemon
+)
+
 // programs are the daemons' programs, by kind of daemon.
-var programs = map[string]struct{ name, help string }{
-	"core": {"mfcontrol", "A control daemon: keeps the configuration, the proxy membership and the health of targets."},
-	"gate": {"mfproxy", "A proxy daemon: forwards callers' requests to back ends."},
+var programs = map[wire.DaemonKind]struct{ name, help string }{
+	wire.ControlDaemon: {"mfcontrol", "A control daemon: keeps the configuration, the proxy membership and the health of targets."},
+	wire.ProxyDaemon:   {"mfproxy", "A proxy daemon: forwards callers' requests to back ends."},
 }
 
 // Start reads command line and settings and returns the daemon's context. If anything is wrong it
 // prints each fault and ends the process with exit code 2.
-func Start(kind string, args []string, dialect Dialect) *Host {
+func Start(kind wire.DaemonKind, args []string, dialect Dialect) *Host {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	stops := make(chan os.Signal, 2)
@@ -113,7 +122,7 @@
 }
 
 // New returns a daemon's context without touching what a process has only one of.
-func New(kind string, set Settings, log *logrus.Logger) *Host {
+func New(kind wire.DaemonKind, set Settings, log *logrus.Logger) *Host {
 	h := &Host{Kind: kind, Settings: set, Log: log, Metrics: prometheus.NewRegistry(), Incarnation: rand.Uint64() | 1, Traffic: &Traffic{},
 		start: time.Now(), queues: map[string]chan queued{}, Quit: make(chan int, 1)}
 	h.Metrics.MustRegister(h.Traffic)
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/host_test.go
@@ -17,7 +17,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func load(t *testing.T, kind, doc string, over Settings) (Settings, []string) {
+func load(t *testing.T, kind wire.DaemonKind, doc string, over Settings) (Settings, []string) {
 	t.Helper()
 	f := filepath.Join(t.TempDir(), "set.json")
 	if err := os.WriteFile(f, []byte(doc), 0o600); err != nil {
@@ -37,7 +37,7 @@
 
 // Every fault of the settings is named, flags go before the file, samples are sound.
 func TestSettings(t *testing.T) {
-	_, got := load(t, "core", `{"name":"a b","addr":"localhost:1","http":"0.0.0.0:1","seeds":["x"],"size":4,"listen":"127.0.0.1:3","log":"loud","odd":1,"bind":"here","from":"0.0.0.0"}`, Settings{})
+	_, got := load(t, wire.ControlDaemon, `{"name":"a b","addr":"localhost:1","http":"0.0.0.0:1","seeds":["x"],"size":4,"listen":"127.0.0.1:3","log":"loud","odd":1,"bind":"here","from":"0.0.0.0"}`, Settings{})
 	if want := []string{"addr", "bind", "data", "domain", "from", "http", "listen", "log", "name", "odd", "seeds[0]", "size"}; !slices.Equal(got, want) {
 		t.Fatalf("%v", got)
 	}
@@ -55,7 +55,7 @@
 
 // The other samples of settings are sound too, and leave the core's size to the seeds.
 func TestSampleSettings(t *testing.T) {
-	for f, kind := range map[string]string{"mfcontrol-seeds": "core", "mfproxy-bounded": "gate"} {
+	for f, kind := range map[string]wire.DaemonKind{"mfcontrol-seeds": wire.ControlDaemon, "mfproxy-bounded": wire.ProxyDaemon} {
 		b, err := os.ReadFile("../../sample/" + f + ".json")
 		if err != nil {
 			t.Fatal(err)
@@ -76,11 +76,11 @@
 		found bool
 	}{{nil, 3, false}, {[]string{"--size", "5"}, 5, false}, {[]string{"--size", "0", "--found"}, 0, true}} {
 		f, app := &Flags{}, kingpin.New("x", "")
-		f.Bind(app, "core")
+		f.Bind(app, wire.ControlDaemon)
 		if _, err := app.Parse(append(c.more, base...)); err != nil {
 			t.Fatal(err)
 		}
-		s, _, faults, err := f.Load("core")
+		s, _, faults, err := f.Load(wire.ControlDaemon)
 		if err != nil || len(faults) > 0 || s.Size != c.size || s.Found != c.found {
 			t.Errorf("%v: %+v %v %v", c.more, s, faults, err)
 		}
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -18,6 +18,7 @@
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Settings are a daemon's own: its place in the fleet, not what the fleet serves.
@@ -81,7 +82,7 @@
 }
 
 // Check returns the faults of settings for a kind of daemon, by the settings' names.
-func (s *Settings) Check(kind string) []config.Fault {
+func (s *Settings) Check(kind wire.DaemonKind) []config.Fault {
 	c := &settingsCheck{}
 	if s.Name == "" || len(s.Name) > tuning.ItemNameMax || strings.ContainsAny(s.Name, " /\"") {
 		c.add("name", "must be 1 to %d characters without spaces, quotes or /", tuning.ItemNameMax)
@@ -95,9 +96,9 @@
 	}
 	s.checkNumbers(c)
 	switch kind {
-	case "core":
+	case wire.ControlDaemon:
 		s.checkCore(c)
-	case "gate":
+	case wire.ProxyDaemon:
 		s.checkGate(c)
 	}
 	return c.faults
@@ -176,7 +177,7 @@
 }
 
 // Bind puts the flags for a kind of daemon on a command line.
-func (f *Flags) Bind(app *kingpin.Application, kind string) {
+func (f *Flags) Bind(app *kingpin.Application, kind wire.DaemonKind) {
 	app.Flag("settings", "settings file (JSON); looked at again while running").Short('s').StringVar(&f.File)
 	app.Flag("name", "this daemon's name, unique in the fleet").StringVar(&f.set.Name)
 	app.Flag("domain", "the domain (zone) that this machine stands in").StringVar(&f.set.Domain)
@@ -187,7 +188,7 @@
 	app.Flag("seed", "address of another daemon (repeat for up to three)").StringsVar(&f.set.Seeds)
 	app.Flag("memory-mb", "MiB that the process may take; the runtime is told").IntVar(&f.set.MemoryMb)
 	app.Flag("log", "log level: error, warn, info or debug").StringVar(&f.set.Log)
-	if kind == "gate" {
+	if kind == wire.ProxyDaemon {
 		app.Flag("listen", "IP:port for callers").StringVar(&f.set.Listen)
 		app.Flag("grace-ms", "how long after SIGTERM the process is ended by force").IntVar(&f.set.GraceMs)
 	} else {
@@ -201,9 +202,9 @@
 
 // Load reads the file, lays the flags over it and checks the whole. It returns the file's text, and
 // the faults of the settings by their names; errors are those of reading the file.
-func (f *Flags) Load(kind string) (Settings, []byte, []config.Fault, error) {
+func (f *Flags) Load(kind wire.DaemonKind) (Settings, []byte, []config.Fault, error) {
 	s := Settings{Log: "info"}
-	if kind == "core" {
+	if kind == wire.ControlDaemon {
 		s.Size = 3
 	}
 	var raw []byte
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -33,7 +34,7 @@
 // looked at once it watches them: seeds that differ later are taken.
 func TestHangupWhileStarting(t *testing.T) {
 	f := settingsFile(t, "127.0.0.1:3")
-	h := Start("core", []string{"-s", f}, Own())
+	h := Start(wire.ControlDaemon, []string{"-s", f}, Own())
 	writeSettings(t, f, "127.0.0.1:4")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil { // would end this process by default
 		t.Fatal(err)
@@ -69,7 +70,7 @@
 // A SIGTERM that comes while a daemon starts does not end it at once: it serves callers before it waits for
 // signals, and stops as at any time.
 func TestStopWhileStarting(t *testing.T) {
-	h := Start("core", []string{"-s", settingsFile(t, "127.0.0.1:3")}, Own())
+	h := Start(wire.ControlDaemon, []string{"-s", settingsFile(t, "127.0.0.1:3")}, Own())
 	t.Cleanup(func() { signal.Stop(h.stops) })
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil { // would end this process by default
 		t.Fatal(err)
--- a/internal/dataplane/choice.go
+++ b/internal/dataplane/choice.go
@@ -88,7 +88,7 @@
 	if g.state == Granted {
 		return t.Beating
 	}
-	return t.streak.Speaks(now)
+	return t.streak.Steady(now)
 }
 
 func (g *Proxy) better(now time.Duration, a, b *target, x *request) *target {
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -8,11 +8,12 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"myrtlefold/internal/shared/discovery"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -51,7 +52,7 @@
 		k := g.directory[n]
 		if now-k.At > tuning.DaemonGone {
 			delete(g.directory, n)
-		} else if k.Kind == "core" {
+		} else if k.Kind == wire.ControlDaemon {
 			sent[k.Addr] = true
 			h := &wire.Hello{Self: self}
 			who := fmt.Sprint(n, " ", k.Inc)
@@ -98,7 +99,7 @@
 	self := g.self()
 	for i, r := range who[:min(n, len(who))] {
 		if k := g.directory[r.Name]; k == nil {
-			g.directory[r.Name] = &controlplane.Known{Daemon: wire.Daemon{Name: r.Name, Kind: "gate", Addr: r.Addr, Domain: r.Domain}, At: now}
+			g.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, At: now}
 		}
 		g.asked[r.Name] = now
 		// Back from a freeze or a cut, what peers hold against targets is wanted too.
@@ -118,7 +119,7 @@
 	if g.table == nil || g.state == Granted {
 		return nil
 	}
-	l, ok := controlplane.Remembered(g.table)
+	l, ok := state.RecoveredFrom(g.table)
 	if !ok {
 		return nil
 	}
@@ -186,7 +187,7 @@
 func (g *Proxy) push(now time.Duration, m *wire.Msg) {
 	p := m.Push
 	mine := m.Disk == g.settings.Self.Inc && m.Stamp > 0 && time.Duration(m.Stamp) <= now
-	if k := g.directory[m.From]; k != nil && k.Kind == "gate" {
+	if k := g.directory[m.From]; k != nil && k.Kind == wire.ProxyDaemon {
 		if p.Table != nil && !g.take(now, p.Table) && g.table != nil && g.table.Key == p.Table.Key && !g.Serving() {
 			g.adoptPeerEjections(now, p.Table)
 		}
@@ -241,8 +242,8 @@
 	if m.Pull == nil {
 		return
 	}
-	if m.Pull.Self.Kind == "gate" {
-		g.directory[m.From] = &controlplane.Known{Daemon: m.Pull.Self, At: now}
+	if m.Pull.Self.Kind == wire.ProxyDaemon {
+		g.directory[m.From] = &discovery.Peer{Daemon: m.Pull.Self, At: now}
 	}
 	p := &wire.Push{Grant: g.settled && g.table != nil}
 	if g.table != nil {
--- a/internal/dataplane/lease_test.go
+++ b/internal/dataplane/lease_test.go
@@ -21,7 +21,7 @@
 // theirs at once.
 func TestMemoryIsToldAtABoundedRate(t *testing.T) {
 	b := newBench("g1", 3, plain)
-	hello := &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 5}}}
+	hello := &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 5}}}
 	told, from := 0, b.now
 	const span = 20 * time.Second
 	for b.now < from+span {
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -7,17 +7,17 @@
 	"fmt"
 	"maps"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/targetreport"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
 func (g *Proxy) ask(now time.Duration, e statemachine.Call) {
-	r := controlplane.TargetCall(e, func(t wire.Target) {
+	r := targetreport.AnswerTargetCall(e, func(t wire.Target) {
 		g.heardBeat(now, t)
 		if l := g.leader(now); l != "" {
 			g.send(l, &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &t})
@@ -37,7 +37,7 @@
 // kept for the time when there is none.
 func (g *Proxy) heardBeat(now time.Duration, w wire.Target) {
 	if t := g.targets[w.ID()]; t != nil {
-		t.streak.Hear(now)
+		t.streak.Add(now)
 	} else if g.state == PeerServing && w.State != config.Gone {
 		g.claim(now, w)
 	}
@@ -66,13 +66,13 @@
 			return
 		}
 	}
-	if at == nil || g.leaving[w.ID()] != 0 || at.successor != nil && at.successor.Inc != w.Inc && at.successor.streak.Speaks(now) {
+	if at == nil || g.leaving[w.ID()] != 0 || at.successor != nil && at.successor.Inc != w.Inc && at.successor.streak.Steady(now) {
 		return
 	}
 	if at.successor == nil || at.successor.ID() != w.ID() || at.successor.Addr != w.Addr {
 		at.successor = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Inc: w.Inc, Addr: w.Addr, Domain: w.Domain, State: config.Warming, Turn: at.Turn, Slots: w.Slots, ColdLeft: w.ColdLeft}}
 	}
-	at.successor.streak.Hear(now)
+	at.successor.streak.Add(now)
 }
 
 // inherit puts an heir that has answered for itself in its place, unless who
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -11,11 +11,12 @@
 package dataplane
 
 import (
+	"myrtlefold/internal/shared/discovery"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/targetreport"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -56,12 +57,12 @@
 
 type target struct {
 	wire.Target
-	ejectedUntil time.Duration                // the table's ejection
-	ownEjection  time.Duration                // a proxy that serves on its peers's ejection, from its own probes
-	unheard      bool                         // the table's ejection is for missed probes
-	held         bool                         // heard here that it leaves
-	streak       controlplane.HeartbeatStreak // what was heard here of its beats
-	successor    *target                      // a later start of it that claims its place while no leader can say
+	ejectedUntil time.Duration       // the table's ejection
+	ownEjection  time.Duration       // a proxy that serves on its peers's ejection, from its own probes
+	unheard      bool                // the table's ejection is for missed probes
+	held         bool                // heard here that it leaves
+	streak       targetreport.Streak // what was heard here of its beats
+	successor    *target             // a later start of it that claims its place while no leader can say
 	avoidUntil   time.Duration
 	backAt       time.Duration // when an ejection was lifted
 	warmAt       time.Duration // when it ended its warming
@@ -147,7 +148,7 @@
 // Proxy is the state machine of a proxy daemon.
 type Proxy struct {
 	settings     Settings
-	directory    controlplane.Directory
+	directory    discovery.Directory
 	helloAt      time.Duration
 	pullAt       time.Duration
 	touchAt      time.Duration
@@ -195,7 +196,7 @@
 	if set.Retry.Window < tuning.CountSlices {
 		set.Retry = Retry{1 / float64(tuning.RetryShare), tuning.RetryWindow, tuning.RetryFree}
 	}
-	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: controlplane.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &config.Config{},
+	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: discovery.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &config.Config{},
 		targets: map[wire.ID]*target{}, leaving: map[wire.ID]time.Duration{}, services: map[string]*service{}, requests: map[uint64]*request{}, aims: map[string]*aimCounts{}, leaseUntil: -1}
 }
 
@@ -295,7 +296,7 @@
 }
 
 func (g *Proxy) recv(now time.Duration, m *wire.Msg) {
-	controlplane.DiscardUnsoundNumbers(m)
+	wire.DiscardNonFinite(m)
 	switch wire.Kind(m.Kind) {
 	case wire.KHello:
 		if m.Hello == nil {
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -21,7 +21,7 @@
 }
 
 func newBench(name string, gates int, doc string, ts ...wire.Target) *bench {
-	b := &bench{g: New(Settings{Self: wire.Daemon{Name: name, Kind: "gate", Inc: 9}}), now: time.Second}
+	b := &bench{g: New(Settings{Self: wire.Daemon{Name: name, Kind: wire.ProxyDaemon, Inc: 9}}), now: time.Second}
 	b.table(gates, doc, ts...)
 	return b
 }
@@ -258,7 +258,7 @@
 
 func (b *bench) touch() {
 	for _, p := range []string{"g2", "g3"} {
-		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: p, Hello: &wire.Hello{Self: wire.Daemon{Name: p, Kind: "gate", Addr: p}}}})
+		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: p, Hello: &wire.Hello{Self: wire.Daemon{Name: p, Kind: wire.ProxyDaemon, Addr: p}}}})
 		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: b.g.Table().Key}}})
 	}
 }
@@ -472,7 +472,7 @@
 						old = append(old, b)
 						all = append(all, b)
 					} else {
-						all = append(all, &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: "gate", Inc: 9}}), now: time.Second})
+						all = append(all, &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Inc: 9}}), now: time.Second})
 					}
 				}
 				left := fill(old)
@@ -604,7 +604,7 @@
 // tick, a miss is the leader's to judge, and own ejections are as before.
 func TestIndirectProbe(t *testing.T) {
 	b := newBench("g1", 1, plain, to("a"), to("b"))
-	b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Epoch: 1, Term: 1, Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1, Epoch: 1}, Leader: "c1", Term: 1}}})
+	b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Epoch: 1, Term: 1, Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1, Epoch: 1}, Leader: "c1", Term: 1}}})
 	id := wire.ID{Service: "s", Name: "a", Inc: 1}
 	ask := func() (n int) {
 		for _, c := range b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
--- a/internal/dataplane/route_test.go
+++ b/internal/dataplane/route_test.go
@@ -315,7 +315,7 @@
 		var sent []time.Duration
 		gates := make([]*bench, n+1)
 		start := func(i int, now time.Duration) {
-			gates[i] = &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: "gate", Inc: 9}}), now: now}
+			gates[i] = &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Inc: 9}}), now: now}
 		}
 		table := func(b *bench, ver uint64, now time.Duration) {
 			b.now = now
@@ -474,7 +474,7 @@
 		n := rapid.IntRange(1, 8).Draw(t, "proxies")
 		gates := make([]*bench, n)
 		start := func(i int, now time.Duration) {
-			b := &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: "gate", Inc: 9}, Retry: r}), now: now}
+			b := &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Inc: 9}, Retry: r}), now: now}
 			b.table(n, routed, to("a", slots(50)), to("b", slots(50)), to("c", slots(50)))
 			gates[i] = b
 		}
--- a/internal/mfctl/mfctl_test.go
+++ b/internal/mfctl/mfctl_test.go
@@ -13,6 +13,7 @@
 	"myrtlefold/internal/daemon"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
+	"myrtlefold/internal/shared/wire"
 )
 
 // said runs mfctl and gives its exit code and what it said on both of its outputs.
@@ -181,9 +182,9 @@
 	}
 	var a, b *httptest.Server
 	roster := func() []map[string]any {
-		l := []map[string]any{{"Name": "g", "Kind": "gate", "Http": "192.0.2.1:1"}}
+		l := []map[string]any{{"Name": "g", "Kind": wire.ProxyDaemon, "Http": "192.0.2.1:1"}}
 		for _, s := range []*httptest.Server{a, b} {
-			l = append(l, map[string]any{"Kind": "core", "Http": strings.TrimPrefix(s.URL, "http://")})
+			l = append(l, map[string]any{"Kind": wire.ControlDaemon, "Http": strings.TrimPrefix(s.URL, "http://")})
 		}
 		return l
 	}
--- a/internal/mfctl/views.go
+++ b/internal/mfctl/views.go
@@ -15,6 +15,7 @@
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/outlier"
+	"myrtlefold/internal/shared/wire"
 )
 
 // status asks the members that are named and then those that the roster tells of.
@@ -49,7 +50,7 @@
 		var r struct{ Daemons []controlplane.DaemonView }
 		if b, err := c.view(answers, "/v1/roster"); err == nil && json.Unmarshal(b, &r) == nil {
 			for _, d := range r.Daemons {
-				if d.Kind == "core" && !slices.Contains(c.at, d.Http) {
+				if d.Kind == wire.ControlDaemon && !slices.Contains(c.at, d.Http) {
 					ask(d.Http)
 				}
 			}
@@ -88,7 +89,7 @@
 	json.Unmarshal(out, &r)
 	sums := map[string]*dataplane.AimView{}
 	for _, d := range r.Daemons {
-		if d.Kind != "gate" {
+		if d.Kind != wire.ProxyDaemon {
 			continue
 		}
 		resp, err := ctlClient.Get("http://" + d.Http + "/v1/status")
--- a/internal/controlplane/orders_test.go
+++ b/internal/shared/state/changes_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package state
 
 import (
 	"encoding/json"
@@ -10,11 +10,11 @@
 
 // taken is a state after so many accepted changes, each built on the one before.
 func stateAfter(changes int) State {
-	s := newState()
+	s := New()
 	s.Adopted = true
 	for i := range changes {
-		d := digestOf(fmt.Append(nil, i))
-		s.Apply(uint64(i+1), command{Op: "config", Token: fmt.Sprint("t", i), Base: s.Revision, Doc: json.RawMessage(`{}`), Sum: &d})
+		d := DigestOf(fmt.Append(nil, i))
+		s.Apply(uint64(i+1), Command{Operation: OpConfigure, Token: fmt.Sprint("t", i), Base: s.Revision, Document: json.RawMessage(`{}`), Digest: &d})
 	}
 	return s
 }
@@ -32,9 +32,9 @@
 	if err := json.Unmarshal(text, &read); err != nil {
 		t.Fatal(err)
 	}
-	read.completeOrders()
+	read.completeChanges()
 	proxies := State{}
-	if err := json.Unmarshal(s.forProxies(nil), &proxies); err != nil {
+	if err := json.Unmarshal(s.ForProxies(nil), &proxies); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -44,19 +44,19 @@
 	}{{"kept", s, tuning.OrdersRemembered}, {"read again", read, tuning.OrdersRemembered}, {"with proxies", proxies, tuning.OrdersInTables}} {
 		for i := range changes {
 			base := uint64(i)
-			v, revision := c.state.judgeOrder(digestOf(fmt.Append(nil, i)), base)
-			if known := i >= changes-c.kept; known && (v != orderTaken || revision != base+1) || !known && v != orderForgotten {
+			v, revision := c.state.JudgeChange(DigestOf(fmt.Append(nil, i)), base)
+			if known := i >= changes-c.kept; known && (v != AlreadyAccepted || revision != base+1) || !known && v != Forgotten {
 				t.Fatalf("%s: change %d: verdict %d, revision %d", c.name, i, v, revision)
 			}
-			if v, _ := c.state.judgeOrder(digestOf([]byte("other")), base); v == orderTaken || v == orderNeverTaken && i < changes-c.kept || v == orderForgotten && i >= changes-c.kept {
+			if v, _ := c.state.JudgeChange(DigestOf([]byte("other")), base); v == AlreadyAccepted || v == NeverAccepted && i < changes-c.kept || v == Forgotten && i >= changes-c.kept {
 				t.Fatalf("%s: another on base %d: verdict %d", c.name, base, v)
 			}
 		}
 	}
-	if most := tuning.OrdersRemembered*takenOrderBytes*4/3 + 16<<10; len(text) > most {
+	if most := tuning.OrdersRemembered*acceptedChangeBytes*4/3 + 16<<10; len(text) > most {
 		t.Errorf("a state of %d bytes", len(text))
 	}
-	if n := len(s.forProxies(nil)); n > 12<<10 {
+	if n := len(s.ForProxies(nil)); n > 12<<10 {
 		t.Errorf("proxies' copy has %d bytes", n)
 	}
 }
@@ -64,21 +64,21 @@
 // The log's verdict is the same: taken again, refused for good, or unknown.
 func TestOrdersAgainInTheLog(t *testing.T) {
 	s := stateAfter(tuning.OrdersRemembered + 100)
-	last := digestOf(fmt.Append(nil, tuning.OrdersRemembered+99))
-	first, other := digestOf(fmt.Append(nil, 0)), digestOf([]byte("other"))
+	last := DigestOf(fmt.Append(nil, tuning.OrdersRemembered+99))
+	first, other := DigestOf(fmt.Append(nil, 0)), DigestOf([]byte("other"))
 	for _, c := range []struct {
 		token   string
 		base    uint64
-		sum     orderDigest
+		sum     ChangeDigest
 		outcome string
 	}{
-		{"a", s.Revision - 1, last, outcomeAccepted},
-		{"b", s.Revision - 1, other, outcomeStale},
-		{"c", 0, first, outcomeUnknown},
+		{"a", s.Revision - 1, last, OutcomeAccepted},
+		{"b", s.Revision - 1, other, OutcomeStale},
+		{"c", 0, first, OutcomeUnknown},
 	} {
 		was := s.Revision
-		s.Apply(s.Seq+1, command{Op: "config", Token: c.token, Base: c.base, Doc: json.RawMessage(`{"x":1}`), Sum: &c.sum})
-		if r := s.findByID(c.token); r == nil || r.Outcome != c.outcome || s.Revision != was {
+		s.Apply(s.Index+1, Command{Operation: OpConfigure, Token: c.token, Base: c.base, Document: json.RawMessage(`{"x":1}`), Digest: &c.sum})
+		if r := s.FindRecord(c.token); r == nil || r.Outcome != c.outcome || s.Revision != was {
 			t.Errorf("%+v: %+v, revision %d", c, r, s.Revision)
 		}
 	}
@@ -87,8 +87,8 @@
 // A state that was written before orders were remembered refuses none that it can't know.
 func TestStateWithoutOrders(t *testing.T) {
 	s := State{Revision: 7}
-	s.completeOrders()
-	if v, _ := s.judgeOrder(orderDigest{1}, 6); v != orderForgotten {
+	s.completeChanges()
+	if v, _ := s.JudgeChange(ChangeDigest{1}, 6); v != Forgotten {
 		t.Errorf("verdict %d", v)
 	}
 }
--- a/internal/shared/wire/decode.go
+++ b/internal/shared/wire/decode.go
@@ -126,7 +126,7 @@
 func (d *decoder) daemon(c DaemonC, err error) Daemon {
 	d.ok(err)
 	return Daemon{
-		Name: d.text(c.NameBytes()), Kind: d.again(c.KindBytes()), Domain: d.again(c.DomainBytes()),
+		Name: d.text(c.NameBytes()), Kind: DaemonKind(d.again(c.KindBytes())), Domain: d.again(c.DomainBytes()),
 		Addr: d.text(c.AddrBytes()), Http: d.text(c.HttpBytes()), Inc: c.Inc(), Disk: c.Disk(), Epoch: c.Epoch(),
 		Lock: c.Lock(), Ready: c.Ready(), State: d.again(c.StateBytes()), Offer: c.Offer(),
 	}
--- a/internal/shared/wire/encode.go
+++ b/internal/shared/wire/encode.go
@@ -153,7 +153,7 @@
 
 func (e *encoder) daemon(c DaemonC, d *Daemon) {
 	e.ok(c.SetName(d.Name))
-	e.ok(c.SetKind(d.Kind))
+	e.ok(c.SetKind(string(d.Kind)))
 	e.ok(c.SetDomain(d.Domain))
 	e.ok(c.SetAddr(d.Addr))
 	e.ok(c.SetHttp(d.Http))
--- a/internal/controlplane/numbers.go
+++ b/internal/shared/wire/numbers.go
@@ -1,17 +1,15 @@
 // This file discards numbers that no sound daemon sends: they can't be told to operators in
 // JSON, and whatever is computed from them is lost too.
 
-package controlplane
+package wire
 
 import (
 	"math"
-
-	"myrtlefold/internal/shared/wire"
 )
 
-// DiscardUnsoundNumbers takes infinite and undefined numbers out of a message that was received:
+// DiscardNonFinite takes infinite and undefined numbers out of a message that was received:
 // a demand then counts as not said, and times as 0.
-func DiscardUnsoundNumbers(m *wire.Msg) {
+func DiscardNonFinite(m *Msg) {
 	if m.Beat != nil {
 		discardUnsoundDemand(&m.Beat.Demand, &m.Beat.HasDemand)
 	}
@@ -31,7 +29,7 @@
 	}
 }
 
-func discardFromTable(t *wire.Table) {
+func discardFromTable(t *Table) {
 	if t == nil {
 		return
 	}
--- a/internal/shared/wire/size.go
+++ b/internal/shared/wire/size.go
@@ -112,7 +112,7 @@
 }
 
 func (d *Daemon) size() int {
-	return daemonSize + textSize(d.Name) + textSize(d.Kind) + textSize(d.Domain) + textSize(d.Addr) +
+	return daemonSize + textSize(d.Name) + textSize(string(d.Kind)) + textSize(d.Domain) + textSize(d.Addr) +
 		textSize(d.Http) + textSize(d.State)
 }
 
--- a/internal/shared/wire/wire.go
+++ b/internal/shared/wire/wire.go
@@ -43,20 +43,30 @@
 	Ask    *Ask
 }
 
+// DaemonKind says which of the two daemons one is. The texts stand on the wire, in stored data, in
+// settings and in operators' calls.
+type DaemonKind string
+
+// The two kinds of daemons.
+const (
+	ControlDaemon DaemonKind = "core"
+	ProxyDaemon   DaemonKind = "gate"
+)
+
 // Daemon is what a control daemon or a proxy says of itself.
 type Daemon struct {
-	Name   string `json:"name"`
-	Kind   string `json:"kind"`   // core or gate
-	Domain string `json:"domain"` // failure domain (zone)
-	Addr   string `json:"addr"`   // IP:port for messages between daemons
-	Http   string `json:"http"`   // IP:port of its HTTP API
-	Inc    uint64 `json:"incarnation"`
-	Disk   uint64 `json:"-"` // the number of its disk; 0 for a proxy
-	Epoch  uint64 `json:"epoch"`
-	Lock   uint64 `json:"-"` // the bootstrap offer that its disk is bound to, 0: none
-	Ready  bool   `json:"ready"`
-	State  string `json:"state"`
-	Offer  uint64 `json:"-"` // the bootstrap offer that it sees, a hash of the founders
+	Name   string     `json:"name"`
+	Kind   DaemonKind `json:"kind"`
+	Domain string     `json:"domain"` // failure domain (zone)
+	Addr   string     `json:"addr"`   // IP:port for messages between daemons
+	Http   string     `json:"http"`   // IP:port of its HTTP API
+	Inc    uint64     `json:"incarnation"`
+	Disk   uint64     `json:"-"` // the number of its disk; 0 for a proxy
+	Epoch  uint64     `json:"epoch"`
+	Lock   uint64     `json:"-"` // the bootstrap offer that its disk is bound to, 0: none
+	Ready  bool       `json:"ready"`
+	State  string     `json:"state"`
+	Offer  uint64     `json:"-"` // the bootstrap offer that it sees, a hash of the founders
 }
 
 // Hello is discovery: each daemon tells the others of itself and of whom it knows.
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -11,6 +11,7 @@
 	"encoding/json"
 	"flag"
 	"fmt"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"net/http/httptest"
 	"os"
@@ -137,9 +138,9 @@
 func TestJSONForms(t *testing.T) {
 	const readBack, writtenOnly = true, false
 	// What members, their disks and proxies' memories hold.
-	jsonForm[controlplane.State](t, "state", readBack)
-	jsonForm[controlplane.RecoveredState](t, "recovered-state", readBack)
-	jsonForm[controlplane.Record](t, "record", readBack)
+	jsonForm[state.State](t, "state", readBack)
+	jsonForm[state.RecoveredState](t, "recovered-state", readBack)
+	jsonForm[state.Record](t, "record", readBack)
 	// What operators read.
 	jsonForm[controlplane.StatusView](t, "core-status", readBack)
 	jsonForm[controlplane.DaemonView](t, "core-daemon", readBack)
@@ -278,9 +279,9 @@
 
 // Settings files with every key are read whole, and come back as recorded.
 func TestSettingsFiles(t *testing.T) {
-	for _, kind := range []string{"core", "gate"} {
-		t.Run(kind, func(t *testing.T) {
-			file := filepath.Join("testdata", "mf"+kind+".json")
+	for _, kind := range []wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon} {
+		t.Run(string(kind), func(t *testing.T) {
+			file := filepath.Join("testdata", "mf"+string(kind)+".json")
 			var flags daemon.Flags
 			app := kingpin.New("test", "")
 			flags.Bind(app, kind)
@@ -295,7 +296,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := recorded(t, "mf"+kind+".json", append(got, '\n'))
+			want := recorded(t, "mf"+string(kind)+".json", append(got, '\n'))
 			if !bytes.Equal(append(got, '\n'), want) {
 				t.Fatalf("read and written: %s", got)
 			}
@@ -305,8 +306,8 @@
 
 // The flags of each daemon keep their names.
 func TestFlags(t *testing.T) {
-	for _, kind := range []string{"core", "gate"} {
-		t.Run(kind, func(t *testing.T) {
+	for _, kind := range []wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon} {
+		t.Run(string(kind), func(t *testing.T) {
 			var flags daemon.Flags
 			app := kingpin.New("test", "")
 			flags.Bind(app, kind)
@@ -319,7 +320,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if want := recorded(t, "flags-"+kind+".json", got); !bytes.Equal(got, want) {
+			if want := recorded(t, "flags-"+string(kind)+".json", got); !bytes.Equal(got, want) {
 				t.Fatalf("%s", got)
 			}
 		})
--- a/internal/verification/fuzzing/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -15,7 +15,7 @@
 )
 
 // fuzzNames are drawn for texts more often than others, so that messages concern what there is.
-var fuzzNames = []string{"", "c1", "c2", "g1", "g2", "s0", "s1", "t0", "t1", "core", "gate", "d0", config.Ready, config.Warming, config.Leaving, config.Gone, "10.0.0.1:1", "x"}
+var fuzzNames = []string{"", "c1", "c2", "g1", "g2", "s0", "s1", "t0", "t1", string(wire.ControlDaemon), string(wire.ProxyDaemon), "d0", config.Ready, config.Warming, config.Leaving, config.Gone, "10.0.0.1:1", "x"}
 
 // fuzzSource turns fuzzed bytes into values; at their end all are zero.
 type fuzzSource struct{ data []byte }
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -49,7 +49,7 @@
 }
 
 func (l *leader) second() {
-	gate := wire.Daemon{Name: "g1", Kind: "gate", Addr: "g1", Inc: 1, Domain: "d0"}
+	gate := wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Inc: 1, Domain: "d0"}
 	beat := wire.Target{Service: "s0", Name: "t0", Inc: 9, Addr: "10.0.0.1:1", State: config.Ready}
 	l.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: "g1", Hello: &wire.Hello{Self: gate}}})
 	for range int(time.Second / tuning.PullEvery) {
@@ -67,7 +67,7 @@
 }
 
 func newLeader(t *testing.T) *leader {
-	self := wire.Daemon{Name: "c1", Kind: "core", Addr: "c1", Inc: 1}
+	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}
 	l := &leader{now: time.Second}
 	l.core = controlplane.New(l.now, controlplane.Settings{Self: self, Size: 1}, consensus.Image{Disk: 7})
 	for range 12 {
@@ -96,7 +96,7 @@
 
 // newProxy is a proxy that serves two targets under a lease.
 func newProxy(t *testing.T, now time.Duration) *dataplane.Proxy {
-	p := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Addr: "g1", Inc: 9, Domain: "d0"}})
+	p := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Inc: 9, Domain: "d0"}})
 	table := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: 1}, Revision: 1,
 		Doc:   []byte(`{"services":{"s0":{"cap":8,"warm_cap":3},"s1":{"cap":4,"warm_cap":2}},"rules":[{"path":"/s","service":"s0"}]}`),
 		Gates: []wire.Gate{{Name: "g1", Addr: "g1", Live: true}, {Name: "g2", Addr: "g2", Live: true}}}
--- a/internal/verification/simulator/backend.go
+++ b/internal/verification/simulator/backend.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"time"
 
 	"myrtlefold/internal/shared/config"
@@ -88,7 +89,7 @@
 	}
 	names := w.names
 	if w.Plan.CoreOnly {
-		names = w.all("core")
+		names = w.all(wire.ControlDaemon)
 	}
 	p := w.procs[names[w.rnd.IntN(len(names))]]
 	state, cold := t.state, t.coldTill
--- a/internal/verification/simulator/bulk_orders.go
+++ b/internal/verification/simulator/bulk_orders.go
@@ -5,6 +5,7 @@
 
 import (
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"net/http"
 	"slices"
 	"time"
@@ -68,7 +69,7 @@
 // repeatOrder sends an order again to another living member, or to the same one if there is
 // no other.
 func (w *World) repeatOrder(before *Proc, order *operatorOrder, answered func(statemachine.Reply)) {
-	others := slices.DeleteFunc(w.all("core"), func(n string) bool { return !w.procs[n].alive || n == before.name })
+	others := slices.DeleteFunc(w.all(wire.ControlDaemon), func(n string) bool { return !w.procs[n].alive || n == before.name })
 	to := before
 	if len(others) > 0 {
 		to = w.procs[others[w.rnd.IntN(len(others))]]
@@ -90,7 +91,7 @@
 func (w *World) ordersInARow(every, d time.Duration) {
 	for at := time.Duration(0); at < d; at += every {
 		w.at(at, func() {
-			if p := w.pick("core", true); p != nil && w.mayOrder(1) {
+			if p := w.pick(wire.ControlDaemon, true); p != nil && w.mayOrder(1) {
 				w.PutConfig(p, w.Revision(), w.docNumber())
 			}
 		})
@@ -112,7 +113,7 @@
 	}
 	base, number := w.Revision(), w.docNumber()
 	for i := range ordersAtOnce {
-		if p := w.pick("core", true); p != nil {
+		if p := w.pick(wire.ControlDaemon, true); p != nil {
 			w.PutConfig(p, base, number+i%documentsAtOnce)
 		}
 	}
--- a/internal/verification/simulator/clocks_test.go
+++ b/internal/verification/simulator/clocks_test.go
@@ -14,7 +14,8 @@
 // no chance and do no I/O; and the shells look at wall time only to name things.
 func TestClocks(t *testing.T) {
 	t.Parallel()
-	owners := []string{"controlplane", "dataplane", "shared/outlier", "controlplane/consensus"}
+	owners := []string{"controlplane", "dataplane", "shared/outlier", "controlplane/consensus",
+		"shared/state", "shared/discovery", "shared/targetreport", "shared/reply", "shared/statemachine"}
 	barred := []string{"math/rand", "math/rand/v2", "os", "net", "net/http", "sync", "sync/atomic", "context"}
 	wall := []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "UTC", "Local", "Date", "Clock", "Format", "Round", "Truncate"}
 	naming := map[string]int{"../../shared/changeid/changeid.go": 2} // a change's id begins with the date
--- a/internal/verification/simulator/corestatus_test.go
+++ b/internal/verification/simulator/corestatus_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"slices"
 	"strconv"
 	"testing"
@@ -100,7 +101,7 @@
 		t.Errorf("%+v", v)
 	}
 	leader := w.Leader()
-	for _, n := range w.all("core") {
+	for _, n := range w.all(wire.ControlDaemon) {
 		if w.procs[n] != f {
 			w.Kill(w.procs[n])
 		}
@@ -119,7 +120,7 @@
 	w.until(10*time.Second, func() bool { return len(w.memberNames()) == 3 })
 	w.Run(w.now + 10*time.Second)
 	leader := w.Leader()
-	for _, n := range w.all("core") {
+	for _, n := range w.all(wire.ControlDaemon) {
 		if w.procs[n] != leader {
 			w.Kill(w.procs[n])
 		}
@@ -216,7 +217,7 @@
 	w.Restart(f)
 	w.Run(w.now + 5*time.Second)
 	sent := uint64(0)
-	for _, name := range w.all("core") {
+	for _, name := range w.all(wire.ControlDaemon) {
 		if p := w.procs[name]; p.alive {
 			sent += p.core.Status(0).Counts.SnapshotsSent
 		}
--- a/internal/verification/simulator/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -9,6 +9,7 @@
 	"cmp"
 	"fmt"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"slices"
 	"strings"
 	"time"
@@ -47,7 +48,7 @@
 	}
 	for _, n := range w.names {
 		p := w.procs[n]
-		if p.kind != "core" {
+		if p.kind != wire.ControlDaemon {
 			continue
 		}
 		if !p.alive || p.frozen || p.disk.stalled || p.disk.full || p.disk.refusing || w.now-p.since < w.lossPause() {
@@ -112,7 +113,7 @@
 
 func both(a, b string) [][2]string { return [][2]string{{a, b}, {b, a}} }
 
-func (w *World) all(kind string) []string {
+func (w *World) all(kind wire.DaemonKind) []string {
 	return slices.DeleteFunc(slices.Clone(w.names), func(n string) bool { return w.procs[n].kind != kind })
 }
 
--- a/internal/verification/simulator/faults_core.go
+++ b/internal/verification/simulator/faults_core.go
@@ -4,6 +4,7 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/wire"
 	"time"
 )
 
@@ -23,7 +24,7 @@
 			w.PutConfig(l, w.Revision(), w.docNumber())
 		}
 		w.at(w.ms(0, 20), func() {
-			for _, n := range w.all("core") {
+			for _, n := range w.all(wire.ControlDaemon) {
 				p := w.procs[n]
 				w.Kill(p)
 				w.at(w.ms(200, 2000), func() { w.Restart(p) })
@@ -34,7 +35,7 @@
 		if w.mayHurtCore() == nil {
 			return
 		}
-		for _, n := range w.all("core") {
+		for _, n := range w.all(wire.ControlDaemon) {
 			p := w.procs[n]
 			w.Kill(p)
 			w.at(w.ms(9000, 20000), func() { w.Restart(p) })
@@ -96,12 +97,12 @@
 		if w.mayHurtCore() == nil {
 			return
 		}
-		for _, n := range w.all("core")[1:] {
+		for _, n := range w.all(wire.ControlDaemon)[1:] {
 			w.Stall(w.procs[n], w.ms(300, 3000))
 		}
 	}},
 	{"core split", func(w *World) {
-		cs := w.all("core")
+		cs := w.all(wire.ControlDaemon)
 		w.rnd.Shuffle(len(cs), func(i, j int) { cs[i], cs[j] = cs[j], cs[i] })
 		var ks [][2]string
 		for _, a := range cs[:len(cs)/2] {
@@ -133,11 +134,11 @@
 		some := w.rnd.IntN(2) == 0
 		w.log("cut core off from proxies, some %v", some)
 		var ks [][2]string
-		for _, g := range w.all("gate") {
+		for _, g := range w.all(wire.ProxyDaemon) {
 			if some && w.rnd.IntN(2) == 0 {
 				continue
 			}
-			for _, c := range w.all("core") {
+			for _, c := range w.all(wire.ControlDaemon) {
 				ks = append(ks, both(c, g)...)
 			}
 		}
@@ -147,14 +148,14 @@
 		for range 3 {
 			w.at(w.ms(0, 1000), func() {
 				w.log("reset the connections of all core members")
-				for _, n := range w.all("core") {
+				for _, n := range w.all(wire.ControlDaemon) {
 					w.resetLinks(w.procs[n])
 				}
 			})
 		}
 	}},
 	{"core machine slow", func(w *World) {
-		if p := w.pick("core", true); p != nil {
+		if p := w.pick(wire.ControlDaemon, true); p != nil {
 			w.slowDown(p, 5, w.ms(2000, 10000))
 		}
 	}},
@@ -164,7 +165,7 @@
 		}
 	}},
 	{"core disk slow", func(w *World) {
-		if p := w.pick("core", true); p != nil {
+		if p := w.pick(wire.ControlDaemon, true); p != nil {
 			w.slowDisk(p, 30, w.ms(2000, 10000))
 		}
 	}},
@@ -195,7 +196,7 @@
 // twoOrThreeCores are two or three living core members.
 func (w *World) twoOrThreeCores() []*Proc {
 	var l []*Proc
-	for _, n := range w.all("core") {
+	for _, n := range w.all(wire.ControlDaemon) {
 		if p := w.procs[n]; p.alive && !p.frozen {
 			l = append(l, p)
 		}
--- a/internal/verification/simulator/faults_network.go
+++ b/internal/verification/simulator/faults_network.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/wire"
 )
 
 // networkFaults are the faults of domains and links, and of messages that come late.
@@ -20,7 +21,7 @@
 	{"late words", func(w *World) {
 		for range 6 {
 			t := w.targets[w.rnd.IntN(len(w.targets))]
-			if p := w.pick([]string{"core", "gate"}[w.rnd.IntN(2)], true); p != nil && !t.alive {
+			if p := w.pick([]wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon}[w.rnd.IntN(2)], true); p != nil && !t.alive {
 				state := []string{config.Ready, config.Warming}[w.rnd.IntN(2)]
 				w.at(w.ms(0, 3000), func() { w.say(p, t, state) })
 			}
--- a/internal/verification/simulator/faults_operator.go
+++ b/internal/verification/simulator/faults_operator.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"maps"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"slices"
 	"time"
 )
@@ -14,25 +15,25 @@
 // operatorFaults are operators' changes, planned work, and the faults that meet them.
 var operatorFaults = []Fault{
 	{"config", func(w *World) {
-		if p := w.pick("core", true); p != nil {
+		if p := w.pick(wire.ControlDaemon, true); p != nil {
 			w.PutConfig(p, w.Revision(), w.docNumber())
 		}
 	}},
 	{"config patch", func(w *World) {
-		if p := w.pick("core", true); p != nil {
+		if p := w.pick(wire.ControlDaemon, true); p != nil {
 			b := w.Revision()
 			doc := fmt.Sprintf(`{"services":{"%s":{"timeout_ms":%d}}}`, slices.Sorted(maps.Keys(w.Plan.Services))[0], 1000+w.rnd.IntN(1000))
 			w.Change(p, "PATCH", "/v1/config", fmt.Sprintf("base=%d", b), []byte(doc), &change{what: "config", base: b})
 		}
 	}},
 	{"config rolled back", func(w *World) {
-		if p := w.pick("core", true); p != nil {
+		if p := w.pick(wire.ControlDaemon, true); p != nil {
 			b := w.Revision()
 			w.Change(p, "POST", "/v1/config/rollback", fmt.Sprintf("base=%d&to=%d", b, max(1, b-1)), nil, &change{what: "config", base: b})
 		}
 	}},
 	{"policy replaced", func(w *World) {
-		b, p := w.Revision(), w.pick("core", true)
+		b, p := w.Revision(), w.pick(wire.ControlDaemon, true)
 		if p == nil {
 			return
 		}
@@ -40,7 +41,7 @@
 			`{"slice":"probe","when":"misses_in_row >= 2 && missed >= 2","clear":"ok_in_row >= 1","decide":"bar","ttl_ms":20000}`}[w.rnd.IntN(2)]
 		w.Change(p, "PUT", "/v1/policies/default", fmt.Sprintf("base=%d", b), []byte(doc), &change{what: "config", base: b})
 		w.at(200*time.Millisecond, func() {
-			if p := w.pick("core", true); p != nil {
+			if p := w.pick(wire.ControlDaemon, true); p != nil {
 				b := w.Revision()
 				w.Change(p, "PUT", "/v1/policies/flap", fmt.Sprintf("base=%d", b), []byte(`{"slice":"probe","when":"flaps > 8","decide":"bar","ttl_ms":5000,"mode":"shadow"}`), &change{what: "config", base: b})
 			}
@@ -53,7 +54,7 @@
 		}
 		w.swapping = true
 		name := fmt.Sprintf("c%d", 20+len(w.names))
-		w.addProc("core", name, w.rnd.IntN(w.Plan.Domains))
+		w.addProc(wire.ControlDaemon, name, w.rnd.IntN(w.Plan.Domains))
 		w.start(w.procs[name])
 		w.log("%s is swapped for %s", old.name, name)
 		var ask func(what, name string, left int, then func())
@@ -88,7 +89,7 @@
 			return
 		}
 		w.log("core machines restart in turn")
-		for i, n := range w.all("core") {
+		for i, n := range w.all(wire.ControlDaemon) {
 			p := w.procs[n]
 			w.at(time.Duration(i)*8500*time.Millisecond, func() {
 				if w.mayHurtCore() == nil {
@@ -100,7 +101,7 @@
 	}},
 	{"all proxies forget", func(w *World) {
 		w.log("all proxies are killed at once")
-		for _, n := range w.all("gate") {
+		for _, n := range w.all(wire.ProxyDaemon) {
 			p := w.procs[n]
 			w.Kill(p)
 			w.at(w.ms(100, 1000), func() { w.Restart(p) })
@@ -109,7 +110,7 @@
 	{"config burst", func(w *World) {
 		for i := range 4 {
 			w.at(time.Duration(i)*40*time.Millisecond, func() {
-				if p := w.pick("core", true); p != nil {
+				if p := w.pick(wire.ControlDaemon, true); p != nil {
 					w.PutConfig(p, w.Revision(), w.docNumber())
 				}
 			})
@@ -118,13 +119,13 @@
 	{"config pair", func(w *World) {
 		b := w.Revision()
 		for range 2 {
-			if p := w.pick("core", true); p != nil {
+			if p := w.pick(wire.ControlDaemon, true); p != nil {
 				w.PutConfig(p, b, w.docNumber())
 			}
 		}
 	}},
 	{"config invalid", func(w *World) {
-		if p := w.pick("core", true); p != nil {
+		if p := w.pick(wire.ControlDaemon, true); p != nil {
 			w.Change(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), []byte(`{"services":{"fares":{"cap":0}},"junk":1}`), &change{what: "invalid"})
 		}
 	}},
@@ -142,7 +143,7 @@
 		})
 	}},
 	{"domain emptied and restored", func(w *World) {
-		p := w.pick("core", true)
+		p := w.pick(wire.ControlDaemon, true)
 		if p == nil {
 			return
 		}
@@ -160,7 +161,7 @@
 
 // restore is asked for until it is granted.
 func (w *World) restore(dom string) {
-	p := w.pick("core", true)
+	p := w.pick(wire.ControlDaemon, true)
 	if p == nil {
 		w.at(time.Second, func() { w.restore(dom) })
 		return
--- a/internal/verification/simulator/faults_target.go
+++ b/internal/verification/simulator/faults_target.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/wire"
 )
 
 // targetFaults are the faults of targets and of whole services.
@@ -99,7 +100,7 @@
 		}
 		svcs := slices.Sorted(maps.Keys(w.Plan.Services))
 		other := svcs[(slices.Index(svcs, t.service)+1)%len(svcs)]
-		if g := w.pick("gate", true); g != nil { // it still reaches the targets, and so who listens there next
+		if g := w.pick(wire.ProxyDaemon, true); g != nil { // it still reaches the targets, and so who listens there next
 			var ks [][2]string
 			for _, n := range w.names {
 				ks = append(ks, both(g.name, n)...)
@@ -127,7 +128,7 @@
 			return
 		}
 		w.removing = true
-		g := w.pick("gate", true)
+		g := w.pick(wire.ProxyDaemon, true)
 		w.log("empty and remove %s, hand its addresses to %s", gone, other)
 		var homes []*Target
 		for _, t := range slices.Clone(w.targets) {
--- a/internal/verification/simulator/fleet_test.go
+++ b/internal/verification/simulator/fleet_test.go
@@ -89,7 +89,7 @@
 				w.PutConfig(w.Leader(), 0, 1)
 				w.Back(10 * time.Second)
 				check(t, w)
-				for _, n := range w.all("core") { // a spare passes calls on too
+				for _, n := range w.all(wire.ControlDaemon) { // a spare passes calls on too
 					if !w.procs[n].core.Ready() {
 						t.Errorf("%s is not ready", n)
 					}
@@ -139,7 +139,7 @@
 				w.names = slices.DeleteFunc(w.names, func(n string) bool { return n == old.name })
 				w.at(w.ms(0, 6000), func() {
 					name := fmt.Sprintf("n%d", round)
-					w.addProc("core", name, int(old.domain[1]-'1'))
+					w.addProc(wire.ControlDaemon, name, int(old.domain[1]-'1'))
 					w.seeds = []string{ms[0], ms[len(ms)-1], name}
 					w.start(w.procs[name])
 				})
@@ -222,7 +222,7 @@
 		w := Start(seed, open([]int{3, 5, 7, 11}[seed%4], 3))
 		w.Run(w.now + 5*time.Second)
 		n := len(w.memberNames())
-		for _, name := range w.all("core") {
+		for _, name := range w.all(wire.ControlDaemon) {
 			if p := w.procs[name]; p.domain == "d1" {
 				w.Kill(p)
 			}
@@ -234,7 +234,7 @@
 		w.Run(w.now + 90*time.Second)
 		check(t, w)
 		t.Log(n, w.memberNames())
-		for _, name := range w.all("core") {
+		for _, name := range w.all(wire.ControlDaemon) {
 			w.Restart(w.procs[name])
 		}
 		w.Run(w.now + 20*time.Second)
@@ -320,7 +320,7 @@
 		w.cutFor(ks, 12*time.Second)
 		for i := range 8 {
 			name := fmt.Sprintf("g%d", 60+i)
-			w.addProc("gate", name, i%3)
+			w.addProc(wire.ProxyDaemon, name, i%3)
 			w.start(w.procs[name])
 			for _, g := range []string{"g1", "g2", "g3"} {
 				w.cutFor(both(g, name), 12*time.Second)
@@ -330,7 +330,7 @@
 		if seed%2 == 1 {
 			w.Kill(w.Leader())
 			w.at(2*time.Second, func() {
-				for _, n := range w.all("core") {
+				for _, n := range w.all(wire.ControlDaemon) {
 					w.Restart(w.procs[n])
 				}
 			})
@@ -356,12 +356,12 @@
 	f := func(name string) Fault { x, _ := ByName(name); return x }
 	kinds := []Fault{f("gate herd killed"), f("gate isolated"), f("domain cut off"), f("leader killed"), f("config"), f("core cut off from proxies"),
 		{"spares come", func(w *World) {
-			if len(w.all("gate")) > w.Plan.Gates+8 {
+			if len(w.all(wire.ProxyDaemon)) > w.Plan.Gates+8 {
 				return
 			}
 			for range 4 {
 				name := fmt.Sprintf("g%d", 100+len(w.names))
-				w.addProc("gate", name, w.rnd.IntN(w.Plan.Domains))
+				w.addProc(wire.ProxyDaemon, name, w.rnd.IntN(w.Plan.Domains))
 				w.start(w.procs[name])
 			}
 		}}}
@@ -378,13 +378,13 @@
 func TestTableWithoutDocument(t *testing.T) {
 	t.Parallel()
 	whole := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: 1}, Seq: 5, Revision: 2, Doc: []byte(`{}`), State: []byte(`{"seq":5}`), Gates: []wire.Gate{{Name: "g1", Addr: "g1"}}}
-	core1 := &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: "core", Addr: "c1"}, Leader: "c1"}}
+	core1 := &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1"}, Leader: "c1"}}
 	for _, c := range []struct {
 		first *wire.Table
 		seq   uint64
 		takes bool
 	}{{nil, 5, false}, {whole, 5, true}, {whole, 6, false}} {
-		g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Inc: 9}})
+		g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Inc: 9}})
 		g.Step(1, statemachine.Receive{Message: core1})
 		push := func(now time.Duration, t *wire.Table) []statemachine.Command {
 			return g.Step(now, statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: 1, Disk: 9, Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
--- a/internal/verification/simulator/found_test.go
+++ b/internal/verification/simulator/found_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/wire"
 	"strings"
 	"testing"
 	"time"
@@ -21,7 +22,7 @@
 	w.log("fates %s, proxies forget %v", fates, forget)
 	var cut []string
 	for i, f := range fates {
-		p := w.procs[w.all("core")[i]]
+		p := w.procs[w.all(wire.ControlDaemon)[i]]
 		switch f {
 		case cutOff:
 			cut = append(cut, p.name)
@@ -39,7 +40,7 @@
 	if len(cut) > 0 { // alone or together
 		w.isolate(cut, time.Hour, true, true)
 	}
-	for _, n := range w.all("gate") {
+	for _, n := range w.all(wire.ProxyDaemon) {
 		if p := w.procs[n]; forget {
 			w.Kill(p)
 			w.at(w.ms(200, 2000), func() { w.Restart(p) })
@@ -131,10 +132,10 @@
 					var gone []string
 					for i, f := range fates {
 						if f == 'g' {
-							gone = append(gone, w.all("core")[i])
+							gone = append(gone, w.all(wire.ControlDaemon)[i])
 						}
 					}
-					at := w.procs[w.all("core")[strings.IndexAny(fates, "wl")]]
+					at := w.procs[w.all(wire.ControlDaemon)[strings.IndexAny(fates, "wl")]]
 					r, _ := w.inquire(t, at, "POST", "/v1/core/refound", "gone="+strings.Join(gone, ","), "", "")
 					w.Run(w.now + 10*time.Second)
 					check(t, w)
@@ -164,7 +165,7 @@
 				} else if l != nil {
 					epoch := l.core.Status(0).Epoch
 					for i, f := range fates {
-						if s := w.procs[w.all("core")[i]].core.Status(0); f != gone && (s.Epoch != epoch || s.Leader == "") {
+						if s := w.procs[w.all(wire.ControlDaemon)[i]].core.Status(0); f != gone && (s.Epoch != epoch || s.Leader == "") {
 							t.Errorf("c%d: epoch %d, leader %q, the leader's epoch %d\n%s", i+1, s.Epoch, s.Leader, epoch, w.Trace(30))
 						}
 					}
--- a/internal/verification/simulator/grown_test.go
+++ b/internal/verification/simulator/grown_test.go
@@ -10,6 +10,7 @@
 
 	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/wire"
 )
 
 // grown is a fleet of many proxies on little: a sixth of a processor and a thin link each.
@@ -21,7 +22,7 @@
 }
 
 func granted(w *World) (n int) {
-	for _, g := range w.all("gate") {
+	for _, g := range w.all(wire.ProxyDaemon) {
 		if p := w.procs[g]; p.alive && p.gate.State() == dataplane.Granted {
 			n++
 		}
@@ -49,16 +50,16 @@
 			if w.Run(w.now + 6*time.Second); granted(w) < 69 {
 				t.Errorf("seed %d: %d of 69 proxies are granted 6 s after the leader died\n%s", seed, granted(w), w.Trace(40))
 			}
-			for _, c := range w.all("core") {
+			for _, c := range w.all(wire.ControlDaemon) {
 				w.Restart(w.procs[c])
 			}
 			w.Run(w.now + 3*time.Second)
 		}
-		for _, g := range w.all("gate") {
+		for _, g := range w.all(wire.ProxyDaemon) {
 			w.Kill(w.procs[g])
 		}
 		w.Run(w.now + time.Second)
-		for _, g := range w.all("gate") {
+		for _, g := range w.all(wire.ProxyDaemon) {
 			w.Restart(w.procs[g])
 		}
 		if w.Run(w.now + 4*time.Second); granted(w) < 69 {
@@ -87,7 +88,7 @@
 				continue
 			}
 			want := l.core.Table()
-			for _, g := range w.all("gate") {
+			for _, g := range w.all(wire.ProxyDaemon) {
 				p := w.procs[g]
 				if !p.alive || p.gate.Table() == nil || p.gate.Table().Key != want.Key {
 					continue
@@ -195,7 +196,7 @@
 				from, at := w.acked, w.now
 				for w.now < at+5*time.Second && w.acked == from && w.Fail == "" {
 					if l := w.Leader(); l != nil {
-						w.PutConfig(w.procs[w.all("core")[w.rnd.IntN(len(w.all("core")))]], w.Revision(), n)
+						w.PutConfig(w.procs[w.all(wire.ControlDaemon)[w.rnd.IntN(len(w.all(wire.ControlDaemon)))]], w.Revision(), n)
 					}
 					w.until(4*time.Second, func() bool { return w.acked > from })
 				}
@@ -212,7 +213,7 @@
 				old := w.Leader()
 				name := fmt.Sprintf("n%d", i)
 				arrive := func() {
-					w.addProc("core", name, int(old.domain[1]-'1'))
+					w.addProc(wire.ControlDaemon, name, int(old.domain[1]-'1'))
 					w.start(w.procs[name])
 				}
 				if planned {
@@ -228,7 +229,7 @@
 				w.Run(w.now + 3*time.Second)
 				change("a leader went for good")
 			}
-			herd := w.all("gate")[:30]
+			herd := w.all(wire.ProxyDaemon)[:30]
 			for _, g := range herd {
 				w.Kill(w.procs[g])
 			}
@@ -245,7 +246,7 @@
 				w.WipeDisk(w.procs[m])
 			}
 			w.Run(w.now + 1500*time.Millisecond)
-			for _, c := range w.all("core") {
+			for _, c := range w.all(wire.ControlDaemon) {
 				w.Restart(w.procs[c])
 			}
 			w.Run(w.now + 6*time.Second)
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -15,7 +15,7 @@
 // says which guard was taken out to see it fail.
 
 func followers(w *World) (l []*Proc) {
-	for _, n := range w.all("core") {
+	for _, n := range w.all(wire.ControlDaemon) {
 		if p := w.procs[n]; p.alive && p != w.Leader() {
 			l = append(l, p)
 		}
@@ -54,7 +54,7 @@
 			}
 			w.PutConfig(l, 1, 2)
 			w.Run(w.now + 350*time.Millisecond)
-			for _, n := range w.all("core") {
+			for _, n := range w.all(wire.ControlDaemon) {
 				w.procs[n].disk.open = nil // power goes before anything more is written
 			}
 			w.killAll()
@@ -161,13 +161,13 @@
 	for _, n := range []string{"g1", "g2", "g3", "g4", "g5"} {
 		tab.Gates = append(tab.Gates, wire.Gate{Name: n, Addr: n})
 	}
-	g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: "gate", Inc: 9}})
+	g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Inc: 9}})
 	say := func(now time.Duration, m *wire.Msg) []statemachine.Command {
 		return g.Step(now, statemachine.Receive{Message: m})
 	}
-	say(2, &wire.Msg{Kind: uint16(wire.KHello), From: "g2", Hello: &wire.Hello{Self: wire.Daemon{Name: "g2", Kind: "gate", Addr: "g2"}}})
+	say(2, &wire.Msg{Kind: uint16(wire.KHello), From: "g2", Hello: &wire.Hello{Self: wire.Daemon{Name: "g2", Kind: wire.ProxyDaemon, Addr: "g2"}}})
 	say(3, &wire.Msg{Kind: uint16(wire.KPush), From: "g2", Stamp: 2, Disk: 9, Push: &wire.Push{Grant: true, Key: tab.Key, Table: tab}})
-	for _, c := range say(4, &wire.Msg{Kind: uint16(wire.KPull), From: "g2", Stamp: 4, Pull: &wire.Pull{Self: wire.Daemon{Name: "g2", Kind: "gate", Addr: "g2"}}}) {
+	for _, c := range say(4, &wire.Msg{Kind: uint16(wire.KPull), From: "g2", Stamp: 4, Pull: &wire.Pull{Self: wire.Daemon{Name: "g2", Kind: wire.ProxyDaemon, Addr: "g2"}}}) {
 		if s, ok := c.(statemachine.Send); ok && s.Message.Push != nil {
 			if s.Message.Push.Grant || g.Serving() {
 				t.Fatal("an unsettled proxy vouches for its table, or serves")
@@ -187,7 +187,7 @@
 	w.Run(w.now + 5*time.Second)
 	tg := w.targets[0]
 	in := func() (n int) {
-		for _, g := range w.all("gate") {
+		for _, g := range w.all(wire.ProxyDaemon) {
 			for _, x := range w.procs[g].gate.Table().Targets {
 				if x.Name == tg.name && x.BarLeft == 0 {
 					n++
@@ -382,7 +382,7 @@
 	for seed := range uint64(40) {
 		if late := latest(t, seed, func(w *World, tg *Target) {
 			w.Kill(w.Leader())
-			for _, n := range w.all("gate")[1:] { // new proxies, which have seen nothing; one remembers the table
+			for _, n := range w.all(wire.ProxyDaemon)[1:] { // new proxies, which have seen nothing; one remembers the table
 				w.Kill(w.procs[n])
 				w.at(100*time.Millisecond, func() { w.Restart(w.procs[n]) })
 			}
@@ -400,7 +400,7 @@
 		if late := latest(t, seed, func(w *World, tg *Target) {
 			w.Crash(tg)
 			w.Run(w.now + 300*time.Millisecond)
-			w.isolate(w.all("core"), 10*time.Second, true, true)
+			w.isolate(w.all(wire.ControlDaemon), 10*time.Second, true, true)
 		}); late > 2*time.Second {
 			t.Errorf("seed %d: chosen %v after its death", seed, late)
 		}
@@ -420,7 +420,7 @@
 		w.Change(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, &change{what: "empty d1", empty: "d1"})
 		w.Run(w.now + 9*time.Second)
 		check(t, w)
-		for _, n := range w.all("gate") {
+		for _, n := range w.all(wire.ProxyDaemon) {
 			stale += w.procs[n].gate.Counts.StaleChoices
 		}
 	}
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
 // threeMembers is a core of three in three domains, one each, after its first change.
@@ -32,7 +33,7 @@
 
 // addStandby starts an empty core daemon in a domain.
 func (w *World) addStandby(name string, domain int) *Proc {
-	w.addProc("core", name, domain-1)
+	w.addProc(wire.ControlDaemon, name, domain-1)
 	w.start(w.procs[name])
 	return w.procs[name]
 }
--- a/internal/verification/simulator/history.go
+++ b/internal/verification/simulator/history.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"fmt"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"net/url"
 	"strconv"
 	"strings"
@@ -114,7 +115,7 @@
 
 // Readers has an operator read the configuration again and again, at any member.
 func (w *World) Readers(every time.Duration) {
-	cores := w.all("core")
+	cores := w.all(wire.ControlDaemon)
 	if p := w.procs[cores[w.rnd.IntN(len(cores))]]; p.alive && !w.quiet {
 		w.call(p, "GET", "/v1/config", "", nil, "", func(statemachine.Reply) {})
 	}
@@ -124,13 +125,13 @@
 // loseMajority tells the history when a majority of the core's disks is gone at once: what
 // had been agreed and not acknowledged may go with them.
 func (w *World) loseMajority(p *Proc) {
-	if p.kind != "core" {
+	if p.kind != wire.ControlDaemon {
 		return
 	}
 	p.wipedAt = w.now
-	wiped, cores := 0, len(w.all("core"))
+	wiped, cores := 0, len(w.all(wire.ControlDaemon))
 	for _, o := range w.procs { // those that were replaced are not among the names any more
-		if o.kind == "core" && o.wipedAt > 0 && w.now-o.wipedAt < wipeSpan {
+		if o.kind == wire.ControlDaemon && o.wipedAt > 0 && w.now-o.wipedAt < wipeSpan {
 			wiped++
 		}
 	}
--- a/internal/verification/simulator/kept_test.go
+++ b/internal/verification/simulator/kept_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"testing"
 	"time"
 )
@@ -27,7 +28,7 @@
 		}
 		w.Run(w.now + 3*time.Second)
 		w.planned = true
-		for i, name := range w.all("gate") {
+		for i, name := range w.all(wire.ProxyDaemon) {
 			p := w.procs[name]
 			w.at(time.Duration(i)*2*time.Second, func() { w.bounce(p, keptPlan().Grace) })
 		}
--- a/internal/verification/simulator/operate_test.go
+++ b/internal/verification/simulator/operate_test.go
@@ -175,7 +175,7 @@
 			w.Change(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), b, &change{what: "big"})
 		}
 		w.Run(w.now + 60*time.Millisecond)
-		for _, n := range w.all("core") {
+		for _, n := range w.all(wire.ControlDaemon) {
 			rec, err := wire.EncodeBatch(w.procs[n].disk.img.Whole())
 			if err != nil {
 				t.Fatal(err)
--- a/internal/verification/simulator/operators_bounds_test.go
+++ b/internal/verification/simulator/operators_bounds_test.go
@@ -35,7 +35,7 @@
 			t.Parallel()
 			w := Start(5, plan)
 			w.Run(w.now + 6*time.Second)
-			cores := w.all("core")
+			cores := w.all(wire.ControlDaemon)
 			slowest := time.Duration(0)
 			for i, call := range []string{"d1/empty", "d2/empty", "d1/restore", "d1/empty", "d2/restore", "d1/restore"} {
 				from, took := w.now, time.Duration(0)
@@ -70,13 +70,13 @@
 					w.PutConfig(w.Leader(), w.Revision(), 3+looks/40)
 				}
 				w.Run(w.now + lookEvery)
-				for _, g := range w.all("gate") {
+				for _, g := range w.all(wire.ProxyDaemon) {
 					if w.procs[g].gate.Ready() {
 						ready[g]++
 					}
 				}
 			}
-			for _, g := range w.all("gate") {
+			for _, g := range w.all(wire.ProxyDaemon) {
 				if 8*ready[g] < readyEighths*looks {
 					t.Errorf("%s was ready at %d of %d looks", g, ready[g], looks)
 				}
@@ -106,7 +106,7 @@
 	served, asked := map[string]int{}, map[string]int{}
 	for range 20 {
 		w.Run(w.now + 500*time.Millisecond)
-		for _, g := range w.all("gate") {
+		for _, g := range w.all(wire.ProxyDaemon) {
 			table := w.procs[g].gate.Table()
 			if table == nil {
 				continue
--- a/internal/verification/simulator/overload_test.go
+++ b/internal/verification/simulator/overload_test.go
@@ -10,6 +10,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
 // busyFerry is the ferry fleet under so much traffic that every target is heard of all the time.
@@ -51,7 +52,7 @@
 
 // leadsLost is how often a core daemon that runs has lost the lead.
 func (w *World) leadsLost() (n uint64) {
-	for _, c := range w.all("core") {
+	for _, c := range w.all(wire.ControlDaemon) {
 		if p := w.procs[c]; p.alive {
 			n += p.core.Status(p.local()).Counts.LeasesLost
 		}
@@ -145,7 +146,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := startLeased(t, seed, busyFerry())
-			for _, c := range w.all("core") {
+			for _, c := range w.all(wire.ControlDaemon) {
 				w.Kill(w.procs[c])
 			}
 			w.Run(w.now + 2*time.Second)
@@ -180,12 +181,12 @@
 			w.release(0.3, 4, 500*time.Millisecond)
 			var cut []*Proc
 			var links [][2]string
-			for i, g := range w.all("gate") {
+			for i, g := range w.all(wire.ProxyDaemon) {
 				if i%4 > 0 {
 					continue
 				}
 				cut = append(cut, w.procs[g])
-				for _, c := range w.all("core") {
+				for _, c := range w.all(wire.ControlDaemon) {
 					links = append(links, both(g, c)...)
 				}
 			}
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -31,7 +31,7 @@
 type Proc struct {
 	w        *World
 	name     string
-	kind     string
+	kind     wire.DaemonKind
 	domain   string
 	addr     string
 	alive    bool
@@ -69,9 +69,9 @@
 	wipedAt        time.Duration // when its disk was last lost, 0: never
 }
 
-func (w *World) addProc(kind, name string, domain int) {
+func (w *World) addProc(kind wire.DaemonKind, name string, domain int) {
 	p := &Proc{w: w, name: name, kind: kind, domain: fmt.Sprintf("d%d", domain+1), addr: fmt.Sprintf("10.0.0.%d:1", len(w.byAddr)+1), disk: &disk{}}
-	if kind == "core" {
+	if kind == wire.ControlDaemon {
 		p.disk.img.Disk = w.rnd.Uint64() | 1
 	}
 	w.procs[name] = p
@@ -102,7 +102,7 @@
 		seeds = append(seeds, w.procs[n].addr)
 	}
 	self := wire.Daemon{Name: p.name, Kind: p.kind, Domain: p.domain, Addr: p.addr, Http: p.addr, Inc: w.rnd.Uint64() | 1}
-	if p.kind == "core" {
+	if p.kind == wire.ControlDaemon {
 		p.disk.open = nil
 		img := p.disk.img
 		img.Log = slices.Clone(img.Log)
@@ -294,7 +294,7 @@
 		}
 		w.sync(p, gen, d)
 	case statemachine.Probe:
-		if p.kind == "gate" {
+		if p.kind == wire.ProxyDaemon {
 			w.Stats.ProxyProbes++
 		}
 		if w.Plan.Scarce != nil { // the question, and the answer
@@ -384,7 +384,7 @@
 	return nil
 }
 
-func (w *World) pick(kind string, alive bool) *Proc {
+func (w *World) pick(kind wire.DaemonKind, alive bool) *Proc {
 	var l []*Proc
 	for _, n := range w.names {
 		if p := w.procs[n]; p.kind == kind && p.alive == alive {
--- a/internal/verification/simulator/registry_test.go
+++ b/internal/verification/simulator/registry_test.go
@@ -12,7 +12,7 @@
 
 // lossOfAll ends all daemons, some of them with what their disks had only, and starts them again.
 func (w *World) lossOfAll() {
-	for _, n := range w.all("core") {
+	for _, n := range w.all(wire.ControlDaemon) {
 		w.procs[n].disk.open = nil
 	}
 	w.killAll()
@@ -69,7 +69,7 @@
 			method, path, query = "DELETE", "/v1/targets/"+x.service+"/"+x.name, fmt.Sprintf("incarnation=%d", x.inc)
 		}
 		b := []byte(fmt.Sprintf(`{"service":%q,"name":%q,"incarnation":%d,"address":%q,"domain":%q,"state":"leaving"}`, word.Service, word.Name, word.Inc, word.Addr, word.Domain))
-		if r, _ := w.inquire(t, w.procs[w.all("core")[int(seed)%3]], method, path, query, string(b), ""); r.Status != 200 {
+		if r, _ := w.inquire(t, w.procs[w.all(wire.ControlDaemon)[int(seed)%3]], method, path, query, string(b), ""); r.Status != 200 {
 			t.Fatalf("seed %d: %d %s", seed, r.Status, r.Body)
 		}
 		w.lossOfAll()
--- a/internal/verification/simulator/replacement.go
+++ b/internal/verification/simulator/replacement.go
@@ -5,6 +5,7 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/wire"
 	"slices"
 	"time"
 )
@@ -24,7 +25,7 @@
 	name := fmt.Sprintf("r%d", w.replaced)
 	successor := func() {
 		w.log("%s comes in place of %s", name, old.name)
-		w.addProc("core", name, int(old.domain[1]-'1'))
+		w.addProc(wire.ControlDaemon, name, int(old.domain[1]-'1'))
 		w.seeds = w.someCores(name)
 		w.start(w.procs[name])
 	}
@@ -91,7 +92,7 @@
 // someCores are the addresses that a process started now is told: up to three living
 // core daemons, the named one left out if there are others.
 func (w *World) someCores(but string) (seeds []string) {
-	for _, n := range w.all("core") {
+	for _, n := range w.all(wire.ControlDaemon) {
 		if w.procs[n].alive && n != but && len(seeds) < 3 {
 			seeds = append(seeds, n)
 		}
--- a/internal/verification/simulator/replacement_test.go
+++ b/internal/verification/simulator/replacement_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
 const (
@@ -67,7 +68,7 @@
 		case 0, 1:
 			p = w.Leader()
 		case 2:
-			p = w.pick("core", true)
+			p = w.pick(wire.ControlDaemon, true)
 		}
 		if p.alive && !slices.Contains(l, p) {
 			l = append(l, p)
@@ -107,7 +108,7 @@
 	end := w.now + d
 	var next func()
 	next = func() {
-		if p := w.pick("core", true); p != nil && w.now < end {
+		if p := w.pick(wire.ControlDaemon, true); p != nil && w.now < end {
 			w.PutConfig(p, w.Revision(), w.docNumber())
 			w.at(100*time.Millisecond, next)
 		}
@@ -249,7 +250,7 @@
 				dom := w.domain()
 				w.log("round %d: domain %s is lost", round, dom)
 				d := w.ms(500, 8000)
-				for _, n := range w.all("core") {
+				for _, n := range w.all(wire.ControlDaemon) {
 					if p := w.procs[n]; p.domain == dom {
 						w.Kill(p)
 						w.at(d, func() { w.Restart(p) })
@@ -306,7 +307,7 @@
 	w.history.Reset()
 	w.history.Read(w.now).Return(w.now, unacknowledged, "")
 	for i, left := range []int{1, 0} {
-		w.ReplaceCore(w.procs[w.all("core")[0]], false, time.Second, func(time.Duration) {})
+		w.ReplaceCore(w.procs[w.all(wire.ControlDaemon)[0]], false, time.Second, func(time.Duration) {})
 		if w.history.Len() != left {
 			t.Errorf("after %d replaced machines the history holds %d reads of what may be lost, not %d", i+1, w.history.Len(), left)
 		}
--- a/internal/verification/simulator/request.go
+++ b/internal/verification/simulator/request.go
@@ -6,6 +6,7 @@
 import (
 	"maps"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"slices"
 	"time"
 
@@ -62,13 +63,13 @@
 func (w *World) pickProxy() *Proc {
 	var ready []*Proc
 	for _, n := range w.names {
-		if p := w.procs[n]; p.kind == "gate" && p.alive && !p.frozen && p.gate.Ready() {
+		if p := w.procs[n]; p.kind == wire.ProxyDaemon && p.alive && !p.frozen && p.gate.Ready() {
 			ready = append(ready, p)
 		}
 	}
 	if len(ready) == 0 {
 		for _, n := range w.names {
-			if p := w.procs[n]; p.kind == "gate" && p.alive && !p.intakeClosed {
+			if p := w.procs[n]; p.kind == wire.ProxyDaemon && p.alive && !p.intakeClosed {
 				ready = append(ready, p)
 			}
 		}
--- a/internal/verification/simulator/resume_test.go
+++ b/internal/verification/simulator/resume_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
 // known is how many targets a leader knows, and hearsay how many of them have to prove themselves
@@ -23,7 +24,7 @@
 // cutOff cuts a core member from the other core daemons, both ways, for a time.
 func (w *World) cutOff(p *Proc, d time.Duration) {
 	var ks [][2]string
-	for _, n := range w.all("core") {
+	for _, n := range w.all(wire.ControlDaemon) {
 		if n != p.name {
 			ks = append(ks, [2]string{n, p.name}, [2]string{p.name, n})
 		}
@@ -111,7 +112,7 @@
 	for seed := range uint64(24) {
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
-		cores, gates := w.all("core"), w.all("gate")
+		cores, gates := w.all(wire.ControlDaemon), w.all(wire.ProxyDaemon)
 		for _, c := range cores {
 			w.cutOff(w.procs[c], 2300*time.Millisecond)
 		}
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -4,11 +4,11 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -168,9 +168,9 @@
 	if r := l.core.Revision(); r < w.acked {
 		w.broken("forgotten", "revision %d was acknowledged, the leader has %d", w.acked, r)
 	}
-	kept := map[string]controlplane.Record{}
+	kept := map[string]state.Record{}
 	for _, r := range l.core.Records() {
-		kept[r.Id] = r
+		kept[r.ID] = r
 	}
 	for _, c := range w.changes {
 		if r, ok := kept[c.token]; ok {
--- a/internal/verification/simulator/same_change_test.go
+++ b/internal/verification/simulator/same_change_test.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"myrtlefold/internal/shared/wire"
 	"testing"
 	"time"
 )
@@ -13,7 +14,7 @@
 		for seed := range uint64(6) {
 			w := Start(seed+1, Small)
 			for i, n := range []int{7, second} {
-				w.PutConfig(w.procs[w.all("core")[i]], 1, n)
+				w.PutConfig(w.procs[w.all(wire.ControlDaemon)[i]], 1, n)
 			}
 			w.Run(w.now + 8*time.Second)
 			check(t, w)
--- a/internal/verification/simulator/scarce.go
+++ b/internal/verification/simulator/scarce.go
@@ -31,7 +31,7 @@
 
 // share is the part of a processor that a process has.
 func (s *Scarce) share(p *Proc) float64 {
-	if p.kind == "core" {
+	if p.kind == wire.ControlDaemon {
 		return s.CoreShare
 	}
 	return s.GateShare
@@ -90,14 +90,14 @@
 func (w *World) scarce(p, to *Proc, m *wire.Msg, d time.Duration) {
 	n := weigh(m)
 	at := w.work(p, workOnMessage(m, "send"), messageCost(n))
-	if p.kind == "gate" {
+	if p.kind == wire.ProxyDaemon {
 		if p.out-w.now > tuning.SendLate {
 			return
 		}
 		at = w.pass(at, &p.out, n)
 	}
 	at += d
-	if to.kind == "gate" {
+	if to.kind == wire.ProxyDaemon {
 		if to.in-w.now > tuning.SendLate {
 			return
 		}
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -93,7 +93,7 @@
 			for i, n := range w.names {
 				p := w.procs[n]
 				w.Kill(p)
-				if p.kind == "core" {
+				if p.kind == wire.ControlDaemon {
 					w.WipeDisk(p)
 				}
 				if i > 0 {
@@ -180,7 +180,7 @@
 // spoil takes a guard out of what one daemon says to another.
 func (w *World) spoil(from, to *Proc, m *wire.Msg) *wire.Msg {
 	switch {
-	case w.sabotage == "hellos" && m.Hello != nil && from.kind == "core" && to.kind == "core":
+	case w.sabotage == "hellos" && m.Hello != nil && from.kind == wire.ControlDaemon && to.kind == wire.ControlDaemon:
 		return nil
 	case w.sabotage == "emptied":
 		return altered(m, func(t *wire.Table) { t.Emptied = nil })
@@ -267,7 +267,7 @@
 // insist asks for a change as mfctl does: under one id, of one member after another,
 // for 8 s.
 func (w *World) insist(from time.Duration, i int, r *Row) {
-	cores, svcs := w.all("core"), slices.Sorted(maps.Keys(w.Plan.Services))
+	cores, svcs := w.all(wire.ControlDaemon), slices.Sorted(maps.Keys(w.Plan.Services))
 	p := w.procs[cores[i%len(cores)]]
 	again := func(o string) {
 		if r.Outcome = o; w.now-from < 8*time.Second {
--- a/internal/verification/simulator/sim.go
+++ b/internal/verification/simulator/sim.go
@@ -162,10 +162,10 @@
 		w.digest = newDigest()
 	}
 	for i := range p.Cores {
-		w.addProc("core", fmt.Sprintf("c%d", i+1), i%p.Domains)
+		w.addProc(wire.ControlDaemon, fmt.Sprintf("c%d", i+1), i%p.Domains)
 	}
 	for i := range p.Gates {
-		w.addProc("gate", fmt.Sprintf("g%d", i+1), i%p.Domains)
+		w.addProc(wire.ProxyDaemon, fmt.Sprintf("g%d", i+1), i%p.Domains)
 	}
 	w.seeds = w.names[:min(3, len(w.names))]
 	if p.Seeds > 0 {
--- a/internal/verification/simulator/sim_test.go
+++ b/internal/verification/simulator/sim_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"myrtlefold/internal/shared/wire"
 	"testing"
 	"time"
 )
@@ -41,12 +42,12 @@
 		w.Run(w.now + 2*time.Second)
 		w.Change(w.Leader(), "POST", "/v1/domains/d2/empty", "", nil, &change{what: "empty d2", empty: "d2"})
 		w.Run(w.now + 3*time.Second)
-		for _, n := range w.all("core") {
+		for _, n := range w.all(wire.ControlDaemon) {
 			w.Kill(w.procs[n])
 			w.WipeDisk(w.procs[n])
 		}
 		w.Run(w.now + time.Second)
-		for _, n := range w.all("core") {
+		for _, n := range w.all(wire.ControlDaemon) {
 			w.Restart(w.procs[n])
 		}
 		w.Back(15 * time.Second)
@@ -69,7 +70,7 @@
 		keep := w.Leader()
 		for _, n := range w.names {
 			w.Kill(w.procs[n])
-			if p := w.procs[n]; p.kind == "core" && p != keep {
+			if p := w.procs[n]; p.kind == wire.ControlDaemon && p != keep {
 				w.WipeDisk(p)
 			}
 		}
@@ -96,7 +97,7 @@
 		w.Run(w.now + 2*time.Second)
 		for _, n := range w.names {
 			w.Kill(w.procs[n])
-			if p := w.procs[n]; p.kind == "core" {
+			if p := w.procs[n]; p.kind == wire.ControlDaemon {
 				w.WipeDisk(p)
 			}
 		}
@@ -126,7 +127,7 @@
 	w := Start(3, Small)
 	for i := range 3 {
 		name := []string{"c7", "c8", "c9"}[i]
-		w.addProc("core", name, i)
+		w.addProc(wire.ControlDaemon, name, i)
 		w.start(w.procs[name])
 		w.Run(w.now + 2*time.Second)
 		old := []string{"c1", "c2", "c3"}[i]
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"flag"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"path/filepath"
@@ -85,7 +86,7 @@
 			if again, err := wire.EncodeBatch(read.Whole()); err != nil || !bytes.Equal(again, want) {
 				t.Fatalf("%v; read and written again it is another image", err)
 			}
-			status, err := json.MarshalIndent(controlplane.New(0, controlplane.Settings{Self: wire.Daemon{Name: "c1", Kind: "core"}}, read).Status(0), "", " ")
+			status, err := json.MarshalIndent(controlplane.New(0, controlplane.Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon}}, read).Status(0), "", " ")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -116,12 +117,12 @@
 // What a proxy remembers for a core that has lost all is read, and written again byte for byte.
 func TestStoredProxyMemory(t *testing.T) {
 	w := Start(11, Small)
-	for _, name := range w.all("core") {
+	for _, name := range w.all(wire.ControlDaemon) {
 		w.Kill(w.procs[name])
 	}
 	w.Run(w.now + 3*time.Second)
 	gate, member := w.procs["g1"], w.procs["c1"]
-	self := wire.Daemon{Name: member.name, Kind: "core", Domain: member.domain, Addr: member.addr, Inc: 1}
+	self := wire.Daemon{Name: member.name, Kind: wire.ControlDaemon, Domain: member.domain, Addr: member.addr, Inc: 1}
 	gate.gate.Step(gate.local(), statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
 	var memory []byte
 	for step := time.Duration(0); memory == nil; step += tuning.TickEvery {
@@ -142,7 +143,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var recovered controlplane.RecoveredState
+	var recovered state.RecoveredState
 	if err := json.Unmarshal(plain, &recovered); err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +151,7 @@
 	if err != nil || !bytes.Equal(wire.Compress(again), want) {
 		t.Fatalf("%v; read and written again it is another memory", err)
 	}
-	var state controlplane.State
+	var state state.State
 	if err := json.Unmarshal(recovered.State, &state); err != nil || state.Revision != w.acked || w.acked == 0 {
 		t.Fatal(state.Revision, err)
 	}
--- a/internal/verification/simulator/targets_test.go
+++ b/internal/verification/simulator/targets_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Silence alone refuses nobody: a domain cut off for longer than a silent target's
@@ -54,7 +55,7 @@
 			w.say(w.Leader(), old, config.Ready) // before anything else is heard
 		}
 		for range 20 {
-			w.say(w.pick("gate", true), old, config.Ready)
+			w.say(w.pick(wire.ProxyDaemon, true), old, config.Ready)
 			w.say(w.Leader(), old, config.Warming)
 			w.Run(w.now + 50*time.Millisecond)
 			if w.served(old) {
@@ -98,7 +99,7 @@
 			if w.now > 60*time.Second && w.now < 60*time.Second+100*time.Millisecond {
 				w.Kill(w.Leader())
 				w.Run(w.now + 2*time.Second)
-				w.Restart(w.pick("core", false))
+				w.Restart(w.pick(wire.ControlDaemon, false))
 			}
 		}
 		check(t, w)
@@ -151,7 +152,7 @@
 		w.Run(w.now + 3*time.Second)
 		for _, x := range dead {
 			w.say(w.Leader(), x, config.Ready)
-			w.say(w.pick("gate", true), x, config.Ready)
+			w.say(w.pick(wire.ProxyDaemon, true), x, config.Ready)
 		}
 		w.Run(w.now + 2*time.Second)
 		check(t, w)
@@ -165,7 +166,7 @@
 	roll, _ := ByName("service rolled")
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
-		for _, n := range w.all("core") {
+		for _, n := range w.all(wire.ControlDaemon) {
 			w.Kill(w.procs[n])
 		}
 		w.Run(w.now + 2*time.Second)
--- a/internal/verification/simulator/trouble_test.go
+++ b/internal/verification/simulator/trouble_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Random days hold at any size of the core, also where it bears no loss.
@@ -26,7 +27,7 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := Start(seed+1, Small)
-		p := w.procs[w.all("core")[seed%3]] // the leader among them
+		p := w.procs[w.all(wire.ControlDaemon)[seed%3]] // the leader among them
 		started, written := p.gen, len(p.disk.img.Log)
 		w.fillDisk(p, 6*time.Second)
 		for n := range 3 {
@@ -63,7 +64,7 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := Start(seed+1, Small)
-		for _, n := range w.all("core") {
+		for _, n := range w.all(wire.ControlDaemon) {
 			w.slowDisk(w.procs[n], 30, 20*time.Second)
 		}
 		for i := range 5 {
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -24,7 +24,7 @@
 
 // out counts the proxies whose table does not let anything be sent to a target.
 func (w *World) out(name string) (n int) {
-	for _, g := range w.all("gate") {
+	for _, g := range w.all(wire.ProxyDaemon) {
 		if p := w.procs[g]; p.alive && p.gate.Table() != nil {
 			if e := entry(p.gate.Table(), name); e == nil || e.Held {
 				n++
@@ -390,7 +390,7 @@
 
 // cores are the members.
 func (w *World) cores() (l []*Proc) {
-	for _, n := range w.all("core") {
+	for _, n := range w.all(wire.ControlDaemon) {
 		l = append(l, w.procs[n])
 	}
 	return l
