--- a/internal/controlplane/configcall.go
+++ b/internal/controlplane/configcall.go
@@ -39,7 +39,7 @@
 // screen looks at a change of the configuration before anything is made of it: its size,
 // its base, and whether the very same call has been taken already. sum stands for the
 // call: its kind, its base and what its body says.
-func (c *Core) precheckChange(now time.Duration, p *pending, a *wire.Ask, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
+func (c *Core) precheckChange(now time.Duration, p *pending, a *wire.Call, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
 	if len(text) > tuning.DocMax {
 		c.answer(p, tooLarge())
 		return nil, false
@@ -78,7 +78,7 @@
 	c.waiters = append(c.waiters, &commitWaiter{version: c.tableVersion, since: now, p: p, reply: accepted(p.token, revision)})
 }
 
-func (c *Core) patch(now time.Duration, p *pending, a *wire.Ask, patch []byte, what string) {
+func (c *Core) patch(now time.Duration, p *pending, a *wire.Call, patch []byte, what string) {
 	sum, ok := c.precheckChange(now, p, a, patch, what)
 	if !ok {
 		return
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (c *Core) diff(p *pending, a *wire.Ask) {
+func (c *Core) diff(p *pending, a *wire.Call) {
 	from, _ := number(a.Query, "from")
 	to, _ := number(a.Query, "to")
 	x, y := c.docAt(from), c.docAt(to)
--- a/internal/controlplane/consensus/disk.go
+++ b/internal/controlplane/consensus/disk.go
@@ -19,7 +19,7 @@
 
 type heldMessage struct {
 	seq uint64
-	m   *wire.Msg
+	m   *wire.Message
 }
 
 func (n *Node) syncBatch(now time.Duration, b *wire.Batch) {
@@ -30,7 +30,7 @@
 }
 
 func (n *Node) syncHardState(now time.Duration) {
-	n.syncBatch(now, &wire.Batch{Hard: true, Term: n.term, Vote: n.vote})
+	n.syncBatch(now, &wire.Batch{HasHardState: true, Term: n.term, Vote: n.vote})
 	n.hardSeq = n.seq
 }
 
@@ -55,7 +55,7 @@
 	return len(n.unsyncedBatches) > 0 && now-n.unsyncedBatches[0].at > tuning.SyncStall
 }
 
-func (n *Node) send(m *wire.Msg, afterSync bool) {
+func (n *Node) send(m *wire.Message, afterSync bool) {
 	m.From, m.Disk, m.Epoch, m.Term = n.self.Name, n.self.Disk, n.epoch, n.term
 	if afterSync && len(n.unsyncedBatches) > 0 {
 		if len(n.heldMessages) >= tuning.SendQueue {
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -42,7 +42,7 @@
 		if m == n.self || m.Disk == 0 {
 			continue
 		}
-		v := &wire.Msg{Kind: uint16(wire.KVote), To: m.Name, Vote: &wire.Vote{Pre: pre, LastIndex: n.last(), LastTerm: lt, Transfer: transfer, All: all}}
+		v := &wire.Message{Kind: wire.KindVote, To: m.Name, Vote: &wire.Vote{PreVote: pre, LastIndex: n.last(), LastTerm: lt, Transfer: transfer, Unanimous: all}}
 		n.send(v, !pre)
 		v.Term = t
 	}
@@ -93,11 +93,11 @@
 	n.leader = ""
 	n.deadline = now + 4*tuning.ElectMin
 	n.leaderSpokeAt = n.deadline
-	n.send(&wire.Msg{Kind: uint16(wire.KVote), To: best.member.Name, Vote: &wire.Vote{Transfer: true, Reply: true}}, false)
+	n.send(&wire.Message{Kind: wire.KindVote, To: best.member.Name, Vote: &wire.Vote{Transfer: true, Reply: true}}, false)
 	return true
 }
 
-func (n *Node) voteAsk(now time.Duration, m *wire.Msg) {
+func (n *Node) voteAsk(now time.Duration, m *wire.Message) {
 	v := m.Vote
 	for _, k := range n.members {
 		if k.Name == m.From && k.Disk != m.Disk {
@@ -106,10 +106,10 @@
 	}
 	lt, _ := n.termAt(n.last())
 	upToDate := v.LastTerm > lt || v.LastTerm == lt && v.LastIndex >= n.last()
-	quiet := v.Transfer || now-n.leaderHeardAt >= tuning.ElectMin && n.role != Leader || v.All && n.hearsNoLeader(now)
-	r := &wire.Msg{Kind: uint16(wire.KVote), To: m.From, Vote: &wire.Vote{Pre: v.Pre, Reply: true, All: v.All, LastIndex: n.last(), LastTerm: lt}}
-	if v.Pre {
-		r.Vote.Alone = v.All && n.hearsNoLeader(now) && len(n.unsyncedBatches) == 0
+	quiet := v.Transfer || now-n.leaderHeardAt >= tuning.ElectMin && n.role != Leader || v.Unanimous && n.hearsNoLeader(now)
+	r := &wire.Message{Kind: wire.KindVote, To: m.From, Vote: &wire.Vote{PreVote: v.PreVote, Reply: true, Unanimous: v.Unanimous, LastIndex: n.last(), LastTerm: lt}}
+	if v.PreVote {
+		r.Vote.NoLeader = v.Unanimous && n.hearsNoLeader(now) && len(n.unsyncedBatches) == 0
 		r.Vote.Granted = quiet && upToDate && m.Term > n.term
 		n.send(r, false)
 		if r.Vote.Granted {
@@ -132,26 +132,26 @@
 		r.Vote.Granted = true
 		n.deadline = now + tuning.ElectMin + tuning.ElectSpread
 	}
-	r.Vote.Alone = n.role == Follower // in a later term than any in which it led
+	r.Vote.NoLeader = n.role == Follower // in a later term than any in which it led
 	n.send(r, true)
 }
 
-func (n *Node) voteReply(now time.Duration, m *wire.Msg) {
+func (n *Node) voteReply(now time.Duration, m *wire.Message) {
 	from, v := wire.Member{Name: m.From, Disk: m.Disk}, m.Vote
-	if !slices.Contains(n.electorate, from) || v.All != n.unanimous && (n.role == PreCandidate || n.role == Candidate) {
+	if !slices.Contains(n.electorate, from) || v.Unanimous != n.unanimous && (n.role == PreCandidate || n.role == Candidate) {
 		return
 	}
 	vote := v.Granted && n.isVoter(m.From, m.Disk)
 	switch {
-	case n.role == PreCandidate && v.Pre && (v.Granted && m.Term == n.term+1 || v.Alone && m.Term <= n.term):
+	case n.role == PreCandidate && v.PreVote && (v.Granted && m.Term == n.term+1 || v.NoLeader && m.Term <= n.term):
 		lt, _ := n.termAt(n.last())
-		n.outranked = n.outranked || v.All && cmp.Or(cmp.Compare(v.LastTerm, lt), cmp.Compare(v.LastIndex, n.last()), cmp.Compare(n.self.Name, m.From)) > 0
-		n.consents[m.From] = n.consents[m.From] || v.Alone
+		n.outranked = n.outranked || v.Unanimous && cmp.Or(cmp.Compare(v.LastTerm, lt), cmp.Compare(v.LastIndex, n.last()), cmp.Compare(n.self.Name, m.From)) > 0
+		n.consents[m.From] = n.consents[m.From] || v.NoLeader
 		n.countVote(now, m.From, vote)
 	case !v.Granted && m.Term > n.term:
 		n.follow(now, m.Term)
-	case n.role == Candidate && !v.Pre && m.Term == n.term:
-		n.consents[m.From] = n.consents[m.From] || v.Alone
+	case n.role == Candidate && !v.PreVote && m.Term == n.term:
+		n.consents[m.From] = n.consents[m.From] || v.NoLeader
 		n.countVote(now, m.From, vote)
 	}
 }
--- a/internal/controlplane/consensus/explore.go
+++ b/internal/controlplane/consensus/explore.go
@@ -138,7 +138,7 @@
 }
 
 // Snap appends a snapshot.
-func (c *Canon) Snap(s *wire.Snap) {
+func (c *Canon) Snap(s *wire.Snapshot) {
 	c.Bool(s != nil)
 	if s == nil {
 		return
@@ -151,14 +151,14 @@
 }
 
 // Piece appends a part of a snapshot or of a large entry.
-func (c *Canon) Piece(p *wire.Piece) {
+func (c *Canon) Piece(p *wire.Chunk) {
 	c.Bool(p != nil)
 	if p == nil {
 		return
 	}
-	c.Bool(p.Entry)
+	c.Bool(p.IsEntry)
 	c.Members(p.Members)
-	for _, v := range []uint64{p.Index, p.Term, uint64(p.Kind), p.Size, p.Sum, p.Offset, uint64(len(p.Data))} {
+	for _, v := range []uint64{p.Index, p.Term, uint64(p.Kind), p.Size, p.Checksum, p.Offset, uint64(len(p.Data))} {
 		c.Uint(v)
 	}
 	c.Bytes = append(c.Bytes, p.Data...)
@@ -166,39 +166,39 @@
 
 // Message appends a vote or append message; now is the present by the clock that
 // its stamp is of, or zero if the message has none.
-func (c *Canon) Message(m *wire.Msg, now time.Duration) {
+func (c *Canon) Message(m *wire.Message, now time.Duration) {
 	c.Machine(m.From)
 	c.Machine(m.To)
 	c.Uint(c.Disk(m.Disk))
 	c.Uint(m.Epoch)
 	c.Uint(m.Term)
 	if v := m.Vote; v != nil {
-		for _, b := range []bool{v.Pre, v.Reply, v.Granted, v.Transfer, v.All, v.Alone} {
+		for _, b := range []bool{v.PreVote, v.Reply, v.Granted, v.Transfer, v.Unanimous, v.NoLeader} {
 			c.Bool(b)
 		}
 		c.Uint(v.LastIndex)
 		c.Uint(v.LastTerm)
 	}
 	if a := m.Append; a != nil {
-		c.Age(now, time.Duration(m.Stamp), tuning.ElectMin)
+		c.Age(now, time.Duration(m.Timestamp), tuning.ElectMin)
 		c.Bool(a.Reply)
-		c.Bool(a.Ok)
-		for _, v := range []uint64{a.PrevIndex, a.PrevTerm, a.Commit, a.Match} {
+		c.Bool(a.Success)
+		for _, v := range []uint64{a.PrevIndex, a.PrevTerm, a.Commit, a.MatchIndex} {
 			c.Uint(v)
 		}
 		c.Entries(a.Entries)
-		c.Piece(a.Piece)
+		c.Piece(a.Chunk)
 	}
 }
 
 // Batch appends what a batch puts on disk, without its number.
 func (c *Canon) Batch(b *wire.Batch) {
-	c.Bool(b.Hard)
+	c.Bool(b.HasHardState)
 	c.Uint(b.Term)
 	c.Machine(b.Vote)
-	c.Uint(b.Cut)
+	c.Uint(b.TruncateFrom)
 	c.Entries(b.Entries)
-	c.Snap(b.Snap)
+	c.Snap(b.Snapshot)
 }
 
 // Image appends what a disk holds.
--- a/internal/controlplane/consensus/explore_test.go
+++ b/internal/controlplane/consensus/explore_test.go
@@ -27,10 +27,10 @@
 		{unsyncedBatch{}, []string{"seq", "at", "last"}},
 		{heldMessage{}, []string{"seq", "m"}},
 		{Out{}, []string{"Batches", "Send", "Apply", "Restore", "Refused"}},
-		{wire.Vote{}, []string{"Pre", "Reply", "Granted", "LastIndex", "LastTerm", "Transfer", "All", "Alone"}},
-		{wire.Append{}, []string{"Reply", "Ok", "PrevIndex", "PrevTerm", "Commit", "Match", "Entries", "Piece"}},
-		{wire.Piece{}, []string{"Entry", "Index", "Term", "Kind", "Members", "Size", "Sum", "Offset", "Data"}},
-		{wire.Snap{}, []string{"Index", "Term", "Members", "Data"}},
+		{wire.Vote{}, []string{"PreVote", "Reply", "Granted", "LastIndex", "LastTerm", "Transfer", "Unanimous", "NoLeader"}},
+		{wire.Append{}, []string{"Reply", "Success", "PrevIndex", "PrevTerm", "Commit", "MatchIndex", "Entries", "Chunk"}},
+		{wire.Chunk{}, []string{"IsEntry", "Index", "Term", "Kind", "Members", "Size", "Checksum", "Offset", "Data"}},
+		{wire.Snapshot{}, []string{"Index", "Term", "Members", "Data"}},
 		{wire.Entry{}, []string{"Index", "Term", "Kind", "Data"}},
 	} {
 		var fields []string
--- a/internal/controlplane/consensus/fuzz_test.go
+++ b/internal/controlplane/consensus/fuzz_test.go
@@ -65,28 +65,28 @@
 	return es
 }
 
-func (s *script) piece() *wire.Piece {
-	p := &wire.Piece{Entry: s.bit(), Index: s.number(), Term: s.number(), Kind: uint16(s.next() % 4), Members: s.members(), Offset: s.number(), Data: []byte{s.next()}}
-	p.Size, p.Sum = uint64(len(p.Data)), sumOf(p.Data)
+func (s *script) piece() *wire.Chunk {
+	p := &wire.Chunk{IsEntry: s.bit(), Index: s.number(), Term: s.number(), Kind: uint16(s.next() % 4), Members: s.members(), Offset: s.number(), Data: []byte{s.next()}}
+	p.Size, p.Checksum = uint64(len(p.Data)), sumOf(p.Data)
 	if s.next() == 0 {
 		p.Size = s.number()
 	}
 	return p
 }
 
-func (s *script) message(now time.Duration) *wire.Msg {
-	m := &wire.Msg{From: s.name(), Disk: s.number(), Epoch: 1, Term: s.number(), Stamp: int64(now)}
+func (s *script) message(now time.Duration) *wire.Message {
+	m := &wire.Message{From: s.name(), Disk: s.number(), Epoch: 1, Term: s.number(), Timestamp: int64(now)}
 	if s.next() == 0 {
-		m.Stamp = int64(s.number())
+		m.Timestamp = int64(s.number())
 	}
 	if s.bit() {
-		m.Vote = &wire.Vote{Pre: s.bit(), Reply: s.bit(), Granted: s.bit(), Transfer: s.bit(), All: s.bit(), Alone: s.bit(), LastIndex: s.number(), LastTerm: s.number()}
+		m.Vote = &wire.Vote{PreVote: s.bit(), Reply: s.bit(), Granted: s.bit(), Transfer: s.bit(), Unanimous: s.bit(), NoLeader: s.bit(), LastIndex: s.number(), LastTerm: s.number()}
 		return m
 	}
-	a := &wire.Append{Reply: s.bit(), Ok: s.bit(), PrevIndex: s.number(), PrevTerm: s.number(), Commit: s.number(), Match: s.number()}
+	a := &wire.Append{Reply: s.bit(), Success: s.bit(), PrevIndex: s.number(), PrevTerm: s.number(), Commit: s.number(), MatchIndex: s.number()}
 	a.Entries = s.entries(a.PrevIndex)
 	if s.next()%4 == 0 {
-		a.Piece = s.piece()
+		a.Chunk = s.piece()
 	}
 	m.Append = a
 	return m
@@ -145,7 +145,7 @@
 		if pre {
 			term++
 		}
-		n.Recv(now, &wire.Msg{From: "b", Disk: 2, Epoch: 1, Term: term, Vote: &wire.Vote{Pre: pre, Reply: true, Granted: true}})
+		n.Recv(now, &wire.Message{From: "b", Disk: 2, Epoch: 1, Term: term, Vote: &wire.Vote{PreVote: pre, Reply: true, Granted: true}})
 	}
 	return now
 }
@@ -158,9 +158,9 @@
 		s := &script{b}
 		im := Image{Epoch: 1, Disk: 1}
 		for range batches % 8 {
-			batch := &wire.Batch{Hard: s.bit(), Term: s.number(), Vote: s.name(), Cut: s.number(), Entries: s.entries(s.number())}
+			batch := &wire.Batch{HasHardState: s.bit(), Term: s.number(), Vote: s.name(), TruncateFrom: s.number(), Entries: s.entries(s.number())}
 			if s.bit() {
-				batch.Snap = &wire.Snap{Index: s.number(), Term: s.number(), Members: s.members()}
+				batch.Snapshot = &wire.Snapshot{Index: s.number(), Term: s.number(), Members: s.members()}
 			}
 			im.Fold(batch)
 		}
@@ -192,19 +192,19 @@
 		"entries whose terms go back":    {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}, {Index: 3, Term: 1}}}, ErrMalformed},
 		"members that can't be read":     {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 1, Kind: EntryMembers, Data: []byte("{")}}}, ErrMalformed},
 		"no members":                     {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 1, Kind: EntryMembers, Data: []byte("[]")}}}, ErrMalformed},
-		"a snapshot without members":     {2, wire.Append{PrevIndex: 9, Piece: &wire.Piece{Index: 9, Term: 1}}, ErrMalformed},
-		"a piece of a later term":        {2, wire.Append{PrevIndex: 1, Piece: &wire.Piece{Entry: true, Index: 2, Term: 3}}, ErrMalformed},
-		"an entry in pieces with a gap":  {2, wire.Append{PrevIndex: 1, Piece: &wire.Piece{Entry: true, Index: 9, Term: 1}}, ErrMalformed},
-		"another entry in pieces":        {2, wire.Append{PrevIndex: 1, Piece: &wire.Piece{Entry: true, Index: 2, Term: 2}}, ErrContradiction},
+		"a snapshot without members":     {2, wire.Append{PrevIndex: 9, Chunk: &wire.Chunk{Index: 9, Term: 1}}, ErrMalformed},
+		"a piece of a later term":        {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 3}}, ErrMalformed},
+		"an entry in pieces with a gap":  {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 9, Term: 1}}, ErrMalformed},
+		"another entry in pieces":        {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 2}}, ErrContradiction},
 		"another entry than that agreed": {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}}}, ErrContradiction},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, _ := node("a")
-			n.Recv(1, &wire.Msg{From: "b", Disk: 2, Epoch: 1, Term: 1, Append: &wire.Append{PrevIndex: 1, Commit: 2, Entries: []wire.Entry{entry}}})
+			n.Recv(1, &wire.Message{From: "b", Disk: 2, Epoch: 1, Term: 1, Append: &wire.Append{PrevIndex: 1, Commit: 2, Entries: []wire.Entry{entry}}})
 			n.Synced(1, n.seq)
 			n.Take()
 			before := canonOf(n, 1)
-			n.Recv(1, &wire.Msg{From: "c", Disk: 3, Epoch: 1, Term: c.term, Append: &c.append})
+			n.Recv(1, &wire.Message{From: "c", Disk: 3, Epoch: 1, Term: c.term, Append: &c.append})
 			o := n.Take()
 			if len(o.Refused) != 1 || !errors.Is(o.Refused[0].Err, c.want) || o.Refused[0].From != "c" {
 				t.Errorf("refused %v", o.Refused)
--- a/internal/controlplane/consensus/image.go
+++ b/internal/controlplane/consensus/image.go
@@ -17,7 +17,7 @@
 	Disk   uint64
 	Term   uint64
 	Vote   string
-	Snap   wire.Snap
+	Snap   wire.Snapshot
 	Log    []wire.Entry
 	Lock   uint64
 	Legacy []byte
@@ -28,7 +28,7 @@
 
 // Fold applies one batch.
 func (im *Image) Fold(b *wire.Batch) {
-	if b.Fresh {
+	if b.Reset {
 		*im = Image{Disk: im.Disk}
 	}
 	if b.Disk != 0 {
@@ -37,30 +37,30 @@
 	if b.Epoch != 0 {
 		im.Epoch = b.Epoch
 	}
-	if b.Lock != 0 {
-		im.Lock, im.Founders, im.Founding = b.Lock, b.Founders, b.Founding
+	if b.BootstrapLock != 0 {
+		im.Lock, im.Founders, im.Founding = b.BootstrapLock, b.Founders, b.BootstrapEpoch
 	}
-	if len(b.Legacy) > 0 {
-		im.Legacy = b.Legacy
+	if len(b.RecoveredState) > 0 {
+		im.Legacy = b.RecoveredState
 	}
-	if b.Hard {
+	if b.HasHardState {
 		im.Term, im.Vote = b.Term, b.Vote
 	}
-	if b.Snap != nil {
-		im.Snap = *b.Snap
-		im.Log = slices.DeleteFunc(slices.Clone(im.Log), func(e wire.Entry) bool { return e.Index <= b.Snap.Index })
+	if b.Snapshot != nil {
+		im.Snap = *b.Snapshot
+		im.Log = slices.DeleteFunc(slices.Clone(im.Log), func(e wire.Entry) bool { return e.Index <= b.Snapshot.Index })
 	}
-	if b.Cut != 0 {
-		im.Log = slices.DeleteFunc(slices.Clone(im.Log), func(e wire.Entry) bool { return e.Index >= b.Cut })
+	if b.TruncateFrom != 0 {
+		im.Log = slices.DeleteFunc(slices.Clone(im.Log), func(e wire.Entry) bool { return e.Index >= b.TruncateFrom })
 	}
 	im.Log = append(im.Log, b.Entries...)
 }
 
 // Whole is the image as one batch, for the head of a ring file.
 func (im *Image) Whole() *wire.Batch {
-	return &wire.Batch{Fresh: true, Epoch: im.Epoch, Disk: im.Disk, Hard: true, Term: im.Term, Vote: im.Vote,
-		Snap: &im.Snap, Entries: im.Log, Lock: im.Lock, Legacy: im.Legacy,
-		Founders: im.Founders, Founding: im.Founding}
+	return &wire.Batch{Reset: true, Epoch: im.Epoch, Disk: im.Disk, HasHardState: true, Term: im.Term, Vote: im.Vote,
+		Snapshot: &im.Snap, Entries: im.Log, BootstrapLock: im.Lock, RecoveredState: im.Legacy,
+		Founders: im.Founders, BootstrapEpoch: im.Founding}
 }
 
 // CheckImage says what in an image from disk can't be used: a gap in the log, entries that
--- a/internal/controlplane/consensus/mutation_test.go
+++ b/internal/controlplane/consensus/mutation_test.go
@@ -33,16 +33,16 @@
 	breaks   []string
 }{
 	{name: "vote sent before it is synced", scenario: "election", breaks: []string{modelcheck.PromisesAreSynced},
-		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return b.Hard }}},
+		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return b.HasHardState }}},
 	{name: "vote sent before it is synced: what follows", seed: 8, scenario: "election", walks: 3000, breaks: []string{modelcheck.OneVotePerTerm},
-		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return b.Hard }, Ignore: []string{modelcheck.PromisesAreSynced}}},
+		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return b.HasHardState }, Ignore: []string{modelcheck.PromisesAreSynced}}},
 	{name: "entry confirmed before it is synced", scenario: "late-sync", breaks: []string{modelcheck.PromisesAreSynced},
 		faults: modelcheck.Faults{AckEarly: anyBatch}},
 	{name: "entry confirmed before it is synced: what follows", seed: 7, scenario: "late-sync", walks: 3000,
 		breaks: []string{modelcheck.LeaderComplete, modelcheck.CommittedKept, modelcheck.LogMatching, modelcheck.NoPanic},
-		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return !b.Hard }, Ignore: []string{modelcheck.PromisesAreSynced}}},
+		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return !b.HasHardState }, Ignore: []string{modelcheck.PromisesAreSynced}}},
 	{name: "snapshot confirmed before it is synced", scenario: "snapshot-under-way", breaks: []string{modelcheck.PromisesAreSynced},
-		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return b.Snap != nil && b.Cut != 0 }}},
+		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return b.Snapshot != nil && b.TruncateFrom != 0 }}},
 	{name: "vote forgotten by a restart", seed: 1, scenario: "election", walks: 3000, breaks: []string{modelcheck.OneVotePerTerm},
 		faults: modelcheck.Faults{Restart: func(im *consensus.Image) { im.Vote = "" }}},
 	{name: "vote forgotten by a restart: what follows", seed: 11, scenario: "election", walks: 6000, breaks: []string{modelcheck.OneLeaderPerTerm},
@@ -52,13 +52,13 @@
 	{name: "commit before a majority", seed: 2, scenario: "diverged", walks: 3000, breaks: []string{modelcheck.LeaderComplete, modelcheck.CommittedKept},
 		faults: modelcheck.Faults{AfterStep: (*consensus.Node).CommitOwn}},
 	{name: "votes for whoever lacks entries", seed: 8, scenario: "diverged", walks: 3000, breaks: []string{modelcheck.LeaderComplete},
-		faults: modelcheck.Faults{Deliver: func(_ *consensus.Node, m *wire.Msg) {
+		faults: modelcheck.Faults{Deliver: func(_ *consensus.Node, m *wire.Message) {
 			if m.Vote != nil && !m.Vote.Reply {
 				m.Vote.LastTerm, m.Vote.LastIndex = m.Term, 1<<40
 			}
 		}}},
 	{name: "entries taken after one that differs", seed: 1, scenario: "diverged", walks: 3000, breaks: []string{modelcheck.LogMatching, modelcheck.CommittedKept, modelcheck.NoPanic},
-		faults: modelcheck.Faults{Deliver: func(n *consensus.Node, m *wire.Msg) {
+		faults: modelcheck.Faults{Deliver: func(n *consensus.Node, m *wire.Message) {
 			if a := m.Append; a != nil && !a.Reply && n.TermAt(a.PrevIndex) != 0 {
 				a.PrevTerm = n.TermAt(a.PrevIndex)
 			}
@@ -71,14 +71,14 @@
 		faults: modelcheck.Faults{Ignore: []string{modelcheck.OneLease}}, breaks: []string{modelcheck.LeaseIsCurrent}},
 	{name: "vote of a disk that is no member", seed: 4, scenario: "members", walks: 6000,
 		breaks: []string{modelcheck.VotersAreMembers, modelcheck.LeaderComplete, modelcheck.CommittedKept, modelcheck.OneLeaderPerTerm},
-		faults: modelcheck.Faults{Deliver: func(n *consensus.Node, m *wire.Msg) {
+		faults: modelcheck.Faults{Deliver: func(n *consensus.Node, m *wire.Message) {
 			if d := n.DiskOf(m.From); d != 0 {
 				m.Disk = d
 			}
 		}}},
 	{name: "vote of a disk that is no member: what follows", seed: 10, scenario: "members", walks: 6000,
 		breaks: []string{modelcheck.LeaderComplete, modelcheck.CommittedKept, modelcheck.OneLeaderPerTerm},
-		faults: modelcheck.Faults{Ignore: []string{modelcheck.VotersAreMembers}, Deliver: func(n *consensus.Node, m *wire.Msg) {
+		faults: modelcheck.Faults{Ignore: []string{modelcheck.VotersAreMembers}, Deliver: func(n *consensus.Node, m *wire.Message) {
 			if d := n.DiskOf(m.From); d != 0 {
 				m.Disk = d
 			}
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -48,9 +48,9 @@
 // Out is what a step left to do, in order: sync, send, apply.
 type Out struct {
 	Batches []*wire.Batch
-	Send    []*wire.Msg
+	Send    []*wire.Message
 	Apply   []wire.Entry
-	Restore *wire.Snap
+	Restore *wire.Snapshot
 	Refused []Refusal
 }
 
@@ -62,7 +62,7 @@
 	role            Role
 	term            uint64
 	vote            string
-	snap            wire.Snap
+	snap            wire.Snapshot
 	log             []wire.Entry
 	tail            []wire.Entry // the last entries that the snapshot stands for, for peers a little behind; in memory only
 	incoming        *assembly    // a snapshot or large entry that arrives in pieces
@@ -252,7 +252,7 @@
 
 // Recv takes a message of kind KVote or KAppend of this node's epoch. One that no sound
 // member can have sent is dropped and told of in Out.Refused.
-func (n *Node) Recv(now time.Duration, m *wire.Msg) {
+func (n *Node) Recv(now time.Duration, m *wire.Message) {
 	if m.Epoch != n.epoch {
 		return
 	}
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -14,12 +14,12 @@
 
 func node(name string) (*Node, Image) {
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
-	im := Image{Epoch: 1, Disk: uint64(name[0]-'a') + 1, Snap: wire.Snap{Index: 1, Members: ms}}
+	im := Image{Epoch: 1, Disk: uint64(name[0]-'a') + 1, Snap: wire.Snapshot{Index: 1, Members: ms}}
 	return New(0, name, im), im
 }
 
-func ask(term, disk uint64, from string, transfer bool) *wire.Msg {
-	return &wire.Msg{Kind: uint16(wire.KVote), From: from, Disk: disk, Epoch: 1, Term: term, Vote: &wire.Vote{LastIndex: 1, Transfer: transfer}}
+func ask(term, disk uint64, from string, transfer bool) *wire.Message {
+	return &wire.Message{Kind: wire.KindVote, From: from, Disk: disk, Epoch: 1, Term: term, Vote: &wire.Vote{LastIndex: 1, Transfer: transfer}}
 }
 
 func granted(o Out) int {
@@ -85,7 +85,7 @@
 func TestOverwrite(t *testing.T) {
 	n, _ := node("a")
 	app := func(term, prev, prevTerm, commit uint64, es ...wire.Entry) *wire.Append {
-		n.Recv(1, &wire.Msg{Kind: uint16(wire.KAppend), From: "b", Disk: 2, Epoch: 1, Term: term,
+		n.Recv(1, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: term,
 			Append: &wire.Append{PrevIndex: prev, PrevTerm: prevTerm, Commit: commit, Entries: es}})
 		o := n.Take()
 		for _, b := range o.Batches {
@@ -95,16 +95,16 @@
 		return o.Send[len(o.Send)-1].Append
 	}
 	e := func(i, t uint64) wire.Entry { return wire.Entry{Index: i, Term: t} }
-	if r := app(1, 1, 0, 2, e(2, 1), e(3, 1), e(4, 1)); !r.Ok || r.Match != 4 || n.Commit() != 2 {
+	if r := app(1, 1, 0, 2, e(2, 1), e(3, 1), e(4, 1)); !r.Success || r.MatchIndex != 4 || n.Commit() != 2 {
 		t.Fatalf("%+v", r)
 	}
-	if r := app(2, 3, 2, 2); r.Ok || r.Match != 2 {
+	if r := app(2, 3, 2, 2); r.Success || r.MatchIndex != 2 {
 		t.Fatalf("%+v", r)
 	}
-	if r := app(2, 2, 1, 3, e(3, 2)); !r.Ok || n.Last() != 3 || n.Commit() != 3 {
+	if r := app(2, 2, 1, 3, e(3, 2)); !r.Success || n.Last() != 3 || n.Commit() != 3 {
 		t.Fatalf("%+v last %d", r, n.Last())
 	}
-	n.Recv(1, &wire.Msg{Kind: uint16(wire.KAppend), From: "b", Disk: 2, Epoch: 1, Term: 3,
+	n.Recv(1, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: 3,
 		Append: &wire.Append{PrevIndex: 2, PrevTerm: 1, Commit: 3, Entries: []wire.Entry{e(3, 3)}}})
 	o := n.Take()
 	if len(o.Refused) != 1 || !errors.Is(o.Refused[0].Err, ErrContradiction) || len(o.Send)+len(o.Batches) > 0 {
@@ -119,7 +119,7 @@
 // once without success: neither may block the other for good.
 func TestTermIsLearnt(t *testing.T) {
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
-	snap := wire.Snap{Index: 1, Term: 5, Members: ms}
+	snap := wire.Snapshot{Index: 1, Term: 5, Members: ms}
 	nodes := map[string]*Node{
 		"a": New(0, "a", Image{Epoch: 1, Disk: 1, Term: 5, Snap: snap, Log: []wire.Entry{{Index: 2, Term: 5}}}),
 		"b": New(0, "b", Image{Epoch: 1, Disk: 2, Term: 6, Vote: "b", Snap: snap})}
@@ -161,7 +161,7 @@
 type flying struct {
 	at time.Duration
 	to *Node // a restart loses what was under way to it
-	m  *wire.Msg
+	m  *wire.Message
 }
 
 func newTrio() *trio {
@@ -275,10 +275,10 @@
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
 	left, _ := json.Marshal(ms[:2])
 	now := tuning.ElectMin / 4
-	n := New(0, "a", Image{Epoch: 1, Disk: 1, Term: 3, Snap: wire.Snap{Index: 1, Members: ms}, Log: []wire.Entry{{Index: 2, Term: 3, Kind: EntryMembers, Data: left}}})
+	n := New(0, "a", Image{Epoch: 1, Disk: 1, Term: 3, Snap: wire.Snapshot{Index: 1, Members: ms}, Log: []wire.Entry{{Index: 2, Term: 3, Kind: EntryMembers, Data: left}}})
 	leave := func(from string, disk uint64, pre bool, term uint64) {
-		n.Recv(now, &wire.Msg{Kind: uint16(wire.KVote), From: from, Disk: disk, Epoch: 1, Term: term,
-			Vote: &wire.Vote{Pre: pre, Reply: true, All: true, Granted: true, Alone: true, LastIndex: 1}})
+		n.Recv(now, &wire.Message{Kind: wire.KindVote, From: from, Disk: disk, Epoch: 1, Term: term,
+			Vote: &wire.Vote{PreVote: pre, Reply: true, Unanimous: true, Granted: true, NoLeader: true, LastIndex: 1}})
 		for o := n.Take(); len(o.Batches)+len(o.Send) > 0; o = n.Take() {
 			for _, b := range o.Batches {
 				n.Synced(now, b.Seq)
--- a/internal/controlplane/consensus/refusal.go
+++ b/internal/controlplane/consensus/refusal.go
@@ -34,7 +34,7 @@
 }
 
 // acceptable says whether a vote or append message may be looked at, and why not.
-func (n *Node) acceptable(m *wire.Msg) error {
+func (n *Node) acceptable(m *wire.Message) error {
 	if m.Term >= numberMax {
 		return malformed("term %d", m.Term)
 	}
@@ -42,10 +42,10 @@
 	if a == nil {
 		return nil
 	}
-	if a.PrevIndex >= numberMax || a.Match >= numberMax || a.Commit >= numberMax {
-		return malformed("log position %d, %d or %d", a.PrevIndex, a.Match, a.Commit)
+	if a.PrevIndex >= numberMax || a.MatchIndex >= numberMax || a.Commit >= numberMax {
+		return malformed("log position %d, %d or %d", a.PrevIndex, a.MatchIndex, a.Commit)
 	}
-	if a.Piece != nil && !a.Reply {
+	if a.Chunk != nil && !a.Reply {
 		if err := n.acceptablePiece(a, m.Term); err != nil {
 			return err
 		}
@@ -59,11 +59,11 @@
 // acceptablePiece wants a piece of what a leader of the term can hold. An entry in pieces
 // is the one after PrevIndex; no list of members is so long.
 func (n *Node) acceptablePiece(a *wire.Append, term uint64) error {
-	p := a.Piece
+	p := a.Chunk
 	if p.Index == 0 || p.Index >= numberMax || p.Term > term {
 		return malformed("piece of %d of term %d in term %d", p.Index, p.Term, term)
 	}
-	if !p.Entry {
+	if !p.IsEntry {
 		return acceptableMembers(p.Members)
 	}
 	if p.Index != a.PrevIndex+1 || p.Term < a.PrevTerm || p.Kind == EntryMembers || len(a.Entries) > 0 {
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -181,8 +181,8 @@
 	}
 	if t := p.transfer; t != nil {
 		a.PrevIndex, a.PrevTerm = t.prev()
-		a.Piece = t.next(now)
-		if a.Piece == nil && !heartbeat {
+		a.Chunk = t.next(now)
+		if a.Chunk == nil && !heartbeat {
 			return
 		}
 	} else {
@@ -196,7 +196,7 @@
 			return
 		}
 	}
-	n.send(&wire.Msg{Kind: uint16(wire.KAppend), To: p.member.Name, Stamp: int64(now), Append: a}, false)
+	n.send(&wire.Message{Kind: wire.KindAppend, To: p.member.Name, Timestamp: int64(now), Append: a}, false)
 }
 
 // takeEntries are the next entries for a peer: no more are under way than AppendMax.
@@ -217,12 +217,12 @@
 	return entries
 }
 
-func (n *Node) appendAsk(now time.Duration, m *wire.Msg) {
+func (n *Node) appendAsk(now time.Duration, m *wire.Message) {
 	a := m.Append
-	r := &wire.Msg{Kind: uint16(wire.KAppend), To: m.From, Stamp: m.Stamp, Append: &wire.Append{Reply: true, Match: n.last()}}
+	r := &wire.Message{Kind: wire.KindAppend, To: m.From, Timestamp: m.Timestamp, Append: &wire.Append{Reply: true, MatchIndex: n.last()}}
 	n.leaderSpokeAt = now
 	if m.Term < n.term {
-		r.Stamp = noStamp
+		r.Timestamp = noStamp
 		n.send(r, false)
 		return
 	}
@@ -231,24 +231,24 @@
 	n.leaderHeardAt = now
 	n.deadline = now + tuning.ElectMin + n.deadline%tuning.ElectSpread
 	entries, installed := a.Entries, false
-	if a.Piece != nil {
-		if whole, complete := n.receivePiece(a.Piece); complete && whole.Entry {
+	if a.Chunk != nil {
+		if whole, complete := n.receivePiece(a.Chunk); complete && whole.IsEntry {
 			entries = []wire.Entry{{Index: whole.Index, Term: whole.Term, Kind: whole.Kind, Data: whole.Data}}
 		} else if complete {
-			installed = n.install(now, wire.Snap{Index: whole.Index, Term: whole.Term, Members: whole.Members, Data: whole.Data})
+			installed = n.install(now, wire.Snapshot{Index: whole.Index, Term: whole.Term, Members: whole.Members, Data: whole.Data})
 		}
 	}
-	r.Append.Piece, r.Append.Match = n.incoming.status(), n.last()
+	r.Append.Chunk, r.Append.MatchIndex = n.incoming.status(), n.last()
 	t, ok := n.termAt(a.PrevIndex)
 	if a.PrevIndex < n.snap.Index {
 		// All before the snapshot is agreed: answer for what it covers.
-		r.Append.Ok, r.Append.Match = true, n.snap.Index
+		r.Append.Success, r.Append.MatchIndex = true, n.snap.Index
 		n.send(r, true)
 		return
 	}
 	if !ok || t != a.PrevTerm {
 		if ok {
-			r.Append.Match = n.beforeTerm(a.PrevIndex, t)
+			r.Append.MatchIndex = n.beforeTerm(a.PrevIndex, t)
 		}
 		n.send(r, false)
 		return
@@ -276,14 +276,14 @@
 	if len(fresh) > 0 {
 		n.log = append(n.log, fresh...)
 		n.readMembers()
-		n.syncBatch(now, &wire.Batch{Cut: cut, Entries: fresh})
+		n.syncBatch(now, &wire.Batch{TruncateFrom: cut, Entries: fresh})
 	}
 	match := a.PrevIndex + uint64(len(entries))
-	r.Append.Ok, r.Append.Match = true, match
+	r.Append.Success, r.Append.MatchIndex = true, match
 	termUnsynced := len(n.unsyncedBatches) > 0 && n.unsyncedBatches[0].seq <= n.hardSeq
 	if len(entries) == 0 && !installed && !termUnsynced {
 		// A heartbeat is contact however slow the disk is; what is not on it yet is not acknowledged.
-		r.Append.Match = min(match, n.stable)
+		r.Append.MatchIndex = min(match, n.stable)
 		n.send(r, false)
 	} else {
 		n.send(r, match > n.stable || termUnsynced)
@@ -306,7 +306,7 @@
 	return i - 1
 }
 
-func (n *Node) appendReply(now time.Duration, m *wire.Msg) {
+func (n *Node) appendReply(now time.Duration, m *wire.Message) {
 	if m.Term > n.term {
 		n.follow(now, m.Term)
 		return
@@ -315,18 +315,18 @@
 	if n.role != Leader || m.Term != n.term || p == nil || p.member.Disk != m.Disk {
 		return
 	}
-	stamp := time.Duration(m.Stamp)
+	stamp := time.Duration(m.Timestamp)
 	if stamp < n.since || stamp > now {
 		stamp = noStamp // it tells nothing of when
 	}
 	p.acked = max(p.acked, stamp)
 	if p.transfer != nil {
-		p.transfer.answered(m.Append.Piece, stamp)
+		p.transfer.answered(m.Append.Chunk, stamp)
 	}
-	if m.Append.Ok {
-		n.acknowledged(now, p, min(m.Append.Match, n.last()))
+	if m.Append.Success {
+		n.acknowledged(now, p, min(m.Append.MatchIndex, n.last()))
 	} else {
-		n.rewind(now, p, m.Append.Match, stamp)
+		n.rewind(now, p, m.Append.MatchIndex, stamp)
 	}
 	if n.role == Leader {
 		n.sendAppend(now, p, false)
@@ -347,7 +347,7 @@
 // rewind begins entries again from where a peer says that its log ends. Answers to what was
 // sent before the last time tell of the same loss and change nothing.
 func (n *Node) rewind(now time.Duration, p *peer, last uint64, stamp time.Duration) {
-	if stamp < p.rewoundAt || p.transfer != nil && !p.transfer.whole.Entry {
+	if stamp < p.rewoundAt || p.transfer != nil && !p.transfer.whole.IsEntry {
 		return // a snapshot's receiver has no such entry until it is installed
 	}
 	p.rewoundAt, p.inFlight, p.transfer = now, nil, nil
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -11,7 +11,7 @@
 )
 
 // Snap is the latest snapshot, which the log goes on from. It must not be changed.
-func (n *Node) Snap() *wire.Snap { return &n.snap }
+func (n *Node) Snap() *wire.Snapshot { return &n.snap }
 
 // SnapshotDue says that a snapshot is due.
 func (n *Node) SnapshotDue() bool {
@@ -30,11 +30,11 @@
 			ms = membersOf(e)
 		}
 	}
-	s := wire.Snap{Index: n.applied, Term: t, Members: ms, Data: data}
+	s := wire.Snapshot{Index: n.applied, Term: t, Members: ms, Data: data}
 	n.keepTail(n.log[:n.applied-n.snap.Index])
 	n.log = slices.Clone(n.log[n.applied-n.snap.Index:])
 	n.snap = s
-	n.syncBatch(now, &wire.Batch{Snap: &s})
+	n.syncBatch(now, &wire.Batch{Snapshot: &s})
 }
 
 // keepTail keeps the last of the entries that a snapshot replaces in memory, up to
--- a/internal/controlplane/consensus/stamp_test.go
+++ b/internal/controlplane/consensus/stamp_test.go
@@ -14,12 +14,12 @@
 func TestLateAppendRenewsNoLease(t *testing.T) {
 	const earlierClock = int64(time.Hour)
 	follower, _ := node("b")
-	follower.Recv(0, &wire.Msg{Kind: uint16(wire.KAppend), From: "a", Disk: 1, Epoch: 1, Term: 3, Append: &wire.Append{PrevIndex: 1}})
+	follower.Recv(0, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 3, Append: &wire.Append{PrevIndex: 1}})
 	follower.Take()
-	follower.Recv(1, &wire.Msg{Kind: uint16(wire.KAppend), From: "a", Disk: 1, Epoch: 1, Term: 2, Stamp: earlierClock, Append: &wire.Append{PrevIndex: 1}})
+	follower.Recv(1, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 2, Timestamp: earlierClock, Append: &wire.Append{PrevIndex: 1}})
 	late := follower.Take().Send[0]
-	if late.Term != 3 || late.Stamp == earlierClock {
-		t.Errorf("term %d, stamp %d", late.Term, late.Stamp)
+	if late.Term != 3 || late.Timestamp == earlierClock {
+		t.Errorf("term %d, stamp %d", late.Term, late.Timestamp)
 	}
 
 	// The leader does not believe in stamps that it can't have given in this lead either.
@@ -36,14 +36,14 @@
 		if pre {
 			term++
 		}
-		leader.Recv(start, &wire.Msg{Kind: uint16(wire.KVote), From: "b", Disk: 2, Epoch: 1, Term: term, Vote: &wire.Vote{Pre: pre, Reply: true, Granted: true}})
+		leader.Recv(start, &wire.Message{Kind: wire.KindVote, From: "b", Disk: 2, Epoch: 1, Term: term, Vote: &wire.Vote{PreVote: pre, Reply: true, Granted: true}})
 	}
 	for _, b := range leader.Take().Batches {
 		leader.Synced(start, b.Seq)
 	}
 	reply := func(stamp time.Duration) {
-		leader.Recv(start, &wire.Msg{Kind: uint16(wire.KAppend), From: "b", Disk: 2, Epoch: 1, Term: leader.Term(), Stamp: int64(stamp),
-			Append: &wire.Append{Reply: true, Ok: true, Match: leader.Last()}})
+		leader.Recv(start, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: leader.Term(), Timestamp: int64(stamp),
+			Append: &wire.Append{Reply: true, Success: true, MatchIndex: leader.Last()}})
 	}
 	for _, stamp := range []time.Duration{time.Duration(earlierClock), start - 1, noStamp} {
 		if reply(stamp); leader.HasLease(start) {
--- a/internal/controlplane/consensus/transfer.go
+++ b/internal/controlplane/consensus/transfer.go
@@ -17,7 +17,7 @@
 // transfer is a snapshot or an entry on its way to a peer. It keeps what it began with:
 // a newer snapshot does not restart it.
 type transfer struct {
-	whole    wire.Piece // what is sent; its Data is all of it
+	whole    wire.Chunk // what is sent; its Data is all of it
 	prevTerm uint64     // of the entry before, for the receiver's check
 	held     uint64     // how many bytes the receiver is known to hold
 	underWay bool       // a piece was sent and not answered yet
@@ -30,27 +30,27 @@
 	return h.Sum64()
 }
 
-func snapshotTransfer(s wire.Snap) *transfer {
-	return &transfer{whole: wire.Piece{Index: s.Index, Term: s.Term, Members: s.Members,
-		Size: uint64(len(s.Data)), Sum: sumOf(s.Data), Data: s.Data}}
+func snapshotTransfer(s wire.Snapshot) *transfer {
+	return &transfer{whole: wire.Chunk{Index: s.Index, Term: s.Term, Members: s.Members,
+		Size: uint64(len(s.Data)), Checksum: sumOf(s.Data), Data: s.Data}}
 }
 
 func entryTransfer(e wire.Entry, prevTerm uint64) *transfer {
-	return &transfer{prevTerm: prevTerm, whole: wire.Piece{Entry: true, Index: e.Index, Term: e.Term, Kind: e.Kind,
-		Size: uint64(len(e.Data)), Sum: sumOf(e.Data), Data: e.Data}}
+	return &transfer{prevTerm: prevTerm, whole: wire.Chunk{IsEntry: true, Index: e.Index, Term: e.Term, Kind: e.Kind,
+		Size: uint64(len(e.Data)), Checksum: sumOf(e.Data), Data: e.Data}}
 }
 
 // prev is the log position that the receiver has once all has arrived, or for an entry,
 // before that, the one that it must have had before.
 func (t *transfer) prev() (index, term uint64) {
-	if t.whole.Entry && t.held < t.whole.Size {
+	if t.whole.IsEntry && t.held < t.whole.Size {
 		return t.whole.Index - 1, t.prevTerm
 	}
 	return t.whole.Index, t.whole.Term
 }
 
 // next is the piece to send now, nil if one is under way or all has arrived.
-func (t *transfer) next(now time.Duration) *wire.Piece {
+func (t *transfer) next(now time.Duration) *wire.Chunk {
 	if t.underWay || t.held == t.whole.Size && t.whole.Size > 0 {
 		return nil
 	}
@@ -63,7 +63,7 @@
 
 // answered takes what an answer says the receiver holds; stamp is when the message that
 // it answers was sent.
-func (t *transfer) answered(held *wire.Piece, stamp time.Duration) {
+func (t *transfer) answered(held *wire.Chunk, stamp time.Duration) {
 	var n uint64
 	if held != nil && sameWhole(held, &t.whole) {
 		n = min(held.Offset, t.whole.Size)
@@ -74,20 +74,20 @@
 	}
 }
 
-func sameWhole(a, b *wire.Piece) bool {
-	return a.Entry == b.Entry && a.Index == b.Index && a.Term == b.Term && a.Size == b.Size && a.Sum == b.Sum
+func sameWhole(a, b *wire.Chunk) bool {
+	return a.IsEntry == b.IsEntry && a.Index == b.Index && a.Term == b.Term && a.Size == b.Size && a.Checksum == b.Checksum
 }
 
 // assembly is what has arrived of a transfer. Once complete it keeps only what it was, so
 // that answers go on to say that all has arrived.
 type assembly struct {
-	whole wire.Piece
+	whole wire.Chunk
 	data  []byte
 	done  bool
 }
 
 // status is what an answer says of it.
-func (a *assembly) status() *wire.Piece {
+func (a *assembly) status() *wire.Chunk {
 	if a == nil {
 		return nil
 	}
@@ -100,28 +100,28 @@
 }
 
 // receivePiece takes a piece and says whether with it all has arrived whole.
-func (n *Node) receivePiece(p *wire.Piece) (whole wire.Piece, complete bool) {
+func (n *Node) receivePiece(p *wire.Chunk) (whole wire.Chunk, complete bool) {
 	if p.Size > tuning.WireMax {
-		return wire.Piece{}, false
+		return wire.Chunk{}, false
 	}
 	if n.incoming == nil || !sameWhole(&n.incoming.whole, p) {
 		if p.Offset != 0 {
-			return wire.Piece{}, false
+			return wire.Chunk{}, false
 		}
 		n.incoming = &assembly{whole: *p}
 		n.incoming.whole.Data = nil
 	}
 	in := n.incoming
 	if in.done || p.Offset != uint64(len(in.data)) || p.Offset+uint64(len(p.Data)) > p.Size {
-		return wire.Piece{}, false // it came twice, or one before it is missing
+		return wire.Chunk{}, false // it came twice, or one before it is missing
 	}
 	in.data = append(in.data, p.Data...)
 	if uint64(len(in.data)) < p.Size {
-		return wire.Piece{}, false
+		return wire.Chunk{}, false
 	}
-	if sumOf(in.data) != p.Sum {
+	if sumOf(in.data) != p.Checksum {
 		n.incoming = nil // begun again from nothing
-		return wire.Piece{}, false
+		return wire.Chunk{}, false
 	}
 	whole = in.whole
 	whole.Data, in.data, in.done = in.data, nil, true
@@ -130,7 +130,7 @@
 
 // install makes a snapshot that has arrived whole this node's state and says whether it did. One that the log
 // covers already changes nothing: what follows it there may have been acknowledged.
-func (n *Node) install(now time.Duration, s wire.Snap) bool {
+func (n *Node) install(now time.Duration, s wire.Snapshot) bool {
 	if s.Index <= n.commit {
 		return false
 	}
@@ -143,7 +143,7 @@
 		n.unsyncedBatches[i].last = 0
 	}
 	n.readMembers()
-	n.syncBatch(now, &wire.Batch{Snap: &s, Cut: 1})
+	n.syncBatch(now, &wire.Batch{Snapshot: &s, TruncateFrom: 1})
 	n.out.Restore = &s
 	n.out.Apply = nil
 	return true
--- a/internal/controlplane/consensus/transfer_test.go
+++ b/internal/controlplane/consensus/transfer_test.go
@@ -23,8 +23,8 @@
 	linkRate map[string]float64 // bytes a second into a member, 0: no bound
 	linkFree map[string]time.Duration
 	syncTime map[string]time.Duration
-	lose     func(m *wire.Msg) bool
-	onSend   func(m *wire.Msg, bytes int)
+	lose     func(m *wire.Message) bool
+	onSend   func(m *wire.Message, bytes int)
 	onApply  func(name string, e wire.Entry)
 	state    func(name string) []byte // what a member compacts to
 	messages []flying
@@ -42,14 +42,14 @@
 
 func newLinkedCluster(members ...string) *linkedCluster {
 	c := &linkedCluster{nodes: map[string]*Node{}, images: map[string]*Image{}, linkRate: map[string]float64{}, linkFree: map[string]time.Duration{},
-		syncTime: map[string]time.Duration{}, restored: map[string]int{}, lose: func(*wire.Msg) bool { return false }, onSend: func(*wire.Msg, int) {},
+		syncTime: map[string]time.Duration{}, restored: map[string]int{}, lose: func(*wire.Message) bool { return false }, onSend: func(*wire.Message, int) {},
 		onApply: func(string, wire.Entry) {}, state: func(string) []byte { return []byte("state") }}
 	var list []wire.Member
 	for i, name := range members {
 		list = append(list, wire.Member{Name: name, Disk: uint64(i) + 1})
 	}
 	for _, m := range list {
-		c.add(m, Image{Epoch: 1, Disk: m.Disk, Snap: wire.Snap{Index: 1, Members: list}})
+		c.add(m, Image{Epoch: 1, Disk: m.Disk, Snap: wire.Snapshot{Index: 1, Members: list}})
 	}
 	return c
 }
@@ -66,7 +66,7 @@
 	c.nodes[name] = New(c.now, name, im)
 }
 
-func (c *linkedCluster) send(m *wire.Msg) {
+func (c *linkedCluster) send(m *wire.Message) {
 	bytes, err := wire.NewWriter(io.Discard).Put(m)
 	if err != nil {
 		panic(err)
@@ -224,15 +224,15 @@
 	learner := wire.Member{Name: "d", Disk: 9}
 	c.linkRate["d"] = tuning.SlowLink
 	begun, sent, whole := 0, 0, 0
-	c.onSend = func(m *wire.Msg, _ int) {
-		if m.Append == nil || m.Append.Reply || m.Append.Piece == nil || m.Append.Piece.Entry {
+	c.onSend = func(m *wire.Message, _ int) {
+		if m.Append == nil || m.Append.Reply || m.Append.Chunk == nil || m.Append.Chunk.IsEntry {
 			return
 		}
-		if m.Append.Piece.Offset == 0 {
+		if m.Append.Chunk.Offset == 0 {
 			begun++
-			whole += int(m.Append.Piece.Size)
+			whole += int(m.Append.Chunk.Size)
 		}
-		sent += len(m.Append.Piece.Data)
+		sent += len(m.Append.Chunk.Data)
 	}
 	c.add(learner, Image{Epoch: 1, Disk: 9})
 	from, compacted := c.now, false
@@ -325,12 +325,12 @@
 			}
 		}
 		sent, lost, once := 0, 0, map[string]int{} // once: bytes of each piece to each member
-		c.lose = func(m *wire.Msg) bool {
-			if m.Append == nil || m.Append.Piece == nil {
+		c.lose = func(m *wire.Message) bool {
+			if m.Append == nil || m.Append.Chunk == nil {
 				return false
 			}
-			sent += len(m.Append.Piece.Data)
-			if p := m.Append.Piece; !m.Append.Reply {
+			sent += len(m.Append.Chunk.Data)
+			if p := m.Append.Chunk; !m.Append.Reply {
 				once[fmt.Sprint(m.To, p.Index, p.Offset)] = len(p.Data)
 			}
 			gone := rnd.IntN(3) == 0 // answers too
@@ -371,26 +371,26 @@
 	return New(0, "a", im)
 }
 
-func appendFrom(term uint64, a *wire.Append) *wire.Msg {
-	return &wire.Msg{Kind: uint16(wire.KAppend), From: "b", Disk: 2, Epoch: 1, Term: term, Append: a}
+func appendFrom(term uint64, a *wire.Append) *wire.Message {
+	return &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: term, Append: a}
 }
 
-func pieceOf(s wire.Snap, from, to int) *wire.Append {
-	return &wire.Append{PrevIndex: s.Index, PrevTerm: s.Term, Piece: &wire.Piece{Index: s.Index, Term: s.Term, Members: s.Members,
-		Size: uint64(len(s.Data)), Sum: sumOf(s.Data), Offset: uint64(from), Data: s.Data[from:to]}}
+func pieceOf(s wire.Snapshot, from, to int) *wire.Append {
+	return &wire.Append{PrevIndex: s.Index, PrevTerm: s.Term, Chunk: &wire.Chunk{Index: s.Index, Term: s.Term, Members: s.Members,
+		Size: uint64(len(s.Data)), Checksum: sumOf(s.Data), Offset: uint64(from), Data: s.Data[from:to]}}
 }
 
 // A snapshot is acknowledged only whole and synced; a damaged one is begun again; pieces that
 // come twice or out of order change nothing.
 func TestSnapshotIsWholeBeforeItCounts(t *testing.T) {
 	_, im := node("a")
-	s := wire.Snap{Index: 50, Term: 1, Members: im.Snap.Members, Data: []byte("the whole state")}
+	s := wire.Snapshot{Index: 50, Term: 1, Members: im.Snap.Members, Data: []byte("the whole state")}
 	n := follower()
 	recv := func(a *wire.Append) (Out, *wire.Append) {
 		n.Recv(1, appendFrom(1, a))
 		o := n.Take()
 		for _, b := range o.Batches {
-			if b.Hard {
+			if b.HasHardState {
 				n.Synced(1, b.Seq)
 				o.Send = append(o.Send, n.Take().Send...)
 			}
@@ -401,16 +401,16 @@
 		return o, o.Send[len(o.Send)-1].Append
 	}
 	recv(&wire.Append{}) // the term
-	if _, r := recv(pieceOf(s, 5, 9)); r.Ok || r.Piece != nil {
+	if _, r := recv(pieceOf(s, 5, 9)); r.Success || r.Chunk != nil {
 		t.Fatalf("a piece without those before it: %+v", r)
 	}
-	if _, r := recv(pieceOf(s, 0, 5)); r.Ok || r.Piece == nil || r.Piece.Offset != 5 {
+	if _, r := recv(pieceOf(s, 0, 5)); r.Success || r.Chunk == nil || r.Chunk.Offset != 5 {
 		t.Fatalf("%+v", r)
 	}
 	recv(pieceOf(s, 0, 5))
 	bad := pieceOf(s, 5, 15)
-	bad.Piece.Data = []byte("DAMAGED!!!")
-	if _, r := recv(bad); r.Ok || r.Piece != nil || n.Commit() != 1 {
+	bad.Chunk.Data = []byte("DAMAGED!!!")
+	if _, r := recv(bad); r.Success || r.Chunk != nil || n.Commit() != 1 {
 		t.Fatalf("damaged: %+v", r)
 	}
 	recv(pieceOf(s, 0, 5))
@@ -418,11 +418,11 @@
 	if r != nil || o.Restore == nil || string(o.Restore.Data) != string(s.Data) || len(o.Batches) != 1 {
 		t.Fatalf("acknowledged before it was synced: %+v, restore %v", r, o.Restore)
 	}
-	if _, r := recv(&wire.Append{PrevIndex: 50, PrevTerm: 1}); r == nil || !r.Ok || r.Match >= 50 {
+	if _, r := recv(&wire.Append{PrevIndex: 50, PrevTerm: 1}); r == nil || !r.Success || r.MatchIndex >= 50 {
 		t.Fatalf("a heartbeat before the sync: %+v", r)
 	}
 	n.Synced(1, o.Batches[0].Seq)
-	if a := n.Take().Send[0].Append; !a.Ok || a.Match != 50 {
+	if a := n.Take().Send[0].Append; !a.Success || a.MatchIndex != 50 {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -431,7 +431,7 @@
 // none of them away.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	n := follower(wire.Entry{Index: 2, Term: 1}, wire.Entry{Index: 3, Term: 1}, wire.Entry{Index: 4, Term: 1})
-	n.Recv(1, appendFrom(1, pieceOf(wire.Snap{Index: 3, Term: 1, Members: n.members, Data: []byte("s")}, 0, 1)))
+	n.Recv(1, appendFrom(1, pieceOf(wire.Snapshot{Index: 3, Term: 1, Members: n.members, Data: []byte("s")}, 0, 1)))
 	if o := n.Take(); n.Last() != 4 || o.Restore != nil {
 		t.Fatalf("log ends at %d, restore %v", n.Last(), o.Restore)
 	}
@@ -452,11 +452,11 @@
 		t.Fatal("acknowledged before the sync")
 	}
 	n.Recv(3, appendFrom(1, &wire.Append{PrevIndex: 2, PrevTerm: 1}))
-	if s := n.Take().Send; len(s) != 1 || !s[0].Append.Ok || s[0].Append.Match != 1 {
+	if s := n.Take().Send; len(s) != 1 || !s[0].Append.Success || s[0].Append.MatchIndex != 1 {
 		t.Fatalf("%+v", s)
 	}
 	n.Synced(4, o.Batches[0].Seq)
-	if s := n.Take().Send; len(s) != 1 || s[0].Append.Match != 2 {
+	if s := n.Take().Send; len(s) != 1 || s[0].Append.MatchIndex != 2 {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -465,7 +465,7 @@
 func TestOverwrittenEntryIsTakenAgain(t *testing.T) {
 	n := follower()
 	e := wire.Entry{Index: 2, Term: 1, Kind: EntryData, Data: []byte("large")}
-	piece := &wire.Append{PrevIndex: 1, Piece: &wire.Piece{Entry: true, Index: 2, Term: 1, Kind: EntryData, Size: 5, Sum: sumOf(e.Data), Data: e.Data}}
+	piece := &wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 1, Kind: EntryData, Size: 5, Checksum: sumOf(e.Data), Data: e.Data}}
 	n.Recv(1, appendFrom(1, piece))
 	n.Recv(2, appendFrom(2, &wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}}}))
 	n.Recv(3, appendFrom(3, piece))
@@ -483,14 +483,14 @@
 	away := c.names[(slices.Index(c.names, name)+1)%3]
 	tick := c.changing(t, func() []byte { return random(rnd, 4<<10) })
 	c.run(time.Second, func() bool { tick(); return false })
-	c.lose = func(m *wire.Msg) bool { return m.To == away || m.From == away }
+	c.lose = func(m *wire.Message) bool { return m.To == away || m.From == away }
 	before := n.snap.Index
 	c.run(8*time.Second, func() bool { tick(); return false })
 	if n.snap.Index == before {
 		t.Fatal("nothing was compacted meanwhile")
 	}
 	c.restart(away)
-	c.lose = func(*wire.Msg) bool { return false }
+	c.lose = func(*wire.Message) bool { return false }
 	from := c.now
 	if !c.run(5*time.Second, func() bool {
 		tick()
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -49,7 +49,7 @@
 	relayID      uint64
 	relayedTo    string // the leader that it was passed to
 	relayCount   int    // how many leaders have had it
-	call         *wire.Ask
+	call         *wire.Call
 	relayedAt    time.Duration
 	relayedTerm  uint64     // the term in which it was passed on
 	repetitions  []*pending // the same order asked again while it is under way: answered with it
@@ -102,7 +102,7 @@
 	tableVersion           uint64
 	table                  *wire.Table
 	leadTerms              []uint64                         // the terms of this lead: it may have been lost and won back
-	latestMergedKey        wire.Key                         // latest proxies' table merged while warming
+	latestMergedKey        wire.TableKey                    // latest proxies' table merged while warming
 	changes                map[change]*wire.Table           // the same as changes to earlier ones of this lead
 	madeAt                 [tuning.TablesKept]time.Duration // when each of the last tables was made
 	withdrawnTargets       []withdrawnTarget                // targets that are in no table any more, and since which one
@@ -170,7 +170,7 @@
 // given the shell's.
 func New(now time.Duration, set Settings, img consensus.Image) *Core {
 	c := &Core{settings: set, image: img, bootAt: now, directory: discovery.Directory{}, proxyMemories: map[string]proxyMemory{}, unreadMemories: map[string][]byte{}, proxies: map[string]*proxyState{},
-		pendingChanges: map[string]*pending{}, relayedCalls: map[uint64]*pending{}, requestedMembers: map[string]bool{}, heard: map[string]heard{}, toldLists: map[string]toldList{}, learning: map[string]learning{}, restored: map[string]time.Duration{}, state: state.New(), relayID: set.Self.Inc << 20}
+		pendingChanges: map[string]*pending{}, relayedCalls: map[uint64]*pending{}, requestedMembers: map[string]bool{}, heard: map[string]heard{}, toldLists: map[string]toldList{}, learning: map[string]learning{}, restored: map[string]time.Duration{}, state: state.New(), relayID: set.Self.Incarnation << 20}
 	c.settings.Self.Disk = img.Disk
 	switch {
 	case set.Size > 0:
@@ -192,7 +192,7 @@
 	c.restore(&c.image.Snap)
 }
 
-func (c *Core) restore(s *wire.Snap) {
+func (c *Core) restore(s *wire.Snapshot) {
 	state, err := state.Decode(s.Data)
 	if err != nil {
 		c.cannotDecode(fmt.Sprintf("snapshot %d", s.Index), err)
--- a/internal/controlplane/corestatus.go
+++ b/internal/controlplane/corestatus.go
@@ -264,7 +264,7 @@
 // countOutput counts what the node sends and agrees that operators look for.
 func (c *Core) countOutput(o *consensus.Out) {
 	for _, m := range o.Send {
-		if m.Append != nil && !m.Append.Reply && m.Append.Piece.BeginsSnapshot() {
+		if m.Append != nil && !m.Append.Reply && m.Append.Chunk.BeginsSnapshot() {
 			c.counts.SnapshotsSent++
 		}
 	}
--- a/internal/controlplane/damage_test.go
+++ b/internal/controlplane/damage_test.go
@@ -22,8 +22,8 @@
 }
 
 func newRefounded(memories ...state.RecoveredState) *refounded {
-	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}
-	im := consensus.Image{Disk: 7, Epoch: 2, Snap: wire.Snap{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
+	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
+	im := consensus.Image{Disk: 7, Epoch: 2, Snap: wire.Snapshot{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
 	return &refounded{rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, im)}, memories}
 }
 
@@ -32,7 +32,7 @@
 		for _, m := range r.memories {
 			b, _ := json.Marshal(m)
 			g := wire.Daemon{Name: "g" + string(m.State[:1]), Kind: wire.ProxyDaemon, Addr: "g"}
-			r.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: g.Name, Hello: &wire.Hello{Self: g, Legacy: b}}})
+			r.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: g.Name, Hello: &wire.Hello{Self: g, RecoveredState: b}}})
 		}
 		r.second()
 	}
@@ -112,7 +112,7 @@
 	change := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d1", Token: "x"})
 	long := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: strings.Repeat("d", 2*tuning.CompressFrom)})
 	image := func(snap []byte, log ...wire.Entry) *consensus.Image {
-		return &consensus.Image{Epoch: 1, Disk: 7, Snap: wire.Snap{Index: 1, Data: snap}, Log: log}
+		return &consensus.Image{Epoch: 1, Disk: 7, Snap: wire.Snapshot{Index: 1, Data: snap}, Log: log}
 	}
 	sound := state.Encode(&s)
 	for name, im := range map[string]*consensus.Image{
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -35,9 +35,9 @@
 
 func (c *Core) self() wire.Daemon {
 	d := c.settings.Self
-	d.Disk, d.Lock, d.Offer = c.image.Disk, c.image.Lock, c.offer
+	d.Disk, d.BootstrapLock, d.BootstrapOffer = c.image.Disk, c.image.Lock, c.offer
 	if c.syncedSeq < c.lockSeq {
-		d.Lock = 0
+		d.BootstrapLock = 0
 	}
 	if c.node != nil {
 		d.Epoch = c.node.Epoch()
@@ -122,7 +122,7 @@
 	all := k == nil || k.Kind == wire.ControlDaemon
 	h := fnv.New64a()
 	if k != nil {
-		fmt.Fprint(h, k.Inc) // another process of its name has been told nothing
+		fmt.Fprint(h, k.Incarnation) // another process of its name has been told nothing
 	}
 	names := c.sortedDaemons()
 	for _, n := range names {
@@ -146,21 +146,21 @@
 }
 
 // helloMsg is a hello to a daemon, "" if only its address is known.
-func (c *Core) helloMsg(now time.Duration, to string, reply bool) *wire.Msg {
-	h := &wire.Hello{Self: c.self(), Reply: reply, Known: c.directoryFor(now, to), Leader: c.heardLeader(now), Founding: c.lockedFor()}
+func (c *Core) helloMsg(now time.Duration, to string, reply bool) *wire.Message {
+	h := &wire.Hello{Self: c.self(), Reply: reply, Daemons: c.directoryFor(now, to), Leader: c.heardLeader(now), BootstrapEpoch: c.lockedFor()}
 	if c.node != nil {
 		h.Term = c.node.Term()
 	}
 	if k := c.directory[to]; k != nil && k.Kind != wire.ControlDaemon {
-		return &wire.Msg{Kind: uint16(wire.KHello), From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
+		return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
 	}
 	m := c.lastMembers()
 	h.Members, h.MembersEpoch, h.MembersIndex = m.List, m.Epoch, m.Index
-	h.Refound, h.Gone = c.consent.Granted, c.consent.LostMembers
+	h.RecoveryConsent, h.LostMembers = c.consent.Granted, c.consent.LostMembers
 	if c.node != nil && !c.state.Adopted {
-		h.Legacy = c.image.Legacy
+		h.RecoveredState = c.image.Legacy
 	}
-	return &wire.Msg{Kind: uint16(wire.KHello), From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
+	return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
 }
 
 func (c *Core) hello(now time.Duration) {
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -66,7 +66,7 @@
 // hasConfirmed says that a proxy stands on a table or a later one.
 func (c *Core) hasConfirmed(name string, version uint64) bool {
 	g := c.proxies[name]
-	return g != nil && g.key.Epoch == c.node.Epoch() && g.key.Term == c.node.Term() && g.key.Ver >= version
+	return g != nil && g.key.Epoch == c.node.Epoch() && g.key.Term == c.node.Term() && g.key.Version >= version
 }
 
 // majorityConfirmed says that a majority of the roster, and of the one before while that counts, does.
@@ -147,7 +147,7 @@
 			continue
 		}
 		g := c.proxies[name]
-		past = append(past, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, g.key.Ver, g.key.Term, (now-g.grantAt).Round(time.Millisecond)))
+		past = append(past, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, g.key.Version, g.key.Term, (now-g.grantAt).Round(time.Millisecond)))
 	}
 	if len(past) == 0 {
 		return fmt.Sprintf("table %d: members, targets or proxies of the list before", f.version)
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -59,9 +59,9 @@
 		for _, g := range c.proxies {
 			g.grantAt, g.tableMerged = now, false
 			if !kept {
-				g.key, g.revision, g.seq = wire.Key{}, 0, 0
+				g.key, g.revision, g.seq = wire.TableKey{}, 0, 0
 			}
-			g.sentKey, g.bytesInFlight = wire.Key{}, 0
+			g.sentKey, g.bytesInFlight = wire.TableKey{}, 0
 		}
 		for _, n := range append(c.state.ProxyNames(), c.state.PreviousProxies...) {
 			if c.proxies[n] == nil {
--- a/internal/controlplane/lease.go
+++ b/internal/controlplane/lease.go
@@ -15,14 +15,14 @@
 type proxyState struct {
 	incarnation      uint64
 	pastIncarnations []uint64 // incarnations that this one replaced
-	key              wire.Key
+	key              wire.TableKey
 	stamp            int64
 	pullAt           time.Duration
 	grantAt          time.Duration
 	movedAt          time.Duration // when it last stood on the table of the time, or came on
 	revision, seq    uint64        // of the document and state that it holds
 	tableMerged      bool          // its table of before this lead is merged
-	sentKey          wire.Key      // the latest table that it was sent and has not confirmed yet
+	sentKey          wire.TableKey // the latest table that it was sent and has not confirmed yet
 	sentAt           time.Duration
 	bytesInFlight    int // bytes of tables sent and not confirmed, about
 }
@@ -38,18 +38,18 @@
 	return slices.ContainsFunc(c.state.Proxies, func(g state.ProxyEntry) bool { return g.Name == name })
 }
 
-func (c *Core) pull(now time.Duration, m *wire.Msg) {
+func (c *Core) pull(now time.Duration, m *wire.Message) {
 	if m.Pull == nil {
 		return
 	}
-	k, inc := c.directory[m.From], m.Pull.Self.Inc
+	k, inc := c.directory[m.From], m.Pull.Self.Incarnation
 	switch {
 	case m.Pull.Self.Name == "": // it goes on as it said before
-		if k == nil || k.Inc != m.Disk {
+		if k == nil || k.Incarnation != m.Disk {
 			return // and tells all of itself when it hears nothing
 		}
 		k.At, inc = now, m.Disk
-	case k == nil || k.Inc != inc:
+	case k == nil || k.Incarnation != inc:
 		c.directory.Meet(now, c.settings.Self.Name, &wire.Hello{Self: m.Pull.Self})
 	default:
 		k.At, k.Daemon = now, m.Pull.Self
@@ -72,36 +72,36 @@
 			return // a late word of a process that is gone
 		}
 		g.pastIncarnations = append(g.pastIncarnations, g.incarnation)
-		g.incarnation, g.key, g.stamp, g.revision, g.seq = inc, wire.Key{}, 0, 0, 0
-		g.sentKey, g.bytesInFlight = wire.Key{}, 0
+		g.incarnation, g.key, g.stamp, g.revision, g.seq = inc, wire.TableKey{}, 0, 0, 0
+		g.sentKey, g.bytesInFlight = wire.TableKey{}, 0
 	}
 	g.pullAt = now
-	g.stamp = max(g.stamp, m.Stamp)
+	g.stamp = max(g.stamp, m.Timestamp)
 	if c.table == nil || g.key != m.Pull.Key || m.Pull.Key == c.table.Key {
 		g.movedAt = now
 	}
 	g.key = m.Pull.Key
 	if !g.key.Less(g.sentKey) || now-g.sentAt > flightTime(g.bytesInFlight) {
-		g.sentKey, g.bytesInFlight = wire.Key{}, 0
+		g.sentKey, g.bytesInFlight = wire.TableKey{}, 0
 	}
 	if t := m.Pull.Table; t != nil && c.lead >= Warming && !g.tableMerged {
 		g.tableMerged = true
 		c.merge(now, t)
 		c.rebuild(now, false)
 	}
-	g.revision, g.seq = m.Pull.Revision, m.Pull.Seq
-	if m.Pull.Key == (wire.Key{}) {
+	g.revision, g.seq = m.Pull.Revision, m.Pull.StateIndex
+	if m.Pull.Key == (wire.TableKey{}) {
 		g.tableMerged = true // nothing to tell
 	}
-	for _, s := range m.Pull.Seen {
-		if t := c.targets[wire.ID{Service: s.Service, Name: s.Name, Inc: s.Inc}]; t != nil {
-			if s.Ok > 0 || s.Alive {
+	for _, s := range m.Pull.Stats {
+		if t := c.targets[wire.ID{Service: s.Service, Name: s.Name, Incarnation: s.Incarnation}]; t != nil {
+			if s.Successes > 0 || s.ProbeAnswered {
 				t.okAt, t.unconfirmed, t.misses = now, false, 0
 			}
-			t.seen.Ok += s.Ok
+			t.seen.Successes += s.Successes
 			t.seen.Errors += s.Errors
 			t.seen.Slow += s.Slow
-			t.seen.SumMs += s.SumMs
+			t.seen.TotalMs += s.TotalMs
 			if s.HasDemand {
 				t.Demand, t.HasDemand = s.Demand, true
 			}
@@ -117,16 +117,16 @@
 }
 
 // lags says that a proxy stands on a table of this lead that has not been the latest for too long.
-func (c *Core) isLagging(now time.Duration, k wire.Key) bool {
-	if !c.isOwnTable(k) || k.Ver >= c.tableVersion {
+func (c *Core) isLagging(now time.Duration, k wire.TableKey) bool {
+	if !c.isOwnTable(k) || k.Version >= c.tableVersion {
 		return false
 	}
-	return c.tableVersion-k.Ver >= tuning.TablesKept || now-c.madeAt[(k.Ver+1)%tuning.TablesKept] >= tuning.ProxyDeaf
+	return c.tableVersion-k.Version >= tuning.TablesKept || now-c.madeAt[(k.Version+1)%tuning.TablesKept] >= tuning.ProxyDeaf
 }
 
 // isOwnTable says that a key is one of this lead's tables, of its present term or of an earlier one.
-func (c *Core) isOwnTable(k wire.Key) bool {
-	return c.table != nil && k.Epoch == c.table.Key.Epoch && k.Ver != 0 && slices.Contains(c.leadTerms, k.Term)
+func (c *Core) isOwnTable(k wire.TableKey) bool {
+	return c.table != nil && k.Epoch == c.table.Key.Epoch && k.Version != 0 && slices.Contains(c.leadTerms, k.Term)
 }
 
 // flight is how long tables of so many bytes may be under way.
@@ -136,14 +136,14 @@
 
 // weight is about how many bytes a table takes on its way.
 func tableBytes(t *wire.Table) int {
-	return len(t.Doc) + len(t.State) + tuning.RowBytes*(len(t.Targets)+len(t.Gates)+len(t.Gone)+1)
+	return len(t.Document) + len(t.State) + tuning.RowBytes*(len(t.Targets)+len(t.Proxies)+len(t.RemovedTargets)+1)
 }
 
 // push sends a proxy what it lacks, unless enough is under way to it: it asks again when it
 // has that. A lease runs from the proxy's own stamp, and is for the table that it names or
 // that comes with it.
 func (c *Core) push(name string, g *proxyState, grant bool) {
-	p := &wire.Push{Grant: grant, Want: !g.tableMerged}
+	p := &wire.Push{LeaseGranted: grant, WantTable: !g.tableMerged}
 	if c.lead == Deciding && c.table != nil {
 		p.Key = c.table.Key
 		if g.key != c.table.Key {
@@ -163,15 +163,15 @@
 		}
 	}
 	// The stamp is the proxy's own and means nothing to a later process of its name.
-	c.send(name, &wire.Msg{Kind: uint16(wire.KPush), Epoch: c.node.Epoch(), Term: c.node.Term(), Stamp: g.stamp, Disk: g.incarnation, Push: p})
+	c.send(name, &wire.Message{Kind: wire.KindPush, Epoch: c.node.Epoch(), Term: c.node.Term(), Timestamp: g.stamp, Disk: g.incarnation, Push: p})
 }
 
 // tableFor is the table for a proxy: only what changed since the one that it holds, if that
 // is of this lead; else all, but for a document and state that it has.
 func (c *Core) tableFor(g *proxyState) *wire.Table {
-	doc, state := g.revision != c.table.Revision, g.seq != c.table.Seq
-	if c.isOwnTable(g.key) && g.key.Ver >= c.oldestDeltaBase && g.seq != 0 {
-		k := change{g.key.Term, g.key.Ver, state, doc}
+	doc, state := g.revision != c.table.Revision, g.seq != c.table.StateIndex
+	if c.isOwnTable(g.key) && g.key.Version >= c.oldestDeltaBase && g.seq != 0 {
+		k := change{g.key.Term, g.key.Version, state, doc}
 		if c.changes[k] == nil {
 			c.keepChange(k, c.tableSince(k))
 		}
@@ -181,7 +181,7 @@
 		k := change{state: state}
 		if c.changes[k] == nil {
 			t := *c.table
-			if t.Doc = nil; !state {
+			if t.Document = nil; !state {
 				t.State = nil
 			}
 			c.keepChange(k, &t)
@@ -202,15 +202,15 @@
 // tableSince is the table as a change to an earlier one.
 func (c *Core) tableSince(k change) *wire.Table {
 	t := *c.table
-	t.Base, t.Targets, t.Gone = wire.Key{Epoch: t.Key.Epoch, Term: k.term, Ver: k.base}, nil, nil
+	t.DeltaBase, t.Targets, t.RemovedTargets = wire.TableKey{Epoch: t.Key.Epoch, Term: k.term, Version: k.base}, nil, nil
 	if !k.doc {
-		t.Doc = nil
+		t.Document = nil
 	}
 	if !k.state {
 		t.State = nil
 	}
 	if c.rosterTableVersion <= k.base {
-		t.Gates = nil
+		t.Proxies = nil
 	}
 	for i := range c.table.Targets {
 		if w := &c.table.Targets[i]; c.targets[w.ID()] == nil || c.targets[w.ID()].changedInVersion > k.base {
@@ -219,7 +219,7 @@
 	}
 	for _, o := range c.withdrawnTargets {
 		if o.ver > k.base {
-			t.Gone = append(t.Gone, o.id)
+			t.RemovedTargets = append(t.RemovedTargets, o.id)
 		}
 	}
 	return &t
--- a/internal/controlplane/memory_test.go
+++ b/internal/controlplane/memory_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: proxy, Hello: &wire.Hello{Self: wire.Daemon{Name: proxy, Kind: wire.ProxyDaemon, Addr: proxy, Inc: 1}, Legacy: wire.Compress(b)}}}
+	return statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: proxy, Hello: &wire.Hello{Self: wire.Daemon{Name: proxy, Kind: wire.ProxyDaemon, Addr: proxy, Incarnation: 1}, RecoveredState: wire.Compress(b)}}}
 }
 
 // Where a leader is heard nobody reads what proxies remember, which all of them tell at once when
@@ -37,14 +37,14 @@
 	}
 
 	now := time.Second
-	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: wire.ControlDaemon, Addr: "c9", Inc: 1}}, consensus.Image{Disk: 9})
+	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: wire.ControlDaemon, Addr: "c9", Incarnation: 1}}, consensus.Image{Disk: 9})
 	empty.Step(now, remembering(t, "g1", 1))
 	if len(empty.proxyMemories) != 1 {
 		t.Error("an empty member has not read what a proxy remembers")
 	}
 
-	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}}, consensus.Image{Disk: 7, Epoch: 1,
-		Snap: wire.Snap{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}}})
+	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}}, consensus.Image{Disk: 7, Epoch: 1,
+		Snap: wire.Snapshot{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}}})
 	member.Step(now, remembering(t, "g1", 1))
 	for range 3 * tuning.HelloEvery / tuning.TickEvery {
 		now += tuning.TickEvery
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -12,7 +12,7 @@
 
 func (c *Core) emit(cmd statemachine.Command) { c.out = append(c.out, cmd) }
 
-func (c *Core) send(name string, m *wire.Msg) {
+func (c *Core) send(name string, m *wire.Message) {
 	k := c.directory[name]
 	if k == nil || name == c.settings.Self.Name {
 		return
@@ -21,10 +21,10 @@
 	c.emit(statemachine.Send{Addr: k.Addr, Message: m})
 }
 
-func (c *Core) recv(now time.Duration, m *wire.Msg) {
+func (c *Core) recv(now time.Duration, m *wire.Message) {
 	wire.DiscardNonFinite(m)
-	switch wire.Kind(m.Kind) {
-	case wire.KHello:
+	switch m.Kind {
+	case wire.KindHello:
 		if m.Hello == nil {
 			return
 		}
@@ -40,7 +40,7 @@
 		if !m.Hello.Reply {
 			c.send(m.From, c.helloMsg(now, m.From, true))
 		}
-	case wire.KVote, wire.KAppend:
+	case wire.KindVote, wire.KindAppend:
 		if m.Epoch < c.image.Founding {
 			return // this member has promised to found a later epoch and takes no more part in this one
 		}
@@ -55,30 +55,30 @@
 		if c.node != nil && !c.declines(m) {
 			c.node.Recv(now, m)
 		}
-	case wire.KPull:
+	case wire.KindPull:
 		c.pull(now, m)
-	case wire.KBeat:
-		if m.Beat != nil {
-			c.heartbeat(now, *m.Beat, m.Stamp == 0)
+	case wire.KindHeartbeat:
+		if m.Heartbeat != nil {
+			c.heartbeat(now, *m.Heartbeat, m.Timestamp == 0)
 		}
-	case wire.KAsk:
-		if m.Ask == nil {
+	case wire.KindCall:
+		if m.Call == nil {
 			return
 		}
-		if m.Ask.Reply {
-			if p := c.relayedCalls[m.Ask.Id]; p != nil && p.relayedTo == m.From {
-				if p.targetReport && m.Ask.Status == 503 {
+		if m.Call.Reply {
+			if p := c.relayedCalls[m.Call.ID]; p != nil && p.relayedTo == m.From {
+				if p.targetReport && m.Call.Status == 503 {
 					return // it is passed on again while it may wait
 				}
-				if p.relayCount > 1 && m.Ask.Status == 503 {
+				if p.relayCount > 1 && m.Call.Status == 503 {
 					p.relayedTo = "" // an earlier leader may have agreed it: the next that decides will know
 					return
 				}
-				delete(c.relayedCalls, m.Ask.Id)
-				c.deliver(p, statemachine.Reply{ID: p.ask, Status: int(m.Ask.Status), RetryAfter: time.Duration(m.Ask.RetryMs) * time.Millisecond, Body: m.Ask.Body})
+				delete(c.relayedCalls, m.Call.ID)
+				c.deliver(p, statemachine.Reply{ID: p.ask, Status: int(m.Call.Status), RetryAfter: time.Duration(m.Call.RetryAfterMs) * time.Millisecond, Body: m.Call.Body})
 			}
 			return
 		}
-		c.operate(now, &pending{token: m.Ask.Token, at: now, relay: m.From, relayID: m.Ask.Id}, m.Ask)
+		c.operate(now, &pending{token: m.Call.Token, at: now, relay: m.From, relayID: m.Call.ID}, m.Call)
 	}
 }
--- a/internal/controlplane/numbers_test.go
+++ b/internal/controlplane/numbers_test.go
@@ -13,12 +13,12 @@
 // A demand that is no finite number does not end a leader, and is not told to operators.
 func TestUnsoundDemandIsDiscarded(t *testing.T) {
 	for _, demand := range []float64{math.Inf(1), math.Inf(-1), math.NaN()} {
-		target := wire.Target{Service: "s0", Name: "t0", Inc: 9, Addr: "10.0.0.1:1", State: config.Ready, Demand: demand, HasDemand: true}
-		seen := wire.Seen{Service: "s0", Name: "t0", Inc: 9, Ok: 1, SumMs: demand, Demand: demand, HasDemand: true}
-		for name, m := range map[string]wire.Msg{
-			"beat":    {Kind: uint16(wire.KBeat), Stamp: 1, Beat: &target},
-			"outcome": {Kind: uint16(wire.KPull), From: "g1", Pull: &wire.Pull{Seen: []wire.Seen{seen}}},
-			"table":   {Kind: uint16(wire.KPull), From: "g1", Pull: &wire.Pull{Table: &wire.Table{Targets: []wire.Target{target}}}},
+		target := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: config.Ready, Demand: demand, HasDemand: true}
+		seen := wire.TargetStats{Service: "s0", Name: "t0", Incarnation: 9, Successes: 1, TotalMs: demand, Demand: demand, HasDemand: true}
+		for name, m := range map[string]wire.Message{
+			"beat":    {Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &target},
+			"outcome": {Kind: wire.KindPull, From: "g1", Pull: &wire.Pull{Stats: []wire.TargetStats{seen}}},
+			"table":   {Kind: wire.KindPull, From: "g1", Pull: &wire.Pull{Table: &wire.Table{Targets: []wire.Target{target}}}},
 		} {
 			r := atRest(1, 1)
 			r.step(statemachine.Receive{Message: &m})
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -53,7 +53,7 @@
 		p.token = id
 	}
 	if c.lead == Deciding {
-		c.operate(now, p, &wire.Ask{Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body})
+		c.operate(now, p, &wire.Call{Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body})
 		return
 	}
 	l := ""
@@ -76,7 +76,7 @@
 	}
 	c.relayID++
 	c.relayedCalls[c.relayID] = p
-	p.call = &wire.Ask{Id: c.relayID, Token: p.token, Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body}
+	p.call = &wire.Call{ID: c.relayID, Token: p.token, Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body}
 	if waits {
 		p.relayedTo = c.settings.Self.Name // made known as soon as this member decides
 		c.heartbeat(now, word, false)
@@ -89,7 +89,7 @@
 func (c *Core) relay(now time.Duration, id uint64, p *pending, leader string) {
 	p.relayedTo, p.relayedAt, p.relayedTerm = leader, now, c.Term()
 	p.relayCount++
-	c.send(leader, &wire.Msg{Kind: uint16(wire.KAsk), Ask: p.call})
+	c.send(leader, &wire.Message{Kind: wire.KindCall, Call: p.call})
 }
 
 func query(q, k string) string {
@@ -102,7 +102,7 @@
 	return n, err == nil
 }
 
-func (c *Core) operate(now time.Duration, p *pending, a *wire.Ask) {
+func (c *Core) operate(now time.Duration, p *pending, a *wire.Call) {
 	if c.lead != Deciding {
 		c.answer(p, noLeader())
 		return
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -52,18 +52,18 @@
 // hearMemory takes what another daemon says that it remembers. A proxy's is long, and all proxies
 // tell theirs as soon as they lose a leader, so a member puts it by unread until nobody hears a
 // leader: it matters only where a core has to be founded.
-func (c *Core) hearMemory(m *wire.Msg) {
-	if len(m.Hello.Legacy) == 0 {
+func (c *Core) hearMemory(m *wire.Message) {
+	if len(m.Hello.RecoveredState) == 0 {
 		return
 	}
 	if m.Hello.Self.Kind == wire.ProxyDaemon {
-		c.unreadMemories[m.From] = m.Hello.Legacy
+		c.unreadMemories[m.From] = m.Hello.RecoveredState
 		if c.node == nil || c.lead == Adopting {
 			c.readMemories()
 		}
 		return
 	}
-	if l, ok := decodeMemory(m.Hello.Legacy); ok {
+	if l, ok := decodeMemory(m.Hello.RecoveredState); ok {
 		c.addRecovered(l)
 	}
 }
@@ -222,18 +222,18 @@
 	offer, epoch, ms := c.bootstrapOffer(all, o.places)
 	if len(all) < o.places {
 		waited := now-c.seenFoundersAt >= tuning.BootstrapWait && o.canNeverElect()
-		if !waited && !refound && !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name != c.settings.Self.Name && d.Offer == offer }) {
+		if !waited && !refound && !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name != c.settings.Self.Name && d.BootstrapOffer == offer }) {
 			return
 		}
 	}
 	c.offer = offer
 	for _, d := range all {
-		if d.Offer != c.offer && d.Name != c.settings.Self.Name {
+		if d.BootstrapOffer != c.offer && d.Name != c.settings.Self.Name {
 			return
 		}
 	}
 	if c.image.Lock != c.offer {
-		k := &wire.Batch{Lock: c.offer, Founders: ms, Founding: epoch}
+		k := &wire.Batch{BootstrapLock: c.offer, Founders: ms, BootstrapEpoch: epoch}
 		c.image.Fold(k)
 		if c.node == nil {
 			c.syncImage()
@@ -270,7 +270,7 @@
 	}
 	offer = sum(epoch)
 	for _, d := range all {
-		if epoch > 0 && d.Epoch < epoch && d.Lock == offer {
+		if epoch > 0 && d.Epoch < epoch && d.BootstrapLock == offer {
 			return offer, epoch, ms
 		}
 	}
@@ -283,7 +283,7 @@
 	if c.settings.Size > 0 || c.bootstrapSize == 0 || c.node != nil || c.image.Lock != 0 {
 		return
 	}
-	b := &wire.Batch{Lock: 1}
+	b := &wire.Batch{BootstrapLock: 1}
 	for i := range c.bootstrapSize {
 		b.Founders = append(b.Founders, wire.Member{Name: fmt.Sprintf("absent-%d", i+1)})
 	}
@@ -297,8 +297,8 @@
 	locked := true
 	for _, m := range c.image.Founders {
 		i := slices.IndexFunc(all, func(d wire.Daemon) bool { return d.Name == m.Name && d.Disk == m.Disk })
-		locked = locked && (m.Disk == 0 || i >= 0 && all[i].Lock == c.image.Lock)
-		if i >= 0 && all[i].Lock == c.image.Lock && all[i].Epoch == c.image.Founding {
+		locked = locked && (m.Disk == 0 || i >= 0 && all[i].BootstrapLock == c.image.Lock)
+		if i >= 0 && all[i].BootstrapLock == c.image.Lock && all[i].Epoch == c.image.Founding {
 			locked = true
 			break
 		}
@@ -318,7 +318,7 @@
 	epoch := c.image.Founding
 	// The founding is entry 1, so that a member that was too slow to found learns it as a snapshot.
 	img := consensus.Image{Epoch: epoch, Disk: c.image.Disk, Lock: c.image.Lock, Founders: c.image.Founders, Founding: epoch,
-		Snap: wire.Snap{Index: 1, Members: c.image.Founders}}
+		Snap: wire.Snapshot{Index: 1, Members: c.image.Founders}}
 	img.Legacy = c.image.Legacy
 	s, term, err := stateFromDisk(&c.image)
 	if err != nil { // it goes on with what comes before the damage, which says of itself how old it is
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -29,11 +29,11 @@
 	}
 	for _, p := range c.state.Registrations {
 		c.persistedRegistrations[p.ID()] = p
-		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Inc: p.Inc, Addr: p.Addr, Domain: p.Domain, State: config.Warming, Slots: p.Slots, Turn: p.Turn},
+		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Incarnation: p.Inc, Addr: p.Addr, Domain: p.Domain, State: config.Warming, Slots: p.Slots, ShareOffset: p.Turn},
 			unconfirmed: true, beatAt: now - tuning.BeatLapse/2, aliveAt: now, seenAt: now,
 			probeAt: now - tuning.ProbeEvery}
 		if p.Leaving {
-			t.Held, t.State = true, config.Leaving
+			t.Draining, t.State = true, config.Leaving
 		}
 		if p.WarmingUp {
 			svc := c.cfg.Services[p.Service]
@@ -66,9 +66,9 @@
 // called at each tick, so it sorts only what has changed.
 func (c *Core) changedRegistrations(now time.Duration, r *state.RegistryChange) {
 	for id, t := range c.targets {
-		p := state.Registration{Service: id.Service, Name: id.Name, Inc: id.Inc, Addr: t.Addr, Domain: t.Domain, Slots: t.Slots, Turn: t.Turn, WarmingUp: t.coldLeft(now) > 0, Leaving: t.Held}
+		p := state.Registration{Service: id.Service, Name: id.Name, Inc: id.Incarnation, Addr: t.Addr, Domain: t.Domain, Slots: t.Slots, Turn: t.ShareOffset, WarmingUp: t.coldLeft(now) > 0, Leaving: t.Draining}
 		was, ok := c.persistedRegistrations[id]
-		if ok && was == p || !ok && (t.unconfirmed && !t.Held || len(c.persistedRegistrations) >= tuning.RegistryMax) {
+		if ok && was == p || !ok && (t.unconfirmed && !t.Draining || len(c.persistedRegistrations) >= tuning.RegistryMax) {
 			continue
 		}
 		r.Put = append(r.Put, p)
@@ -77,7 +77,7 @@
 	r.Put = r.Put[:min(len(r.Put), tuning.RegistryBatch, max(1, tuning.RegistryMax-len(c.persistedRegistrations)))]
 	for id := range c.persistedRegistrations {
 		if c.targets[id] == nil {
-			r.Drop = append(r.Drop, state.Registration{Service: id.Service, Name: id.Name, Inc: id.Inc})
+			r.Drop = append(r.Drop, state.Registration{Service: id.Service, Name: id.Name, Inc: id.Incarnation})
 		}
 	}
 	slices.SortFunc(r.Drop, func(a, b state.Registration) int { return a.ID().Compare(b.ID()) })
@@ -94,7 +94,7 @@
 	changed := func(id wire.ID, gone bool) {
 		was, ok := c.persistedTombstones[id]
 		if (!ok || was != gone) && (ok || len(c.persistedTombstones) < tuning.RegistryMax) {
-			r.AddTombstones = append(r.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Inc: id.Inc, Gone: gone})
+			r.AddTombstones = append(r.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Inc: id.Incarnation, Gone: gone})
 		}
 	}
 	for id := range c.leaving {
@@ -110,7 +110,7 @@
 	for id := range c.persistedTombstones {
 		_, leaves := c.leaving[id]
 		if _, gone := c.tombstones[id]; !leaves && !gone {
-			r.DropTombstones = append(r.DropTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Inc: id.Inc})
+			r.DropTombstones = append(r.DropTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Inc: id.Incarnation})
 		}
 	}
 	slices.SortFunc(r.DropTombstones, func(a, b state.Tombstone) int { return a.ID().Compare(b.ID()) })
@@ -133,7 +133,7 @@
 		return true
 	case c.tombstones[id] != 0:
 		return marked && mark.Gone
-	case t != nil && t.Held:
+	case t != nil && t.Draining:
 		p, ok := c.state.Registration(id)
 		return ok && p.Leaving
 	case c.leaving[id] != 0:
--- a/internal/controlplane/reply.go
+++ b/internal/controlplane/reply.go
@@ -48,7 +48,7 @@
 // deliver sends an answer to who asked, as it is: here or at the daemon that passed the call on.
 func (c *Core) deliver(p *pending, r statemachine.Reply) {
 	if p.relay != "" {
-		c.send(p.relay, &wire.Msg{Kind: uint16(wire.KAsk), Ask: &wire.Ask{Id: p.relayID, Reply: true, Status: uint16(r.Status), RetryMs: uint32(r.RetryAfter.Milliseconds()), Body: r.Body}})
+		c.send(p.relay, &wire.Message{Kind: wire.KindCall, Call: &wire.Call{ID: p.relayID, Reply: true, Status: uint16(r.Status), RetryAfterMs: uint32(r.RetryAfter.Milliseconds()), Body: r.Body}})
 		return
 	}
 	r.ID = p.ask
--- a/internal/controlplane/rest_test.go
+++ b/internal/controlplane/rest_test.go
@@ -28,7 +28,7 @@
 		case statemachine.Sync:
 			r.step(statemachine.Synced{Seq: c.Batch.Seq})
 		case statemachine.Probe:
-			b := config.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Inc, Address: c.Addr, State: config.Ready}
+			b := config.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, Address: c.Addr, State: config.Ready}
 			r.step(statemachine.ProbeResult{ID: c.ID, SentAt: r.now, Milliseconds: 1, Report: &b})
 		case statemachine.Send:
 			r.sent++
@@ -52,32 +52,32 @@
 			if (at+time.Duration(i)*7*time.Millisecond)%tuning.PullEvery < tuning.TickEvery {
 				p := &wire.Pull{Self: g}
 				if r.keys[i] != nil {
-					p.Key, p.Revision, p.Seq = r.keys[i].Key, r.keys[i].Revision, r.keys[i].Seq
+					p.Key, p.Revision, p.StateIndex = r.keys[i].Key, r.keys[i].Revision, r.keys[i].StateIndex
 				}
-				r.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPull), From: g.Name, Stamp: int64(r.now), Pull: p}})
+				r.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPull, From: g.Name, Timestamp: int64(r.now), Pull: p}})
 			}
 			if (at+time.Duration(i)*11*time.Millisecond)%tuning.HelloEvery < tuning.TickEvery {
-				r.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: g.Name, Hello: &wire.Hello{Self: g}}})
+				r.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: g.Name, Hello: &wire.Hello{Self: g}}})
 			}
 		}
 		for i := range r.target {
 			if (at+time.Duration(i)*13*time.Millisecond)%tuning.BeatEvery < tuning.TickEvery {
 				w := r.target[i]
-				r.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &w}})
+				r.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &w}})
 			}
 		}
 	}
 }
 
 func atRest(gates, targets int) *rest {
-	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}
+	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
 	r := &rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, consensus.Image{Disk: 7}), keys: make([]*wire.Table, gates)}
 	for i := range gates {
 		n := fmt.Sprintf("g%d", i+1)
-		r.gates = append(r.gates, wire.Daemon{Name: n, Kind: wire.ProxyDaemon, Addr: n, Inc: uint64(i + 1), Domain: fmt.Sprintf("d%d", i%3)})
+		r.gates = append(r.gates, wire.Daemon{Name: n, Kind: wire.ProxyDaemon, Addr: n, Incarnation: uint64(i + 1), Domain: fmt.Sprintf("d%d", i%3)})
 	}
 	for i := range targets {
-		r.target = append(r.target, wire.Target{Service: fmt.Sprintf("s%d", i%12), Name: fmt.Sprintf("t%d", i), Inc: 9, Addr: fmt.Sprintf("10.0.0.1:%d", i+1), State: config.Ready})
+		r.target = append(r.target, wire.Target{Service: fmt.Sprintf("s%d", i%12), Name: fmt.Sprintf("t%d", i), Incarnation: 9, Addr: fmt.Sprintf("10.0.0.1:%d", i+1), State: config.Ready})
 	}
 	for range 12 {
 		r.second()
@@ -88,14 +88,14 @@
 // At rest nothing is sent but answers, and every proxy stands on one table.
 func TestAtRest(t *testing.T) {
 	r := atRest(12, 36)
-	if !r.c.Leading() || len(r.c.Table().Targets) != 36 || len(r.c.Table().Gates) != 12 {
+	if !r.c.Leading() || len(r.c.Table().Targets) != 36 || len(r.c.Table().Proxies) != 12 {
 		t.Fatalf("leads %v, %+v", r.c.Leading(), r.c.Table())
 	}
 	was := r.c.Table().Key
 	for range 5 {
 		r.second()
 	}
-	if k := r.c.Table().Key; k.Ver > was.Ver+1 {
+	if k := r.c.Table().Key; k.Version > was.Version+1 {
 		t.Fatalf("table %v -> %v", was, k)
 	}
 }
@@ -113,14 +113,14 @@
 		}
 		r.second()
 	}
-	if k := r.c.Table().Key; k.Ver > was.Ver+2 {
+	if k := r.c.Table().Key; k.Version > was.Version+2 {
 		t.Fatalf("table %v -> %v", was, k)
 	}
 	x := r.c.targets[words[0].ID()]
 	w := r.c.tableRow(r.now, x)
-	w.BarLeft, w.BarWhy = 1, "default"
+	w.EjectionLeft, w.EjectedBy = 1, "default"
 	silent := w
-	w.Beating, silent.Beating = true, false
+	w.Heartbeating, silent.Heartbeating = true, false
 	if routingFactsOf(&w) == routingFactsOf(&silent) {
 		t.Fatal("it is not told whether a barred target beats")
 	}
@@ -158,8 +158,8 @@
 
 // allocationsPerPull is the mean number of allocations of the answer to a pull that tells nothing new.
 func (r *rest) allocationsPerPull() float64 {
-	m := &wire.Msg{Kind: uint16(wire.KPull), From: r.gates[0].Name, Stamp: int64(r.now),
-		Pull: &wire.Pull{Self: r.gates[0], Key: r.keys[0].Key, Revision: r.keys[0].Revision, Seq: r.keys[0].Seq}}
+	m := &wire.Message{Kind: wire.KindPull, From: r.gates[0].Name, Timestamp: int64(r.now),
+		Pull: &wire.Pull{Self: r.gates[0], Key: r.keys[0].Key, Revision: r.keys[0].Revision, StateIndex: r.keys[0].StateIndex}}
 	return testing.AllocsPerRun(200, func() { r.c.Step(r.now, statemachine.Receive{Message: m}) })
 }
 
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -138,7 +138,7 @@
 	c.lastTurn, c.turnByName = map[string]uint32{}, map[[2]string]uint32{}
 	c.tombstones, c.leaving = map[wire.ID]time.Duration{}, map[wire.ID]time.Duration{}
 	c.withdrawnAt = map[wire.ID]uint64{}
-	c.table, c.sortedIDs, c.latestMergedKey, c.rosterPendingAt = nil, nil, wire.Key{}, 0
+	c.table, c.sortedIDs, c.latestMergedKey, c.rosterPendingAt = nil, nil, wire.TableKey{}, 0
 	c.leadTerms = nil
 	c.changes, c.withdrawnTargets, c.rosterTableVersion, c.oldestDeltaBase = nil, nil, c.tableVersion+1, c.tableVersion+1
 	c.applyPolicies()
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -45,13 +45,13 @@
 	for _, id := range slices.SortedFunc(maps.Keys(c.targets), wire.ID.Compare) {
 		t := c.targets[id]
 		v := TargetView{Target: t.Target, BeatMs: float64(now-t.beatAt) / 1e6, Why: "serving"}
-		v.Beating, v.ColdLeft = t.isBeating(now), t.coldLeft(now)
+		v.Heartbeating, v.WarmupLeft = t.isBeating(now), t.coldLeft(now)
 		until, why := c.judge.Barred(now, id)
 		if until > now {
 			v.Bar, v.BarMs = why, (until - now).Milliseconds()
 		}
 		switch {
-		case t.Held:
+		case t.Draining:
 			v.Why = "held: it said that it is leaving"
 		case v.Bar != "":
 			v.Why = fmt.Sprintf("barred by policy %s: %s", why, c.judge.Stats()[why].Policy.When)
@@ -63,7 +63,7 @@
 			v.Why = "its domain is emptied"
 		case t.State == config.Warming:
 			v.Why = "warming: up to its share"
-		case v.ColdLeft > 0:
+		case v.WarmupLeft > 0:
 			v.Why = "cold: up to its service's cold rate"
 		}
 		l = append(l, v)
@@ -101,7 +101,7 @@
 			v.HeardMs = float64(now-k.At) / 1e6
 		}
 		if g := c.proxies[d.Name]; g != nil {
-			v.Ver = g.key.Ver
+			v.Ver = g.key.Version
 		}
 		l = append(l, v)
 	}
@@ -133,7 +133,7 @@
 	Seq      uint64        `json:"seq"`
 	Members  []wire.Member `json:"members"`
 	Emptied  []string      `json:"emptied"`
-	Table    wire.Key      `json:"table"`
+	Table    wire.TableKey `json:"table"`
 	Targets  int           `json:"targets"`
 	Proxies  int           `json:"proxies"`
 	Core     CoreView      `json:"core"`
@@ -177,7 +177,7 @@
 // Http is where a daemon answers operators.
 func (c *Core) Http(name string) string {
 	if k := c.directory[name]; k != nil {
-		return k.Http
+		return k.HTTP
 	}
 	return ""
 }
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -40,13 +40,13 @@
 			return
 		}
 	}
-	t := &wire.Table{Was: c.state.PreviousProxies, Seq: c.state.Index, Revision: c.state.Revision, Doc: c.compressedDocument(), State: c.state.ForProxies(c.node.Members()), Emptied: c.state.EmptiedDomains}
+	t := &wire.Table{PreviousProxies: c.state.PreviousProxies, StateIndex: c.state.Index, Revision: c.state.Revision, Document: c.compressedDocument(), State: c.state.ForProxies(c.node.Members()), EmptiedDomains: c.state.EmptiedDomains}
 	c.tableVersion++
 	c.madeAt[c.tableVersion%tuning.TablesKept] = now
 	for _, r := range c.state.Proxies {
-		t.Gates = append(t.Gates, wire.Gate{Name: r.Name, Addr: r.Addr, Domain: r.Domain, Live: c.live(now, r.Name)})
+		t.Proxies = append(t.Proxies, wire.Proxy{Name: r.Name, Addr: r.Addr, Domain: r.Domain, Live: c.live(now, r.Name)})
 	}
-	if c.table == nil || !slices.Equal(t.Gates, c.table.Gates) {
+	if c.table == nil || !slices.Equal(t.Proxies, c.table.Proxies) {
 		c.rosterTableVersion = c.tableVersion
 	}
 	t.Targets = make([]wire.Target, 0, len(c.targets))
@@ -54,9 +54,9 @@
 		w, o := c.tableRow(now, c.targets[id]), c.targets[id]
 		moved := func(was, left int64) bool { return left > 0 && max(was-left, left-was) > int64(tuning.LeftStep) }
 		if f := routingFactsOf(&w); f != o.publishedFacts || math.Abs(w.Demand-o.publishedDemand) >= tuning.DemandStep/4 ||
-			moved(int64(o.publishedBar-now), w.BarLeft) || moved(int64(o.publishedCold-now), w.ColdLeft) {
+			moved(int64(o.publishedBar-now), w.EjectionLeft) || moved(int64(o.publishedCold-now), w.WarmupLeft) {
 			o.publishedFacts, o.publishedDemand, o.changedInVersion = f, w.Demand, c.tableVersion
-			o.publishedBar, o.publishedCold = now+time.Duration(w.BarLeft), now+time.Duration(w.ColdLeft)
+			o.publishedBar, o.publishedCold = now+time.Duration(w.EjectionLeft), now+time.Duration(w.WarmupLeft)
 		}
 		t.Targets = append(t.Targets, w)
 	}
@@ -76,12 +76,12 @@
 	if refresh {
 		c.rebuilt = now
 	}
-	t.Key = wire.Key{Epoch: c.node.Epoch(), Term: c.node.Term(), Ver: c.tableVersion}
+	t.Key = wire.TableKey{Epoch: c.node.Epoch(), Term: c.node.Term(), Version: c.tableVersion}
 	c.table, c.changes = t, nil
 	for _, n := range slices.Sorted(maps.Keys(c.proxies)) {
 		if g := c.proxies[n]; c.inRoster(n) && now-g.pullAt < tuning.ProxyLive {
 			if now-g.sentAt > flightTime(g.bytesInFlight) {
-				g.sentKey, g.bytesInFlight = wire.Key{}, 0
+				g.sentKey, g.bytesInFlight = wire.TableKey{}, 0
 			}
 			if g.bytesInFlight == 0 || g.bytesInFlight < tuning.FlightBytes {
 				c.push(n, g, now-g.movedAt < tuning.ProxyDeaf && !c.isLagging(now, g.key))
@@ -118,7 +118,7 @@
 }
 
 func routingFactsOf(w *wire.Target) routingFacts {
-	return routingFacts{w.Addr, w.Domain, w.State, w.BarWhy, w.Held, w.Pending, w.Beating && w.BarLeft > 0, w.ColdLeft > 0, true, w.Slots}
+	return routingFacts{w.Addr, w.Domain, w.State, w.EjectedBy, w.Draining, w.Pending, w.Heartbeating && w.EjectionLeft > 0, w.WarmupLeft > 0, true, w.Slots}
 }
 
 // colder says that a target is cold for longer than the last table said; each word's
@@ -134,9 +134,9 @@
 		w.Pending = w.Pending || t.unconfirmed
 	}
 	until, why := c.judge.Barred(now, t.ID())
-	w.BarLeft, w.BarWhy = max(0, int64(until-now)), why
-	w.Beating = why == "" || t.isBeating(now) // asked only where all that could be used are barred
-	w.ColdLeft = t.coldLeft(now)
+	w.EjectionLeft, w.EjectedBy = max(0, int64(until-now)), why
+	w.Heartbeating = why == "" || t.isBeating(now) // asked only where all that could be used are barred
+	w.WarmupLeft = t.coldLeft(now)
 	return w
 }
 
@@ -152,12 +152,12 @@
 // news is what a table made now would say that the present one does not. All that is agreed
 // shows in the log's index. What takes something away from requests is pressing.
 func (c *Core) pendingNews(now time.Duration) urgency {
-	if c.table == nil || c.table.Seq != c.state.Index || c.table.Revision != c.state.Revision || len(c.table.Gates) != len(c.state.Proxies) {
+	if c.table == nil || c.table.StateIndex != c.state.Index || c.table.Revision != c.state.Revision || len(c.table.Proxies) != len(c.state.Proxies) {
 		return urgent
 	}
 	r, fresh := unchanged, 0
-	for i := range c.table.Gates {
-		if g := &c.table.Gates[i]; g.Live != c.live(now, g.Name) {
+	for i := range c.table.Proxies {
+		if g := &c.table.Proxies[i]; g.Live != c.live(now, g.Name) {
 			r = deferrable
 		}
 	}
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -26,7 +26,7 @@
 	askedFor         time.Duration // the last probe for which proxies were asked to probe too
 	okAt             time.Duration // last report of a success through a proxy
 	aliveAt          time.Duration // last beat or answered probe
-	seen             wire.Seen
+	seen             wire.TargetStats
 	seenAt           time.Duration
 	silentAt         time.Duration
 	misses           int // probes in a row without its own answer
@@ -50,7 +50,7 @@
 		for id, t := range c.targets {
 			if t.unconfirmed {
 				delete(c.targets, id) // known only from an earlier table, or from the log
-				if t.Held {
+				if t.Draining {
 					c.leaving[id] = now
 				}
 			}
@@ -64,13 +64,13 @@
 				continue
 			}
 			t := &target{Target: w, unconfirmed: true, beatAt: now - tuning.BeatLapse/2, aliveAt: now, probeAt: now - tuning.ProbeEvery, seenAt: now}
-			t.BarLeft, t.BarWhy, t.Held, t.ColdLeft = 0, "", false, 0
+			t.EjectionLeft, t.EjectedBy, t.Draining, t.WarmupLeft = 0, "", false, 0
 			c.targets[w.ID()] = t
 			if c.leaving[w.ID()] != 0 {
 				c.hold(now, t, "it was leaving, as agreed")
 			}
-			c.lastTurn[w.Service] = max(c.lastTurn[w.Service], w.Turn)
-			c.turnByName[[2]string{w.Service, w.Name}] = w.Turn
+			c.lastTurn[w.Service] = max(c.lastTurn[w.Service], w.ShareOffset)
+			c.turnByName[[2]string{w.Service, w.Name}] = w.ShareOffset
 		}
 	}
 	for _, w := range b.Targets {
@@ -78,13 +78,13 @@
 		if t == nil {
 			continue
 		}
-		if w.Held {
+		if w.Draining {
 			c.hold(now, t, "a proxy's table holds it")
 		}
-		t.coldTill = max(t.coldTill, now+time.Duration(w.ColdLeft))
+		t.coldTill = max(t.coldTill, now+time.Duration(w.WarmupLeft))
 		c.markCold(t)
-		if w.BarLeft > 0 && c.lead == Warming {
-			c.judge.Adopt(now, w.ID(), w.BarWhy, time.Duration(w.BarLeft))
+		if w.EjectionLeft > 0 && c.lead == Warming {
+			c.judge.Adopt(now, w.ID(), w.EjectedBy, time.Duration(w.EjectionLeft))
 		}
 	}
 }
@@ -100,12 +100,12 @@
 }
 
 func (c *Core) hold(now time.Duration, t *target, why string) {
-	if t.Held {
+	if t.Draining {
 		return
 	}
-	t.Held, t.State = true, config.Leaving
+	t.Draining, t.State = true, config.Leaving
 	c.counts.Holds++
-	d := outlier.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Inc: t.Inc, Why: why}
+	d := outlier.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Inc: t.Incarnation, Why: why}
 	c.emit(statemachine.Publish{Decision: &d})
 }
 
@@ -116,11 +116,11 @@
 		return
 	}
 	delete(c.targets, id)
-	if t.Held {
+	if t.Draining {
 		c.leaving[id] = now
 	}
 	c.scorer.Forget(now, id)
-	d := outlier.Decision{At: now, Policy: "registry", Kind: "gone", Service: id.Service, Name: id.Name, Inc: id.Inc, Why: why}
+	d := outlier.Decision{At: now, Policy: "registry", Kind: "gone", Service: id.Service, Name: id.Name, Inc: id.Incarnation, Why: why}
 	c.emit(statemachine.Publish{Decision: &d})
 }
 
@@ -129,7 +129,7 @@
 func (c *Core) heartbeat(now time.Duration, w wire.Target, passOn bool) {
 	if c.lead != Deciding && c.lead != Warming {
 		if passOn {
-			c.send(c.leader(now), &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &w})
+			c.send(c.leader(now), &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &w})
 		}
 		return
 	}
@@ -163,10 +163,10 @@
 	}
 	c.updateFromReport(now, t, w)
 	c.advanceState(now, t, w.State)
-	e := outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Inc, Ok: true, State: t.State}
+	e := outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Incarnation, Ok: true, State: t.State}
 	c.judgeEvent(e)
 	if t.HasDemand {
-		c.judgeEvent(outlier.Event{At: now, Slice: "demand", Service: t.Service, Name: t.Name, Inc: t.Inc, Demand: t.Demand})
+		c.judgeEvent(outlier.Event{At: now, Slice: "demand", Service: t.Service, Name: t.Name, Inc: t.Incarnation, Demand: t.Demand})
 	}
 	c.targetChanged(now, t)
 }
@@ -182,8 +182,8 @@
 		t.Slots = w.Slots
 	}
 	t.Number = max(t.Number, w.Number)
-	if w.ColdLeft > 0 {
-		t.coldTill = max(t.coldTill, now+time.Duration(w.ColdLeft))
+	if w.WarmupLeft > 0 {
+		t.coldTill = max(t.coldTill, now+time.Duration(w.WarmupLeft))
 	} else if w.Number != 0 && w.Number >= t.warmFrom {
 		t.coldTill = 0
 	}
@@ -209,7 +209,7 @@
 	switch {
 	case s == config.Leaving:
 		c.hold(now, t, "a beat says leaving")
-	case s == config.Ready && !t.Held:
+	case s == config.Ready && !t.Draining:
 		t.State = s
 	}
 }
@@ -243,7 +243,7 @@
 func (c *Core) register(now time.Duration, w wire.Target) *target {
 	t := c.claims[w.ID()]
 	if t == nil {
-		t = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Inc: w.Inc, Addr: w.Addr, Domain: w.Domain, State: config.Warming},
+		t = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: config.Warming},
 			beatAt: now, aliveAt: now, probeAt: now - tuning.ProbeEvery, seenAt: now, unconfirmed: true}
 	}
 	if len(c.conflictingTargets(w)) > 0 {
@@ -265,7 +265,7 @@
 func (c *Core) takeOver(now time.Duration, t *target, proved bool) bool {
 	rs := c.conflictingTargets(t.Target)
 	for _, o := range rs {
-		lives := !o.unconfirmed && !o.Held && o.misses < tuning.ProbeMisses
+		lives := !o.unconfirmed && !o.Draining && o.misses < tuning.ProbeMisses
 		silent := now-o.beatAt > tuning.BeatLapse && o.misses >= tuning.ProbeMisses
 		if proved && o.Addr != t.Addr && lives || !proved && (t.unconfirmed || !silent) {
 			return false
@@ -292,7 +292,7 @@
 		c.lastTurn[id.Service]++
 		c.turnByName[name] = c.lastTurn[id.Service]
 	}
-	t.Turn = c.turnByName[name] // a restart keeps it: proxies that serve on their peers may have dealt by it already
+	t.ShareOffset = c.turnByName[name] // a restart keeps it: proxies that serve on their peers may have dealt by it already
 	c.targets[id] = t
 	if c.leaving[id] != 0 {
 		c.hold(now, t, "it was leaving when it fell silent")
--- a/internal/controlplane/targetcall.go
+++ b/internal/controlplane/targetcall.go
@@ -21,7 +21,7 @@
 	}
 	for _, id := range ids {
 		t := w
-		t.Service, t.Inc = id.Service, id.Inc
+		t.Service, t.Incarnation = id.Service, id.Incarnation
 		c.heartbeat(now, t, false)
 	}
 	if !targetreport.IsLeaving(w) {
@@ -36,7 +36,7 @@
 		if out == 0 {
 			out = c.tableVersion
 		}
-		if t := c.targets[id]; t == nil || t.Held { // an old word has changed nothing
+		if t := c.targets[id]; t == nil || t.Draining { // an old word has changed nothing
 			c.withdrawnAt[id] = out
 		}
 		ver = max(ver, out)
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -20,7 +20,7 @@
 	"entry no JSON":    func(r *rest) { r.c.node.Propose(r.now, []byte("{")) },
 	"entry wrong type": func(r *rest) { r.c.node.Propose(r.now, []byte(`{"op":7}`)) },
 	"entry compressed": func(r *rest) { r.c.node.Propose(r.now, []byte("\x28\xb5\x2f\xfd broken off")) },
-	"snapshot":         func(r *rest) { r.c.restore(&wire.Snap{Index: 900, Data: []byte(`{"seq":"x"}`)}) },
+	"snapshot":         func(r *rest) { r.c.restore(&wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)}) },
 	"configuration": func(r *rest) {
 		r.c.propose(r.now, state.Command{Operation: state.OpConfigure, Base: r.c.state.Revision, Document: json.RawMessage(`[]`)})
 	},
@@ -87,7 +87,7 @@
 func newCluster() *cluster {
 	k := &cluster{now: time.Second, members: map[string]*Core{}, names: []string{"c1", "c2", "c3"}}
 	for i, n := range k.names {
-		self := wire.Daemon{Name: n, Kind: wire.ControlDaemon, Addr: n, Inc: 1}
+		self := wire.Daemon{Name: n, Kind: wire.ControlDaemon, Addr: n, Incarnation: 1}
 		k.members[n] = New(k.now, Settings{Self: self, Size: 3, Seeds: k.names}, consensus.Image{Disk: uint64(i + 7)})
 	}
 	return k
--- a/internal/controlplane/watchdog.go
+++ b/internal/controlplane/watchdog.go
@@ -24,15 +24,15 @@
 		t := c.targets[id]
 		if now-t.seenAt >= tuning.SeenEvery {
 			t.seenAt = now
-			if s := t.seen; s.Ok+s.Errors > 0 {
-				t.seen = wire.Seen{}
-				c.judgeEvent(outlier.Event{At: now, Slice: "exchange", Service: t.Service, Name: t.Name, Inc: t.Inc,
-					Count: int(s.Ok + s.Errors), Errors: int(s.Errors), Slow: int(s.Slow), Ms: s.SumMs})
+			if s := t.seen; s.Successes+s.Errors > 0 {
+				t.seen = wire.TargetStats{}
+				c.judgeEvent(outlier.Event{At: now, Slice: "exchange", Service: t.Service, Name: t.Name, Inc: t.Incarnation,
+					Count: int(s.Successes + s.Errors), Errors: int(s.Errors), Slow: int(s.Slow), Ms: s.TotalMs})
 			}
 		}
 		if silent := now - t.beatAt; silent > tuning.BeatLapse && now-t.silentAt >= tuning.SeenEvery {
 			t.silentAt = now
-			c.judgeEvent(outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Inc, State: t.State, Ms: float64(silent) / 1e6})
+			c.judgeEvent(outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Incarnation, State: t.State, Ms: float64(silent) / 1e6})
 		}
 		if now-t.aliveAt > tuning.TargetGone {
 			c.drop(now, id, "silent and unreachable")
@@ -113,12 +113,12 @@
 	}
 	if _, named := c.cfg.Services[id.Service]; !named {
 		// Nothing is sent there; once it is, probes are spread, and who beat and fell silent must answer one.
-		t.probeAt = now - tuning.ProbeEvery + time.Duration(t.Turn)*tuning.TickEvery%tuning.NamedSpread
+		t.probeAt = now - tuning.ProbeEvery + time.Duration(t.ShareOffset)*tuning.TickEvery%tuning.NamedSpread
 		t.unconfirmed = t.unconfirmed || t.streak.Count() >= tuning.ProofWords && now-t.beatAt > tuning.NamedSilent
 		return
 	}
 	if t.missed && t.misses < tuning.ProbeMisses && t.sentAt != 0 && t.askedFor != t.sentAt && now-t.sentAt >= tuning.IndirectAfter &&
-		t.okAt < t.sentAt+tuning.IndirectAfter && !t.Held && t.State != config.Leaving {
+		t.okAt < t.sentAt+tuning.IndirectAfter && !t.Draining && t.State != config.Leaving {
 		t.askedFor = t.sentAt
 		c.indirect(now, id)
 	}
@@ -176,8 +176,8 @@
 	slices.SortStableFunc(all, func(a, b choice) int { return cmp.Or(cmp.Compare(a.nth, b.nth), cmp.Compare(a.close, b.close)) })
 	for _, k := range all[:min(len(all), tuning.IndirectProbes)] {
 		g := c.proxies[k.name]
-		p := &wire.Push{Key: g.key, Probe: []wire.ID{id}}
-		c.send(k.name, &wire.Msg{Kind: uint16(wire.KPush), Epoch: c.node.Epoch(), Term: c.node.Term(), Stamp: g.stamp, Disk: g.incarnation, Push: p})
+		p := &wire.Push{Key: g.key, ProbeTargets: []wire.ID{id}}
+		c.send(k.name, &wire.Message{Kind: wire.KindPush, Epoch: c.node.Epoch(), Term: c.node.Term(), Timestamp: g.stamp, Disk: g.incarnation, Push: p})
 	}
 }
 
@@ -198,7 +198,7 @@
 	}
 	t.sentAt = 0
 	proved := t.unconfirmed
-	e := outlier.Event{At: now, Slice: "probe", Service: t.Service, Name: t.Name, Inc: t.Inc, Ms: p.Milliseconds}
+	e := outlier.Event{At: now, Slice: "probe", Service: t.Service, Name: t.Name, Inc: t.Incarnation, Ms: p.Milliseconds}
 	b := p.Report
 	e.Ok = b != nil && b.ID() == p.ID
 	t.missed = !e.Ok
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -134,7 +134,7 @@
 		}
 		for i, text := range []string{"first", "second", "third"} {
 			e := wire.Entry{Index: uint64(i) + 1, Term: 1, Kind: consensus.EntryData, Data: data(text)}
-			d.sync([]*wire.Batch{{Seq: uint64(i) + 1, Hard: true, Term: 1, Vote: "b", Entries: []wire.Entry{e}}})
+			d.sync([]*wire.Batch{{Seq: uint64(i) + 1, HasHardState: true, Term: 1, Vote: "b", Entries: []wire.Entry{e}}})
 		}
 		damage(t, h.Settings.Data)
 		_, im, found := h.openDiskInTime()
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -152,7 +152,7 @@
 
 // Daemon returns what the daemon says of itself to others.
 func (h *Host) Daemon() wire.Daemon {
-	return wire.Daemon{Name: h.Settings.Name, Kind: h.Kind, Domain: h.Settings.Domain, Addr: h.Settings.Addr, Http: h.Settings.HTTP, Inc: h.Incarnation}
+	return wire.Daemon{Name: h.Settings.Name, Kind: h.Kind, Domain: h.Settings.Domain, Addr: h.Settings.Addr, HTTP: h.Settings.HTTP, Incarnation: h.Incarnation}
 }
 
 // Fatal logs an error that the daemon can't go on with, and ends the process with exit code 1.
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/host_test.go
@@ -101,7 +101,7 @@
 	for i := range uint64(200) {
 		b := &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1, Kind: consensus.EntryData, Data: big}}}
 		if i%8 == 7 {
-			b.Snap = &wire.Snap{Index: i, Term: 1, Data: big}
+			b.Snapshot = &wire.Snapshot{Index: i, Term: 1, Data: big}
 		}
 		d.queue <- b
 		want.Fold(b)
--- a/internal/daemon/probe.go
+++ b/internal/daemon/probe.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, 0, false, err
 	}
-	b = &config.Beat{Service: p.ID.Service, Name: p.ID.Name, Incarnation: p.ID.Inc}
+	b = &config.Beat{Service: p.ID.Service, Name: p.ID.Name, Incarnation: p.ID.Incarnation}
 	if n := resp.Header.Get(names.Identity); n != "" {
 		b.Name = n
 	}
--- a/internal/daemon/probe_test.go
+++ b/internal/daemon/probe_test.go
@@ -77,13 +77,13 @@
 				w.WriteHeader(c.status)
 			})
 			h := prober()
-			p := statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/well"}
+			p := statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/well"}
 			for range 3 {
 				got := h.probeOnce(p)
 				if got.ID != p.ID || got.WarmupLeft != c.cold || (got.Report == nil) != c.miss {
 					t.Fatalf("%+v", got)
 				}
-				if b := got.Report; b != nil && (b.ID() != (wire.ID{Service: "s", Name: c.who, Inc: 3}) || b.State != c.state || (b.Demand == nil) != (c.demand == nil) || b.Demand != nil && *b.Demand != *c.demand) {
+				if b := got.Report; b != nil && (b.ID() != (wire.ID{Service: "s", Name: c.who, Incarnation: 3}) || b.State != c.state || (b.Demand == nil) != (c.demand == nil) || b.Demand != nil && *b.Demand != *c.demand) {
 					t.Fatalf("%+v", b)
 				}
 			}
@@ -104,8 +104,8 @@
 	})
 	h := prober()
 	for range 3 {
-		got := h.probeOnce(statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr})
-		if b := got.Report; b == nil || b.ID() != (wire.ID{Service: "s", Name: "z", Inc: 4}) || b.State != config.Leaving {
+		got := h.probeOnce(statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr})
+		if b := got.Report; b == nil || b.ID() != (wire.ID{Service: "s", Name: "z", Incarnation: 4}) || b.State != config.Leaving {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -123,7 +123,7 @@
 		c.Close()
 	})
 	h := prober()
-	p := statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Inc: 3}, Addr: addr, Path: "/w"}
+	p := statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/w"}
 	for i := range 3 {
 		if got := h.probeOnce(p); got.Report == nil || conns.Load() != int64(i+1) {
 			t.Fatal(got, conns.Load())
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}
+	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
 	return &loneCore{disk: d, now: time.Second, core: controlplane.New(time.Second, controlplane.Settings{Self: self, Size: 1}, img)}
 }
 
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -4,6 +4,7 @@
 package daemon
 
 import (
+	"myrtlefold/internal/shared/wire"
 	"sync/atomic"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -24,7 +25,7 @@
 	counts [2][len(kinds)]struct{ msgs, bytes atomic.Uint64 }
 }
 
-func (t *Traffic) add(sent bool, kind uint16, bytes int) {
+func (t *Traffic) add(sent bool, kind wire.Kind, bytes int) {
 	if int(kind) >= len(kinds) {
 		kind = 0
 	}
--- a/internal/daemon/traffic_test.go
+++ b/internal/daemon/traffic_test.go
@@ -12,9 +12,9 @@
 // counts as such.
 func TestTraffic(t *testing.T) {
 	var tr Traffic
-	tr.add(true, uint16(wire.KPush), 100)
-	tr.add(true, uint16(wire.KPush), 50)
-	tr.add(false, uint16(wire.KHello), 10)
+	tr.add(true, wire.KindPush, 100)
+	tr.add(true, wire.KindPush, 50)
+	tr.add(false, wire.KindHello, 10)
 	tr.add(false, 60000, 1)
 	want := []Flow{{false, "unknown", 1, 1}, {false, "hello", 1, 10}, {true, "push", 2, 150}}
 	got := tr.Flows()
@@ -26,7 +26,7 @@
 			t.Fatal(got)
 		}
 	}
-	if int(wire.KAsk) != len(kinds)-1 {
+	if int(wire.KindCall) != len(kinds)-1 {
 		t.Fatal("a kind of message has no name")
 	}
 	reg := prometheus.NewRegistry()
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -65,7 +65,7 @@
 
 // queued is a message that waits to be sent, and since when.
 type queued struct {
-	m     *wire.Msg
+	m     *wire.Message
 	table *wire.PackedTable // the message's, if it is packed for all who get it
 	at    time.Duration
 }
@@ -99,7 +99,7 @@
 
 // Send queues a message for an address; called on the owner's goroutine. Messages that can't be
 // sent soon are dropped: owners repeat them, or send later ones in their place.
-func (h *Host) Send(addr string, m *wire.Msg) {
+func (h *Host) Send(addr string, m *wire.Message) {
 	ch := h.queues[addr]
 	if ch == nil {
 		ch = make(chan queued, tuning.SendQueue)
--- a/internal/dataplane/choice.go
+++ b/internal/dataplane/choice.go
@@ -21,8 +21,8 @@
 )
 
 func (g *Proxy) standing(now time.Duration, t *target, x *request) standing {
-	if t.held || t.Held || t.Pending || t.State == config.Leaving ||
-		slices.Contains(g.table.Emptied, t.Domain) || len(x.tried) > 0 && slices.Contains(x.tried, t.ID()) {
+	if t.held || t.Draining || t.Pending || t.State == config.Leaving ||
+		slices.Contains(g.table.EmptiedDomains, t.Domain) || len(x.tried) > 0 && slices.Contains(x.tried, t.ID()) {
 		return out
 	}
 	if t.ejectedUntil > now || t.ownEjection > now {
@@ -86,7 +86,7 @@
 // keeps it fresh, else by what was heard here, straight or through a peer.
 func (g *Proxy) beats(now time.Duration, t *target) bool {
 	if g.state == Granted {
-		return t.Beating
+		return t.Heartbeating
 	}
 	return t.streak.Steady(now)
 }
--- a/internal/dataplane/cold.go
+++ b/internal/dataplane/cold.go
@@ -36,7 +36,7 @@
 	}
 	var gap time.Duration
 	k := key(t.ID())
-	for _, names := range [][]string{g.listed, g.table.Was} {
+	for _, names := range [][]string{g.listed, g.table.PreviousProxies} {
 		if len(names) == 0 {
 			continue
 		}
--- a/internal/dataplane/deal.go
+++ b/internal/dataplane/deal.go
@@ -31,7 +31,7 @@
 }
 
 func key(id wire.ID) uint64 {
-	return mix(mix(hash(id.Service), hash(id.Name)), id.Inc)
+	return mix(mix(hash(id.Service), hash(id.Name)), id.Incarnation)
 }
 
 // drawn says whether a name is among the n that a draw by key puts first.
@@ -67,7 +67,7 @@
 		return
 	}
 	var doms []string
-	for _, r := range g.table.Gates {
+	for _, r := range g.table.Proxies {
 		g.listed = append(g.listed, r.Name)
 		// The proxies that the leader hears share caps, or all of them if there is no leader to say.
 		if r.Live || r.Name == g.settings.Self.Name || g.state != Granted {
@@ -90,7 +90,7 @@
 		g.prepare(now, s, doms)
 	}
 	for n, s := range g.services {
-		s.budget.part = g.settings.Retry.slack(hash(n), g.settings.Self.Name, g.listed, g.table.Was)
+		s.budget.part = g.settings.Retry.slack(hash(n), g.settings.Self.Name, g.listed, g.table.PreviousProxies)
 	}
 }
 
@@ -106,8 +106,8 @@
 		g.prepareTarget(now, t, set)
 		switch {
 		case t.coldUntil > now:
-		case t.Held || t.Pending || t.State == config.Leaving || slices.Contains(g.table.Emptied, t.Domain):
-		case t.BarLeft > 0:
+		case t.Draining || t.Pending || t.State == config.Leaving || slices.Contains(g.table.EmptiedDomains, t.Domain):
+		case t.EjectionLeft > 0:
 			barred = append(barred, lot{key(t.ID()), t.Domain, t.slots, t})
 		case t.State == config.Warming:
 			total += t.slots
@@ -146,7 +146,7 @@
 	if t.coldUntil > now && (g.coldEnd == 0 || t.coldUntil < g.coldEnd) {
 		g.coldEnd = t.coldUntil
 	}
-	isOut := t.Held || t.Pending || t.State == config.Leaving || slices.Contains(g.table.Emptied, t.Domain) || t.BarLeft > 0
+	isOut := t.Draining || t.Pending || t.State == config.Leaving || slices.Contains(g.table.EmptiedDomains, t.Domain) || t.EjectionLeft > 0
 	if t.State == config.Warming && (t.coldUntil > now || !isOut) {
 		t.part = g.room(now, t, set)
 	}
@@ -271,8 +271,8 @@
 	}
 	if t.State == config.Warming {
 		n := part(set.WarmCap, g.listed)
-		if len(g.table.Was) > 0 {
-			n = min(n, part(set.WarmCap, g.table.Was))
+		if len(g.table.PreviousProxies) > 0 {
+			n = min(n, part(set.WarmCap, g.table.PreviousProxies))
 		}
 		if t.riseAt > now {
 			n = min(n, t.warmPart)
@@ -290,7 +290,7 @@
 func (t *target) place(c int, among []string) int {
 	h := fnv.New32a()
 	h.Write([]byte(t.Service))
-	return int(h.Sum32()>>8) + int(t.Turn)*(c%max(1, len(among)))
+	return int(h.Sum32()>>8) + int(t.ShareOffset)*(c%max(1, len(among)))
 }
 
 // rise keeps this proxy's part of a warming target's cap from growing before all that
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -79,7 +79,7 @@
 	if s == nil {
 		s = &service{}
 		if g.table != nil {
-			s.budget.part = g.settings.Retry.slack(hash(n), g.settings.Self.Name, g.listed, g.table.Was)
+			s.budget.part = g.settings.Retry.slack(hash(n), g.settings.Self.Name, g.listed, g.table.PreviousProxies)
 		}
 		g.services[n] = s
 	}
@@ -369,16 +369,16 @@
 		switch e.Outcome {
 		case statemachine.Served:
 			t.answeredAt = now
-			t.seen.Ok++
-			t.seen.SumMs += e.Milliseconds
+			t.seen.Successes++
+			t.seen.TotalMs += e.Milliseconds
 			if x.set.SlowMs > 0 && e.Milliseconds > float64(x.set.SlowMs) {
 				t.seen.Slow++
 			}
 		case statemachine.ServerError, statemachine.ResponseLost:
 			t.seen.Errors++
-			t.seen.SumMs += e.Milliseconds
+			t.seen.TotalMs += e.Milliseconds
 		case statemachine.TargetRejected:
-			t.seen.NotRun++
+			t.seen.Rejected++
 		case statemachine.ChoiceExpired:
 			g.Counts.StaleChoices++
 		case statemachine.ConnectFailed, statemachine.WrongIdentity:
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -35,8 +35,8 @@
 		}
 		return 2*k > n
 	}
-	return most(len(g.table.Gates), func(i int) string { return g.table.Gates[i].Name }) &&
-		(len(g.table.Was) == 0 || most(len(g.table.Was), func(i int) string { return g.table.Was[i] }))
+	return most(len(g.table.Proxies), func(i int) string { return g.table.Proxies[i].Name }) &&
+		(len(g.table.PreviousProxies) == 0 || most(len(g.table.PreviousProxies), func(i int) string { return g.table.PreviousProxies[i] }))
 }
 
 // leader is the one that the core members last heard name in the latest epoch and term.
@@ -55,22 +55,22 @@
 		} else if k.Kind == wire.ControlDaemon {
 			sent[k.Addr] = true
 			h := &wire.Hello{Self: self}
-			who := fmt.Sprint(n, " ", k.Inc)
+			who := fmt.Sprint(n, " ", k.Incarnation)
 			if at, ok := g.memoryToldAt[who]; g.state != Granted && now-k.At < 4*tuning.HelloEvery && (!ok || now-at >= tuning.MemoryEvery) {
 				if memory == nil {
 					memory = g.rememberedState()
 				}
-				if h.Legacy = memory; len(memory) > 0 {
+				if h.RecoveredState = memory; len(memory) > 0 {
 					g.memoryToldAt[who] = now
 				}
 			}
-			g.emit(statemachine.Send{Addr: k.Addr, Message: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: h}})
+			g.emit(statemachine.Send{Addr: k.Addr, Message: &wire.Message{Kind: wire.KindHello, From: g.settings.Self.Name, Hello: h}})
 		}
 	}
 	maps.DeleteFunc(g.memoryToldAt, func(_ string, at time.Duration) bool { return now-at >= tuning.MemoryEvery })
 	for _, a := range g.settings.Seeds {
 		if !sent[a] && a != g.settings.Self.Addr {
-			g.emit(statemachine.Send{Addr: a, Message: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
+			g.emit(statemachine.Send{Addr: a, Message: &wire.Message{Kind: wire.KindHello, From: g.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
 		}
 	}
 }
@@ -80,13 +80,13 @@
 // and no proxy's work grows with more than the roster.
 func (g *Proxy) askPeers(now time.Duration) {
 	for n := range g.asked {
-		if !slices.ContainsFunc(g.table.Gates, func(r wire.Gate) bool { return r.Name == n }) {
+		if !slices.ContainsFunc(g.table.Proxies, func(r wire.Proxy) bool { return r.Name == n }) {
 			delete(g.asked, n)
 		}
 	}
-	var who []*wire.Gate
-	for i := range g.table.Gates {
-		if r := &g.table.Gates[i]; r.Name != g.settings.Self.Name {
+	var who []*wire.Proxy
+	for i := range g.table.Proxies {
+		if r := &g.table.Proxies[i]; r.Name != g.settings.Self.Name {
 			who = append(who, r)
 		}
 	}
@@ -94,7 +94,7 @@
 		k := int(g.salt % uint64(len(who)))
 		who = append(who[k:], who[:k]...)
 	}
-	slices.SortStableFunc(who, func(a, b *wire.Gate) int { return cmp.Compare(g.asked[a.Name], g.asked[b.Name]) })
+	slices.SortStableFunc(who, func(a, b *wire.Proxy) int { return cmp.Compare(g.asked[a.Name], g.asked[b.Name]) })
 	n := max(tuning.TouchMost, (len(who)+tuning.TouchTurns-1)/tuning.TouchTurns)
 	self := g.self()
 	for i, r := range who[:min(n, len(who))] {
@@ -103,8 +103,8 @@
 		}
 		g.asked[r.Name] = now
 		// Back from a freeze or a cut, what peers hold against targets is wanted too.
-		m := wire.Pull{Self: self, Key: g.table.Key, Want: !g.Serving() && (len(who) <= tuning.TouchMost || i < tuning.TouchWant)}
-		g.send(r.Name, &wire.Msg{Kind: uint16(wire.KPull), Stamp: int64(now), Disk: g.settings.Self.Inc, Pull: &m})
+		m := wire.Pull{Self: self, Key: g.table.Key, WantTable: !g.Serving() && (len(who) <= tuning.TouchMost || i < tuning.TouchWant)}
+		g.send(r.Name, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: g.settings.Self.Incarnation, Pull: &m})
 	}
 }
 
@@ -131,7 +131,7 @@
 // touched and targets probed from then on, so that both are known when the lease lapses.
 func (g *Proxy) doubts(now time.Duration) bool {
 	after := tuning.DoubtAfter
-	if g.table != nil && len(g.table.Gates) > tuning.TouchMost {
+	if g.table != nil && len(g.table.Proxies) > tuning.TouchMost {
 		after = tuning.DoubtAfterMany
 	}
 	return now > g.leaseUntil-tuning.ProxyLease+after
@@ -149,20 +149,20 @@
 		p.Self, g.said, g.saidTo = d, d, l
 	}
 	if g.table != nil {
-		p.Key, p.Revision, p.Seq = g.table.Key, g.table.Revision, g.table.Seq
+		p.Key, p.Revision, p.StateIndex = g.table.Key, g.table.Revision, g.table.StateIndex
 		if g.want {
 			p.Table = g.export(now)
 		}
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.ID.Compare) {
-		if t := g.targets[id]; t.seen.Ok+t.seen.Errors > 0 || t.seen.Alive {
+		if t := g.targets[id]; t.seen.Successes+t.seen.Errors > 0 || t.seen.ProbeAnswered {
 			s := t.seen
-			s.Service, s.Name, s.Inc = id.Service, id.Name, id.Inc
-			p.Seen = append(p.Seen, s)
-			t.seen = wire.Seen{}
+			s.Service, s.Name, s.Incarnation = id.Service, id.Name, id.Incarnation
+			p.Stats = append(p.Stats, s)
+			t.seen = wire.TargetStats{}
 		}
 	}
-	g.send(l, &wire.Msg{Kind: uint16(wire.KPull), Epoch: p.Key.Epoch, Stamp: int64(now), Disk: g.settings.Self.Inc, Pull: p})
+	g.send(l, &wire.Message{Kind: wire.KindPull, Epoch: p.Key.Epoch, Timestamp: int64(now), Disk: g.settings.Self.Incarnation, Pull: p})
 }
 
 // export is the table as it stands here now, with ejections' time left and holds
@@ -173,31 +173,31 @@
 	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.ID.Compare) {
 		l := g.targets[id]
 		w := l.Target
-		if w.BarLeft = max(0, int64(l.ejectedUntil-now)); l.ownEjection > now && w.BarLeft == 0 {
-			w.BarLeft, w.BarWhy = int64(l.ownEjection-now), config.DefaultPolicy
+		if w.EjectionLeft = max(0, int64(l.ejectedUntil-now)); l.ownEjection > now && w.EjectionLeft == 0 {
+			w.EjectionLeft, w.EjectedBy = int64(l.ownEjection-now), config.DefaultPolicy
 		}
-		w.Held = w.Held || l.held
-		w.ColdLeft = max(0, int64(l.coldUntil-now))
+		w.Draining = w.Draining || l.held
+		w.WarmupLeft = max(0, int64(l.coldUntil-now))
 		t.Targets = append(t.Targets, w)
 	}
 	return &t
 }
 
 // push takes a leader's word, or a peer's answer to a touch.
-func (g *Proxy) push(now time.Duration, m *wire.Msg) {
+func (g *Proxy) push(now time.Duration, m *wire.Message) {
 	p := m.Push
-	mine := m.Disk == g.settings.Self.Inc && m.Stamp > 0 && time.Duration(m.Stamp) <= now
+	mine := m.Disk == g.settings.Self.Incarnation && m.Timestamp > 0 && time.Duration(m.Timestamp) <= now
 	if k := g.directory[m.From]; k != nil && k.Kind == wire.ProxyDaemon {
 		if p.Table != nil && !g.take(now, p.Table) && g.table != nil && g.table.Key == p.Table.Key && !g.Serving() {
 			g.adoptPeerEjections(now, p.Table)
 		}
-		if p.Grant && mine && g.table != nil && !g.table.Key.Less(p.Key) {
-			g.peerAnswers[m.From] = max(g.peerAnswers[m.From], time.Duration(m.Stamp))
+		if p.LeaseGranted && mine && g.table != nil && !g.table.Key.Less(p.Key) {
+			g.peerAnswers[m.From] = max(g.peerAnswers[m.From], time.Duration(m.Timestamp))
 		}
-		if p.Grant && g.table != nil && g.table.Key.Less(p.Key) && now-g.wantAt >= g.peerTableEvery() {
+		if p.LeaseGranted && g.table != nil && g.table.Key.Less(p.Key) && now-g.wantAt >= g.peerTableEvery() {
 			g.wantAt = now // one at a time sends its table, without what this proxy has
-			g.send(m.From, &wire.Msg{Kind: uint16(wire.KPull), Stamp: int64(now), Disk: g.settings.Self.Inc,
-				Pull: &wire.Pull{Self: g.self(), Revision: g.table.Revision, Seq: g.table.Seq}})
+			g.send(m.From, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: g.settings.Self.Incarnation,
+				Pull: &wire.Pull{Self: g.self(), Revision: g.table.Revision, StateIndex: g.table.StateIndex}})
 		}
 		return
 	}
@@ -205,12 +205,12 @@
 		return
 	}
 	g.epoch, g.term, g.wordAt = m.Epoch, m.Term, now
-	if p.Want && g.table != nil && !g.want {
+	if p.WantTable && g.table != nil && !g.want {
 		g.want = true
 		g.pull(now)
 	}
-	g.want = p.Want
-	for _, id := range p.Probe {
+	g.want = p.WantTable
+	for _, id := range p.ProbeTargets {
 		if t := g.targets[id]; t != nil && mine {
 			t.indirect = true
 			g.ping(now, t)
@@ -223,9 +223,9 @@
 		}
 	}
 	// The lease is for the table that it names, and so for any later one of that leader too.
-	if p.Grant && mine && g.table != nil && g.table.Key.Epoch == p.Key.Epoch && g.table.Key.Term == p.Key.Term && g.table.Key.Ver >= p.Key.Ver {
+	if p.LeaseGranted && mine && g.table != nil && g.table.Key.Epoch == p.Key.Epoch && g.table.Key.Term == p.Key.Term && g.table.Key.Version >= p.Key.Version {
 		g.settled = true
-		g.leaseUntil = max(g.leaseUntil, time.Duration(m.Stamp)+tuning.ProxyLease)
+		g.leaseUntil = max(g.leaseUntil, time.Duration(m.Timestamp)+tuning.ProxyLease)
 	}
 }
 
@@ -233,51 +233,51 @@
 // seldom that, whatever the fleet's size, tables take no more than a part of a slow link. A proxy that is cut off
 // from a leader which makes ever new tables would else fill its link, and its peers' links, with them.
 func (g *Proxy) peerTableEvery() time.Duration {
-	bytes := tuning.RowBytes * (len(g.table.Targets) + len(g.table.Gates))
+	bytes := tuning.RowBytes * (len(g.table.Targets) + len(g.table.Proxies))
 	return max(2*tuning.PullEvery, time.Duration(bytes)*time.Second*tuning.PeerTableParts/tuning.SlowLink)
 }
 
 // peerAnswer answers another proxy's question.
-func (g *Proxy) peerAnswer(now time.Duration, m *wire.Msg) {
+func (g *Proxy) peerAnswer(now time.Duration, m *wire.Message) {
 	if m.Pull == nil {
 		return
 	}
 	if m.Pull.Self.Kind == wire.ProxyDaemon {
 		g.directory[m.From] = &discovery.Peer{Daemon: m.Pull.Self, At: now}
 	}
-	p := &wire.Push{Grant: g.settled && g.table != nil}
+	p := &wire.Push{LeaseGranted: g.settled && g.table != nil}
 	if g.table != nil {
 		p.Key = g.table.Key
 		switch {
-		case !p.Grant:
-		case m.Pull.Key == wire.Key{}:
+		case !p.LeaseGranted:
+		case m.Pull.Key == wire.TableKey{}:
 			p.Table = g.export(now)
-			if m.Pull.Revision == p.Table.Revision && m.Pull.Seq != 0 {
-				p.Table.Doc = nil
-				if m.Pull.Seq == p.Table.Seq {
+			if m.Pull.Revision == p.Table.Revision && m.Pull.StateIndex != 0 {
+				p.Table.Document = nil
+				if m.Pull.StateIndex == p.Table.StateIndex {
 					p.Table.State = nil
 				}
 			}
-		case m.Pull.Want && m.Pull.Key == p.Key:
+		case m.Pull.WantTable && m.Pull.Key == p.Key:
 			p.Table = g.ejectionsAndDrains(now)
 		}
 	}
-	g.send(m.From, &wire.Msg{Kind: uint16(wire.KPush), Stamp: m.Stamp, Disk: m.Disk, Push: p})
+	g.send(m.From, &wire.Message{Kind: wire.KindPush, Timestamp: m.Timestamp, Disk: m.Disk, Push: p})
 }
 
 // holds is what stands here against targets beside the table, as a change to it.
 func (g *Proxy) ejectionsAndDrains(now time.Duration) *wire.Table {
-	all, t := g.export(now), &wire.Table{Key: g.table.Key, Base: g.table.Key, Seq: g.table.Seq, Revision: g.table.Revision}
+	all, t := g.export(now), &wire.Table{Key: g.table.Key, DeltaBase: g.table.Key, StateIndex: g.table.StateIndex, Revision: g.table.Revision}
 	listed := map[wire.ID]bool{}
 	for i := range g.table.Targets {
 		id := g.table.Targets[i].ID()
 		listed[id] = true
 		if g.targets[id] == nil {
-			t.Gone = append(t.Gone, id)
+			t.RemovedTargets = append(t.RemovedTargets, id)
 		}
 	}
 	for _, w := range all.Targets {
-		if w.Held || w.BarLeft > 0 || w.ColdLeft > 0 || !listed[w.ID()] {
+		if w.Draining || w.EjectionLeft > 0 || w.WarmupLeft > 0 || !listed[w.ID()] {
 			t.Targets = append(t.Targets, w)
 		}
 	}
@@ -289,12 +289,12 @@
 // soon says more.
 func (g *Proxy) adoptPeerEjections(now time.Duration, b *wire.Table) {
 	out := map[wire.ID]bool{}
-	if b.Base == (wire.Key{}) {
+	if b.DeltaBase == (wire.TableKey{}) {
 		for id := range g.targets {
 			out[id] = !slices.ContainsFunc(b.Targets, func(w wire.Target) bool { return w.ID() == id })
 		}
 	}
-	for _, id := range b.Gone {
+	for _, id := range b.RemovedTargets {
 		out[id] = true
 	}
 	for _, w := range b.Targets {
@@ -309,10 +309,10 @@
 			}
 		}
 		if t != nil {
-			t.held = t.held || w.Held
-			t.chill(now, w.ColdLeft)
-			if w.BarLeft > 0 {
-				t.ownEjection = max(t.ownEjection, now+time.Duration(w.BarLeft))
+			t.held = t.held || w.Draining
+			t.chill(now, w.WarmupLeft)
+			if w.EjectionLeft > 0 {
+				t.ownEjection = max(t.ownEjection, now+time.Duration(w.EjectionLeft))
 			}
 		}
 	}
@@ -324,6 +324,6 @@
 	g.leaving[id] = now
 	h.anew = true
 	g.targets[h.ID()] = h
-	h.chill(now, max(h.ColdLeft, int64(g.coldOf(h.Service))))
+	h.chill(now, max(h.WarmupLeft, int64(g.coldOf(h.Service))))
 	g.retarget(now)
 }
--- a/internal/dataplane/lease_test.go
+++ b/internal/dataplane/lease_test.go
@@ -12,8 +12,8 @@
 // leased is a proxy that a leader gives a table with a state now and leases it.
 func (b *bench) leased() {
 	b.ver++
-	t := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: b.ver}, Revision: 1, Seq: b.ver, Doc: []byte(plain), State: []byte("{}"), Gates: []wire.Gate{{Name: "g1"}, {Name: "g2"}, {Name: "g3"}}}
-	b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
+	t := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: b.ver}, Revision: 1, StateIndex: b.ver, Document: []byte(plain), State: []byte("{}"), Proxies: []wire.Proxy{{Name: "g1"}, {Name: "g2"}, {Name: "g3"}}}
+	b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(b.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: t.Key, Table: t}}})
 }
 
 // A proxy that loses its lease again and again tells a core process no more often what it
@@ -21,7 +21,7 @@
 // theirs at once.
 func TestMemoryIsToldAtABoundedRate(t *testing.T) {
 	b := newBench("g1", 3, plain)
-	hello := &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 5}}}
+	hello := &wire.Message{Kind: wire.KindHello, From: "c1", Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 5}}}
 	told, from := 0, b.now
 	const span = 20 * time.Second
 	for b.now < from+span {
@@ -31,7 +31,7 @@
 		}
 		b.step(statemachine.Receive{Message: hello})
 		for _, c := range b.step(statemachine.Tick{}) {
-			if s, ok := c.(statemachine.Send); ok && s.Message.Hello != nil && len(s.Message.Hello.Legacy) > 0 {
+			if s, ok := c.(statemachine.Send); ok && s.Message.Hello != nil && len(s.Message.Hello.RecoveredState) > 0 {
 				told++
 			}
 		}
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -20,12 +20,12 @@
 	r := targetreport.AnswerTargetCall(e, func(t wire.Target) {
 		g.heardBeat(now, t)
 		if l := g.leader(now); l != "" {
-			g.send(l, &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &t})
+			g.send(l, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &t})
 		}
 		if g.state != Granted && g.table != nil {
 			// No leader spreads it: tell the peers.
-			for _, r := range g.table.Gates {
-				g.send(r.Name, &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &t})
+			for _, r := range g.table.Proxies {
+				g.send(r.Name, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &t})
 			}
 		}
 	})
@@ -66,11 +66,11 @@
 			return
 		}
 	}
-	if at == nil || g.leaving[w.ID()] != 0 || at.successor != nil && at.successor.Inc != w.Inc && at.successor.streak.Steady(now) {
+	if at == nil || g.leaving[w.ID()] != 0 || at.successor != nil && at.successor.Incarnation != w.Incarnation && at.successor.streak.Steady(now) {
 		return
 	}
 	if at.successor == nil || at.successor.ID() != w.ID() || at.successor.Addr != w.Addr {
-		at.successor = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Inc: w.Inc, Addr: w.Addr, Domain: w.Domain, State: config.Warming, Turn: at.Turn, Slots: w.Slots, ColdLeft: w.ColdLeft}}
+		at.successor = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: config.Warming, ShareOffset: at.ShareOffset, Slots: w.Slots, WarmupLeft: w.WarmupLeft}}
 	}
 	at.successor.streak.Add(now)
 }
@@ -84,14 +84,14 @@
 			continue
 		}
 		h.sentAt = 0
-		gone := t.held || t.Held || t.misses >= tuning.ProbeMisses || t.Addr == h.Addr
+		gone := t.held || t.Draining || t.misses >= tuning.ProbeMisses || t.Addr == h.Addr
 		if g.state != PeerServing || !gone || p.Report == nil || p.Report.ID() != p.ID || p.Report.State == config.Leaving {
 			return
 		}
 		if p.Report.State == config.Ready {
 			h.State = config.Ready
 		}
-		g.emit(statemachine.StateChange{Subject: statemachine.SubjectTarget, From: fmt.Sprint(id.Inc), To: fmt.Sprint(h.Inc), Reason: "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there"})
+		g.emit(statemachine.StateChange{Subject: statemachine.SubjectTarget, From: fmt.Sprint(id.Incarnation), To: fmt.Sprint(h.Incarnation), Reason: "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there"})
 		g.succeed(now, id, h)
 		return
 	}
@@ -116,7 +116,7 @@
 // there are, so the probes of a fleet without a leader grow with its targets alone. Who watches one is
 // drawn; the others see for themselves what connections to it tell.
 func (g *Proxy) watches(id wire.ID) bool {
-	parts := uint64(max(1, len(g.table.Gates)))
+	parts := uint64(max(1, len(g.table.Proxies)))
 	return hash(id.Service+" "+id.Name+" "+g.settings.Self.Name)%parts < tuning.Watchers
 }
 
@@ -163,7 +163,7 @@
 	}
 	t.misses = 0
 	if asked {
-		t.seen.Alive, g.telling = true, true
+		t.seen.ProbeAnswered, g.telling = true, true
 	}
 	if b.State == config.Ready && t.State == config.Warming && g.state == PeerServing {
 		t.State, t.warmAt = config.Ready, now
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -77,7 +77,7 @@
 	sentAt       time.Duration
 	answeredAt   time.Duration // when it last answered a request of this proxy
 	indirect     bool          // the leader has asked for a probe and not heard of an answer
-	seen         wire.Seen
+	seen         wire.TargetStats
 
 	slots     int  // requests at once, as told
 	part      int  // those of them that are dealt to this proxy
@@ -267,7 +267,7 @@
 // Ready is what the platform is told: an emptied domain's proxy serves on but
 // asks for no more callers.
 func (g *Proxy) Ready() bool {
-	return g.Serving() && !g.stopping && (g.settings.ReadyWhenEmptied || !slices.Contains(g.table.Emptied, g.settings.Self.Domain))
+	return g.Serving() && !g.stopping && (g.settings.ReadyWhenEmptied || !slices.Contains(g.table.EmptiedDomains, g.settings.Self.Domain))
 }
 
 // State returns by what right it serves.
@@ -279,7 +279,7 @@
 // InFlight returns how many requests are under way.
 func (g *Proxy) InFlight() int { return len(g.requests) }
 
-func (g *Proxy) send(name string, m *wire.Msg) {
+func (g *Proxy) send(name string, m *wire.Message) {
 	if k := g.directory[name]; k != nil && name != g.settings.Self.Name {
 		m.To, m.From = name, g.settings.Self.Name
 		g.emit(statemachine.Send{Addr: k.Addr, Message: m})
@@ -295,10 +295,10 @@
 	return d
 }
 
-func (g *Proxy) recv(now time.Duration, m *wire.Msg) {
+func (g *Proxy) recv(now time.Duration, m *wire.Message) {
 	wire.DiscardNonFinite(m)
-	switch wire.Kind(m.Kind) {
-	case wire.KHello:
+	switch m.Kind {
+	case wire.KindHello:
 		if m.Hello == nil {
 			return
 		}
@@ -308,18 +308,18 @@
 			g.pull(now) // the leader waits for what proxies hold, and they for its lease
 		}
 		if !m.Hello.Reply {
-			h := &wire.Hello{Self: g.self(), Reply: true, Known: g.directory.List()}
-			g.send(m.From, &wire.Msg{Kind: uint16(wire.KHello), Hello: h})
+			h := &wire.Hello{Self: g.self(), Reply: true, Daemons: g.directory.List()}
+			g.send(m.From, &wire.Message{Kind: wire.KindHello, Hello: h})
 		}
-	case wire.KPush:
+	case wire.KindPush:
 		if m.Push != nil {
 			g.push(now, m)
 		}
-	case wire.KPull:
+	case wire.KindPull:
 		g.peerAnswer(now, m)
-	case wire.KBeat:
-		if m.Beat != nil {
-			g.heardBeat(now, *m.Beat)
+	case wire.KindHeartbeat:
+		if m.Heartbeat != nil {
+			g.heardBeat(now, *m.Heartbeat)
 		}
 	}
 }
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -21,19 +21,19 @@
 }
 
 func newBench(name string, gates int, doc string, ts ...wire.Target) *bench {
-	b := &bench{g: New(Settings{Self: wire.Daemon{Name: name, Kind: wire.ProxyDaemon, Inc: 9}}), now: time.Second}
+	b := &bench{g: New(Settings{Self: wire.Daemon{Name: name, Kind: wire.ProxyDaemon, Incarnation: 9}}), now: time.Second}
 	b.table(gates, doc, ts...)
 	return b
 }
 
 func (b *bench) table(gates int, doc string, ts ...wire.Target) []statemachine.Command {
 	b.ver++
-	t := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: b.ver}, Revision: b.ver, Doc: []byte(doc), Targets: ts}
+	t := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: b.ver}, Revision: b.ver, Document: []byte(doc), Targets: ts}
 	for i := range gates {
-		t.Gates = append(t.Gates, wire.Gate{Name: fmt.Sprintf("g%d", i+1), Live: true})
+		t.Proxies = append(t.Proxies, wire.Proxy{Name: fmt.Sprintf("g%d", i+1), Live: true})
 	}
-	return b.g.Step(b.now, statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
-		Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
+	return b.g.Step(b.now, statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(b.now), Disk: 9,
+		Push: &wire.Push{LeaseGranted: true, Key: t.Key, Table: t}}})
 }
 
 func (b *bench) step(ev statemachine.Event) []statemachine.Command { return b.g.Step(b.now, ev) }
@@ -59,14 +59,14 @@
 }
 
 func to(n string, mods ...func(*wire.Target)) wire.Target {
-	t := wire.Target{Service: "s", Name: n, Inc: 1, Addr: n, State: config.Ready, Beating: true}
+	t := wire.Target{Service: "s", Name: n, Incarnation: 1, Addr: n, State: config.Ready, Heartbeating: true}
 	for _, m := range mods {
 		m(&t)
 	}
 	return t
 }
 
-func barred(t *wire.Target)  { t.BarLeft, t.BarWhy = int64(tuning.EjectionTTL), "default" }
+func barred(t *wire.Target)  { t.EjectionLeft, t.EjectedBy = int64(tuning.EjectionTTL), "default" }
 func warming(t *wire.Target) { t.State = config.Warming }
 func busy(t *wire.Target)    { t.Demand = 0.9 }
 
@@ -176,14 +176,14 @@
 	if r, ok := b.admit(2).(statemachine.Reject); !ok || r.Code != "not_serving" {
 		t.Fatalf("%+v", r)
 	}
-	for _, m := range []*wire.Msg{{Stamp: int64(b.now), Disk: 8}, {Stamp: int64(b.now + time.Hour), Disk: 9}, {Stamp: int64(b.now), Disk: 9, Term: 0}} {
-		m.Kind, m.From, m.Epoch = uint16(wire.KPush), "c1", 1
-		if m.Disk == 9 && m.Stamp == int64(b.now) {
+	for _, m := range []*wire.Message{{Timestamp: int64(b.now), Disk: 8}, {Timestamp: int64(b.now + time.Hour), Disk: 9}, {Timestamp: int64(b.now), Disk: 9, Term: 0}} {
+		m.Kind, m.From, m.Epoch = wire.KindPush, "c1", 1
+		if m.Disk == 9 && m.Timestamp == int64(b.now) {
 			m.Term = 0 // an earlier leader
 		} else {
 			m.Term = 1
 		}
-		m.Push = &wire.Push{Grant: true, Key: b.g.Table().Key}
+		m.Push = &wire.Push{LeaseGranted: true, Key: b.g.Table().Key}
 		b.step(statemachine.Receive{Message: m})
 		if b.g.Serving() {
 			t.Fatalf("serving on %+v", m)
@@ -258,13 +258,13 @@
 
 func (b *bench) touch() {
 	for _, p := range []string{"g2", "g3"} {
-		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: p, Hello: &wire.Hello{Self: wire.Daemon{Name: p, Kind: wire.ProxyDaemon, Addr: p}}}})
-		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: b.g.Table().Key}}})
+		b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: p, Hello: &wire.Hello{Self: wire.Daemon{Name: p, Kind: wire.ProxyDaemon, Addr: p}}}})
+		b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: p, Timestamp: int64(b.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: b.g.Table().Key}}})
 	}
 }
 
 func (b *bench) hear(t wire.Target) {
-	b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KBeat), From: "g2", Stamp: 1, Beat: &t}})
+	b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHeartbeat, From: "g2", Timestamp: 1, Heartbeat: &t}})
 }
 
 // An proxy that serves on its peers whose table ejections every target uses those that beat now, not those that
@@ -302,16 +302,16 @@
 		beat  *config.Beat
 		taken bool
 	}{
-		{"the same place", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "a"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
-		{"another place", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
-		{"no answer", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "z"}, nil, false},
-		{"somebody else answers", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "a", Incarnation: 3, State: config.Ready}, false},
-		{"a name that the table lacks", wire.Target{Service: "s", Name: "new", Inc: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "new", Incarnation: 2, State: config.Ready}, false},
-		{"another target's address", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "other"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, false},
-		{"one that has left", wire.Target{Service: "s", Name: "a", Inc: 2, Addr: "gone"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Leaving}, false},
+		{"the same place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "a"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
+		{"another place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
+		{"no answer", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, nil, false},
+		{"somebody else answers", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "a", Incarnation: 3, State: config.Ready}, false},
+		{"a name that the table lacks", wire.Target{Service: "s", Name: "new", Incarnation: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "new", Incarnation: 2, State: config.Ready}, false},
+		{"another target's address", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "other"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, false},
+		{"one that has left", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "gone"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Leaving}, false},
 	} {
-		away := wire.Target{Service: "t", Name: "other", Inc: 1, Addr: "other", State: config.Ready}
-		b := newBench("g1", 3, plain, to("a", func(t *wire.Target) { t.Turn = 5 }), away)
+		away := wire.Target{Service: "t", Name: "other", Incarnation: 1, Addr: "other", State: config.Ready}
+		b := newBench("g1", 3, plain, to("a", func(t *wire.Target) { t.ShareOffset = 5 }), away)
 		word := c.heir
 		word.State = config.Ready
 		b.hear(word)
@@ -334,12 +334,12 @@
 			b.step(statemachine.ProbeResult{ID: word.ID(), SentAt: b.now, Report: c.beat})
 		}
 		g, ok := b.admit(2).(statemachine.Forward)
-		if ok != c.taken || ok && (g.Target.Inc != 2 || g.Target.Turn != 5) {
+		if ok != c.taken || ok && (g.Target.Incarnation != 2 || g.Target.ShareOffset != 5) {
 			t.Errorf("%s: %+v", c.name, g)
 		}
 		b.now += time.Millisecond
 		b.table(3, plain, to("a"), away)
-		if g, ok := b.admit(3).(statemachine.Forward); ok && g.Target.Inc == 2 {
+		if g, ok := b.admit(3).(statemachine.Forward); ok && g.Target.Incarnation == 2 {
 			t.Errorf("%s: still taken under a leader's table that lacks it", c.name)
 		}
 	}
@@ -357,7 +357,7 @@
 	asked := false
 	for _, c := range b.step(statemachine.Tick{}) {
 		if s, ok := c.(statemachine.Send); ok && s.Message.Pull != nil && s.Message.To == "g2" {
-			asked = s.Message.Pull.Want && s.Message.Pull.Key == b.g.Table().Key
+			asked = s.Message.Pull.WantTable && s.Message.Pull.Key == b.g.Table().Key
 		}
 	}
 	if !asked || b.g.Serving() {
@@ -366,7 +366,7 @@
 	word := *b.g.Table()
 	word.Targets = []wire.Target{to("a", barred), to("b")}
 	for _, p := range []string{"g2", "g3"} {
-		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
+		b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: p, Timestamp: int64(b.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: word.Key, Table: &word}}})
 	}
 	for id := range uint64(6) {
 		if g, ok := b.admit(id + 1).(statemachine.Forward); !ok || g.Target.Name != "b" {
@@ -398,12 +398,12 @@
 		first := rapid.Uint32Range(1, 1000).Draw(t, "turn")
 		part := func(name string, turn uint32, among, was []string) int {
 			g := New(Settings{Self: wire.Daemon{Name: name}})
-			g.table = &wire.Table{Was: was}
+			g.table = &wire.Table{PreviousProxies: was}
 			for _, n := range among {
-				g.table.Gates = append(g.table.Gates, wire.Gate{Name: n, Live: true})
+				g.table.Proxies = append(g.table.Proxies, wire.Proxy{Name: n, Live: true})
 			}
 			g.index(0)
-			return g.room(0, &target{Target: wire.Target{Service: "s", State: config.Warming, Turn: turn}}, set)
+			return g.room(0, &target{Target: wire.Target{Service: "s", State: config.Warming, ShareOffset: turn}}, set)
 		}
 		every := append(append([]string{}, before...), after[len(after)-1])
 		if len(after) < len(before) {
@@ -472,7 +472,7 @@
 						old = append(old, b)
 						all = append(all, b)
 					} else {
-						all = append(all, &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Inc: 9}}), now: time.Second})
+						all = append(all, &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Incarnation: 9}}), now: time.Second})
 					}
 				}
 				left := fill(old)
@@ -570,11 +570,11 @@
 	b.now += 5 * time.Second
 	b.step(statemachine.Tick{})
 	word := *b.g.Table()
-	word.Targets = []wire.Target{to("a", func(t *wire.Target) { t.Inc = 2 })}
+	word.Targets = []wire.Target{to("a", func(t *wire.Target) { t.Incarnation = 2 })}
 	for _, p := range []string{"g2", "g3"} {
-		b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: p, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: word.Key, Table: &word}}})
+		b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: p, Timestamp: int64(b.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: word.Key, Table: &word}}})
 	}
-	if g, ok := b.admit(1).(statemachine.Forward); !ok || g.Target.Inc != 2 {
+	if g, ok := b.admit(1).(statemachine.Forward); !ok || g.Target.Incarnation != 2 {
 		t.Fatalf("%+v", g)
 	}
 }
@@ -590,10 +590,10 @@
 	for b.Loop() {
 		old := x.g.Table()
 		x.ver++
-		t := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: x.ver}, Base: old.Key, Revision: old.Revision, Seq: old.Seq,
+		t := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: x.ver}, DeltaBase: old.Key, Revision: old.Revision, StateIndex: old.StateIndex,
 			Targets: []wire.Target{to("t007", slots(3), func(t *wire.Target) { t.Demand = float64(x.ver%10) / 10 })}}
-		x.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(x.now), Disk: 9,
-			Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
+		x.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(x.now), Disk: 9,
+			Push: &wire.Push{LeaseGranted: true, Key: t.Key, Table: t}}})
 		if x.g.Table().Key != t.Key {
 			b.Fatal("not taken")
 		}
@@ -604,11 +604,11 @@
 // tick, a miss is the leader's to judge, and own ejections are as before.
 func TestIndirectProbe(t *testing.T) {
 	b := newBench("g1", 1, plain, to("a"), to("b"))
-	b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Epoch: 1, Term: 1, Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1, Epoch: 1}, Leader: "c1", Term: 1}}})
-	id := wire.ID{Service: "s", Name: "a", Inc: 1}
+	b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: "c1", Epoch: 1, Term: 1, Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1, Epoch: 1}, Leader: "c1", Term: 1}}})
+	id := wire.ID{Service: "s", Name: "a", Incarnation: 1}
 	ask := func() (n int) {
-		for _, c := range b.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9,
-			Push: &wire.Push{Key: b.g.table.Key, Probe: []wire.ID{id, {Service: "s", Name: "c", Inc: 1}}}}}) {
+		for _, c := range b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(b.now), Disk: 9,
+			Push: &wire.Push{Key: b.g.table.Key, ProbeTargets: []wire.ID{id, {Service: "s", Name: "c", Incarnation: 1}}}}}) {
 			if p, ok := c.(statemachine.Probe); ok && p.ID == id {
 				n++
 			}
@@ -632,8 +632,8 @@
 		b.now += tuning.TickEvery
 		for _, c := range b.step(statemachine.Tick{}) {
 			if s, ok := c.(statemachine.Send); ok && s.Message.Pull != nil {
-				for _, e := range s.Message.Pull.Seen {
-					if e.Alive && e.Name == "a" && e.Ok == 0 {
+				for _, e := range s.Message.Pull.Stats {
+					if e.ProbeAnswered && e.Name == "a" && e.Successes == 0 {
 						n++
 					}
 				}
--- a/internal/dataplane/reverseproxy/callers_test.go
+++ b/internal/dataplane/reverseproxy/callers_test.go
@@ -237,7 +237,7 @@
 			}()
 		}
 	}()
-	target := wire.Target{Service: "s", Name: "a", Inc: 7, Addr: ln.Addr().String()}
+	target := wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}
 	f := carrier(t, target).asked(config.Once)
 	p, err := Open(t.Context(), target.Addr, nil)
 	if err != nil {
--- a/internal/dataplane/reverseproxy/forward_test.go
+++ b/internal/dataplane/reverseproxy/forward_test.go
@@ -34,7 +34,7 @@
 	b := &backend{seen: make(chan *http.Request, 16)}
 	b.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == config.IdentityPath {
-			json.NewEncoder(w).Encode(config.Beat{Service: b.Service, Name: b.Name, Incarnation: b.Inc})
+			json.NewEncoder(w).Encode(config.Beat{Service: b.Service, Name: b.Name, Incarnation: b.Incarnation})
 			return
 		}
 		b.runs.Add(1)
@@ -42,7 +42,7 @@
 		h(w, r)
 	}))
 	t.Cleanup(b.srv.Close)
-	b.Target = wire.Target{Service: "s", Name: name, Inc: 7, Addr: b.srv.Listener.Addr().String()}
+	b.Target = wire.Target{Service: "s", Name: name, Incarnation: 7, Addr: b.srv.Listener.Addr().String()}
 	return b
 }
 
@@ -135,7 +135,7 @@
 // may have run is ever sent again.
 func TestLostAnswers(t *testing.T) {
 	gone, _ := net.Listen("tcp", "127.0.0.1:0")
-	dead := wire.Target{Service: "s", Name: "dead", Inc: 7, Addr: gone.Addr().String()}
+	dead := wire.Target{Service: "s", Name: "dead", Incarnation: 7, Addr: gone.Addr().String()}
 	gone.Close()
 	for _, c := range []struct {
 		name, method, say string
@@ -349,7 +349,7 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	b := &raw{seen: make(chan *http.Request, 64), body: make(chan string, 64)}
-	b.Target = wire.Target{Service: "s", Name: name, Inc: 7, Addr: ln.Addr().String()}
+	b.Target = wire.Target{Service: "s", Name: name, Incarnation: 7, Addr: ln.Addr().String()}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -765,7 +765,7 @@
 			c.Close()
 		}
 	}()
-	f := carrier(t, wire.Target{Service: "s", Name: "a", Inc: 7, Addr: ln.Addr().String()}).asked(config.Once)
+	f := carrier(t, wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}).asked(config.Once)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -1068,7 +1068,7 @@
 		b.Fatal(err)
 	}
 	defer ln.Close()
-	tg := wire.Target{Service: "s", Name: "a", Inc: 7, Addr: ln.Addr().String()}
+	tg := wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}
 	id, _ := json.Marshal(config.Beat{Service: "s", Name: "a", Incarnation: 7})
 	out := []byte(answer + strings.Repeat("x", 600))
 	go func() {
--- a/internal/dataplane/reverseproxy/ledger_test.go
+++ b/internal/dataplane/reverseproxy/ledger_test.go
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 		l.lns = append(l.lns, ln)
-		l.targets = append(l.targets, wire.Target{Service: "s", Name: fmt.Sprint("t", i), Inc: 7, Addr: ln.Addr().String()})
+		l.targets = append(l.targets, wire.Target{Service: "s", Name: fmt.Sprint("t", i), Incarnation: 7, Addr: ln.Addr().String()})
 		l.conns.Add(1)
 		go func() {
 			defer l.conns.Done()
--- a/internal/dataplane/route_test.go
+++ b/internal/dataplane/route_test.go
@@ -18,7 +18,7 @@
 func slots(n uint32) func(*wire.Target) { return func(t *wire.Target) { t.Slots = n } }
 
 func cold(d time.Duration) func(*wire.Target) {
-	return func(t *wire.Target) { t.ColdLeft = int64(d) }
+	return func(t *wire.Target) { t.WarmupLeft = int64(d) }
 }
 
 func (b *bench) pass(d time.Duration) []statemachine.Command {
@@ -269,7 +269,7 @@
 			break
 		}
 	}
-	if b.g.targets[wire.ID{Service: "s", Name: full, Inc: 1}].seen.NotRun != 1 {
+	if b.g.targets[wire.ID{Service: "s", Name: full, Incarnation: 1}].seen.Rejected != 1 {
 		t.Fatal("not counted")
 	}
 }
@@ -315,22 +315,22 @@
 		var sent []time.Duration
 		gates := make([]*bench, n+1)
 		start := func(i int, now time.Duration) {
-			gates[i] = &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Inc: 9}}), now: now}
+			gates[i] = &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Incarnation: 9}}), now: now}
 		}
 		table := func(b *bench, ver uint64, now time.Duration) {
 			b.now = now
-			x := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: ver}, Revision: 1, Doc: []byte(doc), Targets: []wire.Target{to("a", slots(50), cold(10*time.Second))}}
+			x := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: ver}, Revision: 1, Document: []byte(doc), Targets: []wire.Target{to("a", slots(50), cold(10*time.Second))}}
 			names := n
 			if ver > 1 {
 				names = n + 1
 			}
 			for i := range names {
-				x.Gates = append(x.Gates, wire.Gate{Name: fmt.Sprintf("g%d", i+1), Live: true})
+				x.Proxies = append(x.Proxies, wire.Proxy{Name: fmt.Sprintf("g%d", i+1), Live: true})
 				if ver == 2 && i < n {
-					x.Was = append(x.Was, fmt.Sprintf("g%d", i+1))
+					x.PreviousProxies = append(x.PreviousProxies, fmt.Sprintf("g%d", i+1))
 				}
 			}
-			b.g.Step(b.now, statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(b.now), Disk: 9, Push: &wire.Push{Grant: true, Key: x.Key, Table: x}}})
+			b.g.Step(b.now, statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(b.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: x.Key, Table: x}}})
 		}
 		ver := make([]uint64, n+1)
 		highest := uint64(1)
@@ -434,16 +434,16 @@
 			case !both:
 				now, was = before, nil
 			}
-			g.table = &wire.Table{Was: was}
+			g.table = &wire.Table{PreviousProxies: was}
 			for _, o := range now {
-				g.table.Gates = append(g.table.Gates, wire.Gate{Name: o, Live: true})
+				g.table.Proxies = append(g.table.Proxies, wire.Proxy{Name: o, Live: true})
 			}
 			g.index(0)
-			if gap := g.coldGapOf(&target{Target: wire.Target{Service: "s", Name: "a", Inc: 1, State: state, Turn: 3}}, set); gap > 0 {
+			if gap := g.coldGapOf(&target{Target: wire.Target{Service: "s", Name: "a", Incarnation: 1, State: state, ShareOffset: 3}}, set); gap > 0 {
 				rate += float64(time.Second) / float64(gap)
 				least++
 			}
-			slack += r.slack(hash("s"), n, g.listed, g.table.Was)
+			slack += r.slack(hash("s"), n, g.listed, g.table.PreviousProxies)
 		}
 		if rate > perS*1.000001 || float64(least) > max(1, perS/2) || slack > r.Slack*1.000001 {
 			t.Fatalf("rates add up to %v of %v at %d proxies, slacks to %v of %v", rate, perS, least, slack, r.Slack)
@@ -474,7 +474,7 @@
 		n := rapid.IntRange(1, 8).Draw(t, "proxies")
 		gates := make([]*bench, n)
 		start := func(i int, now time.Duration) {
-			b := &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Inc: 9}, Retry: r}), now: now}
+			b := &bench{g: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Incarnation: 9}, Retry: r}), now: now}
 			b.table(n, routed, to("a", slots(50)), to("b", slots(50)), to("c", slots(50)))
 			gates[i] = b
 		}
@@ -754,9 +754,9 @@
 		}
 		return n, ids
 	}
-	policy := func(t *wire.Target) { barred(t); t.BarWhy = "slow" }
+	policy := func(t *wire.Target) { barred(t); t.EjectedBy = "slow" }
 	b := newBench("g1", 1, routed, to("a", slots(2)), to("b", slots(2), barred), to("c", slots(2), policy))
-	if n, ids := told(b.pass(time.Millisecond)); n != 1 || len(ids) != 1 || !ids[wire.ID{Service: "s", Name: "b", Inc: 1}] {
+	if n, ids := told(b.pass(time.Millisecond)); n != 1 || len(ids) != 1 || !ids[wire.ID{Service: "s", Name: "b", Incarnation: 1}] {
 		t.Fatalf("%d times %v", n, ids)
 	}
 	if n, ids := told(b.pass(time.Millisecond)); n != 0 {
@@ -818,7 +818,7 @@
 			for _, warmCap := range []int{1, 2, 5} {
 				for _, perS := range []int{1, 3, 10} {
 					for inc := uint64(1); inc <= 3; inc++ { // other draws
-						to := to("a", warming, slots(told), cold(30*time.Second), func(w *wire.Target) { w.Inc, w.Turn = inc, uint32(inc) })
+						to := to("a", warming, slots(told), cold(30*time.Second), func(w *wire.Target) { w.Incarnation, w.ShareOffset = inc, uint32(inc) })
 						var bs []*bench
 						for i := range gates {
 							b := newBench(fmt.Sprintf("g%d", i+1), gates, fmt.Sprintf(doc, warmCap, perS))
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -28,28 +28,28 @@
 // whole is a table with all that it leaves out because this proxy has it, nil if it has not.
 func (g *Proxy) whole(t *wire.Table) *wire.Table {
 	old, w := g.table, *t
-	if len(t.Doc) == 0 {
-		if old == nil || old.Key.Epoch != t.Key.Epoch || old.Revision != t.Revision || len(t.State) == 0 && old.Seq != t.Seq {
+	if len(t.Document) == 0 {
+		if old == nil || old.Key.Epoch != t.Key.Epoch || old.Revision != t.Revision || len(t.State) == 0 && old.StateIndex != t.StateIndex {
 			return nil
 		}
-		if w.Doc = old.Doc; len(t.State) == 0 {
+		if w.Document = old.Document; len(t.State) == 0 {
 			w.State = old.State
 		}
 	}
-	if t.Base == (wire.Key{}) {
+	if t.DeltaBase == (wire.TableKey{}) {
 		return &w
 	}
 	// A leader that won its lead back goes on numbering, so what it says changed since a table of its
 	// earlier term also changed since a later table of this one.
-	if old == nil || old.Key.Epoch != t.Base.Epoch || old.Key.Ver < t.Base.Ver || old.Key.Term != t.Base.Term && old.Key.Term != t.Key.Term {
+	if old == nil || old.Key.Epoch != t.DeltaBase.Epoch || old.Key.Version < t.DeltaBase.Version || old.Key.Term != t.DeltaBase.Term && old.Key.Term != t.Key.Term {
 		return nil
 	}
-	w.Base, w.Gone = wire.Key{}, nil
-	if len(t.Gates) == 0 {
-		w.Gates = old.Gates
+	w.DeltaBase, w.RemovedTargets = wire.TableKey{}, nil
+	if len(t.Proxies) == 0 {
+		w.Proxies = old.Proxies
 	}
 	out := map[wire.ID]bool{}
-	for _, id := range t.Gone {
+	for _, id := range t.RemovedTargets {
 		out[id] = true
 	}
 	for i := range t.Targets {
@@ -68,7 +68,7 @@
 
 // plain says that a change to the table tells only what nothing is dealt by, such as demand.
 func (g *Proxy) plain(now time.Duration, t *wire.Table) bool {
-	if t.Base == (wire.Key{}) || len(t.Doc)+len(t.State)+len(t.Gates)+len(t.Gone) > 0 || !slices.Equal(t.Emptied, g.table.Emptied) || !slices.Equal(t.Was, g.table.Was) ||
+	if t.DeltaBase == (wire.TableKey{}) || len(t.Document)+len(t.State)+len(t.Proxies)+len(t.RemovedTargets) > 0 || !slices.Equal(t.EmptiedDomains, g.table.EmptiedDomains) || !slices.Equal(t.PreviousProxies, g.table.PreviousProxies) ||
 		len(g.targets) != len(g.table.Targets) {
 		return false
 	}
@@ -78,8 +78,8 @@
 		if o == nil {
 			return false
 		}
-		w.Demand, w.HasDemand, w.Beating, w.Number = o.Demand, o.HasDemand, o.Beating, o.Number
-		if w != o.Target || w.BarLeft > 0 || w.ColdLeft > 0 || o.ejectedUntil > 0 {
+		w.Demand, w.HasDemand, w.Heartbeating, w.Number = o.Demand, o.HasDemand, o.Heartbeating, o.Number
+		if w != o.Target || w.EjectionLeft > 0 || w.WarmupLeft > 0 || o.ejectedUntil > 0 {
 			return false
 		}
 	}
@@ -100,7 +100,7 @@
 		return false
 	}
 	var changed map[wire.ID]bool
-	if t.Base != (wire.Key{}) {
+	if t.DeltaBase != (wire.TableKey{}) {
 		changed = map[wire.ID]bool{}
 		for i := range t.Targets {
 			changed[t.Targets[i].ID()] = true
@@ -148,14 +148,14 @@
 			n.warmAt = now
 		}
 		n.Target = w
-		n.chill(now, w.ColdLeft)
-		n.ejectedUntil, n.unheard = 0, w.BarWhy == config.DefaultPolicy
-		if w.BarLeft > 0 {
-			n.ejectedUntil = now + time.Duration(w.BarLeft)
+		n.chill(now, w.WarmupLeft)
+		n.ejectedUntil, n.unheard = 0, w.EjectedBy == config.DefaultPolicy
+		if w.EjectionLeft > 0 {
+			n.ejectedUntil = now + time.Duration(w.EjectionLeft)
 		} else if was {
 			n.backAt = now
 		}
-		if g.leaving[id] != 0 || w.Held {
+		if g.leaving[id] != 0 || w.Draining {
 			n.held = true
 		}
 		next[id] = n
--- a/internal/dataplane/unsound.go
+++ b/internal/dataplane/unsound.go
@@ -20,7 +20,7 @@
 
 // readConfig reads the configuration of a whole table. The error says why it can't be put in force.
 func readConfig(t *wire.Table) (*config.Config, error) {
-	doc, err := wire.Decompress(t.Doc)
+	doc, err := wire.Decompress(t.Document)
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration not decompressed")
 	}
--- a/internal/dataplane/view.go
+++ b/internal/dataplane/view.go
@@ -13,16 +13,16 @@
 
 // View is what the daemon shows of itself.
 type View struct {
-	Name     string       `json:"name"`
-	State    string       `json:"state"`
-	Ready    bool         `json:"ready"`
-	Leader   string       `json:"leader"`
-	Table    wire.Key     `json:"table"`
-	Revision uint64       `json:"revision"`
-	InFlight int          `json:"in_flight"`
-	Targets  []TargetView `json:"targets"`
-	Counts   Counts       `json:"counts"`
-	Aims     []AimView    `json:"aims,omitempty"`
+	Name     string        `json:"name"`
+	State    string        `json:"state"`
+	Ready    bool          `json:"ready"`
+	Leader   string        `json:"leader"`
+	Table    wire.TableKey `json:"table"`
+	Revision uint64        `json:"revision"`
+	InFlight int           `json:"in_flight"`
+	Targets  []TargetView  `json:"targets"`
+	Counts   Counts        `json:"counts"`
+	Aims     []AimView     `json:"aims,omitempty"`
 }
 
 // AimView is this proxy's part in an aim over its window.
@@ -65,7 +65,7 @@
 			if s := g.services[t.Service]; s != nil && s.slotted {
 				tv.Room = t.part
 			}
-			tv.Held = t.Held || t.held
+			tv.Draining = t.Draining || t.held
 			tv.BarMs, tv.OwnBarMs = max(0, (t.ejectedUntil-now).Milliseconds()), max(0, (t.ownEjection-now).Milliseconds())
 			v.Targets = append(v.Targets, tv)
 		}
--- a/internal/mfctl/views.go
+++ b/internal/mfctl/views.go
@@ -36,7 +36,7 @@
 		var s controlplane.StatusView
 		if !c.json && json.Unmarshal(b, &s) == nil {
 			views = append(views, s)
-			fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, s.Role, s.Lead, s.Leader, s.Epoch, s.Term, s.Revision, s.Table.Ver, s.Targets, s.Proxies, strings.Join(s.Emptied, ","))
+			fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, s.Role, s.Lead, s.Leader, s.Epoch, s.Term, s.Revision, s.Table.Version, s.Targets, s.Proxies, strings.Join(s.Emptied, ","))
 		}
 		return true
 	}
@@ -50,8 +50,8 @@
 		var r struct{ Daemons []controlplane.DaemonView }
 		if b, err := c.view(answers, "/v1/roster"); err == nil && json.Unmarshal(b, &r) == nil {
 			for _, d := range r.Daemons {
-				if d.Kind == wire.ControlDaemon && !slices.Contains(c.at, d.Http) {
-					ask(d.Http)
+				if d.Kind == wire.ControlDaemon && !slices.Contains(c.at, d.HTTP) {
+					ask(d.HTTP)
 				}
 			}
 		}
@@ -92,7 +92,7 @@
 		if d.Kind != wire.ProxyDaemon {
 			continue
 		}
-		resp, err := ctlClient.Get("http://" + d.Http + "/v1/status")
+		resp, err := ctlClient.Get("http://" + d.HTTP + "/v1/status")
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "mfctl: %s left out: %v\n", d.Name, err)
 			continue
@@ -143,7 +143,7 @@
 		} else if d.Roster {
 			place = "roster"
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%s\t%.0f\t%d\t%x\n", d.Name, d.Kind, d.Domain, d.Addr, d.Http, d.Ready, d.State, place, d.HeardMs, d.Ver, d.Inc)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%s\t%.0f\t%d\t%x\n", d.Name, d.Kind, d.Domain, d.Addr, d.HTTP, d.Ready, d.State, place, d.HeardMs, d.Ver, d.Incarnation)
 	}
 	tw.Flush()
 }
@@ -162,8 +162,8 @@
 		if t.Slots > 0 {
 			slots = fmt.Sprint(t.Slots)
 		}
-		if t.ColdLeft > 0 {
-			cold = fmt.Sprintf("%.1fs", time.Duration(t.ColdLeft).Seconds())
+		if t.WarmupLeft > 0 {
+			cold = fmt.Sprintf("%.1fs", time.Duration(t.WarmupLeft).Seconds())
 		}
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%.2f\t%s\t%s\t%.0f\t%s\t%s\n", t.Service, t.Name, t.Addr, t.Domain, t.State, t.Demand, slots, cold, t.BeatMs, bar, t.Why)
 	}
--- a/internal/shared/config/fuzz_test.go
+++ b/internal/shared/config/fuzz_test.go
@@ -146,8 +146,8 @@
 			if len(faults) > 0 {
 				continue
 			}
-			if w.Service == "" || w.Name == "" || w.Inc == 0 || w.Addr == "" || w.State == "" || w.Demand < 0 ||
-				w.Slots > tuning.SlotsMax || w.ColdLeft < 0 || w.ColdLeft > int64(tuning.ColdMax) {
+			if w.Service == "" || w.Name == "" || w.Incarnation == 0 || w.Addr == "" || w.State == "" || w.Demand < 0 ||
+				w.Slots > tuning.SlotsMax || w.WarmupLeft < 0 || w.WarmupLeft > int64(tuning.ColdMax) {
 				t.Fatalf("%+v without a fault", w)
 			}
 			if named && w.Name != name {
--- a/internal/shared/config/heartbeat.go
+++ b/internal/shared/config/heartbeat.go
@@ -44,7 +44,7 @@
 
 // ID returns the identity of the back end.
 func (b *Beat) ID() wire.ID {
-	return wire.ID{Service: b.Service, Name: b.Name, Inc: b.Incarnation}
+	return wire.ID{Service: b.Service, Name: b.Name, Incarnation: b.Incarnation}
 }
 
 // Target checks a heartbeat and returns it in the form that daemons exchange, or its faults by field.
@@ -70,8 +70,8 @@
 	if most := tuning.ColdMax.Milliseconds(); b.ColdLeftMs < 0 || b.ColdLeftMs > most {
 		c.add("cold_left_ms", "%d is not between 0 and %d", b.ColdLeftMs, most)
 	}
-	t := wire.Target{Service: b.Service, Name: b.Name, Inc: b.Incarnation, Addr: b.Address, Domain: b.Domain, State: b.State,
-		Slots: uint32(b.Slots), ColdLeft: b.ColdLeftMs * int64(time.Millisecond), Number: b.Number}
+	t := wire.Target{Service: b.Service, Name: b.Name, Incarnation: b.Incarnation, Addr: b.Address, Domain: b.Domain, State: b.State,
+		Slots: uint32(b.Slots), WarmupLeft: b.ColdLeftMs * int64(time.Millisecond), Number: b.Number}
 	if b.Demand != nil {
 		if *b.Demand < 0 || math.IsNaN(*b.Demand) || math.IsInf(*b.Demand, 0) {
 			c.add("demand", "must be 0 or more")
--- a/internal/shared/discovery/discovery.go
+++ b/internal/shared/discovery/discovery.go
@@ -50,9 +50,9 @@
 	if h.Self.Name == "" || h.Self.Name == self {
 		return
 	}
-	b[h.Self.Name] = &Peer{Daemon: h.Self, At: now, Leader: h.Leader, Term: h.Term, BootstrapEpoch: h.Founding,
-		Members: Membership{h.MembersEpoch, h.MembersIndex, h.Members}, Consent: RecoveryConsent{h.Refound, h.Gone, now}}
-	for _, d := range h.Known {
+	b[h.Self.Name] = &Peer{Daemon: h.Self, At: now, Leader: h.Leader, Term: h.Term, BootstrapEpoch: h.BootstrapEpoch,
+		Members: Membership{h.MembersEpoch, h.MembersIndex, h.Members}, Consent: RecoveryConsent{h.RecoveryConsent, h.LostMembers, now}}
+	for _, d := range h.Daemons {
 		if b[d.Name] == nil && d.Name != self && d.Name != "" {
 			b[d.Name] = &Peer{Daemon: d, At: now - tuning.DaemonGone/2}
 		}
--- a/internal/shared/outlier/compare.go
+++ b/internal/shared/outlier/compare.go
@@ -142,7 +142,7 @@
 	ds := s.j.Tick(now)
 	for _, d := range ds {
 		if y := s.scores[d.Policy]; y != nil {
-			s.turn(now, y, d.Policy, wire.ID{Service: d.Service, Name: d.Name, Inc: d.Inc})
+			s.turn(now, y, d.Policy, wire.ID{Service: d.Service, Name: d.Name, Incarnation: d.Inc})
 		}
 	}
 	return ds
--- a/internal/shared/outlier/policy.go
+++ b/internal/shared/outlier/policy.go
@@ -40,7 +40,7 @@
 }
 
 // ID returns the identity of the target.
-func (e *Event) ID() wire.ID { return wire.ID{Service: e.Service, Name: e.Name, Inc: e.Inc} }
+func (e *Event) ID() wire.ID { return wire.ID{Service: e.Service, Name: e.Name, Incarnation: e.Inc} }
 
 // Kinds of decisions, besides model.DecideBar and model.DecideHold, which begin one.
 const (
@@ -194,7 +194,7 @@
 }
 
 func (p *policy) decision(now time.Duration, kind string, id wire.ID, why string) Decision {
-	d := Decision{At: now, Policy: p.name, Kind: kind, Service: id.Service, Name: id.Name, Inc: id.Inc, Shadow: p.spec.Mode == config.ModeShadow, Why: why}
+	d := Decision{At: now, Policy: p.name, Kind: kind, Service: id.Service, Name: id.Name, Inc: id.Incarnation, Shadow: p.spec.Mode == config.ModeShadow, Why: why}
 	if kind == config.DecideBar {
 		d.TTLMs = int64(p.spec.TTLMs)
 	}
--- a/internal/shared/outlier/policy_test.go
+++ b/internal/shared/outlier/policy_test.go
@@ -36,7 +36,7 @@
 // itself if nobody judges any more, an answer clears it.
 func TestDefaultPolicy(t *testing.T) {
 	j := with(nil)
-	id := wire.ID{Service: "s", Name: "a", Inc: 1}
+	id := wire.ID{Service: "s", Name: "a", Incarnation: 1}
 	s := time.Second
 	for i, c := range []struct {
 		at     time.Duration
@@ -126,7 +126,7 @@
 	p := config.Policy{Slice: "probe", When: "missed >= 1", Decide: "bar", TTLMs: 60000, Mode: "live"}
 	shadow := p
 	shadow.Mode = "shadow"
-	id := wire.ID{Service: "s", Name: "a", Inc: 1}
+	id := wire.ID{Service: "s", Name: "a", Incarnation: 1}
 	j := with(map[string]config.Policy{"p": p, "q": shadow})
 	ds := j.Step(probe(1, "a", false))
 	if kinds(ds) != "p bar,q bar" || ds[0].Shadow || !ds[1].Shadow {
--- a/internal/shared/state/recovered.go
+++ b/internal/shared/state/recovered.go
@@ -20,13 +20,13 @@
 // RecoveredFrom is what a table remembers of its epoch.
 func RecoveredFrom(t *wire.Table) (RecoveredState, bool) {
 	var s State
-	doc, err := wire.Decompress(t.Doc)
+	doc, err := wire.Decompress(t.Document)
 	if err != nil || json.Unmarshal(t.State, &s) != nil {
 		return RecoveredState{}, false
 	}
 	s.Document = doc
 	b, _ := json.Marshal(s)
-	return RecoveredState{t.Key.Epoch, t.Key.Term, t.Seq, b}, true
+	return RecoveredState{t.Key.Epoch, t.Key.Term, t.StateIndex, b}, true
 }
 
 func (l RecoveredState) Less(o RecoveredState) bool {
--- a/internal/shared/state/registry.go
+++ b/internal/shared/state/registry.go
@@ -24,7 +24,9 @@
 }
 
 // ID names the target's start.
-func (p Registration) ID() wire.ID { return wire.ID{Service: p.Service, Name: p.Name, Inc: p.Inc} }
+func (p Registration) ID() wire.ID {
+	return wire.ID{Service: p.Service, Name: p.Name, Incarnation: p.Inc}
+}
 
 // Tombstone is what is remembered of a target without a registration: that it was leaving when it
 // fell silent, or, Gone, that it signed off or was superseded.
@@ -36,7 +38,7 @@
 }
 
 // ID names the target's start.
-func (m Tombstone) ID() wire.ID { return wire.ID{Service: m.Service, Name: m.Name, Inc: m.Inc} }
+func (m Tombstone) ID() wire.ID { return wire.ID{Service: m.Service, Name: m.Name, Incarnation: m.Inc} }
 
 // RegistryChange is a batch of changes.
 type RegistryChange struct {
--- a/internal/shared/statemachine/command.go
+++ b/internal/shared/statemachine/command.go
@@ -15,7 +15,7 @@
 	// Send asks for a message to be sent to a daemon.
 	Send struct {
 		Addr    string
-		Message *wire.Msg
+		Message *wire.Message
 	}
 	// Probe asks a target for its health or identity, which ProbeResult answers.
 	Probe struct {
--- a/internal/shared/statemachine/event.go
+++ b/internal/shared/statemachine/event.go
@@ -18,7 +18,7 @@
 // Events that both daemons know.
 type (
 	// Receive is a message from another daemon.
-	Receive struct{ Message *wire.Msg }
+	Receive struct{ Message *wire.Message }
 	// Tick says that time has moved on.
 	Tick struct{}
 	// ProbeResult is the outcome of a Probe.
--- a/internal/shared/targetreport/call.go
+++ b/internal/shared/targetreport/call.go
@@ -31,7 +31,7 @@
 			b.Service, b.Name, b.Incarnation = "any", rest, 1
 		}
 		if t, fs = b.Target(); !both {
-			t.Service, t.Inc = "", 0
+			t.Service, t.Incarnation = "", 0
 		}
 	case named && !both && e.Method == "PUT":
 		t, fs = config.ParseNamedBeat(rest, e.Body)
--- a/internal/shared/wire/decode.go
+++ b/internal/shared/wire/decode.go
@@ -33,13 +33,13 @@
 
 // Decode reads what Encode made. It trusts nothing in b: any bytes give a message or an error. The
 // message holds no part of b.
-func Decode(b []byte) (*Msg, error) {
+func Decode(b []byte) (*Message, error) {
 	cm, c, err := open(b)
 	if err != nil {
 		return nil, err
 	}
 	d := decoder{room: len(b) / word}
-	m := d.msg(MsgC(c))
+	m := d.msg(MessageC(c))
 	cm.Release()
 	if d.err != nil {
 		return nil, errors.Wrap(d.err, "decode")
@@ -106,20 +106,20 @@
 	return bytes.Clone(b)
 }
 
-func (d *decoder) msg(c MsgC) *Msg {
-	return &Msg{
-		Kind: c.Kind(), From: d.text(c.FromBytes()), To: d.text(c.ToBytes()),
-		Disk: c.Disk(), Epoch: c.Epoch(), Term: c.Term(), Stamp: c.Stamp(),
+func (d *decoder) msg(c MessageC) *Message {
+	return &Message{
+		Kind: Kind(c.Kind()), From: d.text(c.FromBytes()), To: d.text(c.ToBytes()),
+		Disk: c.Disk(), Epoch: c.Epoch(), Term: c.Term(), Timestamp: c.Timestamp(),
 		Hello: d.hello(c.Hello()), Vote: d.vote(c.Vote()), Append: d.append(c.Append()), Pull: d.pull(c.Pull()),
-		Push: d.push(c.Push()), Beat: d.beat(c.Beat()), Ask: d.ask(c.Ask()),
+		Push: d.push(c.Push()), Heartbeat: d.beat(c.Heartbeat()), Call: d.ask(c.Call()),
 	}
 }
 
 func (d *decoder) batch(c BatchC) *Batch {
 	return &Batch{
-		Seq: c.Seq(), Fresh: c.Fresh(), Epoch: c.Epoch(), Disk: c.Disk(), Hard: c.Hard(), Term: c.Term(),
-		Vote: d.text(c.VoteBytes()), Cut: c.Cut(), Entries: d.entries(c.Entries()), Snap: d.snap(c.Snap()),
-		Lock: c.Lock(), Legacy: d.data(c.Legacy()), Founders: d.members(c.Founders()), Founding: c.Founding(),
+		Seq: c.Seq(), Reset: c.Reset(), Epoch: c.Epoch(), Disk: c.Disk(), HasHardState: c.HasHardState(), Term: c.Term(),
+		Vote: d.text(c.VoteBytes()), TruncateFrom: c.TruncateFrom(), Entries: d.entries(c.Entries()), Snapshot: d.snap(c.Snapshot()),
+		BootstrapLock: c.BootstrapLock(), RecoveredState: d.data(c.RecoveredState()), Founders: d.members(c.Founders()), BootstrapEpoch: c.BootstrapEpoch(),
 	}
 }
 
@@ -127,8 +127,8 @@
 	d.ok(err)
 	return Daemon{
 		Name: d.text(c.NameBytes()), Kind: DaemonKind(d.again(c.KindBytes())), Domain: d.again(c.DomainBytes()),
-		Addr: d.text(c.AddrBytes()), Http: d.text(c.HttpBytes()), Inc: c.Inc(), Disk: c.Disk(), Epoch: c.Epoch(),
-		Lock: c.Lock(), Ready: c.Ready(), State: d.again(c.StateBytes()), Offer: c.Offer(),
+		Addr: d.text(c.AddrBytes()), HTTP: d.text(c.HttpBytes()), Incarnation: c.Incarnation(), Disk: c.Disk(), Epoch: c.Epoch(),
+		BootstrapLock: c.BootstrapLock(), Ready: c.Ready(), State: d.again(c.StateBytes()), BootstrapOffer: c.BootstrapOffer(),
 	}
 }
 
@@ -137,10 +137,10 @@
 		return nil
 	}
 	return &Hello{
-		Self: d.daemon(c.Self()), Known: d.daemons(c.Known()), Reply: c.Reply(), Leader: d.text(c.LeaderBytes()),
-		Term: c.Term(), Legacy: d.data(c.Legacy()), Members: d.members(c.Members()),
-		MembersEpoch: c.MembersEpoch(), MembersIndex: c.MembersIndex(), Founding: c.Founding(),
-		Gone: d.texts(c.Gone()), Refound: c.Refound(),
+		Self: d.daemon(c.Self()), Daemons: d.daemons(c.Daemons()), Reply: c.Reply(), Leader: d.text(c.LeaderBytes()),
+		Term: c.Term(), RecoveredState: d.data(c.RecoveredState()), Members: d.members(c.Members()),
+		MembersEpoch: c.MembersEpoch(), MembersIndex: c.MembersIndex(), BootstrapEpoch: c.BootstrapEpoch(),
+		LostMembers: d.texts(c.LostMembers()), RecoveryConsent: c.RecoveryConsent(),
 	}
 }
 
@@ -149,8 +149,8 @@
 		return nil
 	}
 	return &Vote{
-		Pre: c.Pre(), Reply: c.Reply(), Granted: c.Granted(), LastIndex: c.LastIndex(), LastTerm: c.LastTerm(),
-		Transfer: c.Transfer(), All: c.All(), Alone: c.Alone(),
+		PreVote: c.PreVote(), Reply: c.Reply(), Granted: c.Granted(), LastIndex: c.LastIndex(), LastTerm: c.LastTerm(),
+		Transfer: c.Transfer(), Unanimous: c.Unanimous(), NoLeader: c.NoLeader(),
 	}
 }
 
@@ -159,18 +159,18 @@
 		return nil
 	}
 	return &Append{
-		Reply: c.Reply(), Ok: c.Ok(), PrevIndex: c.PrevIndex(), PrevTerm: c.PrevTerm(), Commit: c.Commit(),
-		Match: c.Match(), Entries: d.entries(c.Entries()), Piece: d.piece(c.Piece()),
+		Reply: c.Reply(), Success: c.Success(), PrevIndex: c.PrevIndex(), PrevTerm: c.PrevTerm(), Commit: c.Commit(),
+		MatchIndex: c.MatchIndex(), Entries: d.entries(c.Entries()), Chunk: d.piece(c.Chunk()),
 	}
 }
 
-func (d *decoder) piece(c PieceC, err error) *Piece {
+func (d *decoder) piece(c ChunkC, err error) *Chunk {
 	if !d.ok(err) || !c.IsValid() {
 		return nil
 	}
-	return &Piece{
-		Entry: c.Entry(), Index: c.Index(), Term: c.Term(), Kind: c.Kind(), Members: d.members(c.Members()),
-		Size: c.Size(), Sum: c.Sum(), Offset: c.Offset(), Data: d.data(c.Data()),
+	return &Chunk{
+		IsEntry: c.IsEntry(), Index: c.Index(), Term: c.Term(), Kind: c.Kind(), Members: d.members(c.Members()),
+		Size: c.Size(), Checksum: c.Checksum(), Offset: c.Offset(), Data: d.data(c.Data()),
 	}
 }
 
@@ -179,8 +179,8 @@
 		return nil
 	}
 	return &Pull{
-		Self: d.daemon(c.Self()), Key: d.key(c.Key()), Seen: d.seen(c.Seen()), Table: d.table(c.Table()),
-		Revision: c.Revision(), Seq: c.Seq(), Want: c.Want(),
+		Self: d.daemon(c.Self()), Key: d.key(c.Key()), Stats: d.seen(c.Stats()), Table: d.table(c.Table()),
+		Revision: c.Revision(), StateIndex: c.StateIndex(), WantTable: c.WantTable(),
 	}
 }
 
@@ -188,7 +188,7 @@
 	if !d.ok(err) || !c.IsValid() {
 		return nil
 	}
-	return &Push{Grant: c.Grant(), Want: c.Want(), Key: d.key(c.Key()), Table: d.table(c.Table()), Probe: d.ids(c.Probe())}
+	return &Push{LeaseGranted: c.LeaseGranted(), WantTable: c.WantTable(), Key: d.key(c.Key()), Table: d.table(c.Table()), ProbeTargets: d.ids(c.ProbeTargets())}
 }
 
 func (d *decoder) beat(c TargetC, err error) *Target {
@@ -200,27 +200,27 @@
 	return t
 }
 
-func (d *decoder) ask(c AskC, err error) *Ask {
+func (d *decoder) ask(c CallC, err error) *Call {
 	if !d.ok(err) || !c.IsValid() {
 		return nil
 	}
-	return &Ask{
-		Id: c.Id(), Reply: c.Reply(), Method: d.text(c.MethodBytes()), Path: d.text(c.PathBytes()),
-		Query: d.text(c.QueryBytes()), Body: d.data(c.Body()), Status: c.Status(), RetryMs: c.RetryMs(),
+	return &Call{
+		ID: c.Id(), Reply: c.Reply(), Method: d.text(c.MethodBytes()), Path: d.text(c.PathBytes()),
+		Query: d.text(c.QueryBytes()), Body: d.data(c.Body()), Status: c.Status(), RetryAfterMs: c.RetryAfterMs(),
 		Token: d.text(c.TokenBytes()),
 	}
 }
 
-func (d *decoder) snap(c SnapC, err error) *Snap {
+func (d *decoder) snap(c SnapshotC, err error) *Snapshot {
 	if !d.ok(err) || !c.IsValid() {
 		return nil
 	}
-	return &Snap{Index: c.Index(), Term: c.Term(), Members: d.members(c.Members()), Data: d.data(c.Data())}
+	return &Snapshot{Index: c.Index(), Term: c.Term(), Members: d.members(c.Members()), Data: d.data(c.Data())}
 }
 
-func (d *decoder) key(c KeyC, err error) Key {
+func (d *decoder) key(c TableKeyC, err error) TableKey {
 	d.ok(err)
-	return Key{c.Epoch(), c.Term(), c.Ver()}
+	return TableKey{c.Epoch(), c.Term(), c.Version()}
 }
 
 func (d *decoder) table(c TableC, err error) *Table {
@@ -228,19 +228,19 @@
 		return nil
 	}
 	return &Table{
-		Key: d.key(c.Key()), Seq: c.Seq(), Revision: c.Revision(), Doc: d.data(c.Doc()), State: d.data(c.State()),
-		Gates: d.gates(c.Gates()), Emptied: d.texts(c.Emptied()), Targets: d.targets(c.Targets()), Was: d.texts(c.Was()),
-		Base: d.key(c.Base()), Gone: d.ids(c.Gone()),
+		Key: d.key(c.Key()), StateIndex: c.StateIndex(), Revision: c.Revision(), Document: d.data(c.Document()), State: d.data(c.State()),
+		Proxies: d.gates(c.Proxies()), EmptiedDomains: d.texts(c.EmptiedDomains()), Targets: d.targets(c.Targets()), PreviousProxies: d.texts(c.PreviousProxies()),
+		DeltaBase: d.key(c.DeltaBase()), RemovedTargets: d.ids(c.RemovedTargets()),
 	}
 }
 
 func (d *decoder) target(c TargetC, t *Target) {
-	t.Service, t.Name, t.Inc = d.again(c.ServiceBytes()), d.text(c.NameBytes()), c.Inc()
+	t.Service, t.Name, t.Incarnation = d.again(c.ServiceBytes()), d.text(c.NameBytes()), c.Incarnation()
 	t.Addr, t.Domain, t.State = d.text(c.AddrBytes()), d.again(c.DomainBytes()), d.again(c.StateBytes())
-	t.Demand, t.HasDemand, t.Held = c.Demand(), c.HasDemand(), c.Held()
-	t.BarLeft, t.BarWhy = c.BarLeft(), d.again(c.BarWhyBytes())
-	t.Pending, t.Beating, t.Turn = c.Pending(), c.Beating(), c.Turn()
-	t.Slots, t.ColdLeft, t.Number = c.Slots(), c.ColdLeft(), c.Number()
+	t.Demand, t.HasDemand, t.Draining = c.Demand(), c.HasDemand(), c.Draining()
+	t.EjectionLeft, t.EjectedBy = c.EjectionLeft(), d.again(c.EjectedByBytes())
+	t.Pending, t.Heartbeating, t.ShareOffset = c.Pending(), c.Heartbeating(), c.ShareOffset()
+	t.Slots, t.WarmupLeft, t.Number = c.Slots(), c.WarmupLeft(), c.Number()
 }
 
 // An empty list is nil, as one that isn't there.
@@ -295,24 +295,24 @@
 	return all
 }
 
-func (d *decoder) seen(l SeenC_List, err error) []Seen {
+func (d *decoder) seen(l TargetStatsC_List, err error) []TargetStats {
 	n := d.count(l.Len(), err)
 	if n == 0 {
 		return nil
 	}
-	all := make([]Seen, n)
+	all := make([]TargetStats, n)
 	for i := range all {
 		c := l.At(i)
-		all[i] = Seen{
-			Service: d.again(c.ServiceBytes()), Name: d.text(c.NameBytes()), Inc: c.Inc(), Ok: c.Ok(),
-			Errors: c.Errors(), SumMs: c.SumMs(), Demand: c.Demand(), HasDemand: c.HasDemand(), Slow: c.Slow(),
-			NotRun: c.NotRun(), Alive: c.Alive(),
+		all[i] = TargetStats{
+			Service: d.again(c.ServiceBytes()), Name: d.text(c.NameBytes()), Incarnation: c.Incarnation(), Successes: c.Successes(),
+			Errors: c.Errors(), TotalMs: c.TotalMs(), Demand: c.Demand(), HasDemand: c.HasDemand(), Slow: c.Slow(),
+			Rejected: c.Rejected(), ProbeAnswered: c.ProbeAnswered(),
 		}
 	}
 	return all
 }
 
-func (d *decoder) ids(l IdC_List, err error) []ID {
+func (d *decoder) ids(l IdentityC_List, err error) []ID {
 	n := d.count(l.Len(), err)
 	if n == 0 {
 		return nil
@@ -320,20 +320,20 @@
 	all := make([]ID, n)
 	for i := range all {
 		c := l.At(i)
-		all[i] = ID{d.again(c.ServiceBytes()), d.text(c.NameBytes()), c.Inc()}
+		all[i] = ID{d.again(c.ServiceBytes()), d.text(c.NameBytes()), c.Incarnation()}
 	}
 	return all
 }
 
-func (d *decoder) gates(l GateC_List, err error) []Gate {
+func (d *decoder) gates(l ProxyC_List, err error) []Proxy {
 	n := d.count(l.Len(), err)
 	if n == 0 {
 		return nil
 	}
-	all := make([]Gate, n)
+	all := make([]Proxy, n)
 	for i := range all {
 		c := l.At(i)
-		all[i] = Gate{d.text(c.NameBytes()), d.text(c.AddrBytes()), d.again(c.DomainBytes()), c.Live()}
+		all[i] = Proxy{d.text(c.NameBytes()), d.text(c.AddrBytes()), d.again(c.DomainBytes()), c.Live()}
 	}
 	return all
 }
--- a/internal/shared/wire/encode.go
+++ b/internal/shared/wire/encode.go
@@ -37,13 +37,13 @@
 }
 
 // Encode returns a message as unpacked Cap'n Proto bytes. Its errors are the library's.
-func Encode(m *Msg) ([]byte, error) {
+func Encode(m *Message) ([]byte, error) {
 	buf, cm, seg, err := blank(m.size())
 	if err != nil {
 		return nil, errors.Wrap(err, "new message")
 	}
 	var e encoder
-	if c, err := NewRootMsgC(seg); e.ok(err) {
+	if c, err := NewRootMessageC(seg); e.ok(err) {
 		e.msg(c, m)
 	}
 	return finish(buf, cm, seg, e.err)
@@ -62,14 +62,14 @@
 	return finish(buf, cm, seg, e.err)
 }
 
-func (e *encoder) msg(c MsgC, m *Msg) {
-	c.SetKind(m.Kind)
+func (e *encoder) msg(c MessageC, m *Message) {
+	c.SetKind(uint16(m.Kind))
 	e.ok(c.SetFrom(m.From))
 	e.ok(c.SetTo(m.To))
 	c.SetDisk(m.Disk)
 	c.SetEpoch(m.Epoch)
 	c.SetTerm(m.Term)
-	c.SetStamp(m.Stamp)
+	c.SetTimestamp(m.Timestamp)
 	if m.Hello != nil {
 		if c, err := c.NewHello(); e.ok(err) {
 			e.hello(c, m.Hello)
@@ -77,14 +77,14 @@
 	}
 	if m.Vote != nil {
 		if c, err := c.NewVote(); e.ok(err) {
-			c.SetPre(m.Vote.Pre)
+			c.SetPreVote(m.Vote.PreVote)
 			c.SetReply(m.Vote.Reply)
 			c.SetGranted(m.Vote.Granted)
 			c.SetLastIndex(m.Vote.LastIndex)
 			c.SetLastTerm(m.Vote.LastTerm)
 			c.SetTransfer(m.Vote.Transfer)
-			c.SetAll(m.Vote.All)
-			c.SetAlone(m.Vote.Alone)
+			c.SetUnanimous(m.Vote.Unanimous)
+			c.SetNoLeader(m.Vote.NoLeader)
 		}
 	}
 	if m.Append != nil {
@@ -102,53 +102,53 @@
 			e.push(c, m.Push)
 		}
 	}
-	if m.Beat != nil {
-		if c, err := c.NewBeat(); e.ok(err) {
-			e.target(c, m.Beat)
+	if m.Heartbeat != nil {
+		if c, err := c.NewHeartbeat(); e.ok(err) {
+			e.target(c, m.Heartbeat)
 		}
 	}
-	if m.Ask != nil {
-		if c, err := c.NewAsk(); e.ok(err) {
-			c.SetId(m.Ask.Id)
-			c.SetReply(m.Ask.Reply)
-			e.ok(c.SetMethod(m.Ask.Method))
-			e.ok(c.SetPath(m.Ask.Path))
-			e.ok(c.SetQuery(m.Ask.Query))
-			e.ok(c.SetBody(m.Ask.Body))
-			c.SetStatus(m.Ask.Status)
-			c.SetRetryMs(m.Ask.RetryMs)
-			e.ok(c.SetToken(m.Ask.Token))
+	if m.Call != nil {
+		if c, err := c.NewCall(); e.ok(err) {
+			c.SetId(m.Call.ID)
+			c.SetReply(m.Call.Reply)
+			e.ok(c.SetMethod(m.Call.Method))
+			e.ok(c.SetPath(m.Call.Path))
+			e.ok(c.SetQuery(m.Call.Query))
+			e.ok(c.SetBody(m.Call.Body))
+			c.SetStatus(m.Call.Status)
+			c.SetRetryAfterMs(m.Call.RetryAfterMs)
+			e.ok(c.SetToken(m.Call.Token))
 		}
 	}
 }
 
 func (e *encoder) batch(c BatchC, b *Batch) {
 	c.SetSeq(b.Seq)
-	c.SetFresh(b.Fresh)
+	c.SetReset(b.Reset)
 	c.SetEpoch(b.Epoch)
 	c.SetDisk(b.Disk)
-	c.SetHard(b.Hard)
+	c.SetHasHardState(b.HasHardState)
 	c.SetTerm(b.Term)
 	e.ok(c.SetVote(b.Vote))
-	c.SetCut(b.Cut)
+	c.SetTruncateFrom(b.TruncateFrom)
 	if len(b.Entries) > 0 {
 		if l, err := c.NewEntries(int32(len(b.Entries))); e.ok(err) {
 			e.entries(l, b.Entries)
 		}
 	}
-	if b.Snap != nil {
-		if c, err := c.NewSnap(); e.ok(err) {
-			e.snap(c, b.Snap)
+	if b.Snapshot != nil {
+		if c, err := c.NewSnapshot(); e.ok(err) {
+			e.snap(c, b.Snapshot)
 		}
 	}
-	c.SetLock(b.Lock)
-	e.ok(c.SetLegacy(b.Legacy))
+	c.SetBootstrapLock(b.BootstrapLock)
+	e.ok(c.SetRecoveredState(b.RecoveredState))
 	if len(b.Founders) > 0 {
 		if l, err := c.NewFounders(int32(len(b.Founders))); e.ok(err) {
 			e.members(l, b.Founders)
 		}
 	}
-	c.SetFounding(b.Founding)
+	c.SetBootstrapEpoch(b.BootstrapEpoch)
 }
 
 func (e *encoder) daemon(c DaemonC, d *Daemon) {
@@ -156,31 +156,31 @@
 	e.ok(c.SetKind(string(d.Kind)))
 	e.ok(c.SetDomain(d.Domain))
 	e.ok(c.SetAddr(d.Addr))
-	e.ok(c.SetHttp(d.Http))
-	c.SetInc(d.Inc)
+	e.ok(c.SetHttp(d.HTTP))
+	c.SetIncarnation(d.Incarnation)
 	c.SetDisk(d.Disk)
 	c.SetEpoch(d.Epoch)
-	c.SetLock(d.Lock)
+	c.SetBootstrapLock(d.BootstrapLock)
 	c.SetReady(d.Ready)
 	e.ok(c.SetState(d.State))
-	c.SetOffer(d.Offer)
+	c.SetBootstrapOffer(d.BootstrapOffer)
 }
 
 func (e *encoder) hello(c HelloC, h *Hello) {
 	if c, err := c.NewSelf(); e.ok(err) {
 		e.daemon(c, &h.Self)
 	}
-	if len(h.Known) > 0 {
-		if l, err := c.NewKnown(int32(len(h.Known))); e.ok(err) {
-			for i := range h.Known {
-				e.daemon(l.At(i), &h.Known[i])
+	if len(h.Daemons) > 0 {
+		if l, err := c.NewDaemons(int32(len(h.Daemons))); e.ok(err) {
+			for i := range h.Daemons {
+				e.daemon(l.At(i), &h.Daemons[i])
 			}
 		}
 	}
 	c.SetReply(h.Reply)
 	e.ok(c.SetLeader(h.Leader))
 	c.SetTerm(h.Term)
-	e.ok(c.SetLegacy(h.Legacy))
+	e.ok(c.SetRecoveredState(h.RecoveredState))
 	if len(h.Members) > 0 {
 		if l, err := c.NewMembers(int32(len(h.Members))); e.ok(err) {
 			e.members(l, h.Members)
@@ -188,13 +188,13 @@
 	}
 	c.SetMembersEpoch(h.MembersEpoch)
 	c.SetMembersIndex(h.MembersIndex)
-	c.SetFounding(h.Founding)
-	if len(h.Gone) > 0 {
-		if l, err := c.NewGone(int32(len(h.Gone))); e.ok(err) {
-			e.texts(l, h.Gone)
+	c.SetBootstrapEpoch(h.BootstrapEpoch)
+	if len(h.LostMembers) > 0 {
+		if l, err := c.NewLostMembers(int32(len(h.LostMembers))); e.ok(err) {
+			e.texts(l, h.LostMembers)
 		}
 	}
-	c.SetRefound(h.Refound)
+	c.SetRecoveryConsent(h.RecoveryConsent)
 }
 
 func (e *encoder) texts(l capnp.TextList, ss []string) {
@@ -221,7 +221,7 @@
 	}
 }
 
-func (e *encoder) snap(c SnapC, s *Snap) {
+func (e *encoder) snap(c SnapshotC, s *Snapshot) {
 	c.SetIndex(s.Index)
 	c.SetTerm(s.Term)
 	if len(s.Members) > 0 {
@@ -234,25 +234,25 @@
 
 func (e *encoder) append(c AppendC, a *Append) {
 	c.SetReply(a.Reply)
-	c.SetOk(a.Ok)
+	c.SetSuccess(a.Success)
 	c.SetPrevIndex(a.PrevIndex)
 	c.SetPrevTerm(a.PrevTerm)
 	c.SetCommit(a.Commit)
-	c.SetMatch(a.Match)
+	c.SetMatchIndex(a.MatchIndex)
 	if len(a.Entries) > 0 {
 		if l, err := c.NewEntries(int32(len(a.Entries))); e.ok(err) {
 			e.entries(l, a.Entries)
 		}
 	}
-	if a.Piece != nil {
-		if c, err := c.NewPiece(); e.ok(err) {
-			e.piece(c, a.Piece)
+	if a.Chunk != nil {
+		if c, err := c.NewChunk(); e.ok(err) {
+			e.piece(c, a.Chunk)
 		}
 	}
 }
 
-func (e *encoder) piece(c PieceC, p *Piece) {
-	c.SetEntry(p.Entry)
+func (e *encoder) piece(c ChunkC, p *Chunk) {
+	c.SetIsEntry(p.IsEntry)
 	c.SetIndex(p.Index)
 	c.SetTerm(p.Term)
 	c.SetKind(p.Kind)
@@ -262,7 +262,7 @@
 		}
 	}
 	c.SetSize(p.Size)
-	c.SetSum(p.Sum)
+	c.SetChecksum(p.Checksum)
 	c.SetOffset(p.Offset)
 	e.ok(c.SetData(p.Data))
 }
@@ -270,41 +270,41 @@
 func (e *encoder) target(c TargetC, t *Target) {
 	e.ok(c.SetService(t.Service))
 	e.ok(c.SetName(t.Name))
-	c.SetInc(t.Inc)
+	c.SetIncarnation(t.Incarnation)
 	e.ok(c.SetAddr(t.Addr))
 	e.ok(c.SetDomain(t.Domain))
 	e.ok(c.SetState(t.State))
 	c.SetDemand(t.Demand)
 	c.SetHasDemand(t.HasDemand)
-	c.SetHeld(t.Held)
-	c.SetBarLeft(t.BarLeft)
-	e.ok(c.SetBarWhy(t.BarWhy))
+	c.SetDraining(t.Draining)
+	c.SetEjectionLeft(t.EjectionLeft)
+	e.ok(c.SetEjectedBy(t.EjectedBy))
 	c.SetPending(t.Pending)
-	c.SetBeating(t.Beating)
-	c.SetTurn(t.Turn)
+	c.SetHeartbeating(t.Heartbeating)
+	c.SetShareOffset(t.ShareOffset)
 	c.SetSlots(t.Slots)
-	c.SetColdLeft(t.ColdLeft)
+	c.SetWarmupLeft(t.WarmupLeft)
 	c.SetNumber(t.Number)
 }
 
-func (e *encoder) key(c KeyC, k Key) {
+func (e *encoder) key(c TableKeyC, k TableKey) {
 	c.SetEpoch(k.Epoch)
 	c.SetTerm(k.Term)
-	c.SetVer(k.Ver)
+	c.SetVersion(k.Version)
 }
 
 func (e *encoder) table(c TableC, t *Table) {
 	if c, err := c.NewKey(); e.ok(err) {
 		e.key(c, t.Key)
 	}
-	c.SetSeq(t.Seq)
+	c.SetStateIndex(t.StateIndex)
 	c.SetRevision(t.Revision)
-	e.ok(c.SetDoc(t.Doc))
+	e.ok(c.SetDocument(t.Document))
 	e.ok(c.SetState(t.State))
-	if len(t.Gates) > 0 {
-		if l, err := c.NewGates(int32(len(t.Gates))); e.ok(err) {
-			for i := range t.Gates {
-				c, g := l.At(i), &t.Gates[i]
+	if len(t.Proxies) > 0 {
+		if l, err := c.NewProxies(int32(len(t.Proxies))); e.ok(err) {
+			for i := range t.Proxies {
+				c, g := l.At(i), &t.Proxies[i]
 				e.ok(c.SetName(g.Name))
 				e.ok(c.SetAddr(g.Addr))
 				e.ok(c.SetDomain(g.Domain))
@@ -312,9 +312,9 @@
 			}
 		}
 	}
-	if len(t.Emptied) > 0 {
-		if l, err := c.NewEmptied(int32(len(t.Emptied))); e.ok(err) {
-			e.texts(l, t.Emptied)
+	if len(t.EmptiedDomains) > 0 {
+		if l, err := c.NewEmptiedDomains(int32(len(t.EmptiedDomains))); e.ok(err) {
+			e.texts(l, t.EmptiedDomains)
 		}
 	}
 	if len(t.Targets) > 0 {
@@ -324,27 +324,27 @@
 			}
 		}
 	}
-	if len(t.Was) > 0 {
-		if l, err := c.NewWas(int32(len(t.Was))); e.ok(err) {
-			e.texts(l, t.Was)
+	if len(t.PreviousProxies) > 0 {
+		if l, err := c.NewPreviousProxies(int32(len(t.PreviousProxies))); e.ok(err) {
+			e.texts(l, t.PreviousProxies)
 		}
 	}
-	if c, err := c.NewBase(); e.ok(err) {
-		e.key(c, t.Base)
+	if c, err := c.NewDeltaBase(); e.ok(err) {
+		e.key(c, t.DeltaBase)
 	}
-	if len(t.Gone) > 0 {
-		if l, err := c.NewGone(int32(len(t.Gone))); e.ok(err) {
-			e.ids(l, t.Gone)
+	if len(t.RemovedTargets) > 0 {
+		if l, err := c.NewRemovedTargets(int32(len(t.RemovedTargets))); e.ok(err) {
+			e.ids(l, t.RemovedTargets)
 		}
 	}
 }
 
-func (e *encoder) ids(l IdC_List, ids []ID) {
+func (e *encoder) ids(l IdentityC_List, ids []ID) {
 	for i := range ids {
 		c, id := l.At(i), &ids[i]
 		e.ok(c.SetService(id.Service))
 		e.ok(c.SetName(id.Name))
-		c.SetInc(id.Inc)
+		c.SetIncarnation(id.Incarnation)
 	}
 }
 
@@ -355,21 +355,21 @@
 	if c, err := c.NewKey(); e.ok(err) {
 		e.key(c, p.Key)
 	}
-	if len(p.Seen) > 0 {
-		if l, err := c.NewSeen(int32(len(p.Seen))); e.ok(err) {
-			for i := range p.Seen {
-				c, s := l.At(i), &p.Seen[i]
+	if len(p.Stats) > 0 {
+		if l, err := c.NewStats(int32(len(p.Stats))); e.ok(err) {
+			for i := range p.Stats {
+				c, s := l.At(i), &p.Stats[i]
 				e.ok(c.SetService(s.Service))
 				e.ok(c.SetName(s.Name))
-				c.SetInc(s.Inc)
-				c.SetOk(s.Ok)
+				c.SetIncarnation(s.Incarnation)
+				c.SetSuccesses(s.Successes)
 				c.SetErrors(s.Errors)
-				c.SetSumMs(s.SumMs)
+				c.SetTotalMs(s.TotalMs)
 				c.SetDemand(s.Demand)
 				c.SetHasDemand(s.HasDemand)
 				c.SetSlow(s.Slow)
-				c.SetNotRun(s.NotRun)
-				c.SetAlive(s.Alive)
+				c.SetRejected(s.Rejected)
+				c.SetProbeAnswered(s.ProbeAnswered)
 			}
 		}
 	}
@@ -379,13 +379,13 @@
 		}
 	}
 	c.SetRevision(p.Revision)
-	c.SetSeq(p.Seq)
-	c.SetWant(p.Want)
+	c.SetStateIndex(p.StateIndex)
+	c.SetWantTable(p.WantTable)
 }
 
 func (e *encoder) push(c PushC, p *Push) {
-	c.SetGrant(p.Grant)
-	c.SetWant(p.Want)
+	c.SetLeaseGranted(p.LeaseGranted)
+	c.SetWantTable(p.WantTable)
 	if c, err := c.NewKey(); e.ok(err) {
 		e.key(c, p.Key)
 	}
@@ -394,9 +394,9 @@
 			e.table(c, p.Table)
 		}
 	}
-	if len(p.Probe) > 0 {
-		if l, err := c.NewProbe(int32(len(p.Probe))); e.ok(err) {
-			e.ids(l, p.Probe)
+	if len(p.ProbeTargets) > 0 {
+		if l, err := c.NewProbeTargets(int32(len(p.ProbeTargets))); e.ok(err) {
+			e.ids(l, p.ProbeTargets)
 		}
 	}
 }
--- a/internal/shared/wire/frame.go
+++ b/internal/shared/wire/frame.go
@@ -28,7 +28,7 @@
 func NewWriter(w io.Writer) *Writer { return &Writer{w: bufio.NewWriterSize(w, tuning.WireBuffer)} }
 
 // Put writes a message to the buffer and returns how many bytes it takes on the connection.
-func (w *Writer) Put(m *Msg) (size int, err error) {
+func (w *Writer) Put(m *Message) (size int, err error) {
 	c := w.addressed(m)
 	b, err := Encode(&c)
 	if err != nil {
@@ -40,7 +40,7 @@
 
 // addressed is a message as it goes on this connection: who speaks is said once, and whom it is
 // for not at all.
-func (w *Writer) addressed(m *Msg) Msg {
+func (w *Writer) addressed(m *Message) Message {
 	c := *m
 	if c.To = ""; c.From == w.from {
 		c.From = ""
