--- a/internal/shared/wire/msg.capnp.go
+++ b/internal/shared/wire/msg.capnp.go
@@ -9,145 +9,145 @@
 	math "math"
 )
 
-type MsgC capnp.Struct
+type MessageC capnp.Struct
 
-// MsgC_TypeID is the unique identifier for the type MsgC.
-const MsgC_TypeID = 0x9e5e19364738cba5
+// MessageC_TypeID is the unique identifier for the type MessageC.
+const MessageC_TypeID = 0xc81d8efb74e5bb58
 
-func NewMsgC(s *capnp.Segment) (MsgC, error) {
+func NewMessageC(s *capnp.Segment) (MessageC, error) {
 	st, err := capnp.NewStruct(s, capnp.ObjectSize{DataSize: 40, PointerCount: 9})
-	return MsgC(st), err
+	return MessageC(st), err
 }
 
-func NewRootMsgC(s *capnp.Segment) (MsgC, error) {
+func NewRootMessageC(s *capnp.Segment) (MessageC, error) {
 	st, err := capnp.NewRootStruct(s, capnp.ObjectSize{DataSize: 40, PointerCount: 9})
-	return MsgC(st), err
+	return MessageC(st), err
 }
 
-func ReadRootMsgC(msg *capnp.Message) (MsgC, error) {
+func ReadRootMessageC(msg *capnp.Message) (MessageC, error) {
 	root, err := msg.Root()
-	return MsgC(root.Struct()), err
+	return MessageC(root.Struct()), err
 }
 
-func (s MsgC) String() string {
-	str, _ := text.Marshal(0x9e5e19364738cba5, capnp.Struct(s))
+func (s MessageC) String() string {
+	str, _ := text.Marshal(0xc81d8efb74e5bb58, capnp.Struct(s))
 	return str
 }
 
-func (s MsgC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
+func (s MessageC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
 	return capnp.Struct(s).EncodeAsPtr(seg)
 }
 
-func (MsgC) DecodeFromPtr(p capnp.Ptr) MsgC {
-	return MsgC(capnp.Struct{}.DecodeFromPtr(p))
+func (MessageC) DecodeFromPtr(p capnp.Ptr) MessageC {
+	return MessageC(capnp.Struct{}.DecodeFromPtr(p))
 }
 
-func (s MsgC) ToPtr() capnp.Ptr {
+func (s MessageC) ToPtr() capnp.Ptr {
 	return capnp.Struct(s).ToPtr()
 }
-func (s MsgC) IsValid() bool {
+func (s MessageC) IsValid() bool {
 	return capnp.Struct(s).IsValid()
 }
 
-func (s MsgC) Message() *capnp.Message {
+func (s MessageC) Message() *capnp.Message {
 	return capnp.Struct(s).Message()
 }
 
-func (s MsgC) Segment() *capnp.Segment {
+func (s MessageC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s MsgC) Kind() uint16 {
+func (s MessageC) Kind() uint16 {
 	return capnp.Struct(s).Uint16(0)
 }
 
-func (s MsgC) SetKind(v uint16) {
+func (s MessageC) SetKind(v uint16) {
 	capnp.Struct(s).SetUint16(0, v)
 }
 
-func (s MsgC) From() (string, error) {
+func (s MessageC) From() (string, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.Text(), err
 }
 
-func (s MsgC) HasFrom() bool {
+func (s MessageC) HasFrom() bool {
 	return capnp.Struct(s).HasPtr(0)
 }
 
-func (s MsgC) FromBytes() ([]byte, error) {
+func (s MessageC) FromBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.TextBytes(), err
 }
 
-func (s MsgC) SetFrom(v string) error {
+func (s MessageC) SetFrom(v string) error {
 	return capnp.Struct(s).SetText(0, v)
 }
 
-func (s MsgC) To() (string, error) {
+func (s MessageC) To() (string, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.Text(), err
 }
 
-func (s MsgC) HasTo() bool {
+func (s MessageC) HasTo() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s MsgC) ToBytes() ([]byte, error) {
+func (s MessageC) ToBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.TextBytes(), err
 }
 
-func (s MsgC) SetTo(v string) error {
+func (s MessageC) SetTo(v string) error {
 	return capnp.Struct(s).SetText(1, v)
 }
 
-func (s MsgC) Disk() uint64 {
+func (s MessageC) Disk() uint64 {
 	return capnp.Struct(s).Uint64(8)
 }
 
-func (s MsgC) SetDisk(v uint64) {
+func (s MessageC) SetDisk(v uint64) {
 	capnp.Struct(s).SetUint64(8, v)
 }
 
-func (s MsgC) Epoch() uint64 {
+func (s MessageC) Epoch() uint64 {
 	return capnp.Struct(s).Uint64(16)
 }
 
-func (s MsgC) SetEpoch(v uint64) {
+func (s MessageC) SetEpoch(v uint64) {
 	capnp.Struct(s).SetUint64(16, v)
 }
 
-func (s MsgC) Term() uint64 {
+func (s MessageC) Term() uint64 {
 	return capnp.Struct(s).Uint64(24)
 }
 
-func (s MsgC) SetTerm(v uint64) {
+func (s MessageC) SetTerm(v uint64) {
 	capnp.Struct(s).SetUint64(24, v)
 }
 
-func (s MsgC) Stamp() int64 {
+func (s MessageC) Timestamp() int64 {
 	return int64(capnp.Struct(s).Uint64(32))
 }
 
-func (s MsgC) SetStamp(v int64) {
+func (s MessageC) SetTimestamp(v int64) {
 	capnp.Struct(s).SetUint64(32, uint64(v))
 }
 
-func (s MsgC) Hello() (HelloC, error) {
+func (s MessageC) Hello() (HelloC, error) {
 	p, err := capnp.Struct(s).Ptr(2)
 	return HelloC(p.Struct()), err
 }
 
-func (s MsgC) HasHello() bool {
+func (s MessageC) HasHello() bool {
 	return capnp.Struct(s).HasPtr(2)
 }
 
-func (s MsgC) SetHello(v HelloC) error {
+func (s MessageC) SetHello(v HelloC) error {
 	return capnp.Struct(s).SetPtr(2, capnp.Struct(v).ToPtr())
 }
 
 // NewHello sets the hello field to a newly
 // allocated HelloC struct, preferring placement in s's segment.
-func (s MsgC) NewHello() (HelloC, error) {
+func (s MessageC) NewHello() (HelloC, error) {
 	ss, err := NewHelloC(capnp.Struct(s).Segment())
 	if err != nil {
 		return HelloC{}, err
@@ -156,22 +156,22 @@
 	return ss, err
 }
 
-func (s MsgC) Vote() (VoteC, error) {
+func (s MessageC) Vote() (VoteC, error) {
 	p, err := capnp.Struct(s).Ptr(3)
 	return VoteC(p.Struct()), err
 }
 
-func (s MsgC) HasVote() bool {
+func (s MessageC) HasVote() bool {
 	return capnp.Struct(s).HasPtr(3)
 }
 
-func (s MsgC) SetVote(v VoteC) error {
+func (s MessageC) SetVote(v VoteC) error {
 	return capnp.Struct(s).SetPtr(3, capnp.Struct(v).ToPtr())
 }
 
 // NewVote sets the vote field to a newly
 // allocated VoteC struct, preferring placement in s's segment.
-func (s MsgC) NewVote() (VoteC, error) {
+func (s MessageC) NewVote() (VoteC, error) {
 	ss, err := NewVoteC(capnp.Struct(s).Segment())
 	if err != nil {
 		return VoteC{}, err
@@ -180,22 +180,22 @@
 	return ss, err
 }
 
-func (s MsgC) Append() (AppendC, error) {
+func (s MessageC) Append() (AppendC, error) {
 	p, err := capnp.Struct(s).Ptr(4)
 	return AppendC(p.Struct()), err
 }
 
-func (s MsgC) HasAppend() bool {
+func (s MessageC) HasAppend() bool {
 	return capnp.Struct(s).HasPtr(4)
 }
 
-func (s MsgC) SetAppend(v AppendC) error {
+func (s MessageC) SetAppend(v AppendC) error {
 	return capnp.Struct(s).SetPtr(4, capnp.Struct(v).ToPtr())
 }
 
 // NewAppend sets the append field to a newly
 // allocated AppendC struct, preferring placement in s's segment.
-func (s MsgC) NewAppend() (AppendC, error) {
+func (s MessageC) NewAppend() (AppendC, error) {
 	ss, err := NewAppendC(capnp.Struct(s).Segment())
 	if err != nil {
 		return AppendC{}, err
@@ -204,22 +204,22 @@
 	return ss, err
 }
 
-func (s MsgC) Pull() (PullC, error) {
+func (s MessageC) Pull() (PullC, error) {
 	p, err := capnp.Struct(s).Ptr(5)
 	return PullC(p.Struct()), err
 }
 
-func (s MsgC) HasPull() bool {
+func (s MessageC) HasPull() bool {
 	return capnp.Struct(s).HasPtr(5)
 }
 
-func (s MsgC) SetPull(v PullC) error {
+func (s MessageC) SetPull(v PullC) error {
 	return capnp.Struct(s).SetPtr(5, capnp.Struct(v).ToPtr())
 }
 
 // NewPull sets the pull field to a newly
 // allocated PullC struct, preferring placement in s's segment.
-func (s MsgC) NewPull() (PullC, error) {
+func (s MessageC) NewPull() (PullC, error) {
 	ss, err := NewPullC(capnp.Struct(s).Segment())
 	if err != nil {
 		return PullC{}, err
@@ -228,22 +228,22 @@
 	return ss, err
 }
 
-func (s MsgC) Push() (PushC, error) {
+func (s MessageC) Push() (PushC, error) {
 	p, err := capnp.Struct(s).Ptr(6)
 	return PushC(p.Struct()), err
 }
 
-func (s MsgC) HasPush() bool {
+func (s MessageC) HasPush() bool {
 	return capnp.Struct(s).HasPtr(6)
 }
 
-func (s MsgC) SetPush(v PushC) error {
+func (s MessageC) SetPush(v PushC) error {
 	return capnp.Struct(s).SetPtr(6, capnp.Struct(v).ToPtr())
 }
 
 // NewPush sets the push field to a newly
 // allocated PushC struct, preferring placement in s's segment.
-func (s MsgC) NewPush() (PushC, error) {
+func (s MessageC) NewPush() (PushC, error) {
 	ss, err := NewPushC(capnp.Struct(s).Segment())
 	if err != nil {
 		return PushC{}, err
@@ -252,22 +252,22 @@
 	return ss, err
 }
 
-func (s MsgC) Beat() (TargetC, error) {
+func (s MessageC) Heartbeat() (TargetC, error) {
 	p, err := capnp.Struct(s).Ptr(7)
 	return TargetC(p.Struct()), err
 }
 
-func (s MsgC) HasBeat() bool {
+func (s MessageC) HasHeartbeat() bool {
 	return capnp.Struct(s).HasPtr(7)
 }
 
-func (s MsgC) SetBeat(v TargetC) error {
+func (s MessageC) SetHeartbeat(v TargetC) error {
 	return capnp.Struct(s).SetPtr(7, capnp.Struct(v).ToPtr())
 }
 
-// NewBeat sets the beat field to a newly
+// NewHeartbeat sets the heartbeat field to a newly
 // allocated TargetC struct, preferring placement in s's segment.
-func (s MsgC) NewBeat() (TargetC, error) {
+func (s MessageC) NewHeartbeat() (TargetC, error) {
 	ss, err := NewTargetC(capnp.Struct(s).Segment())
 	if err != nil {
 		return TargetC{}, err
@@ -276,66 +276,66 @@
 	return ss, err
 }
 
-func (s MsgC) Ask() (AskC, error) {
+func (s MessageC) Call() (CallC, error) {
 	p, err := capnp.Struct(s).Ptr(8)
-	return AskC(p.Struct()), err
+	return CallC(p.Struct()), err
 }
 
-func (s MsgC) HasAsk() bool {
+func (s MessageC) HasCall() bool {
 	return capnp.Struct(s).HasPtr(8)
 }
 
-func (s MsgC) SetAsk(v AskC) error {
+func (s MessageC) SetCall(v CallC) error {
 	return capnp.Struct(s).SetPtr(8, capnp.Struct(v).ToPtr())
 }
 
-// NewAsk sets the ask field to a newly
-// allocated AskC struct, preferring placement in s's segment.
-func (s MsgC) NewAsk() (AskC, error) {
-	ss, err := NewAskC(capnp.Struct(s).Segment())
+// NewCall sets the call field to a newly
+// allocated CallC struct, preferring placement in s's segment.
+func (s MessageC) NewCall() (CallC, error) {
+	ss, err := NewCallC(capnp.Struct(s).Segment())
 	if err != nil {
-		return AskC{}, err
+		return CallC{}, err
 	}
 	err = capnp.Struct(s).SetPtr(8, capnp.Struct(ss).ToPtr())
 	return ss, err
 }
 
-// MsgC_List is a list of MsgC.
-type MsgC_List = capnp.StructList[MsgC]
+// MessageC_List is a list of MessageC.
+type MessageC_List = capnp.StructList[MessageC]
 
-// NewMsgC creates a new list of MsgC.
-func NewMsgC_List(s *capnp.Segment, sz int32) (MsgC_List, error) {
+// NewMessageC creates a new list of MessageC.
+func NewMessageC_List(s *capnp.Segment, sz int32) (MessageC_List, error) {
 	l, err := capnp.NewCompositeList(s, capnp.ObjectSize{DataSize: 40, PointerCount: 9}, sz)
-	return capnp.StructList[MsgC](l), err
+	return capnp.StructList[MessageC](l), err
 }
 
-// MsgC_Future is a wrapper for a MsgC promised by a client call.
-type MsgC_Future struct{ *capnp.Future }
+// MessageC_Future is a wrapper for a MessageC promised by a client call.
+type MessageC_Future struct{ *capnp.Future }
 
-func (f MsgC_Future) Struct() (MsgC, error) {
+func (f MessageC_Future) Struct() (MessageC, error) {
 	p, err := f.Future.Ptr()
-	return MsgC(p.Struct()), err
+	return MessageC(p.Struct()), err
 }
-func (p MsgC_Future) Hello() HelloC_Future {
+func (p MessageC_Future) Hello() HelloC_Future {
 	return HelloC_Future{Future: p.Future.Field(2, nil)}
 }
-func (p MsgC_Future) Vote() VoteC_Future {
+func (p MessageC_Future) Vote() VoteC_Future {
 	return VoteC_Future{Future: p.Future.Field(3, nil)}
 }
-func (p MsgC_Future) Append() AppendC_Future {
+func (p MessageC_Future) Append() AppendC_Future {
 	return AppendC_Future{Future: p.Future.Field(4, nil)}
 }
-func (p MsgC_Future) Pull() PullC_Future {
+func (p MessageC_Future) Pull() PullC_Future {
 	return PullC_Future{Future: p.Future.Field(5, nil)}
 }
-func (p MsgC_Future) Push() PushC_Future {
+func (p MessageC_Future) Push() PushC_Future {
 	return PushC_Future{Future: p.Future.Field(6, nil)}
 }
-func (p MsgC_Future) Beat() TargetC_Future {
+func (p MessageC_Future) Heartbeat() TargetC_Future {
 	return TargetC_Future{Future: p.Future.Field(7, nil)}
 }
-func (p MsgC_Future) Ask() AskC_Future {
-	return AskC_Future{Future: p.Future.Field(8, nil)}
+func (p MessageC_Future) Call() CallC_Future {
+	return CallC_Future{Future: p.Future.Field(8, nil)}
 }
 
 type DaemonC capnp.Struct
@@ -475,11 +475,11 @@
 	return capnp.Struct(s).SetText(4, v)
 }
 
-func (s DaemonC) Inc() uint64 {
+func (s DaemonC) Incarnation() uint64 {
 	return capnp.Struct(s).Uint64(0)
 }
 
-func (s DaemonC) SetInc(v uint64) {
+func (s DaemonC) SetIncarnation(v uint64) {
 	capnp.Struct(s).SetUint64(0, v)
 }
 
@@ -499,11 +499,11 @@
 	capnp.Struct(s).SetUint64(16, v)
 }
 
-func (s DaemonC) Lock() uint64 {
+func (s DaemonC) BootstrapLock() uint64 {
 	return capnp.Struct(s).Uint64(24)
 }
 
-func (s DaemonC) SetLock(v uint64) {
+func (s DaemonC) SetBootstrapLock(v uint64) {
 	capnp.Struct(s).SetUint64(24, v)
 }
 
@@ -533,11 +533,11 @@
 	return capnp.Struct(s).SetText(5, v)
 }
 
-func (s DaemonC) Offer() uint64 {
+func (s DaemonC) BootstrapOffer() uint64 {
 	return capnp.Struct(s).Uint64(40)
 }
 
-func (s DaemonC) SetOffer(v uint64) {
+func (s DaemonC) SetBootstrapOffer(v uint64) {
 	capnp.Struct(s).SetUint64(40, v)
 }
 
@@ -629,22 +629,22 @@
 	return ss, err
 }
 
-func (s HelloC) Known() (DaemonC_List, error) {
+func (s HelloC) Daemons() (DaemonC_List, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return DaemonC_List(p.List()), err
 }
 
-func (s HelloC) HasKnown() bool {
+func (s HelloC) HasDaemons() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s HelloC) SetKnown(v DaemonC_List) error {
+func (s HelloC) SetDaemons(v DaemonC_List) error {
 	return capnp.Struct(s).SetPtr(1, v.ToPtr())
 }
 
-// NewKnown sets the known field to a newly
+// NewDaemons sets the daemons field to a newly
 // allocated DaemonC_List, preferring placement in s's segment.
-func (s HelloC) NewKnown(n int32) (DaemonC_List, error) {
+func (s HelloC) NewDaemons(n int32) (DaemonC_List, error) {
 	l, err := NewDaemonC_List(capnp.Struct(s).Segment(), n)
 	if err != nil {
 		return DaemonC_List{}, err
@@ -686,16 +686,16 @@
 	capnp.Struct(s).SetUint64(8, v)
 }
 
-func (s HelloC) Legacy() ([]byte, error) {
+func (s HelloC) RecoveredState() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(3)
 	return []byte(p.Data()), err
 }
 
-func (s HelloC) HasLegacy() bool {
+func (s HelloC) HasRecoveredState() bool {
 	return capnp.Struct(s).HasPtr(3)
 }
 
-func (s HelloC) SetLegacy(v []byte) error {
+func (s HelloC) SetRecoveredState(v []byte) error {
 	return capnp.Struct(s).SetData(3, v)
 }
 
@@ -738,30 +738,30 @@
 	capnp.Struct(s).SetUint64(24, v)
 }
 
-func (s HelloC) Founding() uint64 {
+func (s HelloC) BootstrapEpoch() uint64 {
 	return capnp.Struct(s).Uint64(32)
 }
 
-func (s HelloC) SetFounding(v uint64) {
+func (s HelloC) SetBootstrapEpoch(v uint64) {
 	capnp.Struct(s).SetUint64(32, v)
 }
 
-func (s HelloC) Gone() (capnp.TextList, error) {
+func (s HelloC) LostMembers() (capnp.TextList, error) {
 	p, err := capnp.Struct(s).Ptr(5)
 	return capnp.TextList(p.List()), err
 }
 
-func (s HelloC) HasGone() bool {
+func (s HelloC) HasLostMembers() bool {
 	return capnp.Struct(s).HasPtr(5)
 }
 
-func (s HelloC) SetGone(v capnp.TextList) error {
+func (s HelloC) SetLostMembers(v capnp.TextList) error {
 	return capnp.Struct(s).SetPtr(5, v.ToPtr())
 }
 
-// NewGone sets the gone field to a newly
+// NewLostMembers sets the lostMembers field to a newly
 // allocated capnp.TextList, preferring placement in s's segment.
-func (s HelloC) NewGone(n int32) (capnp.TextList, error) {
+func (s HelloC) NewLostMembers(n int32) (capnp.TextList, error) {
 	l, err := capnp.NewTextList(capnp.Struct(s).Segment(), n)
 	if err != nil {
 		return capnp.TextList{}, err
@@ -769,11 +769,11 @@
 	err = capnp.Struct(s).SetPtr(5, l.ToPtr())
 	return l, err
 }
-func (s HelloC) Refound() bool {
+func (s HelloC) RecoveryConsent() bool {
 	return capnp.Struct(s).Bit(1)
 }
 
-func (s HelloC) SetRefound(v bool) {
+func (s HelloC) SetRecoveryConsent(v bool) {
 	capnp.Struct(s).SetBit(1, v)
 }
 
@@ -844,11 +844,11 @@
 func (s VoteC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s VoteC) Pre() bool {
+func (s VoteC) PreVote() bool {
 	return capnp.Struct(s).Bit(0)
 }
 
-func (s VoteC) SetPre(v bool) {
+func (s VoteC) SetPreVote(v bool) {
 	capnp.Struct(s).SetBit(0, v)
 }
 
@@ -892,19 +892,19 @@
 	capnp.Struct(s).SetBit(3, v)
 }
 
-func (s VoteC) All() bool {
+func (s VoteC) Unanimous() bool {
 	return capnp.Struct(s).Bit(4)
 }
 
-func (s VoteC) SetAll(v bool) {
+func (s VoteC) SetUnanimous(v bool) {
 	capnp.Struct(s).SetBit(4, v)
 }
 
-func (s VoteC) Alone() bool {
+func (s VoteC) NoLeader() bool {
 	return capnp.Struct(s).Bit(5)
 }
 
-func (s VoteC) SetAlone(v bool) {
+func (s VoteC) SetNoLeader(v bool) {
 	capnp.Struct(s).SetBit(5, v)
 }
 
@@ -1116,85 +1116,85 @@
 	return MemberC(p.Struct()), err
 }
 
-type SnapC capnp.Struct
+type SnapshotC capnp.Struct
 
-// SnapC_TypeID is the unique identifier for the type SnapC.
-const SnapC_TypeID = 0xfcf37722b7e476b8
+// SnapshotC_TypeID is the unique identifier for the type SnapshotC.
+const SnapshotC_TypeID = 0xa62a208fbbf45887
 
-func NewSnapC(s *capnp.Segment) (SnapC, error) {
+func NewSnapshotC(s *capnp.Segment) (SnapshotC, error) {
 	st, err := capnp.NewStruct(s, capnp.ObjectSize{DataSize: 16, PointerCount: 2})
-	return SnapC(st), err
+	return SnapshotC(st), err
 }
 
-func NewRootSnapC(s *capnp.Segment) (SnapC, error) {
+func NewRootSnapshotC(s *capnp.Segment) (SnapshotC, error) {
 	st, err := capnp.NewRootStruct(s, capnp.ObjectSize{DataSize: 16, PointerCount: 2})
-	return SnapC(st), err
+	return SnapshotC(st), err
 }
 
-func ReadRootSnapC(msg *capnp.Message) (SnapC, error) {
+func ReadRootSnapshotC(msg *capnp.Message) (SnapshotC, error) {
 	root, err := msg.Root()
-	return SnapC(root.Struct()), err
+	return SnapshotC(root.Struct()), err
 }
 
-func (s SnapC) String() string {
-	str, _ := text.Marshal(0xfcf37722b7e476b8, capnp.Struct(s))
+func (s SnapshotC) String() string {
+	str, _ := text.Marshal(0xa62a208fbbf45887, capnp.Struct(s))
 	return str
 }
 
-func (s SnapC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
+func (s SnapshotC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
 	return capnp.Struct(s).EncodeAsPtr(seg)
 }
 
-func (SnapC) DecodeFromPtr(p capnp.Ptr) SnapC {
-	return SnapC(capnp.Struct{}.DecodeFromPtr(p))
+func (SnapshotC) DecodeFromPtr(p capnp.Ptr) SnapshotC {
+	return SnapshotC(capnp.Struct{}.DecodeFromPtr(p))
 }
 
-func (s SnapC) ToPtr() capnp.Ptr {
+func (s SnapshotC) ToPtr() capnp.Ptr {
 	return capnp.Struct(s).ToPtr()
 }
-func (s SnapC) IsValid() bool {
+func (s SnapshotC) IsValid() bool {
 	return capnp.Struct(s).IsValid()
 }
 
-func (s SnapC) Message() *capnp.Message {
+func (s SnapshotC) Message() *capnp.Message {
 	return capnp.Struct(s).Message()
 }
 
-func (s SnapC) Segment() *capnp.Segment {
+func (s SnapshotC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s SnapC) Index() uint64 {
+func (s SnapshotC) Index() uint64 {
 	return capnp.Struct(s).Uint64(0)
 }
 
-func (s SnapC) SetIndex(v uint64) {
+func (s SnapshotC) SetIndex(v uint64) {
 	capnp.Struct(s).SetUint64(0, v)
 }
 
-func (s SnapC) Term() uint64 {
+func (s SnapshotC) Term() uint64 {
 	return capnp.Struct(s).Uint64(8)
 }
 
-func (s SnapC) SetTerm(v uint64) {
+func (s SnapshotC) SetTerm(v uint64) {
 	capnp.Struct(s).SetUint64(8, v)
 }
 
-func (s SnapC) Members() (MemberC_List, error) {
+func (s SnapshotC) Members() (MemberC_List, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return MemberC_List(p.List()), err
 }
 
-func (s SnapC) HasMembers() bool {
+func (s SnapshotC) HasMembers() bool {
 	return capnp.Struct(s).HasPtr(0)
 }
 
-func (s SnapC) SetMembers(v MemberC_List) error {
+func (s SnapshotC) SetMembers(v MemberC_List) error {
 	return capnp.Struct(s).SetPtr(0, v.ToPtr())
 }
 
 // NewMembers sets the members field to a newly
 // allocated MemberC_List, preferring placement in s's segment.
-func (s SnapC) NewMembers(n int32) (MemberC_List, error) {
+func (s SnapshotC) NewMembers(n int32) (MemberC_List, error) {
 	l, err := NewMemberC_List(capnp.Struct(s).Segment(), n)
 	if err != nil {
 		return MemberC_List{}, err
@@ -1202,34 +1202,34 @@
 	err = capnp.Struct(s).SetPtr(0, l.ToPtr())
 	return l, err
 }
-func (s SnapC) Data() ([]byte, error) {
+func (s SnapshotC) Data() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return []byte(p.Data()), err
 }
 
-func (s SnapC) HasData() bool {
+func (s SnapshotC) HasData() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s SnapC) SetData(v []byte) error {
+func (s SnapshotC) SetData(v []byte) error {
 	return capnp.Struct(s).SetData(1, v)
 }
 
-// SnapC_List is a list of SnapC.
-type SnapC_List = capnp.StructList[SnapC]
+// SnapshotC_List is a list of SnapshotC.
+type SnapshotC_List = capnp.StructList[SnapshotC]
 
-// NewSnapC creates a new list of SnapC.
-func NewSnapC_List(s *capnp.Segment, sz int32) (SnapC_List, error) {
+// NewSnapshotC creates a new list of SnapshotC.
+func NewSnapshotC_List(s *capnp.Segment, sz int32) (SnapshotC_List, error) {
 	l, err := capnp.NewCompositeList(s, capnp.ObjectSize{DataSize: 16, PointerCount: 2}, sz)
-	return capnp.StructList[SnapC](l), err
+	return capnp.StructList[SnapshotC](l), err
 }
 
-// SnapC_Future is a wrapper for a SnapC promised by a client call.
-type SnapC_Future struct{ *capnp.Future }
+// SnapshotC_Future is a wrapper for a SnapshotC promised by a client call.
+type SnapshotC_Future struct{ *capnp.Future }
 
-func (f SnapC_Future) Struct() (SnapC, error) {
+func (f SnapshotC_Future) Struct() (SnapshotC, error) {
 	p, err := f.Future.Ptr()
-	return SnapC(p.Struct()), err
+	return SnapshotC(p.Struct()), err
 }
 
 type AppendC capnp.Struct
@@ -1287,11 +1287,11 @@
 	capnp.Struct(s).SetBit(0, v)
 }
 
-func (s AppendC) Ok() bool {
+func (s AppendC) Success() bool {
 	return capnp.Struct(s).Bit(1)
 }
 
-func (s AppendC) SetOk(v bool) {
+func (s AppendC) SetSuccess(v bool) {
 	capnp.Struct(s).SetBit(1, v)
 }
 
@@ -1319,11 +1319,11 @@
 	capnp.Struct(s).SetUint64(24, v)
 }
 
-func (s AppendC) Match() uint64 {
+func (s AppendC) MatchIndex() uint64 {
 	return capnp.Struct(s).Uint64(32)
 }
 
-func (s AppendC) SetMatch(v uint64) {
+func (s AppendC) SetMatchIndex(v uint64) {
 	capnp.Struct(s).SetUint64(32, v)
 }
 
@@ -1350,49 +1350,49 @@
 	err = capnp.Struct(s).SetPtr(0, l.ToPtr())
 	return l, err
 }
-func (s AppendC) Snap() (SnapC, error) {
+func (s AppendC) Snap() (SnapshotC, error) {
 	p, err := capnp.Struct(s).Ptr(1)
-	return SnapC(p.Struct()), err
+	return SnapshotC(p.Struct()), err
 }
 
 func (s AppendC) HasSnap() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s AppendC) SetSnap(v SnapC) error {
+func (s AppendC) SetSnap(v SnapshotC) error {
 	return capnp.Struct(s).SetPtr(1, capnp.Struct(v).ToPtr())
 }
 
 // NewSnap sets the snap field to a newly
-// allocated SnapC struct, preferring placement in s's segment.
-func (s AppendC) NewSnap() (SnapC, error) {
-	ss, err := NewSnapC(capnp.Struct(s).Segment())
+// allocated SnapshotC struct, preferring placement in s's segment.
+func (s AppendC) NewSnap() (SnapshotC, error) {
+	ss, err := NewSnapshotC(capnp.Struct(s).Segment())
 	if err != nil {
-		return SnapC{}, err
+		return SnapshotC{}, err
 	}
 	err = capnp.Struct(s).SetPtr(1, capnp.Struct(ss).ToPtr())
 	return ss, err
 }
 
-func (s AppendC) Piece() (PieceC, error) {
+func (s AppendC) Chunk() (ChunkC, error) {
 	p, err := capnp.Struct(s).Ptr(2)
-	return PieceC(p.Struct()), err
+	return ChunkC(p.Struct()), err
 }
 
-func (s AppendC) HasPiece() bool {
+func (s AppendC) HasChunk() bool {
 	return capnp.Struct(s).HasPtr(2)
 }
 
-func (s AppendC) SetPiece(v PieceC) error {
+func (s AppendC) SetChunk(v ChunkC) error {
 	return capnp.Struct(s).SetPtr(2, capnp.Struct(v).ToPtr())
 }
 
-// NewPiece sets the piece field to a newly
-// allocated PieceC struct, preferring placement in s's segment.
-func (s AppendC) NewPiece() (PieceC, error) {
-	ss, err := NewPieceC(capnp.Struct(s).Segment())
+// NewChunk sets the chunk field to a newly
+// allocated ChunkC struct, preferring placement in s's segment.
+func (s AppendC) NewChunk() (ChunkC, error) {
+	ss, err := NewChunkC(capnp.Struct(s).Segment())
 	if err != nil {
-		return PieceC{}, err
+		return ChunkC{}, err
 	}
 	err = capnp.Struct(s).SetPtr(2, capnp.Struct(ss).ToPtr())
 	return ss, err
@@ -1414,108 +1414,108 @@
 	p, err := f.Future.Ptr()
 	return AppendC(p.Struct()), err
 }
-func (p AppendC_Future) Snap() SnapC_Future {
-	return SnapC_Future{Future: p.Future.Field(1, nil)}
+func (p AppendC_Future) Snap() SnapshotC_Future {
+	return SnapshotC_Future{Future: p.Future.Field(1, nil)}
 }
-func (p AppendC_Future) Piece() PieceC_Future {
-	return PieceC_Future{Future: p.Future.Field(2, nil)}
+func (p AppendC_Future) Chunk() ChunkC_Future {
+	return ChunkC_Future{Future: p.Future.Field(2, nil)}
 }
 
-type PieceC capnp.Struct
+type ChunkC capnp.Struct
 
-// PieceC_TypeID is the unique identifier for the type PieceC.
-const PieceC_TypeID = 0xa04a8ad731429d98
+// ChunkC_TypeID is the unique identifier for the type ChunkC.
+const ChunkC_TypeID = 0xcd25e8c9641057ea
 
-func NewPieceC(s *capnp.Segment) (PieceC, error) {
+func NewChunkC(s *capnp.Segment) (ChunkC, error) {
 	st, err := capnp.NewStruct(s, capnp.ObjectSize{DataSize: 48, PointerCount: 2})
-	return PieceC(st), err
+	return ChunkC(st), err
 }
 
-func NewRootPieceC(s *capnp.Segment) (PieceC, error) {
+func NewRootChunkC(s *capnp.Segment) (ChunkC, error) {
 	st, err := capnp.NewRootStruct(s, capnp.ObjectSize{DataSize: 48, PointerCount: 2})
-	return PieceC(st), err
+	return ChunkC(st), err
 }
 
-func ReadRootPieceC(msg *capnp.Message) (PieceC, error) {
+func ReadRootChunkC(msg *capnp.Message) (ChunkC, error) {
 	root, err := msg.Root()
-	return PieceC(root.Struct()), err
+	return ChunkC(root.Struct()), err
 }
 
-func (s PieceC) String() string {
-	str, _ := text.Marshal(0xa04a8ad731429d98, capnp.Struct(s))
+func (s ChunkC) String() string {
+	str, _ := text.Marshal(0xcd25e8c9641057ea, capnp.Struct(s))
 	return str
 }
 
-func (s PieceC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
+func (s ChunkC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
 	return capnp.Struct(s).EncodeAsPtr(seg)
 }
 
-func (PieceC) DecodeFromPtr(p capnp.Ptr) PieceC {
-	return PieceC(capnp.Struct{}.DecodeFromPtr(p))
+func (ChunkC) DecodeFromPtr(p capnp.Ptr) ChunkC {
+	return ChunkC(capnp.Struct{}.DecodeFromPtr(p))
 }
 
-func (s PieceC) ToPtr() capnp.Ptr {
+func (s ChunkC) ToPtr() capnp.Ptr {
 	return capnp.Struct(s).ToPtr()
 }
-func (s PieceC) IsValid() bool {
+func (s ChunkC) IsValid() bool {
 	return capnp.Struct(s).IsValid()
 }
 
-func (s PieceC) Message() *capnp.Message {
+func (s ChunkC) Message() *capnp.Message {
 	return capnp.Struct(s).Message()
 }
 
-func (s PieceC) Segment() *capnp.Segment {
+func (s ChunkC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s PieceC) Entry() bool {
+func (s ChunkC) IsEntry() bool {
 	return capnp.Struct(s).Bit(0)
 }
 
-func (s PieceC) SetEntry(v bool) {
+func (s ChunkC) SetIsEntry(v bool) {
 	capnp.Struct(s).SetBit(0, v)
 }
 
-func (s PieceC) Index() uint64 {
+func (s ChunkC) Index() uint64 {
 	return capnp.Struct(s).Uint64(8)
 }
 
-func (s PieceC) SetIndex(v uint64) {
+func (s ChunkC) SetIndex(v uint64) {
 	capnp.Struct(s).SetUint64(8, v)
 }
 
-func (s PieceC) Term() uint64 {
+func (s ChunkC) Term() uint64 {
 	return capnp.Struct(s).Uint64(16)
 }
 
-func (s PieceC) SetTerm(v uint64) {
+func (s ChunkC) SetTerm(v uint64) {
 	capnp.Struct(s).SetUint64(16, v)
 }
 
-func (s PieceC) Kind() uint16 {
+func (s ChunkC) Kind() uint16 {
 	return capnp.Struct(s).Uint16(2)
 }
 
-func (s PieceC) SetKind(v uint16) {
+func (s ChunkC) SetKind(v uint16) {
 	capnp.Struct(s).SetUint16(2, v)
 }
 
-func (s PieceC) Members() (MemberC_List, error) {
+func (s ChunkC) Members() (MemberC_List, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return MemberC_List(p.List()), err
 }
 
-func (s PieceC) HasMembers() bool {
+func (s ChunkC) HasMembers() bool {
 	return capnp.Struct(s).HasPtr(0)
 }
 
-func (s PieceC) SetMembers(v MemberC_List) error {
+func (s ChunkC) SetMembers(v MemberC_List) error {
 	return capnp.Struct(s).SetPtr(0, v.ToPtr())
 }
 
 // NewMembers sets the members field to a newly
 // allocated MemberC_List, preferring placement in s's segment.
-func (s PieceC) NewMembers(n int32) (MemberC_List, error) {
+func (s ChunkC) NewMembers(n int32) (MemberC_List, error) {
 	l, err := NewMemberC_List(capnp.Struct(s).Segment(), n)
 	if err != nil {
 		return MemberC_List{}, err
@@ -1523,58 +1523,58 @@
 	err = capnp.Struct(s).SetPtr(0, l.ToPtr())
 	return l, err
 }
-func (s PieceC) Size() uint64 {
+func (s ChunkC) Size() uint64 {
 	return capnp.Struct(s).Uint64(24)
 }
 
-func (s PieceC) SetSize(v uint64) {
+func (s ChunkC) SetSize(v uint64) {
 	capnp.Struct(s).SetUint64(24, v)
 }
 
-func (s PieceC) Sum() uint64 {
+func (s ChunkC) Checksum() uint64 {
 	return capnp.Struct(s).Uint64(32)
 }
 
-func (s PieceC) SetSum(v uint64) {
+func (s ChunkC) SetChecksum(v uint64) {
 	capnp.Struct(s).SetUint64(32, v)
 }
 
-func (s PieceC) Offset() uint64 {
+func (s ChunkC) Offset() uint64 {
 	return capnp.Struct(s).Uint64(40)
 }
 
-func (s PieceC) SetOffset(v uint64) {
+func (s ChunkC) SetOffset(v uint64) {
 	capnp.Struct(s).SetUint64(40, v)
 }
 
-func (s PieceC) Data() ([]byte, error) {
+func (s ChunkC) Data() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return []byte(p.Data()), err
 }
 
-func (s PieceC) HasData() bool {
+func (s ChunkC) HasData() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s PieceC) SetData(v []byte) error {
+func (s ChunkC) SetData(v []byte) error {
 	return capnp.Struct(s).SetData(1, v)
 }
 
-// PieceC_List is a list of PieceC.
-type PieceC_List = capnp.StructList[PieceC]
+// ChunkC_List is a list of ChunkC.
+type ChunkC_List = capnp.StructList[ChunkC]
 
-// NewPieceC creates a new list of PieceC.
-func NewPieceC_List(s *capnp.Segment, sz int32) (PieceC_List, error) {
+// NewChunkC creates a new list of ChunkC.
+func NewChunkC_List(s *capnp.Segment, sz int32) (ChunkC_List, error) {
 	l, err := capnp.NewCompositeList(s, capnp.ObjectSize{DataSize: 48, PointerCount: 2}, sz)
-	return capnp.StructList[PieceC](l), err
+	return capnp.StructList[ChunkC](l), err
 }
 
-// PieceC_Future is a wrapper for a PieceC promised by a client call.
-type PieceC_Future struct{ *capnp.Future }
+// ChunkC_Future is a wrapper for a ChunkC promised by a client call.
+type ChunkC_Future struct{ *capnp.Future }
 
-func (f PieceC_Future) Struct() (PieceC, error) {
+func (f ChunkC_Future) Struct() (ChunkC, error) {
 	p, err := f.Future.Ptr()
-	return PieceC(p.Struct()), err
+	return ChunkC(p.Struct()), err
 }
 
 type TargetC capnp.Struct
@@ -1660,11 +1660,11 @@
 	return capnp.Struct(s).SetText(1, v)
 }
 
-func (s TargetC) Inc() uint64 {
+func (s TargetC) Incarnation() uint64 {
 	return capnp.Struct(s).Uint64(0)
 }
 
-func (s TargetC) SetInc(v uint64) {
+func (s TargetC) SetIncarnation(v uint64) {
 	capnp.Struct(s).SetUint64(0, v)
 }
 
@@ -1738,37 +1738,37 @@
 	capnp.Struct(s).SetBit(128, v)
 }
 
-func (s TargetC) Held() bool {
+func (s TargetC) Draining() bool {
 	return capnp.Struct(s).Bit(129)
 }
 
-func (s TargetC) SetHeld(v bool) {
+func (s TargetC) SetDraining(v bool) {
 	capnp.Struct(s).SetBit(129, v)
 }
 
-func (s TargetC) BarLeft() int64 {
+func (s TargetC) EjectionLeft() int64 {
 	return int64(capnp.Struct(s).Uint64(24))
 }
 
-func (s TargetC) SetBarLeft(v int64) {
+func (s TargetC) SetEjectionLeft(v int64) {
 	capnp.Struct(s).SetUint64(24, uint64(v))
 }
 
-func (s TargetC) BarWhy() (string, error) {
+func (s TargetC) EjectedBy() (string, error) {
 	p, err := capnp.Struct(s).Ptr(5)
 	return p.Text(), err
 }
 
-func (s TargetC) HasBarWhy() bool {
+func (s TargetC) HasEjectedBy() bool {
 	return capnp.Struct(s).HasPtr(5)
 }
 
-func (s TargetC) BarWhyBytes() ([]byte, error) {
+func (s TargetC) EjectedByBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(5)
 	return p.TextBytes(), err
 }
 
-func (s TargetC) SetBarWhy(v string) error {
+func (s TargetC) SetEjectedBy(v string) error {
 	return capnp.Struct(s).SetText(5, v)
 }
 
@@ -1780,19 +1780,19 @@
 	capnp.Struct(s).SetBit(130, v)
 }
 
-func (s TargetC) Beating() bool {
+func (s TargetC) Heartbeating() bool {
 	return capnp.Struct(s).Bit(131)
 }
 
-func (s TargetC) SetBeating(v bool) {
+func (s TargetC) SetHeartbeating(v bool) {
 	capnp.Struct(s).SetBit(131, v)
 }
 
-func (s TargetC) Turn() uint32 {
+func (s TargetC) ShareOffset() uint32 {
 	return capnp.Struct(s).Uint32(20)
 }
 
-func (s TargetC) SetTurn(v uint32) {
+func (s TargetC) SetShareOffset(v uint32) {
 	capnp.Struct(s).SetUint32(20, v)
 }
 
@@ -1804,11 +1804,11 @@
 	capnp.Struct(s).SetUint32(32, v)
 }
 
-func (s TargetC) ColdLeft() int64 {
+func (s TargetC) WarmupLeft() int64 {
 	return int64(capnp.Struct(s).Uint64(40))
 }
 
-func (s TargetC) SetColdLeft(v int64) {
+func (s TargetC) SetWarmupLeft(v int64) {
 	capnp.Struct(s).SetUint64(40, uint64(v))
 }
 
@@ -1837,390 +1837,390 @@
 	return TargetC(p.Struct()), err
 }
 
-type SeenC capnp.Struct
+type TargetStatsC capnp.Struct
 
-// SeenC_TypeID is the unique identifier for the type SeenC.
-const SeenC_TypeID = 0x8b5d7720dfa1789a
+// TargetStatsC_TypeID is the unique identifier for the type TargetStatsC.
+const TargetStatsC_TypeID = 0xbcc38f647dcaccbe
 
-func NewSeenC(s *capnp.Segment) (SeenC, error) {
+func NewTargetStatsC(s *capnp.Segment) (TargetStatsC, error) {
 	st, err := capnp.NewStruct(s, capnp.ObjectSize{DataSize: 48, PointerCount: 2})
-	return SeenC(st), err
+	return TargetStatsC(st), err
 }
 
-func NewRootSeenC(s *capnp.Segment) (SeenC, error) {
+func NewRootTargetStatsC(s *capnp.Segment) (TargetStatsC, error) {
 	st, err := capnp.NewRootStruct(s, capnp.ObjectSize{DataSize: 48, PointerCount: 2})
-	return SeenC(st), err
+	return TargetStatsC(st), err
 }
 
-func ReadRootSeenC(msg *capnp.Message) (SeenC, error) {
+func ReadRootTargetStatsC(msg *capnp.Message) (TargetStatsC, error) {
 	root, err := msg.Root()
-	return SeenC(root.Struct()), err
+	return TargetStatsC(root.Struct()), err
 }
 
-func (s SeenC) String() string {
-	str, _ := text.Marshal(0x8b5d7720dfa1789a, capnp.Struct(s))
+func (s TargetStatsC) String() string {
+	str, _ := text.Marshal(0xbcc38f647dcaccbe, capnp.Struct(s))
 	return str
 }
 
-func (s SeenC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
+func (s TargetStatsC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
 	return capnp.Struct(s).EncodeAsPtr(seg)
 }
 
-func (SeenC) DecodeFromPtr(p capnp.Ptr) SeenC {
-	return SeenC(capnp.Struct{}.DecodeFromPtr(p))
+func (TargetStatsC) DecodeFromPtr(p capnp.Ptr) TargetStatsC {
+	return TargetStatsC(capnp.Struct{}.DecodeFromPtr(p))
 }
 
-func (s SeenC) ToPtr() capnp.Ptr {
+func (s TargetStatsC) ToPtr() capnp.Ptr {
 	return capnp.Struct(s).ToPtr()
 }
-func (s SeenC) IsValid() bool {
+func (s TargetStatsC) IsValid() bool {
 	return capnp.Struct(s).IsValid()
 }
 
-func (s SeenC) Message() *capnp.Message {
+func (s TargetStatsC) Message() *capnp.Message {
 	return capnp.Struct(s).Message()
 }
 
-func (s SeenC) Segment() *capnp.Segment {
+func (s TargetStatsC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s SeenC) Service() (string, error) {
+func (s TargetStatsC) Service() (string, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.Text(), err
 }
 
-func (s SeenC) HasService() bool {
+func (s TargetStatsC) HasService() bool {
 	return capnp.Struct(s).HasPtr(0)
 }
 
-func (s SeenC) ServiceBytes() ([]byte, error) {
+func (s TargetStatsC) ServiceBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.TextBytes(), err
 }
 
-func (s SeenC) SetService(v string) error {
+func (s TargetStatsC) SetService(v string) error {
 	return capnp.Struct(s).SetText(0, v)
 }
 
-func (s SeenC) Name() (string, error) {
+func (s TargetStatsC) Name() (string, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.Text(), err
 }
 
-func (s SeenC) HasName() bool {
+func (s TargetStatsC) HasName() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s SeenC) NameBytes() ([]byte, error) {
+func (s TargetStatsC) NameBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.TextBytes(), err
 }
 
-func (s SeenC) SetName(v string) error {
+func (s TargetStatsC) SetName(v string) error {
 	return capnp.Struct(s).SetText(1, v)
 }
 
-func (s SeenC) Inc() uint64 {
+func (s TargetStatsC) Incarnation() uint64 {
 	return capnp.Struct(s).Uint64(0)
 }
 
-func (s SeenC) SetInc(v uint64) {
+func (s TargetStatsC) SetIncarnation(v uint64) {
 	capnp.Struct(s).SetUint64(0, v)
 }
 
-func (s SeenC) Ok() uint32 {
+func (s TargetStatsC) Successes() uint32 {
 	return capnp.Struct(s).Uint32(8)
 }
 
-func (s SeenC) SetOk(v uint32) {
+func (s TargetStatsC) SetSuccesses(v uint32) {
 	capnp.Struct(s).SetUint32(8, v)
 }
 
-func (s SeenC) Errors() uint32 {
+func (s TargetStatsC) Errors() uint32 {
 	return capnp.Struct(s).Uint32(12)
 }
 
-func (s SeenC) SetErrors(v uint32) {
+func (s TargetStatsC) SetErrors(v uint32) {
 	capnp.Struct(s).SetUint32(12, v)
 }
 
-func (s SeenC) SumMs() float64 {
+func (s TargetStatsC) TotalMs() float64 {
 	return math.Float64frombits(capnp.Struct(s).Uint64(16))
 }
 
-func (s SeenC) SetSumMs(v float64) {
+func (s TargetStatsC) SetTotalMs(v float64) {
 	capnp.Struct(s).SetUint64(16, math.Float64bits(v))
 }
 
-func (s SeenC) Demand() float64 {
+func (s TargetStatsC) Demand() float64 {
 	return math.Float64frombits(capnp.Struct(s).Uint64(24))
 }
 
-func (s SeenC) SetDemand(v float64) {
+func (s TargetStatsC) SetDemand(v float64) {
 	capnp.Struct(s).SetUint64(24, math.Float64bits(v))
 }
 
-func (s SeenC) HasDemand() bool {
+func (s TargetStatsC) HasDemand() bool {
 	return capnp.Struct(s).Bit(256)
 }
 
-func (s SeenC) SetHasDemand(v bool) {
+func (s TargetStatsC) SetHasDemand(v bool) {
 	capnp.Struct(s).SetBit(256, v)
 }
 
-func (s SeenC) Slow() uint32 {
+func (s TargetStatsC) Slow() uint32 {
 	return capnp.Struct(s).Uint32(36)
 }
 
-func (s SeenC) SetSlow(v uint32) {
+func (s TargetStatsC) SetSlow(v uint32) {
 	capnp.Struct(s).SetUint32(36, v)
 }
 
-func (s SeenC) NotRun() uint32 {
+func (s TargetStatsC) Rejected() uint32 {
 	return capnp.Struct(s).Uint32(40)
 }
 
-func (s SeenC) SetNotRun(v uint32) {
+func (s TargetStatsC) SetRejected(v uint32) {
 	capnp.Struct(s).SetUint32(40, v)
 }
 
-func (s SeenC) Alive() bool {
+func (s TargetStatsC) ProbeAnswered() bool {
 	return capnp.Struct(s).Bit(257)
 }
 
-func (s SeenC) SetAlive(v bool) {
+func (s TargetStatsC) SetProbeAnswered(v bool) {
 	capnp.Struct(s).SetBit(257, v)
 }
 
-// SeenC_List is a list of SeenC.
-type SeenC_List = capnp.StructList[SeenC]
+// TargetStatsC_List is a list of TargetStatsC.
+type TargetStatsC_List = capnp.StructList[TargetStatsC]
 
-// NewSeenC creates a new list of SeenC.
-func NewSeenC_List(s *capnp.Segment, sz int32) (SeenC_List, error) {
+// NewTargetStatsC creates a new list of TargetStatsC.
+func NewTargetStatsC_List(s *capnp.Segment, sz int32) (TargetStatsC_List, error) {
 	l, err := capnp.NewCompositeList(s, capnp.ObjectSize{DataSize: 48, PointerCount: 2}, sz)
-	return capnp.StructList[SeenC](l), err
+	return capnp.StructList[TargetStatsC](l), err
 }
 
-// SeenC_Future is a wrapper for a SeenC promised by a client call.
-type SeenC_Future struct{ *capnp.Future }
+// TargetStatsC_Future is a wrapper for a TargetStatsC promised by a client call.
+type TargetStatsC_Future struct{ *capnp.Future }
 
-func (f SeenC_Future) Struct() (SeenC, error) {
+func (f TargetStatsC_Future) Struct() (TargetStatsC, error) {
 	p, err := f.Future.Ptr()
-	return SeenC(p.Struct()), err
+	return TargetStatsC(p.Struct()), err
 }
 
-type KeyC capnp.Struct
+type TableKeyC capnp.Struct
 
-// KeyC_TypeID is the unique identifier for the type KeyC.
-const KeyC_TypeID = 0xd5c267a847744e91
+// TableKeyC_TypeID is the unique identifier for the type TableKeyC.
+const TableKeyC_TypeID = 0xe2d5b4ddeba3fb0a
 
-func NewKeyC(s *capnp.Segment) (KeyC, error) {
+func NewTableKeyC(s *capnp.Segment) (TableKeyC, error) {
 	st, err := capnp.NewStruct(s, capnp.ObjectSize{DataSize: 24, PointerCount: 0})
-	return KeyC(st), err
+	return TableKeyC(st), err
 }
 
-func NewRootKeyC(s *capnp.Segment) (KeyC, error) {
+func NewRootTableKeyC(s *capnp.Segment) (TableKeyC, error) {
 	st, err := capnp.NewRootStruct(s, capnp.ObjectSize{DataSize: 24, PointerCount: 0})
-	return KeyC(st), err
+	return TableKeyC(st), err
 }
 
-func ReadRootKeyC(msg *capnp.Message) (KeyC, error) {
+func ReadRootTableKeyC(msg *capnp.Message) (TableKeyC, error) {
 	root, err := msg.Root()
-	return KeyC(root.Struct()), err
+	return TableKeyC(root.Struct()), err
 }
 
-func (s KeyC) String() string {
-	str, _ := text.Marshal(0xd5c267a847744e91, capnp.Struct(s))
+func (s TableKeyC) String() string {
+	str, _ := text.Marshal(0xe2d5b4ddeba3fb0a, capnp.Struct(s))
 	return str
 }
 
-func (s KeyC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
+func (s TableKeyC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
 	return capnp.Struct(s).EncodeAsPtr(seg)
 }
 
-func (KeyC) DecodeFromPtr(p capnp.Ptr) KeyC {
-	return KeyC(capnp.Struct{}.DecodeFromPtr(p))
+func (TableKeyC) DecodeFromPtr(p capnp.Ptr) TableKeyC {
+	return TableKeyC(capnp.Struct{}.DecodeFromPtr(p))
 }
 
-func (s KeyC) ToPtr() capnp.Ptr {
+func (s TableKeyC) ToPtr() capnp.Ptr {
 	return capnp.Struct(s).ToPtr()
 }
-func (s KeyC) IsValid() bool {
+func (s TableKeyC) IsValid() bool {
 	return capnp.Struct(s).IsValid()
 }
 
-func (s KeyC) Message() *capnp.Message {
+func (s TableKeyC) Message() *capnp.Message {
 	return capnp.Struct(s).Message()
 }
 
-func (s KeyC) Segment() *capnp.Segment {
+func (s TableKeyC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s KeyC) Epoch() uint64 {
+func (s TableKeyC) Epoch() uint64 {
 	return capnp.Struct(s).Uint64(0)
 }
 
-func (s KeyC) SetEpoch(v uint64) {
+func (s TableKeyC) SetEpoch(v uint64) {
 	capnp.Struct(s).SetUint64(0, v)
 }
 
-func (s KeyC) Term() uint64 {
+func (s TableKeyC) Term() uint64 {
 	return capnp.Struct(s).Uint64(8)
 }
 
-func (s KeyC) SetTerm(v uint64) {
+func (s TableKeyC) SetTerm(v uint64) {
 	capnp.Struct(s).SetUint64(8, v)
 }
 
-func (s KeyC) Ver() uint64 {
+func (s TableKeyC) Version() uint64 {
 	return capnp.Struct(s).Uint64(16)
 }
 
-func (s KeyC) SetVer(v uint64) {
+func (s TableKeyC) SetVersion(v uint64) {
 	capnp.Struct(s).SetUint64(16, v)
 }
 
-// KeyC_List is a list of KeyC.
-type KeyC_List = capnp.StructList[KeyC]
+// TableKeyC_List is a list of TableKeyC.
+type TableKeyC_List = capnp.StructList[TableKeyC]
 
-// NewKeyC creates a new list of KeyC.
-func NewKeyC_List(s *capnp.Segment, sz int32) (KeyC_List, error) {
+// NewTableKeyC creates a new list of TableKeyC.
+func NewTableKeyC_List(s *capnp.Segment, sz int32) (TableKeyC_List, error) {
 	l, err := capnp.NewCompositeList(s, capnp.ObjectSize{DataSize: 24, PointerCount: 0}, sz)
-	return capnp.StructList[KeyC](l), err
+	return capnp.StructList[TableKeyC](l), err
 }
 
-// KeyC_Future is a wrapper for a KeyC promised by a client call.
-type KeyC_Future struct{ *capnp.Future }
+// TableKeyC_Future is a wrapper for a TableKeyC promised by a client call.
+type TableKeyC_Future struct{ *capnp.Future }
 
-func (f KeyC_Future) Struct() (KeyC, error) {
+func (f TableKeyC_Future) Struct() (TableKeyC, error) {
 	p, err := f.Future.Ptr()
-	return KeyC(p.Struct()), err
+	return TableKeyC(p.Struct()), err
 }
 
-type GateC capnp.Struct
+type ProxyC capnp.Struct
 
-// GateC_TypeID is the unique identifier for the type GateC.
-const GateC_TypeID = 0x97fc46475e60615c
+// ProxyC_TypeID is the unique identifier for the type ProxyC.
+const ProxyC_TypeID = 0xb3d8063f682db17b
 
-func NewGateC(s *capnp.Segment) (GateC, error) {
+func NewProxyC(s *capnp.Segment) (ProxyC, error) {
 	st, err := capnp.NewStruct(s, capnp.ObjectSize{DataSize: 8, PointerCount: 3})
-	return GateC(st), err
+	return ProxyC(st), err
 }
 
-func NewRootGateC(s *capnp.Segment) (GateC, error) {
+func NewRootProxyC(s *capnp.Segment) (ProxyC, error) {
 	st, err := capnp.NewRootStruct(s, capnp.ObjectSize{DataSize: 8, PointerCount: 3})
-	return GateC(st), err
+	return ProxyC(st), err
 }
 
-func ReadRootGateC(msg *capnp.Message) (GateC, error) {
+func ReadRootProxyC(msg *capnp.Message) (ProxyC, error) {
 	root, err := msg.Root()
-	return GateC(root.Struct()), err
+	return ProxyC(root.Struct()), err
 }
 
-func (s GateC) String() string {
-	str, _ := text.Marshal(0x97fc46475e60615c, capnp.Struct(s))
+func (s ProxyC) String() string {
+	str, _ := text.Marshal(0xb3d8063f682db17b, capnp.Struct(s))
 	return str
 }
 
-func (s GateC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
+func (s ProxyC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
 	return capnp.Struct(s).EncodeAsPtr(seg)
 }
 
-func (GateC) DecodeFromPtr(p capnp.Ptr) GateC {
-	return GateC(capnp.Struct{}.DecodeFromPtr(p))
+func (ProxyC) DecodeFromPtr(p capnp.Ptr) ProxyC {
+	return ProxyC(capnp.Struct{}.DecodeFromPtr(p))
 }
 
-func (s GateC) ToPtr() capnp.Ptr {
+func (s ProxyC) ToPtr() capnp.Ptr {
 	return capnp.Struct(s).ToPtr()
 }
-func (s GateC) IsValid() bool {
+func (s ProxyC) IsValid() bool {
 	return capnp.Struct(s).IsValid()
 }
 
-func (s GateC) Message() *capnp.Message {
+func (s ProxyC) Message() *capnp.Message {
 	return capnp.Struct(s).Message()
 }
 
-func (s GateC) Segment() *capnp.Segment {
+func (s ProxyC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s GateC) Name() (string, error) {
+func (s ProxyC) Name() (string, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.Text(), err
 }
 
-func (s GateC) HasName() bool {
+func (s ProxyC) HasName() bool {
 	return capnp.Struct(s).HasPtr(0)
 }
 
-func (s GateC) NameBytes() ([]byte, error) {
+func (s ProxyC) NameBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.TextBytes(), err
 }
 
-func (s GateC) SetName(v string) error {
+func (s ProxyC) SetName(v string) error {
 	return capnp.Struct(s).SetText(0, v)
 }
 
-func (s GateC) Addr() (string, error) {
+func (s ProxyC) Addr() (string, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.Text(), err
 }
 
-func (s GateC) HasAddr() bool {
+func (s ProxyC) HasAddr() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s GateC) AddrBytes() ([]byte, error) {
+func (s ProxyC) AddrBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.TextBytes(), err
 }
 
-func (s GateC) SetAddr(v string) error {
+func (s ProxyC) SetAddr(v string) error {
 	return capnp.Struct(s).SetText(1, v)
 }
 
-func (s GateC) Domain() (string, error) {
+func (s ProxyC) Domain() (string, error) {
 	p, err := capnp.Struct(s).Ptr(2)
 	return p.Text(), err
 }
 
-func (s GateC) HasDomain() bool {
+func (s ProxyC) HasDomain() bool {
 	return capnp.Struct(s).HasPtr(2)
 }
 
-func (s GateC) DomainBytes() ([]byte, error) {
+func (s ProxyC) DomainBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(2)
 	return p.TextBytes(), err
 }
 
-func (s GateC) SetDomain(v string) error {
+func (s ProxyC) SetDomain(v string) error {
 	return capnp.Struct(s).SetText(2, v)
 }
 
-func (s GateC) Live() bool {
+func (s ProxyC) Live() bool {
 	return capnp.Struct(s).Bit(0)
 }
 
-func (s GateC) SetLive(v bool) {
+func (s ProxyC) SetLive(v bool) {
 	capnp.Struct(s).SetBit(0, v)
 }
 
-// GateC_List is a list of GateC.
-type GateC_List = capnp.StructList[GateC]
+// ProxyC_List is a list of ProxyC.
+type ProxyC_List = capnp.StructList[ProxyC]
 
-// NewGateC creates a new list of GateC.
-func NewGateC_List(s *capnp.Segment, sz int32) (GateC_List, error) {
+// NewProxyC creates a new list of ProxyC.
+func NewProxyC_List(s *capnp.Segment, sz int32) (ProxyC_List, error) {
 	l, err := capnp.NewCompositeList(s, capnp.ObjectSize{DataSize: 8, PointerCount: 3}, sz)
-	return capnp.StructList[GateC](l), err
+	return capnp.StructList[ProxyC](l), err
 }
 
-// GateC_Future is a wrapper for a GateC promised by a client call.
-type GateC_Future struct{ *capnp.Future }
+// ProxyC_Future is a wrapper for a ProxyC promised by a client call.
+type ProxyC_Future struct{ *capnp.Future }
 
-func (f GateC_Future) Struct() (GateC, error) {
+func (f ProxyC_Future) Struct() (ProxyC, error) {
 	p, err := f.Future.Ptr()
-	return GateC(p.Struct()), err
+	return ProxyC(p.Struct()), err
 }
 
 type TableC capnp.Struct
@@ -2270,35 +2270,35 @@
 func (s TableC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s TableC) Key() (KeyC, error) {
+func (s TableC) Key() (TableKeyC, error) {
 	p, err := capnp.Struct(s).Ptr(0)
-	return KeyC(p.Struct()), err
+	return TableKeyC(p.Struct()), err
 }
 
 func (s TableC) HasKey() bool {
 	return capnp.Struct(s).HasPtr(0)
 }
 
-func (s TableC) SetKey(v KeyC) error {
+func (s TableC) SetKey(v TableKeyC) error {
 	return capnp.Struct(s).SetPtr(0, capnp.Struct(v).ToPtr())
 }
 
 // NewKey sets the key field to a newly
-// allocated KeyC struct, preferring placement in s's segment.
-func (s TableC) NewKey() (KeyC, error) {
-	ss, err := NewKeyC(capnp.Struct(s).Segment())
+// allocated TableKeyC struct, preferring placement in s's segment.
+func (s TableC) NewKey() (TableKeyC, error) {
+	ss, err := NewTableKeyC(capnp.Struct(s).Segment())
 	if err != nil {
-		return KeyC{}, err
+		return TableKeyC{}, err
 	}
 	err = capnp.Struct(s).SetPtr(0, capnp.Struct(ss).ToPtr())
 	return ss, err
 }
 
-func (s TableC) Seq() uint64 {
+func (s TableC) StateIndex() uint64 {
 	return capnp.Struct(s).Uint64(0)
 }
 
-func (s TableC) SetSeq(v uint64) {
+func (s TableC) SetStateIndex(v uint64) {
 	capnp.Struct(s).SetUint64(0, v)
 }
 
@@ -2310,16 +2310,16 @@
 	capnp.Struct(s).SetUint64(8, v)
 }
 
-func (s TableC) Doc() ([]byte, error) {
+func (s TableC) Document() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return []byte(p.Data()), err
 }
 
-func (s TableC) HasDoc() bool {
+func (s TableC) HasDocument() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s TableC) SetDoc(v []byte) error {
+func (s TableC) SetDocument(v []byte) error {
 	return capnp.Struct(s).SetData(1, v)
 }
 
@@ -2336,45 +2336,45 @@
 	return capnp.Struct(s).SetData(2, v)
 }
 
-func (s TableC) Gates() (GateC_List, error) {
+func (s TableC) Proxies() (ProxyC_List, error) {
 	p, err := capnp.Struct(s).Ptr(3)
-	return GateC_List(p.List()), err
+	return ProxyC_List(p.List()), err
 }
 
-func (s TableC) HasGates() bool {
+func (s TableC) HasProxies() bool {
 	return capnp.Struct(s).HasPtr(3)
 }
 
-func (s TableC) SetGates(v GateC_List) error {
+func (s TableC) SetProxies(v ProxyC_List) error {
 	return capnp.Struct(s).SetPtr(3, v.ToPtr())
 }
 
-// NewGates sets the gates field to a newly
-// allocated GateC_List, preferring placement in s's segment.
-func (s TableC) NewGates(n int32) (GateC_List, error) {
-	l, err := NewGateC_List(capnp.Struct(s).Segment(), n)
+// NewProxies sets the proxies field to a newly
+// allocated ProxyC_List, preferring placement in s's segment.
+func (s TableC) NewProxies(n int32) (ProxyC_List, error) {
+	l, err := NewProxyC_List(capnp.Struct(s).Segment(), n)
 	if err != nil {
-		return GateC_List{}, err
+		return ProxyC_List{}, err
 	}
 	err = capnp.Struct(s).SetPtr(3, l.ToPtr())
 	return l, err
 }
-func (s TableC) Emptied() (capnp.TextList, error) {
+func (s TableC) EmptiedDomains() (capnp.TextList, error) {
 	p, err := capnp.Struct(s).Ptr(4)
 	return capnp.TextList(p.List()), err
 }
 
-func (s TableC) HasEmptied() bool {
+func (s TableC) HasEmptiedDomains() bool {
 	return capnp.Struct(s).HasPtr(4)
 }
 
-func (s TableC) SetEmptied(v capnp.TextList) error {
+func (s TableC) SetEmptiedDomains(v capnp.TextList) error {
 	return capnp.Struct(s).SetPtr(4, v.ToPtr())
 }
 
-// NewEmptied sets the emptied field to a newly
+// NewEmptiedDomains sets the emptiedDomains field to a newly
 // allocated capnp.TextList, preferring placement in s's segment.
-func (s TableC) NewEmptied(n int32) (capnp.TextList, error) {
+func (s TableC) NewEmptiedDomains(n int32) (capnp.TextList, error) {
 	l, err := capnp.NewTextList(capnp.Struct(s).Segment(), n)
 	if err != nil {
 		return capnp.TextList{}, err
@@ -2405,22 +2405,22 @@
 	err = capnp.Struct(s).SetPtr(5, l.ToPtr())
 	return l, err
 }
-func (s TableC) Was() (capnp.TextList, error) {
+func (s TableC) PreviousProxies() (capnp.TextList, error) {
 	p, err := capnp.Struct(s).Ptr(6)
 	return capnp.TextList(p.List()), err
 }
 
-func (s TableC) HasWas() bool {
+func (s TableC) HasPreviousProxies() bool {
 	return capnp.Struct(s).HasPtr(6)
 }
 
-func (s TableC) SetWas(v capnp.TextList) error {
+func (s TableC) SetPreviousProxies(v capnp.TextList) error {
 	return capnp.Struct(s).SetPtr(6, v.ToPtr())
 }
 
-// NewWas sets the was field to a newly
+// NewPreviousProxies sets the previousProxies field to a newly
 // allocated capnp.TextList, preferring placement in s's segment.
-func (s TableC) NewWas(n int32) (capnp.TextList, error) {
+func (s TableC) NewPreviousProxies(n int32) (capnp.TextList, error) {
 	l, err := capnp.NewTextList(capnp.Struct(s).Segment(), n)
 	if err != nil {
 		return capnp.TextList{}, err
@@ -2428,49 +2428,49 @@
 	err = capnp.Struct(s).SetPtr(6, l.ToPtr())
 	return l, err
 }
-func (s TableC) Base() (KeyC, error) {
+func (s TableC) DeltaBase() (TableKeyC, error) {
 	p, err := capnp.Struct(s).Ptr(7)
-	return KeyC(p.Struct()), err
+	return TableKeyC(p.Struct()), err
 }
 
-func (s TableC) HasBase() bool {
+func (s TableC) HasDeltaBase() bool {
 	return capnp.Struct(s).HasPtr(7)
 }
 
-func (s TableC) SetBase(v KeyC) error {
+func (s TableC) SetDeltaBase(v TableKeyC) error {
 	return capnp.Struct(s).SetPtr(7, capnp.Struct(v).ToPtr())
 }
 
-// NewBase sets the base field to a newly
-// allocated KeyC struct, preferring placement in s's segment.
-func (s TableC) NewBase() (KeyC, error) {
-	ss, err := NewKeyC(capnp.Struct(s).Segment())
+// NewDeltaBase sets the deltaBase field to a newly
+// allocated TableKeyC struct, preferring placement in s's segment.
+func (s TableC) NewDeltaBase() (TableKeyC, error) {
+	ss, err := NewTableKeyC(capnp.Struct(s).Segment())
 	if err != nil {
-		return KeyC{}, err
+		return TableKeyC{}, err
 	}
 	err = capnp.Struct(s).SetPtr(7, capnp.Struct(ss).ToPtr())
 	return ss, err
 }
 
-func (s TableC) Gone() (IdC_List, error) {
+func (s TableC) RemovedTargets() (IdentityC_List, error) {
 	p, err := capnp.Struct(s).Ptr(8)
-	return IdC_List(p.List()), err
+	return IdentityC_List(p.List()), err
 }
 
-func (s TableC) HasGone() bool {
+func (s TableC) HasRemovedTargets() bool {
 	return capnp.Struct(s).HasPtr(8)
 }
 
-func (s TableC) SetGone(v IdC_List) error {
+func (s TableC) SetRemovedTargets(v IdentityC_List) error {
 	return capnp.Struct(s).SetPtr(8, v.ToPtr())
 }
 
-// NewGone sets the gone field to a newly
-// allocated IdC_List, preferring placement in s's segment.
-func (s TableC) NewGone(n int32) (IdC_List, error) {
-	l, err := NewIdC_List(capnp.Struct(s).Segment(), n)
+// NewRemovedTargets sets the removedTargets field to a newly
+// allocated IdentityC_List, preferring placement in s's segment.
+func (s TableC) NewRemovedTargets(n int32) (IdentityC_List, error) {
+	l, err := NewIdentityC_List(capnp.Struct(s).Segment(), n)
 	if err != nil {
-		return IdC_List{}, err
+		return IdentityC_List{}, err
 	}
 	err = capnp.Struct(s).SetPtr(8, l.ToPtr())
 	return l, err
@@ -2492,119 +2492,119 @@
 	p, err := f.Future.Ptr()
 	return TableC(p.Struct()), err
 }
-func (p TableC_Future) Key() KeyC_Future {
-	return KeyC_Future{Future: p.Future.Field(0, nil)}
+func (p TableC_Future) Key() TableKeyC_Future {
+	return TableKeyC_Future{Future: p.Future.Field(0, nil)}
 }
-func (p TableC_Future) Base() KeyC_Future {
-	return KeyC_Future{Future: p.Future.Field(7, nil)}
+func (p TableC_Future) DeltaBase() TableKeyC_Future {
+	return TableKeyC_Future{Future: p.Future.Field(7, nil)}
 }
 
-type IdC capnp.Struct
+type IdentityC capnp.Struct
 
-// IdC_TypeID is the unique identifier for the type IdC.
-const IdC_TypeID = 0xe3d9a7603aa786c1
+// IdentityC_TypeID is the unique identifier for the type IdentityC.
+const IdentityC_TypeID = 0xbb45d1858555a9ed
 
-func NewIdC(s *capnp.Segment) (IdC, error) {
+func NewIdentityC(s *capnp.Segment) (IdentityC, error) {
 	st, err := capnp.NewStruct(s, capnp.ObjectSize{DataSize: 8, PointerCount: 2})
-	return IdC(st), err
+	return IdentityC(st), err
 }
 
-func NewRootIdC(s *capnp.Segment) (IdC, error) {
+func NewRootIdentityC(s *capnp.Segment) (IdentityC, error) {
 	st, err := capnp.NewRootStruct(s, capnp.ObjectSize{DataSize: 8, PointerCount: 2})
-	return IdC(st), err
+	return IdentityC(st), err
 }
 
-func ReadRootIdC(msg *capnp.Message) (IdC, error) {
+func ReadRootIdentityC(msg *capnp.Message) (IdentityC, error) {
 	root, err := msg.Root()
-	return IdC(root.Struct()), err
+	return IdentityC(root.Struct()), err
 }
 
-func (s IdC) String() string {
-	str, _ := text.Marshal(0xe3d9a7603aa786c1, capnp.Struct(s))
+func (s IdentityC) String() string {
+	str, _ := text.Marshal(0xbb45d1858555a9ed, capnp.Struct(s))
 	return str
 }
 
-func (s IdC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
+func (s IdentityC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
 	return capnp.Struct(s).EncodeAsPtr(seg)
 }
 
-func (IdC) DecodeFromPtr(p capnp.Ptr) IdC {
-	return IdC(capnp.Struct{}.DecodeFromPtr(p))
+func (IdentityC) DecodeFromPtr(p capnp.Ptr) IdentityC {
+	return IdentityC(capnp.Struct{}.DecodeFromPtr(p))
 }
 
-func (s IdC) ToPtr() capnp.Ptr {
+func (s IdentityC) ToPtr() capnp.Ptr {
 	return capnp.Struct(s).ToPtr()
 }
-func (s IdC) IsValid() bool {
+func (s IdentityC) IsValid() bool {
 	return capnp.Struct(s).IsValid()
 }
 
-func (s IdC) Message() *capnp.Message {
+func (s IdentityC) Message() *capnp.Message {
 	return capnp.Struct(s).Message()
 }
 
-func (s IdC) Segment() *capnp.Segment {
+func (s IdentityC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s IdC) Service() (string, error) {
+func (s IdentityC) Service() (string, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.Text(), err
 }
 
-func (s IdC) HasService() bool {
+func (s IdentityC) HasService() bool {
 	return capnp.Struct(s).HasPtr(0)
 }
 
-func (s IdC) ServiceBytes() ([]byte, error) {
+func (s IdentityC) ServiceBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.TextBytes(), err
 }
 
-func (s IdC) SetService(v string) error {
+func (s IdentityC) SetService(v string) error {
 	return capnp.Struct(s).SetText(0, v)
 }
 
-func (s IdC) Name() (string, error) {
+func (s IdentityC) Name() (string, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.Text(), err
 }
 
-func (s IdC) HasName() bool {
+func (s IdentityC) HasName() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s IdC) NameBytes() ([]byte, error) {
+func (s IdentityC) NameBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.TextBytes(), err
 }
 
-func (s IdC) SetName(v string) error {
+func (s IdentityC) SetName(v string) error {
 	return capnp.Struct(s).SetText(1, v)
 }
 
-func (s IdC) Inc() uint64 {
+func (s IdentityC) Incarnation() uint64 {
 	return capnp.Struct(s).Uint64(0)
 }
 
-func (s IdC) SetInc(v uint64) {
+func (s IdentityC) SetIncarnation(v uint64) {
 	capnp.Struct(s).SetUint64(0, v)
 }
 
-// IdC_List is a list of IdC.
-type IdC_List = capnp.StructList[IdC]
+// IdentityC_List is a list of IdentityC.
+type IdentityC_List = capnp.StructList[IdentityC]
 
-// NewIdC creates a new list of IdC.
-func NewIdC_List(s *capnp.Segment, sz int32) (IdC_List, error) {
+// NewIdentityC creates a new list of IdentityC.
+func NewIdentityC_List(s *capnp.Segment, sz int32) (IdentityC_List, error) {
 	l, err := capnp.NewCompositeList(s, capnp.ObjectSize{DataSize: 8, PointerCount: 2}, sz)
-	return capnp.StructList[IdC](l), err
+	return capnp.StructList[IdentityC](l), err
 }
 
-// IdC_Future is a wrapper for a IdC promised by a client call.
-type IdC_Future struct{ *capnp.Future }
+// IdentityC_Future is a wrapper for a IdentityC promised by a client call.
+type IdentityC_Future struct{ *capnp.Future }
 
-func (f IdC_Future) Struct() (IdC, error) {
+func (f IdentityC_Future) Struct() (IdentityC, error) {
 	p, err := f.Future.Ptr()
-	return IdC(p.Struct()), err
+	return IdentityC(p.Struct()), err
 }
 
 type PullC capnp.Struct
@@ -2678,49 +2678,49 @@
 	return ss, err
 }
 
-func (s PullC) Key() (KeyC, error) {
+func (s PullC) Key() (TableKeyC, error) {
 	p, err := capnp.Struct(s).Ptr(1)
-	return KeyC(p.Struct()), err
+	return TableKeyC(p.Struct()), err
 }
 
 func (s PullC) HasKey() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s PullC) SetKey(v KeyC) error {
+func (s PullC) SetKey(v TableKeyC) error {
 	return capnp.Struct(s).SetPtr(1, capnp.Struct(v).ToPtr())
 }
 
 // NewKey sets the key field to a newly
-// allocated KeyC struct, preferring placement in s's segment.
-func (s PullC) NewKey() (KeyC, error) {
-	ss, err := NewKeyC(capnp.Struct(s).Segment())
+// allocated TableKeyC struct, preferring placement in s's segment.
+func (s PullC) NewKey() (TableKeyC, error) {
+	ss, err := NewTableKeyC(capnp.Struct(s).Segment())
 	if err != nil {
-		return KeyC{}, err
+		return TableKeyC{}, err
 	}
 	err = capnp.Struct(s).SetPtr(1, capnp.Struct(ss).ToPtr())
 	return ss, err
 }
 
-func (s PullC) Seen() (SeenC_List, error) {
+func (s PullC) Stats() (TargetStatsC_List, error) {
 	p, err := capnp.Struct(s).Ptr(2)
-	return SeenC_List(p.List()), err
+	return TargetStatsC_List(p.List()), err
 }
 
-func (s PullC) HasSeen() bool {
+func (s PullC) HasStats() bool {
 	return capnp.Struct(s).HasPtr(2)
 }
 
-func (s PullC) SetSeen(v SeenC_List) error {
+func (s PullC) SetStats(v TargetStatsC_List) error {
 	return capnp.Struct(s).SetPtr(2, v.ToPtr())
 }
 
-// NewSeen sets the seen field to a newly
-// allocated SeenC_List, preferring placement in s's segment.
-func (s PullC) NewSeen(n int32) (SeenC_List, error) {
-	l, err := NewSeenC_List(capnp.Struct(s).Segment(), n)
+// NewStats sets the stats field to a newly
+// allocated TargetStatsC_List, preferring placement in s's segment.
+func (s PullC) NewStats(n int32) (TargetStatsC_List, error) {
+	l, err := NewTargetStatsC_List(capnp.Struct(s).Segment(), n)
 	if err != nil {
-		return SeenC_List{}, err
+		return TargetStatsC_List{}, err
 	}
 	err = capnp.Struct(s).SetPtr(2, l.ToPtr())
 	return l, err
@@ -2757,19 +2757,19 @@
 	capnp.Struct(s).SetUint64(0, v)
 }
 
-func (s PullC) Seq() uint64 {
+func (s PullC) StateIndex() uint64 {
 	return capnp.Struct(s).Uint64(8)
 }
 
-func (s PullC) SetSeq(v uint64) {
+func (s PullC) SetStateIndex(v uint64) {
 	capnp.Struct(s).SetUint64(8, v)
 }
 
-func (s PullC) Want() bool {
+func (s PullC) WantTable() bool {
 	return capnp.Struct(s).Bit(128)
 }
 
-func (s PullC) SetWant(v bool) {
+func (s PullC) SetWantTable(v bool) {
 	capnp.Struct(s).SetBit(128, v)
 }
 
@@ -2792,8 +2792,8 @@
 func (p PullC_Future) Self() DaemonC_Future {
 	return DaemonC_Future{Future: p.Future.Field(0, nil)}
 }
-func (p PullC_Future) Key() KeyC_Future {
-	return KeyC_Future{Future: p.Future.Field(1, nil)}
+func (p PullC_Future) Key() TableKeyC_Future {
+	return TableKeyC_Future{Future: p.Future.Field(1, nil)}
 }
 func (p PullC_Future) Table() TableC_Future {
 	return TableC_Future{Future: p.Future.Field(3, nil)}
@@ -2846,41 +2846,41 @@
 func (s PushC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s PushC) Grant() bool {
+func (s PushC) LeaseGranted() bool {
 	return capnp.Struct(s).Bit(0)
 }
 
-func (s PushC) SetGrant(v bool) {
+func (s PushC) SetLeaseGranted(v bool) {
 	capnp.Struct(s).SetBit(0, v)
 }
 
-func (s PushC) Want() bool {
+func (s PushC) WantTable() bool {
 	return capnp.Struct(s).Bit(1)
 }
 
-func (s PushC) SetWant(v bool) {
+func (s PushC) SetWantTable(v bool) {
 	capnp.Struct(s).SetBit(1, v)
 }
 
-func (s PushC) Key() (KeyC, error) {
+func (s PushC) Key() (TableKeyC, error) {
 	p, err := capnp.Struct(s).Ptr(0)
-	return KeyC(p.Struct()), err
+	return TableKeyC(p.Struct()), err
 }
 
 func (s PushC) HasKey() bool {
 	return capnp.Struct(s).HasPtr(0)
 }
 
-func (s PushC) SetKey(v KeyC) error {
+func (s PushC) SetKey(v TableKeyC) error {
 	return capnp.Struct(s).SetPtr(0, capnp.Struct(v).ToPtr())
 }
 
 // NewKey sets the key field to a newly
-// allocated KeyC struct, preferring placement in s's segment.
-func (s PushC) NewKey() (KeyC, error) {
-	ss, err := NewKeyC(capnp.Struct(s).Segment())
+// allocated TableKeyC struct, preferring placement in s's segment.
+func (s PushC) NewKey() (TableKeyC, error) {
+	ss, err := NewTableKeyC(capnp.Struct(s).Segment())
 	if err != nil {
-		return KeyC{}, err
+		return TableKeyC{}, err
 	}
 	err = capnp.Struct(s).SetPtr(0, capnp.Struct(ss).ToPtr())
 	return ss, err
@@ -2910,25 +2910,25 @@
 	return ss, err
 }
 
-func (s PushC) Probe() (IdC_List, error) {
+func (s PushC) ProbeTargets() (IdentityC_List, error) {
 	p, err := capnp.Struct(s).Ptr(2)
-	return IdC_List(p.List()), err
+	return IdentityC_List(p.List()), err
 }
 
-func (s PushC) HasProbe() bool {
+func (s PushC) HasProbeTargets() bool {
 	return capnp.Struct(s).HasPtr(2)
 }
 
-func (s PushC) SetProbe(v IdC_List) error {
+func (s PushC) SetProbeTargets(v IdentityC_List) error {
 	return capnp.Struct(s).SetPtr(2, v.ToPtr())
 }
 
-// NewProbe sets the probe field to a newly
-// allocated IdC_List, preferring placement in s's segment.
-func (s PushC) NewProbe(n int32) (IdC_List, error) {
-	l, err := NewIdC_List(capnp.Struct(s).Segment(), n)
+// NewProbeTargets sets the probeTargets field to a newly
+// allocated IdentityC_List, preferring placement in s's segment.
+func (s PushC) NewProbeTargets(n int32) (IdentityC_List, error) {
+	l, err := NewIdentityC_List(capnp.Struct(s).Segment(), n)
 	if err != nil {
-		return IdC_List{}, err
+		return IdentityC_List{}, err
 	}
 	err = capnp.Struct(s).SetPtr(2, l.ToPtr())
 	return l, err
@@ -2950,192 +2950,192 @@
 	p, err := f.Future.Ptr()
 	return PushC(p.Struct()), err
 }
-func (p PushC_Future) Key() KeyC_Future {
-	return KeyC_Future{Future: p.Future.Field(0, nil)}
+func (p PushC_Future) Key() TableKeyC_Future {
+	return TableKeyC_Future{Future: p.Future.Field(0, nil)}
 }
 func (p PushC_Future) Table() TableC_Future {
 	return TableC_Future{Future: p.Future.Field(1, nil)}
 }
 
-type AskC capnp.Struct
+type CallC capnp.Struct
 
-// AskC_TypeID is the unique identifier for the type AskC.
-const AskC_TypeID = 0xf3ed227da4a6d163
+// CallC_TypeID is the unique identifier for the type CallC.
+const CallC_TypeID = 0x84b2961c29d8cb6b
 
-func NewAskC(s *capnp.Segment) (AskC, error) {
+func NewCallC(s *capnp.Segment) (CallC, error) {
 	st, err := capnp.NewStruct(s, capnp.ObjectSize{DataSize: 16, PointerCount: 5})
-	return AskC(st), err
+	return CallC(st), err
 }
 
-func NewRootAskC(s *capnp.Segment) (AskC, error) {
+func NewRootCallC(s *capnp.Segment) (CallC, error) {
 	st, err := capnp.NewRootStruct(s, capnp.ObjectSize{DataSize: 16, PointerCount: 5})
-	return AskC(st), err
+	return CallC(st), err
 }
 
-func ReadRootAskC(msg *capnp.Message) (AskC, error) {
+func ReadRootCallC(msg *capnp.Message) (CallC, error) {
 	root, err := msg.Root()
-	return AskC(root.Struct()), err
+	return CallC(root.Struct()), err
 }
 
-func (s AskC) String() string {
-	str, _ := text.Marshal(0xf3ed227da4a6d163, capnp.Struct(s))
+func (s CallC) String() string {
+	str, _ := text.Marshal(0x84b2961c29d8cb6b, capnp.Struct(s))
 	return str
 }
 
-func (s AskC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
+func (s CallC) EncodeAsPtr(seg *capnp.Segment) capnp.Ptr {
 	return capnp.Struct(s).EncodeAsPtr(seg)
 }
 
-func (AskC) DecodeFromPtr(p capnp.Ptr) AskC {
-	return AskC(capnp.Struct{}.DecodeFromPtr(p))
+func (CallC) DecodeFromPtr(p capnp.Ptr) CallC {
+	return CallC(capnp.Struct{}.DecodeFromPtr(p))
 }
 
-func (s AskC) ToPtr() capnp.Ptr {
+func (s CallC) ToPtr() capnp.Ptr {
 	return capnp.Struct(s).ToPtr()
 }
-func (s AskC) IsValid() bool {
+func (s CallC) IsValid() bool {
 	return capnp.Struct(s).IsValid()
 }
 
-func (s AskC) Message() *capnp.Message {
+func (s CallC) Message() *capnp.Message {
 	return capnp.Struct(s).Message()
 }
 
-func (s AskC) Segment() *capnp.Segment {
+func (s CallC) Segment() *capnp.Segment {
 	return capnp.Struct(s).Segment()
 }
-func (s AskC) Id() uint64 {
+func (s CallC) Id() uint64 {
 	return capnp.Struct(s).Uint64(0)
 }
 
-func (s AskC) SetId(v uint64) {
+func (s CallC) SetId(v uint64) {
 	capnp.Struct(s).SetUint64(0, v)
 }
 
-func (s AskC) Reply() bool {
+func (s CallC) Reply() bool {
 	return capnp.Struct(s).Bit(64)
 }
 
-func (s AskC) SetReply(v bool) {
+func (s CallC) SetReply(v bool) {
 	capnp.Struct(s).SetBit(64, v)
 }
 
-func (s AskC) Method() (string, error) {
+func (s CallC) Method() (string, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.Text(), err
 }
 
-func (s AskC) HasMethod() bool {
+func (s CallC) HasMethod() bool {
 	return capnp.Struct(s).HasPtr(0)
 }
 
-func (s AskC) MethodBytes() ([]byte, error) {
+func (s CallC) MethodBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(0)
 	return p.TextBytes(), err
 }
 
-func (s AskC) SetMethod(v string) error {
+func (s CallC) SetMethod(v string) error {
 	return capnp.Struct(s).SetText(0, v)
 }
 
-func (s AskC) Path() (string, error) {
+func (s CallC) Path() (string, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.Text(), err
 }
 
-func (s AskC) HasPath() bool {
+func (s CallC) HasPath() bool {
 	return capnp.Struct(s).HasPtr(1)
 }
 
-func (s AskC) PathBytes() ([]byte, error) {
+func (s CallC) PathBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(1)
 	return p.TextBytes(), err
 }
 
-func (s AskC) SetPath(v string) error {
+func (s CallC) SetPath(v string) error {
 	return capnp.Struct(s).SetText(1, v)
 }
 
-func (s AskC) Query() (string, error) {
+func (s CallC) Query() (string, error) {
 	p, err := capnp.Struct(s).Ptr(2)
 	return p.Text(), err
 }
 
-func (s AskC) HasQuery() bool {
+func (s CallC) HasQuery() bool {
 	return capnp.Struct(s).HasPtr(2)
 }
 
-func (s AskC) QueryBytes() ([]byte, error) {
+func (s CallC) QueryBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(2)
 	return p.TextBytes(), err
 }
 
-func (s AskC) SetQuery(v string) error {
+func (s CallC) SetQuery(v string) error {
 	return capnp.Struct(s).SetText(2, v)
 }
 
-func (s AskC) Body() ([]byte, error) {
+func (s CallC) Body() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(3)
 	return []byte(p.Data()), err
 }
 
-func (s AskC) HasBody() bool {
+func (s CallC) HasBody() bool {
 	return capnp.Struct(s).HasPtr(3)
 }
 
-func (s AskC) SetBody(v []byte) error {
+func (s CallC) SetBody(v []byte) error {
 	return capnp.Struct(s).SetData(3, v)
 }
 
-func (s AskC) Status() uint16 {
+func (s CallC) Status() uint16 {
 	return capnp.Struct(s).Uint16(10)
 }
 
-func (s AskC) SetStatus(v uint16) {
+func (s CallC) SetStatus(v uint16) {
 	capnp.Struct(s).SetUint16(10, v)
 }
 
-func (s AskC) RetryMs() uint32 {
+func (s CallC) RetryAfterMs() uint32 {
 	return capnp.Struct(s).Uint32(12)
 }
 
-func (s AskC) SetRetryMs(v uint32) {
+func (s CallC) SetRetryAfterMs(v uint32) {
 	capnp.Struct(s).SetUint32(12, v)
 }
 
-func (s AskC) Token() (string, error) {
+func (s CallC) Token() (string, error) {
 	p, err := capnp.Struct(s).Ptr(4)
 	return p.Text(), err
 }
 
-func (s AskC) HasToken() bool {
+func (s CallC) HasToken() bool {
 	return capnp.Struct(s).HasPtr(4)
 }
 
-func (s AskC) TokenBytes() ([]byte, error) {
+func (s CallC) TokenBytes() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(4)
 	return p.TextBytes(), err
 }
 
-func (s AskC) SetToken(v string) error {
+func (s CallC) SetToken(v string) error {
 	return capnp.Struct(s).SetText(4, v)
 }
 
-// AskC_List is a list of AskC.
-type AskC_List = capnp.StructList[AskC]
+// CallC_List is a list of CallC.
+type CallC_List = capnp.StructList[CallC]
 
-// NewAskC creates a new list of AskC.
-func NewAskC_List(s *capnp.Segment, sz int32) (AskC_List, error) {
+// NewCallC creates a new list of CallC.
+func NewCallC_List(s *capnp.Segment, sz int32) (CallC_List, error) {
 	l, err := capnp.NewCompositeList(s, capnp.ObjectSize{DataSize: 16, PointerCount: 5}, sz)
-	return capnp.StructList[AskC](l), err
+	return capnp.StructList[CallC](l), err
 }
 
-// AskC_Future is a wrapper for a AskC promised by a client call.
-type AskC_Future struct{ *capnp.Future }
+// CallC_Future is a wrapper for a CallC promised by a client call.
+type CallC_Future struct{ *capnp.Future }
 
-func (f AskC_Future) Struct() (AskC, error) {
+func (f CallC_Future) Struct() (CallC, error) {
 	p, err := f.Future.Ptr()
-	return AskC(p.Struct()), err
+	return CallC(p.Struct()), err
 }
 
 type BatchC capnp.Struct
@@ -3193,11 +3193,11 @@
 	capnp.Struct(s).SetUint64(0, v)
 }
 
-func (s BatchC) Fresh() bool {
+func (s BatchC) Reset() bool {
 	return capnp.Struct(s).Bit(64)
 }
 
-func (s BatchC) SetFresh(v bool) {
+func (s BatchC) SetReset(v bool) {
 	capnp.Struct(s).SetBit(64, v)
 }
 
@@ -3217,11 +3217,11 @@
 	capnp.Struct(s).SetUint64(24, v)
 }
 
-func (s BatchC) Hard() bool {
+func (s BatchC) HasHardState() bool {
 	return capnp.Struct(s).Bit(65)
 }
 
-func (s BatchC) SetHard(v bool) {
+func (s BatchC) SetHasHardState(v bool) {
 	capnp.Struct(s).SetBit(65, v)
 }
 
@@ -3251,11 +3251,11 @@
 	return capnp.Struct(s).SetText(0, v)
 }
 
-func (s BatchC) Cut() uint64 {
+func (s BatchC) TruncateFrom() uint64 {
 	return capnp.Struct(s).Uint64(40)
 }
 
-func (s BatchC) SetCut(v uint64) {
+func (s BatchC) SetTruncateFrom(v uint64) {
 	capnp.Struct(s).SetUint64(40, v)
 }
 
@@ -3282,48 +3282,48 @@
 	err = capnp.Struct(s).SetPtr(1, l.ToPtr())
 	return l, err
 }
-func (s BatchC) Snap() (SnapC, error) {
+func (s BatchC) Snapshot() (SnapshotC, error) {
 	p, err := capnp.Struct(s).Ptr(2)
-	return SnapC(p.Struct()), err
+	return SnapshotC(p.Struct()), err
 }
 
-func (s BatchC) HasSnap() bool {
+func (s BatchC) HasSnapshot() bool {
 	return capnp.Struct(s).HasPtr(2)
 }
 
-func (s BatchC) SetSnap(v SnapC) error {
+func (s BatchC) SetSnapshot(v SnapshotC) error {
 	return capnp.Struct(s).SetPtr(2, capnp.Struct(v).ToPtr())
 }
 
-// NewSnap sets the snap field to a newly
-// allocated SnapC struct, preferring placement in s's segment.
-func (s BatchC) NewSnap() (SnapC, error) {
-	ss, err := NewSnapC(capnp.Struct(s).Segment())
+// NewSnapshot sets the snapshot field to a newly
+// allocated SnapshotC struct, preferring placement in s's segment.
+func (s BatchC) NewSnapshot() (SnapshotC, error) {
+	ss, err := NewSnapshotC(capnp.Struct(s).Segment())
 	if err != nil {
-		return SnapC{}, err
+		return SnapshotC{}, err
 	}
 	err = capnp.Struct(s).SetPtr(2, capnp.Struct(ss).ToPtr())
 	return ss, err
 }
 
-func (s BatchC) Lock() uint64 {
+func (s BatchC) BootstrapLock() uint64 {
 	return capnp.Struct(s).Uint64(48)
 }
 
-func (s BatchC) SetLock(v uint64) {
+func (s BatchC) SetBootstrapLock(v uint64) {
 	capnp.Struct(s).SetUint64(48, v)
 }
 
-func (s BatchC) Legacy() ([]byte, error) {
+func (s BatchC) RecoveredState() ([]byte, error) {
 	p, err := capnp.Struct(s).Ptr(3)
 	return []byte(p.Data()), err
 }
 
-func (s BatchC) HasLegacy() bool {
+func (s BatchC) HasRecoveredState() bool {
 	return capnp.Struct(s).HasPtr(3)
 }
 
-func (s BatchC) SetLegacy(v []byte) error {
+func (s BatchC) SetRecoveredState(v []byte) error {
 	return capnp.Struct(s).SetData(3, v)
 }
 
@@ -3350,11 +3350,11 @@
 	err = capnp.Struct(s).SetPtr(4, l.ToPtr())
 	return l, err
 }
-func (s BatchC) Founding() uint64 {
+func (s BatchC) BootstrapEpoch() uint64 {
 	return capnp.Struct(s).Uint64(56)
 }
 
-func (s BatchC) SetFounding(v uint64) {
+func (s BatchC) SetBootstrapEpoch(v uint64) {
 	capnp.Struct(s).SetUint64(56, v)
 }
 
@@ -3374,230 +3374,247 @@
 	p, err := f.Future.Ptr()
 	return BatchC(p.Struct()), err
 }
-func (p BatchC_Future) Snap() SnapC_Future {
-	return SnapC_Future{Future: p.Future.Field(2, nil)}
-}
-
-const schema_b6d1f0c2a94e7713 = "x\xda\x9cY{l\x14\xd7\xd5\xbfgf\x1f\xb6\xb1\xbd" +
-	"\xbb\x9aE$\x84d\xc1\"_\x08\x82O\xe0<>\xe2" +
-	"/\xc4<\xcb#8bl\x9a\x06\x15\"\xc6\xdek\xef" +
-	"\xd6\xbb;\xcb\xcc\xd8\x06\x14d\xa0\xd0\x02\x0d-\xa0\xa4" +
-	"I\xaaP\x05\x894DJ\x94DJR\"\xa5j\x9b" +
-	"\x7f\xd2\xa8i\x1b$P\xa1\x02AZ\xa2P\x09T\xa2" +
-	"@\x0b)h\xabs\xee\xce\x9d\xbb\x93\xe5\x91\xfe\xb7\xf3" +
-	"\x9b\xe3;\xf7\x9es~\xbfs\xce\xf5\x8c\xcf\x9a\xe6D" +
-	"f\xb6\xfc#\xce4sU4V\xf9\xd9\xba\xfd\xa7&" +
-	"\x8e\xac\xfe\x113\x9b V1F\x1e{\xf5\x83\x0b\x87" +
-	"\xdfeQ-\xce\x98qR\xdfb|\xaa\xc7\x19\xbb\xef" +
-	"\xa4nk\x0c*\x13\xfe\xfa\x7f\xcf\x9d\x1a\xf3\xc8.\xb4" +
-	"nP\xac\xa3h\xbd2\xb6\xd3\xb0bh\xbd:6N" +
-	"gPY\xd3v\xdf\xac\xef\x9e\xab\xfc\x18\xadA\xb1\xc6" +
-	"\x15\x8d\xb7\x1a\xb7\x18\xef4\xa2\xf5[\x8d\x19`Py" +
-	"`\xf7\xe7s\x06\x9a\xca\xbb\xc3;\xc1\x15\x8d\xc3M{" +
-	"\x8d\xe3Mh}\xb4\xe9\x15\xdc\xc9*k\xcd\x93\x8b\xbe" +
-	"u\xf5\xb9\xbak\xefh\xd9b\xecj\x11\xbf>gP" +
-	"y\xf9\xf7\xb3\x16=x\xfb\x93?G\xe3\xa8b\x8c\x9f" +
-	"7V\xb7n0\xacV\xdav+m\xfb\xf9}\xf3f" +
-	"\xfey\xe7\xd2\x97\xea\xbadGj\xa7\xb1'\x85\xd6\xbb" +
-	"R\x15\xdcv\xf1\xc2\xff?:\xc9\xfa\x9f7\xd0ZW" +
-	"\xac#h\xbd\xcf\xd8b\xec7\xd0z\x9f\xf1\x13\xb4~" +
-	"\xfc\xa3\x17N=\xf2\xf0\xb4\xb7C\xd6d\xfc\xd0\xd8-" +
-	"\xc6\xec\xb1h\xfc\xd0\xd8\x0f\xd1x\xe6O3+\x87\xdf" +
-	"X\xf1G4\x8e\x87=\xd28n\xaf\x91\x1a\x87\xd6-" +
-	"\xe3~\x8d\xdb\xde\xf3\x98\xb7\xe8\xe0\xc0\x07G\xeb-}" +
-	"i\xfc\x06\xe3\xcax\xf1\xeb\x0d\x06\x95\xb4}\xe7C\x8f" +
-	"\x9c\xfe\xeax\xd8!\xb4\xf2\xae;v\x1a\xcf\xde\x81+" +
-	"\xef\xb9\x83|\xfd\xaf\x0f\x1f\xffa\xd7\xa6\x7f\xfe%l" +
-	"M\xbe\xde|\xd7^c\xc7]h\xbd\xed.r\xc8o" +
-	"\x7f\xf0J\xc7\x9aW\x8e\xff-\x1c\x19r\xdf\xbe\x89\x8e" +
-	"\xb1\x7f\xa2\xf8\x85\x1byN?\xb5\xfb\xda\x9f^8\x1f" +
-	"\xf6\x1e\xa0\xc9\x03\x93v\x1a\xb3'\x91k&a\x18g" +
-	">\xd8~\xed#\xe8\xb8\x10^\x99\x8c[\xda\xf6\x1ac" +
-	"\xdb\xf0W\xaam\x84A\xa5\xef\xf0/\x0ell;\xff" +
-	"%\x1ak\xe1T-\xb6m0\xd6\xa2\xf1}\xc56\xda" +
-	"\xf4\x94\xd8\xbf\xdf\x9d~\xfa\xeaWak\xca\x90\xe2\xe4" +
-	"\x9d\xc6\xd0d\xb4^;\x99hph\xf8\xcc/\xdbF" +
-	"\xbe\xbc\x1a\xb6\xa6#\xce\xbeg\x8b1\xf7\x1e\xf1\xebs" +
-	"6\xbdRt\x07\xfe\xb7\xcf*\x97\xa0\xdc\xd1\xc3yi" +
-	">[\x0e`N\xd3#\x8cE\x801\xe3n\x98\xc7X" +
-	"\xcfD\xd0\xa1g\x1ah\x90\x02H\x03\xe2\xf7\xc2T\xc6" +
-	"z&#>\x034\x00-\x0d\x1ac\xc6thc\xac" +
-	"g\x0a\xc2\xf7\xa3\xb9\xae\xa5Ag\xcc\x98\x09\xe3\x19\xeb" +
-	"\x99\x86\xf8,\xc4#z\x1a\"\xe8C\xe8`\xacg\x06" +
-	"\xe2\x0f#\x1e\xd5\xd2\x10E\x8fB;c=\xf7#>" +
-	"\x07\xf1\x98\x9e\x86\x18\xee\x99\xecg!\xbe\x004\x98\x14" +
-	"\x874\xb9w.t3\xd63\x07\xf1eh\xdf\xd0\x98" +
-	"\x86\x06\xc6\x8c%\xb4\xcd\x05\x88/G\xbc\xb1)\x0d\x8d" +
-	"\x8c\x19]\xb4\xceb\xc4W\x80\x063\x9b\xf0\\M\x8c" +
-	"\x19&}x\x19\xbex\x024\x18u\xb93\x9c\xef\xe3" +
-	"\xd0\xcc4hf\x90(YE\xf9\x10\xcf\x97\xfa\xa0\x91" +
-	"i\xd0\xc8@\xb7\x07\xa1\x81i\xd0\xc0\xa0\x93;\x8e\xed" +
-	"\xb8\xfec\xc6\x1d*v\xb90\x86i0\x86Ag\x96" +
-	"\x17\xadR\xd6\x7f\xac\xe4,w\x01\"\x0c\xb2\x00L\x03" +
-	"`\x90p\x0b\xf6\x88\\\xacd{\xddC%\xb9\x98U" +
-	"\xc8\x0fs\xdfR\x0d\xde<\xcb\xeb\xcb\xcdg\x14\xbeY" +
-	"2|\xeb)\x1e\x1e\x1eg\x13\x85o\x8e\x08\xdfF:" +
-	"\xe6:\xc4\xb7\"\xaeU\xe3\xb7\x99\xf0\xa7\x10\xdfN\xf1" +
-	"\xd3E\xfc\xb6\x91\x1f7!\xfe4\xc5o\xae\x88\xdf\x0e" +
-	"\xc2\xb7\"\xbe\x9b\xe2\x17\x11\xf1\xdbE\xf8v\xc4\x9f\xc1" +
-	"\xf4\x88\x89\xf0\xed!\xf8i\x84\x9fG\xf3xT\x84\xef" +
-	"Y\xda\xe6n\xc4_\xa4\xf0\x81\x08\xdf\x0b\x94}\xcf " +
-	"\xfe&\x85O\x13\xe1{\x9d\xd69\x88\xf8\xdb\x887\xc5" +
-	"D\xf4\xde\"\xfc5\xc4\x0f!>FO\xc3\x18\xc6\x8c" +
-	"w(\xdco\"\xfe>\xe2\xcd\x91443f\xbc\x07" +
-	"K\x19\xeb9\x84\xf8\x11\xc4[\xe2ihA='\xfc" +
-	"\x13\xc4O\x80\x06q\x97\xaf\xf5\x03\x9d\xe9w\xb8\x9b\xf3" +
-	"#\x90\xe1e\xbb/\xe7\xbfKd\xf3\xee\xa0|\xc8Y" +
-	"N\x10S\x8f;E\xf9f\xd8\xf6\x82$\xea\x1b\xf2\xfc" +
-	"\x17\xa3\xbc\xe49y\xeeB+\x83\xe5:@2\x10 " +
-	"\x06\x08&\xdc\x92U\x86d\xc0p\x06\x90d\x90(\xd8" +
-	"}\xf2\xbb\x9d\x05>`\xf5\xad\x87\x16\xa6A\x0b\x83J" +
-	"\xbf=T\xcar\xc7e\x8c\x05\xebJ\xad\x12\xeb\x0a\xa3" +
-	"|i\x00\x8d\xaa\xeb\xa8\xc9\xb5|\xc8\xcd\x09eH\xfb" +
-	"\xa9\x95\xda\xd8\xce\x98\xb9N\x07sk \x0b\xa9\xcdS" +
-	"\x193\x9f\xd2\xc1\xdc.5!\xb5\xad\x8d1s\x93\x0e" +
-	"\xe6\xd3\x98P@\x09\x95\xda\x81\x7f\xbdU\x07s7f" +
-	"\x93F\xd9\x94\xda\x85\xe0v\x1d\xcc\x03\x1ad\x06\x1c\xab" +
-	"\xe4I\xff\x8d(\x0f\xf1A\xbe\x1e\x92AE\x11N\xc8" +
-	"xVo\x81C2\x10\xcb*^v\xec^\x1e\x1c]" +
-	"\x16\x80\xea\xd1\x95c.\xb0x\xd1.\xc1|<\xe8\x0c" +
-	"\xc9\xa1\xb9\x94T\x0fc2,V%p!\xe1\x81\xe6" +
-	"\xf8\x1cZB\xc9\x16h\x8e\xcf\xa1.\xb2\x97\x9a\x93\x8a" +
-	"D\x04\x87L\xc2\xa5\xe4@TP\xe8\xdb\xc4\x89\xe5\x08" +
-	"\xaf\"\x09\x04\xc1\xa1\x95d\xbe\x02\xf15\xc4!Mp" +
-	"h5Q\xf7\x09\xc4\xb3\xc4!]p\xc8\"\xfbU\x88" +
-	"\xe7P2\x1bAp\x88\x93\xfd\x1a\xc4\x0b\xc4\xa1\xa8\xe0" +
-	"P\x9e\xf0,\xe2e\xe2PTp\xa8Hx\x0eq\x0f" +
-	"\xb4Z%L\x0c\xe6KY\xff\xa13k\x17\xad|I" +
-	"\xbe\xb3\xb2YG>\xe4<\xaf\\O?k\xa8\x13b" +
-	"\x95\x9a\xdd\x19\x87[\xd9\xf5\x92~\xaeg\x05T\xca\xd8" +
-	"\xfd\xfd\xdc\xa9\x97\xbf\x8b,\x8f\x8b\xfcM\xca\xfc\xb50" +
-	"UW\xe9`\xe6\x94\xfc\xe5\x08\xae\xd1\xc1,\x04\x01M" +
-	"\xe5;\x183\xb3:\x98e\x0d@\x043UD\xc3\x9c" +
-	"\x0e\xa6\x17v\x85z\xdc\xb0+\xea\x8a7\xeb,wt" +
-	"\xb9\x03\xf3\xc3\xca=UUn?\xe96\x12\xac\x087" +
-	"\xf8\xc2=\xbeV\xb8\xe1:\xc2\xad\xf9\xc2\xdd^+\xdc" +
-	"z]\xe1N\xc5\"\xber\xb7\xd7*\xb7\xe6+w{" +
-	"\xadr\xeb\xberO\xf5\x95\xfb%R\xee\x88\xc8\xba}" +
-	"D\x8e\xe7\x11?\xa0f\xdd~\xb2\x7f\x11\xf1\x83\x94u" +
-	"1\x91u/\x13\xfe\x12\xe2\xaf\x91r\xc7\x85r\xbfJ" +
-	"\xf8\x01Y\x19Z\x1a\x84r\xbfN\xac\x91\x95A$f" +
-	"\x9ci\x10g\x90\xe8w\xec\xa2\x1f\x0b\xdd\xb3eXn" +
-	"\x90{\xaanc\xb6\x15\xcb\x10e\x1aD\x19dr\xbc" +
-	"P\xb0!\x19t\xabU1&uO\x06\xbd\xb4\x80;" +
-	"\xadr\x99\x97\xb2\x90\x0c\xfa\xd5\xaa}y\xa8P\x80d" +
-	"\xd0\xa9K\xd8\xcdA2\x98R\xaap/\xb7<\x14p" +
-	"\xbf\xf9\x16p\xdcr\x07!\x19t\x95\x02\xad\x91\xf0<" +
-	"\xef\xe3\xd5\xfe`\xb2$\xc1yT\xdc\xb3:\x98\x17\x15" +
-	"\x12|\x81\xe09\x1d\xcc\xcb\x0a\x09.a\xc2_\xd0\xc1" +
-	"\xbc\xaa\xa8\xf8\x15\x04/\xea\xd0\x8d\x19*\xe4,um" +
-	"\x1ec\xe6e\x1dz\xd2j^\xa5(^\xcd\x18\x97\xdb" +
-	"\xd4\xbc\x1aK\xf1J\">A\xed\x08n\xa7<I#" +
-	">Q\xed\x08\xee\xa4unC|2h\x90\xc1\x8a\x19" +
-	"\xc8A\xbe\x94\xe5\xeb\xea\xc6\xae&\x11F\x8b\xbc\xd8\xcb" +
-	"\x1d\xf7\xba\xf50\xe1\xe67p\xffO\xe3\xee\x90\\\xa6" +
-	"\xd3\xee\xefw\xb9\x17\xa8\x96\xe5Y\xb2\xd2\xd6\x14\xccB" +
-	"A\x08\xce\x04\xe9\xebw\xd0Yo\xea`\xbe\xaf\xf8\xfa" +
-	"=,\x8eo\xeb`\xfeF\xf1\xf5\xaf\xd0\xf2\x90\x0e\xe6" +
-	"\x91\xa0|\xa4\x0ecT>\xd6\xc1<\x16\xf8\xfa\xe8R" +
-	"\xc6\xcc#:\x98\xa7\xd1\xd5@\xaeN\x9d\xc4%\x8f\xe9" +
-	"`\x9eA?o\"?\xa7>\xc5%O\xe8`\x9e\xd5" +
-	" \xe1\xf2B?$\x83\x91\xb6\x9aCu\xcbj\xc2\xe5" +
-	"\xbc\x148J\x0e\xe4\xc2Q\xd7+\xba\x15\x87\x0f\xe7\xdd" +
-	"\xbc]R\x1a\x0a\xb5\x8b\xaa\xa9\xe7\xaa\xe3\x1e\xb7}\xa5" +
-	"\x9e(\x1dw\xb8-8\xb9t\xdcQt\xc7':\x98" +
-	"'\x14\xc7\x1d\x9f\xa7\xf8\xc3O\xd2\x93\xdd\xc1\xd1e\xab" +
-	"\xf1\x19z\xee\x8c\x0e\xe6\x85 IS\xe7\x97*\x89_" +
-	"\xcd\xd0\xd4\xa56%\xf1\xab\xe9\x99\xba\xd2\x1e$~\xbc" +
-	"\xecHQ\xcf8\xbc\\\x90\xf98J=\x0c\x97]`" +
-	"\xa5`\xb9\xde\x92R\x963\x90YJ\xd8\x0a\xee\x14\xd5" +
-	"\xd6\xcbs\xac\x92\xdb\xcf\x1d\xc4\xfc\xa6\xc7*\x14\xe4W" +
-	"\xac\x82]\xaa;\x05\xac\xb0\x9c\x01\xee\x89\x0ef\x81\xac" +
-	"%\x7f\xa06\xfaw\xb2\xcd\xf5\x8b\xc9a\"\xd3\xc7\x88" +
-	"\x1fS\x86\xb8\xa3\xc4I\xd9\xfd\xca!\xee8\x99\x1fA" +
-	"\xfc\xb4:\xc4\x9d$\xae\x1eC\xfc\x8c:\x04|J\xb5" +
-	"\xe1\x04\xe2g\xd5\x0e\xe63\xb2?\x8d\xf89\xe2\xfc&" +
-	"\xc1\xf9\xbf\xd3\x10w\x16\xf1\x8b\xc4\xf9\xcd\x82\xf3_\xd0" +
-	"w\xcf!~\x99j\x89.j\xc9%:\xd6\x05\xc4\xaf" +
-	"\xaa\xb5\xe4\x0a\xad\x7f\x11t\xe8\xd6\xb0\x94l\x11\xa5\xe4" +
-	"\x1a\x99_F\xf3\x08\xe2\xcd\xdf\x17\xa5\x044\xc4\xaf\"" +
-	"\xde\x80xKT\x94\x92\xa86\x95\xb1nM\x87\x9ef" +
-	"\x84[\x1b\xd2\xd0\xca\x98\xd1\xa8\xe1\xa9\"\x88'\x11O" +
-	"D\xd3\x90\xc0\x09_\xc3\x99\xa1\x19\xf1\xdb\x10O\xc6\xd2" +
-	"\x90D\x85\xd3p7I\xc4'h\xdf`\xa2\xbcQ#" +
-	"Q\xdb\xf7\xdc\xcaL\x99\xe3\x05\xf90\xdak9\xcbx" +
-	"\xbf\xe7W\xb2\xce^\xcb\xf9Nn\xbd\xbf\xdc(\xd6\xa9" +
-	"|i 0\xe7\x96\xa7<'\xbc!'\x18H\xdd\x82" +
-	"\xed\xc9Y\xb7\xd2g\x17\xb2\xb84&\xae\xbfzi\x08" +
-	"\xc5\xf6km\x19\xb6=\x8f\xf2\xf5\x94\xaa\xcd\x92\xeb\x0b" +
-	"\x91Xst0\x97)\\_\x82\xe2\xb5@\x07s\xb9" +
-	"\xc2\xf5.\xe4\xe5b\x1d\xcc\x15\xda\x8d\x8av|\xb8~" +
-	"K\xb8\x18\xabw\xb5\x1e\xdeJ\xaf\xdf\xee\xf7\xfa\xab\x14" +
-	"\xa6\xac$8\xe8\xc5}\xa6\xac\xa6\x0c\x0cz\xf1\x08\x08" +
-	"\xa6\x84zqY\x1d9\xd9\x07\xbd\xb8_\x1d\xf3\x94\xb2" +
-	"Y9\xbe\xfb]\xd7F\xf8^M\xb7\xe7w]\xdb\x08" +
-	"\x0f\xba:\xbf\xeb\xdaE\xf3l\xd0\xbd\xf9Ly\x96\xf6" +
-	"\xb3[vWc@P\xe5U\xfa\xae\xec\xae\xaeS0" +
-	"2\x83%{D\xa9\x0d\xea\xeb\xd6\xb0\x16v\x16\xb8\x95" +
-	"\xe5\xc1 \xa0\xc6(4\xb2\xde\xb4<W\xaa\x06\x0bY" +
-	"B\x8d\xbb\x0f/a\x09\xb5\x0f\xa87\xdc&\x06P@" +
-	"\xab\xeb\xe3\x96Z\x19\x8c:\x9c,\xeb\xe9\xea\\\xd1\xbc" +
-	"\xcd\xbf\x95\xeei\xbc\xda=A\xb5{\xea\x0e\xea\x85\x9f" +
-	"%\xa9kXn\xae\xa2\xec\xa8j\x1a\xc5\\\xe8F\xd7" +
-	"7\xabb\xdaH\xa9\x16A<\xa9\xdc\xa8\xb4P\xa4\x1a" +
-	"\xfc~(\xe5_\x88M\xa2\xc8N@|\x0ae\x88&" +
-	"2\xe4nZF\xde\xe7\xd5\xc6H\xb7\x07\xe5\xe1\xcb\x0e" +
-	"\x1f\x0e\x97*\xc4B\xa5\xaa\xb3\xcf.\x16\xf3\xb2!\xca" +
-	"\x14-/\x08\xc8\x7f{\x9f\x91)c\xb3\x0a\xc9\xe0\xae" +
-	";\xd4\xcf\xb2L\xb9cI6,\x1d\xf3n\"\x1dP" +
-	"G9nY\x8e\xd5lX\x88MgU;\x94\x81\xb2" +
-	"\xfd\xa6\x03eCu\xa0\x9cz\xe3\x81\xf2V\xfb\xd8\xeb" +
-	"\xb6\x9f]D\x04\x91\xae\x0dr\x83\xf7\xe2'&\xeb`" +
-	"\xce\x90\xf3dj:bSt0\xef\x0f\xcf\xb1\xeaP" +
-	"T#\xdas\xdd\xc10\x0f\xc6\xab<\x98\xf3\xf5)\xc2" +
-	"\xf7\xfc\xa5\x8e\x9b\x0c\x11\xb2?\xbb\xd6^\x9d\"\"\xaa" +
-	"N\x02fu@\x99XT\x90 D\x99\xb8.8\xd0" +
-	"H\xdc\x90\x94I5D\x04\x07Z\x88\x03\xc4\x19\x9cQ" +
-	"\xf4|V\xb9]P%\xab\xc8\xbd\x9c-\xef5\x12e" +
-	"\xcb\xcb\xc9\x0a\xbcv\x88;\xb2d&z\xed\xac\x94\xaf" +
-	"N,\xceC\xae\x1c6\x1c\xee9\xeb\xbb\x82\xfb`\xcf" +
-	"\x1e\xe4\xb2\x92\xd76o\xbd\x05\x7fDSo\xe0\xdbT" +
-	"\xc6\x06\x17\xf0m\xea\x05\xbc\xbc\x08\x98NR\x1f\xdc\xb4" +
-	"\xfb\x17\x01\x0f\x90}p\xd3\xee_\x04\x84o\xda}W" +
-	"\xcf&|\x96\xbc\xad\xf2K\x92IN]&K\x98?" +
-	"\xb0q\xc2\xa9\x84=E\xce\x8e\x09g+7\xd0\xa2$" +
-	"\xc5\xfd\x92T{\xd1\xd0\xd4 J\x92rE|\x10\x9b" +
-	"\xeb\xbaC\x89:J\xd4\x1d5\xb2v\x9f\x1f\x8ej\xaf" +
-	"\xe4?\x0dX\x9e*H\xf2\x1fuB\x90Fy\xb1\xec" +
-	"\xe5y6\\\x1a<\xea\xab\xd5\x8a\xa4\xcc\xdf\xad\x0c\xe2" +
-	"#\x96\x1b\xfa\x9bD\xaf\xe5\xf2:\xf3\x94Zynx" +
-	"\x1b\xd9S\xb2\xca\xf3\xbf\xa9\xc6\xf8L\xcb\xcf\xabJ\xcc" +
-	"&\x85i\x1b\xa7\x06W\xb67\xd0\x98\x9b\x8f\xc7\xaa\xee" +
-	"\xfc'\x00\x00\xff\xffw\xe5c\x1c"
+func (p BatchC_Future) Snapshot() SnapshotC_Future {
+	return SnapshotC_Future{Future: p.Future.Field(2, nil)}
+}
+
+const schema_b6d1f0c2a94e7713 = "x\xda\x9cY}\x8c\x14\xd5\x96?\xa7jz\xbag\x98" +
+	"\x99\xee\xb6\x9a,\xb2\xb0\x0ddf\x03\x046|\xb9\x8b" +
+	"\xac:\xcc\xc0\xec\x02\xce\xac\x14=\xba\xe8bbM\xd7" +
+	"\x9d\xe9\x96\xee\xaa\xa6\xaaz`\\\xc9\x00\x0b\x91%~" +
+	"\x00\xc1\x0f6\x9a\x88\xab\xbbK\xa2\x11w\xd1\xe8\x8a\xbb" +
+	"\xee\xbe\xf7\xa2\xbc\xa7\xefI\x02\x09\xbeH\x04#\x11\xdf" +
+	"\x83<L\xe0=?\x98\xf4\xcb\xb9\xd5u\xebv3#" +
+	"\xc6\xff\xba\x7fs\xfa\xd6\xads\xce\xef\xfc\xce9\xb3@" +
+	"\x9b\xb4\xbcaa\xeb\xef\xa2\xa0\xe8\x1b\"\x8d\x95\x8d\xbf" +
+	"8=g\xdaS\xff\xb9\x13\xf4fT*\xda\xe6\xbf;" +
+	"\xfc\xff\x97O\xbc\x01\x91H\x14@;\xa3\xee\xd0\xce\xa9" +
+	"Q\x80\xc5g\xd4\x0a\x02V\xa6}\xf6WO\x7f:\xe9" +
+	"\x8e\xc7\xc8:Vo}.\xb2G\xfb\x92>->\x1f" +
+	"\xf9\x13\x15\xb0\xf2\xc0\xac\xc5K\xff\xe1b\xe5q\xb2F" +
+	"\xc9\x9aN\xd4\xfa\x9avhz\x13Y\xf75\xa5\xe9\xec" +
+	"[\xf6~\xb1|\xa8\xb9\xb4\x97\xac\x1b%\xebF\xb2\x1e" +
+	"i\xde\xafmo&\xeb\xad\xcd\xff\xae\x00V\x1eY\x7f" +
+	"\xe5\xed'f\xcc\xfd\xb7\xfa{+d}{\xeb\x0bZ" +
+	"O+}\xeaj\xfd\x02\xb0R\xbc\xfc\xd7w\xce4\xfe" +
+	"\xfcU2V%\xe3\x062\xe9h\xdb\xa1\xcdi\xa3\xa3" +
+	";\xda\x9e\xa0\x8b\xfc\xe3k\xf3s\x9d\x8d\xa7\xffk\xdc" +
+	"k\x1f\x8f\xef\xd1N\xc4\xe9\xd3\x87q:\xfa\x9e\xe3\x07" +
+	"?\xbd\xe3\xb6yG\xeb\x8e\xe6'\x1fJ\xec\xd0^J" +
+	"\xd0\xc9\x87\x12\xef\xd1\xc9\x97\x0e\xdf\xbdk\xd7\x89\x9e\xb7" +
+	"\xebO\xe6\x97\x1e\xb9\xe9\x05m\xfbM\xf4i\xebM\xaf" +
+	"\x02V\xfe\xe7\x83\x9fo5\x9f\xf8\xc9\xb1z\x7fp\xe3" +
+	"\x9b\xb5\xff\xd6fjt\xf4t\xcd&\x7f\xac\x7f\xfb\xbc" +
+	"\xf7\xdd\xe3\xd3\xdf'\xeb\x88dM\x1e\xd6\x0eO\xfe\x17" +
+	"\xed\xb5\xc9d\xfd\xcad\x1e\x99\xdf\xfc}\xc2<~\xa1" +
+	"\xe3\xc3q\xcf>7e\x8f\xf6\xe5\x14\x1e\xc7)<\xea" +
+	"\x0b\x9fJ\xdf;\xfcj\xff/\xc9:Z\x1f\x99o\xa6" +
+	"\xee\xd7\xf0O\xc9zl\xea\xff\xd2\xd9){\xfa\xadw" +
+	"\x9c\xfd\xf6\xe3\xfa\x9bp\xeb\xb1?\xdb\xa3E\xd2d\x8d" +
+	"i\x1e\xc7?\xbcw\xcf#}\xdb~\xff\xebzk\xee" +
+	"\xec\xb1\x99\xfb\xb5\xc8,n=\x8b\xdf\xa4\xf9\xbb\x7f\xfd" +
+	"\xed\x99\xa3\xa7>\x1b\xcf\xdb\xd3\xdb_\xd0:\xda\xe9\xd3" +
+	"\xccv\xf2\xdf\xd3\xea\xa7{\xc7~u\xf0R}\xd0\x91" +
+	"L\xdej\xdf\xa3\xfd\x1f7~\xa7\x9d\xc2\xb8\xf0/\x17" +
+	"\x8d\x1d\xc7e\x97\xeb#\xc3\x8d\xf7u\xec\xd7\x0ev\xd0" +
+	"\xa7';6\x03Vf7~\xf7\xc6\xfc\xb3\xd7\xbe\xad" +
+	"\xcf=\xee\xeb\xaf:\xf6h\xdf\x90\xf1\xe2\xab\x1d\xb6\x02" +
+	"\xf3+Ew\xe8/\xb2F\xc9\xc2\xd2\xb2\x15F\xa1\xb0" +
+	"\x02\xd6\"\xea\xedj\x03@\x03\x02$/M\x05\xd0/" +
+	"\xa8\xa8_Q0\x89\xcbSH\xe0W\x8b\x00\xf4\x8b*" +
+	"\xea_+\x88J\x0a\x15\x80\xe4\xd5e\x00\xfae\x15\xf5" +
+	"k\x0a&UL\xa1\x0a\x90\xfcf.\x80~E\xc5u" +
+	"\xa8`\xb2AIa\x03@r\x8c~\xfd\xb5\x8a\x99\x06" +
+	"B#j\x0a#\x00\x1a\"\xd9^S1\x13#\xb81" +
+	"\x92\xc2F\x00-\x82\xcb\x00\xd6\xa1\x8a\x99\x16\x82\xa3j" +
+	"\x8a\xbfs\x13>\x08\x90\x89\x11\x9e\"<\xd6\x90\xc2\x18" +
+	"\x80\x96\xc4E\x00\x99\x16\xc2\xa7\xa0\x82j\xde\xc4&P" +
+	"\xb0\x090\xed\xb0Ra\x04\x11\x14D\xc0\xce\"\xf3r" +
+	"\xb6\x89-\xa0`\x0b`\xbcdx\xb9\xe0KzS\x99" +
+	"9#\xe2O\x03\xb69\x82\xad\xa0`+`\xa7\xeb\x19" +
+	"^\xd9\xc5((\x18\x05\xac8\xccsF\xba\x06=\x88" +
+	"3\xa7\xcf\xc5\x18(\x18\x03L{\xf6Ff\x05\x07\xc8" +
+	"\x1e\xee6\xbcln\x05p\x1f/\x0d|\xac\x8d\xe0," +
+	"\x80\x8cG\x97\xde\x86\xa1\x9b\xb5\xad\xfce\xb6\x10\xbe\x93" +
+	"p\xc5w\xb5\xb6\x9d\xe3\x0f\x13\xbe\x9bpU\xe5\xde\xd6" +
+	"v\x91\x0b3\xdb\x08\x7f\x94;\xbc\x8b;\\\xfbg\xee" +
+	"\xac\xdd\x84\x1f\xe0.o\xf0]\xbe\x8f\xdb?J\xf83" +
+	"\xa8 6\xfa.\x7f\x92\xc3{\x09~\x96\xfb<\xe2\xfb" +
+	"\xfc ?\xe6\x19\xc2_\xe4>G\xdf\xe7\x87\xb0\x1b " +
+	"\xf3,\xe1o\x12\xde\xa4\xa4\xb0\x09@{\x1d\xd7\x00d" +
+	"\x8e\x12\xfe.\xe1\xcd\x8d)l\xa6\x94F\x07 s\x8c" +
+	"\xf0\xf7\x09\x9f\xa4\xa6p\x12\x80\xf63|\x08 \xf3S" +
+	"\xc2?\"\xbc\xa5!\x85-T\xc9\xf89\x1f\x10~\x81" +
+	"\xf0\xd6h\x0a[\x01\xb4\xf3\xdc\xfes\xc2/\xa3\x82Q" +
+	"\x97m\x92\x82\xed2/\x08v\x9a\x95\xecl.\xf8[" +
+	"\xdc\xcc\xbb\x1b\x83/\x95\x9c\xe1\xae2\x1c3\x03q\xcf" +
+	"\xf0X\xf0\x8b\xb8\xc7\x9c\xa2\xf8\xc1\xb0\xed1\x11M\xcf" +
+	")[Y\xc3c\x10\xff\x1b\xc7\x166\xa3\xcc\xf2\x9c<" +
+	"s\xb1\x0dp\xad\x8a\x98\x08\xf9\x0dH`\xc5\xb5\x8c\x92" +
+	"\x9b\xb3=\x00\xc0D\xa8\x0f\x80\x98\x00\xac\x0c\xd8\xb6\xe7" +
+	"z\x8e\x01\xe9R\xaf\x9d\x0d\xaf\xe7\xb0\xac=\xcc\x1c\x06" +
+	"\x9df\x86_\xb0\x9a\x88\x95A\xbbl\x99\xccq\xe98" +
+	"\xf1LQ&\xaa\xcf\x14\xa7v\x96zd\x17\xc8)\xb9" +
+	"\xb6\xec\xe6|\xd2\xa7\x04\xe9\xb7>\x08\xa0?\xac\xa2\xbe" +
+	"\x9b\xb2\x11}\xd2\xefZ\x07\xa0\xefTQ\xdf\x1b\x92\xfe" +
+	"\xb1Y\x00\xfan\x15\xf5\x03\x12\xe9\xf7\x11\xbf\x1fUQ" +
+	"\x7fF\"\xfd\x93t\xe4\x01\x15\xf5#\x0aV\x0a\xccp" +
+	"\xd9\xdf:\x06\xc4-\x8f\x99\x81\xd3+\x9b\x0d\xcb\xeb7" +
+	"\x06\x0a\x80\"\x10\xd1\x8dl\x04\x13aa\xf5\xdd\x95\xf6" +
+	"\x8c\x81\x02\xc3DX\xea\xaan,9\xf6\x00\xeb7\x1c" +
+	"\x88\x0f1O\x0a\x86P\xb6\xaac\xa4\xf7_i\xb0\xa2" +
+	"m\xe1\x0a\xf2\xc0\x02A\xc9.\xce\x81\xdb(\xb7Va" +
+	"\xe8\x04\xad\x87\xe3\xcb\x09\xef\x95)\xb9\x9a\xcaTf%" +
+	"\xe1keJ\xf6q\xfbU\x84\xf7sJ6\xf8\x94\xd4" +
+	"9\xdeK\xf8z\xa2^\xc4g\xe4\xdd8\x00\x90\xe9'" +
+	"\xf8\x01^\x05\xd1\xa7\xe4\xfd\xdc|=\xe1&\xa7\xa4\xe2" +
+	"S\xd2\xe0\x95`\x03\xe19NI\xd5\xa7$\xe3\x143" +
+	"\x09/\xa1\x823\x9b\xd0\xa7d\x91\xdb\xe7\x08\xf78%" +
+	"#>%7q\xbc@\xf8\x16N\xc9\x88O\xc92\xa7" +
+	"\x98\xa8Lq\xcb(\x0a&\xc47\xe6-Q@;M" +
+	"\xbbh\xe4E\xcd\x8b\x1b\xa6\xe9\x88/9\xcf+\x09\xfe" +
+	"\xe4\xad\xac\xe1X\x86\x07\xd1\xbcm\x8d\xcb\xc9Z\xbaN" +
+	"D\x8d\xb4\xc3\x0cS\xd4\xf3\xb4\xcb\xd9\x11<DJ\xfc" +
+	"\xbb\x06\x07\x993^\xe2g8!\xa3\xb6\xc7C\x9f\x10" +
+	"\xc9oP\xfanPQ\xcfI\xc9\xcfH\x9c\x1ePQ" +
+	"/\x84\xc9\x9f\xef\x06\xd0M\x15\xf5mR\xf2o%\xc3" +
+	"-*\xea;\x15L\xe7-\x93m\x11\xef(\xd7\x94\xd1" +
+	"\"+\x0e0\xc7\x9d\x90\xbbq\xd3\xf0\x0c\xc1\xf6\x1a\xbe" +
+	"\x06\"=M\\\xf9uz\xe8\x11\x15\xf5c\xd2\x95\xdf" +
+	"\"n\x1eUQ\x7f7\xcc\xd3\xe4;\xf4ro\xaa\xa8" +
+	"\x9f\x0c\x934y\x82\xc0\x0fT\xd4O+\x88~\x82&" +
+	"O\xad\x01\xd0O\xaa\xa8\x9f%\xc1@\x9e\x9e\xc93\xf7" +
+	"\x01\xe8\x9f\xa8\xa8_\xa0\xdc\xdc\xc6s3y\x9e\xea\xc2" +
+	"\xe7*\xea\x97\x15\x8c\xbb\xac0\x88\x89\xb0Y\xf6y9" +
+	"\x01\x8b)f\x92\x07DG\xe9{`B\x92;l8" +
+	"\xef\xe6m\x8bJ_\x10W\x1e\xfe\xd5\x96\x09j\xe8\xf0" +
+	"\xf1\xeaI\x8d'\x1d{\xcbHU\x8c\xa5\xf0\xcf\xbdA" +
+	"\xf8\x85/\xf3\xcb\xaa\xf1/)\x88UW\x16\xc90\xa7" +
+	"\xa2\xee\xd5\xb3EfD=[\x0a\xf9\xe1qox\x8f" +
+	"\xed1?\xd63\xc4\xfdNt\x87\xc1\x12\xf7;E\x11" +
+	"\xfcHE\xfd\x13\xe9~\x1fwK!\x0c\xf2\xf3\xcc:" +
+	")\x84Aq>\xbf&\x0ca\xd0\x90%/\xad\x09\x9b" +
+	"\xbcdc\x83\x1f\xec\xab\xeb\xa4\x86\xae\xda\x18$\xc7\xd6" +
+	"H\x9d\xdbh\xc9ato\xc1\xcc\x9a\xbekt\xc81" +
+	"jj~\xc1p\xbd\xd5\x96\xc9\x00\xc3\xb8\x11\xd6\xcf\x9c" +
+	"\xa2\x1c`\xcf1,w\x909\x84\x05\xbf-[\x86\x95" +
+	"/\xdae@W`\x96\xdd\xcb\x0c\xb3\xd6N\xf2\xe8j" +
+	"\x93Y^>\xea\x8dp\xd2\xb7\x08\xaf\xf6\x90\xaf\x96\xab" +
+	"\xa8\xf7J^]M\xc1\\\xa9\xa2\xbe6$}\xdf\x00" +
+	"\x80\xde\xab\xa2\xbe^\xc1Q\x979\xc3\xf9l\x18c9" +
+	"\xe0\xe3\x17:\xf9.\xfd\x863\xc4\xbcN\xd2u\x97_" +
+	"g\x9e\x90\x9f\x0e\xdeR\xcd\xa0\xba;O\x96\x9f9\\" +
+	"\x07\xda\x09_\x80\xe2R\xda|.\x1b\xf3\x08^\xca\xd5" +
+	"G\xf1\xd5\xe7\x16\\\x07\x90YB\xf8r\xae>\xaa\xaf" +
+	">\xb7s\xb5ZJ\xf8J\xde\x10*\xbe\xfct\xf1\xc7" +
+	"\x86\xaa\xd7\xa8\xfa\xf2\xd3\xc3\xed\x85\xea\xcd\x8c\xa2/?" +
+	"\xab\xf9\xf9\xa1\xba\xc5\x9a|\xf9\xa9S\xb7dS\xb3/" +
+	"?w\xf3NN\xc8\xdb\xc2fz\xaff\xaeo\x8e\xac" +
+	"c?\xc6\xb1n9\x9be\xae\xcb(\x19\xaa}x'" +
+	"s\x1c\xdb\x11_G=\xdb3\x0a}.N\x02\x05'" +
+	"\x11\x0bY\xd1\xb0\xcc\xe0+\xb5\x82+\x09\x01\x14\xe9\x19" +
+	"w\x0b\xf6\xe6\xe0\xf7\x15\x87=\xc8\xb2\x1e3)\xb7\x02" +
+	"\x8cw\x1c]\x96\x0b\xe9\xcd\xcc\x91\xf2Z\x8as\x1fs" +
+	"]cHe+\xea\xbb\xfe\xb9\xb2\xb6\x06!\xde\xcaa" +
+	"\xa9\xe9\xc7\xa0\xe9\x9fZ\xdb\xf4\xe3\x04M\xbf\x124\xfd" +
+	"$\xe9;\x09\xdf+\xcfY\x8fq\xfbp\x18\xa82[" +
+	"\xdb\xc7c)u\xfdJ\xd0\xf5\xd39\x07\x08\x7f^n" +
+	"1\x9e\xe3\xe7\x84\xd3@S\x83\x1f\xe3C<W\xf84" +
+	"\xf0\x1fr\x8b\xf1\x12\xb7\x7f\x9e\xf0\x97y\x8b\xd1\xe8\xb7" +
+	"\x18\x879\xfe\"\xe1Gx\xd7\x1f\xf5\xbb\xfeW\xf8}" +
+	"^\x16SEk\xcc\xef\xfa_\xe7\xf6G\x08?F-" +
+	"\x09\xefB\xaa\xf3X|\x90Z\xf2j\x9e\xa8\x9e-\xf2" +
+	"g\xe2\xf6\xa2F\x95+^\xbe\xc8\\\xcf(\x02\x960" +
+	"\x02\x0aF\x00\xd39V(\xd8\x98\x08\x17\x07\xbe\x0c\xf9" +
+	"SA\"\xdc\xb0\xf8p\xa7Q*1\xcb\xc4D\xb8:" +
+	"\xa8\xda\x97\xca\x85\x02&\xc2e\x8f\x80\xdd\x1c&\xc2e" +
+	"TU\xe4r\xccp\xbc\x01f\x00z\xd4\x1c\x04+\x8e" +
+	"\xea\x8f\xb2\x06?Kl\xc7\xaa?\x92g\xf9\\\xd9\xda" +
+	"X\x157i\x9a\xef\x96\xa7y\xbc~\x9a\x17\xe2qu" +
+	"\xee\x0d\xc6\xf9\xa0Q\x18\xeb\xaeN\xf3)9\xcb\x92<" +
+	"Jb\x0e\x17Y6\x99W\x80\x14\xe13\xe4\xd9r:" +
+	"\xcf\x9a)\x84\xb7\xcb\xb3\xe5L~\xce4\xc2gSa" +
+	"\xc8\xbb=\x96\xe7\x84m\xdf\xc4\x1dVMb\xdc\xb8\xdd" +
+	"r\xf3\x0f1\x91\x06\xd9\x1c\xcbnt\xcb\xb2\x00u\xda" +
+	"\x83\x834R\x8a\x86u\x82\xf6\xcc/\xea\xfe8\xb1R" +
+	"p\xfdC^X\xdf\xa7\xd78)\xd7\xf3\x13\xfc\xf5\xf8" +
+	"h{Z\xaa\xe7\xa7x=?I\xf0Y\xb9\x9e\x9f\xe1" +
+	"\xe6\xa7\x09\xff\\\xae\xe7\xe7\xb8\xf7>\x11\x13r0\xe0" +
+	"\x9f\xe7\xdc=K\xf8Ey\x9c\xf8\x92\xdb\x8b\xc99\x19" +
+	"\xdd\xe6G\xe1\x12\xe7\xdcE\xc2\xbf\xe6Q\xd8\xeeG\xe1" +
+	"*\x8f\xda\x15Tq\x9dBTW}\xaa\x8f\xf1\x85\xc0" +
+	"52\x8f)\x12\xd5#\x0a\x1d\xd3\xa0\xa8\x98I\x10>" +
+	"i\x87O\xf5V\x85\xbc\x10#<Ex\xcb?\xf9T" +
+	"O*tN\x82\xf0i\x84\xb7F|\xaa\xdf\xac\x90\x1b" +
+	"\xa6\x10\xdeNx[,\x85m\x94\x14\x0a\xbd\xd64\xc2" +
+	"g\x13\x1e\x8f\xa40N\xaa\xa9\xdcG\xeaH\xf8\x02\xc2" +
+	"\x13\x8d)L\x90<*\xf4\xba\xb3\x09_\xa2\xfc(u" +
+	"\xf9\xbe\xee\xadv\xf4\xf8\x01\xa2R1\x1d#o\xe5\xad" +
+	"!\xb9G\xe1\xd2BMm\xbc\x97\x0dzA\xf1\xa9T" +
+	"\x15\xa7\x1bP,\xa4F\xa9\xbe\xe4\xad!\xf1SQ*" +
+	"\xe2\x9e\x0c\xbb9\xc3aw\x0d\x0eB\x94\xf26XM" +
+	"\xb9\x05\xdb\x13\x8aX\xd9l8\xc5r\xa9\x97\x81\x1a>" +
+	"\xb3\xd3*\x13W\xc6\xebXVQ)\xac\x16\x95\x1f2" +
+	"+w\x07]\xc3\x06)\xb9\xef\xe5I\x19\xce\xb8Ar" +
+	"\xdf\xcf\x932\x9cq\x1b\xd0On\x83\x1f\x1f\xce\xb8A" +
+	"\x89a|6\x153\xae(1E\xfe\xd8\x9c\x10\xd0@" +
+	"\xc8\xb6\xf3l\x0d\x852\x10\xb2\xfa\xedX d\xfb\xf8" +
+	"\xf9\xa1 \x06\xd9}\x90\x93\x93\x0b\xdfQ.d\xe8g" +
+	"\xf7k\xb8\xa3F\x98\xc6\x1f\x85FM\xbeo\x90*\x91" +
+	"l\xd0v\xdd\x9e\xb2\xc0\xbbY\x91\xaa5j5\xd1r" +
+	"\xe8\x86\xd5\xaeR5\xe8\x81x\xedZ\xc8\x87WC\\" +
+	".\xab\x13\xaf\x91\x0a\xb6\xeb\xf5\xb1\xe2\x00D\xa5\xa7\xd1" +
+	"U\xdb\xc2\xdb\x8d\xe0\x0a\xdbr\x99\xe5\x8d\xdb\x8fw\xf9" +
+	"j\xb9\xa2N\xa6\x16\x8d'S\xdd\xb2LaU\xa6\xe4" +
+	"y\xa4\x9aI\xb5\xf3\x88(\x92u\x9b\xe4\xa0F6\xe1" +
+	"}\xf2&9X\x82&y\x16\xb5\x04\xc2\x93\x0cZ\xde" +
+	"\x0e\x9e\x8dag\x1eS\xfc,\x9a\xc3\xb3Zt\xe6u" +
+	"SO\xb59\x15\x1e(9l\xb8~\xea!\xacn\xea" +
+	"\xe9\xcc\xda\xc5b\xde\x0b\xe3cx\xd9\\\xdd\x94{\xc3" +
+	"\xcdc\xdc\xb5\x8c\xd2\xf5+\xc7t\x96:\x04L\x84\xff" +
+	"l\xb9\xbe\x89\xa0\xe1\x99\xdd\x19e\xd7MK\x8bn0" +
+	"-\x896\xa2\x8f\x82\xb6JE\xbd_\xf9\xbe\xc6kt" +
+	"\x989\xee\x04c\x12\x17\xfc\xeb\xc7\xf4E7\x1c\xd3c" +
+	"\xd51}\xee\xf7\x8f\xe9?\xb4\x87\x98P\xf2\xfb8k" +
+	"\xfc\x1c\x8e\x89\x0b\xce\xa1G\xb4\xab\xa8/\x10\xbd}r" +
+	">a\xb3U\xd4\x97\xd4o\x07jv\xd2\xf5\x11\xa8\xbe" +
+	"\xbc<\x1e\xce\x92\x930\x9c\x0e)\x95g\x13\xbcD\x1e" +
+	"\x1d\x16r\xf9^@\xf8m\xf2\xe8p+\xc7\xc310" +
+	"\x18\x1d\xbax.\x87\x05=\xa8\xb8u\x05]T\xdc{" +
+	"y\xa5\\/\xb6\x8aAS\xb7\x89\xdb\x17\xc4\xc8\x12k" +
+	"\xf4\xb9\xb2\x8bW\xca\x9db\xa4h\x8a\xfa\x15\xf79\xde" +
+	"~H\xa3C,\x18\x1d\x1e\x0aF\x84wQ\x99`\x9b" +
+	"4\xfe\x0ah\xbc]\x91ig\xcbE*H\x00A8" +
+	"\xab\x1a\x1e\xd4\xcf\x92co\xa9\xa1\x94\xf8\x9fk\xb5~" +
+	"\xb2b\xc9\xcb3s%t\xf2V\xa0\xbe\xf6\x8dz\xbc" +
+	"\x0b\x94\x0b\xb0\xd4\xc0\xb7U\xc9\x9e\xb7\xcb.\xae\xf5\x1f" +
+	"\x05\xf5\xd5\xd3d\x05\xcf\xe86\\@6\xce\xbb:\xac" +
+	"h\x0f3\xb3\x1f:\xeb\x1fT\xb7\xe9\xfec\x00\x00\x00" +
+	"\xff\xffc\x1a$\xe1"
 
 func RegisterSchema(reg *schemas.Registry) {
 	reg.Register(&schemas.Schema{
 		String: schema_b6d1f0c2a94e7713,
 		Nodes: []uint64{
-			0x8b5d7720dfa1789a,
+			0x84b2961c29d8cb6b,
 			0x8d3e0bdf9737e21c,
 			0x8effec5b38332260,
 			0x90700a6740e79035,
-			0x97fc46475e60615c,
-			0x9e5e19364738cba5,
-			0xa04a8ad731429d98,
+			0xa62a208fbbf45887,
 			0xaf2661214b3bf06d,
+			0xb3d8063f682db17b,
 			0xb42c3c3edf99c956,
+			0xbb45d1858555a9ed,
+			0xbcc38f647dcaccbe,
+			0xc81d8efb74e5bb58,
+			0xcd25e8c9641057ea,
 			0xce54af76591f9631,
-			0xd5c267a847744e91,
 			0xd9fae03e391d6f14,
 			0xdaf6804d8756c7f7,
-			0xe3d9a7603aa786c1,
+			0xe2d5b4ddeba3fb0a,
 			0xed99cffd90df0397,
 			0xf03a01c9fd323631,
-			0xf3ed227da4a6d163,
 			0xfafce02db6fb0628,
-			0xfcf37722b7e476b8,
 		},
 		Compressed: true,
 	})
--- a/internal/shared/wire/numbers.go
+++ b/internal/shared/wire/numbers.go
@@ -9,9 +9,9 @@
 
 // DiscardNonFinite takes infinite and undefined numbers out of a message that was received:
 // a demand then counts as not said, and times as 0.
-func DiscardNonFinite(m *Msg) {
-	if m.Beat != nil {
-		discardUnsoundDemand(&m.Beat.Demand, &m.Beat.HasDemand)
+func DiscardNonFinite(m *Message) {
+	if m.Heartbeat != nil {
+		discardUnsoundDemand(&m.Heartbeat.Demand, &m.Heartbeat.HasDemand)
 	}
 	if m.Push != nil {
 		discardFromTable(m.Push.Table)
@@ -20,11 +20,11 @@
 		return
 	}
 	discardFromTable(m.Pull.Table)
-	for i := range m.Pull.Seen {
-		seen := &m.Pull.Seen[i]
+	for i := range m.Pull.Stats {
+		seen := &m.Pull.Stats[i]
 		discardUnsoundDemand(&seen.Demand, &seen.HasDemand)
-		if !isFinite(seen.SumMs) {
-			seen.SumMs = 0
+		if !isFinite(seen.TotalMs) {
+			seen.TotalMs = 0
 		}
 	}
 }
--- a/internal/shared/wire/size.go
+++ b/internal/shared/wire/size.go
@@ -16,24 +16,24 @@
 
 // Bytes of each struct without what it points to, as the schema has them.
 var (
-	msgSize    = fixed(NewMsgC)
+	msgSize    = fixed(NewMessageC)
 	daemonSize = fixed(NewDaemonC)
 	helloSize  = fixed(NewHelloC)
 	voteSize   = fixed(NewVoteC)
 	entrySize  = fixed(NewEntryC)
 	memberSize = fixed(NewMemberC)
-	snapSize   = fixed(NewSnapC)
+	snapSize   = fixed(NewSnapshotC)
 	appendSize = fixed(NewAppendC)
-	pieceSize  = fixed(NewPieceC)
+	pieceSize  = fixed(NewChunkC)
 	targetSize = fixed(NewTargetC)
-	seenSize   = fixed(NewSeenC)
-	keySize    = fixed(NewKeyC)
-	gateSize   = fixed(NewGateC)
+	seenSize   = fixed(NewTargetStatsC)
+	keySize    = fixed(NewTableKeyC)
+	gateSize   = fixed(NewProxyC)
 	tableSize  = fixed(NewTableC)
-	idSize     = fixed(NewIdC)
+	idSize     = fixed(NewIdentityC)
 	pullSize   = fixed(NewPullC)
 	pushSize   = fixed(NewPushC)
-	askSize    = fixed(NewAskC)
+	askSize    = fixed(NewCallC)
 	batchSize  = fixed(NewBatchC)
 )
 
@@ -73,62 +73,62 @@
 	return tag + n*each
 }
 
-func (m *Msg) size() int {
+func (m *Message) size() int {
 	n := msgSize + textSize(m.From) + textSize(m.To)
 	if h := m.Hello; h != nil {
-		n += helloSize + h.Self.size() + listSize(len(h.Known), 0) + textSize(h.Leader) + dataSize(h.Legacy) +
-			membersSize(h.Members) + textsSize(h.Gone)
-		for i := range h.Known {
-			n += h.Known[i].size()
+		n += helloSize + h.Self.size() + listSize(len(h.Daemons), 0) + textSize(h.Leader) + dataSize(h.RecoveredState) +
+			membersSize(h.Members) + textsSize(h.LostMembers)
+		for i := range h.Daemons {
+			n += h.Daemons[i].size()
 		}
 	}
 	if m.Vote != nil {
 		n += voteSize
 	}
 	if a := m.Append; a != nil {
-		n += appendSize + entriesSize(a.Entries) + a.Piece.size()
+		n += appendSize + entriesSize(a.Entries) + a.Chunk.size()
 	}
 	if p := m.Pull; p != nil {
-		n += pullSize + p.Self.size() + keySize + listSize(len(p.Seen), seenSize) + p.Table.size()
-		for i := range p.Seen {
-			n += textSize(p.Seen[i].Service) + textSize(p.Seen[i].Name)
+		n += pullSize + p.Self.size() + keySize + listSize(len(p.Stats), seenSize) + p.Table.size()
+		for i := range p.Stats {
+			n += textSize(p.Stats[i].Service) + textSize(p.Stats[i].Name)
 		}
 	}
 	if p := m.Push; p != nil {
-		n += pushSize + keySize + p.Table.size() + idsSize(p.Probe)
+		n += pushSize + keySize + p.Table.size() + idsSize(p.ProbeTargets)
 	}
-	if m.Beat != nil {
-		n += m.Beat.size()
+	if m.Heartbeat != nil {
+		n += m.Heartbeat.size()
 	}
-	if a := m.Ask; a != nil {
+	if a := m.Call; a != nil {
 		n += askSize + textSize(a.Method) + textSize(a.Path) + textSize(a.Query) + dataSize(a.Body) + textSize(a.Token)
 	}
 	return n
 }
 
 func (b *Batch) size() int {
-	return batchSize + textSize(b.Vote) + entriesSize(b.Entries) + b.Snap.size() + dataSize(b.Legacy) +
+	return batchSize + textSize(b.Vote) + entriesSize(b.Entries) + b.Snapshot.size() + dataSize(b.RecoveredState) +
 		membersSize(b.Founders)
 }
 
 func (d *Daemon) size() int {
 	return daemonSize + textSize(d.Name) + textSize(string(d.Kind)) + textSize(d.Domain) + textSize(d.Addr) +
-		textSize(d.Http) + textSize(d.State)
+		textSize(d.HTTP) + textSize(d.State)
 }
 
 func (t *Target) size() int {
 	return targetSize + textSize(t.Service) + textSize(t.Name) + textSize(t.Addr) + textSize(t.Domain) +
-		textSize(t.State) + textSize(t.BarWhy)
+		textSize(t.State) + textSize(t.EjectedBy)
 }
 
-func (p *Piece) size() int {
+func (p *Chunk) size() int {
 	if p == nil {
 		return 0
 	}
 	return pieceSize + membersSize(p.Members) + dataSize(p.Data)
 }
 
-func (s *Snap) size() int {
+func (s *Snapshot) size() int {
 	if s == nil {
 		return 0
 	}
@@ -147,10 +147,10 @@
 	if t == nil {
 		return 0
 	}
-	n := tableSize + keySize + dataSize(t.Doc) + dataSize(t.State) + listSize(len(t.Gates), gateSize) +
-		textsSize(t.Emptied) + listSize(len(t.Targets), 0) + textsSize(t.Was) + keySize + idsSize(t.Gone)
-	for i := range t.Gates {
-		n += textSize(t.Gates[i].Name) + textSize(t.Gates[i].Addr) + textSize(t.Gates[i].Domain)
+	n := tableSize + keySize + dataSize(t.Document) + dataSize(t.State) + listSize(len(t.Proxies), gateSize) +
+		textsSize(t.EmptiedDomains) + listSize(len(t.Targets), 0) + textsSize(t.PreviousProxies) + keySize + idsSize(t.RemovedTargets)
+	for i := range t.Proxies {
+		n += textSize(t.Proxies[i].Name) + textSize(t.Proxies[i].Addr) + textSize(t.Proxies[i].Domain)
 	}
 	for i := range t.Targets {
 		n += t.Targets[i].size()
--- a/internal/shared/wire/table.go
+++ b/internal/shared/wire/table.go
@@ -19,11 +19,11 @@
 // PackTable encodes a table once. The encoder writes a push's table last and as one piece, and
 // Cap'n Proto's pointers count from where they stand, so the piece is the same in each message.
 func PackTable(t *Table) (*PackedTable, error) {
-	whole, err := Encode(&Msg{Push: &Push{Table: t}})
+	whole, err := Encode(&Message{Push: &Push{Table: t}})
 	if err != nil {
 		return nil, err
 	}
-	head, err := pushHead(&Msg{Push: &Push{}})
+	head, err := pushHead(&Message{Push: &Push{}})
 	if err != nil {
 		return nil, err
 	}
@@ -32,7 +32,7 @@
 }
 
 // pushHead is a push up to where its table begins.
-func pushHead(m *Msg) ([]byte, error) {
+func pushHead(m *Message) ([]byte, error) {
 	c, p := *m, *m.Push
 	p.Table, c.Push = &Table{}, &p
 	b, err := Encode(&c)
@@ -44,12 +44,12 @@
 
 // carriesPacked says whether a message can be written with a packed table in the place of its own:
 // one that asks for probes has those after the table.
-func carriesPacked(m *Msg) bool {
-	return m.Push != nil && m.Push.Table != nil && len(m.Push.Probe) == 0
+func carriesPacked(m *Message) bool {
+	return m.Push != nil && m.Push.Table != nil && len(m.Push.ProbeTargets) == 0
 }
 
 // PutPacked writes a push whose table is already packed, and says how many bytes it took.
-func (w *Writer) PutPacked(m *Msg, t *PackedTable) (size int, err error) {
+func (w *Writer) PutPacked(m *Message, t *PackedTable) (size int, err error) {
 	if t == nil || !carriesPacked(m) {
 		return w.Put(m)
 	}
--- a/internal/shared/wire/table_test.go
+++ b/internal/shared/wire/table_test.go
@@ -8,12 +8,12 @@
 )
 
 func fleetTable(proxies, targets int) *Table {
-	t := &Table{Key: Key{1, 2, 3}, Seq: 9, Revision: 4, Doc: bytes.Repeat([]byte("document"), 40), State: []byte("state"), Emptied: []string{"d1"}, Was: []string{"g0"}}
+	t := &Table{Key: TableKey{1, 2, 3}, StateIndex: 9, Revision: 4, Document: bytes.Repeat([]byte("document"), 40), State: []byte("state"), EmptiedDomains: []string{"d1"}, PreviousProxies: []string{"g0"}}
 	for i := range proxies {
-		t.Gates = append(t.Gates, Gate{Name: fmt.Sprint("g", i), Addr: fmt.Sprintf("10.1.0.%d:7760", i), Domain: "d1", Live: i%2 == 0})
+		t.Proxies = append(t.Proxies, Proxy{Name: fmt.Sprint("g", i), Addr: fmt.Sprintf("10.1.0.%d:7760", i), Domain: "d1", Live: i%2 == 0})
 	}
 	for i := range targets {
-		t.Targets = append(t.Targets, Target{Service: "s", Name: fmt.Sprint("i-", i), Inc: 1, Addr: fmt.Sprintf("10.2.0.%d:8286", i), State: "ready", Slots: 6, Turn: uint32(i)})
+		t.Targets = append(t.Targets, Target{Service: "s", Name: fmt.Sprint("i-", i), Incarnation: 1, Addr: fmt.Sprintf("10.2.0.%d:8286", i), State: "ready", Slots: 6, ShareOffset: uint32(i)})
 	}
 	return t
 }
@@ -21,7 +21,7 @@
 // A push with a packed table is read as the same message as one that is written whole, whoever it
 // is from and whatever stands in it beside.
 func TestPackedTableIsTheSameMessage(t *testing.T) {
-	change := &Table{Key: Key{1, 2, 4}, Base: Key{1, 2, 3}, Gone: []ID{{Service: "s", Name: "i-1", Inc: 1}}}
+	change := &Table{Key: TableKey{1, 2, 4}, DeltaBase: TableKey{1, 2, 3}, RemovedTargets: []ID{{Service: "s", Name: "i-1", Incarnation: 1}}}
 	for _, table := range []*Table{{}, change, fleetTable(3, 0), fleetTable(0, 7), fleetTable(64, 307)} {
 		packed, err := PackTable(table)
 		if err != nil {
@@ -29,9 +29,9 @@
 		}
 		var whole, pieces bytes.Buffer
 		a, b := NewWriter(&whole), NewWriter(&pieces)
-		for i, p := range []Push{{Grant: true, Key: table.Key}, {Want: true}, {Probe: []ID{{Service: "s", Name: "x", Inc: 2}}}, {}} {
+		for i, p := range []Push{{LeaseGranted: true, Key: table.Key}, {WantTable: true}, {ProbeTargets: []ID{{Service: "s", Name: "x", Incarnation: 2}}}, {}} {
 			p.Table = table
-			m := &Msg{Kind: uint16(KPush), From: "c1", To: "g1", Disk: 7, Epoch: 1, Term: 2, Stamp: int64(i), Push: &p}
+			m := &Message{Kind: KindPush, From: "c1", To: "g1", Disk: 7, Epoch: 1, Term: 2, Timestamp: int64(i), Push: &p}
 			n, err := a.Put(m)
 			if err != nil {
 				t.Fatal(err)
@@ -56,7 +56,7 @@
 	}
 }
 
-func next(t *testing.T, r *Reader) *Msg {
+func next(t *testing.T, r *Reader) *Message {
 	t.Helper()
 	b, err := r.Next()
 	if err != nil {
@@ -72,7 +72,7 @@
 // BenchmarkTable writes a table of a large fleet to one proxy: anew, and packed once for all.
 func BenchmarkTable(b *testing.B) {
 	table := fleetTable(64, 307)
-	m := &Msg{Kind: uint16(KPush), From: "c1", Stamp: 7, Push: &Push{Grant: true, Table: table}}
+	m := &Message{Kind: KindPush, From: "c1", Timestamp: 7, Push: &Push{LeaseGranted: true, Table: table}}
 	var sink bytes.Buffer
 	b.Run("anew", func(b *testing.B) {
 		w := NewWriter(&sink)
--- a/internal/shared/wire/wire.go
+++ b/internal/shared/wire/wire.go
@@ -11,36 +11,36 @@
 
 // The kinds of messages.
 const (
-	KHello  Kind = iota + 1 // discovery: who is there and who leads
-	KVote                   // election: a request for a vote, or the answer
-	KAppend                 // replication: heartbeat and log entries, or the answer
-	KPull                   // a proxy asks for its table and lease
-	KPush                   // the answer to a pull
-	KBeat                   // a target's heartbeat, passed on by a proxy
-	KAsk                    // a call to the leader that another member passes on, or the answer
+	KindHello     Kind = iota + 1 // discovery: who is there and who leads
+	KindVote                      // election: a request for a vote, or the answer
+	KindAppend                    // replication: heartbeat and log entries, or the answer
+	KindPull                      // a proxy asks for its table and lease
+	KindPush                      // the answer to a pull
+	KindHeartbeat                 // a target's heartbeat, passed on by a proxy
+	KindCall                      // a call to the leader that another member passes on, or the answer
 )
 
 // kindNames are the names of the kinds of messages, for reports.
-var kindNames = map[Kind]string{KHello: "hello", KVote: "vote", KAppend: "append", KPull: "pull", KPush: "push", KBeat: "beat", KAsk: "ask"}
+var kindNames = map[Kind]string{KindHello: "hello", KindVote: "vote", KindAppend: "append", KindPull: "pull", KindPush: "push", KindHeartbeat: "beat", KindCall: "ask"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Msg is one message between daemons. Exactly the part of its Kind is set.
-type Msg struct {
-	Kind   uint16 // a Kind
-	From   string // the sender's name
-	To     string // the receiver's name; not sent, since a connection has one receiver
-	Disk   uint64 // the sender's disk (a member), or the incarnation of the proxy that a pull or its answer is of
-	Epoch  uint64 // how often the core was founded, as the sender knows it
-	Term   uint64 // the sender's election term
-	Stamp  int64  // the sender's clock in ns, which an answer repeats
-	Hello  *Hello
-	Vote   *Vote
-	Append *Append
-	Pull   *Pull
-	Push   *Push
-	Beat   *Target
-	Ask    *Ask
+// Message is one message between daemons. Exactly the part of its Kind is set.
+type Message struct {
+	Kind      Kind
+	From      string // the sender's name
+	To        string // the receiver's name; not sent, since a connection has one receiver
+	Disk      uint64 // the sender's disk (a member), or the incarnation of the proxy that a pull or its answer is of
+	Epoch     uint64 // how often the core was founded, as the sender knows it
+	Term      uint64 // the sender's election term
+	Timestamp int64  // the sender's clock in ns, which an answer repeats
+	Hello     *Hello
+	Vote      *Vote
+	Append    *Append
+	Pull      *Pull
+	Push      *Push
+	Heartbeat *Target
+	Call      *Call
 }
 
 // DaemonKind says which of the two daemons one is. The texts stand on the wire, in stored data, in
@@ -55,49 +55,49 @@
 
 // Daemon is what a control daemon or a proxy says of itself.
 type Daemon struct {
-	Name   string     `json:"name"`
-	Kind   DaemonKind `json:"kind"`
-	Domain string     `json:"domain"` // failure domain (zone)
-	Addr   string     `json:"addr"`   // IP:port for messages between daemons
-	Http   string     `json:"http"`   // IP:port of its HTTP API
-	Inc    uint64     `json:"incarnation"`
-	Disk   uint64     `json:"-"` // the number of its disk; 0 for a proxy
-	Epoch  uint64     `json:"epoch"`
-	Lock   uint64     `json:"-"` // the bootstrap offer that its disk is bound to, 0: none
-	Ready  bool       `json:"ready"`
-	State  string     `json:"state"`
-	Offer  uint64     `json:"-"` // the bootstrap offer that it sees, a hash of the founders
+	Name           string     `json:"name"`
+	Kind           DaemonKind `json:"kind"`
+	Domain         string     `json:"domain"`            // failure domain (zone)
+	Addr           string     `json:"addr"`              // IP:port for messages between daemons
+	HTTP           string     `json:"http" capnp:"http"` // IP:port of its HTTP API
+	Incarnation    uint64     `json:"incarnation"`
+	Disk           uint64     `json:"-"` // the number of its disk; 0 for a proxy
+	Epoch          uint64     `json:"epoch"`
+	BootstrapLock  uint64     `json:"-"` // the bootstrap offer that its disk is bound to, 0: none
+	Ready          bool       `json:"ready"`
+	State          string     `json:"state"`
+	BootstrapOffer uint64     `json:"-"` // the bootstrap offer that it sees, a hash of the founders
 }
 
 // Hello is discovery: each daemon tells the others of itself and of whom it knows.
 type Hello struct {
-	Self   Daemon
-	Known  []Daemon
-	Reply  bool
-	Leader string // the leader's name, "": none is known
-	Term   uint64 // the leader's term
-	Legacy []byte // state that is remembered for disaster recovery, compressed if it is long
+	Self           Daemon
+	Daemons        []Daemon
+	Reply          bool
+	Leader         string // the leader's name, "": none is known
+	Term           uint64 // the leader's term
+	RecoveredState []byte // state that is remembered for disaster recovery, compressed if it is long
 	// Members are the latest list that the sender knows, as of an epoch and an index in its log.
 	Members      []Member
 	MembersEpoch uint64
 	MembersIndex uint64
-	// Founding is the epoch that the sender's lock stands for. Gone and Refound are an operator's
+	// BootstrapEpoch is the epoch that the sender's lock stands for. Gone and Refound are an operator's
 	// consent to a disaster recovery: the members whose disks are lost, and that it may begin.
-	Founding uint64
-	Gone     []string
-	Refound  bool
+	BootstrapEpoch  uint64
+	LostMembers     []string
+	RecoveryConsent bool
 }
 
 // Vote is a request for a vote, or the answer to one.
 type Vote struct {
-	Pre       bool // a pre-vote, which changes nobody's term
+	PreVote   bool // a pre-vote, which changes nobody's term
 	Reply     bool
 	Granted   bool
 	LastIndex uint64 // of the candidate's last log entry
 	LastTerm  uint64
 	Transfer  bool // the leader has asked the candidate to take over, so members don't wait for it
-	All       bool // the candidate leads only with the votes of all members, and need not wait then
-	Alone     bool // in an answer: this member hears no leader
+	Unanimous bool // the candidate leads only with the votes of all members, and need not wait then
+	NoLeader  bool // in an answer: this member hears no leader
 }
 
 // Entry is one entry of the replicated log.
@@ -114,8 +114,8 @@
 	Disk uint64 `json:"disk"`
 }
 
-// Snap is a snapshot: the state after the log's entry Index, in place of all entries up to it.
-type Snap struct {
+// Snapshot is a snapshot: the state after the log's entry Index, in place of all entries up to it.
+type Snapshot struct {
 	Index   uint64
 	Term    uint64 // of the entry Index
 	Members []Member
@@ -125,104 +125,104 @@
 // Append is a leader's heartbeat with the log entries or the snapshot that a member lacks, or the
 // answer to one.
 type Append struct {
-	Reply     bool
-	Ok        bool   // in an answer: the entries were taken
-	PrevIndex uint64 // the entry before Entries, which the member must have
-	PrevTerm  uint64
-	Commit    uint64 // up to which index entries are committed
-	Match     uint64 // in an answer: up to which index the member's log equals the leader's
-	Entries   []Entry
-	Piece     *Piece
+	Reply      bool
+	Success    bool   // in an answer: the entries were taken
+	PrevIndex  uint64 // the entry before Entries, which the member must have
+	PrevTerm   uint64
+	Commit     uint64 // up to which index entries are committed
+	MatchIndex uint64 // in an answer: up to which index the member's log equals the leader's
+	Entries    []Entry
+	Chunk      *Chunk
 }
 
-// Piece is a part of a snapshot, or of one log entry that is too large for one message. In a
+// Chunk is a part of a snapshot, or of one log entry that is too large for one message. In a
 // reply it says how much of it the receiver holds: Offset bytes, without Data.
-type Piece struct {
-	Entry   bool // of a log entry, else of a snapshot
-	Index   uint64
-	Term    uint64
-	Kind    uint16   // of the entry
-	Members []Member // of the snapshot
-	Size    uint64   // of the whole, in bytes
-	Sum     uint64   // of the whole: FNV-1a, 64 bits
-	Offset  uint64   // of Data in the whole, in bytes
-	Data    []byte
+type Chunk struct {
+	IsEntry  bool // of a log entry, else of a snapshot
+	Index    uint64
+	Term     uint64
+	Kind     uint16   // of the entry
+	Members  []Member // of the snapshot
+	Size     uint64   // of the whole, in bytes
+	Checksum uint64   // of the whole: FNV-1a, 64 bits
+	Offset   uint64   // of Data in the whole, in bytes
+	Data     []byte
 }
 
 // BeginsSnapshot says that this is a snapshot's first piece.
-func (p *Piece) BeginsSnapshot() bool { return p != nil && !p.Entry && p.Offset == 0 }
+func (p *Chunk) BeginsSnapshot() bool { return p != nil && !p.IsEntry && p.Offset == 0 }
 
 // Target is a back end as the daemons know it; its identity is the first four
 // fields. Held (draining), BarLeft (ejection) and Pending are decisions and travel in tables only.
 type Target struct {
-	Service   string  `json:"service"`
-	Name      string  `json:"name"`
-	Inc       uint64  `json:"incarnation"`
-	Addr      string  `json:"address"`
-	Domain    string  `json:"domain,omitempty"`
-	State     string  `json:"state"`
-	Demand    float64 `json:"demand,omitempty"`
-	HasDemand bool    `json:"-"`
-	Held      bool    `json:"held"`                   // gets no new requests until a policy clears it
-	BarLeft   int64   `json:"bar_left_ns,omitempty"`  // of its ejection
-	BarWhy    string  `json:"bar_why,omitempty"`      // the policy that ejected it
-	Pending   bool    `json:"pending,omitempty"`      // gets no requests until it is confirmed
-	Beating   bool    `json:"beating"`                // its heartbeats arrive
-	Turn      uint32  `json:"-"`                      // its place where caps are split among proxies
-	Slots     uint32  `json:"slots,omitempty"`        // requests that it works on at once, 0: not said
-	ColdLeft  int64   `json:"cold_left_ns,omitempty"` // how much longer it bears only its service's cold rate
-	Number    uint64  `json:"number,omitempty"`       // its heartbeat's number, which rises with each; 0: not numbered
+	Service      string  `json:"service"`
+	Name         string  `json:"name"`
+	Incarnation  uint64  `json:"incarnation"`
+	Addr         string  `json:"address"`
+	Domain       string  `json:"domain,omitempty"`
+	State        string  `json:"state"`
+	Demand       float64 `json:"demand,omitempty"`
+	HasDemand    bool    `json:"-"`
+	Draining     bool    `json:"held"`                   // gets no new requests until a policy clears it
+	EjectionLeft int64   `json:"bar_left_ns,omitempty"`  // of its ejection
+	EjectedBy    string  `json:"bar_why,omitempty"`      // the policy that ejected it
+	Pending      bool    `json:"pending,omitempty"`      // gets no requests until it is confirmed
+	Heartbeating bool    `json:"beating"`                // its heartbeats arrive
+	ShareOffset  uint32  `json:"-"`                      // its place where caps are split among proxies
+	Slots        uint32  `json:"slots,omitempty"`        // requests that it works on at once, 0: not said
+	WarmupLeft   int64   `json:"cold_left_ns,omitempty"` // how much longer it bears only its service's cold rate
+	Number       uint64  `json:"number,omitempty"`       // its heartbeat's number, which rises with each; 0: not numbered
 }
 
 // ID is a target's identity; a restarted target has a higher incarnation.
 type ID struct {
 	Service, Name string
-	Inc           uint64
+	Incarnation   uint64
 }
 
 // Compare orders identities, so that owners go through targets the same way in every run.
 func (a ID) Compare(b ID) int {
-	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Name, b.Name), cmp.Compare(a.Inc, b.Inc))
+	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
 // ID returns the target's identity.
-func (t *Target) ID() ID { return ID{t.Service, t.Name, t.Inc} }
+func (t *Target) ID() ID { return ID{t.Service, t.Name, t.Incarnation} }
 
-// Seen is what one proxy saw of one target since its last report: requests by outcome.
-type Seen struct {
-	Service   string
-	Name      string
-	Inc       uint64
-	Ok        uint32
-	Errors    uint32
-	SumMs     float64 // time of all its answers together, in ms
-	Demand    float64
-	HasDemand bool
-	Slow      uint32
-	NotRun    uint32 // rejected by the target itself, which says that it did not run them
-	Alive     bool   // it answered an indirect probe as itself
+// TargetStats is what one proxy saw of one target since its last report: requests by outcome.
+type TargetStats struct {
+	Service       string
+	Name          string
+	Incarnation   uint64
+	Successes     uint32
+	Errors        uint32
+	TotalMs       float64 // time of all its answers together, in ms
+	Demand        float64
+	HasDemand     bool
+	Slow          uint32
+	Rejected      uint32 // rejected by the target itself, which says that it did not run them
+	ProbeAnswered bool   // it answered an indirect probe as itself
 }
 
-// Key orders tables: a later epoch, then term, then number, wins.
-type Key struct {
-	Epoch uint64
-	Term  uint64
-	Ver   uint64 // the table's number within the term
+// TableKey orders tables: a later epoch, then term, then number, wins.
+type TableKey struct {
+	Epoch   uint64
+	Term    uint64
+	Version uint64 `json:"Ver"` // the table's number within the term
 }
 
 // Less reports whether k stands for an earlier table than o.
-func (k Key) Less(o Key) bool {
+func (k TableKey) Less(o TableKey) bool {
 	if k.Epoch != o.Epoch {
 		return k.Epoch < o.Epoch
 	}
 	if k.Term != o.Term {
 		return k.Term < o.Term
 	}
-	return k.Ver < o.Ver
+	return k.Version < o.Version
 }
 
-// Gate is a proxy as a table names it. Live ones have their share of each target's cap.
-type Gate struct {
+// Proxy is a proxy as a table names it. Live ones have their share of each target's cap.
+type Proxy struct {
 	Name   string
 	Addr   string
 	Domain string
@@ -231,73 +231,73 @@
 
 // Table is all that a proxy chooses targets from, as the leader made it, whole or as changes.
 type Table struct {
-	Key      Key
-	Seq      uint64 // of the durable state that it is made from
-	Revision uint64 // of the configuration
-	Doc      []byte // compressed, if it is long
-	State    []byte
-	Gates    []Gate
-	Emptied  []string // domains that get no new requests
-	Targets  []Target
-	Was      []string // proxies of the roster before, while this one is not in force everywhere
-	// Base makes it a change to any table of its term from that one on: Targets are those that are
+	Key             TableKey
+	StateIndex      uint64 // of the durable state that it is made from
+	Revision        uint64 // of the configuration
+	Document        []byte // compressed, if it is long
+	State           []byte
+	Proxies         []Proxy
+	EmptiedDomains  []string // domains that get no new requests
+	Targets         []Target
+	PreviousProxies []string // proxies of the roster before, while this one is not in force everywhere
+	// DeltaBase makes it a change to any table of its term from that one on: Targets are those that are
 	// new or said otherwise since then, Gone those that went, and no Gates means the same ones.
-	Base Key
-	Gone []ID
+	DeltaBase      TableKey
+	RemovedTargets []ID
 }
 
 // Pull is a proxy's request for its table and lease, with what it has and what it saw of targets.
 // Proxies without a leader send it to each other for peer leases.
 type Pull struct {
 	Self  Daemon // without a name: as it was last said; Msg.Disk tells the process
-	Key   Key
-	Seen  []Seen
+	Key   TableKey
+	Stats []TargetStats
 	Table *Table
 	// Revision and Seq are those of the document and state held here: a table that has the same comes without.
-	Revision uint64
-	Seq      uint64
-	// Want asks a peer for what it holds against targets, or for its table if that is later.
-	Want bool
+	Revision   uint64
+	StateIndex uint64
+	// WantTable asks a peer for what it holds against targets, or for its table if that is later.
+	WantTable bool
 }
 
 // Push is the answer to a Pull.
 type Push struct {
-	Grant bool // the proxy has its lease, counted from when it sent the pull
-	Want  bool // the sender wants the proxy's table in its next pull
-	Key   Key  // the sender's latest table
-	Table *Table
-	Probe []ID // targets that the proxy is to probe in the leader's place: indirect probes
+	LeaseGranted bool     // the proxy has its lease, counted from when it sent the pull
+	WantTable    bool     // the sender wants the proxy's table in its next pull
+	Key          TableKey // the sender's latest table
+	Table        *Table
+	ProbeTargets []ID // targets that the proxy is to probe in the leader's place: indirect probes
 }
 
-// Ask is an operator's or a target's HTTP call that a member passes on to the leader, or the answer.
-type Ask struct {
-	Id      uint64 // matches the answer to the call
-	Reply   bool
-	Method  string
-	Path    string
-	Query   string
-	Body    []byte
-	Status  uint16 // in an answer: the HTTP status
-	RetryMs uint32 // in an answer: when to try again, 0: not said
-	Token   string // names the change, so that it is made once however often it is sent
+// Call is an operator's or a target's HTTP call that a member passes on to the leader, or the answer.
+type Call struct {
+	ID           uint64 `capnp:"id"` // matches the answer to the call
+	Reply        bool
+	Method       string
+	Path         string
+	Query        string
+	Body         []byte
+	Status       uint16 // in an answer: the HTTP status
+	RetryAfterMs uint32 // in an answer: when to try again, 0: not said
+	Token        string // names the change, so that it is made once however often it is sent
 }
 
 // Batch is what a member's disk takes in one piece, synced as a whole before
 // anything that depends on it leaves the process. Fields that are not set change nothing.
 type Batch struct {
-	Seq     uint64
-	Fresh   bool // it replaces all before it
-	Epoch   uint64
-	Disk    uint64 // the disk's own number
-	Hard    bool   // Term and Vote are set
-	Term    uint64
-	Vote    string // for whom the member voted in Term
-	Cut     uint64 // log entries from this index on are dropped before Entries are added, 0: none
-	Entries []Entry
-	Snap    *Snap
-	Lock    uint64 // the bootstrap offer that the disk is bound to
-	Legacy  []byte // state that is remembered for disaster recovery
+	Seq            uint64
+	Reset          bool // it replaces all before it
+	Epoch          uint64
+	Disk           uint64 // the disk's own number
+	HasHardState   bool   // Term and Vote are set
+	Term           uint64
+	Vote           string // for whom the member voted in Term
+	TruncateFrom   uint64 // log entries from this index on are dropped before Entries are added, 0: none
+	Entries        []Entry
+	Snapshot       *Snapshot
+	BootstrapLock  uint64 // the bootstrap offer that the disk is bound to
+	RecoveredState []byte // state that is remembered for disaster recovery
 	// Founders and Founding are the members and the epoch that Lock stands for.
-	Founders []Member
-	Founding uint64
+	Founders       []Member
+	BootstrapEpoch uint64
 }
--- a/internal/shared/wire/wire_test.go
+++ b/internal/shared/wire/wire_test.go
@@ -15,11 +15,11 @@
 )
 
 func TestRoundTrip(t *testing.T) {
-	m := &Msg{Kind: uint16(KPush), From: "a", To: "b", Disk: 7, Epoch: 1, Term: 2, Stamp: -3,
-		Push: &Push{Grant: true, Key: Key{1, 2, 3}, Probe: []ID{{"s", "a", 1}, {"s", "b", 2}}, Table: &Table{Key: Key{1, 2, 3}, Doc: []byte("{}"),
-			State: []byte{1}, Gates: []Gate{{"g", "x", "d", true}}, Emptied: []string{"d1", "d2"},
-			Targets: []Target{{Service: "s", Name: "n", Inc: 9, Demand: 0.5, Held: true, BarLeft: 5}}}},
-		Append: &Append{Entries: []Entry{{1, 2, 3, []byte("x")}}, Piece: &Piece{Entry: true, Index: 4, Term: 3, Kind: 2, Members: []Member{{"a", 1}}, Size: 9, Sum: 8, Offset: 7, Data: []byte("q")}}}
+	m := &Message{Kind: KindPush, From: "a", To: "b", Disk: 7, Epoch: 1, Term: 2, Timestamp: -3,
+		Push: &Push{LeaseGranted: true, Key: TableKey{1, 2, 3}, ProbeTargets: []ID{{"s", "a", 1}, {"s", "b", 2}}, Table: &Table{Key: TableKey{1, 2, 3}, Document: []byte("{}"),
+			State: []byte{1}, Proxies: []Proxy{{"g", "x", "d", true}}, EmptiedDomains: []string{"d1", "d2"},
+			Targets: []Target{{Service: "s", Name: "n", Incarnation: 9, Demand: 0.5, Draining: true, EjectionLeft: 5}}}},
+		Append: &Append{Entries: []Entry{{1, 2, 3, []byte("x")}}, Chunk: &Chunk{IsEntry: true, Index: 4, Term: 3, Kind: 2, Members: []Member{{"a", 1}}, Size: 9, Checksum: 8, Offset: 7, Data: []byte("q")}}}
 	var buf bytes.Buffer
 	w, r := NewWriter(&buf), NewReader(&buf)
 	for i, from := range []string{"a", "", "c"} { // whom it is for goes unsaid, who says it is said when that is new
@@ -69,10 +69,10 @@
 
 // What each proxy and its leader say at rest stays small.
 func TestAtRestLittleIsSaid(t *testing.T) {
-	k := Key{3, 41, 51234}
-	for name, m := range map[string]*Msg{
-		"pull": {Kind: uint16(KPull), From: "proxy-in-a-domain-17", Epoch: 3, Disk: 0x1234567890abcdef, Stamp: 123456789012, Pull: &Pull{Key: k, Revision: 12, Seq: 301}},
-		"push": {Kind: uint16(KPush), From: "core-in-a-domain-2", Epoch: 3, Term: 41, Disk: 0x1234567890abcdef, Stamp: 123456789012, Push: &Push{Grant: true, Key: k}},
+	k := TableKey{3, 41, 51234}
+	for name, m := range map[string]*Message{
+		"pull": {Kind: KindPull, From: "proxy-in-a-domain-17", Epoch: 3, Disk: 0x1234567890abcdef, Timestamp: 123456789012, Pull: &Pull{Key: k, Revision: 12, StateIndex: 301}},
+		"push": {Kind: KindPush, From: "core-in-a-domain-2", Epoch: 3, Term: 41, Disk: 0x1234567890abcdef, Timestamp: 123456789012, Push: &Push{LeaseGranted: true, Key: k}},
 	} {
 		var buf bytes.Buffer
 		w := NewWriter(&buf)
@@ -214,9 +214,9 @@
 	return fmt.Sprintf("%s %v", b, err)
 }
 
-func msgCarried(t fataler, m *Msg) {
+func msgCarried(t fataler, m *Message) {
 	t.Helper()
-	carried(t, m, m.size(), MsgC_TypeID, NewRootMsgC, Encode, Decode)
+	carried(t, m, m.size(), MessageC_TypeID, NewRootMessageC, Encode, Decode)
 }
 
 func batchCarried(t fataler, b *Batch) {
@@ -228,7 +228,7 @@
 	cfg := rapid.MakeConfig{Types: map[reflect.Type]*rapid.Generator[any]{
 		reflect.TypeFor[[]byte](): rapid.OneOf(rapid.Just([]byte(nil)), rapid.SliceOf(rapid.Byte())).AsAny(),
 	}}
-	msgs, batches := rapid.MakeCustom[*Msg](cfg), rapid.MakeCustom[*Batch](cfg)
+	msgs, batches := rapid.MakeCustom[*Message](cfg), rapid.MakeCustom[*Batch](cfg)
 	t.Run("msg", rapid.MakeCheck(func(t *rapid.T) {
 		if m := msgs.Draw(t, "msg"); m != nil {
 			msgCarried(t, m)
@@ -276,12 +276,12 @@
 
 func TestEveryFieldIsCarried(t *testing.T) {
 	n := 0
-	m, b := &Msg{}, &Batch{}
+	m, b := &Message{}, &Batch{}
 	fill(t, reflect.ValueOf(m).Elem(), &n)
 	fill(t, reflect.ValueOf(b).Elem(), &n)
 	msgCarried(t, m)
 	batchCarried(t, b)
-	msgCarried(t, &Msg{})
+	msgCarried(t, &Message{})
 	batchCarried(t, &Batch{})
 }
 
@@ -289,7 +289,7 @@
 func TestEveryBoolIsCarriedAlone(t *testing.T) {
 	for k := 0; ; k++ {
 		n, at := 0, 0
-		m, b := &Msg{}, &Batch{}
+		m, b := &Message{}, &Batch{}
 		fill(t, reflect.ValueOf(m).Elem(), &n)
 		fill(t, reflect.ValueOf(b).Elem(), &n)
 		only(reflect.ValueOf(m).Elem(), k, &at)
@@ -323,21 +323,21 @@
 func TestLongListsAreCarried(t *testing.T) {
 	const n = 5000
 	m, p := tableOf(n), pullOf(n)
-	h := &Msg{Hello: &Hello{}}
-	b := &Batch{Snap: &Snap{}}
+	h := &Message{Hello: &Hello{}}
+	b := &Batch{Snapshot: &Snapshot{}}
 	for i := range n {
 		name := fmt.Sprint("name-", i)
-		h.Hello.Known = append(h.Hello.Known, Daemon{Name: name, State: fmt.Sprint(i % 50), Inc: uint64(i)})
+		h.Hello.Daemons = append(h.Hello.Daemons, Daemon{Name: name, State: fmt.Sprint(i % 50), Incarnation: uint64(i)})
 		h.Hello.Members = append(h.Hello.Members, Member{name, uint64(i)})
-		h.Hello.Gone = append(h.Hello.Gone, name)
+		h.Hello.LostMembers = append(h.Hello.LostMembers, name)
 		b.Entries = append(b.Entries, Entry{uint64(i), 2, 3, []byte(name)[:i%len(name)]})
-		b.Snap.Members = append(b.Snap.Members, Member{name, 0})
-		m.Push.Table.Gates = append(m.Push.Table.Gates, Gate{Name: name})
-		m.Push.Table.Emptied = append(m.Push.Table.Emptied, name)
-		m.Push.Table.Was = append(m.Push.Table.Was, name)
+		b.Snapshot.Members = append(b.Snapshot.Members, Member{name, 0})
+		m.Push.Table.Proxies = append(m.Push.Table.Proxies, Proxy{Name: name})
+		m.Push.Table.EmptiedDomains = append(m.Push.Table.EmptiedDomains, name)
+		m.Push.Table.PreviousProxies = append(m.Push.Table.PreviousProxies, name)
 	}
-	p.Append = &Append{Entries: b.Entries, Piece: &Piece{Members: b.Snap.Members, Data: []byte(fmt.Sprint(n))}}
-	for _, m := range []*Msg{m, p, h} {
+	p.Append = &Append{Entries: b.Entries, Chunk: &Chunk{Members: b.Snapshot.Members, Data: []byte(fmt.Sprint(n))}}
+	for _, m := range []*Message{m, p, h} {
 		msgCarried(t, m)
 	}
 	batchCarried(t, b)
@@ -345,7 +345,7 @@
 
 func TestOddNumbersAreCarried(t *testing.T) {
 	for _, x := range []float64{math.Inf(1), math.Inf(-1), math.MaxFloat64, math.Copysign(0, -1)} {
-		msgCarried(t, &Msg{Stamp: math.MinInt64, Disk: math.MaxUint64, Beat: &Target{Demand: x, BarLeft: math.MinInt64}})
+		msgCarried(t, &Message{Timestamp: math.MinInt64, Disk: math.MaxUint64, Heartbeat: &Target{Demand: x, EjectionLeft: math.MinInt64}})
 	}
 }
 
@@ -354,7 +354,7 @@
 // liar is a hello whose list of daemons claims as many elements as a list can have, and takes no room.
 func liar(t fataler) []byte {
 	cm, seg := capnp.NewSingleSegmentMessage(nil)
-	c, err := NewRootMsgC(seg)
+	c, err := NewRootMessageC(seg)
 	must(t, err)
 	h, err := c.NewHello()
 	must(t, err)
@@ -367,7 +367,7 @@
 // knot is a table whose two lists of names, and all the names in them, are one.
 func knot(t fataler) []byte {
 	cm, seg := capnp.NewSingleSegmentMessage(nil)
-	c, err := NewRootMsgC(seg)
+	c, err := NewRootMessageC(seg)
 	must(t, err)
 	p, err := c.NewPush()
 	must(t, err)
@@ -380,8 +380,8 @@
 	for i := range l.Len() {
 		must(t, l.Set(i, s.ToPtr()))
 	}
-	must(t, tab.SetEmptied(capnp.TextList(l)))
-	must(t, tab.SetWas(capnp.TextList(l)))
+	must(t, tab.SetEmptiedDomains(capnp.TextList(l)))
+	must(t, tab.SetPreviousProxies(capnp.TextList(l)))
 	b, err := cm.Marshal()
 	must(t, err)
 	return b
@@ -400,10 +400,10 @@
 
 func FuzzDecode(f *testing.F) {
 	n := 0
-	m, b := &Msg{}, &Batch{}
+	m, b := &Message{}, &Batch{}
 	fill(f, reflect.ValueOf(m).Elem(), &n)
 	fill(f, reflect.ValueOf(b).Elem(), &n)
-	for _, m := range []*Msg{{}, m, tableOf(3), pullOf(3)} {
+	for _, m := range []*Message{{}, m, tableOf(3), pullOf(3)} {
 		b, err := Encode(m)
 		must(f, err)
 		f.Add(b)
@@ -422,9 +422,9 @@
 		if m, err := Decode(b); err == nil {
 			again, err := Encode(m)
 			must(t, err)
-			old := &Msg{}
-			extracted(t, MsgC_TypeID, b, old)
-			if !bytes.Equal(again, reflected(t, MsgC_TypeID, NewRootMsgC, trimmed(old))) {
+			old := &Message{}
+			extracted(t, MessageC_TypeID, b, old)
+			if !bytes.Equal(again, reflected(t, MessageC_TypeID, NewRootMessageC, trimmed(old))) {
 				t.Fatalf("got  %+v\nwant %+v", m, old)
 			}
 			m, err = Decode(again)
@@ -451,35 +451,35 @@
 
 // tableOf is a table as a leader pushes it to a proxy: n targets of a few services and
 // domains, their gates and no document, which most pushes come without.
-func tableOf(n int) *Msg {
-	t := &Table{Key: Key{1, 2, 3}, Seq: 4, Revision: 5, State: []byte(`{"admitted":true}`)}
+func tableOf(n int) *Message {
+	t := &Table{Key: TableKey{1, 2, 3}, StateIndex: 4, Revision: 5, State: []byte(`{"admitted":true}`)}
 	for i := range 6 {
-		t.Gates = append(t.Gates, Gate{fmt.Sprint("gate-", i), fmt.Sprintf("10.0.0.%d:9000", i), fmt.Sprint("domain-", i%3), true})
+		t.Proxies = append(t.Proxies, Proxy{fmt.Sprint("gate-", i), fmt.Sprintf("10.0.0.%d:9000", i), fmt.Sprint("domain-", i%3), true})
 	}
 	for i := range n {
 		t.Targets = append(t.Targets, Target{Service: fmt.Sprint("service-", i*9/n), Name: fmt.Sprintf("service-%d-%d", i*9/n, i),
-			Inc: uint64(1000 + i), Addr: fmt.Sprintf("10.0.%d.%d:8080", i/200, i%200), Domain: fmt.Sprint("domain-", i%3),
-			State: "ready", Demand: 0.25, HasDemand: true, Beating: true, Turn: uint32(i), Slots: 8, Number: uint64(i)})
+			Incarnation: uint64(1000 + i), Addr: fmt.Sprintf("10.0.%d.%d:8080", i/200, i%200), Domain: fmt.Sprint("domain-", i%3),
+			State: "ready", Demand: 0.25, HasDemand: true, Heartbeating: true, ShareOffset: uint32(i), Slots: 8, Number: uint64(i)})
 	}
-	return &Msg{Kind: uint16(KPush), From: "core-1", To: "gate-2", Disk: 7, Epoch: 1, Term: 2, Stamp: 9,
-		Push: &Push{Grant: true, Key: t.Key, Table: t}}
+	return &Message{Kind: KindPush, From: "core-1", To: "gate-2", Disk: 7, Epoch: 1, Term: 2, Timestamp: 9,
+		Push: &Push{LeaseGranted: true, Key: t.Key, Table: t}}
 }
 
 // pullOf is a proxy's question with what it saw of n targets.
-func pullOf(n int) *Msg {
-	p := &Pull{Self: Daemon{Name: "gate-2", Kind: "gate", Domain: "domain-1", Addr: "10.0.0.2:9000", Http: "10.0.0.2:80",
-		Inc: 3, Ready: true, State: "serving"}, Key: Key{1, 2, 3}, Revision: 5, Seq: 4}
+func pullOf(n int) *Message {
+	p := &Pull{Self: Daemon{Name: "gate-2", Kind: "gate", Domain: "domain-1", Addr: "10.0.0.2:9000", HTTP: "10.0.0.2:80",
+		Incarnation: 3, Ready: true, State: "serving"}, Key: TableKey{1, 2, 3}, Revision: 5, StateIndex: 4}
 	for i := range n {
-		p.Seen = append(p.Seen, Seen{Service: fmt.Sprint("service-", i*9/n), Name: fmt.Sprintf("service-%d-%d", i*9/n, i),
-			Inc: uint64(1000 + i), Ok: 40, SumMs: 120, Demand: 0.25, HasDemand: true})
+		p.Stats = append(p.Stats, TargetStats{Service: fmt.Sprint("service-", i*9/n), Name: fmt.Sprintf("service-%d-%d", i*9/n, i),
+			Incarnation: uint64(1000 + i), Successes: 40, TotalMs: 120, Demand: 0.25, HasDemand: true})
 	}
-	return &Msg{Kind: uint16(KPull), From: "gate-2", To: "core-1", Stamp: 9, Pull: p}
+	return &Message{Kind: KindPull, From: "gate-2", To: "core-1", Timestamp: 9, Pull: p}
 }
 
 func BenchmarkWire(b *testing.B) {
 	for _, c := range []struct {
 		name string
-		m    *Msg
+		m    *Message
 	}{{"table36", tableOf(36)}, {"table300", tableOf(300)}, {"pull36", pullOf(36)}} {
 		bytes, err := Encode(c.m)
 		if err != nil {
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -158,13 +158,13 @@
 }
 
 // messages are one of each kind, with every field of its part set.
-func messages(t *testing.T) map[string]*wire.Msg {
+func messages(t *testing.T) map[string]*wire.Message {
 	t.Helper()
-	head := func(kind wire.Kind) *wire.Msg {
-		return &wire.Msg{Kind: uint16(kind), From: "c1", Disk: 2, Epoch: 3, Term: 4, Stamp: 5}
+	head := func(kind wire.Kind) *wire.Message {
+		return &wire.Message{Kind: kind, From: "c1", Disk: 2, Epoch: 3, Term: 4, Timestamp: 5}
 	}
-	all := map[string]*wire.Msg{}
-	for _, k := range []wire.Kind{wire.KHello, wire.KVote, wire.KAppend, wire.KPull, wire.KPush, wire.KBeat, wire.KAsk} {
+	all := map[string]*wire.Message{}
+	for _, k := range []wire.Kind{wire.KindHello, wire.KindVote, wire.KindAppend, wire.KindPull, wire.KindPush, wire.KindHeartbeat, wire.KindCall} {
 		all[k.String()] = head(k)
 	}
 	all["hello"].Hello = filled[wire.Hello](t)
@@ -172,8 +172,8 @@
 	all["append"].Append = filled[wire.Append](t)
 	all["pull"].Pull = filled[wire.Pull](t)
 	all["push"].Push = filled[wire.Push](t)
-	all["beat"].Beat = filled[wire.Target](t)
-	all["ask"].Ask = filled[wire.Ask](t)
+	all["beat"].Heartbeat = filled[wire.Target](t)
+	all["ask"].Call = filled[wire.Call](t)
 	return all
 }
 
@@ -226,7 +226,7 @@
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if m, err := wire.Decode(next); err != nil || wire.Kind(m.Kind).String() != name {
+		if m, err := wire.Decode(next); err != nil || m.Kind.String() != name {
 			t.Fatal(name, err)
 		}
 	}
--- a/internal/verification/fuzzing/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -89,10 +89,10 @@
 }
 
 // message is one that another daemon may send, as it is decoded here.
-func (s *fuzzSource) message(t *testing.T) *wire.Msg {
-	m := &wire.Msg{}
+func (s *fuzzSource) message(t *testing.T) *wire.Message {
+	m := &wire.Message{}
 	s.fill(reflect.ValueOf(m).Elem())
-	m.Kind = 1 + m.Kind%uint16(wire.KAsk)
+	m.Kind = 1 + m.Kind%wire.KindCall
 	b, err := wire.Encode(m)
 	if err != nil {
 		t.Skip(err)
@@ -127,7 +127,7 @@
 	case 0:
 		return s.call(id)
 	case 1:
-		p := statemachine.ProbeResult{ID: wire.ID{Service: s.text(), Name: s.text(), Inc: s.number()}, SentAt: time.Duration(s.number()), Milliseconds: 1}
+		p := statemachine.ProbeResult{ID: wire.ID{Service: s.text(), Name: s.text(), Incarnation: s.number()}, SentAt: time.Duration(s.number()), Milliseconds: 1}
 		if s.byte()%2 == 1 {
 			p.Report = &config.Beat{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: s.text()}
 		}
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -49,9 +49,9 @@
 }
 
 func (l *leader) second() {
-	gate := wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Inc: 1, Domain: "d0"}
-	beat := wire.Target{Service: "s0", Name: "t0", Inc: 9, Addr: "10.0.0.1:1", State: config.Ready}
-	l.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: "g1", Hello: &wire.Hello{Self: gate}}})
+	gate := wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Incarnation: 1, Domain: "d0"}
+	beat := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: config.Ready}
+	l.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: "g1", Hello: &wire.Hello{Self: gate}}})
 	for range int(time.Second / tuning.PullEvery) {
 		for range int(tuning.PullEvery / tuning.TickEvery) {
 			l.now += tuning.TickEvery
@@ -59,15 +59,15 @@
 		}
 		pull := &wire.Pull{Self: gate}
 		if table := l.core.Table(); table != nil {
-			pull.Key, pull.Revision, pull.Seq = table.Key, table.Revision, table.Seq
+			pull.Key, pull.Revision, pull.StateIndex = table.Key, table.Revision, table.StateIndex
 		}
-		l.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPull), From: "g1", Stamp: int64(l.now), Pull: pull}})
-		l.step(statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KBeat), Stamp: 1, Beat: &beat}})
+		l.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPull, From: "g1", Timestamp: int64(l.now), Pull: pull}})
+		l.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &beat}})
 	}
 }
 
 func newLeader(t *testing.T) *leader {
-	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Inc: 1}
+	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
 	l := &leader{now: time.Second}
 	l.core = controlplane.New(l.now, controlplane.Settings{Self: self, Size: 1}, consensus.Image{Disk: 7})
 	for range 12 {
@@ -96,15 +96,15 @@
 
 // newProxy is a proxy that serves two targets under a lease.
 func newProxy(t *testing.T, now time.Duration) *dataplane.Proxy {
-	p := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Inc: 9, Domain: "d0"}})
-	table := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: 1}, Revision: 1,
-		Doc:   []byte(`{"services":{"s0":{"cap":8,"warm_cap":3},"s1":{"cap":4,"warm_cap":2}},"rules":[{"path":"/s","service":"s0"}]}`),
-		Gates: []wire.Gate{{Name: "g1", Addr: "g1", Live: true}, {Name: "g2", Addr: "g2", Live: true}}}
+	p := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Incarnation: 9, Domain: "d0"}})
+	table := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: 1}, Revision: 1,
+		Document: []byte(`{"services":{"s0":{"cap":8,"warm_cap":3},"s1":{"cap":4,"warm_cap":2}},"rules":[{"path":"/s","service":"s0"}]}`),
+		Proxies:  []wire.Proxy{{Name: "g1", Addr: "g1", Live: true}, {Name: "g2", Addr: "g2", Live: true}}}
 	for i := range 2 {
-		table.Targets = append(table.Targets, wire.Target{Service: "s0", Name: fmt.Sprint("t", i), Inc: 9, Addr: fmt.Sprint("10.0.0.1:", i+1), State: config.Ready, Beating: true})
+		table.Targets = append(table.Targets, wire.Target{Service: "s0", Name: fmt.Sprint("t", i), Incarnation: 9, Addr: fmt.Sprint("10.0.0.1:", i+1), State: config.Ready, Heartbeating: true})
 	}
-	p.Step(now, statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: int64(now), Disk: 9,
-		Push: &wire.Push{Grant: true, Key: table.Key, Table: table}}})
+	p.Step(now, statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(now), Disk: 9,
+		Push: &wire.Push{LeaseGranted: true, Key: table.Key, Table: table}}})
 	if !p.Serving() {
 		t.Fatal("does not serve")
 	}
--- a/internal/verification/modelcheck/action.go
+++ b/internal/verification/modelcheck/action.go
@@ -67,21 +67,21 @@
 	return fmt.Sprintf("%s: %v", machineName(a.Machine), a.Kind)
 }
 
-func describe(m *wire.Msg) string {
+func describe(m *wire.Message) string {
 	s := fmt.Sprintf("%s/%d>%s term %d ", m.From, m.Disk, m.To, m.Term)
 	if v := m.Vote; v != nil {
 		return s + fmt.Sprintf("vote%+v", *v)
 	}
 	a := *m.Append
 	if a.Reply {
-		return s + fmt.Sprintf("append reply ok %v match %d", a.Ok, a.Match)
+		return s + fmt.Sprintf("append reply ok %v match %d", a.Success, a.MatchIndex)
 	}
 	s += fmt.Sprintf("append after %d/%d commit %d entries", a.PrevIndex, a.PrevTerm, a.Commit)
 	for _, e := range a.Entries {
 		s += fmt.Sprintf(" %d/%d", e.Index, e.Term)
 	}
-	if a.Piece != nil {
-		s += fmt.Sprintf(" piece of %d/%d at %d", a.Piece.Index, a.Piece.Term, a.Piece.Offset)
+	if a.Chunk != nil {
+		s += fmt.Sprintf(" piece of %d/%d at %d", a.Chunk.Index, a.Chunk.Term, a.Chunk.Offset)
 	}
 	return s
 }
@@ -222,7 +222,7 @@
 	return c
 }
 
-func copyOf(m *wire.Msg) *wire.Msg {
+func copyOf(m *wire.Message) *wire.Message {
 	c := *m
 	if m.Vote != nil {
 		v := *m.Vote
--- a/internal/verification/modelcheck/canonical.go
+++ b/internal/verification/modelcheck/canonical.go
@@ -172,7 +172,7 @@
 
 // stampClock is the present by the clock that a message's stamp is of: the
 // leader's, who sends appends and gets their replies.
-func (w *World) stampClock(m *wire.Msg) time.Duration {
+func (w *World) stampClock(m *wire.Message) time.Duration {
 	if m.Append == nil {
 		return 0
 	}
--- a/internal/verification/modelcheck/invariant.go
+++ b/internal/verification/modelcheck/invariant.go
@@ -229,32 +229,32 @@
 
 // checkPromise looks at a message that leaves: votes and confirmations must be on
 // disk, unless the disk is in a later term already, when they count as sent late.
-func (w *World) checkPromise(m *machine, msg *wire.Msg) {
+func (w *World) checkPromise(m *machine, msg *wire.Message) {
 	v, a := msg.Vote, msg.Append
 	switch {
-	case v != nil && !v.Pre && !v.Reply:
+	case v != nil && !v.PreVote && !v.Reply:
 		w.recordVote(m, msg.Term, m.name)
 		w.wantSyncedVote(m, msg, m.name)
-	case v != nil && !v.Pre && v.Granted:
+	case v != nil && !v.PreVote && v.Granted:
 		w.recordVote(m, msg.Term, msg.To)
 		w.wantSyncedVote(m, msg, msg.To)
-	case v != nil && !v.Pre && v.Alone && m.disk.Term < msg.Term:
+	case v != nil && !v.PreVote && v.NoLeader && m.disk.Term < msg.Term:
 		w.fail(PromisesAreSynced, "%s gave its consent to term %d and has term %d on disk", m.name, msg.Term, m.disk.Term)
 	case a != nil && !a.Reply && m.disk.Term < msg.Term:
 		w.fail(PromisesAreSynced, "%s leads in term %d and has term %d on disk", m.name, msg.Term, m.disk.Term)
-	case a != nil && a.Reply && a.Ok:
+	case a != nil && a.Reply && a.Success:
 		w.wantSyncedLog(m, msg)
 	}
 }
 
-func (w *World) wantSyncedVote(m *machine, msg *wire.Msg, candidate string) {
+func (w *World) wantSyncedVote(m *machine, msg *wire.Message, candidate string) {
 	if m.disk.Term < msg.Term || m.disk.Term == msg.Term && m.disk.Vote != candidate {
 		w.fail(PromisesAreSynced, "%s voted for %s in term %d and has term %d, vote %q on disk", m.name, candidate, msg.Term, m.disk.Term, m.disk.Vote)
 	}
 }
 
-func (w *World) wantSyncedLog(m *machine, msg *wire.Msg) {
-	match := msg.Append.Match
+func (w *World) wantSyncedLog(m *machine, msg *wire.Message) {
+	match := msg.Append.MatchIndex
 	last := m.disk.Snap.Index + uint64(len(m.disk.Log))
 	if m.disk.Term > msg.Term {
 		return
--- a/internal/verification/modelcheck/scenario.go
+++ b/internal/verification/modelcheck/scenario.go
@@ -35,7 +35,7 @@
 	// Restart changes what a restart finds on its disk.
 	Restart func(im *consensus.Image)
 	// Deliver changes a copy of a message on its way to n.
-	Deliver func(n *consensus.Node, m *wire.Msg)
+	Deliver func(n *consensus.Node, m *wire.Message)
 	// AfterStep is called after each step of a node.
 	AfterStep func(n *consensus.Node, now time.Duration)
 	// ChangeMembers is called in place of Node.ProposeMembers.
@@ -141,7 +141,7 @@
 	w.restart(i, 0) // what a leader keeps of the compacted log in memory is gone
 	electWith(w, i, (i+2)%len(w.machines))
 	for range 20 {
-		if slices.ContainsFunc(w.network, func(p packet) bool { return p.m.Append != nil && p.m.Append.Piece != nil }) {
+		if slices.ContainsFunc(w.network, func(p packet) bool { return p.m.Append != nil && p.m.Append.Chunk != nil }) {
 			return
 		}
 		if len(w.network) == 0 {
--- a/internal/verification/modelcheck/world.go
+++ b/internal/verification/modelcheck/world.go
@@ -93,7 +93,7 @@
 // packet is a message under way, known by a sum over its contents.
 type packet struct {
 	id uint64
-	m  *wire.Msg
+	m  *wire.Message
 }
 
 // World is one state of an exploration.
@@ -123,7 +123,7 @@
 			m.rate = s.Rates[i%len(s.Rates)]
 		}
 		if i < s.Voters {
-			m.disk.Snap = wire.Snap{Index: firstIndex, Members: members}
+			m.disk.Snap = wire.Snapshot{Index: firstIndex, Members: members}
 		}
 		m.applied = decodeProgress(nil)
 		if i >= s.Voters {
@@ -224,7 +224,7 @@
 }
 
 // send puts a message on the network; over its bound the oldest one is lost.
-func (w *World) send(msg *wire.Msg) {
+func (w *World) send(msg *wire.Message) {
 	if w.place(msg.To) < 0 {
 		return
 	}
@@ -238,10 +238,10 @@
 	}
 }
 
-func messageID(m *wire.Msg) uint64 {
+func messageID(m *wire.Message) uint64 {
 	c := consensus.Canon{Name: func(name string) byte { return (name + "\xff")[0] }, Disk: func(d uint64) uint64 { return d }}
 	c.Message(m, 0)
-	c.Uint(uint64(m.Stamp))
+	c.Uint(uint64(m.Timestamp))
 	h := fnv.New64a()
 	h.Write(c.Bytes)
 	return h.Sum64()
--- a/internal/verification/simulator/backend.go
+++ b/internal/verification/simulator/backend.go
@@ -195,7 +195,7 @@
 	t := w.listen[c.Addr]
 	switch {
 	case w.sabotage == "probes":
-		answer(w.ms(1, 5), &config.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Inc, State: config.Ready})
+		answer(w.ms(1, 5), &config.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, State: config.Ready})
 	case t != nil && (t.hang || t.deaf || !w.reach(p.name, t.name) || !w.reach(t.name, p.name)):
 		answer(tuning.ProbeCap, nil)
 	case t == nil:
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/day.go
@@ -134,8 +134,8 @@
 		return false
 	}
 	for _, x := range l.core.Table().Targets {
-		if x.Service == t.service && x.Name == t.name && x.Inc == t.inc {
-			return !x.Held && !x.Pending && x.BarLeft == 0
+		if x.Service == t.service && x.Name == t.name && x.Incarnation == t.inc {
+			return !x.Draining && !x.Pending && x.EjectionLeft == 0
 		}
 	}
 	return false
--- a/internal/verification/simulator/digest.go
+++ b/internal/verification/simulator/digest.go
@@ -179,7 +179,7 @@
 }
 
 // message takes in a message as it is on the wire, with its receiver.
-func (d *digest) message(m *wire.Msg) {
+func (d *digest) message(m *wire.Message) {
 	b, err := wire.Encode(m)
 	if err != nil {
 		panic(err)
@@ -190,7 +190,7 @@
 
 func (d *digest) id(id wire.ID) {
 	d.text(id.Service, id.Name)
-	d.number(id.Inc)
+	d.number(id.Incarnation)
 }
 
 // json takes in what has a form in JSON that others read, by that form.
--- a/internal/verification/simulator/fleet_test.go
+++ b/internal/verification/simulator/fleet_test.go
@@ -377,32 +377,32 @@
 // ones; another asks again and is sent all.
 func TestTableWithoutDocument(t *testing.T) {
 	t.Parallel()
-	whole := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: 1}, Seq: 5, Revision: 2, Doc: []byte(`{}`), State: []byte(`{"seq":5}`), Gates: []wire.Gate{{Name: "g1", Addr: "g1"}}}
-	core1 := &wire.Msg{Kind: uint16(wire.KHello), From: "c1", Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1"}, Leader: "c1"}}
+	whole := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: 1}, StateIndex: 5, Revision: 2, Document: []byte(`{}`), State: []byte(`{"seq":5}`), Proxies: []wire.Proxy{{Name: "g1", Addr: "g1"}}}
+	core1 := &wire.Message{Kind: wire.KindHello, From: "c1", Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1"}, Leader: "c1"}}
 	for _, c := range []struct {
 		first *wire.Table
 		seq   uint64
 		takes bool
 	}{{nil, 5, false}, {whole, 5, true}, {whole, 6, false}} {
-		g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Inc: 9}})
+		g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Incarnation: 9}})
 		g.Step(1, statemachine.Receive{Message: core1})
 		push := func(now time.Duration, t *wire.Table) []statemachine.Command {
-			return g.Step(now, statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KPush), From: "c1", Epoch: 1, Term: 1, Stamp: 1, Disk: 9, Push: &wire.Push{Grant: true, Key: t.Key, Table: t}}})
+			return g.Step(now, statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: 1, Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: t.Key, Table: t}}})
 		}
 		if c.first != nil {
 			push(2, c.first)
 		}
 		slight := *whole
-		slight.Key.Ver, slight.Seq, slight.Doc, slight.State = 2, c.seq, nil, nil
+		slight.Key.Version, slight.StateIndex, slight.Document, slight.State = 2, c.seq, nil, nil
 		push(3, &slight)
 		tab := g.Table()
-		if took := tab != nil && tab.Key.Ver == 2; took != c.takes || took && (string(tab.Doc) != "{}" || len(tab.State) == 0) {
+		if took := tab != nil && tab.Key.Version == 2; took != c.takes || took && (string(tab.Document) != "{}" || len(tab.State) == 0) {
 			t.Errorf("%+v: %+v", c, tab)
 		}
 		for _, cmd := range g.Step(time.Second, statemachine.Tick{}) {
 			if s, ok := cmd.(statemachine.Send); ok && s.Message.Pull != nil {
-				if p := s.Message.Pull; (p.Revision != 0) != (c.first != nil) || c.first != nil && p.Seq != 5 {
-					t.Errorf("it says that it holds %d, %d", p.Revision, p.Seq)
+				if p := s.Message.Pull; (p.Revision != 0) != (c.first != nil) || c.first != nil && p.StateIndex != 5 {
+					t.Errorf("it says that it holds %d, %d", p.Revision, p.StateIndex)
 				}
 			}
 		}
--- a/internal/verification/simulator/grown_test.go
+++ b/internal/verification/simulator/grown_test.go
@@ -95,19 +95,19 @@
 				}
 				same++
 				got := p.gate.Table()
-				if len(got.Targets) != len(want.Targets) || len(got.Gates) != len(want.Gates) || string(got.Doc) != string(want.Doc) || string(got.State) != string(want.State) {
+				if len(got.Targets) != len(want.Targets) || len(got.Proxies) != len(want.Proxies) || string(got.Document) != string(want.Document) || string(got.State) != string(want.State) {
 					t.Fatalf("seed %d: %s holds %+v, its leader made %+v", seed, g, got, want)
 				}
 				for i := range want.Targets {
 					a, b := got.Targets[i], want.Targets[i]
-					if a.ID() != b.ID() || a.Addr != b.Addr || a.State != b.State || a.Held != b.Held || a.Pending != b.Pending || a.Beating != b.Beating ||
-						a.Turn != b.Turn || a.Slots != b.Slots || a.BarWhy != b.BarWhy || (a.ColdLeft > 0) != (b.ColdLeft > 0) {
+					if a.ID() != b.ID() || a.Addr != b.Addr || a.State != b.State || a.Draining != b.Draining || a.Pending != b.Pending || a.Heartbeating != b.Heartbeating ||
+						a.ShareOffset != b.ShareOffset || a.Slots != b.Slots || a.EjectedBy != b.EjectedBy || (a.WarmupLeft > 0) != (b.WarmupLeft > 0) {
 						t.Fatalf("seed %d: %s has %+v, its leader %+v", seed, g, a, b)
 					}
 				}
-				for i := range want.Gates {
-					if got.Gates[i] != want.Gates[i] {
-						t.Fatalf("seed %d: %s has %+v, its leader %+v", seed, g, got.Gates[i], want.Gates[i])
+				for i := range want.Proxies {
+					if got.Proxies[i] != want.Proxies[i] {
+						t.Fatalf("seed %d: %s has %+v, its leader %+v", seed, g, got.Proxies[i], want.Proxies[i])
 					}
 				}
 			}
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -157,19 +157,19 @@
 // stand surety for others: it may have forgotten what it once confirmed.
 func TestNewProxyStandsNoSurety(t *testing.T) {
 	t.Parallel()
-	tab := &wire.Table{Key: wire.Key{Epoch: 1, Term: 1, Ver: 1}, Doc: []byte(`{}`)}
+	tab := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: 1}, Document: []byte(`{}`)}
 	for _, n := range []string{"g1", "g2", "g3", "g4", "g5"} {
-		tab.Gates = append(tab.Gates, wire.Gate{Name: n, Addr: n})
+		tab.Proxies = append(tab.Proxies, wire.Proxy{Name: n, Addr: n})
 	}
-	g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Inc: 9}})
-	say := func(now time.Duration, m *wire.Msg) []statemachine.Command {
+	g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Incarnation: 9}})
+	say := func(now time.Duration, m *wire.Message) []statemachine.Command {
 		return g.Step(now, statemachine.Receive{Message: m})
 	}
-	say(2, &wire.Msg{Kind: uint16(wire.KHello), From: "g2", Hello: &wire.Hello{Self: wire.Daemon{Name: "g2", Kind: wire.ProxyDaemon, Addr: "g2"}}})
-	say(3, &wire.Msg{Kind: uint16(wire.KPush), From: "g2", Stamp: 2, Disk: 9, Push: &wire.Push{Grant: true, Key: tab.Key, Table: tab}})
-	for _, c := range say(4, &wire.Msg{Kind: uint16(wire.KPull), From: "g2", Stamp: 4, Pull: &wire.Pull{Self: wire.Daemon{Name: "g2", Kind: wire.ProxyDaemon, Addr: "g2"}}}) {
+	say(2, &wire.Message{Kind: wire.KindHello, From: "g2", Hello: &wire.Hello{Self: wire.Daemon{Name: "g2", Kind: wire.ProxyDaemon, Addr: "g2"}}})
+	say(3, &wire.Message{Kind: wire.KindPush, From: "g2", Timestamp: 2, Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: tab.Key, Table: tab}})
+	for _, c := range say(4, &wire.Message{Kind: wire.KindPull, From: "g2", Timestamp: 4, Pull: &wire.Pull{Self: wire.Daemon{Name: "g2", Kind: wire.ProxyDaemon, Addr: "g2"}}}) {
 		if s, ok := c.(statemachine.Send); ok && s.Message.Push != nil {
-			if s.Message.Push.Grant || g.Serving() {
+			if s.Message.Push.LeaseGranted || g.Serving() {
 				t.Fatal("an unsettled proxy vouches for its table, or serves")
 			}
 			return
@@ -189,7 +189,7 @@
 	in := func() (n int) {
 		for _, g := range w.all(wire.ProxyDaemon) {
 			for _, x := range w.procs[g].gate.Table().Targets {
-				if x.Name == tg.name && x.BarLeft == 0 {
+				if x.Name == tg.name && x.EjectionLeft == 0 {
 					n++
 				}
 			}
@@ -198,7 +198,7 @@
 	}
 	delete(w.listen, tg.addr) // its port is shut, connections included, while its process beats on
 	for _, p := range w.procs {
-		delete(p.pool, wire.ID{Service: tg.service, Name: tg.name, Inc: tg.inc})
+		delete(p.pool, wire.ID{Service: tg.service, Name: tg.name, Incarnation: tg.inc})
 	}
 	at := w.now
 	for in() > 0 && w.now < at+5*time.Second {
@@ -207,21 +207,21 @@
 	if took := w.now - at; took > 1500*time.Millisecond {
 		t.Fatalf("%v until no table held it", took)
 	}
-	ver := w.Leader().core.Table().Key.Ver
+	ver := w.Leader().core.Table().Key.Version
 	w.Run(w.now + 45*time.Second) // over several refreshes and the ejection's 30 s
-	if in() > 0 || w.Leader().core.Table().Key.Ver == ver {
-		t.Fatalf("in %d tables again; version %d -> %d", in(), ver, w.Leader().core.Table().Key.Ver)
+	if in() > 0 || w.Leader().core.Table().Key.Version == ver {
+		t.Fatalf("in %d tables again; version %d -> %d", in(), ver, w.Leader().core.Table().Key.Version)
 	}
 	w.listen[tg.addr] = tg
 	w.Run(w.now + 2*time.Second)
 	if in() != 5 {
 		t.Fatalf("back in %d of 5 tables", in())
 	}
-	ver = w.Leader().core.Table().Key.Ver
+	ver = w.Leader().core.Table().Key.Version
 	same := w.Leader().core.Status(0).Counts.Same
 	w.Run(w.now + 3*time.Second)
-	if s := w.Leader().core.Status(0); s.Counts.Same-same < 50 || s.Table.Ver > ver+1 {
-		t.Fatalf("%d idempotent rebuilds, version %d -> %d", s.Counts.Same-same, ver, s.Table.Ver)
+	if s := w.Leader().core.Status(0); s.Counts.Same-same < 50 || s.Table.Version > ver+1 {
+		t.Fatalf("%d idempotent rebuilds, version %d -> %d", s.Counts.Same-same, ver, s.Table.Version)
 	}
 	// A leaving target answers probes and even says that it is ready: it stays held.
 	l := w.targets[1]
@@ -231,7 +231,7 @@
 	w.Run(w.now + 3*time.Second)
 	check(t, w)
 	for _, x := range w.Leader().core.Table().Targets {
-		if x.Name == l.name && (!x.Held || x.BarLeft != 0) {
+		if x.Name == l.name && (!x.Draining || x.EjectionLeft != 0) {
 			t.Fatalf("%+v", x)
 		}
 	}
--- a/internal/verification/simulator/operate_test.go
+++ b/internal/verification/simulator/operate_test.go
@@ -130,7 +130,7 @@
 	for range 300 {
 		w.Run(w.now + 10*time.Millisecond)
 		for _, x := range w.Leader().core.Table().Targets {
-			if x.Name == old.name && x.Inc == old.inc && seen > 0 {
+			if x.Name == old.name && x.Incarnation == old.inc && seen > 0 {
 				t.Fatal("the old entry is back")
 			}
 			if x.Name != n.name {
@@ -241,8 +241,8 @@
 		out := func() (a, b bool) {
 			a, b = true, true
 			for _, x := range w.Leader().core.Table().Targets {
-				a = a && (x.Name != shut.name || x.BarLeft > 0 || x.Pending)
-				b = b && (x.Name != mute.name || x.BarLeft > 0 || x.Pending)
+				a = a && (x.Name != shut.name || x.EjectionLeft > 0 || x.Pending)
+				b = b && (x.Name != mute.name || x.EjectionLeft > 0 || x.Pending)
 			}
 			return a, b
 		}
--- a/internal/verification/simulator/operators_bounds_test.go
+++ b/internal/verification/simulator/operators_bounds_test.go
@@ -113,7 +113,7 @@
 			}
 			for _, svc := range first {
 				asked[svc]++
-				if slices.ContainsFunc(table.Targets, func(x wire.Target) bool { return x.Service == svc && !x.Held && x.BarWhy == "" && !x.Pending }) {
+				if slices.ContainsFunc(table.Targets, func(x wire.Target) bool { return x.Service == svc && !x.Draining && x.EjectedBy == "" && !x.Pending }) {
 					served[svc]++
 				}
 			}
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -101,7 +101,7 @@
 	for _, n := range w.seeds {
 		seeds = append(seeds, w.procs[n].addr)
 	}
-	self := wire.Daemon{Name: p.name, Kind: p.kind, Domain: p.domain, Addr: p.addr, Http: p.addr, Inc: w.rnd.Uint64() | 1}
+	self := wire.Daemon{Name: p.name, Kind: p.kind, Domain: p.domain, Addr: p.addr, HTTP: p.addr, Incarnation: w.rnd.Uint64() | 1}
 	if p.kind == wire.ControlDaemon {
 		p.disk.open = nil
 		img := p.disk.img
--- a/internal/verification/simulator/registry_test.go
+++ b/internal/verification/simulator/registry_test.go
@@ -63,12 +63,12 @@
 		w.Run(w.now + time.Second)
 		x := w.targets[1]
 		x.still = true
-		word := wire.Target{Service: x.service, Name: x.name, Inc: x.inc, Addr: x.addr, Domain: x.domain, State: config.Leaving}
+		word := wire.Target{Service: x.service, Name: x.name, Incarnation: x.inc, Addr: x.addr, Domain: x.domain, State: config.Leaving}
 		method, path, query := "POST", "/v1/targets", ""
 		if seed%2 == 1 {
 			method, path, query = "DELETE", "/v1/targets/"+x.service+"/"+x.name, fmt.Sprintf("incarnation=%d", x.inc)
 		}
-		b := []byte(fmt.Sprintf(`{"service":%q,"name":%q,"incarnation":%d,"address":%q,"domain":%q,"state":"leaving"}`, word.Service, word.Name, word.Inc, word.Addr, word.Domain))
+		b := []byte(fmt.Sprintf(`{"service":%q,"name":%q,"incarnation":%d,"address":%q,"domain":%q,"state":"leaving"}`, word.Service, word.Name, word.Incarnation, word.Addr, word.Domain))
 		if r, _ := w.inquire(t, w.procs[w.all(wire.ControlDaemon)[int(seed)%3]], method, path, query, string(b), ""); r.Status != 200 {
 			t.Fatalf("seed %d: %d %s", seed, r.Status, r.Body)
 		}
--- a/internal/verification/simulator/request.go
+++ b/internal/verification/simulator/request.go
@@ -198,7 +198,7 @@
 	case !pooled && (t.hang || !w.reach(p.name, t.name) || !w.reach(t.name, p.name)):
 		fail(min(c.ConnectTimeout, c.TimeLeft), statemachine.ConnectFailed, false, false)
 		return
-	case !pooled && (t.service != id.Service || t.name != id.Name || t.inc != id.Inc) && w.sabotage != "identity":
+	case !pooled && (t.service != id.Service || t.name != id.Name || t.inc != id.Incarnation) && w.sabotage != "identity":
 		w.Stats.Foreign++
 		fail(w.ms(1, 3), statemachine.WrongIdentity, false, false)
 		return
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -74,7 +74,7 @@
 
 func (w *World) checkTarget(p *Proc, c *statemachine.Forward) {
 	for _, t := range w.targets {
-		if t.service != c.Target.Service || t.name != c.Target.Name || t.inc != c.Target.Inc {
+		if t.service != c.Target.Service || t.name != c.Target.Name || t.inc != c.Target.Incarnation {
 			continue
 		}
 		if t.leftAt > 0 {
--- a/internal/verification/simulator/scarce.go
+++ b/internal/verification/simulator/scarce.go
@@ -38,7 +38,7 @@
 }
 
 // weigh is how many bytes a message takes on a connection.
-func weigh(m *wire.Msg) int {
+func weigh(m *wire.Message) int {
 	n, err := wire.NewWriter(io.Discard).Put(m)
 	if err != nil {
 		panic(err)
@@ -64,7 +64,7 @@
 		p.probed = map[wire.ID]bool{}
 	}
 	t := w.listen[c.Addr]
-	answers := t != nil && !t.hang && !t.deaf && t.inc == c.ID.Inc
+	answers := t != nil && !t.hang && !t.deaf && t.inc == c.ID.Incarnation
 	kept := p.probed[c.ID]
 	p.probed[c.ID] = answers
 	if kept && answers {
@@ -77,7 +77,7 @@
 func messageCost(bytes int) time.Duration { return costEvent + time.Duration(bytes)*costByte }
 
 // workOnMessage is what the time for a message is accounted under.
-func workOnMessage(m *wire.Msg, way string) string { return way + " " + wire.Kind(m.Kind).String() }
+func workOnMessage(m *wire.Message, way string) string { return way + " " + m.Kind.String() }
 
 // pass is when so many bytes that are ready at a moment have gone over a proxy's link.
 func (w *World) pass(at time.Duration, link *time.Duration, bytes int) time.Duration {
@@ -87,7 +87,7 @@
 
 // scarce carries a message where that takes time; what a full link would hold up for too
 // long is dropped, as a shell does.
-func (w *World) scarce(p, to *Proc, m *wire.Msg, d time.Duration) {
+func (w *World) scarce(p, to *Proc, m *wire.Message, d time.Duration) {
 	n := weigh(m)
 	at := w.work(p, workOnMessage(m, "send"), messageCost(n))
 	if p.kind == wire.ProxyDaemon {
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -178,18 +178,18 @@
 }
 
 // spoil takes a guard out of what one daemon says to another.
-func (w *World) spoil(from, to *Proc, m *wire.Msg) *wire.Msg {
+func (w *World) spoil(from, to *Proc, m *wire.Message) *wire.Message {
 	switch {
 	case w.sabotage == "hellos" && m.Hello != nil && from.kind == wire.ControlDaemon && to.kind == wire.ControlDaemon:
 		return nil
 	case w.sabotage == "emptied":
-		return altered(m, func(t *wire.Table) { t.Emptied = nil })
+		return altered(m, func(t *wire.Table) { t.EmptiedDomains = nil })
 	}
 	return m
 }
 
 // altered is a message with a copy of its table changed, if it has one.
-func altered(m *wire.Msg, change func(*wire.Table)) *wire.Msg {
+func altered(m *wire.Message, change func(*wire.Table)) *wire.Message {
 	if m.Push == nil || m.Push.Table == nil {
 		return m
 	}
@@ -201,12 +201,12 @@
 
 // spoilLate does the same to a leader's message that comes late: it brings all of the table
 // of its time as if that were the latest.
-func (w *World) spoilLate(from *Proc, m *wire.Msg) *wire.Msg {
+func (w *World) spoilLate(from *Proc, m *wire.Message) *wire.Message {
 	if w.sabotage != "old tables" || m.Push == nil || from.core == nil || from.core.Table() == nil {
 		return m
 	}
 	c, p, t := *m, *m.Push, *from.core.Table()
-	t.Key.Ver += 1000
+	t.Key.Version += 1000
 	p.Table, c.Push = &t, &p
 	return &c
 }
--- a/internal/verification/simulator/sim.go
+++ b/internal/verification/simulator/sim.go
@@ -269,7 +269,7 @@
 // Serves says whether every living proxy serves every service on one table.
 func (w *World) Serves() bool {
 	l := w.Leader()
-	if l == nil || l.core.Table() == nil || len(l.core.Table().Gates) == 0 || l.core.Revision() == 0 {
+	if l == nil || l.core.Table() == nil || len(l.core.Table().Proxies) == 0 || l.core.Revision() == 0 {
 		return false
 	}
 	for _, n := range w.names {
@@ -278,7 +278,7 @@
 		}
 	}
 	for s := range w.Plan.Services {
-		if !slices.ContainsFunc(l.core.Table().Targets, func(t wire.Target) bool { return t.Service == s && !t.Held && t.BarLeft == 0 && !t.Pending }) {
+		if !slices.ContainsFunc(l.core.Table().Targets, func(t wire.Target) bool { return t.Service == s && !t.Draining && t.EjectionLeft == 0 && !t.Pending }) {
 			return false
 		}
 	}
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -122,16 +122,16 @@
 	}
 	w.Run(w.now + 3*time.Second)
 	gate, member := w.procs["g1"], w.procs["c1"]
-	self := wire.Daemon{Name: member.name, Kind: wire.ControlDaemon, Domain: member.domain, Addr: member.addr, Inc: 1}
-	gate.gate.Step(gate.local(), statemachine.Receive{Message: &wire.Msg{Kind: uint16(wire.KHello), From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
+	self := wire.Daemon{Name: member.name, Kind: wire.ControlDaemon, Domain: member.domain, Addr: member.addr, Incarnation: 1}
+	gate.gate.Step(gate.local(), statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
 	var memory []byte
 	for step := time.Duration(0); memory == nil; step += tuning.TickEvery {
 		if step > 5*time.Second {
 			t.Fatal("the proxy says nothing of what it remembers")
 		}
 		for _, cmd := range gate.gate.Step(gate.local()+step, statemachine.Tick{}) {
-			if send, ok := cmd.(statemachine.Send); ok && send.Message.Hello != nil && len(send.Message.Hello.Legacy) > 0 {
-				memory = send.Message.Hello.Legacy
+			if send, ok := cmd.(statemachine.Send); ok && send.Message.Hello != nil && len(send.Message.Hello.RecoveredState) > 0 {
+				memory = send.Message.Hello.RecoveredState
 			}
 		}
 	}
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -26,7 +26,7 @@
 func (w *World) out(name string) (n int) {
 	for _, g := range w.all(wire.ProxyDaemon) {
 		if p := w.procs[g]; p.alive && p.gate.Table() != nil {
-			if e := entry(p.gate.Table(), name); e == nil || e.Held {
+			if e := entry(p.gate.Table(), name); e == nil || e.Draining {
 				n++
 			}
 		}
@@ -72,7 +72,7 @@
 			t.Errorf("an old word: %d", s)
 		}
 	}
-	if e := entry(w.Leader().core.Table(), a.name); e.Held {
+	if e := entry(w.Leader().core.Table(), a.name); e.Draining {
 		t.Error("an old word has it held")
 	}
 	if s, _ := put(f, numbered(a, config.Ready, a.number+100, `,"slots":7`)); s != 202 {
@@ -204,7 +204,7 @@
 		for range 500 {
 			w.Run(w.now + 10*time.Millisecond)
 			if l := w.Leader(); l != nil && l.core.Table() != nil {
-				if e := entry(l.core.Table(), a.name); e != nil && !e.Held {
+				if e := entry(l.core.Table(), a.name); e != nil && !e.Draining {
 					t.Fatalf("seed %d: back: %+v\n%s", seed, e, w.Trace(20))
 				}
 			}
@@ -225,7 +225,7 @@
 		a := w.targets[0]
 		a.still = true
 		w.Run(w.now + 600*time.Millisecond)
-		left := func() time.Duration { return time.Duration(entry(w.Leader().core.Table(), a.name).ColdLeft) }
+		left := func() time.Duration { return time.Duration(entry(w.Leader().core.Table(), a.name).WarmupLeft) }
 		say := func(number uint64, cold int) {
 			w.inquire(t, w.Leader(), "PUT", "/v1/targets/"+a.name, "", numbered(a, config.Ready, number, fmt.Sprintf(`,"cold_left_ms":%d`, cold)), "")
 		}
