--- a/cmd/mfbackend/main.go
+++ b/cmd/mfbackend/main.go
@@ -212,11 +212,11 @@
 }
 
 // beat is what the stub says of itself now.
-func (s *stub) beat() config.Beat {
+func (s *stub) beat() config.TargetReport {
 	d := float64(s.inWork.Load()) / float64(s.bears)
-	b := config.Beat{Service: s.service, Name: s.name, Incarnation: s.inc, Address: s.addr, Domain: s.domain, State: s.state.Load().(string), Demand: &d}
+	b := config.TargetReport{Service: s.service, Name: s.name, Incarnation: s.inc, Address: s.addr, Domain: s.domain, State: s.state.Load().(string), Demand: &d}
 	if s.health != "" {
-		b.Slots, b.ColdLeftMs = s.bears, s.coldLeft()
+		b.Slots, b.WarmupLeftMs = s.bears, s.coldLeft()
 	}
 	if s.named {
 		b.Number = s.number.Add(1)
@@ -281,7 +281,7 @@
 	daemon.WriteJSON(w, status, notRunAnswer{Error: why})
 }
 
-// identity answers at model.IdentityPath.
+// identity answers at config.IdentityPath.
 func (s *stub) identity(w http.ResponseWriter, r *http.Request) {
 	if s.mode.Load() == modeHang {
 		<-r.Context().Done()
@@ -290,7 +290,7 @@
 	daemon.WriteJSON(w, http.StatusOK, s.beat())
 }
 
-var client = &http.Client{Timeout: tuning.BeatEvery}
+var client = &http.Client{Timeout: tuning.TargetHeartbeatEvery}
 
 // tell sends a heartbeat to a daemon and reports whether it was taken.
 func (s *stub) tell(addr string) bool {
@@ -322,7 +322,7 @@
 				i++
 			}
 		}
-		time.Sleep(tuning.BeatEvery)
+		time.Sleep(tuning.TargetHeartbeatEvery)
 	}
 }
 
--- a/cmd/mfchaos/history.go
+++ b/cmd/mfchaos/history.go
@@ -1,5 +1,5 @@
 // This file records the operators' calls for the configuration, which all go through
-// mfctl, and checks at the end that they are linearizable; see package history.
+// mfctl, and checks at the end that they are linearizable; see package linearizability.
 package main
 
 import (
--- a/internal/controlplane/configcall.go
+++ b/internal/controlplane/configcall.go
@@ -39,20 +39,20 @@
 // screen looks at a change of the configuration before anything is made of it: its size,
 // its base, and whether the very same call has been taken already. sum stands for the
 // call: its kind, its base and what its body says.
-func (c *Core) precheckChange(now time.Duration, p *pending, a *wire.Call, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
+func (c *Controller) precheckChange(now time.Duration, p *pending, a *wire.Call, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
 	if len(text) > tuning.DocMax {
 		c.answer(p, tooLarge())
 		return nil, false
 	}
 	b, named := number(a.Query, "base")
 	if !named {
-		c.answer(p, reply.Problem(428, config.Trouble{Code: "base_missing", Message: "name the revision this was built on: base=N or If-Match", Revision: c.state.Revision}))
+		c.answer(p, reply.Problem(428, config.ErrorBody{Code: "base_missing", Message: "name the revision this was built on: base=N or If-Match", Revision: c.state.Revision}))
 		return nil, false
 	}
 	said, err := config.Canonical(text)
 	if err != nil {
 		c.counts.Refused++
-		c.answer(p, reply.Problem(400, config.Trouble{Code: "not_json", Message: err.Error()}))
+		c.answer(p, reply.Problem(400, config.ErrorBody{Code: "not_json", Message: err.Error()}))
 		return nil, false
 	}
 	digest := state.DigestOf([]byte(what), strconv.AppendUint(nil, b, 10), said)
@@ -73,12 +73,12 @@
 
 // answerWhenInForce acknowledges an order that was taken earlier, once the present table,
 // which holds it, is in force.
-func (c *Core) answerWhenInForce(now time.Duration, p *pending, revision uint64) {
+func (c *Controller) answerWhenInForce(now time.Duration, p *pending, revision uint64) {
 	c.counts.RepeatsAnswered++
 	c.waiters = append(c.waiters, &commitWaiter{version: c.tableVersion, since: now, p: p, reply: accepted(p.token, revision)})
 }
 
-func (c *Core) patch(now time.Duration, p *pending, a *wire.Call, patch []byte, what string) {
+func (c *Controller) patch(now time.Duration, p *pending, a *wire.Call, patch []byte, what string) {
 	sum, ok := c.precheckChange(now, p, a, patch, what)
 	if !ok {
 		return
@@ -102,7 +102,7 @@
 }
 
 // config proposes a whole configuration on the present revision.
-func (c *Core) config(now time.Duration, p *pending, doc []byte, what string, sum *state.ChangeDigest) {
+func (c *Controller) config(now time.Duration, p *pending, doc []byte, what string, sum *state.ChangeDigest) {
 	if len(doc) > tuning.DocMax {
 		c.answer(p, tooLarge())
 		return
@@ -124,7 +124,7 @@
 	}
 }
 
-func (c *Core) docAt(rev uint64) json.RawMessage {
+func (c *Controller) docAt(rev uint64) json.RawMessage {
 	for _, r := range c.state.Records {
 		if r.Revision == rev && r.Document != nil {
 			return r.Document
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (c *Core) diff(p *pending, a *wire.Call) {
+func (c *Controller) diff(p *pending, a *wire.Call) {
 	from, _ := number(a.Query, "from")
 	to, _ := number(a.Query, "to")
 	x, y := c.docAt(from), c.docAt(to)
@@ -141,7 +141,7 @@
 		x = json.RawMessage(`{}`)
 	}
 	if x == nil || y == nil {
-		c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: "one of the revisions is not kept"}))
+		c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "one of the revisions is not kept"}))
 		return
 	}
 	d, err := jsonpatch.CreateMergePatch(x, y)
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -91,7 +91,7 @@
 	}
 	n.become(now, Follower)
 	n.leader = ""
-	n.deadline = now + 4*tuning.ElectMin
+	n.deadline = now + 4*tuning.ElectionTimeoutMin
 	n.leaderSpokeAt = n.deadline
 	n.send(&wire.Message{Kind: wire.KindVote, To: best.member.Name, Vote: &wire.Vote{Transfer: true, Reply: true}}, false)
 	return true
@@ -106,7 +106,7 @@
 	}
 	lt, _ := n.termAt(n.last())
 	upToDate := v.LastTerm > lt || v.LastTerm == lt && v.LastIndex >= n.last()
-	quiet := v.Transfer || now-n.leaderHeardAt >= tuning.ElectMin && n.role != Leader || v.Unanimous && n.hearsNoLeader(now)
+	quiet := v.Transfer || now-n.leaderHeardAt >= tuning.ElectionTimeoutMin && n.role != Leader || v.Unanimous && n.hearsNoLeader(now)
 	r := &wire.Message{Kind: wire.KindVote, To: m.From, Vote: &wire.Vote{PreVote: v.PreVote, Reply: true, Unanimous: v.Unanimous, LastIndex: n.last(), LastTerm: lt}}
 	if v.PreVote {
 		r.Vote.NoLeader = v.Unanimous && n.hearsNoLeader(now) && len(n.unsyncedBatches) == 0
@@ -130,7 +130,7 @@
 			n.syncHardState(now)
 		}
 		r.Vote.Granted = true
-		n.deadline = now + tuning.ElectMin + tuning.ElectSpread
+		n.deadline = now + tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	}
 	r.Vote.NoLeader = n.role == Follower // in a later term than any in which it led
 	n.send(r, true)
--- a/internal/controlplane/consensus/explore.go
+++ b/internal/controlplane/consensus/explore.go
@@ -180,7 +180,7 @@
 		c.Uint(v.LastTerm)
 	}
 	if a := m.Append; a != nil {
-		c.Age(now, time.Duration(m.Timestamp), tuning.ElectMin)
+		c.Age(now, time.Duration(m.Timestamp), tuning.ElectionTimeoutMin)
 		c.Bool(a.Reply)
 		c.Bool(a.Success)
 		for _, v := range []uint64{a.PrevIndex, a.PrevTerm, a.Commit, a.MatchIndex} {
@@ -207,7 +207,7 @@
 	c.Uint(c.Disk(im.Disk))
 	c.Uint(im.Term)
 	c.Machine(im.Vote)
-	c.Snap(&im.Snap)
+	c.Snap(&im.Snapshot)
 	c.Entries(im.Log)
 }
 
@@ -232,13 +232,13 @@
 	c.Machines(n.consents)
 	c.Bool(n.unanimous)
 	c.Bool(n.outranked)
-	c.Age(now, n.leaderHeardAt, tuning.ElectMin)
+	c.Age(now, n.leaderHeardAt, tuning.ElectionTimeoutMin)
 	c.deadline(now, n.deadline)
-	c.Age(now, n.leaderSpokeAt, 5*tuning.ElectMin)
-	c.Age(now, n.askedAt, tuning.ElectAsk)
-	c.Age(now, n.votedAt, tuning.ElectMin)
+	c.Age(now, n.leaderSpokeAt, 5*tuning.ElectionTimeoutMin)
+	c.Age(now, n.askedAt, tuning.PreVoteInterval)
+	c.Age(now, n.votedAt, tuning.ElectionTimeoutMin)
 	c.Age(now, n.beatAt, tuning.HeartbeatEvery)
-	c.Age(now, n.since, tuning.ElectMin)
+	c.Age(now, n.since, tuning.ElectionTimeoutMin)
 	c.peers(n, now)
 	c.unsynced(n, now)
 }
@@ -252,7 +252,7 @@
 	c.Uint(t.prevTerm)
 	c.Uint(t.held)
 	c.Bool(t.underWay)
-	c.Age(now, t.sentAt, tuning.ElectMin)
+	c.Age(now, t.sentAt, tuning.ElectionTimeoutMin)
 }
 
 func (c *Canon) assembly(a *assembly) {
@@ -271,7 +271,7 @@
 		steps := max(0, (at-now+c.DeadlineStep-1)/c.DeadlineStep)
 		at = now + steps*c.DeadlineStep
 	}
-	c.Age(now, at, 5*tuning.ElectMin)
+	c.Age(now, at, 5*tuning.ElectionTimeoutMin)
 }
 
 func (c *Canon) peers(n *Node, now time.Duration) {
@@ -283,8 +283,8 @@
 		c.Bool(p.voter)
 		c.Uint(p.next)
 		c.Uint(p.match)
-		c.Age(now, p.acked, tuning.ElectMin)
-		c.Age(now, p.rewoundAt, tuning.ElectMin)
+		c.Age(now, p.acked, tuning.ElectionTimeoutMin)
+		c.Age(now, p.rewoundAt, tuning.ElectionTimeoutMin)
 		c.Uint(uint64(len(p.inFlight)))
 		for _, s := range p.inFlight {
 			c.Uint(s.last)
--- a/internal/controlplane/consensus/explore_test.go
+++ b/internal/controlplane/consensus/explore_test.go
@@ -63,7 +63,7 @@
 		if c.HasLease(w.now) {
 			c.Propose(w.now, []byte("x"))
 		}
-		c.Tick(w.now + 5*tuning.ElectMin)
+		c.Tick(w.now + 5*tuning.ElectionTimeoutMin)
 		if !bytes.Equal(before, canonOf(n, w.now)) {
 			t.Fatal("a step of the copy was seen")
 		}
--- a/internal/controlplane/consensus/fuzz_test.go
+++ b/internal/controlplane/consensus/fuzz_test.go
@@ -137,7 +137,7 @@
 
 // lead has a node win an election by b's vote and returns the time.
 func lead(n *Node) time.Duration {
-	now := tuning.ElectMin + tuning.ElectSpread
+	now := tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	n.Tick(now)
 	for n.Role() != Leader {
 		n.Synced(now, n.seq)
--- a/internal/controlplane/consensus/image.go
+++ b/internal/controlplane/consensus/image.go
@@ -13,17 +13,17 @@
 
 // Image is what a disk holds: every batch folded in order.
 type Image struct {
-	Epoch  uint64
-	Disk   uint64
-	Term   uint64
-	Vote   string
-	Snap   wire.Snapshot
-	Log    []wire.Entry
-	Lock   uint64
-	Legacy []byte
+	Epoch          uint64
+	Disk           uint64
+	Term           uint64
+	Vote           string
+	Snapshot       wire.Snapshot
+	Log            []wire.Entry
+	BootstrapLock  uint64
+	RecoveredState []byte
 	// what Lock stands for
-	Founders []wire.Member
-	Founding uint64
+	Founders       []wire.Member
+	BootstrapEpoch uint64
 }
 
 // Fold applies one batch.
@@ -38,16 +38,16 @@
 		im.Epoch = b.Epoch
 	}
 	if b.BootstrapLock != 0 {
-		im.Lock, im.Founders, im.Founding = b.BootstrapLock, b.Founders, b.BootstrapEpoch
+		im.BootstrapLock, im.Founders, im.BootstrapEpoch = b.BootstrapLock, b.Founders, b.BootstrapEpoch
 	}
 	if len(b.RecoveredState) > 0 {
-		im.Legacy = b.RecoveredState
+		im.RecoveredState = b.RecoveredState
 	}
 	if b.HasHardState {
 		im.Term, im.Vote = b.Term, b.Vote
 	}
 	if b.Snapshot != nil {
-		im.Snap = *b.Snapshot
+		im.Snapshot = *b.Snapshot
 		im.Log = slices.DeleteFunc(slices.Clone(im.Log), func(e wire.Entry) bool { return e.Index <= b.Snapshot.Index })
 	}
 	if b.TruncateFrom != 0 {
@@ -59,14 +59,14 @@
 // Whole is the image as one batch, for the head of a ring file.
 func (im *Image) Whole() *wire.Batch {
 	return &wire.Batch{Reset: true, Epoch: im.Epoch, Disk: im.Disk, HasHardState: true, Term: im.Term, Vote: im.Vote,
-		Snapshot: &im.Snap, Entries: im.Log, BootstrapLock: im.Lock, RecoveredState: im.Legacy,
-		Founders: im.Founders, BootstrapEpoch: im.Founding}
+		Snapshot: &im.Snapshot, Entries: im.Log, BootstrapLock: im.BootstrapLock, RecoveredState: im.RecoveredState,
+		Founders: im.Founders, BootstrapEpoch: im.BootstrapEpoch}
 }
 
 // CheckImage says what in an image from disk can't be used: a gap in the log, entries that
 // do not follow the snapshot, or a list of members that does not decode.
 func CheckImage(im *Image) error {
-	next := im.Snap.Index + 1
+	next := im.Snapshot.Index + 1
 	for _, e := range im.Log {
 		if e.Index != next {
 			return errors.Newf("log entry %d where %d is due", e.Index, next)
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -1,12 +1,12 @@
-// Package quorum is the agreement among the core members: election, log,
+// Package consensus is the agreement among the core members: election, log,
 // snapshots, catch-up and change of members, as one pure state machine. A Node
 // reads no clock and does no I/O: it is told the time and what came in, and
 // leaves in Out what to send, what to sync and what is agreed. Messages that
 // depend on a sync wait in the node until Synced says it is done.
 //
 // A leader may decide only while Leads holds: a majority answered messages sent
-// within limit.CoreGrant and its own disk keeps up. Members that heard a leader
-// refuse all others for limit.ElectMin, which is longer, so two never decide at
+// within tuning.CoreGrant and its own disk keeps up. Members that heard a leader
+// refuse all others for tuning.ElectMin, which is longer, so two never decide at
 // once. A member is its name and its disk: one that lost its disk is another
 // member, learns first, and votes once it has been added again.
 //
@@ -96,8 +96,8 @@
 // leader, since the node may have promised one that it would wait.
 func New(now time.Duration, self string, im Image) *Node {
 	n := &Node{self: wire.Member{Name: self, Disk: im.Disk}, epoch: im.Epoch, term: im.Term, vote: im.Vote,
-		snap: im.Snap, log: slices.Clone(im.Log), leaderHeardAt: now, leaderSpokeAt: -1 << 62, askedAt: -1 << 62, peers: map[string]*peer{}}
-	n.commit, n.applied = im.Snap.Index, im.Snap.Index
+		snap: im.Snapshot, log: slices.Clone(im.Log), leaderHeardAt: now, leaderSpokeAt: -1 << 62, askedAt: -1 << 62, peers: map[string]*peer{}}
+	n.commit, n.applied = im.Snapshot.Index, im.Snapshot.Index
 	n.stable = n.last()
 	n.readMembers()
 	n.become(now, Follower)
@@ -164,7 +164,7 @@
 	h := fnv.New64a()
 	h.Write([]byte(n.self.Name))
 	h.Write([]byte{byte(n.term), byte(n.term >> 8), byte(now >> 20), byte(now >> 28)})
-	n.deadline = now + tuning.ElectMin + time.Duration(h.Sum64()%uint64(tuning.ElectSpread))
+	n.deadline = now + tuning.ElectionTimeoutMin + time.Duration(h.Sum64()%uint64(tuning.ElectionTimeoutSpread))
 	if r == Leader {
 		n.leader = n.self.Name
 		n.syncPartners()
@@ -178,7 +178,7 @@
 
 // HearsLeader says whether a leader is heard, or is this node.
 func (n *Node) HearsLeader(now time.Duration) bool {
-	return n.role == Leader || n.leader != "" && now-n.leaderHeardAt < 3*tuning.ElectMin
+	return n.role == Leader || n.leader != "" && now-n.leaderHeardAt < 3*tuning.ElectionTimeoutMin
 }
 
 // HasLease says whether this node may decide now.
@@ -208,7 +208,7 @@
 func (n *Node) Tick(now time.Duration) {
 	switch n.role {
 	case Leader:
-		if n.DiskStalled(now) || now-max(n.majorityAckedAt(now), n.since) > tuning.ElectMin {
+		if n.DiskStalled(now) || now-max(n.majorityAckedAt(now), n.since) > tuning.ElectionTimeoutMin {
 			n.become(now, Follower)
 			n.leader = ""
 			return
@@ -221,15 +221,15 @@
 		if n.DiskStalled(now) || !n.isVoter(n.self.Name, n.self.Disk) {
 			return
 		}
-		if n.role == Candidate && n.unanimous && 2*len(n.votes) > len(n.members) && now-n.votedAt >= tuning.ElectMin {
+		if n.role == Candidate && n.unanimous && 2*len(n.votes) > len(n.members) && now-n.votedAt >= tuning.ElectionTimeoutMin {
 			n.become(now, Leader) // whatever its voters had promised before is over now
 			n.replicate(now, true)
 			return
 		}
-		if now >= n.deadline && now-n.leaderHeardAt >= tuning.ElectMin {
+		if now >= n.deadline && now-n.leaderHeardAt >= tuning.ElectionTimeoutMin {
 			n.leader = ""
 			n.campaign(now, true, false, false)
-		} else if n.hearsNoLeader(now) && now-n.askedAt >= tuning.ElectAsk && (n.role == Follower || n.unanimous && n.role == PreCandidate) {
+		} else if n.hearsNoLeader(now) && now-n.askedAt >= tuning.PreVoteInterval && (n.role == Follower || n.unanimous && n.role == PreCandidate) {
 			at := n.deadline
 			n.campaign(now, true, false, true)
 			n.deadline = at
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -14,7 +14,7 @@
 
 func node(name string) (*Node, Image) {
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
-	im := Image{Epoch: 1, Disk: uint64(name[0]-'a') + 1, Snap: wire.Snapshot{Index: 1, Members: ms}}
+	im := Image{Epoch: 1, Disk: uint64(name[0]-'a') + 1, Snapshot: wire.Snapshot{Index: 1, Members: ms}}
 	return New(0, name, im), im
 }
 
@@ -35,7 +35,7 @@
 // A vote leaves only once it is on disk, is given once a term, is remembered over
 // a restart, and not given to a disk that is no member.
 func TestVote(t *testing.T) {
-	late := tuning.ElectMin + time.Second
+	late := tuning.ElectionTimeoutMin + time.Second
 	n, im := node("a")
 	n.Recv(late, ask(5, 2, "b", false))
 	o := n.Take()
@@ -68,15 +68,15 @@
 // unless that leader itself hands over.
 func TestPatience(t *testing.T) {
 	n, _ := node("a")
-	n.Recv(tuning.ElectMin/2, ask(5, 2, "b", false))
+	n.Recv(tuning.ElectionTimeoutMin/2, ask(5, 2, "b", false))
 	if n.Take(); n.Term() != 0 {
 		t.Fatal("voted while a leader may still decide")
 	}
-	n.Recv(tuning.ElectMin/2, ask(5, 2, "b", true))
+	n.Recv(tuning.ElectionTimeoutMin/2, ask(5, 2, "b", true))
 	if n.Take(); n.Term() != 5 {
 		t.Fatal("a handover was refused")
 	}
-	if tuning.ElectMin < tuning.LeaderLease*105/100 || tuning.SyncStall >= tuning.ElectMin {
+	if tuning.ElectionTimeoutMin < tuning.LeaderLease*105/100 || tuning.SyncStall >= tuning.ElectionTimeoutMin {
 		t.Fatal("a leader may decide while another is elected")
 	}
 }
@@ -121,8 +121,8 @@
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
 	snap := wire.Snapshot{Index: 1, Term: 5, Members: ms}
 	nodes := map[string]*Node{
-		"a": New(0, "a", Image{Epoch: 1, Disk: 1, Term: 5, Snap: snap, Log: []wire.Entry{{Index: 2, Term: 5}}}),
-		"b": New(0, "b", Image{Epoch: 1, Disk: 2, Term: 6, Vote: "b", Snap: snap})}
+		"a": New(0, "a", Image{Epoch: 1, Disk: 1, Term: 5, Snapshot: snap, Log: []wire.Entry{{Index: 2, Term: 5}}}),
+		"b": New(0, "b", Image{Epoch: 1, Disk: 2, Term: 6, Vote: "b", Snapshot: snap})}
 	for now := time.Duration(0); now < 10*time.Second; now += tuning.TickEvery {
 		for _, name := range []string{"a", "b"} {
 			n := nodes[name]
@@ -228,14 +228,14 @@
 // After a start of all members nobody can still decide, so none waits.
 func TestAllStarted(t *testing.T) {
 	w := newTrio()
-	if !w.run(t, tuning.ElectMin/2, func() bool { return w.leader() != "" }) {
+	if !w.run(t, tuning.ElectionTimeoutMin/2, func() bool { return w.leader() != "" }) {
 		t.Fatal("no leader soon after the first start")
 	}
 	w.run(t, time.Second, func() bool { return false })
 	for _, n := range []string{"a", "b", "c"} {
 		w.boot(n)
 	}
-	if !w.run(t, tuning.ElectMin/2, func() bool { return w.leader() != "" }) {
+	if !w.run(t, tuning.ElectionTimeoutMin/2, func() bool { return w.leader() != "" }) {
 		t.Fatal("no leader soon after all were started again")
 	}
 }
@@ -274,8 +274,8 @@
 func TestEveryone(t *testing.T) {
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
 	left, _ := json.Marshal(ms[:2])
-	now := tuning.ElectMin / 4
-	n := New(0, "a", Image{Epoch: 1, Disk: 1, Term: 3, Snap: wire.Snapshot{Index: 1, Members: ms}, Log: []wire.Entry{{Index: 2, Term: 3, Kind: EntryMembers, Data: left}}})
+	now := tuning.ElectionTimeoutMin / 4
+	n := New(0, "a", Image{Epoch: 1, Disk: 1, Term: 3, Snapshot: wire.Snapshot{Index: 1, Members: ms}, Log: []wire.Entry{{Index: 2, Term: 3, Kind: EntryMembers, Data: left}}})
 	leave := func(from string, disk uint64, pre bool, term uint64) {
 		n.Recv(now, &wire.Message{Kind: wire.KindVote, From: from, Disk: disk, Epoch: 1, Term: term,
 			Vote: &wire.Vote{PreVote: pre, Reply: true, Unanimous: true, Granted: true, NoLeader: true, LastIndex: 1}})
@@ -330,7 +330,7 @@
 			for _, name := range []string{"a", "b", "c"} {
 				w.cutOff(name, true)
 			}
-			w.run(t, tuning.ElectMin+tuning.HeartbeatEvery, func() bool { return n.Role() != Leader })
+			w.run(t, tuning.ElectionTimeoutMin+tuning.HeartbeatEvery, func() bool { return n.Role() != Leader })
 		}
 		for _, name := range []string{"a", "b", "c"} {
 			w.cutOff(name, false)
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -229,7 +229,7 @@
 	n.follow(now, m.Term)
 	n.leader = m.From
 	n.leaderHeardAt = now
-	n.deadline = now + tuning.ElectMin + n.deadline%tuning.ElectSpread
+	n.deadline = now + tuning.ElectionTimeoutMin + n.deadline%tuning.ElectionTimeoutSpread
 	entries, installed := a.Entries, false
 	if a.Chunk != nil {
 		if whole, complete := n.receivePiece(a.Chunk); complete && whole.IsEntry {
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -38,7 +38,7 @@
 }
 
 // keepTail keeps the last of the entries that a snapshot replaces in memory, up to
-// limit.TailBytes: a peer that is a little behind, or was while a snapshot went to it,
+// tuning.TailBytes: a peer that is a little behind, or was while a snapshot went to it,
 // goes on from them and needs no other snapshot.
 func (n *Node) keepTail(compacted []wire.Entry) {
 	n.tail = append(slices.Clone(n.tail), compacted...)
--- a/internal/controlplane/consensus/stamp_test.go
+++ b/internal/controlplane/consensus/stamp_test.go
@@ -24,7 +24,7 @@
 
 	// The leader does not believe in stamps that it can't have given in this lead either.
 	leader, _ := node("a")
-	start := tuning.ElectMin + tuning.ElectSpread
+	start := tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	leader.Tick(start)
 	for leader.Role() != Leader {
 		o := leader.Take()
--- a/internal/controlplane/consensus/transfer_test.go
+++ b/internal/controlplane/consensus/transfer_test.go
@@ -49,7 +49,7 @@
 		list = append(list, wire.Member{Name: name, Disk: uint64(i) + 1})
 	}
 	for _, m := range list {
-		c.add(m, Image{Epoch: 1, Disk: m.Disk, Snap: wire.Snapshot{Index: 1, Members: list}})
+		c.add(m, Image{Epoch: 1, Disk: m.Disk, Snapshot: wire.Snapshot{Index: 1, Members: list}})
 	}
 	return c
 }
@@ -80,7 +80,7 @@
 	at := c.now
 	if rate := c.linkRate[m.To]; rate > 0 {
 		free := max(c.linkFree[m.To], at)
-		if free-at > tuning.SendLate {
+		if free-at > tuning.SendQueueTTL {
 			return
 		}
 		at = free + time.Duration(float64(bytes)/rate*float64(time.Second))
@@ -316,7 +316,7 @@
 		const size = 400 << 10
 		c.state = func(string) []byte { return random(rnd, size) }
 		data := random(rnd, size)
-		if kind == "snapshot" { // larger than limit.LogBytes, so it is compacted at once
+		if kind == "snapshot" { // larger than tuning.LogBytes, so it is compacted at once
 			data = random(rnd, size/3)
 			for range 3 {
 				n.Propose(c.now, data)
@@ -384,7 +384,7 @@
 // come twice or out of order change nothing.
 func TestSnapshotIsWholeBeforeItCounts(t *testing.T) {
 	_, im := node("a")
-	s := wire.Snapshot{Index: 50, Term: 1, Members: im.Snap.Members, Data: []byte("the whole state")}
+	s := wire.Snapshot{Index: 50, Term: 1, Members: im.Snapshot.Members, Data: []byte("the whole state")}
 	n := follower()
 	recv := func(a *wire.Append) (Out, *wire.Append) {
 		n.Recv(1, appendFrom(1, a))
@@ -534,7 +534,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("%s: commit %d, log %d entries, %d bytes; tail %d bytes; image %d bytes", name, n.Commit(), len(n.log), logBytes, tailBytes, len(whole))
-		if n.Commit() < 10000 || len(n.log) > tuning.LogMax+2 || logBytes > tuning.LogBytes+tuning.AppendMax || tailBytes > tuning.TailBytes || len(whole) > tuning.RingFileSize/2 {
+		if n.Commit() < 10000 || len(n.log) > tuning.LogMax+2 || logBytes > tuning.LogBytes+tuning.AppendMax || tailBytes > tuning.TailBytes || len(whole) > tuning.WALFileSize/2 {
 			t.Errorf("%s holds too much", name)
 		}
 		if len(n.unsyncedBatches)+len(n.heldMessages) > 0 {
@@ -573,7 +573,7 @@
 	index := n.Propose(c.now, []byte("not on the leader's disk"))
 	c.collect(name)
 	from := c.now
-	if !c.run(tuning.ElectMin, func() bool { return !n.HasLease(c.now) }) {
+	if !c.run(tuning.ElectionTimeoutMin, func() bool { return !n.HasLease(c.now) }) {
 		t.Fatal("it decides with a disk that does not answer")
 	}
 	t.Logf("it stopped deciding after %v", c.now-from)
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -1,4 +1,4 @@
-// Package core is the owner of a control daemon: membership, agreement, the
+// Package controlplane is the owner of a control daemon: membership, agreement, the
 // registry of targets, the watchdog, the judge, leases to proxies and operators'
 // changes, as one pure Step(now, event) -> commands. The shell does the I/O and
 // the simulator runs this same code.
@@ -62,8 +62,8 @@
 	cfg *config.Config
 }
 
-// Core is the owner of a core daemon's state: a member or a standby of the core.
-type Core struct {
+// Controller is the owner of a core daemon's state: a member or a standby of the core.
+type Controller struct {
 	settings        Settings
 	image           consensus.Image
 	node            *consensus.Node
@@ -93,7 +93,7 @@
 	ended           bool // it stopped, and has asked for its process's end: it takes no more calls
 	stopAt          time.Duration
 
-	lead                   Lead
+	lead                   Leadership
 	leadAt                 time.Duration
 	leadTerm               uint64
 	kept                   keptLead        // the lead that was lost last
@@ -123,7 +123,7 @@
 	restored               map[string]time.Duration  // when emptied domains were last restored
 	checked                checked
 	compressed             struct{ plain, doc []byte } // the document as last told, and its form in tables
-	judge                  *outlier.Judge
+	judge                  *outlier.Detector
 	scorer                 *outlier.Scorer
 	policyRevision         uint64 // revision whose policies are in force
 	cfg                    *config.Config
@@ -168,8 +168,8 @@
 
 // New starts a member from what its disk holds; a disk without a number yet is
 // given the shell's.
-func New(now time.Duration, set Settings, img consensus.Image) *Core {
-	c := &Core{settings: set, image: img, bootAt: now, directory: discovery.Directory{}, proxyMemories: map[string]proxyMemory{}, unreadMemories: map[string][]byte{}, proxies: map[string]*proxyState{},
+func New(now time.Duration, set Settings, img consensus.Image) *Controller {
+	c := &Controller{settings: set, image: img, bootAt: now, directory: discovery.Directory{}, proxyMemories: map[string]proxyMemory{}, unreadMemories: map[string][]byte{}, proxies: map[string]*proxyState{},
 		pendingChanges: map[string]*pending{}, relayedCalls: map[uint64]*pending{}, requestedMembers: map[string]bool{}, heard: map[string]heard{}, toldLists: map[string]toldList{}, learning: map[string]learning{}, restored: map[string]time.Duration{}, state: state.New(), relayID: set.Self.Incarnation << 20}
 	c.settings.Self.Disk = img.Disk
 	switch {
@@ -177,7 +177,7 @@
 		c.bootstrapSize = set.Size
 	case set.Found && slices.Contains(set.Seeds, set.Self.Addr):
 		c.bootstrapSize = len(slices.Compact(slices.Sorted(slices.Values(set.Seeds))))
-	case img.Lock != 0: // it was restarted while it founded
+	case img.BootstrapLock != 0: // it was restarted while it founded
 		c.bootstrapSize = len(img.Founders)
 	}
 	if img.Epoch != 0 {
@@ -186,13 +186,13 @@
 	return c
 }
 
-func (c *Core) start(now time.Duration) {
+func (c *Controller) start(now time.Duration) {
 	c.node = consensus.New(now, c.settings.Self.Name, c.image)
 	c.undecodable = nil
-	c.restore(&c.image.Snap)
+	c.restore(&c.image.Snapshot)
 }
 
-func (c *Core) restore(s *wire.Snapshot) {
+func (c *Controller) restore(s *wire.Snapshot) {
 	state, err := state.Decode(s.Data)
 	if err != nil {
 		c.cannotDecode(fmt.Sprintf("snapshot %d", s.Index), err)
@@ -202,7 +202,7 @@
 }
 
 // Step is the owner: one event in, commands out.
-func (c *Core) Step(now time.Duration, ev statemachine.Event) []statemachine.Command {
+func (c *Controller) Step(now time.Duration, ev statemachine.Event) []statemachine.Command {
 	c.leadership(now) // time may have passed since the last step, and with it the lease
 	switch e := ev.(type) {
 	case statemachine.Receive:
@@ -222,7 +222,7 @@
 	}
 	c.applyNodeOutput(now)
 	c.leadership(now)
-	if c.lead == Deciding {
+	if c.lead == Leading {
 		c.answerWaiters(now)
 		c.applyNodeOutput(now)
 	}
@@ -232,7 +232,7 @@
 }
 
 // drain carries out what the node left to do.
-func (c *Core) applyNodeOutput(now time.Duration) {
+func (c *Controller) applyNodeOutput(now time.Duration) {
 	for c.node != nil {
 		o := c.node.Take()
 		for _, r := range o.Refused {
@@ -262,7 +262,7 @@
 	}
 }
 
-func (c *Core) synced(now time.Duration, seq uint64) {
+func (c *Controller) synced(now time.Duration, seq uint64) {
 	c.syncedSeq = max(c.syncedSeq, seq)
 	if c.node != nil && seq > c.batchOffset {
 		c.node.Synced(now, seq-c.batchOffset)
@@ -270,7 +270,7 @@
 }
 
 // whole syncs an image that replaces all before it.
-func (c *Core) syncImage() {
+func (c *Controller) syncImage() {
 	if c.node != nil {
 		panic("founding over a running node")
 	}
@@ -280,10 +280,10 @@
 	c.emit(statemachine.Sync{Batch: b})
 }
 
-func (c *Core) tick(now time.Duration) {
+func (c *Controller) tick(now time.Duration) {
 	every := tuning.HelloEvery
 	if now-c.bootAt < tuning.HelloHaste && c.heardLeader(now) == "" {
-		every = tuning.ElectAsk // members that start together know no one's address yet
+		every = tuning.PreVoteInterval // members that start together know no one's address yet
 	}
 	if now-c.helloAt >= every {
 		c.helloAt = now
@@ -316,7 +316,7 @@
 		case now-p.at > tuning.CallWait+tuning.LeaderLease, p.targetReport && now-p.at > tuning.TargetReportWait:
 			delete(c.relayedCalls, id)
 			c.answerUnknown(p)
-		case c.lead == Deciding:
+		case c.lead == Leading:
 			delete(c.relayedCalls, id)
 			p.relayCount++
 			c.operate(now, p, p.call)
@@ -329,7 +329,7 @@
 		c.tickStop(now)
 	}
 	c.maintainMembers(now)
-	if c.lead >= Warming {
+	if c.lead >= Gathering {
 		c.watch(now)
 	}
 }
--- a/internal/controlplane/corestatus.go
+++ b/internal/controlplane/corestatus.go
@@ -102,7 +102,7 @@
 }
 
 // coreStatus is this member's view of the core.
-func (c *Core) coreStatus(now time.Duration) CoreView {
+func (c *Controller) coreStatus(now time.Duration) CoreView {
 	if c.node == nil {
 		return CoreView{Leader: c.leaderHint}
 	}
@@ -128,7 +128,7 @@
 }
 
 // memberViews are the members, those that learn, and the standbys, in this order.
-func (c *Core) memberViews(now time.Duration, progress []consensus.Progress) []MemberView {
+func (c *Controller) memberViews(now time.Duration, progress []consensus.Progress) []MemberView {
 	var l []MemberView
 	listed := map[string]bool{}
 	for _, m := range c.node.Members() {
@@ -160,7 +160,7 @@
 }
 
 // voterView is one place of the member list.
-func (c *Core) voterView(now time.Duration, p consensus.Progress) MemberView {
+func (c *Controller) voterView(now time.Duration, p consensus.Progress) MemberView {
 	name := p.Member.Name
 	v := MemberView{Name: name, Domain: c.domainOf(name), Voter: true, Match: p.Match}
 	switch {
@@ -185,7 +185,7 @@
 
 // unansweredFor is how long a daemon has neither answered the log nor said hello, as far
 // as this process and this lead have listened.
-func (c *Core) unansweredFor(now time.Duration, p consensus.Progress) time.Duration {
+func (c *Controller) unansweredFor(now time.Duration, p consensus.Progress) time.Duration {
 	return now - max(c.heard[p.Member.Name].at, p.AckedAt, c.bootAt)
 }
 
@@ -196,7 +196,7 @@
 }
 
 // lossView is the leader's: what may be lost now, and what stands against it.
-func (c *Core) lossView(now time.Duration, v CoreView) LossView {
+func (c *Controller) lossView(now time.Duration, v CoreView) LossView {
 	l := LossView{Known: true}
 	there, byDomain := 0, map[string]int{}
 	for _, m := range v.Members {
@@ -227,7 +227,7 @@
 }
 
 // obstacle says why a voter can't be counted on, and when it may be replaced and by whom.
-func (c *Core) obstacle(now time.Duration, m MemberView, all []MemberView) Obstacle {
+func (c *Controller) obstacle(now time.Duration, m MemberView, all []MemberView) Obstacle {
 	o := Obstacle{Member: m.Name, Kind: map[MemberState]ObstacleKind{
 		MemberSilent: ObstacleSilent, MemberStopping: ObstacleStopping, MemberCatchingUp: ObstacleCatchingUp, MemberPlace: ObstaclePlace}[m.State]}
 	o.By = successor(all)
@@ -236,7 +236,7 @@
 	}
 	left := time.Duration(0)
 	if m.State == MemberSilent {
-		listening := tuning.LeadGrace - (now - c.node.Since())
+		listening := tuning.NewLeaderGrace - (now - c.node.Since())
 		left = max(0, listening, c.memberReplaceAfter()-time.Duration(m.SilentMs)*time.Millisecond)
 	}
 	ms := left.Milliseconds()
@@ -262,7 +262,7 @@
 }
 
 // countOutput counts what the node sends and agrees that operators look for.
-func (c *Core) countOutput(o *consensus.Out) {
+func (c *Controller) countOutput(o *consensus.Out) {
 	for _, m := range o.Send {
 		if m.Append != nil && !m.Append.Reply && m.Append.Chunk.BeginsSnapshot() {
 			c.counts.SnapshotsSent++
@@ -276,7 +276,7 @@
 }
 
 // countAnswer counts an answer to a call by its kind; a target's by whether its leaving was acknowledged.
-func (c *Core) countAnswer(p *pending, status int) {
+func (c *Controller) countAnswer(p *pending, status int) {
 	switch {
 	case p.targetReport && status == 503:
 		c.counts.LeavingsUnacknowledged++
--- a/internal/controlplane/damage.go
+++ b/internal/controlplane/damage.go
@@ -18,7 +18,7 @@
 }
 
 // reportDamage says it once each, aloud, and keeps the last for the status.
-func (c *Core) reportDamage(what string, err error) {
+func (c *Controller) reportDamage(what string, err error) {
 	d := Damage{what, err.Error()}
 	for _, known := range c.damage {
 		if known == d {
@@ -26,17 +26,17 @@
 		}
 	}
 	c.damage = append(c.damage, d)
-	c.damage = c.damage[max(0, len(c.damage)-tuning.DamageKept):]
+	c.damage = c.damage[max(0, len(c.damage)-tuning.DamageReportsKept):]
 	c.counts.Damaged++
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: d.What, To: "", Reason: d.Why})
 }
 
 // ReportDamage is for the shell, which reads the disk.
-func (c *Core) ReportDamage(what string, err error) { c.reportDamage(what, err) }
+func (c *Controller) ReportDamage(what string, err error) { c.reportDamage(what, err) }
 
 // addRecovered takes what somebody remembers of an earlier epoch as the state to begin this
 // one with, if it is the latest so far that can be read whole.
-func (c *Core) addRecovered(l state.RecoveredState) {
+func (c *Controller) addRecovered(l state.RecoveredState) {
 	if c.node == nil || c.state.Adopted || l.Epoch >= c.node.Epoch() || len(l.State) == 0 || !c.recovered.Less(l) {
 		return
 	}
@@ -50,13 +50,13 @@
 
 // canAdopt says that an epoch may begin with what has been recovered: never with nothing
 // while somebody remembers something unreadable, unless an operator says so.
-func (c *Core) canAdopt() bool {
+func (c *Controller) canAdopt() bool {
 	return len(c.recovered.State) > 0 || !c.unreadableMemory || c.adoptEmpty
 }
 
 // diskRefuses notes that the disk takes no writes, or does again. What follows from that is
 // the node's: a leader whose sync hangs steps down, and nothing is acknowledged.
-func (c *Core) diskRefuses(err error) {
+func (c *Controller) diskRefuses(err error) {
 	was := c.diskError
 	if c.diskError = ""; err != nil {
 		c.diskError = err.Error()
--- a/internal/controlplane/damage_test.go
+++ b/internal/controlplane/damage_test.go
@@ -23,7 +23,7 @@
 
 func newRefounded(memories ...state.RecoveredState) *refounded {
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
-	im := consensus.Image{Disk: 7, Epoch: 2, Snap: wire.Snapshot{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
+	im := consensus.Image{Disk: 7, Epoch: 2, Snapshot: wire.Snapshot{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
 	return &refounded{rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, im)}, memories}
 }
 
@@ -62,7 +62,7 @@
 		if !r.c.Leading() || r.c.state.Revision != 5 {
 			t.Errorf("%s: leads %v with revision %d", name, r.c.Leading(), r.c.state.Revision)
 		}
-		if d := r.c.Status(r.now).Damage; len(d) == 0 || len(d) > tuning.DamageKept {
+		if d := r.c.Status(r.now).Damage; len(d) == 0 || len(d) > tuning.DamageReportsKept {
 			t.Errorf("%s: %d findings of damage", name, len(d))
 		}
 	}
@@ -92,7 +92,7 @@
 		t.Error("adopted")
 	}
 	r := newRefounded(memory(50, 5))
-	for r.c.lead != Adopting {
+	for r.c.lead != Recovering {
 		r.seconds(1)
 	}
 	r.c.propose(r.now, state.Command{Operation: state.OpAdopt, State: json.RawMessage(`{"seq":"ninety"}`)})
@@ -112,7 +112,7 @@
 	change := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d1", Token: "x"})
 	long := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: strings.Repeat("d", 2*tuning.CompressFrom)})
 	image := func(snap []byte, log ...wire.Entry) *consensus.Image {
-		return &consensus.Image{Epoch: 1, Disk: 7, Snap: wire.Snapshot{Index: 1, Data: snap}, Log: log}
+		return &consensus.Image{Epoch: 1, Disk: 7, Snapshot: wire.Snapshot{Index: 1, Data: snap}, Log: log}
 	}
 	sound := state.Encode(&s)
 	for name, im := range map[string]*consensus.Image{
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -33,9 +33,9 @@
 	stoppingState = "stopping" // it goes, and is to come back
 )
 
-func (c *Core) self() wire.Daemon {
+func (c *Controller) self() wire.Daemon {
 	d := c.settings.Self
-	d.Disk, d.BootstrapLock, d.BootstrapOffer = c.image.Disk, c.image.Lock, c.offer
+	d.Disk, d.BootstrapLock, d.BootstrapOffer = c.image.Disk, c.image.BootstrapLock, c.offer
 	if c.syncedSeq < c.lockSeq {
 		d.BootstrapLock = 0
 	}
@@ -56,7 +56,7 @@
 }
 
 // led is the leader that this member hears or is, "" if there is none.
-func (c *Core) heardLeader(now time.Duration) string {
+func (c *Controller) heardLeader(now time.Duration) string {
 	if c.node == nil || c.abstains() || !c.node.HearsLeader(now) {
 		return ""
 	}
@@ -65,7 +65,7 @@
 
 // leader is where calls and words are passed on to: who leads, as heard from it or, by
 // a daemon that no leader speaks to, from those to whom one does.
-func (c *Core) leader(now time.Duration) string {
+func (c *Controller) leader(now time.Duration) string {
 	if l := c.heardLeader(now); l != "" {
 		return l
 	}
@@ -76,7 +76,7 @@
 }
 
 // relayTo is whom a call may be passed on to again: a member's only while it is heard.
-func (c *Core) relayTo(now time.Duration) string {
+func (c *Controller) relayTo(now time.Duration) string {
 	if !c.isNonVoter() {
 		return c.heardLeader(now)
 	}
@@ -84,7 +84,7 @@
 }
 
 // hearer is one of those seen that hears a leader, "" if none does.
-func (c *Core) whoHearsLeader(now time.Duration, all []wire.Daemon) string {
+func (c *Controller) whoHearsLeader(now time.Duration, all []wire.Daemon) string {
 	if c.heardLeader(now) != "" {
 		return c.settings.Self.Name
 	}
@@ -104,7 +104,7 @@
 
 // sortedDaemons are the names of the daemons known, in order. They are sorted again only when one
 // came or went, since they are asked for with each hello.
-func (c *Core) sortedDaemons() []string {
+func (c *Controller) sortedDaemons() []string {
 	ok := len(c.daemonNames) == len(c.directory)
 	for i := 0; ok && i < len(c.daemonNames); i++ {
 		ok = c.directory[c.daemonNames[i]] != nil
@@ -117,7 +117,7 @@
 
 // directoryFor is what a daemon is to be told of those known: proxies need the core daemons
 // only, and nobody what it has been told lately.
-func (c *Core) directoryFor(now time.Duration, to string) (l []wire.Daemon) {
+func (c *Controller) directoryFor(now time.Duration, to string) (l []wire.Daemon) {
 	k := c.directory[to]
 	all := k == nil || k.Kind == wire.ControlDaemon
 	h := fnv.New64a()
@@ -146,7 +146,7 @@
 }
 
 // helloMsg is a hello to a daemon, "" if only its address is known.
-func (c *Core) helloMsg(now time.Duration, to string, reply bool) *wire.Message {
+func (c *Controller) helloMsg(now time.Duration, to string, reply bool) *wire.Message {
 	h := &wire.Hello{Self: c.self(), Reply: reply, Daemons: c.directoryFor(now, to), Leader: c.heardLeader(now), BootstrapEpoch: c.lockedFor()}
 	if c.node != nil {
 		h.Term = c.node.Term()
@@ -158,12 +158,12 @@
 	h.Members, h.MembersEpoch, h.MembersIndex = m.List, m.Epoch, m.Index
 	h.RecoveryConsent, h.LostMembers = c.consent.Granted, c.consent.LostMembers
 	if c.node != nil && !c.state.Adopted {
-		h.RecoveredState = c.image.Legacy
+		h.RecoveredState = c.image.RecoveredState
 	}
 	return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
 }
 
-func (c *Core) hello(now time.Duration) {
+func (c *Controller) hello(now time.Duration) {
 	maps.DeleteFunc(c.toldLists, func(n string, _ toldList) bool { return n != "" && c.directory[n] == nil })
 	done := map[string]bool{c.settings.Self.Addr: true}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
@@ -181,7 +181,7 @@
 	}
 }
 
-func (c *Core) coreDaemons(now time.Duration, fresh bool) []wire.Daemon {
+func (c *Controller) coreDaemons(now time.Duration, fresh bool) []wire.Daemon {
 	l := []wire.Daemon{c.self()}
 	for _, k := range c.directory {
 		if k.Kind == wire.ControlDaemon && (!fresh || c.heardLately(now, k.Name)) {
@@ -195,11 +195,11 @@
 // reaches says whether what is sent to another core daemon arrives there, as far as its
 // answers tell: one that is heard need not hear. A process that has just started gives
 // the others the time of an answer.
-func (c *Core) reaches(now time.Duration, name string) bool {
+func (c *Controller) reaches(now time.Duration, name string) bool {
 	return name == c.settings.Self.Name || now-max(c.heard[name].repliedAt, c.bootAt) < 4*tuning.HelloEvery
 }
 
-func (c *Core) heardLately(now time.Duration, name string) bool {
+func (c *Controller) heardLately(now time.Duration, name string) bool {
 	k := c.directory[name]
 	return name == c.settings.Self.Name || k != nil && now-k.At < 4*tuning.HelloEvery
 }
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -33,7 +33,7 @@
 // inForce says whether a table binds every proxy: a majority of the roster, and of
 // the one before while that still counts, has confirmed it, and each other one's lease, from the leader or from
 // peers that had not confirmed yet, must have lapsed.
-func (c *Core) inForce(now time.Duration, f *commitWaiter) bool {
+func (c *Controller) inForce(now time.Duration, f *commitWaiter) bool {
 	if f.member != "" && (!c.node.CanChangeMembers() || f.joining != slices.ContainsFunc(c.node.Members(), func(m wire.Member) bool { return m.Name == f.member })) {
 		return false
 	}
@@ -64,13 +64,13 @@
 }
 
 // hasConfirmed says that a proxy stands on a table or a later one.
-func (c *Core) hasConfirmed(name string, version uint64) bool {
+func (c *Controller) hasConfirmed(name string, version uint64) bool {
 	g := c.proxies[name]
 	return g != nil && g.key.Epoch == c.node.Epoch() && g.key.Term == c.node.Term() && g.key.Version >= version
 }
 
 // majorityConfirmed says that a majority of the roster, and of the one before while that counts, does.
-func (c *Core) majorityConfirmed(version uint64) bool {
+func (c *Controller) majorityConfirmed(version uint64) bool {
 	confirmed := 0
 	for i := range c.state.Proxies {
 		if c.hasConfirmed(c.state.Proxies[i].Name, version) {
@@ -92,7 +92,7 @@
 
 // mayBePast says that a proxy may still serve by an earlier table than one that waits to be in force:
 // on a lease of this leader's, or of a peer's that had not confirmed it either.
-func (c *Core) mayBePast(now time.Duration, name string, f *commitWaiter) bool {
+func (c *Controller) mayBePast(now time.Duration, name string, f *commitWaiter) bool {
 	g := c.proxies[name]
 	if g == nil || c.hasConfirmed(name, f.version) {
 		return false
@@ -102,7 +102,7 @@
 
 // answerWaiters answers for what has come into force. It is called after each event, so what it does for
 // one who still waits has to be little.
-func (c *Core) answerWaiters(now time.Duration) {
+func (c *Controller) answerWaiters(now time.Duration) {
 	var done []*commitWaiter
 	c.waiters = slices.DeleteFunc(c.waiters, func(f *commitWaiter) bool {
 		if c.inForce(now, f) {
@@ -127,7 +127,7 @@
 }
 
 // reportLongWait logs once what a change waits for that is not in force when it should be.
-func (c *Core) reportLongWait(now time.Duration, f *commitWaiter) {
+func (c *Controller) reportLongWait(now time.Duration, f *commitWaiter) {
 	if f.p == nil || f.reported || now-f.since <= tuning.InForceUsual {
 		return
 	}
@@ -136,7 +136,7 @@
 }
 
 // whatHolds says for people what a waiter waits for.
-func (c *Core) whatHolds(now time.Duration, f *commitWaiter) string {
+func (c *Controller) whatHolds(now time.Duration, f *commitWaiter) string {
 	if !c.majorityConfirmed(f.version) {
 		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d before", f.version, len(c.state.Proxies), len(c.state.PreviousProxies))
 	}
@@ -156,7 +156,7 @@
 }
 
 // waitedTooLong answers who has waited long enough, and says whether nothing waits any more.
-func (c *Core) waitedTooLong(now time.Duration, f *commitWaiter) bool {
+func (c *Controller) waitedTooLong(now time.Duration, f *commitWaiter) bool {
 	if f.p == nil || now-f.since <= tuning.CallWait && !(f.p.targetReport && now-f.p.at > tuning.TargetReportWait) {
 		return false
 	}
@@ -167,7 +167,7 @@
 
 // keepWaiters has those who wait go on waiting when the lead is lost: mostly it is had back in a moment,
 // and they get the answer that they wait for in place of none. What most proxies confirmed counts anew then.
-func (c *Core) keepWaiters(now time.Duration) {
+func (c *Controller) keepWaiters(now time.Duration) {
 	if c.stopping || !c.mayLeadAgain(now) {
 		c.abandonWaiters()
 		return
@@ -179,14 +179,14 @@
 
 // mayLeadAgain says that this member may soon go on with the lead that it lost: it is not longer ago than
 // an election takes, and no other leader has been heard since.
-func (c *Core) mayLeadAgain(now time.Duration) bool {
+func (c *Controller) mayLeadAgain(now time.Duration) bool {
 	l := c.node.Leader()
 	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < tuning.WaitersKept && (l == "" || l == c.settings.Self.Name) &&
 		!c.abstains()
 }
 
 // abandonWaiters answers all who wait that it can't be told.
-func (c *Core) abandonWaiters() {
+func (c *Controller) abandonWaiters() {
 	for _, t := range slices.Sorted(maps.Keys(c.pendingChanges)) {
 		c.answerUnknown(c.pendingChanges[t])
 	}
@@ -200,11 +200,11 @@
 }
 
 // tickWaiters looks after those who wait while this member does not decide.
-func (c *Core) tickWaiters(now time.Duration) {
-	if c.lead == Deciding || len(c.waiters)+len(c.pendingChanges) == 0 {
+func (c *Controller) tickWaiters(now time.Duration) {
+	if c.lead == Leading || len(c.waiters)+len(c.pendingChanges) == 0 {
 		return
 	}
-	if c.lead == Idle && !c.mayLeadAgain(now) {
+	if c.lead == NotLeading && !c.mayLeadAgain(now) {
 		c.abandonWaiters()
 		return
 	}
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -20,20 +20,20 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Lead is a member's standing as the one who decides.
-type Lead int
+// Leadership is a member's standing as the one who decides.
+type Leadership int
 
 // What a member may be doing as the one who decides.
 const (
-	Idle     Lead = iota
-	Adopting      // a refounded core gathers what others remember
-	Warming       // a new leader gathers tables
-	Deciding
+	NotLeading Leadership = iota
+	Recovering            // a refounded core gathers what others remember
+	Gathering             // a new leader gathers tables
+	Leading
 )
 
-func (l Lead) String() string { return [...]string{"idle", "adopting", "warming", "deciding"}[l] }
+func (l Leadership) String() string { return [...]string{"idle", "adopting", "warming", "deciding"}[l] }
 
-func (c *Core) setLead(now time.Duration, l Lead, why string) {
+func (c *Controller) setLead(now time.Duration, l Leadership, why string) {
 	if l == c.lead {
 		return
 	}
@@ -41,13 +41,13 @@
 	was := c.lead
 	c.lead, c.leadAt = l, now
 	switch l {
-	case Idle:
+	case NotLeading:
 		c.keepLead(now, was)
 		c.counts.LeasesLost++
 		c.keepWaiters(now)
-	case Adopting:
+	case Recovering:
 		c.proposed = false
-	case Warming:
+	case Gathering:
 		kept := c.keepsLead(now) && c.table != nil
 		if kept {
 			c.resumeLead(now)
@@ -74,7 +74,7 @@
 
 // announce tells every daemon at once who leads now; the roster's proxies need not have
 // been heard for that.
-func (c *Core) announce(now time.Duration) {
+func (c *Controller) announce(now time.Duration) {
 	for _, r := range c.state.Proxies {
 		if c.directory[r.Name] == nil {
 			c.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, At: now - tuning.DaemonGone/2}
@@ -85,24 +85,24 @@
 	}
 }
 
-func (c *Core) leadership(now time.Duration) {
+func (c *Controller) leadership(now time.Duration) {
 	leads := c.node != nil && !c.stopping && !c.abstains() && c.node.HasLease(now)
 	if !leads {
-		c.setLead(now, Idle, "no grant from a majority")
+		c.setLead(now, NotLeading, "no grant from a majority")
 		c.handOverIfLate(now)
 		return
 	}
 	if c.leadTerm != c.node.Term() {
-		c.setLead(now, Idle, "new term")
+		c.setLead(now, NotLeading, "new term")
 		c.leadTerm = c.node.Term()
 	}
 	switch c.lead {
-	case Idle:
+	case NotLeading:
 		if !c.state.Adopted {
 			c.recovered, c.unreadableMemory = state.RecoveredState{}, false
-			if len(c.image.Legacy) > 0 {
+			if len(c.image.RecoveredState) > 0 {
 				var l state.RecoveredState
-				if err := json.Unmarshal(c.image.Legacy, &l); err != nil {
+				if err := json.Unmarshal(c.image.RecoveredState, &l); err != nil {
 					c.unreadableMemory = true
 					c.reportDamage("memory of an earlier epoch on this disk", err)
 				} else {
@@ -113,20 +113,20 @@
 			for _, n := range slices.Sorted(maps.Keys(c.proxyMemories)) {
 				c.addRecovered(c.proxyMemories[n].RecoveredState)
 			}
-			c.setLead(now, Adopting, "elected in a new epoch")
+			c.setLead(now, Recovering, "elected in a new epoch")
 		} else if c.resumesAtOnce(now) {
 			c.resumeAtOnce(now)
 		} else {
-			c.setLead(now, Warming, "elected")
+			c.setLead(now, Gathering, "elected")
 		}
-	case Adopting:
+	case Recovering:
 		if c.state.Adopted {
-			c.setLead(now, Warming, "epoch's first state agreed")
+			c.setLead(now, Gathering, "epoch's first state agreed")
 		} else if now-c.leadAt > tuning.RecoveryWait && !c.proposed && c.canAdopt() {
 			c.proposed = true
 			c.propose(now, state.Command{Operation: state.OpAdopt, State: c.recovered.State})
 		}
-	case Warming:
+	case Gathering:
 		told, need := 0, 0
 		for _, r := range c.state.Proxies {
 			need++
@@ -134,14 +134,14 @@
 				told++
 			}
 		}
-		if told == need && (need > 0 || now-c.leadAt > tuning.FirstRoster) || now-c.leadAt > tuning.WarmLeader ||
-			2*told > need && now-c.leadAt > tuning.WarmLeader/3 {
+		if told == need && (need > 0 || now-c.leadAt > tuning.FirstProxiesWait) || now-c.leadAt > tuning.GatherTablesWait ||
+			2*told > need && now-c.leadAt > tuning.GatherTablesWait/3 {
 			c.decide(now, fmt.Sprintf("heard %d of %d proxies", told, need), true)
 		}
 	}
 }
 
-func (c *Core) applyPolicies() {
+func (c *Controller) applyPolicies() {
 	if c.policyRevision == c.state.Revision && c.policyRevision != 0 {
 		return
 	}
--- a/internal/controlplane/lease.go
+++ b/internal/controlplane/lease.go
@@ -34,11 +34,11 @@
 	state, doc bool
 }
 
-func (c *Core) inRoster(name string) bool {
+func (c *Controller) inRoster(name string) bool {
 	return slices.ContainsFunc(c.state.Proxies, func(g state.ProxyEntry) bool { return g.Name == name })
 }
 
-func (c *Core) pull(now time.Duration, m *wire.Message) {
+func (c *Controller) pull(now time.Duration, m *wire.Message) {
 	if m.Pull == nil {
 		return
 	}
@@ -54,12 +54,12 @@
 	default:
 		k.At, k.Daemon = now, m.Pull.Self
 	}
-	if t := m.Pull.Table; t != nil && c.lead == Adopting && t.Key.Epoch < c.node.Epoch() {
+	if t := m.Pull.Table; t != nil && c.lead == Recovering && t.Key.Epoch < c.node.Epoch() {
 		if l, ok := state.RecoveredFrom(t); ok {
 			c.addRecovered(l)
 		}
 	}
-	if c.lead == Idle {
+	if c.lead == NotLeading {
 		return
 	}
 	g := c.proxies[m.From]
@@ -84,7 +84,7 @@
 	if !g.key.Less(g.sentKey) || now-g.sentAt > flightTime(g.bytesInFlight) {
 		g.sentKey, g.bytesInFlight = wire.TableKey{}, 0
 	}
-	if t := m.Pull.Table; t != nil && c.lead >= Warming && !g.tableMerged {
+	if t := m.Pull.Table; t != nil && c.lead >= Gathering && !g.tableMerged {
 		g.tableMerged = true
 		c.merge(now, t)
 		c.rebuild(now, false)
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	if c.lead != Deciding {
+	if c.lead != Leading {
 		c.push(m.From, g, false)
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 // lags says that a proxy stands on a table of this lead that has not been the latest for too long.
-func (c *Core) isLagging(now time.Duration, k wire.TableKey) bool {
+func (c *Controller) isLagging(now time.Duration, k wire.TableKey) bool {
 	if !c.isOwnTable(k) || k.Version >= c.tableVersion {
 		return false
 	}
@@ -125,7 +125,7 @@
 }
 
 // isOwnTable says that a key is one of this lead's tables, of its present term or of an earlier one.
-func (c *Core) isOwnTable(k wire.TableKey) bool {
+func (c *Controller) isOwnTable(k wire.TableKey) bool {
 	return c.table != nil && k.Epoch == c.table.Key.Epoch && k.Version != 0 && slices.Contains(c.leadTerms, k.Term)
 }
 
@@ -142,9 +142,9 @@
 // push sends a proxy what it lacks, unless enough is under way to it: it asks again when it
 // has that. A lease runs from the proxy's own stamp, and is for the table that it names or
 // that comes with it.
-func (c *Core) push(name string, g *proxyState, grant bool) {
+func (c *Controller) push(name string, g *proxyState, grant bool) {
 	p := &wire.Push{LeaseGranted: grant, WantTable: !g.tableMerged}
-	if c.lead == Deciding && c.table != nil {
+	if c.lead == Leading && c.table != nil {
 		p.Key = c.table.Key
 		if g.key != c.table.Key {
 			p.Table = c.tableFor(g)
@@ -168,7 +168,7 @@
 
 // tableFor is the table for a proxy: only what changed since the one that it holds, if that
 // is of this lead; else all, but for a document and state that it has.
-func (c *Core) tableFor(g *proxyState) *wire.Table {
+func (c *Controller) tableFor(g *proxyState) *wire.Table {
 	doc, state := g.revision != c.table.Revision, g.seq != c.table.StateIndex
 	if c.isOwnTable(g.key) && g.key.Version >= c.oldestDeltaBase && g.seq != 0 {
 		k := change{g.key.Term, g.key.Version, state, doc}
@@ -192,7 +192,7 @@
 }
 
 // keepChange keeps a form of the present table for all who need that.
-func (c *Core) keepChange(k change, t *wire.Table) {
+func (c *Controller) keepChange(k change, t *wire.Table) {
 	if c.changes == nil {
 		c.changes = map[change]*wire.Table{}
 	}
@@ -200,7 +200,7 @@
 }
 
 // tableSince is the table as a change to an earlier one.
-func (c *Core) tableSince(k change) *wire.Table {
+func (c *Controller) tableSince(k change) *wire.Table {
 	t := *c.table
 	t.DeltaBase, t.Targets, t.RemovedTargets = wire.TableKey{Epoch: t.Key.Epoch, Term: k.term, Version: k.base}, nil, nil
 	if !k.doc {
@@ -225,7 +225,7 @@
 	return &t
 }
 
-func (c *Core) live(now time.Duration, name string) bool {
+func (c *Controller) live(now time.Duration, name string) bool {
 	g := c.proxies[name]
 	return g != nil && g.pullAt != 0 && now-g.pullAt < tuning.ProxyLive
 }
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -23,13 +23,13 @@
 }
 
 // memberReplaceAfter is how long a member is silent before a standby takes its place.
-func (c *Core) memberReplaceAfter() time.Duration {
+func (c *Controller) memberReplaceAfter() time.Duration {
 	repair := cmp.Or(c.settings.CatchUp, tuning.CatchUpDefault)
 	return max(repair/tuning.ReplaceParts, tuning.ReplaceAfterMin)
 }
 
 // handoverWait is how long a member that stops waits for its successor.
-func (c *Core) handoverWait() time.Duration {
+func (c *Controller) handoverWait() time.Duration {
 	if c.settings.Grace > 0 {
 		return min(tuning.HandoverWait, c.settings.Grace/2)
 	}
@@ -38,8 +38,8 @@
 
 // maintainMembers looks after the list of members, if this member may change it: also
 // while a new leader still gathers tables, and while the only member hands over.
-func (c *Core) maintainMembers(now time.Duration) {
-	may := c.lead >= Warming || c.stopping && c.state.Adopted && c.node != nil && c.node.HasLease(now)
+func (c *Controller) maintainMembers(now time.Duration) {
+	may := c.lead >= Gathering || c.stopping && c.state.Adopted && c.node != nil && c.node.HasLease(now)
 	if !may || now-c.membersAt < tuning.MembersEvery && !c.membersChanging {
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 // proposeMembers proposes a list that differs by one from the present one.
-func (c *Core) proposeMembers(now time.Duration, list []wire.Member, name, change, why string) {
+func (c *Controller) proposeMembers(now time.Duration, list []wire.Member, name, change, why string) {
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectMember, From: name, To: change, Reason: why})
 	c.membersChanging = true
 	c.node.ProposeMembers(now, list)
@@ -67,7 +67,7 @@
 
 // replaceLostDisk removes a member that came back with another disk. It is another
 // member now, and learns first.
-func (c *Core) replaceLostDisk(now time.Duration, members []wire.Member, all []wire.Daemon) bool {
+func (c *Controller) replaceLostDisk(now time.Duration, members []wire.Member, all []wire.Daemon) bool {
 	for _, d := range all {
 		i := slices.IndexFunc(members, func(m wire.Member) bool { return m.Name == d.Name })
 		if d.Name == c.settings.Self.Name || d.Disk == 0 || i < 0 || members[i].Disk == d.Disk || d.Epoch != 0 && d.Epoch != c.node.Epoch() {
@@ -84,7 +84,7 @@
 
 // admitRequested admits those that an operator asked for and, in a core whose size is
 // given, those that it lacks.
-func (c *Core) admitRequested(now time.Duration, members []wire.Member, all []wire.Daemon) bool {
+func (c *Controller) admitRequested(now time.Duration, members []wire.Member, all []wire.Daemon) bool {
 	ghost := slices.IndexFunc(members, func(m wire.Member) bool { return m.Disk == 0 })
 	for _, d := range all {
 		if d.Name == c.settings.Self.Name || d.Disk == 0 || slices.Contains(namesOf(members), d.Name) {
@@ -106,7 +106,7 @@
 }
 
 // admit has a daemon learn, and makes it a member once it has caught up.
-func (c *Core) admit(now time.Duration, members []wire.Member, d wire.Daemon) bool {
+func (c *Controller) admit(now time.Duration, members []wire.Member, d wire.Daemon) bool {
 	m := wire.Member{Name: d.Name, Disk: d.Disk}
 	c.node.AddLearner(m)
 	list := append(slices.Clone(members), m)
@@ -120,8 +120,8 @@
 
 // silentFor is how long a member has not been heard. What was not heard before this
 // member led counts too, once it has led for long enough to hear everybody.
-func (c *Core) silentFor(now time.Duration, name string) time.Duration {
-	if name == c.settings.Self.Name || now-c.node.Since() < tuning.LeadGrace {
+func (c *Controller) silentFor(now time.Duration, name string) time.Duration {
+	if name == c.settings.Self.Name || now-c.node.Since() < tuning.NewLeaderGrace {
 		return 0
 	}
 	h, ok := c.heard[name]
@@ -132,7 +132,7 @@
 }
 
 // hasResponsiveMajority says that a list of members has a majority that answers now.
-func (c *Core) hasResponsiveMajority(now time.Duration, list []wire.Member) bool {
+func (c *Controller) hasResponsiveMajority(now time.Duration, list []wire.Member) bool {
 	n := 0
 	for _, m := range list {
 		if c.node.RecentlyActive(now, m) {
@@ -142,7 +142,7 @@
 	return 2*n > len(list)
 }
 
-func (c *Core) domainOf(name string) string {
+func (c *Controller) domainOf(name string) string {
 	if name == c.settings.Self.Name {
 		return c.settings.Self.Domain
 	}
@@ -154,7 +154,7 @@
 
 // resilience compares sets of members by what they outlive: any one domain, then as many
 // machines as can be, with no more members than that takes; but two keep more than one.
-func (c *Core) resilience(names []string) (w [3]int) {
+func (c *Controller) resilience(names []string) (w [3]int) {
 	per, most := map[string]int{}, 0
 	for _, n := range names {
 		d := c.domainOf(n)
@@ -185,7 +185,7 @@
 
 // removeMember removes a member, if the list before and the one after both have a
 // majority that answers.
-func (c *Core) removeMember(now time.Duration, members []wire.Member, m wire.Member, why string) bool {
+func (c *Controller) removeMember(now time.Duration, members []wire.Member, m wire.Member, why string) bool {
 	left := without(members, m)
 	if !c.hasResponsiveMajority(now, members) || !c.hasResponsiveMajority(now, left) {
 		return false
@@ -195,7 +195,7 @@
 }
 
 // lostReason says why a member that is lost goes.
-func (c *Core) lostReason(now time.Duration, m wire.Member) string {
+func (c *Controller) lostReason(now time.Duration, m wire.Member) string {
 	switch {
 	case m.Disk == 0:
 		return "nobody took its place"
@@ -205,6 +205,6 @@
 	return fmt.Sprintf("silent for %v", c.silentFor(now, m.Name).Truncate(time.Second/10))
 }
 
-func (c *Core) isStopping(name string) bool {
+func (c *Controller) isStopping(name string) bool {
 	return name == c.settings.Self.Name && c.stopping || c.heard[name].stops
 }
--- a/internal/controlplane/memory_test.go
+++ b/internal/controlplane/memory_test.go
@@ -44,7 +44,7 @@
 	}
 
 	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}}, consensus.Image{Disk: 7, Epoch: 1,
-		Snap: wire.Snapshot{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}}})
+		Snapshot: wire.Snapshot{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}}})
 	member.Step(now, remembering(t, "g1", 1))
 	for range 3 * tuning.HelloEvery / tuning.TickEvery {
 		now += tuning.TickEvery
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -10,9 +10,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func (c *Core) emit(cmd statemachine.Command) { c.out = append(c.out, cmd) }
+func (c *Controller) emit(cmd statemachine.Command) { c.out = append(c.out, cmd) }
 
-func (c *Core) send(name string, m *wire.Message) {
+func (c *Controller) send(name string, m *wire.Message) {
 	k := c.directory[name]
 	if k == nil || name == c.settings.Self.Name {
 		return
@@ -21,7 +21,7 @@
 	c.emit(statemachine.Send{Addr: k.Addr, Message: m})
 }
 
-func (c *Core) recv(now time.Duration, m *wire.Message) {
+func (c *Controller) recv(now time.Duration, m *wire.Message) {
 	wire.DiscardNonFinite(m)
 	switch m.Kind {
 	case wire.KindHello:
@@ -41,7 +41,7 @@
 			c.send(m.From, c.helloMsg(now, m.From, true))
 		}
 	case wire.KindVote, wire.KindAppend:
-		if m.Epoch < c.image.Founding {
+		if m.Epoch < c.image.BootstrapEpoch {
 			return // this member has promised to found a later epoch and takes no more part in this one
 		}
 		if m.Append != nil && !m.Append.Reply && (c.node == nil || m.Epoch > c.node.Epoch()) {
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -26,7 +26,7 @@
 
 // ask takes a call at this daemon: some it answers itself, the others it
 // carries out as leader or passes to the leader.
-func (c *Core) handleCall(now time.Duration, e statemachine.Call) {
+func (c *Controller) handleCall(now time.Duration, e statemachine.Call) {
 	p := &pending{token: e.Token, ask: e.ID, at: now}
 	if c.ended {
 		c.answer(p, noLeader())
@@ -52,7 +52,7 @@
 	if id := query(e.Query, "id"); id != "" {
 		p.token = id
 	}
-	if c.lead == Deciding {
+	if c.lead == Leading {
 		c.operate(now, p, &wire.Call{Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body})
 		return
 	}
@@ -69,7 +69,7 @@
 		c.answer(p, targetreport.Accepted(word))
 		return
 	}
-	waits := p.targetReport && c.lead == Warming
+	waits := p.targetReport && c.lead == Gathering
 	if !waits && (l == "" || l == c.settings.Self.Name || c.directory[l] == nil) {
 		c.answer(p, noLeader())
 		return
@@ -86,7 +86,7 @@
 }
 
 // pass hands a call to the leader.
-func (c *Core) relay(now time.Duration, id uint64, p *pending, leader string) {
+func (c *Controller) relay(now time.Duration, id uint64, p *pending, leader string) {
 	p.relayedTo, p.relayedAt, p.relayedTerm = leader, now, c.Term()
 	p.relayCount++
 	c.send(leader, &wire.Message{Kind: wire.KindCall, Call: p.call})
@@ -102,8 +102,8 @@
 	return n, err == nil
 }
 
-func (c *Core) operate(now time.Duration, p *pending, a *wire.Call) {
-	if c.lead != Deciding {
+func (c *Controller) operate(now time.Duration, p *pending, a *wire.Call) {
+	if c.lead != Leading {
 		c.answer(p, noLeader())
 		return
 	}
@@ -162,7 +162,7 @@
 		to, ok := number(a.Query, "to")
 		doc := c.docAt(to)
 		if !ok || doc == nil {
-			c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, tuning.ChangesKept)}))
+			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, tuning.ChangesKept)}))
 			return
 		}
 		what := fmt.Sprintf("rollback to %d", to)
@@ -176,7 +176,7 @@
 			c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(t)})
 			return
 		}
-		c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Ran: "unknown", Message: "no such change has been agreed so far"}))
+		c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Ran: "unknown", Message: "no such change has been agreed so far"}))
 	case call == "GET roster":
 		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"daemons": c.daemonViews(now)})})
 	case call == "GET targets":
@@ -191,31 +191,31 @@
 		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"emptied": append([]string{}, c.state.EmptiedDomains...), "domains": c.domains()})})
 	case call == "POST domains" && (seg[3] == "empty" || seg[3] == "restore"):
 		if !slices.Contains(c.domains(), seg[2]) && !slices.Contains(c.state.EmptiedDomains, seg[2]) {
-			c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
+			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
 			return
 		}
 		c.change(now, p, state.Command{Operation: state.Operation(seg[3]), Name: seg[2]})
 	case call == "POST gates" && seg[3] == "forget":
 		if !c.inRoster(seg[2]) {
-			c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: "no such proxy in the roster"}))
+			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "no such proxy in the roster"}))
 			return
 		}
 		if g := c.proxies[seg[2]]; g != nil && now-g.pullAt < tuning.ProxyLive {
-			c.answer(p, reply.Problem(409, config.Trouble{Code: "alive", Message: "that proxy is still asking for its table"}))
+			c.answer(p, reply.Problem(409, config.ErrorBody{Code: "alive", Message: "that proxy is still asking for its table"}))
 			return
 		}
 		c.change(now, p, state.Command{Operation: state.OpForgetProxy, Name: seg[2]})
 	case call == "POST core" && (seg[3] == "add" || seg[3] == "remove"):
 		c.changeMember(now, p, seg[2], seg[3])
 	default:
-		c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: "no such call: " + a.Method + " " + a.Path}))
+		c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "no such call: " + a.Method + " " + a.Path}))
 	}
 }
 
-func (c *Core) change(now time.Duration, p *pending, o state.Command) bool {
+func (c *Controller) change(now time.Duration, p *pending, o state.Command) bool {
 	o.Token = p.token
 	if c.node.UncommittedBytes() > tuning.OpenBytes {
-		c.answer(p, reply.Problem(503, config.Trouble{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
+		c.answer(p, reply.Problem(503, config.ErrorBody{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
 		return false
 	}
 	c.pendingChanges[p.token] = p
@@ -229,24 +229,24 @@
 }
 
 // swap adds or removes a core member on an operator's word.
-func (c *Core) changeMember(now time.Duration, p *pending, name, what string) {
+func (c *Controller) changeMember(now time.Duration, p *pending, name, what string) {
 	ms := c.node.Members()
 	i := slices.IndexFunc(ms, func(m wire.Member) bool { return m.Name == name })
 	switch {
 	case what == "add" && i >= 0:
-		c.answer(p, reply.Problem(409, config.Trouble{Code: "member", Message: name + " is a member"}))
+		c.answer(p, reply.Problem(409, config.ErrorBody{Code: "member", Message: name + " is a member"}))
 	case what == "add":
 		if k := c.directory[name]; k == nil || k.Kind != wire.ControlDaemon {
-			c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: "no core daemon of that name has been heard"}))
+			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "no core daemon of that name has been heard"}))
 			return
 		}
 		c.change(now, p, state.Command{Operation: state.OpAddMember, Name: name})
 	case i < 0:
-		c.answer(p, reply.Problem(404, config.Trouble{Code: "not_found", Message: name + " is no member"}))
+		c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: name + " is no member"}))
 	case len(ms) == 1 || !c.node.CanChangeMembers():
-		c.answer(p, reply.Problem(409, config.Trouble{Code: "busy", Message: "the last member stays, and changes of members go one at a time"}))
+		c.answer(p, reply.Problem(409, config.ErrorBody{Code: "busy", Message: "the last member stays, and changes of members go one at a time"}))
 	case name == c.settings.Self.Name:
-		c.answer(p, reply.Problem(503, config.Trouble{Code: "leading", Message: name + " leads; it hands leadership over first and nothing was changed; ask again"}))
+		c.answer(p, reply.Problem(503, config.ErrorBody{Code: "leading", Message: name + " leads; it hands leadership over first and nothing was changed; ask again"}))
 		c.node.TransferLeadership(now)
 	default:
 		if c.change(now, p, state.Command{Operation: state.OpRemoveMember, Name: name}) && c.node.CanChangeMembers() {
@@ -256,4 +256,4 @@
 }
 
 // Seeds replaces the seed addresses.
-func (c *Core) Seeds(s []string) { c.settings.Seeds = s }
+func (c *Controller) Seeds(s []string) { c.settings.Seeds = s }
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -33,14 +33,16 @@
 )
 
 // retired says that this member has locked a later founding than the epoch it stands in.
-func (c *Core) superseded() bool { return c.node != nil && c.image.Founding > c.node.Epoch() }
+func (c *Controller) superseded() bool {
+	return c.node != nil && c.image.BootstrapEpoch > c.node.Epoch()
+}
 
 // lockedFor is the epoch of a lock that is on disk.
-func (c *Core) lockedFor() uint64 {
+func (c *Controller) lockedFor() uint64 {
 	if c.syncedSeq < c.lockSeq {
 		return 0
 	}
-	return c.image.Founding
+	return c.image.BootstrapEpoch
 }
 
 // memory is what a proxy remembers, and the members that it names.
@@ -52,13 +54,13 @@
 // hearMemory takes what another daemon says that it remembers. A proxy's is long, and all proxies
 // tell theirs as soon as they lose a leader, so a member puts it by unread until nobody hears a
 // leader: it matters only where a core has to be founded.
-func (c *Core) hearMemory(m *wire.Message) {
+func (c *Controller) hearMemory(m *wire.Message) {
 	if len(m.Hello.RecoveredState) == 0 {
 		return
 	}
 	if m.Hello.Self.Kind == wire.ProxyDaemon {
 		c.unreadMemories[m.From] = m.Hello.RecoveredState
-		if c.node == nil || c.lead == Adopting {
+		if c.node == nil || c.lead == Recovering {
 			c.readMemories()
 		}
 		return
@@ -69,7 +71,7 @@
 }
 
 // readMemories reads what proxies have told.
-func (c *Core) readMemories() {
+func (c *Controller) readMemories() {
 	for _, from := range slices.Sorted(maps.Keys(c.unreadMemories)) {
 		if l, ok := decodeMemory(c.unreadMemories[from]); ok {
 			c.addRecovered(l)
@@ -87,7 +89,7 @@
 
 // rememberProxy keeps what a proxy remembers. It says so again and again while it has no leader,
 // so only what is new is read.
-func (c *Core) rememberProxy(from string, l state.RecoveredState) {
+func (c *Controller) rememberProxy(from string, l state.RecoveredState) {
 	if m := c.proxyMemories[from]; m.Epoch == l.Epoch && m.Term == l.Term && m.Index == l.Index && bytes.Equal(m.State, l.State) {
 		return
 	}
@@ -101,7 +103,7 @@
 }
 
 // lastMembers is the latest list known here: its own, other members', or proxies'.
-func (c *Core) lastMembers() (m discovery.Membership) {
+func (c *Controller) lastMembers() (m discovery.Membership) {
 	if c.node != nil && len(c.node.Members()) > 0 {
 		m = discovery.Membership{Epoch: c.node.Epoch(), Index: c.node.Commit(), List: c.node.Members()}
 	}
@@ -126,7 +128,7 @@
 	lostDisk, withDisk, unseen int // of the last members: disk gone, here with their disk and no later lock, not seen
 }
 
-func (c *Core) surveySurvivors(all []wire.Daemon, gone []string) survivors {
+func (c *Controller) surveySurvivors(all []wire.Daemon, gone []string) survivors {
 	o := survivors{last: c.lastMembers(), sized: c.settings.Size > 0}
 	o.places = cmp.Or(len(o.last.List), c.bootstrapSize)
 	for _, n := range gone {
@@ -150,9 +152,9 @@
 	return o
 }
 
-func (c *Core) foundingOf(name string) uint64 {
+func (c *Controller) foundingOf(name string) uint64 {
 	if name == c.settings.Self.Name {
-		return c.image.Founding
+		return c.image.BootstrapEpoch
 	}
 	return c.directory[name].BootstrapEpoch
 }
@@ -174,7 +176,7 @@
 // certain says that it can't decide, whatever those that are not seen still hold.
 func (o survivors) canNeverElect() bool { return 2*(o.withDisk+o.unseen) <= len(o.last.List) }
 
-func (c *Core) operatorConsent(all []wire.Daemon) (refound bool, gone []string) {
+func (c *Controller) operatorConsent(all []wire.Daemon) (refound bool, gone []string) {
 	for _, d := range all {
 		v := c.consent
 		if k := c.directory[d.Name]; d.Name != c.settings.Self.Name && k != nil {
@@ -192,8 +194,8 @@
 // them, or a proxy, knows of is over once they have locked. Without all of them it
 // must be over whatever those not seen still hold, or an operator must say so. All
 // must offer the same founding, and have locked it on disk, before any acts on it.
-func (c *Core) bootstrap(now time.Duration) {
-	if c.consent.Granted && now-c.consent.At > tuning.ConsentLife {
+func (c *Controller) bootstrap(now time.Duration) {
+	if c.consent.Granted && now-c.consent.At > tuning.ConsentTTL {
 		c.consent = discovery.RecoveryConsent{}
 	}
 	all := c.coreDaemons(now, true)
@@ -232,7 +234,7 @@
 			return
 		}
 	}
-	if c.image.Lock != c.offer {
+	if c.image.BootstrapLock != c.offer {
 		k := &wire.Batch{BootstrapLock: c.offer, Founders: ms, BootstrapEpoch: epoch}
 		c.image.Fold(k)
 		if c.node == nil {
@@ -246,7 +248,7 @@
 
 // founding is what those seen would found: the epoch after all that they know, or
 // the one that some of them have locked already for this very set.
-func (c *Core) bootstrapOffer(all []wire.Daemon, places int) (offer, epoch uint64, ms []wire.Member) {
+func (c *Controller) bootstrapOffer(all []wire.Daemon, places int) (offer, epoch uint64, ms []wire.Member) {
 	for _, d := range all {
 		epoch = max(epoch, d.Epoch, c.foundingOf(d.Name))
 		ms = append(ms, wire.Member{Name: d.Name, Disk: d.Disk})
@@ -279,8 +281,8 @@
 
 // claim keeps on disk that this process was told to found, so that a restart while it
 // does changes nothing: as a lock of no epoch.
-func (c *Core) recordBootstrapIntent() {
-	if c.settings.Size > 0 || c.bootstrapSize == 0 || c.node != nil || c.image.Lock != 0 {
+func (c *Controller) recordBootstrapIntent() {
+	if c.settings.Size > 0 || c.bootstrapSize == 0 || c.node != nil || c.image.BootstrapLock != 0 {
 		return
 	}
 	b := &wire.Batch{BootstrapLock: 1}
@@ -293,12 +295,12 @@
 
 // carryOut acts on a lock: when all founders have it, or when one has acted, since
 // then all had.
-func (c *Core) completeBootstrap(now time.Duration, all []wire.Daemon) bool {
+func (c *Controller) completeBootstrap(now time.Duration, all []wire.Daemon) bool {
 	locked := true
 	for _, m := range c.image.Founders {
 		i := slices.IndexFunc(all, func(d wire.Daemon) bool { return d.Name == m.Name && d.Disk == m.Disk })
-		locked = locked && (m.Disk == 0 || i >= 0 && all[i].BootstrapLock == c.image.Lock)
-		if i >= 0 && all[i].BootstrapLock == c.image.Lock && all[i].Epoch == c.image.Founding {
+		locked = locked && (m.Disk == 0 || i >= 0 && all[i].BootstrapLock == c.image.BootstrapLock)
+		if i >= 0 && all[i].BootstrapLock == c.image.BootstrapLock && all[i].Epoch == c.image.BootstrapEpoch {
 			locked = true
 			break
 		}
@@ -310,23 +312,23 @@
 }
 
 // vacant says that this process is no member of anything: empty, or only learning.
-func (c *Core) isNonVoter() bool {
+func (c *Controller) isNonVoter() bool {
 	return c.node == nil || !slices.Contains(c.node.Members(), wire.Member{Name: c.settings.Self.Name, Disk: c.image.Disk})
 }
 
-func (c *Core) beginEpoch(now time.Duration) {
-	epoch := c.image.Founding
+func (c *Controller) beginEpoch(now time.Duration) {
+	epoch := c.image.BootstrapEpoch
 	// The founding is entry 1, so that a member that was too slow to found learns it as a snapshot.
-	img := consensus.Image{Epoch: epoch, Disk: c.image.Disk, Lock: c.image.Lock, Founders: c.image.Founders, Founding: epoch,
-		Snap: wire.Snapshot{Index: 1, Members: c.image.Founders}}
-	img.Legacy = c.image.Legacy
+	img := consensus.Image{Epoch: epoch, Disk: c.image.Disk, BootstrapLock: c.image.BootstrapLock, Founders: c.image.Founders, BootstrapEpoch: epoch,
+		Snapshot: wire.Snapshot{Index: 1, Members: c.image.Founders}}
+	img.RecoveredState = c.image.RecoveredState
 	s, term, err := stateFromDisk(&c.image)
 	if err != nil { // it goes on with what comes before the damage, which says of itself how old it is
 		c.reportDamage("state on this disk", err)
 	}
 	if s.Adopted && !c.isNonVoter() {
 		b, _ := json.Marshal(s)
-		img.Legacy, _ = json.Marshal(state.RecoveredState{Epoch: c.node.Epoch(), Term: term, Index: s.Index, State: b})
+		img.RecoveredState, _ = json.Marshal(state.RecoveredState{Epoch: c.node.Epoch(), Term: term, Index: s.Index, State: b})
 	}
 	there := 0
 	for _, m := range img.Founders {
@@ -341,7 +343,7 @@
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: "", To: fmt.Sprint(epoch), Reason: fmt.Sprintf("%d of %d members agreed to found", there, len(img.Founders))})
 }
 
-func (c *Core) join(now time.Duration, epoch uint64) {
+func (c *Controller) join(now time.Duration, epoch uint64) {
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: fmt.Sprint(c.image.Epoch), To: fmt.Sprint(epoch), Reason: "joined"})
 	c.node, c.offer = nil, 0
 	c.image = consensus.Image{Epoch: epoch, Disk: c.image.Disk}
@@ -354,11 +356,11 @@
 // members who are seen found again without waiting for anybody's memory. It is
 // refused while a majority of the last core may still live; machines that are
 // confirmed to be gone for good count as lost, unless they were heard of lately.
-func (c *Core) recoverByOperator(now time.Duration, list string) statemachine.Reply {
+func (c *Controller) recoverByOperator(now time.Duration, list string) statemachine.Reply {
 	no := func(code, f string, a ...any) statemachine.Reply {
-		return reply.Problem(409, config.Trouble{Code: code, Message: fmt.Sprintf(f, a...) + "; nothing was changed"})
+		return reply.Problem(409, config.ErrorBody{Code: code, Message: fmt.Sprintf(f, a...) + "; nothing was changed"})
 	}
-	if c.lead == Adopting && !c.canAdopt() {
+	if c.lead == Recovering && !c.canAdopt() {
 		c.adoptEmpty = true
 		return statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"begins_empty": true})}
 	}
--- a/internal/controlplane/refusal_test.go
+++ b/internal/controlplane/refusal_test.go
@@ -22,25 +22,25 @@
 
 // refusals are all errors that the operators' interface answers with: the kind of
 // each code. A new code has to be entered here, with the kind that its readers see.
-var refusals = map[string][]config.Refusal{
-	"stale":        {config.RefusedVersion},
-	"invalid":      {config.RefusedInvalid},
-	"not_json":     {config.RefusedInvalid},
-	"too_large":    {config.RefusedInvalid},
-	"method":       {config.RefusedInvalid},
-	"base_missing": {config.RefusedInvalid},
-	"bad_request":  {config.RefusedInvalid},
-	"no_leader":    {config.RefusedCannotTell},
-	"leading":      {config.RefusedCannotTell},
-	"unheard":      {config.RefusedCannotTell},
-	"unknown":      {config.RefusedCannotTell},
-	"stream":       {config.RefusedCannotTell},
-	"busy":         {config.RefusedCannotTell, config.RefusedConflict},
-	"alive":        {config.RefusedConflict},
-	"member":       {config.RefusedConflict},
-	"living":       {config.RefusedConflict},
-	"may_live":     {config.RefusedConflict},
-	"not_found":    {config.RefusedNotFound},
+var refusals = map[string][]config.Rejection{
+	"stale":        {config.RejectedVersion},
+	"invalid":      {config.RejectedInvalid},
+	"not_json":     {config.RejectedInvalid},
+	"too_large":    {config.RejectedInvalid},
+	"method":       {config.RejectedInvalid},
+	"base_missing": {config.RejectedInvalid},
+	"bad_request":  {config.RejectedInvalid},
+	"no_leader":    {config.RejectedUndecided},
+	"leading":      {config.RejectedUndecided},
+	"unheard":      {config.RejectedUndecided},
+	"unknown":      {config.RejectedUndecided},
+	"stream":       {config.RejectedUndecided},
+	"busy":         {config.RejectedUndecided, config.RejectedConflict},
+	"alive":        {config.RejectedConflict},
+	"member":       {config.RejectedConflict},
+	"living":       {config.RejectedConflict},
+	"may_live":     {config.RejectedConflict},
+	"not_found":    {config.RejectedNotFound},
 }
 
 // replyPath is one place in the source that answers with an error.
@@ -50,7 +50,7 @@
 	code   string
 }
 
-// replyPaths finds every Trouble literal of a package, and the status of the call that it
+// replyPaths finds every ErrorBody literal of a package, and the status of the call that it
 // is an argument of.
 func replyPaths(t *testing.T, dir string) (l []replyPath) {
 	t.Helper()
@@ -87,13 +87,13 @@
 	return l
 }
 
-// troubleCode is the code of a Trouble literal, "" if that is computed.
+// troubleCode is the code of an ErrorBody literal, "" if that is computed.
 func troubleCode(x ast.Expr) (code string, ok bool) {
 	lit, ok := x.(*ast.CompositeLit)
 	if !ok {
 		return "", false
 	}
-	if s, ok := lit.Type.(*ast.SelectorExpr); !ok || s.Sel.Name != "Trouble" {
+	if s, ok := lit.Type.(*ast.SelectorExpr); !ok || s.Sel.Name != "ErrorBody" {
 		return "", false
 	}
 	for _, e := range lit.Elts {
@@ -128,7 +128,7 @@
 			if p.status == 0 {
 				continue
 			}
-			kind, fits := config.RefusalOf(p.status), false
+			kind, fits := config.RejectionOf(p.status), false
 			for _, k := range kinds {
 				fits = fits || k == kind
 			}
@@ -148,22 +148,22 @@
 type refusal struct {
 	status int
 	code   string
-	kind   config.Refusal
+	kind   config.Rejection
 }
 
 // ask makes a call of a core and reads the refusal.
-func ask(t *testing.T, c *Core, now time.Duration, method, path, query, body string) refusal {
+func ask(t *testing.T, c *Controller, now time.Duration, method, path, query, body string) refusal {
 	t.Helper()
 	for _, cmd := range c.Step(now, statemachine.Call{ID: 1, Token: "t-" + query + body, Method: method, Path: path, Query: query, Body: []byte(body)}) {
 		r, ok := cmd.(statemachine.Reply)
 		if !ok {
 			continue
 		}
-		var v struct{ Error config.Trouble }
+		var v struct{ Error config.ErrorBody }
 		if err := json.Unmarshal(r.Body, &v); err != nil {
 			t.Fatalf("%d %s: %v", r.Status, r.Body, err)
 		}
-		return refusal{r.Status, v.Error.Code, v.Error.Refusal}
+		return refusal{r.Status, v.Error.Code, v.Error.Rejection}
 	}
 	t.Fatalf("%s %s?%s: not answered", method, path, query)
 	return refusal{}
@@ -175,15 +175,15 @@
 	alone := New(time.Second, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}, Size: 3}, consensus.Image{Disk: 7})
 	for _, x := range []struct {
 		name        string
-		c           *Core
+		c           *Controller
 		query, body string
 		want        refusal
 	}{
-		{"built on another version", r.c, "base=9", `{"services":{}}`, refusal{412, "stale", config.RefusedVersion}},
-		{"invalid", r.c, "base=0", `{"services":{"a":{"cap":-1}}}`, refusal{422, "invalid", config.RefusedInvalid}},
-		{"not JSON", r.c, "base=0", `{`, refusal{400, "not_json", config.RefusedInvalid}},
-		{"no base", r.c, "", `{}`, refusal{428, "base_missing", config.RefusedInvalid}},
-		{"no leader", alone, "base=0", `{}`, refusal{503, "no_leader", config.RefusedCannotTell}},
+		{"built on another version", r.c, "base=9", `{"services":{}}`, refusal{412, "stale", config.RejectedVersion}},
+		{"invalid", r.c, "base=0", `{"services":{"a":{"cap":-1}}}`, refusal{422, "invalid", config.RejectedInvalid}},
+		{"not JSON", r.c, "base=0", `{`, refusal{400, "not_json", config.RejectedInvalid}},
+		{"no base", r.c, "", `{}`, refusal{428, "base_missing", config.RejectedInvalid}},
+		{"no leader", alone, "base=0", `{}`, refusal{503, "no_leader", config.RejectedUndecided}},
 	} {
 		if got := ask(t, x.c, r.now, "PUT", "/v1/config", x.query, x.body); got != x.want {
 			t.Errorf("%s: %+v, want %+v", x.name, got, x.want)
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -17,7 +17,7 @@
 )
 
 // recollect begins a lead with the targets that are agreed.
-func (c *Core) loadRegistrations(now time.Duration) {
+func (c *Controller) loadRegistrations(now time.Duration) {
 	c.persistedRegistrations, c.persistedTombstones = map[wire.ID]state.Registration{}, map[wire.ID]bool{}
 	for _, m := range c.state.Tombstones {
 		c.persistedTombstones[m.ID()] = m.Gone
@@ -30,14 +30,14 @@
 	for _, p := range c.state.Registrations {
 		c.persistedRegistrations[p.ID()] = p
 		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Incarnation: p.Inc, Addr: p.Addr, Domain: p.Domain, State: config.Warming, Slots: p.Slots, ShareOffset: p.Turn},
-			unconfirmed: true, beatAt: now - tuning.BeatLapse/2, aliveAt: now, seenAt: now,
+			unconfirmed: true, beatAt: now - tuning.TargetHeartbeatTimeout/2, aliveAt: now, seenAt: now,
 			probeAt: now - tuning.ProbeEvery}
 		if p.Leaving {
 			t.Draining, t.State = true, config.Leaving
 		}
 		if p.WarmingUp {
 			svc := c.cfg.Services[p.Service]
-			t.coldTill = now + svc.Cold()
+			t.coldTill = now + svc.Warmup()
 		}
 		c.targets[p.ID()] = t
 		c.markCold(t)
@@ -48,7 +48,7 @@
 
 // persistRegistrations writes what has changed since, if the last write is long enough ago. Who
 // is known by hearsay is written only when it leaves.
-func (c *Core) persistRegistrations(now, every time.Duration) {
+func (c *Controller) persistRegistrations(now, every time.Duration) {
 	if now-c.persistedAt < every && !(c.persistNow && now-c.persistedAt >= tuning.TickEvery) || c.node.UncommittedBytes() > tuning.OpenBytes/4 {
 		return
 	}
@@ -64,7 +64,7 @@
 
 // changedRegistrations adds to a write the targets that are not in the log as they are now. It is
 // called at each tick, so it sorts only what has changed.
-func (c *Core) changedRegistrations(now time.Duration, r *state.RegistryChange) {
+func (c *Controller) changedRegistrations(now time.Duration, r *state.RegistryChange) {
 	for id, t := range c.targets {
 		p := state.Registration{Service: id.Service, Name: id.Name, Inc: id.Incarnation, Addr: t.Addr, Domain: t.Domain, Slots: t.Slots, Turn: t.ShareOffset, WarmingUp: t.coldLeft(now) > 0, Leaving: t.Draining}
 		was, ok := c.persistedRegistrations[id]
@@ -90,7 +90,7 @@
 }
 
 // changedTombstones does the same for those that have no place: leaving when they fell silent, or gone.
-func (c *Core) changedTombstones(r *state.RegistryChange) {
+func (c *Controller) changedTombstones(r *state.RegistryChange) {
 	changed := func(id wire.ID, gone bool) {
 		was, ok := c.persistedTombstones[id]
 		if (!ok || was != gone) && (ok || len(c.persistedTombstones) < tuning.RegistryMax) {
@@ -124,7 +124,7 @@
 
 // agreed says that what is known of a target's leaving or sign-off is in the log. A
 // registry that is full takes no more: then the proxies' tables alone vouch for it.
-func (c *Core) agreed(id wire.ID) bool {
+func (c *Controller) agreed(id wire.ID) bool {
 	mark, marked := c.state.Tombstone(id)
 	full := len(c.state.Tombstones) >= tuning.RegistryMax || len(c.state.Registrations) >= tuning.RegistryMax
 	t := c.targets[id]
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -26,7 +26,7 @@
 // lost are the members to be replaced; those that can't answer come first.
 func (v *coreView) lost() []wire.Member { return append(slices.Clone(v.silent), v.leaving...) }
 
-func (c *Core) viewCore(now time.Duration, members []wire.Member, all []wire.Daemon) *coreView {
+func (c *Controller) viewCore(now time.Duration, members []wire.Member, all []wire.Daemon) *coreView {
 	v := &coreView{members: members}
 	for _, m := range members {
 		switch {
@@ -58,7 +58,7 @@
 }
 
 // trackStandbys keeps since when each standby is there.
-func (c *Core) trackStandbys(now time.Duration, standbys []wire.Daemon) {
+func (c *Controller) trackStandbys(now time.Duration, standbys []wire.Daemon) {
 	since := map[string]time.Duration{}
 	for _, d := range standbys {
 		at, known := c.standbySince[d.Name]
@@ -72,7 +72,7 @@
 
 // isStuck says that a learner has not come on for too long. It goes on learning, but
 // nothing waits for it.
-func (c *Core) isStuck(now time.Duration, d wire.Daemon) bool {
+func (c *Controller) isStuck(now time.Duration, d wire.Daemon) bool {
 	m := wire.Member{Name: d.Name, Disk: d.Disk}
 	match, learns := c.node.Match(m)
 	if !learns {
@@ -93,7 +93,7 @@
 // reconcileMembers takes the next step, if there is one: a lost member that the others
 // are better off without goes, a standby comes for a lost one, the core grows, or it is
 // spread over domains again.
-func (c *Core) reconcileMembers(now time.Duration, members []wire.Member, all []wire.Daemon) {
+func (c *Controller) reconcileMembers(now time.Duration, members []wire.Member, all []wire.Daemon) {
 	v := c.viewCore(now, members, all)
 	if c.removeSpent(now, v) {
 		return
@@ -126,7 +126,7 @@
 func slack(members, lost int) int { return members - lost - (members/2 + 1) }
 
 // removeSpent removes a lost member if fewer then make a majority.
-func (c *Core) removeSpent(now time.Duration, v *coreView) bool {
+func (c *Controller) removeSpent(now time.Duration, v *coreView) bool {
 	n, lost := len(v.members), v.lost()
 	for _, m := range lost {
 		if m.Name != c.settings.Self.Name && slack(n-1, len(lost)-1) > slack(n, len(lost)) &&
@@ -139,7 +139,7 @@
 
 // replacement is the lost member and the standby that make the best core together, as
 // if everybody were back; among equals the standby of the lost one's domain.
-func (c *Core) replacement(now time.Duration, v *coreView) (old wire.Member, standby wire.Daemon, ok bool) {
+func (c *Controller) replacement(now time.Duration, v *coreView) (old wire.Member, standby wire.Daemon, ok bool) {
 	var best []int
 	for _, m := range v.lost() {
 		left := namesOf(without(v.members, m))
@@ -161,14 +161,14 @@
 	return 0
 }
 
-func (c *Core) caughtUp(now time.Duration, d wire.Daemon) bool {
+func (c *Controller) caughtUp(now time.Duration, d wire.Daemon) bool {
 	return c.node.CaughtUp(now, wire.Member{Name: d.Name, Disk: d.Disk})
 }
 
 // replace lets a standby that has caught up take a lost member's place. One that
 // answers is removed after the standby is in, so that no step leaves fewer copies; one
 // that is silent is removed before, so that no step needs the newcomer's answer.
-func (c *Core) replace(now time.Duration, v *coreView, old wire.Member, standby wire.Daemon) {
+func (c *Controller) replace(now time.Duration, v *coreView, old wire.Member, standby wire.Daemon) {
 	switch {
 	case !c.caughtUp(now, standby):
 	case len(v.members) > 2 && !c.node.RecentlyActive(now, old):
@@ -181,13 +181,13 @@
 }
 
 // losses is how many core machines may be lost at once.
-func (c *Core) losses() int { return max(c.settings.Losses, 1) }
+func (c *Controller) losses() int { return max(c.settings.Losses, 1) }
 
 // nextMember is who should become a member next, beside those who stay: the first of
 // those who make the best core, one from the domain with the fewest at each step. A
 // core that outlives enough already grows only by standbys that have been there for a
 // while: the machines of a planned replacement are all there for some seconds.
-func (c *Core) nextMember(now time.Duration, v *coreView) (next wire.Daemon, ok bool) {
+func (c *Controller) nextMember(now time.Duration, v *coreView) (next wire.Daemon, ok bool) {
 	list, free := namesOf(v.healthy), slices.Clone(v.standbys)
 	best, first := c.resilience(list), wire.Daemon{}
 	if best[0] == 1 && best[1] >= c.losses() {
@@ -215,7 +215,7 @@
 
 // rebalance is a standby that makes the core outlive more in the place of a healthy
 // member.
-func (c *Core) rebalance(_ time.Duration, v *coreView) (next wire.Daemon, ok bool) {
+func (c *Controller) rebalance(_ time.Duration, v *coreView) (next wire.Daemon, ok bool) {
 	if len(v.healthy) < len(v.members) {
 		return next, false
 	}
@@ -234,7 +234,7 @@
 // shrink removes the member without whom the core outlives more, if there is one; and,
 // without a standby for it, a lost one whose return would add nothing, or that has been
 // silent for so long that it is not waited for any more.
-func (c *Core) shrink(now time.Duration, v *coreView) {
+func (c *Controller) shrink(now time.Duration, v *coreView) {
 	if len(v.healthy) == len(v.members) {
 		if m, ok := c.surplusMember(v.members); ok {
 			c.removeMember(now, v.members, m, "the others outlive as much without it")
@@ -259,7 +259,7 @@
 
 // surplusMember is the member without whom the list outlives most, if that is more than
 // with it.
-func (c *Core) surplusMember(members []wire.Member) (surplus wire.Member, ok bool) {
+func (c *Controller) surplusMember(members []wire.Member) (surplus wire.Member, ok bool) {
 	best := c.resilience(namesOf(members))
 	for _, m := range members {
 		w := c.resilience(namesOf(without(members, m)))
@@ -272,7 +272,7 @@
 
 // readyLearners are the standbys that are kept up to date before anybody is lost: as
 // many as may be lost at once, spread over domains.
-func (c *Core) readyLearners(v *coreView) (ready []wire.Daemon) {
+func (c *Controller) readyLearners(v *coreView) (ready []wire.Daemon) {
 	free := append(slices.Clone(v.standbys), v.stuck...)
 	per := map[string]int{}
 	for len(ready) < c.losses() && len(free) > 0 {
@@ -287,7 +287,7 @@
 }
 
 // keepLearners has these learn, and those that were removed until they know it.
-func (c *Core) keepLearners(learners, removed []wire.Daemon) {
+func (c *Controller) keepLearners(learners, removed []wire.Daemon) {
 	keep := map[string]bool{}
 	for _, d := range append(learners, removed...) {
 		keep[d.Name] = true
--- a/internal/controlplane/reply.go
+++ b/internal/controlplane/reply.go
@@ -17,13 +17,13 @@
 	return statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"id": token, "revision": rev, "in_force": true})}
 }
 
-func (c *Core) staleBase(token string) statemachine.Reply {
-	return reply.Problem(412, config.Trouble{Code: "stale", Revision: c.state.Revision, Id: token,
+func (c *Controller) staleBase(token string) statemachine.Reply {
+	return reply.Problem(412, config.ErrorBody{Code: "stale", Revision: c.state.Revision, ID: token,
 		Message: fmt.Sprintf("built on another revision than the present %d; nothing was changed", c.state.Revision)})
 }
 
 // answerNotAccepted tells of a change that has been agreed on without taking effect.
-func (c *Core) answerNotAccepted(p *pending, r *state.Record) {
+func (c *Controller) answerNotAccepted(p *pending, r *state.Record) {
 	if r.Outcome == state.OutcomeUnknown {
 		c.answerUnknown(p)
 		return
@@ -31,7 +31,7 @@
 	c.answer(p, c.staleBase(p.token))
 }
 
-func (c *Core) answer(p *pending, r statemachine.Reply) {
+func (c *Controller) answer(p *pending, r statemachine.Reply) {
 	repetitions := p.repetitions
 	p.repetitions = nil
 	for _, same := range repetitions {
@@ -46,7 +46,7 @@
 }
 
 // deliver sends an answer to who asked, as it is: here or at the daemon that passed the call on.
-func (c *Core) deliver(p *pending, r statemachine.Reply) {
+func (c *Controller) deliver(p *pending, r statemachine.Reply) {
 	if p.relay != "" {
 		c.send(p.relay, &wire.Message{Kind: wire.KindCall, Call: &wire.Call{ID: p.relayID, Reply: true, Status: uint16(r.Status), RetryAfterMs: uint32(r.RetryAfter.Milliseconds()), Body: r.Body}})
 		return
@@ -55,34 +55,34 @@
 	c.emit(r)
 }
 
-func (c *Core) answerUnknown(p *pending) {
+func (c *Controller) answerUnknown(p *pending) {
 	if p.targetReport {
 		c.answer(p, notPropagated())
 		return
 	}
-	c.answer(p, reply.Problem(504, config.Trouble{Code: "unknown", Ran: "unknown", Id: p.token,
+	c.answer(p, reply.Problem(504, config.ErrorBody{Code: "unknown", Ran: "unknown", ID: p.token,
 		Message: "it cannot be told whether the change was agreed or is in force everywhere; ask for it by its id"}))
 }
 
 func noLeader() statemachine.Reply {
-	return reply.Problem(503, config.Trouble{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
+	return reply.Problem(503, config.ErrorBody{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
 }
 
 // unheard promises nothing to a target that says it leaves or is gone: it is to tell
 // another daemon.
 func notPropagated() statemachine.Reply {
-	return reply.Problem(503, config.Trouble{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
+	return reply.Problem(503, config.ErrorBody{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
 }
 
 func tooLarge() statemachine.Reply {
-	return reply.Problem(413, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
+	return reply.Problem(413, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
 }
 
-func (c *Core) refuseInvalid(p *pending, faults []config.Fault, err error) {
+func (c *Controller) refuseInvalid(p *pending, faults []config.Fault, err error) {
 	c.counts.Refused++
 	if err != nil {
-		c.answer(p, reply.Problem(400, config.Trouble{Code: "not_json", Message: err.Error()}))
+		c.answer(p, reply.Problem(400, config.ErrorBody{Code: "not_json", Message: err.Error()}))
 		return
 	}
-	c.answer(p, reply.Problem(422, config.Trouble{Code: "invalid", Message: fmt.Sprintf("%d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision}))
+	c.answer(p, reply.Problem(422, config.ErrorBody{Code: "invalid", Message: fmt.Sprintf("%d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision}))
 }
--- a/internal/controlplane/rest_test.go
+++ b/internal/controlplane/rest_test.go
@@ -14,7 +14,7 @@
 
 // rest is a lone member that leads a fleet at rest.
 type rest struct {
-	c      *Core
+	c      *Controller
 	now    time.Duration
 	gates  []wire.Daemon
 	keys   []*wire.Table
@@ -28,7 +28,7 @@
 		case statemachine.Sync:
 			r.step(statemachine.Synced{Seq: c.Batch.Seq})
 		case statemachine.Probe:
-			b := config.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, Address: c.Addr, State: config.Ready}
+			b := config.TargetReport{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, Address: c.Addr, State: config.Ready}
 			r.step(statemachine.ProbeResult{ID: c.ID, SentAt: r.now, Milliseconds: 1, Report: &b})
 		case statemachine.Send:
 			r.sent++
@@ -61,7 +61,7 @@
 			}
 		}
 		for i := range r.target {
-			if (at+time.Duration(i)*13*time.Millisecond)%tuning.BeatEvery < tuning.TickEvery {
+			if (at+time.Duration(i)*13*time.Millisecond)%tuning.TargetHeartbeatEvery < tuning.TickEvery {
 				w := r.target[i]
 				r.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &w}})
 			}
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -22,8 +22,8 @@
 }
 
 // keepLead notes a lead that is lost.
-func (c *Core) keepLead(now time.Duration, was Lead) {
-	if was == Deciding {
+func (c *Controller) keepLead(now time.Duration, was Leadership) {
+	if was == Leading {
 		c.kept = keptLead{c.table.Key.Epoch, c.leadTerm, now}
 		c.leadsLostAt = append(c.leadsLostAt, now)
 	}
@@ -32,15 +32,15 @@
 // handOverIfLate gives leadership to another member after the lead was lost several times in a short while:
 // a machine that can't keep it is slow or carries too much, and while it tries proxies get no leases. At most once
 // in a while, so that members which are all late don't pass it around.
-func (c *Core) handOverIfLate(now time.Duration) {
-	recent := func(at time.Duration) bool { return now-at < tuning.LateLeadSpan }
+func (c *Controller) handOverIfLate(now time.Duration) {
+	recent := func(at time.Duration) bool { return now-at < tuning.LeaseLossWindow }
 	c.leadsLostAt = slices.DeleteFunc(c.leadsLostAt, func(at time.Duration) bool { return !recent(at) })
-	if c.lead != Idle || c.stopping || len(c.leadsLostAt) < tuning.LateLeads || c.node == nil || c.node.Role() != consensus.Leader ||
+	if c.lead != NotLeading || c.stopping || len(c.leadsLostAt) < tuning.LeaseLossesMax || c.node == nil || c.node.Role() != consensus.Leader ||
 		c.handedOverAt > 0 && now-c.handedOverAt < tuning.HandOverEvery {
 		return
 	}
 	// A late leader hears late, so that one which answered a while ago may well be there.
-	if c.node.TransferLeadershipTo(now, tuning.LeaderLease+tuning.ElectMin, func(m wire.Member) bool { return !c.isStopping(m.Name) }) {
+	if c.node.TransferLeadershipTo(now, tuning.LeaderLease+tuning.ElectionTimeoutMin, func(m wire.Member) bool { return !c.isStopping(m.Name) }) {
 		c.handedOverAt = now
 		c.emit(statemachine.StateChange{Subject: statemachine.SubjectTransfer, From: c.settings.Self.Name, To: "", Reason: "the lease was lost again and again"})
 	}
@@ -49,20 +49,20 @@
 // keepsLead says that what was known when the lead was lost still holds: it is not long ago, and
 // nobody else has decided since. Another leader would have had to agree on the entry that begins
 // its term, which then stood in the log between this member's last lead and this one.
-func (c *Core) keepsLead(now time.Duration) bool {
-	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < tuning.LeadKept &&
+func (c *Controller) keepsLead(now time.Duration) bool {
+	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < tuning.LeadershipResumeWindow &&
 		c.node.NobodyLedSince(c.kept.term)
 }
 
 // resumesAtOnce says that this member goes on deciding where it stopped: nobody else led, and no proxy's
 // lease has lapsed for want of a leader, so none has anything to tell that this member does not know.
-func (c *Core) resumesAtOnce(now time.Duration) bool {
+func (c *Controller) resumesAtOnce(now time.Duration) bool {
 	return c.keepsLead(now) && c.table != nil && (c.kept.term == c.node.Term() || now-c.kept.lostAt < tuning.ResumeAtOnce)
 }
 
 // resumeAtOnce goes on with a lead that was lost for a moment, in the same term or in a later one. It costs
 // as little as can be, since what costs the leader much costs it the next lease as well.
-func (c *Core) resumeAtOnce(now time.Duration) {
+func (c *Controller) resumeAtOnce(now time.Duration) {
 	c.applyPolicies()
 	c.recheck(now)
 	if c.kept.term == c.node.Term() {
@@ -81,7 +81,7 @@
 
 // resumeLead begins a lead with what this member knew in its last one, and has the proxies tell what
 // they decided for themselves meanwhile.
-func (c *Core) resumeLead(now time.Duration) {
+func (c *Controller) resumeLead(now time.Duration) {
 	c.latestMergedKey = c.table.Key // none is later: who made one would have led
 	c.applyPolicies()
 	c.recheck(now)
@@ -89,7 +89,7 @@
 
 // beginTerm notes the term of a lead. One that goes on in a later term keeps numbering its tables, and
 // tells them as changes to those of its earlier terms, which proxies hold.
-func (c *Core) beginTerm() {
+func (c *Controller) beginTerm() {
 	c.kept.epoch, c.kept.term = c.node.Epoch(), c.node.Term()
 	c.leadTerms = append(c.leadTerms, c.node.Term())
 	c.counts.Elections++
@@ -98,16 +98,16 @@
 // recheck goes on with the targets that are known. Words that were missed meanwhile are no sign of
 // silence. Each is probed anew, at the usual pace, unless the lead was lost for so short a time that
 // its probe may still be out: a lead that is lost again and again must not probe the more for it.
-func (c *Core) recheck(now time.Duration) {
+func (c *Controller) recheck(now time.Duration) {
 	probeAnew := now-c.kept.lostAt >= tuning.ProbeEvery
 	for _, t := range c.targets {
-		t.heardAtLeast(now - tuning.BeatLapse/2)
+		t.heardAtLeast(now - tuning.TargetHeartbeatTimeout/2)
 		if probeAnew {
 			t.probeAt, t.sentAt = now-tuning.ProbeEvery, 0
 		}
 	}
 	for _, t := range c.claims {
-		t.heardAtLeast(now - tuning.BeatLapse/2)
+		t.heardAtLeast(now - tuning.TargetHeartbeatTimeout/2)
 	}
 }
 
@@ -116,8 +116,8 @@
 }
 
 // decide begins to decide, or goes on to.
-func (c *Core) decide(now time.Duration, why string, refresh bool) {
-	c.setLead(now, Deciding, why)
+func (c *Controller) decide(now time.Duration, why string, refresh bool) {
+	c.setLead(now, Leading, why)
 	c.rebuild(now, refresh)
 	c.waiters = slices.DeleteFunc(c.waiters, func(f *commitWaiter) bool { return f.p == nil && f.member == "" }) // made again below
 	if len(c.state.PreviousProxies) > 0 {
@@ -131,7 +131,7 @@
 }
 
 // forgetLead begins a lead with the targets that are agreed, and nothing else.
-func (c *Core) forgetLead(now time.Duration) {
+func (c *Controller) forgetLead(now time.Duration) {
 	c.abandonWaiters()
 	c.targets, c.claims, c.judge, c.policyRevision = map[wire.ID]*target{}, map[wire.ID]*target{}, outlier.New(), 0
 	c.scorer = outlier.NewScorer(c.judge)
--- a/internal/controlplane/resume_test.go
+++ b/internal/controlplane/resume_test.go
@@ -21,7 +21,7 @@
 		for id, x := range r.c.targets {
 			last[id] = x.probeAt
 		}
-		r.c.setLead(r.now, Idle, "late")
+		r.c.setLead(r.now, NotLeading, "late")
 		r.now += tuning.TickEvery
 		r.step(statemachine.Tick{})
 		if !r.c.Leading() {
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -13,7 +13,7 @@
 
 // roster admits and drops proxies, all that wait in one step. The roster before counts
 // with it until it is in force everywhere, so that majorities always meet.
-func (c *Core) roster(now time.Duration) {
+func (c *Controller) roster(now time.Duration) {
 	if slices.ContainsFunc(c.waiters, func(f *commitWaiter) bool { return f.rosterChange }) || c.rosterPendingAt > c.state.Index || !c.node.CanChangeMembers() {
 		return
 	}
@@ -29,7 +29,7 @@
 		}
 	}
 	slices.SortFunc(o.Proxies, func(a, b state.ProxyEntry) int { return cmp.Compare(a.Name, b.Name) })
-	if len(o.Proxies) > 0 && len(c.state.Proxies) == 0 && now-c.leadAt < tuning.FirstRoster {
+	if len(o.Proxies) > 0 && len(c.state.Proxies) == 0 && now-c.leadAt < tuning.FirstProxiesWait {
 		return
 	}
 	for _, r := range c.state.Proxies {
@@ -42,6 +42,6 @@
 	}
 }
 
-func (c *Core) proposeRoster(now time.Duration, o state.Command) {
+func (c *Controller) proposeRoster(now time.Duration, o state.Command) {
 	c.rosterPendingAt = c.propose(now, o)
 }
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -15,7 +15,7 @@
 )
 
 // stop begins the end: everybody is told, and leadership goes to another member.
-func (c *Core) stop(now time.Duration) {
+func (c *Controller) stop(now time.Duration) {
 	if c.stopping {
 		return
 	}
@@ -26,7 +26,7 @@
 
 // handOver gives leadership to the best of the other members that do not stop too, if
 // there is one: two that stop would hand it to each other until both are gone.
-func (c *Core) handOver(now time.Duration) {
+func (c *Controller) handOver(now time.Duration) {
 	stays := func(m wire.Member) bool { return !c.isStopping(m.Name) }
 	if c.node != nil && c.node.TransferLeadershipTo(now, tuning.LeaderLease, stays) {
 		c.emit(statemachine.StateChange{Subject: statemachine.SubjectTransfer, From: c.settings.Self.Name, To: "", Reason: "stopping"})
@@ -34,7 +34,7 @@
 }
 
 // tickStop goes on with the end, and ends the process once nothing is left to hand over.
-func (c *Core) tickStop(now time.Duration) {
+func (c *Controller) tickStop(now time.Duration) {
 	if c.node != nil && c.node.Role() == consensus.Leader && c.node.CanChangeMembers() {
 		c.handOver(now)
 	}
@@ -46,7 +46,7 @@
 }
 
 // abandonCalls answers everybody who still waits here that it can't be told: the process ends.
-func (c *Core) abandonCalls() {
+func (c *Controller) abandonCalls() {
 	c.abandonWaiters()
 	for _, id := range slices.Sorted(maps.Keys(c.relayedCalls)) {
 		c.answerUnknown(c.relayedCalls[id])
@@ -54,7 +54,7 @@
 	clear(c.relayedCalls)
 }
 
-func (c *Core) mayExit(now time.Duration) bool {
+func (c *Controller) mayExit(now time.Duration) bool {
 	waited := now - c.stopAt
 	switch {
 	case c.node == nil || waited > c.handoverWait():
@@ -66,11 +66,11 @@
 	case !c.isNonVoter() && (c.hasStandby(now) || len(c.node.Members())%2 == 0):
 		return false // its successor is to come, or is in and it is to be removed: its vote may be needed for that
 	}
-	return waited > tuning.ElectMin || c.node.Role() != consensus.Leader
+	return waited > tuning.ElectionTimeoutMin || c.node.Role() != consensus.Leader
 }
 
 // hasStandby says that a core daemon is there that could take this member's place.
-func (c *Core) hasStandby(now time.Duration) bool {
+func (c *Controller) hasStandby(now time.Duration) bool {
 	members := c.node.Members()
 	for _, d := range c.coreDaemons(now, true) {
 		if d.Name != c.settings.Self.Name && d.Disk != 0 && d.State != stoppingState && c.state.RemovedMembers[d.Name] == 0 &&
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -20,10 +20,10 @@
 // of its log was agreed: all of it, since any of it may have been acknowledged. With
 // an error it is what comes before the damage.
 func stateFromDisk(im *consensus.Image) (s state.State, term uint64, err error) {
-	if s, err = state.Decode(im.Snap.Data); err != nil {
-		return s, 0, errors.Wrapf(err, "snapshot %d", im.Snap.Index)
+	if s, err = state.Decode(im.Snapshot.Data); err != nil {
+		return s, 0, errors.Wrapf(err, "snapshot %d", im.Snapshot.Index)
 	}
-	term = im.Snap.Term
+	term = im.Snapshot.Term
 	for _, e := range im.Log {
 		if e.Kind == consensus.EntryData {
 			o, err := state.DecodeCommand(e.Data)
@@ -40,11 +40,11 @@
 	return s, term, nil
 }
 
-func (c *Core) propose(now time.Duration, o state.Command) uint64 {
+func (c *Controller) propose(now time.Duration, o state.Command) uint64 {
 	return c.node.Propose(now, state.EncodeCommand(o))
 }
 
-func (c *Core) apply(now time.Duration, e wire.Entry) {
+func (c *Controller) apply(now time.Duration, e wire.Entry) {
 	if c.undecodable != nil {
 		return // the state before the damage is no base for what comes after it
 	}
@@ -80,7 +80,7 @@
 			c.restored[o.Name] = now
 		}
 	}
-	if c.lead == Adopting || c.lead == Idle && c.kept.term == 0 {
+	if c.lead == Recovering || c.lead == NotLeading && c.kept.term == 0 {
 		return
 	}
 	c.applyPolicies()
@@ -112,9 +112,9 @@
 
 // awaitForce has who asked for a change that is agreed wait until it is in force, and a change of the
 // roster until it is, whoever asked.
-func (c *Core) awaitForce(now time.Duration, o state.Command, p *pending, revision uint64) {
+func (c *Controller) awaitForce(now time.Duration, o state.Command, p *pending, revision uint64) {
 	version := c.tableVersion
-	if c.lead != Deciding {
+	if c.lead != Leading {
 		version++ // the first table of a lead that goes on has it
 	}
 	f := &commitWaiter{version: version, since: now, rosterChange: o.Operation == state.OpChangeProxies || o.Operation == state.OpForgetProxy}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -15,7 +15,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func (c *Core) domains() []string {
+func (c *Controller) domains() []string {
 	m := map[string]bool{}
 	for _, t := range c.targets {
 		m[t.Domain] = true
@@ -40,13 +40,13 @@
 }
 
 // Targets lists what the leader knows of targets, with the reason for each ejection or hold.
-func (c *Core) Targets(now time.Duration) []TargetView {
+func (c *Controller) Targets(now time.Duration) []TargetView {
 	l := []TargetView{}
 	for _, id := range slices.SortedFunc(maps.Keys(c.targets), wire.ID.Compare) {
 		t := c.targets[id]
 		v := TargetView{Target: t.Target, BeatMs: float64(now-t.beatAt) / 1e6, Why: "serving"}
 		v.Heartbeating, v.WarmupLeft = t.isBeating(now), t.coldLeft(now)
-		until, why := c.judge.Barred(now, id)
+		until, why := c.judge.Ejected(now, id)
 		if until > now {
 			v.Bar, v.BarMs = why, (until - now).Milliseconds()
 		}
@@ -72,7 +72,7 @@
 }
 
 // policyStats are the policies in force with their scores since this leader began.
-func (c *Core) policyStats(now time.Duration) map[string]outlier.Stat {
+func (c *Controller) policyStats(now time.Duration) map[string]outlier.Stat {
 	l := c.judge.Stats()
 	for name, s := range c.scorer.Scores(now) {
 		x := l[name]
@@ -91,7 +91,7 @@
 	Ver     uint64  `json:"table,omitempty"`
 }
 
-func (c *Core) daemonViews(now time.Duration) []DaemonView {
+func (c *Controller) daemonViews(now time.Duration) []DaemonView {
 	l := []DaemonView{}
 	ms := c.node.Members()
 	for _, d := range append(c.coreDaemons(now, false), c.proxyDaemons()...) {
@@ -108,7 +108,7 @@
 	return l
 }
 
-func (c *Core) proxyDaemons() []wire.Daemon {
+func (c *Controller) proxyDaemons() []wire.Daemon {
 	var l []wire.Daemon
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
 		if c.directory[n].Kind != wire.ControlDaemon {
@@ -122,29 +122,29 @@
 type StatusView struct {
 	// Current says that this member decides at this moment, so that the agreed part of the
 	// view is the latest there is. Any other member's view may be old.
-	Current  bool          `json:"current"`
-	Name     string        `json:"name"`
-	Role     string        `json:"role"`
-	Lead     string        `json:"lead"`
-	Leader   string        `json:"leader"`
-	Epoch    uint64        `json:"epoch"`
-	Term     uint64        `json:"term"`
-	Revision uint64        `json:"revision"`
-	Seq      uint64        `json:"seq"`
-	Members  []wire.Member `json:"members"`
-	Emptied  []string      `json:"emptied"`
-	Table    wire.TableKey `json:"table"`
-	Targets  int           `json:"targets"`
-	Proxies  int           `json:"proxies"`
-	Core     CoreView      `json:"core"`
-	Damage   []Damage      `json:"damage,omitempty"`       // what could not be read since the start, the last of it
-	Disk     string        `json:"disk_refuses,omitempty"` // why this member's disk takes no writes now
-	Counts   Counts        `json:"counts"`
+	Current    bool          `json:"current"`
+	Name       string        `json:"name"`
+	Role       string        `json:"role"`
+	Leadership string        `json:"lead"`
+	Leader     string        `json:"leader"`
+	Epoch      uint64        `json:"epoch"`
+	Term       uint64        `json:"term"`
+	Revision   uint64        `json:"revision"`
+	Seq        uint64        `json:"seq"`
+	Members    []wire.Member `json:"members"`
+	Emptied    []string      `json:"emptied"`
+	Table      wire.TableKey `json:"table"`
+	Targets    int           `json:"targets"`
+	Proxies    int           `json:"proxies"`
+	Core       CoreView      `json:"core"`
+	Damage     []Damage      `json:"damage,omitempty"`       // what could not be read since the start, the last of it
+	Disk       string        `json:"disk_refuses,omitempty"` // why this member's disk takes no writes now
+	Counts     Counts        `json:"counts"`
 }
 
 // Status is this member's own view.
-func (c *Core) Status(now time.Duration) StatusView {
-	v := StatusView{Current: c.lead == Deciding && c.Deciding(now), Name: c.settings.Self.Name, Role: "empty", Lead: c.lead.String(), Revision: c.state.Revision, Seq: c.state.Index,
+func (c *Controller) Status(now time.Duration) StatusView {
+	v := StatusView{Current: c.lead == Leading && c.Deciding(now), Name: c.settings.Self.Name, Role: "empty", Leadership: c.lead.String(), Revision: c.state.Revision, Seq: c.state.Index,
 		Emptied: append([]string{}, c.state.EmptiedDomains...), Targets: len(c.targets), Proxies: len(c.state.Proxies), Core: c.coreStatus(now), Damage: c.damage, Disk: c.diskError, Counts: c.counts}
 	if c.node != nil {
 		v.Role, v.Leader, v.Epoch, v.Term, v.Members = c.node.Role().String(), c.node.Leader(), c.node.Epoch(), c.node.Term(), c.node.Members()
@@ -156,18 +156,18 @@
 }
 
 // Table is what this member has last published as leader.
-func (c *Core) Table() *wire.Table { return c.table }
+func (c *Controller) Table() *wire.Table { return c.table }
 
 // Leading says whether this member decides.
-func (c *Core) Leading() bool { return c.lead == Deciding }
+func (c *Controller) Leading() bool { return c.lead == Leading }
 
 // Ready says whether this member takes part in agreement, or knows who leads and passes on to it.
-func (c *Core) Ready() bool {
+func (c *Controller) Ready() bool {
 	return !c.stopping && (c.leaderHint != "" || c.node != nil && c.node.Leader() != "")
 }
 
 // Term is the present term, 0 before the core is founded.
-func (c *Core) Term() uint64 {
+func (c *Controller) Term() uint64 {
 	if c.node == nil {
 		return 0
 	}
@@ -175,7 +175,7 @@
 }
 
 // Http is where a daemon answers operators.
-func (c *Core) Http(name string) string {
+func (c *Controller) Http(name string) string {
 	if k := c.directory[name]; k != nil {
 		return k.HTTP
 	}
@@ -183,12 +183,12 @@
 }
 
 // Deciding says whether this member may decide at this very moment.
-func (c *Core) Deciding(now time.Duration) bool {
-	return c.lead == Deciding && c.node.HasLease(now)
+func (c *Controller) Deciding(now time.Duration) bool {
+	return c.lead == Leading && c.node.HasLease(now)
 }
 
 // Revision is the configuration's that this member has applied.
-func (c *Core) Revision() uint64 { return c.state.Revision }
+func (c *Controller) Revision() uint64 { return c.state.Revision }
 
 // Records are the changes that this member keeps.
-func (c *Core) Records() []state.Record { return c.state.Records }
+func (c *Controller) Records() []state.Record { return c.state.Records }
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -22,8 +22,8 @@
 
 // rebuild makes the table anew and sends it everywhere, if it says anything new
 // (the signature decides) or if the regular refresh is due.
-func (c *Core) rebuild(now time.Duration, refresh bool) {
-	if c.lead != Deciding {
+func (c *Controller) rebuild(now time.Duration, refresh bool) {
+	if c.lead != Leading {
 		return
 	}
 	if !refresh {
@@ -94,7 +94,7 @@
 // tableSpacing is the least time between two tables. What is urgent has one at once after a pause, and
 // where it comes again and again, as in a release, one table tells of all that came meanwhile: a table
 // costs the leader messages to and from every proxy, and may not take more of it the more there is to say.
-func (c *Core) tableSpacing(news urgency) time.Duration {
+func (c *Controller) tableSpacing(news urgency) time.Duration {
 	proxies := len(c.state.Proxies)
 	if news == urgent {
 		return min(time.Duration(proxies)*tuning.UrgentTableRow, tuning.UrgentTableMost)
@@ -103,7 +103,7 @@
 }
 
 // compressed is the document as tables carry it.
-func (c *Core) compressedDocument() []byte {
+func (c *Controller) compressedDocument() []byte {
 	if !bytes.Equal(c.compressed.plain, c.state.Document) {
 		c.compressed.plain, c.compressed.doc = c.state.Document, wire.Compress(c.state.Document)
 	}
@@ -128,12 +128,12 @@
 }
 
 // tabled is a target as a table made now says it.
-func (c *Core) tableRow(now time.Duration, t *target) wire.Target {
+func (c *Controller) tableRow(now time.Duration, t *target) wire.Target {
 	w := t.Target
 	if _, named := c.cfg.Services[t.Service]; named { // else it is told once that matters
 		w.Pending = w.Pending || t.unconfirmed
 	}
-	until, why := c.judge.Barred(now, t.ID())
+	until, why := c.judge.Ejected(now, t.ID())
 	w.EjectionLeft, w.EjectedBy = max(0, int64(until-now)), why
 	w.Heartbeating = why == "" || t.isBeating(now) // asked only where all that could be used are barred
 	w.WarmupLeft = t.coldLeft(now)
@@ -151,7 +151,7 @@
 
 // news is what a table made now would say that the present one does not. All that is agreed
 // shows in the log's index. What takes something away from requests is pressing.
-func (c *Core) pendingNews(now time.Duration) urgency {
+func (c *Controller) pendingNews(now time.Duration) urgency {
 	if c.table == nil || c.table.StateIndex != c.state.Index || c.table.Revision != c.state.Revision || len(c.table.Proxies) != len(c.state.Proxies) {
 		return urgent
 	}
@@ -191,8 +191,8 @@
 
 // moved is rebuild after an event of one target: if nothing was decided, only its own
 // facts can have changed, and what time changes is seen at the next tick.
-func (c *Core) targetChanged(now time.Duration, t *target) {
-	if c.lead != Deciding {
+func (c *Controller) targetChanged(now time.Duration, t *target) {
+	if c.lead != Leading {
 		return
 	}
 	if w := c.tableRow(now, t); c.table != nil && c.decisions == c.decidedAt && routingFactsOf(&w) == t.publishedFacts && !t.coldLonger(now) {
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -44,8 +44,8 @@
 
 // merge takes what a proxy's table says of targets from before this lead: which
 // targets there are from the latest table heard, holds and ejections from all.
-func (c *Core) merge(now time.Duration, b *wire.Table) {
-	if c.lead == Warming && c.latestMergedKey.Less(b.Key) {
+func (c *Controller) merge(now time.Duration, b *wire.Table) {
+	if c.lead == Gathering && c.latestMergedKey.Less(b.Key) {
 		c.latestMergedKey = b.Key
 		for id, t := range c.targets {
 			if t.unconfirmed {
@@ -63,7 +63,7 @@
 				c.markDisplaced(w)
 				continue
 			}
-			t := &target{Target: w, unconfirmed: true, beatAt: now - tuning.BeatLapse/2, aliveAt: now, probeAt: now - tuning.ProbeEvery, seenAt: now}
+			t := &target{Target: w, unconfirmed: true, beatAt: now - tuning.TargetHeartbeatTimeout/2, aliveAt: now, probeAt: now - tuning.ProbeEvery, seenAt: now}
 			t.EjectionLeft, t.EjectedBy, t.Draining, t.WarmupLeft = 0, "", false, 0
 			c.targets[w.ID()] = t
 			if c.leaving[w.ID()] != 0 {
@@ -83,7 +83,7 @@
 		}
 		t.coldTill = max(t.coldTill, now+time.Duration(w.WarmupLeft))
 		c.markCold(t)
-		if w.EjectionLeft > 0 && c.lead == Warming {
+		if w.EjectionLeft > 0 && c.lead == Gathering {
 			c.judge.Adopt(now, w.ID(), w.EjectedBy, time.Duration(w.EjectionLeft))
 		}
 	}
@@ -91,7 +91,7 @@
 
 // displaced has a target at w's address wait until w, which a table still names,
 // is out of every table.
-func (c *Core) markDisplaced(w wire.Target) {
+func (c *Controller) markDisplaced(w wire.Target) {
 	for _, t := range c.targets {
 		if t.Addr == w.Addr && t.Name != w.Name {
 			t.Pending = true
@@ -99,18 +99,18 @@
 	}
 }
 
-func (c *Core) hold(now time.Duration, t *target, why string) {
+func (c *Controller) hold(now time.Duration, t *target, why string) {
 	if t.Draining {
 		return
 	}
 	t.Draining, t.State = true, config.Leaving
 	c.counts.Holds++
-	d := outlier.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Inc: t.Incarnation, Why: why}
+	d := outlier.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Reason: why}
 	c.emit(statemachine.Publish{Decision: &d})
 }
 
 // drop takes a target's entry away; silence alone refuses nobody.
-func (c *Core) drop(now time.Duration, id wire.ID, why string) {
+func (c *Controller) drop(now time.Duration, id wire.ID, why string) {
 	t := c.targets[id]
 	if t == nil {
 		return
@@ -120,14 +120,14 @@
 		c.leaving[id] = now
 	}
 	c.scorer.Forget(now, id)
-	d := outlier.Decision{At: now, Policy: "registry", Kind: "gone", Service: id.Service, Name: id.Name, Inc: id.Incarnation, Why: why}
+	d := outlier.Decision{At: now, Policy: "registry", Kind: "gone", Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Reason: why}
 	c.emit(statemachine.Publish{Decision: &d})
 }
 
 // beat takes a back end's word, straight or passed on. A word whose number is not over
 // the highest heard is old and changes nothing.
-func (c *Core) heartbeat(now time.Duration, w wire.Target, passOn bool) {
-	if c.lead != Deciding && c.lead != Warming {
+func (c *Controller) heartbeat(now time.Duration, w wire.Target, passOn bool) {
+	if c.lead != Leading && c.lead != Gathering {
 		if passOn {
 			c.send(c.leader(now), &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &w})
 		}
@@ -163,16 +163,16 @@
 	}
 	c.updateFromReport(now, t, w)
 	c.advanceState(now, t, w.State)
-	e := outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Incarnation, Ok: true, State: t.State}
+	e := outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Success: true, State: t.State}
 	c.judgeEvent(e)
 	if t.HasDemand {
-		c.judgeEvent(outlier.Event{At: now, Slice: "demand", Service: t.Service, Name: t.Name, Inc: t.Incarnation, Demand: t.Demand})
+		c.judgeEvent(outlier.Event{At: now, Slice: "demand", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Demand: t.Demand})
 	}
 	c.targetChanged(now, t)
 }
 
 // note takes over what a word says beside its state.
-func (c *Core) updateFromReport(now time.Duration, t *target, w wire.Target) {
+func (c *Controller) updateFromReport(now time.Duration, t *target, w wire.Target) {
 	c.countHeartbeat(now, t)
 	t.aliveAt = now
 	if w.HasDemand {
@@ -195,17 +195,17 @@
 // chill has a target of a restored domain be cold: it may have become so while nothing
 // was sent there. A word that was under way by then says nothing of it, so the next
 // number does not end it yet.
-func (c *Core) markCold(t *target) {
+func (c *Controller) markCold(t *target) {
 	at, was := c.restored[t.Domain]
 	svc := c.cfg.Services[t.Service]
-	if till := at + svc.Cold(); was && till > t.coldTill {
+	if till := at + svc.Warmup(); was && till > t.coldTill {
 		t.coldTill, t.warmFrom = till, t.Number+2
 	}
 }
 
 // advanceState moves a target only forward: what has said that it is leaving
 // stays held until it signs off.
-func (c *Core) advanceState(now time.Duration, t *target, s string) {
+func (c *Controller) advanceState(now time.Duration, t *target, s string) {
 	switch {
 	case s == config.Leaving:
 		c.hold(now, t, "a beat says leaving")
@@ -216,7 +216,7 @@
 
 // spoke counts a beat. One alone proves nothing, since it may be a late one of a
 // start that is over; who goes on beating is there, even if no probe gets through.
-func (c *Core) countHeartbeat(now time.Duration, t *target) {
+func (c *Controller) countHeartbeat(now time.Duration, t *target) {
 	t.beatAt = now
 	t.streak.Add(now)
 	t.unconfirmed = t.unconfirmed && !t.streak.Steady(now)
@@ -224,11 +224,11 @@
 
 // beats is what the table says of it: one that misses its probes has to speak on.
 func (t *target) isBeating(now time.Duration) bool {
-	return now-t.beatAt < tuning.BeatLapse && (t.misses < tuning.ProbeMisses || t.streak.Steady(now))
+	return now-t.beatAt < tuning.TargetHeartbeatTimeout && (t.misses < tuning.ProbeMisses || t.streak.Steady(now))
 }
 
 // rivals are the known targets under w's name or at its address.
-func (c *Core) conflictingTargets(w wire.Target) (l []*target) {
+func (c *Controller) conflictingTargets(w wire.Target) (l []*target) {
 	for id, o := range c.targets {
 		if id != w.ID() && (id.Service == w.Service && id.Name == w.Name || o.Addr == w.Addr) {
 			l = append(l, o)
@@ -240,7 +240,7 @@
 
 // register takes in a target that is new. Where another stands under its name or
 // at its address it only claims that place, and its own answer to a probe decides.
-func (c *Core) register(now time.Duration, w wire.Target) *target {
+func (c *Controller) register(now time.Duration, w wire.Target) *target {
 	t := c.claims[w.ID()]
 	if t == nil {
 		t = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: config.Warming},
@@ -262,11 +262,11 @@
 // an answer at the very address says whose it is; an incumbent elsewhere that
 // lives stays, by the design's incumbency, and keeps its name until it leaves or
 // misses its probes. proved is the claimant's own answer.
-func (c *Core) takeOver(now time.Duration, t *target, proved bool) bool {
+func (c *Controller) takeOver(now time.Duration, t *target, proved bool) bool {
 	rs := c.conflictingTargets(t.Target)
 	for _, o := range rs {
 		lives := !o.unconfirmed && !o.Draining && o.misses < tuning.ProbeMisses
-		silent := now-o.beatAt > tuning.BeatLapse && o.misses >= tuning.ProbeMisses
+		silent := now-o.beatAt > tuning.TargetHeartbeatTimeout && o.misses >= tuning.ProbeMisses
 		if proved && o.Addr != t.Addr && lives || !proved && (t.unconfirmed || !silent) {
 			return false
 		}
@@ -281,7 +281,7 @@
 }
 
 // enter puts a target into the registry.
-func (c *Core) admitTarget(now time.Duration, t *target, state string) {
+func (c *Controller) admitTarget(now time.Duration, t *target, state string) {
 	id := t.ID()
 	if state == config.Ready {
 		t.State = config.Ready
@@ -297,18 +297,18 @@
 	if c.leaving[id] != 0 {
 		c.hold(now, t, "it was leaving when it fell silent")
 	}
-	if t.Pending && c.lead == Deciding {
+	if t.Pending && c.lead == Leading {
 		c.rebuild(now, true)
 		c.waiters = append(c.waiters, &commitWaiter{version: c.tableVersion, since: now, clearPending: id})
 	}
 }
 
-func (c *Core) judgeEvent(e outlier.Event) {
+func (c *Controller) judgeEvent(e outlier.Event) {
 	c.emit(statemachine.Publish{Event: &e})
 	c.decided(c.scorer.Step(e))
 }
 
-func (c *Core) decided(ds []outlier.Decision) {
+func (c *Controller) decided(ds []outlier.Decision) {
 	for i := range ds {
 		if !ds[i].Shadow {
 			c.decisions++
@@ -326,7 +326,7 @@
 }
 
 // sorted are the targets' identities in order.
-func (c *Core) sorted() []wire.ID {
+func (c *Controller) sorted() []wire.ID {
 	ok := len(c.sortedIDs) == len(c.targets)
 	for i := 0; ok && i < len(c.sortedIDs); i++ {
 		ok = c.targets[c.sortedIDs[i]] != nil
--- a/internal/controlplane/targetcall.go
+++ b/internal/controlplane/targetcall.go
@@ -14,7 +14,7 @@
 
 // word takes a back end's word as leader. One that says leaving or gone is acknowledged
 // when most proxies have a table that says so; the others' leases lapse by themselves.
-func (c *Core) reportTarget(now time.Duration, p *pending, w wire.Target) {
+func (c *Controller) reportTarget(now time.Duration, p *pending, w wire.Target) {
 	ids := []wire.ID{w.ID()}
 	if w.Service == "" {
 		ids = c.named(w.Name)
@@ -45,7 +45,7 @@
 }
 
 // named are the identities under a name, those that signed off lately included.
-func (c *Core) named(name string) []wire.ID {
+func (c *Controller) named(name string) []wire.ID {
 	m := map[wire.ID]bool{}
 	add := func(id wire.ID) {
 		if id.Name == name {
--- a/internal/controlplane/undecodable.go
+++ b/internal/controlplane/undecodable.go
@@ -18,7 +18,7 @@
 )
 
 // cannotDecode reports agreed data that did not decode and has this member abstain.
-func (c *Core) cannotDecode(what string, err error) {
+func (c *Controller) cannotDecode(what string, err error) {
 	c.reportDamage("agreed "+what, err)
 	if c.undecodable == nil {
 		c.undecodable = errors.Mark(errors.Wrap(err, what), state.ErrDamaged)
@@ -26,12 +26,12 @@
 }
 
 // abstains says that this member must neither lead nor decide in its node's epoch.
-func (c *Core) abstains() bool { return c.undecodable != nil || c.superseded() }
+func (c *Controller) abstains() bool { return c.undecodable != nil || c.superseded() }
 
 // resign gives leadership of the log to another member, which may be able to decode it. One that
 // reaches no other goes on until its node steps down by itself; it is not
 // ticked as a follower, so it never stands for election.
-func (c *Core) resign(now time.Duration) {
+func (c *Controller) resign(now time.Duration) {
 	if c.node.Role() == consensus.Leader && !c.node.TransferLeadership(now) {
 		c.node.Tick(now)
 	}
@@ -39,6 +39,6 @@
 
 // declines says that a message asks this member to stand for election at once, and that it must
 // not: members none of which can decode the log would pass leadership around without end.
-func (c *Core) declines(m *wire.Message) bool {
+func (c *Controller) declines(m *wire.Message) bool {
 	return c.undecodable != nil && m.Vote != nil && m.Vote.Transfer && m.Vote.Reply
 }
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -79,13 +79,13 @@
 // cluster is a core of three members whose messages arrive at once.
 type cluster struct {
 	now     time.Duration
-	members map[string]*Core
+	members map[string]*Controller
 	names   []string
 	down    string // the member that is neither ticked nor reached
 }
 
 func newCluster() *cluster {
-	k := &cluster{now: time.Second, members: map[string]*Core{}, names: []string{"c1", "c2", "c3"}}
+	k := &cluster{now: time.Second, members: map[string]*Controller{}, names: []string{"c1", "c2", "c3"}}
 	for i, n := range k.names {
 		self := wire.Daemon{Name: n, Kind: wire.ControlDaemon, Addr: n, Incarnation: 1}
 		k.members[n] = New(k.now, Settings{Self: self, Size: 3, Seeds: k.names}, consensus.Image{Disk: uint64(i + 7)})
--- a/internal/controlplane/wal/powercut_test.go
+++ b/internal/controlplane/wal/powercut_test.go
@@ -92,7 +92,7 @@
 }
 
 // write does as a member's disk does: what has no room begins the next file with all.
-func (l *ledger) write(r *Ring, items ...string) error {
+func (l *ledger) write(r *Log, items ...string) error {
 	var recs [][]byte
 	for _, item := range items {
 		recs = append(recs, []byte(item))
@@ -113,7 +113,7 @@
 }
 
 // startLedger is a new ring in a folder of its own that holds a ledger's first item.
-func startLedger(t *testing.T) (dir string, r *Ring, l *ledger) {
+func startLedger(t *testing.T) (dir string, r *Log, l *ledger) {
 	t.Helper()
 	dir = t.TempDir()
 	r, _, err := Open(dir, 3, size)
--- a/internal/controlplane/wal/recorded_test.go
+++ b/internal/controlplane/wal/recorded_test.go
@@ -16,17 +16,17 @@
 // recordedRings are the rings in testdata, by the steps that wrote them.
 var recordedRings = []struct {
 	name  string
-	write func(t *testing.T, r *Ring)
+	write func(t *testing.T, r *Log)
 	read  []string
 }{
-	{"fresh", func(t *testing.T, r *Ring) { rotate(t, r, "whole state 1") }, []string{"whole state 1"}},
-	{"records", func(t *testing.T, r *Ring) {
+	{"fresh", func(t *testing.T, r *Log) { rotate(t, r, "whole state 1") }, []string{"whole state 1"}},
+	{"records", func(t *testing.T, r *Log) {
 		rotate(t, r, "whole state 1")
 		add(t, r, "one")
 		add(t, r, "two", "three", "four") // synced as one piece
 		add(t, r, "five")
 	}, []string{"whole state 1", "one", "two", "three", "four", "five"}},
-	{"rotated", func(t *testing.T, r *Ring) {
+	{"rotated", func(t *testing.T, r *Log) {
 		for generation := range 5 { // past the last file and on from the first
 			rotate(t, r, fmt.Sprint("whole state ", generation))
 			add(t, r, fmt.Sprint("record of ", generation))
@@ -34,14 +34,14 @@
 	}, []string{"whole state 4", "record of 4"}},
 }
 
-func rotate(t *testing.T, r *Ring, whole string) {
+func rotate(t *testing.T, r *Log, whole string) {
 	t.Helper()
 	if err := r.Rotate([]byte(whole)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func add(t *testing.T, r *Ring, records ...string) {
+func add(t *testing.T, r *Log, records ...string) {
 	t.Helper()
 	var all [][]byte
 	for _, s := range records {
--- a/internal/controlplane/wal/ring.go
+++ b/internal/controlplane/wal/ring.go
@@ -1,4 +1,4 @@
-// Package ring keeps a member's state in a ring of preallocated files under one
+// Package wal keeps a member's state in a ring of preallocated files under one
 // folder. A file starts with a record that holds the whole state, then takes
 // records until it is full; then the next file takes over with a new whole
 // record, so the disk in use never grows. Every record carries its file's
@@ -48,8 +48,8 @@
 // ErrFull is returned for a state that no file can hold.
 var ErrFull = errors.New("state larger than a ring file")
 
-// Ring is an open ring of files. Its methods are for one goroutine.
-type Ring struct {
+// Log is an open ring of files. Its methods are for one goroutine.
+type Log struct {
 	dir        string
 	files      []*os.File
 	size       int64 // of each file, in bytes
@@ -64,7 +64,7 @@
 // does not exist. It returns the records of the newest file; the first of them, if any, holds the
 // whole state. Besides errors of the file system it returns ErrDamaged. No more of a file is in
 // memory at a time than a piece of it and one record.
-func Open(dir string, files int, size int64) (*Ring, [][]byte, error) {
+func Open(dir string, files int, size int64) (*Log, [][]byte, error) {
 	r, short, err := openFiles(dir, files, size)
 	if err != nil {
 		return nil, nil, err
@@ -83,7 +83,7 @@
 // Recreate begins a ring in dir anew with a whole record, whatever its files hold. Until
 // that record is synced the ring is as damaged as it was; the files that are not taken over
 // stay as they are until their turn comes.
-func Recreate(dir string, files int, size int64, whole []byte) (*Ring, error) {
+func Recreate(dir string, files int, size int64, whole []byte) (*Log, error) {
 	r, _, err := openFiles(dir, files, size)
 	if err != nil {
 		return nil, err
@@ -100,17 +100,17 @@
 
 // openFiles opens the ring's files and finds the newest generation; short is a file that
 // does not have its size, "" if all have.
-func openFiles(dir string, files int, size int64) (r *Ring, short string, err error) {
+func openFiles(dir string, files int, size int64) (r *Log, short string, err error) {
 	if err := makeFolder(dir); err != nil {
 		return nil, "", err
 	}
-	opened := &Ring{dir: dir, size: size, current: -1}
+	opened := &Log{dir: dir, size: size, current: -1}
 	defer func() {
 		if err != nil {
 			opened.Close()
 		}
 	}()
-	piece := make([]byte, min(size, tuning.RingPiece))
+	piece := make([]byte, min(size, tuning.WALReadBuffer))
 	for i := range files {
 		f, err := os.OpenFile(filepath.Join(dir, fmt.Sprintf("ring-%d", i)), os.O_RDWR|os.O_CREATE, 0o600)
 		if err != nil {
@@ -138,14 +138,14 @@
 // read takes the records of the newest generation. Files get their size and their places in
 // the folder synced before the first record is written, so one that is missing or short
 // beside records held the newest of them, or may have.
-func (r *Ring) read(short string) (recs [][]byte, err error) {
+func (r *Log) read(short string) (recs [][]byte, err error) {
 	if r.current < 0 {
 		return nil, nil
 	}
 	if short != "" {
 		return nil, errors.Wrapf(ErrDamaged, "%s is missing or short beside generation %d", short, r.generation)
 	}
-	piece := make([]byte, min(r.size, tuning.RingPiece))
+	piece := make([]byte, min(r.size, tuning.WALReadBuffer))
 	if recs, r.offset, err = scan(r.files[r.current], r.size, r.generation, piece); err != nil {
 		return nil, errors.Wrapf(err, "%s", r.files[r.current].Name())
 	}
@@ -175,8 +175,8 @@
 
 // allocate fills the files with zeros up to their size and makes their places in the
 // folder lasting.
-func (r *Ring) allocate() error {
-	zeros := make([]byte, min(r.size, tuning.RingPiece))
+func (r *Log) allocate() error {
+	zeros := make([]byte, min(r.size, tuning.WALReadBuffer))
 	for _, f := range r.files {
 		if err := extend(f, r.size, zeros); err != nil {
 			return err
@@ -363,7 +363,7 @@
 // Append writes records behind the last one and syncs them as one. It reports room false, with
 // nothing written, if they do not fit into the file: Rotate is due then. After an error of the
 // file system the same records, also with others behind them, are to be appended again.
-func (r *Ring) Append(recs ...[]byte) (room bool, err error) {
+func (r *Log) Append(recs ...[]byte) (room bool, err error) {
 	kind, echo, data := uint32(magic), uint32(again), recs[0]
 	if len(recs) > 1 {
 		kind, echo, data = group, groupAgain, join(recs)
@@ -394,7 +394,7 @@
 
 // Rotate starts the next file with a record that holds the whole state. It returns ErrFull if
 // that does not fit, with its echo, into a file.
-func (r *Ring) Rotate(whole []byte) error {
+func (r *Log) Rotate(whole []byte) error {
 	if int64(len(whole)+head) > r.size/2 {
 		return errors.Wrapf(ErrFull, "%d bytes, half a file is %d", len(whole), r.size/2)
 	}
@@ -409,7 +409,7 @@
 	return nil
 }
 
-func (r *Ring) frame(kind uint32, gen uint64, num uint32, d []byte) {
+func (r *Log) frame(kind uint32, gen uint64, num uint32, d []byte) {
 	var h [head]byte
 	binary.LittleEndian.PutUint32(h[0:], kind)
 	binary.LittleEndian.PutUint64(h[generationAt:], gen)
@@ -422,9 +422,9 @@
 
 // put writes and syncs what has been framed. After an error it may be there in part, and
 // is to be written again at the same place before anything else.
-func (r *Ring) put(f *os.File, off int64) error {
+func (r *Log) put(f *os.File, off int64) error {
 	defer func() {
-		if cap(r.buffer) > tuning.RingPiece {
+		if cap(r.buffer) > tuning.WALReadBuffer {
 			r.buffer = nil
 		}
 	}()
@@ -435,7 +435,7 @@
 }
 
 // Close closes the files. What was appended is synced already.
-func (r *Ring) Close() {
+func (r *Log) Close() {
 	for _, f := range r.files {
 		f.Close()
 	}
--- a/internal/controlplane/wal/ring_test.go
+++ b/internal/controlplane/wal/ring_test.go
@@ -74,12 +74,12 @@
 func TestDamagedLast(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(r *Ring) error
+		do   func(r *Log) error
 		want string
 	}{
-		{"one", func(r *Ring) error { _, err := r.Append([]byte("three")); return err }, "[whole one two three]"},
-		{"several", func(r *Ring) error { _, err := r.Append([]byte("three"), []byte("four")); return err }, "[whole one two three four]"},
-		{"whole", func(r *Ring) error { return r.Rotate([]byte("three")) }, "[three]"},
+		{"one", func(r *Log) error { _, err := r.Append([]byte("three")); return err }, "[whole one two three]"},
+		{"several", func(r *Log) error { _, err := r.Append([]byte("three"), []byte("four")); return err }, "[whole one two three four]"},
+		{"whole", func(r *Log) error { return r.Rotate([]byte("three")) }, "[three]"},
 	} {
 		for _, echo := range []bool{false, true} {
 			dir := t.TempDir()
@@ -198,7 +198,7 @@
 			t.Fatalf("file %d has %d bytes", i, st.Size())
 		}
 	}
-	if err := (&Ring{size: size, files: []*os.File{nil}}).Rotate(make([]byte, size)); !errors.Is(err, ErrFull) {
+	if err := (&Log{size: size, files: []*os.File{nil}}).Rotate(make([]byte, size)); !errors.Is(err, ErrFull) {
 		t.Fatal(err)
 	}
 }
--- a/internal/controlplane/watchdog.go
+++ b/internal/controlplane/watchdog.go
@@ -18,21 +18,21 @@
 )
 
 // watch is the watchdog and what else recurs while deciding.
-func (c *Core) watch(now time.Duration) {
+func (c *Controller) watch(now time.Duration) {
 	c.probeTargets(now)
 	for _, id := range c.sorted() {
 		t := c.targets[id]
-		if now-t.seenAt >= tuning.SeenEvery {
+		if now-t.seenAt >= tuning.StatsEvery {
 			t.seenAt = now
 			if s := t.seen; s.Successes+s.Errors > 0 {
 				t.seen = wire.TargetStats{}
-				c.judgeEvent(outlier.Event{At: now, Slice: "exchange", Service: t.Service, Name: t.Name, Inc: t.Incarnation,
-					Count: int(s.Successes + s.Errors), Errors: int(s.Errors), Slow: int(s.Slow), Ms: s.TotalMs})
+				c.judgeEvent(outlier.Event{At: now, Slice: "exchange", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation,
+					Count: int(s.Successes + s.Errors), Errors: int(s.Errors), Slow: int(s.Slow), Milliseconds: s.TotalMs})
 			}
 		}
-		if silent := now - t.beatAt; silent > tuning.BeatLapse && now-t.silentAt >= tuning.SeenEvery {
+		if silent := now - t.beatAt; silent > tuning.TargetHeartbeatTimeout && now-t.silentAt >= tuning.StatsEvery {
 			t.silentAt = now
-			c.judgeEvent(outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Incarnation, State: t.State, Ms: float64(silent) / 1e6})
+			c.judgeEvent(outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, State: t.State, Milliseconds: float64(silent) / 1e6})
 		}
 		if now-t.aliveAt > tuning.TargetGone {
 			c.drop(now, id, "silent and unreachable")
@@ -40,7 +40,7 @@
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(c.claims), wire.ID.Compare) {
 		t := c.claims[id]
-		if now-t.beatAt > tuning.BeatLapse {
+		if now-t.beatAt > tuning.TargetHeartbeatTimeout {
 			delete(c.claims, id)
 		}
 	}
@@ -57,7 +57,7 @@
 		})
 	}
 	c.decided(c.scorer.Tick(now))
-	if c.lead != Deciding {
+	if c.lead != Leading {
 		return
 	}
 	c.rebuild(now, now-c.rebuilt >= tuning.ReconcileEvery)
@@ -74,7 +74,7 @@
 
 // probeTargets begins the probes that are due: first of those that missed the last one, for which
 // a time is promised, then of all in turn, from where the last tick left off.
-func (c *Core) probeTargets(now time.Duration) {
+func (c *Controller) probeTargets(now time.Duration) {
 	left := probesPerTick(len(c.targets) + len(c.claims))
 	begin := func(id wire.ID, t *target) {
 		if left > 0 && c.probeDue(now, id, t) {
@@ -107,14 +107,14 @@
 
 // checkProbe looks after a target's probe: one that the shell never answered is over, and where
 // one that follows a miss takes long some proxies probe too.
-func (c *Core) checkProbe(now time.Duration, id wire.ID, t *target) {
-	if t.sentAt != 0 && now-t.sentAt > 2*tuning.ProbeCap {
+func (c *Controller) checkProbe(now time.Duration, id wire.ID, t *target) {
+	if t.sentAt != 0 && now-t.sentAt > 2*tuning.ProbeTimeout {
 		t.sentAt = 0
 	}
 	if _, named := c.cfg.Services[id.Service]; !named {
 		// Nothing is sent there; once it is, probes are spread, and who beat and fell silent must answer one.
-		t.probeAt = now - tuning.ProbeEvery + time.Duration(t.ShareOffset)*tuning.TickEvery%tuning.NamedSpread
-		t.unconfirmed = t.unconfirmed || t.streak.Count() >= tuning.ProofWords && now-t.beatAt > tuning.NamedSilent
+		t.probeAt = now - tuning.ProbeEvery + time.Duration(t.ShareOffset)*tuning.TickEvery%tuning.NewServiceProbeSpread
+		t.unconfirmed = t.unconfirmed || t.streak.Count() >= tuning.ProofHeartbeats && now-t.beatAt > tuning.NewServiceSilence
 		return
 	}
 	if t.missed && t.misses < tuning.ProbeMisses && t.sentAt != 0 && t.askedFor != t.sentAt && now-t.sentAt >= tuning.IndirectAfter &&
@@ -124,7 +124,7 @@
 	}
 }
 
-func (c *Core) probeDue(now time.Duration, id wire.ID, t *target) bool {
+func (c *Controller) probeDue(now time.Duration, id wire.ID, t *target) bool {
 	_, named := c.cfg.Services[id.Service]
 	return named && t.sentAt == 0 && now-t.probeAt >= tuning.ProbeEvery && !c.spared(now, t)
 }
@@ -132,14 +132,14 @@
 // spared says that a target needs no probe yet, since requests show that it lives: a proxy had an answer
 // from it later than a probe that is due now would have gone out before. So its death is noticed as
 // early as with probes alone. Only health answers tell of coldness, so each is probed now and then.
-func (c *Core) spared(now time.Duration, t *target) bool {
+func (c *Controller) spared(now time.Duration, t *target) bool {
 	if len(c.targets) <= tuning.WatchMost || t.missed || t.unconfirmed || t.coldTill > now {
 		return false
 	}
 	return now-(t.okAt-tuning.PullEvery) < tuning.ProbeEvery && now-t.probeAt < tuning.SparedProbes*tuning.ProbeEvery
 }
 
-func (c *Core) probe(now time.Duration, id wire.ID, t *target) {
+func (c *Controller) probe(now time.Duration, id wire.ID, t *target) {
 	t.probeAt, t.sentAt = now, now
 	c.counts.Probes++
 	c.emit(statemachine.Probe{ID: id, Addr: t.Addr, Path: c.cfg.Services[id.Service].HealthPath})
@@ -148,7 +148,7 @@
 // indirect has some proxies probe a target that the leader itself can't reach, so that a
 // trouble of the leader's own ejections nobody. They are drawn anew each time, from as many
 // domains as can be and the leader's own last: what troubles it may trouble its neighbours.
-func (c *Core) indirect(now time.Duration, id wire.ID) {
+func (c *Controller) indirect(now time.Duration, id wire.ID) {
 	type choice struct {
 		name, domain string
 		nth          int // of its domain
@@ -181,8 +181,8 @@
 	}
 }
 
-func (c *Core) probed(now time.Duration, p statemachine.ProbeResult) {
-	if c.lead < Warming {
+func (c *Controller) probed(now time.Duration, p statemachine.ProbeResult) {
+	if c.lead < Gathering {
 		return
 	}
 	t := c.targets[p.ID]
@@ -198,11 +198,11 @@
 	}
 	t.sentAt = 0
 	proved := t.unconfirmed
-	e := outlier.Event{At: now, Slice: "probe", Service: t.Service, Name: t.Name, Inc: t.Incarnation, Ms: p.Milliseconds}
+	e := outlier.Event{At: now, Slice: "probe", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Milliseconds: p.Milliseconds}
 	b := p.Report
-	e.Ok = b != nil && b.ID() == p.ID
-	t.missed = !e.Ok
-	if !e.Ok {
+	e.Success = b != nil && b.ID() == p.ID
+	t.missed = !e.Success
+	if !e.Success {
 		c.counts.Misses++
 		if t.okAt-tuning.PullEvery >= p.SentAt {
 			// A proxy has had an answer from it since this probe went out: the miss is the leader's own.
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -16,7 +16,7 @@
 // coreDaemon is a control daemon's parts.
 type coreDaemon struct {
 	*Host
-	owner *controlplane.Core
+	owner *controlplane.Controller
 	disk  *Disk
 	hub   *Hub
 	term  atomic.Uint64 // the owner's, for the lines of the stream
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -21,7 +21,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// store is where a disk's records go: a *ring.Ring, or a stand-in that fails in tests.
+// store is where a disk's records go: a *wal.Ring, or a stand-in that fails in tests.
 type store interface {
 	Append(recs ...[]byte) (room bool, err error)
 	Rotate(whole []byte) error
@@ -38,9 +38,9 @@
 }
 
 // OpenDisk reads what the folder holds; an empty one gets a number of its own. An error that
-// is marked ring.ErrDamaged or core.ErrDamaged says that it can't be read whole.
+// is marked wal.ErrDamaged or core.ErrDamaged says that it can't be read whole.
 func (h *Host) OpenDisk() (*Disk, consensus.Image, error) {
-	r, recs, err := wal.Open(h.Settings.Data, tuning.RingFiles, tuning.RingFileSize)
+	r, recs, err := wal.Open(h.Settings.Data, tuning.WALFiles, tuning.WALFileSize)
 	if err != nil {
 		return nil, consensus.Image{}, err
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, img, err
 	}
-	r, err := wal.Recreate(h.Settings.Data, tuning.RingFiles, tuning.RingFileSize, whole)
+	r, err := wal.Recreate(h.Settings.Data, tuning.WALFiles, tuning.WALFileSize, whole)
 	if err != nil {
 		return nil, img, err
 	}
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -78,7 +78,7 @@
 		Seeds:            s.Seeds,
 		Grace:            milliseconds(s.GraceMs),
 		ReadyWhenEmptied: s.ReadyWhenEmptied,
-		Retry:            dataplane.Retry{Ratio: s.RetryRatio, Window: milliseconds(s.RetryWindowMs), Slack: float64(s.RetrySlack)},
+		Retry:            dataplane.RetryBudget{Ratio: s.RetryRatio, Window: milliseconds(s.RetryWindowMs), Slack: float64(s.RetrySlack)},
 	})
 	ask := func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command {
 		return h.Loop.Ask(ctx, id, event, statemachine.Cancel{ID: id})
@@ -160,7 +160,7 @@
 // awaitAnswers waits, once the owner has ended, for what callers' connections still have under way: answers
 // that are being written and bodies that are being read. It returns false if some are left at the end.
 func (d *gateDaemon) awaitAnswers() bool {
-	look := time.NewTicker(tuning.StopLook)
+	look := time.NewTicker(tuning.ShutdownPoll)
 	defer look.Stop()
 	for till := d.endBy.Load(); d.forwarder.Intake.Busy() > 0; <-look.C {
 		if int64(d.Now()) > till {
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -1,4 +1,4 @@
-// Package host is what is around the state machines of the daemons (their owners): the clock,
+// Package daemon is what is around the state machines of the daemons (their owners): the clock,
 // the loop that feeds an owner on its one goroutine, messages between daemons over TCP,
 // probes, the disk, settings, logs and counters. Host is the one context that all of it
 // shares. Nothing here decides anything. The package also holds mfctl, the operators' command.
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/host_test.go
@@ -111,8 +111,8 @@
 		seq = it.ev.(statemachine.Synced).Seq
 	}
 	_, got, err := h.OpenDisk()
-	if err != nil || got.Disk != want.Disk || got.Snap.Index != want.Snap.Index || len(got.Log) != len(want.Log) || got.Log[0].Index != want.Log[0].Index {
-		t.Fatalf("%v: %d %d", err, got.Snap.Index, len(got.Log))
+	if err != nil || got.Disk != want.Disk || got.Snapshot.Index != want.Snapshot.Index || len(got.Log) != len(want.Log) || got.Log[0].Index != want.Log[0].Index {
+		t.Fatalf("%v: %d %d", err, got.Snapshot.Index, len(got.Log))
 	}
 }
 
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -57,8 +57,8 @@
 }
 
 // refuse answers an operator's call with an error of the kind that its status stands for.
-func refuse(w http.ResponseWriter, status int, retry time.Duration, t config.Trouble) {
-	t.Refusal = config.RefusalOf(status)
+func refuse(w http.ResponseWriter, status int, retry time.Duration, t config.ErrorBody) {
+	t.Rejection = config.RejectionOf(status)
 	reverseproxy.Error(w, status, retry, t)
 }
 
@@ -98,7 +98,7 @@
 		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocMax+1))
 		var mb *http.MaxBytesError
 		if errors.As(err, &mb) {
-			refuse(w, http.StatusRequestEntityTooLarge, 0, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
+			refuse(w, http.StatusRequestEntityTooLarge, 0, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
 			return
 		}
 		if err != nil {
--- a/internal/daemon/probe.go
+++ b/internal/daemon/probe.go
@@ -78,8 +78,8 @@
 }
 
 // ask probes a target on the kept connection, and once more on a new one if that fails.
-func ask(s *probed, p statemachine.Probe, names *reverseproxy.Headers, h *Host) (*config.Beat, time.Duration) {
-	deadline := time.Now().Add(tuning.ProbeCap)
+func ask(s *probed, p statemachine.Probe, names *reverseproxy.Headers, h *Host) (*config.TargetReport, time.Duration) {
+	deadline := time.Now().Add(tuning.ProbeTimeout)
 	conn := s.conn.Swap(nil)
 	for conn != nil && conn.Addr() != p.Addr {
 		conn.Close()
@@ -110,7 +110,7 @@
 }
 
 // look asks on a connection and reads what the answer says of the target.
-func look(conn *reverseproxy.Conn, p statemachine.Probe, names *reverseproxy.Headers, deadline time.Time) (b *config.Beat, cold time.Duration, again bool, err error) {
+func look(conn *reverseproxy.Conn, p statemachine.Probe, names *reverseproxy.Headers, deadline time.Time) (b *config.TargetReport, cold time.Duration, again bool, err error) {
 	if p.Path == "" {
 		b, again, err = conn.Identify(deadline, p.Addr)
 		if err != nil {
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, 0, false, err
 	}
-	b = &config.Beat{Service: p.ID.Service, Name: p.ID.Name, Incarnation: p.ID.Incarnation}
+	b = &config.TargetReport{Service: p.ID.Service, Name: p.ID.Name, Incarnation: p.ID.Incarnation}
 	if n := resp.Header.Get(names.Identity); n != "" {
 		b.Name = n
 	}
--- a/internal/daemon/probe_test.go
+++ b/internal/daemon/probe_test.go
@@ -100,7 +100,7 @@
 		if r.URL.Path != config.IdentityPath {
 			t.Error(r.URL)
 		}
-		json.NewEncoder(w).Encode(config.Beat{Service: "s", Name: "z", Incarnation: 4, State: config.Leaving})
+		json.NewEncoder(w).Encode(config.TargetReport{Service: "s", Name: "z", Incarnation: 4, State: config.Leaving})
 	})
 	h := prober()
 	for range 3 {
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -16,7 +16,7 @@
 // loneCore is a core of one member on a real ring, whose clock the test moves.
 type loneCore struct {
 	disk  *Disk
-	core  *controlplane.Core
+	core  *controlplane.Controller
 	now   time.Duration
 	taken int
 }
@@ -108,7 +108,7 @@
 	if a, b := again.core.Revision(), l.core.Revision(); a != b || a != 300 {
 		t.Errorf("revision %d after %d", a, b)
 	}
-	if n := imageBytes(t, &l.disk.img); n > tuning.RingFileSize/2 {
+	if n := imageBytes(t, &l.disk.img); n > tuning.WALFileSize/2 {
 		t.Errorf("an image of %d bytes", n)
 	}
 }
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -105,7 +105,7 @@
 			retry = tuning.RetryAfterMin
 		}
 		w.Header().Set("Connection", "close")
-		refuse(w, got.status, retry, config.Trouble{Code: "stream", Message: got.why})
+		refuse(w, got.status, retry, config.ErrorBody{Code: "stream", Message: got.why})
 		return
 	}
 	defer func() { u.requests <- sessionRequest{leave: got.session} }()
@@ -116,7 +116,7 @@
 		return
 	}
 	sc := bufio.NewScanner(r.Body)
-	sc.Buffer(nil, tuning.LineMax)
+	sc.Buffer(nil, tuning.SessionLineMax)
 	for sc.Scan() {
 		for _, l := range got.session.Take(sc.Bytes()) {
 			if enc.Encode(l) != nil {
--- a/internal/daemon/stream.go
+++ b/internal/daemon/stream.go
@@ -121,7 +121,7 @@
 func (u *Hub) Serve(w http.ResponseWriter, r *http.Request, leads bool, leader string) {
 	if !leads {
 		if leader == "" {
-			refuse(w, http.StatusServiceUnavailable, tuning.RetryAfterMin, config.Trouble{Code: "no_leader", Message: "no leader is known"})
+			refuse(w, http.StatusServiceUnavailable, tuning.RetryAfterMin, config.ErrorBody{Code: "no_leader", Message: "no leader is known"})
 			return
 		}
 		http.Redirect(w, r, "http://"+leader+r.URL.RequestURI(), http.StatusTemporaryRedirect)
@@ -130,7 +130,7 @@
 	j := join{r: &reader{lines: make(chan line, 2*tuning.EventsKept+tuning.StreamBuffer)}}
 	if f := r.URL.Query().Get("from"); f != "" {
 		if _, err := fmt.Sscanf(f, "%d.%d", &j.term, &j.seq); err != nil {
-			refuse(w, http.StatusBadRequest, 0, config.Trouble{Code: "bad_request", Message: "from is term.seq of the last line read"})
+			refuse(w, http.StatusBadRequest, 0, config.ErrorBody{Code: "bad_request", Message: "from is term.seq of the last line read"})
 			return
 		}
 		j.resume = true
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -121,7 +121,7 @@
 	var c net.Conn
 	var w *wire.Writer
 	for q := range ch {
-		if h.Now()-q.at > tuning.SendLate { // it would only keep later ones waiting
+		if h.Now()-q.at > tuning.SendQueueTTL { // it would only keep later ones waiting
 			continue
 		}
 		var err error
@@ -154,7 +154,7 @@
 
 // dial opens a connection for sending. The other side never sends: only its close is read.
 func (h *Host) dial(addr string) (net.Conn, error) {
-	d := reverseproxy.Dialer(h.From(), tuning.ProbeCap)
+	d := reverseproxy.Dialer(h.From(), tuning.ProbeTimeout)
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -20,7 +20,7 @@
 	current Settings
 }
 
-// Watch reads the settings each limit.SettingsEvery and at once on SIGHUP. Sound changes of log
+// Watch reads the settings each tuning.SettingsEvery and at once on SIGHUP. Sound changes of log
 // level, seeds and memory take effect; others wait for the next start; unsound ones are logged once
 // and the old ones kept.
 func (h *Host) Watch(seeds func([]string)) {
--- a/internal/dataplane/budget.go
+++ b/internal/dataplane/budget.go
@@ -22,12 +22,12 @@
 
 // holders is how many of the listed proxies share a slack: as many as get enough to
 // save one whole repeat up.
-func (r Retry) holders(listed int) int { return max(1, min(listed, int(r.Slack/2))) }
+func (r RetryBudget) holders(listed int) int { return max(1, min(listed, int(r.Slack/2))) }
 
 // slack is a proxy's part of the slack: those that a draw by service puts first have
 // it. While a change of the roster is under way only those that both rosters draw do,
 // and the smaller part, so that no two tables which stand together give more.
-func (r Retry) slack(svc uint64, self string, lists ...[]string) float64 {
+func (r RetryBudget) slack(svc uint64, self string, lists ...[]string) float64 {
 	least := 0.0
 	for i, names := range lists {
 		if len(names) == 0 && i > 0 {
@@ -45,7 +45,7 @@
 }
 
 // earn takes a request in.
-func (b *budget) earn(now time.Duration, r Retry) {
+func (b *budget) earn(now time.Duration, r RetryBudget) {
 	b.grow(now, r)
 	b.credit += r.Ratio * tuning.RetryEarn
 	s := int64(now / (r.Window / tuning.CountSlices))
@@ -59,7 +59,7 @@
 
 // grow adds the slack's part for the time since; half of it may be saved up and half
 // comes back over a window, so that a window never sees more than the whole.
-func (b *budget) grow(now time.Duration, r Retry) {
+func (b *budget) grow(now time.Duration, r RetryBudget) {
 	if b.begun {
 		b.credit += b.part / 2 * float64(now-b.at) / float64(r.Window)
 	}
@@ -67,7 +67,7 @@
 	b.clip(now, r)
 }
 
-func (b *budget) clip(now time.Duration, r Retry) {
+func (b *budget) clip(now time.Duration, r RetryBudget) {
 	s, recent := int64(now/(r.Window/tuning.CountSlices)), int64(0)
 	for _, c := range b.counts {
 		if c.slice > s-tuning.CountSlices {
@@ -78,7 +78,7 @@
 }
 
 // has says whether one may be spent.
-func (b *budget) has(now time.Duration, r Retry) bool {
+func (b *budget) has(now time.Duration, r RetryBudget) bool {
 	b.grow(now, r)
 	return b.credit >= 1
 }
--- a/internal/dataplane/choice.go
+++ b/internal/dataplane/choice.go
@@ -85,7 +85,7 @@
 // beats says whether a target is known to beat: by the table while the leader
 // keeps it fresh, else by what was heard here, straight or through a peer.
 func (g *Proxy) beats(now time.Duration, t *target) bool {
-	if g.state == Granted {
+	if g.state == Leased {
 		return t.Heartbeating
 	}
 	return t.streak.Steady(now)
@@ -197,11 +197,11 @@
 	}
 	higher := 0
 	for _, at := range s.ranks[:r] {
-		if at > 0 && now-at < tuning.PressLife {
+		if at > 0 && now-at < tuning.PressureTTL {
 			higher++
 		}
 	}
-	if higher == 0 || float64(s.inflight+1) <= s.window*(1-tuning.RankRoom*float64(higher)) {
+	if higher == 0 || float64(s.inflight+1) <= s.window*(1-tuning.PriorityReserve*float64(higher)) {
 		return true
 	}
 	g.Counts.LowRank++
@@ -209,7 +209,7 @@
 }
 
 func (s *service) pressed(now time.Duration) bool {
-	return s.pressAt > 0 && now-s.pressAt < tuning.PressLife
+	return s.pressAt > 0 && now-s.pressAt < tuning.PressureTTL
 }
 
 func (g *Proxy) tier(now time.Duration, t *target, x *request, s *service) tier {
--- a/internal/dataplane/cold.go
+++ b/internal/dataplane/cold.go
@@ -11,10 +11,10 @@
 // coldOf is how long a target of a service is cold from its start.
 func (g *Proxy) coldOf(svc string) time.Duration {
 	s := g.cfg.Services[svc]
-	if s.ColdPerS <= 0 {
+	if s.WarmupRate <= 0 {
 		return 0
 	}
-	return s.Cold()
+	return s.Warmup()
 }
 
 // chill takes in how much longer a target is cold; of two words the later end holds.
@@ -30,7 +30,7 @@
 // way, only those that both rosters draw have a part, and the smaller one. Of a target
 // that is still warming too only those are drawn that have a part of its warming cap.
 func (g *Proxy) coldGapOf(t *target, set config.Service) time.Duration {
-	perS := set.ColdPerS
+	perS := set.WarmupRate
 	if perS <= 0 {
 		return 0
 	}
@@ -54,5 +54,5 @@
 
 // cold says that a target bears only its service's cold rate now.
 func (t *target) cold(now time.Duration, x *request) bool {
-	return t.coldUntil > now && x.set.ColdPerS > 0
+	return t.coldUntil > now && x.set.WarmupRate > 0
 }
--- a/internal/dataplane/connections.go
+++ b/internal/dataplane/connections.go
@@ -26,5 +26,5 @@
 // connectTime is how long a connection for a request of a route may take to open: a target that is full
 // takes it up once one of its requests ends, which is soon by the measure of the route's own aim.
 func connectTime(route *config.Route) time.Duration {
-	return min(max(tuning.ConnectCap, route.Aim()/tuning.ConnectParts), tuning.DialCap)
+	return min(max(tuning.ConnectTimeoutMin, route.LatencyTarget()/tuning.ConnectParts), tuning.DialTimeout)
 }
--- a/internal/dataplane/connections_test.go
+++ b/internal/dataplane/connections_test.go
@@ -35,8 +35,8 @@
 // A connection may take a quarter of the route's aim to open, and never less than it takes anywhere; a
 // choice still lives when it opens last.
 func TestConnectTime(t *testing.T) {
-	for aim, want := range map[int]time.Duration{0: tuning.ConnectCap, 300: tuning.ConnectCap, 600: 150 * time.Millisecond, 1500: 375 * time.Millisecond, 60000: tuning.DialCap} {
-		if got := connectTime(&config.Route{AimMs: aim}); got != want || got >= tuning.ChoiceLife {
+	for aim, want := range map[int]time.Duration{0: tuning.ConnectTimeoutMin, 300: tuning.ConnectTimeoutMin, 600: 150 * time.Millisecond, 1500: 375 * time.Millisecond, 60000: tuning.DialTimeout} {
+		if got := connectTime(&config.Route{LatencyTargetMs: aim}); got != want || got >= tuning.ChoiceTTL {
 			t.Errorf("aim %d ms: %v", aim, got)
 		}
 	}
--- a/internal/dataplane/deal.go
+++ b/internal/dataplane/deal.go
@@ -70,7 +70,7 @@
 	for _, r := range g.table.Proxies {
 		g.listed = append(g.listed, r.Name)
 		// The proxies that the leader hears share caps, or all of them if there is no leader to say.
-		if r.Live || r.Name == g.settings.Self.Name || g.state != Granted {
+		if r.Live || r.Name == g.settings.Self.Name || g.state != Leased {
 			g.alive = append(g.alive, r.Name)
 			doms = append(doms, r.Domain)
 		}
@@ -280,8 +280,8 @@
 		return n
 	}
 	c := set.Cap
-	if since := now - t.warmAt; t.warmAt > 0 && since < tuning.RampUp && set.WarmCap < c {
-		c = set.WarmCap + int(float64(c-set.WarmCap)*float64(since)/float64(tuning.RampUp))
+	if since := now - t.warmAt; t.warmAt > 0 && since < tuning.SlowStart && set.WarmCap < c {
+		c = set.WarmCap + int(float64(c-set.WarmCap)*float64(since)/float64(tuning.SlowStart))
 	}
 	return part(c, g.alive)
 }
@@ -311,7 +311,7 @@
 	case n == t.warmNext:
 		t.riseAt = at
 	default:
-		t.warmNext, t.riseAt = n, now+g.longest(t.Service)+tuning.ChoiceLife
+		t.warmNext, t.riseAt = n, now+g.longest(t.Service)+tuning.ChoiceTTL
 	}
 	if g.coldEnd == 0 || t.riseAt < g.coldEnd {
 		g.coldEnd = t.riseAt
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -103,7 +103,7 @@
 		return
 	}
 	name, route, ok := g.cfg.Route(e.Host, e.Path)
-	if ok && e.Pipelined && !route.Repeats() {
+	if ok && e.Pipelined && !route.Idempotent() {
 		g.emit(statemachine.Reject{ID: e.ID, Code: statemachine.CodeNotPipelined})
 		return
 	}
@@ -124,9 +124,9 @@
 			return
 		}
 		set := g.cfg.Services[svc]
-		x.svc, x.route = svc, config.Route{Kind: config.Once, TimeoutMs: set.TimeoutMs, Attempts: set.Tries, Service: svc}
+		x.svc, x.route = svc, config.Route{Kind: config.KindOnce, TimeoutMs: set.TimeoutMs, Attempts: set.Attempts, Service: svc}
 		if idempotent(e.Method) {
-			x.route.Kind = config.Repeatable
+			x.route.Kind = config.KindRepeatable
 		}
 	}
 	x.set = g.cfg.Services[x.svc]
@@ -207,7 +207,7 @@
 	t.usedAt = now
 	s.inflight++
 	g.Counts.Admitted++
-	g.emit(statemachine.Forward{ID: x.id, Service: x.svc, ServiceConfig: x.set, RouteName: x.name, Route: x.route, Target: t.Target, TimeLeft: x.deadline - now, WorkTime: g.targetTime(now, x), WriteBy: now + tuning.ChoiceLife, MayRetry: x.tries < x.route.Attempts, ConnectTimeout: connectTime(&x.route), MaxIdle: g.idleConns(t, x.set)})
+	g.emit(statemachine.Forward{ID: x.id, Service: x.svc, ServiceConfig: x.set, RouteName: x.name, Route: x.route, Target: t.Target, TimeLeft: x.deadline - now, WorkTime: g.targetTime(now, x), WriteBy: now + tuning.ChoiceTTL, MayRetry: x.tries < x.route.Attempts, ConnectTimeout: connectTime(&x.route), MaxIdle: g.idleConns(t, x.set)})
 }
 
 // tooLate says that a service under pressure better spends its time on others.
@@ -232,7 +232,7 @@
 		}
 		room = g.share(x.set.WaitLen, x.svc)
 	} else {
-		most = wantedTime(&x.route) / tuning.WaitPart
+		most = wantedTime(&x.route) / tuning.WaitTargetParts
 		most = min(x.start+most-now, x.deadline-now-x.way.usual())
 		if most <= 0 {
 			return false
@@ -276,12 +276,12 @@
 		spread := x.id * 2654435761 >> 8
 		r.RetryAfter = tuning.RetryAfterMin + time.Duration(spread%uint64(tuning.RetryAfterSpan))
 		if !x.unknown {
-			base := x.route.Aim()
+			base := x.route.LatencyTarget()
 			if base == 0 {
 				base = x.deadline - x.start
 			}
 			base = max(base/8, 1)
-			r.RetryAfter = max(tuning.RefuseMin, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/tuning.RefuseLeft))
+			r.RetryAfter = max(tuning.RetryAfterLeast, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/tuning.RetryAfterTimeParts))
 		}
 	}
 	g.emit(r)
@@ -293,7 +293,7 @@
 
 // aim counts a request's end for the aims of its service.
 func (g *Proxy) aim(now time.Duration, x *request, good bool) {
-	for n, a := range g.cfg.Aims {
+	for n, a := range g.cfg.Objectives {
 		if a.Service != x.svc {
 			continue
 		}
@@ -301,7 +301,7 @@
 			g.aims[n] = &aimCounts{}
 		}
 		min := int(now / time.Minute)
-		m := &g.aims[n].minutes[min%tuning.AimMinutes]
+		m := &g.aims[n].minutes[min%tuning.ObjectiveMinutes]
 		if m.minute != min {
 			m.minute, m.good, m.all = min, 0, 0
 		}
@@ -332,14 +332,14 @@
 		x.tries, x.opens = x.tries-1, x.opens+1 // attempts are targets that it was sent to
 	}
 	ran := x.last == statemachine.Served || x.last == statemachine.ServerError || x.last == statemachine.ResponseLost
-	x.repeat = x.repeat || e.Sent || x.last == statemachine.TargetRejected || x.last == statemachine.WrongIdentity && x.set.Asked()
+	x.repeat = x.repeat || e.Sent || x.last == statemachine.TargetRejected || x.last == statemachine.WrongIdentity && x.set.HasHealthCheck()
 	switch {
-	case !x.route.Repeats() && ran && (e.Sent || x.way != nil):
+	case !x.route.Idempotent() && ran && (e.Sent || x.way != nil):
 		g.Counts.OnceKept++
 		g.refuse(now, x, 502, "may_have_run", "it may have run and must not run again")
 	case !g.Serving():
 		g.refuse(now, x, 503, "not_serving", "this proxy has no fresh table")
-	case x.tries >= x.route.Attempts || x.opens >= tuning.OpensMax || now >= x.deadline:
+	case x.tries >= x.route.Attempts || x.opens >= tuning.ConnectAttemptsMax || now >= x.deadline:
 		g.refuse(now, x, 503, "tries", "no try is left")
 	case x.repeat && !g.service(x.svc).budget.has(now, g.settings.Retry):
 		g.Counts.RetriesDenied++
--- a/internal/dataplane/fairness.go
+++ b/internal/dataplane/fairness.go
@@ -12,10 +12,10 @@
 
 // rankCounts are requests by priority: how many came, and how many were given a target.
 type rankCounts struct {
-	asked, given [tuning.Ranks]float64
+	asked, given [tuning.PriorityLevels]float64
 }
 
-// fairness counts a service's requests over the present span of limit.FairSpan and the one before.
+// fairness counts a service's requests over the present span of tuning.FairSpan and the one before.
 type fairness struct {
 	span          int64
 	current, past rankCounts
@@ -45,7 +45,7 @@
 	f.current.given[rank]++
 }
 
-// starved says that a priority got less than limit.FairPart of what the service's requests got
+// starved says that a priority got less than tuning.FairPart of what the service's requests got
 // on average. Without a whole span before this one nothing is said.
 func (f *fairness) starved(now time.Duration, rank int) bool {
 	f.turn(now)
@@ -53,7 +53,7 @@
 		return false
 	}
 	asked, given := 0.0, 0.0
-	for r := range tuning.Ranks {
+	for r := range tuning.PriorityLevels {
 		asked += f.past.asked[r] + f.current.asked[r]
 		given += f.past.given[r] + f.current.given[r]
 	}
@@ -62,7 +62,7 @@
 }
 
 // rankOf is a priority's place among those that are told apart.
-func rankOf(priority int) int { return min(priority, tuning.Ranks-1) }
+func rankOf(priority int) int { return min(priority, tuning.PriorityLevels-1) }
 
 // enroll counts a request that came and sets what it goes by: its route's priority, or
 // the most urgent if that starves.
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -56,7 +56,7 @@
 			sent[k.Addr] = true
 			h := &wire.Hello{Self: self}
 			who := fmt.Sprint(n, " ", k.Incarnation)
-			if at, ok := g.memoryToldAt[who]; g.state != Granted && now-k.At < 4*tuning.HelloEvery && (!ok || now-at >= tuning.MemoryEvery) {
+			if at, ok := g.memoryToldAt[who]; g.state != Leased && now-k.At < 4*tuning.HelloEvery && (!ok || now-at >= tuning.MemoryEvery) {
 				if memory == nil {
 					memory = g.rememberedState()
 				}
@@ -116,7 +116,7 @@
 
 // memory is what this proxy tells a core that has lost its own.
 func (g *Proxy) rememberedState() []byte {
-	if g.table == nil || g.state == Granted {
+	if g.table == nil || g.state == Leased {
 		return nil
 	}
 	l, ok := state.RecoveredFrom(g.table)
@@ -145,7 +145,7 @@
 	}
 	// The leader that leases knows this proxy; another is told all of it.
 	p := &wire.Pull{}
-	if d := g.self(); d != g.said || l != g.saidTo || g.state != Granted || g.doubts(now) {
+	if d := g.self(); d != g.said || l != g.saidTo || g.state != Leased || g.doubts(now) {
 		p.Self, g.said, g.saidTo = d, d, l
 	}
 	if g.table != nil {
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -11,14 +11,14 @@
 
 // offers says that a target told lately of a free slot.
 func (t *target) offers(now time.Duration) bool {
-	return t.loadAt > 0 && now-t.loadAt < tuning.LoadLife && t.used(now)+1/float64(t.slots) <= 1
+	return t.loadAt > 0 && now-t.loadAt < tuning.LoadTTL && t.used(now)+1/float64(t.slots) <= 1
 }
 
 // used is what part of a target's slots is taken, as far as is known here.
 func (t *target) used(now time.Duration) float64 {
 	n := float64(t.inflight)
-	if age := now - t.loadAt; t.loadAt > 0 && age < tuning.LoadLife {
-		n += t.others * (1 - float64(age)/float64(tuning.LoadLife))
+	if age := now - t.loadAt; t.loadAt > 0 && age < tuning.LoadTTL {
+		n += t.others * (1 - float64(age)/float64(tuning.LoadTTL))
 	}
 	return n / float64(max(1, t.slots))
 }
@@ -26,8 +26,8 @@
 // slowness is how a target's times compare with others', forgotten with time so that
 // it is tried again.
 func (t *target) slowness(now time.Duration) float64 {
-	if age := now - t.paceAt; t.paceAt > 0 && age < tuning.PaceLife {
-		return (t.pace - 1) * (1 - float64(age)/float64(tuning.PaceLife))
+	if age := now - t.paceAt; t.paceAt > 0 && age < tuning.PaceTTL {
+		return (t.pace - 1) * (1 - float64(age)/float64(tuning.PaceTTL))
 	}
 	return 0
 }
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -22,7 +22,7 @@
 		if l := g.leader(now); l != "" {
 			g.send(l, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &t})
 		}
-		if g.state != Granted && g.table != nil {
+		if g.state != Leased && g.table != nil {
 			// No leader spreads it: tell the peers.
 			for _, r := range g.table.Proxies {
 				g.send(r.Name, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &t})
@@ -133,7 +133,7 @@
 }
 
 func (g *Proxy) ping(now time.Duration, t *target) {
-	if t.sentAt == 0 || now-t.sentAt > 2*tuning.ProbeCap {
+	if t.sentAt == 0 || now-t.sentAt > 2*tuning.ProbeTimeout {
 		t.probeAt, t.sentAt = now, now
 		g.emit(statemachine.Probe{ID: t.ID(), Addr: t.Addr, Path: g.cfg.Services[t.Service].HealthPath})
 	}
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -1,4 +1,4 @@
-// Package proxy is the owner of a proxy daemon: its table and lease, the choice
+// Package dataplane is the owner of a proxy daemon: its table and lease, the choice
 // of a target for each request, waiting, retries and their budget, and what it
 // does when the leader is out of reach, as one pure Step(now, event) -> commands.
 //
@@ -27,8 +27,8 @@
 
 // The states.
 const (
-	Cold State = iota // no table yet
-	Granted
+	NoTable State = iota // no table yet
+	Leased
 	PeerServing
 	Isolated
 )
@@ -39,17 +39,17 @@
 type Settings struct {
 	Self  wire.Daemon
 	Seeds []string
-	Retry Retry // of the whole fleet; without a window: limit's
+	Retry RetryBudget // of the whole fleet; without a window: limit's
 	// Grace is how long after being asked to stop the process is ended by force, 0: not
-	// known, and limit.StopWait is what a stop takes at most.
+	// known, and tuning.StopWait is what a stop takes at most.
 	Grace time.Duration
 	// ReadyWhenEmptied has an emptied domain's proxy go on asking for callers.
 	ReadyWhenEmptied bool
 }
 
-// Retry bounds what a service's targets get beyond the first target of each request:
+// RetryBudget bounds what a service's targets get beyond the first target of each request:
 // over all proxies, in any window, a ratio of the requests and a little slack.
-type Retry struct {
+type RetryBudget struct {
 	Ratio  float64
 	Window time.Duration
 	Slack  float64
@@ -120,7 +120,7 @@
 
 // tally counts an aim's requests by the minute.
 type aimCounts struct {
-	minutes [tuning.AimMinutes]struct{ minute, good, all int }
+	minutes [tuning.ObjectiveMinutes]struct{ minute, good, all int }
 }
 
 type service struct {
@@ -133,8 +133,8 @@
 	even     float64   // this proxy's even part of all slots
 	window   float64   // how many of its requests may be at targets now
 	pressAt  time.Duration
-	ranks    [tuning.Ranks]time.Duration // when requests of each priority last came
-	mean     float64                     // ms that its requests take
+	ranks    [tuning.PriorityLevels]time.Duration // when requests of each priority last came
+	mean     float64                              // ms that its requests take
 	fair     fairness
 }
 
@@ -194,7 +194,7 @@
 // New returns a proxy that has just started and knows no table.
 func New(set Settings) *Proxy {
 	if set.Retry.Window < tuning.CountSlices {
-		set.Retry = Retry{1 / float64(tuning.RetryShare), tuning.RetryWindow, tuning.RetryFree}
+		set.Retry = RetryBudget{1 / float64(tuning.RetryShare), tuning.RetryWindow, tuning.RetryFree}
 	}
 	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: discovery.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &config.Config{},
 		targets: map[wire.ID]*target{}, leaving: map[wire.ID]time.Duration{}, services: map[string]*service{}, requests: map[uint64]*request{}, aims: map[string]*aimCounts{}, leaseUntil: -1}
@@ -235,9 +235,9 @@
 func (g *Proxy) updateState(now time.Duration) {
 	switch {
 	case g.table == nil:
-		g.setState(now, Cold, "no table")
+		g.setState(now, NoTable, "no table")
 	case now < g.leaseUntil:
-		g.setState(now, Granted, "the leader answers")
+		g.setState(now, Leased, "the leader answers")
 	case g.inTouch(now):
 		g.settled = true
 		g.setState(now, PeerServing, "a majority of proxies answers")
@@ -253,7 +253,7 @@
 	g.emit(statemachine.StateChange{Subject: statemachine.SubjectProxy, From: g.state.String(), To: s.String(), Reason: why})
 	g.state = s
 	g.index(now)
-	if s == Granted {
+	if s == Leased {
 		// The leader judges again, and has taken in what was seen here meanwhile.
 		for _, t := range g.targets {
 			t.misses, t.sentAt, t.probeAt, t.ownEjection = 0, 0, 0, 0
@@ -262,7 +262,7 @@
 }
 
 // Serving says whether requests may be admitted now.
-func (g *Proxy) Serving() bool { return g.state == Granted || g.state == PeerServing }
+func (g *Proxy) Serving() bool { return g.state == Leased || g.state == PeerServing }
 
 // Ready is what the platform is told: an emptied domain's proxy serves on but
 // asks for no more callers.
@@ -335,7 +335,7 @@
 		g.touchAt = now
 		g.askPeers(now)
 	}
-	if g.state != Cold && g.hasNoLeader(now) {
+	if g.state != NoTable && g.hasNoLeader(now) {
 		g.watch(now)
 	}
 	if g.coldEnd > 0 && now >= g.coldEnd {
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -284,7 +284,7 @@
 		t.Fatalf("one late word made %+v the last resort", r)
 	}
 	for range 3 {
-		b.now += tuning.BeatEvery
+		b.now += tuning.TargetHeartbeatEvery
 		b.hear(to("b"))
 	}
 	b.touch()
@@ -299,16 +299,16 @@
 	for _, c := range []struct {
 		name  string
 		heir  wire.Target
-		beat  *config.Beat
+		beat  *config.TargetReport
 		taken bool
 	}{
-		{"the same place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "a"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
-		{"another place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
+		{"the same place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "a"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
+		{"another place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
 		{"no answer", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, nil, false},
-		{"somebody else answers", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "a", Incarnation: 3, State: config.Ready}, false},
-		{"a name that the table lacks", wire.Target{Service: "s", Name: "new", Incarnation: 2, Addr: "z"}, &config.Beat{Service: "s", Name: "new", Incarnation: 2, State: config.Ready}, false},
-		{"another target's address", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "other"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, false},
-		{"one that has left", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "gone"}, &config.Beat{Service: "s", Name: "a", Incarnation: 2, State: config.Leaving}, false},
+		{"somebody else answers", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 3, State: config.Ready}, false},
+		{"a name that the table lacks", wire.Target{Service: "s", Name: "new", Incarnation: 2, Addr: "z"}, &config.TargetReport{Service: "s", Name: "new", Incarnation: 2, State: config.Ready}, false},
+		{"another target's address", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "other"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, false},
+		{"one that has left", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "gone"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: config.Leaving}, false},
 	} {
 		away := wire.Target{Service: "t", Name: "other", Incarnation: 1, Addr: "other", State: config.Ready}
 		b := newBench("g1", 3, plain, to("a", func(t *wire.Target) { t.ShareOffset = 5 }), away)
@@ -486,7 +486,7 @@
 				}
 				now := 0
 				for _, b := range all {
-					b.now += 2*time.Second + tuning.ChoiceLife
+					b.now += 2*time.Second + tuning.ChoiceTTL
 					b.step(statemachine.Tick{})
 					now += b.g.View(b.now).Targets[0].Room
 				}
@@ -645,7 +645,7 @@
 		t.Fatal("a miss was told")
 	}
 	ask()
-	b.step(statemachine.ProbeResult{ID: id, Report: &config.Beat{Service: "s", Name: "a", Incarnation: 1, State: config.Ready}})
+	b.step(statemachine.ProbeResult{ID: id, Report: &config.TargetReport{Service: "s", Name: "a", Incarnation: 1, State: config.Ready}})
 	if told() != 1 || told() != 0 || b.g.targets[id].ownEjection == 0 {
 		t.Fatal("an answer is told once, with the next tick, and clears no own bar")
 	}
--- a/internal/dataplane/reverseproxy/ahead.go
+++ b/internal/dataplane/reverseproxy/ahead.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &caller{Conn: conn, c: l.c, early: make(chan *early, tuning.AheadMax), late: l.c.Leaving.Load()}
+	p := &caller{Conn: conn, c: l.c, early: make(chan *early, tuning.PipelineMax), late: l.c.Leaving.Load()}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p, nil
 }
@@ -98,7 +98,7 @@
 			return p.Conn.Read(b)
 		}
 		if p.buf == nil {
-			p.buf = make([]byte, tuning.AheadRead)
+			p.buf = make([]byte, tuning.PipelineReadAhead)
 		}
 		n, err := p.Conn.Read(p.buf)
 		if n == 0 {
@@ -118,7 +118,7 @@
 			p.heads++
 			p.blind = !simple(p.head[:end])
 			p.head = p.head[:0]
-		} else if len(p.head) > tuning.AheadRead {
+		} else if len(p.head) > tuning.PipelineReadAhead {
 			p.blind, p.head = true, nil
 		}
 	}
@@ -199,7 +199,7 @@
 	}
 	for {
 		n := p.ahead.Load()
-		if n < 0 || n >= tuning.AheadMax {
+		if n < 0 || n >= tuning.PipelineMax {
 			return false
 		}
 		if p.ahead.CompareAndSwap(n, n+1) {
@@ -343,7 +343,7 @@
 
 func (e *early) Write(b []byte) (int, error) {
 	e.WriteHeader(http.StatusOK)
-	if e.w == nil && len(e.body)+len(b) <= tuning.AnswerHeld {
+	if e.w == nil && len(e.body)+len(b) <= tuning.ResponseBufferMax {
 		e.body = append(e.body, b...)
 		return len(b), nil
 	}
--- a/internal/dataplane/reverseproxy/ahead_test.go
+++ b/internal/dataplane/reverseproxy/ahead_test.go
@@ -33,9 +33,9 @@
 			close(second)
 		}
 		w.Header().Set("P", "a")
-		fmt.Fprint(w, r.URL.Path, strings.Repeat("x", 3*tuning.AnswerHeld))
+		fmt.Fprint(w, r.URL.Path, strings.Repeat("x", 3*tuning.ResponseBufferMax))
 	})
-	f := carrier(t, a.Target).asked(config.Repeatable)
+	f := carrier(t, a.Target).asked(config.KindRepeatable)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 		if err != nil {
 			t.Fatal(i, err)
 		}
-		if b, err := io.ReadAll(resp.Body); err != nil || !bytes.HasPrefix(b, fmt.Appendf(nil, "/%dx", i)) || len(b) != 2+3*tuning.AnswerHeld || i < 2 && resp.Close {
+		if b, err := io.ReadAll(resp.Body); err != nil || !bytes.HasPrefix(b, fmt.Appendf(nil, "/%dx", i)) || len(b) != 2+3*tuning.ResponseBufferMax || i < 2 && resp.Close {
 			t.Fatalf("%d: %.100q, %d bytes, %v, close %v", i, b, len(b), err, resp.Close)
 		}
 	}
@@ -134,7 +134,7 @@
 			n := rapid.IntRange(1, min(len(rest), 120)).Draw(t, "piece")
 			src.pieces, rest = append(src.pieces, bytes.Clone(rest[:n])), rest[n:]
 		}
-		p := &caller{Conn: src, c: car, ctx: t.Context(), early: make(chan *early, tuning.AheadMax)}
+		p := &caller{Conn: src, c: car, ctx: t.Context(), early: make(chan *early, tuning.PipelineMax)}
 		var got []byte
 		for {
 			b := make([]byte, rapid.SampledFrom([]int{1, 7, 4096}).Draw(t, "room"))
@@ -178,7 +178,7 @@
 		kind   string
 		more   bool
 		second int64
-	}{{config.Repeatable, true, 1}, {config.Once, true, 0}, {config.Repeatable, false, 0}} {
+	}{{config.KindRepeatable, true, 1}, {config.KindOnce, true, 0}, {config.KindRepeatable, false, 0}} {
 		over := make(chan bool)
 		a := serve(t, "a", func(w http.ResponseWriter, _ *http.Request) {
 			<-over
--- a/internal/dataplane/reverseproxy/answer.go
+++ b/internal/dataplane/reverseproxy/answer.go
@@ -83,7 +83,7 @@
 	if v := resp.Header.Get(h.Load); v != "" {
 		t.load = ReadLoad(v)
 	}
-	asked := g.ServiceConfig.Asked()
+	asked := g.ServiceConfig.HasHealthCheck()
 	if asked && resp.StatusCode == http.StatusMisdirectedRequest {
 		c.Counts.Foreign.Add(1)
 		return tried{sent: true, outcome: statemachine.WrongIdentity, code: "foreign", msg: "the target's address answers for another"}
@@ -91,7 +91,7 @@
 	notRun := resp.Header.Get(h.NotRun) != ""
 	a := &answer{resp: resp}
 	if resp.ContentLength >= 0 || asked || notRun || repeats && resp.StatusCode >= 500 {
-		a.held, a.done, err = whole(resp, tuning.AnswerHeld)
+		a.held, a.done, err = whole(resp, tuning.ResponseBufferMax)
 	} else if resp.Body == http.NoBody {
 		a.done = true
 	}
@@ -114,7 +114,7 @@
 	}
 	if a.done {
 		done(!resp.Close)
-		if t.outcome == statemachine.ServerError && repeats && g.Route.Kind != "" && resp.StatusCode != http.StatusGatewayTimeout && time.Until(till) > tuning.TryLeast {
+		if t.outcome == statemachine.ServerError && repeats && g.Route.Kind != "" && resp.StatusCode != http.StatusGatewayTimeout && time.Until(till) > tuning.RetryTimeMin {
 			t.sent, t.ran, t.spare, t.code, t.msg = true, true, a, "failed", "the target failed"
 			return t
 		}
--- a/internal/dataplane/reverseproxy/callers_test.go
+++ b/internal/dataplane/reverseproxy/callers_test.go
@@ -20,7 +20,7 @@
 // A pipelined request of a route whose requests may run once only is not begun ahead:
 // behind an answer that ends the connection it counts as not read, and is sent again.
 func TestOnceIsNotBegunAhead(t *testing.T) {
-	for kind, want := range map[string]int64{config.Once: 1, config.Repeatable: 2} {
+	for kind, want := range map[string]int64{config.KindOnce: 1, config.KindRepeatable: 2} {
 		hold, second := make(chan bool), make(chan bool, 1)
 		a := bytesOf(t, "a", func(_, _ int, r *http.Request) (string, bool) {
 			if r.URL.Path == "/1" {
@@ -39,7 +39,7 @@
 		fmt.Fprint(c, "GET /0 HTTP/1.1\r\nHost: h\r\nA: 0\r\n\r\n")
 		<-a.seen
 		fmt.Fprint(c, "GET /1 HTTP/1.1\r\nHost: h\r\nA: 1\r\n\r\n")
-		if kind == config.Once {
+		if kind == config.KindOnce {
 			until(t, "the request behind is looked at", func() bool { return f.car.Counts.Deferred.Load() == 1 })
 		} else {
 			<-second
@@ -62,7 +62,7 @@
 		}
 		return says(200, r.URL.Path)(c, n, r)
 	})
-	f := carrier(t, a.Target).asked(config.Once)
+	f := carrier(t, a.Target).asked(config.KindOnce)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -97,8 +97,8 @@
 // so, however long its answer is.
 func TestLargeFalsePromise(t *testing.T) {
 	for _, status := range []int{503, 429, 408} {
-		a := bytesOf(t, "a", says(status, strings.Repeat("x", tuning.AnswerHeld+1)))
-		f := carrier(t, a.Target).asked(config.Once)
+		a := bytesOf(t, "a", says(status, strings.Repeat("x", tuning.ResponseBufferMax+1)))
+		f := carrier(t, a.Target).asked(config.KindOnce)
 		if got, h, _ := f.do(t, "POST", "/x", "", "A", "1"); got != 502 || h.Get("R") != "unknown" || h.Get("P") != "" {
 			t.Errorf("%d became %d %v", status, got, h)
 		}
@@ -163,12 +163,12 @@
 		if r.URL.Path == "/0" {
 			return
 		}
-		fmt.Fprint(w, strings.Repeat("x", 2*tuning.AnswerHeld))
+		fmt.Fprint(w, strings.Repeat("x", 2*tuning.ResponseBufferMax))
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 		close(ended)
 	})
-	f := carrier(t, a.Target).asked(config.Repeatable)
+	f := carrier(t, a.Target).asked(config.KindRepeatable)
 	f.left = time.Hour
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
@@ -181,7 +181,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := io.CopyN(io.Discard, resp.Body, min(tuning.AnswerHeld, max(0, resp.ContentLength))); err != nil {
+		if _, err := io.CopyN(io.Discard, resp.Body, min(tuning.ResponseBufferMax, max(0, resp.ContentLength))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -238,7 +238,7 @@
 		}
 	}()
 	target := wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}
-	f := carrier(t, target).asked(config.Once)
+	f := carrier(t, target).asked(config.KindOnce)
 	p, err := Open(t.Context(), target.Addr, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -259,7 +259,7 @@
 // on which there was none before.
 func TestWithoutID(t *testing.T) {
 	a := bytesOf(t, "a", says(200, "ok"))
-	f := carrier(t, a.Target).asked(config.Once)
+	f := carrier(t, a.Target).asked(config.KindOnce)
 	for i, id := range []string{"1", "", "2"} {
 		if status, _, _ := f.do(t, "POST", "/x", "", "A", id); status != 200 {
 			t.Fatal(i, status)
--- a/internal/dataplane/reverseproxy/conn.go
+++ b/internal/dataplane/reverseproxy/conn.go
@@ -54,7 +54,7 @@
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: tuning.AliveIdle, Interval: tuning.AliveEvery, Count: tuning.AliveCount}
 
 // Dialer opens connections whose other side is gone when it acknowledges nothing for
-// limit.Unacked; from is where they leave from, nil for the system's choice.
+// tuning.Unacked; from is where they leave from, nil for the system's choice.
 func Dialer(from net.Addr, timeout time.Duration) *net.Dialer {
 	return &net.Dialer{LocalAddr: from, Timeout: timeout, Control: unacked(tuning.Unacked), KeepAliveConfig: keepAlive}
 }
@@ -80,7 +80,7 @@
 
 // Open opens a connection by ctx's end.
 func Open(ctx context.Context, addr string, from net.Addr) (*Conn, error) {
-	c, err := Dialer(from, tuning.DialCap).DialContext(ctx, "tcp", addr)
+	c, err := Dialer(from, tuning.DialTimeout).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -136,7 +136,7 @@
 // not given up; it returns false in that last case.
 func (p *Conn) await(ctx context.Context, till time.Time, dark func() bool) bool {
 	p.room = 4 * tuning.HeaderMax
-	for wait := tuning.DarkAfter; ; wait = tuning.DarkEvery {
+	for wait := tuning.UnreachableCheckAfter; ; wait = tuning.UnreachableCheckEvery {
 		at := time.Now().Add(wait)
 		if !at.Before(till) {
 			break
@@ -266,7 +266,7 @@
 
 // Identify asks a target that says so itself who it is. again says whether the connection
 // can be used once more.
-func (p *Conn) Identify(till time.Time, addr string) (beat *config.Beat, again bool, err error) {
+func (p *Conn) Identify(till time.Time, addr string) (beat *config.TargetReport, again bool, err error) {
 	resp, b, again, err := p.Get(till, addr, config.IdentityPath)
 	if err != nil {
 		return nil, false, err
@@ -274,7 +274,7 @@
 	if resp.StatusCode != 200 {
 		return nil, false, errors.Newf("identity answered %d", resp.StatusCode)
 	}
-	beat = &config.Beat{}
+	beat = &config.TargetReport{}
 	return beat, again, errors.Wrap(json.Unmarshal(b, beat), "identity")
 }
 
