--- a/internal/dataplane/reverseproxy/forward.go
+++ b/internal/dataplane/reverseproxy/forward.go
@@ -1,4 +1,4 @@
-// Package forward takes callers' HTTP requests to back ends, on connections of its own (see
+// Package reverseproxy takes callers' HTTP requests to back ends, on connections of its own (see
 // conn.go), because the library's transport sends some requests again by itself. Who
 // answers on a connection is checked: targets that are asked for their health are told with
 // each request who is expected, others are asked for their identity on each new connection.
@@ -158,7 +158,7 @@
 	start := time.Now()
 	c.Counts.Exchanges.Add(1)
 	status, svc := 0, ""
-	fail := func(s int, retry time.Duration, t config.Trouble) {
+	fail := func(s int, retry time.Duration, t config.ErrorBody) {
 		status = s
 		if t.Ran == "unknown" {
 			c.Counts.Unknown.Add(1)
@@ -178,18 +178,18 @@
 		}
 	}()
 	if headerSize(r.Header) > c.headerMost() {
-		fail(431, 0, config.Trouble{Code: "header", Message: "the header is too large"})
+		fail(431, 0, config.ErrorBody{Code: "header", Message: "the header is too large"})
 		return
 	}
 	if r.Method == "CONNECT" || r.Method == "TRACE" || !plain(r) {
-		fail(400, 0, config.Trouble{Code: "bad_request", Message: "neither tunnels nor paths that could be read two ways are carried"})
+		fail(400, 0, config.ErrorBody{Code: "bad_request", Message: "neither tunnels nor paths that could be read two ways are carried"})
 		return
 	}
 	var timeout time.Duration
 	if v := r.Header.Get(c.Headers.Deadline); v != "" {
 		ms, err := strconv.Atoi(v)
 		if err != nil || ms <= 0 {
-			fail(400, 0, config.Trouble{Code: "bad_request", Message: c.Headers.Deadline + " must be a whole number over 0"})
+			fail(400, 0, config.ErrorBody{Code: "bad_request", Message: c.Headers.Deadline + " must be a whole number over 0"})
 			return
 		}
 		timeout = time.Duration(ms) * time.Millisecond
@@ -199,11 +199,11 @@
 		var ne net.Error
 		switch {
 		case errors.As(err, &ne) && ne.Timeout():
-			fail(408, tuning.RetryAfterMin, config.Trouble{Code: "late", Message: "the body did not come in the time that the caller gave"})
+			fail(408, tuning.RetryAfterMin, config.ErrorBody{Code: "late", Message: "the body did not come in the time that the caller gave"})
 		case r.Context().Err() != nil:
 			gone()
 		default:
-			fail(400, 0, config.Trouble{Code: "bad_request", Message: "the body ended early"})
+			fail(400, 0, config.ErrorBody{Code: "bad_request", Message: "the body ended early"})
 		}
 		return
 	}
@@ -244,7 +244,7 @@
 			if len(no.Allowed) > 0 {
 				w.Header().Set("Allow", strings.Join(no.Allowed, ", "))
 			}
-			fail(st, retry, config.Trouble{Code: code, Message: msg, Ran: ran})
+			fail(st, retry, config.ErrorBody{Code: code, Message: msg, Ran: ran})
 			return
 		}
 		g := ans.(statemachine.Forward)
@@ -252,10 +252,10 @@
 		most := c.bodyMost(&g.ServiceConfig)
 		if body.room = most - int64(len(body.kept)); r.ContentLength > most || body.room < 0 {
 			c.owner.Tell(statemachine.AttemptDone{ID: id, Outcome: statemachine.ClientGone, Last: true})
-			fail(413, 0, config.Trouble{Code: "body", Message: "the body is over the service's limit"})
+			fail(413, 0, config.ErrorBody{Code: "body", Message: "the body is over the service's limit"})
 			return
 		}
-		repeats := g.Route.Repeats()
+		repeats := g.Route.Idempotent()
 		if g.Route.Kind == "" {
 			repeats = r.Method == "GET" || r.Method == "HEAD" || r.Method == "OPTIONS"
 		}
@@ -280,10 +280,10 @@
 			}
 			gone()
 		case body.over:
-			fail(413, 0, config.Trouble{Code: "body", Message: "the body is over the service's limit", Ran: "unknown"})
+			fail(413, 0, config.ErrorBody{Code: "body", Message: "the body is over the service's limit", Ran: "unknown"})
 			return
 		case body.bad:
-			fail(400, 0, config.Trouble{Code: "bad_request", Message: "the body ended early", Ran: "unknown"})
+			fail(400, 0, config.ErrorBody{Code: "bad_request", Message: "the body ended early", Ran: "unknown"})
 			return
 		}
 		last = t.code
@@ -309,7 +309,7 @@
 			if st == 0 {
 				st = 503
 			}
-			fail(st, tuning.RetryAfterMin+time.Duration(id*2654435761>>8)%tuning.RetryAfterSpan, config.Trouble{Code: last, Message: t.msg, Ran: ran})
+			fail(st, tuning.RetryAfterMin+time.Duration(id*2654435761>>8)%tuning.RetryAfterSpan, config.ErrorBody{Code: last, Message: t.msg, Ran: ran})
 			return
 		}
 		ans = c.owner.Ask(r.Context(), id, statemachine.Retry{ID: id, Sent: t.sent})
@@ -358,8 +358,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if !g.ServiceConfig.Asked() {
-		b, again, err := p.Identify(earlier(till, time.Now().Add(tuning.DialCap)), g.Target.Addr)
+	if !g.ServiceConfig.HasHealthCheck() {
+		b, again, err := p.Identify(earlier(till, time.Now().Add(tuning.DialTimeout)), g.Target.Addr)
 		if err == nil && b.ID() != g.Target.ID() {
 			err = errors.Wrapf(errForeign, "%s/%s/%d", b.Service, b.Name, b.Incarnation)
 		}
@@ -403,7 +403,7 @@
 		if k == "Content-Length" || k == "Host" || strings.EqualFold(k, c.Headers.Deadline) || strings.EqualFold(k, c.Headers.Expect) || drops(named, k) {
 			continue
 		}
-		if c.Forwarded && k == "X-Forwarded-For" && !g.ServiceConfig.Asked() {
+		if c.Forwarded && k == "X-Forwarded-For" && !g.ServiceConfig.HasHealthCheck() {
 			continue
 		}
 		for _, v := range vs {
@@ -413,12 +413,12 @@
 	if slices.Contains(r.Header["Te"], "trailers") {
 		out = line(out, "Te", "trailers")
 	}
-	if c.Forwarded && !g.ServiceConfig.Asked() {
+	if c.Forwarded && !g.ServiceConfig.HasHealthCheck() {
 		if ip, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 			out = line(out, "X-Forwarded-For", strings.Join(append(slices.Clone(r.Header["X-Forwarded-For"]), ip), ", "))
 		}
 	}
-	if g.ServiceConfig.Asked() {
+	if g.ServiceConfig.HasHealthCheck() {
 		out = line(out, c.Headers.Expect, g.Target.Name)
 	}
 	out = append(append(out, c.Headers.Deadline...), ": "...)
@@ -478,7 +478,7 @@
 	}
 	idle := tuning.ConnIdle
 	switch {
-	case g.ServiceConfig.Asked() && r.Header.Get(c.Headers.Attempt) == "":
+	case g.ServiceConfig.HasHealthCheck() && r.Header.Get(c.Headers.Attempt) == "":
 		idle = 0 // a surplus answer on a used connection could not be told from its own
 	case !repeats:
 		idle = tuning.OnceIdle
--- a/internal/dataplane/reverseproxy/forward_test.go
+++ b/internal/dataplane/reverseproxy/forward_test.go
@@ -34,7 +34,7 @@
 	b := &backend{seen: make(chan *http.Request, 16)}
 	b.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == config.IdentityPath {
-			json.NewEncoder(w).Encode(config.Beat{Service: b.Service, Name: b.Name, Incarnation: b.Incarnation})
+			json.NewEncoder(w).Encode(config.TargetReport{Service: b.Service, Name: b.Name, Incarnation: b.Incarnation})
 			return
 		}
 		b.runs.Add(1)
@@ -79,7 +79,7 @@
 }
 
 func carrier(t testing.TB, targets ...wire.Target) *front {
-	f := &front{pool: NewPool(), told: make(chan any, 64), set: config.Service{BodyMax: 100 << 10, Tries: 3}, left: 5 * time.Second}
+	f := &front{pool: NewPool(), told: make(chan any, 64), set: config.Service{BodyMax: 100 << 10, Attempts: 3}, left: 5 * time.Second}
 	live := map[wire.ID]string{}
 	for _, x := range targets {
 		live[x.ID()] = x.Addr
@@ -101,7 +101,7 @@
 		if n >= len(targets) {
 			return statemachine.Reject{ID: id, Status: 503, RetryAfter: 2 * time.Second, Code: "busy", Message: "none left"}
 		}
-		return statemachine.Forward{ID: id, Service: "s", Target: targets[n], TimeLeft: f.left, WorkTime: f.work, WriteBy: tuning.ChoiceLife, ServiceConfig: f.set, Route: f.route, MayRetry: f.more, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectCap}
+		return statemachine.Forward{ID: id, Service: "s", Target: targets[n], TimeLeft: f.left, WorkTime: f.work, WriteBy: tuning.ChoiceTTL, ServiceConfig: f.set, Route: f.route, MayRetry: f.more, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, f.pool)
 	f.car = c
 	srv := httptest.NewUnstartedServer(c)
@@ -212,7 +212,7 @@
 		t.Fatal(status)
 	}
 	<-f.told
-	f.now.Store(int64(tuning.ChoiceLife + 1)) // the pool holds a connection by now
+	f.now.Store(int64(tuning.ChoiceTTL + 1)) // the pool holds a connection by now
 	for range 2 {
 		status, h, _ := f.do(t, "POST", "/x", "body")
 		if d := (<-f.told).(statemachine.AttemptDone); status != 503 || h.Get(RanHeader) != "no" || d.Outcome != statemachine.ChoiceExpired {
@@ -281,7 +281,7 @@
 		{"POST", "/a", strings.Repeat("x", 101<<10), nil, 413, "no"},
 	} {
 		status, h, b := f.do(t, c.method, c.path, c.body, c.head...)
-		var e struct{ Error config.Trouble }
+		var e struct{ Error config.ErrorBody }
 		if json.Unmarshal([]byte(b), &e) != nil || status != c.status || e.Error.Ran != c.ran || h.Get(RanHeader) != c.ran || e.Error.Code == "" {
 			t.Errorf("%s %s: %d %s", c.method, c.path, status, b)
 		}
@@ -449,11 +449,11 @@
 		{"another protocol", head("HTTP/1.1 101 X\r\nA: ID\r\nP: yes\r\n\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"interim first", head("HTTP/1.1 103 X\r\nZ: 1\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\nP: yes\r\n\r\nfine"), end{200, "", "fine", 0, statemachine.Served}, end{200, "", "fine", 0, statemachine.Served}},
 	} {
-		for kind, want := range map[string]end{config.Once: c.once, config.Repeatable: c.repeat} {
+		for kind, want := range map[string]end{config.KindOnce: c.once, config.KindRepeatable: c.repeat} {
 			t.Run(kind+"/"+c.name, func(t *testing.T) {
 				a, b := bytesOf(t, "a", c.say), bytesOf(t, "b", says(200, "fine"))
 				f := carrier(t, a.Target, b.Target).asked(kind)
-				method := map[string]string{config.Once: "GET", config.Repeatable: "POST"}[kind] // the route says, not the method
+				method := map[string]string{config.KindOnce: "GET", config.KindRepeatable: "POST"}[kind] // the route says, not the method
 				status, h, body := f.do(t, method, "/x", "body", "A", "1f")
 				d := (<-f.told).(statemachine.AttemptDone)
 				if status != want.status || h.Get("R") != want.ran || want.body != "" && body != want.body || b.runs.Load() != want.second || d.Outcome != want.outcome || a.runs.Load() != 1 {
@@ -478,7 +478,7 @@
 func TestFailurePassedOn(t *testing.T) {
 	a, b := bytesOf(t, "a", says(500, "first", "Z", "1")), bytesOf(t, "b", bytesOnly(""))
 	for _, targets := range [][]wire.Target{{a.Target}, {a.Target, b.Target}} {
-		f := carrier(t, targets...).asked(config.Repeatable)
+		f := carrier(t, targets...).asked(config.KindRepeatable)
 		if status, h, body := f.do(t, "GET", "/x", "", "A", "1"); status != 500 || body != "first" || h.Get("Z") != "1" || h.Get("A") != "1" {
 			t.Fatal(status, h, body)
 		}
@@ -494,9 +494,9 @@
 		status  int
 		ran     string
 	}{
-		{config.Once, []wire.Target{away.Target}, 503, "no"},
-		{config.Once, []wire.Target{away.Target, silent.Target}, 502, "unknown"},
-		{config.Repeatable, []wire.Target{silent.Target, away.Target}, 502, "unknown"},
+		{config.KindOnce, []wire.Target{away.Target}, 503, "no"},
+		{config.KindOnce, []wire.Target{away.Target, silent.Target}, 502, "unknown"},
+		{config.KindRepeatable, []wire.Target{silent.Target, away.Target}, 502, "unknown"},
 	} {
 		f := carrier(t, c.targets...).asked(c.kind)
 		if status, h, _ := f.do(t, "POST", "/x", "", "A", "1"); status != c.status || h.Get("R") != c.ran {
@@ -509,7 +509,7 @@
 // left of the time, the request as it came, and nothing else.
 func TestAskedExchange(t *testing.T) {
 	a := bytesOf(t, "a", says(200, "ok", "L", "3, 1,4"))
-	f := carrier(t, a.Target).asked(config.Once)
+	f := carrier(t, a.Target).asked(config.KindOnce)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -572,7 +572,7 @@
 			s, _ := says(200, "ok", c.hd...)(conn, n, r)
 			return s + c.tail, true
 		})
-		f := carrier(t, a.Target).asked(config.Once)
+		f := carrier(t, a.Target).asked(config.KindOnce)
 		for range 3 {
 			if status, _, body := f.do(t, "POST", "/x", "", "A", "1"); status != 200 || body != "ok" {
 				t.Fatal(c.name, status, body)
@@ -658,7 +658,7 @@
 func TestLate(t *testing.T) {
 	hold := make(chan bool)
 	defer close(hold)
-	for _, kind := range []string{config.Once, config.Repeatable} {
+	for _, kind := range []string{config.KindOnce, config.KindRepeatable} {
 		a := bytesOf(t, "a", func(int, int, *http.Request) (string, bool) { <-hold; return "", false })
 		f := carrier(t, a.Target, a.Target).asked(kind)
 		f.left = 60 * time.Millisecond
@@ -672,7 +672,7 @@
 func TestCallerLeaves(t *testing.T) {
 	left := make(chan bool)
 	a := serve(t, "a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(left) })
-	f := carrier(t, a.Target).asked(config.Repeatable)
+	f := carrier(t, a.Target).asked(config.KindRepeatable)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -695,7 +695,7 @@
 func TestUploads(t *testing.T) {
 	big := strings.Repeat("0123456789abcdef", tuning.ReplayMax/8)
 	a := bytesOf(t, "a", says(200, "ok"))
-	f := carrier(t, a.Target).asked(config.Once)
+	f := carrier(t, a.Target).asked(config.KindOnce)
 	for _, r := range []io.Reader{strings.NewReader(big), io.MultiReader(strings.NewReader(big))} {
 		req, _ := http.NewRequest("PUT", f.url+"/x", r)
 		req.Header.Set("A", "1")
@@ -738,7 +738,7 @@
 		w.Header().Set("A", r.Header.Get("A"))
 		w.WriteHeader(413)
 	})
-	g := carrier(t, early.Target).asked(config.Once)
+	g := carrier(t, early.Target).asked(config.KindOnce)
 	c, err := net.Dial("tcp", g.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -765,7 +765,7 @@
 			c.Close()
 		}
 	}()
-	f := carrier(t, wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}).asked(config.Once)
+	f := carrier(t, wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}).asked(config.KindOnce)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -784,7 +784,7 @@
 // A body that does not come in its caller's time is refused with a promise.
 func TestSlowBody(t *testing.T) {
 	a := bytesOf(t, "a", says(200, "ok"))
-	f := carrier(t, a.Target).asked(config.Once)
+	f := carrier(t, a.Target).asked(config.KindOnce)
 	for _, head := range []string{"Content-Length: 9", "Transfer-Encoding: chunked"} {
 		c, err := net.Dial("tcp", f.addr)
 		if err != nil {
@@ -838,7 +838,7 @@
 // Requests sent before the first is answered are answered in their order.
 func TestPipelined(t *testing.T) {
 	a := bytesOf(t, "a", func(c, n int, r *http.Request) (string, bool) { return says(200, r.URL.Path)(c, n, r) })
-	f := carrier(t, a.Target).asked(config.Repeatable)
+	f := carrier(t, a.Target).asked(config.KindRepeatable)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -874,7 +874,7 @@
 	defer pool.Close()
 	pool.Live(map[wire.ID]string{a.ID(): a.Addr})
 	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
-		return statemachine.Forward{ID: id, Service: "s", Target: a.Target, TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20, HealthPath: "/h"}, Route: config.Route{Kind: config.Repeatable}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectCap}
+		return statemachine.Forward{ID: id, Service: "s", Target: a.Target, TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20, HealthPath: "/h"}, Route: config.Route{Kind: config.KindRepeatable}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, pool)
 	car.Headers.Attempt = "A"
 	srv := httptest.NewServer(car)
@@ -942,7 +942,7 @@
 		{"GET", "HTTP/1.1 200 OK\r\nA: 1\r\nP: 1\r\nTrailer: T\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nT: v\r\n\r\n", 200, "", "v", "abc"},
 	} {
 		a := bytesOf(t, "a", func(int, int, *http.Request) (string, bool) { return c.say, true })
-		f := carrier(t, a.Target).asked(config.Repeatable)
+		f := carrier(t, a.Target).asked(config.KindRepeatable)
 		for range 2 {
 			req, _ := http.NewRequest(c.method, f.url+"/x", nil)
 			req.Header.Set("A", "1")
@@ -964,7 +964,7 @@
 
 // Large answers stream, and one that is cut cuts its caller's connection.
 func TestLargeAnswers(t *testing.T) {
-	big := strings.Repeat("z", tuning.AnswerHeld+1)
+	big := strings.Repeat("z", tuning.ResponseBufferMax+1)
 	for _, cut := range []bool{false, true} {
 		for _, chunks := range []bool{false, true} {
 			a := bytesOf(t, "a", func(_, _ int, _ *http.Request) (string, bool) {
@@ -979,7 +979,7 @@
 				}
 				return s, true
 			})
-			f := carrier(t, a.Target, a.Target).asked(config.Download)
+			f := carrier(t, a.Target, a.Target).asked(config.KindDownload)
 			req, _ := http.NewRequest("GET", f.url+"/x", nil)
 			req.Header.Set("A", "1")
 			resp, err := f.client.Do(req)
@@ -1017,7 +1017,7 @@
 	}
 	var say atomic.Pointer[string]
 	a := bytesOf(f, "a", func(int, int, *http.Request) (string, bool) { return *say.Load(), false })
-	fr := carrier(f, a.Target).asked(config.Once)
+	fr := carrier(f, a.Target).asked(config.KindOnce)
 	fr.car.Headers.Proof = ""
 	fr.client.Transport = &http.Transport{DisableCompression: true}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -1069,7 +1069,7 @@
 	}
 	defer ln.Close()
 	tg := wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}
-	id, _ := json.Marshal(config.Beat{Service: "s", Name: "a", Incarnation: 7})
+	id, _ := json.Marshal(config.TargetReport{Service: "s", Name: "a", Incarnation: 7})
 	out := []byte(answer + strings.Repeat("x", 600))
 	go func() {
 		for {
@@ -1097,7 +1097,7 @@
 	defer pool.Close()
 	pool.Live(map[wire.ID]string{tg.ID(): tg.Addr})
 	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
-		return statemachine.Forward{ID: id, Service: "s", Target: tg, TimeLeft: 5 * time.Second, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectCap}
+		return statemachine.Forward{ID: id, Service: "s", Target: tg, TimeLeft: 5 * time.Second, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, pool)
 	srv := httptest.NewServer(car)
 	defer srv.Close()
--- a/internal/dataplane/reverseproxy/leaving_test.go
+++ b/internal/dataplane/reverseproxy/leaving_test.go
@@ -68,7 +68,7 @@
 			w.Header().Set("P", "a")
 			fmt.Fprint(w, "whole")
 		})
-		f := carrier(t, a.Target).asked(config.Repeatable)
+		f := carrier(t, a.Target).asked(config.KindRepeatable)
 		c, err := net.Dial("tcp", f.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -104,7 +104,7 @@
 		w.Header().Set("P", "a")
 		fmt.Fprint(w, r.URL.Path)
 	})
-	f := carrier(t, a.Target).asked(config.Repeatable)
+	f := carrier(t, a.Target).asked(config.KindRepeatable)
 	rests, silent, busy, pipelined := dialRaw(t, f.addr), dialRaw(t, f.addr), dialRaw(t, f.addr), dialRaw(t, f.addr)
 	rests.ask("/9")
 	rests.answer("/9")
@@ -143,7 +143,7 @@
 		told <- r.Header.Get("D")
 		w.Header().Set("P", "a")
 	})
-	f := carrier(t, a.Target).asked(config.Repeatable)
+	f := carrier(t, a.Target).asked(config.KindRepeatable)
 	f.left = time.Minute
 	for _, work := range []time.Duration{0, 2 * time.Second} {
 		f.work = work
--- a/internal/dataplane/reverseproxy/ledger_test.go
+++ b/internal/dataplane/reverseproxy/ledger_test.go
@@ -158,7 +158,7 @@
 // answer carries a misbehaviour out and says whether the connection goes on.
 func (l *ledgerTargets) answer(c *net.TCPConn, rnd *rand.Rand, what misbehaviour, id, before string) bool {
 	whole := answerTo(id, rnd.IntN(300))
-	large := answerTo(id, tuning.AnswerHeld+1000)
+	large := answerTo(id, tuning.ResponseBufferMax+1000)
 	say := func(s string) bool {
 		_, err := io.WriteString(c, s)
 		return err == nil
@@ -240,9 +240,9 @@
 		rnd := <-turn
 		defer func() { turn <- rnd }()
 		if a, ok := ev.(statemachine.Admit); ok {
-			states[id] = &state{kind: config.Repeatable}
+			states[id] = &state{kind: config.KindRepeatable}
 			if strings.HasPrefix(a.Path, "/once/") {
-				states[id].kind = config.Once
+				states[id].kind = config.KindOnce
 			}
 		}
 		s := states[id]
@@ -258,7 +258,7 @@
 		if asked {
 			set.HealthPath = "/h"
 		}
-		return statemachine.Forward{ID: id, Service: "s", Target: l.targets[n], TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: set, Route: config.Route{Kind: s.kind}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectCap}
+		return statemachine.Forward{ID: id, Service: "s", Target: l.targets[n], TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: set, Route: config.Route{Kind: s.kind}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, f.pool)
 	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", Expect: "E", NotRun: "N", Load: "L", Identity: "I", Cold: "C", Proof: "P"}
 	f.srv = httptest.NewUnstartedServer(f.car)
--- a/internal/dataplane/reverseproxy/limits.go
+++ b/internal/dataplane/reverseproxy/limits.go
@@ -32,9 +32,9 @@
 func (c *Forwarder) bodyMost(s *config.Service) int64 {
 	own, all := int64(s.BodyMax), int64(c.limits().BodyBytes)
 	switch {
-	case s.Asked() && all > 0:
+	case s.HasHealthCheck() && all > 0:
 		return all
-	case s.Asked():
+	case s.HasHealthCheck():
 		return max(own, tuning.CallerBody)
 	case all > 0:
 		return min(own, all)
--- a/internal/dataplane/reverseproxy/limits_test.go
+++ b/internal/dataplane/reverseproxy/limits_test.go
@@ -29,7 +29,7 @@
 			t.Fatalf("%+v: %d %s, not %d", l, status, text, want)
 		}
 	}
-	own := config.Service{BodyMax: 100 << 10, Tries: 3}
+	own := config.Service{BodyMax: 100 << 10, Attempts: 3}
 	ask(nil, own, big, big, 200)
 	ask(&config.Limits{HeaderBytes: 2000}, own, big, "", 431)
 	ask(&config.Limits{HeaderBytes: 2000}, own, "", big, 200)
--- a/internal/dataplane/reverseproxy/refusal.go
+++ b/internal/dataplane/reverseproxy/refusal.go
@@ -19,11 +19,11 @@
 }
 
 // Error answers with the one error shape.
-func Error(w http.ResponseWriter, status int, retry time.Duration, t config.Trouble) {
+func Error(w http.ResponseWriter, status int, retry time.Duration, t config.ErrorBody) {
 	fault(w, RanHeader, status, retry, t)
 }
 
-func fault(w http.ResponseWriter, ranHeader string, status int, retry time.Duration, t config.Trouble) {
+func fault(w http.ResponseWriter, ranHeader string, status int, retry time.Duration, t config.ErrorBody) {
 	if t.Ran == "" {
 		t.Ran = "no"
 	}
--- a/internal/dataplane/reverseproxy/upload.go
+++ b/internal/dataplane/reverseproxy/upload.go
@@ -35,7 +35,7 @@
 	return r.Context().Err() != nil
 }
 
-// receive reads a body up to limit.ReplayMax: a slow caller then holds no target.
+// receive reads a body up to tuning.ReplayMax: a slow caller then holds no target.
 func receive(r *http.Request) (*upload, error) {
 	u := &upload{size: r.ContentLength}
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
--- a/internal/dataplane/route_test.go
+++ b/internal/dataplane/route_test.go
@@ -52,14 +52,14 @@
 		t.Fatalf("%+v", r)
 	}
 	b.now += tuning.ProxyLease + time.Millisecond
-	if r, ok := b.call(4, "/b", time.Second).(statemachine.Reject); !ok || r.Status != 503 || r.RetryAfter > time.Second/3 || r.RetryAfter < tuning.RefuseMin {
+	if r, ok := b.call(4, "/b", time.Second).(statemachine.Reject); !ok || r.Status != 503 || r.RetryAfter > time.Second/3 || r.RetryAfter < tuning.RetryAfterLeast {
 		t.Fatalf("%+v: without a fresh table nobody knows", r)
 	}
 	r := newBench("g1", 1, plain, to("a"))
-	if g := r.admit(1).(statemachine.Forward); g.Route.Kind != config.Repeatable || g.Route.TimeoutMs != g.ServiceConfig.TimeoutMs || g.RouteName != "" {
+	if g := r.admit(1).(statemachine.Forward); g.Route.Kind != config.KindRepeatable || g.Route.TimeoutMs != g.ServiceConfig.TimeoutMs || g.RouteName != "" {
 		t.Fatalf("%+v", g)
 	}
-	if g := answer(2, r.step(statemachine.Admit{ID: 2, Path: "/s", Method: "POST"})).(statemachine.Forward); g.Route.Kind != config.Once {
+	if g := answer(2, r.step(statemachine.Admit{ID: 2, Path: "/s", Method: "POST"})).(statemachine.Forward); g.Route.Kind != config.KindOnce {
 		t.Fatalf("%+v", g)
 	}
 }
@@ -298,7 +298,7 @@
 	if n := share(40, 400); n > 12 {
 		t.Fatalf("%d of 40 at the slow one", n)
 	}
-	b.pass(tuning.PaceLife + time.Millisecond)
+	b.pass(tuning.PaceTTL + time.Millisecond)
 	if n := share(1000, 100); n < 300 {
 		t.Fatalf("%d of 1000 at one that is slow no more", n)
 	}
@@ -420,10 +420,10 @@
 			}
 		}
 		perS := rapid.Float64Range(0.3, 40).Draw(t, "rate")
-		r := Retry{0.2, 10 * time.Second, rapid.Float64Range(1, 90).Draw(t, "slack")}
+		r := RetryBudget{0.2, 10 * time.Second, rapid.Float64Range(1, 90).Draw(t, "slack")}
 		late := rapid.Bool().Draw(t, "late")
 		state := rapid.SampledFrom([]string{config.Ready, config.Warming}).Draw(t, "state")
-		set := config.Service{ColdPerS: perS, WarmCap: rapid.IntRange(1, 20).Draw(t, "warming cap")}
+		set := config.Service{WarmupRate: perS, WarmCap: rapid.IntRange(1, 20).Draw(t, "warming cap")}
 		rate, slack, least := 0.0, 0.0, 0
 		for _, n := range all {
 			g := New(Settings{Self: wire.Daemon{Name: n}, Retry: r})
@@ -470,7 +470,7 @@
 // whatever comes to which proxy, whoever starts anew and however tries end.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Retry{rapid.Float64Range(0.05, 0.3).Draw(t, "ratio"), 10 * time.Second, rapid.Float64Range(1, 80).Draw(t, "slack")}
+		r := RetryBudget{rapid.Float64Range(0.05, 0.3).Draw(t, "ratio"), 10 * time.Second, rapid.Float64Range(1, 80).Draw(t, "slack")}
 		n := rapid.IntRange(1, 8).Draw(t, "proxies")
 		gates := make([]*bench, n)
 		start := func(i int, now time.Duration) {
@@ -553,7 +553,7 @@
 			if may {
 				t.Fatal("given again")
 			}
-			if sends >= 3 || opens >= tuning.OpensMax {
+			if sends >= 3 || opens >= tuning.ConnectAttemptsMax {
 				t.Fatal("more than its attempts")
 			}
 			o := rapid.SampledFrom([]statemachine.Outcome{statemachine.ServerError, statemachine.ResponseLost, statemachine.ConnectFailed, statemachine.WrongIdentity, statemachine.ChoiceExpired, statemachine.TargetRejected}).Draw(t, "outcome")
@@ -678,7 +678,7 @@
 			b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.ConnectFailed})
 			ans = answer(id, b.step(statemachine.Retry{ID: id}))
 		}
-		if r, ok := ans.(statemachine.Reject); most != tuning.OpensMax || !ok || r.Status != 503 || r.Code != "tries" {
+		if r, ok := ans.(statemachine.Reject); most != tuning.ConnectAttemptsMax || !ok || r.Status != 503 || r.Code != "tries" {
 			t.Fatalf("%s: %d choices, then %+v", path, most, ans)
 		}
 		b.pass(tuning.ClosedEjection)
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -69,10 +69,10 @@
 // wantedTime is how long a request of a route is meant to take at most: its aim, or without one the part of its
 // timeout that stands for it.
 func wantedTime(r *config.Route) time.Duration {
-	if aim := r.Aim(); aim > 0 {
+	if aim := r.LatencyTarget(); aim > 0 {
 		return aim
 	}
-	return r.Timeout() / tuning.WaitAim
+	return r.Timeout() / tuning.WaitTimeoutParts
 }
 
 // refuseStopping sends a request to another proxy. It is to come back as after any refusal, not at once: where many
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -141,7 +141,7 @@
 			continue
 		}
 		if n == nil {
-			n = &target{anew: g.state == Granted}
+			n = &target{anew: g.state == Leased}
 		}
 		was := n.ejectedUntil > now
 		if n.State == config.Warming && w.State == config.Ready {
--- a/internal/dataplane/unsound_test.go
+++ b/internal/dataplane/unsound_test.go
@@ -52,7 +52,7 @@
 // A first table that can't be read leaves the proxy cold, without a table.
 func TestUnsoundFirstTable(t *testing.T) {
 	b := newBench("g1", 1, `[]`, wire.Target{Service: "s", Name: "a", Incarnation: 1, State: config.Ready})
-	if b.g.State() != Cold || b.g.Table() != nil || b.g.Counts.UnsoundTables != 1 {
+	if b.g.State() != NoTable || b.g.Table() != nil || b.g.Counts.UnsoundTables != 1 {
 		t.Errorf("%v with %+v", b.g.State(), b.g.Counts)
 	}
 }
--- a/internal/dataplane/view.go
+++ b/internal/dataplane/view.go
@@ -28,7 +28,7 @@
 // AimView is this proxy's part in an aim over its window.
 type AimView struct {
 	Name string `json:"name"`
-	config.Aim
+	config.Objective
 	Good int `json:"good"`
 	All  int `json:"all"`
 }
@@ -46,8 +46,8 @@
 func (g *Proxy) View(now time.Duration) View {
 	v := View{Name: g.settings.Self.Name, State: g.state.String(), Ready: g.table != nil && g.Ready(), Leader: g.leader(now),
 		Revision: g.revision, InFlight: len(g.requests), Counts: g.Counts, Targets: []TargetView{}}
-	for _, n := range slices.Sorted(maps.Keys(g.cfg.Aims)) {
-		a := AimView{Name: n, Aim: g.cfg.Aims[n]}
+	for _, n := range slices.Sorted(maps.Keys(g.cfg.Objectives)) {
+		a := AimView{Name: n, Objective: g.cfg.Objectives[n]}
 		if t := g.aims[n]; t != nil {
 			for _, m := range t.minutes {
 				if int(now/time.Minute)-m.minute < a.WindowMin {
--- a/internal/mfctl/config.go
+++ b/internal/mfctl/config.go
@@ -215,11 +215,11 @@
 	})
 	for _, n := range names {
 		r := cfg.Routes[n]
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", n, cmp.Or(r.Host, "*"), r.Prefix, r.Kind, r.TimeoutMs, r.AimMs, r.Priority, r.Attempts, split(r))
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", n, cmp.Or(r.Host, "*"), r.Prefix, r.Kind, r.TimeoutMs, r.LatencyTargetMs, r.Priority, r.Attempts, split(r))
 	}
 	for i, r := range cfg.Rules {
 		fmt.Fprintf(tw, "rules[%d]\t%s\t%s\t%s\t%d\t\t\t%d\t%s\n", i, cmp.Or(r.Host, "*"), r.Path, cmp.Or(strings.Join(r.Methods, ","), "-"),
-			cfg.Services[r.Service].TimeoutMs, cfg.Services[r.Service].Tries, r.Service)
+			cfg.Services[r.Service].TimeoutMs, cfg.Services[r.Service].Attempts, r.Service)
 	}
 	tw.Flush()
 	return true
--- a/internal/mfctl/core_test.go
+++ b/internal/mfctl/core_test.go
@@ -29,7 +29,7 @@
 
 // leaderView is a leader of three, one of which is silent while another learns.
 func leaderView(left int64) controlplane.StatusView {
-	return controlplane.StatusView{Name: "core-1", Role: "leader", Lead: "deciding", Leader: "core-1", Epoch: 1, Term: 4, Core: controlplane.CoreView{
+	return controlplane.StatusView{Name: "core-1", Role: "leader", Leadership: "deciding", Leader: "core-1", Epoch: 1, Term: 4, Core: controlplane.CoreView{
 		Leader: "core-1", Decides: true, LeadsMs: 72_340, Commit: 812, Last: 813, Voters: 3, Majority: 2, Lease: []string{"core-1", "core-3"},
 		Members: []controlplane.MemberView{
 			{Name: "core-1", Domain: "north", State: controlplane.MemberLeads, Voter: true, Match: 813},
@@ -75,7 +75,7 @@
 	if _, out = said(t, append(statusServers(t, hurt), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 takes no writes: no space left on device\n") {
 		t.Error(out)
 	}
-	warming := controlplane.StatusView{Name: "core-3", Role: "leader", Lead: "warming", Core: controlplane.CoreView{Leader: "core-3"}}
+	warming := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", Core: controlplane.CoreView{Leader: "core-3"}}
 	if _, out = said(t, append(statusServers(t, warming), "status")...); !strings.Contains(out, "  core-3 is elected, and gathers what the proxies hold") {
 		t.Error(out)
 	}
--- a/internal/mfctl/mfctl.go
+++ b/internal/mfctl/mfctl.go
@@ -117,7 +117,7 @@
 
 // lostAnswer is the end of a change that may have been taken by a member that did not answer.
 func lostAnswer(id string) []byte {
-	return config.Trouble{Code: "unknown", Refusal: config.RefusedCannotTell, Ran: "unknown", Id: id,
+	return config.ErrorBody{Code: "unknown", Rejection: config.RejectedUndecided, Ran: "unknown", ID: id,
 		Message: "a member's answer was lost; the change may have been agreed: ask for it by its id"}.JSON()
 }
 
@@ -155,14 +155,14 @@
 
 // printTrouble prints an error answer for people.
 func printTrouble(out []byte) {
-	var e struct{ Error config.Trouble }
+	var e struct{ Error config.ErrorBody }
 	json.Unmarshal(out, &e)
 	fmt.Fprintf(os.Stderr, "mfctl: %s: %s\n", refusalText(e.Error), e.Error.Message)
 	for _, f := range e.Error.Faults {
 		fmt.Fprintf(os.Stderr, "  %s: %s\n", f.Path, f.Text)
 	}
-	if e.Error.Id != "" {
-		fmt.Fprintf(os.Stderr, "  id %s\n", e.Error.Id)
+	if e.Error.ID != "" {
+		fmt.Fprintf(os.Stderr, "  id %s\n", e.Error.ID)
 	}
 }
 
@@ -184,14 +184,14 @@
 }
 
 // refusalText is a refusal's kind and code for a reader: "cannot tell now (no_leader)".
-func refusalText(t config.Trouble) string {
-	kind := map[config.Refusal]string{
-		config.RefusedVersion:    "another version",
-		config.RefusedInvalid:    "invalid",
-		config.RefusedCannotTell: "cannot tell now",
-		config.RefusedConflict:   "conflict",
-		config.RefusedNotFound:   "not found",
-	}[t.Refusal]
+func refusalText(t config.ErrorBody) string {
+	kind := map[config.Rejection]string{
+		config.RejectedVersion:   "another version",
+		config.RejectedInvalid:   "invalid",
+		config.RejectedUndecided: "cannot tell now",
+		config.RejectedConflict:  "conflict",
+		config.RejectedNotFound:  "not found",
+	}[t.Rejection]
 	if kind == "" {
 		return t.Code
 	}
--- a/internal/mfctl/mfctl_test.go
+++ b/internal/mfctl/mfctl_test.go
@@ -201,16 +201,16 @@
 func TestCtlSaysWhichRefusal(t *testing.T) {
 	for _, x := range []struct {
 		status int
-		t      config.Trouble
+		t      config.ErrorBody
 		code   int
 		want   string
 	}{
-		{412, config.Trouble{Code: "stale", Refusal: config.RefusedVersion}, exitStale, "another version (stale)"},
-		{422, config.Trouble{Code: "invalid", Refusal: config.RefusedInvalid}, exitInvalid, "invalid (invalid)"},
-		{503, config.Trouble{Code: "no_leader", Refusal: config.RefusedCannotTell}, exitNoLeader, "cannot tell now (no_leader)"},
-		{504, config.Trouble{Code: "unknown", Refusal: config.RefusedCannotTell}, exitUnknown, "cannot tell now (unknown)"},
-		{409, config.Trouble{Code: "member", Refusal: config.RefusedConflict}, exitFailed, "conflict (member)"},
-		{404, config.Trouble{Code: "not_found", Refusal: config.RefusedNotFound}, exitFailed, "not found (not_found)"},
+		{412, config.ErrorBody{Code: "stale", Rejection: config.RejectedVersion}, exitStale, "another version (stale)"},
+		{422, config.ErrorBody{Code: "invalid", Rejection: config.RejectedInvalid}, exitInvalid, "invalid (invalid)"},
+		{503, config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}, exitNoLeader, "cannot tell now (no_leader)"},
+		{504, config.ErrorBody{Code: "unknown", Rejection: config.RejectedUndecided}, exitUnknown, "cannot tell now (unknown)"},
+		{409, config.ErrorBody{Code: "member", Rejection: config.RejectedConflict}, exitFailed, "conflict (member)"},
+		{404, config.ErrorBody{Code: "not_found", Rejection: config.RejectedNotFound}, exitFailed, "not found (not_found)"},
 	} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(x.status)
@@ -230,7 +230,7 @@
 	down.Close()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(503)
-		w.Write(config.Trouble{Code: "no_leader", Refusal: config.RefusedCannotTell}.JSON())
+		w.Write(config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}.JSON())
 	}))
 	defer up.Close()
 	at := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
@@ -249,7 +249,7 @@
 	defer broken.Close()
 	idle := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(503)
-		w.Write(config.Trouble{Code: "no_leader", Refusal: config.RefusedCannotTell}.JSON())
+		w.Write(config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}.JSON())
 	}))
 	defer idle.Close()
 	at := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
--- a/internal/mfctl/policy.go
+++ b/internal/mfctl/policy.go
@@ -53,7 +53,7 @@
 	tw := newTable()
 	fmt.Fprintln(tw, "POLICY\tBARS\tWRONG\tERRORS\tMISSED\tSLOW\tMISSED SLOW\tTO BAR MS\tBARRED MS\tMOVES\tFAILED")
 	for _, s := range scores {
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", s.Policy, s.Bars, s.Wrong, s.Errors, s.Missed, s.Slow, s.MissedSlow, s.ToBarMs, s.BarredMs, s.Moves, s.Failed)
+		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", s.Policy, s.Ejections, s.WrongEjections, s.Errors, s.Missed, s.Slow, s.MissedSlow, s.TimeToEjectMs, s.EjectedMs, s.Moves, s.Failed)
 	}
 	tw.Flush()
 	return exitOK
@@ -96,7 +96,7 @@
 	enc := json.NewEncoder(os.Stdout)
 	code := exitOK
 	sc := bufio.NewScanner(os.Stdin)
-	sc.Buffer(nil, tuning.LineMax)
+	sc.Buffer(nil, tuning.SessionLineMax)
 	for sc.Scan() {
 		for _, l := range session.Take(sc.Bytes()) {
 			if l.Error != "" {
--- a/internal/mfctl/views.go
+++ b/internal/mfctl/views.go
@@ -36,7 +36,7 @@
 		var s controlplane.StatusView
 		if !c.json && json.Unmarshal(b, &s) == nil {
 			views = append(views, s)
-			fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, s.Role, s.Lead, s.Leader, s.Epoch, s.Term, s.Revision, s.Table.Version, s.Targets, s.Proxies, strings.Join(s.Emptied, ","))
+			fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, s.Role, s.Leadership, s.Leader, s.Epoch, s.Term, s.Revision, s.Table.Version, s.Targets, s.Proxies, strings.Join(s.Emptied, ","))
 		}
 		return true
 	}
@@ -185,8 +185,8 @@
 		if s.Score != nil {
 			x = *s.Score
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\n", n, s.Policy.Mode, s.Policy.Slice, s.Policy.Decide, s.Policy.TTLMs, s.Ran, s.Failed, s.Marks,
-			x.Bars, x.Wrong, x.Errors, x.Missed, x.ToBarMs, s.Policy.When, s.Error)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\n", n, s.Policy.Mode, s.Policy.Slice, s.Policy.Decide, s.Policy.TTLMs, s.Evaluated, s.Failed, s.TargetsOut,
+			x.Ejections, x.WrongEjections, x.Errors, x.Missed, x.TimeToEjectMs, s.Policy.When, s.Error)
 	}
 	tw.Flush()
 }
--- a/internal/shared/config/check.go
+++ b/internal/shared/config/check.go
@@ -22,7 +22,7 @@
 // checker collects the faults of a document.
 type checker struct {
 	faults      []Fault
-	checkPolicy func(Policy) []Fault // how package policy checks one; only Parse needs it
+	checkPolicy func(Policy) []Fault // how package outlier checks one; only Parse needs it
 }
 
 func (c *checker) add(path, format string, a ...any) {
@@ -136,7 +136,7 @@
 	c.within(path+".wait_ms", s.WaitMs, 0, tuning.WaitMaxMs)
 	c.within(path+".wait_len", s.WaitLen, 0, tuning.WaitLenMax)
 	c.within(path+".body_max", s.BodyMax, 0, tuning.ServiceBodyMax)
-	c.within(path+".tries", s.Tries, 1, tuning.ServiceTriesMax)
+	c.within(path+".tries", s.Attempts, 1, tuning.ServiceTriesMax)
 	c.within(path+".slow_ms", s.SlowMs, 0, tuning.TimeoutMaxMs)
 	if s.WarmCap > s.Cap {
 		c.add(path+".warm_cap", "%d is over cap %d", s.WarmCap, s.Cap)
@@ -145,11 +145,11 @@
 		c.add(path+".health_path", "must be a plain path")
 	}
 	c.within(path+".conn_cap", s.ConnCap, 0, tuning.ConnCapMax)
-	if !(s.ColdS >= 0 && s.ColdS <= tuning.ColdMax.Seconds()) {
-		c.add(path+".cold_s", "%v is not between 0 and %v", s.ColdS, tuning.ColdMax.Seconds())
+	if !(s.WarmupSeconds >= 0 && s.WarmupSeconds <= tuning.WarmupMax.Seconds()) {
+		c.add(path+".cold_s", "%v is not between 0 and %v", s.WarmupSeconds, tuning.WarmupMax.Seconds())
 	}
-	if !(s.ColdPerS >= 0 && s.ColdPerS <= tuning.ColdRateMax) {
-		c.add(path+".cold_per_s", "%v is not between 0 and %d", s.ColdPerS, int(tuning.ColdRateMax))
+	if !(s.WarmupRate >= 0 && s.WarmupRate <= tuning.WarmupRateMax) {
+		c.add(path+".cold_per_s", "%v is not between 0 and %d", s.WarmupRate, int(tuning.WarmupRateMax))
 	}
 	if s.Proto != "" && s.Proto != "h1" || s.TLS {
 		c.add(path+".proto", "targets are spoken to by h1 without TLS")
--- a/internal/shared/config/fuzz_test.go
+++ b/internal/shared/config/fuzz_test.go
@@ -135,9 +135,9 @@
 	f.Add("", []byte(`{"service":"s","address":"10.0.0.1:80","state":"ready"}`))
 	f.Fuzz(func(t *testing.T, name string, body []byte) {
 		for _, named := range []bool{false, true} {
-			parse := ParseBeat
+			parse := ParseTargetReport
 			if named {
-				parse = func(b []byte) (wire.Target, []Fault) { return ParseNamedBeat(name, b) }
+				parse = func(b []byte) (wire.Target, []Fault) { return ParseNamedTargetReport(name, b) }
 			}
 			w, faults := parse(body)
 			if json.Valid(body) && bytes.HasPrefix(bytes.TrimSpace(body), []byte("{")) { // else it is the whole that is at fault
@@ -147,7 +147,7 @@
 				continue
 			}
 			if w.Service == "" || w.Name == "" || w.Incarnation == 0 || w.Addr == "" || w.State == "" || w.Demand < 0 ||
-				w.Slots > tuning.SlotsMax || w.WarmupLeft < 0 || w.WarmupLeft > int64(tuning.ColdMax) {
+				w.Slots > tuning.SlotsMax || w.WarmupLeft < 0 || w.WarmupLeft > int64(tuning.WarmupMax) {
 				t.Fatalf("%+v without a fault", w)
 			}
 			if named && w.Name != name {
--- a/internal/shared/config/heartbeat.go
+++ b/internal/shared/config/heartbeat.go
@@ -26,8 +26,8 @@
 	Gone    = "gone"
 )
 
-// Beat is what a back end says of itself, in heartbeats and at IdentityPath.
-type Beat struct {
+// TargetReport is what a back end says of itself, in heartbeats and at IdentityPath.
+type TargetReport struct {
 	Service     string   `json:"service"`
 	Name        string   `json:"name"`
 	Incarnation uint64   `json:"incarnation"`
@@ -37,18 +37,18 @@
 	Demand      *float64 `json:"demand,omitempty"`
 	// Slots are the requests that it works on at once, 0: not said. ColdLeftMs is how much longer
 	// it takes only its service's cold rate. Number rises with each heartbeat, 0: not numbered.
-	Slots      int64  `json:"slots,omitempty"`
-	ColdLeftMs int64  `json:"cold_left_ms,omitempty"`
-	Number     uint64 `json:"number,omitempty"`
+	Slots        int64  `json:"slots,omitempty"`
+	WarmupLeftMs int64  `json:"cold_left_ms,omitempty"`
+	Number       uint64 `json:"number,omitempty"`
 }
 
 // ID returns the identity of the back end.
-func (b *Beat) ID() wire.ID {
+func (b *TargetReport) ID() wire.ID {
 	return wire.ID{Service: b.Service, Name: b.Name, Incarnation: b.Incarnation}
 }
 
 // Target checks a heartbeat and returns it in the form that daemons exchange, or its faults by field.
-func (b *Beat) Target() (wire.Target, []Fault) {
+func (b *TargetReport) Target() (wire.Target, []Fault) {
 	c := &checker{}
 	c.name("service", b.Service)
 	c.name("name", b.Name)
@@ -67,11 +67,11 @@
 	if b.Slots < 0 || b.Slots > tuning.SlotsMax {
 		c.add("slots", "%d is not between 0 and %d", b.Slots, tuning.SlotsMax)
 	}
-	if most := tuning.ColdMax.Milliseconds(); b.ColdLeftMs < 0 || b.ColdLeftMs > most {
-		c.add("cold_left_ms", "%d is not between 0 and %d", b.ColdLeftMs, most)
+	if most := tuning.WarmupMax.Milliseconds(); b.WarmupLeftMs < 0 || b.WarmupLeftMs > most {
+		c.add("cold_left_ms", "%d is not between 0 and %d", b.WarmupLeftMs, most)
 	}
 	t := wire.Target{Service: b.Service, Name: b.Name, Incarnation: b.Incarnation, Addr: b.Address, Domain: b.Domain, State: b.State,
-		Slots: uint32(b.Slots), WarmupLeft: b.ColdLeftMs * int64(time.Millisecond), Number: b.Number}
+		Slots: uint32(b.Slots), WarmupLeft: b.WarmupLeftMs * int64(time.Millisecond), Number: b.Number}
 	if b.Demand != nil {
 		if *b.Demand < 0 || math.IsNaN(*b.Demand) || math.IsInf(*b.Demand, 0) {
 			c.add("demand", "must be 0 or more")
@@ -81,19 +81,19 @@
 	return t, c.faults
 }
 
-// ParseBeat reads a heartbeat's body and checks it; unknown fields are ignored.
-func ParseBeat(body []byte) (wire.Target, []Fault) {
-	b, faults := readBeat(body, Beat{})
+// ParseTargetReport reads a heartbeat's body and checks it; unknown fields are ignored.
+func ParseTargetReport(body []byte) (wire.Target, []Fault) {
+	b, faults := readBeat(body, TargetReport{})
 	if len(faults) > 0 {
 		return wire.Target{}, faults
 	}
 	return b.Target()
 }
 
-// ParseNamedBeat reads the body of a heartbeat whose name stands in the path of its call. Names in
+// ParseNamedTargetReport reads the body of a heartbeat whose name stands in the path of its call. Names in
 // this form are used for one start only, so no incarnation is needed.
-func ParseNamedBeat(name string, body []byte) (wire.Target, []Fault) {
-	b, faults := readBeat(body, Beat{Incarnation: 1})
+func ParseNamedTargetReport(name string, body []byte) (wire.Target, []Fault) {
+	b, faults := readBeat(body, TargetReport{Incarnation: 1})
 	if len(faults) > 0 {
 		return wire.Target{}, faults
 	}
@@ -101,7 +101,7 @@
 	return b.Target()
 }
 
-func readBeat(body []byte, b Beat) (Beat, []Fault) {
+func readBeat(body []byte, b TargetReport) (TargetReport, []Fault) {
 	if err := json.Unmarshal(body, &b); err != nil {
 		at := ""
 		var te *json.UnmarshalTypeError
--- a/internal/shared/config/model.go
+++ b/internal/shared/config/model.go
@@ -1,4 +1,4 @@
-// Package model is the operator's configuration: services, routes, rules and
+// Package config is the operator's configuration: services, routes, rules and
 // policies, read from JSON and checked as a whole. A check lists every fault by
 // its path, unknown fields included, so that nothing unread ever takes effect.
 // It also has the other texts that daemons take from and give to their users:
@@ -33,17 +33,17 @@
 	// BodyMax bounds a request's body in bytes.
 	BodyMax int `koanf:"body_max" json:"body_max"`
 	// Tries is how often a request that may be repeated is sent in all.
-	Tries int `koanf:"tries" json:"tries"`
+	Attempts int `koanf:"tries" json:"tries"`
 	// SlowMs is from when on an answer counts as slow for the policies; 0: none does.
 	SlowMs int `koanf:"slow_ms" json:"slow_ms,omitempty"`
 	// HealthPath is where targets are asked for their health; "": the identity request instead.
 	HealthPath string `koanf:"health_path" json:"health_path,omitempty"`
 	// ConnCap is how many connections a target takes from all callers together, 0: not said.
 	ConnCap int `koanf:"conn_cap" json:"conn_cap,omitempty"`
-	// ColdS is how many seconds a target is cold after its start, ColdPerS the requests a second
+	// WarmupSeconds is how many seconds a target is cold after its start, ColdPerS the requests a second
 	// that it bears meanwhile from all proxies together; 0: no such bound.
-	ColdS    float64 `koanf:"cold_s" json:"cold_s,omitempty"`
-	ColdPerS float64 `koanf:"cold_per_s" json:"cold_per_s,omitempty"`
+	WarmupSeconds float64 `koanf:"cold_s" json:"cold_s,omitempty"`
+	WarmupRate    float64 `koanf:"cold_per_s" json:"cold_per_s,omitempty"`
 	// Proto and Tls are how targets are spoken to: h1 without TLS is what there is.
 	Proto string `koanf:"proto" json:"proto,omitempty"`
 	TLS   bool   `koanf:"tls" json:"tls,omitempty"`
@@ -59,16 +59,16 @@
 
 // Slices of what is known of a target, of which a policy sees one.
 const (
-	SliceProbe    = "probe"    // answers to health probes
-	SliceBeat     = "beat"     // the target's heartbeats
-	SliceExchange = "exchange" // outcomes of callers' requests
-	SliceDemand   = "demand"   // what the target says of its load
+	SliceProbe     = "probe"    // answers to health probes
+	SliceHeartbeat = "beat"     // the target's heartbeats
+	SliceRequest   = "exchange" // outcomes of callers' requests
+	SliceDemand    = "demand"   // what the target says of its load
 )
 
 // Decisions that a policy may make.
 const (
-	DecideBar  = "bar"  // ejection: no requests, until a time to live has passed
-	DecideHold = "hold" // draining: no new requests, until a condition clears it
+	DecideEject = "bar"  // ejection: no requests, until a time to live has passed
+	DecideDrain = "hold" // draining: no new requests, until a condition clears it
 )
 
 // Modes of a policy.
@@ -95,16 +95,16 @@
 const DefaultPolicy = "default"
 
 // Default returns the policy of the given design: two missed probes in a row eject a target for
-// limit.EjectionTTL, an answer clears it.
+// tuning.EjectionTTL, an answer clears it.
 func Default() Policy {
 	return Policy{Slice: SliceProbe, When: fmt.Sprintf("misses_in_row >= %d", tuning.ProbeMisses), Clear: "ok_in_row >= 1",
-		Decide: DecideBar, TTLMs: int(tuning.EjectionTTL.Milliseconds()), Mode: ModeLive, Note: "two missed probes in a row"}
+		Decide: DecideEject, TTLMs: int(tuning.EjectionTTL.Milliseconds()), Mode: ModeLive, Note: "two missed probes in a row"}
 }
 
-// Aim is a service-level objective: of a service's requests in the window of WindowMin minutes, this
+// Objective is a service-level objective: of a service's requests in the window of WindowMin minutes, this
 // part (between 0 and 1) is to be answered with a status below 500 within UnderMs (0: in any time).
 // Refusals count against it.
-type Aim struct {
+type Objective struct {
 	Service   string  `koanf:"service" json:"service"`
 	Part      float64 `koanf:"part" json:"part"`
 	UnderMs   int     `koanf:"under_ms" json:"under_ms,omitempty"`
@@ -114,14 +114,14 @@
 // Config is a configuration that Parse has read. It is not changed afterwards.
 type Config struct {
 	// Revision is the operator's own number for the document, 0: the one after the present one.
-	Revision uint64             `json:"revision,omitempty"`
-	Services map[string]Service `json:"services"`
-	Rules    []Rule             `json:"rules"`
-	Routes   map[string]Route   `json:"routes,omitempty"`
-	Limits   *Limits            `json:"limits,omitempty"`
-	Policies map[string]Policy  `json:"policies,omitempty"`
-	Aims     map[string]Aim     `json:"aims,omitempty"`
-	byHost   hosts
+	Revision   uint64               `json:"revision,omitempty"`
+	Services   map[string]Service   `json:"services"`
+	Rules      []Rule               `json:"rules"`
+	Routes     map[string]Route     `json:"routes,omitempty"`
+	Limits     *Limits              `json:"limits,omitempty"`
+	Policies   map[string]Policy    `json:"policies,omitempty"`
+	Objectives map[string]Objective `json:"aims,omitempty"`
+	byHost     hosts
 }
 
 // Fault is one thing wrong with a document, by its place, such as services.records.cap.
--- a/internal/shared/config/parse.go
+++ b/internal/shared/config/parse.go
@@ -25,14 +25,14 @@
 
 // Parse reads and checks a document. What is wrong with it is returned as faults by their paths,
 // beside the configuration; an error, marked ErrNotJSON, says that it cannot be read at all.
-// checkPolicy checks a policy, with paths inside it: package policy knows how.
+// checkPolicy checks a policy, with paths inside it: package outlier knows how.
 func Parse(doc []byte, checkPolicy func(Policy) []Fault) (*Config, []Fault, error) {
 	raw, err := object(doc)
 	if err != nil {
 		return nil, nil, err
 	}
 	c := &checker{checkPolicy: checkPolicy}
-	cfg := &Config{Services: map[string]Service{}, Routes: map[string]Route{}, Policies: map[string]Policy{}, Aims: map[string]Aim{}}
+	cfg := &Config{Services: map[string]Service{}, Routes: map[string]Route{}, Policies: map[string]Policy{}, Objectives: map[string]Objective{}}
 	for _, key := range slices.Sorted(maps.Keys(raw)) {
 		read, known := sections[key]
 		if !known {
@@ -70,7 +70,7 @@
 
 func (c *checker) readServices(cfg *Config, v any) {
 	c.items("services", v, func(at, name string, item any) {
-		s := Service{Cap: tuning.CapDefault, WarmCap: tuning.WarmDefault, TimeoutMs: tuning.TimeoutMs, BodyMax: tuning.BodyMax, Tries: tuning.TriesMax}
+		s := Service{Cap: tuning.CapDefault, WarmCap: tuning.WarmDefault, TimeoutMs: tuning.TimeoutMs, BodyMax: tuning.BodyMax, Attempts: tuning.AttemptsDefaultMax}
 		c.decode(at, item, &s)
 		c.service(at, name, s)
 		cfg.Services[name] = s
@@ -116,17 +116,17 @@
 
 func (c *checker) readAims(cfg *Config, v any) {
 	c.items("aims", v, func(at, name string, item any) {
-		a := Aim{WindowMin: tuning.AimMinutes}
+		a := Objective{WindowMin: tuning.ObjectiveMinutes}
 		c.decode(at, item, &a)
 		c.name(at, name)
-		cfg.Aims[name] = a
+		cfg.Objectives[name] = a
 	})
 }
 
 // checkAims checks the aims; the services are known by then.
 func (c *checker) checkAims(cfg *Config) {
-	for _, name := range slices.Sorted(maps.Keys(cfg.Aims)) {
-		a, at := cfg.Aims[name], join("aims", name)
+	for _, name := range slices.Sorted(maps.Keys(cfg.Objectives)) {
+		a, at := cfg.Objectives[name], join("aims", name)
 		if _, ok := cfg.Services[a.Service]; !ok {
 			c.add(at+".service", "no service %q", a.Service)
 		}
@@ -134,7 +134,7 @@
 			c.add(at+".part", "%v is not between 0 and 1", a.Part)
 		}
 		c.within(at+".under_ms", a.UnderMs, 0, tuning.TimeoutMaxMs)
-		c.within(at+".window_min", a.WindowMin, 1, tuning.AimMinutes)
+		c.within(at+".window_min", a.WindowMin, 1, tuning.ObjectiveMinutes)
 	}
 }
 
--- a/internal/shared/config/route.go
+++ b/internal/shared/config/route.go
@@ -13,9 +13,9 @@
 
 // Kinds of routes: what a request on one may be subjected to.
 const (
-	Repeatable = "repeatable" // may run more than once
-	Once       = "once"       // may run at most once for each call
-	Download   = "download"   // as repeatable, with large answers
+	KindRepeatable = "repeatable" // may run more than once
+	KindOnce       = "once"       // may run at most once for each call
+	KindDownload   = "download"   // as repeatable, with large answers
 )
 
 // Share is a service's part in a split.
@@ -26,15 +26,15 @@
 
 // Route is what holds for requests under a host and prefix. Times are in ms.
 type Route struct {
-	Host      string  `json:"host"`
-	Prefix    string  `json:"prefix"`
-	Kind      string  `json:"kind"`
-	TimeoutMs int     `json:"timeout_ms"`
-	AimMs     int     `json:"aim_ms,omitempty"`   // an answer within it is worth most to the caller; 0: none
-	Priority  int     `json:"priority,omitempty"` // 0 is the highest
-	Attempts  int     `json:"attempts"`           // targets that one request may be sent to
-	Service   string  `json:"service,omitempty"`
-	Split     []Share `json:"split,omitempty"`
+	Host            string  `json:"host"`
+	Prefix          string  `json:"prefix"`
+	Kind            string  `json:"kind"`
+	TimeoutMs       int     `json:"timeout_ms"`
+	LatencyTargetMs int     `json:"aim_ms,omitempty"`   // an answer within it is worth most to the caller; 0: none
+	Priority        int     `json:"priority,omitempty"` // 0 is the highest
+	Attempts        int     `json:"attempts"`           // targets that one request may be sent to
+	Service         string  `json:"service,omitempty"`
+	Split           []Share `json:"split,omitempty"`
 }
 
 // Limits bound what callers may send. Bytes and ms; 0: the program's own bound.
@@ -46,13 +46,15 @@
 }
 
 // Repeats reports whether a request of the route may run more than once.
-func (r *Route) Repeats() bool { return r.Kind != Once }
+func (r *Route) Idempotent() bool { return r.Kind != KindOnce }
 
 // Timeout is a request's deadline from when it came.
 func (r *Route) Timeout() time.Duration { return time.Duration(r.TimeoutMs) * time.Millisecond }
 
-// Aim is the time within which an answer is worth most, 0: none is set.
-func (r *Route) Aim() time.Duration { return time.Duration(r.AimMs) * time.Millisecond }
+// LatencyTarget is the time within which an answer is worth most, 0: none is set.
+func (r *Route) LatencyTarget() time.Duration {
+	return time.Duration(r.LatencyTargetMs) * time.Millisecond
+}
 
 // Shares returns the services that the route may go to, each with a weight over 0.
 func (r *Route) Shares() []Share {
@@ -62,13 +64,15 @@
 	return slices.DeleteFunc(slices.Clone(r.Split), func(s Share) bool { return s.Weight <= 0 })
 }
 
-// Cold is how long after its start a target of the service counts as cold.
-func (s *Service) Cold() time.Duration { return time.Duration(s.ColdS * float64(time.Second)) }
+// Warmup is how long after its start a target of the service counts as cold.
+func (s *Service) Warmup() time.Duration {
+	return time.Duration(s.WarmupSeconds * float64(time.Second))
+}
 
-// Asked reports whether the service's targets are asked for their health, and take with each request
+// HasHealthCheck reports whether the service's targets are asked for their health, and take with each request
 // the identity that is expected of them; other targets are asked for their identity on each new
 // connection.
-func (s *Service) Asked() bool { return s.HealthPath != "" }
+func (s *Service) HasHealthCheck() bool { return s.HealthPath != "" }
 
 // hosts is the index of a configuration's routes: names by host and prefix.
 type hosts map[string]map[string]string
--- a/internal/shared/config/routeread.go
+++ b/internal/shared/config/routeread.go
@@ -126,7 +126,7 @@
 		case "timeout_ms":
 			c.whole(at, k, v, &r.TimeoutMs)
 		case "aim_ms":
-			c.whole(at, k, v, &r.AimMs)
+			c.whole(at, k, v, &r.LatencyTargetMs)
 		case "priority":
 			c.whole(at, k, v, &r.Priority)
 		case "attempts":
@@ -186,11 +186,11 @@
 	if !isHost(r.Host) {
 		c.add(at+".host", notHost)
 	}
-	if !slices.Contains([]string{Repeatable, Once, Download}, r.Kind) {
-		c.add(at+".kind", "%s, %s or %s, not %q", Repeatable, Once, Download, r.Kind)
+	if !slices.Contains([]string{KindRepeatable, KindOnce, KindDownload}, r.Kind) {
+		c.add(at+".kind", "%s, %s or %s, not %q", KindRepeatable, KindOnce, KindDownload, r.Kind)
 	}
 	c.bound(at, "timeout_ms", r.TimeoutMs, 1, tuning.TimeoutMaxMs)
-	c.bound(at, "aim_ms", r.AimMs, 0, tuning.TimeoutMaxMs)
+	c.bound(at, "aim_ms", r.LatencyTargetMs, 0, tuning.TimeoutMaxMs)
 	c.bound(at, "attempts", r.Attempts, 1, tuning.AttemptsMax)
 	c.bound(at, "priority", r.Priority, 0, tuning.PriorityMax)
 	if (r.Service == "") == (len(r.Split) == 0) {
--- a/internal/shared/config/trouble.go
+++ b/internal/shared/config/trouble.go
@@ -4,24 +4,24 @@
 
 import "encoding/json"
 
-// Trouble is the one shape of every error that a daemon answers with.
-type Trouble struct {
-	Code     string  `json:"code"`               // for programs, such as no_leader
-	Refusal  Refusal `json:"refusal,omitempty"`  // set on the operators' interface
-	Message  string  `json:"message"`            // for people
-	Ran      string  `json:"ran"`                // whether the request ran at a back end: no (if empty), or unknown
-	Faults   []Fault `json:"faults,omitempty"`   // of the document that was sent
-	Revision uint64  `json:"revision,omitempty"` // of the configuration in force
-	Id       string  `json:"id,omitempty"`       // of the change
+// ErrorBody is the one shape of every error that a daemon answers with.
+type ErrorBody struct {
+	Code      string    `json:"code"`               // for programs, such as no_leader
+	Rejection Rejection `json:"refusal,omitempty"`  // set on the operators' interface
+	Message   string    `json:"message"`            // for people
+	Ran       string    `json:"ran"`                // whether the request ran at a back end: no (if empty), or unknown
+	Faults    []Fault   `json:"faults,omitempty"`   // of the document that was sent
+	Revision  uint64    `json:"revision,omitempty"` // of the configuration in force
+	ID        string    `json:"id,omitempty"`       // of the change
 }
 
 // JSON returns the body of an answer: an object whose only field, error, is t.
-func (t Trouble) JSON() []byte {
+func (t ErrorBody) JSON() []byte {
 	if t.Ran == "" {
 		t.Ran = "no"
 	}
 	b, _ := json.Marshal(struct {
-		Error Trouble `json:"error"`
+		Error ErrorBody `json:"error"`
 	}{t})
 	return append(b, '\n')
 }
--- a/internal/shared/outlier/compare.go
+++ b/internal/shared/outlier/compare.go
@@ -20,18 +20,18 @@
 
 // Score is how one policy did on a recording.
 type Score struct {
-	Policy     string  `json:"policy"`
-	Events     int     `json:"events"`
-	Bars       int     `json:"bars"`        // ejections and holds begun
-	Wrong      int     `json:"wrong_bars"`  // the target was serving well
-	Errors     int     `json:"errors"`      // failed requests in the recording
-	Missed     int     `json:"missed"`      // of them, at targets that it had not taken out
-	Slow       int     `json:"slow"`        // slow requests in the recording
-	MissedSlow int     `json:"missed_slow"` // of them, at targets that it had not taken out
-	ToBarMs    float64 `json:"to_bar_ms"`   // median from a trouble's first sign to the decision
-	BarredMs   float64 `json:"barred_ms"`   // all targets' time out together
-	Moves      int     `json:"moves"`       // times a target went out or came back
-	Failed     uint64  `json:"failed_evaluations"`
+	Policy         string  `json:"policy"`
+	Events         int     `json:"events"`
+	Ejections      int     `json:"bars"`        // ejections and holds begun
+	WrongEjections int     `json:"wrong_bars"`  // the target was serving well
+	Errors         int     `json:"errors"`      // failed requests in the recording
+	Missed         int     `json:"missed"`      // of them, at targets that it had not taken out
+	Slow           int     `json:"slow"`        // slow requests in the recording
+	MissedSlow     int     `json:"missed_slow"` // of them, at targets that it had not taken out
+	TimeToEjectMs  float64 `json:"to_bar_ms"`   // median from a trouble's first sign to the decision
+	EjectedMs      float64 `json:"barred_ms"`   // all targets' time out together
+	Moves          int     `json:"moves"`       // times a target went out or came back
+	Failed         uint64  `json:"failed_evaluations"`
 }
 
 const (
@@ -57,11 +57,11 @@
 			continue
 		}
 		switch e.Slice {
-		case config.SliceExchange:
+		case config.SliceRequest:
 			n += e.Count
 			bad += e.Errors + e.Slow
-		case config.SliceProbe, config.SliceBeat:
-			if !e.Ok {
+		case config.SliceProbe, config.SliceHeartbeat:
+			if !e.Success {
 				return false
 			}
 		}
@@ -72,7 +72,7 @@
 // Scorer keeps the scores of a judge's policies, live and shadow ones, while it
 // judges. Each is scored by its own word on a target, whatever the others decide.
 type Scorer struct {
-	j      *Judge
+	j      *Detector
 	tracks map[wire.ID]*track
 	scores map[string]*tally
 }
@@ -85,7 +85,7 @@
 }
 
 // NewScorer returns a Scorer of a Judge, whose events and ticks must all go through it.
-func NewScorer(j *Judge) *Scorer {
+func NewScorer(j *Detector) *Scorer {
 	return &Scorer{j: j, tracks: map[wire.ID]*track{}, scores: map[string]*tally{}}
 }
 
@@ -105,7 +105,7 @@
 			s.scores[name] = y
 		}
 		y.Events++
-		if e.Slice == config.SliceExchange {
+		if e.Slice == config.SliceRequest {
 			_, out := y.out[id]
 			y.Errors += e.Errors
 			y.Slow += e.Slow
@@ -115,8 +115,8 @@
 			}
 		}
 	}
-	bad := (e.Slice == config.SliceProbe || e.Slice == config.SliceBeat) && !e.Ok || e.Slice == config.SliceExchange && (e.Errors+e.Slow)*2 > e.Count
-	good := e.Slice == config.SliceProbe && e.Ok && t.lastBad() == config.SliceProbe || e.Slice == config.SliceExchange && t.lastBad() != config.SliceProbe && e.Count > 0 && (e.Errors+e.Slow)*10 < e.Count
+	bad := (e.Slice == config.SliceProbe || e.Slice == config.SliceHeartbeat) && !e.Success || e.Slice == config.SliceRequest && (e.Errors+e.Slow)*2 > e.Count
+	good := e.Slice == config.SliceProbe && e.Success && t.lastBad() == config.SliceProbe || e.Slice == config.SliceRequest && t.lastBad() != config.SliceProbe && e.Count > 0 && (e.Errors+e.Slow)*10 < e.Count
 	if bad && t.trouble == 0 {
 		t.trouble = e.At
 	} else if good {
@@ -142,7 +142,7 @@
 	ds := s.j.Tick(now)
 	for _, d := range ds {
 		if y := s.scores[d.Policy]; y != nil {
-			s.turn(now, y, d.Policy, wire.ID{Service: d.Service, Name: d.Name, Incarnation: d.Inc})
+			s.turn(now, y, d.Policy, wire.ID{Service: d.Service, Name: d.Name, Incarnation: d.Incarnation})
 		}
 	}
 	return ds
@@ -160,13 +160,13 @@
 	y.Moves++
 	if !out {
 		delete(y.out, id)
-		y.BarredMs += milliseconds(now - at)
+		y.EjectedMs += milliseconds(now - at)
 		return
 	}
 	y.out[id] = now
-	y.Bars++
+	y.Ejections++
 	if t.serving(now) {
-		y.Wrong++
+		y.WrongEjections++
 	}
 	if t.trouble > 0 {
 		y.toBar = append(y.toBar, milliseconds(now-t.trouble))
@@ -180,7 +180,7 @@
 func (s *Scorer) Forget(now time.Duration, id wire.ID) {
 	for _, y := range s.scores {
 		if at, out := y.out[id]; out {
-			y.BarredMs += milliseconds(now - at)
+			y.EjectedMs += milliseconds(now - at)
 			delete(y.out, id)
 		}
 	}
@@ -194,10 +194,10 @@
 	for name, y := range s.scores {
 		x := y.Score
 		for _, at := range y.out {
-			x.BarredMs += milliseconds(now - at)
+			x.EjectedMs += milliseconds(now - at)
 		}
 		if len(y.toBar) > 0 {
-			x.ToBarMs = slices.Sorted(slices.Values(y.toBar))[len(y.toBar)/2]
+			x.TimeToEjectMs = slices.Sorted(slices.Values(y.toBar))[len(y.toBar)/2]
 		}
 		if p := s.j.policies[name]; p != nil {
 			x.Failed = p.failed
@@ -235,7 +235,7 @@
 // lastBad is the slice of the latest bad event.
 func (t *track) lastBad() string {
 	for _, e := range slices.Backward(t.events) {
-		if e.Slice == config.SliceProbe && !e.Ok || e.Slice == config.SliceExchange && e.Errors+e.Slow > 0 {
+		if e.Slice == config.SliceProbe && !e.Success || e.Slice == config.SliceRequest && e.Errors+e.Slow > 0 {
 			return e.Slice
 		}
 	}
@@ -246,7 +246,7 @@
 // which only those with an event count. It returns the first error, with the line's number.
 func ReadEvents(r io.Reader, each func(Event) error) error {
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, tuning.LineMax)
+	sc.Buffer(nil, tuning.SessionLineMax)
 	for n := 1; sc.Scan(); n++ {
 		l, err := parseLine(sc.Bytes())
 		if err != nil {
--- a/internal/shared/outlier/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -67,11 +67,11 @@
 	}
 	ttl := time.Duration(p.TTLMs) * time.Millisecond
 	switch p.Decide {
-	case config.DecideBar:
+	case config.DecideEject:
 		if ttl <= 0 || ttl > tuning.EjectionMaxTTL {
 			add("ttl_ms", "a bar needs a ttl_ms between 1 and %d", tuning.EjectionMaxTTL.Milliseconds())
 		}
-	case config.DecideHold:
+	case config.DecideDrain:
 		if p.TTLMs != 0 {
 			add("ttl_ms", "a hold has none: it ends with its condition")
 		}
@@ -98,5 +98,5 @@
 	return []config.Fault{{Path: field, Text: text}}
 }
 
-// CheckConfig is model.Parse with the check of policies, and returns the same.
+// CheckConfig is config.Parse with the check of policies, and returns the same.
 func CheckConfig(doc []byte) (*config.Config, []config.Fault, error) { return config.Parse(doc, Check) }
--- a/internal/shared/outlier/policy.go
+++ b/internal/shared/outlier/policy.go
@@ -1,4 +1,4 @@
-// Package policy turns target events into decisions. A policy is one condition
+// Package outlier turns target events into decisions. A policy is one condition
 // over one slice of what is known of a target (probes, heartbeats, requests, demand)
 // and one decision: an ejection, which lapses by itself, or a hold (draining), which
 // lasts until its clear condition is met, or while its condition is if it has none.
@@ -25,24 +25,26 @@
 
 // Event is one thing learnt about a target. Only the fields of its slice count.
 type Event struct {
-	At      time.Duration `json:"at_ns"` // by the clock of whoever recorded it
-	Slice   string        `json:"slice"` // a slice's name, as package model has them
-	Service string        `json:"service"`
-	Name    string        `json:"name"`
-	Inc     uint64        `json:"incarnation"`
-	Ok      bool          `json:"ok,omitempty"`     // probe: it answered; beat: a heartbeat came, not silence
-	Ms      float64       `json:"ms,omitempty"`     // probe: answer time; beat: silence; exchange: time of all Count together
-	State   string        `json:"state,omitempty"`  // beat: the target's state
-	Count   int           `json:"count,omitempty"`  // exchange: requests that ended, and of them
-	Errors  int           `json:"errors,omitempty"` // failed ones
-	Slow    int           `json:"slow,omitempty"`   // slow ones
-	Demand  float64       `json:"demand,omitempty"` // demand: 0 and more, 1: as much as the target bears
+	At           time.Duration `json:"at_ns"` // by the clock of whoever recorded it
+	Slice        string        `json:"slice"` // a slice's name, as package config has them
+	Service      string        `json:"service"`
+	Name         string        `json:"name"`
+	Incarnation  uint64        `json:"incarnation"`
+	Success      bool          `json:"ok,omitempty"`     // probe: it answered; beat: a heartbeat came, not silence
+	Milliseconds float64       `json:"ms,omitempty"`     // probe: answer time; beat: silence; exchange: time of all Count together
+	State        string        `json:"state,omitempty"`  // beat: the target's state
+	Count        int           `json:"count,omitempty"`  // exchange: requests that ended, and of them
+	Errors       int           `json:"errors,omitempty"` // failed ones
+	Slow         int           `json:"slow,omitempty"`   // slow ones
+	Demand       float64       `json:"demand,omitempty"` // demand: 0 and more, 1: as much as the target bears
 }
 
 // ID returns the identity of the target.
-func (e *Event) ID() wire.ID { return wire.ID{Service: e.Service, Name: e.Name, Incarnation: e.Inc} }
+func (e *Event) ID() wire.ID {
+	return wire.ID{Service: e.Service, Name: e.Name, Incarnation: e.Incarnation}
+}
 
-// Kinds of decisions, besides model.DecideBar and model.DecideHold, which begin one.
+// Kinds of decisions, besides config.DecideBar and config.DecideHold, which begin one.
 const (
 	KindClear = "clear" // the condition to clear it is met
 	KindLapse = "lapse" // the ejection's time to live is over
@@ -50,15 +52,15 @@
 
 // Decision is one change of a target's standing under one policy.
 type Decision struct {
-	At      time.Duration `json:"at_ns"`
-	Policy  string        `json:"policy"`
-	Kind    string        `json:"kind"` // model.DecideBar, model.DecideHold, KindClear or KindLapse
-	Service string        `json:"service"`
-	Name    string        `json:"name"`
-	Inc     uint64        `json:"incarnation"`
-	TTLMs   int64         `json:"ttl_ms,omitempty"`
-	Shadow  bool          `json:"shadow,omitempty"` // it has no effect
-	Why     string        `json:"why,omitempty"`
+	At          time.Duration `json:"at_ns"`
+	Policy      string        `json:"policy"`
+	Kind        string        `json:"kind"` // config.DecideBar, config.DecideHold, KindClear or KindLapse
+	Service     string        `json:"service"`
+	Name        string        `json:"name"`
+	Incarnation uint64        `json:"incarnation"`
+	TTLMs       int64         `json:"ttl_ms,omitempty"`
+	Shadow      bool          `json:"shadow,omitempty"` // it has no effect
+	Reason      string        `json:"why,omitempty"`
 }
 
 // policy is a policy in force.
@@ -81,16 +83,16 @@
 
 // Stat describes a policy in force and what it has done since it came into force.
 type Stat struct {
-	Policy config.Policy `json:"policy"`
-	Ran    uint64        `json:"evaluated"`
-	Failed uint64        `json:"failed"`
-	Error  string        `json:"last_error,omitempty"`
-	Marks  int           `json:"targets_out"` // targets that it keeps requests from now
-	Score  *Score        `json:"score,omitempty"`
+	Policy     config.Policy `json:"policy"`
+	Evaluated  uint64        `json:"evaluated"`
+	Failed     uint64        `json:"failed"`
+	Error      string        `json:"last_error,omitempty"`
+	TargetsOut int           `json:"targets_out"` // targets that it keeps requests from now
+	Score      *Score        `json:"score,omitempty"`
 }
 
-// Judge evaluates the policies in force on events of any number of targets.
-type Judge struct {
+// Detector evaluates the policies in force on events of any number of targets.
+type Detector struct {
 	policies map[string]*policy             // by name
 	sorted   []string                       // the policies' names
 	windows  map[wire.ID]map[string]*window // by slice
@@ -98,14 +100,14 @@
 }
 
 // New returns a Judge without policies; Replace puts them in force.
-func New() *Judge {
-	return &Judge{policies: map[string]*policy{}, windows: map[wire.ID]map[string]*window{}, marks: map[wire.ID]map[string]mark{}}
+func New() *Detector {
+	return &Detector{policies: map[string]*policy{}, windows: map[wire.ID]map[string]*window{}, marks: map[wire.ID]map[string]mark{}}
 }
 
 // Replace puts the policies of a configuration, which must have passed Check, in force. What a kept or changed ejection
 // policy had decided stays until it lapses; a policy's marks go at once when it
 // is removed, off, or goes between live and shadow.
-func (j *Judge) Replace(c *config.Config) {
+func (j *Detector) Replace(c *config.Config) {
 	next := map[string]*policy{}
 	for name, p := range c.All() {
 		if p.Mode == config.ModeOff {
@@ -141,14 +143,14 @@
 }
 
 // Forget drops a target that is gone for good.
-func (j *Judge) Forget(id wire.ID) {
+func (j *Detector) Forget(id wire.ID) {
 	delete(j.windows, id)
 	delete(j.marks, id)
 }
 
-// Barred returns until when a live policy keeps requests from a target, and the policy's name; of
+// Ejected returns until when a live policy keeps requests from a target, and the policy's name; of
 // several the last one to end, and 0 if there is none.
-func (j *Judge) Barred(now time.Duration, id wire.ID) (until time.Duration, why string) {
+func (j *Detector) Ejected(now time.Duration, id wire.ID) (until time.Duration, why string) {
 	if len(j.marks[id]) == 0 {
 		return 0, ""
 	}
@@ -162,14 +164,14 @@
 }
 
 // Adopt takes over a decision of an earlier leader, which has left to run.
-func (j *Judge) Adopt(now time.Duration, id wire.ID, policy string, left time.Duration) {
+func (j *Detector) Adopt(now time.Duration, id wire.ID, policy string, left time.Duration) {
 	if p := j.policies[policy]; p != nil && p.spec.Mode == config.ModeLive && left > 0 {
-		j.mark(id, policy, mark{until: now + min(left, tuning.EjectionMaxTTL), hold: p.spec.Decide == config.DecideHold})
+		j.mark(id, policy, mark{until: now + min(left, tuning.EjectionMaxTTL), hold: p.spec.Decide == config.DecideDrain})
 	}
 }
 
 // mark sets a policy's decision on a target.
-func (j *Judge) mark(id wire.ID, policy string, m mark) {
+func (j *Detector) mark(id wire.ID, policy string, m mark) {
 	if j.marks[id] == nil {
 		j.marks[id] = map[string]mark{}
 	}
@@ -177,7 +179,7 @@
 }
 
 // Tick ends the ejections whose time to live is over, and returns those decisions.
-func (j *Judge) Tick(now time.Duration) []Decision {
+func (j *Detector) Tick(now time.Duration) []Decision {
 	var out []Decision
 	for _, id := range slices.SortedFunc(maps.Keys(j.marks), wire.ID.Compare) {
 		for _, name := range slices.Sorted(maps.Keys(j.marks[id])) {
@@ -194,15 +196,15 @@
 }
 
 func (p *policy) decision(now time.Duration, kind string, id wire.ID, why string) Decision {
-	d := Decision{At: now, Policy: p.name, Kind: kind, Service: id.Service, Name: id.Name, Inc: id.Incarnation, Shadow: p.spec.Mode == config.ModeShadow, Why: why}
-	if kind == config.DecideBar {
+	d := Decision{At: now, Policy: p.name, Kind: kind, Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Shadow: p.spec.Mode == config.ModeShadow, Reason: why}
+	if kind == config.DecideEject {
 		d.TTLMs = int64(p.spec.TTLMs)
 	}
 	return d
 }
 
 // Step takes one event and returns the decisions that it led to.
-func (j *Judge) Step(e Event) []Decision {
+func (j *Detector) Step(e Event) []Decision {
 	id := e.ID()
 	if j.windows[id] == nil {
 		j.windows[id] = map[string]*window{}
@@ -225,7 +227,7 @@
 
 // apply evaluates one policy on a target and changes its mark; it returns the decision, if that is
 // a new one.
-func (j *Judge) apply(p *policy, now time.Duration, id wire.ID, known any) []Decision {
+func (j *Detector) apply(p *policy, now time.Duration, id wire.ID, known any) []Decision {
 	hit, err := p.evaluate(p.when, known)
 	clear := false
 	if err == nil && !hit && p.clear != nil {
@@ -236,15 +238,15 @@
 	}
 	m, marked := j.marks[id][p.name]
 	switch {
-	case hit && p.spec.Decide == config.DecideHold:
+	case hit && p.spec.Decide == config.DecideDrain:
 		j.mark(id, p.name, mark{until: now + tuning.EjectionTTL, hold: true})
 		if !marked {
-			return []Decision{p.decision(now, config.DecideHold, id, p.spec.When)}
+			return []Decision{p.decision(now, config.DecideDrain, id, p.spec.When)}
 		}
 	case hit:
 		j.mark(id, p.name, mark{until: now + time.Duration(p.spec.TTLMs)*time.Millisecond})
 		if !marked || m.until <= now {
-			return []Decision{p.decision(now, config.DecideBar, id, p.spec.When)}
+			return []Decision{p.decision(now, config.DecideEject, id, p.spec.When)}
 		}
 	case marked && (clear || m.hold && p.clear == nil):
 		delete(j.marks[id], p.name)
@@ -271,16 +273,16 @@
 
 // names returns the policies' names in order.
 // names are the policies in force, in order.
-func (j *Judge) names() []string { return j.sorted }
+func (j *Detector) names() []string { return j.sorted }
 
 // Stats returns what there is to say of each policy in force, by name; without its score.
-func (j *Judge) Stats() map[string]Stat {
+func (j *Detector) Stats() map[string]Stat {
 	out := map[string]Stat{}
 	for name, p := range j.policies {
-		s := Stat{Policy: p.spec, Ran: p.evaluated, Failed: p.failed, Error: p.lastError}
+		s := Stat{Policy: p.spec, Evaluated: p.evaluated, Failed: p.failed, Error: p.lastError}
 		for _, ms := range j.marks {
 			if _, ok := ms[name]; ok {
-				s.Marks++
+				s.TargetsOut++
 			}
 		}
 		out[name] = s
--- a/internal/shared/outlier/policy_test.go
+++ b/internal/shared/outlier/policy_test.go
@@ -15,7 +15,7 @@
 )
 
 func probe(at time.Duration, name string, ok bool) Event {
-	return Event{At: at, Slice: "probe", Service: "s", Name: name, Inc: 1, Ok: ok, Ms: 1}
+	return Event{At: at, Slice: "probe", Service: "s", Name: name, Incarnation: 1, Success: ok, Milliseconds: 1}
 }
 
 func kinds(ds []Decision) string {
@@ -26,7 +26,7 @@
 	return strings.Join(l, ",")
 }
 
-func with(ps map[string]config.Policy) *Judge {
+func with(ps map[string]config.Policy) *Detector {
 	j := New()
 	j.Replace(&config.Config{Policies: ps})
 	return j
@@ -49,7 +49,7 @@
 		{8 * s, false, "", false}, {9 * s, false, "default bar", true},
 	} {
 		got := kinds(j.Step(probe(c.at, "a", c.ok)))
-		until, _ := j.Barred(c.at, id)
+		until, _ := j.Ejected(c.at, id)
 		if got != c.want || until > c.at != c.barred {
 			t.Fatalf("step %d: %q, barred until %v", i, got, until)
 		}
@@ -60,7 +60,7 @@
 	if got := kinds(j.Tick(9*s + tuning.EjectionTTL)); got != "default lapse" {
 		t.Fatal(got)
 	}
-	if until, _ := j.Barred(9*s+tuning.EjectionTTL, id); until != 0 {
+	if until, _ := j.Ejected(9*s+tuning.EjectionTTL, id); until != 0 {
 		t.Fatal(until)
 	}
 }
@@ -104,7 +104,7 @@
 // decided lapses.
 func TestFailingPolicy(t *testing.T) {
 	j := with(map[string]config.Policy{"odd": {Slice: "exchange", When: "count % errors == 0", Decide: "bar", TTLMs: 1000, Mode: "live"}})
-	e := Event{At: time.Second, Slice: "exchange", Service: "s", Name: "a", Inc: 1, Count: 4, Errors: 2}
+	e := Event{At: time.Second, Slice: "exchange", Service: "s", Name: "a", Incarnation: 1, Count: 4, Errors: 2}
 	if got := kinds(j.Step(e)); got != "odd bar" {
 		t.Fatal(got)
 	}
@@ -132,21 +132,21 @@
 	if kinds(ds) != "p bar,q bar" || ds[0].Shadow || !ds[1].Shadow {
 		t.Fatal(ds)
 	}
-	if _, why := j.Barred(2, id); why != "p" {
+	if _, why := j.Ejected(2, id); why != "p" {
 		t.Fatal(why)
 	}
 	p.When = "missed >= 5"
 	j.Replace(&config.Config{Policies: map[string]config.Policy{"p": p, "q": shadow}})
-	if _, why := j.Barred(3, id); why != "p" {
+	if _, why := j.Ejected(3, id); why != "p" {
 		t.Fatalf("a changed policy's bar went: %q", why)
 	}
 	j.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
-	if _, why := j.Barred(4, id); why != "" {
+	if _, why := j.Ejected(4, id); why != "" {
 		t.Fatalf("a removed policy's bar stayed: %q", why)
 	}
 	shadow.Mode = "live"
 	j.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
-	if _, why := j.Barred(5, id); why != "" {
+	if _, why := j.Ejected(5, id); why != "" {
 		t.Fatal("what a policy decided as a shadow took effect")
 	}
 }
@@ -158,26 +158,26 @@
 	for at := time.Second; at < 90*time.Second; at += 500 * time.Millisecond {
 		for i, n := range []string{"a", "b", "c", "d"} {
 			sick := i == 0 && at > 30*time.Second && at < 60*time.Second
-			e := Event{At: at, Service: "s", Name: n, Inc: 1}
+			e := Event{At: at, Service: "s", Name: n, Incarnation: 1}
 			pr, ex, be, de := e, e, e, e
-			pr.Slice, pr.Ok, pr.Ms = "probe", true, 2
-			ex.Slice, ex.Count, ex.Ms = "exchange", 10, 200
-			be.Slice, be.Ok, be.State = "beat", true, config.Ready
+			pr.Slice, pr.Success, pr.Milliseconds = "probe", true, 2
+			ex.Slice, ex.Count, ex.Milliseconds = "exchange", 10, 200
+			be.Slice, be.Success, be.State = "beat", true, config.Ready
 			de.Slice, de.Demand = "demand", 0.3
 			beats := true
 			if sick {
 				switch fault {
 				case "crash":
-					pr.Ok, ex.Errors, beats = false, 10, false
+					pr.Success, ex.Errors, beats = false, 10, false
 				case "failing":
 					ex.Errors = 8
 				case "slow":
-					ex.Slow, ex.Ms = 9, 9000
+					ex.Slow, ex.Milliseconds = 9, 9000
 				case "pressed":
-					de.Demand, ex.Slow, ex.Ms = 0.97, 6, 4000
+					de.Demand, ex.Slow, ex.Milliseconds = 0.97, 6, 4000
 				case "flapping":
-					pr.Ok = at/(time.Second)%2 == 0
-					if !pr.Ok {
+					pr.Success = at/(time.Second)%2 == 0
+					if !pr.Success {
 						ex.Errors = 9
 					}
 				case "halting":
@@ -191,7 +191,7 @@
 			if beats {
 				l = append(l, be, de)
 			} else {
-				be.Ok, be.Ms = false, 1600
+				be.Success, be.Milliseconds = false, 1600
 				l = append(l, be)
 			}
 			l = append(l, ex)
@@ -217,7 +217,7 @@
 		}
 		ps := map[string]config.Policy{"default": config.Default(), name: p}
 		for _, s := range Compare(day("none"), ps) {
-			if s.Bars+s.Wrong+s.Moves > 0 {
+			if s.Ejections+s.WrongEjections+s.Moves > 0 {
 				t.Errorf("healthy day: %+v", s)
 			}
 		}
@@ -227,11 +227,11 @@
 			def, own = own, def
 		}
 		t.Logf("%+v\n%+v", def, own)
-		if own.Bars == 0 || own.Wrong > 0 || own.Missed+own.MissedSlow >= (def.Missed+def.MissedSlow)*8/10 {
+		if own.Ejections == 0 || own.WrongEjections > 0 || own.Missed+own.MissedSlow >= (def.Missed+def.MissedSlow)*8/10 {
 			t.Errorf("%s does not beat the default: %+v against %+v", name, own, def)
 		}
 	}
-	if s := Compare(day("crash"), map[string]config.Policy{"default": config.Default()})[0]; s.Bars != 1 || s.ToBarMs != 500 || s.Wrong != 0 {
+	if s := Compare(day("crash"), map[string]config.Policy{"default": config.Default()})[0]; s.Ejections != 1 || s.TimeToEjectMs != 500 || s.WrongEjections != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -266,7 +266,7 @@
 func TestSession(t *testing.T) {
 	d := NewSession(&config.Config{})
 	ev := func(ms int, ok bool) string {
-		b, _ := json.Marshal(Event{At: time.Duration(ms) * time.Millisecond, Slice: "probe", Service: "s", Name: "a", Inc: 1, Ok: ok})
+		b, _ := json.Marshal(Event{At: time.Duration(ms) * time.Millisecond, Slice: "probe", Service: "s", Name: "a", Incarnation: 1, Success: ok})
 		return string(b)
 	}
 	for i, c := range []struct{ in, want string }{
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -50,7 +50,7 @@
 // Session evaluates policies over one stream. It takes no part in what the fleet does.
 type Session struct {
 	Line    uint64 // lines taken so far
-	judge   *Judge
+	judge   *Detector
 	cfg     config.Config
 	last    time.Duration
 	targets map[wire.ID]bool
@@ -83,7 +83,7 @@
 	switch _, known := facts[e.Slice]; {
 	case !known:
 		return no(unknownSlice, e.Slice)
-	case e.Service == "" || e.Name == "" || e.Inc == 0:
+	case e.Service == "" || e.Name == "" || e.Incarnation == 0:
 		return no("an event needs service, name and incarnation")
 	case e.At < s.last:
 		return no("at_ns goes back: %d after %d", e.At, s.last)
--- a/internal/shared/outlier/slice.go
+++ b/internal/shared/outlier/slice.go
@@ -58,10 +58,10 @@
 
 // facts has, for each slice, the type that conditions on it are compiled for.
 var facts = map[string]any{
-	config.SliceProbe:    probeFacts{},
-	config.SliceBeat:     beatFacts{},
-	config.SliceExchange: exchangeFacts{},
-	config.SliceDemand:   demandFacts{},
+	config.SliceProbe:     probeFacts{},
+	config.SliceHeartbeat: beatFacts{},
+	config.SliceRequest:   exchangeFacts{},
+	config.SliceDemand:    demandFacts{},
 }
 
 // unknownSlice is the text of a fault.
@@ -70,7 +70,7 @@
 // exchangeWindow is how far the request and demand slices look back.
 const exchangeWindow = tuning.RetryWindow
 
-// window is the latest events of one slice of one target, limit.Window at most.
+// window is the latest events of one slice of one target, tuning.Window at most.
 type window struct {
 	events []Event
 	run    int // length of the present run of equal outcomes
@@ -79,8 +79,8 @@
 
 // add takes an event in.
 func (w *window) add(e Event) {
-	good := e.Ok
-	if e.Slice == config.SliceExchange {
+	good := e.Success
+	if e.Slice == config.SliceRequest {
 		good = e.Errors == 0
 	}
 	if w.ok != good {
@@ -95,31 +95,31 @@
 }
 
 // facts returns what a condition on the event's slice may name, right after the event.
-func (j *Judge) facts(id wire.ID, e Event, w *window) any {
+func (j *Detector) facts(id wire.ID, e Event, w *window) any {
 	switch e.Slice {
 	case config.SliceProbe:
 		return w.probeFacts(e)
-	case config.SliceBeat:
+	case config.SliceHeartbeat:
 		return w.beatFacts(e)
-	case config.SliceExchange:
+	case config.SliceRequest:
 		return j.exchangeFacts(id, e.At, w)
 	}
 	return j.demandFacts(id, e, w)
 }
 
 func (w *window) probeFacts(e Event) probeFacts {
-	p := probeFacts{Samples: len(w.events), LastMs: e.Ms}
-	if e.Ok {
+	p := probeFacts{Samples: len(w.events), LastMs: e.Milliseconds}
+	if e.Success {
 		p.Oks = w.run
 	} else {
 		p.Misses = w.run
 	}
 	for i, x := range w.events {
-		if !x.Ok {
+		if !x.Success {
 			p.Missed++
 		}
-		p.MeanMs += x.Ms / float64(len(w.events))
-		if i > 0 && w.events[i-1].Ok != x.Ok {
+		p.MeanMs += x.Milliseconds / float64(len(w.events))
+		if i > 0 && w.events[i-1].Success != x.Success {
 			p.Flaps++
 		}
 	}
@@ -128,12 +128,12 @@
 
 func (w *window) beatFacts(e Event) beatFacts {
 	b := beatFacts{State: e.State}
-	if !e.Ok {
-		b.SilentMs = e.Ms
+	if !e.Success {
+		b.SilentMs = e.Milliseconds
 	}
 	var last *Event
 	for i, x := range w.events {
-		if !x.Ok {
+		if !x.Success {
 			continue // silence, not a heartbeat
 		}
 		if last != nil {
@@ -149,7 +149,7 @@
 	return b
 }
 
-func (j *Judge) exchangeFacts(id wire.ID, now time.Duration, w *window) exchangeFacts {
+func (j *Detector) exchangeFacts(id wire.ID, now time.Duration, w *window) exchangeFacts {
 	x := exchangeFacts{}
 	if !w.ok {
 		x.ErrorsInRow = w.run
@@ -157,23 +157,23 @@
 	own := w.total(now)
 	x.Count, x.Errors, x.Slow = own.Count, own.Errors, own.Slow
 	if own.Count > 0 {
-		x.ErrorRatio, x.MeanMs = float64(own.Errors)/float64(own.Count), own.Ms/float64(own.Count)
+		x.ErrorRatio, x.MeanMs = float64(own.Errors)/float64(own.Count), own.Milliseconds/float64(own.Count)
 	}
 	rest := Event{}
-	for _, other := range j.others(id, config.SliceExchange) {
+	for _, other := range j.others(id, config.SliceRequest) {
 		t := other.total(now)
 		rest.Count += t.Count
 		rest.Errors += t.Errors
-		rest.Ms += t.Ms
+		rest.Milliseconds += t.Milliseconds
 	}
 	x.ServiceCount = rest.Count
 	if rest.Count > 0 {
-		x.ServiceRatio, x.ServiceMeanMs = float64(rest.Errors)/float64(rest.Count), rest.Ms/float64(rest.Count)
+		x.ServiceRatio, x.ServiceMeanMs = float64(rest.Errors)/float64(rest.Count), rest.Milliseconds/float64(rest.Count)
 	}
 	return x
 }
 
-func (j *Judge) demandFacts(id wire.ID, e Event, w *window) demandFacts {
+func (j *Detector) demandFacts(id wire.ID, e Event, w *window) demandFacts {
 	d := demandFacts{Demand: e.Demand, Samples: len(w.events)}
 	for _, x := range w.events {
 		d.Mean += x.Demand / float64(len(w.events))
@@ -193,7 +193,7 @@
 
 // others yields the windows that a service's other targets have of a slice, in order so that sums
 // of floats come out the same in every run.
-func (j *Judge) others(id wire.ID, slice string) iter.Seq2[wire.ID, *window] {
+func (j *Detector) others(id wire.ID, slice string) iter.Seq2[wire.ID, *window] {
 	return func(yield func(wire.ID, *window) bool) {
 		for _, o := range slices.SortedFunc(maps.Keys(j.windows), wire.ID.Compare) {
 			if o.Service != id.Service || o == id {
@@ -213,7 +213,7 @@
 			t.Count += x.Count
 			t.Errors += x.Errors
 			t.Slow += x.Slow
-			t.Ms += x.Ms
+			t.Milliseconds += x.Milliseconds
 		}
 	}
 	return t
--- a/internal/shared/reply/reply.go
+++ b/internal/shared/reply/reply.go
@@ -19,8 +19,8 @@
 }
 
 // Problem is a refusal, or an answer that promises nothing; its kind goes by the status.
-func Problem(status int, t config.Trouble) statemachine.Reply {
-	t.Refusal = config.RefusalOf(status)
+func Problem(status int, t config.ErrorBody) statemachine.Reply {
+	t.Rejection = config.RejectionOf(status)
 	r := statemachine.Reply{Status: status, Body: t.JSON()}
 	if status == 503 {
 		r.RetryAfter = tuning.RetryAfterMin
--- a/internal/shared/state/changes.go
+++ b/internal/shared/state/changes.go
@@ -124,13 +124,13 @@
 // addConfiguration remembers an accepted change of the configuration.
 func (m *AcceptedChanges) addConfiguration(d ChangeDigest, revision uint64) {
 	m.Configurations = m.Configurations.with(acceptedChange{d, revision})
-	*m = m.latest(tuning.OrdersRemembered)
+	*m = m.latest(tuning.AcceptedChangesKept)
 }
 
 // addToken remembers any other accepted order.
 func (m *AcceptedChanges) addToken(token string, revision uint64) {
 	m.Tokens = m.Tokens.with(acceptedChange{tokenDigest(token), revision})
-	*m = m.latest(tuning.OrdersRemembered)
+	*m = m.latest(tuning.AcceptedChangesKept)
 }
 
 // latest is the memory cut to its newest orders.
--- a/internal/shared/state/changes_test.go
+++ b/internal/shared/state/changes_test.go
@@ -22,7 +22,7 @@
 // Accepted orders are known far past the records, and of one that was built on a revision
 // before all that is remembered nobody says that it was refused.
 func TestOrderMemory(t *testing.T) {
-	changes := tuning.OrdersRemembered + 100
+	changes := tuning.AcceptedChangesKept + 100
 	s := stateAfter(changes)
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -41,7 +41,7 @@
 		name  string
 		state State
 		kept  int
-	}{{"kept", s, tuning.OrdersRemembered}, {"read again", read, tuning.OrdersRemembered}, {"with proxies", proxies, tuning.OrdersInTables}} {
+	}{{"kept", s, tuning.AcceptedChangesKept}, {"read again", read, tuning.AcceptedChangesKept}, {"with proxies", proxies, tuning.AcceptedChangesInTables}} {
 		for i := range changes {
 			base := uint64(i)
 			v, revision := c.state.JudgeChange(DigestOf(fmt.Append(nil, i)), base)
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	if most := tuning.OrdersRemembered*acceptedChangeBytes*4/3 + 16<<10; len(text) > most {
+	if most := tuning.AcceptedChangesKept*acceptedChangeBytes*4/3 + 16<<10; len(text) > most {
 		t.Errorf("a state of %d bytes", len(text))
 	}
 	if n := len(s.ForProxies(nil)); n > 12<<10 {
@@ -63,8 +63,8 @@
 
 // The log's verdict is the same: taken again, refused for good, or unknown.
 func TestOrdersAgainInTheLog(t *testing.T) {
-	s := stateAfter(tuning.OrdersRemembered + 100)
-	last := DigestOf(fmt.Append(nil, tuning.OrdersRemembered+99))
+	s := stateAfter(tuning.AcceptedChangesKept + 100)
+	last := DigestOf(fmt.Append(nil, tuning.AcceptedChangesKept+99))
 	first, other := DigestOf(fmt.Append(nil, 0)), DigestOf([]byte("other"))
 	for _, c := range []struct {
 		token   string
--- a/internal/shared/state/state.go
+++ b/internal/shared/state/state.go
@@ -97,7 +97,7 @@
 func (s *State) ForProxies(ms []wire.Member) []byte {
 	t := *s
 	t.Document, t.Members, t.Registrations, t.Tombstones = nil, ms, nil, nil
-	t.Changes = s.Changes.latest(tuning.OrdersInTables)
+	t.Changes = s.Changes.latest(tuning.AcceptedChangesInTables)
 	t.Records = slices.Clone(s.Records)
 	for i := range t.Records {
 		t.Records[i].Document = nil
--- a/internal/shared/statemachine/event.go
+++ b/internal/shared/statemachine/event.go
@@ -25,9 +25,9 @@
 	ProbeResult struct {
 		ID           wire.ID
 		SentAt       time.Duration
-		Milliseconds float64       // until the answer
-		Report       *config.Beat  // nil: no sound answer; its state may be "": alive, and nothing said of it
-		WarmupLeft   time.Duration // how much longer it says that it is warming up
+		Milliseconds float64              // until the answer
+		Report       *config.TargetReport // nil: no sound answer; its state may be "": alive, and nothing said of it
+		WarmupLeft   time.Duration        // how much longer it says that it is warming up
 	}
 	// Call is an operator's or a target's call of the HTTP API. Token names a change for good.
 	Call struct {
--- a/internal/shared/targetreport/call.go
+++ b/internal/shared/targetreport/call.go
@@ -26,7 +26,7 @@
 	svc, name, both := strings.Cut(rest, "/")
 	switch {
 	case named && e.Method == "DELETE":
-		b := config.Beat{Service: svc, Name: name, Address: "127.0.0.1:1", State: config.Gone}
+		b := config.TargetReport{Service: svc, Name: name, Address: "127.0.0.1:1", State: config.Gone}
 		if b.Incarnation, _ = strconv.ParseUint(queryValue(e.Query, "incarnation"), 10, 64); !both {
 			b.Service, b.Name, b.Incarnation = "any", rest, 1
 		}
@@ -34,21 +34,21 @@
 			t.Service, t.Incarnation = "", 0
 		}
 	case named && !both && e.Method == "PUT":
-		t, fs = config.ParseNamedBeat(rest, e.Body)
+		t, fs = config.ParseNamedTargetReport(rest, e.Body)
 	case e.Method == "POST" && e.Path == "/v1/targets":
-		t, fs = config.ParseBeat(e.Body)
+		t, fs = config.ParseTargetReport(e.Body)
 	default:
-		return t, reply.Problem(405, config.Trouble{Code: "method", Message: "POST /v1/targets, PUT /v1/targets/{name}, DELETE /v1/targets/{name} or DELETE /v1/targets/{service}/{name}?incarnation=N"})
+		return t, reply.Problem(405, config.ErrorBody{Code: "method", Message: "POST /v1/targets, PUT /v1/targets/{name}, DELETE /v1/targets/{name} or DELETE /v1/targets/{service}/{name}?incarnation=N"})
 	}
 	if len(fs) > 0 {
-		return t, reply.Problem(422, config.Trouble{Code: "invalid", Message: "not a target's word", Faults: fs})
+		return t, reply.Problem(422, config.ErrorBody{Code: "invalid", Message: "not a target's word", Faults: fs})
 	}
 	return t, statemachine.Reply{}
 }
 
 // heard acknowledges a word: 200 if it is safe that it says leaving or gone, else 202.
 func Accepted(w wire.Target) statemachine.Reply {
-	r := statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"beat_ms": tuning.BeatEvery.Milliseconds()})}
+	r := statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"beat_ms": tuning.TargetHeartbeatEvery.Milliseconds()})}
 	if IsLeaving(w) {
 		r.Status = 200
 	}
@@ -63,7 +63,7 @@
 		return r
 	}
 	if t.Service == "" {
-		return reply.Problem(405, config.Trouble{Code: "method", Message: "a sign-off by name alone is for a core member"})
+		return reply.Problem(405, config.ErrorBody{Code: "method", Message: "a sign-off by name alone is for a core member"})
 	}
 	beat(t)
 	return statemachine.Reply{Status: 202, Body: Accepted(t).Body}
--- a/internal/shared/targetreport/streak.go
+++ b/internal/shared/targetreport/streak.go
@@ -14,7 +14,7 @@
 
 // Add counts a heartbeat; one that comes after a gap begins a new streak.
 func (v *Streak) Add(now time.Duration) {
-	if v.beats == 0 || now-v.last > tuning.BeatLapse {
+	if v.beats == 0 || now-v.last > tuning.TargetHeartbeatTimeout {
 		v.beats, v.first = 0, now
 	}
 	v.beats++
@@ -23,7 +23,7 @@
 
 // Speaks says that they come as a living one's do, not as one late word.
 func (v *Streak) Steady(now time.Duration) bool {
-	return v.beats >= tuning.ProofWords && v.last-v.first >= tuning.ProofSpan && now-v.last < tuning.BeatLapse
+	return v.beats >= tuning.ProofHeartbeats && v.last-v.first >= tuning.ProofSpan && now-v.last < tuning.TargetHeartbeatTimeout
 }
 
 // Count is how many heartbeats the streak has.
--- a/internal/shared/tuning/agreement.go
+++ b/internal/shared/tuning/agreement.go
@@ -8,16 +8,16 @@
 	HeartbeatEvery = 100 * time.Millisecond
 	// LeaderLease is how long after a majority's last acknowledgement a leader may decide.
 	LeaderLease = 500 * time.Millisecond
-	// ElectMin is how long a member that heard a leader refuses others: over LeaderLease plus a
+	// ElectionTimeoutMin is how long a member that heard a leader refuses others: over LeaderLease plus a
 	// twentieth for clocks that run at unlike speed, so the old leader stops before a new one starts.
-	ElectMin = 700 * time.Millisecond
-	// ElectSpread is added by name and term so that members seldom stand at once.
-	ElectSpread = 400 * time.Millisecond
+	ElectionTimeoutMin = 700 * time.Millisecond
+	// ElectionTimeoutSpread is added by name and term so that members seldom stand at once.
+	ElectionTimeoutSpread = 400 * time.Millisecond
 	// LeaderQuiet is how long no leader has spoken to a member that says that it hears none: three of
 	// its heartbeats. A living leader that is late says itself that it leads.
 	LeaderQuiet = 3 * HeartbeatEvery
-	// ElectAsk is how often a member that hears no leader asks whether all the others hear none either.
-	ElectAsk = 60 * time.Millisecond
+	// PreVoteInterval is how often a member that hears no leader asks whether all the others hear none either.
+	PreVoteInterval = 60 * time.Millisecond
 	// SyncStall is how long a sync may hang before a leader stops deciding: under ElectMin.
 	SyncStall = 400 * time.Millisecond
 	// LogMax is how many entries are held before a snapshot is taken.
@@ -54,8 +54,8 @@
 	ReplaceParts = 2
 	// ReplaceAfterMin is the least such silence: five hellos, so that one that is late is not replaced.
 	ReplaceAfterMin = 5 * HelloEvery
-	// LeadGrace is how long a new leader listens before it calls a member silent: four hellos.
-	LeadGrace = 4 * HelloEvery
+	// NewLeaderGrace is how long a new leader listens before it calls a member silent: four hellos.
+	NewLeaderGrace = 4 * HelloEvery
 	// MembersEvery is how often a leader looks after the members while none is changing.
 	MembersEvery = HeartbeatEvery
 	// GrowAfter is how long a standby is there before a core that bears enough losses takes it in beside
@@ -72,8 +72,8 @@
 	// LearnerLag is how many agreed entries a learner may lack when it becomes a member: what a
 	// tenth of a second of changes at full rate has on its way. They come before its first vote counts.
 	LearnerLag = 16
-	// ConsentLife is how long an operator's consent to a disaster recovery holds.
-	ConsentLife = time.Minute
+	// ConsentTTL is how long an operator's consent to a disaster recovery holds.
+	ConsentTTL = time.Minute
 	// HelloEvery is how often daemons tell each other who is there.
 	HelloEvery = 300 * time.Millisecond
 	// HelloCalm is the same for a proxy while the leader leases it, which makes its pulls tell who is there.
--- a/internal/shared/tuning/config.go
+++ b/internal/shared/tuning/config.go
@@ -23,8 +23,8 @@
 	PriorityMax = 1000
 	// ConnCapMax bounds the connections that a target takes.
 	ConnCapMax = 1000000
-	// ColdRateMax bounds a cold target's rate, in requests a second.
-	ColdRateMax = 1e6
+	// WarmupRateMax bounds a cold target's rate, in requests a second.
+	WarmupRateMax = 1e6
 	// ItemNameMax bounds the name of a service, policy, aim or route, in bytes.
 	ItemNameMax = 64
 	// ExactMax is up to where JSON numbers are whole numbers without loss.
--- a/internal/shared/tuning/forward.go
+++ b/internal/shared/tuning/forward.go
@@ -13,26 +13,26 @@
 	RetryBurst = 60
 	// RetryFree is the small allowance of retries per service, split over the proxies, at least one each.
 	RetryFree = 10
-	// TriesMax is how often one request may be sent in all.
-	TriesMax = 3
-	// ChoiceLife is how long after a target was chosen a request may begin to be written to it: a
+	// AttemptsDefaultMax is how often one request may be sent in all.
+	AttemptsDefaultMax = 3
+	// ChoiceTTL is how long after a target was chosen a request may begin to be written to it: a
 	// new connection's time and a little. A process that freezes in between sends nothing on an old choice.
-	ChoiceLife = DialCap + 100*time.Millisecond
-	// DialCap is how long opening a connection and checking its identity may take.
-	DialCap = 500 * time.Millisecond
-	// ConnectCap is how long a connection to a target may take to open: over any round trip between
+	ChoiceTTL = DialTimeout + 100*time.Millisecond
+	// DialTimeout is how long opening a connection and checking its identity may take.
+	DialTimeout = 500 * time.Millisecond
+	// ConnectTimeoutMin is how long a connection to a target may take to open: over any round trip between
 	// domains, under what a lost first packet costs anyway. Nothing was sent, so another is chosen.
-	ConnectCap = 100 * time.Millisecond
+	ConnectTimeoutMin = 100 * time.Millisecond
 	// ConnectParts: where a route's aim is long, a connection may take this part of it instead, up to DialCap. A target whose
 	// slots are all taken lets a new one wait for the end of a request, and requests last longer where aims are.
 	ConnectParts = 4
-	// DarkAfter is after what time without an answer it is looked, each DarkEvery, whether the target
+	// UnreachableCheckAfter is after what time without an answer it is looked, each DarkEvery, whether the target
 	// is known to be out of reach: two missed probes take longer.
-	DarkAfter = 300 * time.Millisecond
-	DarkEvery = 60 * time.Millisecond
-	// OpensMax is how many choices of one request may end before anything is sent. They do not count
+	UnreachableCheckAfter = 300 * time.Millisecond
+	UnreachableCheckEvery = 60 * time.Millisecond
+	// ConnectAttemptsMax is how many choices of one request may end before anything is sent. They do not count
 	// as its attempts, which are targets that it was sent to.
-	OpensMax = 4
+	ConnectAttemptsMax = 4
 	// AvoidFor is how long a target that refused a connection is used last by that proxy.
 	AvoidFor = time.Second
 	// ClosedEjection is how long a proxy leaves a target out after two connections in a row could not be
@@ -50,22 +50,22 @@
 	CapDefault = 64
 	// WarmDefault is the same for a warming target.
 	WarmDefault = 4
-	// RampUp is over what time a target's cap grows from its warming one to the full one.
-	RampUp = 3 * time.Second
+	// SlowStart is over what time a target's cap grows from its warming one to the full one.
+	SlowStart = 3 * time.Second
 	// RetryAfterMin and RetryAfterSpan make the Retry-After of a refusal, spread by request.
 	RetryAfterMin  = time.Second
 	RetryAfterSpan = 3 * time.Second
 	// ConnIdle is how long an unused connection to a back end is kept: under the 5 s after which common
 	// servers close theirs, so that a request seldom meets the close under way.
 	ConnIdle = 4 * time.Second
-	// AheadMax is how many requests of one caller's connection are begun before those ahead of them
+	// PipelineMax is how many requests of one caller's connection are begun before those ahead of them
 	// are answered; AheadRead is how much of it is looked at, in bytes: some usual headers.
-	AheadMax  = 8
-	AheadRead = 2 << 10
+	PipelineMax       = 8
+	PipelineReadAhead = 2 << 10
 	// CallerIdle is how long a caller's unused connection is kept.
 	CallerIdle = 60 * time.Second
 	// CallerHeader is how long a caller's header may take to come: three lost words' time.
-	CallerHeader = 3 * BeatLapse
+	CallerHeader = 3 * TargetHeartbeatTimeout
 	// IdleSlack is how much longer than it is told an unused connection of a caller's is kept: who
 	// believes in the bound never writes on one that is being closed.
 	IdleSlack = time.Second
@@ -75,8 +75,8 @@
 	// IdleConnParts: all proxies together keep at most one in so many of the connections that a target takes, so that
 	// unused ones leave room for those in use and for probes.
 	IdleConnParts = 2
-	// TryLeast is the time that another try after a target's own failure needs: a few hops and a short answer.
-	TryLeast = 25 * time.Millisecond
+	// RetryTimeMin is the time that another try after a target's own failure needs: a few hops and a short answer.
+	RetryTimeMin = 25 * time.Millisecond
 	// OnceIdle is how long a connection may have been unused for a request that must not run twice: a
 	// target that closes it meanwhile, or has gone dark, leaves the request unknown; a new connection finds
 	// that out before anything is sent.
@@ -96,9 +96,9 @@
 	AliveCount = 3
 	// InterimMax is how many interim answers may come before the answer.
 	InterimMax = 5
-	// AnswerHeld is the largest answer in bytes that is read whole before its caller gets any of
+	// ResponseBufferMax is the largest answer in bytes that is read whole before its caller gets any of
 	// it, so that one that is cut can be made up for: what most interfaces answer with.
-	AnswerHeld = 64 << 10
+	ResponseBufferMax = 64 << 10
 	// NetHop is kept back from the time that is passed on: a target's last answer has to travel.
 	NetHop = 5 * time.Millisecond
 	// CallerBody is what a caller may send, in bytes, to services whose targets are asked for their health.
@@ -107,8 +107,8 @@
 	ProbeBody = 4 << 10
 	// ProbeConnIdle is how long a connection for probes is kept without one: a target that is gone leaves none.
 	ProbeConnIdle = 10 * time.Second
-	// AimMinutes is the longest window of a service-level aim, in minutes: proxies keep it in memory.
-	AimMinutes = 60
+	// ObjectiveMinutes is the longest window of a service-level aim, in minutes: proxies keep it in memory.
+	ObjectiveMinutes = 60
 	// HeaderMax bounds a caller's header in bytes.
 	HeaderMax = 32 << 10
 	// ServerHeaderMax is where reading a header ends, in bytes: over HeaderMax, so that a header that is
@@ -123,11 +123,11 @@
 	// FullPause is how long a target that said it is full is left out: less than a usual request,
 	// one of which ends meanwhile.
 	FullPause = 70 * time.Millisecond
-	// LoadLife is how long what a target told of its load counts, less and less.
-	LoadLife = time.Second
-	// PaceLife is how long a target's past speed counts, less and less, so that a slow one is tried
+	// LoadTTL is how long what a target told of its load counts, less and less.
+	LoadTTL = time.Second
+	// PaceTTL is how long a target's past speed counts, less and less, so that a slow one is tried
 	// again; PaceWeight is a request's part in it, the first ones' more: times vary as much as speeds.
-	PaceLife   = 20 * time.Second
+	PaceTTL    = 20 * time.Second
 	PaceWeight = 0.1
 	// PaceUrge is how much of a target's slowness counts beside its load, PaceMost the most that does:
 	// as long as a slot is free, a full target is no slower than an empty one.
@@ -145,28 +145,28 @@
 	BorrowMost  = 3
 	// WindowCut is what is left of that window when a target says that it is full.
 	WindowCut = 0.8
-	// PressLife is how long after a sign of it a service counts as under pressure.
-	PressLife = time.Second
+	// PressureTTL is how long after a sign of it a service counts as under pressure.
+	PressureTTL = time.Second
 	// Ranks is how many priorities are told apart; RankRoom the part of the window that each leaves
 	// to those before it while there is pressure.
-	Ranks    = 4
-	RankRoom = 0.1
+	PriorityLevels  = 4
+	PriorityReserve = 0.1
 	// FairSpan is the span over which a service's requests are counted by priority, long beside a
 	// burst; FairPart the part of the average that each priority is kept at: over a quarter, under
 	// which it would count as starved; FairLeast how many must have come for it to count.
 	FairSpan  = 5 * time.Second
 	FairPart  = 0.4
 	FairLeast = 4
-	// WaitPart of a route's aim is how long a request may wait for a target: a refusal after that
+	// WaitTargetParts of a route's aim is how long a request may wait for a target: a refusal after that
 	// is a late one. A route without an aim has WaitAim of its timeout in its place.
-	WaitPart = 4
-	WaitAim  = 4
+	WaitTargetParts  = 4
+	WaitTimeoutParts = 4
 	// QueueMin is how many may wait for a service's targets in any case.
 	QueueMin = 2
-	// RefuseMin is the least that a refusal asks a caller to stay away; RefuseLeft the part of what the
+	// RetryAfterLeast is the least that a refusal asks a caller to stay away; RefuseLeft the part of what the
 	// caller has left that it may ask at most.
-	RefuseMin  = 20 * time.Millisecond
-	RefuseLeft = 3
+	RetryAfterLeast     = 20 * time.Millisecond
+	RetryAfterTimeParts = 3
 	// StopLingerMost is how long a stopping proxy takes all requests where the time until it is ended by force is
 	// known and long enough: two misses of a look each second, and a little. StopMargin is what it leaves of that time.
 	StopLingerMost = 2500 * time.Millisecond
@@ -179,8 +179,8 @@
 	StopTailParts = 8
 	// StopLast is how much longer than its requests a stopping proxy waits for answers to be written: within
 	// what the owner leaves of the grace. StopLook is how often it looks.
-	StopLast = 200 * time.Millisecond
-	StopLook = 5 * time.Millisecond
+	StopLast     = 200 * time.Millisecond
+	ShutdownPoll = 5 * time.Millisecond
 	// StopWait is how long a stopping proxy finishes its requests, and StopLinger how long it
 	// serves on after going unready so that callers can move away.
 	StopWait   = 20 * time.Second
--- a/internal/shared/tuning/lease.go
+++ b/internal/shared/tuning/lease.go
@@ -27,8 +27,8 @@
 	ProxyForget = 60 * time.Second
 	// ProxyLive is how long after its last pull a proxy counts when shares are split.
 	ProxyLive = 2 * time.Second
-	// FirstRoster is how long a leader with an empty roster gathers proxies before it admits them as one.
-	FirstRoster = 500 * time.Millisecond
+	// FirstProxiesWait is how long a leader with an empty roster gathers proxies before it admits them as one.
+	FirstProxiesWait = 500 * time.Millisecond
 	// TableEvery is how often tables are made of news that may wait: many targets that come or turn
 	// ready at once make one table.
 	TableEvery = 80 * time.Millisecond
@@ -59,25 +59,25 @@
 	DemandEvery = time.Second
 	// DemandStep is how far a target's demand must move for that.
 	DemandStep = 0.125
-	// LeadKept is how long after it lost its lease a leader goes on with what it knew, if nobody else
+	// LeadershipResumeWindow is how long after it lost its lease a leader goes on with what it knew, if nobody else
 	// led meanwhile: an election with a lost vote message. With two missed probes after it a target that died meanwhile
 	// is still ejected within 2.5 s; past it what was known of targets is hearsay until they answer.
-	LeadKept = 1500 * time.Millisecond
+	LeadershipResumeWindow = 1500 * time.Millisecond
 	// ResumeAtOnce is for how long a lead may have been lost so that its leader, elected again with nobody in
 	// between, goes on at once: shorter than the lease that a proxy got with its last pull, so that none has
 	// decided anything by itself meanwhile.
 	ResumeAtOnce = ProxyLease - 2*PullEvery
-	// LateLeads is how many times within LateLeadSpan a leader loses its lease before it hands leadership to
+	// LeaseLossesMax is how many times within LateLeadSpan a leader loses its lease before it hands leadership to
 	// another member, and HandOverEvery how often at the most it does: longer than a new leader takes to gather tables and to
 	// show whether it keeps up.
-	LateLeads     = 3
-	LateLeadSpan  = 2 * time.Second
-	HandOverEvery = 10 * time.Second
+	LeaseLossesMax  = 3
+	LeaseLossWindow = 2 * time.Second
+	HandOverEvery   = 10 * time.Second
 	// WaitersKept is for how long after a lead was lost those who wait for a change go on waiting for its
 	// leader: an election with a lost vote message. Past it they are told that it can't be told.
-	WaitersKept = ElectMin + ElectSpread + 2*HeartbeatEvery
-	// WarmLeader is how long a new leader waits for tables from a majority of proxies.
-	WarmLeader = 1500 * time.Millisecond
+	WaitersKept = ElectionTimeoutMin + ElectionTimeoutSpread + 2*HeartbeatEvery
+	// GatherTablesWait is how long a new leader waits for tables from a majority of proxies.
+	GatherTablesWait = 1500 * time.Millisecond
 	// InForceUsual is within what time a change is in force, also with a proxy that asks and hears nothing: past it
 	// what it waits for is logged.
 	InForceUsual = 1600 * time.Millisecond
@@ -86,12 +86,12 @@
 	// ChangesKept is how many past changes can be asked about, and rolled back to while their
 	// texts fit HistoryBytes.
 	ChangesKept = 16
-	// OrdersRemembered is how many accepted orders are remembered by their digests, so that one that is sent
+	// AcceptedChangesKept is how many accepted orders are remembered by their digests, so that one that is sent
 	// again is known: several days of hundreds of changes. At 32 bytes each in a snapshot that is 128 KiB.
-	OrdersRemembered = 4096
-	// OrdersInTables is the same in the state that travels to proxies with tables, which a total loss is recovered
+	AcceptedChangesKept = 4096
+	// AcceptedChangesInTables is the same in the state that travels to proxies with tables, which a total loss is recovered
 	// from: 2 KiB beside a FlightBytes of 12 KiB. More than were under way at any loss are among them.
-	OrdersInTables = 64
+	AcceptedChangesInTables = 64
 	// DocMax bounds a configuration in bytes.
 	DocMax = 512 << 10
 	// CompressFrom is from how many bytes on a document or memory is compressed for its way: below, it fits a few packets.
--- a/internal/shared/tuning/limit_test.go
+++ b/internal/shared/tuning/limit_test.go
@@ -14,30 +14,30 @@
 		sum  time.Duration
 		max  time.Duration
 	}{
-		{"a target's death to its bar everywhere", 2*ProbeEvery + ProbeCap + UrgentTableMost + push, 2 * time.Second},
-		{"a proxy's doubt to its own bar, as an orphan", ProxyLease/2 + 2*ProbeEvery + ProbeCap + push, 2 * time.Second},
-		{"silence until a target no longer counts as beating", BeatLapse + push, 2 * time.Second},
+		{"a target's death to its bar everywhere", 2*ProbeEvery + ProbeTimeout + UrgentTableMost + push, 2 * time.Second},
+		{"a proxy's doubt to its own bar, as an orphan", ProxyLease/2 + 2*ProbeEvery + ProbeTimeout + push, 2 * time.Second},
+		{"silence until a target no longer counts as beating", TargetHeartbeatTimeout + push, 2 * time.Second},
 		{"a change agreed to in force, with a proxy cut off", drift(ProxyLease) + LeaseMargin + push, 2 * time.Second},
 		{"the same with a proxy that asks and hears nothing", ProxyDeaf + drift(ProxyLease) + LeaseMargin + push, 2 * time.Second},
 		{"a touch's end, seen from the majority's stand", drift(PeerLease) + TickEvery, PeerLease + LeaseMargin},
 		{"a grant's end, seen from the pull", drift(ProxyLease) + TickEvery, ProxyLease + LeaseMargin},
-		{"the old leader's end, seen by members", drift(LeaderLease) + TickEvery, ElectMin},
-		{"a stalled disk's leader's end", SyncStall + TickEvery, ElectMin},
-		{"a death to its bar, the service named meanwhile", NamedSilent + NamedSpread + ProbeEvery + ProbeCap + push, 2 * time.Second},
-		{"an indirect probe's answer, before the leader's own is a miss", IndirectAfter + 2*TickEvery + push, ProbeCap},
-		{"three beats lost at most", 3*BeatEvery + TickEvery, BeatLapse},
+		{"the old leader's end, seen by members", drift(LeaderLease) + TickEvery, ElectionTimeoutMin},
+		{"a stalled disk's leader's end", SyncStall + TickEvery, ElectionTimeoutMin},
+		{"a death to its bar, the service named meanwhile", NewServiceSilence + NewServiceProbeSpread + ProbeEvery + ProbeTimeout + push, 2 * time.Second},
+		{"an indirect probe's answer, before the leader's own is a miss", IndirectAfter + 2*TickEvery + push, ProbeTimeout},
+		{"three beats lost at most", 3*TargetHeartbeatEvery + TickEvery, TargetHeartbeatTimeout},
 		{"partners touched before a grant lapses", PullEvery*2 + TickEvery, ProxyLease / 2},
-		{"from nothing to deciding, a machine gone", 4*HelloEvery + BootstrapWait + 3*HelloEvery + ElectMin + ElectSpread + RecoveryWait + WarmLeader + FirstRoster, 15 * time.Second},
-		{"a look back over the retry window in events", RetryWindow / (Window / 2), SeenEvery * 2},
+		{"from nothing to deciding, a machine gone", 4*HelloEvery + BootstrapWait + 3*HelloEvery + ElectionTimeoutMin + ElectionTimeoutSpread + RecoveryWait + GatherTablesWait + FirstProxiesWait, 15 * time.Second},
+		{"a look back over the retry window in events", RetryWindow / (Window / 2), StatsEvery * 2},
 	} {
 		if c.sum > c.max {
 			t.Errorf("%s: %v is over %v", c.what, c.sum, c.max)
 		}
 	}
-	if RetryWindow > Window*SeenEvery {
+	if RetryWindow > Window*StatsEvery {
 		t.Error("events do not reach back over the window")
 	}
-	if n := HistoryBytes + 2*DocMax + LogBytes + DocMax + OpenBytes + DocMax; n > RingFileSize/2 {
+	if n := HistoryBytes + 2*DocMax + LogBytes + DocMax + OpenBytes + DocMax; n > WALFileSize/2 {
 		t.Errorf("a whole state may take %d bytes", n)
 	}
 }
@@ -57,11 +57,11 @@
 		max  time.Duration
 	}{
 		{"a follower lost", shortest/ReplaceParts + MembersEvery + changes, shortest},
-		{"the leader lost, the vote split", 2*(ElectMin+ElectSpread) + LeadGrace + changes, shortest},
-		{"everybody heard before anybody is silent for a new leader", 3*HelloEvery + TickEvery, LeadGrace},
+		{"the leader lost, the vote split", 2*(ElectionTimeoutMin+ElectionTimeoutSpread) + NewLeaderGrace + changes, shortest},
+		{"everybody heard before anybody is silent for a new leader", 3*HelloEvery + TickEvery, NewLeaderGrace},
 		{"three hellos lost and one late", 4*HelloEvery + TickEvery, ReplaceAfterMin},
 		{"the shortest silence, under what the shortest bound gives", ReplaceAfterMin, shortest / ReplaceParts},
-		{"a leader that stops: election, learning and both changes", ElectMin + ElectSpread + 10*HeartbeatEvery + changes, HandoverWait},
+		{"a leader that stops: election, learning and both changes", ElectionTimeoutMin + ElectionTimeoutSpread + 10*HeartbeatEvery + changes, HandoverWait},
 		{"both machines of a planned replacement", HandoverWait + time.Second, GrowAfter},
 	} {
 		if c.sum > c.max {
--- a/internal/shared/tuning/probe.go
+++ b/internal/shared/tuning/probe.go
@@ -7,13 +7,13 @@
 const (
 	// ProbeEvery is the watchdog's interval (the source's is 1 s; the 2 s rule wants less).
 	ProbeEvery = 450 * time.Millisecond
-	// ProbeCap is how long one probe may take (the source's 700 ms, cut for the same sum).
-	ProbeCap = 400 * time.Millisecond
-	// NamedSilent is how long a target of a service that no configuration names, and that is not probed,
+	// ProbeTimeout is how long one probe may take (the source's 700 ms, cut for the same sum).
+	ProbeTimeout = 400 * time.Millisecond
+	// NewServiceSilence is how long a target of a service that no configuration names, and that is not probed,
 	// may be silent, if its heartbeats were steady before, until it has to prove itself anew: one interval and a little. NamedSpread is over what time
 	// the first probes go out once the service is named: with both, one that just died is ejected in time.
-	NamedSilent = BeatEvery + 100*time.Millisecond
-	NamedSpread = ProbeEvery / 2
+	NewServiceSilence     = TargetHeartbeatEvery + 100*time.Millisecond
+	NewServiceProbeSpread = ProbeEvery / 2
 	// IndirectAfter is how long the probe after a missed one may be unanswered before the leader has
 	// IndirectProbes proxies probe in its place. What they report counts once it comes a PullEvery after
 	// the leader's probe went out, and has ProbeCap - IndirectAfter = 0.25 s to come: two hops, a
@@ -59,21 +59,21 @@
 	EjectionMaxTTL = 10 * time.Minute
 	// ReconcileEvery is the source's 10 s full rewrite.
 	ReconcileEvery = 10 * time.Second
-	// BeatEvery is the interval of heartbeats that back ends are to keep.
-	BeatEvery = 500 * time.Millisecond
-	// BeatLapse is how long a target may be silent before it no longer counts as alive by its heartbeats:
+	// TargetHeartbeatEvery is the interval of heartbeats that back ends are to keep.
+	TargetHeartbeatEvery = 500 * time.Millisecond
+	// TargetHeartbeatTimeout is how long a target may be silent before it no longer counts as alive by its heartbeats:
 	// three intervals and a little, and with one push still under the 2 s rule, since a service
 	// whose targets are all ejected is served by those that send heartbeats.
-	BeatLapse = 1600 * time.Millisecond
-	// SeenEvery is how often what proxies saw of a target becomes one event for the policies:
+	TargetHeartbeatTimeout = 1600 * time.Millisecond
+	// StatsEvery is how often what proxies saw of a target becomes one event for the policies:
 	// Window of them reach back over RetryWindow.
-	SeenEvery = 500 * time.Millisecond
+	StatsEvery = 500 * time.Millisecond
 	// TargetGone is how long silence and missed probes together last before the entry goes.
 	TargetGone = 20 * time.Second
-	// ProofWords heartbeats over ProofSpan prove that a target is there when no probe reaches it: a
+	// ProofHeartbeats heartbeats over ProofSpan prove that a target is there when no probe reaches it: a
 	// late heartbeat comes once, a repeated one with its first; a live target sends one every BeatEvery.
-	ProofWords = 3
-	ProofSpan  = 900 * time.Millisecond
+	ProofHeartbeats = 3
+	ProofSpan       = 900 * time.Millisecond
 	// TargetReportWait is how long a target's report of leaving or gone may wait until a majority of the proxies
 	// has confirmed it: a target without an answer goes to the next daemon after 1 s.
 	TargetReportWait = 850 * time.Millisecond
@@ -82,8 +82,8 @@
 	// NameMax bounds a domain's name in bytes.
 	NameMax = 128
 	// SlotsMax and ColdMax bound what a target may say of itself: far over any real one.
-	SlotsMax = 1000000
-	ColdMax  = time.Hour
+	SlotsMax  = 1000000
+	WarmupMax = time.Hour
 	// NamesKept is how many names of targets that are gone a leader remembers the places of.
 	NamesKept = 4096
 	// TombstoneKeep is how long after its last heartbeat a signed-off or superseded incarnation is refused.
--- a/internal/shared/tuning/process.go
+++ b/internal/shared/tuning/process.go
@@ -8,8 +8,8 @@
 	TickEvery = 20 * time.Millisecond
 	// SendQueue is how many messages may wait for one connection, and SendLate how long: a lease that
 	// comes later is of no use, and old messages would keep new ones waiting.
-	SendQueue = 64
-	SendLate  = 500 * time.Millisecond
+	SendQueue    = 64
+	SendQueueTTL = 500 * time.Millisecond
 	// PackedTables is how many of the tables last sent are kept in the form in which they are sent: the
 	// whole one, the one without document, and changes to the latest few.
 	PackedTables = 8
@@ -20,14 +20,14 @@
 	EventQueue = 4096
 	// SyncBatches is how many batches of a member's disk are synced as one at the most.
 	SyncBatches = 64
-	// RingFiles and RingFileSize bound a member's disk: 3 files of 8 MiB.
-	RingFiles    = 3
-	RingFileSize = 8 << 20
+	// WALFiles and RingFileSize bound a member's disk: 3 files of 8 MiB.
+	WALFiles    = 3
+	WALFileSize = 8 << 20
 	// DiskRetry is how long after a write was refused, or a disk could not be opened, it is tried again:
 	// seldom enough to cost nothing, and a disk that is back is in use within a leader's lease.
 	DiskRetry = 250 * time.Millisecond
-	// RingPiece is how much of a file, in bytes, is in memory while it is looked through at a start.
-	RingPiece = 256 << 10
+	// WALReadBuffer is how much of a file, in bytes, is in memory while it is looked through at a start.
+	WALReadBuffer = 256 << 10
 	// Redial is how long after a connection to a daemon could not be opened the next is tried: daemons that
 	// start together find each other within it, and there is no more to send than what is said again.
 	Redial = 20 * time.Millisecond
@@ -39,14 +39,14 @@
 	GcPercent   = 60
 	// StreamBuffer is how many decisions wait for a slow reader before it is told what it missed.
 	StreamBuffer = 512
-	// LineMax bounds a line of a policy session in bytes, SessionTargets the targets of one session,
+	// SessionLineMax bounds a line of a policy session in bytes, SessionTargets the targets of one session,
 	// Sessions those at once on one daemon, and SessionKept is how long one that broke off can be resumed.
-	LineMax        = 256 << 10
+	SessionLineMax = 256 << 10
 	SessionTargets = 4096
 	Sessions       = 16
 	SessionKept    = 2 * time.Minute
 	// CtlCall is how long the operators' command waits for one answer: over CallWait, so that a change
-	DamageKept = 8
+	DamageReportsKept = 8
 	// ends with the member's own word. CtlRetry is when it asks the next member where none leads.
 	CtlCall  = 10 * time.Second
 	CtlRetry = 200 * time.Millisecond
--- a/internal/shared/wire/compress.go
+++ b/internal/shared/wire/compress.go
@@ -20,7 +20,7 @@
 const compressedMark = 0
 
 // Compress returns a form of text that Decompress reads: text itself, if it is shorter than
-// limit.CompressFrom or would not become shorter. The same text always gives the same bytes.
+// tuning.CompressFrom or would not become shorter. The same text always gives the same bytes.
 func Compress(text []byte) []byte {
 	if len(text) < tuning.CompressFrom {
 		return text
@@ -43,7 +43,7 @@
 }
 
 // Decompress returns the text that Compress made b of. A text that is cut short or becomes longer
-// than limit.WireMax is an error.
+// than tuning.WireMax is an error.
 func Decompress(b []byte) ([]byte, error) {
 	if len(b) == 0 || b[0] != compressedMark {
 		return b, nil
--- a/internal/shared/wire/frame.go
+++ b/internal/shared/wire/frame.go
@@ -87,7 +87,7 @@
 }
 
 // Next returns the next message's bytes for Decode; they are valid until the next call. A message
-// over limit.WireMax is an error, whatever lengths it claims, and ends the connection's use.
+// over tuning.WireMax is an error, whatever lengths it claims, and ends the connection's use.
 func (r *Reader) Next() ([]byte, error) {
 	words, err := binary.ReadUvarint(r.r)
 	if err != nil {
--- a/internal/shared/wire/wire.go
+++ b/internal/shared/wire/wire.go
@@ -104,7 +104,7 @@
 type Entry struct {
 	Index uint64
 	Term  uint64
-	Kind  uint16 // what Data is, by package quorum
+	Kind  uint16 // what Data is, by package consensus
 	Data  []byte
 }
 
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -1,4 +1,4 @@
-// Package compat holds the forms that others read, as recorded from the code that first wrote
+// Package compatibility holds the forms that others read, as recorded from the code that first wrote
 // them: messages between daemons, JSON that operators, targets and callers get, settings files.
 // The code of today must read each recorded form and write it again byte for byte. Stored data
 // has its tests beside its writers, in packages ring and sim.
@@ -153,7 +153,7 @@
 	jsonForm[wire.Daemon](t, "daemon", writtenOnly)
 	// What operators and targets send.
 	jsonForm[config.Config](t, "config", readBack)
-	jsonForm[config.Beat](t, "target-report", readBack)
+	jsonForm[config.TargetReport](t, "target-report", readBack)
 	jsonForm[daemon.Settings](t, "settings", readBack)
 }
 
@@ -254,11 +254,11 @@
 		name   string
 		status int
 		retry  time.Duration
-		body   config.Trouble
+		body   config.ErrorBody
 	}{
-		{"refusal-busy", 503, 250 * time.Millisecond, config.Trouble{Code: "busy", Message: "no target has room"}},
-		{"refusal-unclear", 502, 0, config.Trouble{Code: "unclear", Message: "the answer was lost", Ran: "unknown"}},
-		{"refusal-stale", 412, 3 * time.Second, config.Trouble{Code: "stale", Refusal: config.RefusalOf(412), Message: "another revision is in force", Revision: 7, Id: "a",
+		{"refusal-busy", 503, 250 * time.Millisecond, config.ErrorBody{Code: "busy", Message: "no target has room"}},
+		{"refusal-unclear", 502, 0, config.ErrorBody{Code: "unclear", Message: "the answer was lost", Ran: "unknown"}},
+		{"refusal-stale", 412, 3 * time.Second, config.ErrorBody{Code: "stale", Rejection: config.RejectionOf(412), Message: "another revision is in force", Revision: 7, ID: "a",
 			Faults: []config.Fault{{Path: "services.a.cap", Text: "is below 0"}}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/verification/fuzzing/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -1,4 +1,4 @@
-// Package fuzz feeds the owners of both daemons with messages, calls and probe answers whose
+// Package fuzzing feeds the owners of both daemons with messages, calls and probe answers whose
 // fields are fuzzed: none may end the process.
 package fuzzing
 
@@ -129,7 +129,7 @@
 	case 1:
 		p := statemachine.ProbeResult{ID: wire.ID{Service: s.text(), Name: s.text(), Incarnation: s.number()}, SentAt: time.Duration(s.number()), Milliseconds: 1}
 		if s.byte()%2 == 1 {
-			p.Report = &config.Beat{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: s.text()}
+			p.Report = &config.TargetReport{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: s.text()}
 		}
 		return p
 	default:
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -36,7 +36,7 @@
 
 // leader is a lone member of the core with one proxy, founded and deciding.
 type leader struct {
-	core *controlplane.Core
+	core *controlplane.Controller
 	now  time.Duration
 }
 
--- a/internal/verification/linearizability/history.go
+++ b/internal/verification/linearizability/history.go
@@ -1,4 +1,4 @@
-// Package history records operators' calls and their answers and checks them for
+// Package linearizability records operators' calls and their answers and checks them for
 // linearizability: whether each call can be given one moment between its sending and
 // its answer so that all of them, in the order of these moments, are what a single
 // register would have said whose value is replaced by compare-and-set on its revision.
--- a/internal/verification/modelcheck/invariant.go
+++ b/internal/verification/modelcheck/invariant.go
@@ -255,7 +255,7 @@
 
 func (w *World) wantSyncedLog(m *machine, msg *wire.Message) {
 	match := msg.Append.MatchIndex
-	last := m.disk.Snap.Index + uint64(len(m.disk.Log))
+	last := m.disk.Snapshot.Index + uint64(len(m.disk.Log))
 	if m.disk.Term > msg.Term {
 		return
 	}
--- a/internal/verification/modelcheck/scenario.go
+++ b/internal/verification/modelcheck/scenario.go
@@ -48,8 +48,8 @@
 // refuses others; more than any timeout.
 var (
 	heartbeat = tuning.HeartbeatEvery
-	halfQuiet = tuning.ElectMin/2 + tuning.HeartbeatEvery/10
-	timeout   = tuning.ElectMin + tuning.ElectSpread + tuning.HeartbeatEvery
+	halfQuiet = tuning.ElectionTimeoutMin/2 + tuning.HeartbeatEvery/10
+	timeout   = tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread + tuning.HeartbeatEvery
 )
 
 // driftingRates are clocks that differ by 2 %, the most that is provided for.
--- a/internal/verification/modelcheck/world.go
+++ b/internal/verification/modelcheck/world.go
@@ -1,4 +1,4 @@
-// Package explore runs the real quorum.Node through every order of events that a
+// Package modelcheck runs the real consensus.Node through every order of events that a
 // bounded scenario allows: messages in any order, late, twice or never; syncs late;
 // restarts with, without and with part of what was written; machines that stand
 // still while time passes; changes of members, snapshots and handovers. Each state
@@ -123,7 +123,7 @@
 			m.rate = s.Rates[i%len(s.Rates)]
 		}
 		if i < s.Voters {
-			m.disk.Snap = wire.Snapshot{Index: firstIndex, Members: members}
+			m.disk.Snapshot = wire.Snapshot{Index: firstIndex, Members: members}
 		}
 		m.applied = decodeProgress(nil)
 		if i >= s.Voters {
@@ -279,8 +279,8 @@
 	}()
 	m.pending = nil
 	m.applied = progress{}
-	if m.disk.Snap.Index > 0 {
-		m.applied = decodeProgress(m.disk.Snap.Data)
+	if m.disk.Snapshot.Index > 0 {
+		m.applied = decodeProgress(m.disk.Snapshot.Data)
 	}
 	m.node = consensus.New(m.clock(w.now), m.name, m.disk)
 	w.check(i)
--- a/internal/verification/simulator/backend.go
+++ b/internal/verification/simulator/backend.go
@@ -79,7 +79,7 @@
 	if w.Plan.Beats > 0 {
 		return w.Plan.Beats
 	}
-	return tuning.BeatEvery
+	return tuning.TargetHeartbeatEvery
 }
 
 // beat goes to the first of three daemons, tried in turn, that takes it.
@@ -125,9 +125,9 @@
 
 // word is a call that says how a target is.
 func (w *World) word(t *Target, state string) (method, path string, body []byte) {
-	b := config.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state, Slots: int64(w.Plan.Slots)}
+	b := config.TargetReport{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state, Slots: int64(w.Plan.Slots)}
 	if t.coldTill > w.now && w.sabotage != "cold" {
-		b.ColdLeftMs = (t.coldTill - w.now).Milliseconds() + 1
+		b.WarmupLeftMs = (t.coldTill - w.now).Milliseconds() + 1
 	}
 	if method, path = "POST", "/v1/targets"; t.named {
 		method, path = "PUT", "/v1/targets/"+t.name
@@ -142,7 +142,7 @@
 
 // say has a daemon hear a target's word, as a late or repeated one would be.
 func (w *World) say(p *Proc, t *Target, state string) {
-	b, _ := json.Marshal(config.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state})
+	b, _ := json.Marshal(config.TargetReport{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state})
 	w.call(p, "POST", "/v1/targets", "", b, "", func(statemachine.Reply) {})
 }
 
@@ -170,7 +170,7 @@
 			return
 		}
 		if len(t.works) > 0 || t.leftAt == 0 || w.now-t.leftAt < 2500*time.Millisecond {
-			w.at(tuning.BeatEvery, end)
+			w.at(tuning.TargetHeartbeatEvery, end)
 			return
 		}
 		p := w.procs[w.names[w.rnd.IntN(len(w.names))]]
@@ -185,7 +185,7 @@
 
 func (w *World) probe(p *Proc, c statemachine.Probe) {
 	gen, sent := p.gen, p.local()
-	answer := func(d time.Duration, b *config.Beat) {
+	answer := func(d time.Duration, b *config.TargetReport) {
 		w.at(d, func() {
 			if p.gen == gen {
 				w.deliver(p, statemachine.ProbeResult{ID: c.ID, SentAt: sent, Milliseconds: float64(d) / 1e6, Report: b})
@@ -195,17 +195,17 @@
 	t := w.listen[c.Addr]
 	switch {
 	case w.sabotage == "probes":
-		answer(w.ms(1, 5), &config.Beat{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, State: config.Ready})
+		answer(w.ms(1, 5), &config.TargetReport{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, State: config.Ready})
 	case t != nil && (t.hang || t.deaf || !w.reach(p.name, t.name) || !w.reach(t.name, p.name)):
-		answer(tuning.ProbeCap, nil)
+		answer(tuning.ProbeTimeout, nil)
 	case t == nil:
 		if w.rnd.IntN(2) == 0 { // refused, or a machine that is gone
 			answer(w.ms(1, 2), nil)
 		} else {
-			answer(tuning.ProbeCap, nil)
+			answer(tuning.ProbeTimeout, nil)
 		}
 	default:
-		answer(w.ms(1, 5), &config.Beat{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: w.heard(t.state)})
+		answer(w.ms(1, 5), &config.TargetReport{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: w.heard(t.state)})
 	}
 }
 
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/day.go
@@ -147,7 +147,7 @@
 		p := w.procs[n]
 		if p.core != nil {
 			s := p.core.Status(p.local())
-			fmt.Fprintf(&b, "%s %s %s epoch %d term %d; ", n, s.Role, s.Lead, s.Epoch, s.Term)
+			fmt.Fprintf(&b, "%s %s %s epoch %d term %d; ", n, s.Role, s.Leadership, s.Epoch, s.Term)
 		} else {
 			fmt.Fprintf(&b, "%s %s; ", n, p.gate.State())
 		}
@@ -171,7 +171,7 @@
 	w.CheckHistory()
 	w.CheckBudget()
 	for _, n := range w.names {
-		if p := w.procs[n]; w.Fail == "" && p.gate != nil && p.alive && p.gate.State() == dataplane.Granted && p.gate.InFlight() > 0 {
+		if p := w.procs[n]; w.Fail == "" && p.gate != nil && p.alive && p.gate.State() == dataplane.Leased && p.gate.InFlight() > 0 {
 			w.broken("forgotten exchange", "%s still counts %d in flight", n, p.gate.InFlight())
 		}
 	}
--- a/internal/verification/simulator/grown_test.go
+++ b/internal/verification/simulator/grown_test.go
@@ -23,7 +23,7 @@
 
 func granted(w *World) (n int) {
 	for _, g := range w.all(wire.ProxyDaemon) {
-		if p := w.procs[g]; p.alive && p.gate.State() == dataplane.Granted {
+		if p := w.procs[g]; p.alive && p.gate.State() == dataplane.Leased {
 			n++
 		}
 	}
@@ -129,8 +129,8 @@
 	all := map[string]config.Route{}
 	for i := range routes {
 		x := uint64(i) * 0x9e3779b97f4a7c15
-		all[fmt.Sprintf("r-%07x", x>>36)] = config.Route{Host: fmt.Sprintf("%05x.example", x>>44), Prefix: fmt.Sprintf("/%07x/%04x/", x>>36, i), Kind: config.Repeatable,
-			TimeoutMs: 2000, AimMs: 300, Priority: 2, Attempts: 2, Service: svcs[i%len(svcs)]}
+		all[fmt.Sprintf("r-%07x", x>>36)] = config.Route{Host: fmt.Sprintf("%05x.example", x>>44), Prefix: fmt.Sprintf("/%07x/%04x/", x>>36, i), Kind: config.KindRepeatable,
+			TimeoutMs: 2000, LatencyTargetMs: 300, Priority: 2, Attempts: 2, Service: svcs[i%len(svcs)]}
 	}
 	doc["routes"] = all
 	b, err := json.Marshal(doc)
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -304,7 +304,7 @@
 			t.Fatalf("seed %d: %d bars, %d misses overruled\n%s", seed, n.Bars-before.Bars, n.Overruled, w.Trace(20))
 		}
 		w.Crash(w.targets[int(seed)%len(w.targets)])
-		w.Run(w.now + tuning.ProbeEvery + tuning.ProbeEvery + tuning.ProbeCap + 100*time.Millisecond)
+		w.Run(w.now + tuning.ProbeEvery + tuning.ProbeEvery + tuning.ProbeTimeout + 100*time.Millisecond)
 		if n := l.core.Status(0).Counts; n.Bars != before.Bars+1 {
 			t.Fatalf("seed %d: %d bars after a death\n%s", seed, n.Bars-before.Bars, w.Trace(20))
 		}
@@ -349,7 +349,7 @@
 		w.isolate([]string{"g1"}, d, true, true)
 		w.Run(w.now + d)
 		g := w.procs["g1"]
-		for i := 0; g.gate.State() != dataplane.Granted && i < 100; i++ {
+		for i := 0; g.gate.State() != dataplane.Leased && i < 100; i++ {
 			w.Run(w.now + 10*time.Millisecond)
 		}
 		for _, x := range g.gate.View(g.local()).Targets {
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -116,7 +116,7 @@
 func TestLostLeaderIsReplacedInTime(t *testing.T) {
 	t.Parallel()
 	const bound = 6 * time.Second
-	most := max(bound/tuning.ReplaceParts, tuning.ElectMin+tuning.ElectSpread+tuning.LeadGrace) + 500*time.Millisecond
+	most := max(bound/tuning.ReplaceParts, tuning.ElectionTimeoutMin+tuning.ElectionTimeoutSpread+tuning.NewLeaderGrace) + 500*time.Millisecond
 	for seed := range uint64(9) {
 		cores := []int{3, 5, 7}[seed%3]
 		p := replacementPlan(cores, 3)
--- a/internal/verification/simulator/history.go
+++ b/internal/verification/simulator/history.go
@@ -1,5 +1,5 @@
 // This file records the operators' calls for the configuration and checks at a day's end
-// that they are linearizable; see package history.
+// that they are linearizable; see package linearizability.
 
 package simulator
 
--- a/internal/verification/simulator/operate_test.go
+++ b/internal/verification/simulator/operate_test.go
@@ -180,7 +180,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if most = max(most, len(rec)); most > tuning.RingFileSize/2 {
+			if most = max(most, len(rec)); most > tuning.WALFileSize/2 {
 				t.Fatalf("change %d: %s holds %d bytes", i, n, len(rec))
 			}
 		}
--- a/internal/verification/simulator/orders_test.go
+++ b/internal/verification/simulator/orders_test.go
@@ -31,7 +31,7 @@
 // without a clear answer.
 func TestOldOrdersSentAgain(t *testing.T) {
 	t.Parallel()
-	const changes = 300 // over one snapshot each limit.LogMax entries
+	const changes = 300 // over one snapshot each tuning.LogMax entries
 	w := Start(21, Small)
 	var taken, lost []order
 	for i := range changes {
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -43,7 +43,7 @@
 	boot     time.Duration
 	base     time.Duration
 	rate     float64
-	core     *controlplane.Core
+	core     *controlplane.Controller
 	gate     *dataplane.Proxy
 	disk     *disk
 	pool     map[wire.ID][]*connection
--- a/internal/verification/simulator/registry_test.go
+++ b/internal/verification/simulator/registry_test.go
@@ -39,7 +39,7 @@
 				t.Fatalf("seed %d: nothing is served a second after all daemons were back\n%s", seed, w.Trace(20))
 			}
 		}
-		w.Run(w.now + tuning.DialCap)
+		w.Run(w.now + tuning.DialTimeout)
 		for _, x := range w.targets {
 			if w.served(x) != (x != dead) {
 				t.Errorf("seed %d: %s/%s offered %v, ended %v", seed, x.service, x.name, w.served(x), x == dead)
--- a/internal/verification/simulator/resume_test.go
+++ b/internal/verification/simulator/resume_test.go
@@ -83,14 +83,14 @@
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
 		first := w.Leader()
-		w.cutOff(first, tuning.LeadKept/2)
+		w.cutOff(first, tuning.LeadershipResumeWindow/2)
 		w.until(2*time.Second, func() bool { return w.Leader() != nil && w.Leader() != first })
 		second := w.Leader()
 		if second == nil || second == first {
 			continue
 		}
 		w.Crash(w.targets[0])
-		w.Run(w.now + tuning.LeadKept/2)
+		w.Run(w.now + tuning.LeadershipResumeWindow/2)
 		w.Kill(second)
 		elections := first.core.Status(w.now).Counts.Elections
 		if !w.until(3*time.Second, func() bool { return w.Leader() != nil }) || w.Leader() != first {
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -60,7 +60,7 @@
 // checkWrite: the same once more when the first byte goes out, which a frozen process
 // does late. A choice that was right may be carried out for its short life.
 func (w *World) checkWrite(p *Proc, c *statemachine.Forward, x *request) {
-	life := tuning.ChoiceLife * 21 / 20
+	life := tuning.ChoiceTTL * 21 / 20
 	for r, at := range w.ackedAt {
 		if r > x.rev && w.now-at > life {
 			w.broken("not in force", "%s writes what it chose on revision %d, %d was acknowledged %v ago", p.name, x.rev, r, w.now-at)
--- a/internal/verification/simulator/scarce.go
+++ b/internal/verification/simulator/scarce.go
@@ -91,14 +91,14 @@
 	n := weigh(m)
 	at := w.work(p, workOnMessage(m, "send"), messageCost(n))
 	if p.kind == wire.ProxyDaemon {
-		if p.out-w.now > tuning.SendLate {
+		if p.out-w.now > tuning.SendQueueTTL {
 			return
 		}
 		at = w.pass(at, &p.out, n)
 	}
 	at += d
 	if to.kind == wire.ProxyDaemon {
-		if to.in-w.now > tuning.SendLate {
+		if to.in-w.now > tuning.SendQueueTTL {
 			return
 		}
 		at = w.pass(at, &to.in, n)
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -32,7 +32,7 @@
 }
 
 // Scenes are all of them; what only HTTP can show (altered, foreign and cut answers)
-// is caused in package forward.
+// is caused in package reverseproxy.
 var Scenes = []Scene{
 	{Name: "twice", Rule: "ran twice", Threat: "back ends run an exchange and lose its answer, proxies die with it",
 		Kinds: []string{"service loses answers", "target loses answers", "gate killed"}, Times: 2,
--- a/internal/verification/simulator/sim.go
+++ b/internal/verification/simulator/sim.go
@@ -1,4 +1,4 @@
-// Package sim runs the real owners of a whole fleet in virtual time: a seeded
+// Package simulator runs the real owners of a whole fleet in virtual time: a seeded
 // network with delay, loss and cuts, disks that stall, tear and vanish, clocks
 // that start anywhere and run at unlike speed, processes that crash, freeze and
 // come back, back ends, callers and operators. The rules of what must never
@@ -34,7 +34,7 @@
 	ConnCap      int            // connections that a target takes from all proxies together, and resets any more, 0: no such bound
 	ColdPerS     float64        // requests a second that a cold target bears, 0: no such bound
 	Known        []string       // domains that the core's settings name
-	Beats        time.Duration  // how far apart targets' words are, 0: limit.BeatEvery; each is said again after half a second
+	Beats        time.Duration  // how far apart targets' words are, 0: tuning.BeatEvery; each is said again after half a second
 	CoreOnly     bool           // targets speak to core daemons only
 	Scarce       *Scarce        // nil: processors and links take no time
 	CatchUp      time.Duration  // from a successor's start until the core bears the next loss, 0: not told
@@ -273,7 +273,7 @@
 		return false
 	}
 	for _, n := range w.names {
-		if p := w.procs[n]; p.gate != nil && p.alive && (p.gate.State() != dataplane.Granted || p.gate.Table().Key.Term != l.core.Table().Key.Term) {
+		if p := w.procs[n]; p.gate != nil && p.alive && (p.gate.State() != dataplane.Leased || p.gate.Table().Key.Term != l.core.Table().Key.Term) {
 			return false
 		}
 	}
--- a/internal/verification/simulator/slow.go
+++ b/internal/verification/simulator/slow.go
@@ -100,8 +100,8 @@
 	})
 }
 
-// refuseWrite refuses what waits for a disk. As host.Disk does, the process learns why,
-// acknowledges nothing meanwhile and tries again every limit.DiskRetry.
+// refuseWrite refuses what waits for a disk. As daemon.Disk does, the process learns why,
+// acknowledges nothing meanwhile and tries again every tuning.DiskRetry.
 func (w *World) refuseWrite(p *Proc, gen int, d *disk) {
 	w.Stats.DiskRefusals++
 	w.at(tuning.DiskRetry, func() { w.retryWrite(p, gen, d) })
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	images := map[string]consensus.Image{"fresh": New(11, Small).procs["c1"].disk.img}
 	locked := New(11, Small)
-	for locked.procs["c1"].disk.img.Lock == 0 {
+	for locked.procs["c1"].disk.img.BootstrapLock == 0 {
 		if locked.now > 5*time.Second {
 			t.Fatal("no bootstrap lock")
 		}
@@ -51,12 +51,12 @@
 	images["locked"] = locked.procs["c1"].disk.img
 	w := Start(11, Small)
 	images["log"] = w.procs["c2"].disk.img
-	for n := 2; images["snapshot"].Snap.Index <= 1 && w.Fail == "" && n < 2*tuning.LogMax; n++ {
+	for n := 2; images["snapshot"].Snapshot.Index <= 1 && w.Fail == "" && n < 2*tuning.LogMax; n++ {
 		w.PutConfig(w.Leader(), w.Revision(), n)
 		w.Run(w.now + 100*time.Millisecond)
 		images["snapshot"] = w.procs["c2"].disk.img
 	}
-	if w.Fail != "" || images["snapshot"].Snap.Index <= 1 || len(images["snapshot"].Log) == 0 {
+	if w.Fail != "" || images["snapshot"].Snapshot.Index <= 1 || len(images["snapshot"].Log) == 0 {
 		t.Fatal("no disk with a snapshot and a log:", w.Fail)
 	}
 	return images
@@ -102,12 +102,12 @@
 func inRing(t *testing.T, record []byte) {
 	t.Helper()
 	dir := t.TempDir()
-	r, err := wal.Recreate(dir, tuning.RingFiles, tuning.RingFileSize, record)
+	r, err := wal.Recreate(dir, tuning.WALFiles, tuning.WALFileSize, record)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Close()
-	r, records, err := wal.Open(dir, tuning.RingFiles, tuning.RingFileSize)
+	r, records, err := wal.Open(dir, tuning.WALFiles, tuning.WALFileSize)
 	if err != nil || len(records) != 1 || !bytes.Equal(records[0], record) {
 		t.Fatal(len(records), err)
 	}
--- a/internal/verification/simulator/thinlink.go
+++ b/internal/verification/simulator/thinlink.go
@@ -31,7 +31,7 @@
 // as a shell does.
 func (l *thinLink) pass(now time.Duration, bytes int) (d time.Duration, ok bool) {
 	free := max(l.free, now)
-	if free-now > tuning.SendLate {
+	if free-now > tuning.SendQueueTTL {
 		return 0, false
 	}
 	l.free = free + time.Duration(float64(bytes)/l.rate*float64(time.Second))
