--- a/internal/controlplane/refusal_test.go
+++ b/internal/controlplane/refusal_test.go
@@ -207,8 +207,11 @@
 	}
 	counts := reflect.TypeFor[Counts]()
 	for i := range counts.NumField() {
-		name := counts.Field(i).Name
-		shown := strings.ToLower(regexp.MustCompile("(.)([A-Z])").ReplaceAllString(name, "${1}_${2}"))
+		field := counts.Field(i)
+		shown := field.Tag.Get("metric")
+		if shown == "" {
+			shown = strings.ToLower(regexp.MustCompile("(.)([A-Z])").ReplaceAllString(field.Name, "${1}_${2}"))
+		}
 		if !strings.Contains(page, "`"+shown+"`") {
 			t.Errorf("docs/operate.md does not name the counter %s", shown)
 		}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -10,7 +10,8 @@
 )
 
 // Counters puts the counts of an owner or forwarder on /metrics: each field of the struct that get
-// returns, if it is an unsigned integer or atomic, as mf_PREFIX_FIELD_total.
+// returns, if it is an unsigned integer or atomic, as mf_PREFIX_NAME_total. NAME is the field's tag
+// `metric:"name"`, or its Go name in snake case if it has none.
 func (h *Host) Counters(prefix string, get func() any) {
 	h.Metrics.MustRegister(counts{prefix, get})
 }
@@ -27,7 +28,7 @@
 	v := reflect.Indirect(reflect.ValueOf(c.get()))
 	for i := range v.NumField() {
 		f := v.Field(i)
-		n := snake(v.Type().Field(i).Name)
+		n := metricName(v.Type().Field(i))
 		var x float64
 		switch {
 		case f.CanUint():
@@ -42,6 +43,14 @@
 	}
 }
 
+// metricName is what a counter's field is called on /metrics, between prefix and suffix.
+func metricName(field reflect.StructField) string {
+	if name := field.Tag.Get("metric"); name != "" {
+		return name
+	}
+	return snake(field.Name)
+}
+
 // snake returns a Go name in snake case.
 func snake(s string) string {
 	var b strings.Builder
