--- a/cmd/mfchaos/main.go
+++ b/cmd/mfchaos/main.go
@@ -254,7 +254,7 @@
 				return err
 			}
 		}
-		s := daemon.Settings{Name: p.name, Domain: p.domain, Addr: p.addr, Bind: p.bind, From: hostOf(p.bind), HTTP: p.http, Listen: p.listen, Seeds: seeds, Log: "info", GraceMs: int(l.grace.Milliseconds())}
+		s := daemon.Settings{Name: p.name, Domain: p.domain, Addr: p.addr, Bind: p.bind, LocalIP: hostOf(p.bind), HTTP: p.http, Listen: p.listen, Seeds: seeds, LogLevel: "info", GraceMs: int(l.grace.Milliseconds())}
 		if p.kind == "mfcontrol" {
 			s.Data, s.Size = l.path("data", p.name), l.dep.Cores
 		}
--- a/cmd/mfcontrol/main.go
+++ b/cmd/mfcontrol/main.go
@@ -7,4 +7,4 @@
 	"myrtlefold/internal/daemon"
 )
 
-func main() { os.Exit(daemon.RunCore(os.Args[1:], daemon.Own())) }
+func main() { os.Exit(daemon.RunControl(os.Args[1:], daemon.DefaultPlatform())) }
--- a/cmd/mfproxy/main.go
+++ b/cmd/mfproxy/main.go
@@ -7,4 +7,4 @@
 	"myrtlefold/internal/daemon"
 )
 
-func main() { os.Exit(daemon.RunGate(os.Args[1:], daemon.Own())) }
+func main() { os.Exit(daemon.RunProxy(os.Args[1:], daemon.DefaultPlatform())) }
--- a/internal/daemon/core.go
+++ b/internal/daemon/control.go
@@ -15,15 +15,15 @@
 
 // coreDaemon is a control daemon's parts.
 type coreDaemon struct {
-	*Host
+	*Process
 	owner *controlplane.Controller
 	disk  *Disk
-	hub   *Hub
+	hub   *EventStream
 	term  atomic.Uint64 // the owner's, for the lines of the stream
 }
 
-// RunCore is mfcontrol: it runs a control daemon until it is stopped, and returns the exit code.
-func RunCore(args []string, dialect Dialect) int {
+// RunControl is mfcontrol: it runs a control daemon until it is stopped, and returns the exit code.
+func RunControl(args []string, dialect Platform) int {
 	h := Start(wire.ControlDaemon, args, dialect)
 	disk, image, damage := h.openDiskInTime()
 	s := h.Settings
@@ -31,22 +31,22 @@
 		Self:    h.Daemon(),
 		Size:    s.Size,
 		Seeds:   s.Seeds,
-		Found:   s.Found,
+		Found:   s.Bootstrap,
 		Domains: s.Domains,
 		CatchUp: milliseconds(s.CatchUpMs),
-		Losses:  s.Losses,
+		Losses:  s.ToleratedLosses,
 		Grace:   milliseconds(s.GraceMs),
 	}, image)
 	if damage != nil {
 		owner.ReportDamage("state on this disk", damage)
 	}
-	d := &coreDaemon{Host: h, owner: owner, disk: disk, hub: NewHub()}
-	if err := d.Listen(); err != nil {
+	d := &coreDaemon{Process: h, owner: owner, disk: disk, hub: NewEventStream()}
+	if err := d.ListenForPeers(); err != nil {
 		d.Fatal(err, "start")
 	}
-	d.Counters("core", func() any {
+	d.RegisterCounters("core", func() any {
 		var n controlplane.Counts
-		d.Loop.Look(func(now time.Duration) { n = d.owner.Status(now).Counts })
+		d.Loop.Inspect(func(now time.Duration) { n = d.owner.Status(now).Counts })
 		return n
 	})
 	server, err := d.Serve(s.HTTP, d.handler())
@@ -74,22 +74,22 @@
 	case statemachine.Sync:
 		d.disk.queue <- c.Batch
 	case statemachine.Publish:
-		d.hub.Put(d.term.Load(), c)
+		d.hub.Publish(d.term.Load(), c)
 	default:
-		d.Do(cmd)
+		d.Execute(cmd)
 	}
 }
 
 // handler is the daemon's HTTP API: for operators, and for targets' heartbeats.
 func (d *coreDaemon) handler() http.Handler {
-	mux := d.Admin(func() (ready bool, role any) {
-		d.Loop.Look(func(now time.Duration) { ready, role = d.owner.Ready(), d.owner.Status(now).Role })
+	mux := d.AdminMux(func() (ready bool, role any) {
+		d.Loop.Inspect(func(now time.Duration) { ready, role = d.owner.Ready(), d.owner.Status(now).Role })
 		return ready, role
 	})
 	mux.HandleFunc("GET /v1/stream", d.stream)
 	mux.Handle("POST /v1/judge", NewSessions())
 	var ids atomic.Uint64
-	mux.HandleFunc("/v1/", d.Call(func() uint64 { return ids.Add(1) }))
+	mux.HandleFunc("/v1/", d.CallHandler(func() uint64 { return ids.Add(1) }))
 	return mux
 }
 
@@ -97,7 +97,7 @@
 func (d *coreDaemon) stream(w http.ResponseWriter, r *http.Request) {
 	var leading bool
 	var leaderAddr string
-	d.Loop.Look(func(now time.Duration) {
+	d.Loop.Inspect(func(now time.Duration) {
 		status := d.owner.Status(now)
 		leading = d.owner.Leading()
 		d.term.Store(status.Term)
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -29,7 +29,7 @@
 
 // Disk owns the ring: batches in, numbers of synced ones out.
 type Disk struct {
-	h      *Host
+	h      *Process
 	ring   store
 	img    consensus.Image
 	queue  chan *wire.Batch
@@ -39,7 +39,7 @@
 
 // OpenDisk reads what the folder holds; an empty one gets a number of its own. An error that
 // is marked wal.ErrDamaged or core.ErrDamaged says that it can't be read whole.
-func (h *Host) OpenDisk() (*Disk, consensus.Image, error) {
+func (h *Process) OpenDisk() (*Disk, consensus.Image, error) {
 	r, recs, err := wal.Open(h.Settings.Data, tuning.WALFiles, tuning.WALFileSize)
 	if err != nil {
 		return nil, consensus.Image{}, err
@@ -52,7 +52,7 @@
 	return d, d.image(), nil
 }
 
-func (h *Host) newDisk(s store) *Disk {
+func (h *Process) newDisk(s store) *Disk {
 	return &Disk{h: h, ring: s, queue: make(chan *wire.Batch, tuning.EventQueue), retry: tuning.DiskRetry}
 }
 
@@ -85,7 +85,7 @@
 
 // recreateDisk begins a damaged disk anew under another number: to the core this member's
 // disk is lost, so it learns all again and votes once it has been added again.
-func (h *Host) recreateDisk() (*Disk, consensus.Image, error) {
+func (h *Process) recreateDisk() (*Disk, consensus.Image, error) {
 	img := consensus.Image{Disk: newDiskNumber()}
 	whole, err := wire.EncodeBatch(img.Whole())
 	if err != nil {
@@ -103,7 +103,7 @@
 // openDiskInTime opens the disk, however often that has to be tried; damage is what was
 // found if it had to be begun anew. A process that ended instead would be started again to
 // meet the same.
-func (h *Host) openDiskInTime() (d *Disk, img consensus.Image, damage error) {
+func (h *Process) openDiskInTime() (d *Disk, img consensus.Image, damage error) {
 	said := ""
 	for {
 		d, img, err := h.OpenDisk()
@@ -166,7 +166,7 @@
 		}
 		time.Sleep(d.retry)
 	}
-	d.h.Loop.Tell(statemachine.Synced{Seq: batches[len(batches)-1].Seq})
+	d.h.Loop.Post(statemachine.Synced{Seq: batches[len(batches)-1].Seq})
 }
 
 func (d *Disk) write(recs [][]byte) error {
@@ -189,5 +189,5 @@
 	default:
 		d.h.Log.WithError(err).Error("disk refuses writes; nothing is acknowledged until it takes them")
 	}
-	d.h.Loop.Tell(statemachine.DiskHealth{Err: err})
+	d.h.Loop.Post(statemachine.DiskHealth{Err: err})
 }
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -17,11 +17,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func diskHost(t testing.TB) *Host {
+func diskHost(t testing.TB) *Process {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	h := &Host{Settings: Settings{Data: t.TempDir()}, Log: log}
+	h := &Process{Settings: Settings{Data: t.TempDir()}, Log: log}
 	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h}
 	return h
 }
--- a/internal/daemon/probe.go
+++ b/internal/daemon/healthcheck.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// Probe probes a target and tells the owner the outcome, a core.Probed; called on the owner's
+// CheckHealth probes a target and tells the owner the outcome, a core.Probed; called on the owner's
 // goroutine, which it does not keep waiting.
-func (h *Host) Probe(p statemachine.Probe) {
+func (h *Process) CheckHealth(p statemachine.Probe) {
 	sent := h.Now()
 	if h.probes == nil {
 		h.probes = map[wire.ID]*probed{}
@@ -58,12 +58,12 @@
 		out := statemachine.ProbeResult{ID: p.ID, SentAt: sent}
 		out.Report, out.WarmupLeft = ask(s, p, &h.Headers, h)
 		out.Milliseconds = float64(h.Now()-sent) / 1e6
-		h.Loop.Tell(out)
+		h.Loop.Post(out)
 	}()
 }
 
 // closeIdleProbes closes, now and then, the connections to targets that are probed no more.
-func (h *Host) closeIdleProbes(now time.Duration) {
+func (h *Process) closeIdleProbes(now time.Duration) {
 	if now-h.probesAt <= tuning.ProbeConnIdle/4 {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // ask probes a target on the kept connection, and once more on a new one if that fails.
-func ask(s *probed, p statemachine.Probe, names *reverseproxy.Headers, h *Host) (*config.TargetReport, time.Duration) {
+func ask(s *probed, p statemachine.Probe, names *reverseproxy.Headers, h *Process) (*config.TargetReport, time.Duration) {
 	deadline := time.Now().Add(tuning.ProbeTimeout)
 	conn := s.conn.Swap(nil)
 	for conn != nil && conn.Addr() != p.Addr {
@@ -90,7 +90,7 @@
 		if !kept {
 			ctx, cancel := context.WithDeadline(context.Background(), deadline)
 			var err error
-			conn, err = reverseproxy.Open(ctx, p.Addr, h.From())
+			conn, err = reverseproxy.Open(ctx, p.Addr, h.LocalAddr())
 			cancel()
 			if err != nil {
 				return nil, 0
--- a/internal/daemon/probe_test.go
+++ b/internal/daemon/healthcheck_test.go
@@ -19,14 +19,14 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func prober() *Host {
-	h := &Host{start: time.Now(), Headers: reverseproxy.Headers{Deadline: "D", NotRun: "N", Load: "L", Identity: "I", Cold: "C"}}
+func prober() *Process {
+	h := &Process{start: time.Now(), Headers: reverseproxy.Headers{Deadline: "D", NotRun: "N", Load: "L", Identity: "I", Cold: "C"}}
 	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h}
 	return h
 }
 
-func (h *Host) probeOnce(p statemachine.Probe) statemachine.ProbeResult {
-	h.Probe(p)
+func (h *Process) probeOnce(p statemachine.Probe) statemachine.ProbeResult {
+	h.CheckHealth(p)
 	return (<-h.Loop.queue).ev.(statemachine.ProbeResult)
 }
 
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -31,8 +31,8 @@
 	}
 )
 
-// Admin returns the mux that every daemon's HTTP API starts from: /live, /ready and /metrics.
-func (h *Host) Admin(ready func() (bool, any)) *http.ServeMux {
+// AdminMux returns the mux that every daemon's HTTP API starts from: /live, /ready and /metrics.
+func (h *Process) AdminMux(ready func() (bool, any)) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, liveAnswer{Live: true})
@@ -63,16 +63,16 @@
 }
 
 // Serve runs an HTTP server on addr until it is closed.
-func (h *Host) Serve(addr string, hd http.Handler) (*http.Server, error) {
+func (h *Process) Serve(addr string, hd http.Handler) (*http.Server, error) {
 	return h.serve(addr, hd, nil)
 }
 
 // ServeCallers runs the forwarder's server for callers on addr until it is shut down.
-func (h *Host) ServeCallers(addr string, c *reverseproxy.Forwarder) (*http.Server, error) {
+func (h *Process) ServeCallers(addr string, c *reverseproxy.Forwarder) (*http.Server, error) {
 	return h.serve(addr, c, c)
 }
 
-func (h *Host) serve(addr string, hd http.Handler, c *reverseproxy.Forwarder) (*http.Server, error) {
+func (h *Process) serve(addr string, hd http.Handler, c *reverseproxy.Forwarder) (*http.Server, error) {
 	ln, err := reverseproxy.Listen(addr, tuning.CallerUnacked)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for HTTP")
@@ -91,9 +91,9 @@
 	return s, nil
 }
 
-// Call returns the handler that passes operators' and back ends' calls to the owner; next gives each
+// CallHandler returns the handler that passes operators' and back ends' calls to the owner; next gives each
 // an id of its own.
-func (h *Host) Call(next func() uint64) http.HandlerFunc {
+func (h *Process) CallHandler(next func() uint64) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocMax+1))
 		var mb *http.MaxBytesError
@@ -110,7 +110,7 @@
 			q.Set("base", v)
 		}
 		token := changeid.New()
-		v := h.Loop.Ask(r.Context(), id, statemachine.Call{ID: id, Token: token, Method: r.Method, Path: r.URL.Path, Query: q.Encode(), Body: b}, nil)
+		v := h.Loop.Call(r.Context(), id, statemachine.Call{ID: id, Token: token, Method: r.Method, Path: r.URL.Path, Query: q.Encode(), Body: b}, nil)
 		a, ok := v.(statemachine.Reply)
 		if !ok {
 			return
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -24,16 +24,16 @@
 // Loop feeds one owner's state machine from one goroutine.
 type Loop struct {
 	queue   chan item
-	host    *Host
+	host    *Process
 	waiting map[uint64]chan statemachine.Command
 }
 
-// Tell queues an event for the owner; it waits while the queue is full.
-func (l *Loop) Tell(ev statemachine.Event) { l.queue <- item{ev: ev} }
+// Post queues an event for the owner; it waits while the queue is full.
+func (l *Loop) Post(ev statemachine.Event) { l.queue <- item{ev: ev} }
 
-// Ask tells the owner the event ev, and returns the command that answers id. If the context ends
+// Call tells the owner the event ev, and returns the command that answers id. If the context ends
 // first it tells the owner cancel and returns nil.
-func (l *Loop) Ask(ctx context.Context, id uint64, ev, cancel statemachine.Event) statemachine.Command {
+func (l *Loop) Call(ctx context.Context, id uint64, ev, cancel statemachine.Event) statemachine.Command {
 	ch := make(chan statemachine.Command, 1)
 	l.queue <- item{ev: ev, id: id, reply: ch}
 	select {
@@ -45,15 +45,15 @@
 	}
 }
 
-// Look runs f on the owner's goroutine and waits for it.
-func (l *Loop) Look(f func(now time.Duration)) {
+// Inspect runs f on the owner's goroutine and waits for it.
+func (l *Loop) Inspect(f func(now time.Duration)) {
 	done := make(chan struct{})
 	l.queue <- item{look: func(now time.Duration) { f(now); close(done) }}
 	<-done
 }
 
-// Answer passes the answer to id to whoever waits in Ask; on the owner's goroutine.
-func (l *Loop) Answer(id uint64, v statemachine.Command) {
+// Respond passes the answer to id to whoever waits in Ask; on the owner's goroutine.
+func (l *Loop) Respond(id uint64, v statemachine.Command) {
 	if ch := l.waiting[id]; ch != nil {
 		delete(l.waiting, id)
 		ch <- v
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -12,7 +12,7 @@
 // Counters puts the counts of an owner or forwarder on /metrics: each field of the struct that get
 // returns, if it is an unsigned integer or atomic, as mf_PREFIX_NAME_total. NAME is the field's tag
 // `metric:"name"`, or its Go name in snake case if it has none.
-func (h *Host) Counters(prefix string, get func() any) {
+func (h *Process) RegisterCounters(prefix string, get func() any) {
 	h.Metrics.MustRegister(counts{prefix, get})
 }
 
--- a/internal/daemon/host.go
+++ b/internal/daemon/process.go
@@ -30,23 +30,23 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Host is the context that a daemon's parts share.
-type Host struct {
+// Process is the context that a daemon's parts share.
+type Process struct {
 	Kind        wire.DaemonKind
 	Settings    Settings
 	Log         *logrus.Logger
 	Metrics     *prometheus.Registry
 	Incarnation uint64 // a random number of this start
 	Loop        *Loop
-	// Quit takes the exit code when the owner is done.
-	Quit chan int
+	// exitCode takes the exit code when the owner is done.
+	exitCode chan int
 	// Traffic counts the messages between this daemon and others.
 	Traffic *Traffic
 	// Headers are the names of the headers on probes; none: the product's own.
 	Headers reverseproxy.Headers
 
 	load        func() (Settings, []byte, []config.Fault, error)
-	dialect     Dialect
+	dialect     Platform
 	rawSettings []byte         // the text that Settings were read from
 	hup         chan os.Signal // SIGHUP, caught from the start on: by default it ends a process
 	stops       chan os.Signal // SIGTERM and SIGINT, caught from the start on: requests may be under way before Wait
@@ -74,7 +74,7 @@
 
 // Start reads command line and settings and returns the daemon's context. If anything is wrong it
 // prints each fault and ends the process with exit code 2.
-func Start(kind wire.DaemonKind, args []string, dialect Dialect) *Host {
+func Start(kind wire.DaemonKind, args []string, dialect Platform) *Process {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	stops := make(chan os.Signal, 2)
@@ -112,19 +112,19 @@
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
 	log.SetFormatter(&logrus.JSONFormatter{})
-	lv, _ := logrus.ParseLevel(set.Log)
+	lv, _ := logrus.ParseLevel(set.LogLevel)
 	log.SetLevel(lv)
-	h := New(kind, set, log)
+	h := newProcess(kind, set, log)
 	h.load, h.dialect, h.Headers, h.rawSettings, h.hup, h.stops = load, dialect, dialect.Headers, raw, hup, stops
 	h.bound(set)
 	h.Metrics.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return h
 }
 
-// New returns a daemon's context without touching what a process has only one of.
-func New(kind wire.DaemonKind, set Settings, log *logrus.Logger) *Host {
-	h := &Host{Kind: kind, Settings: set, Log: log, Metrics: prometheus.NewRegistry(), Incarnation: rand.Uint64() | 1, Traffic: &Traffic{},
-		start: time.Now(), queues: map[string]chan queued{}, Quit: make(chan int, 1)}
+// newProcess returns a daemon's context without touching what a process has only one of.
+func newProcess(kind wire.DaemonKind, set Settings, log *logrus.Logger) *Process {
+	h := &Process{Kind: kind, Settings: set, Log: log, Metrics: prometheus.NewRegistry(), Incarnation: rand.Uint64() | 1, Traffic: &Traffic{},
+		start: time.Now(), queues: map[string]chan queued{}, exitCode: make(chan int, 1)}
 	h.Metrics.MustRegister(h.Traffic)
 	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h, waiting: map[uint64]chan statemachine.Command{}}
 	return h
@@ -132,7 +132,7 @@
 
 // bound tells the runtime how much memory it may use: a part of the process's, since the rest goes
 // to what the runtime does not count.
-func (h *Host) bound(s Settings) {
+func (h *Process) bound(s Settings) {
 	if s.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(float64(s.MemoryMb<<20) * tuning.MemoryShare))
 		debug.SetGCPercent(tuning.GcPercent)
@@ -140,41 +140,41 @@
 }
 
 // Now returns the monotonic time since the process started; it is never 0.
-func (h *Host) Now() time.Duration { return time.Since(h.start) + time.Millisecond }
+func (h *Process) Now() time.Duration { return time.Since(h.start) + time.Millisecond }
 
-// From returns the address that connections leave from, nil for the system's choice.
-func (h *Host) From() net.Addr {
-	if h.Settings.From == "" {
+// LocalAddr returns the address that connections leave from, nil for the system's choice.
+func (h *Process) LocalAddr() net.Addr {
+	if h.Settings.LocalIP == "" {
 		return nil
 	}
-	return &net.TCPAddr{IP: net.ParseIP(h.Settings.From)}
+	return &net.TCPAddr{IP: net.ParseIP(h.Settings.LocalIP)}
 }
 
 // Daemon returns what the daemon says of itself to others.
-func (h *Host) Daemon() wire.Daemon {
+func (h *Process) Daemon() wire.Daemon {
 	return wire.Daemon{Name: h.Settings.Name, Kind: h.Kind, Domain: h.Settings.Domain, Addr: h.Settings.Addr, HTTP: h.Settings.HTTP, Incarnation: h.Incarnation}
 }
 
 // Fatal logs an error that the daemon can't go on with, and ends the process with exit code 1.
-func (h *Host) Fatal(err error, what string) {
+func (h *Process) Fatal(err error, what string) {
 	h.Log.WithError(err).Error(what)
 	os.Exit(1)
 }
 
-// Do carries out the commands that both kinds of owners give; on the owner's goroutine.
-func (h *Host) Do(cmd statemachine.Command) {
+// Execute carries out the commands that both kinds of owners give; on the owner's goroutine.
+func (h *Process) Execute(cmd statemachine.Command) {
 	switch c := cmd.(type) {
 	case statemachine.Send:
 		h.Send(c.Addr, c.Message)
 	case statemachine.Probe:
-		h.Probe(c)
+		h.CheckHealth(c)
 	case statemachine.Reply:
-		h.Loop.Answer(c.ID, c)
+		h.Loop.Respond(c.ID, c)
 	case statemachine.StateChange:
 		h.Log.WithFields(logrus.Fields{"what": c.Subject, "from": c.From, "to": c.To, "why": c.Reason, "daemon": h.Settings.Name}).Info("change")
 	case statemachine.Exit:
 		select {
-		case h.Quit <- 0:
+		case h.exitCode <- 0:
 		default:
 		}
 	default:
@@ -183,10 +183,10 @@
 }
 
 // Signals has the first SIGTERM or SIGINT stop the owner, and a second one end the process.
-func (h *Host) Signals() {
+func (h *Process) HandleSignals() {
 	go func() {
 		<-h.stops
-		h.Loop.Tell(statemachine.Stop{})
+		h.Loop.Post(statemachine.Stop{})
 		<-h.stops
 		h.Log.Warn("second signal")
 		os.Exit(1)
@@ -194,7 +194,7 @@
 }
 
 // closeAPI ends the HTTP API: it takes no more calls, and the answers that the owner has given are written.
-func (h *Host) closeAPI(server *http.Server) {
+func (h *Process) closeAPI(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.StopLast)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
@@ -205,9 +205,9 @@
 
 // Wait handles signals and changes of settings until the owner is done, and returns the exit code.
 // seeds takes new seeds, on the owner's goroutine.
-func (h *Host) Wait(seeds func([]string)) int {
-	h.Signals()
-	h.Watch(func(s []string) { h.Loop.Look(func(time.Duration) { seeds(s) }) })
+func (h *Process) Wait(seeds func([]string)) int {
+	h.HandleSignals()
+	h.WatchSettings(func(s []string) { h.Loop.Inspect(func(time.Duration) { seeds(s) }) })
 	h.Log.WithField("settings", h.Settings).Info("started")
-	return <-h.Quit
+	return <-h.exitCode
 }
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/process_test.go
@@ -81,7 +81,7 @@
 			t.Fatal(err)
 		}
 		s, _, faults, err := f.Load(wire.ControlDaemon)
-		if err != nil || len(faults) > 0 || s.Size != c.size || s.Found != c.found {
+		if err != nil || len(faults) > 0 || s.Size != c.size || s.Bootstrap != c.found {
 			t.Errorf("%v: %+v %v %v", c.more, s, faults, err)
 		}
 	}
@@ -89,7 +89,7 @@
 
 // A member finds on its disk again what was synced, over many turns of the ring.
 func TestDisk(t *testing.T) {
-	h := &Host{Settings: Settings{Data: t.TempDir()}}
+	h := &Process{Settings: Settings{Data: t.TempDir()}}
 	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h}
 	d, img, err := h.OpenDisk()
 	if err != nil || img.Disk == 0 {
--- a/internal/daemon/gate.go
+++ b/internal/daemon/proxy.go
@@ -25,17 +25,17 @@
 
 // gateDaemon is a proxy daemon's parts.
 type gateDaemon struct {
-	*Host
+	*Process
 	owner     *dataplane.Proxy
 	pool      *reverseproxy.Pool
 	forwarder *reverseproxy.Forwarder
 	endBy     atomic.Int64 // when the last answers of a stop have to be written, by Now
 }
 
-// RunGate is mfproxy: it runs a proxy daemon until it is stopped, and returns the exit code.
-func RunGate(args []string, dialect Dialect) int {
+// RunProxy is mfproxy: it runs a proxy daemon until it is stopped, and returns the exit code.
+func RunProxy(args []string, dialect Platform) int {
 	d := newGateDaemon(Start(wire.ProxyDaemon, args, dialect))
-	if err := d.Listen(); err != nil {
+	if err := d.ListenForPeers(); err != nil {
 		d.Fatal(err, "start")
 	}
 	d.register()
@@ -70,9 +70,9 @@
 	}).Info("stopped")
 }
 
-func newGateDaemon(h *Host) *gateDaemon {
+func newGateDaemon(h *Process) *gateDaemon {
 	s := h.Settings
-	d := &gateDaemon{Host: h, pool: reverseproxy.NewPool()}
+	d := &gateDaemon{Process: h, pool: reverseproxy.NewPool()}
 	d.owner = dataplane.New(dataplane.Settings{
 		Self:             h.Daemon(),
 		Seeds:            s.Seeds,
@@ -81,10 +81,10 @@
 		Retry:            dataplane.RetryBudget{Ratio: s.RetryRatio, Window: milliseconds(s.RetryWindowMs), Slack: float64(s.RetrySlack)},
 	})
 	ask := func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command {
-		return h.Loop.Ask(ctx, id, event, statemachine.Cancel{ID: id})
+		return h.Loop.Call(ctx, id, event, statemachine.Cancel{ID: id})
 	}
-	d.forwarder = reverseproxy.New(reverseproxy.Owner{Now: h.Now, Tell: h.Loop.Tell, Ask: ask}, d.pool)
-	d.forwarder.From = h.From()
+	d.forwarder = reverseproxy.New(reverseproxy.Owner{Now: h.Now, Tell: h.Loop.Post, Ask: ask}, d.pool)
+	d.forwarder.From = h.LocalAddr()
 	d.forwarder.Headers = h.dialect.Headers
 	d.forwarder.Forwarded = h.dialect.Headers == reverseproxy.Defaults()
 	return d
@@ -96,9 +96,9 @@
 func (d *gateDaemon) execute(cmd statemachine.Command) {
 	switch c := cmd.(type) {
 	case statemachine.Forward:
-		d.Loop.Answer(c.ID, c)
+		d.Loop.Respond(c.ID, c)
 	case statemachine.Reject:
-		d.Loop.Answer(c.ID, c)
+		d.Loop.Respond(c.ID, c)
 	case statemachine.UnreachableTargets:
 		d.pool.Dark(c.IDs)
 	case statemachine.TargetsChanged:
@@ -110,7 +110,7 @@
 		d.endBy.Store(int64(d.Now() + c.TimeLeft + tuning.StopLast))
 		d.forwarder.Intake.Close()
 	default:
-		d.Do(cmd)
+		d.Execute(cmd)
 	}
 }
 
@@ -125,23 +125,23 @@
 	d.forwarder.Observe = func(service string, status int, sec float64) {
 		seconds.WithLabelValues(service, strconv.Itoa(status)).Observe(sec)
 	}
-	d.Counters("gate", func() any {
+	d.RegisterCounters("gate", func() any {
 		var n dataplane.Counts
-		d.Loop.Look(func(time.Duration) { n = d.owner.Counts })
+		d.Loop.Inspect(func(time.Duration) { n = d.owner.Counts })
 		return n
 	})
-	d.Counters("carry", func() any { return &d.forwarder.Counts })
+	d.RegisterCounters("carry", func() any { return &d.forwarder.Counts })
 }
 
 // view is the proxy's state as operators may read it.
 func (d *gateDaemon) view() (v dataplane.View) {
-	d.Loop.Look(func(now time.Duration) { v = d.owner.View(now) })
+	d.Loop.Inspect(func(now time.Duration) { v = d.owner.View(now) })
 	return v
 }
 
 // handler is the daemon's HTTP API: for operators, and for targets' heartbeats.
 func (d *gateDaemon) handler() http.Handler {
-	mux := d.Admin(func() (bool, any) {
+	mux := d.AdminMux(func() (bool, any) {
 		v := d.view()
 		return v.Ready, v.State
 	})
@@ -150,7 +150,7 @@
 	})
 	var ids atomic.Uint64
 	ids.Store(firstCallID)
-	call := d.Call(func() uint64 { return ids.Add(1) })
+	call := d.CallHandler(func() uint64 { return ids.Add(1) })
 	mux.HandleFunc("POST /v1/targets", call)
 	mux.HandleFunc("PUT /v1/targets/", call)
 	mux.HandleFunc("DELETE /v1/targets/", call)
--- a/internal/daemon/recorded_test.go
+++ b/internal/daemon/recorded_test.go
@@ -37,10 +37,10 @@
 
 // The counters on /metrics keep their names.
 func TestMetricNames(t *testing.T) {
-	h := &Host{Metrics: prometheus.NewRegistry()}
-	h.Counters("core", func() any { return &controlplane.Counts{} })
-	h.Counters("gate", func() any { return &dataplane.Counts{} })
-	h.Counters("carry", func() any { return &reverseproxy.Counts{} })
+	h := &Process{Metrics: prometheus.NewRegistry()}
+	h.RegisterCounters("core", func() any { return &controlplane.Counts{} })
+	h.RegisterCounters("gate", func() any { return &dataplane.Counts{} })
+	h.RegisterCounters("carry", func() any { return &reverseproxy.Counts{} })
 	families, err := h.Metrics.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -21,7 +21,7 @@
 	taken int
 }
 
-func newLoneCore(tb testing.TB, h *Host) *loneCore {
+func newLoneCore(tb testing.TB, h *Process) *loneCore {
 	tb.Helper()
 	d, img, err := h.OpenDisk()
 	if err != nil {
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -27,15 +27,15 @@
 	Domain string   `koanf:"domain" json:"domain"`           // failure domain (zone)
 	Addr   string   `koanf:"addr" json:"addr"`               // IP:port at which other daemons reach it
 	Bind   string   `koanf:"bind" json:"bind,omitempty"`     // IP:port to listen on for them, "": Addr
-	From   string   `koanf:"from" json:"from,omitempty"`     // IP that connections leave from, "": the system's choice
+	LocalIP   string   `koanf:"from" json:"from,omitempty"`     // IP that connections leave from, "": the system's choice
 	HTTP   string   `koanf:"http" json:"http"`               // IP:port of its HTTP API
 	Listen string   `koanf:"listen" json:"listen,omitempty"` // IP:port for callers; proxies only
 	Seeds  []string `koanf:"seeds" json:"seeds"`             // addresses of some other daemons
 	Data   string   `koanf:"data" json:"data,omitempty"`     // folder of its state; core members only
 	Size   int      `koanf:"size" json:"size,omitempty"`     // members that found the core, 0: the seeds do
-	Log    string   `koanf:"log" json:"log,omitempty"`       // level: error, warn, info or debug
-	// Found says that this is the fleet's first start ever: without a size, the seeds found the core then.
-	Found bool `koanf:"found" json:"found,omitempty"`
+	LogLevel    string   `koanf:"log" json:"log,omitempty"`       // level: error, warn, info or debug
+	// Bootstrap says that this is the fleet's first start ever: without a size, the seeds found the core then.
+	Bootstrap bool `koanf:"found" json:"found,omitempty"`
 	// Domains are all domains of the fleet, if they are known beforehand.
 	Domains []string `koanf:"domains" json:"domains,omitempty"`
 	// MemoryMb is how much memory the process may take, in MiB; 0: not bounded.
@@ -50,13 +50,13 @@
 	// CatchUpMs is how long after the start of a replacement a core has to bear the next loss of a
 	// member, and Losses how many members may be lost at once; 0: the program's own.
 	CatchUpMs int `koanf:"catch_up_ms" json:"catch_up_ms,omitempty"`
-	Losses    int `koanf:"losses" json:"losses,omitempty"`
+	ToleratedLosses    int `koanf:"losses" json:"losses,omitempty"`
 	// ReadyWhenEmptied has a proxy stay ready for callers while its domain is emptied.
 	ReadyWhenEmptied bool `koanf:"ready_when_emptied" json:"ready_when_emptied,omitempty"`
 }
 
-// Dialect is what differs between platforms that the daemons run on.
-type Dialect struct {
+// Platform is what differs between platforms that the daemons run on.
+type Platform struct {
 	// Load reads the settings, and returns with them the text that they were read from and their
 	// faults; nil: they come from flags and a file.
 	Load func() (Settings, []byte, []config.Fault, error)
@@ -64,8 +64,8 @@
 	Headers reverseproxy.Headers
 }
 
-// Own returns the product's own dialect.
-func Own() Dialect { return Dialect{Headers: reverseproxy.Defaults()} }
+// DefaultPlatform returns the product's own dialect.
+func DefaultPlatform() Platform { return Platform{Headers: reverseproxy.Defaults()} }
 
 // settingsCheck collects the faults of settings.
 type settingsCheck struct{ faults []config.Fault }
@@ -91,7 +91,7 @@
 		c.add("domain", "is missing")
 	}
 	s.checkAddresses(c)
-	if _, err := logrus.ParseLevel(s.Log); err != nil {
+	if _, err := logrus.ParseLevel(s.LogLevel); err != nil {
 		c.add("log", "%v", err)
 	}
 	s.checkNumbers(c)
@@ -112,9 +112,9 @@
 			c.add("bind", "%q is not IP:port", s.Bind)
 		}
 	}
-	if s.From != "" {
-		if ip, err := netip.ParseAddr(s.From); err != nil || ip.IsUnspecified() {
-			c.add("from", "%q is not an IP of this machine", s.From)
+	if s.LocalIP != "" {
+		if ip, err := netip.ParseAddr(s.LocalIP); err != nil || ip.IsUnspecified() {
+			c.add("from", "%q is not an IP of this machine", s.LocalIP)
 		}
 	}
 	for i, a := range s.Seeds {
@@ -130,7 +130,7 @@
 		{"memory_mb", float64(s.MemoryMb)},
 		{"grace_ms", float64(s.GraceMs)},
 		{"catch_up_ms", float64(s.CatchUpMs)},
-		{"losses", float64(s.Losses)},
+		{"losses", float64(s.ToleratedLosses)},
 		{"retry_ratio", s.RetryRatio},
 		{"retry_window_ms", float64(s.RetryWindowMs)},
 		{"retry_slack", float64(s.RetrySlack)},
@@ -183,11 +183,11 @@
 	app.Flag("domain", "the domain (zone) that this machine stands in").StringVar(&f.set.Domain)
 	app.Flag("addr", "IP:port for the other daemons").StringVar(&f.set.Addr)
 	app.Flag("bind", "IP:port to listen on for the other daemons, if it is not addr itself").StringVar(&f.set.Bind)
-	app.Flag("from", "IP that pipes to daemons and back ends leave from (default: the system's choice)").StringVar(&f.set.From)
+	app.Flag("from", "IP that pipes to daemons and back ends leave from (default: the system's choice)").StringVar(&f.set.LocalIP)
 	app.Flag("http", "IP:port for operators, back ends, /ready, /live and /metrics").StringVar(&f.set.HTTP)
 	app.Flag("seed", "address of another daemon (repeat for up to three)").StringsVar(&f.set.Seeds)
 	app.Flag("memory-mb", "MiB that the process may take; the runtime is told").IntVar(&f.set.MemoryMb)
-	app.Flag("log", "log level: error, warn, info or debug").StringVar(&f.set.Log)
+	app.Flag("log", "log level: error, warn, info or debug").StringVar(&f.set.LogLevel)
 	if kind == wire.ProxyDaemon {
 		app.Flag("listen", "IP:port for callers").StringVar(&f.set.Listen)
 		app.Flag("grace-ms", "how long after SIGTERM the process is ended by force").IntVar(&f.set.GraceMs)
@@ -195,15 +195,15 @@
 		app.Flag("data", "folder for this member's state").StringVar(&f.set.Data)
 		app.Flag("size", "how many members found the core: 3 or 5 (1 for trials), 0 if the seeds found it and it grows (default 3)").IsSetByUser(&f.sized).IntVar(&f.set.Size)
 		app.Flag("catch-up-ms", "how long after a replacement's start the core has to bear the next loss of a member").IntVar(&f.set.CatchUpMs)
-		app.Flag("losses", "how many core members may be lost at once").IntVar(&f.set.Losses)
-		app.Flag("found", "this is the fleet's first start ever: without a size, the seeds found the core").BoolVar(&f.set.Found)
+		app.Flag("losses", "how many core members may be lost at once").IntVar(&f.set.ToleratedLosses)
+		app.Flag("found", "this is the fleet's first start ever: without a size, the seeds found the core").BoolVar(&f.set.Bootstrap)
 	}
 }
 
 // Load reads the file, lays the flags over it and checks the whole. It returns the file's text, and
 // the faults of the settings by their names; errors are those of reading the file.
 func (f *Flags) Load(kind wire.DaemonKind) (Settings, []byte, []config.Fault, error) {
-	s := Settings{Log: "info"}
+	s := Settings{LogLevel: "info"}
 	if kind == wire.ControlDaemon {
 		s.Size = 3
 	}
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -34,13 +34,13 @@
 // looked at once it watches them: seeds that differ later are taken.
 func TestHangupWhileStarting(t *testing.T) {
 	f := settingsFile(t, "127.0.0.1:3")
-	h := Start(wire.ControlDaemon, []string{"-s", f}, Own())
+	h := Start(wire.ControlDaemon, []string{"-s", f}, DefaultPlatform())
 	writeSettings(t, f, "127.0.0.1:4")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil { // would end this process by default
 		t.Fatal(err)
 	}
 	got := make(chan []string, 4)
-	h.Watch(func(seeds []string) { got <- seeds })
+	h.WatchSettings(func(seeds []string) { got <- seeds })
 	select {
 	case seeds := <-got:
 		if !slices.Equal(seeds, []string{"127.0.0.1:4"}) {
@@ -70,7 +70,7 @@
 // A SIGTERM that comes while a daemon starts does not end it at once: it serves callers before it waits for
 // signals, and stops as at any time.
 func TestStopWhileStarting(t *testing.T) {
-	h := Start(wire.ControlDaemon, []string{"-s", settingsFile(t, "127.0.0.1:3")}, Own())
+	h := Start(wire.ControlDaemon, []string{"-s", settingsFile(t, "127.0.0.1:3")}, DefaultPlatform())
 	t.Cleanup(func() { signal.Stop(h.stops) })
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil { // would end this process by default
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 	for len(h.stops) == 0 {
 		runtime.Gosched() // until it has arrived
 	}
-	h.Signals()
+	h.HandleSignals()
 	select {
 	case it := <-h.Loop.queue:
 		if _, ok := it.ev.(statemachine.Stop); !ok {
--- a/internal/daemon/stream.go
+++ b/internal/daemon/stream.go
@@ -37,22 +37,22 @@
 	leave     bool
 }
 
-// Hub passes notes of target events to the readers of the stream, and keeps the last ones for those
+// EventStream passes notes of target events to the readers of the stream, and keeps the last ones for those
 // that resume. One goroutine owns both.
-type Hub struct {
+type EventStream struct {
 	put  chan line
 	join chan join
 }
 
-// NewHub starts the goroutine that owns the stream, which runs as long as the process.
-func NewHub() *Hub {
-	u := &Hub{make(chan line, tuning.EventQueue), make(chan join)}
+// NewEventStream starts the goroutine that owns the stream, which runs as long as the process.
+func NewEventStream() *EventStream {
+	u := &EventStream{make(chan line, tuning.EventQueue), make(chan join)}
 	go u.run()
 	return u
 }
 
-// Put adds a note; it never waits for readers.
-func (u *Hub) Put(term uint64, n statemachine.Publish) { u.put <- line{Term: term, Publish: n} }
+// Publish adds a note; it never waits for readers.
+func (u *EventStream) Publish(term uint64, n statemachine.Publish) { u.put <- line{Term: term, Publish: n} }
 
 // give passes a line to a reader, without waiting for it.
 func (r *reader) give(l line) {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (u *Hub) run() {
+func (u *EventStream) run() {
 	var kept []line
 	var seq uint64
 	readers := map[*reader]bool{}
@@ -118,7 +118,7 @@
 
 // Serve answers one reader until it goes, if this daemon leads; else it sends the reader to the
 // leader's HTTP address.
-func (u *Hub) Serve(w http.ResponseWriter, r *http.Request, leads bool, leader string) {
+func (u *EventStream) Serve(w http.ResponseWriter, r *http.Request, leads bool, leader string) {
 	if !leads {
 		if leader == "" {
 			refuse(w, http.StatusServiceUnavailable, tuning.RetryAfterMin, config.ErrorBody{Code: "no_leader", Message: "no leader is known"})
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -18,9 +18,9 @@
 // A reader resumes after the line it names, and is told of what it missed, be it
 // for coming late or for reading too slowly.
 func TestStream(t *testing.T) {
-	u := NewHub()
+	u := NewEventStream()
 	for range 10 {
-		u.Put(3, note())
+		u.Publish(3, note())
 	}
 	next := func(r *reader) line { return <-r.lines }
 	r := &reader{lines: make(chan line, 64)}
@@ -32,7 +32,7 @@
 			t.Fatalf("%+v, want %d", l, want)
 		}
 	}
-	u.Put(4, note())
+	u.Publish(4, note())
 	if l := next(r); l.Seq != 11 || l.Term != 4 {
 		t.Fatalf("%+v", l)
 	}
@@ -44,7 +44,7 @@
 	slow := &reader{lines: make(chan line, 2)}
 	u.join <- join{r: slow}
 	for range 5 {
-		u.Put(4, note())
+		u.Publish(4, note())
 	}
 	for len(u.put) > 0 {
 	}
@@ -52,12 +52,12 @@
 	if a, b := next(slow), next(slow); a.Seq != 12 || b.Seq != 13 {
 		t.Fatalf("%+v %+v", a, b)
 	}
-	u.Put(4, note())
+	u.Publish(4, note())
 	if l := next(slow); l.Missed != 3 {
 		t.Fatalf("%+v", l)
 	}
 	for range 3 * tuning.EventsKept {
-		u.Put(4, note()) // nobody reads, nobody waits
+		u.Publish(4, note()) // nobody reads, nobody waits
 	}
 }
 
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -13,11 +13,11 @@
 // kinds are the messages' names, by wire.Kind.
 var kinds = [...]string{"unknown", "hello", "vote", "append", "pull", "push", "beat", "ask"}
 
-// Flow is what went one way in messages of one kind; bytes are as on the connection, packed.
-type Flow struct {
+// MessageCount is what went one way in messages of one kind; bytes are as on the connection, packed.
+type MessageCount struct {
 	Sent        bool
 	Kind        string
-	Msgs, Bytes uint64
+	Messages, Bytes uint64
 }
 
 // Traffic counts a daemon's messages to and from others. It is a prometheus.Collector.
@@ -42,12 +42,12 @@
 }
 
 // Flows returns the counts so far, without those that are 0.
-func (t *Traffic) Flows() (l []Flow) {
+func (t *Traffic) Counts() (l []MessageCount) {
 	for _, sent := range []bool{false, true} {
 		for k := range kinds {
 			c := &t.counts[way(sent)][k]
 			if n := c.msgs.Load(); n > 0 {
-				l = append(l, Flow{sent, kinds[k], n, c.bytes.Load()})
+				l = append(l, MessageCount{sent, kinds[k], n, c.bytes.Load()})
 			}
 		}
 	}
@@ -63,12 +63,12 @@
 		return prometheus.NewDesc("mf_wire_"+what+"_total", help, []string{"direction", "kind"}, nil)
 	}
 	msgs, bytes := desc("messages", "Messages between daemons."), desc("bytes", "Bytes of messages between daemons.")
-	for _, f := range t.Flows() {
+	for _, f := range t.Counts() {
 		dir := "received"
 		if f.Sent {
 			dir = "sent"
 		}
-		ch <- prometheus.MustNewConstMetric(msgs, prometheus.CounterValue, float64(f.Msgs), dir, f.Kind)
+		ch <- prometheus.MustNewConstMetric(msgs, prometheus.CounterValue, float64(f.Messages), dir, f.Kind)
 		ch <- prometheus.MustNewConstMetric(bytes, prometheus.CounterValue, float64(f.Bytes), dir, f.Kind)
 	}
 }
--- a/internal/daemon/traffic_test.go
+++ b/internal/daemon/traffic_test.go
@@ -16,8 +16,8 @@
 	tr.add(true, wire.KindPush, 50)
 	tr.add(false, wire.KindHello, 10)
 	tr.add(false, 60000, 1)
-	want := []Flow{{false, "unknown", 1, 1}, {false, "hello", 1, 10}, {true, "push", 2, 150}}
-	got := tr.Flows()
+	want := []MessageCount{{false, "unknown", 1, 1}, {false, "hello", 1, 10}, {true, "push", 2, 150}}
+	got := tr.Counts()
 	if len(got) != len(want) {
 		t.Fatal(got)
 	}
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -16,8 +16,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Listen opens the daemon's address and passes the messages of other daemons to the owner.
-func (h *Host) Listen() error {
+// ListenForPeers opens the daemon's address and passes the messages of other daemons to the owner.
+func (h *Process) ListenForPeers() error {
 	ln, err := reverseproxy.Listen(cmp.Or(h.Settings.Bind, h.Settings.Addr), tuning.Unacked)
 	if err != nil {
 		return errors.Wrap(err, "listen for daemons")
@@ -26,7 +26,7 @@
 	return nil
 }
 
-func (h *Host) accept(ln net.Listener) {
+func (h *Process) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if passes(err) {
@@ -41,7 +41,7 @@
 }
 
 // receive reads the messages of one connection until it ends, or one of them is unsound.
-func (h *Host) receive(c net.Conn) {
+func (h *Process) receive(c net.Conn) {
 	defer c.Close()
 	r, from := wire.NewReader(c), ""
 	for {
@@ -59,7 +59,7 @@
 		}
 		from = m.From
 		h.Traffic.add(false, m.Kind, r.Size)
-		h.Loop.Tell(statemachine.Receive{Message: m})
+		h.Loop.Post(statemachine.Receive{Message: m})
 	}
 }
 
@@ -99,7 +99,7 @@
 
 // Send queues a message for an address; called on the owner's goroutine. Messages that can't be
 // sent soon are dropped: owners repeat them, or send later ones in their place.
-func (h *Host) Send(addr string, m *wire.Message) {
+func (h *Process) Send(addr string, m *wire.Message) {
 	ch := h.queues[addr]
 	if ch == nil {
 		ch = make(chan queued, tuning.SendQueue)
@@ -117,7 +117,7 @@
 }
 
 // sender sends the messages of one queue, on a connection that is opened when there are any.
-func (h *Host) sender(addr string, ch chan queued) {
+func (h *Process) sender(addr string, ch chan queued) {
 	var c net.Conn
 	var w *wire.Writer
 	for q := range ch {
@@ -153,8 +153,8 @@
 }
 
 // dial opens a connection for sending. The other side never sends: only its close is read.
-func (h *Host) dial(addr string) (net.Conn, error) {
-	d := reverseproxy.Dialer(h.From(), tuning.ProbeTimeout)
+func (h *Process) dial(addr string) (net.Conn, error) {
+	d := reverseproxy.Dialer(h.LocalAddr(), tuning.ProbeTimeout)
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -14,18 +14,18 @@
 
 // watch is the settings as they were last read and as they are in effect.
 type watch struct {
-	*Host
+	*Process
 	seeds   func([]string)
 	seen    string // the text last read, or the error in its place
 	current Settings
 }
 
-// Watch reads the settings each tuning.SettingsEvery and at once on SIGHUP. Sound changes of log
+// WatchSettings reads the settings each tuning.SettingsEvery and at once on SIGHUP. Sound changes of log
 // level, seeds and memory take effect; others wait for the next start; unsound ones are logged once
 // and the old ones kept.
-func (h *Host) Watch(seeds func([]string)) {
+func (h *Process) WatchSettings(seeds func([]string)) {
 	tick := time.NewTicker(tuning.SettingsEvery)
-	w := &watch{Host: h, seeds: seeds, seen: string(h.rawSettings), current: h.Settings}
+	w := &watch{Process: h, seeds: seeds, seen: string(h.rawSettings), current: h.Settings}
 	go func() {
 		for {
 			select {
@@ -59,13 +59,13 @@
 
 // apply puts in effect what can change while the daemon runs.
 func (w *watch) apply(next Settings) {
-	if level, _ := logrus.ParseLevel(next.Log); next.Log != w.current.Log {
+	if level, _ := logrus.ParseLevel(next.LogLevel); next.LogLevel != w.current.LogLevel {
 		w.Log.SetLevel(level)
 	}
 	if !slices.Equal(next.Seeds, w.current.Seeds) {
 		w.seeds(next.Seeds)
 	}
 	w.bound(next)
-	w.current.Log, w.current.Seeds, w.current.MemoryMb = next.Log, next.Seeds, next.MemoryMb
-	w.Log.WithFields(logrus.Fields{"log": next.Log, "seeds": next.Seeds, "rest_at_next_start": !reflect.DeepEqual(next, w.current)}).Info("settings changed")
+	w.current.LogLevel, w.current.Seeds, w.current.MemoryMb = next.LogLevel, next.Seeds, next.MemoryMb
+	w.Log.WithFields(logrus.Fields{"log": next.LogLevel, "seeds": next.Seeds, "rest_at_next_start": !reflect.DeepEqual(next, w.current)}).Info("settings changed")
 }
