--- a/internal/daemon/proxy.go
+++ b/internal/daemon/proxy.go
@@ -48,7 +48,7 @@
 		d.Fatal(err, "start")
 	}
 	go d.Loop.Run(d.owner.Step, d.execute)
-	code := d.Wait(d.owner.Seeds)
+	code := d.Wait(d.owner.SetSeeds)
 	d.closeAPI(admin)
 	if !d.awaitAnswers() {
 		code = 1
@@ -76,7 +76,7 @@
 	d.owner = dataplane.New(dataplane.Settings{
 		Self:             h.Daemon(),
 		Seeds:            s.Seeds,
-		Grace:            milliseconds(s.GraceMs),
+		GracePeriod:            milliseconds(s.GraceMs),
 		ReadyWhenEmptied: s.ReadyWhenEmptied,
 		Retry:            dataplane.RetryBudget{Ratio: s.RetryRatio, Window: milliseconds(s.RetryWindowMs), Slack: float64(s.RetrySlack)},
 	})
--- a/internal/dataplane/choice.go
+++ b/internal/dataplane/choice.go
@@ -179,9 +179,9 @@
 func (g *Proxy) tell(k tier) {
 	switch k {
 	case dealtNear, dealtFar:
-		g.Counts.Dealt++
+		g.Counts.WithinQuota++
 	case coldRate:
-		g.Counts.ToCold++
+		g.Counts.ToWarmingUp++
 	default:
 		g.Counts.Borrowed++
 	}
@@ -204,7 +204,7 @@
 	if higher == 0 || float64(s.inflight+1) <= s.window*(1-tuning.PriorityReserve*float64(higher)) {
 		return true
 	}
-	g.Counts.LowRank++
+	g.Counts.LowPriority++
 	return false
 }
 
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -114,11 +114,11 @@
 		svc, allowed, ok := g.cfg.Match(e.Host, e.Path, e.Method)
 		switch {
 		case !ok && len(allowed) > 0:
-			g.Counts.Refused++
+			g.Counts.Unmatched++
 			g.emit(statemachine.Reject{ID: e.ID, Status: 405, Code: "method", Message: "the rule for this path takes other methods", Allowed: allowed})
 			return
 		case !ok:
-			g.Counts.Refused++
+			g.Counts.Unmatched++
 			g.Counts.NoRoute++
 			g.refuse(now, x, 404, "no_rule", "no rule for this host and path")
 			return
@@ -149,7 +149,7 @@
 func (g *Proxy) place(now time.Duration, x *request, mayWait bool) {
 	s := g.service(x.svc)
 	if g.tooLate(now, x, s) {
-		g.Counts.TooLate++
+		g.Counts.DeadlineTooClose++
 		g.refuse(now, x, 503, "late", "it could not be answered in time")
 		return
 	}
@@ -168,7 +168,7 @@
 			x.svc, x.set = o.Service, g.cfg.Services[o.Service]
 			if c, _ := g.choose(now, x); c != nil && (!x.repeat || g.service(x.svc).budget.has(now, g.settings.Retry)) {
 				t, any, s = c, true, g.service(x.svc)
-				g.Counts.OtherShare++
+				g.Counts.SplitFallbacks++
 				break
 			}
 			x.svc, x.set = was, set
@@ -206,7 +206,7 @@
 	t.inflight++
 	t.usedAt = now
 	s.inflight++
-	g.Counts.Admitted++
+	g.Counts.Forwarded++
 	g.emit(statemachine.Forward{ID: x.id, Service: x.svc, ServiceConfig: x.set, RouteName: x.name, Route: x.route, Target: t.Target, TimeLeft: x.deadline - now, WorkTime: g.targetTime(now, x), WriteBy: now + tuning.ChoiceTTL, MayRetry: x.tries < x.route.Attempts, ConnectTimeout: connectTime(&x.route), MaxIdle: g.idleConns(t, x.set)})
 }
 
@@ -251,7 +251,7 @@
 		if o.priority <= x.priority {
 			return false
 		}
-		g.Counts.Overtaken++
+		g.Counts.Preempted++
 		g.refuse(now, o, 503, "busy", "every target of the service is busy")
 	}
 	x.waiting = true
@@ -264,7 +264,7 @@
 	})
 	s.queue = slices.Insert(s.queue, at, x.id)
 	s.pressAt = now
-	g.Counts.Waited++
+	g.Counts.Queued++
 	return true
 }
 
@@ -335,7 +335,7 @@
 	x.repeat = x.repeat || e.Sent || x.last == statemachine.TargetRejected || x.last == statemachine.WrongIdentity && x.set.HasHealthCheck()
 	switch {
 	case !x.route.Idempotent() && ran && (e.Sent || x.way != nil):
-		g.Counts.OnceKept++
+		g.Counts.NotRepeatable++
 		g.refuse(now, x, 502, "may_have_run", "it may have run and must not run again")
 	case !g.Serving():
 		g.refuse(now, x, 503, "not_serving", "this proxy has no fresh table")
@@ -380,14 +380,14 @@
 		case statemachine.TargetRejected:
 			t.seen.Rejected++
 		case statemachine.ChoiceExpired:
-			g.Counts.StaleChoices++
+			g.Counts.ExpiredChoices++
 		case statemachine.ConnectFailed, statemachine.WrongIdentity:
 			t.seen.Errors++
 			t.avoidUntil = now + tuning.AvoidFor
-			g.Counts.Shunned++
+			g.Counts.AvoidedTargets++
 			if t.closed++; t.closed >= tuning.ProbeMisses {
 				t.ownEjection = max(t.ownEjection, now+tuning.ClosedEjection)
-				g.Counts.OwnBars++
+				g.Counts.OwnEjections++
 			}
 		}
 	}
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -53,7 +53,7 @@
 		t.fullTill = now + tuning.FullPause
 		s.window = max(s.least(), s.window*tuning.WindowCut)
 		s.pressAt = now
-		g.Counts.Full++
+		g.Counts.TargetRejections++
 	case statemachine.Served:
 		if float64(s.inflight)+1 >= s.window {
 			s.window = min(s.most(), s.window+1/max(1, s.window))
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -155,7 +155,7 @@
 		}
 		if t.misses++; t.misses >= tuning.ProbeMisses && g.doubts(now) {
 			if t.ownEjection <= now {
-				g.Counts.OwnBars++
+				g.Counts.OwnEjections++
 			}
 			t.ownEjection = now + tuning.EjectionTTL
 		}
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -242,10 +242,10 @@
 	b.admit(90)
 	b.admit(91) // refused: the only place is taken
 	b.step(statemachine.AttemptDone{ID: 90, Outcome: statemachine.ClientGone, Last: true})
-	if a := b.g.View(b.now).Aims[0]; a.Good != 5 || a.All != 9 {
+	if a := b.g.View(b.now).Objectives[0]; a.Good != 5 || a.Total != 9 {
 		t.Fatalf("%+v", a)
 	}
-	if a := b.g.View(b.now + 2*time.Minute).Aims[0]; a.All != 0 {
+	if a := b.g.View(b.now + 2*time.Minute).Objectives[0]; a.Total != 0 {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -488,7 +488,7 @@
 				for _, b := range all {
 					b.now += 2*time.Second + tuning.ChoiceTTL
 					b.step(statemachine.Tick{})
-					now += b.g.View(b.now).Targets[0].Room
+					now += b.g.View(b.now).Targets[0].Capacity
 				}
 				if now != warmCap {
 					t.Fatalf("%d proxies and %d more: parts are %d of %d in the end", from, more, now, warmCap)
@@ -507,7 +507,7 @@
 		if i == 1 {
 			b.table(1, plain, to("a"))
 		}
-		v := b.g.View(b.now).Targets[0].Room
+		v := b.g.View(b.now).Targets[0].Capacity
 		if v < last || v > last+1 && i > 0 {
 			t.Fatalf("room from %d to %d", last, v)
 		}
@@ -625,7 +625,7 @@
 		}
 		b.step(statemachine.ProbeResult{ID: id})
 	}
-	if b.g.Counts.OwnBars != 0 {
+	if b.g.Counts.OwnEjections != 0 {
 		t.Fatal("barred by itself")
 	}
 	told := func() (n int) {
--- a/internal/dataplane/route_test.go
+++ b/internal/dataplane/route_test.go
@@ -639,7 +639,7 @@
 // A stop is told at once, lasts while requests are under way and no longer than the grace.
 func TestStop(t *testing.T) {
 	b := newBench("g1", 1, routed, to("a", slots(2)))
-	b.g.settings.Grace = 6 * time.Second
+	b.g.settings.GracePeriod = 6 * time.Second
 	b.call(1, "/a/", 0)
 	b.step(statemachine.Stop{})
 	if b.g.Ready() || !b.g.Serving() {
@@ -804,8 +804,8 @@
 	}
 	b.pass(150 * time.Millisecond)
 	s := b.g.service("s")
-	if most := s.budget.part + float64(b.g.Counts.Admitted)*b.g.settings.Retry.Ratio; b.g.Counts.Admitted > 20 || s.budget.credit > most {
-		t.Fatalf("%v credit for %d exchanges at targets", s.budget.credit, b.g.Counts.Admitted)
+	if most := s.budget.part + float64(b.g.Counts.Forwarded)*b.g.settings.Retry.Ratio; b.g.Counts.Forwarded > 20 || s.budget.credit > most {
+		t.Fatalf("%v credit for %d exchanges at targets", s.budget.credit, b.g.Counts.Forwarded)
 	}
 }
 
@@ -874,7 +874,7 @@
 	if r, ok := ahead(1, "/once/").(statemachine.Reject); !ok || r.Code != statemachine.CodeNotPipelined {
 		t.Fatalf("%+v", r)
 	}
-	if n := b.g.Counts; n.Admitted != 0 || n.Refused != 0 || b.g.InFlight() != 0 || b.g.service("s").budget.credit != 0 {
+	if n := b.g.Counts; n.Forwarded != 0 || n.Unmatched != 0 || b.g.InFlight() != 0 || b.g.service("s").budget.credit != 0 {
 		t.Fatalf("%+v, %d in flight, credit %v", n, b.g.InFlight(), b.g.service("s").budget.credit)
 	}
 	if _, ok := b.call(1, "/once/", 0).(statemachine.Forward); !ok {
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -16,10 +16,10 @@
 
 // stop is how long a stopping proxy serves on in any case, and at most.
 func (s Settings) stop() (linger, most time.Duration) {
-	if s.Grace <= 0 {
+	if s.GracePeriod <= 0 {
 		return tuning.StopLinger, tuning.StopWait
 	}
-	return min(tuning.StopLingerMost, s.Grace/2), max(s.Grace-tuning.StopMargin, s.Grace/2)
+	return min(tuning.StopLingerMost, s.GracePeriod/2), max(s.GracePeriod-tuning.StopMargin, s.GracePeriod/2)
 }
 
 // beginStop goes unready.
--- a/internal/dataplane/shutdown_test.go
+++ b/internal/dataplane/shutdown_test.go
@@ -44,7 +44,7 @@
 		rnd := rand.New(rand.NewPCG(seed, 24))
 		r := &stopRun{bench: newBench("g1", 1, routed, to("a", slots(20)), to("b", slots(20))), ends: map[uint64]time.Duration{}}
 		r.grace = time.Duration(1000+rnd.IntN(9000)) * time.Millisecond
-		r.g.settings.Grace = r.grace
+		r.g.settings.GracePeriod = r.grace
 		r.step(statemachine.Stop{})
 		r.stopAt = r.now
 		longest := r.grace / time.Duration(3+rnd.IntN(9))
--- a/internal/dataplane/unsound.go
+++ b/internal/dataplane/unsound.go
@@ -37,7 +37,7 @@
 // refuseTable counts an unsound table and reports its configuration once, however often the
 // leader sends it.
 func (g *Proxy) refuseTable(t *wire.Table, err error) {
-	g.Counts.UnsoundTables++
+	g.Counts.InvalidTables++
 	document := unsoundDocument{t.Key.Epoch, t.Revision}
 	if document == g.unsound {
 		return
--- a/internal/dataplane/unsound_test.go
+++ b/internal/dataplane/unsound_test.go
@@ -34,8 +34,8 @@
 			if b.g.Table().Key != key || b.g.leaseUntil != leaseUntil {
 				t.Errorf("table %v, lease until %v", b.g.Table().Key, b.g.leaseUntil)
 			}
-			if b.g.Counts.UnsoundTables != 3 || reports != 1 {
-				t.Errorf("%d counted, %d reported", b.g.Counts.UnsoundTables, reports)
+			if b.g.Counts.InvalidTables != 3 || reports != 1 {
+				t.Errorf("%d counted, %d reported", b.g.Counts.InvalidTables, reports)
 			}
 			if given, ok := b.admit(1).(statemachine.Forward); !ok || given.Target.Name != "a" {
 				t.Errorf("not served by the table before: %v", given)
@@ -52,7 +52,7 @@
 // A first table that can't be read leaves the proxy cold, without a table.
 func TestUnsoundFirstTable(t *testing.T) {
 	b := newBench("g1", 1, `[]`, wire.Target{Service: "s", Name: "a", Incarnation: 1, State: config.Ready})
-	if b.g.State() != NoTable || b.g.Table() != nil || b.g.Counts.UnsoundTables != 1 {
+	if b.g.State() != NoTable || b.g.Table() != nil || b.g.Counts.InvalidTables != 1 {
 		t.Errorf("%v with %+v", b.g.State(), b.g.Counts)
 	}
 }
--- a/internal/dataplane/view.go
+++ b/internal/dataplane/view.go
@@ -22,24 +22,24 @@
 	InFlight int           `json:"in_flight"`
 	Targets  []TargetView  `json:"targets"`
 	Counts   Counts        `json:"counts"`
-	Aims     []AimView     `json:"aims,omitempty"`
+	Objectives     []ObjectiveView     `json:"aims,omitempty"`
 }
 
-// AimView is this proxy's part in an aim over its window.
-type AimView struct {
+// ObjectiveView is this proxy's part in an aim over its window.
+type ObjectiveView struct {
 	Name string `json:"name"`
 	config.Objective
 	Good int `json:"good"`
-	All  int `json:"all"`
+	Total  int `json:"all"`
 }
 
 // TargetView is a target as operators may read it.
 type TargetView struct {
 	wire.Target
 	InFlight int   `json:"in_flight"`
-	BarMs    int64 `json:"bar_left_ms"`
-	OwnBarMs int64 `json:"own_bar_left_ms"`
-	Room     int   `json:"room"`
+	EjectionLeftMs    int64 `json:"bar_left_ms"`
+	OwnEjectionLeftMs int64 `json:"own_bar_left_ms"`
+	Capacity     int   `json:"room"`
 }
 
 // View returns the proxy's state as operators may read it.
@@ -47,26 +47,26 @@
 	v := View{Name: g.settings.Self.Name, State: g.state.String(), Ready: g.table != nil && g.Ready(), Leader: g.leader(now),
 		Revision: g.revision, InFlight: len(g.requests), Counts: g.Counts, Targets: []TargetView{}}
 	for _, n := range slices.Sorted(maps.Keys(g.cfg.Objectives)) {
-		a := AimView{Name: n, Objective: g.cfg.Objectives[n]}
+		a := ObjectiveView{Name: n, Objective: g.cfg.Objectives[n]}
 		if t := g.aims[n]; t != nil {
 			for _, m := range t.minutes {
 				if int(now/time.Minute)-m.minute < a.WindowMin {
-					a.Good, a.All = a.Good+m.good, a.All+m.all
+					a.Good, a.Total = a.Good+m.good, a.Total+m.all
 				}
 			}
 		}
-		v.Aims = append(v.Aims, a)
+		v.Objectives = append(v.Objectives, a)
 	}
 	if g.table != nil {
 		v.Table = g.table.Key
 		for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.ID.Compare) {
 			t := g.targets[id]
-			tv := TargetView{Target: t.Target, InFlight: t.inflight, Room: g.room(now, t, g.cfg.Services[t.Service])}
+			tv := TargetView{Target: t.Target, InFlight: t.inflight, Capacity: g.room(now, t, g.cfg.Services[t.Service])}
 			if s := g.services[t.Service]; s != nil && s.slotted {
-				tv.Room = t.part
+				tv.Capacity = t.part
 			}
 			tv.Draining = t.Draining || t.held
-			tv.BarMs, tv.OwnBarMs = max(0, (t.ejectedUntil-now).Milliseconds()), max(0, (t.ownEjection-now).Milliseconds())
+			tv.EjectionLeftMs, tv.OwnEjectionLeftMs = max(0, (t.ejectedUntil-now).Milliseconds()), max(0, (t.ownEjection-now).Milliseconds())
 			v.Targets = append(v.Targets, tv)
 		}
 	}
--- a/internal/mfctl/views.go
+++ b/internal/mfctl/views.go
@@ -87,7 +87,7 @@
 	}
 	var r struct{ Daemons []controlplane.DaemonView }
 	json.Unmarshal(out, &r)
-	sums := map[string]*dataplane.AimView{}
+	sums := map[string]*dataplane.ObjectiveView{}
 	for _, d := range r.Daemons {
 		if d.Kind != wire.ProxyDaemon {
 			continue
@@ -104,9 +104,9 @@
 			fmt.Fprintf(os.Stderr, "mfctl: %s left out: %v\n", d.Name, err)
 			continue
 		}
-		for _, a := range v.Aims {
+		for _, a := range v.Objectives {
 			if s := sums[a.Name]; s != nil {
-				s.Good, s.All = s.Good+a.Good, s.All+a.All
+				s.Good, s.Total = s.Good+a.Good, s.Total+a.Total
 			} else {
 				sums[a.Name] = &a
 			}
@@ -121,11 +121,11 @@
 	for _, n := range slices.Sorted(maps.Keys(sums)) {
 		s := sums[n]
 		met, left := "-", "-"
-		if s.All > 0 {
-			met = fmt.Sprintf("%.4f", float64(s.Good)/float64(s.All))
-			left = fmt.Sprintf("%.0f %%", 100*(1-float64(s.All-s.Good)/(float64(s.All)*(1-s.Part))))
+		if s.Total > 0 {
+			met = fmt.Sprintf("%.4f", float64(s.Good)/float64(s.Total))
+			left = fmt.Sprintf("%.0f %%", 100*(1-float64(s.Total-s.Good)/(float64(s.Total)*(1-s.Part))))
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%g\t%s\t%d\t%s\n", n, s.Service, s.WindowMin, s.UnderMs, s.Part, met, s.All, left)
+		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%g\t%s\t%d\t%s\n", n, s.Service, s.WindowMin, s.UnderMs, s.Part, met, s.Total, left)
 	}
 	tw.Flush()
 	return exitOK
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -353,8 +353,8 @@
 			w.Run(w.now + 10*time.Millisecond)
 		}
 		for _, x := range g.gate.View(g.local()).Targets {
-			if x.OwnBarMs > 0 {
-				t.Fatalf("%s is still barred for %d ms", x.Name, x.OwnBarMs)
+			if x.OwnEjectionLeftMs > 0 {
+				t.Fatalf("%s is still barred for %d ms", x.Name, x.OwnEjectionLeftMs)
 			}
 		}
 		check(t, w)
@@ -421,7 +421,7 @@
 		w.Run(w.now + 9*time.Second)
 		check(t, w)
 		for _, n := range w.all(wire.ProxyDaemon) {
-			stale += w.procs[n].gate.Counts.StaleChoices
+			stale += w.procs[n].gate.Counts.ExpiredChoices
 		}
 	}
 	if stale < 12 {
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -109,7 +109,7 @@
 		set.Self, set.Seeds, set.Domains = self, seeds, w.Plan.Known
 		p.core = controlplane.New(p.local(), set, img)
 	} else {
-		p.gate = dataplane.New(dataplane.Settings{Self: self, Seeds: seeds, Grace: w.Plan.Grace})
+		p.gate = dataplane.New(dataplane.Settings{Self: self, Seeds: seeds, GracePeriod: w.Plan.Grace})
 	}
 	gen := p.gen
 	var beat func()
