--- a/cmd/mfbackend/main.go
+++ b/cmd/mfbackend/main.go
@@ -228,7 +228,7 @@
 func (s *stub) coldLeft() int64 { return max(0, time.Until(s.coldTill).Milliseconds()) }
 
 // names are the headers that proxies use.
-var names = reverseproxy.Defaults()
+var names = reverseproxy.DefaultHeaders()
 
 // load puts the present load in an answer's headers.
 func (s *stub) load(h http.Header) {
@@ -256,7 +256,7 @@
 	h := w.Header()
 	h.Set(names.Identity, s.name)
 	if left := s.coldLeft(); left > 0 {
-		h.Set(names.Cold, strconv.FormatInt(left, 10))
+		h.Set(names.WarmupLeft, strconv.FormatInt(left, 10))
 	}
 	if st := s.state.Load().(string); st != config.Ready {
 		s.turned(w, r, http.StatusServiceUnavailable, st) // alive, and not yet or no more what 200 would say
@@ -400,7 +400,7 @@
 
 // turnedAway refuses a request that is meant for another target or that there is no room for.
 func (s *stub) turnedAway(w http.ResponseWriter, r *http.Request) bool {
-	if e := r.Header.Get(names.Expect); e != "" && e != s.name {
+	if e := r.Header.Get(names.ExpectTarget); e != "" && e != s.name {
 		s.turned(w, r, http.StatusMisdirectedRequest, "this is "+s.name)
 		return true
 	}
--- a/cmd/mfchaos/soak_callers.go
+++ b/cmd/mfchaos/soak_callers.go
@@ -242,7 +242,7 @@
 }
 
 func (k *soakConnection) compose(kind *soakKind, id string) []byte {
-	names := reverseproxy.Defaults()
+	names := reverseproxy.DefaultHeaders()
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: soak\r\nExchange-Id: %s\r\nExchange-Service: %s\r\n%s: %s\r\n%s: %d\r\n",
 		kind.method, kind.path, id, kind.service, names.Attempt, id, names.Deadline, soakDeadline.Milliseconds())
@@ -266,7 +266,7 @@
 		return false
 	}
 	o.ended, o.status = time.Now(), response.StatusCode
-	names := reverseproxy.Defaults()
+	names := reverseproxy.DefaultHeaders()
 	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
 		o.again = min(soakRestMost, time.Duration(seconds*float64(time.Second)))
 	}
--- a/cmd/mfload/main.go
+++ b/cmd/mfload/main.go
@@ -288,7 +288,7 @@
 	req.GetBody = nil // the standard client must not send anything again by itself
 	req.Header.Set("Exchange-Id", id)
 	req.Header.Set("Exchange-Service", k.Service)
-	req.Header.Set(reverseproxy.Defaults().Attempt, id) // its answer must repeat it
+	req.Header.Set(reverseproxy.DefaultHeaders().Attempt, id) // its answer must repeat it
 	req.Header.Set("Stub-Size", strconv.Itoa(k.Answer))
 	if l.work >= 0 {
 		req.Header.Set("Stub-Work-Ms", strconv.Itoa(l.work))
--- a/internal/daemon/healthcheck.go
+++ b/internal/daemon/healthcheck.go
@@ -44,7 +44,7 @@
 	if h.probes == nil {
 		h.probes = map[wire.ID]*probed{}
 		if h.Headers == (reverseproxy.Headers{}) {
-			h.Headers = reverseproxy.Defaults()
+			h.Headers = reverseproxy.DefaultHeaders()
 		}
 	}
 	h.closeIdleProbes(sent)
@@ -90,7 +90,7 @@
 		if !kept {
 			ctx, cancel := context.WithDeadline(context.Background(), deadline)
 			var err error
-			conn, err = reverseproxy.Open(ctx, p.Addr, h.LocalAddr())
+			conn, err = reverseproxy.Dial(ctx, p.Addr, h.LocalAddr())
 			cancel()
 			if err != nil {
 				return nil, 0
@@ -135,10 +135,10 @@
 	default:
 		return nil, 0, again, nil
 	}
-	if ms, err := strconv.ParseFloat(resp.Header.Get(names.Cold), 64); err == nil && ms > 0 && ms <= tuning.TimeoutMaxMs {
+	if ms, err := strconv.ParseFloat(resp.Header.Get(names.WarmupLeft), 64); err == nil && ms > 0 && ms <= tuning.TimeoutMaxMs {
 		cold = time.Duration(ms * float64(time.Millisecond))
 	}
-	if l := reverseproxy.ReadLoad(resp.Header.Get(names.Load)); l != nil && l.Slots > 0 {
+	if l := reverseproxy.ParseLoad(resp.Header.Get(names.Load)); l != nil && l.Slots > 0 {
 		d := float64(l.Running+l.Waiting) / float64(l.Slots)
 		b.Demand = &d
 	}
--- a/internal/daemon/healthcheck_test.go
+++ b/internal/daemon/healthcheck_test.go
@@ -20,7 +20,7 @@
 )
 
 func prober() *Process {
-	h := &Process{start: time.Now(), Headers: reverseproxy.Headers{Deadline: "D", NotRun: "N", Load: "L", Identity: "I", Cold: "C"}}
+	h := &Process{start: time.Now(), Headers: reverseproxy.Headers{Deadline: "D", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C"}}
 	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h}
 	return h
 }
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	out, err := reverseproxy.Dialer(nil, time.Second).Dial("tcp", ln.Addr().String())
+	out, err := reverseproxy.NewDialer(nil, time.Second).Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -59,7 +59,7 @@
 // refuse answers an operator's call with an error of the kind that its status stands for.
 func refuse(w http.ResponseWriter, status int, retry time.Duration, t config.ErrorBody) {
 	t.Rejection = config.RejectionOf(status)
-	reverseproxy.Error(w, status, retry, t)
+	reverseproxy.WriteError(w, status, retry, t)
 }
 
 // Serve runs an HTTP server on addr until it is closed.
@@ -79,11 +79,11 @@
 	}
 	s := &http.Server{Handler: hd, ReadHeaderTimeout: tuning.CallerHeader, IdleTimeout: tuning.CallerIdle, MaxHeaderBytes: tuning.ServerHeaderMax}
 	if c != nil {
-		ln, s.ConnContext, s.ConnState = c.Listener(ln), c.Context, c.Intake.ConnState
+		ln, s.ConnContext, s.ConnState = c.WrapListener(ln), c.ConnContext, c.Callers.ConnState
 	}
 	go func() {
 		err := s.Serve(ln)
-		if errors.Is(err, http.ErrServerClosed) || c != nil && c.Intake.Closed() {
+		if errors.Is(err, http.ErrServerClosed) || c != nil && c.Callers.Closed() {
 			return
 		}
 		h.Fatal(err, "HTTP server")
@@ -116,7 +116,7 @@
 			return
 		}
 		if a.RetryAfter > 0 {
-			w.Header().Set("Retry-After", reverseproxy.After(a.RetryAfter))
+			w.Header().Set("Retry-After", reverseproxy.RetryAfter(a.RetryAfter))
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(a.Status)
--- a/internal/daemon/proxy.go
+++ b/internal/daemon/proxy.go
@@ -63,10 +63,10 @@
 	counts := &d.forwarder.Counts
 	d.Log.WithFields(logrus.Fields{
 		"code":             code,
-		"open_connections": d.forwarder.Intake.Open(),
-		"unanswered":       d.forwarder.Intake.Busy(),
-		"late_kept":        counts.LateKept.Load(),
-		"late_new":         counts.LateNew.Load(),
+		"open_connections": d.forwarder.Callers.Open(),
+		"unanswered":       d.forwarder.Callers.Busy(),
+		"late_kept":        counts.DrainingOldConns.Load(),
+		"late_new":         counts.DrainingNewConns.Load(),
 	}).Info("stopped")
 }
 
@@ -83,10 +83,10 @@
 	ask := func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command {
 		return h.Loop.Call(ctx, id, event, statemachine.Cancel{ID: id})
 	}
-	d.forwarder = reverseproxy.New(reverseproxy.Owner{Now: h.Now, Tell: h.Loop.Post, Ask: ask}, d.pool)
-	d.forwarder.From = h.LocalAddr()
+	d.forwarder = reverseproxy.New(reverseproxy.Owner{Now: h.Now, Notify: h.Loop.Post, Ask: ask}, d.pool)
+	d.forwarder.SourceAddr = h.LocalAddr()
 	d.forwarder.Headers = h.dialect.Headers
-	d.forwarder.Forwarded = h.dialect.Headers == reverseproxy.Defaults()
+	d.forwarder.SendForwardedFor = h.dialect.Headers == reverseproxy.DefaultHeaders()
 	return d
 }
 
@@ -100,15 +100,15 @@
 	case statemachine.Reject:
 		d.Loop.Respond(c.ID, c)
 	case statemachine.UnreachableTargets:
-		d.pool.Dark(c.IDs)
+		d.pool.SetUnreachable(c.IDs)
 	case statemachine.TargetsChanged:
-		d.pool.Live(c.Addresses)
+		d.pool.SetTargets(c.Addresses)
 		d.forwarder.Limits.Store(c.Limits)
 	case statemachine.CloseAfterResponse:
-		d.forwarder.Leaving.Store(true)
+		d.forwarder.Draining.Store(true)
 	case statemachine.StopAccepting:
 		d.endBy.Store(int64(d.Now() + c.TimeLeft + tuning.StopLast))
-		d.forwarder.Intake.Close()
+		d.forwarder.Callers.Close()
 	default:
 		d.Execute(cmd)
 	}
@@ -162,7 +162,7 @@
 func (d *gateDaemon) awaitAnswers() bool {
 	look := time.NewTicker(tuning.ShutdownPoll)
 	defer look.Stop()
-	for till := d.endBy.Load(); d.forwarder.Intake.Busy() > 0; <-look.C {
+	for till := d.endBy.Load(); d.forwarder.Callers.Busy() > 0; <-look.C {
 		if int64(d.Now()) > till {
 			return false
 		}
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -65,7 +65,7 @@
 }
 
 // DefaultPlatform returns the product's own dialect.
-func DefaultPlatform() Platform { return Platform{Headers: reverseproxy.Defaults()} }
+func DefaultPlatform() Platform { return Platform{Headers: reverseproxy.DefaultHeaders()} }
 
 // settingsCheck collects the faults of settings.
 type settingsCheck struct{ faults []config.Fault }
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -154,7 +154,7 @@
 
 // dial opens a connection for sending. The other side never sends: only its close is read.
 func (h *Process) dial(addr string) (net.Conn, error) {
-	d := reverseproxy.Dialer(h.LocalAddr(), tuning.ProbeTimeout)
+	d := reverseproxy.NewDialer(h.LocalAddr(), tuning.ProbeTimeout)
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
--- a/internal/dataplane/reverseproxy/ahead.go
+++ b/internal/dataplane/reverseproxy/ahead.go
@@ -22,9 +22,9 @@
 
 type callerKey struct{}
 
-// Listener has its connections look ahead; the intake ends with it.
-func (c *Forwarder) Listener(ln net.Listener) net.Listener {
-	c.Intake.listener.Store(&ln)
+// WrapListener has its connections look ahead; the intake ends with it.
+func (c *Forwarder) WrapListener(ln net.Listener) net.Listener {
+	c.Callers.listener.Store(&ln)
 	return listener{ln, c}
 }
 
@@ -38,13 +38,13 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &caller{Conn: conn, c: l.c, early: make(chan *early, tuning.PipelineMax), late: l.c.Leaving.Load()}
+	p := &caller{Conn: conn, c: l.c, early: make(chan *early, tuning.PipelineMax), late: l.c.Draining.Load()}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p, nil
 }
 
-// Context tells requests which connection they came on; it is the server's ConnContext.
-func (c *Forwarder) Context(ctx context.Context, conn net.Conn) context.Context {
+// ConnContext tells requests which connection they came on; it is the server's ConnContext.
+func (c *Forwarder) ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	if p, ok := conn.(*caller); ok {
 		return context.WithValue(ctx, callerKey{}, p)
 	}
@@ -190,7 +190,7 @@
 // begin begins the id-th request of the connection, unless as many are ahead as may be
 // or the connection is to end.
 func (p *caller) begin(id int, head []byte) bool {
-	if p.c.Leaving.Load() {
+	if p.c.Draining.Load() {
 		return false
 	}
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
@@ -208,7 +208,7 @@
 	}
 	r.RemoteAddr = p.RemoteAddr().String()
 	e := &early{id: id, r: r.WithContext(p.ctx), header: http.Header{}, to: make(chan http.ResponseWriter), done: make(chan struct{})}
-	p.c.Counts.Ahead.Add(1)
+	p.c.Counts.Pipelined.Add(1)
 	go e.run(p.c)
 	p.early <- e
 	return true
@@ -237,11 +237,11 @@
 // countLate counts a request that is taken although the proxy is stopping.
 func (p *caller) countLate() {
 	switch {
-	case !p.c.Leaving.Load():
+	case !p.c.Draining.Load():
 	case p.late:
-		p.c.Counts.LateNew.Add(1)
+		p.c.Counts.DrainingNewConns.Add(1)
 	default:
-		p.c.Counts.LateKept.Add(1)
+		p.c.Counts.DrainingOldConns.Add(1)
 	}
 }
 
@@ -280,7 +280,7 @@
 		panic(e.failed)
 	}
 	if e.deferred {
-		c.Counts.Exchanges.Add(^uint64(0)) // it was counted when it was looked at
+		c.Counts.Requests.Add(^uint64(0)) // it was counted when it was looked at
 		c.serve(ender{w, p}, r)
 		return
 	}
@@ -299,7 +299,7 @@
 func (w ender) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 func (w ender) WriteHeader(status int) {
-	if w.p.c.Leaving.Load() {
+	if w.p.c.Draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	if w.Header().Get("Connection") == "close" && !w.p.last() {
--- a/internal/dataplane/reverseproxy/ahead_test.go
+++ b/internal/dataplane/reverseproxy/ahead_test.go
@@ -45,7 +45,7 @@
 	<-first
 	fmt.Fprintf(c, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n")
 	<-second
-	f.car.Leaving.Store(true)
+	f.car.Draining.Store(true)
 	rd := bufio.NewReader(c)
 	for i := range 3 {
 		resp, err := http.ReadResponse(rd, nil)
@@ -56,7 +56,7 @@
 			t.Fatalf("%d: %.100q, %d bytes, %v, close %v", i, b, len(b), err, resp.Close)
 		}
 	}
-	if n := f.car.Counts.Ahead.Load(); n != 2 {
+	if n := f.car.Counts.Pipelined.Load(); n != 2 {
 		t.Fatal(n, "ahead")
 	}
 }
@@ -64,7 +64,7 @@
 // The connection's end ends what was begun ahead on it.
 func TestAheadGone(t *testing.T) {
 	asked, ended := make(chan bool, 4), make(chan bool)
-	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(ctx context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+	car := New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(ctx context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 		asked <- true
 		if id == 2 {
 			<-ctx.Done()
@@ -77,8 +77,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: car, ConnContext: car.Context}
-	go srv.Serve(car.Listener(ln))
+	srv := &http.Server{Handler: car, ConnContext: car.ConnContext}
+	go srv.Serve(car.WrapListener(ln))
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 // Whatever comes in whatever pieces, the server reads it unaltered, and what is begun
 // ahead is the request that the server will read at that place.
 func TestAheadIsWhatComes(t *testing.T) {
-	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+	car := New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 		return statemachine.Reject{ID: id, Status: 503}
 	}}, nil)
 	begun := 0
@@ -193,7 +193,7 @@
 		f.more = c.more
 		go func() {
 			<-a.seen
-			f.pool.Dark(map[wire.ID]bool{a.ID(): true})
+			f.pool.SetUnreachable(map[wire.ID]bool{a.ID(): true})
 			if c.second == 0 {
 				close(over)
 			}
--- a/internal/dataplane/reverseproxy/answer.go
+++ b/internal/dataplane/reverseproxy/answer.go
@@ -63,7 +63,7 @@
 		return t
 	}
 	if repeats && g.MayRetry && u.rest == nil && !p.await(r.Context(), till, func() bool { return c.dark(g.Target.ID()) }) {
-		c.Counts.GivenUp.Add(1)
+		c.Counts.AbandonedUnreachable.Add(1)
 		return lost("dark", "nothing reaches the target, which has not answered")
 	}
 	resp, err := p.head(r.Method)
@@ -72,20 +72,20 @@
 	}
 	h := &c.Headers
 	if id := r.Header.Get(h.Attempt); id != "" && resp.Header.Get(h.Attempt) != id {
-		c.Counts.Strange.Add(1)
+		c.Counts.MismatchedResponses.Add(1)
 		return lost("strange", "the target's answer is another exchange's")
 	}
 	ok := resp.StatusCode < 300
 	if ok && (h.Proof != "" && resp.Header.Get(h.Proof) == "" || resp.Header.Get(h.NotRun) != "") {
-		c.Counts.Strange.Add(1)
+		c.Counts.MismatchedResponses.Add(1)
 		return lost("strange", "the target's answer is not its own")
 	}
 	if v := resp.Header.Get(h.Load); v != "" {
-		t.load = ReadLoad(v)
+		t.load = ParseLoad(v)
 	}
 	asked := g.ServiceConfig.HasHealthCheck()
 	if asked && resp.StatusCode == http.StatusMisdirectedRequest {
-		c.Counts.Foreign.Add(1)
+		c.Counts.WrongIdentity.Add(1)
 		return tried{sent: true, outcome: statemachine.WrongIdentity, code: "foreign", msg: "the target's address answers for another"}
 	}
 	notRun := resp.Header.Get(h.NotRun) != ""
@@ -96,7 +96,7 @@
 		a.done = true
 	}
 	if notRun {
-		c.Counts.TurnedAway.Add(1)
+		c.Counts.TargetRejected.Add(1)
 		done(a.done && !resp.Close)
 		return tried{sent: true, outcome: statemachine.TargetRejected, code: "turned_away", msg: "the target turned it away", load: t.load}
 	}
--- a/internal/dataplane/reverseproxy/callers_test.go
+++ b/internal/dataplane/reverseproxy/callers_test.go
@@ -110,11 +110,11 @@
 func TestDarkWhileLeaving(t *testing.T) {
 	a := bytesOf(t, "a", says(200, "ok"))
 	f := carrier(t, a.Target)
-	f.pool.Dark(map[wire.ID]bool{a.ID(): true})
+	f.pool.SetUnreachable(map[wire.ID]bool{a.ID(): true})
 	if !f.car.dark(a.ID()) {
 		t.Fatal("not given up at other times")
 	}
-	f.car.Leaving.Store(true)
+	f.car.Draining.Store(true)
 	if f.car.dark(a.ID()) {
 		t.Fatal("given up while leaving")
 	}
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	p, err := Open(t.Context(), ln.Addr().String(), nil)
+	p, err := Dial(t.Context(), ln.Addr().String(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 			t.Fatal(err)
 		}
 	}
-	if f.car.Counts.Ahead.Load() != 1 {
+	if f.car.Counts.Pipelined.Load() != 1 {
 		t.Fatal("the second was not begun ahead")
 	}
 	c.Close()
@@ -239,7 +239,7 @@
 	}()
 	target := wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}
 	f := carrier(t, target).asked(config.KindOnce)
-	p, err := Open(t.Context(), target.Addr, nil)
+	p, err := Dial(t.Context(), target.Addr, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,8 +250,8 @@
 	if one, two := <-heads, <-heads; one != "1" || two != "2" {
 		t.Fatalf("requests %q and %q", one, two)
 	}
-	if f.car.Counts.Opened.Load() != 1 {
-		t.Fatal(f.car.Counts.Opened.Load(), "opened")
+	if f.car.Counts.ConnsOpened.Load() != 1 {
+		t.Fatal(f.car.Counts.ConnsOpened.Load(), "opened")
 	}
 }
 
--- a/internal/dataplane/reverseproxy/conn.go
+++ b/internal/dataplane/reverseproxy/conn.go
@@ -53,9 +53,9 @@
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: tuning.AliveIdle, Interval: tuning.AliveEvery, Count: tuning.AliveCount}
 
-// Dialer opens connections whose other side is gone when it acknowledges nothing for
+// NewDialer opens connections whose other side is gone when it acknowledges nothing for
 // tuning.Unacked; from is where they leave from, nil for the system's choice.
-func Dialer(from net.Addr, timeout time.Duration) *net.Dialer {
+func NewDialer(from net.Addr, timeout time.Duration) *net.Dialer {
 	return &net.Dialer{LocalAddr: from, Timeout: timeout, Control: unacked(tuning.Unacked), KeepAliveConfig: keepAlive}
 }
 
@@ -78,9 +78,9 @@
 	used    atomic.Int64 // when it was last put back; read by those who look for one
 }
 
-// Open opens a connection by ctx's end.
-func Open(ctx context.Context, addr string, from net.Addr) (*Conn, error) {
-	c, err := Dialer(from, tuning.DialTimeout).DialContext(ctx, "tcp", addr)
+// Dial opens a connection by ctx's end.
+func Dial(ctx context.Context, addr string, from net.Addr) (*Conn, error) {
+	c, err := NewDialer(from, tuning.DialTimeout).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -411,8 +411,8 @@
 	return p
 }
 
-// Live tells the pool which targets the table holds; one goroutine calls it.
-func (p *Pool) Live(m map[wire.ID]string) {
+// SetTargets tells the pool which targets the table holds; one goroutine calls it.
+func (p *Pool) SetTargets(m map[wire.ID]string) {
 	old := *p.shelves.Load()
 	next := make(map[wire.ID]*shelf, len(m))
 	for id := range m {
@@ -429,8 +429,8 @@
 	}
 }
 
-// Dark tells the pool which targets nothing reaches.
-func (p *Pool) Dark(ids map[wire.ID]bool) {
+// SetUnreachable tells the pool which targets nothing reaches.
+func (p *Pool) SetUnreachable(ids map[wire.ID]bool) {
 	for id, s := range *p.shelves.Load() {
 		s.dark.Store(ids[id])
 	}
@@ -444,7 +444,7 @@
 // Close closes all idle connections, and those that come back later.
 func (p *Pool) Close() {
 	close(p.stop)
-	p.Live(nil)
+	p.SetTargets(nil)
 }
 
 func (p *Pool) take(id wire.ID, idle time.Duration, till time.Time) *Conn {
--- a/internal/dataplane/reverseproxy/forward.go
+++ b/internal/dataplane/reverseproxy/forward.go
@@ -40,25 +40,25 @@
 
 // Headers are the names of the headers that are spoken with callers and targets.
 type Headers struct {
-	Deadline string // milliseconds that the caller still gives; passed on with what is left
-	Ran      string // an error's word on whether the request ran
-	Attempt  string // the request's id, which answers repeat
-	Expect   string // the target that is meant; any other answers 421 and runs nothing
-	NotRun   string // a target's word that it did not run the request
-	Load     string // a target's "running,waiting,slots"
-	Identity string // who answers, in health answers
-	Cold     string // for how many milliseconds it is still cold, in health answers
-	Proof    string // what every success of a target carries; "": nothing does
+	Deadline     string // milliseconds that the caller still gives; passed on with what is left
+	Ran          string // an error's word on whether the request ran
+	Attempt      string // the request's id, which answers repeat
+	ExpectTarget string // the target that is meant; any other answers 421 and runs nothing
+	NotRun       string // a target's word that it did not run the request
+	Load         string // a target's "running,waiting,slots"
+	Identity     string // who answers, in health answers
+	WarmupLeft   string // for how many milliseconds it is still cold, in health answers
+	Proof        string // what every success of a target carries; "": nothing does
 }
 
 // Defaults are the product's own names.
-func Defaults() Headers {
-	return Headers{Deadline: DeadlineHeader, Ran: RanHeader, Attempt: "Myrtlefold-Attempt", Expect: "Myrtlefold-Expect", NotRun: "Myrtlefold-Not-Run",
-		Load: "Myrtlefold-Load", Identity: "Myrtlefold-Identity", Cold: "Myrtlefold-Cold-Ms"}
+func DefaultHeaders() Headers {
+	return Headers{Deadline: DeadlineHeader, Ran: RanHeader, Attempt: "Myrtlefold-Attempt", ExpectTarget: "Myrtlefold-Expect", NotRun: "Myrtlefold-Not-Run",
+		Load: "Myrtlefold-Load", Identity: "Myrtlefold-Identity", WarmupLeft: "Myrtlefold-Cold-Ms"}
 }
 
-// ReadLoad reads a Load header, nil if it says nothing sound.
-func ReadLoad(v string) *statemachine.TargetLoad {
+// ParseLoad reads a Load header, nil if it says nothing sound.
+func ParseLoad(v string) *statemachine.TargetLoad {
 	a, rest, _ := strings.Cut(v, ",")
 	b, c, _ := strings.Cut(rest, ",")
 	var n [3]int
@@ -74,17 +74,47 @@
 // Owner passes events to the proxy's owner. Ask waits for the Give or Refuse
 // that answers an event for a request.
 type Owner struct {
-	Now  func() time.Duration
-	Tell func(ev statemachine.Event)
-	Ask  func(ctx context.Context, id uint64, ev statemachine.Event) statemachine.Command
+	Now    func() time.Duration
+	Notify func(ev statemachine.Event)
+	Ask    func(ctx context.Context, id uint64, ev statemachine.Event) statemachine.Command
 }
 
-// Counts are the forwarder's counters.
+// Counts are the forwarder's counters, each since the process began. On /metrics they have the names of
+// their tags (mf_carry_NAME_total).
 type Counts struct {
-	Exchanges, Served, Unknown, NotRun, Cut, Gone, Opened, Reused, Foreign, TurnedAway, Strange, Ahead, Deferred, GivenUp atomic.Uint64
-	// LateKept and LateNew are requests taken after the proxy began to stop, on callers' connections
-	// that were open before that and on later ones.
-	LateKept, LateNew atomic.Uint64
+	// Requests are the requests that were read from callers.
+	Requests atomic.Uint64 `metric:"exchanges"`
+	// Served are those that got a target's response, whatever its status.
+	Served atomic.Uint64 `metric:"served"`
+	// RunUnknown are those that got an error of the proxy and may have run.
+	RunUnknown atomic.Uint64 `metric:"unknown"`
+	// NotRun are those that got an error of the proxy and have not run.
+	NotRun atomic.Uint64 `metric:"not_run"`
+	// Truncated are responses that ended early after their beginning had been passed on.
+	Truncated atomic.Uint64 `metric:"cut"`
+	// CallersGone are requests whose caller left before the response.
+	CallersGone atomic.Uint64 `metric:"gone"`
+	// ConnsOpened are the connections that were opened to targets.
+	ConnsOpened atomic.Uint64 `metric:"opened"`
+	// ConnsReused are the attempts that took an idle connection to their target.
+	ConnsReused atomic.Uint64 `metric:"reused"`
+	// WrongIdentity are attempts at whose target's address another target answered.
+	WrongIdentity atomic.Uint64 `metric:"foreign"`
+	// TargetRejected are attempts that their target rejected, saying that it did not run them.
+	TargetRejected atomic.Uint64 `metric:"turned_away"`
+	// MismatchedResponses are responses without the request's id or the target's proof.
+	MismatchedResponses atomic.Uint64 `metric:"strange"`
+	// Pipelined are requests that began before their turn on their connection.
+	Pipelined atomic.Uint64 `metric:"ahead"`
+	// Deferred are those of them that may run only once and therefore waited for their turn.
+	Deferred atomic.Uint64 `metric:"deferred"`
+	// AbandonedUnreachable are attempts that did not wait for an unreachable target any longer.
+	AbandonedUnreachable atomic.Uint64 `metric:"given_up"`
+	// DrainingOldConns are requests that were read after the proxy began to drain, on callers' connections
+	// that had been opened before.
+	DrainingOldConns atomic.Uint64 `metric:"late_kept"`
+	// DrainingNewConns are the same on connections that were opened while the proxy was draining.
+	DrainingNewConns atomic.Uint64 `metric:"late_new"`
 }
 
 // Forwarder is the handler of the callers' address.
@@ -95,22 +125,22 @@
 	Counts Counts
 	// Observe is told each request's service, status and seconds.
 	Observe func(svc string, status int, sec float64)
-	// Leaving has each answer end its caller's connection, so that callers move to other proxies.
-	Leaving atomic.Bool
-	// Intake is callers' connections.
-	Intake Intake
+	// Draining has each answer end its caller's connection, so that callers move to other proxies.
+	Draining atomic.Bool
+	// Callers is callers' connections.
+	Callers CallerConns
 	// Limits are the configuration's bounds on callers, nil: the program's own.
 	Limits atomic.Pointer[config.Limits]
-	// From is where connections leave from, nil for the system's choice.
-	From net.Addr
+	// SourceAddr is where connections leave from, nil for the system's choice.
+	SourceAddr net.Addr
 	// Headers are the names of the headers that it speaks.
 	Headers Headers
-	// Forwarded has targets that are asked for their identity told the caller's address.
-	Forwarded bool
+	// SendForwardedFor has targets that are asked for their identity told the caller's address.
+	SendForwardedFor bool
 }
 
 func New(o Owner, p *Pool) *Forwarder {
-	return &Forwarder{owner: o, pool: p, Observe: func(string, int, float64) {}, Headers: Defaults(), Forwarded: true}
+	return &Forwarder{owner: o, pool: p, Observe: func(string, int, float64) {}, Headers: DefaultHeaders(), SendForwardedFor: true}
 }
 
 var hop = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
@@ -156,12 +186,12 @@
 
 func (c *Forwarder) serve(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
-	c.Counts.Exchanges.Add(1)
+	c.Counts.Requests.Add(1)
 	status, svc := 0, ""
 	fail := func(s int, retry time.Duration, t config.ErrorBody) {
 		status = s
 		if t.Ran == "unknown" {
-			c.Counts.Unknown.Add(1)
+			c.Counts.RunUnknown.Add(1)
 		} else {
 			c.Counts.NotRun.Add(1)
 		}
@@ -169,7 +199,7 @@
 	}
 	// gone ends a request whose caller has left: an answer, or none, would be a false one.
 	gone := func() {
-		c.Counts.Gone.Add(1)
+		c.Counts.CallersGone.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	defer func() {
@@ -251,7 +281,7 @@
 		svc = g.Service
 		most := c.bodyMost(&g.ServiceConfig)
 		if body.room = most - int64(len(body.kept)); r.ContentLength > most || body.room < 0 {
-			c.owner.Tell(statemachine.AttemptDone{ID: id, Outcome: statemachine.ClientGone, Last: true})
+			c.owner.Notify(statemachine.AttemptDone{ID: id, Outcome: statemachine.ClientGone, Last: true})
 			fail(413, 0, config.ErrorBody{Code: "body", Message: "the body is over the service's limit"})
 			return
 		}
@@ -260,7 +290,7 @@
 			repeats = r.Method == "GET" || r.Method == "HEAD" || r.Method == "OPTIONS"
 		}
 		if isAhead && !repeats { // the owner does not give these; nothing of it goes out in any case
-			c.owner.Tell(statemachine.AttemptDone{ID: id, Outcome: statemachine.ClientGone, Last: true})
+			c.owner.Notify(statemachine.AttemptDone{ID: id, Outcome: statemachine.ClientGone, Last: true})
 			ahead.deferred = true
 			return
 		}
@@ -270,13 +300,13 @@
 			status = t.status
 			c.Counts.Served.Add(1)
 			if t.cut {
-				c.Counts.Cut.Add(1)
+				c.Counts.Truncated.Add(1)
 				panic(http.ErrAbortHandler)
 			}
 			return
 		case body.left(r):
 			if t.outcome != statemachine.ClientGone {
-				c.owner.Tell(statemachine.Cancel{ID: id})
+				c.owner.Notify(statemachine.Cancel{ID: id})
 			}
 			gone()
 		case body.over:
@@ -298,7 +328,7 @@
 			spare = t.spare
 		}
 		if t.late || t.ran && !repeats || body.begun {
-			c.owner.Tell(statemachine.Cancel{ID: id, Failed: true})
+			c.owner.Notify(statemachine.Cancel{ID: id, Failed: true})
 			if spare != nil {
 				status = spare.resp.StatusCode
 				c.Counts.Served.Add(1)
@@ -348,13 +378,13 @@
 func (c *Forwarder) conn(ctx context.Context, g *statemachine.Forward, idle time.Duration, till time.Time) (*Conn, error) {
 	if idle > 0 {
 		if p := c.pool.take(g.Target.ID(), idle, till); p != nil {
-			c.Counts.Reused.Add(1)
+			c.Counts.ConnsReused.Add(1)
 			return p, nil
 		}
 	}
 	open, cancel := context.WithDeadline(ctx, earlier(till, time.Now().Add(g.ConnectTimeout)))
 	defer cancel()
-	p, err := Open(open, g.Target.Addr, c.From)
+	p, err := Dial(open, g.Target.Addr, c.SourceAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -376,7 +406,7 @@
 		p.Close()
 		return nil, net.ErrClosed
 	}
-	c.Counts.Opened.Add(1)
+	c.Counts.ConnsOpened.Add(1)
 	return p, nil
 }
 
@@ -400,10 +430,10 @@
 	out = append(append(out, r.Host...), "\r\n"...)
 	named := r.Header["Connection"]
 	for k, vs := range r.Header {
-		if k == "Content-Length" || k == "Host" || strings.EqualFold(k, c.Headers.Deadline) || strings.EqualFold(k, c.Headers.Expect) || drops(named, k) {
+		if k == "Content-Length" || k == "Host" || strings.EqualFold(k, c.Headers.Deadline) || strings.EqualFold(k, c.Headers.ExpectTarget) || drops(named, k) {
 			continue
 		}
-		if c.Forwarded && k == "X-Forwarded-For" && !g.ServiceConfig.HasHealthCheck() {
+		if c.SendForwardedFor && k == "X-Forwarded-For" && !g.ServiceConfig.HasHealthCheck() {
 			continue
 		}
 		for _, v := range vs {
@@ -413,13 +443,13 @@
 	if slices.Contains(r.Header["Te"], "trailers") {
 		out = line(out, "Te", "trailers")
 	}
-	if c.Forwarded && !g.ServiceConfig.HasHealthCheck() {
+	if c.SendForwardedFor && !g.ServiceConfig.HasHealthCheck() {
 		if ip, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 			out = line(out, "X-Forwarded-For", strings.Join(append(slices.Clone(r.Header["X-Forwarded-For"]), ip), ", "))
 		}
 	}
 	if g.ServiceConfig.HasHealthCheck() {
-		out = line(out, c.Headers.Expect, g.Target.Name)
+		out = line(out, c.Headers.ExpectTarget, g.Target.Name)
 	}
 	out = append(append(out, c.Headers.Deadline...), ": "...)
 	out = append(strconv.AppendInt(out, max(1, (left-tuning.NetHop).Milliseconds()), 10), "\r\n"...)
@@ -459,7 +489,7 @@
 // dark says whether a request that may be repeated need not wait for a target any longer.
 // A proxy that is leaving waits: it may not find another one in the time it has left, and
 // planned work is no reason to end an answer sooner.
-func (c *Forwarder) dark(id wire.ID) bool { return !c.Leaving.Load() && c.pool.dark(id) }
+func (c *Forwarder) dark(id wire.ID) bool { return !c.Draining.Load() && c.pool.dark(id) }
 
 func (c *Forwarder) try(w http.ResponseWriter, r *http.Request, g *statemachine.Forward, u *upload, repeats bool) (t tried) {
 	start := time.Now()
@@ -467,7 +497,7 @@
 	tell := func(t *tried, last bool) {
 		if !told {
 			told = true
-			c.owner.Tell(statemachine.AttemptDone{ID: g.ID, Outcome: t.outcome, Milliseconds: float64(time.Since(start)) / 1e6, Last: last, Load: t.load})
+			c.owner.Notify(statemachine.AttemptDone{ID: g.ID, Outcome: t.outcome, Milliseconds: float64(time.Since(start)) / 1e6, Last: last, Load: t.load})
 		}
 	}
 	defer func() { tell(&t, t.status != 0 || t.outcome == statemachine.ClientGone) }()
@@ -490,7 +520,7 @@
 			case r.Context().Err() != nil:
 				return tried{outcome: statemachine.ClientGone}
 			case errors.Is(err, errForeign):
-				c.Counts.Foreign.Add(1)
+				c.Counts.WrongIdentity.Add(1)
 				return tried{outcome: statemachine.WrongIdentity, code: "foreign", msg: "the target's address answers for another"}
 			}
 			if !time.Now().Before(till) {
--- a/internal/dataplane/reverseproxy/forward_test.go
+++ b/internal/dataplane/reverseproxy/forward_test.go
@@ -84,9 +84,9 @@
 	for _, x := range targets {
 		live[x.ID()] = x.Addr
 	}
-	f.pool.Live(live)
+	f.pool.SetTargets(live)
 	turn := make(chan bool, 1)
-	c := New(Owner{Now: func() time.Duration { return time.Duration(f.now.Load()) }, Tell: func(ev statemachine.Event) { f.told <- ev }, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
+	c := New(Owner{Now: func() time.Duration { return time.Duration(f.now.Load()) }, Notify: func(ev statemachine.Event) { f.told <- ev }, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
 		turn <- true
 		defer func() { <-turn }()
 		f.asks = append(f.asks, ev)
@@ -105,7 +105,7 @@
 	}}, f.pool)
 	f.car = c
 	srv := httptest.NewUnstartedServer(c)
-	srv.Listener, srv.Config.ConnContext, srv.Config.ConnState = c.Listener(srv.Listener), c.Context, c.Intake.ConnState
+	srv.Listener, srv.Config.ConnContext, srv.Config.ConnState = c.WrapListener(srv.Listener), c.ConnContext, c.Callers.ConnState
 	srv.Start()
 	t.Cleanup(func() { srv.Close(); f.pool.Close() })
 	f.url, f.addr = srv.URL, srv.Listener.Addr().String()
@@ -243,12 +243,12 @@
 		t.Fatal("no pipe was kept")
 	}
 	f.pool.give(a.Target.ID(), p, 1)
-	f.pool.Live(map[wire.ID]string{})
+	f.pool.SetTargets(map[wire.ID]string{})
 	if take(f.pool) != nil || p.quiet() {
 		t.Fatal("the pipe is still open")
 	}
 	g := carrier(t, a.Target)
-	g.pool.Live(map[wire.ID]string{}) // it left while the request was under way
+	g.pool.SetTargets(map[wire.ID]string{}) // it left while the request was under way
 	g.do(t, "GET", "/x", "")
 	if take(g.pool) != nil {
 		t.Fatal("a pipe came back for a target that left")
@@ -402,7 +402,7 @@
 func (f *front) asked(kind string) *front {
 	f.set.HealthPath = "/h"
 	f.route.Kind = kind
-	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", Expect: "E", NotRun: "N", Load: "L", Identity: "I", Cold: "C", Proof: "P"}
+	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", ExpectTarget: "E", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C", Proof: "P"}
 	return f
 }
 
@@ -589,7 +589,7 @@
 	for _, surplus := range []string{"HTTP/1.1 200 OK\r\n\r\n", "x", ""} {
 		ln, _ := net.Listen("tcp", "127.0.0.1:0")
 		defer ln.Close()
-		p, err := Open(t.Context(), ln.Addr().String(), nil)
+		p, err := Dial(t.Context(), ln.Addr().String(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -613,7 +613,7 @@
 	defer ln.Close()
 	s := &shelf{}
 	open := func(ago time.Duration) *Conn {
-		p, err := Open(t.Context(), ln.Addr().String(), nil)
+		p, err := Dial(t.Context(), ln.Addr().String(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -808,7 +808,7 @@
 	f := carrier(t, a.Target)
 	var opened []*Conn
 	for range 5 {
-		p, err := Open(t.Context(), a.Addr, nil)
+		p, err := Dial(t.Context(), a.Addr, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -826,7 +826,7 @@
 			t.Error("one that is not kept is still open")
 		}
 	}
-	p, err := Open(t.Context(), a.Addr, nil)
+	p, err := Dial(t.Context(), a.Addr, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -872,8 +872,8 @@
 	}()
 	pool := NewPool()
 	defer pool.Close()
-	pool.Live(map[wire.ID]string{a.ID(): a.Addr})
-	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+	pool.SetTargets(map[wire.ID]string{a.ID(): a.Addr})
+	car := New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 		return statemachine.Forward{ID: id, Service: "s", Target: a.Target, TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20, HealthPath: "/h"}, Route: config.Route{Kind: config.KindRepeatable}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, pool)
 	car.Headers.Attempt = "A"
@@ -890,7 +890,7 @@
 				for _, s := range *pool.shelves.Load() {
 					s.sweep(time.Now())
 				}
-				pool.Live(map[wire.ID]string{a.ID(): a.Addr})
+				pool.SetTargets(map[wire.ID]string{a.ID(): a.Addr})
 				runtime.Gosched()
 			}
 		}
@@ -1095,8 +1095,8 @@
 	}()
 	pool := NewPool()
 	defer pool.Close()
-	pool.Live(map[wire.ID]string{tg.ID(): tg.Addr})
-	car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+	pool.SetTargets(map[wire.ID]string{tg.ID(): tg.Addr})
+	car := New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 		return statemachine.Forward{ID: id, Service: "s", Target: tg, TimeLeft: 5 * time.Second, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, pool)
 	srv := httptest.NewServer(car)
--- a/internal/dataplane/reverseproxy/intake.go
+++ b/internal/dataplane/reverseproxy/intake.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 )
 
-// Intake is callers' connections by what the library's server says of them. A connection is busy from
+// CallerConns is callers' connections by what the library's server says of them. A connection is busy from
 // the moment at which a request's header was read until its answer was written.
-type Intake struct {
+type CallerConns struct {
 	listener atomic.Pointer[net.Listener]
 	states   sync.Map // *caller to http.ConnState
 	open     atomic.Int64
@@ -21,17 +21,17 @@
 }
 
 // Open is how many connections of callers there are.
-func (i *Intake) Open() int64 { return i.open.Load() }
+func (i *CallerConns) Open() int64 { return i.open.Load() }
 
 // Busy is how many of them have a request under way.
-func (i *Intake) Busy() int64 { return i.busy.Load() }
+func (i *CallerConns) Busy() int64 { return i.busy.Load() }
 
 // Closed says whether the intake was closed.
-func (i *Intake) Closed() bool { return i.closed.Load() }
+func (i *CallerConns) Closed() bool { return i.closed.Load() }
 
 // Close ends the intake: the listener, and each connection with no request under way. Whoever calls it has
 // the owner refuse what comes from then on: a request may just be read from a connection that is closed here.
-func (i *Intake) Close() {
+func (i *CallerConns) Close() {
 	i.closed.Store(true)
 	if l := i.listener.Load(); l != nil {
 		(*l).Close()
@@ -45,7 +45,7 @@
 }
 
 // ConnState takes in a connection's change of state; it is the server's hook.
-func (i *Intake) ConnState(conn net.Conn, state http.ConnState) {
+func (i *CallerConns) ConnState(conn net.Conn, state http.ConnState) {
 	p, ok := conn.(*caller)
 	if !ok {
 		return
--- a/internal/dataplane/reverseproxy/leaving_test.go
+++ b/internal/dataplane/reverseproxy/leaving_test.go
@@ -76,7 +76,7 @@
 		defer c.Close()
 		fmt.Fprintf(c, "%s /0 HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", method)
 		<-begun
-		f.car.Leaving.Store(true)
+		f.car.Draining.Store(true)
 		close(answered)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
@@ -113,10 +113,10 @@
 	pipelined.ask("/1", "/2")
 	<-begun[1]
 	<-begun[2]
-	until(t, "all four are known", func() bool { return f.car.Intake.Open() == 4 && f.car.Intake.Busy() == 2 })
+	until(t, "all four are known", func() bool { return f.car.Callers.Open() == 4 && f.car.Callers.Busy() == 2 })
 
-	f.car.Leaving.Store(true)
-	f.car.Intake.Close()
+	f.car.Draining.Store(true)
+	f.car.Callers.Close()
 	rests.ended()
 	silent.ended()
 	if c, err := net.Dial("tcp", f.addr); err == nil {
@@ -133,7 +133,7 @@
 	pipelined.answer("/2")
 	busy.ended()
 	pipelined.ended()
-	until(t, "nothing is open", func() bool { return f.car.Intake.Open() == 0 && f.car.Intake.Busy() == 0 })
+	until(t, "nothing is open", func() bool { return f.car.Callers.Open() == 0 && f.car.Callers.Busy() == 0 })
 }
 
 // A target is told how long it may work, which in a stopping proxy is less than its caller still gives.
--- a/internal/dataplane/reverseproxy/ledger_test.go
+++ b/internal/dataplane/reverseproxy/ledger_test.go
@@ -229,14 +229,14 @@
 	for _, x := range l.targets {
 		live[x.ID()] = x.Addr
 	}
-	f.pool.Live(live)
+	f.pool.SetTargets(live)
 	type state struct {
 		kind  string
 		tried []int
 	}
 	states, turn := map[uint64]*state{}, make(chan *rand.Rand, 1)
 	turn <- rand.New(rand.NewPCG(seed, 99))
-	f.car = New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
+	f.car = New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
 		rnd := <-turn
 		defer func() { turn <- rnd }()
 		if a, ok := ev.(statemachine.Admit); ok {
@@ -260,9 +260,9 @@
 		}
 		return statemachine.Forward{ID: id, Service: "s", Target: l.targets[n], TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: set, Route: config.Route{Kind: s.kind}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, f.pool)
-	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", Expect: "E", NotRun: "N", Load: "L", Identity: "I", Cold: "C", Proof: "P"}
+	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", ExpectTarget: "E", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C", Proof: "P"}
 	f.srv = httptest.NewUnstartedServer(f.car)
-	f.srv.Listener, f.srv.Config.ConnContext = f.car.Listener(f.srv.Listener), f.car.Context
+	f.srv.Listener, f.srv.Config.ConnContext = f.car.WrapListener(f.srv.Listener), f.car.ConnContext
 	f.srv.Start()
 	return f
 }
@@ -475,8 +475,8 @@
 				caused[k] += l.done[k].Load()
 			}
 			n := &f.car.Counts
-			strange, opened, reused = strange+n.Strange.Load(), opened+n.Opened.Load(), reused+n.Reused.Load()
-			ahead, deferred = ahead+n.Ahead.Load(), deferred+n.Deferred.Load()
+			strange, opened, reused = strange+n.MismatchedResponses.Load(), opened+n.ConnsOpened.Load(), reused+n.ConnsReused.Load()
+			ahead, deferred = ahead+n.Pipelined.Load(), deferred+n.Deferred.Load()
 		}
 		for _, k := range c.kinds {
 			if caused[k] < 10 {
--- a/internal/dataplane/reverseproxy/limits_test.go
+++ b/internal/dataplane/reverseproxy/limits_test.go
@@ -98,7 +98,7 @@
 		{&config.Limits{HeaderMs: 10 * min}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, tuning.CallerIdle, 10 * time.Minute}},
 		{&config.Limits{IdleMs: 20 * min}, [4]time.Duration{tuning.CallerHeader, 30 * time.Minute, 20*time.Minute + tuning.IdleSlack, tuning.CallerHeader}},
 	} {
-		car := New(Owner{Now: func() time.Duration { return 1 }, Tell: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+		car := New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 			return statemachine.Reject{ID: id, Status: 503, Code: "busy"}
 		}}, NewPool())
 		car.Limits.Store(c.l)
@@ -107,8 +107,8 @@
 			t.Fatal(err)
 		}
 		set := make(chan time.Duration, 16)
-		srv := &http.Server{Handler: car, ConnContext: car.Context, ReadHeaderTimeout: tuning.CallerHeader, IdleTimeout: tuning.CallerIdle}
-		go srv.Serve(car.Listener(deadlines{ln, set}))
+		srv := &http.Server{Handler: car, ConnContext: car.ConnContext, ReadHeaderTimeout: tuning.CallerHeader, IdleTimeout: tuning.CallerIdle}
+		go srv.Serve(car.WrapListener(deadlines{ln, set}))
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/dataplane/reverseproxy/refusal.go
+++ b/internal/dataplane/reverseproxy/refusal.go
@@ -10,16 +10,16 @@
 	"myrtlefold/internal/shared/config"
 )
 
-// After is a Retry-After header's value: seconds, with fractions below one.
-func After(d time.Duration) string {
+// RetryAfter is a Retry-RetryAfter header's value: seconds, with fractions below one.
+func RetryAfter(d time.Duration) string {
 	if d >= time.Second {
 		return strconv.Itoa(int((d + time.Second - 1) / time.Second))
 	}
 	return strconv.FormatFloat(max(0.001, d.Seconds()), 'f', 3, 64)
 }
 
-// Error answers with the one error shape.
-func Error(w http.ResponseWriter, status int, retry time.Duration, t config.ErrorBody) {
+// WriteError answers with the one error shape.
+func WriteError(w http.ResponseWriter, status int, retry time.Duration, t config.ErrorBody) {
 	fault(w, RanHeader, status, retry, t)
 }
 
@@ -29,7 +29,7 @@
 	}
 	h := w.Header()
 	if retry > 0 {
-		h.Set("Retry-After", After(retry))
+		h.Set("Retry-After", RetryAfter(retry))
 	}
 	h.Set(ranHeader, t.Ran)
 	h.Set("Content-Type", "application/json")
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -263,7 +263,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
-			reverseproxy.Error(w, c.status, c.retry, c.body)
+			reverseproxy.WriteError(w, c.status, c.retry, c.body)
 			var got bytes.Buffer
 			fmt.Fprintf(&got, "%d\n", w.Code)
 			if err := w.Header().Write(&got); err != nil {
