--- a/cmd/mfchaos/faults.go
+++ b/cmd/mfchaos/faults.go
@@ -261,7 +261,7 @@
 			return
 		}
 		// Two that say the same are one order, and both are acknowledged.
-		other, err := config.Merge(l.config, fmt.Appendf(nil, `{"limits":{"body_bytes":%d}}`, tuning.BodyMax))
+		other, err := config.MergePatch(l.config, fmt.Appendf(nil, `{"limits":{"body_bytes":%d}}`, tuning.BodyMaxDefault))
 		if err != nil {
 			l.note("one base", "the second change can't be made: %v", err)
 			return
--- a/cmd/mfchaos/main.go
+++ b/cmd/mfchaos/main.go
@@ -179,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	if l.config, err = config.Unnumbered(doc); err != nil { // it is put again and again
+	if l.config, err = config.WithoutRevision(doc); err != nil { // it is put again and again
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	return nil
--- a/cmd/mfchaos/soak_operator.go
+++ b/cmd/mfchaos/soak_operator.go
@@ -100,7 +100,7 @@
 
 // change puts another configuration on top of the newest acknowledged one.
 func (o *soakOperator) change() {
-	doc, err := config.Merge(o.soak.config, fmt.Appendf(nil, `{"limits":{"body_bytes":%d}}`, tuning.BodyMax-o.rnd.IntN(tuning.BodyMax/2)))
+	doc, err := config.MergePatch(o.soak.config, fmt.Appendf(nil, `{"limits":{"body_bytes":%d}}`, tuning.BodyMaxDefault-o.rnd.IntN(tuning.BodyMaxDefault/2)))
 	if err != nil {
 		o.soak.note("lab", "%v", err)
 		return
--- a/internal/controlplane/configcall.go
+++ b/internal/controlplane/configcall.go
@@ -29,7 +29,7 @@
 }
 
 func unnumbered(doc []byte) []byte {
-	d, err := config.Unnumbered(doc)
+	d, err := config.WithoutRevision(doc)
 	if err != nil {
 		panic(errors.Wrap(err, "an agreed document"))
 	}
@@ -40,7 +40,7 @@
 // its base, and whether the very same call has been taken already. sum stands for the
 // call: its kind, its base and what its body says.
 func (c *Controller) precheckChange(now time.Duration, p *pending, a *wire.Call, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
-	if len(text) > tuning.DocMax {
+	if len(text) > tuning.DocumentMax {
 		c.answer(p, tooLarge())
 		return nil, false
 	}
@@ -85,8 +85,8 @@
 	}
 	var doc []byte
 	var err error
-	if what == "partial" && config.IsNamed(patch) {
-		n, faults, err := config.ParseNamed(patch)
+	if what == "partial" && config.IsNamedChange(patch) {
+		n, faults, err := config.ParseNamedChange(patch)
 		if err == nil && len(faults) == 0 {
 			doc, faults, err = n.Apply(c.state.Document)
 		}
@@ -94,7 +94,7 @@
 			c.refuseInvalid(p, faults, err)
 			return
 		}
-	} else if doc, err = config.Merge(unnumbered(c.state.Document), patch); err != nil {
+	} else if doc, err = config.MergePatch(unnumbered(c.state.Document), patch); err != nil {
 		c.refuseInvalid(p, nil, err)
 		return
 	}
@@ -103,11 +103,11 @@
 
 // config proposes a whole configuration on the present revision.
 func (c *Controller) config(now time.Duration, p *pending, doc []byte, what string, sum *state.ChangeDigest) {
-	if len(doc) > tuning.DocMax {
+	if len(doc) > tuning.DocumentMax {
 		c.answer(p, tooLarge())
 		return
 	}
-	cfg, faults, err := outlier.CheckConfig(doc)
+	cfg, faults, err := outlier.ParseConfig(doc)
 	if err == nil && cfg.Revision != 0 && cfg.Revision <= c.state.Revision {
 		faults = append(faults, config.Fault{Path: "revision", Text: fmt.Sprintf("not above the present %d", c.state.Revision)})
 	}
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -45,7 +45,7 @@
 	size, from := 0, len(n.tail)
 	for from > 0 {
 		size += len(n.tail[from-1].Data) + entryOverhead
-		if size > tuning.TailBytes {
+		if size > tuning.LogTailBytes {
 			break
 		}
 		from--
--- a/internal/controlplane/consensus/transfer_test.go
+++ b/internal/controlplane/consensus/transfer_test.go
@@ -534,7 +534,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("%s: commit %d, log %d entries, %d bytes; tail %d bytes; image %d bytes", name, n.Commit(), len(n.log), logBytes, tailBytes, len(whole))
-		if n.Commit() < 10000 || len(n.log) > tuning.LogMax+2 || logBytes > tuning.LogBytes+tuning.AppendMax || tailBytes > tuning.TailBytes || len(whole) > tuning.WALFileSize/2 {
+		if n.Commit() < 10000 || len(n.log) > tuning.LogMax+2 || logBytes > tuning.LogBytes+tuning.AppendMax || tailBytes > tuning.LogTailBytes || len(whole) > tuning.WALFileSize/2 {
 			t.Errorf("%s holds too much", name)
 		}
 		if len(n.unsyncedBatches)+len(n.heldMessages) > 0 {
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -108,19 +108,19 @@
 	withdrawnTargets       []withdrawnTarget                // targets that are in no table any more, and since which one
 	rosterTableVersion     uint64                           // the table that first said the proxies as now
 	oldestDeltaBase        uint64                           // the earliest table of this lead that changes can still be told from
-	sortedIDs              []wire.ID                        // the targets' identities, as last sorted
-	nextProbe              wire.ID                          // whose turn to be probed is next, if due
+	sortedIDs              []wire.TargetID                  // the targets' identities, as last sorted
+	nextProbe              wire.TargetID                    // whose turn to be probed is next, if due
 	decisions              uint64                           // how many there were, and how many when a table was last thought about
 	decidedAt              uint64
 	rebuilt                time.Duration
 	demandAt               time.Duration
 	proxies                map[string]*proxyState
-	targets                map[wire.ID]*target
-	claims                 map[wire.ID]*target       // words of targets in whose place another stands
-	tombstones             map[wire.ID]time.Duration // signed off or superseded: refused while it goes on speaking
-	leaving                map[wire.ID]time.Duration // held when it fell silent: held again if it comes back
-	withdrawnAt            map[wire.ID]uint64        // first table without the target, or with it held, for words that say so
-	restored               map[string]time.Duration  // when emptied domains were last restored
+	targets                map[wire.TargetID]*target
+	claims                 map[wire.TargetID]*target       // words of targets in whose place another stands
+	tombstones             map[wire.TargetID]time.Duration // signed off or superseded: refused while it goes on speaking
+	leaving                map[wire.TargetID]time.Duration // held when it fell silent: held again if it comes back
+	withdrawnAt            map[wire.TargetID]uint64        // first table without the target, or with it held, for words that say so
+	restored               map[string]time.Duration        // when emptied domains were last restored
 	checked                checked
 	compressed             struct{ plain, doc []byte } // the document as last told, and its form in tables
 	judge                  *outlier.Detector
@@ -143,10 +143,10 @@
 	cleanAt                time.Duration
 	lastTurn               map[string]uint32 // last place dealt in each service, and each name's own
 	turnByName             map[[2]string]uint32
-	rosterPendingAt        uint64                         // entry of the roster's last change
-	proposed               bool                           // the epoch's first state, while adopting
-	persistedRegistrations map[wire.ID]state.Registration // what the log says of targets, with what is under way
-	persistedTombstones    map[wire.ID]bool
+	rosterPendingAt        uint64                               // entry of the roster's last change
+	proposed               bool                                 // the epoch's first state, while adopting
+	persistedRegistrations map[wire.TargetID]state.Registration // what the log says of targets, with what is under way
+	persistedTombstones    map[wire.TargetID]bool
 	persistedAt            time.Duration
 	persistNow             bool // a word waits for the next write
 }
@@ -282,7 +282,7 @@
 
 func (c *Controller) tick(now time.Duration) {
 	every := tuning.HelloEvery
-	if now-c.bootAt < tuning.HelloHaste && c.heardLeader(now) == "" {
+	if now-c.bootAt < tuning.HelloStartup && c.heardLeader(now) == "" {
 		every = tuning.PreVoteInterval // members that start together know no one's address yet
 	}
 	if now-c.helloAt >= every {
@@ -290,7 +290,7 @@
 		c.hello(now)
 		c.recordBootstrapIntent()
 		for n, k := range c.directory {
-			if now-k.At > tuning.DaemonGone {
+			if now-k.At > tuning.DaemonExpiry {
 				delete(c.directory, n)
 			}
 		}
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -21,13 +21,13 @@
 	since        time.Duration
 	p            *pending // who waits for reply, if any
 	reply        statemachine.Reply
-	clearPending wire.ID // target that may be served from then on
-	rosterChange bool    // a change of the roster
-	member       string  // a core member whose joining or leaving is waited for
+	clearPending wire.TargetID // target that may be served from then on
+	rosterChange bool          // a change of the roster
+	member       string        // a core member whose joining or leaving is waited for
 	joining      bool
-	majorityOnly bool      // confirmed by a majority of the proxies is enough
-	agreed       []wire.ID // targets whose leaving or sign-off has to be agreed
-	reported     bool      // that it waits long has been logged
+	majorityOnly bool            // confirmed by a majority of the proxies is enough
+	agreed       []wire.TargetID // targets whose leaving or sign-off has to be agreed
+	reported     bool            // that it waits long has been logged
 }
 
 // inForce says whether a table binds every proxy: a majority of the roster, and of
@@ -37,7 +37,7 @@
 	if f.member != "" && (!c.node.CanChangeMembers() || f.joining != slices.ContainsFunc(c.node.Members(), func(m wire.Member) bool { return m.Name == f.member })) {
 		return false
 	}
-	if slices.ContainsFunc(f.agreed, func(id wire.ID) bool { return !c.agreed(id) }) {
+	if slices.ContainsFunc(f.agreed, func(id wire.TargetID) bool { return !c.agreed(id) }) {
 		return false
 	}
 	if !c.majorityConfirmed(f.version) {
@@ -181,7 +181,7 @@
 // an election takes, and no other leader has been heard since.
 func (c *Controller) mayLeadAgain(now time.Duration) bool {
 	l := c.node.Leader()
-	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < tuning.WaitersKept && (l == "" || l == c.settings.Self.Name) &&
+	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < tuning.PendingCallsKept && (l == "" || l == c.settings.Self.Name) &&
 		!c.abstains()
 }
 
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -77,7 +77,7 @@
 func (c *Controller) announce(now time.Duration) {
 	for _, r := range c.state.Proxies {
 		if c.directory[r.Name] == nil {
-			c.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, At: now - tuning.DaemonGone/2}
+			c.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, At: now - tuning.DaemonExpiry/2}
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
@@ -148,7 +148,7 @@
 	cfg := c.checked.cfg
 	if cfg == nil || !bytes.Equal(c.checked.doc, c.state.Document) {
 		var err error
-		if cfg, _, err = outlier.CheckConfig(c.state.Document); err != nil {
+		if cfg, _, err = outlier.ParseConfig(c.state.Document); err != nil {
 			c.cannotDecode(fmt.Sprintf("configuration %d", c.state.Revision), err)
 			if c.cfg == nil {
 				c.cfg = &config.Config{} // for the rest of this step, in which the lead ends
--- a/internal/controlplane/lease.go
+++ b/internal/controlplane/lease.go
@@ -94,7 +94,7 @@
 		g.tableMerged = true // nothing to tell
 	}
 	for _, s := range m.Pull.Stats {
-		if t := c.targets[wire.ID{Service: s.Service, Name: s.Name, Incarnation: s.Incarnation}]; t != nil {
+		if t := c.targets[wire.TargetID{Service: s.Service, Name: s.Name, Incarnation: s.Incarnation}]; t != nil {
 			if s.Successes > 0 || s.ProbeAnswered {
 				t.okAt, t.unconfirmed, t.misses = now, false, 0
 			}
@@ -113,7 +113,7 @@
 	}
 	// One that asks but does not take what it is sent hears nothing: it must not hold up
 	// what is to be in force, so it is granted nothing more.
-	c.push(m.From, g, c.inRoster(m.From) && now-g.movedAt < tuning.ProxyDeaf && !c.isLagging(now, g.key))
+	c.push(m.From, g, c.inRoster(m.From) && now-g.movedAt < tuning.TableAckTimeout && !c.isLagging(now, g.key))
 }
 
 // lags says that a proxy stands on a table of this lead that has not been the latest for too long.
@@ -121,7 +121,7 @@
 	if !c.isOwnTable(k) || k.Version >= c.tableVersion {
 		return false
 	}
-	return c.tableVersion-k.Version >= tuning.TablesKept || now-c.madeAt[(k.Version+1)%tuning.TablesKept] >= tuning.ProxyDeaf
+	return c.tableVersion-k.Version >= tuning.TablesKept || now-c.madeAt[(k.Version+1)%tuning.TablesKept] >= tuning.TableAckTimeout
 }
 
 // isOwnTable says that a key is one of this lead's tables, of its present term or of an earlier one.
@@ -136,7 +136,7 @@
 
 // weight is about how many bytes a table takes on its way.
 func tableBytes(t *wire.Table) int {
-	return len(t.Document) + len(t.State) + tuning.RowBytes*(len(t.Targets)+len(t.Proxies)+len(t.RemovedTargets)+1)
+	return len(t.Document) + len(t.State) + tuning.TableRowBytes*(len(t.Targets)+len(t.Proxies)+len(t.RemovedTargets)+1)
 }
 
 // push sends a proxy what it lacks, unless enough is under way to it: it asks again when it
@@ -148,7 +148,7 @@
 		p.Key = c.table.Key
 		if g.key != c.table.Key {
 			p.Table = c.tableFor(g)
-			if n := tableBytes(p.Table); g.bytesInFlight == 0 || g.bytesInFlight+n <= tuning.FlightBytes {
+			if n := tableBytes(p.Table); g.bytesInFlight == 0 || g.bytesInFlight+n <= tuning.TableBytesInFlight {
 				g.sentKey, g.sentAt = p.Key, g.pullAt
 				g.bytesInFlight += n
 			} else {
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -141,7 +141,7 @@
 	call := a.Method + " " + seg[1]
 	switch {
 	case call == "GET config" && seg[2] == "" && has(a.Query, "plain"):
-		doc, err := config.Numbered(c.state.Document, c.state.Revision)
+		doc, err := config.WithRevision(c.state.Document, c.state.Revision)
 		if err != nil {
 			panic(errors.Wrap(err, "an agreed document"))
 		}
@@ -214,7 +214,7 @@
 
 func (c *Controller) change(now time.Duration, p *pending, o state.Command) bool {
 	o.Token = p.token
-	if c.node.UncommittedBytes() > tuning.OpenBytes {
+	if c.node.UncommittedBytes() > tuning.ProposedBytesMax {
 		c.answer(p, reply.Problem(503, config.ErrorBody{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
 		return false
 	}
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -370,8 +370,8 @@
 		return no("living", "%s hears a leader", n)
 	}
 	for _, n := range gone {
-		if k := c.directory[n]; n == c.settings.Self.Name || k != nil && now-k.At < tuning.DaemonGone {
-			return no("alive", "%s was heard less than %v ago", n, tuning.DaemonGone)
+		if k := c.directory[n]; n == c.settings.Self.Name || k != nil && now-k.At < tuning.DaemonExpiry {
+			return no("alive", "%s was heard less than %v ago", n, tuning.DaemonExpiry)
 		}
 	}
 	o := c.surveySurvivors(all, gone)
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -18,7 +18,7 @@
 
 // recollect begins a lead with the targets that are agreed.
 func (c *Controller) loadRegistrations(now time.Duration) {
-	c.persistedRegistrations, c.persistedTombstones = map[wire.ID]state.Registration{}, map[wire.ID]bool{}
+	c.persistedRegistrations, c.persistedTombstones = map[wire.TargetID]state.Registration{}, map[wire.TargetID]bool{}
 	for _, m := range c.state.Tombstones {
 		c.persistedTombstones[m.ID()] = m.Gone
 		if m.Gone {
@@ -49,7 +49,7 @@
 // persistRegistrations writes what has changed since, if the last write is long enough ago. Who
 // is known by hearsay is written only when it leaves.
 func (c *Controller) persistRegistrations(now, every time.Duration) {
-	if now-c.persistedAt < every && !(c.persistNow && now-c.persistedAt >= tuning.TickEvery) || c.node.UncommittedBytes() > tuning.OpenBytes/4 {
+	if now-c.persistedAt < every && !(c.persistNow && now-c.persistedAt >= tuning.TickEvery) || c.node.UncommittedBytes() > tuning.ProposedBytesMax/4 {
 		return
 	}
 	r := state.RegistryChange{}
@@ -91,7 +91,7 @@
 
 // changedTombstones does the same for those that have no place: leaving when they fell silent, or gone.
 func (c *Controller) changedTombstones(r *state.RegistryChange) {
-	changed := func(id wire.ID, gone bool) {
+	changed := func(id wire.TargetID, gone bool) {
 		was, ok := c.persistedTombstones[id]
 		if (!ok || was != gone) && (ok || len(c.persistedTombstones) < tuning.RegistryMax) {
 			r.AddTombstones = append(r.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Inc: id.Incarnation, Gone: gone})
@@ -124,7 +124,7 @@
 
 // agreed says that what is known of a target's leaving or sign-off is in the log. A
 // registry that is full takes no more: then the proxies' tables alone vouch for it.
-func (c *Controller) agreed(id wire.ID) bool {
+func (c *Controller) agreed(id wire.TargetID) bool {
 	mark, marked := c.state.Tombstone(id)
 	full := len(c.state.Tombstones) >= tuning.RegistryMax || len(c.state.Registrations) >= tuning.RegistryMax
 	t := c.targets[id]
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -87,7 +87,7 @@
 		c.learning[d.Name] = learning{l.since, match, now}
 		return false
 	}
-	return now-l.at > tuning.LearnWait
+	return now-l.at > tuning.LearnerTimeout
 }
 
 // reconcileMembers takes the next step, if there is one: a lost member that the others
@@ -243,14 +243,14 @@
 	}
 	late := 0
 	for _, m := range v.lost() {
-		if c.silentFor(now, m.Name) > tuning.MemberForget {
+		if c.silentFor(now, m.Name) > tuning.MemberExpiry {
 			late++
 		}
 	}
 	for _, m := range v.silent {
 		with, left := c.resilience(append(namesOf(v.healthy), m.Name)), c.resilience(namesOf(v.healthy))
 		spent := slices.Compare(with[:], left[:]) <= 0
-		fewer := c.silentFor(now, m.Name) > tuning.MemberForget && (len(v.members)-late)/2 < len(v.members)/2
+		fewer := c.silentFor(now, m.Name) > tuning.MemberExpiry && (len(v.members)-late)/2 < len(v.members)/2
 		if (spent || fewer) && c.removeMember(now, v.members, m, c.lostReason(now, m)) {
 			return
 		}
--- a/internal/controlplane/reply.go
+++ b/internal/controlplane/reply.go
@@ -75,7 +75,7 @@
 }
 
 func tooLarge() statemachine.Reply {
-	return reply.Problem(413, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
+	return reply.Problem(413, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
 }
 
 func (c *Controller) refuseInvalid(p *pending, faults []config.Fault, err error) {
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -36,7 +36,7 @@
 	recent := func(at time.Duration) bool { return now-at < tuning.LeaseLossWindow }
 	c.leadsLostAt = slices.DeleteFunc(c.leadsLostAt, func(at time.Duration) bool { return !recent(at) })
 	if c.lead != NotLeading || c.stopping || len(c.leadsLostAt) < tuning.LeaseLossesMax || c.node == nil || c.node.Role() != consensus.Leader ||
-		c.handedOverAt > 0 && now-c.handedOverAt < tuning.HandOverEvery {
+		c.handedOverAt > 0 && now-c.handedOverAt < tuning.LeadershipTransferEvery {
 		return
 	}
 	// A late leader hears late, so that one which answered a while ago may well be there.
@@ -133,11 +133,11 @@
 // forgetLead begins a lead with the targets that are agreed, and nothing else.
 func (c *Controller) forgetLead(now time.Duration) {
 	c.abandonWaiters()
-	c.targets, c.claims, c.judge, c.policyRevision = map[wire.ID]*target{}, map[wire.ID]*target{}, outlier.New(), 0
+	c.targets, c.claims, c.judge, c.policyRevision = map[wire.TargetID]*target{}, map[wire.TargetID]*target{}, outlier.New(), 0
 	c.scorer = outlier.NewScorer(c.judge)
 	c.lastTurn, c.turnByName = map[string]uint32{}, map[[2]string]uint32{}
-	c.tombstones, c.leaving = map[wire.ID]time.Duration{}, map[wire.ID]time.Duration{}
-	c.withdrawnAt = map[wire.ID]uint64{}
+	c.tombstones, c.leaving = map[wire.TargetID]time.Duration{}, map[wire.TargetID]time.Duration{}
+	c.withdrawnAt = map[wire.TargetID]uint64{}
 	c.table, c.sortedIDs, c.latestMergedKey, c.rosterPendingAt = nil, nil, wire.TableKey{}, 0
 	c.leadTerms = nil
 	c.changes, c.withdrawnTargets, c.rosterTableVersion, c.oldestDeltaBase = nil, nil, c.tableVersion+1, c.tableVersion+1
--- a/internal/controlplane/resume_test.go
+++ b/internal/controlplane/resume_test.go
@@ -16,7 +16,7 @@
 	for range 2 {
 		r.second()
 	}
-	last := map[wire.ID]time.Duration{}
+	last := map[wire.TargetID]time.Duration{}
 	for range 50 {
 		for id, x := range r.c.targets {
 			last[id] = x.probeAt
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -33,7 +33,7 @@
 		return
 	}
 	for _, r := range c.state.Proxies {
-		if g := c.proxies[r.Name]; now-c.leadAt > tuning.ProxyForget && (g == nil || now-g.pullAt > tuning.ProxyForget) {
+		if g := c.proxies[r.Name]; now-c.leadAt > tuning.ProxyExpiry && (g == nil || now-g.pullAt > tuning.ProxyExpiry) {
 			o.RemovedProxies = append(o.RemovedProxies, r.Name)
 		}
 	}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -42,7 +42,7 @@
 // Targets lists what the leader knows of targets, with the reason for each ejection or hold.
 func (c *Controller) Targets(now time.Duration) []TargetView {
 	l := []TargetView{}
-	for _, id := range slices.SortedFunc(maps.Keys(c.targets), wire.ID.Compare) {
+	for _, id := range slices.SortedFunc(maps.Keys(c.targets), wire.TargetID.Compare) {
 		t := c.targets[id]
 		v := TargetView{Target: t.Target, BeatMs: float64(now-t.beatAt) / 1e6, Why: "serving"}
 		v.Heartbeating, v.WarmupLeft = t.isBeating(now), t.coldLeft(now)
@@ -72,7 +72,7 @@
 }
 
 // policyStats are the policies in force with their scores since this leader began.
-func (c *Controller) policyStats(now time.Duration) map[string]outlier.Stat {
+func (c *Controller) policyStats(now time.Duration) map[string]outlier.PolicyStats {
 	l := c.judge.Stats()
 	for name, s := range c.scorer.Scores(now) {
 		x := l[name]
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -17,7 +17,7 @@
 
 type withdrawnTarget struct {
 	ver uint64
-	id  wire.ID
+	id  wire.TargetID
 }
 
 // rebuild makes the table anew and sends it everywhere, if it says anything new
@@ -52,7 +52,7 @@
 	t.Targets = make([]wire.Target, 0, len(c.targets))
 	for _, id := range c.sorted() {
 		w, o := c.tableRow(now, c.targets[id]), c.targets[id]
-		moved := func(was, left int64) bool { return left > 0 && max(was-left, left-was) > int64(tuning.LeftStep) }
+		moved := func(was, left int64) bool { return left > 0 && max(was-left, left-was) > int64(tuning.TimeLeftStep) }
 		if f := routingFactsOf(&w); f != o.publishedFacts || math.Abs(w.Demand-o.publishedDemand) >= tuning.DemandStep/4 ||
 			moved(int64(o.publishedBar-now), w.EjectionLeft) || moved(int64(o.publishedCold-now), w.WarmupLeft) {
 			o.publishedFacts, o.publishedDemand, o.changedInVersion = f, w.Demand, c.tableVersion
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	for len(c.withdrawnTargets) > tuning.GonesKept {
+	for len(c.withdrawnTargets) > tuning.RemovedTargetsKept {
 		c.oldestDeltaBase = max(c.oldestDeltaBase, c.withdrawnTargets[0].ver)
 		c.withdrawnTargets = c.withdrawnTargets[1:]
 	}
@@ -83,8 +83,8 @@
 			if now-g.sentAt > flightTime(g.bytesInFlight) {
 				g.sentKey, g.bytesInFlight = wire.TableKey{}, 0
 			}
-			if g.bytesInFlight == 0 || g.bytesInFlight < tuning.FlightBytes {
-				c.push(n, g, now-g.movedAt < tuning.ProxyDeaf && !c.isLagging(now, g.key))
+			if g.bytesInFlight == 0 || g.bytesInFlight < tuning.TableBytesInFlight {
+				c.push(n, g, now-g.movedAt < tuning.TableAckTimeout && !c.isLagging(now, g.key))
 				g.sentAt = max(g.sentAt, now)
 			}
 		}
@@ -97,9 +97,9 @@
 func (c *Controller) tableSpacing(news urgency) time.Duration {
 	proxies := len(c.state.Proxies)
 	if news == urgent {
-		return min(time.Duration(proxies)*tuning.UrgentTableRow, tuning.UrgentTableMost)
+		return min(time.Duration(proxies)*tuning.UrgentTableDelayPerProxy, tuning.UrgentTableDelayMax)
 	}
-	return tuning.TableEvery + time.Duration(len(c.targets)*proxies)*tuning.TableRow
+	return tuning.TableEvery + time.Duration(len(c.targets)*proxies)*tuning.TableDelayPerRow
 }
 
 // compressed is the document as tables carry it.
@@ -124,7 +124,7 @@
 // colder says that a target is cold for longer than the last table said; each word's
 // own way here moves the end a little, which is none.
 func (t *target) coldLonger(now time.Duration) bool {
-	return t.coldTill > now && t.coldTill > t.publishedCold+tuning.LeftStep
+	return t.coldTill > now && t.coldTill > t.publishedCold+tuning.TimeLeftStep
 }
 
 // tabled is a target as a table made now says it.
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -84,7 +84,7 @@
 		t.coldTill = max(t.coldTill, now+time.Duration(w.WarmupLeft))
 		c.markCold(t)
 		if w.EjectionLeft > 0 && c.lead == Gathering {
-			c.judge.Adopt(now, w.ID(), w.EjectedBy, time.Duration(w.EjectionLeft))
+			c.judge.Restore(now, w.ID(), w.EjectedBy, time.Duration(w.EjectionLeft))
 		}
 	}
 }
@@ -110,7 +110,7 @@
 }
 
 // drop takes a target's entry away; silence alone refuses nobody.
-func (c *Controller) drop(now time.Duration, id wire.ID, why string) {
+func (c *Controller) drop(now time.Duration, id wire.TargetID, why string) {
 	t := c.targets[id]
 	if t == nil {
 		return
@@ -326,13 +326,13 @@
 }
 
 // sorted are the targets' identities in order.
-func (c *Controller) sorted() []wire.ID {
+func (c *Controller) sorted() []wire.TargetID {
 	ok := len(c.sortedIDs) == len(c.targets)
 	for i := 0; ok && i < len(c.sortedIDs); i++ {
 		ok = c.targets[c.sortedIDs[i]] != nil
 	}
 	if !ok {
-		c.sortedIDs = slices.SortedFunc(maps.Keys(c.targets), wire.ID.Compare)
+		c.sortedIDs = slices.SortedFunc(maps.Keys(c.targets), wire.TargetID.Compare)
 	}
 	return c.sortedIDs
 }
--- a/internal/controlplane/targetcall.go
+++ b/internal/controlplane/targetcall.go
@@ -15,7 +15,7 @@
 // word takes a back end's word as leader. One that says leaving or gone is acknowledged
 // when most proxies have a table that says so; the others' leases lapse by themselves.
 func (c *Controller) reportTarget(now time.Duration, p *pending, w wire.Target) {
-	ids := []wire.ID{w.ID()}
+	ids := []wire.TargetID{w.ID()}
 	if w.Service == "" {
 		ids = c.named(w.Name)
 	}
@@ -45,9 +45,9 @@
 }
 
 // named are the identities under a name, those that signed off lately included.
-func (c *Controller) named(name string) []wire.ID {
-	m := map[wire.ID]bool{}
-	add := func(id wire.ID) {
+func (c *Controller) named(name string) []wire.TargetID {
+	m := map[wire.TargetID]bool{}
+	add := func(id wire.TargetID) {
 		if id.Name == name {
 			m[id] = true
 		}
@@ -61,5 +61,5 @@
 	for id := range c.tombstones {
 		add(id)
 	}
-	return slices.SortedFunc(maps.Keys(m), wire.ID.Compare)
+	return slices.SortedFunc(maps.Keys(m), wire.TargetID.Compare)
 }
--- a/internal/controlplane/watchdog.go
+++ b/internal/controlplane/watchdog.go
@@ -34,11 +34,11 @@
 			t.silentAt = now
 			c.judgeEvent(outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, State: t.State, Milliseconds: float64(silent) / 1e6})
 		}
-		if now-t.aliveAt > tuning.TargetGone {
+		if now-t.aliveAt > tuning.TargetExpiry {
 			c.drop(now, id, "silent and unreachable")
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(c.claims), wire.ID.Compare) {
+	for _, id := range slices.SortedFunc(maps.Keys(c.claims), wire.TargetID.Compare) {
 		t := c.claims[id]
 		if now-t.beatAt > tuning.TargetHeartbeatTimeout {
 			delete(c.claims, id)
@@ -46,13 +46,13 @@
 	}
 	if now-c.cleanAt > tuning.ReconcileEvery {
 		c.cleanAt = now
-		old := func(_ wire.ID, at time.Duration) bool { return now-at > tuning.TombstoneKeep }
+		old := func(_ wire.TargetID, at time.Duration) bool { return now-at > tuning.TombstoneKeep }
 		maps.DeleteFunc(c.tombstones, old)
-		if len(c.turnByName) > 2*len(c.targets)+tuning.NamesKept {
+		if len(c.turnByName) > 2*len(c.targets)+tuning.ShareOffsetsKept {
 			c.turnByName = map[[2]string]uint32{} // names that never come back; a new place costs little
 		}
 		maps.DeleteFunc(c.leaving, old)
-		maps.DeleteFunc(c.withdrawnAt, func(id wire.ID, _ uint64) bool {
+		maps.DeleteFunc(c.withdrawnAt, func(id wire.TargetID, _ uint64) bool {
 			return c.targets[id] == nil && c.claims[id] == nil && c.tombstones[id] == 0
 		})
 	}
@@ -69,14 +69,14 @@
 // its interval. So those that are due at once, as when a lead begins or after a pause, are probed
 // at that pace, and a leader whose ticks come late probes less.
 func probesPerTick(targets int) int {
-	return max(tuning.ProbesLeast, int(tuning.ProbePace*float64(targets)*float64(tuning.TickEvery)/float64(tuning.ProbeEvery)))
+	return max(tuning.ProbesPerTickMin, int(tuning.ProbePace*float64(targets)*float64(tuning.TickEvery)/float64(tuning.ProbeEvery)))
 }
 
 // probeTargets begins the probes that are due: first of those that missed the last one, for which
 // a time is promised, then of all in turn, from where the last tick left off.
 func (c *Controller) probeTargets(now time.Duration) {
 	left := probesPerTick(len(c.targets) + len(c.claims))
-	begin := func(id wire.ID, t *target) {
+	begin := func(id wire.TargetID, t *target) {
 		if left > 0 && c.probeDue(now, id, t) {
 			left--
 			c.probe(now, id, t)
@@ -90,7 +90,7 @@
 			begin(id, t)
 		}
 	}
-	start, _ := slices.BinarySearchFunc(ids, c.nextProbe, wire.ID.Compare)
+	start, _ := slices.BinarySearchFunc(ids, c.nextProbe, wire.TargetID.Compare)
 	for i := range ids {
 		id := ids[(start+i)%len(ids)]
 		begin(id, c.targets[id])
@@ -99,7 +99,7 @@
 			break
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(c.claims), wire.ID.Compare) {
+	for _, id := range slices.SortedFunc(maps.Keys(c.claims), wire.TargetID.Compare) {
 		c.checkProbe(now, id, c.claims[id])
 		begin(id, c.claims[id])
 	}
@@ -107,7 +107,7 @@
 
 // checkProbe looks after a target's probe: one that the shell never answered is over, and where
 // one that follows a miss takes long some proxies probe too.
-func (c *Controller) checkProbe(now time.Duration, id wire.ID, t *target) {
+func (c *Controller) checkProbe(now time.Duration, id wire.TargetID, t *target) {
 	if t.sentAt != 0 && now-t.sentAt > 2*tuning.ProbeTimeout {
 		t.sentAt = 0
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-func (c *Controller) probeDue(now time.Duration, id wire.ID, t *target) bool {
+func (c *Controller) probeDue(now time.Duration, id wire.TargetID, t *target) bool {
 	_, named := c.cfg.Services[id.Service]
 	return named && t.sentAt == 0 && now-t.probeAt >= tuning.ProbeEvery && !c.spared(now, t)
 }
@@ -133,13 +133,13 @@
 // from it later than a probe that is due now would have gone out before. So its death is noticed as
 // early as with probes alone. Only health answers tell of coldness, so each is probed now and then.
 func (c *Controller) spared(now time.Duration, t *target) bool {
-	if len(c.targets) <= tuning.WatchMost || t.missed || t.unconfirmed || t.coldTill > now {
+	if len(c.targets) <= tuning.ProbeAllMax || t.missed || t.unconfirmed || t.coldTill > now {
 		return false
 	}
-	return now-(t.okAt-tuning.PullEvery) < tuning.ProbeEvery && now-t.probeAt < tuning.SparedProbes*tuning.ProbeEvery
+	return now-(t.okAt-tuning.PullEvery) < tuning.ProbeEvery && now-t.probeAt < tuning.ServingProbeIntervals*tuning.ProbeEvery
 }
 
-func (c *Controller) probe(now time.Duration, id wire.ID, t *target) {
+func (c *Controller) probe(now time.Duration, id wire.TargetID, t *target) {
 	t.probeAt, t.sentAt = now, now
 	c.counts.Probes++
 	c.emit(statemachine.Probe{ID: id, Addr: t.Addr, Path: c.cfg.Services[id.Service].HealthPath})
@@ -148,7 +148,7 @@
 // indirect has some proxies probe a target that the leader itself can't reach, so that a
 // trouble of the leader's own ejections nobody. They are drawn anew each time, from as many
 // domains as can be and the leader's own last: what troubles it may trouble its neighbours.
-func (c *Controller) indirect(now time.Duration, id wire.ID) {
+func (c *Controller) indirect(now time.Duration, id wire.TargetID) {
 	type choice struct {
 		name, domain string
 		nth          int // of its domain
@@ -176,7 +176,7 @@
 	slices.SortStableFunc(all, func(a, b choice) int { return cmp.Or(cmp.Compare(a.nth, b.nth), cmp.Compare(a.close, b.close)) })
 	for _, k := range all[:min(len(all), tuning.IndirectProbes)] {
 		g := c.proxies[k.name]
-		p := &wire.Push{Key: g.key, ProbeTargets: []wire.ID{id}}
+		p := &wire.Push{Key: g.key, ProbeTargets: []wire.TargetID{id}}
 		c.send(k.name, &wire.Message{Kind: wire.KindPush, Epoch: c.node.Epoch(), Term: c.node.Term(), Timestamp: g.stamp, Disk: g.incarnation, Push: p})
 	}
 }
--- a/internal/daemon/healthcheck.go
+++ b/internal/daemon/healthcheck.go
@@ -42,7 +42,7 @@
 func (h *Process) CheckHealth(p statemachine.Probe) {
 	sent := h.Now()
 	if h.probes == nil {
-		h.probes = map[wire.ID]*probed{}
+		h.probes = map[wire.TargetID]*probed{}
 		if h.Headers == (reverseproxy.Headers{}) {
 			h.Headers = reverseproxy.DefaultHeaders()
 		}
--- a/internal/daemon/healthcheck_test.go
+++ b/internal/daemon/healthcheck_test.go
@@ -77,13 +77,13 @@
 				w.WriteHeader(c.status)
 			})
 			h := prober()
-			p := statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/well"}
+			p := statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/well"}
 			for range 3 {
 				got := h.probeOnce(p)
 				if got.ID != p.ID || got.WarmupLeft != c.cold || (got.Report == nil) != c.miss {
 					t.Fatalf("%+v", got)
 				}
-				if b := got.Report; b != nil && (b.ID() != (wire.ID{Service: "s", Name: c.who, Incarnation: 3}) || b.State != c.state || (b.Demand == nil) != (c.demand == nil) || b.Demand != nil && *b.Demand != *c.demand) {
+				if b := got.Report; b != nil && (b.ID() != (wire.TargetID{Service: "s", Name: c.who, Incarnation: 3}) || b.State != c.state || (b.Demand == nil) != (c.demand == nil) || b.Demand != nil && *b.Demand != *c.demand) {
 					t.Fatalf("%+v", b)
 				}
 			}
@@ -104,8 +104,8 @@
 	})
 	h := prober()
 	for range 3 {
-		got := h.probeOnce(statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr})
-		if b := got.Report; b == nil || b.ID() != (wire.ID{Service: "s", Name: "z", Incarnation: 4}) || b.State != config.Leaving {
+		got := h.probeOnce(statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr})
+		if b := got.Report; b == nil || b.ID() != (wire.TargetID{Service: "s", Name: "z", Incarnation: 4}) || b.State != config.Leaving {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -123,7 +123,7 @@
 		c.Close()
 	})
 	h := prober()
-	p := statemachine.Probe{ID: wire.ID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/w"}
+	p := statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/w"}
 	for i := range 3 {
 		if got := h.probeOnce(p); got.Report == nil || conns.Load() != int64(i+1) {
 			t.Fatal(got, conns.Load())
@@ -161,7 +161,7 @@
 // Connections to and from daemons, callers and targets break when what is sent on
 // them stays unacknowledged.
 func TestSocketOptions(t *testing.T) {
-	ln, err := reverseproxy.Listen("127.0.0.1:0", tuning.CallerUnacked)
+	ln, err := reverseproxy.Listen("127.0.0.1:0", tuning.CallerAckTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,15 +176,15 @@
 		t.Fatal(err)
 	}
 	defer in.Close()
-	for c, want := range map[net.Conn]time.Duration{out: tuning.Unacked, in: tuning.CallerUnacked} {
+	for c, want := range map[net.Conn]time.Duration{out: tuning.AckTimeout, in: tuning.CallerAckTimeout} {
 		raw, _ := c.(*net.TCPConn).SyscallConn()
 		for _, o := range []struct{ level, name, want int }{
 			{unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(want.Milliseconds())},
 			{unix.IPPROTO_TCP, unix.TCP_NODELAY, 1},
 			{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
-			{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(tuning.AliveIdle / time.Second)},
-			{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(tuning.AliveEvery / time.Second)},
-			{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, tuning.AliveCount},
+			{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(tuning.KeepAliveIdle / time.Second)},
+			{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(tuning.KeepAliveInterval / time.Second)},
+			{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, tuning.KeepAliveCount},
 		} {
 			raw.Control(func(fd uintptr) {
 				if got, err := unix.GetsockoptInt(int(fd), o.level, o.name); err != nil || got != o.want {
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -73,7 +73,7 @@
 }
 
 func (h *Process) serve(addr string, hd http.Handler, c *reverseproxy.Forwarder) (*http.Server, error) {
-	ln, err := reverseproxy.Listen(addr, tuning.CallerUnacked)
+	ln, err := reverseproxy.Listen(addr, tuning.CallerAckTimeout)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for HTTP")
 	}
@@ -95,10 +95,10 @@
 // an id of its own.
 func (h *Process) CallHandler(next func() uint64) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocMax+1))
+		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocumentMax+1))
 		var mb *http.MaxBytesError
 		if errors.As(err, &mb) {
-			refuse(w, http.StatusRequestEntityTooLarge, 0, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
+			refuse(w, http.StatusRequestEntityTooLarge, 0, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
 			return
 		}
 		if err != nil {
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -53,7 +53,7 @@
 	start       time.Time
 	queues      map[string]chan queued // messages to be sent, by address
 	tables      packedTables           // those that are sent to many
-	probes      map[wire.ID]*probed
+	probes      map[wire.TargetID]*probed
 	probesAt    time.Duration // when idle connections were last closed
 }
 
@@ -135,7 +135,7 @@
 func (h *Process) bound(s Settings) {
 	if s.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(float64(s.MemoryMb<<20) * tuning.MemoryShare))
-		debug.SetGCPercent(tuning.GcPercent)
+		debug.SetGCPercent(tuning.GCPercent)
 	}
 }
 
@@ -195,7 +195,7 @@
 
 // closeAPI ends the HTTP API: it takes no more calls, and the answers that the owner has given are written.
 func (h *Process) closeAPI(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), tuning.StopLast)
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.ShutdownWriteTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		h.Log.WithError(err).Warn("calls are left without an answer")
--- a/internal/daemon/proxy.go
+++ b/internal/daemon/proxy.go
@@ -76,7 +76,7 @@
 	d.owner = dataplane.New(dataplane.Settings{
 		Self:             h.Daemon(),
 		Seeds:            s.Seeds,
-		GracePeriod:            milliseconds(s.GraceMs),
+		GracePeriod:      milliseconds(s.GraceMs),
 		ReadyWhenEmptied: s.ReadyWhenEmptied,
 		Retry:            dataplane.RetryBudget{Ratio: s.RetryRatio, Window: milliseconds(s.RetryWindowMs), Slack: float64(s.RetrySlack)},
 	})
@@ -107,7 +107,7 @@
 	case statemachine.CloseAfterResponse:
 		d.forwarder.Draining.Store(true)
 	case statemachine.StopAccepting:
-		d.endBy.Store(int64(d.Now() + c.TimeLeft + tuning.StopLast))
+		d.endBy.Store(int64(d.Now() + c.TimeLeft + tuning.ShutdownWriteTimeout))
 		d.forwarder.Callers.Close()
 	default:
 		d.Execute(cmd)
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -112,13 +112,13 @@
 	w.Header().Set("Content-Type", "application/jsonl")
 	w.WriteHeader(http.StatusOK)
 	enc := json.NewEncoder(w)
-	if enc.Encode(sessionBegun{Line: got.session.Line, Stream: got.session.id}) != nil || rc.Flush() != nil {
+	if enc.Encode(sessionBegun{Line: got.session.Lines, Stream: got.session.id}) != nil || rc.Flush() != nil {
 		return
 	}
 	sc := bufio.NewScanner(r.Body)
 	sc.Buffer(nil, tuning.SessionLineMax)
 	for sc.Scan() {
-		for _, l := range got.session.Take(sc.Bytes()) {
+		for _, l := range got.session.Evaluate(sc.Bytes()) {
 			if enc.Encode(l) != nil {
 				return
 			}
@@ -128,6 +128,6 @@
 		}
 	}
 	if err := sc.Err(); err != nil {
-		enc.Encode(outlier.OutLine{Line: got.session.Line + 1, Error: err.Error()})
+		enc.Encode(outlier.Result{Line: got.session.Lines + 1, Error: err.Error()})
 	}
 }
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -82,7 +82,7 @@
 		Stream string
 		Line   uint64
 	}
-	var l outlier.OutLine
+	var l outlier.Result
 	w, d, resp := open("")
 	if err := d.Decode(&hello); err != nil || hello.Line != 0 {
 		t.Fatal(err, hello)
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -18,7 +18,7 @@
 
 // ListenForPeers opens the daemon's address and passes the messages of other daemons to the owner.
 func (h *Process) ListenForPeers() error {
-	ln, err := reverseproxy.Listen(cmp.Or(h.Settings.Bind, h.Settings.Addr), tuning.Unacked)
+	ln, err := reverseproxy.Listen(cmp.Or(h.Settings.Bind, h.Settings.Addr), tuning.AckTimeout)
 	if err != nil {
 		return errors.Wrap(err, "listen for daemons")
 	}
--- a/internal/dataplane/budget.go
+++ b/internal/dataplane/budget.go
@@ -17,7 +17,7 @@
 	part   float64       // of the slack, set with each table
 	at     time.Duration // up to when that is in credit
 	begun  bool
-	counts [tuning.CountSlices]struct{ slice, n int64 }
+	counts [tuning.WindowBuckets]struct{ slice, n int64 }
 }
 
 // holders is how many of the listed proxies share a slack: as many as get enough to
@@ -48,8 +48,8 @@
 func (b *budget) earn(now time.Duration, r RetryBudget) {
 	b.grow(now, r)
 	b.credit += r.Ratio * tuning.RetryEarn
-	s := int64(now / (r.Window / tuning.CountSlices))
-	c := &b.counts[s%tuning.CountSlices]
+	s := int64(now / (r.Window / tuning.WindowBuckets))
+	c := &b.counts[s%tuning.WindowBuckets]
 	if c.slice != s {
 		c.slice, c.n = s, 0
 	}
@@ -68,9 +68,9 @@
 }
 
 func (b *budget) clip(now time.Duration, r RetryBudget) {
-	s, recent := int64(now/(r.Window/tuning.CountSlices)), int64(0)
+	s, recent := int64(now/(r.Window/tuning.WindowBuckets)), int64(0)
 	for _, c := range b.counts {
-		if c.slice > s-tuning.CountSlices {
+		if c.slice > s-tuning.WindowBuckets {
 			recent += c.n
 		}
 	}
--- a/internal/dataplane/deal.go
+++ b/internal/dataplane/deal.go
@@ -30,7 +30,7 @@
 	return x ^ x>>31
 }
 
-func key(id wire.ID) uint64 {
+func key(id wire.TargetID) uint64 {
 	return mix(mix(hash(id.Service), hash(id.Name)), id.Incarnation)
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-func (s *service) least() float64 { return tuning.BorrowParts*s.even + tuning.BorrowMore }
-func (s *service) most() float64  { return tuning.BorrowMost*s.even + tuning.BorrowMore }
+func (s *service) least() float64 { return tuning.QuotaOvercommit*s.even + tuning.QuotaExtra }
+func (s *service) most() float64  { return tuning.QuotaOvercommitMax*s.even + tuning.QuotaExtra }
 
 // lot is a target whose slots are dealt.
 type lot struct {
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -57,7 +57,7 @@
 // see takes a request's time in and returns the usual one.
 func (w *routeState) see(ms float64) float64 {
 	w.seen++
-	w.mean += max(tuning.MeanWeight, 1/float64(w.seen)) * (ms - w.mean)
+	w.mean += max(tuning.ResponseTimeWeight, 1/float64(w.seen)) * (ms - w.mean)
 	return w.mean
 }
 
@@ -102,7 +102,7 @@
 		g.refuse(now, x, 503, "not_serving", "this proxy has no fresh table")
 		return
 	}
-	name, route, ok := g.cfg.Route(e.Host, e.Path)
+	name, route, ok := g.cfg.FindRoute(e.Host, e.Path)
 	if ok && e.Pipelined && !route.Idempotent() {
 		g.emit(statemachine.Reject{ID: e.ID, Code: statemachine.CodeNotPipelined})
 		return
@@ -111,7 +111,7 @@
 		x.name, x.route, x.way = name, route, g.routeState(name, &route)
 		x.svc = x.way.next()
 	} else {
-		svc, allowed, ok := g.cfg.Match(e.Host, e.Path, e.Method)
+		svc, allowed, ok := g.cfg.FindRule(e.Host, e.Path, e.Method)
 		switch {
 		case !ok && len(allowed) > 0:
 			g.Counts.Unmatched++
@@ -153,7 +153,7 @@
 		g.refuse(now, x, 503, "late", "it could not be answered in time")
 		return
 	}
-	full := x.set.InFlight > 0 && s.inflight >= g.share(x.set.InFlight, x.svc)
+	full := x.set.MaxInFlight > 0 && s.inflight >= g.share(x.set.MaxInFlight, x.svc)
 	var t *target
 	any := true
 	if !full && !(mayWait && g.behind(s, x)) {
@@ -224,13 +224,13 @@
 // came. On a route it waits for a part of its aim at most, and only as many do as have
 // a chance of a target by then; one of a lower priority makes room.
 func (g *Proxy) mayWait(now time.Duration, x *request, s *service) bool {
-	most := time.Duration(x.set.WaitMs) * time.Millisecond
+	most := time.Duration(x.set.QueueTimeoutMs) * time.Millisecond
 	room := 0
 	if x.way == nil {
 		if most == 0 {
 			return false
 		}
-		room = g.share(x.set.WaitLen, x.svc)
+		room = g.share(x.set.QueueLength, x.svc)
 	} else {
 		most = wantedTime(&x.route) / tuning.WaitTargetParts
 		most = min(x.start+most-now, x.deadline-now-x.way.usual())
@@ -281,7 +281,7 @@
 				base = x.deadline - x.start
 			}
 			base = max(base/8, 1)
-			r.RetryAfter = max(tuning.RetryAfterLeast, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/tuning.RetryAfterTimeParts))
+			r.RetryAfter = max(tuning.RetryAfterFloor, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/tuning.RetryAfterTimeParts))
 		}
 	}
 	g.emit(r)
@@ -306,7 +306,7 @@
 			m.minute, m.good, m.all = min, 0, 0
 		}
 		m.all++
-		if good && (a.UnderMs == 0 || now-x.start <= time.Duration(a.UnderMs)*time.Millisecond) {
+		if good && (a.LatencyTargetMs == 0 || now-x.start <= time.Duration(a.LatencyTargetMs)*time.Millisecond) {
 			m.good++
 		}
 	}
@@ -442,7 +442,7 @@
 func (g *Proxy) serveQueue(now time.Duration, s *service) {
 	for g.Serving() && len(s.queue) > 0 {
 		x := g.requests[s.queue[0]]
-		full := x.set.InFlight > 0 && s.inflight >= g.share(x.set.InFlight, x.svc)
+		full := x.set.MaxInFlight > 0 && s.inflight >= g.share(x.set.MaxInFlight, x.svc)
 		t, any := g.choose(now, x)
 		if full || t == nil && any {
 			break
@@ -477,7 +477,7 @@
 	if same && n == len(g.dark) {
 		return
 	}
-	dark := make(map[wire.ID]bool, n)
+	dark := make(map[wire.TargetID]bool, n)
 	for id, t := range g.targets {
 		if is(t) {
 			dark[id] = true
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -50,13 +50,13 @@
 	sent := map[string]bool{}
 	for _, n := range slices.Sorted(maps.Keys(g.directory)) {
 		k := g.directory[n]
-		if now-k.At > tuning.DaemonGone {
+		if now-k.At > tuning.DaemonExpiry {
 			delete(g.directory, n)
 		} else if k.Kind == wire.ControlDaemon {
 			sent[k.Addr] = true
 			h := &wire.Hello{Self: self}
 			who := fmt.Sprint(n, " ", k.Incarnation)
-			if at, ok := g.memoryToldAt[who]; g.state != Leased && now-k.At < 4*tuning.HelloEvery && (!ok || now-at >= tuning.MemoryEvery) {
+			if at, ok := g.memoryToldAt[who]; g.state != Leased && now-k.At < 4*tuning.HelloEvery && (!ok || now-at >= tuning.RecoveredStateEvery) {
 				if memory == nil {
 					memory = g.rememberedState()
 				}
@@ -67,7 +67,7 @@
 			g.emit(statemachine.Send{Addr: k.Addr, Message: &wire.Message{Kind: wire.KindHello, From: g.settings.Self.Name, Hello: h}})
 		}
 	}
-	maps.DeleteFunc(g.memoryToldAt, func(_ string, at time.Duration) bool { return now-at >= tuning.MemoryEvery })
+	maps.DeleteFunc(g.memoryToldAt, func(_ string, at time.Duration) bool { return now-at >= tuning.RecoveredStateEvery })
 	for _, a := range g.settings.Seeds {
 		if !sent[a] && a != g.settings.Self.Addr {
 			g.emit(statemachine.Send{Addr: a, Message: &wire.Message{Kind: wire.KindHello, From: g.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
@@ -95,7 +95,7 @@
 		who = append(who[k:], who[:k]...)
 	}
 	slices.SortStableFunc(who, func(a, b *wire.Proxy) int { return cmp.Compare(g.asked[a.Name], g.asked[b.Name]) })
-	n := max(tuning.TouchMost, (len(who)+tuning.TouchTurns-1)/tuning.TouchTurns)
+	n := max(tuning.PeerLeaseFanout, (len(who)+tuning.PeerLeaseTurns-1)/tuning.PeerLeaseTurns)
 	self := g.self()
 	for i, r := range who[:min(n, len(who))] {
 		if k := g.directory[r.Name]; k == nil {
@@ -103,7 +103,7 @@
 		}
 		g.asked[r.Name] = now
 		// Back from a freeze or a cut, what peers hold against targets is wanted too.
-		m := wire.Pull{Self: self, Key: g.table.Key, WantTable: !g.Serving() && (len(who) <= tuning.TouchMost || i < tuning.TouchWant)}
+		m := wire.Pull{Self: self, Key: g.table.Key, WantTable: !g.Serving() && (len(who) <= tuning.PeerLeaseFanout || i < tuning.PeerTableFanout)}
 		g.send(r.Name, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: g.settings.Self.Incarnation, Pull: &m})
 	}
 }
@@ -130,9 +130,9 @@
 // doubts says that the leader has been silent for over two pulls: peers are
 // touched and targets probed from then on, so that both are known when the lease lapses.
 func (g *Proxy) doubts(now time.Duration) bool {
-	after := tuning.DoubtAfter
-	if g.table != nil && len(g.table.Proxies) > tuning.TouchMost {
-		after = tuning.DoubtAfterMany
+	after := tuning.LeaderSuspectAfter
+	if g.table != nil && len(g.table.Proxies) > tuning.PeerLeaseFanout {
+		after = tuning.LeaderSuspectAfterLarge
 	}
 	return now > g.leaseUntil-tuning.ProxyLease+after
 }
@@ -154,7 +154,7 @@
 			p.Table = g.export(now)
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.ID.Compare) {
+	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.TargetID.Compare) {
 		if t := g.targets[id]; t.seen.Successes+t.seen.Errors > 0 || t.seen.ProbeAnswered {
 			s := t.seen
 			s.Service, s.Name, s.Incarnation = id.Service, id.Name, id.Incarnation
@@ -170,11 +170,11 @@
 func (g *Proxy) export(now time.Duration) *wire.Table {
 	t := *g.table
 	t.Targets = nil
-	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.ID.Compare) {
+	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.TargetID.Compare) {
 		l := g.targets[id]
 		w := l.Target
 		if w.EjectionLeft = max(0, int64(l.ejectedUntil-now)); l.ownEjection > now && w.EjectionLeft == 0 {
-			w.EjectionLeft, w.EjectedBy = int64(l.ownEjection-now), config.DefaultPolicy
+			w.EjectionLeft, w.EjectedBy = int64(l.ownEjection-now), config.DefaultPolicyName
 		}
 		w.Draining = w.Draining || l.held
 		w.WarmupLeft = max(0, int64(l.coldUntil-now))
@@ -233,7 +233,7 @@
 // seldom that, whatever the fleet's size, tables take no more than a part of a slow link. A proxy that is cut off
 // from a leader which makes ever new tables would else fill its link, and its peers' links, with them.
 func (g *Proxy) peerTableEvery() time.Duration {
-	bytes := tuning.RowBytes * (len(g.table.Targets) + len(g.table.Proxies))
+	bytes := tuning.TableRowBytes * (len(g.table.Targets) + len(g.table.Proxies))
 	return max(2*tuning.PullEvery, time.Duration(bytes)*time.Second*tuning.PeerTableParts/tuning.SlowLink)
 }
 
@@ -268,7 +268,7 @@
 // holds is what stands here against targets beside the table, as a change to it.
 func (g *Proxy) ejectionsAndDrains(now time.Duration) *wire.Table {
 	all, t := g.export(now), &wire.Table{Key: g.table.Key, DeltaBase: g.table.Key, StateIndex: g.table.StateIndex, Revision: g.table.Revision}
-	listed := map[wire.ID]bool{}
+	listed := map[wire.TargetID]bool{}
 	for i := range g.table.Targets {
 		id := g.table.Targets[i].ID()
 		listed[id] = true
@@ -288,7 +288,7 @@
 // the later starts that it has put in the place of some; a probe of this proxy's own
 // soon says more.
 func (g *Proxy) adoptPeerEjections(now time.Duration, b *wire.Table) {
-	out := map[wire.ID]bool{}
+	out := map[wire.TargetID]bool{}
 	if b.DeltaBase == (wire.TableKey{}) {
 		for id := range g.targets {
 			out[id] = !slices.ContainsFunc(b.Targets, func(w wire.Target) bool { return w.ID() == id })
@@ -319,7 +319,7 @@
 }
 
 // succeed puts a later start in a target's place.
-func (g *Proxy) succeed(now time.Duration, id wire.ID, h *target) {
+func (g *Proxy) succeed(now time.Duration, id wire.TargetID, h *target) {
 	delete(g.targets, id)
 	g.leaving[id] = now
 	h.anew = true
--- a/internal/dataplane/lease_test.go
+++ b/internal/dataplane/lease_test.go
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	if most := int(span/tuning.MemoryEvery) + 1; told == 0 || told > most {
+	if most := int(span/tuning.RecoveredStateEvery) + 1; told == 0 || told > most {
 		t.Errorf("told %d times in %v, at most %d are meant", told, span, most)
 	}
 }
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -26,16 +26,16 @@
 // slowness is how a target's times compare with others', forgotten with time so that
 // it is tried again.
 func (t *target) slowness(now time.Duration) float64 {
-	if age := now - t.paceAt; t.paceAt > 0 && age < tuning.PaceTTL {
-		return (t.pace - 1) * (1 - float64(age)/float64(tuning.PaceTTL))
+	if age := now - t.paceAt; t.paceAt > 0 && age < tuning.SpeedTTL {
+		return (t.pace - 1) * (1 - float64(age)/float64(tuning.SpeedTTL))
 	}
 	return 0
 }
 
 func (t *target) load(now time.Duration) float64 {
-	l := t.used(now) + t.Demand + min(tuning.PaceUrge*t.slowness(now), tuning.PaceMost)
+	l := t.used(now) + t.Demand + min(tuning.SpeedPenalty*t.slowness(now), tuning.SpeedPenaltyMax)
 	if t.usedAt > 0 && now-t.usedAt < tuning.ConnIdle {
-		l -= tuning.ConnUrge
+		l -= tuning.OpenConnBonus
 	}
 	if t.backAt > 0 && now-t.backAt < tuning.ReconcileEvery {
 		l++
@@ -50,8 +50,8 @@
 	}
 	switch e.Outcome {
 	case statemachine.TargetRejected:
-		t.fullTill = now + tuning.FullPause
-		s.window = max(s.least(), s.window*tuning.WindowCut)
+		t.fullTill = now + tuning.TargetFullBackoff
+		s.window = max(s.least(), s.window*tuning.QuotaBackoffFactor)
 		s.pressAt = now
 		g.Counts.TargetRejections++
 	case statemachine.Served:
@@ -65,13 +65,13 @@
 		if s.mean == 0 {
 			s.mean = e.Milliseconds
 		}
-		s.mean += tuning.MeanWeight * (e.Milliseconds - s.mean)
+		s.mean += tuning.ResponseTimeWeight * (e.Milliseconds - s.mean)
 		t.pace = 1 + t.slowness(now)
 		if t.pace == 1 {
 			t.paces = 0
 		}
 		t.paces++
-		t.pace += max(tuning.PaceWeight, 1/float64(t.paces+1)) * (e.Milliseconds/usual - t.pace)
+		t.pace += max(tuning.SpeedWeight, 1/float64(t.paces+1)) * (e.Milliseconds/usual - t.pace)
 		t.paceAt = now
 	}
 }
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -100,8 +100,8 @@
 // watch is the watchdog of a proxy without a leader. A cut one keeps it up, so that
 // it does not come back with an old opinion.
 func (g *Proxy) watch(now time.Duration) {
-	few := len(g.targets) <= tuning.WatchMost
-	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.ID.Compare) {
+	few := len(g.targets) <= tuning.ProbeAllMax
+	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.TargetID.Compare) {
 		t := g.targets[id]
 		if few || g.watches(id) {
 			g.probe(now, t, few)
@@ -115,15 +115,15 @@
 // watches deals many targets among the roster: each is probed by Watchers of the proxies, however many
 // there are, so the probes of a fleet without a leader grow with its targets alone. Who watches one is
 // drawn; the others see for themselves what connections to it tell.
-func (g *Proxy) watches(id wire.ID) bool {
+func (g *Proxy) watches(id wire.TargetID) bool {
 	parts := uint64(max(1, len(g.table.Proxies)))
-	return hash(id.Service+" "+id.Name+" "+g.settings.Self.Name)%parts < tuning.Watchers
+	return hash(id.Service+" "+id.Name+" "+g.settings.Self.Name)%parts < tuning.ProbersPerTarget
 }
 
 // probe probes a target that is due: of few targets each soon, of many at the leader's own interval and
 // only those of which no answer to a request has told.
 func (g *Proxy) probe(now time.Duration, t *target, few bool) {
-	every, heard := tuning.DoubtEvery, time.Duration(0)
+	every, heard := tuning.SuspectProbeEvery, time.Duration(0)
 	if !few {
 		every, heard = tuning.ProbeEvery, t.answeredAt
 	}
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -111,7 +111,7 @@
 	at       *target
 	tries    int // choices that may have been sent to their targets
 	opens    int // choices that ended before anything was sent
-	tried    []wire.ID
+	tried    []wire.TargetID
 	last     statemachine.Outcome // of the latest try
 	earned   bool                 // it has been given to a target and has earned its service credit
 	repeat   bool                 // something of it has reached a target: a further one draws on the budget
@@ -220,12 +220,12 @@
 	cfg          *config.Config
 	revision     uint64
 	unsound      unsoundDocument // the one reported last
-	targets      map[wire.ID]*target
+	targets      map[wire.TargetID]*target
 	alive        []string // proxies that share caps, and all of the roster
 	listed       []string
 	open         []*target // room for choices
 	barred       []*target
-	leaving      map[wire.ID]time.Duration
+	leaving      map[wire.TargetID]time.Duration
 	services     map[string]*service
 	requests     map[uint64]*request
 	aims         map[string]*aimCounts
@@ -237,17 +237,17 @@
 	intakeClosed bool // it stops and takes no more requests
 	stopAt       time.Duration
 	out          []statemachine.Command
-	dark         map[wire.ID]bool
+	dark         map[wire.TargetID]bool
 	Counts       Counts
 }
 
 // New returns a proxy that has just started and knows no table.
 func New(set Settings) *Proxy {
-	if set.Retry.Window < tuning.CountSlices {
+	if set.Retry.Window < tuning.WindowBuckets {
 		set.Retry = RetryBudget{1 / float64(tuning.RetryShare), tuning.RetryWindow, tuning.RetryFree}
 	}
 	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: discovery.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &config.Config{},
-		targets: map[wire.ID]*target{}, leaving: map[wire.ID]time.Duration{}, services: map[string]*service{}, requests: map[uint64]*request{}, aims: map[string]*aimCounts{}, leaseUntil: -1}
+		targets: map[wire.TargetID]*target{}, leaving: map[wire.TargetID]time.Duration{}, services: map[string]*service{}, requests: map[uint64]*request{}, aims: map[string]*aimCounts{}, leaseUntil: -1}
 }
 
 func (g *Proxy) emit(cmd statemachine.Command) { g.out = append(g.out, cmd) }
@@ -375,7 +375,7 @@
 }
 
 func (g *Proxy) tick(now time.Duration) {
-	if now-g.helloAt >= tuning.HelloCalm || now-g.helloAt >= tuning.HelloEvery && g.doubts(now) {
+	if now-g.helloAt >= tuning.HelloLeasedEvery || now-g.helloAt >= tuning.HelloEvery && g.doubts(now) {
 		g.hello(now)
 	}
 	if now-g.pullAt >= tuning.PullEvery || g.telling {
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -605,10 +605,10 @@
 func TestIndirectProbe(t *testing.T) {
 	b := newBench("g1", 1, plain, to("a"), to("b"))
 	b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: "c1", Epoch: 1, Term: 1, Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1, Epoch: 1}, Leader: "c1", Term: 1}}})
-	id := wire.ID{Service: "s", Name: "a", Incarnation: 1}
+	id := wire.TargetID{Service: "s", Name: "a", Incarnation: 1}
 	ask := func() (n int) {
 		for _, c := range b.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(b.now), Disk: 9,
-			Push: &wire.Push{Key: b.g.table.Key, ProbeTargets: []wire.ID{id, {Service: "s", Name: "c", Incarnation: 1}}}}}) {
+			Push: &wire.Push{Key: b.g.table.Key, ProbeTargets: []wire.TargetID{id, {Service: "s", Name: "c", Incarnation: 1}}}}}) {
 			if p, ok := c.(statemachine.Probe); ok && p.ID == id {
 				n++
 			}
--- a/internal/dataplane/reverseproxy/ahead_test.go
+++ b/internal/dataplane/reverseproxy/ahead_test.go
@@ -193,7 +193,7 @@
 		f.more = c.more
 		go func() {
 			<-a.seen
-			f.pool.SetUnreachable(map[wire.ID]bool{a.ID(): true})
+			f.pool.SetUnreachable(map[wire.TargetID]bool{a.ID(): true})
 			if c.second == 0 {
 				close(over)
 			}
--- a/internal/dataplane/reverseproxy/callers_test.go
+++ b/internal/dataplane/reverseproxy/callers_test.go
@@ -110,7 +110,7 @@
 func TestDarkWhileLeaving(t *testing.T) {
 	a := bytesOf(t, "a", says(200, "ok"))
 	f := carrier(t, a.Target)
-	f.pool.SetUnreachable(map[wire.ID]bool{a.ID(): true})
+	f.pool.SetUnreachable(map[wire.TargetID]bool{a.ID(): true})
 	if !f.car.dark(a.ID()) {
 		t.Fatal("not given up at other times")
 	}
--- a/internal/dataplane/reverseproxy/conn.go
+++ b/internal/dataplane/reverseproxy/conn.go
@@ -51,12 +51,12 @@
 	}
 }
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: tuning.AliveIdle, Interval: tuning.AliveEvery, Count: tuning.AliveCount}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: tuning.KeepAliveIdle, Interval: tuning.KeepAliveInterval, Count: tuning.KeepAliveCount}
 
 // NewDialer opens connections whose other side is gone when it acknowledges nothing for
 // tuning.Unacked; from is where they leave from, nil for the system's choice.
 func NewDialer(from net.Addr, timeout time.Duration) *net.Dialer {
-	return &net.Dialer{LocalAddr: from, Timeout: timeout, Control: unacked(tuning.Unacked), KeepAliveConfig: keepAlive}
+	return &net.Dialer{LocalAddr: from, Timeout: timeout, Control: unacked(tuning.AckTimeout), KeepAliveConfig: keepAlive}
 }
 
 // Listen listens; who connects is gone when it acknowledges nothing for unack.
@@ -192,7 +192,7 @@
 	for f := range strings.SplitSeq(resp.Header.Get("Keep-Alive"), ",") {
 		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		if n, err := strconv.Atoi(v); err == nil && strings.EqualFold(k, "timeout") {
-			p.till = time.Now().Add(time.Duration(n)*time.Second - tuning.AliveMargin)
+			p.till = time.Now().Add(time.Duration(n)*time.Second - tuning.IdleTimeoutMargin)
 		}
 	}
 }
@@ -387,13 +387,13 @@
 
 // Pool is the shelves of the table's targets.
 type Pool struct {
-	shelves atomic.Pointer[map[wire.ID]*shelf]
+	shelves atomic.Pointer[map[wire.TargetID]*shelf]
 	stop    chan struct{}
 }
 
 func NewPool() *Pool {
 	p := &Pool{stop: make(chan struct{})}
-	p.shelves.Store(&map[wire.ID]*shelf{})
+	p.shelves.Store(&map[wire.TargetID]*shelf{})
 	go func() {
 		sweep := time.NewTicker(tuning.ConnIdle / 4)
 		defer sweep.Stop()
@@ -412,9 +412,9 @@
 }
 
 // SetTargets tells the pool which targets the table holds; one goroutine calls it.
-func (p *Pool) SetTargets(m map[wire.ID]string) {
+func (p *Pool) SetTargets(m map[wire.TargetID]string) {
 	old := *p.shelves.Load()
-	next := make(map[wire.ID]*shelf, len(m))
+	next := make(map[wire.TargetID]*shelf, len(m))
 	for id := range m {
 		if next[id] = old[id]; next[id] == nil {
 			next[id] = &shelf{}
@@ -430,13 +430,13 @@
 }
 
 // SetUnreachable tells the pool which targets nothing reaches.
-func (p *Pool) SetUnreachable(ids map[wire.ID]bool) {
+func (p *Pool) SetUnreachable(ids map[wire.TargetID]bool) {
 	for id, s := range *p.shelves.Load() {
 		s.dark.Store(ids[id])
 	}
 }
 
-func (p *Pool) dark(id wire.ID) bool {
+func (p *Pool) dark(id wire.TargetID) bool {
 	s := (*p.shelves.Load())[id]
 	return s != nil && s.dark.Load()
 }
@@ -447,14 +447,14 @@
 	p.SetTargets(nil)
 }
 
-func (p *Pool) take(id wire.ID, idle time.Duration, till time.Time) *Conn {
+func (p *Pool) take(id wire.TargetID, idle time.Duration, till time.Time) *Conn {
 	if s := (*p.shelves.Load())[id]; s != nil {
 		return s.take(idle, till)
 	}
 	return nil
 }
 
-func (p *Pool) give(id wire.ID, x *Conn, n int) {
+func (p *Pool) give(id wire.TargetID, x *Conn, n int) {
 	if s := (*p.shelves.Load())[id]; s != nil {
 		s.put(x, n)
 	} else {
--- a/internal/dataplane/reverseproxy/forward.go
+++ b/internal/dataplane/reverseproxy/forward.go
@@ -489,7 +489,7 @@
 // dark says whether a request that may be repeated need not wait for a target any longer.
 // A proxy that is leaving waits: it may not find another one in the time it has left, and
 // planned work is no reason to end an answer sooner.
-func (c *Forwarder) dark(id wire.ID) bool { return !c.Draining.Load() && c.pool.dark(id) }
+func (c *Forwarder) dark(id wire.TargetID) bool { return !c.Draining.Load() && c.pool.dark(id) }
 
 func (c *Forwarder) try(w http.ResponseWriter, r *http.Request, g *statemachine.Forward, u *upload, repeats bool) (t tried) {
 	start := time.Now()
@@ -511,7 +511,7 @@
 	case g.ServiceConfig.HasHealthCheck() && r.Header.Get(c.Headers.Attempt) == "":
 		idle = 0 // a surplus answer on a used connection could not be told from its own
 	case !repeats:
-		idle = tuning.OnceIdle
+		idle = tuning.NonIdempotentIdleMax
 	}
 	for {
 		p, err := c.conn(r.Context(), g, idle, till)
--- a/internal/dataplane/reverseproxy/forward_test.go
+++ b/internal/dataplane/reverseproxy/forward_test.go
@@ -80,7 +80,7 @@
 
 func carrier(t testing.TB, targets ...wire.Target) *front {
 	f := &front{pool: NewPool(), told: make(chan any, 64), set: config.Service{BodyMax: 100 << 10, Attempts: 3}, left: 5 * time.Second}
-	live := map[wire.ID]string{}
+	live := map[wire.TargetID]string{}
 	for _, x := range targets {
 		live[x.ID()] = x.Addr
 	}
@@ -243,12 +243,12 @@
 		t.Fatal("no pipe was kept")
 	}
 	f.pool.give(a.Target.ID(), p, 1)
-	f.pool.SetTargets(map[wire.ID]string{})
+	f.pool.SetTargets(map[wire.TargetID]string{})
 	if take(f.pool) != nil || p.quiet() {
 		t.Fatal("the pipe is still open")
 	}
 	g := carrier(t, a.Target)
-	g.pool.SetTargets(map[wire.ID]string{}) // it left while the request was under way
+	g.pool.SetTargets(map[wire.TargetID]string{}) // it left while the request was under way
 	g.do(t, "GET", "/x", "")
 	if take(g.pool) != nil {
 		t.Fatal("a pipe came back for a target that left")
@@ -622,12 +622,12 @@
 		return p
 	}
 	till := time.Now().Add(time.Hour)
-	old, mid := open(tuning.ConnIdle), open(2*tuning.OnceIdle)
-	if s.take(tuning.OnceIdle, till) != nil {
+	old, mid := open(tuning.ConnIdle), open(2*tuning.NonIdempotentIdleMax)
+	if s.take(tuning.NonIdempotentIdleMax, till) != nil {
 		t.Fatal("too old for once")
 	}
 	young := open(0)
-	if s.take(tuning.OnceIdle, till) != young || s.take(tuning.ConnIdle, till) != mid || s.take(tuning.ConnIdle, till) != nil {
+	if s.take(tuning.NonIdempotentIdleMax, till) != young || s.take(tuning.ConnIdle, till) != mid || s.take(tuning.ConnIdle, till) != nil {
 		t.Fatal("not the last used first")
 	}
 	s.sweep(time.Now())
@@ -638,7 +638,7 @@
 	for v, want := range map[string][2]bool{"": {false, false}, "timeout=1": {false, true}, "max=3, Timeout=2": {false, false}, "timeout=x": {false, false}} {
 		p.keep(&http.Response{Header: http.Header{"Keep-Alive": {v}}})
 		now := time.Now()
-		if got := [2]bool{p.stale(now.Add(tuning.AliveMargin / 2)), p.stale(now.Add(tuning.AliveMargin + time.Millisecond))}; got != want {
+		if got := [2]bool{p.stale(now.Add(tuning.IdleTimeoutMargin / 2)), p.stale(now.Add(tuning.IdleTimeoutMargin + time.Millisecond))}; got != want {
 			t.Errorf("%q: %v", v, got)
 		}
 	}
@@ -872,7 +872,7 @@
 	}()
 	pool := NewPool()
 	defer pool.Close()
-	pool.SetTargets(map[wire.ID]string{a.ID(): a.Addr})
+	pool.SetTargets(map[wire.TargetID]string{a.ID(): a.Addr})
 	car := New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 		return statemachine.Forward{ID: id, Service: "s", Target: a.Target, TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20, HealthPath: "/h"}, Route: config.Route{Kind: config.KindRepeatable}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, pool)
@@ -890,7 +890,7 @@
 				for _, s := range *pool.shelves.Load() {
 					s.sweep(time.Now())
 				}
-				pool.SetTargets(map[wire.ID]string{a.ID(): a.Addr})
+				pool.SetTargets(map[wire.TargetID]string{a.ID(): a.Addr})
 				runtime.Gosched()
 			}
 		}
@@ -1095,7 +1095,7 @@
 	}()
 	pool := NewPool()
 	defer pool.Close()
-	pool.SetTargets(map[wire.ID]string{tg.ID(): tg.Addr})
+	pool.SetTargets(map[wire.TargetID]string{tg.ID(): tg.Addr})
 	car := New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 		return statemachine.Forward{ID: id, Service: "s", Target: tg, TimeLeft: 5 * time.Second, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, pool)
--- a/internal/dataplane/reverseproxy/ledger_test.go
+++ b/internal/dataplane/reverseproxy/ledger_test.go
@@ -225,7 +225,7 @@
 
 func newLedgerFront(l *ledgerTargets, seed uint64, asked bool) *ledgerFront {
 	f := &ledgerFront{pool: NewPool()}
-	live := map[wire.ID]string{}
+	live := map[wire.TargetID]string{}
 	for _, x := range l.targets {
 		live[x.ID()] = x.Addr
 	}
--- a/internal/dataplane/route_test.go
+++ b/internal/dataplane/route_test.go
@@ -52,7 +52,7 @@
 		t.Fatalf("%+v", r)
 	}
 	b.now += tuning.ProxyLease + time.Millisecond
-	if r, ok := b.call(4, "/b", time.Second).(statemachine.Reject); !ok || r.Status != 503 || r.RetryAfter > time.Second/3 || r.RetryAfter < tuning.RetryAfterLeast {
+	if r, ok := b.call(4, "/b", time.Second).(statemachine.Reject); !ok || r.Status != 503 || r.RetryAfter > time.Second/3 || r.RetryAfter < tuning.RetryAfterFloor {
 		t.Fatalf("%+v: without a fresh table nobody knows", r)
 	}
 	r := newBench("g1", 1, plain, to("a"))
@@ -99,7 +99,7 @@
 		total := 0
 		for i := range rapid.IntRange(1, 60).Draw(t, "targets") {
 			n := rapid.IntRange(1, 8).Draw(t, "slots")
-			lots = append(lots, lot{key: key(wire.ID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % zones), slots: n})
+			lots = append(lots, lot{key: key(wire.TargetID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % zones), slots: n})
 			total += n
 		}
 		parts := dealSlots(lots, names, doms)
@@ -125,7 +125,7 @@
 	}
 	var lots []lot
 	for i := range 30 {
-		lots = append(lots, lot{key: key(wire.ID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % 3), slots: 3})
+		lots = append(lots, lot{key: key(wire.TargetID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % 3), slots: 3})
 	}
 	before, after := dealSlots(lots, names, doms), dealSlots(lots[:29], names, doms)
 	for j := range names {
@@ -187,7 +187,7 @@
 		}
 		given++
 	}
-	if given != int(tuning.BorrowParts*2+tuning.BorrowMore) {
+	if given != int(tuning.QuotaOvercommit*2+tuning.QuotaExtra) {
 		t.Fatalf("%d in flight with an even part of 2", given)
 	}
 	first := id
@@ -259,7 +259,7 @@
 			t.Fatalf("%+v", g)
 		}
 	}
-	b.pass(tuning.FullPause + time.Millisecond)
+	b.pass(tuning.TargetFullBackoff + time.Millisecond)
 	for id := uint64(5); ; id++ {
 		g, ok := b.call(id, "/a/", time.Second).(statemachine.Forward)
 		if !ok {
@@ -269,7 +269,7 @@
 			break
 		}
 	}
-	if b.g.targets[wire.ID{Service: "s", Name: full, Incarnation: 1}].seen.Rejected != 1 {
+	if b.g.targets[wire.TargetID{Service: "s", Name: full, Incarnation: 1}].seen.Rejected != 1 {
 		t.Fatal("not counted")
 	}
 }
@@ -298,7 +298,7 @@
 	if n := share(40, 400); n > 12 {
 		t.Fatalf("%d of 40 at the slow one", n)
 	}
-	b.pass(tuning.PaceTTL + time.Millisecond)
+	b.pass(tuning.SpeedTTL + time.Millisecond)
 	if n := share(1000, 100); n < 300 {
 		t.Fatalf("%d of 1000 at one that is slow no more", n)
 	}
@@ -653,10 +653,10 @@
 		}
 		return false
 	}
-	if exits(b.pass(tuning.StopLinger + time.Millisecond)) {
+	if exits(b.pass(tuning.ShutdownLinger + time.Millisecond)) {
 		t.Fatal("left one under way")
 	}
-	if exits(b.pass(6*time.Second - tuning.StopMargin - tuning.StopLinger - 10*time.Millisecond)) {
+	if exits(b.pass(6*time.Second - tuning.ShutdownMargin - tuning.ShutdownLinger - 10*time.Millisecond)) {
 		t.Fatal("left one under way")
 	}
 	if !exits(b.pass(20 * time.Millisecond)) {
@@ -746,7 +746,7 @@
 
 // It is told which targets missed their probes, once, and when they are back.
 func TestDarkIsTold(t *testing.T) {
-	told := func(out []statemachine.Command) (n int, ids map[wire.ID]bool) {
+	told := func(out []statemachine.Command) (n int, ids map[wire.TargetID]bool) {
 		for _, c := range out {
 			if d, ok := c.(statemachine.UnreachableTargets); ok {
 				n, ids = n+1, d.IDs
@@ -756,7 +756,7 @@
 	}
 	policy := func(t *wire.Target) { barred(t); t.EjectedBy = "slow" }
 	b := newBench("g1", 1, routed, to("a", slots(2)), to("b", slots(2), barred), to("c", slots(2), policy))
-	if n, ids := told(b.pass(time.Millisecond)); n != 1 || len(ids) != 1 || !ids[wire.ID{Service: "s", Name: "b", Incarnation: 1}] {
+	if n, ids := told(b.pass(time.Millisecond)); n != 1 || len(ids) != 1 || !ids[wire.TargetID{Service: "s", Name: "b", Incarnation: 1}] {
 		t.Fatalf("%d times %v", n, ids)
 	}
 	if n, ids := told(b.pass(time.Millisecond)); n != 0 {
@@ -902,7 +902,7 @@
 			b.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Last: true})
 		}
 		b.pass(tuning.RetryWindow / 2)
-		sentTo := map[uint64][]wire.ID{}
+		sentTo := map[uint64][]wire.TargetID{}
 		at := map[uint64]statemachine.Forward{}
 		see := func(cmds []statemachine.Command) {
 			for _, c := range cmds {
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -17,9 +17,9 @@
 // stop is how long a stopping proxy serves on in any case, and at most.
 func (s Settings) stop() (linger, most time.Duration) {
 	if s.GracePeriod <= 0 {
-		return tuning.StopLinger, tuning.StopWait
+		return tuning.ShutdownLinger, tuning.ShutdownTimeout
 	}
-	return min(tuning.StopLingerMost, s.GracePeriod/2), max(s.GracePeriod-tuning.StopMargin, s.GracePeriod/2)
+	return min(tuning.ShutdownLingerMax, s.GracePeriod/2), max(s.GracePeriod-tuning.ShutdownMargin, s.GracePeriod/2)
 }
 
 // beginStop goes unready.
@@ -35,7 +35,7 @@
 
 // tail is what a stopping proxy keeps of its time, for targets' last answers and for its own.
 func tail(most time.Duration) time.Duration {
-	return min(tuning.StopTail, most/tuning.StopTailParts)
+	return min(tuning.ShutdownReserve, most/tuning.ShutdownReserveParts)
 }
 
 // boundByStop ends a request that comes to a stopping proxy with the process, and says whether it may be taken: its
--- a/internal/dataplane/shutdown_test.go
+++ b/internal/dataplane/shutdown_test.go
@@ -52,7 +52,7 @@
 			switch a := r.call(id, "/a/", longest).(type) {
 			case statemachine.Forward:
 				r.takenAt = r.now
-				if waited := r.now - r.stopAt; waited > min(r.grace/2, tuning.StopLingerMost) && waited+min(longest, a.WorkTime, a.TimeLeft) > r.grace {
+				if waited := r.now - r.stopAt; waited > min(r.grace/2, tuning.ShutdownLingerMax) && waited+min(longest, a.WorkTime, a.TimeLeft) > r.grace {
 					t.Fatalf("seed %d: grace %v, took a request of up to %v at %v after it was asked to stop", seed, r.grace, longest, waited)
 				}
 				works := time.Duration(rnd.Int64N(int64(longest)))
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -18,7 +18,7 @@
 // others go.
 func (g *Proxy) retarget(now time.Duration) {
 	g.index(now)
-	live := map[wire.ID]string{}
+	live := map[wire.TargetID]string{}
 	for id, t := range g.targets {
 		live[id] = t.Addr
 	}
@@ -48,7 +48,7 @@
 	if len(t.Proxies) == 0 {
 		w.Proxies = old.Proxies
 	}
-	out := map[wire.ID]bool{}
+	out := map[wire.TargetID]bool{}
 	for _, id := range t.RemovedTargets {
 		out[id] = true
 	}
@@ -99,9 +99,9 @@
 		}
 		return false
 	}
-	var changed map[wire.ID]bool
+	var changed map[wire.TargetID]bool
 	if t.DeltaBase != (wire.TableKey{}) {
-		changed = map[wire.ID]bool{}
+		changed = map[wire.TargetID]bool{}
 		for i := range t.Targets {
 			changed[t.Targets[i].ID()] = true
 		}
@@ -132,7 +132,7 @@
 		return true
 	}
 	g.table = t
-	next := map[wire.ID]*target{}
+	next := map[wire.TargetID]*target{}
 	for _, w := range t.Targets {
 		id := w.ID()
 		n := g.targets[id]
@@ -149,7 +149,7 @@
 		}
 		n.Target = w
 		n.chill(now, w.WarmupLeft)
-		n.ejectedUntil, n.unheard = 0, w.EjectedBy == config.DefaultPolicy
+		n.ejectedUntil, n.unheard = 0, w.EjectedBy == config.DefaultPolicyName
 		if w.EjectionLeft > 0 {
 			n.ejectedUntil = now + time.Duration(w.EjectionLeft)
 		} else if was {
@@ -161,7 +161,7 @@
 		next[id] = n
 	}
 	g.targets = next
-	maps.DeleteFunc(g.leaving, func(id wire.ID, at time.Duration) bool { return next[id] == nil && now-at > tuning.TombstoneKeep })
+	maps.DeleteFunc(g.leaving, func(id wire.TargetID, at time.Duration) bool { return next[id] == nil && now-at > tuning.TombstoneKeep })
 	g.retarget(now)
 	g.queues(now)
 	return true
--- a/internal/dataplane/unsound.go
+++ b/internal/dataplane/unsound.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration not decompressed")
 	}
-	cfg, faults, err := outlier.CheckConfig(doc)
+	cfg, faults, err := outlier.ParseConfig(doc)
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration not decoded")
 	}
--- a/internal/dataplane/view.go
+++ b/internal/dataplane/view.go
@@ -13,33 +13,33 @@
 
 // View is what the daemon shows of itself.
 type View struct {
-	Name     string        `json:"name"`
-	State    string        `json:"state"`
-	Ready    bool          `json:"ready"`
-	Leader   string        `json:"leader"`
-	Table    wire.TableKey `json:"table"`
-	Revision uint64        `json:"revision"`
-	InFlight int           `json:"in_flight"`
-	Targets  []TargetView  `json:"targets"`
-	Counts   Counts        `json:"counts"`
-	Objectives     []ObjectiveView     `json:"aims,omitempty"`
+	Name       string          `json:"name"`
+	State      string          `json:"state"`
+	Ready      bool            `json:"ready"`
+	Leader     string          `json:"leader"`
+	Table      wire.TableKey   `json:"table"`
+	Revision   uint64          `json:"revision"`
+	InFlight   int             `json:"in_flight"`
+	Targets    []TargetView    `json:"targets"`
+	Counts     Counts          `json:"counts"`
+	Objectives []ObjectiveView `json:"aims,omitempty"`
 }
 
 // ObjectiveView is this proxy's part in an aim over its window.
 type ObjectiveView struct {
 	Name string `json:"name"`
 	config.Objective
-	Good int `json:"good"`
-	Total  int `json:"all"`
+	Good  int `json:"good"`
+	Total int `json:"all"`
 }
 
 // TargetView is a target as operators may read it.
 type TargetView struct {
 	wire.Target
-	InFlight int   `json:"in_flight"`
+	InFlight          int   `json:"in_flight"`
 	EjectionLeftMs    int64 `json:"bar_left_ms"`
 	OwnEjectionLeftMs int64 `json:"own_bar_left_ms"`
-	Capacity     int   `json:"room"`
+	Capacity          int   `json:"room"`
 }
 
 // View returns the proxy's state as operators may read it.
@@ -50,7 +50,7 @@
 		a := ObjectiveView{Name: n, Objective: g.cfg.Objectives[n]}
 		if t := g.aims[n]; t != nil {
 			for _, m := range t.minutes {
-				if int(now/time.Minute)-m.minute < a.WindowMin {
+				if int(now/time.Minute)-m.minute < a.WindowMinutes {
 					a.Good, a.Total = a.Good+m.good, a.Total+m.all
 				}
 			}
@@ -59,7 +59,7 @@
 	}
 	if g.table != nil {
 		v.Table = g.table.Key
-		for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.ID.Compare) {
+		for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.TargetID.Compare) {
 			t := g.targets[id]
 			tv := TargetView{Target: t.Target, InFlight: t.inflight, Capacity: g.room(now, t, g.cfg.Services[t.Service])}
 			if s := g.services[t.Service]; s != nil && s.slotted {
--- a/internal/mfctl/commands.go
+++ b/internal/mfctl/commands.go
@@ -171,7 +171,7 @@
 	names := cmd.Arg("name", "names to remove; one that is not there is no fault").Required().Strings()
 	base, own := baseFlag(cmd, builtOn), ownRevisionFlag(cmd)
 	return func() int {
-		return c.named(config.Named{Revision: *own, Drop: map[string][]string{*kind: *names}}, basedOn(*base))
+		return c.named(config.NamedChange{Revision: *own, Drop: map[string][]string{*kind: *names}}, basedOn(*base))
 	}
 }
 
@@ -267,6 +267,6 @@
 }
 
 // setOne is the change that adds or replaces one item.
-func setOne(kind, name string, item []byte) config.Named {
-	return config.Named{Set: map[string]map[string]json.RawMessage{kind: {name: item}}}
+func setOne(kind, name string, item []byte) config.NamedChange {
+	return config.NamedChange{Set: map[string]map[string]json.RawMessage{kind: {name: item}}}
 }
--- a/internal/mfctl/config.go
+++ b/internal/mfctl/config.go
@@ -44,8 +44,8 @@
 		return failed(err, exitUsage)
 	}
 	if own > 0 {
-		if b, err = config.Unnumbered(b); err == nil {
-			b, err = config.Numbered(b, own)
+		if b, err = config.WithoutRevision(b); err == nil {
+			b, err = config.WithRevision(b, own)
 		}
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "mfctl: %s: %v\n", name, err)
@@ -71,7 +71,7 @@
 }
 
 // named sends a partial change by names.
-func (c *ctl) named(change config.Named, q url.Values) int {
+func (c *ctl) named(change config.NamedChange, q url.Values) int {
 	b, err := json.Marshal(change)
 	if err != nil {
 		return failed(err, exitUsage)
@@ -101,7 +101,7 @@
 			doc, faults, err = changed(doc, b)
 		}
 		if err == nil && len(faults) == 0 {
-			_, faults, err = outlier.CheckConfig(doc)
+			_, faults, err = outlier.ParseConfig(doc)
 		}
 		if err != nil {
 			return failed(errors.Wrap(err, f), exitInvalid)
@@ -139,11 +139,11 @@
 
 // changed returns what a partial change of either form makes of a document.
 func changed(doc, change []byte) ([]byte, []config.Fault, error) {
-	if !config.IsNamed(change) {
-		out, err := config.Merge(doc, change)
+	if !config.IsNamedChange(change) {
+		out, err := config.MergePatch(doc, change)
 		return out, nil, err
 	}
-	n, faults, err := config.ParseNamed(change)
+	n, faults, err := config.ParseNamedChange(change)
 	if err != nil || len(faults) > 0 {
 		return nil, faults, err
 	}
@@ -165,7 +165,7 @@
 	if err != nil {
 		return failed(err, exitUsage)
 	}
-	cfg, faults, err := outlier.CheckConfig(b)
+	cfg, faults, err := outlier.ParseConfig(b)
 	if err != nil {
 		return failed(err, exitInvalid)
 	}
@@ -239,8 +239,8 @@
 
 // match prints the route or rule that a request goes by, and reports whether there is one.
 func (c *ctl) match(cfg *config.Config, host, path, method string) bool {
-	n, r, isRoute := cfg.Route(host, path)
-	svc, allowed, isRule := cfg.Match(host, path, method)
+	n, r, isRoute := cfg.FindRoute(host, path)
+	svc, allowed, isRule := cfg.FindRule(host, path, method)
 	switch {
 	case c.json && isRoute:
 		printJSON(routeMatch{Route: n, Is: r})
--- a/internal/mfctl/mfctl_test.go
+++ b/internal/mfctl/mfctl_test.go
@@ -92,7 +92,7 @@
 		"own":{"prefix":"/x/","host":"h.test","kind":"once","timeout_ms":700,"attempts":1,"priority":3,"split":[{"service":"a","weight":1},{"service":"b","weight":3}]}},
 		"rules":[{"path":"/y","methods":["GET"],"service":"b"}]}`)
 	b, _ := os.ReadFile(doc)
-	if _, faults, err := outlier.CheckConfig(b); err != nil || len(faults) > 0 {
+	if _, faults, err := outlier.ParseConfig(b); err != nil || len(faults) > 0 {
 		t.Fatal(faults, err)
 	}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/mfctl/policy.go
+++ b/internal/mfctl/policy.go
@@ -24,7 +24,7 @@
 
 // compare prints each policy's score on a recording; policies are files named for the policy.
 func (c *ctl) compare(recording string, files []string) int {
-	policies := map[string]config.Policy{config.DefaultPolicy: config.Default()}
+	policies := map[string]config.Policy{config.DefaultPolicyName: config.DefaultPolicy()}
 	for _, f := range files {
 		p, sound := readPolicy(f)
 		if !sound {
@@ -53,7 +53,7 @@
 	tw := newTable()
 	fmt.Fprintln(tw, "POLICY\tBARS\tWRONG\tERRORS\tMISSED\tSLOW\tMISSED SLOW\tTO BAR MS\tBARRED MS\tMOVES\tFAILED")
 	for _, s := range scores {
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", s.Policy, s.Ejections, s.WrongEjections, s.Errors, s.Missed, s.Slow, s.MissedSlow, s.TimeToEjectMs, s.EjectedMs, s.Moves, s.Failed)
+		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", s.Policy, s.Ejections, s.WrongEjections, s.Errors, s.MissedErrors, s.Slow, s.MissedSlow, s.TimeToEjectMs, s.EjectedMs, s.Transitions, s.FailedEvaluations)
 	}
 	tw.Flush()
 	return exitOK
@@ -85,7 +85,7 @@
 		b, err := os.ReadFile(file)
 		var faults []config.Fault
 		if err == nil {
-			cfg, faults, err = outlier.CheckConfig(b)
+			cfg, faults, err = outlier.ParseConfig(b)
 		}
 		if err != nil || len(faults) > 0 {
 			fmt.Fprintf(os.Stderr, "mfctl: %s: %v %v\n", file, err, faults)
@@ -98,7 +98,7 @@
 	sc := bufio.NewScanner(os.Stdin)
 	sc.Buffer(nil, tuning.SessionLineMax)
 	for sc.Scan() {
-		for _, l := range session.Take(sc.Bytes()) {
+		for _, l := range session.Evaluate(sc.Bytes()) {
 			if l.Error != "" {
 				code = exitInvalid // said at the end; the stream goes on
 			}
@@ -108,7 +108,7 @@
 		}
 	}
 	if err := sc.Err(); err != nil {
-		fmt.Fprintf(os.Stderr, "mfctl: line %d: %v\n", session.Line+1, err)
+		fmt.Fprintf(os.Stderr, "mfctl: line %d: %v\n", session.Lines+1, err)
 		return exitInvalid
 	}
 	return code
--- a/internal/mfctl/views.go
+++ b/internal/mfctl/views.go
@@ -123,9 +123,9 @@
 		met, left := "-", "-"
 		if s.Total > 0 {
 			met = fmt.Sprintf("%.4f", float64(s.Good)/float64(s.Total))
-			left = fmt.Sprintf("%.0f %%", 100*(1-float64(s.Total-s.Good)/(float64(s.Total)*(1-s.Part))))
+			left = fmt.Sprintf("%.0f %%", 100*(1-float64(s.Total-s.Good)/(float64(s.Total)*(1-s.SuccessRatio))))
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%g\t%s\t%d\t%s\n", n, s.Service, s.WindowMin, s.UnderMs, s.Part, met, s.Total, left)
+		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%g\t%s\t%d\t%s\n", n, s.Service, s.WindowMinutes, s.LatencyTargetMs, s.SuccessRatio, met, s.Total, left)
 	}
 	tw.Flush()
 	return exitOK
@@ -174,7 +174,7 @@
 	var v struct {
 		Revision uint64
 		Since    float64 `json:"since_ms"`
-		Policies map[string]outlier.Stat
+		Policies map[string]outlier.PolicyStats
 	}
 	json.Unmarshal(b, &v)
 	tw := newTable()
@@ -186,7 +186,7 @@
 			x = *s.Score
 		}
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\n", n, s.Policy.Mode, s.Policy.Slice, s.Policy.Decide, s.Policy.TTLMs, s.Evaluated, s.Failed, s.TargetsOut,
-			x.Ejections, x.WrongEjections, x.Errors, x.Missed, x.TimeToEjectMs, s.Policy.When, s.Error)
+			x.Ejections, x.WrongEjections, x.Errors, x.MissedErrors, x.TimeToEjectMs, s.Policy.When, s.Error)
 	}
 	tw.Flush()
 }
--- a/internal/shared/config/check.go
+++ b/internal/shared/config/check.go
@@ -131,12 +131,12 @@
 	c.name(path, n)
 	c.within(path+".cap", s.Cap, 1, tuning.CapMax)
 	c.within(path+".warm_cap", s.WarmCap, 1, tuning.CapMax)
-	c.within(path+".in_flight", s.InFlight, 0, tuning.InFlightMax)
+	c.within(path+".in_flight", s.MaxInFlight, 0, tuning.InFlightMax)
 	c.within(path+".timeout_ms", s.TimeoutMs, tuning.TimeoutMinMs, tuning.TimeoutMaxMs)
-	c.within(path+".wait_ms", s.WaitMs, 0, tuning.WaitMaxMs)
-	c.within(path+".wait_len", s.WaitLen, 0, tuning.WaitLenMax)
+	c.within(path+".wait_ms", s.QueueTimeoutMs, 0, tuning.QueueTimeoutMaxMs)
+	c.within(path+".wait_len", s.QueueLength, 0, tuning.QueueLengthMax)
 	c.within(path+".body_max", s.BodyMax, 0, tuning.ServiceBodyMax)
-	c.within(path+".tries", s.Attempts, 1, tuning.ServiceTriesMax)
+	c.within(path+".tries", s.Attempts, 1, tuning.ServiceAttemptsMax)
 	c.within(path+".slow_ms", s.SlowMs, 0, tuning.TimeoutMaxMs)
 	if s.WarmCap > s.Cap {
 		c.add(path+".warm_cap", "%d is over cap %d", s.WarmCap, s.Cap)
@@ -154,7 +154,7 @@
 	if s.Proto != "" && s.Proto != "h1" || s.TLS {
 		c.add(path+".proto", "targets are spoken to by h1 without TLS")
 	}
-	if (s.WaitMs > 0) != (s.WaitLen > 0) {
+	if (s.QueueTimeoutMs > 0) != (s.QueueLength > 0) {
 		c.add(path+".wait_ms", "wait_ms and wait_len go together")
 	}
 }
--- a/internal/shared/config/fuzz_test.go
+++ b/internal/shared/config/fuzz_test.go
@@ -58,7 +58,7 @@
 					}
 				}
 			}
-			n, err := Numbered(doc, 7)
+			n, err := WithRevision(doc, 7)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,8 +81,8 @@
 	}
 	f.Fuzz(func(t *testing.T, doc, patch []byte) {
 		was := bytes.Clone(doc)
-		IsNamed(patch)
-		n, faults, err := ParseNamed(patch)
+		IsNamedChange(patch)
+		n, faults, err := ParseNamedChange(patch)
 		located(t, faults)
 		if err != nil || len(faults) > 0 {
 			return
@@ -163,7 +163,7 @@
 		if _, _, err := Parse([]byte(doc), nothing); !errors.Is(err, ErrNotJSON) {
 			t.Errorf("%q: %v", doc, err)
 		}
-		if _, _, err := ParseNamed([]byte(doc)); !errors.Is(err, ErrNotJSON) {
+		if _, _, err := ParseNamedChange([]byte(doc)); !errors.Is(err, ErrNotJSON) {
 			t.Errorf("%q by names: %v", doc, err)
 		}
 	}
--- a/internal/shared/config/heartbeat.go
+++ b/internal/shared/config/heartbeat.go
@@ -43,8 +43,8 @@
 }
 
 // ID returns the identity of the back end.
-func (b *TargetReport) ID() wire.ID {
-	return wire.ID{Service: b.Service, Name: b.Name, Incarnation: b.Incarnation}
+func (b *TargetReport) ID() wire.TargetID {
+	return wire.TargetID{Service: b.Service, Name: b.Name, Incarnation: b.Incarnation}
 }
 
 // Target checks a heartbeat and returns it in the form that daemons exchange, or its faults by field.
@@ -61,8 +61,8 @@
 	if !slices.Contains([]string{Warming, Ready, Leaving, Gone}, b.State) {
 		c.add("state", "warming, ready, leaving or gone, not %q", b.State)
 	}
-	if len(b.Domain) > tuning.NameMax {
-		c.add("domain", "at most %d bytes", tuning.NameMax)
+	if len(b.Domain) > tuning.DomainNameMax {
+		c.add("domain", "at most %d bytes", tuning.DomainNameMax)
 	}
 	if b.Slots < 0 || b.Slots > tuning.SlotsMax {
 		c.add("slots", "%d is not between 0 and %d", b.Slots, tuning.SlotsMax)
--- a/internal/shared/config/match.go
+++ b/internal/shared/config/match.go
@@ -10,10 +10,10 @@
 // hostRank puts a rule with a host before one for any host, whatever their paths: no path is longer.
 const hostRank = 1 << 20
 
-// Match finds the service that the rules choose for a request: an exact host before any host, then
+// FindRule finds the service that the rules choose for a request: an exact host before any host, then
 // the longest path, whose end must fall on a segment. allowed lists the methods of that path, for
 // the answer if ok is false because only the method is wrong.
-func (c *Config) Match(host, path, method string) (svc string, allowed []string, ok bool) {
+func (c *Config) FindRule(host, path, method string) (svc string, allowed []string, ok bool) {
 	host = bare(host)
 	best := -1
 	for _, r := range c.Rules {
--- a/internal/shared/config/model.go
+++ b/internal/shared/config/model.go
@@ -22,14 +22,14 @@
 type Service struct {
 	// Cap is how many requests may be in flight to a target over all proxies, WarmCap the same for
 	// one that is warming up, InFlight the most in flight to the service at one proxy, 0: not bounded.
-	Cap      int `koanf:"cap" json:"cap"`
-	WarmCap  int `koanf:"warm_cap" json:"warm_cap"`
-	InFlight int `koanf:"in_flight" json:"in_flight,omitempty"`
+	Cap         int `koanf:"cap" json:"cap"`
+	WarmCap     int `koanf:"warm_cap" json:"warm_cap"`
+	MaxInFlight int `koanf:"in_flight" json:"in_flight,omitempty"`
 	// TimeoutMs is a request's deadline.
 	TimeoutMs int `koanf:"timeout_ms" json:"timeout_ms"`
-	// WaitMs and WaitLen are how long, and how many, requests may wait for a target; 0: none waits.
-	WaitMs  int `koanf:"wait_ms" json:"wait_ms,omitempty"`
-	WaitLen int `koanf:"wait_len" json:"wait_len,omitempty"`
+	// QueueTimeoutMs and WaitLen are how long, and how many, requests may wait for a target; 0: none waits.
+	QueueTimeoutMs int `koanf:"wait_ms" json:"wait_ms,omitempty"`
+	QueueLength    int `koanf:"wait_len" json:"wait_len,omitempty"`
 	// BodyMax bounds a request's body in bytes.
 	BodyMax int `koanf:"body_max" json:"body_max"`
 	// Tries is how often a request that may be repeated is sent in all.
@@ -90,13 +90,13 @@
 	Note   string `koanf:"note" json:"note,omitempty"` // for people
 }
 
-// DefaultPolicy is the name of the policy that holds the given design; a
+// DefaultPolicyName is the name of the policy that holds the given design; a
 // configuration that does not name it has it all the same.
-const DefaultPolicy = "default"
+const DefaultPolicyName = "default"
 
-// Default returns the policy of the given design: two missed probes in a row eject a target for
+// DefaultPolicy returns the policy of the given design: two missed probes in a row eject a target for
 // tuning.EjectionTTL, an answer clears it.
-func Default() Policy {
+func DefaultPolicy() Policy {
 	return Policy{Slice: SliceProbe, When: fmt.Sprintf("misses_in_row >= %d", tuning.ProbeMisses), Clear: "ok_in_row >= 1",
 		Decide: DecideEject, TTLMs: int(tuning.EjectionTTL.Milliseconds()), Mode: ModeLive, Note: "two missed probes in a row"}
 }
@@ -105,10 +105,10 @@
 // part (between 0 and 1) is to be answered with a status below 500 within UnderMs (0: in any time).
 // Refusals count against it.
 type Objective struct {
-	Service   string  `koanf:"service" json:"service"`
-	Part      float64 `koanf:"part" json:"part"`
-	UnderMs   int     `koanf:"under_ms" json:"under_ms,omitempty"`
-	WindowMin int     `koanf:"window_min" json:"window_min"`
+	Service         string  `koanf:"service" json:"service"`
+	SuccessRatio    float64 `koanf:"part" json:"part"`
+	LatencyTargetMs int     `koanf:"under_ms" json:"under_ms,omitempty"`
+	WindowMinutes   int     `koanf:"window_min" json:"window_min"`
 }
 
 // Config is a configuration that Parse has read. It is not changed afterwards.
@@ -133,14 +133,14 @@
 // ErrNotJSON marks the error for a document that cannot be read at all.
 var ErrNotJSON = errors.New("not a JSON object")
 
-// All yields the policies in force by name, the default one included.
-func (c *Config) All() iter.Seq2[string, Policy] {
+// PoliciesInForce yields the policies in force by name, the default one included.
+func (c *Config) PoliciesInForce() iter.Seq2[string, Policy] {
 	ps := maps.Clone(c.Policies)
 	if ps == nil {
 		ps = map[string]Policy{}
 	}
-	if _, ok := ps[DefaultPolicy]; !ok {
-		ps[DefaultPolicy] = Default()
+	if _, ok := ps[DefaultPolicyName]; !ok {
+		ps[DefaultPolicyName] = DefaultPolicy()
 	}
 	return func(yield func(string, Policy) bool) {
 		for _, n := range slices.Sorted(maps.Keys(ps)) {
@@ -151,8 +151,8 @@
 	}
 }
 
-// Merge applies an RFC 7396 merge patch.
-func Merge(doc, patch []byte) ([]byte, error) {
+// MergePatch applies an RFC 7396 merge patch.
+func MergePatch(doc, patch []byte) ([]byte, error) {
 	if _, err := object(patch); err != nil {
 		return nil, err
 	}
--- a/internal/shared/config/model_test.go
+++ b/internal/shared/config/model_test.go
@@ -55,7 +55,7 @@
 		{"", "/", "GET", "a"}, {"", "/xy", "GET", "a"}, {"", "/x", "GET", "b"}, {"", "/x/z", "POST", "c"}, {"", "/x", "DELETE", ""},
 		{"", "/x/y", "GET", "b"}, {"", "/x/y/z", "DELETE", "c"}, {"h.example", "/x", "PUT", "a"}, {"H.example:80", "/x/y/z", "GET", "a"},
 	} {
-		svc, allowed, ok := c.Match(x.host, x.path, x.method)
+		svc, allowed, ok := c.FindRule(x.host, x.path, x.method)
 		if svc != x.svc || ok != (x.svc != "") {
 			t.Errorf("%+v: %q %v %v", x, svc, allowed, ok)
 		}
@@ -128,14 +128,14 @@
 		`{"set":[]}`: "set", `{"set":{"routes":[]}}`: "set.routes", `{"set":{"routes":null}}`: "set.routes", `{"drop":{"routes":{}}}`: "drop.routes",
 		`{"drop":{"routes":[1]}}`: "drop.routes", `{"set":{},"more":1}`: "more", `{"set":{},"revision":-1}`: "revision", `{"set":{},"revision":0}`: "revision",
 	} {
-		if _, fs, err := ParseNamed([]byte(patch)); err != nil || len(fs) != 1 || fs[0].Path != at {
+		if _, fs, err := ParseNamedChange([]byte(patch)); err != nil || len(fs) != 1 || fs[0].Path != at {
 			t.Errorf("%s: %v %v", patch, fs, err)
 		}
 	}
-	if _, _, err := ParseNamed([]byte(`{"set":{"routes":{"a":{},"a":{}}}}`)); !errors.Is(err, ErrNotJSON) {
+	if _, _, err := ParseNamedChange([]byte(`{"set":{"routes":{"a":{},"a":{}}}}`)); !errors.Is(err, ErrNotJSON) {
 		t.Error(err)
 	}
-	n, _, _ := ParseNamed([]byte(`{"set":{"routes":{"b":{"x":1}}},"drop":{"routes":["a","none"]}}`))
+	n, _, _ := ParseNamedChange([]byte(`{"set":{"routes":{"b":{"x":1}}},"drop":{"routes":["a","none"]}}`))
 	if out, fs, err := n.Apply([]byte(`{"revision":4,"routes":{"a":1,"c":2}}`)); err != nil || len(fs) > 0 || string(out) != `{"routes":{"b":{"x":1},"c":2}}` {
 		t.Errorf("%s %v %v", out, fs, err)
 	}
--- a/internal/shared/config/named.go
+++ b/internal/shared/config/named.go
@@ -11,23 +11,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Named is a partial change by names: items to add or replace whole, and names to remove, by the
+// NamedChange is a partial change by names: items to add or replace whole, and names to remove, by the
 // kind of the item (services, routes, policies, aims).
-type Named struct {
+type NamedChange struct {
 	Revision uint64                                `json:"revision,omitempty"`
 	Set      map[string]map[string]json.RawMessage `json:"set,omitempty"`
 	Drop     map[string][]string                   `json:"drop,omitempty"`
 }
 
-// IsNamed reports whether a partial change is one by names; others are merge patches.
-func IsNamed(patch []byte) bool {
+// IsNamedChange reports whether a partial change is one by names; others are merge patches.
+func IsNamedChange(patch []byte) bool {
 	var probe struct{ Set, Drop json.RawMessage }
 	return json.Unmarshal(patch, &probe) == nil && (probe.Set != nil || probe.Drop != nil)
 }
 
 // Apply returns the document that the change makes of doc. It is not checked yet. Names to remove
 // that are not there are no fault: what is asked for holds already.
-func (n *Named) Apply(doc []byte) ([]byte, []Fault, error) {
+func (n *NamedChange) Apply(doc []byte) ([]byte, []Fault, error) {
 	parts := map[string]json.RawMessage{}
 	if err := json.Unmarshal(doc, &parts); err != nil {
 		return nil, nil, errors.Mark(err, ErrNotJSON)
@@ -68,13 +68,13 @@
 	return out, faults, err
 }
 
-// ParseNamed reads a partial change by names. Anything in it that is not part of one is a fault; an
+// ParseNamedChange reads a partial change by names. Anything in it that is not part of one is a fault; an
 // error, marked ErrNotJSON, says that it cannot be read at all.
-func ParseNamed(patch []byte) (*Named, []Fault, error) {
+func ParseNamedChange(patch []byte) (*NamedChange, []Fault, error) {
 	if _, err := object(patch); err != nil {
 		return nil, nil, err
 	}
-	c, n := &checker{}, &Named{}
+	c, n := &checker{}, &NamedChange{}
 	var parts map[string]json.RawMessage
 	if err := json.Unmarshal(patch, &parts); err != nil {
 		return nil, nil, errors.Mark(err, ErrNotJSON)
@@ -115,13 +115,13 @@
 	return n, c.faults, nil
 }
 
-// Unnumbered returns a document without its own revision, to make another one of it.
-func Unnumbered(doc []byte) ([]byte, error) {
+// WithoutRevision returns a document without its own revision, to make another one of it.
+func WithoutRevision(doc []byte) ([]byte, error) {
 	return renumber(doc, func(parts map[string]json.RawMessage) { delete(parts, "revision") })
 }
 
-// Numbered returns a document with a revision inside: its own, or else rev.
-func Numbered(doc []byte, rev uint64) ([]byte, error) {
+// WithRevision returns a document with a revision inside: its own, or else rev.
+func WithRevision(doc []byte, rev uint64) ([]byte, error) {
 	return renumber(doc, func(parts map[string]json.RawMessage) {
 		if parts["revision"] == nil {
 			parts["revision"] = json.RawMessage(fmt.Sprint(rev))
--- a/internal/shared/config/parse.go
+++ b/internal/shared/config/parse.go
@@ -70,7 +70,7 @@
 
 func (c *checker) readServices(cfg *Config, v any) {
 	c.items("services", v, func(at, name string, item any) {
-		s := Service{Cap: tuning.CapDefault, WarmCap: tuning.WarmDefault, TimeoutMs: tuning.TimeoutMs, BodyMax: tuning.BodyMax, Attempts: tuning.AttemptsDefaultMax}
+		s := Service{Cap: tuning.CapDefault, WarmCap: tuning.WarmCapDefault, TimeoutMs: tuning.TimeoutDefaultMs, BodyMax: tuning.BodyMaxDefault, Attempts: tuning.AttemptsDefault}
 		c.decode(at, item, &s)
 		c.service(at, name, s)
 		cfg.Services[name] = s
@@ -97,8 +97,8 @@
 }
 
 func (c *checker) readPolicies(cfg *Config, v any) {
-	if m, ok := v.(map[string]any); ok && len(m) > tuning.PolicyMax {
-		c.add("policies", "%d policies, at most %d", len(m), tuning.PolicyMax)
+	if m, ok := v.(map[string]any); ok && len(m) > tuning.PoliciesMax {
+		c.add("policies", "%d policies, at most %d", len(m), tuning.PoliciesMax)
 	}
 	c.items("policies", v, func(at, name string, item any) {
 		p := Policy{Mode: ModeLive}
@@ -116,7 +116,7 @@
 
 func (c *checker) readAims(cfg *Config, v any) {
 	c.items("aims", v, func(at, name string, item any) {
-		a := Objective{WindowMin: tuning.ObjectiveMinutes}
+		a := Objective{WindowMinutes: tuning.ObjectiveMinutes}
 		c.decode(at, item, &a)
 		c.name(at, name)
 		cfg.Objectives[name] = a
@@ -130,11 +130,11 @@
 		if _, ok := cfg.Services[a.Service]; !ok {
 			c.add(at+".service", "no service %q", a.Service)
 		}
-		if !(a.Part > 0 && a.Part < 1) {
-			c.add(at+".part", "%v is not between 0 and 1", a.Part)
+		if !(a.SuccessRatio > 0 && a.SuccessRatio < 1) {
+			c.add(at+".part", "%v is not between 0 and 1", a.SuccessRatio)
 		}
-		c.within(at+".under_ms", a.UnderMs, 0, tuning.TimeoutMaxMs)
-		c.within(at+".window_min", a.WindowMin, 1, tuning.ObjectiveMinutes)
+		c.within(at+".under_ms", a.LatencyTargetMs, 0, tuning.TimeoutMaxMs)
+		c.within(at+".window_min", a.WindowMinutes, 1, tuning.ObjectiveMinutes)
 	}
 }
 
--- a/internal/shared/config/route.go
+++ b/internal/shared/config/route.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// Route finds the route for a request: the longest prefix of path among the routes of its host, and
+// FindRoute finds the route for a request: the longest prefix of path among the routes of its host, and
 // without one among those for any host.
-func (c *Config) Route(host, path string) (name string, r Route, ok bool) {
+func (c *Config) FindRoute(host, path string) (name string, r Route, ok bool) {
 	host = bare(host)
 	for _, h := range []string{host, ""} {
 		ps := c.byHost[h]
--- a/internal/shared/config/routeread.go
+++ b/internal/shared/config/routeread.go
@@ -191,7 +191,7 @@
 	}
 	c.bound(at, "timeout_ms", r.TimeoutMs, 1, tuning.TimeoutMaxMs)
 	c.bound(at, "aim_ms", r.LatencyTargetMs, 0, tuning.TimeoutMaxMs)
-	c.bound(at, "attempts", r.Attempts, 1, tuning.AttemptsMax)
+	c.bound(at, "attempts", r.Attempts, 1, tuning.RouteAttemptsMax)
 	c.bound(at, "priority", r.Priority, 0, tuning.PriorityMax)
 	if (r.Service == "") == (len(r.Split) == 0) {
 		c.add(at, "wants either service or split")
--- a/internal/shared/discovery/discovery.go
+++ b/internal/shared/discovery/discovery.go
@@ -54,7 +54,7 @@
 		Members: Membership{h.MembersEpoch, h.MembersIndex, h.Members}, Consent: RecoveryConsent{h.RecoveryConsent, h.LostMembers, now}}
 	for _, d := range h.Daemons {
 		if b[d.Name] == nil && d.Name != self && d.Name != "" {
-			b[d.Name] = &Peer{Daemon: d, At: now - tuning.DaemonGone/2}
+			b[d.Name] = &Peer{Daemon: d, At: now - tuning.DaemonExpiry/2}
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	var best *Peer
 	for _, n := range slices.Sorted(maps.Keys(b)) {
 		k := b[n]
-		if k.Kind == wire.ControlDaemon && k.Leader != "" && now-k.At < tuning.DaemonGone &&
+		if k.Kind == wire.ControlDaemon && k.Leader != "" && now-k.At < tuning.DaemonExpiry &&
 			(best == nil || cmp.Or(cmp.Compare(k.Epoch, best.Epoch), cmp.Compare(k.Term, best.Term)) > 0) {
 			best = k
 		}
--- a/internal/shared/outlier/compare.go
+++ b/internal/shared/outlier/compare.go
@@ -20,18 +20,18 @@
 
 // Score is how one policy did on a recording.
 type Score struct {
-	Policy         string  `json:"policy"`
-	Events         int     `json:"events"`
-	Ejections      int     `json:"bars"`        // ejections and holds begun
-	WrongEjections int     `json:"wrong_bars"`  // the target was serving well
-	Errors         int     `json:"errors"`      // failed requests in the recording
-	Missed         int     `json:"missed"`      // of them, at targets that it had not taken out
-	Slow           int     `json:"slow"`        // slow requests in the recording
-	MissedSlow     int     `json:"missed_slow"` // of them, at targets that it had not taken out
-	TimeToEjectMs  float64 `json:"to_bar_ms"`   // median from a trouble's first sign to the decision
-	EjectedMs      float64 `json:"barred_ms"`   // all targets' time out together
-	Moves          int     `json:"moves"`       // times a target went out or came back
-	Failed         uint64  `json:"failed_evaluations"`
+	Policy            string  `json:"policy"`
+	Events            int     `json:"events"`
+	Ejections         int     `json:"bars"`        // ejections and holds begun
+	WrongEjections    int     `json:"wrong_bars"`  // the target was serving well
+	Errors            int     `json:"errors"`      // failed requests in the recording
+	MissedErrors      int     `json:"missed"`      // of them, at targets that it had not taken out
+	Slow              int     `json:"slow"`        // slow requests in the recording
+	MissedSlow        int     `json:"missed_slow"` // of them, at targets that it had not taken out
+	TimeToEjectMs     float64 `json:"to_bar_ms"`   // median from a trouble's first sign to the decision
+	EjectedMs         float64 `json:"barred_ms"`   // all targets' time out together
+	Transitions       int     `json:"moves"`       // times a target went out or came back
+	FailedEvaluations uint64  `json:"failed_evaluations"`
 }
 
 const (
@@ -73,20 +73,20 @@
 // judges. Each is scored by its own word on a target, whatever the others decide.
 type Scorer struct {
 	j      *Detector
-	tracks map[wire.ID]*track
+	tracks map[wire.TargetID]*track
 	scores map[string]*tally
 }
 
 type tally struct {
 	Score
 	of    config.Policy
-	out   map[wire.ID]time.Duration // since when it has kept a target out
+	out   map[wire.TargetID]time.Duration // since when it has kept a target out
 	toBar []float64
 }
 
 // NewScorer returns a Scorer of a Judge, whose events and ticks must all go through it.
 func NewScorer(j *Detector) *Scorer {
-	return &Scorer{j: j, tracks: map[wire.ID]*track{}, scores: map[string]*tally{}}
+	return &Scorer{j: j, tracks: map[wire.TargetID]*track{}, scores: map[string]*tally{}}
 }
 
 // Step has the Judge take an event and scores what came of it; it returns the Judge's decisions.
@@ -101,7 +101,7 @@
 		p := s.j.policies[name].spec
 		y := s.scores[name]
 		if y == nil || y.of != p {
-			y = &tally{Score: Score{Policy: name}, of: p, out: map[wire.ID]time.Duration{}}
+			y = &tally{Score: Score{Policy: name}, of: p, out: map[wire.TargetID]time.Duration{}}
 			s.scores[name] = y
 		}
 		y.Events++
@@ -110,7 +110,7 @@
 			y.Errors += e.Errors
 			y.Slow += e.Slow
 			if !out {
-				y.Missed += e.Errors
+				y.MissedErrors += e.Errors
 				y.MissedSlow += e.Slow
 			}
 		}
@@ -142,14 +142,14 @@
 	ds := s.j.Tick(now)
 	for _, d := range ds {
 		if y := s.scores[d.Policy]; y != nil {
-			s.turn(now, y, d.Policy, wire.ID{Service: d.Service, Name: d.Name, Incarnation: d.Incarnation})
+			s.turn(now, y, d.Policy, wire.TargetID{Service: d.Service, Name: d.Name, Incarnation: d.Incarnation})
 		}
 	}
 	return ds
 }
 
 // turn scores a target's going out under a policy, or coming back.
-func (s *Scorer) turn(now time.Duration, y *tally, name string, id wire.ID) {
+func (s *Scorer) turn(now time.Duration, y *tally, name string, id wire.TargetID) {
 	m, marked := s.j.marks[id][name]
 	out := marked && m.until > now
 	at, was := y.out[id]
@@ -157,7 +157,7 @@
 	if out == was || t == nil {
 		return
 	}
-	y.Moves++
+	y.Transitions++
 	if !out {
 		delete(y.out, id)
 		y.EjectedMs += milliseconds(now - at)
@@ -177,7 +177,7 @@
 }
 
 // Forget drops a target that is gone for good.
-func (s *Scorer) Forget(now time.Duration, id wire.ID) {
+func (s *Scorer) Forget(now time.Duration, id wire.TargetID) {
 	for _, y := range s.scores {
 		if at, out := y.out[id]; out {
 			y.EjectedMs += milliseconds(now - at)
@@ -200,7 +200,7 @@
 			x.TimeToEjectMs = slices.Sorted(slices.Values(y.toBar))[len(y.toBar)/2]
 		}
 		if p := s.j.policies[name]; p != nil {
-			x.Failed = p.failed
+			x.FailedEvaluations = p.failed
 		}
 		l[name] = x
 	}
--- a/internal/shared/outlier/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -98,5 +98,5 @@
 	return []config.Fault{{Path: field, Text: text}}
 }
 
-// CheckConfig is config.Parse with the check of policies, and returns the same.
-func CheckConfig(doc []byte) (*config.Config, []config.Fault, error) { return config.Parse(doc, Check) }
+// ParseConfig is config.Parse with the check of policies, and returns the same.
+func ParseConfig(doc []byte) (*config.Config, []config.Fault, error) { return config.Parse(doc, Check) }
--- a/internal/shared/outlier/policy.go
+++ b/internal/shared/outlier/policy.go
@@ -40,8 +40,8 @@
 }
 
 // ID returns the identity of the target.
-func (e *Event) ID() wire.ID {
-	return wire.ID{Service: e.Service, Name: e.Name, Incarnation: e.Incarnation}
+func (e *Event) ID() wire.TargetID {
+	return wire.TargetID{Service: e.Service, Name: e.Name, Incarnation: e.Incarnation}
 }
 
 // Kinds of decisions, besides config.DecideBar and config.DecideHold, which begin one.
@@ -81,8 +81,8 @@
 	hold  bool
 }
 
-// Stat describes a policy in force and what it has done since it came into force.
-type Stat struct {
+// PolicyStats describes a policy in force and what it has done since it came into force.
+type PolicyStats struct {
 	Policy     config.Policy `json:"policy"`
 	Evaluated  uint64        `json:"evaluated"`
 	Failed     uint64        `json:"failed"`
@@ -93,15 +93,15 @@
 
 // Detector evaluates the policies in force on events of any number of targets.
 type Detector struct {
-	policies map[string]*policy             // by name
-	sorted   []string                       // the policies' names
-	windows  map[wire.ID]map[string]*window // by slice
-	marks    map[wire.ID]map[string]mark    // by policy
+	policies map[string]*policy                   // by name
+	sorted   []string                             // the policies' names
+	windows  map[wire.TargetID]map[string]*window // by slice
+	marks    map[wire.TargetID]map[string]mark    // by policy
 }
 
 // New returns a Judge without policies; Replace puts them in force.
 func New() *Detector {
-	return &Detector{policies: map[string]*policy{}, windows: map[wire.ID]map[string]*window{}, marks: map[wire.ID]map[string]mark{}}
+	return &Detector{policies: map[string]*policy{}, windows: map[wire.TargetID]map[string]*window{}, marks: map[wire.TargetID]map[string]mark{}}
 }
 
 // Replace puts the policies of a configuration, which must have passed Check, in force. What a kept or changed ejection
@@ -109,7 +109,7 @@
 // is removed, off, or goes between live and shadow.
 func (j *Detector) Replace(c *config.Config) {
 	next := map[string]*policy{}
-	for name, p := range c.All() {
+	for name, p := range c.PoliciesInForce() {
 		if p.Mode == config.ModeOff {
 			continue
 		}
@@ -143,14 +143,14 @@
 }
 
 // Forget drops a target that is gone for good.
-func (j *Detector) Forget(id wire.ID) {
+func (j *Detector) Forget(id wire.TargetID) {
 	delete(j.windows, id)
 	delete(j.marks, id)
 }
 
 // Ejected returns until when a live policy keeps requests from a target, and the policy's name; of
 // several the last one to end, and 0 if there is none.
-func (j *Detector) Ejected(now time.Duration, id wire.ID) (until time.Duration, why string) {
+func (j *Detector) Ejected(now time.Duration, id wire.TargetID) (until time.Duration, why string) {
 	if len(j.marks[id]) == 0 {
 		return 0, ""
 	}
@@ -163,15 +163,15 @@
 	return until, why
 }
 
-// Adopt takes over a decision of an earlier leader, which has left to run.
-func (j *Detector) Adopt(now time.Duration, id wire.ID, policy string, left time.Duration) {
+// Restore takes over a decision of an earlier leader, which has left to run.
+func (j *Detector) Restore(now time.Duration, id wire.TargetID, policy string, left time.Duration) {
 	if p := j.policies[policy]; p != nil && p.spec.Mode == config.ModeLive && left > 0 {
 		j.mark(id, policy, mark{until: now + min(left, tuning.EjectionMaxTTL), hold: p.spec.Decide == config.DecideDrain})
 	}
 }
 
 // mark sets a policy's decision on a target.
-func (j *Detector) mark(id wire.ID, policy string, m mark) {
+func (j *Detector) mark(id wire.TargetID, policy string, m mark) {
 	if j.marks[id] == nil {
 		j.marks[id] = map[string]mark{}
 	}
@@ -181,7 +181,7 @@
 // Tick ends the ejections whose time to live is over, and returns those decisions.
 func (j *Detector) Tick(now time.Duration) []Decision {
 	var out []Decision
-	for _, id := range slices.SortedFunc(maps.Keys(j.marks), wire.ID.Compare) {
+	for _, id := range slices.SortedFunc(maps.Keys(j.marks), wire.TargetID.Compare) {
 		for _, name := range slices.Sorted(maps.Keys(j.marks[id])) {
 			if p := j.policies[name]; j.marks[id][name].until <= now {
 				delete(j.marks[id], name)
@@ -195,7 +195,7 @@
 	return out
 }
 
-func (p *policy) decision(now time.Duration, kind string, id wire.ID, why string) Decision {
+func (p *policy) decision(now time.Duration, kind string, id wire.TargetID, why string) Decision {
 	d := Decision{At: now, Policy: p.name, Kind: kind, Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Shadow: p.spec.Mode == config.ModeShadow, Reason: why}
 	if kind == config.DecideEject {
 		d.TTLMs = int64(p.spec.TTLMs)
@@ -227,7 +227,7 @@
 
 // apply evaluates one policy on a target and changes its mark; it returns the decision, if that is
 // a new one.
-func (j *Detector) apply(p *policy, now time.Duration, id wire.ID, known any) []Decision {
+func (j *Detector) apply(p *policy, now time.Duration, id wire.TargetID, known any) []Decision {
 	hit, err := p.evaluate(p.when, known)
 	clear := false
 	if err == nil && !hit && p.clear != nil {
@@ -276,10 +276,10 @@
 func (j *Detector) names() []string { return j.sorted }
 
 // Stats returns what there is to say of each policy in force, by name; without its score.
-func (j *Detector) Stats() map[string]Stat {
-	out := map[string]Stat{}
+func (j *Detector) Stats() map[string]PolicyStats {
+	out := map[string]PolicyStats{}
 	for name, p := range j.policies {
-		s := Stat{Policy: p.spec, Evaluated: p.evaluated, Failed: p.failed, Error: p.lastError}
+		s := PolicyStats{Policy: p.spec, Evaluated: p.evaluated, Failed: p.failed, Error: p.lastError}
 		for _, ms := range j.marks {
 			if _, ok := ms[name]; ok {
 				s.TargetsOut++
--- a/internal/shared/outlier/policy_test.go
+++ b/internal/shared/outlier/policy_test.go
@@ -36,7 +36,7 @@
 // itself if nobody judges any more, an answer clears it.
 func TestDefaultPolicy(t *testing.T) {
 	j := with(nil)
-	id := wire.ID{Service: "s", Name: "a", Incarnation: 1}
+	id := wire.TargetID{Service: "s", Name: "a", Incarnation: 1}
 	s := time.Second
 	for i, c := range []struct {
 		at     time.Duration
@@ -126,7 +126,7 @@
 	p := config.Policy{Slice: "probe", When: "missed >= 1", Decide: "bar", TTLMs: 60000, Mode: "live"}
 	shadow := p
 	shadow.Mode = "shadow"
-	id := wire.ID{Service: "s", Name: "a", Incarnation: 1}
+	id := wire.TargetID{Service: "s", Name: "a", Incarnation: 1}
 	j := with(map[string]config.Policy{"p": p, "q": shadow})
 	ds := j.Step(probe(1, "a", false))
 	if kinds(ds) != "p bar,q bar" || ds[0].Shadow || !ds[1].Shadow {
@@ -215,9 +215,9 @@
 		if err != nil || derr != nil || len(append(faults, Check(p)...)) > 0 {
 			t.Fatal(f, err, derr, faults)
 		}
-		ps := map[string]config.Policy{"default": config.Default(), name: p}
+		ps := map[string]config.Policy{"default": config.DefaultPolicy(), name: p}
 		for _, s := range Compare(day("none"), ps) {
-			if s.Ejections+s.WrongEjections+s.Moves > 0 {
+			if s.Ejections+s.WrongEjections+s.Transitions > 0 {
 				t.Errorf("healthy day: %+v", s)
 			}
 		}
@@ -227,11 +227,11 @@
 			def, own = own, def
 		}
 		t.Logf("%+v\n%+v", def, own)
-		if own.Ejections == 0 || own.WrongEjections > 0 || own.Missed+own.MissedSlow >= (def.Missed+def.MissedSlow)*8/10 {
+		if own.Ejections == 0 || own.WrongEjections > 0 || own.MissedErrors+own.MissedSlow >= (def.MissedErrors+def.MissedSlow)*8/10 {
 			t.Errorf("%s does not beat the default: %+v against %+v", name, own, def)
 		}
 	}
-	if s := Compare(day("crash"), map[string]config.Policy{"default": config.Default()})[0]; s.Ejections != 1 || s.TimeToEjectMs != 500 || s.WrongEjections != 0 {
+	if s := Compare(day("crash"), map[string]config.Policy{"default": config.DefaultPolicy()})[0]; s.Ejections != 1 || s.TimeToEjectMs != 500 || s.WrongEjections != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -254,8 +254,8 @@
 	if n < 3 {
 		t.Fatalf("%d examples", n)
 	}
-	x, _ := json.Marshal(Compare(day("flapping"), map[string]config.Policy{"default": config.Default()}))
-	y, _ := json.Marshal(Compare(day("flapping"), map[string]config.Policy{"default": config.Default()}))
+	x, _ := json.Marshal(Compare(day("flapping"), map[string]config.Policy{"default": config.DefaultPolicy()}))
+	y, _ := json.Marshal(Compare(day("flapping"), map[string]config.Policy{"default": config.DefaultPolicy()}))
 	if string(x) != string(y) {
 		t.Fatal("two comparisons differ")
 	}
@@ -289,7 +289,7 @@
 		{ev(5100, false), "lapse bar"}, // without a word on it the default is the design again
 	} {
 		var got []string
-		for _, l := range d.Take([]byte(c.in)) {
+		for _, l := range d.Evaluate([]byte(c.in)) {
 			if l.Line != uint64(i+1) {
 				t.Errorf("line %d is called %d", i+1, l.Line)
 			}
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -38,8 +38,8 @@
 	return l, nil
 }
 
-// OutLine is an answer to a line: one decision, the policies that it replaced, or why it was not taken.
-type OutLine struct {
+// Result is an answer to a line: one decision, the policies that it replaced, or why it was not taken.
+type Result struct {
 	Line     uint64         `json:"line"` // the number of the line that it answers, from 1
 	Decision *Decision      `json:"decision,omitempty"`
 	Replaced []string       `json:"replaced,omitempty"`
@@ -49,25 +49,25 @@
 
 // Session evaluates policies over one stream. It takes no part in what the fleet does.
 type Session struct {
-	Line    uint64 // lines taken so far
+	Lines   uint64 // lines taken so far
 	judge   *Detector
 	cfg     config.Config
 	last    time.Duration
-	targets map[wire.ID]bool
+	targets map[wire.TargetID]bool
 }
 
 // NewSession returns a Session that begins with the policies of a configuration.
 func NewSession(c *config.Config) *Session {
-	s := &Session{judge: New(), cfg: *c, targets: map[wire.ID]bool{}}
+	s := &Session{judge: New(), cfg: *c, targets: map[wire.TargetID]bool{}}
 	s.judge.Replace(&s.cfg)
 	return s
 }
 
-// Take evaluates one line and returns the answers to it, in order.
-func (s *Session) Take(b []byte) (out []OutLine) {
-	s.Line++
-	no := func(f string, a ...any) []OutLine {
-		return []OutLine{{Line: s.Line, Error: fmt.Sprintf(f, a...)}}
+// Evaluate evaluates one line and returns the answers to it, in order.
+func (s *Session) Evaluate(b []byte) (out []Result) {
+	s.Lines++
+	no := func(f string, a ...any) []Result {
+		return []Result{{Line: s.Lines, Error: fmt.Sprintf(f, a...)}}
 	}
 	l, err := parseLine(b)
 	if err != nil {
@@ -95,19 +95,19 @@
 	s.last = e.At
 	s.targets[e.ID()] = true
 	for _, x := range append(s.judge.Tick(e.At), s.judge.Step(*e)...) {
-		out = append(out, OutLine{Line: s.Line, Decision: &x})
+		out = append(out, Result{Line: s.Lines, Decision: &x})
 	}
 	return out
 }
 
 // replace puts policies in the place of those of their names; null removes one.
-func (s *Session) replace(ps map[string]json.RawMessage) []OutLine {
+func (s *Session) replace(ps map[string]json.RawMessage) []Result {
 	next := s.cfg
 	next.Policies = maps.Clone(s.cfg.Policies)
 	if next.Policies == nil {
 		next.Policies = map[string]config.Policy{}
 	}
-	out := OutLine{Line: s.Line}
+	out := Result{Line: s.Lines}
 	for name, raw := range ps {
 		if string(raw) == "null" {
 			delete(next.Policies, name)
@@ -125,14 +125,14 @@
 		}
 		out.Replaced = append(out.Replaced, name)
 	}
-	if len(next.Policies) > tuning.PolicyMax {
-		out.Faults = append(out.Faults, config.Fault{Path: "policies", Text: fmt.Sprintf("at most %d", tuning.PolicyMax)})
+	if len(next.Policies) > tuning.PoliciesMax {
+		out.Faults = append(out.Faults, config.Fault{Path: "policies", Text: fmt.Sprintf("at most %d", tuning.PoliciesMax)})
 	}
 	if len(out.Faults) > 0 {
 		out.Replaced, out.Error = nil, "unsound policies; those before stay"
-		return []OutLine{out}
+		return []Result{out}
 	}
 	s.cfg = next
 	s.judge.Replace(&s.cfg)
-	return []OutLine{out}
+	return []Result{out}
 }
--- a/internal/shared/outlier/slice.go
+++ b/internal/shared/outlier/slice.go
@@ -89,13 +89,13 @@
 	w.ok = good
 	w.run++
 	w.events = append(w.events, e)
-	if n := len(w.events) - tuning.Window; n > 0 {
+	if n := len(w.events) - tuning.PolicyWindow; n > 0 {
 		w.events = w.events[n:]
 	}
 }
 
 // facts returns what a condition on the event's slice may name, right after the event.
-func (j *Detector) facts(id wire.ID, e Event, w *window) any {
+func (j *Detector) facts(id wire.TargetID, e Event, w *window) any {
 	switch e.Slice {
 	case config.SliceProbe:
 		return w.probeFacts(e)
@@ -149,7 +149,7 @@
 	return b
 }
 
-func (j *Detector) exchangeFacts(id wire.ID, now time.Duration, w *window) exchangeFacts {
+func (j *Detector) exchangeFacts(id wire.TargetID, now time.Duration, w *window) exchangeFacts {
 	x := exchangeFacts{}
 	if !w.ok {
 		x.ErrorsInRow = w.run
@@ -173,7 +173,7 @@
 	return x
 }
 
-func (j *Detector) demandFacts(id wire.ID, e Event, w *window) demandFacts {
+func (j *Detector) demandFacts(id wire.TargetID, e Event, w *window) demandFacts {
 	d := demandFacts{Demand: e.Demand, Samples: len(w.events)}
 	for _, x := range w.events {
 		d.Mean += x.Demand / float64(len(w.events))
@@ -193,9 +193,9 @@
 
 // others yields the windows that a service's other targets have of a slice, in order so that sums
 // of floats come out the same in every run.
-func (j *Detector) others(id wire.ID, slice string) iter.Seq2[wire.ID, *window] {
-	return func(yield func(wire.ID, *window) bool) {
-		for _, o := range slices.SortedFunc(maps.Keys(j.windows), wire.ID.Compare) {
+func (j *Detector) others(id wire.TargetID, slice string) iter.Seq2[wire.TargetID, *window] {
+	return func(yield func(wire.TargetID, *window) bool) {
+		for _, o := range slices.SortedFunc(maps.Keys(j.windows), wire.TargetID.Compare) {
 			if o.Service != id.Service || o == id {
 				continue
 			}
--- a/internal/shared/state/encoding.go
+++ b/internal/shared/state/encoding.go
@@ -62,7 +62,7 @@
 func DecodeRecovered(l RecoveredState) (State, error) {
 	s, err := Decode(l.State)
 	if err == nil && len(s.Document) > 0 {
-		_, _, err = outlier.CheckConfig(s.Document)
+		_, _, err = outlier.ParseConfig(s.Document)
 	}
 	return s, errors.Mark(err, ErrDamaged)
 }
--- a/internal/shared/state/registry.go
+++ b/internal/shared/state/registry.go
@@ -24,8 +24,8 @@
 }
 
 // ID names the target's start.
-func (p Registration) ID() wire.ID {
-	return wire.ID{Service: p.Service, Name: p.Name, Incarnation: p.Inc}
+func (p Registration) ID() wire.TargetID {
+	return wire.TargetID{Service: p.Service, Name: p.Name, Incarnation: p.Inc}
 }
 
 // Tombstone is what is remembered of a target without a registration: that it was leaving when it
@@ -38,7 +38,9 @@
 }
 
 // ID names the target's start.
-func (m Tombstone) ID() wire.ID { return wire.ID{Service: m.Service, Name: m.Name, Incarnation: m.Inc} }
+func (m Tombstone) ID() wire.TargetID {
+	return wire.TargetID{Service: m.Service, Name: m.Name, Incarnation: m.Inc}
+}
 
 // RegistryChange is a batch of changes.
 type RegistryChange struct {
@@ -56,11 +58,11 @@
 }
 
 // merged is a sorted list with some put in, in the place of their like, and some taken out.
-func merged[T any](l, put, drop []T, id func(T) wire.ID) []T {
+func merged[T any](l, put, drop []T, id func(T) wire.TargetID) []T {
 	if len(put)+len(drop) == 0 {
 		return l
 	}
-	m := map[wire.ID]T{}
+	m := map[wire.TargetID]T{}
 	for _, v := range l {
 		m[id(v)] = v
 	}
@@ -74,17 +76,17 @@
 }
 
 // Registration returns what is agreed of a target's start, if it is registered.
-func (s *State) Registration(id wire.ID) (Registration, bool) {
+func (s *State) Registration(id wire.TargetID) (Registration, bool) {
 	return found(s.Registrations, id, Registration.ID)
 }
 
 // Tombstone returns what is remembered of a target's start without a registration.
-func (s *State) Tombstone(id wire.ID) (Tombstone, bool) {
+func (s *State) Tombstone(id wire.TargetID) (Tombstone, bool) {
 	return found(s.Tombstones, id, Tombstone.ID)
 }
 
-func found[T any](l []T, at wire.ID, id func(T) wire.ID) (v T, ok bool) {
-	i, ok := slices.BinarySearchFunc(l, at, func(v T, at wire.ID) int { return id(v).Compare(at) })
+func found[T any](l []T, at wire.TargetID, id func(T) wire.TargetID) (v T, ok bool) {
+	i, ok := slices.BinarySearchFunc(l, at, func(v T, at wire.TargetID) int { return id(v).Compare(at) })
 	if ok {
 		v = l[i]
 	}
--- a/internal/shared/statemachine/command.go
+++ b/internal/shared/statemachine/command.go
@@ -19,7 +19,7 @@
 	}
 	// Probe asks a target for its health or identity, which ProbeResult answers.
 	Probe struct {
-		ID   wire.ID
+		ID   wire.TargetID
 		Addr string
 		Path string // of the service's health check, "": the identity request
 	}
--- a/internal/shared/statemachine/event.go
+++ b/internal/shared/statemachine/event.go
@@ -23,7 +23,7 @@
 	Tick struct{}
 	// ProbeResult is the outcome of a Probe.
 	ProbeResult struct {
-		ID           wire.ID
+		ID           wire.TargetID
 		SentAt       time.Duration
 		Milliseconds float64              // until the answer
 		Report       *config.TargetReport // nil: no sound answer; its state may be "": alive, and nothing said of it
--- a/internal/shared/statemachine/requests.go
+++ b/internal/shared/statemachine/requests.go
@@ -94,11 +94,11 @@
 	StopAccepting struct{ TimeLeft time.Duration }
 	// UnreachableTargets are the targets that are ejected because nothing reaches them: a request that
 	// may be repeated and has no response from one yet need not wait for it.
-	UnreachableTargets struct{ IDs map[wire.ID]bool }
+	UnreachableTargets struct{ IDs map[wire.TargetID]bool }
 	// TargetsChanged brings the table's targets; no connection to any other may be used again. Limits
 	// are what its configuration bounds callers by, nil: nothing.
 	TargetsChanged struct {
-		Addresses map[wire.ID]string
+		Addresses map[wire.TargetID]string
 		Limits    *config.Limits
 	}
 )
--- a/internal/shared/tuning/agreement.go
+++ b/internal/shared/tuning/agreement.go
@@ -25,18 +25,18 @@
 	// LogBytes is the same in bytes. With OpenBytes, HistoryBytes and one document more a member's
 	// whole state stays under half a ring file.
 	LogBytes = 256 << 10
-	// OpenBytes is how much may be proposed and not yet agreed; more is refused as busy.
-	OpenBytes = 512 << 10
+	// ProposedBytesMax is how much may be proposed and not yet agreed; more is refused as busy.
+	ProposedBytesMax = 512 << 10
 	// HistoryBytes bounds the texts of past configurations that are kept.
 	HistoryBytes = 512 << 10
 	// AppendMax bounds what of the log, or of a snapshot, is under way to one member, in bytes: a
 	// heartbeat behind it on a link of SlowLink waits 0.25 s, and with its own interval comes within
 	// a LeaderLease. A tenth of a second's round trip still carries 320 KiB a second.
 	AppendMax = 32 << 10
-	// TailBytes is how much of the log that a snapshot has replaced is kept in memory for members a
+	// LogTailBytes is how much of the log that a snapshot has replaced is kept in memory for members a
 	// little behind: what is agreed while the largest state, compressed to 512 KiB, goes over SlowLink
 	// in 4 s, at a change of 128 KiB a second.
-	TailBytes = 512 << 10
+	LogTailBytes = 512 << 10
 	// RecoveryWait is how long a leader after disaster recovery collects the states that proxies and
 	// surviving members remember.
 	RecoveryWait = 1500 * time.Millisecond
@@ -64,11 +64,11 @@
 	// HandoverWait is how long a member that stops waits for a standby to take its place: longer than
 	// an election, a snapshot's way and two changes of the list take. At most half the grace that is told.
 	HandoverWait = 3 * time.Second
-	// MemberForget is how long a member is silent before it goes without a replacement: longer
+	// MemberExpiry is how long a member is silent before it goes without a replacement: longer
 	// than a machine's restart.
-	MemberForget = 60 * time.Second
-	// LearnWait is how long a learner may not come on before nothing waits for it: others go first.
-	LearnWait = 1500 * time.Millisecond
+	MemberExpiry = 60 * time.Second
+	// LearnerTimeout is how long a learner may not come on before nothing waits for it: others go first.
+	LearnerTimeout = 1500 * time.Millisecond
 	// LearnerLag is how many agreed entries a learner may lack when it becomes a member: what a
 	// tenth of a second of changes at full rate has on its way. They come before its first vote counts.
 	LearnerLag = 16
@@ -76,16 +76,16 @@
 	ConsentTTL = time.Minute
 	// HelloEvery is how often daemons tell each other who is there.
 	HelloEvery = 300 * time.Millisecond
-	// HelloCalm is the same for a proxy while the leader leases it, which makes its pulls tell who is there.
-	HelloCalm = 1500 * time.Millisecond
-	// MemoryEvery is how often a proxy without a leader tells a core process again what it remembers.
-	MemoryEvery = 2 * time.Second
-	// HelloHaste is for how long after its start a core daemon that hears no leader says hello as often
+	// HelloLeasedEvery is the same for a proxy while the leader leases it, which makes its pulls tell who is there.
+	HelloLeasedEvery = 1500 * time.Millisecond
+	// RecoveredStateEvery is how often a proxy without a leader tells a core process again what it remembers.
+	RecoveredStateEvery = 2 * time.Second
+	// HelloStartup is for how long after its start a core daemon that hears no leader says hello as often
 	// as it asks for leave to stand.
-	HelloHaste = time.Second
+	HelloStartup = time.Second
 	// ListEvery is how often a daemon is told the same list of those known again: twice before
 	// one that is known from lists only is dropped, after half of DaemonGone.
 	ListEvery = 3 * time.Second
-	// DaemonGone is how long a silent daemon stays in the list that is handed on.
-	DaemonGone = 15 * time.Second
+	// DaemonExpiry is how long a silent daemon stays in the list that is handed on.
+	DaemonExpiry = 15 * time.Second
 )
--- a/internal/shared/tuning/config.go
+++ b/internal/shared/tuning/config.go
@@ -8,17 +8,17 @@
 	InFlightMax = 1000000
 	// TimeoutMinMs is a service's least deadline in ms: under it nothing is answered in time.
 	TimeoutMinMs = 10
-	// WaitMaxMs and WaitLenMax bound a service's queue: how long, in ms, and how many requests.
-	WaitMaxMs  = 60000
-	WaitLenMax = 10000
+	// QueueTimeoutMaxMs and WaitLenMax bound a service's queue: how long, in ms, and how many requests.
+	QueueTimeoutMaxMs = 60000
+	QueueLengthMax    = 10000
 	// ServiceBodyMax bounds a service's bound of bodies, LimitsBodyMax and LimitsHeaderMax those
 	// for all callers, in bytes.
 	ServiceBodyMax  = 1 << 30
 	LimitsBodyMax   = 1 << 40
 	LimitsHeaderMax = 1 << 20
-	// ServiceTriesMax and AttemptsMax bound how often a request may be sent, by services and routes.
-	ServiceTriesMax = 10
-	AttemptsMax     = 100
+	// ServiceAttemptsMax and AttemptsMax bound how often a request may be sent, by services and routes.
+	ServiceAttemptsMax = 10
+	RouteAttemptsMax   = 100
 	// PriorityMax is the lowest priority of a route; 0 is the highest.
 	PriorityMax = 1000
 	// ConnCapMax bounds the connections that a target takes.
--- a/internal/shared/tuning/forward.go
+++ b/internal/shared/tuning/forward.go
@@ -13,8 +13,8 @@
 	RetryBurst = 60
 	// RetryFree is the small allowance of retries per service, split over the proxies, at least one each.
 	RetryFree = 10
-	// AttemptsDefaultMax is how often one request may be sent in all.
-	AttemptsDefaultMax = 3
+	// AttemptsDefault is how often one request may be sent in all.
+	AttemptsDefault = 3
 	// ChoiceTTL is how long after a target was chosen a request may begin to be written to it: a
 	// new connection's time and a little. A process that freezes in between sends nothing on an old choice.
 	ChoiceTTL = DialTimeout + 100*time.Millisecond
@@ -38,18 +38,18 @@
 	// ClosedEjection is how long a proxy leaves a target out after two connections in a row could not be
 	// opened: as two missed probes, seen from the proxy, until the leader's own ejection arrives.
 	ClosedEjection = 3 * time.Second
-	// BodyMax is the default bound of a caller's body in bytes.
-	BodyMax = 1 << 20
+	// BodyMaxDefault is the default bound of a caller's body in bytes.
+	BodyMaxDefault = 1 << 20
 	// ReplayMax is the largest body, in bytes, kept so that a safe request can be sent again.
 	ReplayMax = 64 << 10
 	// TimeoutMaxMs bounds a route's times: ten minutes.
 	TimeoutMaxMs = 600000
-	// TimeoutMs is the default deadline of a request.
-	TimeoutMs = 5000
+	// TimeoutDefaultMs is the default deadline of a request.
+	TimeoutDefaultMs = 5000
 	// CapDefault is the default number of requests in flight per target over all proxies.
 	CapDefault = 64
-	// WarmDefault is the same for a warming target.
-	WarmDefault = 4
+	// WarmCapDefault is the same for a warming target.
+	WarmCapDefault = 4
 	// SlowStart is over what time a target's cap grows from its warming one to the full one.
 	SlowStart = 3 * time.Second
 	// RetryAfterMin and RetryAfterSpan make the Retry-After of a refusal, spread by request.
@@ -77,23 +77,23 @@
 	IdleConnParts = 2
 	// RetryTimeMin is the time that another try after a target's own failure needs: a few hops and a short answer.
 	RetryTimeMin = 25 * time.Millisecond
-	// OnceIdle is how long a connection may have been unused for a request that must not run twice: a
+	// NonIdempotentIdleMax is how long a connection may have been unused for a request that must not run twice: a
 	// target that closes it meanwhile, or has gone dark, leaves the request unknown; a new connection finds
 	// that out before anything is sent.
-	OnceIdle = 200 * time.Millisecond
-	// AliveMargin is how much sooner than a target says it keeps a connection the connection is given up: a
+	NonIdempotentIdleMax = 200 * time.Millisecond
+	// IdleTimeoutMargin is how much sooner than a target says it keeps a connection the connection is given up: a
 	// hop each way, and clocks and queues in between.
-	AliveMargin = 500 * time.Millisecond
-	// Unacked is how long what was sent on a connection to a target or daemon may stay unacknowledged
+	IdleTimeoutMargin = 500 * time.Millisecond
+	// AckTimeout is how long what was sent on a connection to a target or daemon may stay unacknowledged
 	// before it is broken: the rule's 2 s.
-	Unacked = 2 * time.Second
-	// CallerUnacked is the same for callers, over the pauses of one who reads slowly.
-	CallerUnacked = 10 * time.Second
-	// AliveIdle, AliveEvery and AliveCount: a silent connection's other side is asked after 2 s, then
+	AckTimeout = 2 * time.Second
+	// CallerAckTimeout is the same for callers, over the pauses of one who reads slowly.
+	CallerAckTimeout = 10 * time.Second
+	// KeepAliveIdle, AliveEvery and AliveCount: a silent connection's other side is asked after 2 s, then
 	// each second, and is gone after three without an answer.
-	AliveIdle  = 2 * time.Second
-	AliveEvery = time.Second
-	AliveCount = 3
+	KeepAliveIdle     = 2 * time.Second
+	KeepAliveInterval = time.Second
+	KeepAliveCount    = 3
 	// InterimMax is how many interim answers may come before the answer.
 	InterimMax = 5
 	// ResponseBufferMax is the largest answer in bytes that is read whole before its caller gets any of
@@ -118,33 +118,33 @@
 	// the window before may be saved up. Together with rounding they stay under the whole.
 	RetryEarn = 0.85
 	RetrySave = 0.1
-	// CountSlices is in how many slices a window's requests are counted.
-	CountSlices = 20
-	// FullPause is how long a target that said it is full is left out: less than a usual request,
+	// WindowBuckets is in how many slices a window's requests are counted.
+	WindowBuckets = 20
+	// TargetFullBackoff is how long a target that said it is full is left out: less than a usual request,
 	// one of which ends meanwhile.
-	FullPause = 70 * time.Millisecond
+	TargetFullBackoff = 70 * time.Millisecond
 	// LoadTTL is how long what a target told of its load counts, less and less.
 	LoadTTL = time.Second
-	// PaceTTL is how long a target's past speed counts, less and less, so that a slow one is tried
+	// SpeedTTL is how long a target's past speed counts, less and less, so that a slow one is tried
 	// again; PaceWeight is a request's part in it, the first ones' more: times vary as much as speeds.
-	PaceTTL    = 20 * time.Second
-	PaceWeight = 0.1
-	// PaceUrge is how much of a target's slowness counts beside its load, PaceMost the most that does:
+	SpeedTTL    = 20 * time.Second
+	SpeedWeight = 0.1
+	// SpeedPenalty is how much of a target's slowness counts beside its load, PaceMost the most that does:
 	// as long as a slot is free, a full target is no slower than an empty one.
-	PaceUrge = 1.0
-	PaceMost = 1.5
-	// ConnUrge is what an open connection is worth beside a target's load.
-	ConnUrge = 0.1
-	// MeanWeight is a request's part in its route's mean time, once a few have been seen.
-	MeanWeight = 0.05
-	// BorrowParts of its even part of the slots, and BorrowMore requests, is what a proxy may have at
+	SpeedPenalty    = 1.0
+	SpeedPenaltyMax = 1.5
+	// OpenConnBonus is what an open connection is worth beside a target's load.
+	OpenConnBonus = 0.1
+	// ResponseTimeWeight is a request's part in its route's mean time, once a few have been seen.
+	ResponseTimeWeight = 0.05
+	// QuotaOvercommit of its even part of the slots, and BorrowMore requests, is what a proxy may have at
 	// a service's targets in any case, so that queues before them stay short; as long as none
 	// says that it is full, up to BorrowMost parts.
-	BorrowParts = 1.5
-	BorrowMore  = 1
-	BorrowMost  = 3
-	// WindowCut is what is left of that window when a target says that it is full.
-	WindowCut = 0.8
+	QuotaOvercommit    = 1.5
+	QuotaExtra         = 1
+	QuotaOvercommitMax = 3
+	// QuotaBackoffFactor is what is left of that window when a target says that it is full.
+	QuotaBackoffFactor = 0.8
 	// PressureTTL is how long after a sign of it a service counts as under pressure.
 	PressureTTL = time.Second
 	// Ranks is how many priorities are told apart; RankRoom the part of the window that each leaves
@@ -163,26 +163,26 @@
 	WaitTimeoutParts = 4
 	// QueueMin is how many may wait for a service's targets in any case.
 	QueueMin = 2
-	// RetryAfterLeast is the least that a refusal asks a caller to stay away; RefuseLeft the part of what the
+	// RetryAfterFloor is the least that a refusal asks a caller to stay away; RefuseLeft the part of what the
 	// caller has left that it may ask at most.
-	RetryAfterLeast     = 20 * time.Millisecond
+	RetryAfterFloor     = 20 * time.Millisecond
 	RetryAfterTimeParts = 3
-	// StopLingerMost is how long a stopping proxy takes all requests where the time until it is ended by force is
+	// ShutdownLingerMax is how long a stopping proxy takes all requests where the time until it is ended by force is
 	// known and long enough: two misses of a look each second, and a little. StopMargin is what it leaves of that time.
-	StopLingerMost = 2500 * time.Millisecond
-	StopMargin     = 300 * time.Millisecond
-	// StopTail is how long before the end of that time targets are told to answer what a stopping proxy gives them:
+	ShutdownLingerMax = 2500 * time.Millisecond
+	ShutdownMargin    = 300 * time.Millisecond
+	// ShutdownReserve is how long before the end of that time targets are told to answer what a stopping proxy gives them:
 	// their answer that it took too long still has to be passed on, by a machine that may be busy. After half
 	// of it the proxy answers by itself.
 	// Of a short grace it is a StopTailParts-th.
-	StopTail      = 500 * time.Millisecond
-	StopTailParts = 8
-	// StopLast is how much longer than its requests a stopping proxy waits for answers to be written: within
+	ShutdownReserve      = 500 * time.Millisecond
+	ShutdownReserveParts = 8
+	// ShutdownWriteTimeout is how much longer than its requests a stopping proxy waits for answers to be written: within
 	// what the owner leaves of the grace. StopLook is how often it looks.
-	StopLast     = 200 * time.Millisecond
-	ShutdownPoll = 5 * time.Millisecond
-	// StopWait is how long a stopping proxy finishes its requests, and StopLinger how long it
+	ShutdownWriteTimeout = 200 * time.Millisecond
+	ShutdownPoll         = 5 * time.Millisecond
+	// ShutdownTimeout is how long a stopping proxy finishes its requests, and StopLinger how long it
 	// serves on after going unready so that callers can move away.
-	StopWait   = 20 * time.Second
-	StopLinger = 1500 * time.Millisecond
+	ShutdownTimeout = 20 * time.Second
+	ShutdownLinger  = 1500 * time.Millisecond
 )
--- a/internal/shared/tuning/lease.go
+++ b/internal/shared/tuning/lease.go
@@ -10,21 +10,21 @@
 	ProxyLease = 900 * time.Millisecond
 	// PeerLease is the same for the leases that proxies without a leader give each other.
 	PeerLease = 600 * time.Millisecond
-	// TouchMost is how many peers a proxy that serves on its peers asks at a turn, or a TouchTurns-th of a roster for which
+	// PeerLeaseFanout is how many peers a proxy that serves on its peers asks at a turn, or a TouchTurns-th of a roster for which
 	// that is more: all are asked again before a peer lease lapses, 3 x 150 ms and a hop under 600 ms.
-	TouchMost  = 16
-	TouchTurns = 3
-	// TouchWant is how many of them, in a larger roster, are asked at once what they hold against targets.
-	TouchWant = 4
+	PeerLeaseFanout = 16
+	PeerLeaseTurns  = 3
+	// PeerTableFanout is how many of them, in a larger roster, are asked at once what they hold against targets.
+	PeerTableFanout = 4
 	// LeaseMargin is what the leader adds before it takes a lease as lapsed, for clock speed.
 	// Worst wait for a change to be in force: ProxyLease + LeaseMargin = 1.1 s, under the 2 s rule.
 	LeaseMargin = 200 * time.Millisecond
-	// ProxyDeaf is how long a proxy may go on asking without taking the table that it is sent before
-	// it gets no more leases: a few lost answers. ProxyDeaf + ProxyLease + LeaseMargin = 1.6 s.
-	ProxyDeaf = 500 * time.Millisecond
-	// ProxyForget is how long a proxy may be silent before the leader drops it from the roster:
+	// TableAckTimeout is how long a proxy may go on asking without taking the table that it is sent before
+	// it gets no more leases: a few lost answers. TableAckTimeout + ProxyLease + LeaseMargin = 1.6 s.
+	TableAckTimeout = 500 * time.Millisecond
+	// ProxyExpiry is how long a proxy may be silent before the leader drops it from the roster:
 	// long enough for a machine's restart.
-	ProxyForget = 60 * time.Second
+	ProxyExpiry = 60 * time.Second
 	// ProxyLive is how long after its last pull a proxy counts when shares are split.
 	ProxyLive = 2 * time.Second
 	// FirstProxiesWait is how long a leader with an empty roster gathers proxies before it admits them as one.
@@ -32,26 +32,26 @@
 	// TableEvery is how often tables are made of news that may wait: many targets that come or turn
 	// ready at once make one table.
 	TableEvery = 80 * time.Millisecond
-	// TableRow is how much longer that is for each target and proxy, since every proxy deals every
+	// TableDelayPerRow is how much longer that is for each target and proxy, since every proxy deals every
 	// target among all: 0.1 s for 300 targets and 70 proxies.
-	TableRow = 5 * time.Microsecond
-	// UrgentTableRow is, for each proxy, how far apart tables are that take something away from requests:
+	TableDelayPerRow = 5 * time.Microsecond
+	// UrgentTableDelayPerProxy is, for each proxy, how far apart tables are that take something away from requests:
 	// sent, taken and confirmed, one costs the leader about 0.2 ms of processor for each proxy, and on a quarter of
 	// a processor four times that. So such tables take at most two fifths of a small machine, however
 	// many targets leave at once. UrgentTableMost bounds it: with it an ejection still comes everywhere within 2 s.
-	UrgentTableRow  = 2 * time.Millisecond
-	UrgentTableMost = 200 * time.Millisecond
+	UrgentTableDelayPerProxy = 2 * time.Millisecond
+	UrgentTableDelayMax      = 200 * time.Millisecond
 	// TablesKept is of how many past tables a leader knows when it made them: more than ProxyDeaf has.
 	TablesKept = 64
-	// GonesKept is how many removed targets a leader remembers, so that a table can be sent as changes.
-	GonesKept = 1024
-	// LeftStep is how far the end of an ejection or of a cold start must move to be sent again.
-	LeftStep = 250 * time.Millisecond
-	// FlightBytes is how much may be under way to a proxy unacknowledged, in bytes: a slow link's tenth of a
+	// RemovedTargetsKept is how many removed targets a leader remembers, so that a table can be sent as changes.
+	RemovedTargetsKept = 1024
+	// TimeLeftStep is how far the end of an ejection or of a cold start must move to be sent again.
+	TimeLeftStep = 250 * time.Millisecond
+	// TableBytesInFlight is how much may be under way to a proxy unacknowledged, in bytes: a slow link's tenth of a
 	// second. SlowLink is what such a link carries beside traffic, in bytes a second, RowBytes a table's row.
-	FlightBytes = 12 << 10
-	SlowLink    = 128 << 10
-	RowBytes    = 120
+	TableBytesInFlight = 12 << 10
+	SlowLink           = 128 << 10
+	TableRowBytes      = 120
 	// PeerTableParts: the tables that a proxy without a leader fetches from its peers take at most one in so many
 	// of the bytes that a slow link carries beside traffic.
 	PeerTableParts = 4
@@ -70,12 +70,12 @@
 	// LeaseLossesMax is how many times within LateLeadSpan a leader loses its lease before it hands leadership to
 	// another member, and HandOverEvery how often at the most it does: longer than a new leader takes to gather tables and to
 	// show whether it keeps up.
-	LeaseLossesMax  = 3
-	LeaseLossWindow = 2 * time.Second
-	HandOverEvery   = 10 * time.Second
-	// WaitersKept is for how long after a lead was lost those who wait for a change go on waiting for its
+	LeaseLossesMax          = 3
+	LeaseLossWindow         = 2 * time.Second
+	LeadershipTransferEvery = 10 * time.Second
+	// PendingCallsKept is for how long after a lead was lost those who wait for a change go on waiting for its
 	// leader: an election with a lost vote message. Past it they are told that it can't be told.
-	WaitersKept = ElectionTimeoutMin + ElectionTimeoutSpread + 2*HeartbeatEvery
+	PendingCallsKept = ElectionTimeoutMin + ElectionTimeoutSpread + 2*HeartbeatEvery
 	// GatherTablesWait is how long a new leader waits for tables from a majority of proxies.
 	GatherTablesWait = 1500 * time.Millisecond
 	// InForceUsual is within what time a change is in force, also with a proxy that asks and hears nothing: past it
@@ -92,8 +92,8 @@
 	// AcceptedChangesInTables is the same in the state that travels to proxies with tables, which a total loss is recovered
 	// from: 2 KiB beside a FlightBytes of 12 KiB. More than were under way at any loss are among them.
 	AcceptedChangesInTables = 64
-	// DocMax bounds a configuration in bytes.
-	DocMax = 512 << 10
+	// DocumentMax bounds a configuration in bytes.
+	DocumentMax = 512 << 10
 	// CompressFrom is from how many bytes on a document or memory is compressed for its way: below, it fits a few packets.
 	CompressFrom = 2 << 10
 	// WireMax bounds one message between daemons: a snapshot with all kept configurations.
--- a/internal/shared/tuning/limit_test.go
+++ b/internal/shared/tuning/limit_test.go
@@ -14,11 +14,11 @@
 		sum  time.Duration
 		max  time.Duration
 	}{
-		{"a target's death to its bar everywhere", 2*ProbeEvery + ProbeTimeout + UrgentTableMost + push, 2 * time.Second},
+		{"a target's death to its bar everywhere", 2*ProbeEvery + ProbeTimeout + UrgentTableDelayMax + push, 2 * time.Second},
 		{"a proxy's doubt to its own bar, as an orphan", ProxyLease/2 + 2*ProbeEvery + ProbeTimeout + push, 2 * time.Second},
 		{"silence until a target no longer counts as beating", TargetHeartbeatTimeout + push, 2 * time.Second},
 		{"a change agreed to in force, with a proxy cut off", drift(ProxyLease) + LeaseMargin + push, 2 * time.Second},
-		{"the same with a proxy that asks and hears nothing", ProxyDeaf + drift(ProxyLease) + LeaseMargin + push, 2 * time.Second},
+		{"the same with a proxy that asks and hears nothing", TableAckTimeout + drift(ProxyLease) + LeaseMargin + push, 2 * time.Second},
 		{"a touch's end, seen from the majority's stand", drift(PeerLease) + TickEvery, PeerLease + LeaseMargin},
 		{"a grant's end, seen from the pull", drift(ProxyLease) + TickEvery, ProxyLease + LeaseMargin},
 		{"the old leader's end, seen by members", drift(LeaderLease) + TickEvery, ElectionTimeoutMin},
@@ -28,16 +28,16 @@
 		{"three beats lost at most", 3*TargetHeartbeatEvery + TickEvery, TargetHeartbeatTimeout},
 		{"partners touched before a grant lapses", PullEvery*2 + TickEvery, ProxyLease / 2},
 		{"from nothing to deciding, a machine gone", 4*HelloEvery + BootstrapWait + 3*HelloEvery + ElectionTimeoutMin + ElectionTimeoutSpread + RecoveryWait + GatherTablesWait + FirstProxiesWait, 15 * time.Second},
-		{"a look back over the retry window in events", RetryWindow / (Window / 2), StatsEvery * 2},
+		{"a look back over the retry window in events", RetryWindow / (PolicyWindow / 2), StatsEvery * 2},
 	} {
 		if c.sum > c.max {
 			t.Errorf("%s: %v is over %v", c.what, c.sum, c.max)
 		}
 	}
-	if RetryWindow > Window*StatsEvery {
+	if RetryWindow > PolicyWindow*StatsEvery {
 		t.Error("events do not reach back over the window")
 	}
-	if n := HistoryBytes + 2*DocMax + LogBytes + DocMax + OpenBytes + DocMax; n > WALFileSize/2 {
+	if n := HistoryBytes + 2*DocumentMax + LogBytes + DocumentMax + ProposedBytesMax + DocumentMax; n > WALFileSize/2 {
 		t.Errorf("a whole state may take %d bytes", n)
 	}
 }
--- a/internal/shared/tuning/process.go
+++ b/internal/shared/tuning/process.go
@@ -36,7 +36,7 @@
 	// MemoryShare of a process's memory is what the runtime may fill, and GcPercent how much garbage
 	// may lie beside what lives (the runtime's own is 100): small machines, where memory is dear.
 	MemoryShare = 0.7
-	GcPercent   = 60
+	GCPercent   = 60
 	// StreamBuffer is how many decisions wait for a slow reader before it is told what it missed.
 	StreamBuffer = 512
 	// SessionLineMax bounds a line of a policy session in bytes, SessionTargets the targets of one session,
--- a/internal/shared/wire/decode.go
+++ b/internal/shared/wire/decode.go
@@ -312,15 +312,15 @@
 	return all
 }
 
-func (d *decoder) ids(l IdentityC_List, err error) []ID {
+func (d *decoder) ids(l IdentityC_List, err error) []TargetID {
 	n := d.count(l.Len(), err)
 	if n == 0 {
 		return nil
 	}
-	all := make([]ID, n)
+	all := make([]TargetID, n)
 	for i := range all {
 		c := l.At(i)
-		all[i] = ID{d.again(c.ServiceBytes()), d.text(c.NameBytes()), c.Incarnation()}
+		all[i] = TargetID{d.again(c.ServiceBytes()), d.text(c.NameBytes()), c.Incarnation()}
 	}
 	return all
 }
--- a/internal/shared/wire/encode.go
+++ b/internal/shared/wire/encode.go
@@ -339,7 +339,7 @@
 	}
 }
 
-func (e *encoder) ids(l IdentityC_List, ids []ID) {
+func (e *encoder) ids(l IdentityC_List, ids []TargetID) {
 	for i := range ids {
 		c, id := l.At(i), &ids[i]
 		e.ok(c.SetService(id.Service))
--- a/internal/shared/wire/size.go
+++ b/internal/shared/wire/size.go
@@ -135,7 +135,7 @@
 	return snapSize + membersSize(s.Members) + dataSize(s.Data)
 }
 
-func idsSize(ids []ID) int {
+func idsSize(ids []TargetID) int {
 	n := listSize(len(ids), idSize)
 	for i := range ids {
 		n += textSize(ids[i].Service) + textSize(ids[i].Name)
--- a/internal/shared/wire/table_test.go
+++ b/internal/shared/wire/table_test.go
@@ -21,7 +21,7 @@
 // A push with a packed table is read as the same message as one that is written whole, whoever it
 // is from and whatever stands in it beside.
 func TestPackedTableIsTheSameMessage(t *testing.T) {
-	change := &Table{Key: TableKey{1, 2, 4}, DeltaBase: TableKey{1, 2, 3}, RemovedTargets: []ID{{Service: "s", Name: "i-1", Incarnation: 1}}}
+	change := &Table{Key: TableKey{1, 2, 4}, DeltaBase: TableKey{1, 2, 3}, RemovedTargets: []TargetID{{Service: "s", Name: "i-1", Incarnation: 1}}}
 	for _, table := range []*Table{{}, change, fleetTable(3, 0), fleetTable(0, 7), fleetTable(64, 307)} {
 		packed, err := PackTable(table)
 		if err != nil {
@@ -29,7 +29,7 @@
 		}
 		var whole, pieces bytes.Buffer
 		a, b := NewWriter(&whole), NewWriter(&pieces)
-		for i, p := range []Push{{LeaseGranted: true, Key: table.Key}, {WantTable: true}, {ProbeTargets: []ID{{Service: "s", Name: "x", Incarnation: 2}}}, {}} {
+		for i, p := range []Push{{LeaseGranted: true, Key: table.Key}, {WantTable: true}, {ProbeTargets: []TargetID{{Service: "s", Name: "x", Incarnation: 2}}}, {}} {
 			p.Table = table
 			m := &Message{Kind: KindPush, From: "c1", To: "g1", Disk: 7, Epoch: 1, Term: 2, Timestamp: int64(i), Push: &p}
 			n, err := a.Put(m)
--- a/internal/shared/wire/wire.go
+++ b/internal/shared/wire/wire.go
@@ -174,19 +174,19 @@
 	Number       uint64  `json:"number,omitempty"`       // its heartbeat's number, which rises with each; 0: not numbered
 }
 
-// ID is a target's identity; a restarted target has a higher incarnation.
-type ID struct {
+// TargetID is a target's identity; a restarted target has a higher incarnation.
+type TargetID struct {
 	Service, Name string
 	Incarnation   uint64
 }
 
 // Compare orders identities, so that owners go through targets the same way in every run.
-func (a ID) Compare(b ID) int {
+func (a TargetID) Compare(b TargetID) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
 // ID returns the target's identity.
-func (t *Target) ID() ID { return ID{t.Service, t.Name, t.Incarnation} }
+func (t *Target) ID() TargetID { return TargetID{t.Service, t.Name, t.Incarnation} }
 
 // TargetStats is what one proxy saw of one target since its last report: requests by outcome.
 type TargetStats struct {
@@ -243,7 +243,7 @@
 	// DeltaBase makes it a change to any table of its term from that one on: Targets are those that are
 	// new or said otherwise since then, Gone those that went, and no Gates means the same ones.
 	DeltaBase      TableKey
-	RemovedTargets []ID
+	RemovedTargets []TargetID
 }
 
 // Pull is a proxy's request for its table and lease, with what it has and what it saw of targets.
@@ -266,7 +266,7 @@
 	WantTable    bool     // the sender wants the proxy's table in its next pull
 	Key          TableKey // the sender's latest table
 	Table        *Table
-	ProbeTargets []ID // targets that the proxy is to probe in the leader's place: indirect probes
+	ProbeTargets []TargetID // targets that the proxy is to probe in the leader's place: indirect probes
 }
 
 // Call is an operator's or a target's HTTP call that a member passes on to the leader, or the answer.
--- a/internal/shared/wire/wire_test.go
+++ b/internal/shared/wire/wire_test.go
@@ -16,7 +16,7 @@
 
 func TestRoundTrip(t *testing.T) {
 	m := &Message{Kind: KindPush, From: "a", To: "b", Disk: 7, Epoch: 1, Term: 2, Timestamp: -3,
-		Push: &Push{LeaseGranted: true, Key: TableKey{1, 2, 3}, ProbeTargets: []ID{{"s", "a", 1}, {"s", "b", 2}}, Table: &Table{Key: TableKey{1, 2, 3}, Document: []byte("{}"),
+		Push: &Push{LeaseGranted: true, Key: TableKey{1, 2, 3}, ProbeTargets: []TargetID{{"s", "a", 1}, {"s", "b", 2}}, Table: &Table{Key: TableKey{1, 2, 3}, Document: []byte("{}"),
 			State: []byte{1}, Proxies: []Proxy{{"g", "x", "d", true}}, EmptiedDomains: []string{"d1", "d2"},
 			Targets: []Target{{Service: "s", Name: "n", Incarnation: 9, Demand: 0.5, Draining: true, EjectionLeft: 5}}}},
 		Append: &Append{Entries: []Entry{{1, 2, 3, []byte("x")}}, Chunk: &Chunk{IsEntry: true, Index: 4, Term: 3, Kind: 2, Members: []Member{{"a", 1}}, Size: 9, Checksum: 8, Offset: 7, Data: []byte("q")}}}
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -147,7 +147,7 @@
 	jsonForm[controlplane.TargetView](t, "core-target", readBack)
 	jsonForm[statemachine.Publish](t, "stream-note", readBack)
 	jsonForm[dataplane.View](t, "proxy-status", readBack)
-	jsonForm[outlier.Stat](t, "policy-stat", readBack)
+	jsonForm[outlier.PolicyStats](t, "policy-stat", readBack)
 	jsonForm[outlier.Event](t, "policy-event", readBack)
 	jsonForm[outlier.Decision](t, "policy-decision", readBack)
 	jsonForm[wire.Daemon](t, "daemon", writtenOnly)
--- a/internal/verification/fuzzing/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -127,7 +127,7 @@
 	case 0:
 		return s.call(id)
 	case 1:
-		p := statemachine.ProbeResult{ID: wire.ID{Service: s.text(), Name: s.text(), Incarnation: s.number()}, SentAt: time.Duration(s.number()), Milliseconds: 1}
+		p := statemachine.ProbeResult{ID: wire.TargetID{Service: s.text(), Name: s.text(), Incarnation: s.number()}, SentAt: time.Duration(s.number()), Milliseconds: 1}
 		if s.byte()%2 == 1 {
 			p.Report = &config.TargetReport{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: s.text()}
 		}
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -38,7 +38,7 @@
 
 // takeConnection is the connection of a proxy to a target that was used last, less than idle ago, nil if
 // none can be used: the forwarder closes those that are closed or on which something came.
-func (w *World) takeConnection(p *Proc, id wire.ID, idle time.Duration) *connection {
+func (w *World) takeConnection(p *Proc, id wire.TargetID, idle time.Duration) *connection {
 	for l := p.pool[id]; len(l) > 0; l = p.pool[id] {
 		c := l[len(l)-1]
 		if w.now-c.usedAt >= idle {
@@ -58,7 +58,7 @@
 }
 
 // keepConnection puts a connection back after a whole answer; the n that were used last are kept.
-func (w *World) keepConnection(p *Proc, id wire.ID, c *connection, n int) {
+func (w *World) keepConnection(p *Proc, id wire.TargetID, c *connection, n int) {
 	if c.target.surplus && w.rnd.Float64() < surplusShare {
 		c.surplusAt = w.now + w.ms(0, surplusLate)
 	}
@@ -78,7 +78,7 @@
 }
 
 // overCap says that a target has as many connections as it takes, in use or not; it resets the next.
-func (w *World) overCap(t *Target, id wire.ID) bool {
+func (w *World) overCap(t *Target, id wire.TargetID) bool {
 	if w.Plan.ConnCap == 0 {
 		return false
 	}
--- a/internal/verification/simulator/digest.go
+++ b/internal/verification/simulator/digest.go
@@ -162,13 +162,13 @@
 		d.duration(c.TimeLeft)
 	case statemachine.UnreachableTargets:
 		d.text("dark")
-		for _, id := range slices.SortedFunc(maps.Keys(c.IDs), wire.ID.Compare) {
+		for _, id := range slices.SortedFunc(maps.Keys(c.IDs), wire.TargetID.Compare) {
 			d.id(id)
 			d.flag(c.IDs[id])
 		}
 	case statemachine.TargetsChanged:
 		d.text("targets")
-		for _, id := range slices.SortedFunc(maps.Keys(c.Addresses), wire.ID.Compare) {
+		for _, id := range slices.SortedFunc(maps.Keys(c.Addresses), wire.TargetID.Compare) {
 			d.id(id)
 			d.text(c.Addresses[id])
 		}
@@ -188,7 +188,7 @@
 	d.bytes(b)
 }
 
-func (d *digest) id(id wire.ID) {
+func (d *digest) id(id wire.TargetID) {
 	d.text(id.Service, id.Name)
 	d.number(id.Incarnation)
 }
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -198,7 +198,7 @@
 	}
 	delete(w.listen, tg.addr) // its port is shut, connections included, while its process beats on
 	for _, p := range w.procs {
-		delete(p.pool, wire.ID{Service: tg.service, Name: tg.name, Incarnation: tg.inc})
+		delete(p.pool, wire.TargetID{Service: tg.service, Name: tg.name, Incarnation: tg.inc})
 	}
 	at := w.now
 	for in() > 0 && w.now < at+5*time.Second {
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -162,7 +162,7 @@
 		w.Run(w.now + 500*time.Millisecond)
 		w.Kill(old)
 		w.forgetProc(old)
-		w.awaitStep(t, tuning.LearnWait+testCatchUp, "the other standby", func() bool { return w.listsMember(good) && !w.listsMember(old) })
+		w.awaitStep(t, tuning.LearnerTimeout+testCatchUp, "the other standby", func() bool { return w.listsMember(good) && !w.listsMember(old) })
 		check(t, w)
 	}
 }
--- a/internal/verification/simulator/operate_test.go
+++ b/internal/verification/simulator/operate_test.go
@@ -46,7 +46,7 @@
 		{"PUT", "/v1/config", "base=7", doc, "", 412, "stale"},
 		{"PUT", "/v1/config", "base=1", "[]", "", 400, "not_json"},
 		{"PUT", "/v1/config", "base=1", `{"services":{"x":{"cap":0}}}`, "", 422, "invalid"},
-		{"PUT", "/v1/config", "base=1", doc + strings.Repeat(" ", tuning.DocMax), "", 413, "too_large"},
+		{"PUT", "/v1/config", "base=1", doc + strings.Repeat(" ", tuning.DocumentMax), "", 413, "too_large"},
 		{"PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cap":41}}}`, "mine", 200, ""},
 		{"PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cap":41}}}`, "mine", 200, ""}, // asked again after a lost answer
 		{"PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cap":42}}}`, "", 412, "stale"},
@@ -159,7 +159,7 @@
 func TestStateFitsTheRing(t *testing.T) {
 	t.Parallel()
 	w := Start(12, Small)
-	pad := strings.Repeat("x", tuning.DocMax-2000)
+	pad := strings.Repeat("x", tuning.DocumentMax-2000)
 	most := 0
 	for i := range 60 {
 		var doc map[string]any
--- a/internal/verification/simulator/overload_test.go
+++ b/internal/verification/simulator/overload_test.go
@@ -154,7 +154,7 @@
 			const span = 3
 			w.Run(w.now + span*time.Second)
 			perTarget := float64(w.Stats.ProxyProbes-probes) / span / 307
-			if most := tuning.Watchers / tuning.ProbeEvery.Seconds(); perTarget > most {
+			if most := tuning.ProbersPerTarget / tuning.ProbeEvery.Seconds(); perTarget > most {
 				t.Errorf("each target is probed %.1f times a second, at most %.1f are wanted", perTarget, most)
 			}
 			if part := float64(w.Stats.Served-served) / float64(w.Stats.Exchanges-exchanges); part < 0.97 {
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -46,8 +46,8 @@
 	core     *controlplane.Controller
 	gate     *dataplane.Proxy
 	disk     *disk
-	pool     map[wire.ID][]*connection
-	live     map[wire.ID]string
+	pool     map[wire.TargetID][]*connection
+	live     map[wire.TargetID]string
 	rev      uint64
 	ticks    bool          // a tick waits for its processor
 	busy     time.Duration // until when its processor is taken, its link out, and its link in
@@ -56,7 +56,7 @@
 	since    time.Duration            // when it last was stopped or started
 	slow     float64                  // how many times longer it takes for everything, 0: as usual
 	doneAt   time.Duration            // when a slow process has done all that came
-	probed   map[wire.ID]bool         // targets to which it has a connection for probes
+	probed   map[wire.TargetID]bool   // targets to which it has a connection for probes
 	spent    map[string]time.Duration // processor time where that is scarce, by what it was spent on
 	attempts []*attempt
 	asked    bool // it was asked to stop
@@ -90,7 +90,7 @@
 	p.boot, p.since = w.now, w.now
 	p.base = time.Duration(1 + w.rnd.Int64N(int64(time.Hour)))
 	p.rate = w.rate()
-	p.pool, p.live, p.rev = map[wire.ID][]*connection{}, nil, 0
+	p.pool, p.live, p.rev = map[wire.TargetID][]*connection{}, nil, 0
 	p.slow, p.doneAt, p.attempts, p.disk.syncing = 0, 0, nil, false
 	p.disk.refusing = false
 	var seeds []string
@@ -332,7 +332,7 @@
 		}
 	case statemachine.TargetsChanged:
 		p.live = c.Addresses
-		maps.DeleteFunc(p.pool, func(id wire.ID, _ []*connection) bool { _, ok := c.Addresses[id]; return !ok })
+		maps.DeleteFunc(p.pool, func(id wire.TargetID, _ []*connection) bool { _, ok := c.Addresses[id]; return !ok })
 	case statemachine.UnreachableTargets: // requests here wait for their deadlines
 	case statemachine.CloseAfterResponse:
 	case statemachine.StopAccepting:
--- a/internal/verification/simulator/registry_test.go
+++ b/internal/verification/simulator/registry_test.go
@@ -45,7 +45,7 @@
 				t.Errorf("seed %d: %s/%s offered %v, ended %v", seed, x.service, x.name, w.served(x), x == dead)
 			}
 		}
-		for end := w.now + tuning.TargetGone + time.Second; w.now < end && w.Run(w.now+100*time.Millisecond); {
+		for end := w.now + tuning.TargetExpiry + time.Second; w.now < end && w.Run(w.now+100*time.Millisecond); {
 			if w.served(dead) {
 				t.Fatalf("seed %d: %s/%s is offered, which has ended", seed, dead.service, dead.name)
 			}
--- a/internal/verification/simulator/request.go
+++ b/internal/verification/simulator/request.go
@@ -150,7 +150,7 @@
 	id := c.Target.ID()
 	idle := tuning.ConnIdle
 	if x.unsafe && w.Plan.ConnCap > 0 {
-		idle = tuning.OnceIdle
+		idle = tuning.NonIdempotentIdleMax
 	}
 	conn := w.takeConnection(p, id, idle)
 	pooled := conn != nil
--- a/internal/verification/simulator/scarce.go
+++ b/internal/verification/simulator/scarce.go
@@ -61,7 +61,7 @@
 // probeCost is what a probe takes: the question and the answer, and a new connection unless there is one.
 func (w *World) probeCost(p *Proc, c statemachine.Probe) time.Duration {
 	if p.probed == nil {
-		p.probed = map[wire.ID]bool{}
+		p.probed = map[wire.TargetID]bool{}
 	}
 	t := w.listen[c.Addr]
 	answers := t != nil && !t.hang && !t.deaf && t.inc == c.ID.Incarnation
--- a/internal/verification/simulator/waiters_test.go
+++ b/internal/verification/simulator/waiters_test.go
@@ -55,7 +55,7 @@
 		w.cutOff(l, 10*time.Second)
 		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Doc(5), "", func(r statemachine.Reply) { status = r.Status })
 		w.until(10*time.Second, func() bool { return status >= 0 })
-		if status != 504 || w.now-asked > tuning.LeaderLease+tuning.WaitersKept+100*time.Millisecond {
+		if status != 504 || w.now-asked > tuning.LeaderLease+tuning.PendingCallsKept+100*time.Millisecond {
 			t.Errorf("seed %d: answered %d after %v", seed, status, w.now-asked)
 		}
 		w.Run(w.now + 12*time.Second)
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -281,7 +281,7 @@
 	p.Known = []string{"d9"}
 	w := Start(23, p)
 	doc := func(rev, n int) string {
-		b, _ := config.Numbered(w.Doc(n), uint64(rev))
+		b, _ := config.WithRevision(w.Doc(n), uint64(rev))
 		return string(b)
 	}
 	spaced := func(s string) string {
