--- a/internal/controlplane/configcall.go
+++ b/internal/controlplane/configcall.go
@@ -59,7 +59,7 @@
 	if b == c.state.Revision {
 		return &digest, true
 	}
-	switch verdict, revision := c.state.JudgeChange(digest, b); verdict {
+	switch verdict, revision := c.state.FindChange(digest, b); verdict {
 	case state.AlreadyAccepted:
 		c.answerWhenInForce(now, p, revision)
 	case state.Forgotten:
@@ -119,7 +119,7 @@
 	if json.Compact(&b, doc) != nil {
 		panic("a checked document is JSON")
 	}
-	if c.change(now, p, state.Command{Operation: state.OpConfigure, Base: c.state.Revision, Document: b.Bytes(), Description: what, Number: cfg.Revision, Digest: sum}) {
+	if c.change(now, p, state.Command{Operation: state.OpConfigure, Base: c.state.Revision, Document: b.Bytes(), Description: what, RequestedRevision: cfg.Revision, Digest: sum}) {
 		c.checked = checked{b.Bytes(), cfg}
 	}
 }
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -290,7 +290,7 @@
 		c.hello(now)
 		c.recordBootstrapIntent()
 		for n, k := range c.directory {
-			if now-k.At > tuning.DaemonExpiry {
+			if now-k.LastContact > tuning.DaemonExpiry {
 				delete(c.directory, n)
 			}
 		}
--- a/internal/controlplane/damage.go
+++ b/internal/controlplane/damage.go
@@ -13,8 +13,8 @@
 
 // Damage is something that this member holds, or was offered, and could not read.
 type Damage struct {
-	What string `json:"what"`
-	Why  string `json:"why"`
+	Subject string `json:"what"`
+	Reason  string `json:"why"`
 }
 
 // reportDamage says it once each, aloud, and keeps the last for the status.
@@ -28,7 +28,7 @@
 	c.damage = append(c.damage, d)
 	c.damage = c.damage[max(0, len(c.damage)-tuning.DamageReportsKept):]
 	c.counts.Damaged++
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: d.What, To: "", Reason: d.Why})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: d.Subject, To: "", Reason: d.Reason})
 }
 
 // ReportDamage is for the shell, which reads the disk.
@@ -37,7 +37,7 @@
 // addRecovered takes what somebody remembers of an earlier epoch as the state to begin this
 // one with, if it is the latest so far that can be read whole.
 func (c *Controller) addRecovered(l state.RecoveredState) {
-	if c.node == nil || c.state.Adopted || l.Epoch >= c.node.Epoch() || len(l.State) == 0 || !c.recovered.Less(l) {
+	if c.node == nil || c.state.Recovered || l.Epoch >= c.node.Epoch() || len(l.State) == 0 || !c.recovered.IsBefore(l) {
 		return
 	}
 	if _, err := state.DecodeRecovered(l); err != nil {
--- a/internal/controlplane/damage_test.go
+++ b/internal/controlplane/damage_test.go
@@ -40,7 +40,7 @@
 
 func memory(seq, revision uint64) state.RecoveredState {
 	s := state.New()
-	s.Adopted, s.Revision, s.Index = true, revision, seq
+	s.Recovered, s.Revision, s.Index = true, revision, seq
 	b, _ := json.Marshal(s)
 	return state.RecoveredState{Epoch: 1, Term: 3, Index: seq, State: b}
 }
@@ -74,8 +74,8 @@
 	for name, text := range unreadable {
 		r := newRefounded(state.RecoveredState{Epoch: 1, Term: 3, Index: 90, State: json.RawMessage(text)})
 		r.seconds(20)
-		if r.c.Leading() || r.c.state.Adopted || len(r.c.Status(r.now).Damage) == 0 {
-			t.Errorf("%s: leads %v, adopted %v, damage %v", name, r.c.Leading(), r.c.state.Adopted, r.c.damage)
+		if r.c.Leading() || r.c.state.Recovered || len(r.c.Status(r.now).Damage) == 0 {
+			t.Errorf("%s: leads %v, adopted %v, damage %v", name, r.c.Leading(), r.c.state.Recovered, r.c.damage)
 		}
 		r.step(statemachine.Call{ID: 1, Method: "POST", Path: "/v1/core/refound"})
 		if r.seconds(3); !r.c.Leading() || r.c.state.Revision != 0 {
@@ -87,15 +87,15 @@
 // An agreed first state that does not decode is not adopted, and another is offered.
 func TestUndecodedAdoptionIsNone(t *testing.T) {
 	s := state.New()
-	s.Apply(9, state.Command{Operation: state.OpAdopt, State: json.RawMessage(`{"seq":"ninety"}`)})
-	if s.Adopted {
+	s.Apply(9, state.Command{Operation: state.OpRecover, State: json.RawMessage(`{"seq":"ninety"}`)})
+	if s.Recovered {
 		t.Error("adopted")
 	}
 	r := newRefounded(memory(50, 5))
 	for r.c.lead != Recovering {
 		r.seconds(1)
 	}
-	r.c.propose(r.now, state.Command{Operation: state.OpAdopt, State: json.RawMessage(`{"seq":"ninety"}`)})
+	r.c.propose(r.now, state.Command{Operation: state.OpRecover, State: json.RawMessage(`{"seq":"ninety"}`)})
 	r.seconds(6)
 	if !r.c.Leading() || r.c.state.Revision != 5 || len(r.c.damage) == 0 {
 		t.Errorf("leads %v with revision %d, damage %v", r.c.Leading(), r.c.state.Revision, r.c.damage)
@@ -105,7 +105,7 @@
 // What a disk holds is used whole or not at all.
 func TestCheckImage(t *testing.T) {
 	s := state.New()
-	s.Adopted = true
+	s.Recovered = true
 	entry := func(i uint64, kind uint16, data []byte) wire.Entry {
 		return wire.Entry{Index: i, Term: 1, Kind: kind, Data: data}
 	}
@@ -131,7 +131,7 @@
 		"members":           image(sound, entry(2, consensus.EntryMembers, []byte("["))),
 		"gap":               image(sound, entry(3, consensus.EntryData, change)),
 		"gap between":       image(sound, entry(2, consensus.EntryNoop, nil), entry(4, consensus.EntryNoop, nil)),
-		"undecoded epoch":   image(nil, entry(2, consensus.EntryData, state.EncodeCommand(state.Command{Operation: state.OpAdopt, State: json.RawMessage(`7`)}))),
+		"undecoded epoch":   image(nil, entry(2, consensus.EntryData, state.EncodeCommand(state.Command{Operation: state.OpRecover, State: json.RawMessage(`7`)}))),
 		"snapshot no state": image([]byte(`{"seq":"x"}`)),
 	} {
 		if err := CheckImage(im); !errors.Is(err, state.ErrDamaged) {
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -155,9 +155,9 @@
 		return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
 	}
 	m := c.lastMembers()
-	h.Members, h.MembersEpoch, h.MembersIndex = m.List, m.Epoch, m.Index
+	h.Members, h.MembersEpoch, h.MembersIndex = m.Members, m.Epoch, m.Index
 	h.RecoveryConsent, h.LostMembers = c.consent.Granted, c.consent.LostMembers
-	if c.node != nil && !c.state.Adopted {
+	if c.node != nil && !c.state.Recovered {
 		h.RecoveredState = c.image.RecoveredState
 	}
 	return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
@@ -201,5 +201,5 @@
 
 func (c *Controller) heardLately(now time.Duration, name string) bool {
 	k := c.directory[name]
-	return name == c.settings.Self.Name || k != nil && now-k.At < 4*tuning.HelloEvery
+	return name == c.settings.Self.Name || k != nil && now-k.LastContact < 4*tuning.HelloEvery
 }
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -77,7 +77,7 @@
 func (c *Controller) announce(now time.Duration) {
 	for _, r := range c.state.Proxies {
 		if c.directory[r.Name] == nil {
-			c.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, At: now - tuning.DaemonExpiry/2}
+			c.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, LastContact: now - tuning.DaemonExpiry/2}
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
@@ -98,7 +98,7 @@
 	}
 	switch c.lead {
 	case NotLeading:
-		if !c.state.Adopted {
+		if !c.state.Recovered {
 			c.recovered, c.unreadableMemory = state.RecoveredState{}, false
 			if len(c.image.RecoveredState) > 0 {
 				var l state.RecoveredState
@@ -120,11 +120,11 @@
 			c.setLead(now, Gathering, "elected")
 		}
 	case Recovering:
-		if c.state.Adopted {
+		if c.state.Recovered {
 			c.setLead(now, Gathering, "epoch's first state agreed")
 		} else if now-c.leadAt > tuning.RecoveryWait && !c.proposed && c.canAdopt() {
 			c.proposed = true
-			c.propose(now, state.Command{Operation: state.OpAdopt, State: c.recovered.State})
+			c.propose(now, state.Command{Operation: state.OpRecover, State: c.recovered.State})
 		}
 	case Gathering:
 		told, need := 0, 0
--- a/internal/controlplane/lease.go
+++ b/internal/controlplane/lease.go
@@ -48,11 +48,11 @@
 		if k == nil || k.Incarnation != m.Disk {
 			return // and tells all of itself when it hears nothing
 		}
-		k.At, inc = now, m.Disk
+		k.LastContact, inc = now, m.Disk
 	case k == nil || k.Incarnation != inc:
-		c.directory.Meet(now, c.settings.Self.Name, &wire.Hello{Self: m.Pull.Self})
+		c.directory.Merge(now, c.settings.Self.Name, &wire.Hello{Self: m.Pull.Self})
 	default:
-		k.At, k.Daemon = now, m.Pull.Self
+		k.LastContact, k.Daemon = now, m.Pull.Self
 	}
 	if t := m.Pull.Table; t != nil && c.lead == Recovering && t.Key.Epoch < c.node.Epoch() {
 		if l, ok := state.RecoveredFrom(t); ok {
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -39,7 +39,7 @@
 // maintainMembers looks after the list of members, if this member may change it: also
 // while a new leader still gathers tables, and while the only member hands over.
 func (c *Controller) maintainMembers(now time.Duration) {
-	may := c.lead >= Gathering || c.stopping && c.state.Adopted && c.node != nil && c.node.HasLease(now)
+	may := c.lead >= Gathering || c.stopping && c.state.Recovered && c.node != nil && c.node.HasLease(now)
 	if !may || now-c.membersAt < tuning.MembersEvery && !c.membersChanging {
 		return
 	}
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -28,7 +28,7 @@
 		if m.Hello == nil {
 			return
 		}
-		c.directory.Meet(now, c.settings.Self.Name, m.Hello)
+		c.directory.Merge(now, c.settings.Self.Name, m.Hello)
 		if d := m.Hello.Self; d.Kind == wire.ControlDaemon && d.Name != c.settings.Self.Name {
 			h := heard{at: now, domain: d.Domain, stops: d.State == stoppingState, repliedAt: c.heard[d.Name].repliedAt}
 			if m.Hello.Reply {
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -66,7 +66,7 @@
 			c.answer(p, notPropagated()) // the leader may be heard and not hear: another daemon is to be told too
 			return
 		}
-		c.answer(p, targetreport.Accepted(word))
+		c.answer(p, targetreport.Acknowledgement(word))
 		return
 	}
 	waits := p.targetReport && c.lead == Gathering
@@ -126,7 +126,7 @@
 		c.answerWhenInForce(now, p, r.Revision)
 		return
 	}
-	if revision, taken := c.state.TokenTaken(p.token); taken && a.Method != "GET" {
+	if revision, taken := c.state.FindToken(p.token); taken && a.Method != "GET" {
 		c.answerWhenInForce(now, p, revision)
 		return
 	}
@@ -256,4 +256,4 @@
 }
 
 // Seeds replaces the seed addresses.
-func (c *Controller) Seeds(s []string) { c.settings.Seeds = s }
+func (c *Controller) SetSeeds(s []string) { c.settings.Seeds = s }
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -97,7 +97,7 @@
 	if s, err := state.Decode(l.State); err != nil {
 		c.reportDamage("memory of proxy "+from, err)
 	} else if len(s.Members) > 0 {
-		m.members = discovery.Membership{Epoch: l.Epoch, Index: l.Index, List: s.Members}
+		m.members = discovery.Membership{Epoch: l.Epoch, Index: l.Index, Members: s.Members}
 	}
 	c.proxyMemories[from] = m
 }
@@ -105,15 +105,15 @@
 // lastMembers is the latest list known here: its own, other members', or proxies'.
 func (c *Controller) lastMembers() (m discovery.Membership) {
 	if c.node != nil && len(c.node.Members()) > 0 {
-		m = discovery.Membership{Epoch: c.node.Epoch(), Index: c.node.Commit(), List: c.node.Members()}
+		m = discovery.Membership{Epoch: c.node.Epoch(), Index: c.node.Commit(), Members: c.node.Members()}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
-		if k := c.directory[n]; k.Kind == wire.ControlDaemon && m.Less(k.Members) {
+		if k := c.directory[n]; k.Kind == wire.ControlDaemon && m.IsBefore(k.Members) {
 			m = k.Members
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.proxyMemories)) {
-		if k := c.proxyMemories[n].members; m.Less(k) {
+		if k := c.proxyMemories[n].members; m.IsBefore(k) {
 			m = k
 		}
 	}
@@ -130,14 +130,14 @@
 
 func (c *Controller) surveySurvivors(all []wire.Daemon, gone []string) survivors {
 	o := survivors{last: c.lastMembers(), sized: c.settings.Size > 0}
-	o.places = cmp.Or(len(o.last.List), c.bootstrapSize)
+	o.places = cmp.Or(len(o.last.Members), c.bootstrapSize)
 	for _, n := range gone {
 		if !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name == n }) &&
-			(len(o.last.List) == 0 || slices.ContainsFunc(o.last.List, func(m wire.Member) bool { return m.Name == n })) {
+			(len(o.last.Members) == 0 || slices.ContainsFunc(o.last.Members, func(m wire.Member) bool { return m.Name == n })) {
 			o.places--
 		}
 	}
-	for _, m := range o.last.List {
+	for _, m := range o.last.Members {
 		i := slices.IndexFunc(all, func(d wire.Daemon) bool { return d.Name == m.Name })
 		switch {
 		case m.Disk == 0: // nobody
@@ -163,18 +163,18 @@
 // or, if nobody remembers one, whoever says that it may found the first.
 func (o survivors) founders(all []wire.Daemon) []wire.Daemon {
 	return slices.DeleteFunc(slices.Clone(all), func(d wire.Daemon) bool {
-		if len(o.last.List) == 0 {
+		if len(o.last.Members) == 0 {
 			return !o.sized && d.State != emptyState
 		}
-		return !slices.ContainsFunc(o.last.List, func(m wire.Member) bool { return m.Name == d.Name })
+		return !slices.ContainsFunc(o.last.Members, func(m wire.Member) bool { return m.Name == d.Name })
 	})
 }
 
 // elects says that the last core can go on by itself.
-func (o survivors) canElect() bool { return 2*o.withDisk > len(o.last.List) }
+func (o survivors) canElect() bool { return 2*o.withDisk > len(o.last.Members) }
 
 // certain says that it can't decide, whatever those that are not seen still hold.
-func (o survivors) canNeverElect() bool { return 2*(o.withDisk+o.unseen) <= len(o.last.List) }
+func (o survivors) canNeverElect() bool { return 2*(o.withDisk+o.unseen) <= len(o.last.Members) }
 
 func (c *Controller) operatorConsent(all []wire.Daemon) (refound bool, gone []string) {
 	for _, d := range all {
@@ -195,7 +195,7 @@
 // must be over whatever those not seen still hold, or an operator must say so. All
 // must offer the same founding, and have locked it on disk, before any acts on it.
 func (c *Controller) bootstrap(now time.Duration) {
-	if c.consent.Granted && now-c.consent.At > tuning.ConsentTTL {
+	if c.consent.Granted && now-c.consent.GrantedAt > tuning.ConsentTTL {
 		c.consent = discovery.RecoveryConsent{}
 	}
 	all := c.coreDaemons(now, true)
@@ -326,7 +326,7 @@
 	if err != nil { // it goes on with what comes before the damage, which says of itself how old it is
 		c.reportDamage("state on this disk", err)
 	}
-	if s.Adopted && !c.isNonVoter() {
+	if s.Recovered && !c.isNonVoter() {
 		b, _ := json.Marshal(s)
 		img.RecoveredState, _ = json.Marshal(state.RecoveredState{Epoch: c.node.Epoch(), Term: term, Index: s.Index, State: b})
 	}
@@ -370,7 +370,7 @@
 		return no("living", "%s hears a leader", n)
 	}
 	for _, n := range gone {
-		if k := c.directory[n]; n == c.settings.Self.Name || k != nil && now-k.At < tuning.DaemonExpiry {
+		if k := c.directory[n]; n == c.settings.Self.Name || k != nil && now-k.LastContact < tuning.DaemonExpiry {
 			return no("alive", "%s was heard less than %v ago", n, tuning.DaemonExpiry)
 		}
 	}
@@ -380,8 +380,8 @@
 	case 2*len(all) <= o.places:
 		return no("may_live", "%d of %d machines are seen, and the others may be a living majority; name those that are gone for good", len(all), o.places)
 	case o.canElect():
-		return no("living", "%d of %d members are here with their disks and can elect a leader", o.withDisk, len(o.last.List))
+		return no("living", "%d of %d members are here with their disks and can elect a leader", o.withDisk, len(o.last.Members))
 	}
-	c.consent = discovery.RecoveryConsent{Granted: true, LostMembers: gone, At: now}
+	c.consent = discovery.RecoveryConsent{Granted: true, LostMembers: gone, GrantedAt: now}
 	return statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"refounding": true, "seen": len(all), "lost": o.lostDisk, "not_seen": o.unseen})}
 }
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -20,8 +20,8 @@
 func (c *Controller) loadRegistrations(now time.Duration) {
 	c.persistedRegistrations, c.persistedTombstones = map[wire.TargetID]state.Registration{}, map[wire.TargetID]bool{}
 	for _, m := range c.state.Tombstones {
-		c.persistedTombstones[m.ID()] = m.Gone
-		if m.Gone {
+		c.persistedTombstones[m.ID()] = m.SignedOff
+		if m.SignedOff {
 			c.tombstones[m.ID()] = now
 		} else {
 			c.leaving[m.ID()] = now
@@ -29,7 +29,7 @@
 	}
 	for _, p := range c.state.Registrations {
 		c.persistedRegistrations[p.ID()] = p
-		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Incarnation: p.Inc, Addr: p.Addr, Domain: p.Domain, State: config.Warming, Slots: p.Slots, ShareOffset: p.Turn},
+		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Incarnation: p.Incarnation, Addr: p.Addr, Domain: p.Domain, State: config.Warming, Slots: p.Slots, ShareOffset: p.ShareOffset},
 			unconfirmed: true, beatAt: now - tuning.TargetHeartbeatTimeout/2, aliveAt: now, seenAt: now,
 			probeAt: now - tuning.ProbeEvery}
 		if p.Leaving {
@@ -41,8 +41,8 @@
 		}
 		c.targets[p.ID()] = t
 		c.markCold(t)
-		c.lastTurn[p.Service] = max(c.lastTurn[p.Service], p.Turn)
-		c.turnByName[[2]string{p.Service, p.Name}] = p.Turn
+		c.lastTurn[p.Service] = max(c.lastTurn[p.Service], p.ShareOffset)
+		c.turnByName[[2]string{p.Service, p.Name}] = p.ShareOffset
 	}
 }
 
@@ -66,7 +66,7 @@
 // called at each tick, so it sorts only what has changed.
 func (c *Controller) changedRegistrations(now time.Duration, r *state.RegistryChange) {
 	for id, t := range c.targets {
-		p := state.Registration{Service: id.Service, Name: id.Name, Inc: id.Incarnation, Addr: t.Addr, Domain: t.Domain, Slots: t.Slots, Turn: t.ShareOffset, WarmingUp: t.coldLeft(now) > 0, Leaving: t.Draining}
+		p := state.Registration{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Addr: t.Addr, Domain: t.Domain, Slots: t.Slots, ShareOffset: t.ShareOffset, WarmingUp: t.coldLeft(now) > 0, Leaving: t.Draining}
 		was, ok := c.persistedRegistrations[id]
 		if ok && was == p || !ok && (t.unconfirmed && !t.Draining || len(c.persistedRegistrations) >= tuning.RegistryMax) {
 			continue
@@ -77,7 +77,7 @@
 	r.Put = r.Put[:min(len(r.Put), tuning.RegistryBatch, max(1, tuning.RegistryMax-len(c.persistedRegistrations)))]
 	for id := range c.persistedRegistrations {
 		if c.targets[id] == nil {
-			r.Drop = append(r.Drop, state.Registration{Service: id.Service, Name: id.Name, Inc: id.Incarnation})
+			r.Drop = append(r.Drop, state.Registration{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation})
 		}
 	}
 	slices.SortFunc(r.Drop, func(a, b state.Registration) int { return a.ID().Compare(b.ID()) })
@@ -94,7 +94,7 @@
 	changed := func(id wire.TargetID, gone bool) {
 		was, ok := c.persistedTombstones[id]
 		if (!ok || was != gone) && (ok || len(c.persistedTombstones) < tuning.RegistryMax) {
-			r.AddTombstones = append(r.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Inc: id.Incarnation, Gone: gone})
+			r.AddTombstones = append(r.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, SignedOff: gone})
 		}
 	}
 	for id := range c.leaving {
@@ -110,12 +110,12 @@
 	for id := range c.persistedTombstones {
 		_, leaves := c.leaving[id]
 		if _, gone := c.tombstones[id]; !leaves && !gone {
-			r.DropTombstones = append(r.DropTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Inc: id.Incarnation})
+			r.DropTombstones = append(r.DropTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation})
 		}
 	}
 	slices.SortFunc(r.DropTombstones, func(a, b state.Tombstone) int { return a.ID().Compare(b.ID()) })
 	for _, m := range r.AddTombstones {
-		c.persistedTombstones[m.ID()] = m.Gone
+		c.persistedTombstones[m.ID()] = m.SignedOff
 	}
 	for _, m := range r.DropTombstones {
 		delete(c.persistedTombstones, m.ID())
@@ -132,7 +132,7 @@
 	case full:
 		return true
 	case c.tombstones[id] != 0:
-		return marked && mark.Gone
+		return marked && mark.SignedOff
 	case t != nil && t.Draining:
 		p, ok := c.state.Registration(id)
 		return ok && p.Leaving
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -30,8 +30,8 @@
 			if err != nil {
 				return s, term, errors.Wrapf(err, "entry %d", e.Index)
 			}
-			adopted := s.Adopted
-			if s.Apply(e.Index, o); o.Operation == state.OpAdopt && !adopted && !s.Adopted {
+			adopted := s.Recovered
+			if s.Apply(e.Index, o); o.Operation == state.OpRecover && !adopted && !s.Recovered {
 				return s, term, errors.Mark(errors.Newf("entry %d: the epoch's first state does not decode", e.Index), state.ErrDamaged)
 			}
 		}
@@ -62,7 +62,7 @@
 	if o.Operation == state.OpRegisterTargets {
 		return
 	}
-	if o.Operation == state.OpAdopt && !c.state.Adopted {
+	if o.Operation == state.OpRecover && !c.state.Recovered {
 		c.reportDamage("state offered for this epoch", errors.Newf("entry %d does not decode", e.Index))
 		c.proposed, c.recovered, c.unreadableMemory = false, state.RecoveredState{}, true
 		return
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -98,7 +98,7 @@
 		v := DaemonView{Daemon: d, Roster: c.inRoster(d.Name)}
 		v.Member = slices.ContainsFunc(ms, func(m wire.Member) bool { return m.Name == d.Name })
 		if k := c.directory[d.Name]; k != nil {
-			v.HeardMs = float64(now-k.At) / 1e6
+			v.HeardMs = float64(now-k.LastContact) / 1e6
 		}
 		if g := c.proxies[d.Name]; g != nil {
 			v.Ver = g.key.Version
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -40,7 +40,7 @@
 			return
 		}
 	}
-	t := &wire.Table{PreviousProxies: c.state.PreviousProxies, StateIndex: c.state.Index, Revision: c.state.Revision, Document: c.compressedDocument(), State: c.state.ForProxies(c.node.Members()), EmptiedDomains: c.state.EmptiedDomains}
+	t := &wire.Table{PreviousProxies: c.state.PreviousProxies, StateIndex: c.state.Index, Revision: c.state.Revision, Document: c.compressedDocument(), State: c.state.EncodeForProxies(c.node.Members()), EmptiedDomains: c.state.EmptiedDomains}
 	c.tableVersion++
 	c.madeAt[c.tableVersion%tuning.TablesKept] = now
 	for _, r := range c.state.Proxies {
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -218,13 +218,13 @@
 // start that is over; who goes on beating is there, even if no probe gets through.
 func (c *Controller) countHeartbeat(now time.Duration, t *target) {
 	t.beatAt = now
-	t.streak.Add(now)
-	t.unconfirmed = t.unconfirmed && !t.streak.Steady(now)
+	t.streak.RecordHeartbeat(now)
+	t.unconfirmed = t.unconfirmed && !t.streak.IsSteady(now)
 }
 
 // beats is what the table says of it: one that misses its probes has to speak on.
 func (t *target) isBeating(now time.Duration) bool {
-	return now-t.beatAt < tuning.TargetHeartbeatTimeout && (t.misses < tuning.ProbeMisses || t.streak.Steady(now))
+	return now-t.beatAt < tuning.TargetHeartbeatTimeout && (t.misses < tuning.ProbeMisses || t.streak.IsSteady(now))
 }
 
 // rivals are the known targets under w's name or at its address.
--- a/internal/controlplane/targetcall.go
+++ b/internal/controlplane/targetcall.go
@@ -25,7 +25,7 @@
 		c.heartbeat(now, t, false)
 	}
 	if !targetreport.IsLeaving(w) {
-		c.answer(p, targetreport.Accepted(w))
+		c.answer(p, targetreport.Acknowledgement(w))
 		return
 	}
 	c.persistNow = true
@@ -41,7 +41,7 @@
 		}
 		ver = max(ver, out)
 	}
-	c.waiters = append(c.waiters, &commitWaiter{version: ver, since: now, p: p, reply: targetreport.Accepted(w), majorityOnly: true, agreed: ids})
+	c.waiters = append(c.waiters, &commitWaiter{version: ver, since: now, p: p, reply: targetreport.Acknowledgement(w), majorityOnly: true, agreed: ids})
 }
 
 // named are the identities under a name, those that signed off lately included.
--- a/internal/controlplane/targetcall_test.go
+++ b/internal/controlplane/targetcall_test.go
@@ -17,7 +17,7 @@
 // each member takes them, so there is none to prefer.
 func TestAcknowledgementsAreSmall(t *testing.T) {
 	for _, state := range []string{config.Ready, config.Warming, config.Leaving, config.Gone} {
-		r := targetreport.Accepted(wire.Target{State: state})
+		r := targetreport.Acknowledgement(wire.Target{State: state})
 		var fields map[string]any
 		if err := json.Unmarshal(r.Body, &fields); err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -157,7 +157,7 @@
 func TestUndecodableByAll(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"entry":         []byte("{"),
-		"configuration": state.EncodeCommand(state.Command{Operation: state.OpConfigure, Number: 9, Document: json.RawMessage(`[]`)}),
+		"configuration": state.EncodeCommand(state.Command{Operation: state.OpConfigure, RequestedRevision: 9, Document: json.RawMessage(`[]`)}),
 	} {
 		k := newCluster()
 		k.seconds(15)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -55,7 +55,7 @@
 	}
 	go d.disk.Run()
 	go d.Loop.Run(d.step, d.execute)
-	code := d.Wait(d.owner.Seeds)
+	code := d.Wait(d.owner.SetSeeds)
 	d.closeAPI(server)
 	d.Log.Info("stopped")
 	return code
--- a/internal/dataplane/choice.go
+++ b/internal/dataplane/choice.go
@@ -88,7 +88,7 @@
 	if g.state == Leased {
 		return t.Heartbeating
 	}
-	return t.streak.Steady(now)
+	return t.streak.IsSteady(now)
 }
 
 func (g *Proxy) better(now time.Duration, a, b *target, x *request) *target {
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -50,13 +50,13 @@
 	sent := map[string]bool{}
 	for _, n := range slices.Sorted(maps.Keys(g.directory)) {
 		k := g.directory[n]
-		if now-k.At > tuning.DaemonExpiry {
+		if now-k.LastContact > tuning.DaemonExpiry {
 			delete(g.directory, n)
 		} else if k.Kind == wire.ControlDaemon {
 			sent[k.Addr] = true
 			h := &wire.Hello{Self: self}
 			who := fmt.Sprint(n, " ", k.Incarnation)
-			if at, ok := g.memoryToldAt[who]; g.state != Leased && now-k.At < 4*tuning.HelloEvery && (!ok || now-at >= tuning.RecoveredStateEvery) {
+			if at, ok := g.memoryToldAt[who]; g.state != Leased && now-k.LastContact < 4*tuning.HelloEvery && (!ok || now-at >= tuning.RecoveredStateEvery) {
 				if memory == nil {
 					memory = g.rememberedState()
 				}
@@ -99,7 +99,7 @@
 	self := g.self()
 	for i, r := range who[:min(n, len(who))] {
 		if k := g.directory[r.Name]; k == nil {
-			g.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, At: now}
+			g.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, LastContact: now}
 		}
 		g.asked[r.Name] = now
 		// Back from a freeze or a cut, what peers hold against targets is wanted too.
@@ -243,7 +243,7 @@
 		return
 	}
 	if m.Pull.Self.Kind == wire.ProxyDaemon {
-		g.directory[m.From] = &discovery.Peer{Daemon: m.Pull.Self, At: now}
+		g.directory[m.From] = &discovery.Peer{Daemon: m.Pull.Self, LastContact: now}
 	}
 	p := &wire.Push{LeaseGranted: g.settled && g.table != nil}
 	if g.table != nil {
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -17,7 +17,7 @@
 )
 
 func (g *Proxy) ask(now time.Duration, e statemachine.Call) {
-	r := targetreport.AnswerTargetCall(e, func(t wire.Target) {
+	r := targetreport.AnswerAtProxy(e, func(t wire.Target) {
 		g.heardBeat(now, t)
 		if l := g.leader(now); l != "" {
 			g.send(l, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &t})
@@ -37,7 +37,7 @@
 // kept for the time when there is none.
 func (g *Proxy) heardBeat(now time.Duration, w wire.Target) {
 	if t := g.targets[w.ID()]; t != nil {
-		t.streak.Add(now)
+		t.streak.RecordHeartbeat(now)
 	} else if g.state == PeerServing && w.State != config.Gone {
 		g.claim(now, w)
 	}
@@ -66,13 +66,13 @@
 			return
 		}
 	}
-	if at == nil || g.leaving[w.ID()] != 0 || at.successor != nil && at.successor.Incarnation != w.Incarnation && at.successor.streak.Steady(now) {
+	if at == nil || g.leaving[w.ID()] != 0 || at.successor != nil && at.successor.Incarnation != w.Incarnation && at.successor.streak.IsSteady(now) {
 		return
 	}
 	if at.successor == nil || at.successor.ID() != w.ID() || at.successor.Addr != w.Addr {
 		at.successor = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: config.Warming, ShareOffset: at.ShareOffset, Slots: w.Slots, WarmupLeft: w.WarmupLeft}}
 	}
-	at.successor.streak.Add(now)
+	at.successor.streak.RecordHeartbeat(now)
 }
 
 // inherit puts an heir that has answered for itself in its place, unless who
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -353,12 +353,12 @@
 			return
 		}
 		led := g.leader(now)
-		g.directory.Meet(now, g.settings.Self.Name, m.Hello)
+		g.directory.Merge(now, g.settings.Self.Name, m.Hello)
 		if l := g.leader(now); l != led && l == m.From && now > g.pullAt {
 			g.pull(now) // the leader waits for what proxies hold, and they for its lease
 		}
 		if !m.Hello.Reply {
-			h := &wire.Hello{Self: g.self(), Reply: true, Daemons: g.directory.List()}
+			h := &wire.Hello{Self: g.self(), Reply: true, Daemons: g.directory.Daemons()}
 			g.send(m.From, &wire.Message{Kind: wire.KindHello, Hello: h})
 		}
 	case wire.KindPush:
--- a/internal/mfctl/core.go
+++ b/internal/mfctl/core.go
@@ -44,7 +44,7 @@
 // troubleText says aloud what a member could not read, and that its disk takes no writes.
 func troubleText(w io.Writer, s *controlplane.StatusView) {
 	for _, d := range s.Damage {
-		fmt.Fprintf(w, "\nDAMAGE at %s: %s: %s\n", s.Name, d.What, d.Why)
+		fmt.Fprintf(w, "\nDAMAGE at %s: %s: %s\n", s.Name, d.Subject, d.Reason)
 	}
 	if s.Disk != "" {
 		fmt.Fprintf(w, "\nDISK of %s takes no writes: %s\n", s.Name, s.Disk)
--- a/internal/mfctl/core_test.go
+++ b/internal/mfctl/core_test.go
@@ -71,7 +71,7 @@
 		t.Error(code, out)
 	}
 	hurt := leaderView(0)
-	hurt.Damage, hurt.Disk = []controlplane.Damage{{What: "snapshot", Why: "does not decode"}}, "no space left on device"
+	hurt.Damage, hurt.Disk = []controlplane.Damage{{Subject: "snapshot", Reason: "does not decode"}}, "no space left on device"
 	if _, out = said(t, append(statusServers(t, hurt), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 takes no writes: no space left on device\n") {
 		t.Error(out)
 	}
--- a/internal/shared/discovery/discovery.go
+++ b/internal/shared/discovery/discovery.go
@@ -15,7 +15,7 @@
 // Peer is what a daemon has heard of another.
 type Peer struct {
 	wire.Daemon
-	At             time.Duration
+	LastContact    time.Duration
 	Leader         string
 	Term           uint64
 	Members        Membership
@@ -26,10 +26,10 @@
 // Membership is a list of members as of an epoch and a place in its log.
 type Membership struct {
 	Epoch, Index uint64
-	List         []wire.Member
+	Members      []wire.Member
 }
 
-func (m Membership) Less(o Membership) bool {
+func (m Membership) IsBefore(o Membership) bool {
 	return cmp.Or(cmp.Compare(m.Epoch, o.Epoch), cmp.Compare(m.Index, o.Index)) < 0
 }
 
@@ -38,29 +38,29 @@
 type RecoveryConsent struct {
 	Granted     bool
 	LostMembers []string
-	At          time.Duration
+	GrantedAt   time.Duration
 }
 
 // Directory is a daemon's list of the others, by name.
 type Directory map[string]*Peer
 
-// Meet merges what a hello says of the daemons: its sender is taken at its word,
+// Merge merges what a hello says of the daemons: its sender is taken at its word,
 // others are only added.
-func (b Directory) Meet(now time.Duration, self string, h *wire.Hello) {
+func (b Directory) Merge(now time.Duration, self string, h *wire.Hello) {
 	if h.Self.Name == "" || h.Self.Name == self {
 		return
 	}
-	b[h.Self.Name] = &Peer{Daemon: h.Self, At: now, Leader: h.Leader, Term: h.Term, BootstrapEpoch: h.BootstrapEpoch,
+	b[h.Self.Name] = &Peer{Daemon: h.Self, LastContact: now, Leader: h.Leader, Term: h.Term, BootstrapEpoch: h.BootstrapEpoch,
 		Members: Membership{h.MembersEpoch, h.MembersIndex, h.Members}, Consent: RecoveryConsent{h.RecoveryConsent, h.LostMembers, now}}
 	for _, d := range h.Daemons {
 		if b[d.Name] == nil && d.Name != self && d.Name != "" {
-			b[d.Name] = &Peer{Daemon: d, At: now - tuning.DaemonExpiry/2}
+			b[d.Name] = &Peer{Daemon: d, LastContact: now - tuning.DaemonExpiry/2}
 		}
 	}
 }
 
-// List is the book as it is handed on.
-func (b Directory) List() (l []wire.Daemon) {
+// Daemons is the book as it is handed on.
+func (b Directory) Daemons() (l []wire.Daemon) {
 	for _, n := range slices.Sorted(maps.Keys(b)) {
 		l = append(l, b[n].Daemon)
 	}
@@ -72,7 +72,7 @@
 	var best *Peer
 	for _, n := range slices.Sorted(maps.Keys(b)) {
 		k := b[n]
-		if k.Kind == wire.ControlDaemon && k.Leader != "" && now-k.At < tuning.DaemonExpiry &&
+		if k.Kind == wire.ControlDaemon && k.Leader != "" && now-k.LastContact < tuning.DaemonExpiry &&
 			(best == nil || cmp.Or(cmp.Compare(k.Epoch, best.Epoch), cmp.Compare(k.Term, best.Term)) > 0) {
 			best = k
 		}
--- a/internal/shared/state/changes.go
+++ b/internal/shared/state/changes.go
@@ -115,10 +115,10 @@
 	Configurations acceptedChanges `json:"configurations,omitempty"`
 	// Tokens are all other orders, by the id that their caller gave them.
 	Tokens acceptedChanges `json:"tokens,omitempty"`
-	// Since is the earliest revision from which on every accepted change is among
+	// CompleteSince is the earliest revision from which on every accepted change is among
 	// Configurations. Of an order that was built on an earlier one nobody can say any
 	// more whether it was taken.
-	Since uint64 `json:"since,omitempty"`
+	CompleteSince uint64 `json:"since,omitempty"`
 }
 
 // addConfiguration remembers an accepted change of the configuration.
@@ -137,38 +137,38 @@
 func (m AcceptedChanges) latest(most int) AcceptedChanges {
 	var cutAt uint64
 	m.Configurations, cutAt = m.Configurations.latest(most)
-	m.Since = max(m.Since, cutAt)
+	m.CompleteSince = max(m.CompleteSince, cutAt)
 	m.Tokens, _ = m.Tokens.latest(most)
 	return m
 }
 
 func tokenDigest(token string) ChangeDigest { return DigestOf([]byte(token)) }
 
-// TokenTaken says whether an order other than a change of the configuration was taken
+// FindToken says whether an order other than a change of the configuration was taken
 // under an id, and at which revision.
-func (s *State) TokenTaken(token string) (revision uint64, taken bool) {
+func (s *State) FindToken(token string) (revision uint64, taken bool) {
 	if token == "" {
 		return 0, false
 	}
 	return s.Changes.Tokens.find(tokenDigest(token))
 }
 
-// ChangeVerdict is what can be said of an order that is not built on the present revision.
-type ChangeVerdict int
+// ChangeStatus is what can be said of an order that is not built on the present revision.
+type ChangeStatus int
 
 const (
-	NeverAccepted ChangeVerdict = iota // and never will be: its base is not the present revision
+	NeverAccepted ChangeStatus = iota // and never will be: its base is not the present revision
 	AlreadyAccepted
 	Forgotten // it may have been taken before the first that is remembered
 )
 
-// JudgeChange says what became of a change of the configuration that was built on an
+// FindChange says what became of a change of the configuration that was built on an
 // earlier revision, and the revision that it led to if it was taken.
-func (s *State) JudgeChange(d ChangeDigest, base uint64) (ChangeVerdict, uint64) {
+func (s *State) FindChange(d ChangeDigest, base uint64) (ChangeStatus, uint64) {
 	if revision, found := s.Changes.Configurations.find(d); found {
 		return AlreadyAccepted, revision
 	}
-	if base < s.Changes.Since {
+	if base < s.Changes.CompleteSince {
 		return Forgotten, 0
 	}
 	return NeverAccepted, 0
@@ -176,7 +176,7 @@
 
 // completeChanges sets the bound of the memory in a state that was written before there was one.
 func (s *State) completeChanges() {
-	if len(s.Changes.Configurations) == 0 && s.Changes.Since < s.Revision {
-		s.Changes.Since = s.Revision
+	if len(s.Changes.Configurations) == 0 && s.Changes.CompleteSince < s.Revision {
+		s.Changes.CompleteSince = s.Revision
 	}
 }
--- a/internal/shared/state/changes_test.go
+++ b/internal/shared/state/changes_test.go
@@ -11,7 +11,7 @@
 // taken is a state after so many accepted changes, each built on the one before.
 func stateAfter(changes int) State {
 	s := New()
-	s.Adopted = true
+	s.Recovered = true
 	for i := range changes {
 		d := DigestOf(fmt.Append(nil, i))
 		s.Apply(uint64(i+1), Command{Operation: OpConfigure, Token: fmt.Sprint("t", i), Base: s.Revision, Document: json.RawMessage(`{}`), Digest: &d})
@@ -34,7 +34,7 @@
 	}
 	read.completeChanges()
 	proxies := State{}
-	if err := json.Unmarshal(s.ForProxies(nil), &proxies); err != nil {
+	if err := json.Unmarshal(s.EncodeForProxies(nil), &proxies); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -44,11 +44,11 @@
 	}{{"kept", s, tuning.AcceptedChangesKept}, {"read again", read, tuning.AcceptedChangesKept}, {"with proxies", proxies, tuning.AcceptedChangesInTables}} {
 		for i := range changes {
 			base := uint64(i)
-			v, revision := c.state.JudgeChange(DigestOf(fmt.Append(nil, i)), base)
+			v, revision := c.state.FindChange(DigestOf(fmt.Append(nil, i)), base)
 			if known := i >= changes-c.kept; known && (v != AlreadyAccepted || revision != base+1) || !known && v != Forgotten {
 				t.Fatalf("%s: change %d: verdict %d, revision %d", c.name, i, v, revision)
 			}
-			if v, _ := c.state.JudgeChange(DigestOf([]byte("other")), base); v == AlreadyAccepted || v == NeverAccepted && i < changes-c.kept || v == Forgotten && i >= changes-c.kept {
+			if v, _ := c.state.FindChange(DigestOf([]byte("other")), base); v == AlreadyAccepted || v == NeverAccepted && i < changes-c.kept || v == Forgotten && i >= changes-c.kept {
 				t.Fatalf("%s: another on base %d: verdict %d", c.name, base, v)
 			}
 		}
@@ -56,7 +56,7 @@
 	if most := tuning.AcceptedChangesKept*acceptedChangeBytes*4/3 + 16<<10; len(text) > most {
 		t.Errorf("a state of %d bytes", len(text))
 	}
-	if n := len(s.ForProxies(nil)); n > 12<<10 {
+	if n := len(s.EncodeForProxies(nil)); n > 12<<10 {
 		t.Errorf("proxies' copy has %d bytes", n)
 	}
 }
@@ -70,7 +70,7 @@
 		token   string
 		base    uint64
 		sum     ChangeDigest
-		outcome string
+		outcome Outcome
 	}{
 		{"a", s.Revision - 1, last, OutcomeAccepted},
 		{"b", s.Revision - 1, other, OutcomeStale},
@@ -88,7 +88,7 @@
 func TestStateWithoutOrders(t *testing.T) {
 	s := State{Revision: 7}
 	s.completeChanges()
-	if v, _ := s.JudgeChange(ChangeDigest{1}, 6); v != Forgotten {
+	if v, _ := s.FindChange(ChangeDigest{1}, 6); v != Forgotten {
 		t.Errorf("verdict %d", v)
 	}
 }
--- a/internal/shared/state/recovered.go
+++ b/internal/shared/state/recovered.go
@@ -29,6 +29,6 @@
 	return RecoveredState{t.Key.Epoch, t.Key.Term, t.StateIndex, b}, true
 }
 
-func (l RecoveredState) Less(o RecoveredState) bool {
+func (l RecoveredState) IsBefore(o RecoveredState) bool {
 	return cmp.Or(cmp.Compare(l.Epoch, o.Epoch), cmp.Compare(l.Index, o.Index), cmp.Compare(l.Term, o.Term)) < 0
 }
--- a/internal/shared/state/registry.go
+++ b/internal/shared/state/registry.go
@@ -12,34 +12,34 @@
 
 // Registration is a target in the agreed registry.
 type Registration struct {
-	Service   string `json:"s"`
-	Name      string `json:"n"`
-	Inc       uint64 `json:"i"`
-	Addr      string `json:"a"`
-	Domain    string `json:"d,omitempty"`
-	Slots     uint32 `json:"sl,omitempty"`
-	Turn      uint32 `json:"t,omitempty"`
-	WarmingUp bool   `json:"c,omitempty"` // it said so when this was written
-	Leaving   bool   `json:"l,omitempty"`
+	Service     string `json:"s"`
+	Name        string `json:"n"`
+	Incarnation uint64 `json:"i"`
+	Addr        string `json:"a"`
+	Domain      string `json:"d,omitempty"`
+	Slots       uint32 `json:"sl,omitempty"`
+	ShareOffset uint32 `json:"t,omitempty"`
+	WarmingUp   bool   `json:"c,omitempty"` // it said so when this was written
+	Leaving     bool   `json:"l,omitempty"`
 }
 
 // ID names the target's start.
 func (p Registration) ID() wire.TargetID {
-	return wire.TargetID{Service: p.Service, Name: p.Name, Incarnation: p.Inc}
+	return wire.TargetID{Service: p.Service, Name: p.Name, Incarnation: p.Incarnation}
 }
 
 // Tombstone is what is remembered of a target without a registration: that it was leaving when it
 // fell silent, or, Gone, that it signed off or was superseded.
 type Tombstone struct {
-	Service string `json:"s"`
-	Name    string `json:"n"`
-	Inc     uint64 `json:"i"`
-	Gone    bool   `json:"g,omitempty"`
+	Service     string `json:"s"`
+	Name        string `json:"n"`
+	Incarnation uint64 `json:"i"`
+	SignedOff   bool   `json:"g,omitempty"`
 }
 
 // ID names the target's start.
 func (m Tombstone) ID() wire.TargetID {
-	return wire.TargetID{Service: m.Service, Name: m.Name, Incarnation: m.Inc}
+	return wire.TargetID{Service: m.Service, Name: m.Name, Incarnation: m.Incarnation}
 }
 
 // RegistryChange is a batch of changes.
--- a/internal/shared/state/state.go
+++ b/internal/shared/state/state.go
@@ -24,7 +24,7 @@
 type Record struct {
 	ID          string          `json:"id"`
 	Description string          `json:"what"`
-	Outcome     string          `json:"outcome"` // one of the outcomes below
+	Outcome     Outcome         `json:"outcome"` // one of the outcomes below
 	Base        uint64          `json:"base,omitempty"`
 	Revision    uint64          `json:"revision"`
 	Index       uint64          `json:"seq"`
@@ -32,16 +32,19 @@
 	Digest      *ChangeDigest   `json:"sum,omitempty"` // of a configuration's change as it was asked for
 }
 
+// Outcome is what became of an agreed change. The texts stand in the log and in answers.
+type Outcome string
+
 // Outcomes of a change.
 const (
-	OutcomeAccepted = "accepted"
-	OutcomeStale    = "stale"   // built on another revision than the present one
-	OutcomeUnknown  = "unknown" // built on a revision so old that it may have been accepted long ago
+	OutcomeAccepted Outcome = "accepted"
+	OutcomeStale    Outcome = "stale"   // built on another revision than the present one
+	OutcomeUnknown  Outcome = "unknown" // built on a revision so old that it may have been accepted long ago
 )
 
 // State is what the members agree on.
 type State struct {
-	Adopted         bool              `json:"adopted"`
+	Recovered       bool              `json:"adopted"`
 	Index           uint64            `json:"seq"`
 	Revision        uint64            `json:"revision"`
 	Document        json.RawMessage   `json:"doc"`
@@ -70,31 +73,31 @@
 	OpForgetProxy     Operation = "forget"   // an operator drops a proxy
 	OpRemoveMember    Operation = "out"      // an operator takes a member out of the core
 	OpAddMember       Operation = "in"       // and lets it in again
-	OpAdopt           Operation = "adopt"    // an epoch's first state, recovered from an earlier one
+	OpRecover         Operation = "adopt"    // an epoch's first state, recovered from an earlier one
 	OpRegisterTargets Operation = "targets"  // a batch of the registry of targets
 )
 
 // Command is a log entry's text.
 type Command struct {
-	Operation      Operation       `json:"op"`
-	Token          string          `json:"token,omitempty"`
-	Base           uint64          `json:"base,omitempty"`
-	Document       json.RawMessage `json:"doc,omitempty"`
-	Description    string          `json:"what,omitempty"`
-	Name           string          `json:"name,omitempty"`
-	Proxies        []ProxyEntry    `json:"gates,omitempty"`
-	RemovedProxies []string        `json:"gone,omitempty"`
-	State          json.RawMessage `json:"state,omitempty"`
-	Number         uint64          `json:"rev,omitempty"` // the operator's own number for a configuration
-	Digest         *ChangeDigest   `json:"sum,omitempty"`
-	Targets        *RegistryChange `json:"reg,omitempty"`
+	Operation         Operation       `json:"op"`
+	Token             string          `json:"token,omitempty"`
+	Base              uint64          `json:"base,omitempty"`
+	Document          json.RawMessage `json:"doc,omitempty"`
+	Description       string          `json:"what,omitempty"`
+	Name              string          `json:"name,omitempty"`
+	Proxies           []ProxyEntry    `json:"gates,omitempty"`
+	RemovedProxies    []string        `json:"gone,omitempty"`
+	State             json.RawMessage `json:"state,omitempty"`
+	RequestedRevision uint64          `json:"rev,omitempty"` // the operator's own number for a configuration
+	Digest            *ChangeDigest   `json:"sum,omitempty"`
+	Targets           *RegistryChange `json:"reg,omitempty"`
 }
 
 func New() State { return State{Document: json.RawMessage(`{}`), RemovedMembers: map[string]uint64{}} }
 
 // slim is the state as proxies keep it, without the texts of past changes and
 // without the document, which travels beside it, and with the members of the time.
-func (s *State) ForProxies(ms []wire.Member) []byte {
+func (s *State) EncodeForProxies(ms []wire.Member) []byte {
 	t := *s
 	t.Document, t.Members, t.Registrations, t.Tombstones = nil, ms, nil, nil
 	t.Changes = s.Changes.latest(tuning.AcceptedChangesInTables)
@@ -148,18 +151,18 @@
 	if s.FindRecord(o.Token) != nil {
 		return
 	}
-	if _, taken := s.TokenTaken(o.Token); taken {
+	if _, taken := s.FindToken(o.Token); taken {
 		return
 	}
 	r := Record{ID: o.Token, Description: cmp.Or(o.Description, string(o.Operation)+" "+o.Name), Outcome: OutcomeAccepted, Base: o.Base, Index: index}
 	switch o.Operation {
 	case OpConfigure:
-		if o.Base != s.Revision || o.Number != 0 && o.Number <= s.Revision {
+		if o.Base != s.Revision || o.RequestedRevision != 0 && o.RequestedRevision <= s.Revision {
 			r.Outcome, r.Revision = s.outcomeOfStaleBase(o)
 			s.addRecord(r)
 			return
 		}
-		s.Revision = cmp.Or(o.Number, s.Revision+1)
+		s.Revision = cmp.Or(o.RequestedRevision, s.Revision+1)
 		s.Document = o.Document
 		r.Document, r.Digest = o.Document, o.Digest
 		if o.Digest != nil {
@@ -186,8 +189,8 @@
 		s.RemovedMembers[o.Name] = index
 	case OpAddMember:
 		delete(s.RemovedMembers, o.Name)
-	case OpAdopt:
-		if s.Adopted {
+	case OpRecover:
+		if s.Recovered {
 			return
 		}
 		t, err := Decode(o.State)
@@ -202,7 +205,7 @@
 		if s.RemovedMembers == nil {
 			s.RemovedMembers = map[string]uint64{}
 		}
-		s.Adopted, s.Index = true, index
+		s.Recovered, s.Index = true, index
 		return
 	}
 	if o.Token == "" {
@@ -217,11 +220,11 @@
 
 // outcomeOfStaleBase is what becomes of a change of the configuration that is not built on
 // the present revision, or numbered below it.
-func (s *State) outcomeOfStaleBase(o Command) (outcome string, revision uint64) {
+func (s *State) outcomeOfStaleBase(o Command) (outcome Outcome, revision uint64) {
 	if o.Digest == nil {
 		return OutcomeStale, s.Revision
 	}
-	verdict, revision := s.JudgeChange(*o.Digest, o.Base)
+	verdict, revision := s.FindChange(*o.Digest, o.Base)
 	switch verdict {
 	case AlreadyAccepted: // asked twice before it was agreed
 		return OutcomeAccepted, revision
--- a/internal/shared/targetreport/call.go
+++ b/internal/shared/targetreport/call.go
@@ -47,7 +47,7 @@
 }
 
 // heard acknowledges a word: 200 if it is safe that it says leaving or gone, else 202.
-func Accepted(w wire.Target) statemachine.Reply {
+func Acknowledgement(w wire.Target) statemachine.Reply {
 	r := statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"beat_ms": tuning.TargetHeartbeatEvery.Milliseconds()})}
 	if IsLeaving(w) {
 		r.Status = 200
@@ -55,9 +55,9 @@
 	return r
 }
 
-// AnswerTargetCall is a back end's own call to a proxy, which acts on it at once and passes
+// AnswerAtProxy is a back end's own call to a proxy, which acts on it at once and passes
 // it on. A sign-off without a service is for those who know all targets.
-func AnswerTargetCall(e statemachine.Call, beat func(wire.Target)) statemachine.Reply {
+func AnswerAtProxy(e statemachine.Call, beat func(wire.Target)) statemachine.Reply {
 	t, r := Parse(e)
 	if r.Status != 0 {
 		return r
@@ -66,7 +66,7 @@
 		return reply.Problem(405, config.ErrorBody{Code: "method", Message: "a sign-off by name alone is for a core member"})
 	}
 	beat(t)
-	return statemachine.Reply{Status: 202, Body: Accepted(t).Body}
+	return statemachine.Reply{Status: 202, Body: Acknowledgement(t).Body}
 }
 
 // queryValue is a key's first value in a call's query, "" if it is not there.
--- a/internal/shared/targetreport/streak.go
+++ b/internal/shared/targetreport/streak.go
@@ -12,8 +12,8 @@
 	first, last time.Duration
 }
 
-// Add counts a heartbeat; one that comes after a gap begins a new streak.
-func (v *Streak) Add(now time.Duration) {
+// RecordHeartbeat counts a heartbeat; one that comes after a gap begins a new streak.
+func (v *Streak) RecordHeartbeat(now time.Duration) {
 	if v.beats == 0 || now-v.last > tuning.TargetHeartbeatTimeout {
 		v.beats, v.first = 0, now
 	}
@@ -22,7 +22,7 @@
 }
 
 // Speaks says that they come as a living one's do, not as one late word.
-func (v *Streak) Steady(now time.Duration) bool {
+func (v *Streak) IsSteady(now time.Duration) bool {
 	return v.beats >= tuning.ProofHeartbeats && v.last-v.first >= tuning.ProofSpan && now-v.last < tuning.TargetHeartbeatTimeout
 }
 
