--- a/internal/controlplane/configcall.go
+++ b/internal/controlplane/configcall.go
@@ -39,7 +39,7 @@
 // screen looks at a change of the configuration before anything is made of it: its size,
 // its base, and whether the very same call has been taken already. sum stands for the
 // call: its kind, its base and what its body says.
-func (c *Controller) precheckChange(now time.Duration, p *pending, a *wire.Call, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
+func (c *Controller) precheckChange(now time.Duration, p *pendingCall, a *wire.Call, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
 	if len(text) > tuning.DocumentMax {
 		c.answer(p, tooLarge())
 		return nil, false
@@ -51,7 +51,7 @@
 	}
 	said, err := config.Canonical(text)
 	if err != nil {
-		c.counts.Refused++
+		c.counts.Rejected++
 		c.answer(p, reply.Problem(400, config.ErrorBody{Code: "not_json", Message: err.Error()}))
 		return nil, false
 	}
@@ -65,7 +65,7 @@
 	case state.Forgotten:
 		c.answerUnknown(p)
 	default:
-		c.counts.Refused++
+		c.counts.Rejected++
 		c.answer(p, c.staleBase(p.token))
 	}
 	return nil, false
@@ -73,12 +73,12 @@
 
 // answerWhenInForce acknowledges an order that was taken earlier, once the present table,
 // which holds it, is in force.
-func (c *Controller) answerWhenInForce(now time.Duration, p *pending, revision uint64) {
+func (c *Controller) answerWhenInForce(now time.Duration, p *pendingCall, revision uint64) {
 	c.counts.RepeatsAnswered++
-	c.waiters = append(c.waiters, &commitWaiter{version: c.tableVersion, since: now, p: p, reply: accepted(p.token, revision)})
+	c.waiters = append(c.waiters, &inForceWaiter{version: c.tableVersion, waitingSince: now, call: p, reply: accepted(p.token, revision)})
 }
 
-func (c *Controller) patch(now time.Duration, p *pending, a *wire.Call, patch []byte, what string) {
+func (c *Controller) patch(now time.Duration, p *pendingCall, a *wire.Call, patch []byte, what string) {
 	sum, ok := c.precheckChange(now, p, a, patch, what)
 	if !ok {
 		return
@@ -102,7 +102,7 @@
 }
 
 // config proposes a whole configuration on the present revision.
-func (c *Controller) config(now time.Duration, p *pending, doc []byte, what string, sum *state.ChangeDigest) {
+func (c *Controller) config(now time.Duration, p *pendingCall, doc []byte, what string, sum *state.ChangeDigest) {
 	if len(doc) > tuning.DocumentMax {
 		c.answer(p, tooLarge())
 		return
@@ -120,7 +120,7 @@
 		panic("a checked document is JSON")
 	}
 	if c.change(now, p, state.Command{Operation: state.OpConfigure, Base: c.state.Revision, Document: b.Bytes(), Description: what, RequestedRevision: cfg.Revision, Digest: sum}) {
-		c.checked = checked{b.Bytes(), cfg}
+		c.lastCheckedConfig = checkedConfig{b.Bytes(), cfg}
 	}
 }
 
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (c *Controller) diff(p *pending, a *wire.Call) {
+func (c *Controller) diff(p *pendingCall, a *wire.Call) {
 	from, _ := number(a.Query, "from")
 	to, _ := number(a.Query, "to")
 	x, y := c.docAt(from), c.docAt(to)
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -27,172 +27,199 @@
 
 // Settings are what a core daemon is told at its start.
 type Settings struct {
-	Self  wire.Daemon
-	Size  int      // how many members found the first core; 0: those that the seeds name
-	Seeds []string // at the fleet's first start the same for all
-	Found bool     // this is the fleet's first start
+	Self          wire.Daemon
+	BootstrapSize int      // how many members found the first core; 0: those that the seeds name
+	Seeds         []string // at the fleet's first start the same for all
+	Bootstrap     bool     // this is the fleet's first start
 	// Domains are known though nothing may stand in them yet.
 	Domains []string
-	// CatchUp is how long after a replacement's start the core has to bear the next loss, 0: not told.
-	CatchUp time.Duration
+	// CatchUpTime is how long after a replacement's start the core has to bear the next loss, 0: not told.
+	CatchUpTime time.Duration
 	// Losses is how many core machines may be lost at once, 0: not told.
-	Losses int
-	// Grace is how long after Stop the process is ended by force, 0: not told.
-	Grace time.Duration
+	MachineLosses int
+	// StopGrace is how long after Stop the process is ended by force, 0: not told.
+	StopGrace time.Duration
 }
 
-type pending struct {
-	token        string
-	ask          uint64
-	at           time.Duration
-	relay        string // asker's daemon, when it came over the wire
-	relayID      uint64
-	relayedTo    string // the leader that it was passed to
-	relayCount   int    // how many leaders have had it
-	call         *wire.Call
-	relayedAt    time.Duration
-	relayedTerm  uint64     // the term in which it was passed on
-	repetitions  []*pending // the same order asked again while it is under way: answered with it
-	targetReport bool       // a target's: made known in time or not promised, and never in doubt
+type pendingCall struct {
+	token         string
+	callID        uint64
+	receivedAt    time.Duration
+	relayedFrom   string // asker's daemon, when it came over the wire
+	relayedFromID uint64
+	relayedTo     string // the leader that it was passed to
+	relayCount    int    // how many leaders have had it
+	call          *wire.Call
+	relayedAt     time.Duration
+	relayedTerm   uint64         // the term in which it was passed on
+	duplicates    []*pendingCall // the same order asked again while it is under way: answered with it
+	targetReport  bool           // a target's: made known in time or not promised, and never in doubt
 }
 
-// checked is the configuration last found sound, so that it need not be read again.
-type checked struct {
-	doc []byte
-	cfg *config.Config
+// checkedConfig is the configuration last found sound, so that it need not be read again.
+type checkedConfig struct {
+	document []byte
+	config   *config.Config
 }
 
 // Controller is the owner of a core daemon's state: a member or a standby of the core.
 type Controller struct {
-	settings        Settings
-	image           consensus.Image
-	node            *consensus.Node
-	state           state.State
-	directory       discovery.Directory
-	bootAt          time.Duration
-	helloAt         time.Duration
-	offer           uint64
-	daemonNames     []string // those in the directory, as last sorted
-	seenFounders    string   // who could found, as last looked at, and since when
-	seenFoundersAt  time.Duration
-	proxyMemories   map[string]proxyMemory // what proxies said that they remember
-	unreadMemories  map[string][]byte      // the same as they sent it, not looked at yet
-	consent         discovery.RecoveryConsent
-	lockSeq         uint64 // batch that has the lock; it is told to nobody before that is synced
-	syncedSeq       uint64
-	leaderHint      string                   // who leads, as last heard of
-	bootstrapSize   int                      // of the first core, if this process may found it
-	heard           map[string]heard         // other core daemons, as last heard
-	membersAt       time.Duration            // when the members were last looked after
-	membersChanging bool                     // a change of members may be under way
-	toldLists       map[string]toldList      // what daemons were last told of those known
-	learning        map[string]learning      // how learners come on
-	standbySince    map[string]time.Duration // since when standbys are there
-	batchOffset     uint64                   // number of the last founding batch; a node's batches count on from it
-	stopping        bool
-	ended           bool // it stopped, and has asked for its process's end: it takes no more calls
-	stopAt          time.Duration
+	settings              Settings
+	image                 consensus.Image
+	node                  *consensus.Node
+	state                 state.State
+	directory             discovery.Directory
+	startedAt             time.Duration
+	lastHelloAt           time.Duration
+	currentOffer          uint64
+	sortedDaemonNames     []string // those in the directory, as last sorted
+	visibleFounders       string   // who could found, as last looked at, and since when
+	visibleFoundersSince  time.Duration
+	proxyRecoveredStates  map[string]proxyMemory // what proxies said that they remember
+	unreadRecoveredStates map[string][]byte      // the same as they sent it, not looked at yet
+	recoveryConsent       discovery.RecoveryConsent
+	bootstrapLockSeq      uint64 // batch that has the lock; it is told to nobody before that is synced
+	syncedSeq             uint64
+	leaderHint            string                   // who leads, as last heard of
+	bootstrapSize         int                      // of the first core, if this process may found it
+	peerContacts          map[string]heard         // other core daemons, as last heard
+	membersReviewedAt     time.Duration            // when the members were last looked after
+	memberChangePending   bool                     // a change of members may be under way
+	sentDirectories       map[string]toldList      // what daemons were last told of those known
+	learners              map[string]learning      // how learners come on
+	standbySince          map[string]time.Duration // since when standbys are there
+	batchOffset           uint64                   // number of the last founding batch; a node's batches count on from it
+	stopping              bool
+	exited                bool // it stopped, and has asked for its process's end: it takes no more calls
+	stoppingSince         time.Duration
 
-	lead                   Leadership
-	leadAt                 time.Duration
-	leadTerm               uint64
-	kept                   keptLead        // the lead that was lost last
-	leadsLostAt            []time.Duration // when the lead was lost lately
-	handedOverAt           time.Duration   // when it was last given to another member for that, 0: never
-	tableVersion           uint64
-	table                  *wire.Table
-	leadTerms              []uint64                         // the terms of this lead: it may have been lost and won back
-	latestMergedKey        wire.TableKey                    // latest proxies' table merged while warming
-	changes                map[change]*wire.Table           // the same as changes to earlier ones of this lead
-	madeAt                 [tuning.TablesKept]time.Duration // when each of the last tables was made
-	withdrawnTargets       []withdrawnTarget                // targets that are in no table any more, and since which one
-	rosterTableVersion     uint64                           // the table that first said the proxies as now
-	oldestDeltaBase        uint64                           // the earliest table of this lead that changes can still be told from
-	sortedIDs              []wire.TargetID                  // the targets' identities, as last sorted
-	nextProbe              wire.TargetID                    // whose turn to be probed is next, if due
-	decisions              uint64                           // how many there were, and how many when a table was last thought about
-	decidedAt              uint64
-	rebuilt                time.Duration
-	demandAt               time.Duration
-	proxies                map[string]*proxyState
-	targets                map[wire.TargetID]*target
-	claims                 map[wire.TargetID]*target       // words of targets in whose place another stands
-	tombstones             map[wire.TargetID]time.Duration // signed off or superseded: refused while it goes on speaking
-	leaving                map[wire.TargetID]time.Duration // held when it fell silent: held again if it comes back
-	withdrawnAt            map[wire.TargetID]uint64        // first table without the target, or with it held, for words that say so
-	restored               map[string]time.Duration        // when emptied domains were last restored
-	checked                checked
-	compressed             struct{ plain, doc []byte } // the document as last told, and its form in tables
-	judge                  *outlier.Detector
-	scorer                 *outlier.Scorer
-	policyRevision         uint64 // revision whose policies are in force
-	cfg                    *config.Config
-	waiters                []*commitWaiter
-	pendingChanges         map[string]*pending
-	relayedCalls           map[uint64]*pending
-	relayID                uint64
-	requestedMembers       map[string]bool      // members that an operator asked to add
-	recovered              state.RecoveredState // the latest that others remember of an earlier epoch and that can be read, while adopting
-	unreadableMemory       bool                 // something else that they remember can't be read
-	adoptEmpty             bool                 // an operator said that the epoch may begin with nothing then
-	damage                 []Damage
-	undecodable            error  // why agreed data of this epoch could not be decoded, nil: it could
-	diskError              string // why the disk refuses writes now, "" if it takes them
-	out                    []statemachine.Command
-	counts                 Counts
-	cleanAt                time.Duration
-	lastTurn               map[string]uint32 // last place dealt in each service, and each name's own
-	turnByName             map[[2]string]uint32
-	rosterPendingAt        uint64                               // entry of the roster's last change
-	proposed               bool                                 // the epoch's first state, while adopting
-	persistedRegistrations map[wire.TargetID]state.Registration // what the log says of targets, with what is under way
-	persistedTombstones    map[wire.TargetID]bool
-	persistedAt            time.Duration
-	persistNow             bool // a word waits for the next write
+	leadership               Leadership
+	leadershipSince          time.Duration
+	leadershipTerm           uint64
+	lostLeadership           lostLeadership  // the lead that was lost last
+	leadershipLosses         []time.Duration // when the lead was lost lately
+	leadershipTransferredAt  time.Duration   // when it was last given to another member for that, 0: never
+	tableVersion             uint64
+	table                    *wire.Table
+	leadershipTerms          []uint64                         // the terms of this lead: it may have been lost and won back
+	latestMergedKey          wire.TableKey                    // latest proxies' table merged while warming
+	deltas                   map[deltaKey]*wire.Table         // the same as changes to earlier ones of this lead
+	tableMadeAt              [tuning.TablesKept]time.Duration // when each of the last tables was made
+	removedTargets           []removedTarget                  // targets that are in no table any more, and since which one
+	proxiesChangedInVersion  uint64                           // the table that first said the proxies as now
+	oldestDeltaBase          uint64                           // the earliest table of this lead that changes can still be told from
+	sortedTargetIDs          []wire.TargetID                  // the targets' identities, as last sorted
+	nextProbeTarget          wire.TargetID                    // whose turn to be probed is next, if due
+	decisionCount            uint64                           // how many there were, and how many when a table was last thought about
+	decisionCountAtTable     uint64
+	tableRefreshedAt         time.Duration
+	demandPublishedAt        time.Duration
+	proxies                  map[string]*proxyState
+	targets                  map[wire.TargetID]*target
+	claims                   map[wire.TargetID]*target       // words of targets in whose place another stands
+	tombstones               map[wire.TargetID]time.Duration // signed off or superseded: refused while it goes on speaking
+	leavingTargets           map[wire.TargetID]time.Duration // held when it fell silent: held again if it comes back
+	withdrawnInVersion       map[wire.TargetID]uint64        // first table without the target, or with it held, for words that say so
+	domainRestoredAt         map[string]time.Duration        // when emptied domains were last restored
+	lastCheckedConfig        checkedConfig
+	compressedDocumentCache  struct{ plain, doc []byte } // the document as last told, and its form in tables
+	detector                 *outlier.Detector
+	scorer                   *outlier.Scorer
+	activeRevision           uint64 // revision whose policies are in force
+	activeConfig             *config.Config
+	waiters                  []*inForceWaiter
+	pendingChanges           map[string]*pendingCall
+	relayedCalls             map[uint64]*pendingCall
+	lastRelayID              uint64
+	requestedMembers         map[string]bool      // members that an operator asked to add
+	recoveredState           state.RecoveredState // the latest that others remember of an earlier epoch and that can be read, while adopting
+	unreadableRecoveredState bool                 // something else that they remember can't be read
+	emptyStateAllowed        bool                 // an operator said that the epoch may begin with nothing then
+	damage                   []Damage
+	undecodable              error  // why agreed data of this epoch could not be decoded, nil: it could
+	diskError                string // why the disk refuses writes now, "" if it takes them
+	commands                 []statemachine.Command
+	counts                   Counts
+	expiredAt                time.Duration
+	lastShareOffset          map[string]uint32 // last place dealt in each service, and each name's own
+	shareOffsetByName        map[[2]string]uint32
+	proxyChangeIndex         uint64                               // entry of the roster's last change
+	initialStateProposed     bool                                 // the epoch's first state, while adopting
+	persistedRegistrations   map[wire.TargetID]state.Registration // what the log says of targets, with what is under way
+	persistedTombstones      map[wire.TargetID]bool
+	registryPersistedAt      time.Duration
+	persistSoon              bool // a word waits for the next write
 }
 
-// Counts are the owner's counters.
+// Counts are the counters of a control daemon since its start. On /metrics each is mf_core_NAME_total, where
+// NAME is the tag metric or else the field's name in snake case; in a status the key is the tag json or else the field's name.
 type Counts struct {
-	Rewrites, Same, Bars, Clears, Lapses, Holds, Overruled, Changes, Refused, Elections, Probes, Misses uint64
-	LeasesLost                                                                                          uint64 // leads that ended: the lease lapsed, the term passed, or leadership was handed over
-	MemberChanges                                                                                       uint64 // changes of the member list that were agreed, as this member applied them
-	SnapshotsSent                                                                                       uint64 // whole states sent to members that the log no longer reaches
-	RepeatsAnswered                                                                                     uint64 // orders that had been taken before and were acknowledged again
-	RefusedVersion                                                                                      uint64 // changes refused as built on another version
-	RefusedInvalid                                                                                      uint64 // changes refused as invalid in themselves
-	CannotTell                                                                                          uint64 // calls that could not be judged: no leader, or not now
-	AnsweredUnknown                                                                                     uint64 // calls of which it could not be told whether they took effect
-	Damaged                                                                                             uint64 // things held or offered that could not be read
-	LeavingsUnacknowledged                                                                              uint64 // targets' leavings and sign-offs that were not made known in time
+	// Rewrites counts the tables made, Same the looks that found nothing new to publish.
+	TablesMade      uint64 `json:"Rewrites" metric:"rewrites"`
+	TablesUnchanged uint64 `json:"Same" metric:"same"`
+	// Bars counts targets ejected, Clears ejections that a policy ended, Lapses those that ran out.
+	Ejections        uint64 `json:"Bars" metric:"bars"`
+	EjectionsCleared uint64 `json:"Clears" metric:"clears"`
+	EjectionsLapsed  uint64 `json:"Lapses" metric:"lapses"`
+	// Holds counts targets that began to drain.
+	Drains uint64 `json:"Holds" metric:"holds"`
+	// MissesOverruled counts missed probes that didn't count, since a proxy had a response meanwhile.
+	MissesOverruled uint64 `json:"Overruled" metric:"overruled"`
+	// Changes counts operators' changes that were agreed, Refused those that were not, and reports of targets rejected.
+	ChangesInForce uint64 `json:"Changes" metric:"changes"`
+	Rejected       uint64 `json:"Refused" metric:"refused"`
+	// Elections counts the terms that this member led, and Probes and Misses its health checks and the failed ones.
+	Elections   uint64
+	Probes      uint64
+	ProbeMisses uint64 `json:"Misses" metric:"misses"`
+	// LeasesLost counts the leaderships that ended: the lease lapsed, the term passed, or leadership was transferred.
+	LeasesLost uint64
+	// MemberChanges counts the changes of the member list that were committed, as this member applied them.
+	MemberChanges uint64
+	// SnapshotsSent counts the snapshots sent to members that the log no longer reaches.
+	SnapshotsSent uint64
+	// RepeatsAnswered counts the changes that had been accepted before and were acknowledged again.
+	RepeatsAnswered uint64
+	// RejectedVersion counts the changes rejected as built on another revision, RefusedInvalid those invalid in themselves.
+	RejectedVersion uint64 `json:"RefusedVersion" metric:"refused_version"`
+	RejectedInvalid uint64 `json:"RefusedInvalid" metric:"refused_invalid"`
+	// AnsweredUnavailable counts calls answered 503: no leader, or not now.
+	AnsweredUnavailable uint64 `json:"CannotTell" metric:"cannot_tell"`
+	// AnsweredUnknown counts calls of which it can't be known whether they took effect.
+	AnsweredUnknown uint64
+	// DamageReports counts stored or offered data that could not be decoded.
+	DamageReports uint64 `json:"Damaged" metric:"damaged"`
+	// LeavingsUnacknowledged counts targets' leavings and sign-offs that were not acknowledged in time.
+	LeavingsUnacknowledged uint64
 }
 
 // New starts a member from what its disk holds; a disk without a number yet is
 // given the shell's.
 func New(now time.Duration, set Settings, img consensus.Image) *Controller {
-	c := &Controller{settings: set, image: img, bootAt: now, directory: discovery.Directory{}, proxyMemories: map[string]proxyMemory{}, unreadMemories: map[string][]byte{}, proxies: map[string]*proxyState{},
-		pendingChanges: map[string]*pending{}, relayedCalls: map[uint64]*pending{}, requestedMembers: map[string]bool{}, heard: map[string]heard{}, toldLists: map[string]toldList{}, learning: map[string]learning{}, restored: map[string]time.Duration{}, state: state.New(), relayID: set.Self.Incarnation << 20}
+	c := &Controller{settings: set, image: img, startedAt: now, directory: discovery.Directory{}, proxyRecoveredStates: map[string]proxyMemory{}, unreadRecoveredStates: map[string][]byte{}, proxies: map[string]*proxyState{},
+		pendingChanges: map[string]*pendingCall{}, relayedCalls: map[uint64]*pendingCall{}, requestedMembers: map[string]bool{}, peerContacts: map[string]heard{}, sentDirectories: map[string]toldList{}, learners: map[string]learning{}, domainRestoredAt: map[string]time.Duration{}, state: state.New(), lastRelayID: set.Self.Incarnation << 20}
 	c.settings.Self.Disk = img.Disk
 	switch {
-	case set.Size > 0:
-		c.bootstrapSize = set.Size
-	case set.Found && slices.Contains(set.Seeds, set.Self.Addr):
+	case set.BootstrapSize > 0:
+		c.bootstrapSize = set.BootstrapSize
+	case set.Bootstrap && slices.Contains(set.Seeds, set.Self.Addr):
 		c.bootstrapSize = len(slices.Compact(slices.Sorted(slices.Values(set.Seeds))))
 	case img.BootstrapLock != 0: // it was restarted while it founded
 		c.bootstrapSize = len(img.Founders)
 	}
 	if img.Epoch != 0 {
-		c.start(now)
+		c.startNode(now)
 	}
 	return c
 }
 
-func (c *Controller) start(now time.Duration) {
+func (c *Controller) startNode(now time.Duration) {
 	c.node = consensus.New(now, c.settings.Self.Name, c.image)
 	c.undecodable = nil
-	c.restore(&c.image.Snapshot)
+	c.restoreSnapshot(&c.image.Snapshot)
 }
 
-func (c *Controller) restore(s *wire.Snapshot) {
+func (c *Controller) restoreSnapshot(s *wire.Snapshot) {
 	state, err := state.Decode(s.Data)
 	if err != nil {
 		c.cannotDecode(fmt.Sprintf("snapshot %d", s.Index), err)
@@ -203,31 +230,31 @@
 
 // Step is the owner: one event in, commands out.
 func (c *Controller) Step(now time.Duration, ev statemachine.Event) []statemachine.Command {
-	c.leadership(now) // time may have passed since the last step, and with it the lease
+	c.updateLeadership(now) // time may have passed since the last step, and with it the lease
 	switch e := ev.(type) {
 	case statemachine.Receive:
 		c.recv(now, e.Message)
 	case statemachine.Tick:
 		c.tick(now)
 	case statemachine.Synced:
-		c.synced(now, e.Seq)
+		c.handleSynced(now, e.Seq)
 	case statemachine.DiskHealth:
 		c.diskRefuses(e.Err)
 	case statemachine.ProbeResult:
-		c.probed(now, e)
+		c.handleProbeResult(now, e)
 	case statemachine.Call:
 		c.handleCall(now, e)
 	case statemachine.Stop:
 		c.stop(now)
 	}
 	c.applyNodeOutput(now)
-	c.leadership(now)
-	if c.lead == Leading {
+	c.updateLeadership(now)
+	if c.leadership == Leading {
 		c.answerWaiters(now)
 		c.applyNodeOutput(now)
 	}
-	o := c.out
-	c.out = nil
+	o := c.commands
+	c.commands = nil
 	return o
 }
 
@@ -251,7 +278,7 @@
 			c.send(m.To, m)
 		}
 		if o.Restore != nil {
-			c.restore(o.Restore)
+			c.restoreSnapshot(o.Restore)
 		}
 		for _, e := range o.Apply {
 			c.apply(now, e)
@@ -262,7 +289,7 @@
 	}
 }
 
-func (c *Controller) synced(now time.Duration, seq uint64) {
+func (c *Controller) handleSynced(now time.Duration, seq uint64) {
 	c.syncedSeq = max(c.syncedSeq, seq)
 	if c.node != nil && seq > c.batchOffset {
 		c.node.Synced(now, seq-c.batchOffset)
@@ -282,11 +309,11 @@
 
 func (c *Controller) tick(now time.Duration) {
 	every := tuning.HelloEvery
-	if now-c.bootAt < tuning.HelloStartup && c.heardLeader(now) == "" {
+	if now-c.startedAt < tuning.HelloStartup && c.heardLeader(now) == "" {
 		every = tuning.PreVoteInterval // members that start together know no one's address yet
 	}
-	if now-c.helloAt >= every {
-		c.helloAt = now
+	if now-c.lastHelloAt >= every {
+		c.lastHelloAt = now
 		c.hello(now)
 		c.recordBootstrapIntent()
 		for n, k := range c.directory {
@@ -305,7 +332,7 @@
 		c.node.Tick(now)
 	}
 	for _, t := range slices.Sorted(maps.Keys(c.pendingChanges)) {
-		if p := c.pendingChanges[t]; now-p.at > tuning.CallWait {
+		if p := c.pendingChanges[t]; now-p.receivedAt > tuning.CallWait {
 			delete(c.pendingChanges, t)
 			c.answerUnknown(p)
 		}
@@ -313,10 +340,10 @@
 	for _, id := range slices.Sorted(maps.Keys(c.relayedCalls)) {
 		p := c.relayedCalls[id]
 		switch l := c.relayTo(now); {
-		case now-p.at > tuning.CallWait+tuning.LeaderLease, p.targetReport && now-p.at > tuning.TargetReportWait:
+		case now-p.receivedAt > tuning.CallWait+tuning.LeaderLease, p.targetReport && now-p.receivedAt > tuning.TargetReportWait:
 			delete(c.relayedCalls, id)
 			c.answerUnknown(p)
-		case c.lead == Leading:
+		case c.leadership == Leading:
 			delete(c.relayedCalls, id)
 			p.relayCount++
 			c.operate(now, p, p.call)
@@ -329,7 +356,7 @@
 		c.tickStop(now)
 	}
 	c.maintainMembers(now)
-	if c.lead >= Gathering {
-		c.watch(now)
+	if c.leadership >= Gathering {
+		c.tickLeader(now)
 	}
 }
--- a/internal/controlplane/corestatus.go
+++ b/internal/controlplane/corestatus.go
@@ -19,14 +19,14 @@
 
 // The states of a core daemon.
 const (
-	MemberLeads      MemberState = "leader"
-	MemberFollows    MemberState = "follower"    // answers, and lacks nothing that the leader's log does not hold
-	MemberCatchingUp MemberState = "catching_up" // a voter that answers and needs a snapshot first
-	MemberSilent     MemberState = "silent"      // a voter that has not answered within the lease
-	MemberStopping   MemberState = "stopping"    // it said that it stops, and is to come back
-	MemberPlace      MemberState = "place"       // a place kept for a machine that was not there at the founding
-	MemberLearns     MemberState = "learning"    // it receives the log and has no vote yet
-	MemberStandby    MemberState = "standby"     // it is there and may become a member
+	MemberLeader       MemberState = "leader"
+	MemberFollower     MemberState = "follower"    // answers, and lacks nothing that the leader's log does not hold
+	MemberCatchingUp   MemberState = "catching_up" // a voter that answers and needs a snapshot first
+	MemberUnresponsive MemberState = "silent"      // a voter that has not answered within the lease
+	MemberStopping     MemberState = "stopping"    // it said that it stops, and is to come back
+	MemberPlaceholder  MemberState = "place"       // a place kept for a machine that was not there at the founding
+	MemberLearner      MemberState = "learning"    // it receives the log and has no vote yet
+	MemberStandby      MemberState = "standby"     // it is there and may become a member
 )
 
 // MemberView is one core daemon.
@@ -35,95 +35,95 @@
 	Domain string      `json:"domain,omitempty"`
 	State  MemberState `json:"state"`
 	Voter  bool        `json:"voter"`
-	// SilentMs is how long nothing has been heard of it, as far as this lead can tell.
-	SilentMs int64 `json:"silent_ms"`
+	// NoContactMs is how long nothing has been heard of it, as far as this lead can tell.
+	NoContactMs int64 `json:"silent_ms"`
 	// Match is the last log entry that it is known to hold, of CoreView.Commit.
 	Match uint64 `json:"match"`
 	// LearningMs is how long it has been learning, 0 if it does not.
 	LearningMs int64 `json:"learning_ms,omitempty"`
 }
 
-// ObstacleKind is why a member can't be counted on when another one is lost.
-type ObstacleKind string
+// BlockerKind is why a member can't be counted on when another one is lost.
+type BlockerKind string
 
 // The kinds of obstacles.
 const (
-	ObstacleSilent     ObstacleKind = "silent"
-	ObstacleStopping   ObstacleKind = "stopping"
-	ObstacleCatchingUp ObstacleKind = "catching_up"
-	ObstaclePlace      ObstacleKind = "place"
-	ObstacleTooFew     ObstacleKind = "too_few_members" // all answer, and they are one or two
+	BlockerUnresponsive  BlockerKind = "silent"
+	BlockerStopping      BlockerKind = "stopping"
+	BlockerCatchingUp    BlockerKind = "catching_up"
+	BlockerPlaceholder   BlockerKind = "place"
+	BlockerTooFewMembers BlockerKind = "too_few_members" // all answer, and they are one or two
 )
 
-// Obstacle is one reason why the next loss can't be borne now.
-type Obstacle struct {
-	Kind   ObstacleKind `json:"kind"`
-	Member string       `json:"member,omitempty"`
+// Blocker is one reason why the next loss can't be borne now.
+type Blocker struct {
+	Kind   BlockerKind `json:"kind"`
+	Member string      `json:"member,omitempty"`
 	// ReplaceableInMs is in how long the member may be replaced at the earliest, 0 if it may now;
 	// absent where nobody is there to replace it or an operator gave the core's size.
 	ReplaceableInMs *int64 `json:"replaceable_in_ms,omitempty"`
-	// By is who would replace it: who learns, else the standby that would.
-	By string `json:"by,omitempty"`
+	// Successor is who would replace it: who learns, else the standby that would.
+	Successor string `json:"by,omitempty"`
 }
 
-// LossView says whether the core outlives its next loss.
-type LossView struct {
-	// Known is false at a member that does not lead: it can't tell.
-	Known bool `json:"known"`
+// FailureToleranceView says whether the core outlives its next loss.
+type FailureToleranceView struct {
+	// Evaluated is false at a member that does not lead: it can't tell.
+	Evaluated bool `json:"known"`
 	// Machines is how many of the machines that answer now may be lost, whichever they are.
 	Machines int `json:"machines"`
-	// Bearable says that Machines is at least 1.
-	Bearable bool `json:"bearable"`
+	// Tolerable says that Machines is at least 1.
+	Tolerable bool `json:"bearable"`
 	// DomainsAtRisk are the failure domains that can't be lost as a whole now.
 	DomainsAtRisk []string `json:"domains_at_risk,omitempty"`
 	// Obstacles say why not, and until when, if the next loss can't be borne.
-	Obstacles []Obstacle `json:"obstacles,omitempty"`
+	Blockers []Blocker `json:"obstacles,omitempty"`
 }
 
-// CoreView is the core as one member sees it. Only the leader's says how the others stand.
-type CoreView struct {
+// ControlPlaneView is the core as one member sees it. Only the leader's says how the others stand.
+type ControlPlaneView struct {
 	Leader string `json:"leader,omitempty"`
 	// Decides says that this member leads and holds the lease at this moment.
-	Decides bool `json:"decides"`
-	// LeadsMs is for how long this member has led.
-	LeadsMs int64 `json:"leads_ms,omitempty"`
-	// LeaderHeardMs is how long ago a follower last heard a leader, or was one.
-	LeaderHeardMs int64 `json:"leader_heard_ms,omitempty"`
+	HoldsLease bool `json:"decides"`
+	// LeadingMs is for how long this member has led.
+	LeadingMs int64 `json:"leads_ms,omitempty"`
+	// LeaderLastContactMs is how long ago a follower last heard a leader, or was one.
+	LeaderLastContactMs int64 `json:"leader_heard_ms,omitempty"`
 	// Commit is the last entry that is known to be agreed, Last the last one held here.
 	Commit uint64 `json:"commit"`
 	Last   uint64 `json:"last"`
 	// Voters is the size of the member list, Majority how many of them decide.
 	Voters   int `json:"voters"`
 	Majority int `json:"majority"`
-	// Lease are the voters whose answers the leader's lease stands on now.
-	Lease   []string     `json:"lease,omitempty"`
-	Members []MemberView `json:"members,omitempty"`
-	Loss    LossView     `json:"next_loss"`
+	// LeaseVoters are the voters whose answers the leader's lease stands on now.
+	LeaseVoters      []string             `json:"lease,omitempty"`
+	Members          []MemberView         `json:"members,omitempty"`
+	FailureTolerance FailureToleranceView `json:"next_loss"`
 }
 
-// coreStatus is this member's view of the core.
-func (c *Controller) coreStatus(now time.Duration) CoreView {
+// controlPlaneView is this member's view of the core.
+func (c *Controller) controlPlaneView(now time.Duration) ControlPlaneView {
 	if c.node == nil {
-		return CoreView{Leader: c.leaderHint}
+		return ControlPlaneView{Leader: c.leaderHint}
 	}
-	v := CoreView{Leader: c.leader(now), Commit: c.node.Commit(), Last: c.node.Last()}
+	v := ControlPlaneView{Leader: c.leader(now), Commit: c.node.Commit(), Last: c.node.Last()}
 	v.Voters = len(c.node.Members())
 	v.Majority = v.Voters/2 + 1
 	if c.node.Role() != consensus.Leader {
-		v.LeaderHeardMs = (now - max(c.node.LeaderHeardAt(), c.leadAt)).Milliseconds() // leadAt: when it led last
+		v.LeaderLastContactMs = (now - max(c.node.LeaderHeardAt(), c.leadershipSince)).Milliseconds() // leadAt: when it led last
 		return v
 	}
-	v.LeadsMs = (now - c.node.Since()).Milliseconds()
-	v.Decides = c.Deciding(now)
+	v.LeadingMs = (now - c.node.Since()).Milliseconds()
+	v.HoldsLease = c.HoldsLease(now)
 	progress := c.node.Progress(now)
 	for _, p := range progress {
 		if p.Voter && p.Recent {
-			v.Lease = append(v.Lease, p.Member.Name)
+			v.LeaseVoters = append(v.LeaseVoters, p.Member.Name)
 		}
 	}
-	slices.Sort(v.Lease)
+	slices.Sort(v.LeaseVoters)
 	v.Members = c.memberViews(now, progress)
-	v.Loss = c.lossView(now, v)
+	v.FailureTolerance = c.failureToleranceView(now, v)
 	return v
 }
 
@@ -142,9 +142,9 @@
 	}
 	for _, p := range progress {
 		if !p.Voter && !listed[p.Member.Name] {
-			v := MemberView{Name: p.Member.Name, Domain: c.domainOf(p.Member.Name), State: MemberLearns, Match: p.Match,
-				SilentMs: c.unansweredFor(now, p).Milliseconds()}
-			if l, ok := c.learning[p.Member.Name]; ok {
+			v := MemberView{Name: p.Member.Name, Domain: c.domainOf(p.Member.Name), State: MemberLearner, Match: p.Match,
+				NoContactMs: c.noContactFor(now, p).Milliseconds()}
+			if l, ok := c.learners[p.Member.Name]; ok {
 				v.LearningMs = (now - l.since).Milliseconds()
 			}
 			l = append(l, v)
@@ -153,7 +153,7 @@
 	}
 	for _, d := range c.coreDaemons(now, true) {
 		if !listed[d.Name] && d.Disk != 0 && d.State != stoppingState && c.state.RemovedMembers[d.Name] == 0 {
-			l = append(l, MemberView{Name: d.Name, Domain: d.Domain, State: MemberStandby, SilentMs: c.silentFor(now, d.Name).Milliseconds()})
+			l = append(l, MemberView{Name: d.Name, Domain: d.Domain, State: MemberStandby, NoContactMs: c.silentFor(now, d.Name).Milliseconds()})
 		}
 	}
 	return l
@@ -165,79 +165,79 @@
 	v := MemberView{Name: name, Domain: c.domainOf(name), Voter: true, Match: p.Match}
 	switch {
 	case p.Member.Disk == 0:
-		v.State, v.Domain = MemberPlace, ""
+		v.State, v.Domain = MemberPlaceholder, ""
 	case name == c.settings.Self.Name:
-		v.State = MemberLeads
-	case c.heard[name].stops:
+		v.State = MemberLeader
+	case c.peerContacts[name].stops:
 		v.State = MemberStopping
 	case !p.Recent:
-		v.State = MemberSilent
+		v.State = MemberUnresponsive
 	case p.NeedsSnapshot:
 		v.State = MemberCatchingUp
 	default:
-		v.State = MemberFollows
+		v.State = MemberFollower
 	}
-	if v.State == MemberSilent || v.State == MemberStopping {
-		v.SilentMs = c.unansweredFor(now, p).Milliseconds()
+	if v.State == MemberUnresponsive || v.State == MemberStopping {
+		v.NoContactMs = c.noContactFor(now, p).Milliseconds()
 	}
 	return v
 }
 
-// unansweredFor is how long a daemon has neither answered the log nor said hello, as far
+// noContactFor is how long a daemon has neither answered the log nor said hello, as far
 // as this process and this lead have listened.
-func (c *Controller) unansweredFor(now time.Duration, p consensus.Progress) time.Duration {
-	return now - max(c.heard[p.Member.Name].at, p.AckedAt, c.bootAt)
+func (c *Controller) noContactFor(now time.Duration, p consensus.Progress) time.Duration {
+	return now - max(c.peerContacts[p.Member.Name].at, p.AckedAt, c.startedAt)
 }
 
-// countsOn says that a voter would be part of the next majority: it answers, is not
+// countsTowardsQuorum says that a voter would be part of the next majority: it answers, is not
 // about to stop, and needs no snapshot first.
-func (v MemberView) countsOn() bool {
-	return v.Voter && (v.State == MemberLeads || v.State == MemberFollows)
+func (v MemberView) countsTowardsQuorum() bool {
+	return v.Voter && (v.State == MemberLeader || v.State == MemberFollower)
 }
 
-// lossView is the leader's: what may be lost now, and what stands against it.
-func (c *Controller) lossView(now time.Duration, v CoreView) LossView {
-	l := LossView{Known: true}
+// failureToleranceView is the leader's: what may be lost now, and what stands against it.
+func (c *Controller) failureToleranceView(now time.Duration, v ControlPlaneView) FailureToleranceView {
+	l := FailureToleranceView{Evaluated: true}
 	there, byDomain := 0, map[string]int{}
 	for _, m := range v.Members {
-		if m.countsOn() {
+		if m.countsTowardsQuorum() {
 			there++
 			byDomain[m.Domain]++
 		}
 	}
 	l.Machines = max(0, there-v.Majority)
-	l.Bearable = l.Machines >= 1
+	l.Tolerable = l.Machines >= 1
 	for _, d := range slices.Sorted(maps.Keys(byDomain)) {
 		if there-byDomain[d] < v.Majority {
 			l.DomainsAtRisk = append(l.DomainsAtRisk, d)
 		}
 	}
-	if l.Bearable {
+	if l.Tolerable {
 		return l
 	}
 	for _, m := range v.Members {
-		if m.Voter && !m.countsOn() {
-			l.Obstacles = append(l.Obstacles, c.obstacle(now, m, v.Members))
+		if m.Voter && !m.countsTowardsQuorum() {
+			l.Blockers = append(l.Blockers, c.blockerFor(now, m, v.Members))
 		}
 	}
-	if len(l.Obstacles) == 0 {
-		l.Obstacles = []Obstacle{{Kind: ObstacleTooFew, By: successor(v.Members)}}
+	if len(l.Blockers) == 0 {
+		l.Blockers = []Blocker{{Kind: BlockerTooFewMembers, Successor: successor(v.Members)}}
 	}
 	return l
 }
 
-// obstacle says why a voter can't be counted on, and when it may be replaced and by whom.
-func (c *Controller) obstacle(now time.Duration, m MemberView, all []MemberView) Obstacle {
-	o := Obstacle{Member: m.Name, Kind: map[MemberState]ObstacleKind{
-		MemberSilent: ObstacleSilent, MemberStopping: ObstacleStopping, MemberCatchingUp: ObstacleCatchingUp, MemberPlace: ObstaclePlace}[m.State]}
-	o.By = successor(all)
-	if o.By == "" || c.settings.Size != 0 || o.Kind == ObstacleCatchingUp {
+// blockerFor says why a voter can't be counted on, and when it may be replaced and by whom.
+func (c *Controller) blockerFor(now time.Duration, m MemberView, all []MemberView) Blocker {
+	o := Blocker{Member: m.Name, Kind: map[MemberState]BlockerKind{
+		MemberUnresponsive: BlockerUnresponsive, MemberStopping: BlockerStopping, MemberCatchingUp: BlockerCatchingUp, MemberPlaceholder: BlockerPlaceholder}[m.State]}
+	o.Successor = successor(all)
+	if o.Successor == "" || c.settings.BootstrapSize != 0 || o.Kind == BlockerCatchingUp {
 		return o
 	}
 	left := time.Duration(0)
-	if m.State == MemberSilent {
+	if m.State == MemberUnresponsive {
 		listening := tuning.NewLeaderGrace - (now - c.node.Since())
-		left = max(0, listening, c.memberReplaceAfter()-time.Duration(m.SilentMs)*time.Millisecond)
+		left = max(0, listening, c.memberReplaceAfter()-time.Duration(m.NoContactMs)*time.Millisecond)
 	}
 	ms := left.Milliseconds()
 	o.ReplaceableInMs = &ms
@@ -249,7 +249,7 @@
 func successor(all []MemberView) string {
 	var l []MemberView
 	for _, m := range all {
-		if m.State == MemberLearns || m.State == MemberStandby {
+		if m.State == MemberLearner || m.State == MemberStandby {
 			l = append(l, m)
 		}
 	}
@@ -276,18 +276,18 @@
 }
 
 // countAnswer counts an answer to a call by its kind; a target's by whether its leaving was acknowledged.
-func (c *Controller) countAnswer(p *pending, status int) {
+func (c *Controller) countAnswer(p *pendingCall, status int) {
 	switch {
 	case p.targetReport && status == 503:
 		c.counts.LeavingsUnacknowledged++
 	case p.targetReport:
 	case status == 412:
-		c.counts.RefusedVersion++
+		c.counts.RejectedVersion++
 	case status == 503:
-		c.counts.CannotTell++
+		c.counts.AnsweredUnavailable++
 	case status == 504:
 		c.counts.AnsweredUnknown++
 	case status == 400 || status == 413 || status == 422 || status == 428:
-		c.counts.RefusedInvalid++
+		c.counts.RejectedInvalid++
 	}
 }
--- a/internal/controlplane/damage.go
+++ b/internal/controlplane/damage.go
@@ -27,7 +27,7 @@
 	}
 	c.damage = append(c.damage, d)
 	c.damage = c.damage[max(0, len(c.damage)-tuning.DamageReportsKept):]
-	c.counts.Damaged++
+	c.counts.DamageReports++
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: d.Subject, To: "", Reason: d.Reason})
 }
 
@@ -37,21 +37,21 @@
 // addRecovered takes what somebody remembers of an earlier epoch as the state to begin this
 // one with, if it is the latest so far that can be read whole.
 func (c *Controller) addRecovered(l state.RecoveredState) {
-	if c.node == nil || c.state.Recovered || l.Epoch >= c.node.Epoch() || len(l.State) == 0 || !c.recovered.IsBefore(l) {
+	if c.node == nil || c.state.Recovered || l.Epoch >= c.node.Epoch() || len(l.State) == 0 || !c.recoveredState.IsBefore(l) {
 		return
 	}
 	if _, err := state.DecodeRecovered(l); err != nil {
-		c.unreadableMemory = true
+		c.unreadableRecoveredState = true
 		c.reportDamage(fmt.Sprintf("memory of epoch %d, entry %d", l.Epoch, l.Index), err)
 		return
 	}
-	c.recovered = l
+	c.recoveredState = l
 }
 
 // canAdopt says that an epoch may begin with what has been recovered: never with nothing
 // while somebody remembers something unreadable, unless an operator says so.
 func (c *Controller) canAdopt() bool {
-	return len(c.recovered.State) > 0 || !c.unreadableMemory || c.adoptEmpty
+	return len(c.recoveredState.State) > 0 || !c.unreadableRecoveredState || c.emptyStateAllowed
 }
 
 // diskRefuses notes that the disk takes no writes, or does again. What follows from that is
--- a/internal/controlplane/damage_test.go
+++ b/internal/controlplane/damage_test.go
@@ -24,7 +24,7 @@
 func newRefounded(memories ...state.RecoveredState) *refounded {
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
 	im := consensus.Image{Disk: 7, Epoch: 2, Snapshot: wire.Snapshot{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
-	return &refounded{rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, im)}, memories}
+	return &refounded{rest{now: time.Second, c: New(time.Second, Settings{Self: self, BootstrapSize: 1}, im)}, memories}
 }
 
 func (r *refounded) seconds(n int) {
@@ -92,7 +92,7 @@
 		t.Error("adopted")
 	}
 	r := newRefounded(memory(50, 5))
-	for r.c.lead != Recovering {
+	for r.c.leadership != Recovering {
 		r.seconds(1)
 	}
 	r.c.propose(r.now, state.Command{Operation: state.OpRecover, State: json.RawMessage(`{"seq":"ninety"}`)})
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -35,8 +35,8 @@
 
 func (c *Controller) self() wire.Daemon {
 	d := c.settings.Self
-	d.Disk, d.BootstrapLock, d.BootstrapOffer = c.image.Disk, c.image.BootstrapLock, c.offer
-	if c.syncedSeq < c.lockSeq {
+	d.Disk, d.BootstrapLock, d.BootstrapOffer = c.image.Disk, c.image.BootstrapLock, c.currentOffer
+	if c.syncedSeq < c.bootstrapLockSeq {
 		d.BootstrapLock = 0
 	}
 	if c.node != nil {
@@ -105,14 +105,14 @@
 // sortedDaemons are the names of the daemons known, in order. They are sorted again only when one
 // came or went, since they are asked for with each hello.
 func (c *Controller) sortedDaemons() []string {
-	ok := len(c.daemonNames) == len(c.directory)
-	for i := 0; ok && i < len(c.daemonNames); i++ {
-		ok = c.directory[c.daemonNames[i]] != nil
+	ok := len(c.sortedDaemonNames) == len(c.directory)
+	for i := 0; ok && i < len(c.sortedDaemonNames); i++ {
+		ok = c.directory[c.sortedDaemonNames[i]] != nil
 	}
 	if !ok {
-		c.daemonNames = slices.Sorted(maps.Keys(c.directory))
+		c.sortedDaemonNames = slices.Sorted(maps.Keys(c.directory))
 	}
-	return c.daemonNames
+	return c.sortedDaemonNames
 }
 
 // directoryFor is what a daemon is to be told of those known: proxies need the core daemons
@@ -133,7 +133,7 @@
 			io.WriteString(h, " ")
 		}
 	}
-	if was, ok := c.toldLists[to]; ok && was.sum == h.Sum64() && now-was.at < tuning.ListEvery {
+	if was, ok := c.sentDirectories[to]; ok && was.sum == h.Sum64() && now-was.at < tuning.ListEvery {
 		return nil
 	}
 	for _, n := range names {
@@ -141,7 +141,7 @@
 			l = append(l, k.Daemon)
 		}
 	}
-	c.toldLists[to] = toldList{now, h.Sum64()}
+	c.sentDirectories[to] = toldList{now, h.Sum64()}
 	return l
 }
 
@@ -156,7 +156,7 @@
 	}
 	m := c.lastMembers()
 	h.Members, h.MembersEpoch, h.MembersIndex = m.Members, m.Epoch, m.Index
-	h.RecoveryConsent, h.LostMembers = c.consent.Granted, c.consent.LostMembers
+	h.RecoveryConsent, h.LostMembers = c.recoveryConsent.Granted, c.recoveryConsent.LostMembers
 	if c.node != nil && !c.state.Recovered {
 		h.RecoveredState = c.image.RecoveredState
 	}
@@ -164,7 +164,7 @@
 }
 
 func (c *Controller) hello(now time.Duration) {
-	maps.DeleteFunc(c.toldLists, func(n string, _ toldList) bool { return n != "" && c.directory[n] == nil })
+	maps.DeleteFunc(c.sentDirectories, func(n string, _ toldList) bool { return n != "" && c.directory[n] == nil })
 	done := map[string]bool{c.settings.Self.Addr: true}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
 		if k := c.directory[n]; k.Kind == wire.ControlDaemon && !done[k.Addr] {
@@ -175,7 +175,7 @@
 	for _, a := range c.settings.Seeds {
 		if !done[a] {
 			done[a] = true
-			delete(c.toldLists, "")
+			delete(c.sentDirectories, "")
 			c.emit(statemachine.Send{Addr: a, Message: c.helloMsg(now, "", false)})
 		}
 	}
@@ -196,7 +196,7 @@
 // answers tell: one that is heard need not hear. A process that has just started gives
 // the others the time of an answer.
 func (c *Controller) reaches(now time.Duration, name string) bool {
-	return name == c.settings.Self.Name || now-max(c.heard[name].repliedAt, c.bootAt) < 4*tuning.HelloEvery
+	return name == c.settings.Self.Name || now-max(c.peerContacts[name].repliedAt, c.startedAt) < 4*tuning.HelloEvery
 }
 
 func (c *Controller) heardLately(now time.Duration, name string) bool {
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -15,48 +15,48 @@
 )
 
 // force is something that waits until a table is in force everywhere.
-type commitWaiter struct {
-	version      uint64
-	majorityAt   time.Duration
-	since        time.Duration
-	p            *pending // who waits for reply, if any
-	reply        statemachine.Reply
-	clearPending wire.TargetID // target that may be served from then on
-	rosterChange bool          // a change of the roster
-	member       string        // a core member whose joining or leaving is waited for
-	joining      bool
-	majorityOnly bool            // confirmed by a majority of the proxies is enough
-	agreed       []wire.TargetID // targets whose leaving or sign-off has to be agreed
-	reported     bool            // that it waits long has been logged
+type inForceWaiter struct {
+	version             uint64
+	majorityConfirmedAt time.Duration
+	waitingSince        time.Duration
+	call                *pendingCall // who waits for reply, if any
+	reply               statemachine.Reply
+	pendingTarget       wire.TargetID // target that may be served from then on
+	proxyChange         bool          // a change of the roster
+	member              string        // a core member whose joining or leaving is waited for
+	joining             bool
+	majorityOnly        bool            // confirmed by a majority of the proxies is enough
+	departures          []wire.TargetID // targets whose leaving or sign-off has to be agreed
+	longWaitReported    bool            // that it waits long has been logged
 }
 
-// inForce says whether a table binds every proxy: a majority of the roster, and of
+// isInForce says whether a table binds every proxy: a majority of the roster, and of
 // the one before while that still counts, has confirmed it, and each other one's lease, from the leader or from
 // peers that had not confirmed yet, must have lapsed.
-func (c *Controller) inForce(now time.Duration, f *commitWaiter) bool {
+func (c *Controller) isInForce(now time.Duration, f *inForceWaiter) bool {
 	if f.member != "" && (!c.node.CanChangeMembers() || f.joining != slices.ContainsFunc(c.node.Members(), func(m wire.Member) bool { return m.Name == f.member })) {
 		return false
 	}
-	if slices.ContainsFunc(f.agreed, func(id wire.TargetID) bool { return !c.agreed(id) }) {
+	if slices.ContainsFunc(f.departures, func(id wire.TargetID) bool { return !c.departureCommitted(id) }) {
 		return false
 	}
 	if !c.majorityConfirmed(f.version) {
-		f.majorityAt = 0
+		f.majorityConfirmedAt = 0
 		return false
 	}
 	if f.majorityOnly {
 		return true
 	}
-	if f.majorityAt == 0 {
-		f.majorityAt = now
+	if f.majorityConfirmedAt == 0 {
+		f.majorityConfirmedAt = now
 	}
 	for i := range c.state.Proxies {
-		if c.mayBePast(now, c.state.Proxies[i].Name, f) {
+		if c.mayServeEarlierTable(now, c.state.Proxies[i].Name, f) {
 			return false
 		}
 	}
 	for _, n := range c.state.PreviousProxies {
-		if c.mayBePast(now, n, f) {
+		if c.mayServeEarlierTable(now, n, f) {
 			return false
 		}
 	}
@@ -66,7 +66,7 @@
 // hasConfirmed says that a proxy stands on a table or a later one.
 func (c *Controller) hasConfirmed(name string, version uint64) bool {
 	g := c.proxies[name]
-	return g != nil && g.key.Epoch == c.node.Epoch() && g.key.Term == c.node.Term() && g.key.Version >= version
+	return g != nil && g.tableKey.Epoch == c.node.Epoch() && g.tableKey.Term == c.node.Term() && g.tableKey.Version >= version
 }
 
 // majorityConfirmed says that a majority of the roster, and of the one before while that counts, does.
@@ -90,64 +90,64 @@
 	return n == 0 || 2*confirmed > n
 }
 
-// mayBePast says that a proxy may still serve by an earlier table than one that waits to be in force:
+// mayServeEarlierTable says that a proxy may still serve by an earlier table than one that waits to be in force:
 // on a lease of this leader's, or of a peer's that had not confirmed it either.
-func (c *Controller) mayBePast(now time.Duration, name string, f *commitWaiter) bool {
+func (c *Controller) mayServeEarlierTable(now time.Duration, name string, f *inForceWaiter) bool {
 	g := c.proxies[name]
 	if g == nil || c.hasConfirmed(name, f.version) {
 		return false
 	}
-	return now-g.grantAt <= tuning.ProxyLease+tuning.LeaseMargin || now-f.majorityAt <= tuning.PeerLease+tuning.LeaseMargin
+	return now-g.leaseGrantedAt <= tuning.ProxyLease+tuning.LeaseMargin || now-f.majorityConfirmedAt <= tuning.PeerLease+tuning.LeaseMargin
 }
 
 // answerWaiters answers for what has come into force. It is called after each event, so what it does for
 // one who still waits has to be little.
 func (c *Controller) answerWaiters(now time.Duration) {
-	var done []*commitWaiter
-	c.waiters = slices.DeleteFunc(c.waiters, func(f *commitWaiter) bool {
-		if c.inForce(now, f) {
+	var done []*inForceWaiter
+	c.waiters = slices.DeleteFunc(c.waiters, func(f *inForceWaiter) bool {
+		if c.isInForce(now, f) {
 			done = append(done, f)
 			return true
 		}
 		c.reportLongWait(now, f)
-		return c.waitedTooLong(now, f)
+		return c.expireWaiter(now, f)
 	})
 	for _, f := range done {
-		if f.p != nil {
-			c.answer(f.p, f.reply)
+		if f.call != nil {
+			c.answer(f.call, f.reply)
 		}
-		if f.rosterChange && len(c.state.PreviousProxies) > 0 && !slices.ContainsFunc(c.waiters, func(f *commitWaiter) bool { return f.rosterChange }) {
-			c.proposeRoster(now, state.Command{Operation: state.OpProxiesInForce, Base: c.state.ProxiesIndex})
+		if f.proxyChange && len(c.state.PreviousProxies) > 0 && !slices.ContainsFunc(c.waiters, func(f *inForceWaiter) bool { return f.proxyChange }) {
+			c.proposeProxyChange(now, state.Command{Operation: state.OpProxiesInForce, Base: c.state.ProxiesIndex})
 		}
-		if t := c.targets[f.clearPending]; t != nil && t.Pending {
+		if t := c.targets[f.pendingTarget]; t != nil && t.Pending {
 			t.Pending = false
-			c.rebuild(now, false)
+			c.rebuildTable(now, false)
 		}
 	}
 }
 
 // reportLongWait logs once what a change waits for that is not in force when it should be.
-func (c *Controller) reportLongWait(now time.Duration, f *commitWaiter) {
-	if f.p == nil || f.reported || now-f.since <= tuning.InForceUsual {
+func (c *Controller) reportLongWait(now time.Duration, f *inForceWaiter) {
+	if f.call == nil || f.longWaitReported || now-f.waitingSince <= tuning.InForceUsual {
 		return
 	}
-	f.reported = true
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectConfiguration, From: "asked", To: "waiting", Reason: c.whatHolds(now, f)})
+	f.longWaitReported = true
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectConfiguration, From: "asked", To: "waiting", Reason: c.describeWait(now, f)})
 }
 
-// whatHolds says for people what a waiter waits for.
-func (c *Controller) whatHolds(now time.Duration, f *commitWaiter) string {
+// describeWait says for people what a waiter waits for.
+func (c *Controller) describeWait(now time.Duration, f *inForceWaiter) string {
 	if !c.majorityConfirmed(f.version) {
 		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d before", f.version, len(c.state.Proxies), len(c.state.PreviousProxies))
 	}
 	var past []string
 	for i := range c.state.Proxies {
 		name := c.state.Proxies[i].Name
-		if !c.mayBePast(now, name, f) {
+		if !c.mayServeEarlierTable(now, name, f) {
 			continue
 		}
 		g := c.proxies[name]
-		past = append(past, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, g.key.Version, g.key.Term, (now-g.grantAt).Round(time.Millisecond)))
+		past = append(past, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, g.tableKey.Version, g.tableKey.Term, (now-g.leaseGrantedAt).Round(time.Millisecond)))
 	}
 	if len(past) == 0 {
 		return fmt.Sprintf("table %d: members, targets or proxies of the list before", f.version)
@@ -155,33 +155,33 @@
 	return fmt.Sprintf("table %d: %d proxies, such as %s", f.version, len(past), past[0])
 }
 
-// waitedTooLong answers who has waited long enough, and says whether nothing waits any more.
-func (c *Controller) waitedTooLong(now time.Duration, f *commitWaiter) bool {
-	if f.p == nil || now-f.since <= tuning.CallWait && !(f.p.targetReport && now-f.p.at > tuning.TargetReportWait) {
+// expireWaiter answers who has waited long enough, and says whether nothing waits any more.
+func (c *Controller) expireWaiter(now time.Duration, f *inForceWaiter) bool {
+	if f.call == nil || now-f.waitingSince <= tuning.CallWait && !(f.call.targetReport && now-f.call.receivedAt > tuning.TargetReportWait) {
 		return false
 	}
-	c.answerUnknown(f.p)
-	f.p = nil
-	return !f.rosterChange
+	c.answerUnknown(f.call)
+	f.call = nil
+	return !f.proxyChange
 }
 
-// keepWaiters has those who wait go on waiting when the lead is lost: mostly it is had back in a moment,
+// retainWaiters has those who wait go on waiting when the lead is lost: mostly it is had back in a moment,
 // and they get the answer that they wait for in place of none. What most proxies confirmed counts anew then.
-func (c *Controller) keepWaiters(now time.Duration) {
-	if c.stopping || !c.mayLeadAgain(now) {
+func (c *Controller) retainWaiters(now time.Duration) {
+	if c.stopping || !c.mayResumeLeadership(now) {
 		c.abandonWaiters()
 		return
 	}
 	for _, f := range c.waiters {
-		f.majorityAt = 0
+		f.majorityConfirmedAt = 0
 	}
 }
 
-// mayLeadAgain says that this member may soon go on with the lead that it lost: it is not longer ago than
+// mayResumeLeadership says that this member may soon go on with the lead that it lost: it is not longer ago than
 // an election takes, and no other leader has been heard since.
-func (c *Controller) mayLeadAgain(now time.Duration) bool {
+func (c *Controller) mayResumeLeadership(now time.Duration) bool {
 	l := c.node.Leader()
-	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < tuning.PendingCallsKept && (l == "" || l == c.settings.Self.Name) &&
+	return c.lostLeadership.term != 0 && c.lostLeadership.epoch == c.node.Epoch() && now-c.lostLeadership.lostAt < tuning.PendingCallsKept && (l == "" || l == c.settings.Self.Name) &&
 		!c.abstains()
 }
 
@@ -191,8 +191,8 @@
 		c.answerUnknown(c.pendingChanges[t])
 	}
 	for _, f := range c.waiters {
-		if f.p != nil {
-			c.answerUnknown(f.p)
+		if f.call != nil {
+			c.answerUnknown(f.call)
 		}
 	}
 	c.waiters = nil
@@ -201,12 +201,12 @@
 
 // tickWaiters looks after those who wait while this member does not decide.
 func (c *Controller) tickWaiters(now time.Duration) {
-	if c.lead == Leading || len(c.waiters)+len(c.pendingChanges) == 0 {
+	if c.leadership == Leading || len(c.waiters)+len(c.pendingChanges) == 0 {
 		return
 	}
-	if c.lead == NotLeading && !c.mayLeadAgain(now) {
+	if c.leadership == NotLeading && !c.mayResumeLeadership(now) {
 		c.abandonWaiters()
 		return
 	}
-	c.waiters = slices.DeleteFunc(c.waiters, func(f *commitWaiter) bool { return c.waitedTooLong(now, f) })
+	c.waiters = slices.DeleteFunc(c.waiters, func(f *inForceWaiter) bool { return c.expireWaiter(now, f) })
 }
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -33,48 +33,48 @@
 
 func (l Leadership) String() string { return [...]string{"idle", "adopting", "warming", "deciding"}[l] }
 
-func (c *Controller) setLead(now time.Duration, l Leadership, why string) {
-	if l == c.lead {
+func (c *Controller) setLeadership(now time.Duration, l Leadership, why string) {
+	if l == c.leadership {
 		return
 	}
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectLeadership, From: c.lead.String(), To: l.String(), Reason: why})
-	was := c.lead
-	c.lead, c.leadAt = l, now
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectLeadership, From: c.leadership.String(), To: l.String(), Reason: why})
+	was := c.leadership
+	c.leadership, c.leadershipSince = l, now
 	switch l {
 	case NotLeading:
-		c.keepLead(now, was)
+		c.recordLostLeadership(now, was)
 		c.counts.LeasesLost++
-		c.keepWaiters(now)
+		c.retainWaiters(now)
 	case Recovering:
-		c.proposed = false
+		c.initialStateProposed = false
 	case Gathering:
-		kept := c.keepsLead(now) && c.table != nil
+		kept := c.canResumeLeadership(now) && c.table != nil
 		if kept {
-			c.resumeLead(now)
+			c.restoreLeadershipState(now)
 		} else {
-			c.forgetLead(now)
+			c.resetLeadershipState(now)
 		}
 		c.beginTerm()
 		// Whatever an earlier leader granted may still run.
 		for _, g := range c.proxies {
-			g.grantAt, g.tableMerged = now, false
+			g.leaseGrantedAt, g.tableMerged = now, false
 			if !kept {
-				g.key, g.revision, g.seq = wire.TableKey{}, 0, 0
+				g.tableKey, g.revision, g.stateIndex = wire.TableKey{}, 0, 0
 			}
 			g.sentKey, g.bytesInFlight = wire.TableKey{}, 0
 		}
 		for _, n := range append(c.state.ProxyNames(), c.state.PreviousProxies...) {
 			if c.proxies[n] == nil {
-				c.proxies[n] = &proxyState{grantAt: now}
+				c.proxies[n] = &proxyState{leaseGrantedAt: now}
 			}
 		}
-		c.announce(now)
+		c.announceLeadership(now)
 	}
 }
 
-// announce tells every daemon at once who leads now; the roster's proxies need not have
+// announceLeadership tells every daemon at once who leads now; the roster's proxies need not have
 // been heard for that.
-func (c *Controller) announce(now time.Duration) {
+func (c *Controller) announceLeadership(now time.Duration) {
 	for _, r := range c.state.Proxies {
 		if c.directory[r.Name] == nil {
 			c.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, LastContact: now - tuning.DaemonExpiry/2}
@@ -85,46 +85,46 @@
 	}
 }
 
-func (c *Controller) leadership(now time.Duration) {
+func (c *Controller) updateLeadership(now time.Duration) {
 	leads := c.node != nil && !c.stopping && !c.abstains() && c.node.HasLease(now)
 	if !leads {
-		c.setLead(now, NotLeading, "no grant from a majority")
-		c.handOverIfLate(now)
+		c.setLeadership(now, NotLeading, "no grant from a majority")
+		c.transferUnstableLeadership(now)
 		return
 	}
-	if c.leadTerm != c.node.Term() {
-		c.setLead(now, NotLeading, "new term")
-		c.leadTerm = c.node.Term()
+	if c.leadershipTerm != c.node.Term() {
+		c.setLeadership(now, NotLeading, "new term")
+		c.leadershipTerm = c.node.Term()
 	}
-	switch c.lead {
+	switch c.leadership {
 	case NotLeading:
 		if !c.state.Recovered {
-			c.recovered, c.unreadableMemory = state.RecoveredState{}, false
+			c.recoveredState, c.unreadableRecoveredState = state.RecoveredState{}, false
 			if len(c.image.RecoveredState) > 0 {
 				var l state.RecoveredState
 				if err := json.Unmarshal(c.image.RecoveredState, &l); err != nil {
-					c.unreadableMemory = true
+					c.unreadableRecoveredState = true
 					c.reportDamage("memory of an earlier epoch on this disk", err)
 				} else {
 					c.addRecovered(l)
 				}
 			}
 			c.readMemories()
-			for _, n := range slices.Sorted(maps.Keys(c.proxyMemories)) {
-				c.addRecovered(c.proxyMemories[n].RecoveredState)
+			for _, n := range slices.Sorted(maps.Keys(c.proxyRecoveredStates)) {
+				c.addRecovered(c.proxyRecoveredStates[n].RecoveredState)
 			}
-			c.setLead(now, Recovering, "elected in a new epoch")
-		} else if c.resumesAtOnce(now) {
-			c.resumeAtOnce(now)
+			c.setLeadership(now, Recovering, "elected in a new epoch")
+		} else if c.canResumeAtOnce(now) {
+			c.resumeLeadershipAtOnce(now)
 		} else {
-			c.setLead(now, Gathering, "elected")
+			c.setLeadership(now, Gathering, "elected")
 		}
 	case Recovering:
 		if c.state.Recovered {
-			c.setLead(now, Gathering, "epoch's first state agreed")
-		} else if now-c.leadAt > tuning.RecoveryWait && !c.proposed && c.canAdopt() {
-			c.proposed = true
-			c.propose(now, state.Command{Operation: state.OpRecover, State: c.recovered.State})
+			c.setLeadership(now, Gathering, "epoch's first state agreed")
+		} else if now-c.leadershipSince > tuning.RecoveryWait && !c.initialStateProposed && c.canAdopt() {
+			c.initialStateProposed = true
+			c.propose(now, state.Command{Operation: state.OpRecover, State: c.recoveredState.State})
 		}
 	case Gathering:
 		told, need := 0, 0
@@ -134,29 +134,29 @@
 				told++
 			}
 		}
-		if told == need && (need > 0 || now-c.leadAt > tuning.FirstProxiesWait) || now-c.leadAt > tuning.GatherTablesWait ||
-			2*told > need && now-c.leadAt > tuning.GatherTablesWait/3 {
-			c.decide(now, fmt.Sprintf("heard %d of %d proxies", told, need), true)
+		if told == need && (need > 0 || now-c.leadershipSince > tuning.FirstProxiesWait) || now-c.leadershipSince > tuning.GatherTablesWait ||
+			2*told > need && now-c.leadershipSince > tuning.GatherTablesWait/3 {
+			c.establishLeadership(now, fmt.Sprintf("heard %d of %d proxies", told, need), true)
 		}
 	}
 }
 
 func (c *Controller) applyPolicies() {
-	if c.policyRevision == c.state.Revision && c.policyRevision != 0 {
+	if c.activeRevision == c.state.Revision && c.activeRevision != 0 {
 		return
 	}
-	cfg := c.checked.cfg
-	if cfg == nil || !bytes.Equal(c.checked.doc, c.state.Document) {
+	cfg := c.lastCheckedConfig.config
+	if cfg == nil || !bytes.Equal(c.lastCheckedConfig.document, c.state.Document) {
 		var err error
 		if cfg, _, err = outlier.ParseConfig(c.state.Document); err != nil {
 			c.cannotDecode(fmt.Sprintf("configuration %d", c.state.Revision), err)
-			if c.cfg == nil {
-				c.cfg = &config.Config{} // for the rest of this step, in which the lead ends
+			if c.activeConfig == nil {
+				c.activeConfig = &config.Config{} // for the rest of this step, in which the lead ends
 			}
 			return
 		}
 	}
-	c.cfg = cfg
-	c.judge.Replace(cfg)
-	c.policyRevision = c.state.Revision
+	c.activeConfig = cfg
+	c.detector.Replace(cfg)
+	c.activeRevision = c.state.Revision
 }
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -24,14 +24,14 @@
 
 // memberReplaceAfter is how long a member is silent before a standby takes its place.
 func (c *Controller) memberReplaceAfter() time.Duration {
-	repair := cmp.Or(c.settings.CatchUp, tuning.CatchUpDefault)
+	repair := cmp.Or(c.settings.CatchUpTime, tuning.CatchUpDefault)
 	return max(repair/tuning.ReplaceParts, tuning.ReplaceAfterMin)
 }
 
 // handoverWait is how long a member that stops waits for its successor.
 func (c *Controller) handoverWait() time.Duration {
-	if c.settings.Grace > 0 {
-		return min(tuning.HandoverWait, c.settings.Grace/2)
+	if c.settings.StopGrace > 0 {
+		return min(tuning.HandoverWait, c.settings.StopGrace/2)
 	}
 	return tuning.HandoverWait
 }
@@ -39,13 +39,13 @@
 // maintainMembers looks after the list of members, if this member may change it: also
 // while a new leader still gathers tables, and while the only member hands over.
 func (c *Controller) maintainMembers(now time.Duration) {
-	may := c.lead >= Gathering || c.stopping && c.state.Recovered && c.node != nil && c.node.HasLease(now)
-	if !may || now-c.membersAt < tuning.MembersEvery && !c.membersChanging {
+	may := c.leadership >= Gathering || c.stopping && c.state.Recovered && c.node != nil && c.node.HasLease(now)
+	if !may || now-c.membersReviewedAt < tuning.MembersEvery && !c.memberChangePending {
 		return
 	}
-	c.membersAt = now
-	c.membersChanging = !c.node.CanChangeMembers()
-	if c.membersChanging {
+	c.membersReviewedAt = now
+	c.memberChangePending = !c.node.CanChangeMembers()
+	if c.memberChangePending {
 		return
 	}
 	members := c.node.Members()
@@ -53,7 +53,7 @@
 	if c.replaceLostDisk(now, members, all) || c.admitRequested(now, members, all) {
 		return
 	}
-	if c.settings.Size == 0 {
+	if c.settings.BootstrapSize == 0 {
 		c.reconcileMembers(now, members, all)
 	}
 }
@@ -61,7 +61,7 @@
 // proposeMembers proposes a list that differs by one from the present one.
 func (c *Controller) proposeMembers(now time.Duration, list []wire.Member, name, change, why string) {
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectMember, From: name, To: change, Reason: why})
-	c.membersChanging = true
+	c.memberChangePending = true
 	c.node.ProposeMembers(now, list)
 }
 
@@ -73,7 +73,7 @@
 		if d.Name == c.settings.Self.Name || d.Disk == 0 || i < 0 || members[i].Disk == d.Disk || d.Epoch != 0 && d.Epoch != c.node.Epoch() {
 			continue
 		}
-		if c.settings.Size > 0 {
+		if c.settings.BootstrapSize > 0 {
 			c.requestedMembers[d.Name] = true
 		}
 		c.proposeMembers(now, slices.Delete(slices.Clone(members), i, i+1), d.Name, "out", "it lost its disk")
@@ -91,12 +91,12 @@
 			continue
 		}
 		switch {
-		case c.settings.Size > 0 && c.state.RemovedMembers[d.Name] == 0 && ghost >= 0:
+		case c.settings.BootstrapSize > 0 && c.state.RemovedMembers[d.Name] == 0 && ghost >= 0:
 			c.requestedMembers[d.Name] = true
 			c.proposeMembers(now, slices.Delete(slices.Clone(members), ghost, ghost+1), members[ghost].Name, "out",
 				"its place was kept for who was not there at the founding")
 			return true
-		case c.requestedMembers[d.Name] || len(members) < c.settings.Size && c.state.RemovedMembers[d.Name] == 0:
+		case c.requestedMembers[d.Name] || len(members) < c.settings.BootstrapSize && c.state.RemovedMembers[d.Name] == 0:
 			if c.admit(now, members, d) {
 				return true
 			}
@@ -124,7 +124,7 @@
 	if name == c.settings.Self.Name || now-c.node.Since() < tuning.NewLeaderGrace {
 		return 0
 	}
-	h, ok := c.heard[name]
+	h, ok := c.peerContacts[name]
 	if !ok {
 		return now - c.node.Since()
 	}
@@ -146,7 +146,7 @@
 	if name == c.settings.Self.Name {
 		return c.settings.Self.Domain
 	}
-	if h, ok := c.heard[name]; ok {
+	if h, ok := c.peerContacts[name]; ok {
 		return h.domain
 	}
 	return "? " + name
@@ -206,5 +206,5 @@
 }
 
 func (c *Controller) isStopping(name string) bool {
-	return name == c.settings.Self.Name && c.stopping || c.heard[name].stops
+	return name == c.settings.Self.Name && c.stopping || c.peerContacts[name].stops
 }
--- a/internal/controlplane/memory_test.go
+++ b/internal/controlplane/memory_test.go
@@ -32,14 +32,14 @@
 	r := atRest(3, 3)
 	r.step(remembering(t, "g1", 1))
 	r.second()
-	if len(r.c.proxyMemories) != 0 || len(r.c.unreadMemories) != 1 {
-		t.Errorf("a leader has read %d memories, %d lie unread", len(r.c.proxyMemories), len(r.c.unreadMemories))
+	if len(r.c.proxyRecoveredStates) != 0 || len(r.c.unreadRecoveredStates) != 1 {
+		t.Errorf("a leader has read %d memories, %d lie unread", len(r.c.proxyRecoveredStates), len(r.c.unreadRecoveredStates))
 	}
 
 	now := time.Second
 	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: wire.ControlDaemon, Addr: "c9", Incarnation: 1}}, consensus.Image{Disk: 9})
 	empty.Step(now, remembering(t, "g1", 1))
-	if len(empty.proxyMemories) != 1 {
+	if len(empty.proxyRecoveredStates) != 1 {
 		t.Error("an empty member has not read what a proxy remembers")
 	}
 
@@ -50,7 +50,7 @@
 		now += tuning.TickEvery
 		member.Step(now, statemachine.Tick{})
 	}
-	if len(member.proxyMemories) != 1 {
+	if len(member.proxyRecoveredStates) != 1 {
 		t.Error("a member that hears no leader has not read what a proxy remembers")
 	}
 }
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -10,7 +10,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func (c *Controller) emit(cmd statemachine.Command) { c.out = append(c.out, cmd) }
+func (c *Controller) emit(cmd statemachine.Command) { c.commands = append(c.commands, cmd) }
 
 func (c *Controller) send(name string, m *wire.Message) {
 	k := c.directory[name]
@@ -30,11 +30,11 @@
 		}
 		c.directory.Merge(now, c.settings.Self.Name, m.Hello)
 		if d := m.Hello.Self; d.Kind == wire.ControlDaemon && d.Name != c.settings.Self.Name {
-			h := heard{at: now, domain: d.Domain, stops: d.State == stoppingState, repliedAt: c.heard[d.Name].repliedAt}
+			h := heard{at: now, domain: d.Domain, stops: d.State == stoppingState, repliedAt: c.peerContacts[d.Name].repliedAt}
 			if m.Hello.Reply {
 				h.repliedAt = now
 			}
-			c.heard[d.Name] = h
+			c.peerContacts[d.Name] = h
 		}
 		c.hearMemory(m)
 		if !m.Hello.Reply {
@@ -56,10 +56,10 @@
 			c.node.Recv(now, m)
 		}
 	case wire.KindPull:
-		c.pull(now, m)
+		c.handlePull(now, m)
 	case wire.KindHeartbeat:
 		if m.Heartbeat != nil {
-			c.heartbeat(now, *m.Heartbeat, m.Timestamp == 0)
+			c.handleHeartbeat(now, *m.Heartbeat, m.Timestamp == 0)
 		}
 	case wire.KindCall:
 		if m.Call == nil {
@@ -75,10 +75,10 @@
 					return
 				}
 				delete(c.relayedCalls, m.Call.ID)
-				c.deliver(p, statemachine.Reply{ID: p.ask, Status: int(m.Call.Status), RetryAfter: time.Duration(m.Call.RetryAfterMs) * time.Millisecond, Body: m.Call.Body})
+				c.deliver(p, statemachine.Reply{ID: p.callID, Status: int(m.Call.Status), RetryAfter: time.Duration(m.Call.RetryAfterMs) * time.Millisecond, Body: m.Call.Body})
 			}
 			return
 		}
-		c.operate(now, &pending{token: m.Call.Token, at: now, relay: m.From, relayID: m.Call.ID}, m.Call)
+		c.operate(now, &pendingCall{token: m.Call.Token, receivedAt: now, relayedFrom: m.From, relayedFromID: m.Call.ID}, m.Call)
 	}
 }
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -27,8 +27,8 @@
 // ask takes a call at this daemon: some it answers itself, the others it
 // carries out as leader or passes to the leader.
 func (c *Controller) handleCall(now time.Duration, e statemachine.Call) {
-	p := &pending{token: e.Token, ask: e.ID, at: now}
-	if c.ended {
+	p := &pendingCall{token: e.Token, callID: e.ID, receivedAt: now}
+	if c.exited {
 		c.answer(p, noLeader())
 		return
 	}
@@ -52,7 +52,7 @@
 	if id := query(e.Query, "id"); id != "" {
 		p.token = id
 	}
-	if c.lead == Leading {
+	if c.leadership == Leading {
 		c.operate(now, p, &wire.Call{Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body})
 		return
 	}
@@ -61,7 +61,7 @@
 		l = c.leader(now)
 	}
 	if p.targetReport && !targetreport.IsLeaving(word) && l != "" {
-		c.heartbeat(now, word, true)
+		c.handleHeartbeat(now, word, true)
 		if !c.reaches(now, l) {
 			c.answer(p, notPropagated()) // the leader may be heard and not hear: another daemon is to be told too
 			return
@@ -69,24 +69,24 @@
 		c.answer(p, targetreport.Acknowledgement(word))
 		return
 	}
-	waits := p.targetReport && c.lead == Gathering
+	waits := p.targetReport && c.leadership == Gathering
 	if !waits && (l == "" || l == c.settings.Self.Name || c.directory[l] == nil) {
 		c.answer(p, noLeader())
 		return
 	}
-	c.relayID++
-	c.relayedCalls[c.relayID] = p
-	p.call = &wire.Call{ID: c.relayID, Token: p.token, Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body}
+	c.lastRelayID++
+	c.relayedCalls[c.lastRelayID] = p
+	p.call = &wire.Call{ID: c.lastRelayID, Token: p.token, Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body}
 	if waits {
 		p.relayedTo = c.settings.Self.Name // made known as soon as this member decides
-		c.heartbeat(now, word, false)
+		c.handleHeartbeat(now, word, false)
 		return
 	}
-	c.relay(now, c.relayID, p, l)
+	c.relay(now, c.lastRelayID, p, l)
 }
 
 // pass hands a call to the leader.
-func (c *Controller) relay(now time.Duration, id uint64, p *pending, leader string) {
+func (c *Controller) relay(now time.Duration, id uint64, p *pendingCall, leader string) {
 	p.relayedTo, p.relayedAt, p.relayedTerm = leader, now, c.Term()
 	p.relayCount++
 	c.send(leader, &wire.Message{Kind: wire.KindCall, Call: p.call})
@@ -102,8 +102,8 @@
 	return n, err == nil
 }
 
-func (c *Controller) operate(now time.Duration, p *pending, a *wire.Call) {
-	if c.lead != Leading {
+func (c *Controller) operate(now time.Duration, p *pendingCall, a *wire.Call) {
+	if c.leadership != Leading {
 		c.answer(p, noLeader())
 		return
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	if first := c.pendingChanges[p.token]; first != nil && a.Method != "GET" {
-		first.repetitions = append(first.repetitions, p)
+		first.duplicates = append(first.duplicates, p)
 		return
 	}
 	seg := strings.Split(strings.Trim(a.Path, "/"), "/")
@@ -182,25 +182,25 @@
 	case call == "GET targets":
 		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "targets": c.Targets(now)})})
 	case call == "GET policies":
-		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "policies": c.policyStats(now), "since_ms": (now - c.leadAt).Milliseconds()})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "policies": c.policyStats(now), "since_ms": (now - c.leadershipSince).Milliseconds()})})
 	case call == "PUT policies":
 		c.patch(now, p, a, patchOf(seg[2], a.Body), "policy "+seg[2])
 	case call == "DELETE policies":
 		c.patch(now, p, a, patchOf(seg[2], []byte("null")), "policy "+seg[2]+" removed")
 	case call == "GET domains":
-		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"emptied": append([]string{}, c.state.EmptiedDomains...), "domains": c.domains()})})
+		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"emptied": append([]string{}, c.state.EmptiedDomains...), "domains": c.failureDomains()})})
 	case call == "POST domains" && (seg[3] == "empty" || seg[3] == "restore"):
-		if !slices.Contains(c.domains(), seg[2]) && !slices.Contains(c.state.EmptiedDomains, seg[2]) {
+		if !slices.Contains(c.failureDomains(), seg[2]) && !slices.Contains(c.state.EmptiedDomains, seg[2]) {
 			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
 			return
 		}
 		c.change(now, p, state.Command{Operation: state.Operation(seg[3]), Name: seg[2]})
 	case call == "POST gates" && seg[3] == "forget":
-		if !c.inRoster(seg[2]) {
+		if !c.isProxyMember(seg[2]) {
 			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "no such proxy in the roster"}))
 			return
 		}
-		if g := c.proxies[seg[2]]; g != nil && now-g.pullAt < tuning.ProxyLive {
+		if g := c.proxies[seg[2]]; g != nil && now-g.lastPullAt < tuning.ProxyLive {
 			c.answer(p, reply.Problem(409, config.ErrorBody{Code: "alive", Message: "that proxy is still asking for its table"}))
 			return
 		}
@@ -212,7 +212,7 @@
 	}
 }
 
-func (c *Controller) change(now time.Duration, p *pending, o state.Command) bool {
+func (c *Controller) change(now time.Duration, p *pendingCall, o state.Command) bool {
 	o.Token = p.token
 	if c.node.UncommittedBytes() > tuning.ProposedBytesMax {
 		c.answer(p, reply.Problem(503, config.ErrorBody{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
@@ -229,7 +229,7 @@
 }
 
 // swap adds or removes a core member on an operator's word.
-func (c *Controller) changeMember(now time.Duration, p *pending, name, what string) {
+func (c *Controller) changeMember(now time.Duration, p *pendingCall, name, what string) {
 	ms := c.node.Members()
 	i := slices.IndexFunc(ms, func(m wire.Member) bool { return m.Name == name })
 	switch {
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -39,7 +39,7 @@
 
 // lockedFor is the epoch of a lock that is on disk.
 func (c *Controller) lockedFor() uint64 {
-	if c.syncedSeq < c.lockSeq {
+	if c.syncedSeq < c.bootstrapLockSeq {
 		return 0
 	}
 	return c.image.BootstrapEpoch
@@ -59,8 +59,8 @@
 		return
 	}
 	if m.Hello.Self.Kind == wire.ProxyDaemon {
-		c.unreadMemories[m.From] = m.Hello.RecoveredState
-		if c.node == nil || c.lead == Recovering {
+		c.unreadRecoveredStates[m.From] = m.Hello.RecoveredState
+		if c.node == nil || c.leadership == Recovering {
 			c.readMemories()
 		}
 		return
@@ -72,13 +72,13 @@
 
 // readMemories reads what proxies have told.
 func (c *Controller) readMemories() {
-	for _, from := range slices.Sorted(maps.Keys(c.unreadMemories)) {
-		if l, ok := decodeMemory(c.unreadMemories[from]); ok {
+	for _, from := range slices.Sorted(maps.Keys(c.unreadRecoveredStates)) {
+		if l, ok := decodeMemory(c.unreadRecoveredStates[from]); ok {
 			c.addRecovered(l)
 			c.rememberProxy(from, l)
 		}
 	}
-	clear(c.unreadMemories)
+	clear(c.unreadRecoveredStates)
 }
 
 // decodeMemory reads a state as hellos carry it.
@@ -90,7 +90,7 @@
 // rememberProxy keeps what a proxy remembers. It says so again and again while it has no leader,
 // so only what is new is read.
 func (c *Controller) rememberProxy(from string, l state.RecoveredState) {
-	if m := c.proxyMemories[from]; m.Epoch == l.Epoch && m.Term == l.Term && m.Index == l.Index && bytes.Equal(m.State, l.State) {
+	if m := c.proxyRecoveredStates[from]; m.Epoch == l.Epoch && m.Term == l.Term && m.Index == l.Index && bytes.Equal(m.State, l.State) {
 		return
 	}
 	m := proxyMemory{RecoveredState: l}
@@ -99,7 +99,7 @@
 	} else if len(s.Members) > 0 {
 		m.members = discovery.Membership{Epoch: l.Epoch, Index: l.Index, Members: s.Members}
 	}
-	c.proxyMemories[from] = m
+	c.proxyRecoveredStates[from] = m
 }
 
 // lastMembers is the latest list known here: its own, other members', or proxies'.
@@ -112,8 +112,8 @@
 			m = k.Members
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(c.proxyMemories)) {
-		if k := c.proxyMemories[n].members; m.IsBefore(k) {
+	for _, n := range slices.Sorted(maps.Keys(c.proxyRecoveredStates)) {
+		if k := c.proxyRecoveredStates[n].members; m.IsBefore(k) {
 			m = k
 		}
 	}
@@ -129,7 +129,7 @@
 }
 
 func (c *Controller) surveySurvivors(all []wire.Daemon, gone []string) survivors {
-	o := survivors{last: c.lastMembers(), sized: c.settings.Size > 0}
+	o := survivors{last: c.lastMembers(), sized: c.settings.BootstrapSize > 0}
 	o.places = cmp.Or(len(o.last.Members), c.bootstrapSize)
 	for _, n := range gone {
 		if !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name == n }) &&
@@ -178,7 +178,7 @@
 
 func (c *Controller) operatorConsent(all []wire.Daemon) (refound bool, gone []string) {
 	for _, d := range all {
-		v := c.consent
+		v := c.recoveryConsent
 		if k := c.directory[d.Name]; d.Name != c.settings.Self.Name && k != nil {
 			v = k.Consent
 		}
@@ -195,16 +195,16 @@
 // must be over whatever those not seen still hold, or an operator must say so. All
 // must offer the same founding, and have locked it on disk, before any acts on it.
 func (c *Controller) bootstrap(now time.Duration) {
-	if c.consent.Granted && now-c.consent.GrantedAt > tuning.ConsentTTL {
-		c.consent = discovery.RecoveryConsent{}
+	if c.recoveryConsent.Granted && now-c.recoveryConsent.GrantedAt > tuning.ConsentTTL {
+		c.recoveryConsent = discovery.RecoveryConsent{}
 	}
 	all := c.coreDaemons(now, true)
 	if c.lockedFor() > c.image.Epoch && c.completeBootstrap(now, all) {
 		return
 	}
-	c.offer = 0
+	c.currentOffer = 0
 	if c.whoHearsLeader(now, all) != "" {
-		c.seenFounders = ""
+		c.visibleFounders = ""
 		return
 	}
 	c.readMemories()
@@ -215,33 +215,33 @@
 	for _, d := range all {
 		fmt.Fprintf(&b, "%s %d ", d.Name, d.Disk)
 	}
-	if b.String() != c.seenFounders {
-		c.seenFounders, c.seenFoundersAt = b.String(), now
+	if b.String() != c.visibleFounders {
+		c.visibleFounders, c.visibleFoundersSince = b.String(), now
 	}
 	if len(all) > o.places || 2*len(all) <= o.places || o.canElect() || !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name == c.settings.Self.Name }) {
 		return
 	}
 	offer, epoch, ms := c.bootstrapOffer(all, o.places)
 	if len(all) < o.places {
-		waited := now-c.seenFoundersAt >= tuning.BootstrapWait && o.canNeverElect()
+		waited := now-c.visibleFoundersSince >= tuning.BootstrapWait && o.canNeverElect()
 		if !waited && !refound && !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name != c.settings.Self.Name && d.BootstrapOffer == offer }) {
 			return
 		}
 	}
-	c.offer = offer
+	c.currentOffer = offer
 	for _, d := range all {
-		if d.BootstrapOffer != c.offer && d.Name != c.settings.Self.Name {
+		if d.BootstrapOffer != c.currentOffer && d.Name != c.settings.Self.Name {
 			return
 		}
 	}
-	if c.image.BootstrapLock != c.offer {
-		k := &wire.Batch{BootstrapLock: c.offer, Founders: ms, BootstrapEpoch: epoch}
+	if c.image.BootstrapLock != c.currentOffer {
+		k := &wire.Batch{BootstrapLock: c.currentOffer, Founders: ms, BootstrapEpoch: epoch}
 		c.image.Fold(k)
 		if c.node == nil {
 			c.syncImage()
-			c.lockSeq = c.batchOffset
+			c.bootstrapLockSeq = c.batchOffset
 		} else {
-			c.lockSeq = c.batchOffset + c.node.SyncBatch(now, k)
+			c.bootstrapLockSeq = c.batchOffset + c.node.SyncBatch(now, k)
 		}
 	}
 }
@@ -282,7 +282,7 @@
 // claim keeps on disk that this process was told to found, so that a restart while it
 // does changes nothing: as a lock of no epoch.
 func (c *Controller) recordBootstrapIntent() {
-	if c.settings.Size > 0 || c.bootstrapSize == 0 || c.node != nil || c.image.BootstrapLock != 0 {
+	if c.settings.BootstrapSize > 0 || c.bootstrapSize == 0 || c.node != nil || c.image.BootstrapLock != 0 {
 		return
 	}
 	b := &wire.Batch{BootstrapLock: 1}
@@ -336,20 +336,20 @@
 			there++
 		}
 	}
-	c.node, c.image, c.offer, c.consent = nil, img, 0, discovery.RecoveryConsent{}
+	c.node, c.image, c.currentOffer, c.recoveryConsent = nil, img, 0, discovery.RecoveryConsent{}
 	c.batchOffset += 1 << 32 // past every number of the old node
 	c.syncImage()
-	c.start(now)
+	c.startNode(now)
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: "", To: fmt.Sprint(epoch), Reason: fmt.Sprintf("%d of %d members agreed to found", there, len(img.Founders))})
 }
 
 func (c *Controller) join(now time.Duration, epoch uint64) {
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: fmt.Sprint(c.image.Epoch), To: fmt.Sprint(epoch), Reason: "joined"})
-	c.node, c.offer = nil, 0
+	c.node, c.currentOffer = nil, 0
 	c.image = consensus.Image{Epoch: epoch, Disk: c.image.Disk}
 	c.batchOffset += 1 << 32
 	c.syncImage()
-	c.start(now)
+	c.startNode(now)
 }
 
 // refound is an operator's override for what can't be decided safely from here: the
@@ -360,8 +360,8 @@
 	no := func(code, f string, a ...any) statemachine.Reply {
 		return reply.Problem(409, config.ErrorBody{Code: code, Message: fmt.Sprintf(f, a...) + "; nothing was changed"})
 	}
-	if c.lead == Recovering && !c.canAdopt() {
-		c.adoptEmpty = true
+	if c.leadership == Recovering && !c.canAdopt() {
+		c.emptyStateAllowed = true
 		return statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"begins_empty": true})}
 	}
 	gone := strings.FieldsFunc(list, func(r rune) bool { return r == ',' })
@@ -382,6 +382,6 @@
 	case o.canElect():
 		return no("living", "%d of %d members are here with their disks and can elect a leader", o.withDisk, len(o.last.Members))
 	}
-	c.consent = discovery.RecoveryConsent{Granted: true, LostMembers: gone, GrantedAt: now}
+	c.recoveryConsent = discovery.RecoveryConsent{Granted: true, LostMembers: gone, GrantedAt: now}
 	return statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"refounding": true, "seen": len(all), "lost": o.lostDisk, "not_seen": o.unseen})}
 }
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -24,32 +24,32 @@
 		if m.SignedOff {
 			c.tombstones[m.ID()] = now
 		} else {
-			c.leaving[m.ID()] = now
+			c.leavingTargets[m.ID()] = now
 		}
 	}
 	for _, p := range c.state.Registrations {
 		c.persistedRegistrations[p.ID()] = p
 		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Incarnation: p.Incarnation, Addr: p.Addr, Domain: p.Domain, State: config.Warming, Slots: p.Slots, ShareOffset: p.ShareOffset},
-			unconfirmed: true, beatAt: now - tuning.TargetHeartbeatTimeout/2, aliveAt: now, seenAt: now,
-			probeAt: now - tuning.ProbeEvery}
+			unconfirmed: true, lastHeartbeatAt: now - tuning.TargetHeartbeatTimeout/2, lastAliveAt: now, statsJudgedAt: now,
+			lastProbeAt: now - tuning.ProbeEvery}
 		if p.Leaving {
 			t.Draining, t.State = true, config.Leaving
 		}
 		if p.WarmingUp {
-			svc := c.cfg.Services[p.Service]
-			t.coldTill = now + svc.Warmup()
+			svc := c.activeConfig.Services[p.Service]
+			t.warmupEnd = now + svc.Warmup()
 		}
 		c.targets[p.ID()] = t
-		c.markCold(t)
-		c.lastTurn[p.Service] = max(c.lastTurn[p.Service], p.ShareOffset)
-		c.turnByName[[2]string{p.Service, p.Name}] = p.ShareOffset
+		c.warmUpAfterRestore(t)
+		c.lastShareOffset[p.Service] = max(c.lastShareOffset[p.Service], p.ShareOffset)
+		c.shareOffsetByName[[2]string{p.Service, p.Name}] = p.ShareOffset
 	}
 }
 
 // persistRegistrations writes what has changed since, if the last write is long enough ago. Who
 // is known by hearsay is written only when it leaves.
 func (c *Controller) persistRegistrations(now, every time.Duration) {
-	if now-c.persistedAt < every && !(c.persistNow && now-c.persistedAt >= tuning.TickEvery) || c.node.UncommittedBytes() > tuning.ProposedBytesMax/4 {
+	if now-c.registryPersistedAt < every && !(c.persistSoon && now-c.registryPersistedAt >= tuning.TickEvery) || c.node.UncommittedBytes() > tuning.ProposedBytesMax/4 {
 		return
 	}
 	r := state.RegistryChange{}
@@ -58,7 +58,7 @@
 	if len(r.Put)+len(r.Drop)+len(r.AddTombstones)+len(r.DropTombstones) == 0 {
 		return
 	}
-	c.persistedAt, c.persistNow = now, false
+	c.registryPersistedAt, c.persistSoon = now, false
 	c.propose(now, state.Command{Operation: state.OpRegisterTargets, Targets: &r})
 }
 
@@ -66,7 +66,7 @@
 // called at each tick, so it sorts only what has changed.
 func (c *Controller) changedRegistrations(now time.Duration, r *state.RegistryChange) {
 	for id, t := range c.targets {
-		p := state.Registration{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Addr: t.Addr, Domain: t.Domain, Slots: t.Slots, ShareOffset: t.ShareOffset, WarmingUp: t.coldLeft(now) > 0, Leaving: t.Draining}
+		p := state.Registration{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Addr: t.Addr, Domain: t.Domain, Slots: t.Slots, ShareOffset: t.ShareOffset, WarmingUp: t.warmupLeft(now) > 0, Leaving: t.Draining}
 		was, ok := c.persistedRegistrations[id]
 		if ok && was == p || !ok && (t.unconfirmed && !t.Draining || len(c.persistedRegistrations) >= tuning.RegistryMax) {
 			continue
@@ -97,7 +97,7 @@
 			r.AddTombstones = append(r.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, SignedOff: gone})
 		}
 	}
-	for id := range c.leaving {
+	for id := range c.leavingTargets {
 		if c.tombstones[id] == 0 {
 			changed(id, false)
 		}
@@ -108,7 +108,7 @@
 	slices.SortFunc(r.AddTombstones, func(a, b state.Tombstone) int { return a.ID().Compare(b.ID()) })
 	r.AddTombstones = r.AddTombstones[:min(len(r.AddTombstones), tuning.RegistryBatch, max(1, tuning.RegistryMax-len(c.persistedTombstones)))]
 	for id := range c.persistedTombstones {
-		_, leaves := c.leaving[id]
+		_, leaves := c.leavingTargets[id]
 		if _, gone := c.tombstones[id]; !leaves && !gone {
 			r.DropTombstones = append(r.DropTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation})
 		}
@@ -122,9 +122,9 @@
 	}
 }
 
-// agreed says that what is known of a target's leaving or sign-off is in the log. A
+// departureCommitted says that what is known of a target's leaving or sign-off is in the log. A
 // registry that is full takes no more: then the proxies' tables alone vouch for it.
-func (c *Controller) agreed(id wire.TargetID) bool {
+func (c *Controller) departureCommitted(id wire.TargetID) bool {
 	mark, marked := c.state.Tombstone(id)
 	full := len(c.state.Tombstones) >= tuning.RegistryMax || len(c.state.Registrations) >= tuning.RegistryMax
 	t := c.targets[id]
@@ -136,7 +136,7 @@
 	case t != nil && t.Draining:
 		p, ok := c.state.Registration(id)
 		return ok && p.Leaving
-	case c.leaving[id] != 0:
+	case c.leavingTargets[id] != 0:
 		return marked
 	}
 	return true
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -76,15 +76,15 @@
 	m := wire.Member{Name: d.Name, Disk: d.Disk}
 	match, learns := c.node.Match(m)
 	if !learns {
-		delete(c.learning, d.Name)
+		delete(c.learners, d.Name)
 		return false
 	}
-	l, known := c.learning[d.Name]
+	l, known := c.learners[d.Name]
 	if !known {
 		l.since = now
 	}
 	if !known || l.match != match || c.node.CaughtUp(now, m) {
-		c.learning[d.Name] = learning{l.since, match, now}
+		c.learners[d.Name] = learning{l.since, match, now}
 		return false
 	}
 	return now-l.at > tuning.LearnerTimeout
@@ -181,7 +181,7 @@
 }
 
 // losses is how many core machines may be lost at once.
-func (c *Controller) losses() int { return max(c.settings.Losses, 1) }
+func (c *Controller) losses() int { return max(c.settings.MachineLosses, 1) }
 
 // nextMember is who should become a member next, beside those who stay: the first of
 // those who make the best core, one from the domain with the fewest at each step. A
--- a/internal/controlplane/reply.go
+++ b/internal/controlplane/reply.go
@@ -23,7 +23,7 @@
 }
 
 // answerNotAccepted tells of a change that has been agreed on without taking effect.
-func (c *Controller) answerNotAccepted(p *pending, r *state.Record) {
+func (c *Controller) answerNotAccepted(p *pendingCall, r *state.Record) {
 	if r.Outcome == state.OutcomeUnknown {
 		c.answerUnknown(p)
 		return
@@ -31,9 +31,9 @@
 	c.answer(p, c.staleBase(p.token))
 }
 
-func (c *Controller) answer(p *pending, r statemachine.Reply) {
-	repetitions := p.repetitions
-	p.repetitions = nil
+func (c *Controller) answer(p *pendingCall, r statemachine.Reply) {
+	repetitions := p.duplicates
+	p.duplicates = nil
 	for _, same := range repetitions {
 		c.answer(same, r)
 	}
@@ -46,16 +46,16 @@
 }
 
 // deliver sends an answer to who asked, as it is: here or at the daemon that passed the call on.
-func (c *Controller) deliver(p *pending, r statemachine.Reply) {
-	if p.relay != "" {
-		c.send(p.relay, &wire.Message{Kind: wire.KindCall, Call: &wire.Call{ID: p.relayID, Reply: true, Status: uint16(r.Status), RetryAfterMs: uint32(r.RetryAfter.Milliseconds()), Body: r.Body}})
+func (c *Controller) deliver(p *pendingCall, r statemachine.Reply) {
+	if p.relayedFrom != "" {
+		c.send(p.relayedFrom, &wire.Message{Kind: wire.KindCall, Call: &wire.Call{ID: p.relayedFromID, Reply: true, Status: uint16(r.Status), RetryAfterMs: uint32(r.RetryAfter.Milliseconds()), Body: r.Body}})
 		return
 	}
-	r.ID = p.ask
+	r.ID = p.callID
 	c.emit(r)
 }
 
-func (c *Controller) answerUnknown(p *pending) {
+func (c *Controller) answerUnknown(p *pendingCall) {
 	if p.targetReport {
 		c.answer(p, notPropagated())
 		return
@@ -78,8 +78,8 @@
 	return reply.Problem(413, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
 }
 
-func (c *Controller) refuseInvalid(p *pending, faults []config.Fault, err error) {
-	c.counts.Refused++
+func (c *Controller) refuseInvalid(p *pendingCall, faults []config.Fault, err error) {
+	c.counts.Rejected++
 	if err != nil {
 		c.answer(p, reply.Problem(400, config.ErrorBody{Code: "not_json", Message: err.Error()}))
 		return
--- a/internal/controlplane/rest_test.go
+++ b/internal/controlplane/rest_test.go
@@ -71,7 +71,7 @@
 
 func atRest(gates, targets int) *rest {
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
-	r := &rest{now: time.Second, c: New(time.Second, Settings{Self: self, Size: 1}, consensus.Image{Disk: 7}), keys: make([]*wire.Table, gates)}
+	r := &rest{now: time.Second, c: New(time.Second, Settings{Self: self, BootstrapSize: 1}, consensus.Image{Disk: 7}), keys: make([]*wire.Table, gates)}
 	for i := range gates {
 		n := fmt.Sprintf("g%d", i+1)
 		r.gates = append(r.gates, wire.Daemon{Name: n, Kind: wire.ProxyDaemon, Addr: n, Incarnation: uint64(i + 1), Domain: fmt.Sprintf("d%d", i%3)})
@@ -166,7 +166,7 @@
 // waitFor has so many wait for a table that is not made yet, as in a release.
 func (r *rest) waitFor(n int) {
 	for range n {
-		r.c.waiters = append(r.c.waiters, &commitWaiter{version: r.c.tableVersion + 1, since: r.now, majorityOnly: true})
+		r.c.waiters = append(r.c.waiters, &inForceWaiter{version: r.c.tableVersion + 1, waitingSince: r.now, majorityOnly: true})
 	}
 }
 
--- a/internal/controlplane/resume_test.go
+++ b/internal/controlplane/resume_test.go
@@ -19,17 +19,17 @@
 	last := map[wire.TargetID]time.Duration{}
 	for range 50 {
 		for id, x := range r.c.targets {
-			last[id] = x.probeAt
+			last[id] = x.lastProbeAt
 		}
-		r.c.setLead(r.now, NotLeading, "late")
+		r.c.setLeadership(r.now, NotLeading, "late")
 		r.now += tuning.TickEvery
 		r.step(statemachine.Tick{})
 		if !r.c.Leading() {
 			t.Fatal("it does not lead again")
 		}
 		for id, x := range r.c.targets {
-			if x.probeAt != last[id] && x.probeAt-last[id] < tuning.ProbeEvery {
-				t.Fatalf("%v was probed again after %v", id, x.probeAt-last[id])
+			if x.lastProbeAt != last[id] && x.lastProbeAt-last[id] < tuning.ProbeEvery {
+				t.Fatalf("%v was probed again after %v", id, x.lastProbeAt-last[id])
 			}
 		}
 	}
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -19,7 +19,7 @@
 	if c.stopping {
 		return
 	}
-	c.stopping, c.stopAt = true, now
+	c.stopping, c.stoppingSince = true, now
 	c.hello(now)
 	c.handOver(now)
 }
@@ -38,8 +38,8 @@
 	if c.node != nil && c.node.Role() == consensus.Leader && c.node.CanChangeMembers() {
 		c.handOver(now)
 	}
-	if c.mayExit(now) && !c.ended {
-		c.ended = true
+	if c.mayExit(now) && !c.exited {
+		c.exited = true
 		c.abandonCalls()
 		c.emit(statemachine.Exit{})
 	}
@@ -55,7 +55,7 @@
 }
 
 func (c *Controller) mayExit(now time.Duration) bool {
-	waited := now - c.stopAt
+	waited := now - c.stoppingSince
 	switch {
 	case c.node == nil || waited > c.handoverWait():
 		return true
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -64,7 +64,7 @@
 	}
 	if o.Operation == state.OpRecover && !c.state.Recovered {
 		c.reportDamage("state offered for this epoch", errors.Newf("entry %d does not decode", e.Index))
-		c.proposed, c.recovered, c.unreadableMemory = false, state.RecoveredState{}, true
+		c.initialStateProposed, c.recoveredState, c.unreadableRecoveredState = false, state.RecoveredState{}, true
 		return
 	}
 	if c.state.Revision != was {
@@ -77,10 +77,10 @@
 		delete(c.requestedMembers, o.Name)
 	case state.OpRestoreDomain:
 		if emptied {
-			c.restored[o.Name] = now
+			c.domainRestoredAt[o.Name] = now
 		}
 	}
-	if c.lead == Recovering || c.lead == NotLeading && c.kept.term == 0 {
+	if c.leadership == Recovering || c.leadership == NotLeading && c.lostLeadership.term == 0 {
 		return
 	}
 	c.applyPolicies()
@@ -89,7 +89,7 @@
 	}
 	if o.Operation == state.OpRestoreDomain && emptied {
 		for _, t := range c.targets {
-			c.markCold(t)
+			c.warmUpAfterRestore(t)
 		}
 	}
 	p := c.pendingChanges[o.Token]
@@ -100,32 +100,32 @@
 		rev = r.Revision
 	}
 	if r != nil && r.Outcome != state.OutcomeAccepted {
-		c.counts.Refused++
+		c.counts.Rejected++
 		if p != nil {
 			c.answerNotAccepted(p, r)
 		}
 		return
 	}
-	c.rebuild(now, true)
+	c.rebuildTable(now, true)
 	c.awaitForce(now, o, p, rev)
 }
 
 // awaitForce has who asked for a change that is agreed wait until it is in force, and a change of the
 // roster until it is, whoever asked.
-func (c *Controller) awaitForce(now time.Duration, o state.Command, p *pending, revision uint64) {
+func (c *Controller) awaitForce(now time.Duration, o state.Command, p *pendingCall, revision uint64) {
 	version := c.tableVersion
-	if c.lead != Leading {
+	if c.leadership != Leading {
 		version++ // the first table of a lead that goes on has it
 	}
-	f := &commitWaiter{version: version, since: now, rosterChange: o.Operation == state.OpChangeProxies || o.Operation == state.OpForgetProxy}
+	f := &inForceWaiter{version: version, waitingSince: now, proxyChange: o.Operation == state.OpChangeProxies || o.Operation == state.OpForgetProxy}
 	if o.Operation == state.OpAddMember || o.Operation == state.OpRemoveMember {
 		f.member, f.joining = o.Name, o.Operation == state.OpAddMember
 	}
 	if p != nil {
-		c.counts.Changes++
-		f.p, f.reply = p, accepted(p.token, revision)
+		c.counts.ChangesInForce++
+		f.call, f.reply = p, accepted(p.token, revision)
 	}
-	if f.rosterChange || p != nil {
+	if f.proxyChange || p != nil {
 		c.waiters = append(c.waiters, f)
 	}
 }
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -15,7 +15,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func (c *Controller) domains() []string {
+func (c *Controller) failureDomains() []string {
 	m := map[string]bool{}
 	for _, t := range c.targets {
 		m[t.Domain] = true
@@ -33,10 +33,10 @@
 // TargetView is what operators read of a target.
 type TargetView struct {
 	wire.Target
-	Bar    string  `json:"bar,omitempty"`
-	BarMs  int64   `json:"bar_left_ms,omitempty"`
-	Why    string  `json:"why"`
-	BeatMs float64 `json:"last_beat_ms"`
+	Ejection        string  `json:"bar,omitempty"`
+	EjectionLeftMs  int64   `json:"bar_left_ms,omitempty"`
+	Why             string  `json:"why"`
+	LastHeartbeatMs float64 `json:"last_beat_ms"`
 }
 
 // Targets lists what the leader knows of targets, with the reason for each ejection or hold.
@@ -44,17 +44,17 @@
 	l := []TargetView{}
 	for _, id := range slices.SortedFunc(maps.Keys(c.targets), wire.TargetID.Compare) {
 		t := c.targets[id]
-		v := TargetView{Target: t.Target, BeatMs: float64(now-t.beatAt) / 1e6, Why: "serving"}
-		v.Heartbeating, v.WarmupLeft = t.isBeating(now), t.coldLeft(now)
-		until, why := c.judge.Ejected(now, id)
+		v := TargetView{Target: t.Target, LastHeartbeatMs: float64(now-t.lastHeartbeatAt) / 1e6, Why: "serving"}
+		v.Heartbeating, v.WarmupLeft = t.isHeartbeating(now), t.warmupLeft(now)
+		until, why := c.detector.Ejected(now, id)
 		if until > now {
-			v.Bar, v.BarMs = why, (until - now).Milliseconds()
+			v.Ejection, v.EjectionLeftMs = why, (until - now).Milliseconds()
 		}
 		switch {
 		case t.Draining:
 			v.Why = "held: it said that it is leaving"
-		case v.Bar != "":
-			v.Why = fmt.Sprintf("barred by policy %s: %s", why, c.judge.Stats()[why].Policy.When)
+		case v.Ejection != "":
+			v.Why = fmt.Sprintf("barred by policy %s: %s", why, c.detector.Stats()[why].Policy.When)
 		case t.unconfirmed:
 			v.Why = "known by hearsay: not served until it has answered for itself"
 		case t.Pending:
@@ -73,7 +73,7 @@
 
 // policyStats are the policies in force with their scores since this leader began.
 func (c *Controller) policyStats(now time.Duration) map[string]outlier.PolicyStats {
-	l := c.judge.Stats()
+	l := c.detector.Stats()
 	for name, s := range c.scorer.Scores(now) {
 		x := l[name]
 		x.Score = &s
@@ -85,23 +85,23 @@
 // DaemonView is what operators read of a daemon.
 type DaemonView struct {
 	wire.Daemon
-	Roster  bool    `json:"in_roster"`
-	Member  bool    `json:"member"`
-	HeardMs float64 `json:"last_heard_ms"`
-	Ver     uint64  `json:"table,omitempty"`
+	ProxyMember   bool    `json:"in_roster"`
+	Member        bool    `json:"member"`
+	LastContactMs float64 `json:"last_heard_ms"`
+	TableVersion  uint64  `json:"table,omitempty"`
 }
 
 func (c *Controller) daemonViews(now time.Duration) []DaemonView {
 	l := []DaemonView{}
 	ms := c.node.Members()
 	for _, d := range append(c.coreDaemons(now, false), c.proxyDaemons()...) {
-		v := DaemonView{Daemon: d, Roster: c.inRoster(d.Name)}
+		v := DaemonView{Daemon: d, ProxyMember: c.isProxyMember(d.Name)}
 		v.Member = slices.ContainsFunc(ms, func(m wire.Member) bool { return m.Name == d.Name })
 		if k := c.directory[d.Name]; k != nil {
-			v.HeardMs = float64(now-k.LastContact) / 1e6
+			v.LastContactMs = float64(now-k.LastContact) / 1e6
 		}
 		if g := c.proxies[d.Name]; g != nil {
-			v.Ver = g.key.Version
+			v.TableVersion = g.tableKey.Version
 		}
 		l = append(l, v)
 	}
@@ -122,30 +122,30 @@
 type StatusView struct {
 	// Current says that this member decides at this moment, so that the agreed part of the
 	// view is the latest there is. Any other member's view may be old.
-	Current    bool          `json:"current"`
-	Name       string        `json:"name"`
-	Role       string        `json:"role"`
-	Leadership string        `json:"lead"`
-	Leader     string        `json:"leader"`
-	Epoch      uint64        `json:"epoch"`
-	Term       uint64        `json:"term"`
-	Revision   uint64        `json:"revision"`
-	Seq        uint64        `json:"seq"`
-	Members    []wire.Member `json:"members"`
-	Emptied    []string      `json:"emptied"`
-	Table      wire.TableKey `json:"table"`
-	Targets    int           `json:"targets"`
-	Proxies    int           `json:"proxies"`
-	Core       CoreView      `json:"core"`
-	Damage     []Damage      `json:"damage,omitempty"`       // what could not be read since the start, the last of it
-	Disk       string        `json:"disk_refuses,omitempty"` // why this member's disk takes no writes now
-	Counts     Counts        `json:"counts"`
+	Current      bool             `json:"current"`
+	Name         string           `json:"name"`
+	Role         string           `json:"role"`
+	Leadership   string           `json:"lead"`
+	Leader       string           `json:"leader"`
+	Epoch        uint64           `json:"epoch"`
+	Term         uint64           `json:"term"`
+	Revision     uint64           `json:"revision"`
+	StateIndex   uint64           `json:"seq"`
+	Members      []wire.Member    `json:"members"`
+	Emptied      []string         `json:"emptied"`
+	Table        wire.TableKey    `json:"table"`
+	Targets      int              `json:"targets"`
+	Proxies      int              `json:"proxies"`
+	ControlPlane ControlPlaneView `json:"core"`
+	Damage       []Damage         `json:"damage,omitempty"`       // what could not be read since the start, the last of it
+	DiskError    string           `json:"disk_refuses,omitempty"` // why this member's disk takes no writes now
+	Counts       Counts           `json:"counts"`
 }
 
 // Status is this member's own view.
 func (c *Controller) Status(now time.Duration) StatusView {
-	v := StatusView{Current: c.lead == Leading && c.Deciding(now), Name: c.settings.Self.Name, Role: "empty", Leadership: c.lead.String(), Revision: c.state.Revision, Seq: c.state.Index,
-		Emptied: append([]string{}, c.state.EmptiedDomains...), Targets: len(c.targets), Proxies: len(c.state.Proxies), Core: c.coreStatus(now), Damage: c.damage, Disk: c.diskError, Counts: c.counts}
+	v := StatusView{Current: c.leadership == Leading && c.HoldsLease(now), Name: c.settings.Self.Name, Role: "empty", Leadership: c.leadership.String(), Revision: c.state.Revision, StateIndex: c.state.Index,
+		Emptied: append([]string{}, c.state.EmptiedDomains...), Targets: len(c.targets), Proxies: len(c.state.Proxies), ControlPlane: c.controlPlaneView(now), Damage: c.damage, DiskError: c.diskError, Counts: c.counts}
 	if c.node != nil {
 		v.Role, v.Leader, v.Epoch, v.Term, v.Members = c.node.Role().String(), c.node.Leader(), c.node.Epoch(), c.node.Term(), c.node.Members()
 	}
@@ -159,7 +159,7 @@
 func (c *Controller) Table() *wire.Table { return c.table }
 
 // Leading says whether this member decides.
-func (c *Controller) Leading() bool { return c.lead == Leading }
+func (c *Controller) Leading() bool { return c.leadership == Leading }
 
 // Ready says whether this member takes part in agreement, or knows who leads and passes on to it.
 func (c *Controller) Ready() bool {
@@ -174,21 +174,21 @@
 	return c.node.Term()
 }
 
-// Http is where a daemon answers operators.
-func (c *Controller) Http(name string) string {
+// HTTPAddr is where a daemon answers operators.
+func (c *Controller) HTTPAddr(name string) string {
 	if k := c.directory[name]; k != nil {
 		return k.HTTP
 	}
 	return ""
 }
 
-// Deciding says whether this member may decide at this very moment.
-func (c *Controller) Deciding(now time.Duration) bool {
-	return c.lead == Leading && c.node.HasLease(now)
+// HoldsLease says whether this member may decide at this very moment.
+func (c *Controller) HoldsLease(now time.Duration) bool {
+	return c.leadership == Leading && c.node.HasLease(now)
 }
 
 // Revision is the configuration's that this member has applied.
 func (c *Controller) Revision() uint64 { return c.state.Revision }
 
 // Records are the changes that this member keeps.
-func (c *Controller) Records() []state.Record { return c.state.Records }
+func (c *Controller) ChangeRecords() []state.Record { return c.state.Records }
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -19,39 +19,39 @@
 
 type target struct {
 	wire.Target
-	beatAt           time.Duration
-	probeAt          time.Duration
-	sentAt           time.Duration // 0: no probe out
-	missed           bool          // the last probe was, whether that counts or not
-	askedFor         time.Duration // the last probe for which proxies were asked to probe too
-	okAt             time.Duration // last report of a success through a proxy
-	aliveAt          time.Duration // last beat or answered probe
-	seen             wire.TargetStats
-	seenAt           time.Duration
-	silentAt         time.Duration
-	misses           int // probes in a row without its own answer
-	streak           targetreport.Streak
-	unconfirmed      bool         // known by hearsay: one word, or a proxy's table; not served until it has proved itself
-	publishedFacts   routingFacts // what the table says of it
-	publishedDemand  float64
-	publishedBar     time.Duration // until when, as the table says
-	publishedCold    time.Duration
-	changedInVersion uint64 // the number of the table that last said something new of it
-	addressReused    bool   // its address had another target's entry
-	coldTill         time.Duration
-	warmFrom         uint64 // lowest number of a word that may end its coldness
+	lastHeartbeatAt      time.Duration
+	lastProbeAt          time.Duration
+	probeSentAt          time.Duration // 0: no probe out
+	lastProbeMissed      bool          // the last probe was, whether that counts or not
+	indirectProbeFor     time.Duration // the last probe for which proxies were asked to probe too
+	lastSuccessAt        time.Duration // last report of a success through a proxy
+	lastAliveAt          time.Duration // last beat or answered probe
+	stats                wire.TargetStats
+	statsJudgedAt        time.Duration
+	heartbeatGapJudgedAt time.Duration
+	consecutiveMisses    int // probes in a row without its own answer
+	heartbeatStreak      targetreport.Streak
+	unconfirmed          bool         // known by hearsay: one word, or a proxy's table; not served until it has proved itself
+	publishedFacts       routingFacts // what the table says of it
+	publishedDemand      float64
+	publishedEjectionEnd time.Duration // until when, as the table says
+	publishedWarmupEnd   time.Duration
+	changedInVersion     uint64 // the number of the table that last said something new of it
+	addressReused        bool   // its address had another target's entry
+	warmupEnd            time.Duration
+	warmupEndNumber      uint64 // lowest number of a word that may end its coldness
 }
 
-// merge takes what a proxy's table says of targets from before this lead: which
+// mergeTable takes what a proxy's table says of targets from before this lead: which
 // targets there are from the latest table heard, holds and ejections from all.
-func (c *Controller) merge(now time.Duration, b *wire.Table) {
-	if c.lead == Gathering && c.latestMergedKey.Less(b.Key) {
+func (c *Controller) mergeTable(now time.Duration, b *wire.Table) {
+	if c.leadership == Gathering && c.latestMergedKey.Less(b.Key) {
 		c.latestMergedKey = b.Key
 		for id, t := range c.targets {
 			if t.unconfirmed {
 				delete(c.targets, id) // known only from an earlier table, or from the log
 				if t.Draining {
-					c.leaving[id] = now
+					c.leavingTargets[id] = now
 				}
 			}
 		}
@@ -60,17 +60,17 @@
 				continue
 			}
 			if len(c.conflictingTargets(w)) > 0 {
-				c.markDisplaced(w)
+				c.holdBackSuccessor(w)
 				continue
 			}
-			t := &target{Target: w, unconfirmed: true, beatAt: now - tuning.TargetHeartbeatTimeout/2, aliveAt: now, probeAt: now - tuning.ProbeEvery, seenAt: now}
+			t := &target{Target: w, unconfirmed: true, lastHeartbeatAt: now - tuning.TargetHeartbeatTimeout/2, lastAliveAt: now, lastProbeAt: now - tuning.ProbeEvery, statsJudgedAt: now}
 			t.EjectionLeft, t.EjectedBy, t.Draining, t.WarmupLeft = 0, "", false, 0
 			c.targets[w.ID()] = t
-			if c.leaving[w.ID()] != 0 {
-				c.hold(now, t, "it was leaving, as agreed")
+			if c.leavingTargets[w.ID()] != 0 {
+				c.drainTarget(now, t, "it was leaving, as agreed")
 			}
-			c.lastTurn[w.Service] = max(c.lastTurn[w.Service], w.ShareOffset)
-			c.turnByName[[2]string{w.Service, w.Name}] = w.ShareOffset
+			c.lastShareOffset[w.Service] = max(c.lastShareOffset[w.Service], w.ShareOffset)
+			c.shareOffsetByName[[2]string{w.Service, w.Name}] = w.ShareOffset
 		}
 	}
 	for _, w := range b.Targets {
@@ -79,19 +79,19 @@
 			continue
 		}
 		if w.Draining {
-			c.hold(now, t, "a proxy's table holds it")
+			c.drainTarget(now, t, "a proxy's table holds it")
 		}
-		t.coldTill = max(t.coldTill, now+time.Duration(w.WarmupLeft))
-		c.markCold(t)
-		if w.EjectionLeft > 0 && c.lead == Gathering {
-			c.judge.Restore(now, w.ID(), w.EjectedBy, time.Duration(w.EjectionLeft))
+		t.warmupEnd = max(t.warmupEnd, now+time.Duration(w.WarmupLeft))
+		c.warmUpAfterRestore(t)
+		if w.EjectionLeft > 0 && c.leadership == Gathering {
+			c.detector.Restore(now, w.ID(), w.EjectedBy, time.Duration(w.EjectionLeft))
 		}
 	}
 }
 
 // displaced has a target at w's address wait until w, which a table still names,
 // is out of every table.
-func (c *Controller) markDisplaced(w wire.Target) {
+func (c *Controller) holdBackSuccessor(w wire.Target) {
 	for _, t := range c.targets {
 		if t.Addr == w.Addr && t.Name != w.Name {
 			t.Pending = true
@@ -99,25 +99,25 @@
 	}
 }
 
-func (c *Controller) hold(now time.Duration, t *target, why string) {
+func (c *Controller) drainTarget(now time.Duration, t *target, why string) {
 	if t.Draining {
 		return
 	}
 	t.Draining, t.State = true, config.Leaving
-	c.counts.Holds++
+	c.counts.Drains++
 	d := outlier.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Reason: why}
 	c.emit(statemachine.Publish{Decision: &d})
 }
 
-// drop takes a target's entry away; silence alone refuses nobody.
-func (c *Controller) drop(now time.Duration, id wire.TargetID, why string) {
+// removeTarget takes a target's entry away; silence alone refuses nobody.
+func (c *Controller) removeTarget(now time.Duration, id wire.TargetID, why string) {
 	t := c.targets[id]
 	if t == nil {
 		return
 	}
 	delete(c.targets, id)
 	if t.Draining {
-		c.leaving[id] = now
+		c.leavingTargets[id] = now
 	}
 	c.scorer.Forget(now, id)
 	d := outlier.Decision{At: now, Policy: "registry", Kind: "gone", Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Reason: why}
@@ -126,8 +126,8 @@
 
 // beat takes a back end's word, straight or passed on. A word whose number is not over
 // the highest heard is old and changes nothing.
-func (c *Controller) heartbeat(now time.Duration, w wire.Target, passOn bool) {
-	if c.lead != Leading && c.lead != Gathering {
+func (c *Controller) handleHeartbeat(now time.Duration, w wire.Target, passOn bool) {
+	if c.leadership != Leading && c.leadership != Gathering {
 		if passOn {
 			c.send(c.leader(now), &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &w})
 		}
@@ -140,41 +140,41 @@
 	}
 	t := c.targets[id]
 	if w.State == config.Gone {
-		c.drop(now, id, "signed off")
+		c.removeTarget(now, id, "signed off")
 		delete(c.claims, id)
 		c.tombstones[id] = now
-		c.rebuild(now, false)
+		c.rebuildTable(now, false)
 		return
 	}
 	if o := cmp.Or(t, c.claims[id]); o != nil && w.Number != 0 && w.Number <= o.Number {
 		return
 	}
 	if t != nil && t.Addr != w.Addr && w.State != config.Leaving {
-		c.counts.Refused++
+		c.counts.Rejected++
 		return
 	}
 	if t == nil {
 		if w.State == config.Leaving {
-			c.leaving[id] = now // also if it only claims its place so far
+			c.leavingTargets[id] = now // also if it only claims its place so far
 		}
-		if t = c.register(now, w); t == nil {
+		if t = c.registerTarget(now, w); t == nil {
 			return
 		}
 	}
 	c.updateFromReport(now, t, w)
 	c.advanceState(now, t, w.State)
 	e := outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Success: true, State: t.State}
-	c.judgeEvent(e)
+	c.judgeOutlierEvent(e)
 	if t.HasDemand {
-		c.judgeEvent(outlier.Event{At: now, Slice: "demand", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Demand: t.Demand})
+		c.judgeOutlierEvent(outlier.Event{At: now, Slice: "demand", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Demand: t.Demand})
 	}
 	c.targetChanged(now, t)
 }
 
 // note takes over what a word says beside its state.
 func (c *Controller) updateFromReport(now time.Duration, t *target, w wire.Target) {
-	c.countHeartbeat(now, t)
-	t.aliveAt = now
+	c.recordHeartbeat(now, t)
+	t.lastAliveAt = now
 	if w.HasDemand {
 		t.Demand, t.HasDemand = w.Demand, true
 	}
@@ -183,23 +183,23 @@
 	}
 	t.Number = max(t.Number, w.Number)
 	if w.WarmupLeft > 0 {
-		t.coldTill = max(t.coldTill, now+time.Duration(w.WarmupLeft))
-	} else if w.Number != 0 && w.Number >= t.warmFrom {
-		t.coldTill = 0
+		t.warmupEnd = max(t.warmupEnd, now+time.Duration(w.WarmupLeft))
+	} else if w.Number != 0 && w.Number >= t.warmupEndNumber {
+		t.warmupEnd = 0
 	}
 }
 
 // cold is how much longer a target is cold.
-func (t *target) coldLeft(now time.Duration) int64 { return max(0, int64(t.coldTill-now)) }
+func (t *target) warmupLeft(now time.Duration) int64 { return max(0, int64(t.warmupEnd-now)) }
 
 // chill has a target of a restored domain be cold: it may have become so while nothing
 // was sent there. A word that was under way by then says nothing of it, so the next
 // number does not end it yet.
-func (c *Controller) markCold(t *target) {
-	at, was := c.restored[t.Domain]
-	svc := c.cfg.Services[t.Service]
-	if till := at + svc.Warmup(); was && till > t.coldTill {
-		t.coldTill, t.warmFrom = till, t.Number+2
+func (c *Controller) warmUpAfterRestore(t *target) {
+	at, was := c.domainRestoredAt[t.Domain]
+	svc := c.activeConfig.Services[t.Service]
+	if till := at + svc.Warmup(); was && till > t.warmupEnd {
+		t.warmupEnd, t.warmupEndNumber = till, t.Number+2
 	}
 }
 
@@ -208,7 +208,7 @@
 func (c *Controller) advanceState(now time.Duration, t *target, s string) {
 	switch {
 	case s == config.Leaving:
-		c.hold(now, t, "a beat says leaving")
+		c.drainTarget(now, t, "a beat says leaving")
 	case s == config.Ready && !t.Draining:
 		t.State = s
 	}
@@ -216,15 +216,15 @@
 
 // spoke counts a beat. One alone proves nothing, since it may be a late one of a
 // start that is over; who goes on beating is there, even if no probe gets through.
-func (c *Controller) countHeartbeat(now time.Duration, t *target) {
-	t.beatAt = now
-	t.streak.RecordHeartbeat(now)
-	t.unconfirmed = t.unconfirmed && !t.streak.IsSteady(now)
+func (c *Controller) recordHeartbeat(now time.Duration, t *target) {
+	t.lastHeartbeatAt = now
+	t.heartbeatStreak.RecordHeartbeat(now)
+	t.unconfirmed = t.unconfirmed && !t.heartbeatStreak.IsSteady(now)
 }
 
 // beats is what the table says of it: one that misses its probes has to speak on.
-func (t *target) isBeating(now time.Duration) bool {
-	return now-t.beatAt < tuning.TargetHeartbeatTimeout && (t.misses < tuning.ProbeMisses || t.streak.IsSteady(now))
+func (t *target) isHeartbeating(now time.Duration) bool {
+	return now-t.lastHeartbeatAt < tuning.TargetHeartbeatTimeout && (t.consecutiveMisses < tuning.ProbeMisses || t.heartbeatStreak.IsSteady(now))
 }
 
 // rivals are the known targets under w's name or at its address.
@@ -238,19 +238,19 @@
 	return l
 }
 
-// register takes in a target that is new. Where another stands under its name or
+// registerTarget takes in a target that is new. Where another stands under its name or
 // at its address it only claims that place, and its own answer to a probe decides.
-func (c *Controller) register(now time.Duration, w wire.Target) *target {
+func (c *Controller) registerTarget(now time.Duration, w wire.Target) *target {
 	t := c.claims[w.ID()]
 	if t == nil {
 		t = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: config.Warming},
-			beatAt: now, aliveAt: now, probeAt: now - tuning.ProbeEvery, seenAt: now, unconfirmed: true}
+			lastHeartbeatAt: now, lastAliveAt: now, lastProbeAt: now - tuning.ProbeEvery, statsJudgedAt: now, unconfirmed: true}
 	}
 	if len(c.conflictingTargets(w)) > 0 {
 		t.Addr = w.Addr
 		c.updateFromReport(now, t, w)
 		c.claims[w.ID()] = t
-		if !c.takeOver(now, t, false) {
+		if !c.displaceConflicting(now, t, false) {
 			return nil
 		}
 	}
@@ -262,17 +262,17 @@
 // an answer at the very address says whose it is; an incumbent elsewhere that
 // lives stays, by the design's incumbency, and keeps its name until it leaves or
 // misses its probes. proved is the claimant's own answer.
-func (c *Controller) takeOver(now time.Duration, t *target, proved bool) bool {
+func (c *Controller) displaceConflicting(now time.Duration, t *target, proved bool) bool {
 	rs := c.conflictingTargets(t.Target)
 	for _, o := range rs {
-		lives := !o.unconfirmed && !o.Draining && o.misses < tuning.ProbeMisses
-		silent := now-o.beatAt > tuning.TargetHeartbeatTimeout && o.misses >= tuning.ProbeMisses
+		lives := !o.unconfirmed && !o.Draining && o.consecutiveMisses < tuning.ProbeMisses
+		silent := now-o.lastHeartbeatAt > tuning.TargetHeartbeatTimeout && o.consecutiveMisses >= tuning.ProbeMisses
 		if proved && o.Addr != t.Addr && lives || !proved && (t.unconfirmed || !silent) {
 			return false
 		}
 	}
 	for _, o := range rs {
-		c.drop(now, o.ID(), "superseded by another start, or at its address by another target")
+		c.removeTarget(now, o.ID(), "superseded by another start, or at its address by another target")
 		c.tombstones[o.ID()] = now
 		t.addressReused = t.addressReused || o.Addr == t.Addr && (o.Service != t.Service || o.Name != t.Name)
 	}
@@ -288,37 +288,37 @@
 	}
 	t.Pending = t.addressReused
 	name := [2]string{id.Service, id.Name}
-	if c.turnByName[name] == 0 {
-		c.lastTurn[id.Service]++
-		c.turnByName[name] = c.lastTurn[id.Service]
+	if c.shareOffsetByName[name] == 0 {
+		c.lastShareOffset[id.Service]++
+		c.shareOffsetByName[name] = c.lastShareOffset[id.Service]
 	}
-	t.ShareOffset = c.turnByName[name] // a restart keeps it: proxies that serve on their peers may have dealt by it already
+	t.ShareOffset = c.shareOffsetByName[name] // a restart keeps it: proxies that serve on their peers may have dealt by it already
 	c.targets[id] = t
-	if c.leaving[id] != 0 {
-		c.hold(now, t, "it was leaving when it fell silent")
+	if c.leavingTargets[id] != 0 {
+		c.drainTarget(now, t, "it was leaving when it fell silent")
 	}
-	if t.Pending && c.lead == Leading {
-		c.rebuild(now, true)
-		c.waiters = append(c.waiters, &commitWaiter{version: c.tableVersion, since: now, clearPending: id})
+	if t.Pending && c.leadership == Leading {
+		c.rebuildTable(now, true)
+		c.waiters = append(c.waiters, &inForceWaiter{version: c.tableVersion, waitingSince: now, pendingTarget: id})
 	}
 }
 
-func (c *Controller) judgeEvent(e outlier.Event) {
+func (c *Controller) judgeOutlierEvent(e outlier.Event) {
 	c.emit(statemachine.Publish{Event: &e})
-	c.decided(c.scorer.Step(e))
+	c.publishDecisions(c.scorer.Step(e))
 }
 
-func (c *Controller) decided(ds []outlier.Decision) {
+func (c *Controller) publishDecisions(ds []outlier.Decision) {
 	for i := range ds {
 		if !ds[i].Shadow {
-			c.decisions++
+			c.decisionCount++
 			switch ds[i].Kind {
 			case "bar":
-				c.counts.Bars++
+				c.counts.Ejections++
 			case "clear":
-				c.counts.Clears++
+				c.counts.EjectionsCleared++
 			case "lapse":
-				c.counts.Lapses++
+				c.counts.EjectionsLapsed++
 			}
 		}
 		c.emit(statemachine.Publish{Decision: &ds[i]})
@@ -326,13 +326,13 @@
 }
 
 // sorted are the targets' identities in order.
-func (c *Controller) sorted() []wire.TargetID {
-	ok := len(c.sortedIDs) == len(c.targets)
-	for i := 0; ok && i < len(c.sortedIDs); i++ {
-		ok = c.targets[c.sortedIDs[i]] != nil
+func (c *Controller) targetIDs() []wire.TargetID {
+	ok := len(c.sortedTargetIDs) == len(c.targets)
+	for i := 0; ok && i < len(c.sortedTargetIDs); i++ {
+		ok = c.targets[c.sortedTargetIDs[i]] != nil
 	}
 	if !ok {
-		c.sortedIDs = slices.SortedFunc(maps.Keys(c.targets), wire.TargetID.Compare)
+		c.sortedTargetIDs = slices.SortedFunc(maps.Keys(c.targets), wire.TargetID.Compare)
 	}
-	return c.sortedIDs
+	return c.sortedTargetIDs
 }
--- a/internal/controlplane/targetcall.go
+++ b/internal/controlplane/targetcall.go
@@ -14,7 +14,7 @@
 
 // word takes a back end's word as leader. One that says leaving or gone is acknowledged
 // when most proxies have a table that says so; the others' leases lapse by themselves.
-func (c *Controller) reportTarget(now time.Duration, p *pending, w wire.Target) {
+func (c *Controller) reportTarget(now time.Duration, p *pendingCall, w wire.Target) {
 	ids := []wire.TargetID{w.ID()}
 	if w.Service == "" {
 		ids = c.named(w.Name)
@@ -22,26 +22,26 @@
 	for _, id := range ids {
 		t := w
 		t.Service, t.Incarnation = id.Service, id.Incarnation
-		c.heartbeat(now, t, false)
+		c.handleHeartbeat(now, t, false)
 	}
 	if !targetreport.IsLeaving(w) {
 		c.answer(p, targetreport.Acknowledgement(w))
 		return
 	}
-	c.persistNow = true
+	c.persistSoon = true
 	c.persistRegistrations(now, tuning.RegistryEvery)
 	ver := uint64(0)
 	for _, id := range ids {
-		out := c.withdrawnAt[id]
+		out := c.withdrawnInVersion[id]
 		if out == 0 {
 			out = c.tableVersion
 		}
 		if t := c.targets[id]; t == nil || t.Draining { // an old word has changed nothing
-			c.withdrawnAt[id] = out
+			c.withdrawnInVersion[id] = out
 		}
 		ver = max(ver, out)
 	}
-	c.waiters = append(c.waiters, &commitWaiter{version: ver, since: now, p: p, reply: targetreport.Acknowledgement(w), majorityOnly: true, agreed: ids})
+	c.waiters = append(c.waiters, &inForceWaiter{version: ver, waitingSince: now, call: p, reply: targetreport.Acknowledgement(w), majorityOnly: true, departures: ids})
 }
 
 // named are the identities under a name, those that signed off lately included.
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -20,7 +20,7 @@
 	"entry no JSON":    func(r *rest) { r.c.node.Propose(r.now, []byte("{")) },
 	"entry wrong type": func(r *rest) { r.c.node.Propose(r.now, []byte(`{"op":7}`)) },
 	"entry compressed": func(r *rest) { r.c.node.Propose(r.now, []byte("\x28\xb5\x2f\xfd broken off")) },
-	"snapshot":         func(r *rest) { r.c.restore(&wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)}) },
+	"snapshot":         func(r *rest) { r.c.restoreSnapshot(&wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)}) },
 	"configuration": func(r *rest) {
 		r.c.propose(r.now, state.Command{Operation: state.OpConfigure, Base: r.c.state.Revision, Document: json.RawMessage(`[]`)})
 	},
@@ -38,7 +38,7 @@
 				r.second()
 			}
 			status := r.c.Status(r.now)
-			if r.c.Leading() || r.c.Deciding(r.now) || status.Current || len(status.Damage) != 1 || r.c.counts.Damaged != 1 {
+			if r.c.Leading() || r.c.HoldsLease(r.now) || status.Current || len(status.Damage) != 1 || r.c.counts.DamageReports != 1 {
 				t.Fatalf("leads %v, damage %v", r.c.Leading(), status.Damage)
 			}
 			if !errors.Is(r.c.undecodable, state.ErrDamaged) {
@@ -88,7 +88,7 @@
 	k := &cluster{now: time.Second, members: map[string]*Controller{}, names: []string{"c1", "c2", "c3"}}
 	for i, n := range k.names {
 		self := wire.Daemon{Name: n, Kind: wire.ControlDaemon, Addr: n, Incarnation: 1}
-		k.members[n] = New(k.now, Settings{Self: self, Size: 3, Seeds: k.names}, consensus.Image{Disk: uint64(i + 7)})
+		k.members[n] = New(k.now, Settings{Self: self, BootstrapSize: 3, Seeds: k.names}, consensus.Image{Disk: uint64(i + 7)})
 	}
 	return k
 }
@@ -120,7 +120,7 @@
 
 func (k *cluster) leader() string {
 	for _, n := range k.names {
-		if n != k.down && k.members[n].Deciding(k.now) {
+		if n != k.down && k.members[n].HoldsLease(k.now) {
 			return n
 		}
 	}
--- a/internal/controlplane/watchdog.go
+++ b/internal/controlplane/watchdog.go
@@ -17,51 +17,51 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// watch is the watchdog and what else recurs while deciding.
-func (c *Controller) watch(now time.Duration) {
+// tickLeader is the watchdog and what else recurs while deciding.
+func (c *Controller) tickLeader(now time.Duration) {
 	c.probeTargets(now)
-	for _, id := range c.sorted() {
+	for _, id := range c.targetIDs() {
 		t := c.targets[id]
-		if now-t.seenAt >= tuning.StatsEvery {
-			t.seenAt = now
-			if s := t.seen; s.Successes+s.Errors > 0 {
-				t.seen = wire.TargetStats{}
-				c.judgeEvent(outlier.Event{At: now, Slice: "exchange", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation,
+		if now-t.statsJudgedAt >= tuning.StatsEvery {
+			t.statsJudgedAt = now
+			if s := t.stats; s.Successes+s.Errors > 0 {
+				t.stats = wire.TargetStats{}
+				c.judgeOutlierEvent(outlier.Event{At: now, Slice: "exchange", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation,
 					Count: int(s.Successes + s.Errors), Errors: int(s.Errors), Slow: int(s.Slow), Milliseconds: s.TotalMs})
 			}
 		}
-		if silent := now - t.beatAt; silent > tuning.TargetHeartbeatTimeout && now-t.silentAt >= tuning.StatsEvery {
-			t.silentAt = now
-			c.judgeEvent(outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, State: t.State, Milliseconds: float64(silent) / 1e6})
+		if silent := now - t.lastHeartbeatAt; silent > tuning.TargetHeartbeatTimeout && now-t.heartbeatGapJudgedAt >= tuning.StatsEvery {
+			t.heartbeatGapJudgedAt = now
+			c.judgeOutlierEvent(outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, State: t.State, Milliseconds: float64(silent) / 1e6})
 		}
-		if now-t.aliveAt > tuning.TargetExpiry {
-			c.drop(now, id, "silent and unreachable")
+		if now-t.lastAliveAt > tuning.TargetExpiry {
+			c.removeTarget(now, id, "silent and unreachable")
 		}
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(c.claims), wire.TargetID.Compare) {
 		t := c.claims[id]
-		if now-t.beatAt > tuning.TargetHeartbeatTimeout {
+		if now-t.lastHeartbeatAt > tuning.TargetHeartbeatTimeout {
 			delete(c.claims, id)
 		}
 	}
-	if now-c.cleanAt > tuning.ReconcileEvery {
-		c.cleanAt = now
+	if now-c.expiredAt > tuning.ReconcileEvery {
+		c.expiredAt = now
 		old := func(_ wire.TargetID, at time.Duration) bool { return now-at > tuning.TombstoneKeep }
 		maps.DeleteFunc(c.tombstones, old)
-		if len(c.turnByName) > 2*len(c.targets)+tuning.ShareOffsetsKept {
-			c.turnByName = map[[2]string]uint32{} // names that never come back; a new place costs little
+		if len(c.shareOffsetByName) > 2*len(c.targets)+tuning.ShareOffsetsKept {
+			c.shareOffsetByName = map[[2]string]uint32{} // names that never come back; a new place costs little
 		}
-		maps.DeleteFunc(c.leaving, old)
-		maps.DeleteFunc(c.withdrawnAt, func(id wire.TargetID, _ uint64) bool {
+		maps.DeleteFunc(c.leavingTargets, old)
+		maps.DeleteFunc(c.withdrawnInVersion, func(id wire.TargetID, _ uint64) bool {
 			return c.targets[id] == nil && c.claims[id] == nil && c.tombstones[id] == 0
 		})
 	}
-	c.decided(c.scorer.Tick(now))
-	if c.lead != Leading {
+	c.publishDecisions(c.scorer.Tick(now))
+	if c.leadership != Leading {
 		return
 	}
-	c.rebuild(now, now-c.rebuilt >= tuning.ReconcileEvery)
-	c.roster(now)
+	c.rebuildTable(now, now-c.tableRefreshedAt >= tuning.ReconcileEvery)
+	c.updateProxyMembership(now)
 	c.persistRegistrations(now, tuning.RegistryEvery)
 }
 
@@ -77,78 +77,78 @@
 func (c *Controller) probeTargets(now time.Duration) {
 	left := probesPerTick(len(c.targets) + len(c.claims))
 	begin := func(id wire.TargetID, t *target) {
-		if left > 0 && c.probeDue(now, id, t) {
+		if left > 0 && c.isProbeDue(now, id, t) {
 			left--
-			c.probe(now, id, t)
+			c.sendProbe(now, id, t)
 		}
 	}
-	ids := c.sorted()
+	ids := c.targetIDs()
 	for _, id := range ids {
 		t := c.targets[id]
-		c.checkProbe(now, id, t)
-		if t.missed {
+		c.checkOutstandingProbe(now, id, t)
+		if t.lastProbeMissed {
 			begin(id, t)
 		}
 	}
-	start, _ := slices.BinarySearchFunc(ids, c.nextProbe, wire.TargetID.Compare)
+	start, _ := slices.BinarySearchFunc(ids, c.nextProbeTarget, wire.TargetID.Compare)
 	for i := range ids {
 		id := ids[(start+i)%len(ids)]
 		begin(id, c.targets[id])
 		if left == 0 {
-			c.nextProbe = id
+			c.nextProbeTarget = id
 			break
 		}
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(c.claims), wire.TargetID.Compare) {
-		c.checkProbe(now, id, c.claims[id])
+		c.checkOutstandingProbe(now, id, c.claims[id])
 		begin(id, c.claims[id])
 	}
 }
 
-// checkProbe looks after a target's probe: one that the shell never answered is over, and where
+// checkOutstandingProbe looks after a target's probe: one that the shell never answered is over, and where
 // one that follows a miss takes long some proxies probe too.
-func (c *Controller) checkProbe(now time.Duration, id wire.TargetID, t *target) {
-	if t.sentAt != 0 && now-t.sentAt > 2*tuning.ProbeTimeout {
-		t.sentAt = 0
+func (c *Controller) checkOutstandingProbe(now time.Duration, id wire.TargetID, t *target) {
+	if t.probeSentAt != 0 && now-t.probeSentAt > 2*tuning.ProbeTimeout {
+		t.probeSentAt = 0
 	}
-	if _, named := c.cfg.Services[id.Service]; !named {
+	if _, named := c.activeConfig.Services[id.Service]; !named {
 		// Nothing is sent there; once it is, probes are spread, and who beat and fell silent must answer one.
-		t.probeAt = now - tuning.ProbeEvery + time.Duration(t.ShareOffset)*tuning.TickEvery%tuning.NewServiceProbeSpread
-		t.unconfirmed = t.unconfirmed || t.streak.Count() >= tuning.ProofHeartbeats && now-t.beatAt > tuning.NewServiceSilence
+		t.lastProbeAt = now - tuning.ProbeEvery + time.Duration(t.ShareOffset)*tuning.TickEvery%tuning.NewServiceProbeSpread
+		t.unconfirmed = t.unconfirmed || t.heartbeatStreak.Count() >= tuning.ProofHeartbeats && now-t.lastHeartbeatAt > tuning.NewServiceSilence
 		return
 	}
-	if t.missed && t.misses < tuning.ProbeMisses && t.sentAt != 0 && t.askedFor != t.sentAt && now-t.sentAt >= tuning.IndirectAfter &&
-		t.okAt < t.sentAt+tuning.IndirectAfter && !t.Draining && t.State != config.Leaving {
-		t.askedFor = t.sentAt
-		c.indirect(now, id)
+	if t.lastProbeMissed && t.consecutiveMisses < tuning.ProbeMisses && t.probeSentAt != 0 && t.indirectProbeFor != t.probeSentAt && now-t.probeSentAt >= tuning.IndirectAfter &&
+		t.lastSuccessAt < t.probeSentAt+tuning.IndirectAfter && !t.Draining && t.State != config.Leaving {
+		t.indirectProbeFor = t.probeSentAt
+		c.requestIndirectProbes(now, id)
 	}
 }
 
-func (c *Controller) probeDue(now time.Duration, id wire.TargetID, t *target) bool {
-	_, named := c.cfg.Services[id.Service]
-	return named && t.sentAt == 0 && now-t.probeAt >= tuning.ProbeEvery && !c.spared(now, t)
+func (c *Controller) isProbeDue(now time.Duration, id wire.TargetID, t *target) bool {
+	_, named := c.activeConfig.Services[id.Service]
+	return named && t.probeSentAt == 0 && now-t.lastProbeAt >= tuning.ProbeEvery && !c.canSkipProbe(now, t)
 }
 
 // spared says that a target needs no probe yet, since requests show that it lives: a proxy had an answer
 // from it later than a probe that is due now would have gone out before. So its death is noticed as
 // early as with probes alone. Only health answers tell of coldness, so each is probed now and then.
-func (c *Controller) spared(now time.Duration, t *target) bool {
-	if len(c.targets) <= tuning.ProbeAllMax || t.missed || t.unconfirmed || t.coldTill > now {
+func (c *Controller) canSkipProbe(now time.Duration, t *target) bool {
+	if len(c.targets) <= tuning.ProbeAllMax || t.lastProbeMissed || t.unconfirmed || t.warmupEnd > now {
 		return false
 	}
-	return now-(t.okAt-tuning.PullEvery) < tuning.ProbeEvery && now-t.probeAt < tuning.ServingProbeIntervals*tuning.ProbeEvery
+	return now-(t.lastSuccessAt-tuning.PullEvery) < tuning.ProbeEvery && now-t.lastProbeAt < tuning.ServingProbeIntervals*tuning.ProbeEvery
 }
 
-func (c *Controller) probe(now time.Duration, id wire.TargetID, t *target) {
-	t.probeAt, t.sentAt = now, now
+func (c *Controller) sendProbe(now time.Duration, id wire.TargetID, t *target) {
+	t.lastProbeAt, t.probeSentAt = now, now
 	c.counts.Probes++
-	c.emit(statemachine.Probe{ID: id, Addr: t.Addr, Path: c.cfg.Services[id.Service].HealthPath})
+	c.emit(statemachine.Probe{ID: id, Addr: t.Addr, Path: c.activeConfig.Services[id.Service].HealthPath})
 }
 
-// indirect has some proxies probe a target that the leader itself can't reach, so that a
+// requestIndirectProbes has some proxies probe a target that the leader itself can't reach, so that a
 // trouble of the leader's own ejections nobody. They are drawn anew each time, from as many
 // domains as can be and the leader's own last: what troubles it may trouble its neighbours.
-func (c *Controller) indirect(now time.Duration, id wire.TargetID) {
+func (c *Controller) requestIndirectProbes(now time.Duration, id wire.TargetID) {
 	type choice struct {
 		name, domain string
 		nth          int // of its domain
@@ -157,7 +157,7 @@
 	}
 	var all []choice
 	for _, r := range c.state.Proxies {
-		if g := c.proxies[r.Name]; g != nil && g.tableMerged && c.live(now, r.Name) {
+		if g := c.proxies[r.Name]; g != nil && g.tableMerged && c.isProxyLive(now, r.Name) {
 			h := fnv.New32a()
 			fmt.Fprint(h, r.Name, id, now)
 			k := choice{name: r.Name, domain: r.Domain, draw: h.Sum32()}
@@ -176,13 +176,13 @@
 	slices.SortStableFunc(all, func(a, b choice) int { return cmp.Or(cmp.Compare(a.nth, b.nth), cmp.Compare(a.close, b.close)) })
 	for _, k := range all[:min(len(all), tuning.IndirectProbes)] {
 		g := c.proxies[k.name]
-		p := &wire.Push{Key: g.key, ProbeTargets: []wire.TargetID{id}}
-		c.send(k.name, &wire.Message{Kind: wire.KindPush, Epoch: c.node.Epoch(), Term: c.node.Term(), Timestamp: g.stamp, Disk: g.incarnation, Push: p})
+		p := &wire.Push{Key: g.tableKey, ProbeTargets: []wire.TargetID{id}}
+		c.send(k.name, &wire.Message{Kind: wire.KindPush, Epoch: c.node.Epoch(), Term: c.node.Term(), Timestamp: g.pullTimestamp, Disk: g.incarnation, Push: p})
 	}
 }
 
-func (c *Controller) probed(now time.Duration, p statemachine.ProbeResult) {
-	if c.lead < Gathering {
+func (c *Controller) handleProbeResult(now time.Duration, p statemachine.ProbeResult) {
+	if c.leadership < Gathering {
 		return
 	}
 	t := c.targets[p.ID]
@@ -190,35 +190,35 @@
 		if t = c.claims[p.ID]; t == nil {
 			return
 		}
-		t.sentAt = 0
-		if b := p.Report; b == nil || b.ID() != p.ID || !c.takeOver(now, t, true) {
+		t.probeSentAt = 0
+		if b := p.Report; b == nil || b.ID() != p.ID || !c.displaceConflicting(now, t, true) {
 			return
 		}
 		c.admitTarget(now, t, p.Report.State)
 	}
-	t.sentAt = 0
+	t.probeSentAt = 0
 	proved := t.unconfirmed
 	e := outlier.Event{At: now, Slice: "probe", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Milliseconds: p.Milliseconds}
 	b := p.Report
 	e.Success = b != nil && b.ID() == p.ID
-	t.missed = !e.Success
+	t.lastProbeMissed = !e.Success
 	if !e.Success {
-		c.counts.Misses++
-		if t.okAt-tuning.PullEvery >= p.SentAt {
+		c.counts.ProbeMisses++
+		if t.lastSuccessAt-tuning.PullEvery >= p.SentAt {
 			// A proxy has had an answer from it since this probe went out: the miss is the leader's own.
-			c.counts.Overruled++
+			c.counts.MissesOverruled++
 			return
 		}
-		t.misses++
+		t.consecutiveMisses++
 	} else {
-		t.aliveAt, t.unconfirmed, t.misses = now, false, 0
+		t.lastAliveAt, t.unconfirmed, t.consecutiveMisses = now, false, 0
 		c.advanceState(now, t, b.State)
 		if b.Demand != nil {
 			t.Demand, t.HasDemand = *b.Demand, true
 		}
-		t.coldTill = max(t.coldTill, now+p.WarmupLeft) // that it says nothing of it ends nothing
+		t.warmupEnd = max(t.warmupEnd, now+p.WarmupLeft) // that it says nothing of it ends nothing
 	}
-	c.judgeEvent(e)
+	c.judgeOutlierEvent(e)
 	if proved && !t.unconfirmed {
 		return // many prove themselves at once after a loss: the next tick tells of all
 	}
--- a/internal/controlplane/watchdog_test.go
+++ b/internal/controlplane/watchdog_test.go
@@ -37,7 +37,7 @@
 	r := atRest(69, targets)
 	r.named(t)
 	for id := range r.c.targets {
-		r.c.targets[id].probeAt = 0 // all are due
+		r.c.targets[id].lastProbeAt = 0 // all are due
 	}
 	most, first := uint64(0), r.c.counts.Probes
 	from := r.now
@@ -64,12 +64,12 @@
 	}
 	missed := r.c.targets[r.target[293].ID()]
 	for id := range r.c.targets {
-		r.c.targets[id].probeAt = 0
+		r.c.targets[id].lastProbeAt = 0
 	}
-	missed.missed, missed.misses = true, 1
+	missed.lastProbeMissed, missed.consecutiveMisses = true, 1
 	r.now += tuning.TickEvery
 	r.step(statemachine.Tick{})
-	if missed.probeAt != r.now {
+	if missed.lastProbeAt != r.now {
 		t.Error("the one that missed a probe waits behind others")
 	}
 }
@@ -86,7 +86,7 @@
 		r.now += tuning.TickEvery
 		r.step(statemachine.Tick{})
 		for _, x := range r.c.targets {
-			most = max(most, r.now-x.probeAt)
+			most = max(most, r.now-x.lastProbeAt)
 		}
 	}
 	if most > tuning.ProbeEvery+2*tuning.TickEvery {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -28,14 +28,14 @@
 	disk, image, damage := h.openDiskInTime()
 	s := h.Settings
 	owner := controlplane.New(h.Now(), controlplane.Settings{
-		Self:    h.Daemon(),
-		Size:    s.Size,
-		Seeds:   s.Seeds,
-		Found:   s.Bootstrap,
-		Domains: s.Domains,
-		CatchUp: milliseconds(s.CatchUpMs),
-		Losses:  s.ToleratedLosses,
-		Grace:   milliseconds(s.GraceMs),
+		Self:          h.Daemon(),
+		BootstrapSize: s.Size,
+		Seeds:         s.Seeds,
+		Bootstrap:     s.Bootstrap,
+		Domains:       s.Domains,
+		CatchUpTime:   milliseconds(s.CatchUpMs),
+		MachineLosses: s.ToleratedLosses,
+		StopGrace:     milliseconds(s.GraceMs),
 	}, image)
 	if damage != nil {
 		owner.ReportDamage("state on this disk", damage)
@@ -101,7 +101,7 @@
 		status := d.owner.Status(now)
 		leading = d.owner.Leading()
 		d.term.Store(status.Term)
-		leaderAddr = d.owner.Http(status.Leader)
+		leaderAddr = d.owner.HTTPAddr(status.Leader)
 	})
 	d.hub.Serve(w, r, leading, leaderAddr)
 }
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -28,7 +28,7 @@
 		tb.Fatal(err)
 	}
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
-	return &loneCore{disk: d, now: time.Second, core: controlplane.New(time.Second, controlplane.Settings{Self: self, Size: 1}, img)}
+	return &loneCore{disk: d, now: time.Second, core: controlplane.New(time.Second, controlplane.Settings{Self: self, BootstrapSize: 1}, img)}
 }
 
 func (l *loneCore) step(tb testing.TB, ev statemachine.Event) {
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -23,17 +23,17 @@
 
 // Settings are a daemon's own: its place in the fleet, not what the fleet serves.
 type Settings struct {
-	Name   string   `koanf:"name" json:"name"`               // unique in the fleet
-	Domain string   `koanf:"domain" json:"domain"`           // failure domain (zone)
-	Addr   string   `koanf:"addr" json:"addr"`               // IP:port at which other daemons reach it
-	Bind   string   `koanf:"bind" json:"bind,omitempty"`     // IP:port to listen on for them, "": Addr
-	LocalIP   string   `koanf:"from" json:"from,omitempty"`     // IP that connections leave from, "": the system's choice
-	HTTP   string   `koanf:"http" json:"http"`               // IP:port of its HTTP API
-	Listen string   `koanf:"listen" json:"listen,omitempty"` // IP:port for callers; proxies only
-	Seeds  []string `koanf:"seeds" json:"seeds"`             // addresses of some other daemons
-	Data   string   `koanf:"data" json:"data,omitempty"`     // folder of its state; core members only
-	Size   int      `koanf:"size" json:"size,omitempty"`     // members that found the core, 0: the seeds do
-	LogLevel    string   `koanf:"log" json:"log,omitempty"`       // level: error, warn, info or debug
+	Name     string   `koanf:"name" json:"name"`               // unique in the fleet
+	Domain   string   `koanf:"domain" json:"domain"`           // failure domain (zone)
+	Addr     string   `koanf:"addr" json:"addr"`               // IP:port at which other daemons reach it
+	Bind     string   `koanf:"bind" json:"bind,omitempty"`     // IP:port to listen on for them, "": Addr
+	LocalIP  string   `koanf:"from" json:"from,omitempty"`     // IP that connections leave from, "": the system's choice
+	HTTP     string   `koanf:"http" json:"http"`               // IP:port of its HTTP API
+	Listen   string   `koanf:"listen" json:"listen,omitempty"` // IP:port for callers; proxies only
+	Seeds    []string `koanf:"seeds" json:"seeds"`             // addresses of some other daemons
+	Data     string   `koanf:"data" json:"data,omitempty"`     // folder of its state; core members only
+	Size     int      `koanf:"size" json:"size,omitempty"`     // members that found the core, 0: the seeds do
+	LogLevel string   `koanf:"log" json:"log,omitempty"`       // level: error, warn, info or debug
 	// Bootstrap says that this is the fleet's first start ever: without a size, the seeds found the core then.
 	Bootstrap bool `koanf:"found" json:"found,omitempty"`
 	// Domains are all domains of the fleet, if they are known beforehand.
@@ -49,8 +49,8 @@
 	RetrySlack    int     `koanf:"retry_slack" json:"retry_slack,omitempty"`
 	// CatchUpMs is how long after the start of a replacement a core has to bear the next loss of a
 	// member, and Losses how many members may be lost at once; 0: the program's own.
-	CatchUpMs int `koanf:"catch_up_ms" json:"catch_up_ms,omitempty"`
-	ToleratedLosses    int `koanf:"losses" json:"losses,omitempty"`
+	CatchUpMs       int `koanf:"catch_up_ms" json:"catch_up_ms,omitempty"`
+	ToleratedLosses int `koanf:"losses" json:"losses,omitempty"`
 	// ReadyWhenEmptied has a proxy stay ready for callers while its domain is emptied.
 	ReadyWhenEmptied bool `koanf:"ready_when_emptied" json:"ready_when_emptied,omitempty"`
 }
--- a/internal/daemon/stream.go
+++ b/internal/daemon/stream.go
@@ -52,7 +52,9 @@
 }
 
 // Publish adds a note; it never waits for readers.
-func (u *EventStream) Publish(term uint64, n statemachine.Publish) { u.put <- line{Term: term, Publish: n} }
+func (u *EventStream) Publish(term uint64, n statemachine.Publish) {
+	u.put <- line{Term: term, Publish: n}
+}
 
 // give passes a line to a reader, without waiting for it.
 func (r *reader) give(l line) {
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -15,8 +15,8 @@
 
 // MessageCount is what went one way in messages of one kind; bytes are as on the connection, packed.
 type MessageCount struct {
-	Sent        bool
-	Kind        string
+	Sent            bool
+	Kind            string
 	Messages, Bytes uint64
 }
 
--- a/internal/mfctl/core.go
+++ b/internal/mfctl/core.go
@@ -26,17 +26,17 @@
 		}
 		return
 	}
-	v := leader.Core
+	v := leader.ControlPlane
 	fmt.Fprintf(w, "\ncore: %s leads for %v in term %d, by the answers of %d of %d members (%s); %d make a majority\n",
-		leader.Name, seconds(v.LeadsMs), leader.Term, len(v.Lease), v.Voters, strings.Join(v.Lease, ", "), v.Majority)
+		leader.Name, seconds(v.LeadingMs), leader.Term, len(v.LeaseVoters), v.Voters, strings.Join(v.LeaseVoters, ", "), v.Majority)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "MEMBER\tDOMAIN\tSTATE\tVOTE\tSILENT\tLOG")
 	for _, m := range v.Members {
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, orDash(m.Domain), strings.ReplaceAll(string(m.State), "_", " "), yesOrDash(m.Voter), silenceText(m), logText(m, v.Commit))
 	}
 	tw.Flush()
-	fmt.Fprintf(w, "next loss: %s\n", lossText(v.Loss))
-	for _, o := range v.Loss.Obstacles {
+	fmt.Fprintf(w, "next loss: %s\n", lossText(v.FailureTolerance))
+	for _, o := range v.FailureTolerance.Blockers {
 		fmt.Fprintf(w, "  %s\n", obstacleText(o, v))
 	}
 }
@@ -46,8 +46,8 @@
 	for _, d := range s.Damage {
 		fmt.Fprintf(w, "\nDAMAGE at %s: %s: %s\n", s.Name, d.Subject, d.Reason)
 	}
-	if s.Disk != "" {
-		fmt.Fprintf(w, "\nDISK of %s takes no writes: %s\n", s.Name, s.Disk)
+	if s.DiskError != "" {
+		fmt.Fprintf(w, "\nDISK of %s takes no writes: %s\n", s.Name, s.DiskError)
 	}
 }
 
@@ -55,7 +55,7 @@
 func leadersView(all []controlplane.StatusView) (best *controlplane.StatusView) {
 	for i := range all {
 		s := &all[i]
-		if s.Core.Decides && (best == nil || s.Epoch > best.Epoch || s.Epoch == best.Epoch && s.Term > best.Term) {
+		if s.ControlPlane.HoldsLease && (best == nil || s.Epoch > best.Epoch || s.Epoch == best.Epoch && s.Term > best.Term) {
 			best = s
 		}
 	}
@@ -64,19 +64,19 @@
 
 // heardText is what a member that does not decide says of its leader.
 func heardText(s *controlplane.StatusView) string {
-	v := s.Core
+	v := s.ControlPlane
 	switch v.Leader {
 	case "":
-		return fmt.Sprintf("hears no leader, for %v", seconds(v.LeaderHeardMs))
+		return fmt.Sprintf("hears no leader, for %v", seconds(v.LeaderLastContactMs))
 	case s.Name:
 		return "is elected, and gathers what the proxies hold before it decides"
 	}
-	return fmt.Sprintf("last heard %s %v ago", v.Leader, seconds(v.LeaderHeardMs))
+	return fmt.Sprintf("last heard %s %v ago", v.Leader, seconds(v.LeaderLastContactMs))
 }
 
-func lossText(l controlplane.LossView) string {
+func lossText(l controlplane.FailureToleranceView) string {
 	switch {
-	case !l.Bearable:
+	case !l.Tolerable:
 		return "cannot be borne now"
 	case len(l.DomainsAtRisk) > 0:
 		return fmt.Sprintf("%s can be borne now, but not the loss of domain %s", machines(l.Machines), strings.Join(l.DomainsAtRisk, " or "))
@@ -92,47 +92,47 @@
 }
 
 // obstacleText says why a member does not count, and until when.
-func obstacleText(o controlplane.Obstacle, v controlplane.CoreView) string {
+func obstacleText(o controlplane.Blocker, v controlplane.ControlPlaneView) string {
 	switch o.Kind {
-	case controlplane.ObstacleTooFew:
-		if o.By == "" {
+	case controlplane.BlockerTooFewMembers:
+		if o.Successor == "" {
 			return fmt.Sprintf("%d of %d members are needed, until another core machine is there", v.Majority, v.Voters)
 		}
-		return fmt.Sprintf("%d of %d members are needed, until %s has come in", v.Majority, v.Voters, o.By)
-	case controlplane.ObstacleCatchingUp:
+		return fmt.Sprintf("%d of %d members are needed, until %s has come in", v.Majority, v.Voters, o.Successor)
+	case controlplane.BlockerCatchingUp:
 		return fmt.Sprintf("%s is catching up, until it has the leader's snapshot", o.Member)
 	}
-	why := map[controlplane.ObstacleKind]string{
-		controlplane.ObstacleSilent:   "is silent",
-		controlplane.ObstacleStopping: "said that it stops",
-		controlplane.ObstaclePlace:    "is a place that nobody has taken yet",
+	why := map[controlplane.BlockerKind]string{
+		controlplane.BlockerUnresponsive: "is silent",
+		controlplane.BlockerStopping:     "said that it stops",
+		controlplane.BlockerPlaceholder:  "is a place that nobody has taken yet",
 	}[o.Kind]
 	return fmt.Sprintf("%s %s, until it is back%s", o.Member, why, replacementText(o))
 }
 
 // replacementText says who replaces a member, and when.
-func replacementText(o controlplane.Obstacle) string {
+func replacementText(o controlplane.Blocker) string {
 	switch {
-	case o.By == "":
+	case o.Successor == "":
 		return "; no other core machine is there to replace it"
 	case o.ReplaceableInMs == nil:
-		return fmt.Sprintf("; %s is there: 'mfctl core add %s', then 'mfctl core remove %s'", o.By, o.By, o.Member)
+		return fmt.Sprintf("; %s is there: 'mfctl core add %s', then 'mfctl core remove %s'", o.Successor, o.Successor, o.Member)
 	case *o.ReplaceableInMs > 0:
-		return fmt.Sprintf("; %s replaces it in %v at the earliest", o.By, seconds(*o.ReplaceableInMs))
+		return fmt.Sprintf("; %s replaces it in %v at the earliest", o.Successor, seconds(*o.ReplaceableInMs))
 	}
-	return fmt.Sprintf("; %s replaces it as soon as it has caught up", o.By)
+	return fmt.Sprintf("; %s replaces it as soon as it has caught up", o.Successor)
 }
 
 func silenceText(m controlplane.MemberView) string {
-	if m.SilentMs < 1000 {
+	if m.NoContactMs < 1000 {
 		return "-"
 	}
-	return seconds(m.SilentMs).String()
+	return seconds(m.NoContactMs).String()
 }
 
 // logText is how much of what is agreed a member holds.
 func logText(m controlplane.MemberView, commit uint64) string {
-	if m.State == controlplane.MemberStandby || m.State == controlplane.MemberPlace {
+	if m.State == controlplane.MemberStandby || m.State == controlplane.MemberPlaceholder {
 		return "-"
 	}
 	return fmt.Sprintf("%d of %d", min(m.Match, commit), commit)
--- a/internal/mfctl/core_test.go
+++ b/internal/mfctl/core_test.go
@@ -29,23 +29,23 @@
 
 // leaderView is a leader of three, one of which is silent while another learns.
 func leaderView(left int64) controlplane.StatusView {
-	return controlplane.StatusView{Name: "core-1", Role: "leader", Leadership: "deciding", Leader: "core-1", Epoch: 1, Term: 4, Core: controlplane.CoreView{
-		Leader: "core-1", Decides: true, LeadsMs: 72_340, Commit: 812, Last: 813, Voters: 3, Majority: 2, Lease: []string{"core-1", "core-3"},
+	return controlplane.StatusView{Name: "core-1", Role: "leader", Leadership: "deciding", Leader: "core-1", Epoch: 1, Term: 4, ControlPlane: controlplane.ControlPlaneView{
+		Leader: "core-1", HoldsLease: true, LeadingMs: 72_340, Commit: 812, Last: 813, Voters: 3, Majority: 2, LeaseVoters: []string{"core-1", "core-3"},
 		Members: []controlplane.MemberView{
-			{Name: "core-1", Domain: "north", State: controlplane.MemberLeads, Voter: true, Match: 813},
-			{Name: "core-2", Domain: "south", State: controlplane.MemberSilent, Voter: true, Match: 790, SilentMs: 3210},
-			{Name: "core-3", Domain: "west", State: controlplane.MemberFollows, Voter: true, Match: 812},
-			{Name: "core-4", Domain: "south", State: controlplane.MemberLearns, Match: 420, LearningMs: 700},
+			{Name: "core-1", Domain: "north", State: controlplane.MemberLeader, Voter: true, Match: 813},
+			{Name: "core-2", Domain: "south", State: controlplane.MemberUnresponsive, Voter: true, Match: 790, NoContactMs: 3210},
+			{Name: "core-3", Domain: "west", State: controlplane.MemberFollower, Voter: true, Match: 812},
+			{Name: "core-4", Domain: "south", State: controlplane.MemberLearner, Match: 420, LearningMs: 700},
 			{Name: "core-5", Domain: "west", State: controlplane.MemberStandby},
 		},
-		Loss: controlplane.LossView{Known: true, DomainsAtRisk: []string{"north", "west"},
-			Obstacles: []controlplane.Obstacle{{Kind: controlplane.ObstacleSilent, Member: "core-2", By: "core-4", ReplaceableInMs: &left}}}}}
+		FailureTolerance: controlplane.FailureToleranceView{Evaluated: true, DomainsAtRisk: []string{"north", "west"},
+			Blockers: []controlplane.Blocker{{Kind: controlplane.BlockerUnresponsive, Member: "core-2", Successor: "core-4", ReplaceableInMs: &left}}}}}
 }
 
 // The text says who leads, by whom, since when, who is silent, who learns and how far, and
 // until when the next loss can't be borne.
 func TestCtlStatusOfTheCore(t *testing.T) {
-	behind := controlplane.StatusView{Name: "core-9", Role: "leader", Epoch: 1, Term: 3, Core: controlplane.CoreView{Decides: true, Loss: controlplane.LossView{Known: true, Bearable: true, Machines: 1}}}
+	behind := controlplane.StatusView{Name: "core-9", Role: "leader", Epoch: 1, Term: 3, ControlPlane: controlplane.ControlPlaneView{HoldsLease: true, FailureTolerance: controlplane.FailureToleranceView{Evaluated: true, Tolerable: true, Machines: 1}}}
 	code, out := said(t, append(statusServers(t, behind, leaderView(4790)), "status")...)
 	if code != exitOK {
 		t.Fatal(code, out)
@@ -65,17 +65,17 @@
 	if _, out := said(t, append(statusServers(t, leaderView(0)), "status")...); !strings.Contains(out, "core-4 replaces it as soon as it has caught up") {
 		t.Error(out)
 	}
-	follower := controlplane.StatusView{Name: "core-2", Role: "follower", Core: controlplane.CoreView{Leader: "core-1", LeaderHeardMs: 9120}}
+	follower := controlplane.StatusView{Name: "core-2", Role: "follower", ControlPlane: controlplane.ControlPlaneView{Leader: "core-1", LeaderLastContactMs: 9120}}
 	code, out = said(t, append(statusServers(t, follower), "status")...)
 	if code != exitOK || !strings.Contains(out, "cannot be told\n  core-2 last heard core-1 9.1s ago\n") {
 		t.Error(code, out)
 	}
 	hurt := leaderView(0)
-	hurt.Damage, hurt.Disk = []controlplane.Damage{{Subject: "snapshot", Reason: "does not decode"}}, "no space left on device"
+	hurt.Damage, hurt.DiskError = []controlplane.Damage{{Subject: "snapshot", Reason: "does not decode"}}, "no space left on device"
 	if _, out = said(t, append(statusServers(t, hurt), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 takes no writes: no space left on device\n") {
 		t.Error(out)
 	}
-	warming := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", Core: controlplane.CoreView{Leader: "core-3"}}
+	warming := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", ControlPlane: controlplane.ControlPlaneView{Leader: "core-3"}}
 	if _, out = said(t, append(statusServers(t, warming), "status")...); !strings.Contains(out, "  core-3 is elected, and gathers what the proxies hold") {
 		t.Error(out)
 	}
@@ -88,23 +88,23 @@
 // Each way of standing against the next loss is told in words of its own.
 func TestCtlObstacles(t *testing.T) {
 	soon := int64(2500)
-	v := controlplane.CoreView{Voters: 2, Majority: 2}
-	for want, o := range map[string]controlplane.Obstacle{
-		"2 of 2 members are needed, until another core machine is there":                                    {Kind: controlplane.ObstacleTooFew},
-		"2 of 2 members are needed, until c3 has come in":                                                   {Kind: controlplane.ObstacleTooFew, By: "c3"},
-		"c1 is catching up, until it has the leader's snapshot":                                             {Kind: controlplane.ObstacleCatchingUp, Member: "c1"},
-		"c1 said that it stops, until it is back; no other core machine is there to replace it":             {Kind: controlplane.ObstacleStopping, Member: "c1"},
-		"c1 is a place that nobody has taken yet, until it is back; c3 replaces it in 2.5s at the earliest": {Kind: controlplane.ObstaclePlace, Member: "c1", By: "c3", ReplaceableInMs: &soon},
-		"c1 is silent, until it is back; c3 is there: 'mfctl core add c3', then 'mfctl core remove c1'":     {Kind: controlplane.ObstacleSilent, Member: "c1", By: "c3"},
+	v := controlplane.ControlPlaneView{Voters: 2, Majority: 2}
+	for want, o := range map[string]controlplane.Blocker{
+		"2 of 2 members are needed, until another core machine is there":                                    {Kind: controlplane.BlockerTooFewMembers},
+		"2 of 2 members are needed, until c3 has come in":                                                   {Kind: controlplane.BlockerTooFewMembers, Successor: "c3"},
+		"c1 is catching up, until it has the leader's snapshot":                                             {Kind: controlplane.BlockerCatchingUp, Member: "c1"},
+		"c1 said that it stops, until it is back; no other core machine is there to replace it":             {Kind: controlplane.BlockerStopping, Member: "c1"},
+		"c1 is a place that nobody has taken yet, until it is back; c3 replaces it in 2.5s at the earliest": {Kind: controlplane.BlockerPlaceholder, Member: "c1", Successor: "c3", ReplaceableInMs: &soon},
+		"c1 is silent, until it is back; c3 is there: 'mfctl core add c3', then 'mfctl core remove c1'":     {Kind: controlplane.BlockerUnresponsive, Member: "c1", Successor: "c3"},
 	} {
 		if got := obstacleText(o, v); got != want {
 			t.Errorf("%+v: %q, want %q", o, got, want)
 		}
 	}
-	for want, l := range map[string]controlplane.LossView{
-		"cannot be borne now":                                               {Known: true},
-		"any 1 machine can be borne now, and any one domain":                {Machines: 1, Bearable: true},
-		"any 2 machines can be borne now, but not the loss of domain north": {Machines: 2, Bearable: true, DomainsAtRisk: []string{"north"}},
+	for want, l := range map[string]controlplane.FailureToleranceView{
+		"cannot be borne now":                                               {Evaluated: true},
+		"any 1 machine can be borne now, and any one domain":                {Machines: 1, Tolerable: true},
+		"any 2 machines can be borne now, but not the loss of domain north": {Machines: 2, Tolerable: true, DomainsAtRisk: []string{"north"}},
 	} {
 		if got := lossText(l); got != want {
 			t.Errorf("%q, want %q", got, want)
--- a/internal/mfctl/views.go
+++ b/internal/mfctl/views.go
@@ -140,10 +140,10 @@
 		place := "-"
 		if d.Member {
 			place = "member"
-		} else if d.Roster {
+		} else if d.ProxyMember {
 			place = "roster"
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%s\t%.0f\t%d\t%x\n", d.Name, d.Kind, d.Domain, d.Addr, d.HTTP, d.Ready, d.State, place, d.HeardMs, d.Ver, d.Incarnation)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%s\t%.0f\t%d\t%x\n", d.Name, d.Kind, d.Domain, d.Addr, d.HTTP, d.Ready, d.State, place, d.LastContactMs, d.TableVersion, d.Incarnation)
 	}
 	tw.Flush()
 }
@@ -155,8 +155,8 @@
 	fmt.Fprintln(tw, "SERVICE\tNAME\tADDRESS\tDOMAIN\tSTATE\tDEMAND\tSLOTS\tCOLD LEFT\tBEAT MS\tBAR LEFT\tWHY")
 	for _, t := range v.Targets {
 		bar := "-"
-		if t.Bar != "" {
-			bar = fmt.Sprintf("%.1fs", float64(t.BarMs)/1000)
+		if t.Ejection != "" {
+			bar = fmt.Sprintf("%.1fs", float64(t.EjectionLeftMs)/1000)
 		}
 		slots, cold := "-", "-"
 		if t.Slots > 0 {
@@ -165,7 +165,7 @@
 		if t.WarmupLeft > 0 {
 			cold = fmt.Sprintf("%.1fs", time.Duration(t.WarmupLeft).Seconds())
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%.2f\t%s\t%s\t%.0f\t%s\t%s\n", t.Service, t.Name, t.Addr, t.Domain, t.State, t.Demand, slots, cold, t.BeatMs, bar, t.Why)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%.2f\t%s\t%s\t%.0f\t%s\t%s\n", t.Service, t.Name, t.Addr, t.Domain, t.State, t.Demand, slots, cold, t.LastHeartbeatMs, bar, t.Why)
 	}
 	tw.Flush()
 }
--- a/internal/verification/simulator/corestatus_test.go
+++ b/internal/verification/simulator/corestatus_test.go
@@ -14,16 +14,16 @@
 )
 
 // coreView is the leader's own view of the core.
-func (w *World) coreView(t *testing.T) controlplane.CoreView {
+func (w *World) coreView(t *testing.T) controlplane.ControlPlaneView {
 	t.Helper()
 	l := w.Leader()
 	if l == nil {
 		t.Fatalf("seed %d: no leader\n%s", w.Seed, w.Trace(30))
 	}
-	return l.core.Status(l.local()).Core
+	return l.core.Status(l.local()).ControlPlane
 }
 
-func viewOf(v controlplane.CoreView, name string) controlplane.MemberView {
+func viewOf(v controlplane.ControlPlaneView, name string) controlplane.MemberView {
 	for _, m := range v.Members {
 		if m.Name == name {
 			return m
@@ -50,38 +50,38 @@
 	w.until(10*time.Second, func() bool { return len(w.memberNames()) == 3 })
 	w.Run(w.now + 2*time.Second)
 	v := w.coreView(t)
-	if v.Voters != 3 || v.Majority != 2 || len(v.Lease) != 3 || !v.Decides || v.LeadsMs == 0 || v.Leader != w.Leader().name {
+	if v.Voters != 3 || v.Majority != 2 || len(v.LeaseVoters) != 3 || !v.HoldsLease || v.LeadingMs == 0 || v.Leader != w.Leader().name {
 		t.Fatalf("%+v", v)
 	}
-	if !v.Loss.Known || !v.Loss.Bearable || v.Loss.Machines != 1 || len(v.Loss.Obstacles) > 0 || len(v.Loss.DomainsAtRisk) > 0 {
-		t.Fatalf("%+v", v.Loss)
+	if !v.FailureTolerance.Evaluated || !v.FailureTolerance.Tolerable || v.FailureTolerance.Machines != 1 || len(v.FailureTolerance.Blockers) > 0 || len(v.FailureTolerance.DomainsAtRisk) > 0 {
+		t.Fatalf("%+v", v.FailureTolerance)
 	}
 	lost := w.follower()
 	w.Kill(lost)
 	w.Run(w.now + 2*time.Second)
 	v = w.coreView(t)
-	if m := viewOf(v, lost.name); m.State != controlplane.MemberSilent || m.SilentMs < 1200 || m.SilentMs > 2500 {
+	if m := viewOf(v, lost.name); m.State != controlplane.MemberUnresponsive || m.NoContactMs < 1200 || m.NoContactMs > 2500 {
 		t.Errorf("the silent member: %+v", m)
 	}
-	if len(v.Lease) != 2 || slices.Contains(v.Lease, lost.name) {
-		t.Errorf("the lease stands on %v", v.Lease)
+	if len(v.LeaseVoters) != 2 || slices.Contains(v.LeaseVoters, lost.name) {
+		t.Errorf("the lease stands on %v", v.LeaseVoters)
 	}
-	if v.Loss.Bearable || v.Loss.Machines != 0 || len(v.Loss.DomainsAtRisk) != 2 {
-		t.Errorf("%+v", v.Loss)
+	if v.FailureTolerance.Tolerable || v.FailureTolerance.Machines != 0 || len(v.FailureTolerance.DomainsAtRisk) != 2 {
+		t.Errorf("%+v", v.FailureTolerance)
 	}
-	if len(v.Loss.Obstacles) != 1 {
-		t.Fatalf("%+v", v.Loss.Obstacles)
+	if len(v.FailureTolerance.Blockers) != 1 {
+		t.Fatalf("%+v", v.FailureTolerance.Blockers)
 	}
-	o := v.Loss.Obstacles[0]
-	if o.Kind != controlplane.ObstacleSilent || o.Member != lost.name || o.By == "" || o.ReplaceableInMs == nil || *o.ReplaceableInMs > 10_000 {
+	o := v.FailureTolerance.Blockers[0]
+	if o.Kind != controlplane.BlockerUnresponsive || o.Member != lost.name || o.Successor == "" || o.ReplaceableInMs == nil || *o.ReplaceableInMs > 10_000 {
 		t.Errorf("%+v", o)
 	}
-	if !w.until(30*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).Loss.Bearable }) {
+	if !w.until(30*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).FailureTolerance.Tolerable }) {
 		t.Fatalf("never bearable again: %+v", w.coreView(t))
 	}
 	v = w.coreView(t)
-	if m := viewOf(v, o.By); m.State != controlplane.MemberFollows || !m.Voter || m.Match < 1 {
-		t.Errorf("%s came in for it: %+v", o.By, m)
+	if m := viewOf(v, o.Successor); m.State != controlplane.MemberFollower || !m.Voter || m.Match < 1 {
+		t.Errorf("%s came in for it: %+v", o.Successor, m)
 	}
 	if n := w.Leader().core.Status(0).Counts.MemberChanges; n < 1 {
 		t.Errorf("%d changes of members are counted", n)
@@ -96,8 +96,8 @@
 	w.until(10*time.Second, func() bool { return len(w.memberNames()) == 3 })
 	f := w.follower()
 	w.Run(w.now + time.Second)
-	v := f.core.Status(f.local()).Core
-	if v.Loss.Known || v.Loss.Bearable || v.Decides || v.Leader != w.Leader().name || v.LeaderHeardMs > 1000 || len(v.Members) > 0 {
+	v := f.core.Status(f.local()).ControlPlane
+	if v.FailureTolerance.Evaluated || v.FailureTolerance.Tolerable || v.HoldsLease || v.Leader != w.Leader().name || v.LeaderLastContactMs > 1000 || len(v.Members) > 0 {
 		t.Errorf("%+v", v)
 	}
 	leader := w.Leader()
@@ -107,8 +107,8 @@
 		}
 	}
 	w.Run(w.now + 3*time.Second)
-	v = f.core.Status(f.local()).Core
-	if v.Decides || v.LeaderHeardMs < 2000 {
+	v = f.core.Status(f.local()).ControlPlane
+	if v.HoldsLease || v.LeaderLastContactMs < 2000 {
 		t.Errorf("3 s without %s: %+v", leader.name, v)
 	}
 }
@@ -126,7 +126,7 @@
 		}
 	}
 	w.Run(w.now + 3*time.Second)
-	if v := leader.core.Status(leader.local()).Core; v.Decides || v.LeaderHeardMs < 1500 || v.LeaderHeardMs > 3500 {
+	if v := leader.core.Status(leader.local()).ControlPlane; v.HoldsLease || v.LeaderLastContactMs < 1500 || v.LeaderLastContactMs > 3500 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -137,8 +137,8 @@
 	w := Start(5, open(1, 1))
 	w.until(10*time.Second, func() bool { return w.Leader() != nil })
 	v := w.coreView(t)
-	if v.Loss.Bearable || len(v.Loss.Obstacles) != 1 || v.Loss.Obstacles[0].Kind != controlplane.ObstacleTooFew || v.Loss.Obstacles[0].By != "" {
-		t.Errorf("%+v", v.Loss)
+	if v.FailureTolerance.Tolerable || len(v.FailureTolerance.Blockers) != 1 || v.FailureTolerance.Blockers[0].Kind != controlplane.BlockerTooFewMembers || v.FailureTolerance.Blockers[0].Successor != "" {
+		t.Errorf("%+v", v.FailureTolerance)
 	}
 }
 
@@ -154,12 +154,12 @@
 	if m := viewOf(v, f.name); m.State != controlplane.MemberStopping {
 		t.Errorf("%+v", m)
 	}
-	if len(v.Loss.Obstacles) != 1 || v.Loss.Obstacles[0].Kind != controlplane.ObstacleStopping || v.Loss.Obstacles[0].ReplaceableInMs != nil {
-		t.Errorf("%+v", v.Loss.Obstacles)
+	if len(v.FailureTolerance.Blockers) != 1 || v.FailureTolerance.Blockers[0].Kind != controlplane.BlockerStopping || v.FailureTolerance.Blockers[0].ReplaceableInMs != nil {
+		t.Errorf("%+v", v.FailureTolerance.Blockers)
 	}
 	w.Restart(f)
-	if !w.until(5*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).Loss.Bearable }) {
-		t.Errorf("back, and the next loss can't be borne: %+v", w.coreView(t).Loss)
+	if !w.until(5*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).FailureTolerance.Tolerable }) {
+		t.Errorf("back, and the next loss can't be borne: %+v", w.coreView(t).FailureTolerance)
 	}
 }
 
@@ -189,7 +189,7 @@
 		}
 	}
 	n := l.core.Status(0).Counts
-	if n.RepeatsAnswered != 1 || n.RefusedVersion != 1 || n.RefusedInvalid != 1 || n.AnsweredUnknown != 0 {
+	if n.RepeatsAnswered != 1 || n.RejectedVersion != 1 || n.RejectedInvalid != 1 || n.AnsweredUnknown != 0 {
 		t.Errorf("%+v", n)
 	}
 	f := w.follower()
@@ -204,7 +204,7 @@
 		t.Errorf("a leader cut off answers %d", r.Status)
 	}
 	n = l.core.Status(0).Counts
-	if n.LeasesLost != 1 || n.CannotTell != 1 || n.AnsweredUnknown != 1 {
+	if n.LeasesLost != 1 || n.AnsweredUnavailable != 1 || n.AnsweredUnknown != 1 {
 		t.Errorf("%+v", n)
 	}
 	w.Run(w.now + 5*time.Second)
@@ -249,7 +249,7 @@
 			w := Start(seed, open(size.cores, size.seeds))
 			w.until(10*time.Second, func() bool { return len(w.memberNames()) == min(size.cores, 7) })
 			for round := range 8 {
-				if !w.until(90*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).Loss.Bearable }) {
+				if !w.until(90*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).FailureTolerance.Tolerable }) {
 					t.Fatalf("round %d: never bearable: %+v\n%s", round, w.coreView(t), w.Trace(20))
 				}
 				v := w.coreView(t)
@@ -274,7 +274,7 @@
 
 // chooseLoss draws as many voters as may go, or a whole domain that is not at risk; the
 // leader goes in every other round.
-func (w *World) chooseLoss(v controlplane.CoreView, round int) (names []string) {
+func (w *World) chooseLoss(v controlplane.ControlPlaneView, round int) (names []string) {
 	var voters []string
 	for _, m := range v.Members {
 		if m.Voter && w.procs[m.Name] != nil && w.procs[m.Name].alive {
@@ -283,7 +283,7 @@
 	}
 	if round%3 == 2 {
 		domain := w.Leader().domain
-		if !slices.Contains(v.Loss.DomainsAtRisk, domain) {
+		if !slices.Contains(v.FailureTolerance.DomainsAtRisk, domain) {
 			return slices.DeleteFunc(voters, func(n string) bool { return w.procs[n].domain != domain })
 		}
 	}
@@ -291,5 +291,5 @@
 	if i := slices.Index(voters, w.Leader().name); round%2 == 0 && i > 0 {
 		voters[0], voters[i] = voters[i], voters[0]
 	}
-	return voters[:v.Loss.Machines]
+	return voters[:v.FailureTolerance.Machines]
 }
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -218,10 +218,10 @@
 		t.Fatalf("back in %d of 5 tables", in())
 	}
 	ver = w.Leader().core.Table().Key.Version
-	same := w.Leader().core.Status(0).Counts.Same
+	same := w.Leader().core.Status(0).Counts.TablesUnchanged
 	w.Run(w.now + 3*time.Second)
-	if s := w.Leader().core.Status(0); s.Counts.Same-same < 50 || s.Table.Version > ver+1 {
-		t.Fatalf("%d idempotent rebuilds, version %d -> %d", s.Counts.Same-same, ver, s.Table.Version)
+	if s := w.Leader().core.Status(0); s.Counts.TablesUnchanged-same < 50 || s.Table.Version > ver+1 {
+		t.Fatalf("%d idempotent rebuilds, version %d -> %d", s.Counts.TablesUnchanged-same, ver, s.Table.Version)
 	}
 	// A leaving target answers probes and even says that it is ready: it stays held.
 	l := w.targets[1]
@@ -280,8 +280,8 @@
 	before := l.core.Status(0).Counts
 	w.Run(w.now + 6*time.Second)
 	check(t, w)
-	if n := l.core.Status(0).Counts; n.Bars != before.Bars || n.Overruled < 50 {
-		t.Fatalf("%d bars, %d misses overruled\n%s", n.Bars-before.Bars, n.Overruled, w.Trace(20))
+	if n := l.core.Status(0).Counts; n.Ejections != before.Ejections || n.MissesOverruled < 50 {
+		t.Fatalf("%d bars, %d misses overruled\n%s", n.Ejections-before.Ejections, n.MissesOverruled, w.Trace(20))
 	}
 }
 
@@ -300,13 +300,13 @@
 		}
 		before := l.core.Status(0).Counts
 		w.Run(w.now + 3*time.Second)
-		if n := l.core.Status(0).Counts; n.Bars != before.Bars || n.Overruled == before.Overruled {
-			t.Fatalf("seed %d: %d bars, %d misses overruled\n%s", seed, n.Bars-before.Bars, n.Overruled, w.Trace(20))
+		if n := l.core.Status(0).Counts; n.Ejections != before.Ejections || n.MissesOverruled == before.MissesOverruled {
+			t.Fatalf("seed %d: %d bars, %d misses overruled\n%s", seed, n.Ejections-before.Ejections, n.MissesOverruled, w.Trace(20))
 		}
 		w.Crash(w.targets[int(seed)%len(w.targets)])
 		w.Run(w.now + tuning.ProbeEvery + tuning.ProbeEvery + tuning.ProbeTimeout + 100*time.Millisecond)
-		if n := l.core.Status(0).Counts; n.Bars != before.Bars+1 {
-			t.Fatalf("seed %d: %d bars after a death\n%s", seed, n.Bars-before.Bars, w.Trace(20))
+		if n := l.core.Status(0).Counts; n.Ejections != before.Ejections+1 {
+			t.Fatalf("seed %d: %d bars after a death\n%s", seed, n.Ejections-before.Ejections, w.Trace(20))
 		}
 		w.Run(w.now + 3*time.Second)
 		check(t, w)
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -94,9 +94,9 @@
 	p.slow, p.doneAt, p.attempts, p.disk.syncing = 0, 0, nil, false
 	p.disk.refusing = false
 	var seeds []string
-	set := controlplane.Settings{Size: w.Plan.Cores, CatchUp: w.Plan.CatchUp, Losses: w.Plan.Losses, Grace: stopGrace}
+	set := controlplane.Settings{BootstrapSize: w.Plan.Cores, CatchUpTime: w.Plan.CatchUp, MachineLosses: w.Plan.Losses, StopGrace: stopGrace}
 	if w.Plan.Seeds > 0 {
-		set.Size, set.Found = 0, w.now < foundingTime
+		set.BootstrapSize, set.Bootstrap = 0, w.now < foundingTime
 	}
 	for _, n := range w.seeds {
 		seeds = append(seeds, w.procs[n].addr)
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -25,12 +25,12 @@
 // checkCores: at most one member decides at any moment of real time, within an
 // epoch and beyond it.
 func (w *World) checkCores(p *Proc) {
-	if !p.core.Deciding(p.local()) {
+	if !p.core.HoldsLease(p.local()) {
 		return
 	}
 	for _, n := range w.names {
 		o := w.procs[n]
-		if o != p && o.core != nil && o.alive && o.core.Deciding(o.local()) {
+		if o != p && o.core != nil && o.alive && o.core.HoldsLease(o.local()) {
 			w.broken("one leader", "%s and %s both decide", p.name, o.name)
 		}
 	}
@@ -169,7 +169,7 @@
 		w.broken("forgotten", "revision %d was acknowledged, the leader has %d", w.acked, r)
 	}
 	kept := map[string]state.Record{}
-	for _, r := range l.core.Records() {
+	for _, r := range l.core.ChangeRecords() {
 		kept[r.ID] = r
 	}
 	for _, c := range w.changes {
--- a/internal/verification/simulator/targets_test.go
+++ b/internal/verification/simulator/targets_test.go
@@ -198,7 +198,7 @@
 		p.Rate = 1
 		w := Start(3, p)
 		w.Run(w.now + 2*time.Second)
-		before := w.Leader().core.Status(0).Counts.Bars
+		before := w.Leader().core.Status(0).Counts.Ejections
 		for i := range 60 {
 			x := w.targets[i%len(w.targets)]
 			x.hang = true
@@ -206,7 +206,7 @@
 			x.hang = false
 			w.Run(w.now + 2*time.Second - c.pause + time.Duration(i*37%450)*time.Millisecond)
 		}
-		n := int(w.Leader().core.Status(0).Counts.Bars - before)
+		n := int(w.Leader().core.Status(0).Counts.Ejections - before)
 		t.Logf("of 60 pauses of %v, %d led to a bar", c.pause, n)
 		check(t, w)
 		if n < c.min || n > c.max {
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -407,7 +407,7 @@
 	if r, m := w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Doc(2)), ""); r.Status != 200 || m["revision"] != 2.0 {
 		t.Errorf("%s", r.Body)
 	}
-	if n := len(w.Leader().core.Records()); n > 2*tuning.ChangesKept {
+	if n := len(w.Leader().core.ChangeRecords()); n > 2*tuning.ChangesKept {
 		t.Errorf("%d records", n)
 	}
 }
