--- a/internal/dataplane/reverseproxy/ahead.go
+++ b/internal/dataplane/reverseproxy/ahead.go
@@ -20,135 +20,135 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-type callerKey struct{}
+type callerConnKey struct{}
 
 // WrapListener has its connections look ahead; the intake ends with it.
 func (c *Forwarder) WrapListener(ln net.Listener) net.Listener {
 	c.Callers.listener.Store(&ln)
-	return listener{ln, c}
+	return callerListener{ln, c}
 }
 
-type listener struct {
+type callerListener struct {
 	net.Listener
-	c *Forwarder
+	forwarder *Forwarder
 }
 
-func (l listener) Accept() (net.Conn, error) {
+func (l callerListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	p := &caller{Conn: conn, c: l.c, early: make(chan *early, tuning.PipelineMax), late: l.c.Draining.Load()}
+	p := &callerConn{Conn: conn, forwarder: l.forwarder, pipelined: make(chan *pipelinedRequest, tuning.PipelineMax), openedWhileDraining: l.forwarder.Draining.Load()}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p, nil
 }
 
 // ConnContext tells requests which connection they came on; it is the server's ConnContext.
 func (c *Forwarder) ConnContext(ctx context.Context, conn net.Conn) context.Context {
-	if p, ok := conn.(*caller); ok {
-		return context.WithValue(ctx, callerKey{}, p)
+	if p, ok := conn.(*callerConn); ok {
+		return context.WithValue(ctx, callerConnKey{}, p)
 	}
 	return ctx
 }
 
-// caller is a caller's connection. Reads follow one another, and so do requests.
-type caller struct {
+// callerConn is a callerConn's connection. Reads follow one another, and so do requests.
+type callerConn struct {
 	net.Conn
-	c      *Forwarder
-	ctx    context.Context
-	cancel context.CancelFunc
-	early  chan *early
-	late   bool // it was opened after the proxy began to stop
+	forwarder           *Forwarder
+	ctx                 context.Context
+	cancel              context.CancelFunc
+	pipelined           chan *pipelinedRequest
+	openedWhileDraining bool // it was opened after the proxy began to stop
 
 	// The reading side's.
-	buf   []byte
-	in    []byte // read and not yet handed on
-	head  []byte // what was handed on of the request whose header is not complete
-	heads int    // requests whose header was handed on
-	blind bool   // something not plain came: nothing is looked at any more
+	readBuffer  []byte
+	unread      []byte // read and not yet handed on
+	header      []byte // what was handed on of the request whose header is not complete
+	headersRead int    // requests whose header was handed on
+	opaque      bool   // something not plain came: nothing is looked at any more
 
 	// The requests' side's.
-	served int
-	next   *early
-	busy   bool // a request is under way
+	served        int
+	nextPipelined *pipelinedRequest
+	requestActive bool // a request is under way
 
-	// ahead is how many are begun and not answered; below 0: none is begun any more.
-	ahead atomic.Int64
+	// unanswered is how many are begun and not answered; below 0: none is begun any more.
+	unanswered atomic.Int64
 }
 
-func (p *caller) Close() error {
+func (p *callerConn) Close() error {
 	p.cancel()
 	return p.Conn.Close()
 }
 
 // CloseWrite is what the server ends a connection with that its other side still writes to.
-func (p *caller) CloseWrite() error {
+func (p *callerConn) CloseWrite() error {
 	if t, ok := p.Conn.(*net.TCPConn); ok {
 		return t.CloseWrite()
 	}
 	return nil
 }
 
-var headEnd = []byte("\r\n\r\n")
+var headerEnd = []byte("\r\n\r\n")
 
 // Read hands on at most what completes one header, so that what follows stays here.
-func (p *caller) Read(b []byte) (int, error) {
-	if len(p.in) == 0 {
-		if p.blind {
+func (p *callerConn) Read(b []byte) (int, error) {
+	if len(p.unread) == 0 {
+		if p.opaque {
 			return p.Conn.Read(b)
 		}
-		if p.buf == nil {
-			p.buf = make([]byte, tuning.PipelineReadAhead)
+		if p.readBuffer == nil {
+			p.readBuffer = make([]byte, tuning.PipelineReadAhead)
 		}
-		n, err := p.Conn.Read(p.buf)
+		n, err := p.Conn.Read(p.readBuffer)
 		if n == 0 {
 			return 0, err
 		}
-		p.in = p.buf[:n]
+		p.unread = p.readBuffer[:n]
 		// The server reads one byte while a request runs: then the first header is ahead too.
-		p.look(len(b) == 1 && p.heads > 0 && len(p.head) == 0)
+		p.scan(len(b) == 1 && p.headersRead > 0 && len(p.header) == 0)
 	}
-	n := min(len(b), len(p.in))
-	if !p.blind {
-		was := len(p.head)
-		p.head = append(p.head, p.in[:n]...)
-		if at := bytes.Index(p.head[max(0, was-3):], headEnd); at >= 0 {
-			end := max(0, was-3) + at + len(headEnd)
+	n := min(len(b), len(p.unread))
+	if !p.opaque {
+		was := len(p.header)
+		p.header = append(p.header, p.unread[:n]...)
+		if at := bytes.Index(p.header[max(0, was-3):], headerEnd); at >= 0 {
+			end := max(0, was-3) + at + len(headerEnd)
 			n = end - was
-			p.heads++
-			p.blind = !simple(p.head[:end])
-			p.head = p.head[:0]
-		} else if len(p.head) > tuning.PipelineReadAhead {
-			p.blind, p.head = true, nil
+			p.headersRead++
+			p.opaque = !isPlainRequest(p.header[:end])
+			p.header = p.header[:0]
+		} else if len(p.header) > tuning.PipelineReadAhead {
+			p.opaque, p.header = true, nil
 		}
 	}
-	copy(b, p.in[:n])
-	p.in = p.in[n:]
+	copy(b, p.unread[:n])
+	p.unread = p.unread[n:]
 	return n, nil
 }
 
-// look begins the requests that lie complete in what has come; the first one is the
+// scan begins the requests that lie complete in what has come; the first one is the
 // server's, unless it is under way with another.
-func (p *caller) look(busy bool) {
-	rest, id := p.in, p.heads+1
+func (p *callerConn) scan(busy bool) {
+	rest, id := p.unread, p.headersRead+1
 	if !busy {
-		if bytes.HasSuffix(rest, headEnd) && bytes.Count(rest, headEnd) == 1 {
+		if bytes.HasSuffix(rest, headerEnd) && bytes.Count(rest, headerEnd) == 1 {
 			return // the usual case: one request
 		}
-		all := append(bytes.Clone(p.head), rest...)
-		at := bytes.Index(all, headEnd)
-		if at < 0 || !simple(all[:at+len(headEnd)]) {
+		all := append(bytes.Clone(p.header), rest...)
+		at := bytes.Index(all, headerEnd)
+		if at < 0 || !isPlainRequest(all[:at+len(headerEnd)]) {
 			return
 		}
-		rest, id = all[at+len(headEnd):], id+1
+		rest, id = all[at+len(headerEnd):], id+1
 	}
 	for {
-		at := bytes.Index(rest, headEnd)
+		at := bytes.Index(rest, headerEnd)
 		if at < 0 {
 			return
 		}
-		head := rest[:at+len(headEnd)]
-		if !simple(head) || !p.begin(id, bytes.Clone(head)) {
+		head := rest[:at+len(headerEnd)]
+		if !isPlainRequest(head) || !p.startPipelined(id, bytes.Clone(head)) {
 			return
 		}
 		rest, id = rest[len(head):], id+1
@@ -156,7 +156,7 @@
 }
 
 // simple says whether a header is a whole request that can be read in one way only.
-func simple(head []byte) bool {
+func isPlainRequest(head []byte) bool {
 	lines := strings.Split(string(head), "\r\n")
 	f := strings.Split(lines[0], " ")
 	if len(f) != 3 || f[0] != "GET" && f[0] != "HEAD" || !strings.HasPrefix(f[1], "/") || f[2] != "HTTP/1.1" || len(lines) < 3 {
@@ -187,10 +187,10 @@
 	return hosts == 1
 }
 
-// begin begins the id-th request of the connection, unless as many are ahead as may be
+// startPipelined begins the id-th request of the connection, unless as many are ahead as may be
 // or the connection is to end.
-func (p *caller) begin(id int, head []byte) bool {
-	if p.c.Draining.Load() {
+func (p *callerConn) startPipelined(id int, head []byte) bool {
+	if p.forwarder.Draining.Load() {
 		return false
 	}
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
@@ -198,178 +198,178 @@
 		return false
 	}
 	for {
-		n := p.ahead.Load()
+		n := p.unanswered.Load()
 		if n < 0 || n >= tuning.PipelineMax {
 			return false
 		}
-		if p.ahead.CompareAndSwap(n, n+1) {
+		if p.unanswered.CompareAndSwap(n, n+1) {
 			break
 		}
 	}
 	r.RemoteAddr = p.RemoteAddr().String()
-	e := &early{id: id, r: r.WithContext(p.ctx), header: http.Header{}, to: make(chan http.ResponseWriter), done: make(chan struct{})}
-	p.c.Counts.Pipelined.Add(1)
-	go e.run(p.c)
-	p.early <- e
+	e := &pipelinedRequest{number: id, request: r.WithContext(p.ctx), header: http.Header{}, writers: make(chan http.ResponseWriter), done: make(chan struct{})}
+	p.forwarder.Counts.Pipelined.Add(1)
+	go e.run(p.forwarder)
+	p.pipelined <- e
 	return true
 }
 
-// take is what was begun of the request that the server has come to, nil if nothing was.
-func (p *caller) take(r *http.Request) *early {
+// takePipelined is what was begun of the request that the server has come to, nil if nothing was.
+func (p *callerConn) takePipelined(r *http.Request) *pipelinedRequest {
 	p.served++
-	if p.next == nil {
+	if p.nextPipelined == nil {
 		select {
-		case p.next = <-p.early:
+		case p.nextPipelined = <-p.pipelined:
 		default:
 		}
 	}
-	e := p.next
-	if e == nil || e.id > p.served {
+	e := p.nextPipelined
+	if e == nil || e.number > p.served {
 		return nil
 	}
-	if e.id < p.served || e.r.Method != r.Method || e.r.RequestURI != r.RequestURI || e.r.Host != r.Host || !maps.EqualFunc(e.r.Header, r.Header, func(a, b []string) bool { return strings.Join(a, "\n") == strings.Join(b, "\n") }) {
+	if e.number < p.served || e.request.Method != r.Method || e.request.RequestURI != r.RequestURI || e.request.Host != r.Host || !maps.EqualFunc(e.request.Header, r.Header, func(a, b []string) bool { return strings.Join(a, "\n") == strings.Join(b, "\n") }) {
 		panic(http.ErrAbortHandler) // what was begun is not what the server read: nothing is answered
 	}
-	p.next = nil
+	p.nextPipelined = nil
 	return e
 }
 
-// countLate counts a request that is taken although the proxy is stopping.
-func (p *caller) countLate() {
+// countDraining counts a request that is taken although the proxy is stopping.
+func (p *callerConn) countDraining() {
 	switch {
-	case !p.c.Draining.Load():
-	case p.late:
-		p.c.Counts.DrainingNewConns.Add(1)
+	case !p.forwarder.Draining.Load():
+	case p.openedWhileDraining:
+		p.forwarder.Counts.DrainingNewConns.Add(1)
 	default:
-		p.c.Counts.DrainingOldConns.Add(1)
+		p.forwarder.Counts.DrainingOldConns.Add(1)
 	}
 }
 
-// last says that the connection may end after this answer: nothing is ahead, nor will be.
-func (p *caller) last() bool {
-	return p.ahead.Load() < 0 || p.ahead.CompareAndSwap(0, -1)
+// endPipelining says that the connection may end after this answer: nothing is ahead, nor will be.
+func (p *callerConn) endPipelining() bool {
+	return p.unanswered.Load() < 0 || p.unanswered.CompareAndSwap(0, -1)
 }
 
 // ServeHTTP carries a request, or hands on the answer to one that was begun ahead.
 func (c *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	p, _ := r.Context().Value(callerKey{}).(*caller)
+	p, _ := r.Context().Value(callerConnKey{}).(*callerConn)
 	if p == nil {
 		c.serve(w, r)
 		return
 	}
-	p.busy = true
-	defer func() { p.busy = false }()
-	p.countLate()
-	e := p.take(r)
+	p.requestActive = true
+	defer func() { p.requestActive = false }()
+	p.countDraining()
+	e := p.takePipelined(r)
 	if e == nil {
-		c.serve(ender{w, p}, r)
+		c.serve(closingWriter{w, p}, r)
 		return
 	}
 	defer context.AfterFunc(r.Context(), p.cancel)()
 	select {
 	case <-e.done:
-	case e.to <- ender{w, p}:
+	case e.writers <- closingWriter{w, p}:
 		<-e.done
 	case <-r.Context().Done():
 		p.cancel()
 		<-e.done
 		panic(http.ErrAbortHandler)
 	}
-	p.ahead.Add(-1)
-	if e.failed != nil {
-		panic(e.failed)
+	p.unanswered.Add(-1)
+	if e.panicked != nil {
+		panic(e.panicked)
 	}
 	if e.deferred {
 		c.Counts.Requests.Add(^uint64(0)) // it was counted when it was looked at
-		c.serve(ender{w, p}, r)
+		c.serve(closingWriter{w, p}, r)
 		return
 	}
-	if e.w == nil {
-		e.hand(ender{w, p})
+	if e.writer == nil {
+		e.passTo(closingWriter{w, p})
 	}
 }
 
-// ender has the answers of a stopping proxy end their connections, also to requests that were begun
+// closingWriter has the answers of a stopping proxy end their connections, also to requests that were begun
 // before the stop, and takes that back while others are ahead on a connection.
-type ender struct {
+type closingWriter struct {
 	http.ResponseWriter
-	p *caller
+	conn *callerConn
 }
 
-func (w ender) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w ender) WriteHeader(status int) {
-	if w.p.c.Draining.Load() {
+func (w closingWriter) WriteHeader(status int) {
+	if w.conn.forwarder.Draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if w.Header().Get("Connection") == "close" && !w.p.last() {
+	if w.Header().Get("Connection") == "close" && !w.conn.endPipelining() {
 		w.Header().Del("Connection")
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// early is a request that was begun ahead, and its answer: kept, or, if it is larger
+// pipelinedRequest is a request that was begun ahead, and its answer: kept, or, if it is larger
 // than what is kept, written on by its own goroutine once the server has come to it.
-type early struct {
-	id     int
-	r      *http.Request
-	header http.Header
-	status int
-	body   []byte
-	to     chan http.ResponseWriter
-	w      http.ResponseWriter
-	done   chan struct{}
-	failed any // what it panicked with
+type pipelinedRequest struct {
+	number   int
+	request  *http.Request
+	header   http.Header
+	status   int
+	body     []byte
+	writers  chan http.ResponseWriter
+	writer   http.ResponseWriter
+	done     chan struct{}
+	panicked any // what it panicked with
 	// deferred: nothing was sent, since it may run only once; it is served when its turn comes.
 	deferred bool
 }
 
-func (e *early) run(c *Forwarder) {
+func (e *pipelinedRequest) run(c *Forwarder) {
 	defer close(e.done)
-	defer func() { e.failed = recover() }()
-	c.serve(e, e.r)
+	defer func() { e.panicked = recover() }()
+	c.serve(e, e.request)
 	if e.deferred {
 		c.Counts.Deferred.Add(1)
 	}
 }
 
-func (e *early) Header() http.Header { return e.header }
+func (e *pipelinedRequest) Header() http.Header { return e.header }
 
-func (e *early) WriteHeader(status int) {
+func (e *pipelinedRequest) WriteHeader(status int) {
 	if e.status == 0 {
 		e.status = status
 	}
 }
 
-func (e *early) Write(b []byte) (int, error) {
+func (e *pipelinedRequest) Write(b []byte) (int, error) {
 	e.WriteHeader(http.StatusOK)
-	if e.w == nil && len(e.body)+len(b) <= tuning.ResponseBufferMax {
+	if e.writer == nil && len(e.body)+len(b) <= tuning.ResponseBufferMax {
 		e.body = append(e.body, b...)
 		return len(b), nil
 	}
-	if e.w == nil {
+	if e.writer == nil {
 		select {
-		case w := <-e.to:
-			if err := e.hand(w); err != nil {
+		case w := <-e.writers:
+			if err := e.passTo(w); err != nil {
 				return 0, err
 			}
-		case <-e.r.Context().Done():
-			return 0, e.r.Context().Err()
+		case <-e.request.Context().Done():
+			return 0, e.request.Context().Err()
 		}
 	}
-	return e.w.Write(b)
+	return e.writer.Write(b)
 }
 
 // Flush flushes what is handed on already.
-func (e *early) Flush() {
-	if e.w != nil {
-		http.NewResponseController(e.w).Flush()
+func (e *pipelinedRequest) Flush() {
+	if e.writer != nil {
+		http.NewResponseController(e.writer).Flush()
 	}
 }
 
-// hand gives the answer, as far as it is there, to the server's writer.
-func (e *early) hand(w http.ResponseWriter) error {
-	e.w = w
+// passTo gives the answer, as far as it is there, to the server's writer.
+func (e *pipelinedRequest) passTo(w http.ResponseWriter) error {
+	e.writer = w
 	maps.Copy(w.Header(), e.header)
 	e.header = w.Header()
 	w.WriteHeader(e.status)
--- a/internal/dataplane/reverseproxy/ahead_test.go
+++ b/internal/dataplane/reverseproxy/ahead_test.go
@@ -24,7 +24,7 @@
 // come in order, and no connection is announced to end while others are ahead on it.
 func TestAhead(t *testing.T) {
 	first, second := make(chan bool), make(chan bool)
-	a := serve(t, "a", func(w http.ResponseWriter, r *http.Request) {
+	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/0":
 			close(first)
@@ -35,7 +35,7 @@
 		w.Header().Set("P", "a")
 		fmt.Fprint(w, r.URL.Path, strings.Repeat("x", 3*tuning.ResponseBufferMax))
 	})
-	f := carrier(t, a.Target).asked(config.KindRepeatable)
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	<-first
 	fmt.Fprintf(c, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n")
 	<-second
-	f.car.Draining.Store(true)
+	f.forwarder.Draining.Store(true)
 	rd := bufio.NewReader(c)
 	for i := range 3 {
 		resp, err := http.ReadResponse(rd, nil)
@@ -56,7 +56,7 @@
 			t.Fatalf("%d: %.100q, %d bytes, %v, close %v", i, b, len(b), err, resp.Close)
 		}
 	}
-	if n := f.car.Counts.Pipelined.Load(); n != 2 {
+	if n := f.forwarder.Counts.Pipelined.Load(); n != 2 {
 		t.Fatal(n, "ahead")
 	}
 }
@@ -92,12 +92,12 @@
 }
 
 // bits is a connection that gives its bytes in pieces.
-type bits struct {
+type pieceConn struct {
 	net.Conn
 	pieces [][]byte
 }
 
-func (b *bits) Read(p []byte) (int, error) {
+func (b *pieceConn) Read(p []byte) (int, error) {
 	if len(b.pieces) == 0 {
 		return 0, io.EOF
 	}
@@ -108,7 +108,7 @@
 	return n, nil
 }
 
-func (b *bits) RemoteAddr() net.Addr { return &net.TCPAddr{} }
+func (b *pieceConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
 // Whatever comes in whatever pieces, the server reads it unaltered, and what is begun
 // ahead is the request that the server will read at that place.
@@ -129,12 +129,12 @@
 			}).Draw(t, "request")...)
 			all = bytes.Replace(all, []byte("%d"), fmt.Append(nil, i), 1)
 		}
-		src := &bits{}
+		src := &pieceConn{}
 		for rest := all; len(rest) > 0; {
 			n := rapid.IntRange(1, min(len(rest), 120)).Draw(t, "piece")
 			src.pieces, rest = append(src.pieces, bytes.Clone(rest[:n])), rest[n:]
 		}
-		p := &caller{Conn: src, c: car, ctx: t.Context(), early: make(chan *early, tuning.PipelineMax)}
+		p := &callerConn{Conn: src, forwarder: car, ctx: t.Context(), pipelined: make(chan *pipelinedRequest, tuning.PipelineMax)}
 		var got []byte
 		for {
 			b := make([]byte, rapid.SampledFrom([]int{1, 7, 4096}).Draw(t, "room"))
@@ -157,12 +157,12 @@
 			io.Copy(io.Discard, r.Body)
 			reqs = append(reqs, r)
 		}
-		for len(p.early) > 0 {
-			e := <-p.early
+		for len(p.pipelined) > 0 {
+			e := <-p.pipelined
 			<-e.done
 			begun++
-			if e.id > len(reqs) || reqs[e.id-1].RequestURI != e.r.RequestURI || reqs[e.id-1].Method != e.r.Method {
-				t.Fatalf("%s begun as number %d of %q", e.r.RequestURI, e.id, all)
+			if e.number > len(reqs) || reqs[e.number-1].RequestURI != e.request.RequestURI || reqs[e.number-1].Method != e.request.Method {
+				t.Fatalf("%s begun as number %d of %q", e.request.RequestURI, e.number, all)
 			}
 		}
 	})
@@ -180,17 +180,17 @@
 		second int64
 	}{{config.KindRepeatable, true, 1}, {config.KindOnce, true, 0}, {config.KindRepeatable, false, 0}} {
 		over := make(chan bool)
-		a := serve(t, "a", func(w http.ResponseWriter, _ *http.Request) {
+		a := newBackend(t, "a", func(w http.ResponseWriter, _ *http.Request) {
 			<-over
 			w.Header().Set("P", "a")
 			fmt.Fprint(w, "late")
 		})
-		b := serve(t, "b", func(w http.ResponseWriter, _ *http.Request) {
+		b := newBackend(t, "b", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("P", "b")
 			fmt.Fprint(w, "fine")
 		})
-		f := carrier(t, a.Target, b.Target).asked(c.kind)
-		f.more = c.more
+		f := newTestProxy(t, a.Target, b.Target).withHealthCheck(c.kind)
+		f.mayRetry = c.more
 		go func() {
 			<-a.seen
 			f.pool.SetUnreachable(map[wire.TargetID]bool{a.ID(): true})
--- a/internal/dataplane/reverseproxy/answer.go
+++ b/internal/dataplane/reverseproxy/answer.go
@@ -14,15 +14,15 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// answer is what a target answered: held whole, or its beginning with the rest to come.
-type answer struct {
-	resp *http.Response
-	held []byte
-	done bool
+// response is what a target answered: held whole, or its beginning with the rest to come.
+type response struct {
+	http     *http.Response
+	buffered []byte
+	complete bool
 }
 
 // readAnswer reads the answer to what was written on p and says what it means.
-func (c *Forwarder) readAnswer(w http.ResponseWriter, r *http.Request, g *statemachine.Forward, p *Conn, u *upload, repeats bool, till time.Time, sent chan error, tell func(*tried, bool), stop func() bool) (t tried) {
+func (c *Forwarder) readAnswer(w http.ResponseWriter, r *http.Request, g *statemachine.Forward, p *Conn, u *requestBody, repeats bool, till time.Time, sent chan error, tell func(*tried, bool), stop func() bool) (t tried) {
 	// done ends the connection's part: it is kept if all of the request is over on it.
 	ended := false
 	done := func(keep bool) {
@@ -37,36 +37,36 @@
 			default: // answered before the body was all there: the caller need not send the rest
 				keep = false
 				p.Close()
-				u.ended, u.away = true, r.Context().Err() != nil
-				http.NewResponseController(w).SetReadDeadline(past())
+				u.readStopped, u.callerGoneBefore = true, r.Context().Err() != nil
+				http.NewResponseController(w).SetReadDeadline(expiredDeadline())
 				w.Header().Set("Connection", "close")
 				<-sent
-				u.begun, u.bad = true, false // it was this side that broke it off; what the caller sends further is lost
+				u.restRead, u.aborted = true, false // it was this side that broke it off; what the caller sends further is lost
 			}
 		}
-		if !stop() || !keep || p.partial || p.r.Buffered() > 0 {
+		if !stop() || !keep || p.partlyWritten || p.reader.Buffered() > 0 {
 			p.Close()
 			return
 		}
-		c.give(g, p)
+		c.keepIdle(g, p)
 	}
 	defer func() { done(false) }()
 	lost := func(code, msg string) tried {
 		done(false)
 		t := tried{sent: true, ran: true, outcome: statemachine.ResponseLost, code: code, msg: msg, load: t.load}
 		switch {
-		case u.left(r) || u.bad || u.over:
+		case u.callerGone(r) || u.aborted || u.tooLarge:
 			t.outcome = statemachine.ClientGone
 		case !time.Now().Before(till):
 			t.late, t.code, t.msg = true, "late", "no answer within the deadline"
 		}
 		return t
 	}
-	if repeats && g.MayRetry && u.rest == nil && !p.await(r.Context(), till, func() bool { return c.dark(g.Target.ID()) }) {
+	if repeats && g.MayRetry && u.rest == nil && !p.awaitResponse(r.Context(), till, func() bool { return c.mayAbandon(g.Target.ID()) }) {
 		c.Counts.AbandonedUnreachable.Add(1)
 		return lost("dark", "nothing reaches the target, which has not answered")
 	}
-	resp, err := p.head(r.Method)
+	resp, err := p.readHeader(r.Method)
 	if err != nil {
 		return lost("lost", "the target's answer was lost")
 	}
@@ -89,15 +89,15 @@
 		return tried{sent: true, outcome: statemachine.WrongIdentity, code: "foreign", msg: "the target's address answers for another"}
 	}
 	notRun := resp.Header.Get(h.NotRun) != ""
-	a := &answer{resp: resp}
+	a := &response{http: resp}
 	if resp.ContentLength >= 0 || asked || notRun || repeats && resp.StatusCode >= 500 {
-		a.held, a.done, err = whole(resp, tuning.ResponseBufferMax)
+		a.buffered, a.complete, err = readComplete(resp, tuning.ResponseBufferMax)
 	} else if resp.Body == http.NoBody {
-		a.done = true
+		a.complete = true
 	}
 	if notRun {
 		c.Counts.TargetRejected.Add(1)
-		done(a.done && !resp.Close)
+		done(a.complete && !resp.Close)
 		return tried{sent: true, outcome: statemachine.TargetRejected, code: "turned_away", msg: "the target turned it away", load: t.load}
 	}
 	if err != nil {
@@ -107,12 +107,12 @@
 	if resp.StatusCode >= 500 {
 		t.outcome = statemachine.ServerError
 	}
-	if asked && !repeats && promises(resp.StatusCode) {
+	if asked && !repeats && promisesNotRun(resp.StatusCode) {
 		// To a caller it would say that nothing ran, which its target has not said.
-		done(a.done && !resp.Close)
+		done(a.complete && !resp.Close)
 		return tried{sent: true, ran: true, outcome: statemachine.ServerError, code: "unclear", msg: "the target failed", load: t.load}
 	}
-	if a.done {
+	if a.complete {
 		done(!resp.Close)
 		if t.outcome == statemachine.ServerError && repeats && g.Route.Kind != "" && resp.StatusCode != http.StatusGatewayTimeout && time.Until(till) > tuning.RetryTimeMin {
 			t.sent, t.ran, t.spare, t.code, t.msg = true, true, a, "failed", "the target failed"
@@ -127,7 +127,7 @@
 	if err := c.passAnswer(w, r, a); err != nil {
 		t.cut = true
 		t.outcome = statemachine.ResponseLost
-		if u.left(r) {
+		if u.callerGone(r) {
 			t.outcome = statemachine.ClientGone
 		}
 		return t
@@ -137,20 +137,20 @@
 }
 
 // promises says whether a status tells callers that nothing ran.
-func promises(status int) bool {
+func promisesNotRun(status int) bool {
 	return status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest || status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
 // passAnswer hands an answer to the caller. One that is not held whole streams: what has
 // come goes on before more is waited for.
-func (c *Forwarder) passAnswer(w http.ResponseWriter, r *http.Request, a *answer) error {
-	resp, h := a.resp, w.Header()
+func (c *Forwarder) passAnswer(w http.ResponseWriter, r *http.Request, a *response) error {
+	resp, h := a.http, w.Header()
 	announced := slices.Collect(maps.Keys(resp.Trailer))
-	strip(resp.Header)
+	removeHopByHopHeaders(resp.Header)
 	maps.Copy(h, resp.Header)
 	size := resp.ContentLength
-	if a.done && len(announced) == 0 {
-		size = int64(len(a.held))
+	if a.complete && len(announced) == 0 {
+		size = int64(len(a.buffered))
 	}
 	bodied := r.Method != "HEAD" && resp.StatusCode != 204 && resp.StatusCode != 304
 	if size >= 0 && bodied {
@@ -165,12 +165,12 @@
 		}
 	}
 	w.WriteHeader(resp.StatusCode)
-	if len(a.held) > 0 && bodied {
-		if _, err := w.Write(a.held); err != nil {
+	if len(a.buffered) > 0 && bodied {
+		if _, err := w.Write(a.buffered); err != nil {
 			return err
 		}
 	}
-	if !a.done {
+	if !a.complete {
 		if err := stream(w, resp, size >= 0); err != nil {
 			return err
 		}
--- a/internal/dataplane/reverseproxy/callers_test.go
+++ b/internal/dataplane/reverseproxy/callers_test.go
@@ -22,16 +22,16 @@
 func TestOnceIsNotBegunAhead(t *testing.T) {
 	for kind, want := range map[string]int64{config.KindOnce: 1, config.KindRepeatable: 2} {
 		hold, second := make(chan bool), make(chan bool, 1)
-		a := bytesOf(t, "a", func(_, _ int, r *http.Request) (string, bool) {
+		a := newRawBackend(t, "a", func(_, _ int, r *http.Request) (string, bool) {
 			if r.URL.Path == "/1" {
 				second <- true
-				s, on := says(200, "ok")(0, 0, r)
+				s, on := respond(200, "ok")(0, 0, r)
 				return s, on
 			}
 			<-hold
 			return "HTTP/1.1 200 OK\r\nA: 0\r\nP: 1\r\nContent-Length: 99999999\r\n\r\ncut", false
 		})
-		f := carrier(t, a.Target, a.Target).asked(kind)
+		f := newTestProxy(t, a.Target, a.Target).withHealthCheck(kind)
 		c, err := net.Dial("tcp", f.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -40,7 +40,7 @@
 		<-a.seen
 		fmt.Fprint(c, "GET /1 HTTP/1.1\r\nHost: h\r\nA: 1\r\n\r\n")
 		if kind == config.KindOnce {
-			until(t, "the request behind is looked at", func() bool { return f.car.Counts.Deferred.Load() == 1 })
+			waitFor(t, "the request behind is looked at", func() bool { return f.forwarder.Counts.Deferred.Load() == 1 })
 		} else {
 			<-second
 		}
@@ -56,13 +56,13 @@
 // One that was not begun ahead is served when its turn comes, and its target is given back.
 func TestDeferredIsServed(t *testing.T) {
 	first := make(chan bool)
-	a := bytesOf(t, "a", func(c, n int, r *http.Request) (string, bool) {
+	a := newRawBackend(t, "a", func(c, n int, r *http.Request) (string, bool) {
 		if r.URL.Path == "/0" {
 			<-first
 		}
-		return says(200, r.URL.Path)(c, n, r)
+		return respond(200, r.URL.Path)(c, n, r)
 	})
-	f := carrier(t, a.Target).asked(config.KindOnce)
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -71,9 +71,9 @@
 	fmt.Fprint(c, "GET /0 HTTP/1.1\r\nHost: h\r\nA: 0\r\n\r\n")
 	<-a.seen
 	fmt.Fprint(c, "GET /1 HTTP/1.1\r\nHost: h\r\nA: 1\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nA: 2\r\n\r\n")
-	until(t, "both are looked at", func() bool { return f.car.Counts.Deferred.Load() == 2 })
+	waitFor(t, "both are looked at", func() bool { return f.forwarder.Counts.Deferred.Load() == 2 })
 	for range 2 {
-		if d := (<-f.told).(statemachine.AttemptDone); d.Outcome != statemachine.ClientGone || !d.Last {
+		if d := (<-f.notified).(statemachine.AttemptDone); d.Outcome != statemachine.ClientGone || !d.Last {
 			t.Fatal("the target was kept:", d)
 		}
 	}
@@ -97,8 +97,8 @@
 // so, however long its answer is.
 func TestLargeFalsePromise(t *testing.T) {
 	for _, status := range []int{503, 429, 408} {
-		a := bytesOf(t, "a", says(status, strings.Repeat("x", tuning.ResponseBufferMax+1)))
-		f := carrier(t, a.Target).asked(config.KindOnce)
+		a := newRawBackend(t, "a", respond(status, strings.Repeat("x", tuning.ResponseBufferMax+1)))
+		f := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 		if got, h, _ := f.do(t, "POST", "/x", "", "A", "1"); got != 502 || h.Get("R") != "unknown" || h.Get("P") != "" {
 			t.Errorf("%d became %d %v", status, got, h)
 		}
@@ -108,14 +108,14 @@
 // A proxy that is leaving waits for a silent target: nobody says that another one has
 // the time left to serve, and the request would be broken off by planned work.
 func TestDarkWhileLeaving(t *testing.T) {
-	a := bytesOf(t, "a", says(200, "ok"))
-	f := carrier(t, a.Target)
+	a := newRawBackend(t, "a", respond(200, "ok"))
+	f := newTestProxy(t, a.Target)
 	f.pool.SetUnreachable(map[wire.TargetID]bool{a.ID(): true})
-	if !f.car.dark(a.ID()) {
+	if !f.forwarder.mayAbandon(a.ID()) {
 		t.Fatal("not given up at other times")
 	}
-	f.car.Draining.Store(true)
-	if f.car.dark(a.ID()) {
+	f.forwarder.Draining.Store(true)
+	if f.forwarder.mayAbandon(a.ID()) {
 		t.Fatal("given up while leaving")
 	}
 }
@@ -139,17 +139,17 @@
 	}
 	defer target.Close()
 	till := time.Now().Add(time.Minute)
-	p.c.SetDeadline(till)
+	p.netConn.SetDeadline(till)
 	comes := func() bool { // the answer comes after the proxy has looked for it
 		fmt.Fprint(target, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole")
-		p.c.SetReadDeadline(till)
-		until(t, "the answer is there", func() bool { return !p.quiet() })
+		p.netConn.SetReadDeadline(till)
+		waitFor(t, "the answer is there", func() bool { return !p.isIdle() })
 		return true
 	}
-	if !p.await(t.Context(), till, comes) {
+	if !p.awaitResponse(t.Context(), till, comes) {
 		t.Fatal("given up with its answer there")
 	}
-	if resp, err := p.head("GET"); err != nil || resp.StatusCode != 200 {
+	if resp, err := p.readHeader("GET"); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
 }
@@ -158,7 +158,7 @@
 // is on its way.
 func TestPipelinedCallerLeaves(t *testing.T) {
 	ended := make(chan bool)
-	a := serve(t, "a", func(w http.ResponseWriter, r *http.Request) {
+	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("P", "a")
 		if r.URL.Path == "/0" {
 			return
@@ -168,8 +168,8 @@
 		<-r.Context().Done()
 		close(ended)
 	})
-	f := carrier(t, a.Target).asked(config.KindRepeatable)
-	f.left = time.Hour
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
+	f.timeLeft = time.Hour
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -185,20 +185,20 @@
 			t.Fatal(err)
 		}
 	}
-	if f.car.Counts.Pipelined.Load() != 1 {
+	if f.forwarder.Counts.Pipelined.Load() != 1 {
 		t.Fatal("the second was not begun ahead")
 	}
 	c.Close()
 	<-ended // long before the deadline
 }
 
-// half writes half of what it is given, once.
-type half struct {
+// halfWriter writes halfWriter of what it is given, once.
+type halfWriter struct {
 	net.Conn
 	failed bool
 }
 
-func (h *half) Write(b []byte) (int, error) {
+func (h *halfWriter) Write(b []byte) (int, error) {
 	if h.failed {
 		return h.Conn.Write(b)
 	}
@@ -230,7 +230,7 @@
 						return
 					}
 					heads <- r.Header.Get("A")
-					s, _ := says(200, "early")(0, 0, r)
+					s, _ := respond(200, "early")(0, 0, r)
 					io.WriteString(c, s)
 					io.Copy(io.Discard, r.Body)
 				}
@@ -238,28 +238,28 @@
 		}
 	}()
 	target := wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}
-	f := carrier(t, target).asked(config.KindOnce)
+	f := newTestProxy(t, target).withHealthCheck(config.KindOnce)
 	p, err := Dial(t.Context(), target.Addr, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.c = &half{Conn: p.c}
-	f.pool.give(target.ID(), p, 1)
+	p.netConn = &halfWriter{Conn: p.netConn}
+	f.pool.put(target.ID(), p, 1)
 	f.do(t, "POST", "/x", strings.Repeat("b", 2000), "A", "1")
 	f.do(t, "POST", "/x", strings.Repeat("b", 2000), "A", "2")
 	if one, two := <-heads, <-heads; one != "1" || two != "2" {
 		t.Fatalf("requests %q and %q", one, two)
 	}
-	if f.car.Counts.ConnsOpened.Load() != 1 {
-		t.Fatal(f.car.Counts.ConnsOpened.Load(), "opened")
+	if f.forwarder.Counts.ConnsOpened.Load() != 1 {
+		t.Fatal(f.forwarder.Counts.ConnsOpened.Load(), "opened")
 	}
 }
 
 // A request without an id, to which any answer would seem to belong, gets a connection
 // on which there was none before.
 func TestWithoutID(t *testing.T) {
-	a := bytesOf(t, "a", says(200, "ok"))
-	f := carrier(t, a.Target).asked(config.KindOnce)
+	a := newRawBackend(t, "a", respond(200, "ok"))
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 	for i, id := range []string{"1", "", "2"} {
 		if status, _, _ := f.do(t, "POST", "/x", "", "A", id); status != 200 {
 			t.Fatal(i, status)
--- a/internal/dataplane/reverseproxy/conn.go
+++ b/internal/dataplane/reverseproxy/conn.go
@@ -29,17 +29,17 @@
 )
 
 var (
-	errNoAnswer = errors.New("what came is no HTTP answer")
-	errForeign  = errors.New("another identity answers at the target's address")
+	errInvalidResponse = errors.New("what came is no HTTP answer")
+	errWrongIdentity   = errors.New("another identity answers at the target's address")
 )
 
-// born is what connections count their age from.
-var born = time.Now()
+// processStart is what connections count their age from.
+var processStart = time.Now()
 
-// past is a deadline that ends what waits.
-func past() time.Time { return time.Now().Add(-time.Second) }
+// expiredDeadline is a deadline that ends what waits.
+func expiredDeadline() time.Time { return time.Now().Add(-time.Second) }
 
-func unacked(d time.Duration) func(_, _ string, rc syscall.RawConn) error {
+func userTimeout(d time.Duration) func(_, _ string, rc syscall.RawConn) error {
 	return func(_, _ string, rc syscall.RawConn) error {
 		var err error
 		if cerr := rc.Control(func(fd uintptr) {
@@ -56,26 +56,26 @@
 // NewDialer opens connections whose other side is gone when it acknowledges nothing for
 // tuning.Unacked; from is where they leave from, nil for the system's choice.
 func NewDialer(from net.Addr, timeout time.Duration) *net.Dialer {
-	return &net.Dialer{LocalAddr: from, Timeout: timeout, Control: unacked(tuning.AckTimeout), KeepAliveConfig: keepAlive}
+	return &net.Dialer{LocalAddr: from, Timeout: timeout, Control: userTimeout(tuning.AckTimeout), KeepAliveConfig: keepAlive}
 }
 
 // Listen listens; who connects is gone when it acknowledges nothing for unack.
 func Listen(addr string, unack time.Duration) (net.Listener, error) {
-	lc := net.ListenConfig{Control: unacked(unack), KeepAliveConfig: keepAlive}
+	lc := net.ListenConfig{Control: userTimeout(unack), KeepAliveConfig: keepAlive}
 	return lc.Listen(context.Background(), "tcp", addr)
 }
 
 // Conn is a connection to a target.
 type Conn struct {
-	c       net.Conn
-	raw     syscall.RawConn
-	r       *bufio.Reader
-	out     []byte
-	room    int64        // bytes that may still come
-	fresh   bool         // nothing has been written to it
-	partial bool         // a request went out in part: what is written next would be its rest
-	till    time.Time    // not to be used after this
-	used    atomic.Int64 // when it was last put back; read by those who look for one
+	netConn       net.Conn
+	rawConn       syscall.RawConn
+	reader        *bufio.Reader
+	writeBuffer   []byte
+	readLimit     int64        // bytes that may still come
+	fresh         bool         // nothing has been written to it
+	partlyWritten bool         // a request went out in part: what is written next would be its rest
+	reuseUntil    time.Time    // not to be used after this
+	lastUsed      atomic.Int64 // when it was last put back; read by those who look for one
 }
 
 // Dial opens a connection by ctx's end.
@@ -84,42 +84,42 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Conn{c: c, fresh: true}
-	if p.raw, err = c.(syscall.Conn).SyscallConn(); err != nil {
+	p := &Conn{netConn: c, fresh: true}
+	if p.rawConn, err = c.(syscall.Conn).SyscallConn(); err != nil {
 		c.Close()
 		return nil, err
 	}
-	p.r = bufio.NewReader(p)
+	p.reader = bufio.NewReader(p)
 	return p, nil
 }
 
 func (p *Conn) Read(b []byte) (int, error) {
-	if p.room <= 0 {
-		return 0, errNoAnswer
+	if p.readLimit <= 0 {
+		return 0, errInvalidResponse
 	}
-	if int64(len(b)) > p.room {
-		b = b[:p.room]
+	if int64(len(b)) > p.readLimit {
+		b = b[:p.readLimit]
 	}
-	n, err := p.c.Read(b)
-	p.room -= int64(n)
+	n, err := p.netConn.Read(b)
+	p.readLimit -= int64(n)
 	return n, err
 }
 
 // Addr is where the connection leads.
-func (p *Conn) Addr() string { return p.c.RemoteAddr().String() }
+func (p *Conn) Addr() string { return p.netConn.RemoteAddr().String() }
 
 // Close closes the connection.
-func (p *Conn) Close() { p.c.Close() }
+func (p *Conn) Close() { p.netConn.Close() }
 
-// quiet says whether the connection is open and nothing has come on it since the last
+// isIdle says whether the connection is open and nothing has come on it since the last
 // answer. Its deadline must lie ahead.
-func (p *Conn) quiet() bool {
-	if p.r.Buffered() > 0 {
+func (p *Conn) isIdle() bool {
+	if p.reader.Buffered() > 0 {
 		return false
 	}
 	quiet := false
 	var b [1]byte
-	err := p.raw.Read(func(fd uintptr) bool {
+	err := p.rawConn.Read(func(fd uintptr) bool {
 		for {
 			_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 			if err == unix.EINTR {
@@ -132,73 +132,73 @@
 	return err == nil && quiet
 }
 
-// await waits until something comes, until the deadline or as long as the target is
+// awaitResponse waits until something comes, until the deadline or as long as the target is
 // not given up; it returns false in that last case.
-func (p *Conn) await(ctx context.Context, till time.Time, dark func() bool) bool {
-	p.room = 4 * tuning.HeaderMax
+func (p *Conn) awaitResponse(ctx context.Context, till time.Time, dark func() bool) bool {
+	p.readLimit = 4 * tuning.HeaderMax
 	for wait := tuning.UnreachableCheckAfter; ; wait = tuning.UnreachableCheckEvery {
 		at := time.Now().Add(wait)
 		if !at.Before(till) {
 			break
 		}
-		p.c.SetReadDeadline(at)
-		_, err := p.r.Peek(1)
+		p.netConn.SetReadDeadline(at)
+		_, err := p.reader.Peek(1)
 		var ne net.Error
 		if err == nil || !errors.As(err, &ne) || !ne.Timeout() || ctx.Err() != nil {
 			break
 		}
-		if dark() && p.silent(till) {
+		if dark() && p.noResponseYet(till) {
 			return false
 		}
 	}
-	p.c.SetReadDeadline(till)
+	p.netConn.SetReadDeadline(till)
 	if ctx.Err() != nil {
-		p.c.SetDeadline(past())
+		p.netConn.SetDeadline(expiredDeadline())
 	}
 	return true
 }
 
 // silent says whether nothing has come. A read whose time is over does not look: an answer may have come
 // meanwhile, and a process that is held up looks late.
-func (p *Conn) silent(till time.Time) bool {
-	p.c.SetReadDeadline(till)
-	return p.quiet()
+func (p *Conn) noResponseYet(till time.Time) bool {
+	p.netConn.SetReadDeadline(till)
+	return p.isIdle()
 }
 
-// head reads an answer's status and header.
-func (p *Conn) head(method string) (*http.Response, error) {
+// readHeader reads an answer's status and header.
+func (p *Conn) readHeader(method string) (*http.Response, error) {
 	req := &http.Request{Method: method}
 	for range tuning.InterimMax {
-		p.room = 4 * tuning.HeaderMax
-		resp, err := http.ReadResponse(p.r, req)
+		p.readLimit = 4 * tuning.HeaderMax
+		resp, err := http.ReadResponse(p.reader, req)
 		if err != nil {
 			return nil, err
 		}
 		if resp.ProtoMajor != 1 || resp.StatusCode < 100 || resp.StatusCode > 999 || resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errNoAnswer
+			return nil, errInvalidResponse
 		}
 		if resp.StatusCode >= 200 {
-			p.room = 1 << 62
-			p.keep(resp)
+			p.readLimit = 1 << 62
+			p.noteKeepAlive(resp)
 			return resp, nil
 		}
 	}
-	return nil, errNoAnswer
+	return nil, errInvalidResponse
 }
 
-// keep notes how long the target says that it keeps the connection.
-func (p *Conn) keep(resp *http.Response) {
-	p.till = time.Time{}
+// noteKeepAlive notes how long the target says that it keeps the connection.
+func (p *Conn) noteKeepAlive(resp *http.Response) {
+	p.reuseUntil = time.Time{}
 	for f := range strings.SplitSeq(resp.Header.Get("Keep-Alive"), ",") {
 		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		if n, err := strconv.Atoi(v); err == nil && strings.EqualFold(k, "timeout") {
-			p.till = time.Now().Add(time.Duration(n)*time.Second - tuning.IdleTimeoutMargin)
+			p.reuseUntil = time.Now().Add(time.Duration(n)*time.Second - tuning.IdleTimeoutMargin)
 		}
 	}
 }
 
-// upTo reads up to max bytes; done is false if there is more.
-func upTo(r io.Reader, max int) (b []byte, done bool, err error) {
+// readUpTo reads up to max bytes; done is false if there is more.
+func readUpTo(r io.Reader, max int) (b []byte, done bool, err error) {
 	b = make([]byte, 0, min(max, 4<<10))
 	for {
 		if len(b) == cap(b) {
@@ -218,8 +218,8 @@
 	}
 }
 
-// whole reads an answer's body up to max bytes; done is false if there is more of it.
-func whole(resp *http.Response, max int) (b []byte, done bool, err error) {
+// readComplete reads an answer's body up to max bytes; done is false if there is more of it.
+func readComplete(resp *http.Response, max int) (b []byte, done bool, err error) {
 	n := resp.ContentLength
 	switch {
 	case resp.Body == http.NoBody || n == 0:
@@ -227,7 +227,7 @@
 	case n > int64(max):
 		return nil, false, nil
 	case n < 0:
-		return upTo(resp.Body, max)
+		return readUpTo(resp.Body, max)
 	}
 	b = make([]byte, n)
 	_, err = io.ReadFull(resp.Body, b)
@@ -237,12 +237,12 @@
 // Get asks for a path and reads a small answer whole. again says whether the connection
 // can be used once more.
 func (p *Conn) Get(till time.Time, host, path string, extra ...string) (resp *http.Response, body []byte, again bool, err error) {
-	p.c.SetDeadline(till)
-	if !p.fresh && !p.quiet() {
+	p.netConn.SetDeadline(till)
+	if !p.fresh && !p.isIdle() {
 		return nil, nil, false, net.ErrClosed
 	}
 	p.fresh = false
-	b := append(p.out[:0], "GET "...)
+	b := append(p.writeBuffer[:0], "GET "...)
 	b = append(b, path...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, host...)
@@ -252,16 +252,16 @@
 		b = append(b, ": "...)
 		b = append(b, extra[i+1]...)
 	}
-	p.out = append(b, "\r\n\r\n"...)
-	if _, err = p.c.Write(p.out); err != nil {
+	p.writeBuffer = append(b, "\r\n\r\n"...)
+	if _, err = p.netConn.Write(p.writeBuffer); err != nil {
 		return nil, nil, false, err
 	}
-	if resp, err = p.head("GET"); err != nil {
+	if resp, err = p.readHeader("GET"); err != nil {
 		return nil, nil, false, err
 	}
 	var done bool
-	body, done, err = whole(resp, tuning.ProbeBody)
-	return resp, body, done && !resp.Close && p.r.Buffered() == 0, err
+	body, done, err = readComplete(resp, tuning.ProbeBody)
+	return resp, body, done && !resp.Close && p.reader.Buffered() == 0, err
 }
 
 // Identify asks a target that says so itself who it is. again says whether the connection
@@ -279,16 +279,16 @@
 }
 
 // shelf holds a target's idle connections.
-type shelf struct {
-	slots [tuning.IdleConnsMax]atomic.Pointer[Conn]
-	gone  atomic.Bool
-	dark  atomic.Bool // nothing reaches the target
+type targetConns struct {
+	slots       [tuning.IdleConnsMax]atomic.Pointer[Conn]
+	removed     atomic.Bool
+	unreachable atomic.Bool // nothing reaches the target
 }
 
 // put keeps a connection, and closes the longest unused ones so that n are left: one that was used
 // just now serves every request, an old one only those that may be repeated.
-func (s *shelf) put(p *Conn, n int) {
-	p.used.Store(int64(time.Since(born)))
+func (s *targetConns) put(p *Conn, n int) {
+	p.lastUsed.Store(int64(time.Since(processStart)))
 	if n <= 0 {
 		p.Close()
 		return
@@ -300,11 +300,11 @@
 		}
 	}
 	for ; kept >= n; kept-- {
-		s.dropOldest()
+		s.closeOldest()
 	}
 	for i := range s.slots {
 		if s.slots[i].CompareAndSwap(nil, p) {
-			if s.gone.Load() {
+			if s.removed.Load() {
 				s.close()
 			}
 			return
@@ -313,12 +313,12 @@
 	p.Close()
 }
 
-// dropOldest closes the connection that has been unused for longest, if there is one.
-func (s *shelf) dropOldest() {
+// closeOldest closes the connection that has been unused for longest, if there is one.
+func (s *targetConns) closeOldest() {
 	var oldest *Conn
 	at := 0
 	for i := range s.slots {
-		if p := s.slots[i].Load(); p != nil && (oldest == nil || p.used.Load() < oldest.used.Load()) {
+		if p := s.slots[i].Load(); p != nil && (oldest == nil || p.lastUsed.Load() < oldest.lastUsed.Load()) {
 			oldest, at = p, i
 		}
 	}
@@ -328,12 +328,12 @@
 }
 
 // take takes the connection that was used last, if that was less than idle ago. Its deadline is set.
-func (s *shelf) take(idle time.Duration, till time.Time) *Conn {
+func (s *targetConns) take(idle time.Duration, till time.Time) *Conn {
 	for {
 		var best *Conn
 		at := 0
 		for i := range s.slots {
-			if p := s.slots[i].Load(); p != nil && (best == nil || p.used.Load() > best.used.Load()) {
+			if p := s.slots[i].Load(); p != nil && (best == nil || p.lastUsed.Load() > best.lastUsed.Load()) {
 				best, at = p, i
 			}
 		}
@@ -341,14 +341,14 @@
 			return nil
 		}
 		now := time.Now()
-		if best.idle(now) >= idle {
+		if best.idleFor(now) >= idle {
 			return nil
 		}
 		if !s.slots[at].CompareAndSwap(best, nil) {
 			continue
 		}
-		best.c.SetDeadline(till)
-		if best.stale(now) || !best.quiet() {
+		best.netConn.SetDeadline(till)
+		if best.isExpired(now) || !best.isIdle() {
 			best.Close()
 			continue
 		}
@@ -356,16 +356,16 @@
 	}
 }
 
-func (p *Conn) idle(now time.Time) time.Duration {
-	return now.Sub(born) - time.Duration(p.used.Load())
+func (p *Conn) idleFor(now time.Time) time.Duration {
+	return now.Sub(processStart) - time.Duration(p.lastUsed.Load())
 }
 
 // stale says whether a connection that is the asker's own is too old to be used.
-func (p *Conn) stale(now time.Time) bool {
-	return p.idle(now) >= tuning.ConnIdle || !p.till.IsZero() && now.After(p.till)
+func (p *Conn) isExpired(now time.Time) bool {
+	return p.idleFor(now) >= tuning.ConnIdle || !p.reuseUntil.IsZero() && now.After(p.reuseUntil)
 }
 
-func (s *shelf) close() {
+func (s *targetConns) close() {
 	for i := range s.slots {
 		if p := s.slots[i].Swap(nil); p != nil {
 			p.Close()
@@ -373,35 +373,35 @@
 	}
 }
 
-func (s *shelf) sweep(now time.Time) {
+func (s *targetConns) closeExpired(now time.Time) {
 	for i := range s.slots {
 		p := s.slots[i].Swap(nil)
-		if p != nil && (p.stale(now) || !s.slots[i].CompareAndSwap(nil, p)) {
+		if p != nil && (p.isExpired(now) || !s.slots[i].CompareAndSwap(nil, p)) {
 			p.Close()
 		}
 	}
-	if s.gone.Load() {
+	if s.removed.Load() {
 		s.close()
 	}
 }
 
 // Pool is the shelves of the table's targets.
 type Pool struct {
-	shelves atomic.Pointer[map[wire.TargetID]*shelf]
+	targets atomic.Pointer[map[wire.TargetID]*targetConns]
 	stop    chan struct{}
 }
 
 func NewPool() *Pool {
 	p := &Pool{stop: make(chan struct{})}
-	p.shelves.Store(&map[wire.TargetID]*shelf{})
+	p.targets.Store(&map[wire.TargetID]*targetConns{})
 	go func() {
 		sweep := time.NewTicker(tuning.ConnIdle / 4)
 		defer sweep.Stop()
 		for {
 			select {
 			case now := <-sweep.C:
-				for _, s := range *p.shelves.Load() {
-					s.sweep(now)
+				for _, s := range *p.targets.Load() {
+					s.closeExpired(now)
 				}
 			case <-p.stop:
 				return
@@ -413,17 +413,17 @@
 
 // SetTargets tells the pool which targets the table holds; one goroutine calls it.
 func (p *Pool) SetTargets(m map[wire.TargetID]string) {
-	old := *p.shelves.Load()
-	next := make(map[wire.TargetID]*shelf, len(m))
+	old := *p.targets.Load()
+	next := make(map[wire.TargetID]*targetConns, len(m))
 	for id := range m {
 		if next[id] = old[id]; next[id] == nil {
-			next[id] = &shelf{}
+			next[id] = &targetConns{}
 		}
 	}
-	p.shelves.Store(&next)
+	p.targets.Store(&next)
 	for id, s := range old {
 		if next[id] == nil {
-			s.gone.Store(true)
+			s.removed.Store(true)
 			s.close()
 		}
 	}
@@ -431,14 +431,14 @@
 
 // SetUnreachable tells the pool which targets nothing reaches.
 func (p *Pool) SetUnreachable(ids map[wire.TargetID]bool) {
-	for id, s := range *p.shelves.Load() {
-		s.dark.Store(ids[id])
+	for id, s := range *p.targets.Load() {
+		s.unreachable.Store(ids[id])
 	}
 }
 
-func (p *Pool) dark(id wire.TargetID) bool {
-	s := (*p.shelves.Load())[id]
-	return s != nil && s.dark.Load()
+func (p *Pool) isUnreachable(id wire.TargetID) bool {
+	s := (*p.targets.Load())[id]
+	return s != nil && s.unreachable.Load()
 }
 
 // Close closes all idle connections, and those that come back later.
@@ -448,14 +448,14 @@
 }
 
 func (p *Pool) take(id wire.TargetID, idle time.Duration, till time.Time) *Conn {
-	if s := (*p.shelves.Load())[id]; s != nil {
+	if s := (*p.targets.Load())[id]; s != nil {
 		return s.take(idle, till)
 	}
 	return nil
 }
 
-func (p *Pool) give(id wire.TargetID, x *Conn, n int) {
-	if s := (*p.shelves.Load())[id]; s != nil {
+func (p *Pool) put(id wire.TargetID, x *Conn, n int) {
+	if s := (*p.targets.Load())[id]; s != nil {
 		s.put(x, n)
 	} else {
 		x.Close()
--- a/internal/dataplane/reverseproxy/forward.go
+++ b/internal/dataplane/reverseproxy/forward.go
@@ -143,9 +143,9 @@
 	return &Forwarder{owner: o, pool: p, Observe: func(string, int, float64) {}, Headers: DefaultHeaders(), SendForwardedFor: true}
 }
 
-var hop = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
+var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-func strip(h http.Header) {
+func removeHopByHopHeaders(h http.Header) {
 	for _, v := range h.Values("Connection") {
 		for f := range strings.SplitSeq(v, ",") {
 			if f = textproto.TrimString(f); f != "" {
@@ -153,7 +153,7 @@
 			}
 		}
 	}
-	for _, f := range hop {
+	for _, f := range hopByHopHeaders {
 		h.Del(f)
 	}
 }
@@ -167,8 +167,8 @@
 	return n
 }
 
-// plain says whether a path means what it says, so that rule and back end read it alike.
-func plain(r *http.Request) bool {
+// isUnambiguousPath says whether a path means what it says, so that rule and back end read it alike.
+func isUnambiguousPath(r *http.Request) bool {
 	p := r.URL.Path
 	if !strings.HasPrefix(p, "/") || strings.Contains(p, "//") || strings.ContainsAny(p, "\x00\\") {
 		return false
@@ -180,7 +180,7 @@
 	return path.Clean(p) == p || path.Clean(p)+"/" == p
 }
 
-func line(out []byte, k, v string) []byte {
+func appendHeader(out []byte, k, v string) []byte {
 	return append(append(append(append(out, k...), ": "...), v...), "\r\n"...)
 }
 
@@ -195,7 +195,7 @@
 		} else {
 			c.Counts.NotRun.Add(1)
 		}
-		fault(w, c.Headers.Ran, s, retry, t)
+		writeError(w, c.Headers.Ran, s, retry, t)
 	}
 	// gone ends a request whose caller has left: an answer, or none, would be a false one.
 	gone := func() {
@@ -203,15 +203,15 @@
 		panic(http.ErrAbortHandler)
 	}
 	defer func() {
-		if e, ok := w.(*early); !ok || !e.deferred {
+		if e, ok := w.(*pipelinedRequest); !ok || !e.deferred {
 			c.Observe(svc, status, time.Since(start).Seconds())
 		}
 	}()
-	if headerSize(r.Header) > c.headerMost() {
+	if headerSize(r.Header) > c.maxHeaderBytes() {
 		fail(431, 0, config.ErrorBody{Code: "header", Message: "the header is too large"})
 		return
 	}
-	if r.Method == "CONNECT" || r.Method == "TRACE" || !plain(r) {
+	if r.Method == "CONNECT" || r.Method == "TRACE" || !isUnambiguousPath(r) {
 		fail(400, 0, config.ErrorBody{Code: "bad_request", Message: "neither tunnels nor paths that could be read two ways are carried"})
 		return
 	}
@@ -241,7 +241,7 @@
 		timeout = max(time.Millisecond, timeout-time.Since(start))
 	}
 	id := c.nextID.Add(1)
-	ahead, isAhead := w.(*early)
+	ahead, isAhead := w.(*pipelinedRequest)
 	ans := c.owner.Ask(r.Context(), id, statemachine.Admit{ID: id, Host: r.Host, Path: r.URL.Path, Method: r.Method, Timeout: timeout, Pipelined: isAhead})
 	if no, ok := ans.(statemachine.Reject); ok && isAhead && no.Code == statemachine.CodeNotPipelined {
 		ahead.deferred = true
@@ -249,14 +249,14 @@
 	}
 	ran, last := "no", ""
 	lastStatus := 0
-	var spare *answer // a target's own failure, passed on if no other target does better
+	var spare *response // a target's own failure, passed on if no other target does better
 	for {
 		if ans == nil {
 			gone() // while it waited; the owner has been told
 		}
 		if no, ok := ans.(statemachine.Reject); ok {
 			if spare != nil {
-				status = spare.resp.StatusCode
+				status = spare.http.StatusCode
 				c.Counts.Served.Add(1)
 				c.passAnswer(w, r, spare)
 				return
@@ -279,8 +279,8 @@
 		}
 		g := ans.(statemachine.Forward)
 		svc = g.Service
-		most := c.bodyMost(&g.ServiceConfig)
-		if body.room = most - int64(len(body.kept)); r.ContentLength > most || body.room < 0 {
+		most := c.maxBodyBytes(&g.ServiceConfig)
+		if body.remaining = most - int64(len(body.buffered)); r.ContentLength > most || body.remaining < 0 {
 			c.owner.Notify(statemachine.AttemptDone{ID: id, Outcome: statemachine.ClientGone, Last: true})
 			fail(413, 0, config.ErrorBody{Code: "body", Message: "the body is over the service's limit"})
 			return
@@ -304,15 +304,15 @@
 				panic(http.ErrAbortHandler)
 			}
 			return
-		case body.left(r):
+		case body.callerGone(r):
 			if t.outcome != statemachine.ClientGone {
 				c.owner.Notify(statemachine.Cancel{ID: id})
 			}
 			gone()
-		case body.over:
+		case body.tooLarge:
 			fail(413, 0, config.ErrorBody{Code: "body", Message: "the body is over the service's limit", Ran: "unknown"})
 			return
-		case body.bad:
+		case body.aborted:
 			fail(400, 0, config.ErrorBody{Code: "bad_request", Message: "the body ended early", Ran: "unknown"})
 			return
 		}
@@ -327,10 +327,10 @@
 		if t.spare != nil && spare == nil {
 			spare = t.spare
 		}
-		if t.late || t.ran && !repeats || body.begun {
+		if t.late || t.ran && !repeats || body.restRead {
 			c.owner.Notify(statemachine.Cancel{ID: id, Failed: true})
 			if spare != nil {
-				status = spare.resp.StatusCode
+				status = spare.http.StatusCode
 				c.Counts.Served.Add(1)
 				c.passAnswer(w, r, spare)
 				return
@@ -347,7 +347,7 @@
 }
 
 // receive reads the body within the time that the caller gave.
-func (c *Forwarder) receive(w http.ResponseWriter, r *http.Request, start time.Time, timeout time.Duration) (*upload, error) {
+func (c *Forwarder) receive(w http.ResponseWriter, r *http.Request, start time.Time, timeout time.Duration) (*requestBody, error) {
 	if timeout == 0 || r.ContentLength == 0 {
 		return receive(r)
 	}
@@ -367,7 +367,7 @@
 	sent    bool // something of it came or may have come to a target
 	ran     bool // and may have run there
 	late    bool
-	spare   *answer
+	spare   *response
 	code    string
 	msg     string
 	load    *statemachine.TargetLoad
@@ -391,7 +391,7 @@
 	if !g.ServiceConfig.HasHealthCheck() {
 		b, again, err := p.Identify(earlier(till, time.Now().Add(tuning.DialTimeout)), g.Target.Addr)
 		if err == nil && b.ID() != g.Target.ID() {
-			err = errors.Wrapf(errForeign, "%s/%s/%d", b.Service, b.Name, b.Incarnation)
+			err = errors.Wrapf(errWrongIdentity, "%s/%s/%d", b.Service, b.Name, b.Incarnation)
 		}
 		if err == nil && !again {
 			err = errors.New("the target closes its connections")
@@ -401,8 +401,8 @@
 			return nil, err
 		}
 	}
-	p.c.SetDeadline(till)
-	if !p.quiet() { // a target that is full may reset a connection at once: then nothing was written
+	p.netConn.SetDeadline(till)
+	if !p.isIdle() { // a target that is full may reset a connection at once: then nothing was written
 		p.Close()
 		return nil, net.ErrClosed
 	}
@@ -417,11 +417,13 @@
 	return a
 }
 
-// give keeps a connection for later, as far as the owner lets this proxy keep any.
-func (c *Forwarder) give(g *statemachine.Forward, p *Conn) { c.pool.give(g.Target.ID(), p, g.MaxIdle) }
+// keepIdle keeps a connection for later, as far as the owner lets this proxy keep any.
+func (c *Forwarder) keepIdle(g *statemachine.Forward, p *Conn) {
+	c.pool.put(g.Target.ID(), p, g.MaxIdle)
+}
 
 // compose writes the request's head, and its body as far as it is kept.
-func (c *Forwarder) compose(out []byte, r *http.Request, g *statemachine.Forward, u *upload, left time.Duration) []byte {
+func (c *Forwarder) compose(out []byte, r *http.Request, g *statemachine.Forward, u *requestBody, left time.Duration) []byte {
 	uri := r.RequestURI
 	if !strings.HasPrefix(uri, "/") {
 		uri = r.URL.RequestURI()
@@ -437,19 +439,19 @@
 			continue
 		}
 		for _, v := range vs {
-			out = line(out, k, v)
+			out = appendHeader(out, k, v)
 		}
 	}
 	if slices.Contains(r.Header["Te"], "trailers") {
-		out = line(out, "Te", "trailers")
+		out = appendHeader(out, "Te", "trailers")
 	}
 	if c.SendForwardedFor && !g.ServiceConfig.HasHealthCheck() {
 		if ip, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
-			out = line(out, "X-Forwarded-For", strings.Join(append(slices.Clone(r.Header["X-Forwarded-For"]), ip), ", "))
+			out = appendHeader(out, "X-Forwarded-For", strings.Join(append(slices.Clone(r.Header["X-Forwarded-For"]), ip), ", "))
 		}
 	}
 	if g.ServiceConfig.HasHealthCheck() {
-		out = line(out, c.Headers.ExpectTarget, g.Target.Name)
+		out = appendHeader(out, c.Headers.ExpectTarget, g.Target.Name)
 	}
 	out = append(append(out, c.Headers.Deadline...), ": "...)
 	out = append(strconv.AppendInt(out, max(1, (left-tuning.NetHop).Milliseconds()), 10), "\r\n"...)
@@ -457,23 +459,23 @@
 	case u.size > 0 || u.size == 0 && (r.Method == "POST" || r.Method == "PUT" || r.Method == "PATCH"):
 		out = append(out, "Content-Length: "...)
 		out = append(strconv.AppendInt(out, u.size, 10), "\r\n\r\n"...)
-		return append(out, u.kept...)
+		return append(out, u.buffered...)
 	case u.size == 0:
 		return append(out, "\r\n"...)
 	}
 	for k := range u.trailer {
-		out = line(out, "Trailer", k)
+		out = appendHeader(out, "Trailer", k)
 	}
-	out = chunk(append(out, "Transfer-Encoding: chunked\r\n\r\n"...), u.kept)
+	out = appendChunk(append(out, "Transfer-Encoding: chunked\r\n\r\n"...), u.buffered)
 	if u.rest == nil {
-		out = u.end(out)
+		out = u.appendLastChunk(out)
 	}
 	return out
 }
 
 // drops says whether a header concerns one connection only.
 func drops(named []string, k string) bool {
-	if slices.Contains(hop, k) {
+	if slices.Contains(hopByHopHeaders, k) {
 		return true
 	}
 	for _, v := range named {
@@ -486,12 +488,14 @@
 	return false
 }
 
-// dark says whether a request that may be repeated need not wait for a target any longer.
+// mayAbandon says whether a request that may be repeated need not wait for a target any longer.
 // A proxy that is leaving waits: it may not find another one in the time it has left, and
 // planned work is no reason to end an answer sooner.
-func (c *Forwarder) dark(id wire.TargetID) bool { return !c.Draining.Load() && c.pool.dark(id) }
+func (c *Forwarder) mayAbandon(id wire.TargetID) bool {
+	return !c.Draining.Load() && c.pool.isUnreachable(id)
+}
 
-func (c *Forwarder) try(w http.ResponseWriter, r *http.Request, g *statemachine.Forward, u *upload, repeats bool) (t tried) {
+func (c *Forwarder) try(w http.ResponseWriter, r *http.Request, g *statemachine.Forward, u *requestBody, repeats bool) (t tried) {
 	start := time.Now()
 	told := false
 	tell := func(t *tried, last bool) {
@@ -519,7 +523,7 @@
 			switch {
 			case r.Context().Err() != nil:
 				return tried{outcome: statemachine.ClientGone}
-			case errors.Is(err, errForeign):
+			case errors.Is(err, errWrongIdentity):
 				c.Counts.WrongIdentity.Add(1)
 				return tried{outcome: statemachine.WrongIdentity, code: "foreign", msg: "the target's address answers for another"}
 			}
@@ -528,15 +532,15 @@
 			}
 			return tried{outcome: statemachine.ConnectFailed, code: "closed", msg: "no connection to the target"}
 		}
-		p.out = c.compose(p.out, r, g, u, time.Until(workTill))
+		p.writeBuffer = c.compose(p.writeBuffer, r, g, u, time.Until(workTill))
 		if c.owner.Now() > g.WriteBy {
-			c.give(g, p)
+			c.keepIdle(g, p)
 			return tried{outcome: statemachine.ChoiceExpired, code: "stale", msg: "the choice of a target grew too old before anything was sent"}
 		}
-		stop := context.AfterFunc(r.Context(), func() { p.c.SetDeadline(past()) })
-		n, err := p.c.Write(p.out)
-		if cap(p.out) > tuning.HeaderMax {
-			p.out = nil
+		stop := context.AfterFunc(r.Context(), func() { p.netConn.SetDeadline(expiredDeadline()) })
+		n, err := p.netConn.Write(p.writeBuffer)
+		if cap(p.writeBuffer) > tuning.HeaderMax {
+			p.writeBuffer = nil
 		}
 		if n == 0 && err != nil && idle > 0 && !p.fresh {
 			stop()
@@ -557,15 +561,15 @@
 		if u.rest != nil {
 			sent = make(chan error, 1)
 			go func() {
-				err := u.send(p.c)
-				short := u.bad || u.over
+				err := u.sendRest(p.netConn)
+				short := u.aborted || u.tooLarge
 				sent <- err
 				if short {
 					p.Close() // the target waits for what will not come
 				}
 			}()
 		}
-		p.partial = err != nil
+		p.partlyWritten = err != nil
 		t = c.readAnswer(w, r, g, p, u, repeats, till, sent, tell, stop)
 		return t
 	}
--- a/internal/dataplane/reverseproxy/forward_test.go
+++ b/internal/dataplane/reverseproxy/forward_test.go
@@ -30,7 +30,7 @@
 	seen chan *http.Request
 }
 
-func serve(t testing.TB, name string, h http.HandlerFunc) *backend {
+func newBackend(t testing.TB, name string, h http.HandlerFunc) *backend {
 	b := &backend{seen: make(chan *http.Request, 16)}
 	b.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == config.IdentityPath {
@@ -46,7 +46,7 @@
 	return b
 }
 
-func hijack(say string) http.HandlerFunc {
+func respondAndClose(say string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		c, buf, _ := http.NewResponseController(w).Hijack()
@@ -56,42 +56,42 @@
 	}
 }
 
-func fine(w http.ResponseWriter, r *http.Request) {
+func echo(w http.ResponseWriter, r *http.Request) {
 	b, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(w, "ran %s", b)
 }
 
-// front runs a forwarder whose owner gives the targets in turn, then refuses.
-type front struct {
-	url    string
-	pool   *Pool
-	asks   []any
-	told   chan any
-	addr   string
-	client *http.Client
-	now    atomic.Int64
-	car    *Forwarder
-	set    config.Service
-	route  config.Route
-	left   time.Duration
-	work   time.Duration
-	more   bool
+// testProxy runs a forwarder whose owner gives the targets in turn, then refuses.
+type testProxy struct {
+	url       string
+	pool      *Pool
+	asked     []any
+	notified  chan any
+	addr      string
+	client    *http.Client
+	now       atomic.Int64
+	forwarder *Forwarder
+	service   config.Service
+	route     config.Route
+	timeLeft  time.Duration
+	workTime  time.Duration
+	mayRetry  bool
 }
 
-func carrier(t testing.TB, targets ...wire.Target) *front {
-	f := &front{pool: NewPool(), told: make(chan any, 64), set: config.Service{BodyMax: 100 << 10, Attempts: 3}, left: 5 * time.Second}
+func newTestProxy(t testing.TB, targets ...wire.Target) *testProxy {
+	f := &testProxy{pool: NewPool(), notified: make(chan any, 64), service: config.Service{BodyMax: 100 << 10, Attempts: 3}, timeLeft: 5 * time.Second}
 	live := map[wire.TargetID]string{}
 	for _, x := range targets {
 		live[x.ID()] = x.Addr
 	}
 	f.pool.SetTargets(live)
 	turn := make(chan bool, 1)
-	c := New(Owner{Now: func() time.Duration { return time.Duration(f.now.Load()) }, Notify: func(ev statemachine.Event) { f.told <- ev }, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
+	c := New(Owner{Now: func() time.Duration { return time.Duration(f.now.Load()) }, Notify: func(ev statemachine.Event) { f.notified <- ev }, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
 		turn <- true
 		defer func() { <-turn }()
-		f.asks = append(f.asks, ev)
+		f.asked = append(f.asked, ev)
 		n := 0
-		for _, a := range f.asks {
+		for _, a := range f.asked {
 			if _, ok := a.(statemachine.Admit); ok {
 				n = 0
 			} else {
@@ -101,9 +101,9 @@
 		if n >= len(targets) {
 			return statemachine.Reject{ID: id, Status: 503, RetryAfter: 2 * time.Second, Code: "busy", Message: "none left"}
 		}
-		return statemachine.Forward{ID: id, Service: "s", Target: targets[n], TimeLeft: f.left, WorkTime: f.work, WriteBy: tuning.ChoiceTTL, ServiceConfig: f.set, Route: f.route, MayRetry: f.more, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
+		return statemachine.Forward{ID: id, Service: "s", Target: targets[n], TimeLeft: f.timeLeft, WorkTime: f.workTime, WriteBy: tuning.ChoiceTTL, ServiceConfig: f.service, Route: f.route, MayRetry: f.mayRetry, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, f.pool)
-	f.car = c
+	f.forwarder = c
 	srv := httptest.NewUnstartedServer(c)
 	srv.Listener, srv.Config.ConnContext, srv.Config.ConnState = c.WrapListener(srv.Listener), c.ConnContext, c.Callers.ConnState
 	srv.Start()
@@ -113,7 +113,7 @@
 	return f
 }
 
-func (f *front) do(t *testing.T, method, path, body string, hd ...string) (int, http.Header, string) {
+func (f *testProxy) do(t *testing.T, method, path, body string, hd ...string) (int, http.Header, string) {
 	t.Helper()
 	req, _ := http.NewRequest(method, f.url+path, strings.NewReader(body))
 	for i := 0; i+1 < len(hd); i += 2 {
@@ -151,12 +151,12 @@
 		{"POST, nothing sent", "POST", "", true, 200, "", 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a, b := serve(t, "a", hijack(c.say)), serve(t, "b", fine)
+			a, b := newBackend(t, "a", respondAndClose(c.say)), newBackend(t, "b", echo)
 			first := a.Target
 			if c.dead {
 				first = dead
 			}
-			f := carrier(t, first, b.Target)
+			f := newTestProxy(t, first, b.Target)
 			// A key that some libraries take as leave to send again must change nothing.
 			status, h, _ := f.do(t, c.method, "/x", "body", "Idempotency-Key", "k")
 			if status != c.status || h.Get(RanHeader) != c.ran || a.runs.Load() != c.first || b.runs.Load() != c.second {
@@ -178,7 +178,7 @@
 // an error, one that streams cuts the caller's connection.
 func TestCutAnswer(t *testing.T) {
 	for _, say := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
-		f := carrier(t, serve(t, "a", hijack(say)).Target)
+		f := newTestProxy(t, newBackend(t, "a", respondAndClose(say)).Target)
 		resp, err := f.client.Get(f.url + "/x")
 		if err == nil {
 			var b []byte
@@ -193,10 +193,10 @@
 
 // A connection is used only for the identity that the table names.
 func TestIdentity(t *testing.T) {
-	a := serve(t, "a", fine)
+	a := newBackend(t, "a", echo)
 	other := a.Target
 	other.Name = "moved"
-	f := carrier(t, other)
+	f := newTestProxy(t, other)
 	status, h, _ := f.do(t, "POST", "/x", "body")
 	if status != 503 || h.Get(RanHeader) != "no" || a.runs.Load() != 0 {
 		t.Fatalf("status %d ran %q runs %d", status, h.Get(RanHeader), a.runs.Load())
@@ -206,19 +206,19 @@
 // A choice has a short life: a proxy that froze between choosing and writing
 // writes nothing, on a new connection or a kept one, and asks its owner again.
 func TestOldChoice(t *testing.T) {
-	a := serve(t, "a", fine)
-	f := carrier(t, a.Target)
+	a := newBackend(t, "a", echo)
+	f := newTestProxy(t, a.Target)
 	if status, _, _ := f.do(t, "POST", "/x", "body"); status != 200 {
 		t.Fatal(status)
 	}
-	<-f.told
+	<-f.notified
 	f.now.Store(int64(tuning.ChoiceTTL + 1)) // the pool holds a connection by now
 	for range 2 {
 		status, h, _ := f.do(t, "POST", "/x", "body")
-		if d := (<-f.told).(statemachine.AttemptDone); status != 503 || h.Get(RanHeader) != "no" || d.Outcome != statemachine.ChoiceExpired {
+		if d := (<-f.notified).(statemachine.AttemptDone); status != 503 || h.Get(RanHeader) != "no" || d.Outcome != statemachine.ChoiceExpired {
 			t.Fatalf("%d, ran %q, outcome %v", status, h.Get(RanHeader), d.Outcome)
 		}
-		if e := f.asks[len(f.asks)-1].(statemachine.Retry); e.Sent {
+		if e := f.asked[len(f.asked)-1].(statemachine.Retry); e.Sent {
 			t.Fatal("counted as sent")
 		}
 	}
@@ -229,12 +229,12 @@
 
 // No connection outlives its target's entry in the table.
 func TestPipeLeavesWithItsTarget(t *testing.T) {
-	a := serve(t, "a", fine)
-	f := carrier(t, a.Target)
+	a := newBackend(t, "a", echo)
+	f := newTestProxy(t, a.Target)
 	for range 3 {
 		f.do(t, "GET", "/x", "")
 	}
-	if d := <-f.told; d.(statemachine.AttemptDone).Outcome != statemachine.Served {
+	if d := <-f.notified; d.(statemachine.AttemptDone).Outcome != statemachine.Served {
 		t.Fatal(d)
 	}
 	take := func(p *Pool) *Conn { return p.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
@@ -242,12 +242,12 @@
 	if p == nil {
 		t.Fatal("no pipe was kept")
 	}
-	f.pool.give(a.Target.ID(), p, 1)
+	f.pool.put(a.Target.ID(), p, 1)
 	f.pool.SetTargets(map[wire.TargetID]string{})
-	if take(f.pool) != nil || p.quiet() {
+	if take(f.pool) != nil || p.isIdle() {
 		t.Fatal("the pipe is still open")
 	}
-	g := carrier(t, a.Target)
+	g := newTestProxy(t, a.Target)
 	g.pool.SetTargets(map[wire.TargetID]string{}) // it left while the request was under way
 	g.do(t, "GET", "/x", "")
 	if take(g.pool) != nil {
@@ -257,7 +257,7 @@
 
 // Errors have one shape, and bodies, headers and trailers pass as they are.
 func TestShape(t *testing.T) {
-	a := serve(t, "a", func(w http.ResponseWriter, r *http.Request) {
+	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Len", fmt.Sprint(len(b)))
 		w.Header().Set("Trailer", "X-Sum")
@@ -267,7 +267,7 @@
 		w.Write(b)
 		w.Header().Set("X-Sum", "s")
 	})
-	f := carrier(t, a.Target)
+	f := newTestProxy(t, a.Target)
 	for _, c := range []struct {
 		method, path, body string
 		head               []string
@@ -310,14 +310,14 @@
 // Chunks of an answer go on before the next is there.
 func TestStreams(t *testing.T) {
 	next := make(chan bool)
-	a := serve(t, "a", func(w http.ResponseWriter, _ *http.Request) {
+	a := newBackend(t, "a", func(w http.ResponseWriter, _ *http.Request) {
 		for i := range 3 {
 			fmt.Fprintf(w, "part %d\n", i)
 			w.(http.Flusher).Flush()
 			<-next
 		}
 	})
-	f := carrier(t, a.Target)
+	f := newTestProxy(t, a.Target)
 	resp, err := f.client.Get(f.url + "/x")
 	if err != nil {
 		t.Fatal(err)
@@ -333,22 +333,22 @@
 	}
 }
 
-// raw is a target whose answers are bytes: what say returns for the nth request on
+// rawBackend is a target whose answers are bytes: what say returns for the nth request on
 // the nth connection, after which the connection closes if it returns false.
-type raw struct {
+type rawBackend struct {
 	wire.Target
 	conns, runs atomic.Int64
 	seen        chan *http.Request
-	body        chan string
+	bodies      chan string
 }
 
-func bytesOf(t testing.TB, name string, say func(conn, n int, r *http.Request) (string, bool)) *raw {
+func newRawBackend(t testing.TB, name string, say func(conn, n int, r *http.Request) (string, bool)) *rawBackend {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	b := &raw{seen: make(chan *http.Request, 64), body: make(chan string, 64)}
+	b := &rawBackend{seen: make(chan *http.Request, 64), bodies: make(chan string, 64)}
 	b.Target = wire.Target{Service: "s", Name: name, Incarnation: 7, Addr: ln.Addr().String()}
 	go func() {
 		for {
@@ -371,7 +371,7 @@
 					}
 					b.runs.Add(1)
 					b.seen <- r
-					b.body <- string(body)
+					b.bodies <- string(body)
 					s, on := say(conn, n, r)
 					if _, err := io.WriteString(c, s); err != nil || !on {
 						return
@@ -384,7 +384,7 @@
 }
 
 // says is an answer that echoes the request's id and bears the proof.
-func says(status int, body string, hd ...string) func(int, int, *http.Request) (string, bool) {
+func respond(status int, body string, hd ...string) func(int, int, *http.Request) (string, bool) {
 	return func(_, _ int, r *http.Request) (string, bool) {
 		s := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\nA: %s\r\nP: yes\r\n", status, len(body), r.Header.Get("A"))
 		for i := 0; i+1 < len(hd); i += 2 {
@@ -394,15 +394,15 @@
 	}
 }
 
-func bytesOnly(s string) func(int, int, *http.Request) (string, bool) {
+func respondOnce(s string) func(int, int, *http.Request) (string, bool) {
 	return func(int, int, *http.Request) (string, bool) { return s, false }
 }
 
-// asked makes the service one whose targets are asked for their health, with names of its own.
-func (f *front) asked(kind string) *front {
-	f.set.HealthPath = "/h"
+// withHealthCheck makes the service one whose targets are withHealthCheck for their health, with names of its own.
+func (f *testProxy) withHealthCheck(kind string) *testProxy {
+	f.service.HealthPath = "/h"
 	f.route.Kind = kind
-	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", ExpectTarget: "E", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C", Proof: "P"}
+	f.forwarder.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", ExpectTarget: "E", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C", Proof: "P"}
 	return f
 }
 
@@ -428,42 +428,42 @@
 		say          func(int, int, *http.Request) (string, bool)
 		once, repeat end
 	}{
-		{"fine", says(200, "mine"), end{200, "", "mine", 0, statemachine.Served}, end{200, "", "mine", 0, statemachine.Served}},
-		{"turned away", says(503, "", "N", "1"), is(other, statemachine.TargetRejected), is(other, statemachine.TargetRejected)},
-		{"turned away as too many", says(429, "x", "N", "1", "Retry-After", "0.2"), is(other, statemachine.TargetRejected), is(other, statemachine.TargetRejected)},
-		{"another's address", says(421, ""), is(other, statemachine.WrongIdentity), is(other, statemachine.WrongIdentity)},
-		{"503 that says nothing", says(503, "x"), end{502, "unknown", "", 0, statemachine.ServerError}, is(other, statemachine.ServerError)},
-		{"429 that says nothing", says(429, "x"), end{502, "unknown", "", 0, statemachine.ServerError}, end{429, "", "x", 0, statemachine.Served}},
-		{"500", says(500, "own"), end{500, "", "own", 0, statemachine.ServerError}, is(other, statemachine.ServerError)},
-		{"504", says(504, "own"), end{504, "", "own", 0, statemachine.ServerError}, end{504, "", "own", 0, statemachine.ServerError}},
-		{"404", says(404, "own"), end{404, "", "own", 0, statemachine.Served}, end{404, "", "own", 0, statemachine.Served}},
-		{"silence", bytesOnly(""), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
-		{"garbage", bytesOnly("\x00\xff no\r\n\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"fine", respond(200, "mine"), end{200, "", "mine", 0, statemachine.Served}, end{200, "", "mine", 0, statemachine.Served}},
+		{"turned away", respond(503, "", "N", "1"), is(other, statemachine.TargetRejected), is(other, statemachine.TargetRejected)},
+		{"turned away as too many", respond(429, "x", "N", "1", "Retry-After", "0.2"), is(other, statemachine.TargetRejected), is(other, statemachine.TargetRejected)},
+		{"another's address", respond(421, ""), is(other, statemachine.WrongIdentity), is(other, statemachine.WrongIdentity)},
+		{"503 that says nothing", respond(503, "x"), end{502, "unknown", "", 0, statemachine.ServerError}, is(other, statemachine.ServerError)},
+		{"429 that says nothing", respond(429, "x"), end{502, "unknown", "", 0, statemachine.ServerError}, end{429, "", "x", 0, statemachine.Served}},
+		{"500", respond(500, "own"), end{500, "", "own", 0, statemachine.ServerError}, is(other, statemachine.ServerError)},
+		{"504", respond(504, "own"), end{504, "", "own", 0, statemachine.ServerError}, end{504, "", "own", 0, statemachine.ServerError}},
+		{"404", respond(404, "own"), end{404, "", "own", 0, statemachine.Served}, end{404, "", "own", 0, statemachine.Served}},
+		{"silence", respondOnce(""), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"garbage", respondOnce("\x00\xff no\r\n\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"cut", head("HTTP/1.1 200 OK\r\nContent-Length: 9\r\nA: ID\r\nP: yes\r\n\r\nhalf"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"chunks cut", head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nA: ID\r\nP: yes\r\n\r\n4\r\nhalf\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"head cut", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"another exchange's", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: other\r\nP: yes\r\n\r\nnope"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"another exchange was turned away", head("HTTP/1.1 503 X\r\nContent-Length: 0\r\nA: other\r\nN: 1\r\n\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"no proof", head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\n\r\nnope"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
-		{"success that did not run", says(200, "x", "N", "1"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
+		{"success that did not run", respond(200, "x", "N", "1"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"another protocol", head("HTTP/1.1 101 X\r\nA: ID\r\nP: yes\r\n\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"interim first", head("HTTP/1.1 103 X\r\nZ: 1\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\nP: yes\r\n\r\nfine"), end{200, "", "fine", 0, statemachine.Served}, end{200, "", "fine", 0, statemachine.Served}},
 	} {
 		for kind, want := range map[string]end{config.KindOnce: c.once, config.KindRepeatable: c.repeat} {
 			t.Run(kind+"/"+c.name, func(t *testing.T) {
-				a, b := bytesOf(t, "a", c.say), bytesOf(t, "b", says(200, "fine"))
-				f := carrier(t, a.Target, b.Target).asked(kind)
+				a, b := newRawBackend(t, "a", c.say), newRawBackend(t, "b", respond(200, "fine"))
+				f := newTestProxy(t, a.Target, b.Target).withHealthCheck(kind)
 				method := map[string]string{config.KindOnce: "GET", config.KindRepeatable: "POST"}[kind] // the route says, not the method
 				status, h, body := f.do(t, method, "/x", "body", "A", "1f")
-				d := (<-f.told).(statemachine.AttemptDone)
+				d := (<-f.notified).(statemachine.AttemptDone)
 				if status != want.status || h.Get("R") != want.ran || want.body != "" && body != want.body || b.runs.Load() != want.second || d.Outcome != want.outcome || a.runs.Load() != 1 {
 					t.Fatalf("%d ran %q %q, outcome %v, runs %d and %d", status, h.Get("R"), body, d.Outcome, a.runs.Load(), b.runs.Load())
 				}
 				if want.second == 1 {
-					if e := f.last(); !e.Sent {
+					if e := f.lastRetry(); !e.Sent {
 						t.Fatal("not counted as sent")
 					}
-					if got := <-b.body; got != "body" {
+					if got := <-b.bodies; got != "body" {
 						t.Fatalf("sent again as %q", got)
 					}
 				}
@@ -472,13 +472,15 @@
 	}
 }
 
-func (f *front) last() statemachine.Retry { return f.asks[len(f.asks)-1].(statemachine.Retry) }
+func (f *testProxy) lastRetry() statemachine.Retry {
+	return f.asked[len(f.asked)-1].(statemachine.Retry)
+}
 
 // A target's own failure is passed on unchanged if no other target does better.
 func TestFailurePassedOn(t *testing.T) {
-	a, b := bytesOf(t, "a", says(500, "first", "Z", "1")), bytesOf(t, "b", bytesOnly(""))
+	a, b := newRawBackend(t, "a", respond(500, "first", "Z", "1")), newRawBackend(t, "b", respondOnce(""))
 	for _, targets := range [][]wire.Target{{a.Target}, {a.Target, b.Target}} {
-		f := carrier(t, targets...).asked(config.KindRepeatable)
+		f := newTestProxy(t, targets...).withHealthCheck(config.KindRepeatable)
 		if status, h, body := f.do(t, "GET", "/x", "", "A", "1"); status != 500 || body != "first" || h.Get("Z") != "1" || h.Get("A") != "1" {
 			t.Fatal(status, h, body)
 		}
@@ -487,7 +489,7 @@
 
 // If nobody ran it, the refusal keeps its promise; if somebody may have, it makes none.
 func TestPromise(t *testing.T) {
-	away, silent := bytesOf(t, "a", says(503, "", "N", "1")), bytesOf(t, "b", bytesOnly(""))
+	away, silent := newRawBackend(t, "a", respond(503, "", "N", "1")), newRawBackend(t, "b", respondOnce(""))
 	for _, c := range []struct {
 		kind    string
 		targets []wire.Target
@@ -498,7 +500,7 @@
 		{config.KindOnce, []wire.Target{away.Target, silent.Target}, 502, "unknown"},
 		{config.KindRepeatable, []wire.Target{silent.Target, away.Target}, 502, "unknown"},
 	} {
-		f := carrier(t, c.targets...).asked(c.kind)
+		f := newTestProxy(t, c.targets...).withHealthCheck(c.kind)
 		if status, h, _ := f.do(t, "POST", "/x", "", "A", "1"); status != c.status || h.Get("R") != c.ran {
 			t.Fatal(c, status, h)
 		}
@@ -508,8 +510,8 @@
 // What goes out to a target that is asked for its health: who is expected, what is
 // left of the time, the request as it came, and nothing else.
 func TestAskedExchange(t *testing.T) {
-	a := bytesOf(t, "a", says(200, "ok", "L", "3, 1,4"))
-	f := carrier(t, a.Target).asked(config.KindOnce)
+	a := newRawBackend(t, "a", respond(200, "ok", "L", "3, 1,4"))
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -521,22 +523,22 @@
 		t.Fatal(err, resp)
 	}
 	r := <-a.seen
-	if r.RequestURI != "/a%41/b?x=%2f&&y" || r.Host != "h.example" || r.Method != "POST" || <-a.body != "abcde" || r.ContentLength != 5 {
+	if r.RequestURI != "/a%41/b?x=%2f&&y" || r.Host != "h.example" || r.Method != "POST" || <-a.bodies != "abcde" || r.ContentLength != 5 {
 		t.Fatal(r.RequestURI, r.Host, r.ContentLength)
 	}
 	var left int
 	fmt.Sscan(r.Header.Get("D"), &left)
-	if left < 1 || left > int((f.left-tuning.NetHop).Milliseconds()) {
+	if left < 1 || left > int((f.timeLeft-tuning.NetHop).Milliseconds()) {
 		t.Fatal("left", left)
 	}
 	r.Header.Del("D")
 	if got, want := fmt.Sprint(r.Header), fmt.Sprint(http.Header{"A": {"77"}, "E": {"a"}, "Kept": {"v"}, "Content-Length": {"5"}}); got != want {
 		t.Fatal(got)
 	}
-	if d := (<-f.told).(statemachine.AttemptDone); d.Load == nil || *d.Load != (statemachine.TargetLoad{Running: 3, Waiting: 1, Slots: 4}) {
+	if d := (<-f.notified).(statemachine.AttemptDone); d.Load == nil || *d.Load != (statemachine.TargetLoad{Running: 3, Waiting: 1, Slots: 4}) {
 		t.Fatal(d.Load)
 	}
-	if ad := f.asks[0].(statemachine.Admit); ad.Timeout <= 0 || ad.Timeout > 900*time.Millisecond {
+	if ad := f.asked[0].(statemachine.Admit); ad.Timeout <= 0 || ad.Timeout > 900*time.Millisecond {
 		t.Fatal(ad.Timeout)
 	}
 	if a.conns.Load() != 1 || a.runs.Load() != 1 {
@@ -544,7 +546,7 @@
 	}
 }
 
-func until(t *testing.T, what string, f func() bool) {
+func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !f(); runtime.Gosched() {
 		if time.Now().After(end) {
@@ -568,11 +570,11 @@
 		{"not kept", []string{"Keep-Alive", "timeout=0"}, "", 3},
 		{"surplus", nil, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: 1\r\nP: 1\r\n\r\nnope", 3},
 	} {
-		a := bytesOf(t, "a", func(conn, n int, r *http.Request) (string, bool) {
-			s, _ := says(200, "ok", c.hd...)(conn, n, r)
+		a := newRawBackend(t, "a", func(conn, n int, r *http.Request) (string, bool) {
+			s, _ := respond(200, "ok", c.hd...)(conn, n, r)
 			return s + c.tail, true
 		})
-		f := carrier(t, a.Target).asked(config.KindOnce)
+		f := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 		for range 3 {
 			if status, _, body := f.do(t, "POST", "/x", "", "A", "1"); status != 200 || body != "ok" {
 				t.Fatal(c.name, status, body)
@@ -594,15 +596,15 @@
 			t.Fatal(err)
 		}
 		c, _ := ln.Accept()
-		p.c.SetDeadline(time.Now().Add(time.Hour))
-		if !p.quiet() {
+		p.netConn.SetDeadline(time.Now().Add(time.Hour))
+		if !p.isIdle() {
 			t.Fatal("not quiet from the start")
 		}
 		if surplus == "" {
 			c.Close()
 		}
 		io.WriteString(c, surplus)
-		until(t, "the pipe is seen as used up", func() bool { return !p.quiet() })
+		waitFor(t, "the pipe is seen as used up", func() bool { return !p.isIdle() })
 	}
 }
 
@@ -611,14 +613,14 @@
 func TestAges(t *testing.T) {
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer ln.Close()
-	s := &shelf{}
+	s := &targetConns{}
 	open := func(ago time.Duration) *Conn {
 		p, err := Dial(t.Context(), ln.Addr().String(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.put(p, tuning.IdleConnsMax)
-		p.used.Add(-int64(ago))
+		p.lastUsed.Add(-int64(ago))
 		return p
 	}
 	till := time.Now().Add(time.Hour)
@@ -630,15 +632,15 @@
 	if s.take(tuning.NonIdempotentIdleMax, till) != young || s.take(tuning.ConnIdle, till) != mid || s.take(tuning.ConnIdle, till) != nil {
 		t.Fatal("not the last used first")
 	}
-	s.sweep(time.Now())
-	if old.quiet() {
+	s.closeExpired(time.Now())
+	if old.isIdle() {
 		t.Fatal("never closed")
 	}
 	p := open(0)
 	for v, want := range map[string][2]bool{"": {false, false}, "timeout=1": {false, true}, "max=3, Timeout=2": {false, false}, "timeout=x": {false, false}} {
-		p.keep(&http.Response{Header: http.Header{"Keep-Alive": {v}}})
+		p.noteKeepAlive(&http.Response{Header: http.Header{"Keep-Alive": {v}}})
 		now := time.Now()
-		if got := [2]bool{p.stale(now.Add(tuning.IdleTimeoutMargin / 2)), p.stale(now.Add(tuning.IdleTimeoutMargin + time.Millisecond))}; got != want {
+		if got := [2]bool{p.isExpired(now.Add(tuning.IdleTimeoutMargin / 2)), p.isExpired(now.Add(tuning.IdleTimeoutMargin + time.Millisecond))}; got != want {
 			t.Errorf("%q: %v", v, got)
 		}
 	}
@@ -659,9 +661,9 @@
 	hold := make(chan bool)
 	defer close(hold)
 	for _, kind := range []string{config.KindOnce, config.KindRepeatable} {
-		a := bytesOf(t, "a", func(int, int, *http.Request) (string, bool) { <-hold; return "", false })
-		f := carrier(t, a.Target, a.Target).asked(kind)
-		f.left = 60 * time.Millisecond
+		a := newRawBackend(t, "a", func(int, int, *http.Request) (string, bool) { <-hold; return "", false })
+		f := newTestProxy(t, a.Target, a.Target).withHealthCheck(kind)
+		f.timeLeft = 60 * time.Millisecond
 		if status, h, _ := f.do(t, "GET", "/x", "", "A", "1"); status != 504 || h.Get("R") != "unknown" || a.runs.Load() != 1 {
 			t.Fatal(kind, status, h, a.runs.Load())
 		}
@@ -671,8 +673,8 @@
 // A caller that leaves gets nothing that looks like an answer, and its target learns of it.
 func TestCallerLeaves(t *testing.T) {
 	left := make(chan bool)
-	a := serve(t, "a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(left) })
-	f := carrier(t, a.Target).asked(config.KindRepeatable)
+	a := newBackend(t, "a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(left) })
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -685,7 +687,7 @@
 	if b, _ := io.ReadAll(c); len(b) > 0 {
 		t.Fatalf("%q", b)
 	}
-	if d := (<-f.told).(statemachine.AttemptDone); d.Outcome != statemachine.ClientGone || !d.Last {
+	if d := (<-f.notified).(statemachine.AttemptDone); d.Outcome != statemachine.ClientGone || !d.Last {
 		t.Fatal(d)
 	}
 }
@@ -694,8 +696,8 @@
 // looks whole to its target, and an answer that comes before the body's end ends it.
 func TestUploads(t *testing.T) {
 	big := strings.Repeat("0123456789abcdef", tuning.ReplayMax/8)
-	a := bytesOf(t, "a", says(200, "ok"))
-	f := carrier(t, a.Target).asked(config.KindOnce)
+	a := newRawBackend(t, "a", respond(200, "ok"))
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 	for _, r := range []io.Reader{strings.NewReader(big), io.MultiReader(strings.NewReader(big))} {
 		req, _ := http.NewRequest("PUT", f.url+"/x", r)
 		req.Header.Set("A", "1")
@@ -704,10 +706,10 @@
 			t.Fatal(err, resp)
 		}
 		resp.Body.Close()
-		if <-a.body != big {
+		if <-a.bodies != big {
 			t.Fatal("another body")
 		}
-		<-f.told
+		<-f.notified
 	}
 	for _, head := range []string{"Content-Length: 999999", "Transfer-Encoding: chunked"} {
 		c, err := net.Dial("tcp", f.addr)
@@ -726,19 +728,19 @@
 		if len(b) > 0 && !bytes.HasPrefix(b, []byte("HTTP/1.1 400")) {
 			t.Fatalf("%q", b)
 		}
-		if d := (<-f.told).(statemachine.AttemptDone); d.Outcome != statemachine.ClientGone {
+		if d := (<-f.notified).(statemachine.AttemptDone); d.Outcome != statemachine.ClientGone {
 			t.Fatal(d)
 		}
 	}
 	if a.runs.Load() != 2 {
 		t.Fatal("a broken body ran")
 	}
-	early := serve(t, "b", func(w http.ResponseWriter, r *http.Request) {
+	early := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("P", "1")
 		w.Header().Set("A", r.Header.Get("A"))
 		w.WriteHeader(413)
 	})
-	g := carrier(t, early.Target).asked(config.KindOnce)
+	g := newTestProxy(t, early.Target).withHealthCheck(config.KindOnce)
 	c, err := net.Dial("tcp", g.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -765,7 +767,7 @@
 			c.Close()
 		}
 	}()
-	f := carrier(t, wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}).asked(config.KindOnce)
+	f := newTestProxy(t, wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: ln.Addr().String()}).withHealthCheck(config.KindOnce)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -776,15 +778,15 @@
 	if err != nil || resp.StatusCode != 502 || resp.Header.Get("R") != "unknown" {
 		t.Fatal(err, resp)
 	}
-	if d := (<-f.told).(statemachine.AttemptDone); d.Outcome != statemachine.ResponseLost {
+	if d := (<-f.notified).(statemachine.AttemptDone); d.Outcome != statemachine.ResponseLost {
 		t.Fatal(d)
 	}
 }
 
 // A body that does not come in its caller's time is refused with a promise.
 func TestSlowBody(t *testing.T) {
-	a := bytesOf(t, "a", says(200, "ok"))
-	f := carrier(t, a.Target).asked(config.KindOnce)
+	a := newRawBackend(t, "a", respond(200, "ok"))
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 	for _, head := range []string{"Content-Length: 9", "Transfer-Encoding: chunked"} {
 		c, err := net.Dial("tcp", f.addr)
 		if err != nil {
@@ -797,15 +799,15 @@
 			t.Fatal(err, resp)
 		}
 	}
-	if a.runs.Load() != 0 || len(f.asks) != 0 {
+	if a.runs.Load() != 0 || len(f.asked) != 0 {
 		t.Fatal("passed on")
 	}
 }
 
 // As many unused connections are kept as the owner says, those that were used last.
 func TestIdleConnectionsKept(t *testing.T) {
-	a := bytesOf(t, "a", says(200, "ok"))
-	f := carrier(t, a.Target)
+	a := newRawBackend(t, "a", respond(200, "ok"))
+	f := newTestProxy(t, a.Target)
 	var opened []*Conn
 	for range 5 {
 		p, err := Dial(t.Context(), a.Addr, nil)
@@ -813,7 +815,7 @@
 			t.Fatal(err)
 		}
 		opened = append(opened, p)
-		f.car.give(&statemachine.Forward{Target: a.Target, MaxIdle: 2}, p)
+		f.forwarder.keepIdle(&statemachine.Forward{Target: a.Target, MaxIdle: 2}, p)
 	}
 	take := func() *Conn { return f.pool.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
 	for _, want := range []*Conn{opened[4], opened[3], nil} {
@@ -822,7 +824,7 @@
 		}
 	}
 	for _, p := range opened[:3] {
-		if p.c.SetDeadline(time.Now().Add(time.Hour)) == nil {
+		if p.netConn.SetDeadline(time.Now().Add(time.Hour)) == nil {
 			t.Error("one that is not kept is still open")
 		}
 	}
@@ -830,15 +832,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.car.give(&statemachine.Forward{Target: a.Target}, p); take() != nil {
+	if f.forwarder.keepIdle(&statemachine.Forward{Target: a.Target}, p); take() != nil {
 		t.Fatal("one is kept where none may be")
 	}
 }
 
 // Requests sent before the first is answered are answered in their order.
 func TestPipelined(t *testing.T) {
-	a := bytesOf(t, "a", func(c, n int, r *http.Request) (string, bool) { return says(200, r.URL.Path)(c, n, r) })
-	f := carrier(t, a.Target).asked(config.KindRepeatable)
+	a := newRawBackend(t, "a", func(c, n int, r *http.Request) (string, bool) { return respond(200, r.URL.Path)(c, n, r) })
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -861,13 +863,13 @@
 
 // Many at once, over few connections that come and go: each caller gets its own answer.
 func TestManyAtOnce(t *testing.T) {
-	a := bytesOf(t, "a", func(c, n int, r *http.Request) (string, bool) {
-		s, _ := says(200, r.URL.Path)(c, n, r)
+	a := newRawBackend(t, "a", func(c, n int, r *http.Request) (string, bool) {
+		s, _ := respond(200, r.URL.Path)(c, n, r)
 		return s, n%7 != 0 // it closes a connection now and then
 	})
 	go func() {
 		for range a.seen {
-			<-a.body
+			<-a.bodies
 		}
 	}()
 	pool := NewPool()
@@ -887,8 +889,8 @@
 			case <-stop:
 				return
 			default:
-				for _, s := range *pool.shelves.Load() {
-					s.sweep(time.Now())
+				for _, s := range *pool.targets.Load() {
+					s.closeExpired(time.Now())
 				}
 				pool.SetTargets(map[wire.TargetID]string{a.ID(): a.Addr})
 				runtime.Gosched()
@@ -941,8 +943,8 @@
 		{"GET", "HTTP/1.1 200 OK\r\nA: 1\r\nP: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 200, "3", "", "abc"},
 		{"GET", "HTTP/1.1 200 OK\r\nA: 1\r\nP: 1\r\nTrailer: T\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nT: v\r\n\r\n", 200, "", "v", "abc"},
 	} {
-		a := bytesOf(t, "a", func(int, int, *http.Request) (string, bool) { return c.say, true })
-		f := carrier(t, a.Target).asked(config.KindRepeatable)
+		a := newRawBackend(t, "a", func(int, int, *http.Request) (string, bool) { return c.say, true })
+		f := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 		for range 2 {
 			req, _ := http.NewRequest(c.method, f.url+"/x", nil)
 			req.Header.Set("A", "1")
@@ -967,7 +969,7 @@
 	big := strings.Repeat("z", tuning.ResponseBufferMax+1)
 	for _, cut := range []bool{false, true} {
 		for _, chunks := range []bool{false, true} {
-			a := bytesOf(t, "a", func(_, _ int, _ *http.Request) (string, bool) {
+			a := newRawBackend(t, "a", func(_, _ int, _ *http.Request) (string, bool) {
 				s := "HTTP/1.1 200 OK\r\nA: 1\r\nP: 1\r\n"
 				if chunks {
 					s += fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(big), big)
@@ -979,7 +981,7 @@
 				}
 				return s, true
 			})
-			f := carrier(t, a.Target, a.Target).asked(config.KindDownload)
+			f := newTestProxy(t, a.Target, a.Target).withHealthCheck(config.KindDownload)
 			req, _ := http.NewRequest("GET", f.url+"/x", nil)
 			req.Header.Set("A", "1")
 			resp, err := f.client.Do(req)
@@ -1016,23 +1018,23 @@
 		f.Add([]byte(s))
 	}
 	var say atomic.Pointer[string]
-	a := bytesOf(f, "a", func(int, int, *http.Request) (string, bool) { return *say.Load(), false })
-	fr := carrier(f, a.Target).asked(config.KindOnce)
-	fr.car.Headers.Proof = ""
+	a := newRawBackend(f, "a", func(int, int, *http.Request) (string, bool) { return *say.Load(), false })
+	fr := newTestProxy(f, a.Target).withHealthCheck(config.KindOnce)
+	fr.forwarder.Headers.Proof = ""
 	fr.client.Transport = &http.Transport{DisableCompression: true}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s := string(b)
 		say.Store(&s)
-		fr.asks = fr.asks[:0]
+		fr.asked = fr.asked[:0]
 		req, _ := http.NewRequest("GET", fr.url+"/x", nil)
 		req.Header.Set("A", "1")
 		resp, err := fr.client.Do(req)
-		for len(fr.told) > 0 {
-			<-fr.told
+		for len(fr.notified) > 0 {
+			<-fr.notified
 		}
 		for len(a.seen) > 0 { // none if the machine has no port left, which is an error of ours
 			<-a.seen
-			<-a.body
+			<-a.bodies
 		}
 		if err != nil {
 			return
--- a/internal/dataplane/reverseproxy/intake.go
+++ b/internal/dataplane/reverseproxy/intake.go
@@ -37,7 +37,7 @@
 		(*l).Close()
 	}
 	i.states.Range(func(key, state any) bool {
-		if p := key.(*caller); state != http.StateActive && !p.hasAhead() {
+		if p := key.(*callerConn); state != http.StateActive && !p.hasPipelined() {
 			p.Close()
 		}
 		return true
@@ -46,7 +46,7 @@
 
 // ConnState takes in a connection's change of state; it is the server's hook.
 func (i *CallerConns) ConnState(conn net.Conn, state http.ConnState) {
-	p, ok := conn.(*caller)
+	p, ok := conn.(*callerConn)
 	if !ok {
 		return
 	}
@@ -64,12 +64,12 @@
 	case http.StateActive:
 		i.busy.Add(1)
 	case http.StateIdle:
-		if i.Closed() && !p.hasAhead() {
+		if i.Closed() && !p.hasPipelined() {
 			p.Close()
 		}
 	}
 	i.states.Store(p, state)
 }
 
-// hasAhead says whether requests of the connection are begun whose turn has not come.
-func (p *caller) hasAhead() bool { return p.ahead.Load() > 0 }
+// hasPipelined says whether requests of the connection are begun whose turn has not come.
+func (p *callerConn) hasPipelined() bool { return p.unanswered.Load() > 0 }
--- a/internal/dataplane/reverseproxy/leaving_test.go
+++ b/internal/dataplane/reverseproxy/leaving_test.go
@@ -17,7 +17,7 @@
 type rawCaller struct {
 	t *testing.T
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dialRaw(t *testing.T, addr string) *rawCaller {
@@ -30,16 +30,16 @@
 	return &rawCaller{t, c, bufio.NewReader(c)}
 }
 
-func (c *rawCaller) ask(paths ...string) {
+func (c *rawCaller) send(paths ...string) {
 	for _, path := range paths {
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path)
 	}
 }
 
-// answer reads one whole answer and says whether it ends the connection.
-func (c *rawCaller) answer(want string) (closes bool) {
+// expectResponse reads one whole expectResponse and says whether it ends the connection.
+func (c *rawCaller) expectResponse(want string) (closes bool) {
 	c.t.Helper()
-	resp, err := http.ReadResponse(c.r, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -49,10 +49,10 @@
 	return resp.Close
 }
 
-// ended waits for the connection's end.
-func (c *rawCaller) ended() {
+// expectEnd waits for the connection's end.
+func (c *rawCaller) expectEnd() {
 	c.t.Helper()
-	if b, err := io.ReadAll(c.r); len(b) > 0 {
+	if b, err := io.ReadAll(c.reader); len(b) > 0 {
 		c.t.Fatalf("%q, %v instead of the end", b, err)
 	}
 }
@@ -62,13 +62,13 @@
 func TestAnswerBegunBeforeTheStopEndsItsConnection(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		begun, answered := make(chan bool), make(chan bool)
-		a := serve(t, "a", func(w http.ResponseWriter, _ *http.Request) {
+		a := newBackend(t, "a", func(w http.ResponseWriter, _ *http.Request) {
 			close(begun)
 			<-answered
 			w.Header().Set("P", "a")
 			fmt.Fprint(w, "whole")
 		})
-		f := carrier(t, a.Target).asked(config.KindRepeatable)
+		f := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 		c, err := net.Dial("tcp", f.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -76,7 +76,7 @@
 		defer c.Close()
 		fmt.Fprintf(c, "%s /0 HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", method)
 		<-begun
-		f.car.Draining.Store(true)
+		f.forwarder.Draining.Store(true)
 		close(answered)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
@@ -96,7 +96,7 @@
 		begun[i] = make(chan bool)
 	}
 	answered := make(chan bool)
-	a := serve(t, "a", func(w http.ResponseWriter, r *http.Request) {
+	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		if n := r.URL.Path[1] - '0'; n < 3 {
 			close(begun[n])
 			<-answered
@@ -104,55 +104,55 @@
 		w.Header().Set("P", "a")
 		fmt.Fprint(w, r.URL.Path)
 	})
-	f := carrier(t, a.Target).asked(config.KindRepeatable)
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 	rests, silent, busy, pipelined := dialRaw(t, f.addr), dialRaw(t, f.addr), dialRaw(t, f.addr), dialRaw(t, f.addr)
-	rests.ask("/9")
-	rests.answer("/9")
-	busy.ask("/0")
+	rests.send("/9")
+	rests.expectResponse("/9")
+	busy.send("/0")
 	<-begun[0]
-	pipelined.ask("/1", "/2")
+	pipelined.send("/1", "/2")
 	<-begun[1]
 	<-begun[2]
-	until(t, "all four are known", func() bool { return f.car.Callers.Open() == 4 && f.car.Callers.Busy() == 2 })
+	waitFor(t, "all four are known", func() bool { return f.forwarder.Callers.Open() == 4 && f.forwarder.Callers.Busy() == 2 })
 
-	f.car.Draining.Store(true)
-	f.car.Callers.Close()
-	rests.ended()
-	silent.ended()
+	f.forwarder.Draining.Store(true)
+	f.forwarder.Callers.Close()
+	rests.expectEnd()
+	silent.expectEnd()
 	if c, err := net.Dial("tcp", f.addr); err == nil {
 		c.Close()
 		t.Error("a new connection opens")
 	}
 	close(answered)
-	if !busy.answer("/0") {
+	if !busy.expectResponse("/0") {
 		t.Error("the answer does not end its connection")
 	}
-	if pipelined.answer("/1") {
+	if pipelined.expectResponse("/1") {
 		t.Error("the connection is said to end while a request is ahead on it")
 	}
-	pipelined.answer("/2")
-	busy.ended()
-	pipelined.ended()
-	until(t, "nothing is open", func() bool { return f.car.Callers.Open() == 0 && f.car.Callers.Busy() == 0 })
+	pipelined.expectResponse("/2")
+	busy.expectEnd()
+	pipelined.expectEnd()
+	waitFor(t, "nothing is open", func() bool { return f.forwarder.Callers.Open() == 0 && f.forwarder.Callers.Busy() == 0 })
 }
 
 // A target is told how long it may work, which in a stopping proxy is less than its caller still gives.
 func TestWorkTimeIsToldToTheTarget(t *testing.T) {
 	told := make(chan string, 1)
-	a := serve(t, "a", func(w http.ResponseWriter, r *http.Request) {
+	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		told <- r.Header.Get("D")
 		w.Header().Set("P", "a")
 	})
-	f := carrier(t, a.Target).asked(config.KindRepeatable)
-	f.left = time.Minute
+	f := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
+	f.timeLeft = time.Minute
 	for _, work := range []time.Duration{0, 2 * time.Second} {
-		f.work = work
+		f.workTime = work
 		if status, _, _ := f.do(t, "GET", "/x", "", "D", "60000"); status != http.StatusOK {
 			t.Fatal(status)
 		}
 		ms, err := strconv.Atoi(<-told)
-		if most := f.left; err != nil || work == 0 && ms > int(most.Milliseconds()) || work > 0 && ms > int(work.Milliseconds()) {
-			t.Errorf("of %v, at work for at most %v, the target is told %d ms, %v", f.left, work, ms, err)
+		if most := f.timeLeft; err != nil || work == 0 && ms > int(most.Milliseconds()) || work > 0 && ms > int(work.Milliseconds()) {
+			t.Errorf("of %v, at work for at most %v, the target is told %d ms, %v", f.timeLeft, work, ms, err)
 		}
 	}
 }
--- a/internal/dataplane/reverseproxy/ledger_test.go
+++ b/internal/dataplane/reverseproxy/ledger_test.go
@@ -24,45 +24,45 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// misbehaviour is what a stand-in target does with a request besides answering it.
-type misbehaviour int
+// targetFault is what a stand-in target does with a request besides answering it.
+type targetFault int
 
 const (
-	answers         misbehaviour = iota // a whole answer
-	answersInChunks                     // the same, without a length
-	answersAfter1xx                     // an interim answer first
-	surplusAtOnce                       // another answer follows in the same piece
-	surplusLater                        // another answer follows whenever the scheduler gets to it
-	surplusInPlace                      // the answer to an earlier request comes where this one's is due
-	closesAfter                         // closes without having said so
-	closesSilently                      // runs it, answers nothing and closes
-	resets                              // runs it and resets the connection
-	resetsUnread                        // resets before it has read the request
-	halfAnswer                          // breaks its answer off
-	halfHead                            // breaks its header off
-	garbage                             // sends what is no answer
-	turnsAway                           // does not run it and says so
-	failsWithStatus                     // runs it and answers 503 without saying whether it ran
-	anotherTarget                       // answers 421
-	largeAnswer                         // an answer that streams
-	largeAnswerCut                      // the same, broken off
-	misbehaviours
+	noFault               targetFault = iota // a whole answer
+	chunkedResponse                          // the same, without a length
+	interimFirst                             // an interim answer first
+	surplusAtOnce                            // another answer follows in the same piece
+	surplusLater                             // another answer follows whenever the scheduler gets to it
+	surplusInPlace                           // the answer to an earlier request comes where this one's is due
+	closesAfter                              // closes without having said so
+	closesWithoutResponse                    // runs it, answers nothing and closes
+	resets                                   // runs it and resets the connection
+	resetsUnread                             // resets before it has read the request
+	truncatedResponse                        // breaks its answer off
+	truncatedHeader                          // breaks its header off
+	garbage                                  // sends what is no answer
+	rejects                                  // does not run it and says so
+	failsWithStatus                          // runs it and answers 503 without saying whether it ran
+	misdirected                              // answers 421
+	largeResponse                            // an answer that streams
+	largeTruncated                           // the same, broken off
+	targetFaults
 )
 
-var misbehaviourNames = [misbehaviours]string{"answers", "chunks", "interim", "surplus at once", "surplus later", "surplus in place", "closes after",
+var targetFaultNames = [targetFaults]string{"answers", "chunks", "interim", "surplus at once", "surplus later", "surplus in place", "closes after",
 	"closes silently", "resets", "resets unread", "half an answer", "half a header", "garbage", "turns away", "fails", "421", "large", "large and cut"}
 
 // run is a line of the ledger: a request reached a target's code.
 type run struct{ id string }
 
-// ledgerTargets are targets that misbehave by seed and tell the ledger of each run.
-type ledgerTargets struct {
-	targets []wire.Target
-	kinds   []misbehaviour
-	runs    chan run
-	conns   sync.WaitGroup
-	done    [misbehaviours]atomic.Int64
-	lns     []net.Listener
+// faultyTargets are targets that misbehave by seed and tell the ledger of each run.
+type faultyTargets struct {
+	targets    []wire.Target
+	faults     []targetFault
+	runs       chan run
+	goroutines sync.WaitGroup
+	caused     [targetFaults]atomic.Int64
+	listeners  []net.Listener
 }
 
 // payload is the body that belongs to an id.
@@ -70,29 +70,29 @@
 	return strings.Repeat(id+".", 1+size/(len(id)+1))
 }
 
-func answerTo(id string, size int) string {
+func responseTo(id string, size int) string {
 	b := payload(id, size)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nA: %s\r\nP: yes\r\nContent-Length: %d\r\n\r\n%s", id, len(b), b)
 }
 
-func newLedgerTargets(t *testing.T, n int, seed uint64, kinds []misbehaviour) *ledgerTargets {
-	l := &ledgerTargets{kinds: kinds, runs: make(chan run, 1<<16)}
+func newFaultyTargets(t *testing.T, n int, seed uint64, kinds []targetFault) *faultyTargets {
+	l := &faultyTargets{faults: kinds, runs: make(chan run, 1<<16)}
 	for i := range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.lns = append(l.lns, ln)
+		l.listeners = append(l.listeners, ln)
 		l.targets = append(l.targets, wire.Target{Service: "s", Name: fmt.Sprint("t", i), Incarnation: 7, Addr: ln.Addr().String()})
-		l.conns.Add(1)
+		l.goroutines.Add(1)
 		go func() {
-			defer l.conns.Done()
+			defer l.goroutines.Done()
 			for k := uint64(0); ; k++ {
 				c, err := ln.Accept()
 				if err != nil {
 					return
 				}
-				l.conns.Add(1)
+				l.goroutines.Add(1)
 				go l.serve(c.(*net.TCPConn), rand.New(rand.NewPCG(seed, uint64(i)<<32|k)))
 			}
 		}()
@@ -100,28 +100,28 @@
 	return l
 }
 
-func (l *ledgerTargets) end() {
-	for _, ln := range l.lns {
+func (l *faultyTargets) close() {
+	for _, ln := range l.listeners {
 		ln.Close()
 	}
-	l.conns.Wait()
+	l.goroutines.Wait()
 	close(l.runs)
 }
 
 // serve answers a connection's requests until a misbehaviour ends it.
-func (l *ledgerTargets) serve(c *net.TCPConn, rnd *rand.Rand) {
-	defer l.conns.Done()
+func (l *faultyTargets) serve(c *net.TCPConn, rnd *rand.Rand) {
+	defer l.goroutines.Done()
 	defer c.Close()
 	rd := bufio.NewReader(c)
 	before := "early"
 	for {
-		what := l.kinds[rnd.IntN(len(l.kinds))]
+		what := l.faults[rnd.IntN(len(l.faults))]
 		if rnd.IntN(2) == 0 {
-			what = answers
+			what = noFault
 		}
 		if what == resetsUnread {
 			if _, err := rd.Peek(1); err == nil {
-				l.done[what].Add(1)
+				l.caused[what].Add(1)
 				c.SetLinger(0)
 			}
 			return
@@ -144,8 +144,8 @@
 		if at := strings.IndexByte(id, '/'); at >= 0 {
 			id = id[at+1:]
 		}
-		l.done[what].Add(1)
-		if what != turnsAway && what != anotherTarget {
+		l.caused[what].Add(1)
+		if what != rejects && what != misdirected {
 			l.runs <- run{id}
 		}
 		if !l.answer(c, rnd, what, id, before) {
@@ -156,75 +156,75 @@
 }
 
 // answer carries a misbehaviour out and says whether the connection goes on.
-func (l *ledgerTargets) answer(c *net.TCPConn, rnd *rand.Rand, what misbehaviour, id, before string) bool {
-	whole := answerTo(id, rnd.IntN(300))
-	large := answerTo(id, tuning.ResponseBufferMax+1000)
+func (l *faultyTargets) answer(c *net.TCPConn, rnd *rand.Rand, what targetFault, id, before string) bool {
+	whole := responseTo(id, rnd.IntN(300))
+	large := responseTo(id, tuning.ResponseBufferMax+1000)
 	say := func(s string) bool {
 		_, err := io.WriteString(c, s)
 		return err == nil
 	}
 	switch what {
-	case answersInChunks:
+	case chunkedResponse:
 		b := payload(id, 50)
 		return say(fmt.Sprintf("HTTP/1.1 200 OK\r\nA: %s\r\nP: yes\r\nTransfer-Encoding: chunked\r\nTrailer: T\r\n\r\n%x\r\n%s\r\n0\r\nT: v\r\n\r\n", id, len(b), b))
-	case answersAfter1xx:
+	case interimFirst:
 		return say("HTTP/1.1 103 X\r\nLink: x\r\n\r\n" + whole)
 	case surplusAtOnce:
-		return say(whole + answerTo(before, 9))
+		return say(whole + responseTo(before, 9))
 	case surplusLater:
 		if !say(whole) {
 			return false
 		}
-		l.conns.Add(1)
+		l.goroutines.Add(1)
 		go func() {
-			defer l.conns.Done()
-			io.WriteString(c, answerTo(before, 9))
+			defer l.goroutines.Done()
+			io.WriteString(c, responseTo(before, 9))
 		}()
 		return true
 	case surplusInPlace:
-		return say(answerTo(before, 9) + whole)
+		return say(responseTo(before, 9) + whole)
 	case closesAfter:
 		say(whole)
 		return false
-	case closesSilently:
+	case closesWithoutResponse:
 		return false
 	case resets:
 		c.SetLinger(0)
 		return false
-	case halfAnswer:
+	case truncatedResponse:
 		say(whole[:len(whole)-1-rnd.IntN(len(id))])
 		return false
-	case halfHead:
+	case truncatedHeader:
 		say(whole[:20+rnd.IntN(15)])
 		return false
 	case garbage:
 		say("\x00\x01 nothing that is HTTP\r\n\r\n" + whole)
 		return false
-	case turnsAway:
+	case rejects:
 		return say(fmt.Sprintf("HTTP/1.1 503 X\r\nA: %s\r\nN: 1\r\nContent-Length: 0\r\n\r\n", id))
 	case failsWithStatus:
 		return say(fmt.Sprintf("HTTP/1.1 503 X\r\nA: %s\r\nP: own\r\nContent-Length: 4\r\n\r\nfail", id))
-	case anotherTarget:
+	case misdirected:
 		return say(fmt.Sprintf("HTTP/1.1 421 X\r\nA: %s\r\nContent-Length: 0\r\n\r\n", id))
-	case largeAnswer:
+	case largeResponse:
 		return say(large)
-	case largeAnswerCut:
+	case largeTruncated:
 		say(large[:len(large)-5])
 		return false
 	}
 	return say(whole)
 }
 
-// ledgerFront is a forwarder before such targets, whose owner gives each request up to three
+// ledgerProxy is a forwarder before such targets, whose owner gives each request up to three
 // of them, each once.
-type ledgerFront struct {
-	car  *Forwarder
-	pool *Pool
-	srv  *httptest.Server
+type ledgerProxy struct {
+	forwarder *Forwarder
+	pool      *Pool
+	srv       *httptest.Server
 }
 
-func newLedgerFront(l *ledgerTargets, seed uint64, asked bool) *ledgerFront {
-	f := &ledgerFront{pool: NewPool()}
+func newLedgerProxy(l *faultyTargets, seed uint64, asked bool) *ledgerProxy {
+	f := &ledgerProxy{pool: NewPool()}
 	live := map[wire.TargetID]string{}
 	for _, x := range l.targets {
 		live[x.ID()] = x.Addr
@@ -236,7 +236,7 @@
 	}
 	states, turn := map[uint64]*state{}, make(chan *rand.Rand, 1)
 	turn <- rand.New(rand.NewPCG(seed, 99))
-	f.car = New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
+	f.forwarder = New(Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}, Ask: func(_ context.Context, id uint64, ev statemachine.Event) statemachine.Command {
 		rnd := <-turn
 		defer func() { turn <- rnd }()
 		if a, ok := ev.(statemachine.Admit); ok {
@@ -260,26 +260,26 @@
 		}
 		return statemachine.Forward{ID: id, Service: "s", Target: l.targets[n], TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: set, Route: config.Route{Kind: s.kind}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
 	}}, f.pool)
-	f.car.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", ExpectTarget: "E", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C", Proof: "P"}
-	f.srv = httptest.NewUnstartedServer(f.car)
-	f.srv.Listener, f.srv.Config.ConnContext = f.car.WrapListener(f.srv.Listener), f.car.ConnContext
+	f.forwarder.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", ExpectTarget: "E", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C", Proof: "P"}
+	f.srv = httptest.NewUnstartedServer(f.forwarder)
+	f.srv.Listener, f.srv.Config.ConnContext = f.forwarder.WrapListener(f.srv.Listener), f.forwarder.ConnContext
 	f.srv.Start()
 	return f
 }
 
-// caught is what callers hold against the answers that they got.
-type caught struct {
-	wrong   []string        // answers that are another's, cut or altered
-	refused map[string]bool // once requests that were told that they have not run
-	served  int
-	broken  int // ended with no whole answer
+// callerResults is what callers hold against the answers that they got.
+type callerResults struct {
+	wrong      []string        // answers that are another's, cut or altered
+	rejected   map[string]bool // once requests that were told that they have not run
+	served     int
+	incomplete int // ended with no whole answer
 }
 
-// look holds one answer against its request.
-func (c *caught) look(id string, once bool, resp *http.Response, ids bool) bool {
+// check holds one answer against its request.
+func (c *callerResults) check(id string, once bool, resp *http.Response, ids bool) bool {
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.broken++
+		c.incomplete++
 		return false
 	}
 	got := string(b)
@@ -292,15 +292,15 @@
 		}
 	case resp.Header.Get("P") != "" && (resp.StatusCode != 503 || got != "fail"):
 		c.wrong = append(c.wrong, fmt.Sprintf("%s got a failure of the proxy's with a target's proof: %d %q", id, resp.StatusCode, got))
-	case once && (promises(resp.StatusCode) || resp.Header.Get("R") == "no"):
-		c.refused[id] = true
+	case once && (promisesNotRun(resp.StatusCode) || resp.Header.Get("R") == "no"):
+		c.rejected[id] = true
 	}
 	return !resp.Close
 }
 
 // call is one caller: connections that it keeps, pipelines and leaves as its luck has it.
-func (f *ledgerFront) call(name string, n int, rnd *rand.Rand, ids bool) (c caught) {
-	c.refused = map[string]bool{}
+func (f *ledgerProxy) call(name string, n int, rnd *rand.Rand, ids bool) (c callerResults) {
+	c.rejected = map[string]bool{}
 	var conn net.Conn
 	var rd *bufio.Reader
 	leave := func() {
@@ -351,11 +351,11 @@
 		for k := range stays {
 			resp, err := http.ReadResponse(rd, nil)
 			if err != nil {
-				c.broken++
+				c.incomplete++
 				leave()
 				break
 			}
-			if !c.look(sent[k], onces[k], resp, ids) {
+			if !c.check(sent[k], onces[k], resp, ids) {
 				leave()
 				break
 			}
@@ -367,19 +367,19 @@
 	return c
 }
 
-// ledgerRun is what a whole run came to.
-type ledgerRun struct {
-	caught
-	twice, ranRefused []string
-	ran               int
+// ledgerResult is what a whole run came to.
+type ledgerResult struct {
+	callerResults
+	ranTwice, ranRejected []string
+	ran                   int
 }
 
-func runLedger(t *testing.T, seed uint64, asked, ids bool, kinds []misbehaviour) (res ledgerRun, l *ledgerTargets, f *ledgerFront) {
+func runLedger(t *testing.T, seed uint64, asked, ids bool, kinds []targetFault) (res ledgerResult, l *faultyTargets, f *ledgerProxy) {
 	const callers, requests = 12, 120
-	l = newLedgerTargets(t, 5, seed, kinds)
-	f = newLedgerFront(l, seed, asked)
+	l = newFaultyTargets(t, 5, seed, kinds)
+	f = newLedgerProxy(l, seed, asked)
 	if !ids {
-		f.car.Headers.Attempt = ""
+		f.forwarder.Headers.Attempt = ""
 	}
 	counted := make(chan map[string]int)
 	go func() {
@@ -389,7 +389,7 @@
 		}
 		counted <- runs
 	}()
-	ends := make(chan caught, callers)
+	ends := make(chan callerResults, callers)
 	for k := range callers {
 		go func() {
 			ends <- f.call(fmt.Sprint("c", k), requests, rand.New(rand.NewPCG(seed, 1000+uint64(k))), asked)
@@ -398,24 +398,24 @@
 	refused := map[string]bool{}
 	for range callers {
 		c := <-ends
-		res.wrong, res.served, res.broken = append(res.wrong, c.wrong...), res.served+c.served, res.broken+c.broken
-		maps.Copy(refused, c.refused)
+		res.wrong, res.served, res.incomplete = append(res.wrong, c.wrong...), res.served+c.served, res.incomplete+c.incomplete
+		maps.Copy(refused, c.rejected)
 	}
 	f.srv.Close()
 	f.pool.Close()
-	l.end()
+	l.close()
 	runs := <-counted
 	for _, id := range slices.Sorted(maps.Keys(runs)) {
 		res.ran += runs[id]
 		if runs[id] > 0 && refused[id] {
-			res.ranRefused = append(res.ranRefused, id)
+			res.ranRejected = append(res.ranRejected, id)
 		}
 	}
 	for k := range callers {
 		rnd := rand.New(rand.NewPCG(seed, 1000+uint64(k)))
 		for id := range onceIDs(fmt.Sprint("c", k), requests, rnd) {
 			if runs[id] > 1 {
-				res.twice = append(res.twice, fmt.Sprintf("%s ran %d times", id, runs[id]))
+				res.ranTwice = append(res.ranTwice, fmt.Sprintf("%s ran %d times", id, runs[id]))
 			}
 		}
 	}
@@ -447,23 +447,23 @@
 // way: nothing that may run once runs twice, nothing refused has run, and no caller gets
 // another's answer, a cut one or an altered one.
 func TestLedger(t *testing.T) {
-	var all []misbehaviour
-	for k := range misbehaviours {
+	var all []targetFault
+	for k := range targetFaults {
 		all = append(all, k)
 	}
 	// Targets that are asked for their identity repeat no id: what comes at once or on an
 	// idle connection is all that can be told from an answer there.
-	framed := []misbehaviour{answersInChunks, answersAfter1xx, surplusAtOnce, closesAfter, closesSilently, resets, resetsUnread, halfAnswer, halfHead, garbage, largeAnswer, largeAnswerCut}
+	framed := []targetFault{chunkedResponse, interimFirst, surplusAtOnce, closesAfter, closesWithoutResponse, resets, resetsUnread, truncatedResponse, truncatedHeader, garbage, largeResponse, largeTruncated}
 	for _, c := range []struct {
 		name  string
 		asked bool
-		kinds []misbehaviour
+		kinds []targetFault
 	}{{"ids", true, all}, {"identity", false, framed}} {
-		var caused [misbehaviours]int64
+		var caused [targetFaults]int64
 		var strange, opened, reused, ahead, deferred uint64
 		for seed := range uint64(4) {
 			res, l, f := runLedger(t, seed, c.asked, true, c.kinds)
-			for _, s := range [][]string{res.wrong, res.twice, res.ranRefused} {
+			for _, s := range [][]string{res.wrong, res.ranTwice, res.ranRejected} {
 				if len(s) > 0 {
 					t.Errorf("%s, seed %d: %d, e.g. %s", c.name, seed, len(s), s[0])
 				}
@@ -471,16 +471,16 @@
 			if res.served < 300 {
 				t.Errorf("%s, seed %d: %d served", c.name, seed, res.served)
 			}
-			for k := range misbehaviours {
-				caused[k] += l.done[k].Load()
+			for k := range targetFaults {
+				caused[k] += l.caused[k].Load()
 			}
-			n := &f.car.Counts
+			n := &f.forwarder.Counts
 			strange, opened, reused = strange+n.MismatchedResponses.Load(), opened+n.ConnsOpened.Load(), reused+n.ConnsReused.Load()
 			ahead, deferred = ahead+n.Pipelined.Load(), deferred+n.Deferred.Load()
 		}
 		for _, k := range c.kinds {
 			if caused[k] < 10 {
-				t.Errorf("%s: %s came %d times", c.name, misbehaviourNames[k], caused[k])
+				t.Errorf("%s: %s came %d times", c.name, targetFaultNames[k], caused[k])
 			}
 		}
 		if reused < 100 || ahead < 100 || deferred < 20 || c.asked && strange < 20 {
@@ -494,7 +494,7 @@
 func TestLedgerCanFail(t *testing.T) {
 	wrong := 0
 	for seed := range uint64(3) {
-		res, _, _ := runLedger(t, seed, true, false, []misbehaviour{surplusLater, surplusInPlace})
+		res, _, _ := runLedger(t, seed, true, false, []targetFault{surplusLater, surplusInPlace})
 		wrong += len(res.wrong)
 	}
 	if wrong == 0 {
--- a/internal/dataplane/reverseproxy/limits.go
+++ b/internal/dataplane/reverseproxy/limits.go
@@ -19,17 +19,17 @@
 	return config.Limits{}
 }
 
-// headerMost is how large a caller's header may be.
-func (c *Forwarder) headerMost() int {
+// maxHeaderBytes is how large a caller's header may be.
+func (c *Forwarder) maxHeaderBytes() int {
 	if n := c.limits().HeaderBytes; n > 0 {
 		return n
 	}
 	return tuning.HeaderMax
 }
 
-// bodyMost is how large a caller's body for a service may be. One whose targets are asked
+// maxBodyBytes is how large a caller's body for a service may be. One whose targets are asked
 // for their health has the configuration's bound alone, others the smaller of both.
-func (c *Forwarder) bodyMost(s *config.Service) int64 {
+func (c *Forwarder) maxBodyBytes(s *config.Service) int64 {
 	own, all := int64(s.BodyMax), int64(c.limits().BodyBytes)
 	switch {
 	case s.HasHealthCheck() && all > 0:
@@ -44,9 +44,9 @@
 
 // SetReadDeadline is the server's and, while a request is under way, the forwarder's. The
 // server sets one further away than a header's while it waits for the next request.
-func (p *caller) SetReadDeadline(t time.Time) error {
-	if left := time.Until(t); !p.busy && !t.IsZero() && left > 0 {
-		l := p.c.limits()
+func (p *callerConn) SetReadDeadline(t time.Time) error {
+	if left := time.Until(t); !p.requestActive && !t.IsZero() && left > 0 {
+		l := p.forwarder.limits()
 		switch {
 		case left <= tuning.CallerHeader && l.HeaderMs > 0:
 			t = t.Add(time.Duration(l.HeaderMs)*time.Millisecond - tuning.CallerHeader)
--- a/internal/dataplane/reverseproxy/limits_test.go
+++ b/internal/dataplane/reverseproxy/limits_test.go
@@ -18,13 +18,13 @@
 
 // Callers' sizes are bounded by the configuration, as it stands at each request.
 func TestSizes(t *testing.T) {
-	b := serve(t, "b", fine)
-	f := carrier(t, b.Target)
+	b := newBackend(t, "b", echo)
+	f := newTestProxy(t, b.Target)
 	big := strings.Repeat("x", 3000)
 	ask := func(l *config.Limits, set config.Service, header, body string, want int) {
 		t.Helper()
-		f.car.Limits.Store(l)
-		f.set = set
+		f.forwarder.Limits.Store(l)
+		f.service = set
 		if status, _, text := f.do(t, "PUT", "/", body, "A", header); status != want {
 			t.Fatalf("%+v: %d %s, not %d", l, status, text, want)
 		}
@@ -52,33 +52,33 @@
 		{config.Service{BodyMax: 5}, &config.Limits{BodyBytes: 9}, 5},
 		{config.Service{BodyMax: 5}, &config.Limits{HeaderBytes: 9}, 5},
 	} {
-		f.car.Limits.Store(c.l)
-		if n := f.car.bodyMost(&c.s); n != c.want {
+		f.forwarder.Limits.Store(c.l)
+		if n := f.forwarder.maxBodyBytes(&c.s); n != c.want {
 			t.Errorf("%+v %+v: %d", c.s, c.l, n)
 		}
 	}
 }
 
 // deadlines tells each deadline that is set on its connections, as time from then.
-type deadlines struct {
+type deadlineListener struct {
 	net.Listener
 	set chan time.Duration
 }
 
-type timed struct {
+type deadlineConn struct {
 	net.Conn
 	set chan time.Duration
 }
 
-func (d deadlines) Accept() (net.Conn, error) {
+func (d deadlineListener) Accept() (net.Conn, error) {
 	c, err := d.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return timed{c, d.set}, nil
+	return deadlineConn{c, d.set}, nil
 }
 
-func (c timed) SetReadDeadline(t time.Time) error {
+func (c deadlineConn) SetReadDeadline(t time.Time) error {
 	if left := time.Until(t); !t.IsZero() && left > 0 {
 		c.set <- left
 	}
@@ -108,7 +108,7 @@
 		}
 		set := make(chan time.Duration, 16)
 		srv := &http.Server{Handler: car, ConnContext: car.ConnContext, ReadHeaderTimeout: tuning.CallerHeader, IdleTimeout: tuning.CallerIdle}
-		go srv.Serve(car.WrapListener(deadlines{ln, set}))
+		go srv.Serve(car.WrapListener(deadlineListener{ln, set}))
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/dataplane/reverseproxy/refusal.go
+++ b/internal/dataplane/reverseproxy/refusal.go
@@ -20,10 +20,10 @@
 
 // WriteError answers with the one error shape.
 func WriteError(w http.ResponseWriter, status int, retry time.Duration, t config.ErrorBody) {
-	fault(w, RanHeader, status, retry, t)
+	writeError(w, RanHeader, status, retry, t)
 }
 
-func fault(w http.ResponseWriter, ranHeader string, status int, retry time.Duration, t config.ErrorBody) {
+func writeError(w http.ResponseWriter, ranHeader string, status int, retry time.Duration, t config.ErrorBody) {
 	if t.Ran == "" {
 		t.Ran = "no"
 	}
