--- a/internal/dataplane/budget.go
+++ b/internal/dataplane/budget.go
@@ -12,29 +12,29 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-type budget struct {
-	credit float64
-	part   float64       // of the slack, set with each table
-	at     time.Duration // up to when that is in credit
-	begun  bool
-	counts [tuning.WindowBuckets]struct{ slice, n int64 }
+type retryCredit struct {
+	credit    float64
+	slack     float64       // of the slack, set with each table
+	updatedAt time.Duration // up to when that is in credit
+	started   bool
+	counts    [tuning.WindowBuckets]struct{ slice, n int64 }
 }
 
 // holders is how many of the listed proxies share a slack: as many as get enough to
 // save one whole repeat up.
-func (r RetryBudget) holders(listed int) int { return max(1, min(listed, int(r.Slack/2))) }
+func (r RetryBudget) slackHolders(listed int) int { return max(1, min(listed, int(r.Slack/2))) }
 
 // slack is a proxy's part of the slack: those that a draw by service puts first have
 // it. While a change of the roster is under way only those that both rosters draw do,
 // and the smaller part, so that no two tables which stand together give more.
-func (r RetryBudget) slack(svc uint64, self string, lists ...[]string) float64 {
+func (r RetryBudget) slackOf(svc uint64, self string, lists ...[]string) float64 {
 	least := 0.0
 	for i, names := range lists {
 		if len(names) == 0 && i > 0 {
 			continue
 		}
-		n := r.holders(len(names))
-		if !drawn(svc, self, names, n) {
+		n := r.slackHolders(len(names))
+		if !isAmongFirst(svc, self, names, n) {
 			return 0
 		}
 		if part := r.Slack / float64(n); i == 0 || part < least {
@@ -44,9 +44,9 @@
 	return least
 }
 
-// earn takes a request in.
-func (b *budget) earn(now time.Duration, r RetryBudget) {
-	b.grow(now, r)
+// countRequest takes a request in.
+func (b *retryCredit) countRequest(now time.Duration, r RetryBudget) {
+	b.addSlack(now, r)
 	b.credit += r.Ratio * tuning.RetryEarn
 	s := int64(now / (r.Window / tuning.WindowBuckets))
 	c := &b.counts[s%tuning.WindowBuckets]
@@ -54,33 +54,33 @@
 		c.slice, c.n = s, 0
 	}
 	c.n++
-	b.clip(now, r)
+	b.limit(now, r)
 }
 
-// grow adds the slack's part for the time since; half of it may be saved up and half
+// addSlack adds the slack's part for the time since; half of it may be saved up and half
 // comes back over a window, so that a window never sees more than the whole.
-func (b *budget) grow(now time.Duration, r RetryBudget) {
-	if b.begun {
-		b.credit += b.part / 2 * float64(now-b.at) / float64(r.Window)
+func (b *retryCredit) addSlack(now time.Duration, r RetryBudget) {
+	if b.started {
+		b.credit += b.slack / 2 * float64(now-b.updatedAt) / float64(r.Window)
 	}
-	b.begun, b.at = true, now
-	b.clip(now, r)
+	b.started, b.updatedAt = true, now
+	b.limit(now, r)
 }
 
-func (b *budget) clip(now time.Duration, r RetryBudget) {
+func (b *retryCredit) limit(now time.Duration, r RetryBudget) {
 	s, recent := int64(now/(r.Window/tuning.WindowBuckets)), int64(0)
 	for _, c := range b.counts {
 		if c.slice > s-tuning.WindowBuckets {
 			recent += c.n
 		}
 	}
-	b.credit = min(b.credit, b.part/2+r.Ratio*tuning.RetrySave*float64(recent))
+	b.credit = min(b.credit, b.slack/2+r.Ratio*tuning.RetrySave*float64(recent))
 }
 
 // has says whether one may be spent.
-func (b *budget) has(now time.Duration, r RetryBudget) bool {
-	b.grow(now, r)
+func (b *retryCredit) available(now time.Duration, r RetryBudget) bool {
+	b.addSlack(now, r)
 	return b.credit >= 1
 }
 
-func (b *budget) spend() { b.credit-- }
+func (b *retryCredit) spend() { b.credit-- }
--- a/internal/dataplane/choice.go
+++ b/internal/dataplane/choice.go
@@ -12,51 +12,51 @@
 )
 
 // standing of a target before a request.
-type standing int
+type eligibility int
 
 const (
-	out  standing = iota // never
-	last                 // ejected, but it beats: if there is no other
-	in
+	ineligible eligibility = iota // never
+	lastResort                    // ejected, but it beats: if there is no other
+	eligible
 )
 
-func (g *Proxy) standing(now time.Duration, t *target, x *request) standing {
-	if t.held || t.Draining || t.Pending || t.State == config.Leaving ||
-		slices.Contains(g.table.EmptiedDomains, t.Domain) || len(x.tried) > 0 && slices.Contains(x.tried, t.ID()) {
-		return out
+func (g *Proxy) eligibility(now time.Duration, t *targetState, x *request) eligibility {
+	if t.leaving || t.Draining || t.Pending || t.State == config.Leaving ||
+		slices.Contains(g.table.EmptiedDomains, t.Domain) || len(x.triedTargets) > 0 && slices.Contains(x.triedTargets, t.ID()) {
+		return ineligible
 	}
-	if t.ejectedUntil > now || t.ownEjection > now {
-		if g.beats(now, t) && t.ownEjection <= now {
-			return last
+	if t.ejectedUntil > now || t.ownEjectionUntil > now {
+		if g.isHeartbeating(now, t) && t.ownEjectionUntil <= now {
+			return lastResort
 		}
-		return out
+		return ineligible
 	}
-	return in
+	return eligible
 }
 
-// choose finds a target that takes the request now; any says that one may later.
-func (g *Proxy) choose(now time.Duration, x *request) (t *target, any bool) {
-	s := g.service(x.svc)
-	if s.slotted {
-		return g.pick(now, x, s)
+// chooseTarget finds a target that takes the request now; any says that one may later.
+func (g *Proxy) chooseTarget(now time.Duration, x *request) (t *targetState, any bool) {
+	s := g.service(x.serviceName)
+	if s.reportsSlots {
+		return g.chooseBySlots(now, x, s)
 	}
-	return g.spread(now, x, s)
+	return g.chooseLeastLoaded(now, x, s)
 }
 
 // spread picks the less burdened of two admitted targets, met in a turn that
 // goes round them all, or the least burdened of all if both are full. A target
 // whose ejection was lifted starts at the back, so that its return moves nothing.
-func (g *Proxy) spread(now time.Duration, x *request, s *service) (t *target, any bool) {
-	open, barred := g.open[:0], g.barred[:0]
-	defer func() { g.open, g.barred = open[:0], barred[:0] }()
+func (g *Proxy) chooseLeastLoaded(now time.Duration, x *request, s *serviceState) (t *targetState, any bool) {
+	open, barred := g.eligibleBuffer[:0], g.lastResortBuffer[:0]
+	defer func() { g.eligibleBuffer, g.lastResortBuffer = open[:0], barred[:0] }()
 	for _, t := range s.targets {
-		if t.cold(now, x) && t.coldGap == 0 {
+		if t.warmingUp(now, x) && t.warmupInterval == 0 {
 			continue
 		}
-		switch g.standing(now, t, x) {
-		case in:
+		switch g.eligibility(now, t, x) {
+		case eligible:
 			open = append(open, t)
-		case last:
+		case lastResort:
 			barred = append(barred, t)
 		}
 	}
@@ -66,17 +66,17 @@
 	if len(open) == 0 {
 		return nil, false
 	}
-	g.turn++
+	g.rotation++
 	n := uint64(len(open))
-	a, b := open[g.turn%n], open[0]
+	a, b := open[g.rotation%n], open[0]
 	if n > 1 {
-		b = open[(g.turn+1+g.turn/n%(n-1))%n] // never a itself
+		b = open[(g.rotation+1+g.rotation/n%(n-1))%n] // never a itself
 	}
-	best := g.better(now, a, b, x)
-	if best == nil || best.avoidUntil > now {
+	best := g.lessLoaded(now, a, b, x)
+	if best == nil || best.avoidedUntil > now {
 		best = nil
 		for _, t := range open {
-			best = g.better(now, best, t, x)
+			best = g.lessLoaded(now, best, t, x)
 		}
 	}
 	return best, true
@@ -84,15 +84,15 @@
 
 // beats says whether a target is known to beat: by the table while the leader
 // keeps it fresh, else by what was heard here, straight or through a peer.
-func (g *Proxy) beats(now time.Duration, t *target) bool {
+func (g *Proxy) isHeartbeating(now time.Duration, t *targetState) bool {
 	if g.state == Leased {
 		return t.Heartbeating
 	}
-	return t.streak.IsSteady(now)
+	return t.heartbeats.IsSteady(now)
 }
 
-func (g *Proxy) better(now time.Duration, a, b *target, x *request) *target {
-	sa, sb := g.burden(now, a, x), g.burden(now, b, x)
+func (g *Proxy) lessLoaded(now time.Duration, a, b *targetState, x *request) *targetState {
+	sa, sb := g.relativeLoad(now, a, x), g.relativeLoad(now, b, x)
 	switch {
 	case sa < 0 && sb < 0:
 		return nil
@@ -102,20 +102,20 @@
 	return a
 }
 
-// burden is under 0 for a target without room.
-func (g *Proxy) burden(now time.Duration, t *target, x *request) float64 {
+// relativeLoad is under 0 for a target without room.
+func (g *Proxy) relativeLoad(now time.Duration, t *targetState, x *request) float64 {
 	if t == nil {
 		return -1
 	}
-	room := g.room(now, t, x.set)
-	if t.inflight >= room || t.fullTill > now || t.cold(now, x) && now < t.coldNext {
+	room := g.capacity(now, t, x.serviceConfig)
+	if t.inFlight >= room || t.fullUntil > now || t.warmingUp(now, x) && now < t.nextWarmupAt {
 		return -1
 	}
-	b := float64(t.inflight)/float64(room) + t.Demand
-	if t.backAt > 0 && now-t.backAt < tuning.ReconcileEvery {
+	b := float64(t.inFlight)/float64(room) + t.Demand
+	if t.reinstatedAt > 0 && now-t.reinstatedAt < tuning.ReconcileEvery {
 		b++
 	}
-	if t.avoidUntil > now {
+	if t.avoidedUntil > now {
 		b += 100
 	}
 	return b
@@ -125,30 +125,30 @@
 type tier int
 
 const (
-	dealtNear   tier = iota // a slot of this proxy's own in its domain
-	offeredNear             // one of its domain says that there is room
-	dealtFar
-	offered  // another says so
-	coldRate // a cold target's next turn for this proxy
+	ownLocal     tier = iota // a slot of this proxy's own in its domain
+	offeredLocal             // one of its domain says that there is room
+	ownRemote
+	offeredRemote // another says so
+	warmupTurn    // a cold target's next turn for this proxy
 	borrowed
-	shunned
-	none
+	avoided
+	noTier
 )
 
-// pick goes by tier, then by load, speed and open connections; a turn that begins
+// chooseBySlots goes by tier, then by load, speed and open connections; a turn that begins
 // elsewhere at each proxy breaks ties, so that not all go to the same.
-func (g *Proxy) pick(now time.Duration, x *request, s *service) (t *target, any bool) {
-	room := g.ranked(now, x, s)
-	g.turn++
+func (g *Proxy) chooseBySlots(now time.Duration, x *request, s *serviceState) (t *targetState, any bool) {
+	room := g.priorityAllows(now, x, s)
+	g.rotation++
 	// Its own slots nearby come first: mostly there is no need to look further.
-	if t, at, any := g.among(now, x, s, s.own, in, room); t != nil && at == dealtNear {
-		g.tell(at)
+	if t, at, any := g.bestAmong(now, x, s, s.quotaTargets, eligible, room); t != nil && at == ownLocal {
+		g.countChoice(at)
 		return t, any
 	}
-	for _, as := range []standing{in, last} {
-		if t, at, any := g.among(now, x, s, s.targets, as, room); any {
+	for _, as := range []eligibility{eligible, lastResort} {
+		if t, at, any := g.bestAmong(now, x, s, s.targets, as, room); any {
 			if t != nil {
-				g.tell(at)
+				g.countChoice(at)
 			}
 			return t, true
 		}
@@ -156,91 +156,91 @@
 	return nil, false
 }
 
-func (g *Proxy) among(now time.Duration, x *request, s *service, ts []*target, as standing, room bool) (best *target, at tier, any bool) {
-	at = none
+func (g *Proxy) bestAmong(now time.Duration, x *request, s *serviceState, ts []*targetState, as eligibility, room bool) (best *targetState, at tier, any bool) {
+	at = noTier
 	load, n := 0.0, len(ts)
 	for i := range ts {
-		c := ts[(int((g.salt+g.turn)%uint64(n))+i)%n]
-		if g.standing(now, c, x) != as || c.cold(now, x) && c.coldGap == 0 || c.slots == 0 {
+		c := ts[(int((g.nameHash+g.rotation)%uint64(n))+i)%n]
+		if g.eligibility(now, c, x) != as || c.warmingUp(now, x) && c.warmupInterval == 0 || c.slots == 0 {
 			continue
 		}
 		any = true
 		k := g.tier(now, c, x, s)
-		if k == none || k > at || !room && !c.offers(now) {
+		if k == noTier || k > at || !room && !c.hasFreeSlot(now) {
 			continue
 		}
-		if l := c.load(now); k < at || l < load {
+		if l := c.selectionCost(now); k < at || l < load {
 			best, at, load = c, k, l
 		}
 	}
 	return best, at, any
 }
 
-func (g *Proxy) tell(k tier) {
+func (g *Proxy) countChoice(k tier) {
 	switch k {
-	case dealtNear, dealtFar:
+	case ownLocal, ownRemote:
 		g.Counts.WithinQuota++
-	case coldRate:
+	case warmupTurn:
 		g.Counts.ToWarmingUp++
 	default:
 		g.Counts.Borrowed++
 	}
 }
 
-// ranked says whether a request of its priority may go to a target now: while the
+// priorityAllows says whether a request of its priority may go to a target now: while the
 // service is under pressure and higher ones come, each leaves a part to those before
 // it, unless a target offers more.
-func (g *Proxy) ranked(now time.Duration, x *request, s *service) bool {
-	r := rankOf(x.priority)
-	if r == 0 || !s.pressed(now) {
+func (g *Proxy) priorityAllows(now time.Duration, x *request, s *serviceState) bool {
+	r := priorityLevel(x.priority)
+	if r == 0 || !s.underPressure(now) {
 		return true
 	}
 	higher := 0
-	for _, at := range s.ranks[:r] {
+	for _, at := range s.lastArrivals[:r] {
 		if at > 0 && now-at < tuning.PressureTTL {
 			higher++
 		}
 	}
-	if higher == 0 || float64(s.inflight+1) <= s.window*(1-tuning.PriorityReserve*float64(higher)) {
+	if higher == 0 || float64(s.inFlight+1) <= s.window*(1-tuning.PriorityReserve*float64(higher)) {
 		return true
 	}
 	g.Counts.LowPriority++
 	return false
 }
 
-func (s *service) pressed(now time.Duration) bool {
-	return s.pressAt > 0 && now-s.pressAt < tuning.PressureTTL
+func (s *serviceState) underPressure(now time.Duration) bool {
+	return s.pressureAt > 0 && now-s.pressureAt < tuning.PressureTTL
 }
 
-func (g *Proxy) tier(now time.Duration, t *target, x *request, s *service) tier {
+func (g *Proxy) tier(now time.Duration, t *targetState, x *request, s *serviceState) tier {
 	switch {
-	case t.fullTill > now || t.inflight >= t.slots:
-		return none
-	case t.State == config.Warming && t.inflight >= t.part:
-		return none
-	case t.cold(now, x):
-		if now < t.coldNext {
-			return none
+	case t.fullUntil > now || t.inFlight >= t.slots:
+		return noTier
+	case t.State == config.Warming && t.inFlight >= t.quota:
+		return noTier
+	case t.warmingUp(now, x):
+		if now < t.nextWarmupAt {
+			return noTier
 		}
-		return coldRate
-	case t.strict && t.inflight >= t.part:
-		return none
-	case t.avoidUntil > now:
-		return shunned
-	case t.inflight < t.part && t.used(now) >= 1:
+		return warmupTurn
+	case t.capped && t.inFlight >= t.quota:
+		return noTier
+	case t.avoidedUntil > now:
+		return avoided
+	case t.inFlight < t.quota && t.utilization(now) >= 1:
 		return borrowed // others have borrowed it meanwhile
-	case t.inflight < t.part && t.near:
-		return dealtNear
-	case t.inflight < t.part:
-		return dealtFar
+	case t.inFlight < t.quota && t.local:
+		return ownLocal
+	case t.inFlight < t.quota:
+		return ownRemote
 	}
 	switch {
-	case t.offers(now) && t.near:
-		return offeredNear
-	case t.offers(now):
-		return offered
-	case float64(s.inflight)+1 <= s.window && t.used(now) < 1:
+	case t.hasFreeSlot(now) && t.local:
+		return offeredLocal
+	case t.hasFreeSlot(now):
+		return offeredRemote
+	case float64(s.inFlight)+1 <= s.window && t.utilization(now) < 1:
 		return borrowed
 	}
-	return none
+	return noTier
 }
--- a/internal/dataplane/connections_test.go
+++ b/internal/dataplane/connections_test.go
@@ -19,15 +19,15 @@
 		}
 		kept := 0
 		for i := range x.proxies {
-			g := &Proxy{alive: names}
-			at := &target{Target: wire.Target{Slots: uint32(x.slots)}, slots: x.slots, part: deal(x.slots, 5, names[i], names)}
-			kept += g.idleConns(at, config.Service{ConnCap: x.cap})
+			g := &Proxy{liveProxies: names}
+			at := &targetState{Target: wire.Target{Slots: uint32(x.slots)}, slots: x.slots, quota: evenShare(x.slots, 5, names[i], names)}
+			kept += g.maxIdleConnections(at, config.Service{ConnCap: x.cap})
 		}
 		if most := x.cap / tuning.IdleConnParts; kept > most && kept > x.slots || kept == 0 {
 			t.Errorf("%+v: %d connections are kept, at most %d are wanted", x, kept, most)
 		}
 	}
-	if n := (&Proxy{}).idleConns(&target{}, config.Service{}); n != tuning.IdleConnsMax {
+	if n := (&Proxy{}).maxIdleConnections(&targetState{}, config.Service{}); n != tuning.IdleConnsMax {
 		t.Errorf("%d are kept where the target names no bound", n)
 	}
 }
@@ -36,7 +36,7 @@
 // choice still lives when it opens last.
 func TestConnectTime(t *testing.T) {
 	for aim, want := range map[int]time.Duration{0: tuning.ConnectTimeoutMin, 300: tuning.ConnectTimeoutMin, 600: 150 * time.Millisecond, 1500: 375 * time.Millisecond, 60000: tuning.DialTimeout} {
-		if got := connectTime(&config.Route{LatencyTargetMs: aim}); got != want || got >= tuning.ChoiceTTL {
+		if got := connectTimeout(&config.Route{LatencyTargetMs: aim}); got != want || got >= tuning.ChoiceTTL {
 			t.Errorf("aim %d ms: %v", aim, got)
 		}
 	}
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -16,102 +16,104 @@
 // way is what is kept by route: whose turn in its split it is and what its
 // requests usually take.
 type routeState struct {
-	shares []config.Share
-	owed   []float64 // how far each of them is behind its weight
-	sum    float64
-	mean   float64
-	seen   int
+	split          []config.Share
+	currentWeights []float64 // how far each of them is behind its weight
+	totalWeight    float64
+	meanMs         float64
+	samples        int
 }
 
 // way is a route's, begun anew when its split has changed.
-func (g *Proxy) routeState(name string, r *config.Route) *routeState {
-	w := g.routeStates[name]
+func (g *Proxy) route(name string, r *config.Route) *routeState {
+	w := g.routes[name]
 	if w == nil {
 		w = &routeState{}
-		g.routeStates[name] = w
+		g.routes[name] = w
 	}
-	if w.shares == nil {
-		w.shares = r.Shares()
-		w.owed, w.sum = make([]float64, len(w.shares)), 0
-		for _, s := range w.shares {
-			w.sum += s.Weight
+	if w.split == nil {
+		w.split = r.Shares()
+		w.currentWeights, w.totalWeight = make([]float64, len(w.split)), 0
+		for _, s := range w.split {
+			w.totalWeight += s.Weight
 		}
 	}
 	return w
 }
 
-// next is the service whose turn in the split it is: each gains its weight, the one
+// nextService is the service whose turn in the split it is: each gains its weight, the one
 // that is owed most goes and pays for all.
-func (w *routeState) next() string {
+func (w *routeState) nextService() string {
 	best := 0
-	for i, s := range w.shares {
-		w.owed[i] += s.Weight
-		if w.owed[i] > w.owed[best] {
+	for i, s := range w.split {
+		w.currentWeights[i] += s.Weight
+		if w.currentWeights[i] > w.currentWeights[best] {
 			best = i
 		}
 	}
-	w.owed[best] -= w.sum
-	return w.shares[best].Service
+	w.currentWeights[best] -= w.totalWeight
+	return w.split[best].Service
 }
 
 // see takes a request's time in and returns the usual one.
-func (w *routeState) see(ms float64) float64 {
-	w.seen++
-	w.mean += max(tuning.ResponseTimeWeight, 1/float64(w.seen)) * (ms - w.mean)
-	return w.mean
+func (w *routeState) observe(ms float64) float64 {
+	w.samples++
+	w.meanMs += max(tuning.ResponseTimeWeight, 1/float64(w.samples)) * (ms - w.meanMs)
+	return w.meanMs
 }
 
-func (w *routeState) usual() time.Duration { return time.Duration(w.mean * float64(time.Millisecond)) }
+func (w *routeState) meanTime() time.Duration {
+	return time.Duration(w.meanMs * float64(time.Millisecond))
+}
 
-// forget has splits begin anew under another configuration and drops the routes that
+// resetRoutes has splits begin anew under another configuration and drops the routes that
 // it lacks.
-func (g *Proxy) forget() {
-	for n, w := range g.routeStates {
-		if _, ok := g.cfg.Routes[n]; !ok && n != "" {
-			delete(g.routeStates, n)
+func (g *Proxy) resetRoutes() {
+	for n, w := range g.routes {
+		if _, ok := g.configuration.Routes[n]; !ok && n != "" {
+			delete(g.routes, n)
 		}
-		w.shares = nil
+		w.split = nil
 	}
 }
 
-func (g *Proxy) service(n string) *service {
+func (g *Proxy) service(n string) *serviceState {
 	s := g.services[n]
 	if s == nil {
-		s = &service{}
+		s = &serviceState{}
 		if g.table != nil {
-			s.budget.part = g.settings.Retry.slack(hash(n), g.settings.Self.Name, g.listed, g.table.PreviousProxies)
+			s.retryCredit.slack = g.settings.Retry.slackOf(hashOf(n), g.settings.Self.Name, g.memberProxies, g.table.PreviousProxies)
 		}
 		g.services[n] = s
 	}
 	return s
 }
 
-// idempotent says whether requests of a rule may run more than once.
-func idempotent(method string) bool {
+// isIdempotent says whether requests of a rule may run more than once.
+func isIdempotent(method string) bool {
 	return method == "GET" || method == "HEAD" || method == "OPTIONS"
 }
 
 func (g *Proxy) admit(now time.Duration, e statemachine.Admit) {
-	x := &request{id: e.ID, start: now, unknown: e.Timeout <= 0, deadline: now + e.Timeout}
-	if g.intakeClosed {
-		g.refuseStopping(now, x)
+	x := &request{id: e.ID, startedAt: now, timeoutUnknown: e.Timeout <= 0, deadline: now + e.Timeout}
+	if g.acceptingStopped {
+		g.rejectStopping(now, x)
 		return
 	}
 	if !g.Serving() {
 		g.Counts.NotServing++
-		g.refuse(now, x, 503, "not_serving", "this proxy has no fresh table")
+		g.reject(now, x, 503, "not_serving", "this proxy has no fresh table")
 		return
 	}
-	name, route, ok := g.cfg.FindRoute(e.Host, e.Path)
+	name, route, ok := g.configuration.FindRoute(e.Host, e.Path)
 	if ok && e.Pipelined && !route.Idempotent() {
 		g.emit(statemachine.Reject{ID: e.ID, Code: statemachine.CodeNotPipelined})
 		return
 	}
 	if ok {
-		x.name, x.route, x.way = name, route, g.routeState(name, &route)
-		x.svc = x.way.next()
+		x.routeName, x.route, x.routeState = name, route, g.route(name, &route)
+		x.serviceName = x.routeState.nextService()
 	} else {
-		svc, allowed, ok := g.cfg.FindRule(e.Host, e.Path, e.Method)
+		svc, allowed, ok := g.configuration.FindRule(e.Host, e.Path, e.Method)
 		switch {
 		case !ok && len(allowed) > 0:
 			g.Counts.Unmatched++
@@ -120,126 +122,126 @@
 		case !ok:
 			g.Counts.Unmatched++
 			g.Counts.NoRoute++
-			g.refuse(now, x, 404, "no_rule", "no rule for this host and path")
+			g.reject(now, x, 404, "no_rule", "no rule for this host and path")
 			return
 		}
-		set := g.cfg.Services[svc]
-		x.svc, x.route = svc, config.Route{Kind: config.KindOnce, TimeoutMs: set.TimeoutMs, Attempts: set.Attempts, Service: svc}
-		if idempotent(e.Method) {
+		set := g.configuration.Services[svc]
+		x.serviceName, x.route = svc, config.Route{Kind: config.KindOnce, TimeoutMs: set.TimeoutMs, Attempts: set.Attempts, Service: svc}
+		if isIdempotent(e.Method) {
 			x.route.Kind = config.KindRepeatable
 		}
 	}
-	x.set = g.cfg.Services[x.svc]
+	x.serviceConfig = g.configuration.Services[x.serviceName]
 	d := x.route.Timeout()
 	if e.Timeout > 0 {
 		d = min(d, e.Timeout)
 	}
 	x.deadline = now + d
-	if !g.boundByStop(now, x) {
-		g.refuseStopping(now, x)
+	if !g.fitsShutdown(now, x) {
+		g.rejectStopping(now, x)
 		return
 	}
 	g.requests[x.id] = x
-	s := g.service(x.svc)
-	s.enroll(now, x)
-	g.place(now, x, true)
+	s := g.service(x.serviceName)
+	s.countArrival(now, x)
+	g.schedule(now, x, true)
 }
 
-// place gives the request a target, lets it wait, or refuses it.
-func (g *Proxy) place(now time.Duration, x *request, mayWait bool) {
-	s := g.service(x.svc)
-	if g.tooLate(now, x, s) {
+// schedule gives the request a target, lets it wait, or refuses it.
+func (g *Proxy) schedule(now time.Duration, x *request, mayWait bool) {
+	s := g.service(x.serviceName)
+	if g.deadlineTooClose(now, x, s) {
 		g.Counts.DeadlineTooClose++
-		g.refuse(now, x, 503, "late", "it could not be answered in time")
+		g.reject(now, x, 503, "late", "it could not be answered in time")
 		return
 	}
-	full := x.set.MaxInFlight > 0 && s.inflight >= g.share(x.set.MaxInFlight, x.svc)
-	var t *target
+	full := x.serviceConfig.MaxInFlight > 0 && s.inFlight >= g.shareOf(x.serviceConfig.MaxInFlight, x.serviceName)
+	var t *targetState
 	any := true
-	if !full && !(mayWait && g.behind(s, x)) {
-		t, any = g.choose(now, x)
+	if !full && !(mayWait && g.mustQueue(s, x)) {
+		t, any = g.chooseTarget(now, x)
 	}
-	if !any && x.way != nil {
-		for _, o := range x.way.shares {
-			if o.Service == x.svc {
+	if !any && x.routeState != nil {
+		for _, o := range x.routeState.split {
+			if o.Service == x.serviceName {
 				continue
 			}
-			was, set := x.svc, x.set
-			x.svc, x.set = o.Service, g.cfg.Services[o.Service]
-			if c, _ := g.choose(now, x); c != nil && (!x.repeat || g.service(x.svc).budget.has(now, g.settings.Retry)) {
-				t, any, s = c, true, g.service(x.svc)
+			was, set := x.serviceName, x.serviceConfig
+			x.serviceName, x.serviceConfig = o.Service, g.configuration.Services[o.Service]
+			if c, _ := g.chooseTarget(now, x); c != nil && (!x.isRetry || g.service(x.serviceName).retryCredit.available(now, g.settings.Retry)) {
+				t, any, s = c, true, g.service(x.serviceName)
 				g.Counts.SplitFallbacks++
 				break
 			}
-			x.svc, x.set = was, set
+			x.serviceName, x.serviceConfig = was, set
 		}
 	}
 	switch {
 	case t != nil:
-		g.give(now, x, t, s)
+		g.forward(now, x, t, s)
 	case !any:
 		g.Counts.NoTarget++
-		g.refuse(now, x, 503, "no_target", "no target of the service may be used")
-	case mayWait && g.mayWait(now, x, s):
+		g.reject(now, x, 503, "no_target", "no target of the service may be used")
+	case mayWait && g.enqueue(now, x, s):
 	default:
-		s.pressAt = now
+		s.pressureAt = now
 		g.Counts.Busy++
-		g.refuse(now, x, 503, "busy", "every target of the service is busy")
+		g.reject(now, x, 503, "busy", "every target of the service is busy")
 	}
 }
 
-func (g *Proxy) give(now time.Duration, x *request, t *target, s *service) {
-	x.waiting, x.at = false, t
-	x.tries++
-	if !x.earned {
-		x.earned = true // one that is refused brings its service no traffic
-		x.askedAt.fair.give(now, rankOf(x.route.Priority))
-		s.budget.earn(now, g.settings.Retry)
-	}
-	if x.repeat {
-		s.budget.spend()
+func (g *Proxy) forward(now time.Duration, x *request, t *targetState, s *serviceState) {
+	x.queued, x.target = false, t
+	x.attempts++
+	if !x.forwarded {
+		x.forwarded = true // one that is refused brings its service no traffic
+		x.arrivedAt.fairness.countForward(now, priorityLevel(x.route.Priority))
+		s.retryCredit.countRequest(now, g.settings.Retry)
+	}
+	if x.isRetry {
+		s.retryCredit.spend()
 		g.Counts.Retries++
 	}
-	if t.cold(now, x) {
-		t.coldNext = now + t.coldGap
+	if t.warmingUp(now, x) {
+		t.nextWarmupAt = now + t.warmupInterval
 	}
-	t.inflight++
-	t.usedAt = now
-	s.inflight++
+	t.inFlight++
+	t.lastUsedAt = now
+	s.inFlight++
 	g.Counts.Forwarded++
-	g.emit(statemachine.Forward{ID: x.id, Service: x.svc, ServiceConfig: x.set, RouteName: x.name, Route: x.route, Target: t.Target, TimeLeft: x.deadline - now, WorkTime: g.targetTime(now, x), WriteBy: now + tuning.ChoiceTTL, MayRetry: x.tries < x.route.Attempts, ConnectTimeout: connectTime(&x.route), MaxIdle: g.idleConns(t, x.set)})
+	g.emit(statemachine.Forward{ID: x.id, Service: x.serviceName, ServiceConfig: x.serviceConfig, RouteName: x.routeName, Route: x.route, Target: t.Target, TimeLeft: x.deadline - now, WorkTime: g.workTime(now, x), WriteBy: now + tuning.ChoiceTTL, MayRetry: x.attempts < x.route.Attempts, ConnectTimeout: connectTimeout(&x.route), MaxIdle: g.maxIdleConnections(t, x.serviceConfig)})
 }
 
-// tooLate says that a service under pressure better spends its time on others.
-func (g *Proxy) tooLate(now time.Duration, x *request, s *service) bool {
-	return x.way != nil && s.pressed(now) && x.deadline-now < x.way.usual()
+// deadlineTooClose says that a service under pressure better spends its time on others.
+func (g *Proxy) deadlineTooClose(now time.Duration, x *request, s *serviceState) bool {
+	return x.routeState != nil && s.underPressure(now) && x.deadline-now < x.routeState.meanTime()
 }
 
-// behind says that others of its rank or before it wait already.
-func (g *Proxy) behind(s *service, x *request) bool {
+// mustQueue says that others of its rank or before it wait already.
+func (g *Proxy) mustQueue(s *serviceState, x *request) bool {
 	return len(s.queue) > 0 && g.requests[s.queue[0]].priority <= x.priority
 }
 
-// mayWait puts the request among those that wait, by priority and then by when they
+// enqueue puts the request among those that wait, by priority and then by when they
 // came. On a route it waits for a part of its aim at most, and only as many do as have
 // a chance of a target by then; one of a lower priority makes room.
-func (g *Proxy) mayWait(now time.Duration, x *request, s *service) bool {
-	most := time.Duration(x.set.QueueTimeoutMs) * time.Millisecond
+func (g *Proxy) enqueue(now time.Duration, x *request, s *serviceState) bool {
+	most := time.Duration(x.serviceConfig.QueueTimeoutMs) * time.Millisecond
 	room := 0
-	if x.way == nil {
+	if x.routeState == nil {
 		if most == 0 {
 			return false
 		}
-		room = g.share(x.set.QueueLength, x.svc)
+		room = g.shareOf(x.serviceConfig.QueueLength, x.serviceName)
 	} else {
-		most = wantedTime(&x.route) / tuning.WaitTargetParts
-		most = min(x.start+most-now, x.deadline-now-x.way.usual())
+		most = expectedTime(&x.route) / tuning.WaitTargetParts
+		most = min(x.startedAt+most-now, x.deadline-now-x.routeState.meanTime())
 		if most <= 0 {
 			return false
 		}
 		room = tuning.QueueMin
-		if s.mean > 0 {
-			room += int(max(s.window, 1) * float64(most.Milliseconds()) / s.mean)
+		if s.meanMs > 0 {
+			room += int(max(s.window, 1) * float64(most.Milliseconds()) / s.meanMs)
 		}
 	}
 	if len(s.queue) >= room {
@@ -252,10 +254,10 @@
 			return false
 		}
 		g.Counts.Preempted++
-		g.refuse(now, o, 503, "busy", "every target of the service is busy")
+		g.reject(now, o, 503, "busy", "every target of the service is busy")
 	}
-	x.waiting = true
-	x.waitTill = min(now+most, x.deadline)
+	x.queued = true
+	x.queuedUntil = min(now+most, x.deadline)
 	at, _ := slices.BinarySearchFunc(s.queue, x.priority, func(id uint64, p int) int {
 		if g.requests[id].priority <= p {
 			return -1
@@ -263,141 +265,141 @@
 		return 1
 	})
 	s.queue = slices.Insert(s.queue, at, x.id)
-	s.pressAt = now
+	s.pressureAt = now
 	g.Counts.Queued++
 	return true
 }
 
-// refuse gives the final answer. A caller whose time is known is told to come back
+// reject gives the final answer. A caller whose time is known is told to come back
 // while it still has some, each at another moment.
-func (g *Proxy) refuse(now time.Duration, x *request, status int, code, msg string) {
+func (g *Proxy) reject(now time.Duration, x *request, status int, code, msg string) {
 	r := statemachine.Reject{ID: x.id, Status: status, Code: code, Message: msg}
 	if status == 503 {
 		spread := x.id * 2654435761 >> 8
 		r.RetryAfter = tuning.RetryAfterMin + time.Duration(spread%uint64(tuning.RetryAfterSpan))
-		if !x.unknown {
+		if !x.timeoutUnknown {
 			base := x.route.LatencyTarget()
 			if base == 0 {
-				base = x.deadline - x.start
+				base = x.deadline - x.startedAt
 			}
 			base = max(base/8, 1)
 			r.RetryAfter = max(tuning.RetryAfterFloor, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/tuning.RetryAfterTimeParts))
 		}
 	}
 	g.emit(r)
-	if status >= 500 && x.svc != "" {
-		g.aim(now, x, false)
+	if status >= 500 && x.serviceName != "" {
+		g.countObjectives(now, x, false)
 	}
-	g.leave(x)
+	g.removeRequest(x)
 }
 
-// aim counts a request's end for the aims of its service.
-func (g *Proxy) aim(now time.Duration, x *request, good bool) {
-	for n, a := range g.cfg.Objectives {
-		if a.Service != x.svc {
+// countObjectives counts a request's end for the aims of its service.
+func (g *Proxy) countObjectives(now time.Duration, x *request, good bool) {
+	for n, a := range g.configuration.Objectives {
+		if a.Service != x.serviceName {
 			continue
 		}
-		if g.aims[n] == nil {
-			g.aims[n] = &aimCounts{}
+		if g.objectives[n] == nil {
+			g.objectives[n] = &objectiveCounts{}
 		}
 		min := int(now / time.Minute)
-		m := &g.aims[n].minutes[min%tuning.ObjectiveMinutes]
+		m := &g.objectives[n].minutes[min%tuning.ObjectiveMinutes]
 		if m.minute != min {
 			m.minute, m.good, m.all = min, 0, 0
 		}
 		m.all++
-		if good && (a.LatencyTargetMs == 0 || now-x.start <= time.Duration(a.LatencyTargetMs)*time.Millisecond) {
+		if good && (a.LatencyTargetMs == 0 || now-x.startedAt <= time.Duration(a.LatencyTargetMs)*time.Millisecond) {
 			m.good++
 		}
 	}
 }
 
-// leave drops a request that has its final answer.
-func (g *Proxy) leave(x *request) {
+// removeRequest drops a request that has its final answer.
+func (g *Proxy) removeRequest(x *request) {
 	delete(g.requests, x.id)
-	if x.waiting {
-		s := g.service(x.svc)
+	if x.queued {
+		s := g.service(x.serviceName)
 		s.queue = slices.DeleteFunc(s.queue, func(id uint64) bool { return id == x.id })
 	}
 }
 
-// again gives another target to a request that may have one. The answer to one that
+// retry gives another target to a request that may have one. The answer to one that
 // may run only once, and whose latest try may have run, is final.
-func (g *Proxy) again(now time.Duration, e statemachine.Retry) {
+func (g *Proxy) retry(now time.Duration, e statemachine.Retry) {
 	x := g.requests[e.ID]
-	if x == nil || x.at != nil || x.waiting {
+	if x == nil || x.target != nil || x.queued {
 		return
 	}
-	if !e.Sent && (x.last == statemachine.ConnectFailed || x.last == statemachine.ChoiceExpired) {
-		x.tries, x.opens = x.tries-1, x.opens+1 // attempts are targets that it was sent to
+	if !e.Sent && (x.lastOutcome == statemachine.ConnectFailed || x.lastOutcome == statemachine.ChoiceExpired) {
+		x.attempts, x.failedConnects = x.attempts-1, x.failedConnects+1 // attempts are targets that it was sent to
 	}
-	ran := x.last == statemachine.Served || x.last == statemachine.ServerError || x.last == statemachine.ResponseLost
-	x.repeat = x.repeat || e.Sent || x.last == statemachine.TargetRejected || x.last == statemachine.WrongIdentity && x.set.HasHealthCheck()
+	ran := x.lastOutcome == statemachine.Served || x.lastOutcome == statemachine.ServerError || x.lastOutcome == statemachine.ResponseLost
+	x.isRetry = x.isRetry || e.Sent || x.lastOutcome == statemachine.TargetRejected || x.lastOutcome == statemachine.WrongIdentity && x.serviceConfig.HasHealthCheck()
 	switch {
-	case !x.route.Idempotent() && ran && (e.Sent || x.way != nil):
+	case !x.route.Idempotent() && ran && (e.Sent || x.routeState != nil):
 		g.Counts.NotRepeatable++
-		g.refuse(now, x, 502, "may_have_run", "it may have run and must not run again")
+		g.reject(now, x, 502, "may_have_run", "it may have run and must not run again")
 	case !g.Serving():
-		g.refuse(now, x, 503, "not_serving", "this proxy has no fresh table")
-	case x.tries >= x.route.Attempts || x.opens >= tuning.ConnectAttemptsMax || now >= x.deadline:
-		g.refuse(now, x, 503, "tries", "no try is left")
-	case x.repeat && !g.service(x.svc).budget.has(now, g.settings.Retry):
+		g.reject(now, x, 503, "not_serving", "this proxy has no fresh table")
+	case x.attempts >= x.route.Attempts || x.failedConnects >= tuning.ConnectAttemptsMax || now >= x.deadline:
+		g.reject(now, x, 503, "tries", "no try is left")
+	case x.isRetry && !g.service(x.serviceName).retryCredit.available(now, g.settings.Retry):
 		g.Counts.RetriesDenied++
-		g.refuse(now, x, 503, "retry_budget", "the service's retry budget is used up")
+		g.reject(now, x, 503, "retry_budget", "the service's retry budget is used up")
 	default:
-		g.place(now, x, x.way != nil)
+		g.schedule(now, x, x.routeState != nil)
 	}
 }
 
-func (g *Proxy) done(now time.Duration, e statemachine.AttemptDone) {
+func (g *Proxy) attemptDone(now time.Duration, e statemachine.AttemptDone) {
 	x := g.requests[e.ID]
 	if x == nil {
 		return
 	}
-	if t := x.at; t != nil {
-		s := g.service(x.svc)
+	if t := x.target; t != nil {
+		s := g.service(x.serviceName)
 		g.learn(now, t, x, s, e)
-		t.inflight--
-		s.inflight--
-		x.at, x.last = nil, e.Outcome
+		t.inFlight--
+		s.inFlight--
+		x.target, x.lastOutcome = nil, e.Outcome
 		if e.Outcome != statemachine.ChoiceExpired {
-			x.tried = append(x.tried, t.ID())
+			x.triedTargets = append(x.triedTargets, t.ID())
 		}
 		if e.Outcome != statemachine.ChoiceExpired && e.Outcome != statemachine.ConnectFailed && e.Outcome != statemachine.WrongIdentity && e.Outcome != statemachine.ClientGone {
-			t.closed = 0
+			t.failedConnects = 0
 		}
 		switch e.Outcome {
 		case statemachine.Served:
-			t.answeredAt = now
-			t.seen.Successes++
-			t.seen.TotalMs += e.Milliseconds
-			if x.set.SlowMs > 0 && e.Milliseconds > float64(x.set.SlowMs) {
-				t.seen.Slow++
+			t.lastServedAt = now
+			t.statistics.Successes++
+			t.statistics.TotalMs += e.Milliseconds
+			if x.serviceConfig.SlowMs > 0 && e.Milliseconds > float64(x.serviceConfig.SlowMs) {
+				t.statistics.Slow++
 			}
 		case statemachine.ServerError, statemachine.ResponseLost:
-			t.seen.Errors++
-			t.seen.TotalMs += e.Milliseconds
+			t.statistics.Errors++
+			t.statistics.TotalMs += e.Milliseconds
 		case statemachine.TargetRejected:
-			t.seen.Rejected++
+			t.statistics.Rejected++
 		case statemachine.ChoiceExpired:
 			g.Counts.ExpiredChoices++
 		case statemachine.ConnectFailed, statemachine.WrongIdentity:
-			t.seen.Errors++
-			t.avoidUntil = now + tuning.AvoidFor
+			t.statistics.Errors++
+			t.avoidedUntil = now + tuning.AvoidFor
 			g.Counts.AvoidedTargets++
-			if t.closed++; t.closed >= tuning.ProbeMisses {
-				t.ownEjection = max(t.ownEjection, now+tuning.ClosedEjection)
+			if t.failedConnects++; t.failedConnects >= tuning.ProbeMisses {
+				t.ownEjectionUntil = max(t.ownEjectionUntil, now+tuning.ClosedEjection)
 				g.Counts.OwnEjections++
 			}
 		}
 	}
 	if e.Last {
 		if e.Outcome != statemachine.ClientGone {
-			g.aim(now, x, e.Outcome == statemachine.Served)
+			g.countObjectives(now, x, e.Outcome == statemachine.Served)
 		}
-		g.leave(x)
+		g.removeRequest(x)
 	}
-	g.serveQueue(now, g.service(x.svc))
+	g.serveQueue(now, g.service(x.serviceName))
 }
 
 func (g *Proxy) cancel(now time.Duration, e statemachine.Cancel) {
@@ -406,18 +408,18 @@
 		return
 	}
 	if e.Failed {
-		g.aim(now, x, false)
+		g.countObjectives(now, x, false)
 	}
-	if x.at != nil {
-		g.done(now, statemachine.AttemptDone{ID: e.ID, Outcome: statemachine.ClientGone, Last: true})
+	if x.target != nil {
+		g.attemptDone(now, statemachine.AttemptDone{ID: e.ID, Outcome: statemachine.ClientGone, Last: true})
 		return
 	}
-	g.leave(x)
+	g.removeRequest(x)
 }
 
 // queues refuses those that have waited long enough, and gives the others what
 // became free meanwhile.
-func (g *Proxy) queues(now time.Duration) {
+func (g *Proxy) processQueues(now time.Duration) {
 	var waited []string
 	for n, s := range g.services {
 		if len(s.queue) > 0 {
@@ -428,10 +430,10 @@
 	for _, n := range waited {
 		s := g.services[n]
 		for _, id := range slices.Clone(s.queue) {
-			if x := g.requests[id]; now >= x.waitTill {
+			if x := g.requests[id]; now >= x.queuedUntil {
 				g.Counts.Busy++
-				s.pressAt = now
-				g.refuse(now, x, 503, "busy", "every target of the service is busy")
+				s.pressureAt = now
+				g.reject(now, x, 503, "busy", "every target of the service is busy")
 			}
 		}
 		g.serveQueue(now, s)
@@ -439,42 +441,42 @@
 }
 
 // serveQueue gives what became free to those who wait, in their order.
-func (g *Proxy) serveQueue(now time.Duration, s *service) {
+func (g *Proxy) serveQueue(now time.Duration, s *serviceState) {
 	for g.Serving() && len(s.queue) > 0 {
 		x := g.requests[s.queue[0]]
-		full := x.set.MaxInFlight > 0 && s.inflight >= g.share(x.set.MaxInFlight, x.svc)
-		t, any := g.choose(now, x)
+		full := x.serviceConfig.MaxInFlight > 0 && s.inFlight >= g.shareOf(x.serviceConfig.MaxInFlight, x.serviceName)
+		t, any := g.chooseTarget(now, x)
 		if full || t == nil && any {
 			break
 		}
 		s.queue = s.queue[1:]
-		x.waiting = false
-		if t == nil || g.tooLate(now, x, s) {
-			g.place(now, x, false)
+		x.queued = false
+		if t == nil || g.deadlineTooClose(now, x, s) {
+			g.schedule(now, x, false)
 			continue
 		}
-		if x.repeat && !s.budget.has(now, g.settings.Retry) {
+		if x.isRetry && !s.retryCredit.available(now, g.settings.Retry) {
 			g.Counts.RetriesDenied++
-			g.refuse(now, x, 503, "retry_budget", "the service's retry budget is used up")
+			g.reject(now, x, 503, "retry_budget", "the service's retry budget is used up")
 			continue
 		}
-		g.give(now, x, t, s)
+		g.forward(now, x, t, s)
 	}
 }
 
-// darken tells which targets nothing reaches, when that has changed.
-func (g *Proxy) darken(now time.Duration) {
+// reportUnreachable tells which targets nothing reaches, when that has changed.
+func (g *Proxy) reportUnreachable(now time.Duration) {
 	n, same := 0, true
-	is := func(t *target) bool {
-		return t.ejectedUntil > now && t.unheard || t.ownEjection > now && t.misses >= tuning.ProbeMisses
+	is := func(t *targetState) bool {
+		return t.ejectedUntil > now && t.ejectedAsUnreachable || t.ownEjectionUntil > now && t.missedProbes >= tuning.ProbeMisses
 	}
 	for id, t := range g.targets {
 		if is(t) {
 			n++
-			same = same && g.dark[id]
+			same = same && g.unreachable[id]
 		}
 	}
-	if same && n == len(g.dark) {
+	if same && n == len(g.unreachable) {
 		return
 	}
 	dark := make(map[wire.TargetID]bool, n)
@@ -483,6 +485,6 @@
 			dark[id] = true
 		}
 	}
-	g.dark = dark
+	g.unreachable = dark
 	g.emit(statemachine.UnreachableTargets{IDs: dark})
 }
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -16,9 +16,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func (g *Proxy) ask(now time.Duration, e statemachine.Call) {
+func (g *Proxy) answerCall(now time.Duration, e statemachine.Call) {
 	r := targetreport.AnswerAtProxy(e, func(t wire.Target) {
-		g.heardBeat(now, t)
+		g.handleHeartbeat(now, t)
 		if l := g.leader(now); l != "" {
 			g.send(l, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &t})
 		}
@@ -33,31 +33,31 @@
 	g.emit(r)
 }
 
-// heardBeat acts at once on a target that leaves; all else is the leader's, or
+// handleHeartbeat acts at once on a target that leaves; all else is the leader's, or
 // kept for the time when there is none.
-func (g *Proxy) heardBeat(now time.Duration, w wire.Target) {
+func (g *Proxy) handleHeartbeat(now time.Duration, w wire.Target) {
 	if t := g.targets[w.ID()]; t != nil {
-		t.streak.RecordHeartbeat(now)
+		t.heartbeats.RecordHeartbeat(now)
 	} else if g.state == PeerServing && w.State != config.Gone {
-		g.claim(now, w)
+		g.noteSuccessor(now, w)
 	}
 	if w.State != config.Leaving && w.State != config.Gone {
 		return
 	}
-	if g.leaving[w.ID()] == 0 {
-		g.leaving[w.ID()] = now
+	if g.leavingSince[w.ID()] == 0 {
+		g.leavingSince[w.ID()] = now
 	}
 	if t := g.targets[w.ID()]; t != nil {
-		t.held = true
+		t.leaving = true
 	}
 }
 
-// claim notes a later start of a target that the table knows. No leader can take it
+// noteSuccessor notes a later start of a target that the table knows. No leader can take it
 // in, so a proxy that serves on its peers does for itself, once it has answered for itself: a service that
 // is rolled while the core is gone goes on. The same service and name, and an address
 // that no other target of the table has; all else waits for a leader.
-func (g *Proxy) claim(now time.Duration, w wire.Target) {
-	var at *target
+func (g *Proxy) noteSuccessor(now time.Duration, w wire.Target) {
+	var at *targetState
 	for id, t := range g.targets {
 		switch {
 		case id.Service == w.Service && id.Name == w.Name:
@@ -66,25 +66,25 @@
 			return
 		}
 	}
-	if at == nil || g.leaving[w.ID()] != 0 || at.successor != nil && at.successor.Incarnation != w.Incarnation && at.successor.streak.IsSteady(now) {
+	if at == nil || g.leavingSince[w.ID()] != 0 || at.successor != nil && at.successor.Incarnation != w.Incarnation && at.successor.heartbeats.IsSteady(now) {
 		return
 	}
 	if at.successor == nil || at.successor.ID() != w.ID() || at.successor.Addr != w.Addr {
-		at.successor = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: config.Warming, ShareOffset: at.ShareOffset, Slots: w.Slots, WarmupLeft: w.WarmupLeft}}
+		at.successor = &targetState{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: config.Warming, ShareOffset: at.ShareOffset, Slots: w.Slots, WarmupLeft: w.WarmupLeft}}
 	}
-	at.successor.streak.RecordHeartbeat(now)
+	at.successor.heartbeats.RecordHeartbeat(now)
 }
 
-// inherit puts an heir that has answered for itself in its place, unless who
+// takeOver puts an heir that has answered for itself in its place, unless who
 // stands there still answers too.
-func (g *Proxy) inherit(now time.Duration, p statemachine.ProbeResult) {
+func (g *Proxy) takeOver(now time.Duration, p statemachine.ProbeResult) {
 	for id, t := range g.targets {
 		h := t.successor
 		if h == nil || h.ID() != p.ID {
 			continue
 		}
-		h.sentAt = 0
-		gone := t.held || t.Draining || t.misses >= tuning.ProbeMisses || t.Addr == h.Addr
+		h.probePendingSince = 0
+		gone := t.leaving || t.Draining || t.missedProbes >= tuning.ProbeMisses || t.Addr == h.Addr
 		if g.state != PeerServing || !gone || p.Report == nil || p.Report.ID() != p.ID || p.Report.State == config.Leaving {
 			return
 		}
@@ -92,22 +92,22 @@
 			h.State = config.Ready
 		}
 		g.emit(statemachine.StateChange{Subject: statemachine.SubjectTarget, From: fmt.Sprint(id.Incarnation), To: fmt.Sprint(h.Incarnation), Reason: "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there"})
-		g.succeed(now, id, h)
+		g.replaceTarget(now, id, h)
 		return
 	}
 }
 
-// watch is the watchdog of a proxy without a leader. A cut one keeps it up, so that
+// checkHealth is the watchdog of a proxy without a leader. A cut one keeps it up, so that
 // it does not come back with an old opinion.
-func (g *Proxy) watch(now time.Duration) {
+func (g *Proxy) checkHealth(now time.Duration) {
 	few := len(g.targets) <= tuning.ProbeAllMax
 	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.TargetID.Compare) {
 		t := g.targets[id]
-		if few || g.watches(id) {
-			g.probe(now, t, few)
+		if few || g.isWatcher(id) {
+			g.probeIfDue(now, t, few)
 		}
 		if t.successor != nil {
-			g.probe(now, t.successor, few)
+			g.probeIfDue(now, t.successor, few)
 		}
 	}
 }
@@ -115,68 +115,68 @@
 // watches deals many targets among the roster: each is probed by Watchers of the proxies, however many
 // there are, so the probes of a fleet without a leader grow with its targets alone. Who watches one is
 // drawn; the others see for themselves what connections to it tell.
-func (g *Proxy) watches(id wire.TargetID) bool {
+func (g *Proxy) isWatcher(id wire.TargetID) bool {
 	parts := uint64(max(1, len(g.table.Proxies)))
-	return hash(id.Service+" "+id.Name+" "+g.settings.Self.Name)%parts < tuning.ProbersPerTarget
+	return hashOf(id.Service+" "+id.Name+" "+g.settings.Self.Name)%parts < tuning.ProbersPerTarget
 }
 
-// probe probes a target that is due: of few targets each soon, of many at the leader's own interval and
+// probeIfDue probes a target that is due: of few targets each soon, of many at the leader's own interval and
 // only those of which no answer to a request has told.
-func (g *Proxy) probe(now time.Duration, t *target, few bool) {
+func (g *Proxy) probeIfDue(now time.Duration, t *targetState, few bool) {
 	every, heard := tuning.SuspectProbeEvery, time.Duration(0)
 	if !few {
-		every, heard = tuning.ProbeEvery, t.answeredAt
+		every, heard = tuning.ProbeEvery, t.lastServedAt
 	}
-	if last := max(t.probeAt, heard); last == 0 || now-last >= every {
-		g.ping(now, t)
+	if last := max(t.probedAt, heard); last == 0 || now-last >= every {
+		g.sendProbe(now, t)
 	}
 }
 
-func (g *Proxy) ping(now time.Duration, t *target) {
-	if t.sentAt == 0 || now-t.sentAt > 2*tuning.ProbeTimeout {
-		t.probeAt, t.sentAt = now, now
-		g.emit(statemachine.Probe{ID: t.ID(), Addr: t.Addr, Path: g.cfg.Services[t.Service].HealthPath})
+func (g *Proxy) sendProbe(now time.Duration, t *targetState) {
+	if t.probePendingSince == 0 || now-t.probePendingSince > 2*tuning.ProbeTimeout {
+		t.probedAt, t.probePendingSince = now, now
+		g.emit(statemachine.Probe{ID: t.ID(), Addr: t.Addr, Path: g.configuration.Services[t.Service].HealthPath})
 	}
 }
 
-func (g *Proxy) probed(now time.Duration, p statemachine.ProbeResult) {
+func (g *Proxy) handleProbeResult(now time.Duration, p statemachine.ProbeResult) {
 	t := g.targets[p.ID]
 	if t == nil {
-		g.inherit(now, p)
+		g.takeOver(now, p)
 		return
 	}
-	t.sentAt = 0
+	t.probePendingSince = 0
 	b := p.Report
-	asked := t.indirect
-	t.indirect = false
+	asked := t.indirectProbe
+	t.indirectProbe = false
 	if b == nil || b.ID() != p.ID {
-		if asked && !g.doubts(now) {
+		if asked && !g.doubtsLeader(now) {
 			return // the leader's to judge
 		}
-		if t.misses++; t.misses >= tuning.ProbeMisses && g.doubts(now) {
-			if t.ownEjection <= now {
+		if t.missedProbes++; t.missedProbes >= tuning.ProbeMisses && g.doubtsLeader(now) {
+			if t.ownEjectionUntil <= now {
 				g.Counts.OwnEjections++
 			}
-			t.ownEjection = now + tuning.EjectionTTL
+			t.ownEjectionUntil = now + tuning.EjectionTTL
 		}
 		return
 	}
-	t.misses = 0
+	t.missedProbes = 0
 	if asked {
-		t.seen.ProbeAnswered, g.telling = true, true
+		t.statistics.ProbeAnswered, g.pullAtNextTick = true, true
 	}
 	if b.State == config.Ready && t.State == config.Warming && g.state == PeerServing {
-		t.State, t.warmAt = config.Ready, now
+		t.State, t.readyAt = config.Ready, now
 	}
-	if t.ownEjection > now && (!asked || g.doubts(now)) {
-		t.ownEjection, t.backAt = 0, now
+	if t.ownEjectionUntil > now && (!asked || g.doubtsLeader(now)) {
+		t.ownEjectionUntil, t.reinstatedAt = 0, now
 	}
 	if b.State == config.Leaving {
-		g.heardBeat(now, t.leavingWord())
+		g.handleHeartbeat(now, t.leavingReport())
 	}
 }
 
-func (t *target) leavingWord() wire.Target {
+func (t *targetState) leavingReport() wire.Target {
 	w := t.Target
 	w.State = config.Leaving
 	return w
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -55,87 +55,87 @@
 	Slack  float64
 }
 
-type target struct {
+type targetState struct {
 	wire.Target
-	ejectedUntil time.Duration       // the table's ejection
-	ownEjection  time.Duration       // a proxy that serves on its peers's ejection, from its own probes
-	unheard      bool                // the table's ejection is for missed probes
-	held         bool                // heard here that it leaves
-	streak       targetreport.Streak // what was heard here of its beats
-	successor    *target             // a later start of it that claims its place while no leader can say
-	avoidUntil   time.Duration
-	backAt       time.Duration // when an ejection was lifted
-	warmAt       time.Duration // when it ended its warming
-	anew         bool          // it came to the table of a proxy with a lease: nothing older runs there
-	warmPart     int           // this proxy's part of its warming cap, and, until riseAt, the most that it may use
-	warmNext     int           // the greater part that holds from then on
-	riseAt       time.Duration
-	inflight     int
-	closed       int // connections in a row that could not be opened
-	misses       int
-	probeAt      time.Duration
-	sentAt       time.Duration
-	answeredAt   time.Duration // when it last answered a request of this proxy
-	indirect     bool          // the leader has asked for a probe and not heard of an answer
-	seen         wire.TargetStats
+	ejectedUntil         time.Duration       // the table's ejection
+	ownEjectionUntil     time.Duration       // a proxy that serves on its peers's ejection, from its own probes
+	ejectedAsUnreachable bool                // the table's ejection is for missed probes
+	leaving              bool                // heard here that it leaves
+	heartbeats           targetreport.Streak // what was heard here of its beats
+	successor            *targetState        // a later start of it that claims its place while no leader can say
+	avoidedUntil         time.Duration
+	reinstatedAt         time.Duration // when an ejection was lifted
+	readyAt              time.Duration // when it ended its warming
+	newToFleet           bool          // it came to the table of a proxy with a lease: nothing older runs there
+	warmingShare         int           // this proxy's part of its warming cap, and, until riseAt, the most that it may use
+	nextWarmingShare     int           // the greater part that holds from then on
+	warmingShareRisesAt  time.Duration
+	inFlight             int
+	failedConnects       int // connections in a row that could not be opened
+	missedProbes         int
+	probedAt             time.Duration
+	probePendingSince    time.Duration
+	lastServedAt         time.Duration // when it last answered a request of this proxy
+	indirectProbe        bool          // the leader has asked for a probe and not heard of an answer
+	statistics           wire.TargetStats
 
-	slots     int  // requests at once, as told
-	part      int  // those of them that are dealt to this proxy
-	strict    bool // they are the operator's cap: nothing is borrowed
-	near      bool
-	coldUntil time.Duration
-	coldGap   time.Duration // between this proxy's requests while it is cold, 0: none
-	coldNext  time.Duration
-	fullTill  time.Duration // it said that it is full
-	others    float64       // what it told of its load besides this proxy's
-	loadAt    time.Duration
-	pace      float64 // how its times compare with its routes', 1: as usual
-	paces     int     // how many requests told of it
-	paceAt    time.Duration
-	usedAt    time.Duration
+	slots             int  // requests at once, as told
+	quota             int  // those of them that are dealt to this proxy
+	capped            bool // they are the operator's cap: nothing is borrowed
+	local             bool
+	warmupUntil       time.Duration
+	warmupInterval    time.Duration // between this proxy's requests while it is cold, 0: none
+	nextWarmupAt      time.Duration
+	fullUntil         time.Duration // it said that it is full
+	otherLoad         float64       // what it told of its load besides this proxy's
+	loadReportedAt    time.Duration
+	latencyRatio      float64 // how its times compare with its routes', 1: as usual
+	latencySamples    int     // how many requests told of it
+	latencyObservedAt time.Duration
+	lastUsedAt        time.Duration
 }
 
 type request struct {
-	id       uint64
-	svc      string
-	name     string
-	route    config.Route
-	priority int      // what it goes by: its route's, unless that starves
-	askedAt  *service // where it was counted when it came
-	way      *routeState
-	start    time.Duration
-	deadline time.Duration
-	unknown  bool // how long the caller waits was not said
-	waitTill time.Duration
-	waiting  bool
-	at       *target
-	tries    int // choices that may have been sent to their targets
-	opens    int // choices that ended before anything was sent
-	tried    []wire.TargetID
-	last     statemachine.Outcome // of the latest try
-	earned   bool                 // it has been given to a target and has earned its service credit
-	repeat   bool                 // something of it has reached a target: a further one draws on the budget
-	set      config.Service
+	id             uint64
+	serviceName    string
+	routeName      string
+	route          config.Route
+	priority       int           // what it goes by: its route's, unless that starves
+	arrivedAt      *serviceState // where it was counted when it came
+	routeState     *routeState
+	startedAt      time.Duration
+	deadline       time.Duration
+	timeoutUnknown bool // how long the caller waits was not said
+	queuedUntil    time.Duration
+	queued         bool
+	target         *targetState
+	attempts       int // choices that may have been sent to their targets
+	failedConnects int // choices that ended before anything was sent
+	triedTargets   []wire.TargetID
+	lastOutcome    statemachine.Outcome // of the latest try
+	forwarded      bool                 // it has been given to a target and has earned its service credit
+	isRetry        bool                 // something of it has reached a target: a further one draws on the budget
+	serviceConfig  config.Service
 }
 
 // tally counts an aim's requests by the minute.
-type aimCounts struct {
+type objectiveCounts struct {
 	minutes [tuning.ObjectiveMinutes]struct{ minute, good, all int }
 }
 
-type service struct {
-	inflight int
-	queue    []uint64
-	budget   budget
-	targets  []*target // sorted
-	own      []*target // those of them with slots that are dealt to this proxy
-	slotted  bool      // its targets tell their slots
-	even     float64   // this proxy's even part of all slots
-	window   float64   // how many of its requests may be at targets now
-	pressAt  time.Duration
-	ranks    [tuning.PriorityLevels]time.Duration // when requests of each priority last came
-	mean     float64                              // ms that its requests take
-	fair     fairness
+type serviceState struct {
+	inFlight     int
+	queue        []uint64
+	retryCredit  retryCredit
+	targets      []*targetState // sorted
+	quotaTargets []*targetState // those of them with slots that are dealt to this proxy
+	reportsSlots bool           // its targets tell their slots
+	evenQuota    float64        // this proxy's even part of all slots
+	window       float64        // how many of its requests may be at targets now
+	pressureAt   time.Duration
+	lastArrivals [tuning.PriorityLevels]time.Duration // when requests of each priority last came
+	meanMs       float64                              // ms that its requests take
+	fairness     fairness
 }
 
 // Counts are a proxy's counters since its start. Their names on /metrics and in /v1/status are those of the
@@ -197,48 +197,48 @@
 
 // Proxy is the state machine of a proxy daemon.
 type Proxy struct {
-	settings     Settings
-	directory    discovery.Directory
-	helloAt      time.Duration
-	pullAt       time.Duration
-	touchAt      time.Duration
-	state        State
-	table        *wire.Table
-	epoch        uint64
-	term         uint64 // highest leader heard, with epoch
-	leaseUntil   time.Duration
-	settled      bool
-	want         bool
-	telling      bool // the next tick pulls: the leader waits for what is to be told
-	peerAnswers  map[string]time.Duration
-	asked        map[string]time.Duration // when peers were last asked
-	wantAt       time.Duration            // when a peer was last asked for its table
-	wordAt       time.Duration            // when a leader last said anything
-	said         wire.Daemon              // what it was last told of this one, and which leader that was
-	saidTo       string
-	memoryToldAt map[string]time.Duration // when core daemons were last told what is remembered here, by name and process
-	cfg          *config.Config
-	revision     uint64
-	unsound      unsoundDocument // the one reported last
-	targets      map[wire.TargetID]*target
-	alive        []string // proxies that share caps, and all of the roster
-	listed       []string
-	open         []*target // room for choices
-	barred       []*target
-	leaving      map[wire.TargetID]time.Duration
-	services     map[string]*service
-	requests     map[uint64]*request
-	aims         map[string]*aimCounts
-	routeStates  map[string]*routeState // what is kept by route
-	salt         uint64
-	coldEnd      time.Duration // when the next target ends being cold, or a part of a warming one grows, 0: never
-	turn         uint64
-	stopping     bool
-	intakeClosed bool // it stops and takes no more requests
-	stopAt       time.Duration
-	out          []statemachine.Command
-	dark         map[wire.TargetID]bool
-	Counts       Counts
+	settings             Settings
+	directory            discovery.Directory
+	lastHelloAt          time.Duration
+	lastPullAt           time.Duration
+	lastPeerPollAt       time.Duration
+	state                State
+	table                *wire.Table
+	leaderEpoch          uint64
+	leaderTerm           uint64 // highest leader heard, with epoch
+	leaseUntil           time.Duration
+	joined               bool
+	leaderWantsTable     bool
+	pullAtNextTick       bool // the next tick pulls: the leader waits for what is to be told
+	peerConfirmedAt      map[string]time.Duration
+	peerAskedAt          map[string]time.Duration // when peers were last asked
+	peerTableAskedAt     time.Duration            // when a peer was last asked for its table
+	leaderHeardAt        time.Duration            // when a leader last said anything
+	reportedSelf         wire.Daemon              // what it was last told of this one, and which leader that was
+	reportedTo           string
+	recoveredStateSentAt map[string]time.Duration // when core daemons were last told what is remembered here, by name and process
+	configuration        *config.Config
+	revision             uint64
+	reportedInvalid      invalidDocument // the one reported last
+	targets              map[wire.TargetID]*targetState
+	liveProxies          []string // proxies that share caps, and all of the roster
+	memberProxies        []string
+	eligibleBuffer       []*targetState // room for choices
+	lastResortBuffer     []*targetState
+	leavingSince         map[wire.TargetID]time.Duration
+	services             map[string]*serviceState
+	requests             map[uint64]*request
+	objectives           map[string]*objectiveCounts
+	routes               map[string]*routeState // what is kept by route
+	nameHash             uint64
+	reindexAt            time.Duration // when the next target ends being cold, or a part of a warming one grows, 0: never
+	rotation             uint64
+	stopping             bool
+	acceptingStopped     bool // it stops and takes no more requests
+	stopRequestedAt      time.Duration
+	commands             []statemachine.Command
+	unreachable          map[wire.TargetID]bool
+	Counts               Counts
 }
 
 // New returns a proxy that has just started and knows no table.
@@ -246,38 +246,38 @@
 	if set.Retry.Window < tuning.WindowBuckets {
 		set.Retry = RetryBudget{1 / float64(tuning.RetryShare), tuning.RetryWindow, tuning.RetryFree}
 	}
-	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: discovery.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &config.Config{},
-		targets: map[wire.TargetID]*target{}, leaving: map[wire.TargetID]time.Duration{}, services: map[string]*service{}, requests: map[uint64]*request{}, aims: map[string]*aimCounts{}, leaseUntil: -1}
+	return &Proxy{settings: set, routes: map[string]*routeState{}, nameHash: hashOf(set.Self.Name), directory: discovery.Directory{}, peerConfirmedAt: map[string]time.Duration{}, peerAskedAt: map[string]time.Duration{}, recoveredStateSentAt: map[string]time.Duration{}, configuration: &config.Config{},
+		targets: map[wire.TargetID]*targetState{}, leavingSince: map[wire.TargetID]time.Duration{}, services: map[string]*serviceState{}, requests: map[uint64]*request{}, objectives: map[string]*objectiveCounts{}, leaseUntil: -1}
 }
 
-func (g *Proxy) emit(cmd statemachine.Command) { g.out = append(g.out, cmd) }
+func (g *Proxy) emit(cmd statemachine.Command) { g.commands = append(g.commands, cmd) }
 
 // Step is the owner: one event in, commands out.
 func (g *Proxy) Step(now time.Duration, ev statemachine.Event) []statemachine.Command {
 	g.updateState(now) // time may have passed since the last step, and with it a lease
 	switch e := ev.(type) {
 	case statemachine.Receive:
-		g.recv(now, e.Message)
+		g.receive(now, e.Message)
 	case statemachine.Tick:
 		g.tick(now)
 	case statemachine.ProbeResult:
-		g.probed(now, e)
+		g.handleProbeResult(now, e)
 	case statemachine.Call:
-		g.ask(now, e)
+		g.answerCall(now, e)
 	case statemachine.Stop:
-		g.beginStop(now)
+		g.beginShutdown(now)
 	case statemachine.Admit:
 		g.admit(now, e)
 	case statemachine.Retry:
-		g.again(now, e)
+		g.retry(now, e)
 	case statemachine.AttemptDone:
-		g.done(now, e)
+		g.attemptDone(now, e)
 	case statemachine.Cancel:
 		g.cancel(now, e)
 	}
 	g.updateState(now)
-	o := g.out
-	g.out = nil
+	o := g.commands
+	g.commands = nil
 	return o
 }
 
@@ -288,8 +288,8 @@
 		g.setState(now, NoTable, "no table")
 	case now < g.leaseUntil:
 		g.setState(now, Leased, "the leader answers")
-	case g.inTouch(now):
-		g.settled = true
+	case g.hasPeerMajority(now):
+		g.joined = true
 		g.setState(now, PeerServing, "a majority of proxies answers")
 	default:
 		g.setState(now, Isolated, "neither the leader nor a majority of proxies answers")
@@ -302,11 +302,11 @@
 	}
 	g.emit(statemachine.StateChange{Subject: statemachine.SubjectProxy, From: g.state.String(), To: s.String(), Reason: why})
 	g.state = s
-	g.index(now)
+	g.reindex(now)
 	if s == Leased {
 		// The leader judges again, and has taken in what was seen here meanwhile.
 		for _, t := range g.targets {
-			t.misses, t.sentAt, t.probeAt, t.ownEjection = 0, 0, 0, 0
+			t.missedProbes, t.probePendingSince, t.probedAt, t.ownEjectionUntil = 0, 0, 0, 0
 		}
 	}
 }
@@ -336,7 +336,7 @@
 	}
 }
 
-func (g *Proxy) self() wire.Daemon {
+func (g *Proxy) selfReport() wire.Daemon {
 	d := g.settings.Self
 	d.State, d.Ready = g.state.String(), g.table != nil && g.Ready()
 	if g.table != nil {
@@ -345,7 +345,7 @@
 	return d
 }
 
-func (g *Proxy) recv(now time.Duration, m *wire.Message) {
+func (g *Proxy) receive(now time.Duration, m *wire.Message) {
 	wire.DiscardNonFinite(m)
 	switch m.Kind {
 	case wire.KindHello:
@@ -354,46 +354,46 @@
 		}
 		led := g.leader(now)
 		g.directory.Merge(now, g.settings.Self.Name, m.Hello)
-		if l := g.leader(now); l != led && l == m.From && now > g.pullAt {
-			g.pull(now) // the leader waits for what proxies hold, and they for its lease
+		if l := g.leader(now); l != led && l == m.From && now > g.lastPullAt {
+			g.pullTable(now) // the leader waits for what proxies hold, and they for its lease
 		}
 		if !m.Hello.Reply {
-			h := &wire.Hello{Self: g.self(), Reply: true, Daemons: g.directory.Daemons()}
+			h := &wire.Hello{Self: g.selfReport(), Reply: true, Daemons: g.directory.Daemons()}
 			g.send(m.From, &wire.Message{Kind: wire.KindHello, Hello: h})
 		}
 	case wire.KindPush:
 		if m.Push != nil {
-			g.push(now, m)
+			g.handlePush(now, m)
 		}
 	case wire.KindPull:
-		g.peerAnswer(now, m)
+		g.answerPeer(now, m)
 	case wire.KindHeartbeat:
 		if m.Heartbeat != nil {
-			g.heardBeat(now, *m.Heartbeat)
+			g.handleHeartbeat(now, *m.Heartbeat)
 		}
 	}
 }
 
 func (g *Proxy) tick(now time.Duration) {
-	if now-g.helloAt >= tuning.HelloLeasedEvery || now-g.helloAt >= tuning.HelloEvery && g.doubts(now) {
-		g.hello(now)
+	if now-g.lastHelloAt >= tuning.HelloLeasedEvery || now-g.lastHelloAt >= tuning.HelloEvery && g.doubtsLeader(now) {
+		g.sendHellos(now)
 	}
-	if now-g.pullAt >= tuning.PullEvery || g.telling {
-		g.pull(now)
+	if now-g.lastPullAt >= tuning.PullEvery || g.pullAtNextTick {
+		g.pullTable(now)
 	}
-	if g.table != nil && g.hasNoLeader(now) && now-g.touchAt >= tuning.PullEvery {
-		g.touchAt = now
-		g.askPeers(now)
+	if g.table != nil && g.hasNoLeader(now) && now-g.lastPeerPollAt >= tuning.PullEvery {
+		g.lastPeerPollAt = now
+		g.pollPeers(now)
 	}
 	if g.state != NoTable && g.hasNoLeader(now) {
-		g.watch(now)
+		g.checkHealth(now)
 	}
-	if g.coldEnd > 0 && now >= g.coldEnd {
-		g.index(now)
+	if g.reindexAt > 0 && now >= g.reindexAt {
+		g.reindex(now)
 	}
-	g.queues(now)
-	g.darken(now)
-	g.tickStop(now)
+	g.processQueues(now)
+	g.reportUnreachable(now)
+	g.tickShutdown(now)
 }
 
 // Seeds replaces the seed addresses.
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -402,8 +402,8 @@
 			for _, n := range among {
 				g.table.Proxies = append(g.table.Proxies, wire.Proxy{Name: n, Live: true})
 			}
-			g.index(0)
-			return g.room(0, &target{Target: wire.Target{Service: "s", State: config.Warming, ShareOffset: turn}}, set)
+			g.reindex(0)
+			return g.capacity(0, &targetState{Target: wire.Target{Service: "s", State: config.Warming, ShareOffset: turn}}, set)
 		}
 		every := append(append([]string{}, before...), after[len(after)-1])
 		if len(after) < len(before) {
@@ -615,7 +615,7 @@
 		}
 		return n
 	}
-	b.g.targets[id].ownEjection = b.now + time.Second
+	b.g.targets[id].ownEjectionUntil = b.now + time.Second
 	for range 3 {
 		if n := ask(); n != 1 {
 			t.Fatalf("%d probes", n)
@@ -646,7 +646,7 @@
 	}
 	ask()
 	b.step(statemachine.ProbeResult{ID: id, Report: &config.TargetReport{Service: "s", Name: "a", Incarnation: 1, State: config.Ready}})
-	if told() != 1 || told() != 0 || b.g.targets[id].ownEjection == 0 {
+	if told() != 1 || told() != 0 || b.g.targets[id].ownEjectionUntil == 0 {
 		t.Fatal("an answer is told once, with the next tick, and clears no own bar")
 	}
 }
--- a/internal/dataplane/route_test.go
+++ b/internal/dataplane/route_test.go
@@ -95,14 +95,14 @@
 		for i := range gates {
 			names, doms = append(names, fmt.Sprintf("g%d", i)), append(doms, fmt.Sprint(i%zones))
 		}
-		var lots []lot
+		var lots []slotPool
 		total := 0
 		for i := range rapid.IntRange(1, 60).Draw(t, "targets") {
 			n := rapid.IntRange(1, 8).Draw(t, "slots")
-			lots = append(lots, lot{key: key(wire.TargetID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % zones), slots: n})
+			lots = append(lots, slotPool{hash: targetHash(wire.TargetID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % zones), slots: n})
 			total += n
 		}
-		parts := dealSlots(lots, names, doms)
+		parts := distributeSlots(lots, names, doms)
 		sums := make([]int, gates)
 		for i, l := range lots {
 			n := 0
@@ -123,11 +123,11 @@
 	for i := range 12 {
 		names, doms = append(names, fmt.Sprintf("g%d", i)), append(doms, fmt.Sprint(i%3))
 	}
-	var lots []lot
+	var lots []slotPool
 	for i := range 30 {
-		lots = append(lots, lot{key: key(wire.TargetID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % 3), slots: 3})
+		lots = append(lots, slotPool{hash: targetHash(wire.TargetID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % 3), slots: 3})
 	}
-	before, after := dealSlots(lots, names, doms), dealSlots(lots[:29], names, doms)
+	before, after := distributeSlots(lots, names, doms), distributeSlots(lots[:29], names, doms)
 	for j := range names {
 		n := 0
 		for i := range lots {
@@ -269,7 +269,7 @@
 			break
 		}
 	}
-	if b.g.targets[wire.TargetID{Service: "s", Name: full, Incarnation: 1}].seen.Rejected != 1 {
+	if b.g.targets[wire.TargetID{Service: "s", Name: full, Incarnation: 1}].statistics.Rejected != 1 {
 		t.Fatal("not counted")
 	}
 }
@@ -438,12 +438,12 @@
 			for _, o := range now {
 				g.table.Proxies = append(g.table.Proxies, wire.Proxy{Name: o, Live: true})
 			}
-			g.index(0)
-			if gap := g.coldGapOf(&target{Target: wire.Target{Service: "s", Name: "a", Incarnation: 1, State: state, ShareOffset: 3}}, set); gap > 0 {
+			g.reindex(0)
+			if gap := g.warmupIntervalOf(&targetState{Target: wire.Target{Service: "s", Name: "a", Incarnation: 1, State: state, ShareOffset: 3}}, set); gap > 0 {
 				rate += float64(time.Second) / float64(gap)
 				least++
 			}
-			slack += r.slack(hash("s"), n, g.listed, g.table.PreviousProxies)
+			slack += r.slackOf(hashOf("s"), n, g.memberProxies, g.table.PreviousProxies)
 		}
 		if rate > perS*1.000001 || float64(least) > max(1, perS/2) || slack > r.Slack*1.000001 {
 			t.Fatalf("rates add up to %v of %v at %d proxies, slacks to %v of %v", rate, perS, least, slack, r.Slack)
@@ -619,7 +619,7 @@
 				break
 			}
 			for _, w := range append([]uint64{}, waits...) {
-				if x := b.g.requests[w]; x == nil || !x.waiting {
+				if x := b.g.requests[w]; x == nil || !x.queued {
 					waits = drop(waits, w)
 				}
 			}
@@ -731,12 +731,12 @@
 	b := newBench("g1", 1, routed, to("a", slots(4), near), to("b", slots(4), far), to("c", slots(4), far))
 	b.g.settings.Self.Domain = "z1"
 	b.table(1, routed, to("a", slots(4), near), to("b", slots(4), far), to("c", slots(4), far))
-	at := map[string]*target{}
+	at := map[string]*targetState{}
 	for _, x := range b.g.targets {
 		at[x.Name] = x
-		x.part, x.loadAt = 0, b.now // as told: nothing runs
+		x.quota, x.loadReportedAt = 0, b.now // as told: nothing runs
 	}
-	at["b"].part = 1
+	at["b"].quota = 1
 	for i, want := range []string{"a", "a", "a", "a", "b", "c"} {
 		if g, ok := b.call(uint64(i+1), "/a/", time.Second).(statemachine.Forward); !ok || g.Target.Name != want {
 			t.Fatalf("%d: %+v, not %s", i, g.Target, want)
@@ -804,8 +804,8 @@
 	}
 	b.pass(150 * time.Millisecond)
 	s := b.g.service("s")
-	if most := s.budget.part + float64(b.g.Counts.Forwarded)*b.g.settings.Retry.Ratio; b.g.Counts.Forwarded > 20 || s.budget.credit > most {
-		t.Fatalf("%v credit for %d exchanges at targets", s.budget.credit, b.g.Counts.Forwarded)
+	if most := s.retryCredit.slack + float64(b.g.Counts.Forwarded)*b.g.settings.Retry.Ratio; b.g.Counts.Forwarded > 20 || s.retryCredit.credit > most {
+		t.Fatalf("%v credit for %d exchanges at targets", s.retryCredit.credit, b.g.Counts.Forwarded)
 	}
 }
 
@@ -874,8 +874,8 @@
 	if r, ok := ahead(1, "/once/").(statemachine.Reject); !ok || r.Code != statemachine.CodeNotPipelined {
 		t.Fatalf("%+v", r)
 	}
-	if n := b.g.Counts; n.Forwarded != 0 || n.Unmatched != 0 || b.g.InFlight() != 0 || b.g.service("s").budget.credit != 0 {
-		t.Fatalf("%+v, %d in flight, credit %v", n, b.g.InFlight(), b.g.service("s").budget.credit)
+	if n := b.g.Counts; n.Forwarded != 0 || n.Unmatched != 0 || b.g.InFlight() != 0 || b.g.service("s").retryCredit.credit != 0 {
+		t.Fatalf("%+v, %d in flight, credit %v", n, b.g.InFlight(), b.g.service("s").retryCredit.credit)
 	}
 	if _, ok := b.call(1, "/once/", 0).(statemachine.Forward); !ok {
 		t.Fatal("not served in its turn")
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -15,91 +15,91 @@
 )
 
 // stop is how long a stopping proxy serves on in any case, and at most.
-func (s Settings) stop() (linger, most time.Duration) {
+func (s Settings) shutdownTimes() (linger, most time.Duration) {
 	if s.GracePeriod <= 0 {
 		return tuning.ShutdownLinger, tuning.ShutdownTimeout
 	}
 	return min(tuning.ShutdownLingerMax, s.GracePeriod/2), max(s.GracePeriod-tuning.ShutdownMargin, s.GracePeriod/2)
 }
 
-// beginStop goes unready.
-func (g *Proxy) beginStop(now time.Duration) {
+// beginShutdown goes unready.
+func (g *Proxy) beginShutdown(now time.Duration) {
 	if g.stopping {
 		return
 	}
-	g.stopping, g.stopAt = true, now
+	g.stopping, g.stopRequestedAt = true, now
 	g.emit(statemachine.CloseAfterResponse{})
 	why := fmt.Sprintf("asked to, with %d requests under way", len(g.requests))
 	g.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "serving", To: "stopping", Reason: why})
 }
 
-// tail is what a stopping proxy keeps of its time, for targets' last answers and for its own.
-func tail(most time.Duration) time.Duration {
+// responseReserve is what a stopping proxy keeps of its time, for targets' last answers and for its own.
+func responseReserve(most time.Duration) time.Duration {
 	return min(tuning.ShutdownReserve, most/tuning.ShutdownReserveParts)
 }
 
-// boundByStop ends a request that comes to a stopping proxy with the process, and says whether it may be taken: its
+// fitsShutdown ends a request that comes to a stopping proxy with the process, and says whether it may be taken: its
 // own deadline comes before, or its target has the time that the route aims at. In the linger all are taken:
 // callers have had no time to hear of the stop.
-func (g *Proxy) boundByStop(now time.Duration, x *request) bool {
+func (g *Proxy) fitsShutdown(now time.Duration, x *request) bool {
 	if !g.stopping {
 		return true
 	}
-	linger, most := g.settings.stop()
-	answerBy := g.stopAt + most - tail(most)/2
+	linger, most := g.settings.shutdownTimes()
+	answerBy := g.stopRequestedAt + most - responseReserve(most)/2
 	fits := x.deadline <= answerBy
 	x.deadline = min(x.deadline, answerBy)
-	if fits || now-g.stopAt <= linger {
+	if fits || now-g.stopRequestedAt <= linger {
 		return true
 	}
-	return x.way != nil && g.targetTime(now, x) >= wantedTime(&x.route)
+	return x.routeState != nil && g.workTime(now, x) >= expectedTime(&x.route)
 }
 
-// targetTime is how long a target that gets the request now may work on it: until its deadline, or, if this
+// workTime is how long a target that gets the request now may work on it: until its deadline, or, if this
 // process stops, until so long before its end that the target's own answer can still be passed on.
-func (g *Proxy) targetTime(now time.Duration, x *request) time.Duration {
+func (g *Proxy) workTime(now time.Duration, x *request) time.Duration {
 	until := x.deadline
 	if g.stopping {
-		_, most := g.settings.stop()
-		until = min(until, g.stopAt+most-tail(most))
+		_, most := g.settings.shutdownTimes()
+		until = min(until, g.stopRequestedAt+most-responseReserve(most))
 	}
 	return max(time.Millisecond, until-now)
 }
 
-// wantedTime is how long a request of a route is meant to take at most: its aim, or without one the part of its
+// expectedTime is how long a request of a route is meant to take at most: its aim, or without one the part of its
 // timeout that stands for it.
-func wantedTime(r *config.Route) time.Duration {
+func expectedTime(r *config.Route) time.Duration {
 	if aim := r.LatencyTarget(); aim > 0 {
 		return aim
 	}
 	return r.Timeout() / tuning.WaitTimeoutParts
 }
 
-// refuseStopping sends a request to another proxy. It is to come back as after any refusal, not at once: where many
+// rejectStopping sends a request to another proxy. It is to come back as after any refusal, not at once: where many
 // proxies stop together it would only meet the next of them.
-func (g *Proxy) refuseStopping(now time.Duration, x *request) {
+func (g *Proxy) rejectStopping(now time.Duration, x *request) {
 	g.Counts.Stopping++
-	g.refuse(now, x, 503, "stopping", "this proxy is stopping and takes no more such requests")
+	g.reject(now, x, 503, "stopping", "this proxy is stopping and takes no more such requests")
 }
 
-// tickStop ends the process when nothing is under way after the linger, or the time is up.
-func (g *Proxy) tickStop(now time.Duration) {
-	if !g.stopping || g.intakeClosed {
+// tickShutdown ends the process when nothing is under way after the linger, or the time is up.
+func (g *Proxy) tickShutdown(now time.Duration) {
+	if !g.stopping || g.acceptingStopped {
 		return
 	}
-	linger, most := g.settings.stop()
-	waited := now - g.stopAt
+	linger, most := g.settings.shutdownTimes()
+	waited := now - g.stopRequestedAt
 	switch {
 	case waited > most && len(g.requests) > 0:
-		g.endStop(most-waited, fmt.Sprintf("out of time, with %d requests under way", len(g.requests)))
+		g.finishShutdown(most-waited, fmt.Sprintf("out of time, with %d requests under way", len(g.requests)))
 	case waited > linger && len(g.requests) == 0:
-		g.endStop(most-waited, "no request is under way")
+		g.finishShutdown(most-waited, "no request is under way")
 	}
 }
 
-// endStop closes the intake and ends the process, which has so long for answers that are still being written.
-func (g *Proxy) endStop(left time.Duration, why string) {
-	g.intakeClosed = true
+// finishShutdown closes the intake and ends the process, which has so long for answers that are still being written.
+func (g *Proxy) finishShutdown(left time.Duration, why string) {
+	g.acceptingStopped = true
 	g.emit(statemachine.StopAccepting{TimeLeft: left})
 	g.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "stopping", To: "stopped", Reason: why})
 	g.emit(statemachine.Exit{})
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -14,19 +14,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// retarget follows a change of the targets: choices go by the new ones, and connections to
+// publishTargets follows a change of the targets: choices go by the new ones, and connections to
 // others go.
-func (g *Proxy) retarget(now time.Duration) {
-	g.index(now)
+func (g *Proxy) publishTargets(now time.Duration) {
+	g.reindex(now)
 	live := map[wire.TargetID]string{}
 	for id, t := range g.targets {
 		live[id] = t.Addr
 	}
-	g.emit(statemachine.TargetsChanged{Addresses: live, Limits: g.cfg.Limits})
+	g.emit(statemachine.TargetsChanged{Addresses: live, Limits: g.configuration.Limits})
 }
 
-// whole is a table with all that it leaves out because this proxy has it, nil if it has not.
-func (g *Proxy) whole(t *wire.Table) *wire.Table {
+// fullTable is a table with all that it leaves out because this proxy has it, nil if it has not.
+func (g *Proxy) fullTable(t *wire.Table) *wire.Table {
 	old, w := g.table, *t
 	if len(t.Document) == 0 {
 		if old == nil || old.Key.Epoch != t.Key.Epoch || old.Revision != t.Revision || len(t.State) == 0 && old.StateIndex != t.StateIndex {
@@ -66,8 +66,8 @@
 	return &w
 }
 
-// plain says that a change to the table tells only what nothing is dealt by, such as demand.
-func (g *Proxy) plain(now time.Duration, t *wire.Table) bool {
+// isLoadUpdate says that a change to the table tells only what nothing is dealt by, such as demand.
+func (g *Proxy) isLoadUpdate(now time.Duration, t *wire.Table) bool {
 	if t.DeltaBase == (wire.TableKey{}) || len(t.Document)+len(t.State)+len(t.Proxies)+len(t.RemovedTargets) > 0 || !slices.Equal(t.EmptiedDomains, g.table.EmptiedDomains) || !slices.Equal(t.PreviousProxies, g.table.PreviousProxies) ||
 		len(g.targets) != len(g.table.Targets) {
 		return false
@@ -91,8 +91,8 @@
 	return true
 }
 
-// take puts a later table in force; an earlier one never replaces a later.
-func (g *Proxy) take(now time.Duration, t *wire.Table) bool {
+// applyTable puts a later table in force; an earlier one never replaces a later.
+func (g *Proxy) applyTable(now time.Duration, t *wire.Table) bool {
 	if g.table != nil && !g.table.Key.Less(t.Key) {
 		if t.Key.Less(g.table.Key) {
 			g.Counts.StaleTables++
@@ -107,32 +107,32 @@
 		}
 	}
 	said := t
-	if t = g.whole(t); t == nil {
+	if t = g.fullTable(t); t == nil {
 		return false // said to an earlier process of this name, or long ago: the next pull asks for all
 	}
-	if g.table == nil || g.table.Key.Epoch != t.Key.Epoch || t.Revision != g.revision || len(g.cfg.Services) == 0 {
-		cfg, err := readConfig(t)
+	if g.table == nil || g.table.Key.Epoch != t.Key.Epoch || t.Revision != g.revision || len(g.configuration.Services) == 0 {
+		cfg, err := readConfiguration(t)
 		if err != nil {
-			g.refuseTable(t, err)
+			g.rejectTable(t, err)
 			return false
 		}
 		if t.Revision != g.revision {
 			g.emit(statemachine.StateChange{Subject: statemachine.SubjectRevision, From: fmt.Sprint(g.revision), To: fmt.Sprint(t.Revision), Reason: fmt.Sprintf("table %v", t.Key)})
 		}
-		g.cfg, g.revision = cfg, t.Revision
-		g.forget()
+		g.configuration, g.revision = cfg, t.Revision
+		g.resetRoutes()
 	}
 	g.Counts.Tables++
-	if g.plain(now, said) {
+	if g.isLoadUpdate(now, said) {
 		g.table = t
 		for _, w := range said.Targets {
 			g.targets[w.ID()].Target = w
 		}
-		g.queues(now)
+		g.processQueues(now)
 		return true
 	}
 	g.table = t
-	next := map[wire.TargetID]*target{}
+	next := map[wire.TargetID]*targetState{}
 	for _, w := range t.Targets {
 		id := w.ID()
 		n := g.targets[id]
@@ -141,28 +141,28 @@
 			continue
 		}
 		if n == nil {
-			n = &target{anew: g.state == Leased}
+			n = &targetState{newToFleet: g.state == Leased}
 		}
 		was := n.ejectedUntil > now
 		if n.State == config.Warming && w.State == config.Ready {
-			n.warmAt = now
+			n.readyAt = now
 		}
 		n.Target = w
-		n.chill(now, w.WarmupLeft)
-		n.ejectedUntil, n.unheard = 0, w.EjectedBy == config.DefaultPolicyName
+		n.extendWarmup(now, w.WarmupLeft)
+		n.ejectedUntil, n.ejectedAsUnreachable = 0, w.EjectedBy == config.DefaultPolicyName
 		if w.EjectionLeft > 0 {
 			n.ejectedUntil = now + time.Duration(w.EjectionLeft)
 		} else if was {
-			n.backAt = now
+			n.reinstatedAt = now
 		}
-		if g.leaving[id] != 0 || w.Draining {
-			n.held = true
+		if g.leavingSince[id] != 0 || w.Draining {
+			n.leaving = true
 		}
 		next[id] = n
 	}
 	g.targets = next
-	maps.DeleteFunc(g.leaving, func(id wire.TargetID, at time.Duration) bool { return next[id] == nil && now-at > tuning.TombstoneKeep })
-	g.retarget(now)
-	g.queues(now)
+	maps.DeleteFunc(g.leavingSince, func(id wire.TargetID, at time.Duration) bool { return next[id] == nil && now-at > tuning.TombstoneKeep })
+	g.publishTargets(now)
+	g.processQueues(now)
 	return true
 }
--- a/internal/dataplane/unsound.go
+++ b/internal/dataplane/unsound.go
@@ -15,11 +15,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// unsoundDocument identifies a configuration that was refused.
-type unsoundDocument struct{ epoch, revision uint64 }
+// invalidDocument identifies a configuration that was refused.
+type invalidDocument struct{ epoch, revision uint64 }
 
-// readConfig reads the configuration of a whole table. The error says why it can't be put in force.
-func readConfig(t *wire.Table) (*config.Config, error) {
+// readConfiguration reads the configuration of a whole table. The error says why it can't be put in force.
+func readConfiguration(t *wire.Table) (*config.Config, error) {
 	doc, err := wire.Decompress(t.Document)
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration not decompressed")
@@ -34,14 +34,14 @@
 	return cfg, nil
 }
 
-// refuseTable counts an unsound table and reports its configuration once, however often the
+// rejectTable counts an unsound table and reports its configuration once, however often the
 // leader sends it.
-func (g *Proxy) refuseTable(t *wire.Table, err error) {
+func (g *Proxy) rejectTable(t *wire.Table, err error) {
 	g.Counts.InvalidTables++
-	document := unsoundDocument{t.Key.Epoch, t.Revision}
-	if document == g.unsound {
+	document := invalidDocument{t.Key.Epoch, t.Revision}
+	if document == g.reportedInvalid {
 		return
 	}
-	g.unsound = document
+	g.reportedInvalid = document
 	g.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: fmt.Sprintf("table %v, revision %d", t.Key, t.Revision), Reason: err.Error()})
 }
--- a/internal/dataplane/view.go
+++ b/internal/dataplane/view.go
@@ -46,9 +46,9 @@
 func (g *Proxy) View(now time.Duration) View {
 	v := View{Name: g.settings.Self.Name, State: g.state.String(), Ready: g.table != nil && g.Ready(), Leader: g.leader(now),
 		Revision: g.revision, InFlight: len(g.requests), Counts: g.Counts, Targets: []TargetView{}}
-	for _, n := range slices.Sorted(maps.Keys(g.cfg.Objectives)) {
-		a := ObjectiveView{Name: n, Objective: g.cfg.Objectives[n]}
-		if t := g.aims[n]; t != nil {
+	for _, n := range slices.Sorted(maps.Keys(g.configuration.Objectives)) {
+		a := ObjectiveView{Name: n, Objective: g.configuration.Objectives[n]}
+		if t := g.objectives[n]; t != nil {
 			for _, m := range t.minutes {
 				if int(now/time.Minute)-m.minute < a.WindowMinutes {
 					a.Good, a.Total = a.Good+m.good, a.Total+m.all
@@ -61,12 +61,12 @@
 		v.Table = g.table.Key
 		for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.TargetID.Compare) {
 			t := g.targets[id]
-			tv := TargetView{Target: t.Target, InFlight: t.inflight, Capacity: g.room(now, t, g.cfg.Services[t.Service])}
-			if s := g.services[t.Service]; s != nil && s.slotted {
-				tv.Capacity = t.part
+			tv := TargetView{Target: t.Target, InFlight: t.inFlight, Capacity: g.capacity(now, t, g.configuration.Services[t.Service])}
+			if s := g.services[t.Service]; s != nil && s.reportsSlots {
+				tv.Capacity = t.quota
 			}
-			tv.Draining = t.Draining || t.held
-			tv.EjectionLeftMs, tv.OwnEjectionLeftMs = max(0, (t.ejectedUntil-now).Milliseconds()), max(0, (t.ownEjection-now).Milliseconds())
+			tv.Draining = t.Draining || t.leaving
+			tv.EjectionLeftMs, tv.OwnEjectionLeftMs = max(0, (t.ejectedUntil-now).Milliseconds()), max(0, (t.ownEjectionUntil-now).Milliseconds())
 			v.Targets = append(v.Targets, tv)
 		}
 	}
