--- a/cmd/mfchaos/history.go
+++ b/cmd/mfchaos/history.go
@@ -37,7 +37,7 @@
 // recordOrder takes an order into the history as it is sent.
 func (l *lab) recordOrder(doc []byte, base int) *linearizability.Operation {
 	text := canonical(doc)
-	return l.history.Write(time.Since(l.start), linearizability.Order{Base: uint64(base), Key: text, Value: text})
+	return l.history.Write(time.Since(l.start), linearizability.Change{Base: uint64(base), Key: text, Value: text})
 }
 
 // runPut runs mfctl. It touches nothing of the lab, so that several may run at once.
@@ -62,7 +62,7 @@
 	case ctlDone:
 		write.Acknowledge(call.ended, v.Revision)
 	case ctlStale:
-		write.Refuse(call.ended, v.Error.Revision)
+		write.Reject(call.ended, v.Error.Revision)
 	case ctlInvalid, ctlNoLeader:
 		write.Void(call.ended)
 	}
--- a/cmd/mfsim/main.go
+++ b/cmd/mfsim/main.go
@@ -89,7 +89,7 @@
 		os.Exit(sceneDigests(o))
 	case o.listRules:
 		for _, s := range simulator.Scenes {
-			fmt.Printf("%-14s %s; guard: %s\n", s.Name, s.Threat, s.Sabotage)
+			fmt.Printf("%-14s %s; guard: %s\n", s.Name, s.Threat, s.DisabledGuard)
 		}
 	case o.rule != "":
 		i := slices.IndexFunc(simulator.Scenes, func(s simulator.Scene) bool { return s.Name == o.rule })
@@ -163,7 +163,7 @@
 func (o options) only() []simulator.Fault {
 	var only []simulator.Fault
 	for _, name := range o.kinds {
-		f, ok := simulator.ByName(name)
+		f, ok := simulator.FaultByName(name)
 		if !ok {
 			usage("no kind %q, see --kinds", name)
 		}
@@ -213,16 +213,16 @@
 	stats := &r.world.Stats
 	s.ran++
 	s.steps += stats.Steps
-	s.leave, s.gone = max(s.leave, stats.MaxLeave), max(s.gone, stats.MaxGone)
-	s.served, s.total = s.served+stats.Served, s.total+stats.Exchanges
+	s.leave, s.gone = max(s.leave, stats.LatestToDraining), max(s.gone, stats.LatestToCrashed)
+	s.served, s.total = s.served+stats.Served, s.total+stats.Requests
 	if o.digest {
 		s.digests[r.seed] = r.world.Digest()
 	}
-	if r.world.Fail == "" {
+	if r.world.Failure == "" {
 		return
 	}
 	s.failed++
-	rule, _, _ := strings.Cut(r.world.Fail, ":")
+	rule, _, _ := strings.Cut(r.world.Failure, ":")
 	s.rules[rule]++
 	if s.rules[rule] > shownPerRule {
 		return
@@ -232,26 +232,26 @@
 		kinds = append(kinds, fmt.Sprintf("--kind %q", k.Name))
 	}
 	fmt.Printf("seed %d: %s\n%s\nreplay: mfsim --from %d -n 1 --faults %d --span %v --plan %s %s\n\n",
-		r.seed, r.world.Fail, r.world.Trace(o.trace), r.seed, o.faults, o.span, o.plan, strings.Join(kinds, " "))
+		r.seed, r.world.Failure, r.world.Trace(o.trace), r.seed, o.faults, o.span, o.plan, strings.Join(kinds, " "))
 }
 
 // stage runs one scene; without its guard it is the seeds that hold which fail.
 func stage(s *simulator.Scene, o options) int {
 	held, showed, caused := 0, 0, 0
 	for seed := o.from; seed < o.from+o.seeds; seed++ {
-		w := s.Stage(seed, o.fleet(), o.withoutGuard)
+		w := s.Run(seed, o.fleet(), o.withoutGuard)
 		if o.digest {
 			fmt.Printf("digest scene %s seed %d: %s\n", s.Name, seed, w.Digest())
 		}
-		caused += s.Caused(&w.Stats)
+		caused += s.Occurrences(&w.Stats)
 		switch {
-		case w.Fail == "":
+		case w.Failure == "":
 			held++
-		case s.Shows(w):
+		case s.ShownBy(w):
 			showed++
 		}
-		if w.Fail != "" && held+showed <= 3 {
-			fmt.Printf("seed %d: %s\n", seed, w.Fail)
+		if w.Failure != "" && held+showed <= 3 {
+			fmt.Printf("seed %d: %s\n", seed, w.Failure)
 			if !o.withoutGuard {
 				fmt.Println(w.Trace(o.trace))
 			}
@@ -277,10 +277,10 @@
 			defer func() { <-turn }()
 			scene := &simulator.Scenes[i]
 			for seed := o.from; seed < o.from+o.seeds; seed++ {
-				w := scene.Stage(seed, o.fleet(), false)
+				w := scene.Run(seed, o.fleet(), false)
 				lines[i] = append(lines[i], fmt.Sprintf("digest scene %s seed %d: %s", scene.Name, seed, w.Digest()))
-				if w.Fail != "" {
-					lines[i] = append(lines[i], w.Fail)
+				if w.Failure != "" {
+					lines[i] = append(lines[i], w.Failure)
 					lock.Lock()
 					failed = true
 					lock.Unlock()
@@ -304,8 +304,8 @@
 	code := 0
 	for _, rows := range measure(from, n, p, sets(pairs)) {
 		for _, r := range rows {
-			if r.Fail != "" {
-				fmt.Printf("%v: %s\n", r.Kinds, r.Fail)
+			if r.Failure != "" {
+				fmt.Printf("%v: %s\n", r.Faults, r.Failure)
 				code = 1
 			}
 		}
@@ -339,15 +339,15 @@
 }
 
 // measure runs each set of faults with each seed, as many at once as there are processors.
-func measure(from, n uint64, p simulator.Plan, sets [][]simulator.Fault) [][]simulator.Row {
-	rows := make([][]simulator.Row, len(sets))
+func measure(from, n uint64, p simulator.Plan, sets [][]simulator.Fault) [][]simulator.Availability {
+	rows := make([][]simulator.Availability, len(sets))
 	var wg sync.WaitGroup
 	turn := make(chan bool, runtime.GOMAXPROCS(0))
 	for i, set := range sets {
 		wg.Go(func() {
 			turn <- true
 			for seed := from; seed < from+n; seed++ {
-				rows[i] = append(rows[i], simulator.Measure(seed, p, set...))
+				rows[i] = append(rows[i], simulator.MeasureAvailability(seed, p, set...))
 			}
 			<-turn
 		})
@@ -363,23 +363,23 @@
 }
 
 // lineOf adds up the seeds of one set of faults.
-func lineOf(rows []simulator.Row) line {
-	var sum simulator.Row
+func lineOf(rows []simulator.Availability) line {
+	var sum simulator.Availability
 	var gaps, wholes, forces []time.Duration
 	outcomes := map[string]int{}
 	for _, r := range rows {
-		sum.Offered += r.Offered
-		sum.Refused += r.Refused
+		sum.Requests += r.Requests
+		sum.Rejected += r.Rejected
 		sum.Failed += r.Failed
-		sum.NoAnswer += r.NoAnswer
-		gaps, wholes = append(gaps, r.Gap), append(wholes, r.Whole)
+		sum.Abandoned += r.Abandoned
+		gaps, wholes = append(gaps, r.LongestGap), append(wholes, r.Recovery)
 		outcomes[r.Outcome]++
 		if r.Outcome == "in force" {
-			forces = append(forces, r.Force)
+			forces = append(forces, r.ChangeLatency)
 		}
 	}
 	percent := func(x int) string {
-		return fmt.Sprintf("%.2f", 100*float64(x)/float64(max(1, sum.Offered)))
+		return fmt.Sprintf("%.2f", 100*float64(x)/float64(max(1, sum.Requests)))
 	}
 	var others []string
 	for _, o := range []string{"refused", "unknown", "no answer"} {
@@ -387,8 +387,8 @@
 			others = append(others, fmt.Sprintf("%s %d", o, outcomes[o]))
 		}
 	}
-	return line{sum.Bad(), fmt.Sprintf("| %s | %s | %s | %s | %s | %s | %s | %s |", strings.Join(rows[0].Kinds, " + "),
-		percent(sum.Refused), percent(sum.Failed), percent(sum.NoAnswer), medianAndMost(gaps), medianAndMost(wholes), medianAndMost(forces), strings.Join(others, ", "))}
+	return line{sum.UnservedShare(), fmt.Sprintf("| %s | %s | %s | %s | %s | %s | %s | %s |", strings.Join(rows[0].Faults, " + "),
+		percent(sum.Rejected), percent(sum.Failed), percent(sum.Abandoned), medianAndMost(gaps), medianAndMost(wholes), medianAndMost(forces), strings.Join(others, ", "))}
 }
 
 // medianAndMost prints both in seconds; it sorts l.
--- a/internal/verification/linearizability/history.go
+++ b/internal/verification/linearizability/history.go
@@ -21,8 +21,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Order is a change of the configuration as an operator sends it.
-type Order struct {
+// Change is a change of the configuration as an operator sends it.
+type Change struct {
 	Base     uint64 // revision that it is built on
 	Revision uint64 // the operator's own number for the result, 0: the next one
 	Key      string // stands for the whole order: the same order has the same key
@@ -45,7 +45,7 @@
 // Operation is one call.
 type Operation struct {
 	read     bool
-	order    Order
+	order    Change
 	sent     time.Duration
 	ended    time.Duration
 	outcome  outcome
@@ -58,8 +58,8 @@
 	o.end(at, acknowledged, revision, "")
 }
 
-// Refuse records that an order was refused because another revision is the present one.
-func (o *Operation) Refuse(at time.Duration, present uint64) { o.end(at, stale, present, "") }
+// Reject records that an order was refused because another revision is the present one.
+func (o *Operation) Reject(at time.Duration, present uint64) { o.end(at, stale, present, "") }
 
 // Return records a read's answer.
 func (o *Operation) Return(at time.Duration, revision uint64, value string) {
@@ -86,7 +86,7 @@
 type Log struct{ operations []*Operation }
 
 // Write records that an order is sent.
-func (l *Log) Write(at time.Duration, o Order) *Operation {
+func (l *Log) Write(at time.Duration, o Change) *Operation {
 	return l.add(&Operation{order: o, sent: at})
 }
 
@@ -101,9 +101,9 @@
 // Reset forgets all calls so far, when all state is lost by intention.
 func (l *Log) Reset() { l.operations = nil }
 
-// Lose drops answers that told of more than had been acknowledged, when a majority of
+// ForgetUnacknowledged drops answers that told of more than had been acknowledged, when a majority of
 // the core's disks is lost: what was agreed and not acknowledged yet may go with them.
-func (l *Log) Lose(acked uint64) {
+func (l *Log) ForgetUnacknowledged(acked uint64) {
 	l.operations = slices.DeleteFunc(l.operations, func(o *Operation) bool {
 		return (o.outcome == returned || o.outcome == stale) && o.revision > acked
 	})
@@ -299,7 +299,7 @@
 // version is a state of the register, with those before it.
 type version struct {
 	before   *version
-	order    Order
+	order    Change
 	revision uint64
 	hash     uint64 // of this state and all before it
 	closed   bool   // the history is over
@@ -313,7 +313,7 @@
 	return &end
 }
 
-func (v *version) next(o Order) *version {
+func (v *version) next(o Change) *version {
 	n := &version{before: v, order: o, revision: cmp.Or(o.Revision, v.revision+1)}
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d %s %s", v.hash, n.revision, o.Key, o.Token)
@@ -322,7 +322,7 @@
 }
 
 // taken is the state that an order led to, nil if it has not been taken.
-func (v *version) taken(o Order) *version {
+func (v *version) taken(o Change) *version {
 	for ; v.before != nil; v = v.before {
 		if v.before.revision == o.Base && v.order.Key == o.Key || o.Token != "" && v.order.Token == o.Token {
 			return v
--- a/internal/verification/linearizability/history_test.go
+++ b/internal/verification/linearizability/history_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-func order(base uint64, key string) Order { return Order{Base: base, Key: key, Value: key} }
+func order(base uint64, key string) Change { return Change{Base: base, Key: key, Value: key} }
 
 // What a register may answer, and what not.
 func TestCheck(t *testing.T) {
@@ -39,10 +39,10 @@
 		}},
 		{"one of two wins", true, func(l *Log) {
 			l.Write(0, order(0, "a")).Acknowledge(10*ms, 1)
-			l.Write(0, order(0, "b")).Refuse(10*ms, 1)
+			l.Write(0, order(0, "b")).Reject(10*ms, 1)
 		}},
 		{"the loser is read", false, func(l *Log) {
-			l.Write(0, order(0, "b")).Refuse(10*ms, 1)
+			l.Write(0, order(0, "b")).Reject(10*ms, 1)
 			l.Write(0, order(0, "a")).Acknowledge(10*ms, 1)
 			l.Read(11*ms).Return(12*ms, 1, "b")
 		}},
@@ -54,11 +54,11 @@
 		}},
 		{"sent again and refused", false, func(l *Log) {
 			l.Write(0, order(0, "a")).Acknowledge(10*ms, 1)
-			l.Write(20*ms, order(0, "a")).Refuse(25*ms, 1)
+			l.Write(20*ms, order(0, "a")).Reject(25*ms, 1)
 		}},
 		{"sent again under its id", true, func(l *Log) {
-			l.Write(0, Order{Base: 0, Key: "a", Token: "x"}).Acknowledge(10*ms, 1)
-			l.Write(20*ms, Order{Base: 1, Key: "b", Token: "x"}).Acknowledge(25*ms, 1)
+			l.Write(0, Change{Base: 0, Key: "a", Token: "x"}).Acknowledge(10*ms, 1)
+			l.Write(20*ms, Change{Base: 1, Key: "b", Token: "x"}).Acknowledge(25*ms, 1)
 		}},
 		{"an unclear one takes effect late", true, func(l *Log) {
 			l.Write(0, order(0, "a"))
@@ -75,15 +75,15 @@
 			l.Read(20*ms).Return(21*ms, 1, "a")
 		}},
 		{"the operator's own number", true, func(l *Log) {
-			l.Write(0, Order{Base: 0, Revision: 40, Key: "a"}).Acknowledge(10*ms, 40)
-			l.Write(20*ms, Order{Base: 40, Revision: 39, Key: "b"})
+			l.Write(0, Change{Base: 0, Revision: 40, Key: "a"}).Acknowledge(10*ms, 40)
+			l.Write(20*ms, Change{Base: 40, Revision: 39, Key: "b"})
 			l.Read(20*ms).Return(21*ms, 40, "")
 		}},
 		{"what was not acknowledged may go with a majority's disks", true, func(l *Log) {
 			l.Write(0, order(0, "a")).Acknowledge(10*ms, 1)
 			l.Write(11*ms, order(1, "b"))
 			l.Read(20*ms).Return(21*ms, 2, "b")
-			l.Lose(1)
+			l.ForgetUnacknowledged(1)
 			l.Read(30*ms).Return(31*ms, 1, "a")
 		}},
 	} {
@@ -122,7 +122,7 @@
 		l.Write(10*ms, order(1, "won")).Acknowledge(900*ms, 2)
 		for i := range 40 {
 			o := l.Write(time.Duration(20+i)*ms, order(1, "lost"+strconv.Itoa(i)))
-			o.Refuse(time.Duration(1000+(i*7)%10)*ms, 2)
+			o.Reject(time.Duration(1000+(i*7)%10)*ms, 2)
 		}
 		l.Read(30*ms).Return(950*ms, 1, "first")
 		for i := range 3 {
--- a/internal/verification/simulator/backend.go
+++ b/internal/verification/simulator/backend.go
@@ -45,12 +45,12 @@
 		state: config.Ready, usual: w.ms(5, 30)}
 	t.work = t.usual
 	t.named = w.nextInc%3 != 0
-	if w.Plan.ColdPerS > 0 && w.now > coldSpan {
+	if w.Plan.WarmupRate > 0 && w.now > coldSpan {
 		t.coldTill = w.now + coldSpan
 		t.coldTold = t.coldTill // a start is cold for its service's span, whoever has heard
 	}
 	t.resets = w.nextInc%5 == 0
-	if warm > 0 && w.Plan.ColdPerS == 0 {
+	if warm > 0 && w.Plan.WarmupRate == 0 {
 		t.state = config.Warming
 		w.at(warm, func() {
 			if t.state == config.Warming {
@@ -76,8 +76,8 @@
 }
 
 func (w *World) beats() time.Duration {
-	if w.Plan.Beats > 0 {
-		return w.Plan.Beats
+	if w.Plan.HeartbeatEvery > 0 {
+		return w.Plan.HeartbeatEvery
 	}
 	return tuning.TargetHeartbeatEvery
 }
@@ -88,7 +88,7 @@
 		return
 	}
 	names := w.names
-	if w.Plan.CoreOnly {
+	if w.Plan.ReportToControlOnly {
 		names = w.all(wire.ControlDaemon)
 	}
 	p := w.procs[names[w.rnd.IntN(len(names))]]
@@ -116,7 +116,7 @@
 		}
 		if state == config.Leaving && t.leftAt == 0 {
 			t.leftAt = w.now
-			w.Stats.Leaves++
+			w.Stats.Drains++
 			w.log("%s/%s leaving, taken by %s", t.service, t.name, p.name)
 		}
 	})
@@ -133,7 +133,7 @@
 		method, path = "PUT", "/v1/targets/"+t.name
 		b.Number = t.number
 		if b.Slots == 0 {
-			b.Slots = Slots
+			b.Slots = DefaultSlots
 		}
 	}
 	body, _ = json.Marshal(b)
@@ -141,26 +141,26 @@
 }
 
 // say has a daemon hear a target's word, as a late or repeated one would be.
-func (w *World) say(p *Proc, t *Target, state string) {
+func (w *World) say(p *Process, t *Target, state string) {
 	b, _ := json.Marshal(config.TargetReport{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state})
 	w.call(p, "POST", "/v1/targets", "", b, "", func(statemachine.Reply) {})
 }
 
-// Crash ends a back end without a word.
-func (w *World) Crash(t *Target) {
+// CrashTarget ends a back end without a word.
+func (w *World) CrashTarget(t *Target) {
 	if !t.alive {
 		return
 	}
 	w.log("crash %s/%s", t.service, t.name)
 	t.alive, t.goneAt = false, w.now
-	w.Stats.Deaths++
+	w.Stats.TargetCrashes++
 	if w.listen[t.addr] == t {
 		delete(w.listen, t.addr)
 	}
 }
 
-// Leave has a back end announce that it leaves, wait, sign off and end; then runs after.
-func (w *World) Leave(t *Target, after func()) {
+// DrainTarget has a back end announce that it leaves, wait, sign off and end; then runs after.
+func (w *World) DrainTarget(t *Target, after func()) {
 	t.state = config.Leaving
 	t.number++
 	w.beat(t, 0)
@@ -176,14 +176,14 @@
 		p := w.procs[w.names[w.rnd.IntN(len(w.names))]]
 		w.call(p, "DELETE", "/v1/targets/"+t.service+"/"+t.name, fmt.Sprintf("incarnation=%d", t.inc), nil, "", func(statemachine.Reply) {})
 		w.at(w.ms(50, 100), func() {
-			w.Crash(t)
+			w.CrashTarget(t)
 			after()
 		})
 	}
 	w.at(3*time.Second, end)
 }
 
-func (w *World) probe(p *Proc, c statemachine.Probe) {
+func (w *World) probe(p *Process, c statemachine.Probe) {
 	gen, sent := p.gen, p.local()
 	answer := func(d time.Duration, b *config.TargetReport) {
 		w.at(d, func() {
--- a/internal/verification/simulator/bulk_orders.go
+++ b/internal/verification/simulator/bulk_orders.go
@@ -39,7 +39,7 @@
 
 // sendOrder sends an order. While answers are lost in bulk it is sent again, to another
 // member, until one gets through.
-func (w *World) sendOrder(p *Proc, order *operatorOrder, answered func(statemachine.Reply)) {
+func (w *World) sendOrder(p *Process, order *operatorOrder, answered func(statemachine.Reply)) {
 	sent := w.call(p, order.method, order.path, order.query, order.body, order.token, answered)
 	arrives := sent.fn
 	sent.fn = func(r statemachine.Reply) {
@@ -47,7 +47,7 @@
 			arrives(r)
 			return
 		}
-		w.Stats.LostAnswers++
+		w.Stats.LostReplies++
 		w.log("answer %d to %s is lost", r.Status, order.token)
 		w.at(w.ms(20, 300), func() { w.repeatOrder(p, order, answered) })
 	}
@@ -68,7 +68,7 @@
 
 // repeatOrder sends an order again to another living member, or to the same one if there is
 // no other.
-func (w *World) repeatOrder(before *Proc, order *operatorOrder, answered func(statemachine.Reply)) {
+func (w *World) repeatOrder(before *Process, order *operatorOrder, answered func(statemachine.Reply)) {
 	others := slices.DeleteFunc(w.all(wire.ControlDaemon), func(n string) bool { return !w.procs[n].alive || n == before.name })
 	to := before
 	if len(others) > 0 {
--- a/internal/verification/simulator/bulk_orders_test.go
+++ b/internal/verification/simulator/bulk_orders_test.go
@@ -12,7 +12,7 @@
 	t.Parallel()
 	var kinds []Fault
 	for _, name := range []string{"storm of changes", "answers to changes lost", "eight orders at once", "leader killed", "leader frozen"} {
-		f, found := ByName(name)
+		f, found := FaultByName(name)
 		if !found {
 			t.Fatalf("no fault %q", name)
 		}
@@ -22,7 +22,7 @@
 	for seed := range uint64(6) {
 		w := Day(500+seed, Small, kinds, 12, 25*time.Second)
 		check(t, w)
-		lost += w.Stats.LostAnswers
+		lost += w.Stats.LostReplies
 		if w.bulkOrders == 0 || w.bulkOrders > mostBulkOrders {
 			t.Errorf("seed %d: %d orders in bulk, of at most %d", w.Seed, w.bulkOrders, mostBulkOrders)
 		}
@@ -45,16 +45,16 @@
 	w.loseAnswers(4 * time.Second)
 	w.Run(w.now + 8*time.Second)
 	check(t, w)
-	if w.Stats.LostAnswers < w.bulkOrders {
-		t.Errorf("%d answers of %d orders were lost", w.Stats.LostAnswers, w.bulkOrders)
+	if w.Stats.LostReplies < w.bulkOrders {
+		t.Errorf("%d answers of %d orders were lost", w.Stats.LostReplies, w.bulkOrders)
 	}
 	for _, c := range w.changes {
 		if c.state == "open" {
 			t.Errorf("%s on %d was never answered", c.token, c.base)
 		}
 	}
-	if w.Stats.Accepted-1 != int(w.Revision()-before) {
-		t.Errorf("%d orders were accepted, and the revision went from %d to %d", w.Stats.Accepted-1, before, w.Revision())
+	if w.Stats.AcceptedChanges-1 != int(w.Revision()-before) {
+		t.Errorf("%d orders were accepted, and the revision went from %d to %d", w.Stats.AcceptedChanges-1, before, w.Revision())
 	}
 	w.Finish()
 	check(t, w)
@@ -68,10 +68,10 @@
 	w.loseAnswers(4 * time.Second)
 	w.Run(w.now + 8*time.Second)
 	w.CheckHistory()
-	if w.Fail == "" {
+	if w.Failure == "" {
 		t.Error("no rule was broken")
 	}
-	t.Log(w.Fail)
+	t.Log(w.Failure)
 }
 
 // A refusal is clear, but for 'not now' in answer to a repetition.
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -38,7 +38,7 @@
 
 // takeConnection is the connection of a proxy to a target that was used last, less than idle ago, nil if
 // none can be used: the forwarder closes those that are closed or on which something came.
-func (w *World) takeConnection(p *Proc, id wire.TargetID, idle time.Duration) *connection {
+func (w *World) takeConnection(p *Process, id wire.TargetID, idle time.Duration) *connection {
 	for l := p.pool[id]; len(l) > 0; l = p.pool[id] {
 		c := l[len(l)-1]
 		if w.now-c.usedAt >= idle {
@@ -49,7 +49,7 @@
 			continue
 		}
 		if c.surplusAt > 0 && c.surplusAt <= w.now {
-			w.Stats.Surplus++
+			w.Stats.SurplusResponses++
 			continue
 		}
 		return c
@@ -58,7 +58,7 @@
 }
 
 // keepConnection puts a connection back after a whole answer; the n that were used last are kept.
-func (w *World) keepConnection(p *Proc, id wire.TargetID, c *connection, n int) {
+func (w *World) keepConnection(p *Process, id wire.TargetID, c *connection, n int) {
 	if c.target.surplus && w.rnd.Float64() < surplusShare {
 		c.surplusAt = w.now + w.ms(0, surplusLate)
 	}
@@ -68,7 +68,7 @@
 	}
 	if w.sabotage == "idle connections" { // a part of the cap for each proxy, and what is there stays
 		p.pool[id] = slices.DeleteFunc(p.pool[id], func(o *connection) bool { return w.now-o.usedAt >= tuning.ConnIdle })
-		if len(p.pool[id]) < max(1, w.Plan.ConnCap/16) {
+		if len(p.pool[id]) < max(1, w.Plan.ConnectionLimit/16) {
 			p.pool[id] = append(p.pool[id], c)
 		}
 		return
@@ -79,7 +79,7 @@
 
 // overCap says that a target has as many connections as it takes, in use or not; it resets the next.
 func (w *World) overCap(t *Target, id wire.TargetID) bool {
-	if w.Plan.ConnCap == 0 {
+	if w.Plan.ConnectionLimit == 0 {
 		return false
 	}
 	n := 0
@@ -99,16 +99,16 @@
 		}
 	}
 	w.Stats.MostConnections = max(w.Stats.MostConnections, n+1)
-	if n < w.Plan.ConnCap {
+	if n < w.Plan.ConnectionLimit {
 		return false
 	}
-	w.Stats.OverCap++
+	w.Stats.OverConnectionLimit++
 	return true
 }
 
 // beginAttempt notes a request as written; a surplus answer that is still to come on the
 // connection is then read in place of its own.
-func (w *World) beginAttempt(p *Proc, x *request, c *connection, loses func()) *attempt {
+func (w *World) beginAttempt(p *Process, x *request, c *connection, loses func()) *attempt {
 	a := &attempt{x: x, conn: c, loses: loses}
 	p.attempts = append(p.attempts, a)
 	if c.surplusAt > 0 {
@@ -118,11 +118,11 @@
 }
 
 // readSurplus has a proxy read an answer that bears another request's id.
-func (w *World) readSurplus(p *Proc, a *attempt) {
+func (w *World) readSurplus(p *Process, a *attempt) {
 	if !w.endAttempt(p, a) {
 		return
 	}
-	w.Stats.Strange++
+	w.Stats.MismatchedResponses++
 	if w.sabotage == "ids" {
 		if w.open[a.x.id] == a.x {
 			w.broken("another's answer", "exchange %d at %s got the answer to an earlier one", a.x.id, p.name)
@@ -133,7 +133,7 @@
 }
 
 // endAttempt says whether an attempt had not ended before.
-func (w *World) endAttempt(p *Proc, a *attempt) bool {
+func (w *World) endAttempt(p *Process, a *attempt) bool {
 	if a.over {
 		return false
 	}
@@ -144,24 +144,24 @@
 
 // resetConnections breaks a part of a proxy's connections to targets and callers. What a
 // target was at work on has run, and is dropped there.
-func (w *World) resetConnections(p *Proc, part float64) {
+func (w *World) resetConnections(p *Process, part float64) {
 	w.log("reset %.2f of the connections of %s", part, p.name)
 	for id, l := range p.pool {
 		p.pool[id] = l[:len(l)-int(part*float64(len(l)))]
 	}
 	for _, a := range slices.Clone(p.attempts) {
 		if w.rnd.Float64() < part && w.endAttempt(p, a) {
-			w.Stats.Resets++
+			w.Stats.ResetAttempts++
 			a.loses()
 		}
 	}
-	w.callersLeave(p, part, &w.Stats.NoAnswer)
+	w.callersLeave(p, part, &w.Stats.Abandoned)
 	w.resetLinks(p)
 }
 
 // callersLeave has a part of a proxy's callers go, or lose their connections, before they
 // have their answers; count is what they are counted by.
-func (w *World) callersLeave(p *Proc, part float64, count *int) {
+func (w *World) callersLeave(p *Process, part float64, count *int) {
 	var left []uint64
 	for id, x := range w.open {
 		if x.gate == p && x.gen == p.gen {
@@ -183,7 +183,7 @@
 type linkReset struct{ at, until time.Duration }
 
 // resetLinks breaks a daemon's connections with all others, both ways.
-func (w *World) resetLinks(p *Proc) {
+func (w *World) resetLinks(p *Process) {
 	for _, n := range w.names {
 		if n == p.name {
 			continue
--- a/internal/verification/simulator/connection_test.go
+++ b/internal/verification/simulator/connection_test.go
@@ -10,9 +10,9 @@
 // which most may not run twice, so that connections soon grow too old for them.
 func narrow() Plan {
 	p := ferry()
-	p.Scarce = nil
+	p.Resources = nil
 	p.Services = map[string]int{"fares": 181, "pay": 111}
-	p.Rate, p.Unsafe, p.ConnCap = 1200, 0.8, 32
+	p.Rate, p.NonIdempotent, p.ConnectionLimit = 1200, 0.8, 32
 	return p
 }
 
@@ -29,8 +29,8 @@
 	before := w.Stats
 	w.release(0.6, 8, 300*time.Millisecond)
 	w.Run(w.now + 6*time.Second)
-	n := float64(w.Stats.Opened - before.Opened)
-	return float64(w.Stats.OverCap-before.OverCap) / n, n / float64(w.Stats.Exchanges-before.Exchanges), w
+	n := float64(w.Stats.OpenedConnections - before.OpenedConnections)
+	return float64(w.Stats.OverConnectionLimit-before.OverConnectionLimit) / n, n / float64(w.Stats.Requests-before.Requests), w
 }
 
 // Targets that take fewer connections than there are proxies are never sent more, also while a release
--- a/internal/verification/simulator/corestatus_test.go
+++ b/internal/verification/simulator/corestatus_test.go
@@ -33,7 +33,7 @@
 }
 
 // follower is a member that does not lead.
-func (w *World) follower() *Proc {
+func (w *World) follower() *Process {
 	for _, n := range w.memberNames() {
 		if p := w.procs[n]; p != w.Leader() && p.alive {
 			return p
@@ -168,14 +168,14 @@
 func TestCountersOfTheCore(t *testing.T) {
 	t.Parallel()
 	w := Start(11, Small)
-	w.Settle(10 * time.Second)
+	w.AwaitServing(10 * time.Second)
 	l := w.Leader()
 	base := w.Revision()
 	put := func(query, body, token string) int {
 		r, _ := w.inquire(t, w.Leader(), "PUT", "/v1/config", query, body, token)
 		return r.Status
 	}
-	doc := string(w.Doc(4))
+	doc := string(w.Document(4))
 	on := "base=" + strconv.FormatUint(base, 10)
 	if s := put(on, doc, "once"); s != 200 {
 		t.Fatal(s)
@@ -195,7 +195,7 @@
 	f := w.follower()
 	w.isolate([]string{l.name}, 4*time.Second, true, true)
 	unknown := 0
-	w.call(l, "PUT", "/v1/config", "base="+strconv.FormatUint(w.Revision(), 10), w.Doc(5), "", func(r statemachine.Reply) { unknown = r.Status })
+	w.call(l, "PUT", "/v1/config", "base="+strconv.FormatUint(w.Revision(), 10), w.Document(5), "", func(r statemachine.Reply) { unknown = r.Status })
 	w.Run(w.now + 2*time.Second)
 	if unknown != 504 {
 		t.Errorf("a change put to a leader that is cut off is answered %d", unknown)
--- a/internal/verification/simulator/cutoff_test.go
+++ b/internal/verification/simulator/cutoff_test.go
@@ -20,14 +20,14 @@
 	t.Parallel()
 	troubles := []struct {
 		name string
-		do   func(w *World, p *Proc)
+		do   func(w *World, p *Process)
 	}{
-		{"cut off", func(w *World, p *Proc) { w.isolate([]string{p.name}, cutOffSpan, true, true) }},
-		{"not heard", func(w *World, p *Proc) { w.isolate([]string{p.name}, cutOffSpan, true, false) }},
-		{"deaf", func(w *World, p *Proc) { w.isolate([]string{p.name}, cutOffSpan, false, true) }},
-		{"frozen", func(w *World, p *Proc) { w.Freeze(p, cutOffSpan) }},
-		{"disk stalls", func(w *World, p *Proc) { w.Stall(p, cutOffSpan) }},
-		{"slow", func(w *World, p *Proc) { w.slowDown(p, 5, cutOffSpan) }},
+		{"cut off", func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, true, true) }},
+		{"not heard", func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, true, false) }},
+		{"deaf", func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, false, true) }},
+		{"frozen", func(w *World, p *Process) { w.Freeze(p, cutOffSpan) }},
+		{"disk stalls", func(w *World, p *Process) { w.StallDisk(p, cutOffSpan) }},
+		{"slow", func(w *World, p *Process) { w.slowDown(p, 5, cutOffSpan) }},
 	}
 	may := map[string]allowance{"disk stalls": {passOn: true}, "slow": {passOn: true, lead: true}}
 	for _, trouble := range troubles {
@@ -51,7 +51,7 @@
 	t.Parallel()
 	w := Start(1, Small)
 	w.sabotage = followersAnswer
-	faults := w.cutOffOnce(t, false, func(w *World, p *Proc) { w.isolate([]string{p.name}, cutOffSpan, true, true) }, allowance{})
+	faults := w.cutOffOnce(t, false, func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, true, true) }, allowance{})
 	if len(faults) == 0 {
 		t.Error("a member that is cut off answered reads, and nothing was seen")
 	}
@@ -64,9 +64,9 @@
 }
 
 // cutOffOnce brings a trouble about once and lists what was wrong.
-func (w *World) cutOffOnce(t *testing.T, leads bool, trouble func(*World, *Proc), may allowance) (faults []string) {
+func (w *World) cutOffOnce(t *testing.T, leads bool, trouble func(*World, *Process), may allowance) (faults []string) {
 	wrong := func(f string, a ...any) { faults = append(faults, fmt.Sprintf(f, a...)) }
-	w.Readers(100 * time.Millisecond)
+	w.StartReaders(100 * time.Millisecond)
 	p := w.Leader()
 	if !leads {
 		p = followers(w)[w.Seed%2]
@@ -87,9 +87,9 @@
 	for i := range 60 {
 		w.at(time.Duration(i)*cutOffSpan/60, func() {
 			ask("GET", "/v1/config", "", nil)
-			ask("PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Doc(1000+i))
+			ask("PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(1000+i))
 			if l := w.Leader(); l != nil && l != p {
-				w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Doc(2000+i), "", w.ignore)
+				w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Document(2000+i), "", w.ignore)
 			}
 		})
 	}
@@ -117,7 +117,7 @@
 	if err := w.history.Check(); err != nil {
 		wrong("%v", err)
 	}
-	w.CheckState()
+	w.CheckAcknowledgedChanges()
 	return faults
 }
 
@@ -154,7 +154,7 @@
 		l, p := w.Leader(), followers(w)[seed%2]
 		w.Kill(l)
 		var got statemachine.Reply
-		w.call(p, "PUT", "/v1/config", "base=1", w.Doc(2), "", func(r statemachine.Reply) { got = r })
+		w.call(p, "PUT", "/v1/config", "base=1", w.Document(2), "", func(r statemachine.Reply) { got = r })
 		w.Run(w.now + w.ms(30, 200))
 		w.Restart(l)
 		w.Run(w.now + 4*time.Second)
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/day.go
@@ -20,7 +20,7 @@
 	if !w.Run(5 * time.Second) {
 		return w
 	}
-	for w.Leader() == nil && w.now < 10*time.Second && w.Fail == "" {
+	for w.Leader() == nil && w.now < 10*time.Second && w.Failure == "" {
 		w.Run(w.now + 100*time.Millisecond) // a split vote costs an election more
 	}
 	l := w.Leader()
@@ -29,10 +29,10 @@
 		return w
 	}
 	w.PutConfig(l, 0, 1)
-	if !w.Settle(3*time.Second) && w.Fail == "" {
+	if !w.AwaitServing(3*time.Second) && w.Failure == "" {
 		w.broken("start", "not serving 3 s after the first configuration")
 	}
-	w.Callers()
+	w.StartCallers()
 	return w
 }
 
@@ -44,7 +44,7 @@
 
 func day(seed uint64, p Plan, kinds []Fault, faults int, span time.Duration, prepare func(*World)) *World {
 	w := Start(seed, p)
-	if w.Fail != "" {
+	if w.Failure != "" {
 		return w
 	}
 	prepare(w)
@@ -59,15 +59,15 @@
 		}
 		w.at(time.Duration(w.rnd.Int64N(int64(span))), func() {
 			w.log("fault: %s", f.Name)
-			f.Do(w)
+			f.Inject(w)
 		})
 	}
-	w.Readers(400 * time.Millisecond)
+	w.StartReaders(400 * time.Millisecond)
 	if !w.Run(begin + span + 9*time.Second) {
 		return w
 	}
 	w.Heal()
-	w.Back(15 * time.Second)
+	w.AwaitRecovery(15 * time.Second)
 	w.Finish()
 	return w
 }
@@ -100,19 +100,19 @@
 	}
 }
 
-// Back wants service within d.
-func (w *World) Back(d time.Duration) {
+// AwaitRecovery wants service within d.
+func (w *World) AwaitRecovery(d time.Duration) {
 	from := w.now
-	if !w.Settle(d) && w.Fail == "" {
+	if !w.AwaitServing(d) && w.Failure == "" {
 		w.broken("back in 15 s", "not serving %v after healing: %s", d, w.why())
 	}
-	for w.Fail == "" && w.missing() != "" {
+	for w.Failure == "" && w.missing() != "" {
 		if w.now-from > d {
 			w.broken("capacity back", "%s not served %v after healing", w.missing(), d)
 		}
 		w.Run(w.now + 100*time.Millisecond)
 	}
-	w.Stats.Back = w.now - from
+	w.Stats.RecoveryTime = w.now - from
 }
 
 // missing names a target that lives and is ready, and that the leader's table does
@@ -157,21 +157,21 @@
 
 // Finish lets the last changes end, then makes the checks that look back.
 func (w *World) Finish() {
-	if w.Fail != "" {
+	if w.Failure != "" {
 		return
 	}
 	from := w.now
 	w.Run(w.now + 8*time.Second)
-	if w.Fail == "" && w.ServedBetween(from, w.now) < int(w.Plan.Rate*8*0.7) {
+	if w.Failure == "" && w.ServedBetween(from, w.now) < int(w.Plan.Rate*8*0.7) {
 		w.broken("serving again", "%d exchanges served in the 8 s after healing", w.ServedBetween(from, w.now))
 	}
 	w.quiet = true
 	w.Run(w.now + 3*time.Second)
-	w.CheckState()
+	w.CheckAcknowledgedChanges()
 	w.CheckHistory()
-	w.CheckBudget()
+	w.CheckRetryBudget()
 	for _, n := range w.names {
-		if p := w.procs[n]; w.Fail == "" && p.gate != nil && p.alive && p.gate.State() == dataplane.Leased && p.gate.InFlight() > 0 {
+		if p := w.procs[n]; w.Failure == "" && p.gate != nil && p.alive && p.gate.State() == dataplane.Leased && p.gate.InFlight() > 0 {
 			w.broken("forgotten exchange", "%s still counts %d in flight", n, p.gate.InFlight())
 		}
 	}
--- a/internal/verification/simulator/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -17,15 +17,15 @@
 
 // Fault is one kind of trouble; Do starts it and makes sure that it ends.
 type Fault struct {
-	Name string
-	Do   func(w *World)
+	Name   string
+	Inject func(w *World)
 }
 
 // Faults are all kinds, by name. Days draw by index: new kinds go to the end of their list.
 var Faults = slices.Concat(targetFaults, proxyFaults, coreFaults, networkFaults, operatorFaults)
 
-// ByName finds a fault.
-func ByName(name string) (Fault, bool) {
+// FaultByName finds a fault.
+func FaultByName(name string) (Fault, bool) {
 	i := slices.IndexFunc(Faults, func(f Fault) bool { return strings.EqualFold(f.Name, name) })
 	if i < 0 {
 		return Fault{}, false
@@ -41,8 +41,8 @@
 func (w *World) lossPause() time.Duration { return cmp.Or(w.Plan.CatchUp, usualPause) }
 
 // mayHurtCore picks a member whose loss leaves a sound majority, or none.
-func (w *World) mayHurtCore() *Proc {
-	var up []*Proc
+func (w *World) mayHurtCore() *Process {
+	var up []*Process
 	if w.replacing > 0 || w.replaced > 0 && w.now < w.coreCutUntil+w.lossPause() {
 		return nil // machines that are cut off count as lost, and one that is gone can't come back instead
 	}
@@ -120,8 +120,8 @@
 func (w *World) domain() string { return fmt.Sprintf("d%d", 1+w.rnd.IntN(w.Plan.Domains)) }
 
 // stop is the polite signal.
-func (w *World) stop(p *Proc) {
-	w.Stats.Stops++
+func (w *World) stop(p *Process) {
+	w.Stats.GracefulStops++
 	if w.sabotage == "stop" && p.gate != nil {
 		w.exec(p, statemachine.Exit{})
 		return
@@ -131,7 +131,7 @@
 }
 
 // bounce stops a process politely, then hard if it is still there, and starts it again.
-func (w *World) bounce(p *Proc, after time.Duration) {
+func (w *World) bounce(p *Process, after time.Duration) {
 	gen := p.gen
 	w.stop(p)
 	w.at(after, func() {
--- a/internal/verification/simulator/faults_core.go
+++ b/internal/verification/simulator/faults_core.go
@@ -85,12 +85,12 @@
 	}},
 	{"leader's disk stalls", func(w *World) {
 		if p := w.Leader(); p != nil && w.mayHurtCore() != nil {
-			w.Stall(p, w.ms(300, 5000))
+			w.StallDisk(p, w.ms(300, 5000))
 		}
 	}},
 	{"follower's disk stalls", func(w *World) {
 		if p := w.mayHurtCore(); p != nil && p != w.Leader() {
-			w.Stall(p, w.ms(300, 5000))
+			w.StallDisk(p, w.ms(300, 5000))
 		}
 	}},
 	{"a majority's disks stall", func(w *World) {
@@ -98,7 +98,7 @@
 			return
 		}
 		for _, n := range w.all(wire.ControlDaemon)[1:] {
-			w.Stall(w.procs[n], w.ms(300, 3000))
+			w.StallDisk(w.procs[n], w.ms(300, 3000))
 		}
 	}},
 	{"core split", func(w *World) {
@@ -194,8 +194,8 @@
 }
 
 // twoOrThreeCores are two or three living core members.
-func (w *World) twoOrThreeCores() []*Proc {
-	var l []*Proc
+func (w *World) twoOrThreeCores() []*Process {
+	var l []*Process
 	for _, n := range w.all(wire.ControlDaemon) {
 		if p := w.procs[n]; p.alive && !p.frozen {
 			l = append(l, p)
@@ -206,7 +206,7 @@
 }
 
 // hurtCore brings one trouble about, of any kind that ends by itself.
-func (w *World) hurtCore(p *Proc) {
+func (w *World) hurtCore(p *Process) {
 	if !p.alive {
 		return
 	}
@@ -215,7 +215,7 @@
 	case 0:
 		w.Freeze(p, d)
 	case 1:
-		w.Stall(p, d)
+		w.StallDisk(p, d)
 	case 2:
 		w.slowDisk(p, 30, d)
 	case 3:
--- a/internal/verification/simulator/faults_network.go
+++ b/internal/verification/simulator/faults_network.go
@@ -29,7 +29,7 @@
 	}},
 	{"target moves", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.spare(t.service) > 1 {
-			w.Crash(t)
+			w.CrashTarget(t)
 			w.at(w.ms(0, 1500), func() {
 				w.log("%s/%s starts elsewhere", t.service, t.name)
 				w.AddTarget(t.service, t.name, t.domain, fmt.Sprintf("10.3.0.%d:80", len(w.targets)), w.ms(0, 1000))
@@ -51,7 +51,7 @@
 		}
 		for _, t := range slices.Clone(w.targets) {
 			if t.alive && t.domain == dom {
-				w.Crash(t)
+				w.CrashTarget(t)
 				w.replace(t, d+w.ms(0, 500), w.ms(0, 1000))
 			}
 		}
--- a/internal/verification/simulator/faults_operator.go
+++ b/internal/verification/simulator/faults_operator.go
@@ -23,13 +23,13 @@
 		if p := w.pick(wire.ControlDaemon, true); p != nil {
 			b := w.Revision()
 			doc := fmt.Sprintf(`{"services":{"%s":{"timeout_ms":%d}}}`, slices.Sorted(maps.Keys(w.Plan.Services))[0], 1000+w.rnd.IntN(1000))
-			w.Change(p, "PATCH", "/v1/config", fmt.Sprintf("base=%d", b), []byte(doc), &change{what: "config", base: b})
+			w.SendChange(p, "PATCH", "/v1/config", fmt.Sprintf("base=%d", b), []byte(doc), &change{what: "config", base: b})
 		}
 	}},
 	{"config rolled back", func(w *World) {
 		if p := w.pick(wire.ControlDaemon, true); p != nil {
 			b := w.Revision()
-			w.Change(p, "POST", "/v1/config/rollback", fmt.Sprintf("base=%d&to=%d", b, max(1, b-1)), nil, &change{what: "config", base: b})
+			w.SendChange(p, "POST", "/v1/config/rollback", fmt.Sprintf("base=%d&to=%d", b, max(1, b-1)), nil, &change{what: "config", base: b})
 		}
 	}},
 	{"policy replaced", func(w *World) {
@@ -39,11 +39,11 @@
 		}
 		doc := []string{`{"slice":"probe","when":"misses_in_row >= 2","clear":"ok_in_row >= 1","decide":"bar","ttl_ms":30000,"note":"anew"}`,
 			`{"slice":"probe","when":"misses_in_row >= 2 && missed >= 2","clear":"ok_in_row >= 1","decide":"bar","ttl_ms":20000}`}[w.rnd.IntN(2)]
-		w.Change(p, "PUT", "/v1/policies/default", fmt.Sprintf("base=%d", b), []byte(doc), &change{what: "config", base: b})
+		w.SendChange(p, "PUT", "/v1/policies/default", fmt.Sprintf("base=%d", b), []byte(doc), &change{what: "config", base: b})
 		w.at(200*time.Millisecond, func() {
 			if p := w.pick(wire.ControlDaemon, true); p != nil {
 				b := w.Revision()
-				w.Change(p, "PUT", "/v1/policies/flap", fmt.Sprintf("base=%d", b), []byte(`{"slice":"probe","when":"flaps > 8","decide":"bar","ttl_ms":5000,"mode":"shadow"}`), &change{what: "config", base: b})
+				w.SendChange(p, "PUT", "/v1/policies/flap", fmt.Sprintf("base=%d", b), []byte(`{"slice":"probe","when":"flaps > 8","decide":"bar","ttl_ms":5000,"mode":"shadow"}`), &change{what: "config", base: b})
 			}
 		})
 	}},
@@ -126,7 +126,7 @@
 	}},
 	{"config invalid", func(w *World) {
 		if p := w.pick(wire.ControlDaemon, true); p != nil {
-			w.Change(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), []byte(`{"services":{"fares":{"cap":0}},"junk":1}`), &change{what: "invalid"})
+			w.SendChange(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), []byte(`{"services":{"fares":{"cap":0}},"junk":1}`), &change{what: "invalid"})
 		}
 	}},
 	{"config and leader killed", func(w *World) {
@@ -151,7 +151,7 @@
 		if slices.ContainsFunc(w.changes, func(c *change) bool { return c.empty != "" && w.now-c.at < 12*time.Second }) {
 			return
 		}
-		w.Change(p, "POST", "/v1/domains/"+dom+"/empty", "", nil, &change{what: "empty " + dom, empty: dom})
+		w.SendChange(p, "POST", "/v1/domains/"+dom+"/empty", "", nil, &change{what: "empty " + dom, empty: dom})
 		w.at(w.ms(3000, 8000), func() { w.restore(dom) })
 	}},
 	{"storm of changes", func(w *World) { w.ordersInARow(stormEvery, w.ms(2000, 6000)) }},
@@ -167,9 +167,9 @@
 		return
 	}
 	c := &change{what: "restore " + dom, empty: dom}
-	w.Change(p, "POST", "/v1/domains/"+dom+"/restore", "", nil, c)
+	w.SendChange(p, "POST", "/v1/domains/"+dom+"/restore", "", nil, c)
 	for _, t := range w.targets { // nothing came there meanwhile
-		if t.alive && t.domain == dom && w.Plan.ColdPerS > 0 && t.coldTill <= w.now {
+		if t.alive && t.domain == dom && w.Plan.WarmupRate > 0 && t.coldTill <= w.now {
 			t.coldTill = w.now + 2*coldSpan
 			t.number++
 			w.beat(t, 0)
--- a/internal/verification/simulator/faults_proxy.go
+++ b/internal/verification/simulator/faults_proxy.go
@@ -29,7 +29,7 @@
 		}
 	}},
 	{"gate added, another gone for good", func(w *World) {
-		if len(w.all(wire.ProxyDaemon)) > w.Plan.Gates+2 {
+		if len(w.all(wire.ProxyDaemon)) > w.Plan.Proxies+2 {
 			return
 		}
 		w.log("a proxy is added")
@@ -62,7 +62,7 @@
 		}
 		w.Freeze(p, w.ms(300, 8000))
 		if t := w.pickTarget(); t != nil && w.spare(t.service) > 2 {
-			w.Leave(t, func() { w.replace(t, w.ms(100, 3000), 0) })
+			w.DrainTarget(t, func() { w.replace(t, w.ms(100, 3000), 0) })
 		}
 	}},
 	{"gate isolated", func(w *World) {
@@ -97,7 +97,7 @@
 		for i := range 10 {
 			w.at(time.Duration(i)*200*time.Millisecond, func() {
 				for _, n := range w.all(wire.ProxyDaemon) {
-					w.callersLeave(w.procs[n], 0.3, &w.Stats.Left)
+					w.callersLeave(w.procs[n], 0.3, &w.Stats.Canceled)
 				}
 			})
 		}
--- a/internal/verification/simulator/faults_target.go
+++ b/internal/verification/simulator/faults_target.go
@@ -17,13 +17,13 @@
 var targetFaults = []Fault{
 	{"target crash", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.spare(t.service) > 1 {
-			w.Crash(t)
+			w.CrashTarget(t)
 			w.replace(t, w.ms(500, 8000), w.ms(0, 3000))
 		}
 	}},
 	{"target vanishes", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.spare(t.service) > 2 {
-			w.Crash(t)
+			w.CrashTarget(t)
 		}
 	}},
 	{"target hangs", func(w *World) {
@@ -68,7 +68,7 @@
 		w.log("all of %s restarts cold", svc)
 		for _, t := range slices.Clone(w.targets) {
 			if t.alive && t.service == svc {
-				w.Crash(t)
+				w.CrashTarget(t)
 				w.at(w.ms(300, 600), func() {
 					if w.listen[t.addr] == nil {
 						n := w.AddTarget(t.service, t.name, t.domain, t.addr, w.ms(2000, 4000))
@@ -81,11 +81,11 @@
 	}},
 	{"target leaves", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.spare(t.service) > 1 {
-			w.Leave(t, func() { w.replace(t, w.ms(100, 3000), w.ms(0, 3000)) })
+			w.DrainTarget(t, func() { w.replace(t, w.ms(100, 3000), w.ms(0, 3000)) })
 		}
 	}},
 	{"target turns cold", func(w *World) {
-		if t := w.pickTarget(); t != nil && w.Plan.ColdPerS > 0 {
+		if t := w.pickTarget(); t != nil && w.Plan.WarmupRate > 0 {
 			w.log("%s/%s is cold", t.service, t.name)
 			t.coldTill = w.now + 2*coldSpan
 			t.number++
@@ -108,7 +108,7 @@
 			w.log("cut %s off from all daemons", g.name)
 			w.cutFor(ks, w.ms(2000, 6000))
 		}
-		w.Crash(t)
+		w.CrashTarget(t)
 		after := w.ms(20, 1500)
 		if w.rnd.IntN(2) == 0 { // before any proxy has met the closed port and leaves it out
 			after = w.ms(1, 30)
@@ -134,7 +134,7 @@
 		for _, t := range slices.Clone(w.targets) {
 			if t.alive && t.service == gone && t.state != config.Leaving {
 				homes = append(homes, t)
-				w.Leave(t, func() {
+				w.DrainTarget(t, func() {
 					w.at(w.ms(0, 300), func() {
 						if w.listen[t.addr] == nil {
 							w.AddTarget(other, "at-"+t.name, t.domain, t.addr, 0)
@@ -149,7 +149,7 @@
 		put := func(services []string) {
 			if l := w.Leader(); l != nil {
 				b := w.Revision()
-				w.Change(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", b), w.DocOf(w.rnd.IntN(1000), 40, services), &change{what: "config", base: b})
+				w.SendChange(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", b), w.DocumentFor(w.rnd.IntN(1000), 40, services), &change{what: "config", base: b})
 			}
 		}
 		w.at(2*time.Second, func() { put([]string{other}) })
@@ -208,7 +208,7 @@
 		if i >= len(l) || !l[i].alive {
 			return
 		}
-		w.Leave(l[i], func() {
+		w.DrainTarget(l[i], func() {
 			w.AddTarget(svc, l[i].name, l[i].domain, l[i].addr, 500*time.Millisecond)
 			w.at(1200*time.Millisecond, func() { next(i + 1) })
 		})
--- a/internal/verification/simulator/fleet_test.go
+++ b/internal/verification/simulator/fleet_test.go
@@ -16,14 +16,14 @@
 
 func open(cores, seeds int) Plan {
 	p := Small
-	p.Cores, p.Seeds, p.Rate = cores, seeds, 20
+	p.ControlDaemons, p.Seeds, p.Rate = cores, seeds, 20
 	return p
 }
 
 // until runs the world until ok, at most d.
 func (w *World) until(d time.Duration, ok func() bool) bool {
 	end := w.now + d
-	for !ok() && w.now < end && w.Fail == "" {
+	for !ok() && w.now < end && w.Failure == "" {
 		w.Run(w.now + 50*time.Millisecond)
 	}
 	return ok()
@@ -87,7 +87,7 @@
 					t.Errorf("epoch %d", e)
 				}
 				w.PutConfig(w.Leader(), 0, 1)
-				w.Back(10 * time.Second)
+				w.AwaitRecovery(10 * time.Second)
 				check(t, w)
 				for _, n := range w.all(wire.ControlDaemon) { // a spare passes calls on too
 					if !w.procs[n].core.Ready() {
@@ -161,7 +161,7 @@
 				w.PutConfig(w.Leader(), w.Revision(), round+5)
 				w.Run(w.now + 3*time.Second)
 			}
-			w.Back(15 * time.Second)
+			w.AwaitRecovery(15 * time.Second)
 			w.Finish()
 			check(t, w)
 			if r := w.Leader().core.Revision(); r < 8 {
@@ -271,7 +271,7 @@
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			p := Small
-			p.Cores, p.Seeds = []int{3, 5, 7, 9}[seed%4], 3
+			p.ControlDaemons, p.Seeds = []int{3, 5, 7, 9}[seed%4], 3
 			if seed%2 == 1 {
 				p.CatchUp = testCatchUp
 			}
@@ -285,14 +285,14 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		p := open(7, 3)
-		p.Gates, p.Rate = 40, 60
+		p.Proxies, p.Rate = 40, 60
 		w := New(seed, p)
 		if !w.until(10*time.Second, func() bool { return w.Leader() != nil }) {
 			t.Fatalf("no leader\n%s", w.Trace(20))
 		}
 		at := w.now
 		w.PutConfig(w.Leader(), 0, 1)
-		if !w.Settle(4 * time.Second) {
+		if !w.AwaitServing(4 * time.Second) {
 			t.Fatalf("not serving after %v: %s", w.now-at, w.why())
 		}
 		check(t, w)
@@ -306,7 +306,7 @@
 	t.Parallel()
 	for seed := range uint64(12) {
 		p := Small
-		p.Rate, p.Gates = 300, 5
+		p.Rate, p.Proxies = 300, 5
 		w := Start(seed, p)
 		w.Run(w.now + time.Second)
 		var ks [][2]string
@@ -336,7 +336,7 @@
 			})
 			w.until(5*time.Second, func() bool { return w.Leader() != nil })
 		}
-		w.Change(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, &change{what: "empty d1", empty: "d1"})
+		w.SendChange(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, &change{what: "empty d1", empty: "d1"})
 		w.PutConfig(w.Leader(), 1, 2)
 		w.Run(w.now + 9*time.Second)
 		check(t, w)
@@ -345,7 +345,7 @@
 		}
 		w.Run(w.now + 3*time.Second)
 		w.Heal()
-		w.Back(15 * time.Second)
+		w.AwaitRecovery(15 * time.Second)
 		check(t, w)
 	}
 }
@@ -353,10 +353,10 @@
 // Herds of proxies die and standbys come in numbers, during cuts.
 func TestHerdsAndSpares(t *testing.T) {
 	t.Parallel()
-	f := func(name string) Fault { x, _ := ByName(name); return x }
+	f := func(name string) Fault { x, _ := FaultByName(name); return x }
 	kinds := []Fault{f("gate herd killed"), f("gate isolated"), f("domain cut off"), f("leader killed"), f("config"), f("core cut off from proxies"),
 		{"spares come", func(w *World) {
-			if len(w.all(wire.ProxyDaemon)) > w.Plan.Gates+8 {
+			if len(w.all(wire.ProxyDaemon)) > w.Plan.Proxies+8 {
 				return
 			}
 			for range 4 {
--- a/internal/verification/simulator/found_test.go
+++ b/internal/verification/simulator/found_test.go
@@ -67,7 +67,7 @@
 		}
 		w.Run(w.now + time.Duration(seed)*25*time.Millisecond)
 		clear(w.cut)
-		w.Back(15 * time.Second)
+		w.AwaitRecovery(15 * time.Second)
 		w.Run(w.now + 3*time.Second)
 		check(t, w)
 		if l := w.Leader(); l == nil || l.core.Revision() < w.acked {
@@ -105,7 +105,7 @@
 				t.Parallel()
 				n := len(fates)
 				p := Small
-				p.Cores, p.Rate = n, 10
+				p.ControlDaemons, p.Rate = n, 10
 				seed := uint64(len(fates)*100 + strings.Count(fates, "l")*7 + strings.Count(fates, "c"))
 				w := Start(seed, p)
 				w.PutConfig(w.Leader(), 1, 2)
@@ -118,7 +118,7 @@
 				w.strike(fates, forget)
 				w.Run(w.now + 15*time.Second)
 				check(t, w)
-				leader := func() *Proc {
+				leader := func() *Process {
 					if l := w.Leader(); l != nil && !w.cut[[2]string{l.name, "g1"}] {
 						return l
 					}
--- a/internal/verification/simulator/grown_test.go
+++ b/internal/verification/simulator/grown_test.go
@@ -16,8 +16,8 @@
 // grown is a fleet of many proxies on little: a sixth of a processor and a thin link each.
 func grown() Plan {
 	p := Small
-	p.Gates, p.Services, p.Rate = 69, map[string]int{"fares": 243, "pay": 51}, 20
-	p.Scarce = &Scarce{CoreShare: 0.48, GateShare: 0.16, GateLink: 250e3}
+	p.Proxies, p.Services, p.Rate = 69, map[string]int{"fares": 243, "pay": 51}, 20
+	p.Resources = &LimitedResources{ControlShare: 0.48, ProxyShare: 0.16, ProxyLink: 250e3}
 	return p
 }
 
@@ -77,7 +77,7 @@
 		same := 0
 		for i := range 120 {
 			if i%10 == 0 {
-				w.Crash(w.targets[w.rnd.IntN(len(w.targets))])
+				w.CrashTarget(w.targets[w.rnd.IntN(len(w.targets))])
 			}
 			if i%17 == 0 {
 				w.PutConfig(w.Leader(), w.Revision(), 3)
@@ -122,7 +122,7 @@
 // bulk is a configuration with many routes besides those of a plan.
 func (w *World) bulk(n, routes int) []byte {
 	var doc map[string]any
-	if err := json.Unmarshal(w.Doc(n), &doc); err != nil {
+	if err := json.Unmarshal(w.Document(n), &doc); err != nil {
 		panic(err)
 	}
 	svcs := slices.Sorted(maps.Keys(w.Plan.Services))
@@ -152,7 +152,7 @@
 			if l == nil {
 				t.Fatalf("seed %d: nobody leads at %v\n%s", seed, w.now, w.Trace(40))
 			}
-			w.Change(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.bulk(3+i, 1400), &change{what: "config", base: w.Revision()})
+			w.SendChange(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.bulk(3+i, 1400), &change{what: "config", base: w.Revision()})
 			for range 30 {
 				w.Run(w.now + 100*time.Millisecond)
 				if n := granted(w); n < 69 {
@@ -162,8 +162,8 @@
 			if w.acked == from {
 				t.Errorf("seed %d: change %d was not in force after 3 s", seed, i)
 			}
-			if w.Stats.MaxForce > time.Second {
-				t.Errorf("seed %d: a change took %v", seed, w.Stats.MaxForce)
+			if w.Stats.SlowestChange > time.Second {
+				t.Errorf("seed %d: a change took %v", seed, w.Stats.SlowestChange)
 			}
 		}
 		check(t, w)
@@ -174,10 +174,10 @@
 // all targets speak to; proxies have a sixth.
 func ferry() Plan {
 	p := Small
-	p.Cores, p.Seeds, p.Gates, p.Domains, p.Rate = 11, 3, 64, 4, 20
+	p.ControlDaemons, p.Seeds, p.Proxies, p.Domains, p.Rate = 11, 3, 64, 4, 20
 	p.Services = map[string]int{"fares": 181, "pay": 111, "papers": 15}
-	p.CoreOnly, p.Beats, p.Slots = true, 1500*time.Millisecond, 6
-	p.Scarce = &Scarce{CoreShare: 0.24, GateShare: 0.16, GateLink: 587e3}
+	p.ReportToControlOnly, p.HeartbeatEvery, p.Slots = true, 1500*time.Millisecond, 6
+	p.Resources = &LimitedResources{ControlShare: 0.24, ProxyShare: 0.16, ProxyLink: 587e3}
 	return p
 }
 
@@ -194,7 +194,7 @@
 				t.Helper()
 				n++
 				from, at := w.acked, w.now
-				for w.now < at+5*time.Second && w.acked == from && w.Fail == "" {
+				for w.now < at+5*time.Second && w.acked == from && w.Failure == "" {
 					if l := w.Leader(); l != nil {
 						w.PutConfig(w.procs[w.all(wire.ControlDaemon)[w.rnd.IntN(len(w.all(wire.ControlDaemon)))]], w.Revision(), n)
 					}
@@ -259,7 +259,7 @@
 				w.Restart(w.procs[c])
 			}
 			from := w.now
-			if !w.Settle(15 * time.Second) {
+			if !w.AwaitServing(15 * time.Second) {
 				t.Errorf("seed %d: not serving 15 s after all were lost: %s", seed, w.why())
 			}
 			t.Logf("seed %d: serving %v after all were lost", seed, w.now-from)
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -14,7 +14,7 @@
 // Each test here is aimed at one guard that random days seldom hit; docs/rules.md
 // says which guard was taken out to see it fail.
 
-func followers(w *World) (l []*Proc) {
+func followers(w *World) (l []*Process) {
 	for _, n := range w.all(wire.ControlDaemon) {
 		if p := w.procs[n]; p.alive && p != w.Leader() {
 			l = append(l, p)
@@ -45,12 +45,12 @@
 			w := Start(seed, Small)
 			l, fs := w.Leader(), followers(w)
 			lose := l
-			w.Stall(fs[0], time.Minute)
+			w.StallDisk(fs[0], time.Minute)
 			if leaderToo {
-				w.Stall(l, time.Minute)
+				w.StallDisk(l, time.Minute)
 				lose = fs[1]
 			} else {
-				w.Stall(fs[1], time.Minute)
+				w.StallDisk(fs[1], time.Minute)
 			}
 			w.PutConfig(l, 1, 2)
 			w.Run(w.now + 350*time.Millisecond)
@@ -61,8 +61,8 @@
 			w.WipeDisk(lose)
 			w.Run(w.now + time.Second)
 			w.restartAll()
-			w.Back(15 * time.Second)
-			w.CheckState()
+			w.AwaitRecovery(15 * time.Second)
+			w.CheckAcknowledgedChanges()
 			check(t, w)
 		}
 	}
@@ -91,8 +91,8 @@
 			t.Fatalf("seed %d: %s leads\n%s", seed, w.Leader().name, w.Trace(30))
 		}
 		w.Restart(l)
-		w.Back(15 * time.Second)
-		w.CheckState()
+		w.AwaitRecovery(15 * time.Second)
+		w.CheckAcknowledgedChanges()
 		check(t, w)
 	}
 }
@@ -303,7 +303,7 @@
 		if n := l.core.Status(0).Counts; n.Ejections != before.Ejections || n.MissesOverruled == before.MissesOverruled {
 			t.Fatalf("seed %d: %d bars, %d misses overruled\n%s", seed, n.Ejections-before.Ejections, n.MissesOverruled, w.Trace(20))
 		}
-		w.Crash(w.targets[int(seed)%len(w.targets)])
+		w.CrashTarget(w.targets[int(seed)%len(w.targets)])
 		w.Run(w.now + tuning.ProbeEvery + tuning.ProbeEvery + tuning.ProbeTimeout + 100*time.Millisecond)
 		if n := l.core.Status(0).Counts; n.Ejections != before.Ejections+1 {
 			t.Fatalf("seed %d: %d bars after a death\n%s", seed, n.Ejections-before.Ejections, w.Trace(20))
@@ -372,7 +372,7 @@
 	do(w, w.targets[int(seed)%len(w.targets)])
 	w.Run(w.now + 8*time.Second)
 	check(t, w)
-	return w.Stats.MaxGone
+	return w.Stats.LatestToCrashed
 }
 
 // A leader and a target die together: a new leader probes while it gathers tables,
@@ -386,7 +386,7 @@
 				w.Kill(w.procs[n])
 				w.at(100*time.Millisecond, func() { w.Restart(w.procs[n]) })
 			}
-			w.Crash(tg)
+			w.CrashTarget(tg)
 		}); late > 2*time.Second {
 			t.Errorf("seed %d: chosen %v after its death", seed, late)
 		}
@@ -398,7 +398,7 @@
 	t.Parallel()
 	for seed := range uint64(40) {
 		if late := latest(t, seed, func(w *World, tg *Target) {
-			w.Crash(tg)
+			w.CrashTarget(tg)
 			w.Run(w.now + 300*time.Millisecond)
 			w.isolate(w.all(wire.ControlDaemon), 10*time.Second, true, true)
 		}); late > 2*time.Second {
@@ -411,13 +411,13 @@
 // meanwhile holds for them too: on the thaw they go elsewhere or back.
 func TestFrozenWithWorkInHand(t *testing.T) {
 	t.Parallel()
-	f, _ := ByName("gate frozen with work in hand")
+	f, _ := FaultByName("gate frozen with work in hand")
 	stale := uint64(0)
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
 		w.Run(w.now + time.Second)
-		f.Do(w)
-		w.Change(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, &change{what: "empty d1", empty: "d1"})
+		f.Inject(w)
+		w.SendChange(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, &change{what: "empty d1", empty: "d1"})
 		w.Run(w.now + 9*time.Second)
 		check(t, w)
 		for _, n := range w.all(wire.ProxyDaemon) {
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -20,9 +20,9 @@
 	return w
 }
 
-func (w *World) listsMember(p *Proc) bool { return slices.Contains(w.memberNames(), p.name) }
+func (w *World) listsMember(p *Process) bool { return slices.Contains(w.memberNames(), p.name) }
 
-func (w *World) followersOf(l *Proc) (fs []*Proc) {
+func (w *World) followersOf(l *Process) (fs []*Process) {
 	for _, n := range w.memberNames() {
 		if n != l.name {
 			fs = append(fs, w.procs[n])
@@ -32,7 +32,7 @@
 }
 
 // addStandby starts an empty core daemon in a domain.
-func (w *World) addStandby(name string, domain int) *Proc {
+func (w *World) addStandby(name string, domain int) *Process {
 	w.addProc(wire.ControlDaemon, name, domain-1)
 	w.start(w.procs[name])
 	return w.procs[name]
@@ -43,7 +43,7 @@
 	t.Helper()
 	from := w.now
 	for !ok() {
-		if w.now-from > within || w.Fail != "" {
+		if w.now-from > within || w.Failure != "" {
 			t.Fatalf("seed %d: %s not in %v\n%s", w.Seed, what, within, w.Trace(40))
 		}
 		w.Run(w.now + 2*time.Millisecond)
@@ -58,7 +58,7 @@
 	for seed := range uint64(6) {
 		w := threeMembers(t, seed)
 		old := w.followersOf(w.Leader())[seed%2]
-		w.ReplaceCore(old, false, 0, func(time.Duration) {})
+		w.ReplaceControlDaemon(old, false, 0, func(time.Duration) {})
 		w.Run(w.now + time.Millisecond)
 		w.awaitStep(t, testCatchUp, "a successor", func() bool { return w.listsMember(w.procs["r1"]) })
 		w.Kill(w.procs["r1"])
@@ -75,7 +75,7 @@
 	for seed := range uint64(6) {
 		w := threeMembers(t, seed)
 		fs := w.followersOf(w.Leader())
-		w.ReplaceCore(fs[0], true, 100*time.Millisecond, func(time.Duration) {})
+		w.ReplaceControlDaemon(fs[0], true, 100*time.Millisecond, func(time.Duration) {})
 		before := w.memberNames()
 		w.awaitStep(t, testCatchUp, "a change of members", func() bool { l := w.memberNames(); return l != nil && !slices.Equal(l, before) })
 		w.Kill(fs[1])
@@ -100,7 +100,7 @@
 				old = fs[0]
 			}
 			n := len(w.memberNames())
-			w.ReplaceCore(old, true, 0, func(time.Duration) {})
+			w.ReplaceControlDaemon(old, true, 0, func(time.Duration) {})
 			w.awaitStep(t, stopGrace, "the end", func() bool { return !old.alive })
 			w.awaitStep(t, testReceipt, "a leader", func() bool { return w.Leader() != nil })
 			if w.listsMember(old) || len(w.memberNames()) < n {
@@ -125,7 +125,7 @@
 		w.until(2*tuning.GrowAfter, func() bool { return len(w.memberNames()) == cores })
 		w.Run(w.now + bound)
 		old := w.Leader()
-		w.ReplaceCore(old, false, 0, func(time.Duration) {})
+		w.ReplaceControlDaemon(old, false, 0, func(time.Duration) {})
 		w.Run(w.now + time.Millisecond)
 		d := w.awaitStep(t, bound, "the repair", func() bool { return w.listsMember(w.procs["r1"]) && !w.listsMember(old) })
 		if d > most {
@@ -157,7 +157,7 @@
 		old := w.followersOf(w.Leader())[0]
 		dom := int(old.domain[1] - '0')
 		bad := w.addStandby("s1", dom)
-		w.Stall(bad, time.Minute)
+		w.StallDisk(bad, time.Minute)
 		good := w.addStandby("s2", dom%3+1)
 		w.Run(w.now + 500*time.Millisecond)
 		w.Kill(old)
@@ -173,7 +173,7 @@
 	for seed := range uint64(4) {
 		w := threeMembers(t, seed)
 		old := w.followersOf(w.Leader())[0]
-		w.Stall(w.addStandby("s1", int(old.domain[1]-'0')), time.Minute)
+		w.StallDisk(w.addStandby("s1", int(old.domain[1]-'0')), time.Minute)
 		w.Run(w.now + 500*time.Millisecond)
 		w.Kill(old)
 		w.Run(w.now + testCatchUp)
@@ -198,9 +198,9 @@
 		w.until(2*tuning.GrowAfter, func() bool { return len(w.memberNames()) == 7 })
 		w.Run(w.now + testCatchUp)
 		first := w.Leader()
-		second := slices.MinFunc(w.followersOf(first), func(a, b *Proc) int { return cmp.Compare(a.name, b.name) }) // leadership would go there
-		for _, old := range []*Proc{first, second} {
-			w.ReplaceCore(old, true, time.Millisecond, func(time.Duration) {})
+		second := slices.MinFunc(w.followersOf(first), func(a, b *Process) int { return cmp.Compare(a.name, b.name) }) // leadership would go there
+		for _, old := range []*Process{first, second} {
+			w.ReplaceControlDaemon(old, true, time.Millisecond, func(time.Duration) {})
 		}
 		w.awaitStep(t, stopGrace, "the end", func() bool { return !first.alive && !second.alive })
 		w.awaitStep(t, testReceipt, "a leader", func() bool { return w.Leader() != nil })
--- a/internal/verification/simulator/history.go
+++ b/internal/verification/simulator/history.go
@@ -40,9 +40,9 @@
 
 // orderOf is a call as the history knows it. What the result of a partial change is, only
 // the leader knows.
-func orderOf(method, path, query string, body []byte, token string) linearizability.Order {
+func orderOf(method, path, query string, body []byte, token string) linearizability.Change {
 	text := canonicalOr(body)
-	o := linearizability.Order{Base: queryNumber(query, "base"), Key: fmt.Sprintf("%s %s %s %s", method, path, query, text), Token: token}
+	o := linearizability.Change{Base: queryNumber(query, "base"), Key: fmt.Sprintf("%s %s %s %s", method, path, query, text), Token: token}
 	if method == "PUT" && path == "/v1/config" {
 		o.Value = text
 	}
@@ -99,7 +99,7 @@
 		if json.Unmarshal(r.Body, &v) != nil {
 			v.Error.Revision = 0 // fits any revision
 		}
-		write.Refuse(w.now, v.Error.Revision)
+		write.Reject(w.now, v.Error.Revision)
 	case 504: // open: it may take effect at any later time, or never
 	default:
 		write.Void(w.now)
@@ -108,23 +108,23 @@
 
 // CheckHistory breaks a rule unless all that operators were told fits one order of events.
 func (w *World) CheckHistory() {
-	if err := w.history.Check(); err != nil && w.Fail == "" {
+	if err := w.history.Check(); err != nil && w.Failure == "" {
 		w.broken("history", "%v", err)
 	}
 }
 
 // Readers has an operator read the configuration again and again, at any member.
-func (w *World) Readers(every time.Duration) {
+func (w *World) StartReaders(every time.Duration) {
 	cores := w.all(wire.ControlDaemon)
 	if p := w.procs[cores[w.rnd.IntN(len(cores))]]; p.alive && !w.quiet {
 		w.call(p, "GET", "/v1/config", "", nil, "", func(statemachine.Reply) {})
 	}
-	w.at(every/2+time.Duration(w.rnd.Int64N(int64(every))), func() { w.Readers(every) })
+	w.at(every/2+time.Duration(w.rnd.Int64N(int64(every))), func() { w.StartReaders(every) })
 }
 
 // loseMajority tells the history when a majority of the core's disks is gone at once: what
 // had been agreed and not acknowledged may go with them.
-func (w *World) loseMajority(p *Proc) {
+func (w *World) loseMajority(p *Process) {
 	if p.kind != wire.ControlDaemon {
 		return
 	}
@@ -136,7 +136,7 @@
 		}
 	}
 	if 2*wiped >= cores {
-		w.history.Lose(w.acked)
+		w.history.ForgetUnacknowledged(w.acked)
 	}
 }
 
@@ -160,7 +160,7 @@
 )
 
 // spoilCall answers a call in the place of a member whose guard is out, if that is so.
-func (w *World) spoilCall(p *Proc, a statemachine.Call) (statemachine.Reply, bool) {
+func (w *World) spoilCall(p *Process, a statemachine.Call) (statemachine.Reply, bool) {
 	if p.core == nil || !p.alive || p.frozen {
 		return statemachine.Reply{}, false
 	}
--- a/internal/verification/simulator/history_test.go
+++ b/internal/verification/simulator/history_test.go
@@ -9,15 +9,15 @@
 // operators sends pairs of changes on one base to two members, each order again some time
 // later, while leaders die and are cut off, and reads all the while.
 func (w *World) operators(pairs int) {
-	w.Readers(40 * time.Millisecond)
+	w.StartReaders(40 * time.Millisecond)
 	for i := range pairs {
 		w.at(time.Duration(i)*700*time.Millisecond, func() {
 			base := w.Revision()
 			for k := range 2 {
-				order := w.Doc(100 + 2*i + k)
+				order := w.Document(100 + 2*i + k)
 				for _, after := range []int{0, 400, 3000} {
 					w.at(time.Duration(after)*time.Millisecond+w.ms(0, 20), func() {
-						p := w.cores()[w.rnd.IntN(w.Plan.Cores)]
+						p := w.cores()[w.rnd.IntN(w.Plan.ControlDaemons)]
 						w.call(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), order, "", w.ignore)
 					})
 				}
@@ -68,14 +68,14 @@
 	late := 0
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
-		w.Readers(40 * time.Millisecond)
+		w.StartReaders(40 * time.Millisecond)
 		for i := range 10 {
 			w.at(time.Duration(i)*1500*time.Millisecond, func() {
 				if l := w.Leader(); l != nil {
 					l.pauseAfterStep = w.ms(300, 4000)
 					base := w.Revision()
 					for k := range 2 {
-						w.call(w.cores()[(i+k)%w.Plan.Cores], "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Doc(100+2*i+k), "", w.ignore)
+						w.call(w.cores()[(i+k)%w.Plan.ControlDaemons], "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(100+2*i+k), "", w.ignore)
 					}
 				}
 			})
@@ -87,9 +87,9 @@
 		}
 		w.Run(w.now + 25*time.Second)
 		w.CheckHistory()
-		w.CheckState()
+		w.CheckAcknowledgedChanges()
 		check(t, w)
-		late += w.Stats.LateCommands
+		late += w.Stats.DelayedSteps
 	}
 	if late < 60 {
 		t.Errorf("%d steps were told late only", late)
--- a/internal/verification/simulator/kept.go
+++ b/internal/verification/simulator/kept.go
@@ -5,7 +5,7 @@
 
 // keptConnection is a caller's connection to a start of a proxy.
 type keptConnection struct {
-	gate   *Proc
+	gate   *Process
 	gen    int
 	closed bool // by the proxy
 }
@@ -17,7 +17,7 @@
 
 // requestOnKept sends a request on one of the kept connections, which is opened anew if it is closed.
 func (w *World) requestOnKept(svc string, unsafe bool) {
-	for len(w.kept) < w.Plan.Kept {
+	for len(w.kept) < w.Plan.PersistentConnections {
 		w.kept = append(w.kept, &keptConnection{})
 	}
 	c := w.kept[w.rnd.IntN(len(w.kept))]
--- a/internal/verification/simulator/kept_test.go
+++ b/internal/verification/simulator/kept_test.go
@@ -11,8 +11,8 @@
 // for a request as the platforms' do.
 func keptPlan() Plan {
 	p := Small
-	p.Rate, p.Unsafe, p.Hard = 200, 0.5, 0
-	p.Kept, p.Grace = 600, 6*time.Second
+	p.Rate, p.NonIdempotent, p.Resubmitted = 200, 0.5, 0
+	p.PersistentConnections, p.Grace = 600, 6*time.Second
 	p.Services = map[string]int{"fares": 9, "pay": 9}
 	return p
 }
@@ -34,8 +34,8 @@
 		}
 		w.Run(w.now + 20*time.Second)
 		check(t, w)
-		if w.Stats.Stops < 5 || w.Stats.Served < 400 {
-			t.Fatalf("seed %d: %d stops, %d served", seed, w.Stats.Stops, w.Stats.Served)
+		if w.Stats.GracefulStops < 5 || w.Stats.Served < 400 {
+			t.Fatalf("seed %d: %d stops, %d served", seed, w.Stats.GracefulStops, w.Stats.Served)
 		}
 	}
 }
--- a/internal/verification/simulator/operate_test.go
+++ b/internal/verification/simulator/operate_test.go
@@ -13,15 +13,15 @@
 )
 
 // inquire makes a call at a member and waits for its answer.
-func (w *World) inquire(t *testing.T, p *Proc, method, path, query, body, token string) (statemachine.Reply, map[string]any) {
+func (w *World) inquire(t *testing.T, p *Process, method, path, query, body, token string) (statemachine.Reply, map[string]any) {
 	t.Helper()
 	var got *statemachine.Reply
 	w.call(p, method, path, query, []byte(body), token, func(r statemachine.Reply) { got = &r })
-	for end := w.now + 10*time.Second; got == nil && w.now < end && w.Fail == ""; {
+	for end := w.now + 10*time.Second; got == nil && w.now < end && w.Failure == ""; {
 		w.Run(w.now + 10*time.Millisecond)
 	}
 	if got == nil {
-		t.Fatalf("%s %s got no answer %s\n%s", method, path, w.Fail, w.Trace(20))
+		t.Fatalf("%s %s got no answer %s\n%s", method, path, w.Failure, w.Trace(20))
 	}
 	var m map[string]any
 	if err := json.Unmarshal(got.Body, &m); err != nil {
@@ -35,7 +35,7 @@
 	t.Parallel()
 	w := Start(9, Small)
 	f := followers(w)[0] // passes on to the leader
-	doc := string(w.Doc(5))
+	doc := string(w.Document(5))
 	for i, c := range []struct {
 		method, path, query, body, token string
 		status                           int
@@ -94,7 +94,7 @@
 	for _, n := range []string{"g1", "g2", "g3"} {
 		w.Kill(w.procs[n])
 	}
-	r, m := w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Doc(6)), "doubt")
+	r, m := w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(6)), "doubt")
 	if e := m["error"].(map[string]any); r.Status != 504 || e["ran"] != "unknown" || e["id"] != "doubt" {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
@@ -104,13 +104,13 @@
 	for _, n := range []string{"g1", "g2", "g3"} {
 		w.Restart(w.procs[n])
 	}
-	w.Back(10 * time.Second)
+	w.AwaitRecovery(10 * time.Second)
 	l := w.Leader()
 	for _, p := range followers(w) {
 		w.Kill(p)
 	}
 	w.Run(w.now + 2*time.Second)
-	r, m = w.inquire(t, l, "PUT", "/v1/config", "base=2", string(w.Doc(7)), "none")
+	r, m = w.inquire(t, l, "PUT", "/v1/config", "base=2", string(w.Document(7)), "none")
 	if e := m["error"].(map[string]any); r.Status != 503 || r.RetryAfter == 0 || e["ran"] != "no" {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
@@ -124,7 +124,7 @@
 	w := Start(11, Small)
 	old := w.targets[0]
 	w.isolate([]string{"g1"}, 3*time.Second, true, true) // has the old entry, and a grant
-	w.Crash(old)
+	w.CrashTarget(old)
 	n := w.AddTarget("pay", "heir", old.domain, old.addr, 0)
 	seen := time.Duration(0)
 	for range 300 {
@@ -163,16 +163,16 @@
 	most := 0
 	for i := range 60 {
 		var doc map[string]any
-		json.Unmarshal(w.Doc(i), &doc)
+		json.Unmarshal(w.Document(i), &doc)
 		doc["policies"] = map[string]any{"p": map[string]any{"slice": "probe", "when": "missed > 30", "decide": "bar", "ttl_ms": 5, "note": pad}}
 		b, _ := json.Marshal(doc)
 		if i%20 == 10 {
 			for _, p := range followers(w) {
-				w.Stall(p, 1500*time.Millisecond)
+				w.StallDisk(p, 1500*time.Millisecond)
 			}
 		}
 		if l := w.Leader(); l != nil {
-			w.Change(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), b, &change{what: "big"})
+			w.SendChange(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), b, &change{what: "big"})
 		}
 		w.Run(w.now + 60*time.Millisecond)
 		for _, n := range w.all(wire.ControlDaemon) {
@@ -187,7 +187,7 @@
 	}
 	w.Run(w.now + 8*time.Second)
 	check(t, w)
-	if w.Stats.Accepted < 20 {
+	if w.Stats.AcceptedChanges < 20 {
 		t.Fatalf("%+v", w.Stats)
 	}
 }
@@ -207,7 +207,7 @@
 		w.targets[i].hang = false
 		w.Run(w.now + 2*time.Second)
 	}
-	w.Crash(w.targets[5])
+	w.CrashTarget(w.targets[5])
 	w.Run(w.now + 3*time.Second)
 	check(t, w)
 	_, m := w.inquire(t, w.Leader(), "GET", "/v1/policies", "", "", "q")
@@ -278,7 +278,7 @@
 		w.Run(w.now + time.Duration(seed%20)*time.Millisecond)
 		w.isolate([]string{l.name}, 5*time.Second, true, true)
 		w.Run(w.now + 8*time.Second)
-		w.CheckState()
+		w.CheckAcknowledgedChanges()
 		check(t, w)
 		if w.changes[1].state == "accepted" {
 			told++
--- a/internal/verification/simulator/operator.go
+++ b/internal/verification/simulator/operator.go
@@ -28,13 +28,13 @@
 
 type ask struct {
 	fn   func(statemachine.Reply)
-	at   *Proc // who has read it, and in which start; nil: nobody yet
+	at   *Process // who has read it, and in which start; nil: nobody yet
 	gen  int
 	what string
 }
 
 // call sends a call to a member; the answer goes to fn, and its arrival is the ask's.
-func (w *World) call(p *Proc, method, path, query string, body []byte, token string, fn func(statemachine.Reply)) *ask {
+func (w *World) call(p *Process, method, path, query string, body []byte, token string, fn func(statemachine.Reply)) *ask {
 	w.nextAsk++
 	id := w.nextAsk
 	recorded := w.record(method, path, query, body, token)
@@ -60,7 +60,7 @@
 			w.exec(p, r)
 			return
 		}
-		if w.Plan.Scarce == nil {
+		if w.Plan.Resources == nil {
 			sent.readBy(p)
 			w.deliver(p, call)
 			return
@@ -77,14 +77,14 @@
 }
 
 // readBy notes that a process has read the call, if it runs.
-func (a *ask) readBy(p *Proc) {
+func (a *ask) readBy(p *Process) {
 	if p.alive && !p.frozen {
 		a.at, a.gen = p, p.gen
 	}
 }
 
 // checkNoCallIsLeft looks whether a process that ends by plan leaves calls without an answer.
-func (w *World) checkNoCallIsLeft(p *Proc) {
+func (w *World) checkNoCallIsLeft(p *Process) {
 	for _, id := range slices.Sorted(maps.Keys(w.asks)) {
 		if a := w.asks[id]; a.at == p && a.gen == p.gen {
 			w.broken("in flight", "%s left %s without an answer at a planned stop", p.name, a.what)
@@ -92,8 +92,10 @@
 	}
 }
 
-// Doc is a configuration that tells its revisions apart by n.
-func (w *World) Doc(n int) []byte { return w.DocOf(n, 40, slices.Sorted(maps.Keys(w.Plan.Services))) }
+// Document is a configuration that tells its revisions apart by n.
+func (w *World) Document(n int) []byte {
+	return w.DocumentFor(n, 40, slices.Sorted(maps.Keys(w.Plan.Services)))
+}
 
 func (w *World) warm(cap int) int {
 	if w.sabotage == "warm cap" {
@@ -102,17 +104,17 @@
 	return min(cap, warmCap)
 }
 
-// DocOf is one for some services, with a cap per target.
-func (w *World) DocOf(n, cap int, services []string) []byte {
+// DocumentFor is one for some services, with a cap per target.
+func (w *World) DocumentFor(n, cap int, services []string) []byte {
 	svcs, routes := map[string]any{}, map[string]config.Route{}
 	var rules []any
 	for _, s := range services {
 		svc := map[string]any{"cap": cap, "warm_cap": w.warm(cap), "timeout_ms": 1000 + n}
-		if w.Plan.ColdPerS > 0 {
-			svc["cold_per_s"], svc["cold_s"] = w.Plan.ColdPerS, coldSpan.Seconds()
+		if w.Plan.WarmupRate > 0 {
+			svc["cold_per_s"], svc["cold_s"] = w.Plan.WarmupRate, coldSpan.Seconds()
 		}
-		if w.Plan.ConnCap > 0 {
-			svc["conn_cap"] = w.Plan.ConnCap
+		if w.Plan.ConnectionLimit > 0 {
+			svc["conn_cap"] = w.Plan.ConnectionLimit
 		}
 		svcs[s] = svc
 		for kind, prefix := range map[string]string{config.KindRepeatable: "/" + s + "/", config.KindOnce: "/" + s + "/once/"} {
@@ -128,8 +130,8 @@
 	return b
 }
 
-// Change sends an operator's change to a core member and follows its fate.
-func (w *World) Change(p *Proc, method, path, query string, body []byte, c *change) {
+// SendChange sends an operator's change to a core member and follows its fate.
+func (w *World) SendChange(p *Process, method, path, query string, body []byte, c *change) {
 	if !p.alive {
 		return
 	}
@@ -149,9 +151,9 @@
 			}
 			json.Unmarshal(r.Body, &v)
 			c.state, c.rev, c.acked = "accepted", v.Revision, w.now
-			w.Stats.Accepted++
-			w.Stats.Forces = append(w.Stats.Forces, w.now-c.at)
-			w.Stats.MaxForce = max(w.Stats.MaxForce, w.now-c.at)
+			w.Stats.AcceptedChanges++
+			w.Stats.ChangeLatencies = append(w.Stats.ChangeLatencies, w.now-c.at)
+			w.Stats.SlowestChange = max(w.Stats.SlowestChange, w.now-c.at)
 			w.log("%s accepted as revision %d", c.what, v.Revision)
 			if w.acked = max(w.acked, v.Revision); w.ackedAt[v.Revision] == 0 {
 				w.ackedAt[v.Revision] = w.now
@@ -165,22 +167,22 @@
 			}
 			if strings.HasSuffix(path, "/empty") && !slices.ContainsFunc(w.changes, func(o *change) bool { return o.what == "restore "+c.empty && o.at > c.at }) {
 				w.emptied[c.empty] = w.now
-				w.Stats.Empties++
+				w.Stats.EmptiedDomains++
 			}
 		case r.Status == 504 || order.leavesOpen(r):
 			c.state = "unknown"
 			w.Stats.UnknownChanges++
 		default:
 			c.state = "refused"
-			w.Stats.Refused++
+			w.Stats.RejectedChanges++
 			w.log("%s refused with %d", c.what, r.Status)
 		}
 	})
 }
 
 // PutConfig tries a whole configuration on a base.
-func (w *World) PutConfig(p *Proc, base uint64, n int) {
-	w.Change(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Doc(n), &change{what: "config", base: base})
+func (w *World) PutConfig(p *Process, base uint64, n int) {
+	w.SendChange(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(n), &change{what: "config", base: base})
 }
 
 // Revision is the highest that any living member has applied.
--- a/internal/verification/simulator/operators_bounds_test.go
+++ b/internal/verification/simulator/operators_bounds_test.go
@@ -20,9 +20,9 @@
 // calmSizes are fleets at rest, the small one and one of many proxies.
 func calmSizes() map[string]Plan {
 	many := Small
-	many.Gates, many.Rate = 69, 20
+	many.Proxies, many.Rate = 69, 20
 	spares := open(11, 3)
-	spares.Gates = 24
+	spares.Proxies = 24
 	return map[string]Plan{"small": Small, "69 proxies": many, "11 core machines": spares}
 }
 
@@ -94,12 +94,12 @@
 	w.Run(w.now + 5*time.Second)
 	first := []string{"fares", "pay"}
 	without := first[:1]
-	r, _ := w.inquire(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocOf(3, 40, without)), "")
+	r, _ := w.inquire(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(3, 40, without)), "")
 	if r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	w.Run(w.now + 3*time.Second)
-	if r, _ = w.inquire(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocOf(4, 40, first)), ""); r.Status != 200 {
+	if r, _ = w.inquire(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(4, 40, first)), ""); r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	w.Run(w.now + 2*time.Second)
--- a/internal/verification/simulator/orders_test.go
+++ b/internal/verification/simulator/orders_test.go
@@ -18,7 +18,7 @@
 	revision uint64 // that it led to, 0: it lost
 }
 
-func (w *World) send(t *testing.T, p *Proc, o order) (statemachine.Reply, uint64) {
+func (w *World) send(t *testing.T, p *Process, o order) (statemachine.Reply, uint64) {
 	t.Helper()
 	r, m := w.inquire(t, p, "PUT", "/v1/config", fmt.Sprintf("base=%d", o.base), string(o.doc), o.token)
 	revision, _ := m["revision"].(float64)
@@ -35,20 +35,20 @@
 	w := Start(21, Small)
 	var taken, lost []order
 	for i := range changes {
-		o := order{base: w.Revision(), doc: w.Doc(i + 10)}
+		o := order{base: w.Revision(), doc: w.Document(i + 10)}
 		r, revision := w.send(t, w.Leader(), o)
 		if r.Status != 200 {
 			t.Fatalf("change %d: %d %s", i, r.Status, r.Body)
 		}
 		o.revision = revision
 		taken = append(taken, o)
-		lost = append(lost, order{base: o.base, doc: w.Doc(i + 5000)})
+		lost = append(lost, order{base: o.base, doc: w.Document(i + 5000)})
 	}
 	last := len(taken) - 1
 	again := func(when string, mayForget bool) {
 		t.Helper()
 		for k, i := range []int{0, 1, 100, last - tuning.ChangesKept - 1, last - 1, last} {
-			p := w.cores()[k%w.Plan.Cores]
+			p := w.cores()[k%w.Plan.ControlDaemons]
 			r, revision := w.send(t, p, taken[i])
 			switch {
 			case r.Status == 200 && revision == taken[i].revision:
@@ -65,7 +65,7 @@
 	again("at once", false)
 	old := w.Leader()
 	w.Kill(old)
-	w.Back(10 * time.Second)
+	w.AwaitRecovery(10 * time.Second)
 	w.Restart(old)
 	w.Run(w.now + time.Second)
 	again("under another leader", false)
@@ -75,7 +75,7 @@
 	for _, n := range w.names {
 		w.Restart(w.procs[n])
 	}
-	w.Back(10 * time.Second)
+	w.AwaitRecovery(10 * time.Second)
 	again("after a restart of all", false)
 	for _, p := range w.cores() {
 		w.Kill(p)
@@ -85,7 +85,7 @@
 	for _, p := range w.cores() {
 		w.Restart(p)
 	}
-	w.Back(15 * time.Second)
+	w.AwaitRecovery(15 * time.Second)
 	again("after a loss of all disks", true)
 	check(t, w)
 }
@@ -97,12 +97,12 @@
 	t.Parallel()
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
-		orders := []order{{base: 1, doc: w.Doc(2)}, {base: 1, doc: w.Doc(3), token: "third"}, {base: 1, doc: w.Doc(4)}}
+		orders := []order{{base: 1, doc: w.Document(2)}, {base: 1, doc: w.Document(3), token: "third"}, {base: 1, doc: w.Document(4)}}
 		type answer struct{ order, status, revision int }
 		var got []answer
 		for i := range 8 {
 			k := i % len(orders)
-			w.call(w.cores()[(i+int(seed))%w.Plan.Cores], "PUT", "/v1/config", "base=1", orders[k].doc, orders[k].token, func(r statemachine.Reply) {
+			w.call(w.cores()[(i+int(seed))%w.Plan.ControlDaemons], "PUT", "/v1/config", "base=1", orders[k].doc, orders[k].token, func(r statemachine.Reply) {
 				got = append(got, answer{k, r.Status, int(revisionOf(r))})
 			})
 			if seed%3 == 0 {
@@ -135,7 +135,7 @@
 	w := Start(22, Small)
 	for i := range 3 * tuning.ChangesKept {
 		for _, what := range []string{"empty", "restore"} {
-			if r, _ := w.inquire(t, w.cores()[i%w.Plan.Cores], "POST", "/v1/domains/d1/"+what, "", "", fmt.Sprintf("%s%d", what, i)); r.Status != 200 {
+			if r, _ := w.inquire(t, w.cores()[i%w.Plan.ControlDaemons], "POST", "/v1/domains/d1/"+what, "", "", fmt.Sprintf("%s%d", what, i)); r.Status != 200 {
 				t.Fatalf("%s %d: %d %s", what, i, r.Status, r.Body)
 			}
 		}
--- a/internal/verification/simulator/overload_test.go
+++ b/internal/verification/simulator/overload_test.go
@@ -43,7 +43,7 @@
 	for batch := range slices.Chunk(all[:int(share*float64(len(all)))], atOnce) {
 		w.at(wait, func() {
 			for _, t := range batch {
-				w.Leave(t, func() { w.replace(t, w.ms(300, 900), 0) })
+				w.DrainTarget(t, func() { w.replace(t, w.ms(300, 900), 0) })
 			}
 		})
 		wait += gap
@@ -61,7 +61,7 @@
 }
 
 // spentOn tells what a process's processor time since an earlier moment went to, the most first.
-func (p *Proc) spentOn(before map[string]time.Duration) string {
+func (p *Process) spentOn(before map[string]time.Duration) string {
 	on := slices.SortedFunc(maps.Keys(p.spent), func(a, b string) int { return int(p.spent[b] - before[b] - p.spent[a] + before[a]) })
 	var lines []string
 	for _, k := range on {
@@ -71,12 +71,12 @@
 }
 
 // busyShare is the part of its processor that a process used since an earlier moment.
-func (w *World) busyShare(p *Proc, before map[string]time.Duration, since time.Duration) float64 {
+func (w *World) busyShare(p *Process, before map[string]time.Duration, since time.Duration) float64 {
 	total := time.Duration(0)
 	for k, d := range p.spent {
 		total += d - before[k]
 	}
-	return float64(total) / float64(w.now-since) / w.Plan.Scarce.share(p)
+	return float64(total) / float64(w.now-since) / w.Plan.Resources.share(p)
 }
 
 // busyInRelease is the most of its processor that a leader may use while targets are released.
@@ -150,14 +150,14 @@
 				w.Kill(w.procs[c])
 			}
 			w.Run(w.now + 2*time.Second)
-			probes, exchanges, served := w.Stats.ProxyProbes, w.Stats.Exchanges, w.Stats.Served
+			probes, exchanges, served := w.Stats.ProxyHealthChecks, w.Stats.Requests, w.Stats.Served
 			const span = 3
 			w.Run(w.now + span*time.Second)
-			perTarget := float64(w.Stats.ProxyProbes-probes) / span / 307
+			perTarget := float64(w.Stats.ProxyHealthChecks-probes) / span / 307
 			if most := tuning.ProbersPerTarget / tuning.ProbeEvery.Seconds(); perTarget > most {
 				t.Errorf("each target is probed %.1f times a second, at most %.1f are wanted", perTarget, most)
 			}
-			if part := float64(w.Stats.Served-served) / float64(w.Stats.Exchanges-exchanges); part < 0.97 {
+			if part := float64(w.Stats.Served-served) / float64(w.Stats.Requests-exchanges); part < 0.97 {
 				t.Errorf("%.3f of the requests are served without a leader", part)
 			}
 			t.Logf("%.1f probes a second for each target", perTarget)
@@ -173,13 +173,13 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			p := grown()
-			p.Rate, p.Slots, p.CoreOnly, p.Beats = 200, 3, true, 1500*time.Millisecond
+			p.Rate, p.Slots, p.ReportToControlOnly, p.HeartbeatEvery = 200, 3, true, 1500*time.Millisecond
 			w := Start(seed, p)
 			w.Run(w.now + 3*time.Second)
-			w.Change(w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.bulk(3, 1400), &change{what: "config", base: w.Revision()})
+			w.SendChange(w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.bulk(3, 1400), &change{what: "config", base: w.Revision()})
 			w.Run(w.now + 3*time.Second)
 			w.release(0.3, 4, 500*time.Millisecond)
-			var cut []*Proc
+			var cut []*Process
 			var links [][2]string
 			for i, g := range w.all(wire.ProxyDaemon) {
 				if i%4 > 0 {
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -27,8 +27,8 @@
 	refusing bool // a write was refused and is tried again
 }
 
-// Proc is one daemon's process; gen counts its starts.
-type Proc struct {
+// Process is one daemon's process; gen counts its starts.
+type Process struct {
 	w        *World
 	name     string
 	kind     wire.DaemonKind
@@ -70,7 +70,7 @@
 }
 
 func (w *World) addProc(kind wire.DaemonKind, name string, domain int) {
-	p := &Proc{w: w, name: name, kind: kind, domain: fmt.Sprintf("d%d", domain+1), addr: fmt.Sprintf("10.0.0.%d:1", len(w.byAddr)+1), disk: &disk{}}
+	p := &Process{w: w, name: name, kind: kind, domain: fmt.Sprintf("d%d", domain+1), addr: fmt.Sprintf("10.0.0.%d:1", len(w.byAddr)+1), disk: &disk{}}
 	if kind == wire.ControlDaemon {
 		p.disk.img.Disk = w.rnd.Uint64() | 1
 	}
@@ -79,11 +79,11 @@
 	w.names = append(w.names, name)
 }
 
-func (p *Proc) local() time.Duration {
+func (p *Process) local() time.Duration {
 	return p.base + time.Duration(float64(p.w.now-p.boot)*p.rate)
 }
 
-func (w *World) start(p *Proc) {
+func (w *World) start(p *Process) {
 	p.gen++
 	p.alive, p.frozen, p.held, p.thawed, p.ticks = true, false, nil, nil, false
 	p.asked, p.intakeClosed = false, false
@@ -94,7 +94,7 @@
 	p.slow, p.doneAt, p.attempts, p.disk.syncing = 0, 0, nil, false
 	p.disk.refusing = false
 	var seeds []string
-	set := controlplane.Settings{BootstrapSize: w.Plan.Cores, CatchUpTime: w.Plan.CatchUp, MachineLosses: w.Plan.Losses, StopGrace: stopGrace}
+	set := controlplane.Settings{BootstrapSize: w.Plan.ControlDaemons, CatchUpTime: w.Plan.CatchUp, MachineLosses: w.Plan.Losses, StopGrace: stopGrace}
 	if w.Plan.Seeds > 0 {
 		set.BootstrapSize, set.Bootstrap = 0, w.now < foundingTime
 	}
@@ -106,7 +106,7 @@
 		p.disk.open = nil
 		img := p.disk.img
 		img.Log = slices.Clone(img.Log)
-		set.Self, set.Seeds, set.Domains = self, seeds, w.Plan.Known
+		set.Self, set.Seeds, set.Domains = self, seeds, w.Plan.KnownDomains
 		p.core = controlplane.New(p.local(), set, img)
 	} else {
 		p.gate = dataplane.New(dataplane.Settings{Self: self, Seeds: seeds, GracePeriod: w.Plan.Grace})
@@ -119,7 +119,7 @@
 		}
 		switch {
 		case p.frozen:
-		case w.Plan.Scarce == nil:
+		case w.Plan.Resources == nil:
 			w.deliver(p, statemachine.Tick{})
 		case !p.ticks: // else the one before still waits
 			p.ticks = true
@@ -136,7 +136,7 @@
 }
 
 // Kill ends a process at once; what its disk had not synced may be there in part.
-func (w *World) Kill(p *Proc) {
+func (w *World) Kill(p *Process) {
 	if !p.alive {
 		return
 	}
@@ -150,7 +150,7 @@
 	for _, id := range slices.Sorted(maps.Keys(w.open)) {
 		if x := w.open[id]; x.gate == p && x.gen == p.gen {
 			delete(w.open, id)
-			w.Stats.NoAnswer++
+			w.Stats.Abandoned++
 			if w.planned {
 				w.broken("in flight", "exchange %d was left behind by %s", x.id, p.name)
 			}
@@ -159,14 +159,14 @@
 }
 
 // WipeDisk loses a dead member's disk.
-func (w *World) WipeDisk(p *Proc) {
+func (w *World) WipeDisk(p *Process) {
 	w.log("wipe disk of %s", p.name)
 	w.loseMajority(p)
 	p.disk = &disk{img: consensus.Image{Disk: w.rnd.Uint64() | 1}}
 }
 
 // Restart starts a dead process again, unless its machine is gone.
-func (w *World) Restart(p *Proc) {
+func (w *World) Restart(p *Process) {
 	if !p.alive && !p.gone {
 		w.log("start %s", p.name)
 		w.start(p)
@@ -174,7 +174,7 @@
 }
 
 // Freeze stops a process where it is for a while.
-func (w *World) Freeze(p *Proc, d time.Duration) {
+func (w *World) Freeze(p *Process, d time.Duration) {
 	if !p.alive || p.frozen {
 		return
 	}
@@ -189,7 +189,7 @@
 }
 
 // Thaw has a frozen process go on with all that came meanwhile.
-func (w *World) Thaw(p *Proc) {
+func (w *World) Thaw(p *Process) {
 	if !p.frozen {
 		return
 	}
@@ -210,7 +210,7 @@
 	}
 }
 
-func (w *World) deliver(p *Proc, ev statemachine.Event) {
+func (w *World) deliver(p *Process, ev statemachine.Event) {
 	if !p.alive {
 		return
 	}
@@ -233,11 +233,11 @@
 
 // pauseBeforeCommands stops a process between a step and what the step says: all of it is
 // carried out when the process goes on, however late.
-func (w *World) pauseBeforeCommands(p *Proc, cmds []statemachine.Command) {
+func (w *World) pauseBeforeCommands(p *Process, cmds []statemachine.Command) {
 	d := p.pauseAfterStep
 	p.pauseAfterStep = 0
 	w.Freeze(p, d)
-	w.Stats.LateCommands++
+	w.Stats.DelayedSteps++
 	p.thawed = append(p.thawed, func() {
 		for _, c := range cmds {
 			w.exec(p, c)
@@ -245,7 +245,7 @@
 	})
 }
 
-func (w *World) exec(p *Proc, cmd statemachine.Command) {
+func (w *World) exec(p *Process, cmd statemachine.Command) {
 	gen := p.gen
 	switch c := cmd.(type) {
 	case statemachine.Send:
@@ -269,13 +269,13 @@
 			d += passes
 			at = max(w.now+d, w.link[k]+1)
 		}
-		if w.Plan.Scarce != nil {
+		if w.Plan.Resources != nil {
 			w.scarce(p, to, m, d)
 			return
 		}
 		if w.rnd.Float64() < w.late {
 			at = w.now + w.ms(200, 4000) // left over in an earlier connection
-			w.Stats.Slips++
+			w.Stats.LateMessages++
 			m = w.spoilLate(p, m)
 		} else {
 			w.link[k] = at
@@ -295,9 +295,9 @@
 		w.sync(p, gen, d)
 	case statemachine.Probe:
 		if p.kind == wire.ProxyDaemon {
-			w.Stats.ProxyProbes++
+			w.Stats.ProxyHealthChecks++
 		}
-		if w.Plan.Scarce != nil { // the question, and the answer
+		if w.Plan.Resources != nil { // the question, and the answer
 			w.work(p, "probe", w.probeCost(p, c))
 		}
 		w.probe(p, c)
@@ -315,7 +315,7 @@
 			w.lostLead = w.now
 		}
 		if c.To == "orphan" {
-			w.Stats.Orphaned++
+			w.Stats.PeerServing++
 		}
 	case statemachine.Publish:
 		if c.Decision != nil && c.Decision.Kind != "lapse" {
@@ -346,7 +346,7 @@
 	}
 }
 
-func (w *World) flush(p *Proc, gen int, d *disk) {
+func (w *World) flush(p *Process, gen int, d *disk) {
 	if p.gen != gen || !p.alive || d != p.disk || d.stalled || d.refusing || len(d.open) == 0 {
 		return
 	}
@@ -363,8 +363,8 @@
 	w.deliver(p, statemachine.Synced{Seq: seq})
 }
 
-// Stall keeps a disk from syncing for a while.
-func (w *World) Stall(p *Proc, d time.Duration) {
+// StallDisk keeps a disk from syncing for a while.
+func (w *World) StallDisk(p *Process, d time.Duration) {
 	w.log("stall disk of %s for %v", p.name, d)
 	dk, gen := p.disk, p.gen
 	dk.stalled = true
@@ -375,7 +375,7 @@
 }
 
 // Leader is the member that decides, if one does.
-func (w *World) Leader() *Proc {
+func (w *World) Leader() *Process {
 	for _, n := range w.names {
 		if p := w.procs[n]; p.core != nil && p.alive && !p.frozen && p.core.Leading() {
 			return p
@@ -384,8 +384,8 @@
 	return nil
 }
 
-func (w *World) pick(kind wire.DaemonKind, alive bool) *Proc {
-	var l []*Proc
+func (w *World) pick(kind wire.DaemonKind, alive bool) *Process {
+	var l []*Process
 	for _, n := range w.names {
 		if p := w.procs[n]; p.kind == kind && p.alive == alive {
 			l = append(l, p)
--- a/internal/verification/simulator/registry_test.go
+++ b/internal/verification/simulator/registry_test.go
@@ -32,9 +32,9 @@
 		}
 		dead := w.targets[2]
 		w.lossOfAll()
-		w.Crash(dead)
+		w.CrashTarget(dead)
 		from := w.now
-		for w.Run(w.now+20*time.Millisecond) && !w.Serves() {
+		for w.Run(w.now+20*time.Millisecond) && !w.Serving() {
 			if w.now-from > time.Second {
 				t.Fatalf("seed %d: nothing is served a second after all daemons were back\n%s", seed, w.Trace(20))
 			}
--- a/internal/verification/simulator/replacement.go
+++ b/internal/verification/simulator/replacement.go
@@ -13,15 +13,15 @@
 // stopGrace is how long after the polite signal a replaced machine's process is ended by force.
 const stopGrace = 6 * time.Second
 
-// ReplaceCore takes a core machine away for good; its successor stands in the same
+// ReplaceControlDaemon takes a core machine away for good; its successor stands in the same
 // domain under another name and address. Unplanned, the old one is killed now and the
 // successor starts after the pause. Planned, the successor starts now and the old one
 // is told to stop after the pause. Then is called once both have happened, with the
 // time of the successor's start.
-func (w *World) ReplaceCore(old *Proc, planned bool, pause time.Duration, then func(started time.Duration)) {
+func (w *World) ReplaceControlDaemon(old *Process, planned bool, pause time.Duration, then func(started time.Duration)) {
 	w.replaced++
 	w.replacing++
-	w.Stats.Replaced++
+	w.Stats.ReplacedMachines++
 	name := fmt.Sprintf("r%d", w.replaced)
 	successor := func() {
 		w.log("%s comes in place of %s", name, old.name)
@@ -67,12 +67,12 @@
 	if w.rnd.IntN(2) == 0 {
 		w.PutConfig(p, w.Revision(), w.docNumber())
 	}
-	w.ReplaceCore(p, planned, w.ms(0, 1500), func(time.Duration) {})
+	w.ReplaceControlDaemon(p, planned, w.ms(0, 1500), func(time.Duration) {})
 }
 
 // endReplaced waits for a process that was told to stop, kills it at the deadline, and
 // then removes its machine.
-func (w *World) endReplaced(old *Proc, deadline time.Duration, then func()) {
+func (w *World) endReplaced(old *Process, deadline time.Duration, then func()) {
 	if old.alive && w.now < deadline {
 		w.at(10*time.Millisecond, func() { w.endReplaced(old, deadline, then) })
 		return
@@ -83,7 +83,7 @@
 }
 
 // forgetProc removes a machine that never comes back; to the history its disk is lost.
-func (w *World) forgetProc(old *Proc) {
+func (w *World) forgetProc(old *Process) {
 	w.loseMajority(old)
 	old.gone = true
 	w.names = slices.DeleteFunc(w.names, func(n string) bool { return n == old.name })
--- a/internal/verification/simulator/replacement_test.go
+++ b/internal/verification/simulator/replacement_test.go
@@ -20,35 +20,35 @@
 // loss is a kind of loss of a core machine; it reports when the next may follow.
 type loss struct {
 	name string
-	do   func(w *World, p *Proc, over func(at time.Duration))
+	do   func(w *World, p *Process, over func(at time.Duration))
 }
 
 var losses = []loss{
-	{"replaced", func(w *World, p *Proc, over func(time.Duration)) {
-		w.ReplaceCore(p, false, w.ms(0, 1500), func(started time.Duration) { over(started + testCatchUp) })
+	{"replaced", func(w *World, p *Process, over func(time.Duration)) {
+		w.ReplaceControlDaemon(p, false, w.ms(0, 1500), func(started time.Duration) { over(started + testCatchUp) })
 	}},
-	{"replaced by plan", func(w *World, p *Proc, over func(time.Duration)) {
-		w.ReplaceCore(p, true, w.ms(0, 1500), func(started time.Duration) { over(max(w.now, started+testCatchUp)) })
+	{"replaced by plan", func(w *World, p *Process, over func(time.Duration)) {
+		w.ReplaceControlDaemon(p, true, w.ms(0, 1500), func(started time.Duration) { over(max(w.now, started+testCatchUp)) })
 	}},
-	{"restarted", func(w *World, p *Proc, over func(time.Duration)) {
+	{"restarted", func(w *World, p *Process, over func(time.Duration)) {
 		w.Kill(p)
 		w.at(w.ms(100, 6000), func() { w.Restart(p); over(w.now + testCatchUp) })
 	}},
-	{"restarted by plan", func(w *World, p *Proc, over func(time.Duration)) {
+	{"restarted by plan", func(w *World, p *Process, over func(time.Duration)) {
 		w.stop(p)
 		w.at(w.ms(800, 3000), func() { w.Kill(p); w.Restart(p); over(w.now + testCatchUp) })
 	}},
-	{"disk lost", func(w *World, p *Proc, over func(time.Duration)) {
+	{"disk lost", func(w *World, p *Process, over func(time.Duration)) {
 		w.Kill(p)
 		w.WipeDisk(p)
 		w.at(w.ms(100, 3000), func() { w.Restart(p); over(w.now + testCatchUp) })
 	}},
-	{"cut off", func(w *World, p *Proc, over func(time.Duration)) {
+	{"cut off", func(w *World, p *Process, over func(time.Duration)) {
 		d := w.ms(500, 9000)
 		w.isolate([]string{p.name}, d, true, true)
 		w.at(d, func() { over(w.now + testCatchUp) })
 	}},
-	{"frozen", func(w *World, p *Proc, over func(time.Duration)) {
+	{"frozen", func(w *World, p *Process, over func(time.Duration)) {
 		d := w.ms(300, 6000)
 		w.Freeze(p, d)
 		w.at(d, func() { over(w.now + testCatchUp) })
@@ -56,7 +56,7 @@
 }
 
 // victims are the machines that are lost next: the leader, other members, standbys.
-func (w *World) victims(t *testing.T, machines int) (l []*Proc) {
+func (w *World) victims(t *testing.T, machines int) (l []*Process) {
 	t.Helper()
 	if w.Leader() == nil {
 		t.Fatalf("seed %d: nobody leads before the next loss\n%s", w.Seed, w.Trace(60))
@@ -132,7 +132,7 @@
 func replacementPlan(cores, domains int) Plan {
 	p := open(cores, min(cores, 3))
 	p.Domains, p.CatchUp = domains, testCatchUp
-	p.Gates, p.Rate, p.Services = 2, 20, map[string]int{"fares": 2}
+	p.Proxies, p.Rate, p.Services = 2, 20, map[string]int{"fares": 2}
 	return p
 }
 
@@ -166,7 +166,7 @@
 					w.until(2*tuning.GrowAfter, func() bool { return len(w.memberNames()) == c.want })
 					w.sane(t, c.want)
 					w.takesChange(t)
-					w.Back(15 * time.Second)
+					w.AwaitRecovery(15 * time.Second)
 					w.Finish()
 					check(t, w)
 					if e := w.Leader().core.Status(0).Epoch; e != 1 {
@@ -194,7 +194,7 @@
 				t.Fatalf("seed %d, round %d: members %v\n%s", seed, round, w.memberNames(), w.Trace(40))
 			}
 		}
-		w.Back(15 * time.Second)
+		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
 		check(t, w)
 	}
@@ -226,7 +226,7 @@
 		w.loseMachines(t, 3, losses[:1], 1)
 		w.Run(w.now + 2*time.Second)
 		w.takesChange(t)
-		w.Back(15 * time.Second)
+		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
 		check(t, w)
 	}
@@ -264,7 +264,7 @@
 			w.until(2*tuning.GrowAfter, func() bool { return len(w.memberNames()) == min(cores, 7) })
 			w.sane(t, min(cores, 7))
 			w.takesChange(t)
-			w.Back(15 * time.Second)
+			w.AwaitRecovery(15 * time.Second)
 			w.Finish()
 			check(t, w)
 		})
@@ -276,7 +276,7 @@
 func TestDaysOfReplacements(t *testing.T) {
 	t.Parallel()
 	f := func(name string) Fault {
-		x, ok := ByName(name)
+		x, ok := FaultByName(name)
 		if !ok {
 			t.Fatal(name)
 		}
@@ -290,7 +290,7 @@
 		p := replacementPlan([]int{3, 4, 5, 7, 11}[seed%5], 3+int(seed/5%2))
 		w := Day(seed, p, kinds, 30, 50*time.Second)
 		check(t, w)
-		replaced += w.Stats.Replaced
+		replaced += w.Stats.ReplacedMachines
 	}
 	if replaced < 40 {
 		t.Errorf("only %d machines were replaced", replaced)
@@ -307,7 +307,7 @@
 	w.history.Reset()
 	w.history.Read(w.now).Return(w.now, unacknowledged, "")
 	for i, left := range []int{1, 0} {
-		w.ReplaceCore(w.procs[w.all(wire.ControlDaemon)[0]], false, time.Second, func(time.Duration) {})
+		w.ReplaceControlDaemon(w.procs[w.all(wire.ControlDaemon)[0]], false, time.Second, func(time.Duration) {})
 		if w.history.Len() != left {
 			t.Errorf("after %d replaced machines the history holds %d reads of what may be lost, not %d", i+1, w.history.Len(), left)
 		}
--- a/internal/verification/simulator/request.go
+++ b/internal/verification/simulator/request.go
@@ -17,7 +17,7 @@
 	id     uint64
 	svc    string
 	unsafe bool
-	gate   *Proc
+	gate   *Process
 	gen    int
 	ran    int
 	sent   bool
@@ -34,15 +34,15 @@
 }
 
 // Callers sends requests at the plan's rate until the world is quiet.
-func (w *World) Callers() {
+func (w *World) StartCallers() {
 	var next func()
 	next = func() {
 		if w.quiet {
 			return
 		}
 		svcs := slices.Sorted(maps.Keys(w.Plan.Services))
-		svc, unsafe := svcs[w.rnd.IntN(len(svcs))], w.rnd.Float64() < w.Plan.Unsafe
-		if w.Plan.Kept > 0 {
+		svc, unsafe := svcs[w.rnd.IntN(len(svcs))], w.rnd.Float64() < w.Plan.NonIdempotent
+		if w.Plan.PersistentConnections > 0 {
 			w.requestOnKept(svc, unsafe)
 		} else {
 			w.request(svc, unsafe, 0)
@@ -60,8 +60,8 @@
 
 // pickProxy draws one of the proxies that take new connections: those that are ready, or all that run if
 // none is; nil: none runs.
-func (w *World) pickProxy() *Proc {
-	var ready []*Proc
+func (w *World) pickProxy() *Process {
+	var ready []*Process
 	for _, n := range w.names {
 		if p := w.procs[n]; p.kind == wire.ProxyDaemon && p.alive && !p.frozen && p.gate.Ready() {
 			ready = append(ready, p)
@@ -80,11 +80,11 @@
 	return ready[w.rnd.IntN(len(ready))]
 }
 
-func (w *World) requestAt(p *Proc, svc string, unsafe bool, hard int) {
+func (w *World) requestAt(p *Process, svc string, unsafe bool, hard int) {
 	w.nextEx++
 	x := &request{id: w.nextEx, svc: svc, unsafe: unsafe, gate: p, gen: p.gen, hard: hard, kept: w.onKept}
 	w.open[x.id] = x
-	w.Stats.Exchanges++
+	w.Stats.Requests++
 	m := "GET"
 	if unsafe && w.sabotage != "resend" { // that takes the owner's own guard out too
 		m = "POST"
@@ -104,12 +104,12 @@
 	case "served":
 		w.Stats.Served++
 		if !w.quiet {
-			w.Stats.Gap = max(w.Stats.Gap, w.now-w.lastOk[x.svc])
+			w.Stats.LongestGap = max(w.Stats.LongestGap, w.now-w.lastOk[x.svc])
 		}
 		w.lastOk[x.svc] = w.now
 		w.okAt = append(w.okAt, w.now)
 	case "no":
-		w.Stats.NotRun++
+		w.Stats.Rejected++
 		if x.ran > 0 {
 			w.broken("refused but ran", "exchange %d had run %d times", x.id, x.ran)
 		}
@@ -119,7 +119,7 @@
 			w.broken("in flight", "exchange %d at %s was lost during planned work", x.id, x.gate.name)
 		}
 	}
-	if final != "served" && x.hard < 3 && w.rnd.Float64() < w.Plan.Hard {
+	if final != "served" && x.hard < 3 && w.rnd.Float64() < w.Plan.Resubmitted {
 		w.at(w.ms(0, 5), func() { w.request(x.svc, x.unsafe, x.hard+1) })
 	}
 }
@@ -141,7 +141,7 @@
 
 // give plays the forwarder: a pooled connection or a new one with its identity checked,
 // then the request, then what its end means.
-func (w *World) give(p *Proc, c statemachine.Forward) {
+func (w *World) give(p *Process, c statemachine.Forward) {
 	x := w.open[c.ID]
 	if x == nil || x.gate != p || x.gen != p.gen {
 		return
@@ -149,14 +149,14 @@
 	w.checkGive(p, &c, x)
 	id := c.Target.ID()
 	idle := tuning.ConnIdle
-	if x.unsafe && w.Plan.ConnCap > 0 {
+	if x.unsafe && w.Plan.ConnectionLimit > 0 {
 		idle = tuning.NonIdempotentIdleMax
 	}
 	conn := w.takeConnection(p, id, idle)
 	pooled := conn != nil
 	if !pooled {
 		conn = &connection{target: w.listen[c.Target.Addr]}
-		w.Stats.Opened++
+		w.Stats.OpenedConnections++
 	}
 	t := conn.target
 	back := func(d time.Duration, fn func()) {
@@ -199,7 +199,7 @@
 		fail(min(c.ConnectTimeout, c.TimeLeft), statemachine.ConnectFailed, false, false)
 		return
 	case !pooled && (t.service != id.Service || t.name != id.Name || t.inc != id.Incarnation) && w.sabotage != "identity":
-		w.Stats.Foreign++
+		w.Stats.WrongIdentities++
 		fail(w.ms(1, 3), statemachine.WrongIdentity, false, false)
 		return
 	}
@@ -208,7 +208,7 @@
 
 // write is the moment at which a request's first byte goes out; a process that
 // is frozen then goes on with it when it thaws.
-func (w *World) write(p *Proc, c statemachine.Forward, x *request, conn *connection, pooled bool, back func(time.Duration, func()), fail func(time.Duration, statemachine.Outcome, bool, bool)) {
+func (w *World) write(p *Process, c statemachine.Forward, x *request, conn *connection, pooled bool, back func(time.Duration, func()), fail func(time.Duration, statemachine.Outcome, bool, bool)) {
 	id, t := c.Target.ID(), conn.target
 	if !p.alive || p.gen != x.gen {
 		return
@@ -266,9 +266,9 @@
 			switch {
 			case !w.endAttempt(p, try): // the proxy has given this connection up
 			case !t.alive || t.lose:
-				w.Stats.Lost++
+				w.Stats.LostResponses++
 				if x.unsafe {
-					w.Stats.LostUnsafe++
+					w.Stats.LostNonIdempotent++
 				}
 				fail(0, statemachine.ResponseLost, true, false)
 			default:
@@ -291,6 +291,6 @@
 	if w.Plan.Slots == 0 || len(t.works) < w.Plan.Slots+queued {
 		return false
 	}
-	w.Stats.TurnedAway++
+	w.Stats.TargetRejections++
 	return true
 }
--- a/internal/verification/simulator/resume_test.go
+++ b/internal/verification/simulator/resume_test.go
@@ -11,7 +11,7 @@
 
 // known is how many targets a leader knows, and hearsay how many of them have to prove themselves
 // before they are served.
-func (w *World) known(p *Proc) (n, hearsay int) {
+func (w *World) known(p *Process) (n, hearsay int) {
 	all := p.core.Targets(w.now)
 	for _, t := range all {
 		if strings.HasPrefix(t.Why, "known by hearsay") {
@@ -22,7 +22,7 @@
 }
 
 // cutOff cuts a core member from the other core daemons, both ways, for a time.
-func (w *World) cutOff(p *Proc, d time.Duration) {
+func (w *World) cutOff(p *Process, d time.Duration) {
 	var ks [][2]string
 	for _, n := range w.all(wire.ControlDaemon) {
 		if n != p.name {
@@ -89,7 +89,7 @@
 		if second == nil || second == first {
 			continue
 		}
-		w.Crash(w.targets[0])
+		w.CrashTarget(w.targets[0])
 		w.Run(w.now + tuning.LeadershipResumeWindow/2)
 		w.Kill(second)
 		elections := first.core.Status(w.now).Counts.Elections
@@ -117,7 +117,7 @@
 			w.cutOff(w.procs[c], 2300*time.Millisecond)
 		}
 		w.Run(w.now + tuning.LeaderLease - 200*time.Millisecond)
-		w.Crash(w.targets[int(seed)%len(w.targets)])
+		w.CrashTarget(w.targets[int(seed)%len(w.targets)])
 		w.Run(w.now + 300*time.Millisecond)
 		for _, g := range gates {
 			w.Kill(w.procs[g])
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -24,7 +24,7 @@
 
 // checkCores: at most one member decides at any moment of real time, within an
 // epoch and beyond it.
-func (w *World) checkCores(p *Proc) {
+func (w *World) checkCores(p *Process) {
 	if !p.core.HoldsLease(p.local()) {
 		return
 	}
@@ -37,7 +37,7 @@
 }
 
 // checkGate: a proxy's revision never goes back.
-func (w *World) checkGate(p *Proc) {
+func (w *World) checkGate(p *Process) {
 	if r := p.gate.Revision(); r < p.rev {
 		w.broken("slipped back", "%s went from revision %d to %d", p.name, p.rev, r)
 	} else {
@@ -46,7 +46,7 @@
 }
 
 // checkGive: what a proxy may do with a request now.
-func (w *World) checkGive(p *Proc, c *statemachine.Forward, x *request) {
+func (w *World) checkGive(p *Process, c *statemachine.Forward, x *request) {
 	if r := p.gate.Revision(); r < w.acked {
 		w.broken("not in force", "%s serves on revision %d, %d was acknowledged", p.name, r, w.acked)
 	}
@@ -59,7 +59,7 @@
 
 // checkWrite: the same once more when the first byte goes out, which a frozen process
 // does late. A choice that was right may be carried out for its short life.
-func (w *World) checkWrite(p *Proc, c *statemachine.Forward, x *request) {
+func (w *World) checkWrite(p *Process, c *statemachine.Forward, x *request) {
 	life := tuning.ChoiceTTL * 21 / 20
 	for r, at := range w.ackedAt {
 		if r > x.rev && w.now-at > life {
@@ -72,21 +72,21 @@
 	w.checkTarget(p, c)
 }
 
-func (w *World) checkTarget(p *Proc, c *statemachine.Forward) {
+func (w *World) checkTarget(p *Process, c *statemachine.Forward) {
 	for _, t := range w.targets {
 		if t.service != c.Target.Service || t.name != c.Target.Name || t.inc != c.Target.Incarnation {
 			continue
 		}
 		if t.leftAt > 0 {
 			late := w.now - t.leftAt
-			w.Stats.MaxLeave = max(w.Stats.MaxLeave, late)
+			w.Stats.LatestToDraining = max(w.Stats.LatestToDraining, late)
 			if late > leaveBound {
 				w.broken("leaving", "%s (%s) gives an exchange to %s/%s, leaving for %v", p.name, p.gate.State(), t.service, t.name, late)
 			}
 		}
 		if !t.alive && t.goneAt > 0 {
 			late := w.now - t.goneAt
-			w.Stats.MaxGone = max(w.Stats.MaxGone, late)
+			w.Stats.LatestToCrashed = max(w.Stats.LatestToCrashed, late)
 			bound := goneBound
 			if w.lostLead >= t.goneAt-time.Second {
 				bound = lostBound
@@ -114,7 +114,7 @@
 				n++
 			}
 		}
-		w.Stats.MaxWarm = max(w.Stats.MaxWarm, n)
+		w.Stats.MostWhileWarming = max(w.Stats.MostWhileWarming, n)
 		if n > warmCap {
 			w.broken("warming", "%s/%s has %d exchanges, bears %d", t.service, t.name, n, warmCap)
 		}
@@ -127,16 +127,16 @@
 		t.came = nil
 		return
 	}
-	w.Stats.Cold++
+	w.Stats.WarmupArrivals++
 	t.came = append(slices.DeleteFunc(t.came, func(at time.Duration) bool { return w.now-at >= time.Second }), w.now)
-	if most := w.Plan.ColdPerS*1.5 + 5; float64(len(t.came)) > most {
-		w.broken("cold rate", "%s/%s got %d exchanges in a second, bears %v", t.service, t.name, len(t.came), w.Plan.ColdPerS)
+	if most := w.Plan.WarmupRate*1.5 + 5; float64(len(t.came)) > most {
+		w.broken("cold rate", "%s/%s got %d exchanges in a second, bears %v", t.service, t.name, len(t.came), w.Plan.WarmupRate)
 	}
 }
 
-// CheckBudget holds that retries stay within a fifth of the traffic of any 10 s, plus the allowance.
-func (w *World) CheckBudget() {
-	free := max(tuning.RetryFree, w.Plan.Gates)
+// CheckRetryBudget holds that retries stay within a fifth of the traffic of any 10 s, plus the allowance.
+func (w *World) CheckRetryBudget() {
+	free := max(tuning.RetryFree, w.Plan.Proxies)
 	for svc, l := range w.sends {
 		from, retries, traffic := 0, 0, 0
 		for _, e := range l {
@@ -158,9 +158,9 @@
 	}
 }
 
-// CheckState holds that what was acknowledged is still agreed by every member that leads,
+// CheckAcknowledgedChanges holds that what was acknowledged is still agreed by every member that leads,
 // and what was refused never took effect.
-func (w *World) CheckState() {
+func (w *World) CheckAcknowledgedChanges() {
 	l := w.Leader()
 	if l == nil {
 		return
--- a/internal/verification/simulator/scarce.go
+++ b/internal/verification/simulator/scarce.go
@@ -12,10 +12,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Scarce has processes take time for what they handle, and links for what goes over them.
-type Scarce struct {
-	CoreShare, GateShare float64 // of a processor
-	GateLink             float64 // bytes a second, each way
+// LimitedResources has processes take time for what they handle, and links for what goes over them.
+type LimitedResources struct {
+	ControlShare, ProxyShare float64 // of a processor
+	ProxyLink                float64 // bytes a second, each way
 }
 
 // What a process that has a processor of its own takes for one message or event, and for a
@@ -30,11 +30,11 @@
 )
 
 // share is the part of a processor that a process has.
-func (s *Scarce) share(p *Proc) float64 {
+func (s *LimitedResources) share(p *Process) float64 {
 	if p.kind == wire.ControlDaemon {
-		return s.CoreShare
+		return s.ControlShare
 	}
-	return s.GateShare
+	return s.ProxyShare
 }
 
 // weigh is how many bytes a message takes on a connection.
@@ -48,8 +48,8 @@
 
 // work has a process spend processor time on something, after all that it has to do before; what
 // it gives is when that is done. The time is accounted for by what it was spent on.
-func (w *World) work(p *Proc, on string, cost time.Duration) time.Duration {
-	d := time.Duration(float64(cost) / w.Plan.Scarce.share(p) * max(1, p.slow))
+func (w *World) work(p *Process, on string, cost time.Duration) time.Duration {
+	d := time.Duration(float64(cost) / w.Plan.Resources.share(p) * max(1, p.slow))
 	if p.spent == nil {
 		p.spent = map[string]time.Duration{}
 	}
@@ -59,7 +59,7 @@
 }
 
 // probeCost is what a probe takes: the question and the answer, and a new connection unless there is one.
-func (w *World) probeCost(p *Proc, c statemachine.Probe) time.Duration {
+func (w *World) probeCost(p *Process, c statemachine.Probe) time.Duration {
 	if p.probed == nil {
 		p.probed = map[wire.TargetID]bool{}
 	}
@@ -81,13 +81,13 @@
 
 // pass is when so many bytes that are ready at a moment have gone over a proxy's link.
 func (w *World) pass(at time.Duration, link *time.Duration, bytes int) time.Duration {
-	*link = max(*link, at) + time.Duration(float64(bytes)*float64(time.Second)/w.Plan.Scarce.GateLink)
+	*link = max(*link, at) + time.Duration(float64(bytes)*float64(time.Second)/w.Plan.Resources.ProxyLink)
 	return *link
 }
 
 // scarce carries a message where that takes time; what a full link would hold up for too
 // long is dropped, as a shell does.
-func (w *World) scarce(p, to *Proc, m *wire.Message, d time.Duration) {
+func (w *World) scarce(p, to *Process, m *wire.Message, d time.Duration) {
 	n := weigh(m)
 	at := w.work(p, workOnMessage(m, "send"), messageCost(n))
 	if p.kind == wire.ProxyDaemon {
--- a/internal/verification/simulator/scenes_test.go
+++ b/internal/verification/simulator/scenes_test.go
@@ -14,9 +14,9 @@
 			t.Parallel()
 			caused := 0
 			for seed := range uint64(3) {
-				w := s.Stage(seed+1, Small, false)
+				w := s.Run(seed+1, Small, false)
 				check(t, w)
-				caused += s.Caused(&w.Stats)
+				caused += s.Occurrences(&w.Stats)
 			}
 			if caused < 3 {
 				t.Errorf("the failure came about %d times only", caused)
@@ -33,16 +33,16 @@
 			t.Parallel()
 			var seen []string
 			for seed := range uint64(30) {
-				w := s.Stage(seed+1, Small, true)
-				if s.Shows(w) {
-					t.Logf("seed %d: %s", w.Seed, w.Fail)
+				w := s.Run(seed+1, Small, true)
+				if s.ShownBy(w) {
+					t.Logf("seed %d: %s", w.Seed, w.Failure)
 					return
 				}
-				if w.Fail != "" {
-					seen = append(seen, w.Fail)
+				if w.Failure != "" {
+					seen = append(seen, w.Failure)
 				}
 			}
-			t.Errorf("with %q out 30 seeds did not break %q; %v", s.Sabotage, s.Rule, seen)
+			t.Errorf("with %q out 30 seeds did not break %q; %v", s.DisabledGuard, s.Rule, seen)
 		})
 	}
 }
@@ -69,18 +69,18 @@
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				r := Measure(seed+1, Small, f)
-				if r.Fail != "" {
-					t.Error(r.Fail)
+				r := MeasureAvailability(seed+1, Small, f)
+				if r.Failure != "" {
+					t.Error(r.Failure)
 				}
-				if most := max(0.6, bad[f.Name]); 100*r.Bad() > most {
-					t.Errorf("seed %d: %.2f %% not served: refused %d, failed %d, no answer %d of %d", seed+1, 100*r.Bad(), r.Refused, r.Failed, r.NoAnswer, r.Offered)
+				if most := max(0.6, bad[f.Name]); 100*r.UnservedShare() > most {
+					t.Errorf("seed %d: %.2f %% not served: refused %d, failed %d, no answer %d of %d", seed+1, 100*r.UnservedShare(), r.Rejected, r.Failed, r.Abandoned, r.Requests)
 				}
-				if most := max(800*time.Millisecond, gap[f.Name]); r.Gap > most {
-					t.Errorf("seed %d: %v without an answer", seed+1, r.Gap)
+				if most := max(800*time.Millisecond, gap[f.Name]); r.LongestGap > most {
+					t.Errorf("seed %d: %v without an answer", seed+1, r.LongestGap)
 				}
-				if !slices.Contains(slow, f.Name) && (r.Outcome != "in force" || r.Force > 2*time.Second) {
-					t.Errorf("seed %d: a change was %s after %v", seed+1, r.Outcome, r.Force)
+				if !slices.Contains(slow, f.Name) && (r.Outcome != "in force" || r.ChangeLatency > 2*time.Second) {
+					t.Errorf("seed %d: a change was %s after %v", seed+1, r.Outcome, r.ChangeLatency)
 				}
 			}
 		})
--- a/internal/verification/simulator/sim.go
+++ b/internal/verification/simulator/sim.go
@@ -23,29 +23,29 @@
 
 // Plan is the fleet's size.
 type Plan struct {
-	Cores, Gates int
-	Domains      int
-	Seeds        int            // core daemons that found the first core, of which the others learn; 0: all, by number
-	Services     map[string]int // targets each
-	Rate         float64        // requests a second
-	Unsafe       float64        // part of them that must not run twice
-	Hard         float64        // part of refusals that are sent again at once
-	Slots        int            // requests at once that targets tell, and routes in rules' place; 0: neither
-	ConnCap      int            // connections that a target takes from all proxies together, and resets any more, 0: no such bound
-	ColdPerS     float64        // requests a second that a cold target bears, 0: no such bound
-	Known        []string       // domains that the core's settings name
-	Beats        time.Duration  // how far apart targets' words are, 0: tuning.BeatEvery; each is said again after half a second
-	CoreOnly     bool           // targets speak to core daemons only
-	Scarce       *Scarce        // nil: processors and links take no time
-	CatchUp      time.Duration  // from a successor's start until the core bears the next loss, 0: not told
-	Losses       int            // core machines that may be lost at once, 0: not told
-	Kept         int            // connections that callers keep and use on until they are closed; 0: callers go to a ready proxy each time
-	Grace        time.Duration  // how long after the polite signal a proxy is ended by force, as its settings tell; 0: not told
-	Digest       bool           // sum up events, commands and messages, see World.Digest
+	ControlDaemons, Proxies int
+	Domains                 int
+	Seeds                   int               // core daemons that found the first core, of which the others learn; 0: all, by number
+	Services                map[string]int    // targets each
+	Rate                    float64           // requests a second
+	NonIdempotent           float64           // part of them that must not run twice
+	Resubmitted             float64           // part of refusals that are sent again at once
+	Slots                   int               // requests at once that targets tell, and routes in rules' place; 0: neither
+	ConnectionLimit         int               // connections that a target takes from all proxies together, and resets any more, 0: no such bound
+	WarmupRate              float64           // requests a second that a cold target bears, 0: no such bound
+	KnownDomains            []string          // domains that the core's settings name
+	HeartbeatEvery          time.Duration     // how far apart targets' words are, 0: tuning.BeatEvery; each is said again after half a second
+	ReportToControlOnly     bool              // targets speak to core daemons only
+	Resources               *LimitedResources // nil: processors and links take no time
+	CatchUp                 time.Duration     // from a successor's start until the core bears the next loss, 0: not told
+	Losses                  int               // core machines that may be lost at once, 0: not told
+	PersistentConnections   int               // connections that callers keep and use on until they are closed; 0: callers go to a ready proxy each time
+	Grace                   time.Duration     // how long after the polite signal a proxy is ended by force, as its settings tell; 0: not told
+	Digest                  bool              // sum up events, commands and messages, see World.Digest
 }
 
 // Small is a fleet that shows all behaviour and still runs fast.
-var Small = Plan{Cores: 3, Gates: 5, Domains: 3, Services: map[string]int{"fares": 5, "pay": 4}, Rate: 60, Unsafe: 0.4, Hard: 0.5}
+var Small = Plan{ControlDaemons: 3, Proxies: 5, Domains: 3, Services: map[string]int{"fares": 5, "pay": 4}, Rate: 60, NonIdempotent: 0.4, Resubmitted: 0.5}
 
 // GCPercent is how far the heap of a program that runs worlds may grow between two
 // collections: each world holds a few MiB and makes much that is over at once.
@@ -82,8 +82,8 @@
 	now              time.Duration
 	seq              uint64
 	q                events
-	procs            map[string]*Proc
-	byAddr           map[string]*Proc
+	procs            map[string]*Process
+	byAddr           map[string]*Process
 	names            []string
 	seeds            []string // whom a process that starts is told of
 	targets          []*Target
@@ -110,7 +110,7 @@
 	emptied          map[string]time.Duration
 	sends            map[string][]tick
 	trace            []string
-	Fail             string
+	Failure          string
 	Stats            Stats
 	quiet            bool // no more callers
 	okAt             []time.Duration
@@ -130,41 +130,41 @@
 
 // Stats are what a run saw, for reports.
 type Stats struct {
-	Exchanges, Served, NotRun, Unknown, Retries int
-	Changes, Accepted, Refused, UnknownChanges  int
-	MaxLeave, MaxGone, MaxForce                 time.Duration
-	Forces                                      []time.Duration
-	Steps                                       int
-	MaxWarm                                     int
-	Cold, TurnedAway                            int // arrivals at cold targets, and at full ones
-	Orphaned                                    int
-	Back                                        time.Duration // from healing to full capacity
-	Lost, LostUnsafe, Foreign, NoAnswer         int           // answers lost, connections to another identity, callers whose proxy died
-	Leaves, Deaths, Empties, Slips, Stops       int
-	LateCommands                                int           // steps whose commands were carried out after a pause
-	Surplus, Strange                            int           // surplus answers that came on idle connections, and in place of an answer
-	Resets, Left, DiskRefusals                  int           // answers lost with their connections, callers that left, writes that a full disk refused
-	LostAnswers                                 int           // answers to operators' changes that were lost, each sent again
-	OverCap                                     int           // connections that a target reset since it had too many
-	MostConnections                             int           // of one target at once, counted as one more is opened
-	Opened                                      int           // connections to targets for requests
-	ProxyProbes                                 int           // probes of targets by proxies
-	Replaced                                    int           // core machines gone for good, with a successor
-	Gap                                         time.Duration // longest time without a served request of some service
+	Requests, Served, Rejected, Unknown, Retries                       int
+	Changes, AcceptedChanges, RejectedChanges, UnknownChanges          int
+	LatestToDraining, LatestToCrashed, SlowestChange                   time.Duration
+	ChangeLatencies                                                    []time.Duration
+	Steps                                                              int
+	MostWhileWarming                                                   int
+	WarmupArrivals, TargetRejections                                   int // arrivals at cold targets, and at full ones
+	PeerServing                                                        int
+	RecoveryTime                                                       time.Duration // from healing to full capacity
+	LostResponses, LostNonIdempotent, WrongIdentities, Abandoned       int           // answers lost, connections to another identity, callers whose proxy died
+	Drains, TargetCrashes, EmptiedDomains, LateMessages, GracefulStops int
+	DelayedSteps                                                       int           // steps whose commands were carried out after a pause
+	SurplusResponses, MismatchedResponses                              int           // surplus answers that came on idle connections, and in place of an answer
+	ResetAttempts, Canceled, RejectedWrites                            int           // answers lost with their connections, callers that left, writes that a full disk refused
+	LostReplies                                                        int           // answers to operators' changes that were lost, each sent again
+	OverConnectionLimit                                                int           // connections that a target reset since it had too many
+	MostConnections                                                    int           // of one target at once, counted as one more is opened
+	OpenedConnections                                                  int           // connections to targets for requests
+	ProxyHealthChecks                                                  int           // probes of targets by proxies
+	ReplacedMachines                                                   int           // core machines gone for good, with a successor
+	LongestGap                                                         time.Duration // longest time without a served request of some service
 }
 
 // New returns a world whose machines have just been switched on.
 func New(seed uint64, p Plan) *World {
-	w := &World{Plan: p, Seed: seed, rnd: rand.New(rand.NewPCG(seed, 0x6d79727465)), procs: map[string]*Proc{}, byAddr: map[string]*Proc{},
+	w := &World{Plan: p, Seed: seed, rnd: rand.New(rand.NewPCG(seed, 0x6d79727465)), procs: map[string]*Process{}, byAddr: map[string]*Process{},
 		listen: map[string]*Target{}, cut: map[[2]string]bool{}, thin: map[string]*thinLink{}, open: map[uint64]*request{}, link: map[[2]string]time.Duration{}, resets: map[[2]string]linkReset{},
 		asks: map[uint64]*ask{}, ackedAt: map[uint64]time.Duration{}, emptied: map[string]time.Duration{}, sends: map[string][]tick{}, delay: time.Millisecond, lastOk: map[string]time.Duration{}}
 	if p.Digest {
 		w.digest = newDigest()
 	}
-	for i := range p.Cores {
+	for i := range p.ControlDaemons {
 		w.addProc(wire.ControlDaemon, fmt.Sprintf("c%d", i+1), i%p.Domains)
 	}
-	for i := range p.Gates {
+	for i := range p.Proxies {
 		w.addProc(wire.ProxyDaemon, fmt.Sprintf("g%d", i+1), i%p.Domains)
 	}
 	w.seeds = w.names[:min(3, len(w.names))]
@@ -210,24 +210,24 @@
 }
 
 func (w *World) broken(rule, f string, a ...any) {
-	if w.Fail == "" {
-		w.Fail = rule + ": " + fmt.Sprintf(f, a...)
-		w.log("RULE BROKEN %s", w.Fail)
+	if w.Failure == "" {
+		w.Failure = rule + ": " + fmt.Sprintf(f, a...)
+		w.log("RULE BROKEN %s", w.Failure)
 	}
 }
 
 // Run moves virtual time on until d, or until a rule is broken.
 func (w *World) Run(until time.Duration) bool {
-	for len(w.q) > 0 && w.q[0].at <= until && w.Fail == "" {
+	for len(w.q) > 0 && w.q[0].at <= until && w.Failure == "" {
 		e := heap.Pop(&w.q).(event)
 		w.now = e.at
 		w.Stats.Steps++
 		e.fn()
 	}
-	if w.Fail == "" {
+	if w.Failure == "" {
 		w.now = until
 	}
-	return w.Fail == ""
+	return w.Failure == ""
 }
 
 func (w *World) ms(lo, hi int) time.Duration {
@@ -237,7 +237,7 @@
 func (w *World) reach(a, b string) bool { return !w.cut[[2]string{a, b}] }
 
 // Slots is how many requests named targets say that they work on at once where the plan does not.
-const Slots = 16
+const DefaultSlots = 16
 
 // coldSpan is how long a target is cold after a start during traffic, queued how many
 // requests wait at one that is full.
@@ -252,14 +252,14 @@
 // warmCap is what a warming target bears in all of them.
 const warmCap = 6
 
-// Settle waits until the fleet decides, knows its targets and serves.
-func (w *World) Settle(within time.Duration) bool {
+// AwaitServing waits until the fleet decides, knows its targets and serves.
+func (w *World) AwaitServing(within time.Duration) bool {
 	end := w.now + within
 	for w.now < end {
 		if !w.Run(w.now + 100*time.Millisecond) {
 			return false
 		}
-		if w.Serves() {
+		if w.Serving() {
 			return true
 		}
 	}
@@ -267,7 +267,7 @@
 }
 
 // Serves says whether every living proxy serves every service on one table.
-func (w *World) Serves() bool {
+func (w *World) Serving() bool {
 	l := w.Leader()
 	if l == nil || l.core.Table() == nil || len(l.core.Table().Proxies) == 0 || l.core.Revision() == 0 {
 		return false
@@ -290,6 +290,6 @@
 // Plans are the fleets by name: the brief's two deployments and the small one.
 var Plans = map[string]Plan{
 	"small":   Small,
-	"kelani":  {Cores: 3, Gates: 12, Domains: 3, Services: map[string]int{"records": 30, "monitoring": 6}, Rate: 210, Unsafe: 0.3, Hard: 0.8},
-	"kiyihat": {Cores: 5, Gates: 8, Domains: 4, Services: map[string]int{"fares": 14, "payments": 9, "documents": 8}, Rate: 630, Unsafe: 0.2, Hard: 0.3},
+	"kelani":  {ControlDaemons: 3, Proxies: 12, Domains: 3, Services: map[string]int{"records": 30, "monitoring": 6}, Rate: 210, NonIdempotent: 0.3, Resubmitted: 0.8},
+	"kiyihat": {ControlDaemons: 5, Proxies: 8, Domains: 4, Services: map[string]int{"fares": 14, "payments": 9, "documents": 8}, Rate: 630, NonIdempotent: 0.2, Resubmitted: 0.3},
 }
--- a/internal/verification/simulator/sim_test.go
+++ b/internal/verification/simulator/sim_test.go
@@ -11,8 +11,8 @@
 	t.Parallel()
 	w := Start(1, Small)
 	w.Run(w.now + 20*time.Second)
-	if w.Fail != "" || w.Stats.Served < 1000 || w.Stats.NotRun+w.Stats.Unknown > 0 {
-		t.Fatalf("%s %+v\n%s", w.Fail, w.Stats, w.Trace(50))
+	if w.Failure != "" || w.Stats.Served < 1000 || w.Stats.Rejected+w.Stats.Unknown > 0 {
+		t.Fatalf("%s %+v\n%s", w.Failure, w.Stats, w.Trace(50))
 	}
 }
 
@@ -27,8 +27,8 @@
 
 func check(t *testing.T, w *World) {
 	t.Helper()
-	if w.Fail != "" {
-		t.Fatalf("seed %d: %s\n%s", w.Seed, w.Fail, w.Trace(60))
+	if w.Failure != "" {
+		t.Fatalf("seed %d: %s\n%s", w.Seed, w.Failure, w.Trace(60))
 	}
 }
 
@@ -40,7 +40,7 @@
 		w := Start(seed, Small)
 		w.PutConfig(w.Leader(), 1, 2)
 		w.Run(w.now + 2*time.Second)
-		w.Change(w.Leader(), "POST", "/v1/domains/d2/empty", "", nil, &change{what: "empty d2", empty: "d2"})
+		w.SendChange(w.Leader(), "POST", "/v1/domains/d2/empty", "", nil, &change{what: "empty d2", empty: "d2"})
 		w.Run(w.now + 3*time.Second)
 		for _, n := range w.all(wire.ControlDaemon) {
 			w.Kill(w.procs[n])
@@ -50,7 +50,7 @@
 		for _, n := range w.all(wire.ControlDaemon) {
 			w.Restart(w.procs[n])
 		}
-		w.Back(15 * time.Second)
+		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
 		check(t, w)
 		if s := w.Leader().core.Status(0); s.Epoch != 2 || s.Revision != 2 || len(s.Emptied) != 1 {
@@ -78,7 +78,7 @@
 		for _, n := range w.names {
 			w.Restart(w.procs[n])
 		}
-		w.Back(15 * time.Second)
+		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
 		check(t, w)
 		if s := w.Leader().core.Status(0); s.Epoch != 2 || s.Revision != 2 {
@@ -92,7 +92,7 @@
 	t.Parallel()
 	for seed := range uint64(30) {
 		p := Small
-		p.Cores = 3 + 2*int(seed%2)
+		p.ControlDaemons = 3 + 2*int(seed%2)
 		w := Start(seed, p)
 		w.Run(w.now + 2*time.Second)
 		for _, n := range w.names {
@@ -115,7 +115,7 @@
 			t.Fatalf("seed %d: no leader\n%s", seed, w.Trace(40))
 		}
 		w.PutConfig(w.Leader(), 0, 3)
-		w.Back(end - w.now)
+		w.AwaitRecovery(end - w.now)
 		w.Finish()
 		check(t, w)
 	}
@@ -135,7 +135,7 @@
 			c := &change{}
 			for range 3 {
 				c = &change{what: call}
-				w.Change(w.Leader(), "POST", "/v1/core/"+call, "", nil, c)
+				w.SendChange(w.Leader(), "POST", "/v1/core/"+call, "", nil, c)
 				w.Run(w.now + 4*time.Second)
 				if c.state != "refused" {
 					break // a leader that is to go yields first and says so
@@ -214,28 +214,28 @@
 	for seed := range uint64(seeds) {
 		p := Small
 		p.Services = map[string]int{"fares": 5}
-		p.Rate, p.Unsafe, p.Hard = 100, 0.3, 0.3
+		p.Rate, p.NonIdempotent, p.Resubmitted = 100, 0.3, 0.3
 		w := Start(seed+1, p)
 		for _, tg := range w.targets {
 			tg.work, tg.usual = 100*time.Millisecond, 100*time.Millisecond
 		}
 		l := w.Leader()
-		w.Change(l, "PUT", "/v1/config", "base=1", w.DocOf(9, 10, []string{"fares"}), &change{what: "config", base: 1})
+		w.SendChange(l, "PUT", "/v1/config", "base=1", w.DocumentFor(9, 10, []string{"fares"}), &change{what: "config", base: 1})
 		w.Run(w.now + 2*time.Second)
 		for i, c := range steps {
 			w.Plan.Rate = c.rate
 			w.Run(w.now + 2*time.Second)
-			no, from := w.Stats.NotRun, w.now
+			no, from := w.Stats.Rejected, w.now
 			w.Run(w.now + 8*time.Second)
 			got := float64(w.ServedBetween(from, w.now)) / 8
 			served[i] += got / seeds
 			squares[i] += got * got / seeds
-			t.Logf("seed %d asked %4.0f/s, served %.0f/s, refused %.0f/s", w.Seed, c.rate, got, float64(w.Stats.NotRun-no)/8)
-			if (w.Stats.NotRun-no > int(c.rate/2)) != c.refusing {
-				t.Errorf("seed %d asked %v/s: served %v/s, refused %d", w.Seed, c.rate, got, w.Stats.NotRun-no)
+			t.Logf("seed %d asked %4.0f/s, served %.0f/s, refused %.0f/s", w.Seed, c.rate, got, float64(w.Stats.Rejected-no)/8)
+			if (w.Stats.Rejected-no > int(c.rate/2)) != c.refusing {
+				t.Errorf("seed %d asked %v/s: served %v/s, refused %d", w.Seed, c.rate, got, w.Stats.Rejected-no)
 			}
 		}
-		w.CheckBudget()
+		w.CheckRetryBudget()
 		check(t, w)
 		if w.Stats.Unknown > 0 || w.Stats.Retries > 0 {
 			t.Errorf("%+v", w.Stats)
@@ -246,7 +246,7 @@
 			t.Errorf("asked %v/s: served %v/s, wanted %v to %v", c.rate, served[i], c.lo, c.hi)
 		}
 		// The lower bound at the knee is this one alone. A request holds its place for its work and 1 ms on the way.
-		best := lossless(c.rate, 0.3, 101*time.Millisecond, Small.Gates, bears/10/Small.Gates)
+		best := lossless(c.rate, 0.3, 101*time.Millisecond, Small.Proxies, bears/10/Small.Proxies)
 		err := math.Sqrt((squares[i] - served[i]*served[i]) / (seeds - 1))
 		t.Logf("asked %v/s: served %.1f/s, error %.1f, %.1f by Erlang's formula", c.rate, served[i], err, best)
 		if served[i] < best-2*err {
--- a/internal/verification/simulator/slow.go
+++ b/internal/verification/simulator/slow.go
@@ -20,7 +20,7 @@
 var errDiskFull = errors.New("no space left on device")
 
 // slowDown has a process take x times as long for everything, for a while.
-func (w *World) slowDown(p *Proc, x float64, d time.Duration) {
+func (w *World) slowDown(p *Process, x float64, d time.Duration) {
 	w.log("%s is %v times slower for %v", p.name, x, d)
 	p.slow = x
 	gen := p.gen
@@ -33,8 +33,8 @@
 
 // queued says whether a process still has to do what came before; the event then waits its
 // turn. Where processors are scarce for all, work counts a process's slowness instead.
-func (w *World) queued(p *Proc, ev statemachine.Event) bool {
-	if w.Plan.Scarce != nil || p.slow == 0 && p.doneAt <= w.now {
+func (w *World) queued(p *Process, ev statemachine.Event) bool {
+	if w.Plan.Resources != nil || p.slow == 0 && p.doneAt <= w.now {
 		return false
 	}
 	p.doneAt = max(p.doneAt, w.now) + time.Duration(float64(costEvent)/slowShare*max(1, p.slow))
@@ -48,7 +48,7 @@
 }
 
 // slowDisk has a disk take x times as long for each sync, one at a time, for a while.
-func (w *World) slowDisk(p *Proc, x int, d time.Duration) {
+func (w *World) slowDisk(p *Process, x int, d time.Duration) {
 	w.log("disk of %s is %d times slower for %v", p.name, x, d)
 	dk := p.disk
 	dk.slow = x
@@ -56,7 +56,7 @@
 }
 
 // fillDisk has a disk refuse all writes for a while.
-func (w *World) fillDisk(p *Proc, d time.Duration) {
+func (w *World) fillDisk(p *Process, d time.Duration) {
 	w.log("disk of %s is full for %v", p.name, d)
 	dk := p.disk
 	dk.full = true
@@ -65,7 +65,7 @@
 
 // sync carries out what a process wants on its disk. What comes while a write is refused
 // waits behind it.
-func (w *World) sync(p *Proc, gen int, d *disk) {
+func (w *World) sync(p *Process, gen int, d *disk) {
 	switch {
 	case d.refusing:
 	case d.slow > 0 || d.syncing:
@@ -76,7 +76,7 @@
 }
 
 // syncSlowly syncs what is there now, and then what has come meanwhile.
-func (w *World) syncSlowly(p *Proc, gen int, d *disk) {
+func (w *World) syncSlowly(p *Process, gen int, d *disk) {
 	if d.syncing {
 		return
 	}
@@ -102,8 +102,8 @@
 
 // refuseWrite refuses what waits for a disk. As daemon.Disk does, the process learns why,
 // acknowledges nothing meanwhile and tries again every tuning.DiskRetry.
-func (w *World) refuseWrite(p *Proc, gen int, d *disk) {
-	w.Stats.DiskRefusals++
+func (w *World) refuseWrite(p *Process, gen int, d *disk) {
+	w.Stats.RejectedWrites++
 	w.at(tuning.DiskRetry, func() { w.retryWrite(p, gen, d) })
 	if !d.refusing {
 		d.refusing = true
@@ -113,7 +113,7 @@
 }
 
 // retryWrite tries a refused write again; a process that stands still tries when it goes on.
-func (w *World) retryWrite(p *Proc, gen int, d *disk) {
+func (w *World) retryWrite(p *Process, gen int, d *disk) {
 	switch {
 	case p.gen != gen || !p.alive || d != p.disk:
 	case p.frozen || d.stalled:
@@ -129,10 +129,10 @@
 }
 
 // step has a process handle one event.
-func (w *World) step(p *Proc, ev statemachine.Event) { w.stepAt(p, ev, p.local()) }
+func (w *World) step(p *Process, ev statemachine.Event) { w.stepAt(p, ev, p.local()) }
 
 // stepAt is the same by a time of the process's own clock.
-func (w *World) stepAt(p *Proc, ev statemachine.Event, now time.Duration) {
+func (w *World) stepAt(p *Process, ev statemachine.Event, now time.Duration) {
 	if !p.alive {
 		return
 	}
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -51,13 +51,13 @@
 	images["locked"] = locked.procs["c1"].disk.img
 	w := Start(11, Small)
 	images["log"] = w.procs["c2"].disk.img
-	for n := 2; images["snapshot"].Snapshot.Index <= 1 && w.Fail == "" && n < 2*tuning.LogMax; n++ {
+	for n := 2; images["snapshot"].Snapshot.Index <= 1 && w.Failure == "" && n < 2*tuning.LogMax; n++ {
 		w.PutConfig(w.Leader(), w.Revision(), n)
 		w.Run(w.now + 100*time.Millisecond)
 		images["snapshot"] = w.procs["c2"].disk.img
 	}
-	if w.Fail != "" || images["snapshot"].Snapshot.Index <= 1 || len(images["snapshot"].Log) == 0 {
-		t.Fatal("no disk with a snapshot and a log:", w.Fail)
+	if w.Failure != "" || images["snapshot"].Snapshot.Index <= 1 || len(images["snapshot"].Log) == 0 {
+		t.Fatal("no disk with a snapshot and a log:", w.Failure)
 	}
 	return images
 }
--- a/internal/verification/simulator/targets_test.go
+++ b/internal/verification/simulator/targets_test.go
@@ -34,7 +34,7 @@
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
 		old := w.targets[int(seed)%len(w.targets)]
-		w.Crash(old)
+		w.CrashTarget(old)
 		w.Run(w.now + 300*time.Millisecond)
 		n := w.AddTarget(old.service, old.name, old.domain, old.addr, 0)
 		n.inc = old.inc - 1 // a clock that went back, or plain chance: numbers have no order
@@ -116,7 +116,7 @@
 	for seed := range uint64(8) {
 		w := Start(seed, Small)
 		old := w.targets[1]
-		w.Leave(old, func() {})
+		w.DrainTarget(old, func() {})
 		w.Run(w.now + 6*time.Second)
 		if old.alive {
 			t.Fatal("still there")
@@ -145,7 +145,7 @@
 		var dead []*Target
 		for _, x := range w.targets {
 			if x.service == "fares" {
-				w.Crash(x)
+				w.CrashTarget(x)
 				dead = append(dead, x)
 			}
 		}
@@ -163,23 +163,23 @@
 // core finds it whole when it is back.
 func TestRollWithoutCore(t *testing.T) {
 	t.Parallel()
-	roll, _ := ByName("service rolled")
+	roll, _ := FaultByName("service rolled")
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
 		for _, n := range w.all(wire.ControlDaemon) {
 			w.Kill(w.procs[n])
 		}
 		w.Run(w.now + 2*time.Second)
-		roll.Do(w)
+		roll.Inject(w)
 		for end := w.now + 45*time.Second; w.now < end; {
 			from := w.now
 			w.Run(w.now + 2*time.Second)
-			if n := w.ServedBetween(from, w.now); w.Fail == "" && n < 90 {
+			if n := w.ServedBetween(from, w.now); w.Failure == "" && n < 90 {
 				t.Fatalf("seed %d: %d exchanges served in 2 s\n%s", seed, n, w.Trace(30))
 			}
 		}
 		w.restartAll()
-		w.Back(15 * time.Second)
+		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
 		check(t, w)
 	}
@@ -223,15 +223,15 @@
 		p := Small
 		p.Rate = 400
 		w := Start(seed, p)
-		w.Change(w.Leader(), "PUT", "/v1/config", "base=1", w.DocOf(2, 10, []string{"fares"}), &change{what: "config", base: 1})
+		w.SendChange(w.Leader(), "PUT", "/v1/config", "base=1", w.DocumentFor(2, 10, []string{"fares"}), &change{what: "config", base: 1})
 		w.Run(w.now + 2*time.Second)
 		for _, x := range w.targets {
 			if x.service == "pay" && (x.name != "pay1" || seed%2 == 0) {
-				w.Crash(x)
+				w.CrashTarget(x)
 			}
 		}
 		w.Run(w.now + time.Duration(seed+1)*90*time.Millisecond)
-		w.Change(w.Leader(), "PUT", "/v1/config", "base=2", w.DocOf(3, 10, []string{"fares", "pay"}), &change{what: "config", base: 2})
+		w.SendChange(w.Leader(), "PUT", "/v1/config", "base=2", w.DocumentFor(3, 10, []string{"fares", "pay"}), &change{what: "config", base: 2})
 		w.Run(w.now + 5*time.Second)
 		check(t, w)
 		if w.Leader().core.Revision() != 3 {
--- a/internal/verification/simulator/thinlink.go
+++ b/internal/verification/simulator/thinlink.go
@@ -19,8 +19,8 @@
 	free time.Duration // when all that is on it has passed
 }
 
-// ThinLink has what is sent to a process pass at so many bytes a second; 0: at once again.
-func (w *World) ThinLink(p *Proc, rate float64) {
+// LimitLink has what is sent to a process pass at so many bytes a second; 0: at once again.
+func (w *World) LimitLink(p *Process, rate float64) {
 	w.log("link into %s: %.0f bytes a second", p.name, rate)
 	if delete(w.thin, p.name); rate > 0 {
 		w.thin[p.name] = &thinLink{rate: rate}
@@ -41,7 +41,7 @@
 // largeDoc is a configuration with so many services beside those of the plan.
 func (w *World) largeDoc(n, services int) []byte {
 	var doc map[string]any
-	if err := json.Unmarshal(w.Doc(n), &doc); err != nil {
+	if err := json.Unmarshal(w.Document(n), &doc); err != nil {
 		panic(err)
 	}
 	all := doc["services"].(map[string]any)
@@ -55,21 +55,21 @@
 	return b
 }
 
-// Storm has operators put a large configuration ten times a second for a while.
-func (w *World) Storm(d time.Duration, services int) {
+// StartChangeStorm has operators put a large configuration ten times a second for a while.
+func (w *World) StartChangeStorm(d time.Duration, services int) {
 	w.log("storm of changes for %v", d)
 	for at := time.Duration(0); at < d; at += 100 * time.Millisecond {
 		w.at(at, func() {
 			if l := w.Leader(); l != nil {
 				base := w.Revision()
-				w.Change(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.largeDoc(w.rnd.IntN(1000), services), &change{what: "config", base: base})
+				w.SendChange(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.largeDoc(w.rnd.IntN(1000), services), &change{what: "config", base: base})
 			}
 		})
 	}
 }
 
 // isMember says that the leader counts a process, with the disk that it has now, as a member.
-func (w *World) isMember(p *Proc) bool {
+func (w *World) isMember(p *Process) bool {
 	l := w.Leader()
 	if l == nil {
 		return false
@@ -83,7 +83,7 @@
 }
 
 // followers are the living core processes that do not lead.
-func (w *World) followers() (l []*Proc) {
+func (w *World) followers() (l []*Process) {
 	for _, n := range slices.Sorted(maps.Keys(w.procs)) {
 		if p := w.procs[n]; p.core != nil && p.alive && p != w.Leader() {
 			l = append(l, p)
--- a/internal/verification/simulator/thinlink_test.go
+++ b/internal/verification/simulator/thinlink_test.go
@@ -18,11 +18,11 @@
 		if n := len(w.largeDoc(1, services)); n < 25<<10 || n > 40<<10 {
 			t.Fatalf("a document of %d bytes", n)
 		}
-		w.Storm(18*time.Second, services)
+		w.StartChangeStorm(18*time.Second, services)
 		w.Run(w.now + 4*time.Second)
 		leader := w.Leader()
 		if leader == nil {
-			t.Fatalf("seed %d: no leader: %s", seed, w.Fail)
+			t.Fatalf("seed %d: no leader: %s", seed, w.Failure)
 		}
 		p := w.followers()[0]
 		w.Kill(p)
@@ -30,7 +30,7 @@
 			w.WipeDisk(p)
 		}
 		w.Run(w.now + 3*time.Second)
-		w.ThinLink(p, tuning.SlowLink)
+		w.LimitLink(p, tuning.SlowLink)
 		w.Restart(p)
 		from := w.now
 		caught := func() bool {
@@ -40,13 +40,13 @@
 		for w.now < from+12*time.Second && !caught() && w.Run(w.now+100*time.Millisecond) {
 		}
 		took := w.now - from
-		if w.Fail != "" || !caught() {
+		if w.Failure != "" || !caught() {
 			l := w.Leader()
-			t.Fatalf("seed %d: %s; member %v after %v, revision %d of %d", seed, w.Fail, w.isMember(p), took, p.core.Revision(), l.core.Revision())
+			t.Fatalf("seed %d: %s; member %v after %v, revision %d of %d", seed, w.Failure, w.isMember(p), took, p.core.Revision(), l.core.Revision())
 		}
 		w.Run(w.now + 3*time.Second)
-		if w.Leader() != leader || w.Fail != "" {
-			t.Errorf("seed %d: the lead changed, %s", seed, w.Fail)
+		if w.Leader() != leader || w.Failure != "" {
+			t.Errorf("seed %d: the lead changed, %s", seed, w.Failure)
 		}
 		if !caught() {
 			t.Errorf("seed %d: behind again: %d of %d", seed, p.core.Revision(), w.Revision())
--- a/internal/verification/simulator/trouble_test.go
+++ b/internal/verification/simulator/trouble_test.go
@@ -37,11 +37,11 @@
 			w.Run(w.now + 1500*time.Millisecond)
 		}
 		check(t, w)
-		if w.Stats.DiskRefusals == 0 || w.acked < 3 {
-			t.Fatalf("seed %d: its disk refused %d writes, revision %d acknowledged\n%s", w.Seed, w.Stats.DiskRefusals, w.acked, w.Trace(30))
+		if w.Stats.RejectedWrites == 0 || w.acked < 3 {
+			t.Fatalf("seed %d: its disk refused %d writes, revision %d acknowledged\n%s", w.Seed, w.Stats.RejectedWrites, w.acked, w.Trace(30))
 		}
-		if most := int(6*time.Second/tuning.DiskRetry) + 1; w.Stats.DiskRefusals > most {
-			t.Errorf("seed %d: %d writes were refused, one each %v makes %d", w.Seed, w.Stats.DiskRefusals, tuning.DiskRetry, most)
+		if most := int(6*time.Second/tuning.DiskRetry) + 1; w.Stats.RejectedWrites > most {
+			t.Errorf("seed %d: %d writes were refused, one each %v makes %d", w.Seed, w.Stats.RejectedWrites, tuning.DiskRetry, most)
 		}
 		if len(p.disk.img.Log) != written {
 			t.Errorf("seed %d: the full disk of %s took writes", w.Seed, p.name)
@@ -77,8 +77,8 @@
 		if w.acked < 4 {
 			t.Errorf("seed %d: revision %d acknowledged\n%s", w.Seed, w.acked, w.Trace(30))
 		}
-		if w.Stats.MaxForce < 40*time.Millisecond {
-			t.Errorf("seed %d: no change took over %v on slow disks", w.Seed, w.Stats.MaxForce)
+		if w.Stats.SlowestChange < 40*time.Millisecond {
+			t.Errorf("seed %d: no change took over %v on slow disks", w.Seed, w.Stats.SlowestChange)
 		}
 	}
 }
--- a/internal/verification/simulator/waiters_test.go
+++ b/internal/verification/simulator/waiters_test.go
@@ -24,7 +24,7 @@
 		term, status := l.core.Status(w.now).Term, -1
 		w.cutOff(l, tuning.LeaderLease+time.Duration(seed%2)*tuning.HeartbeatEvery)
 		w.Run(w.now + tuning.LeaderLease/2)
-		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Doc(5), "", func(r statemachine.Reply) { status = r.Status })
+		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Document(5), "", func(r statemachine.Reply) { status = r.Status })
 		w.until(4*time.Second, func() bool { return status >= 0 })
 		if w.until(2*time.Second, func() bool { return w.Leader() != nil }); w.Leader() != l || w.leadsLost() == before {
 			continue // another leads, or the lead was not lost
@@ -53,7 +53,7 @@
 		w.Run(w.now + 3*time.Second)
 		l, status, asked := w.Leader(), -1, w.now
 		w.cutOff(l, 10*time.Second)
-		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Doc(5), "", func(r statemachine.Reply) { status = r.Status })
+		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Document(5), "", func(r statemachine.Reply) { status = r.Status })
 		w.until(10*time.Second, func() bool { return status >= 0 })
 		if status != 504 || w.now-asked > tuning.LeaderLease+tuning.PendingCallsKept+100*time.Millisecond {
 			t.Errorf("seed %d: answered %d after %v", seed, status, w.now-asked)
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -45,7 +45,7 @@
 	w := Start(21, Small)
 	a := w.targets[0]
 	f := followers(w)[0]
-	put := func(p *Proc, body string) (int, string) {
+	put := func(p *Process, body string) (int, string) {
 		r, m := w.inquire(t, p, "PUT", "/v1/targets/"+a.name, "", body, "")
 		at := ""
 		if e, ok := m["error"].(map[string]any); ok && e["faults"] != nil {
@@ -64,7 +64,7 @@
 	if !a.named {
 		t.Fatal("not a target with numbered words")
 	}
-	if e := entry(w.Leader().core.Table(), a.name); e == nil || e.Slots != Slots || e.Number == 0 {
+	if e := entry(w.Leader().core.Table(), a.name); e == nil || e.Slots != DefaultSlots || e.Number == 0 {
 		t.Fatalf("%+v", e)
 	}
 	for _, n := range []uint64{a.number, 1} {
@@ -101,8 +101,8 @@
 		var acks []int
 		ask := func(method, path, body string) {
 			w.call(at, method, path, "", []byte(body), "", func(r statemachine.Reply) {
-				if r.Status == 200 && 2*w.out(a.name) <= w.Plan.Gates {
-					t.Errorf("seed %d: %s acknowledged with %d of %d proxies", seed, method, w.out(a.name), w.Plan.Gates)
+				if r.Status == 200 && 2*w.out(a.name) <= w.Plan.Proxies {
+					t.Errorf("seed %d: %s acknowledged with %d of %d proxies", seed, method, w.out(a.name), w.Plan.Proxies)
 				}
 				acks = append(acks, r.Status)
 			})
@@ -156,7 +156,7 @@
 	for _, n := range []string{"g1", "g2", "g3"} {
 		w.Kill(w.procs[n])
 	}
-	for _, at := range []*Proc{w.Leader(), followers(w)[0]} {
+	for _, at := range []*Process{w.Leader(), followers(w)[0]} {
 		from := w.now
 		r, m := w.inquire(t, at, "PUT", "/v1/targets/"+a.name, "", numbered(a, config.Leaving, 1000, ""), "")
 		if r.Status != 503 || r.RetryAfter == 0 || m["error"].(map[string]any)["ran"] != "no" || w.now-from > 920*time.Millisecond {
@@ -278,10 +278,10 @@
 func TestOwnRevisions(t *testing.T) {
 	t.Parallel()
 	p := Small
-	p.Known = []string{"d9"}
+	p.KnownDomains = []string{"d9"}
 	w := Start(23, p)
 	doc := func(rev, n int) string {
-		b, _ := config.WithRevision(w.Doc(n), uint64(rev))
+		b, _ := config.WithRevision(w.Document(n), uint64(rev))
 		return string(b)
 	}
 	spaced := func(s string) string {
@@ -338,7 +338,7 @@
 	}
 	run(0)
 	w.Kill(w.Leader())
-	w.Back(10 * time.Second)
+	w.AwaitRecovery(10 * time.Second)
 	run(len(steps) - 1)
 	if r, _ := w.inquire(t, followers(w)[0], "GET", "/v1/config", "plain=", "", ""); string(r.Body) != doc(40, 4)+"\n" {
 		t.Errorf("%s", r.Body)
@@ -357,10 +357,10 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
-		same, other := w.Doc(2), w.Doc(3)
+		same, other := w.Document(2), w.Document(3)
 		var got []string
 		for i, doc := range [][]byte{same, same, other} {
-			w.call(w.cores()[i%w.Plan.Cores], "PUT", "/v1/config", "base=1", doc, "", func(r statemachine.Reply) {
+			w.call(w.cores()[i%w.Plan.ControlDaemons], "PUT", "/v1/config", "base=1", doc, "", func(r statemachine.Reply) {
 				var m struct {
 					Revision uint64 `json:"revision"`
 				}
@@ -389,7 +389,7 @@
 }
 
 // cores are the members.
-func (w *World) cores() (l []*Proc) {
+func (w *World) cores() (l []*Process) {
 	for _, n := range w.all(wire.ControlDaemon) {
 		l = append(l, w.procs[n])
 	}
@@ -400,11 +400,11 @@
 func TestRepeatedOrdersKeepHistory(t *testing.T) {
 	t.Parallel()
 	w := Start(24, Small)
-	w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Doc(2)), "")
+	w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(2)), "")
 	for range tuning.ChangesKept + 4 {
 		w.inquire(t, w.Leader(), "POST", "/v1/domains/d1/restore", "", "", "")
 	}
-	if r, m := w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Doc(2)), ""); r.Status != 200 || m["revision"] != 2.0 {
+	if r, m := w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(2)), ""); r.Status != 200 || m["revision"] != 2.0 {
 		t.Errorf("%s", r.Body)
 	}
 	if n := len(w.Leader().core.ChangeRecords()); n > 2*tuning.ChangesKept {
