--- a/cmd/mfsim/check.go
+++ b/cmd/mfsim/check.go
@@ -40,7 +40,7 @@
 
 // run explores and returns the process's exit status.
 func (c *check) run() int {
-	if *c.scenario != "" && modelcheck.ByName(*c.scenario) == nil {
+	if *c.scenario != "" && modelcheck.ScenarioByName(*c.scenario) == nil {
 		fmt.Fprintf(os.Stderr, "mfsim: no scenario %q, see check --scenarios\n", *c.scenario)
 		return 2
 	}
@@ -51,7 +51,7 @@
 			continue
 		}
 		if *c.list {
-			fmt.Printf("%-20s %s\n", s.Name, s.About)
+			fmt.Printf("%-20s %s\n", s.Name, s.Description)
 			continue
 		}
 		if !c.explore(s) {
@@ -70,5 +70,5 @@
 	started = time.Now()
 	walked := modelcheck.Walk(s, *c.seed, *c.walks, *c.length)
 	fmt.Printf("%v, %.1f s\n", walked, time.Since(started).Seconds())
-	return found.Broken == "" && walked.Broken == ""
+	return found.Violation == "" && walked.Violation == ""
 }
--- a/internal/controlplane/consensus/disk.go
+++ b/internal/controlplane/consensus/disk.go
@@ -26,7 +26,7 @@
 	n.seq++
 	b.Seq = n.seq
 	n.unsyncedBatches = append(n.unsyncedBatches, unsyncedBatch{n.seq, now, n.last()})
-	n.out.Batches = append(n.out.Batches, b)
+	n.ready.Batches = append(n.ready.Batches, b)
 }
 
 func (n *Node) syncHardState(now time.Duration) {
@@ -34,15 +34,15 @@
 	n.hardSeq = n.seq
 }
 
-// Synced says that all batches up to seq are on disk.
-func (n *Node) Synced(now time.Duration, seq uint64) {
+// Advance says that all batches up to seq are on disk.
+func (n *Node) Advance(now time.Duration, seq uint64) {
 	for len(n.unsyncedBatches) > 0 && n.unsyncedBatches[0].seq <= seq {
 		n.stable = max(n.stable, min(n.unsyncedBatches[0].last, n.last()))
 		n.unsyncedBatches = n.unsyncedBatches[1:]
 	}
 	n.heldMessages = slices.DeleteFunc(n.heldMessages, func(w heldMessage) bool {
 		if w.seq <= seq {
-			n.out.Send = append(n.out.Send, w.m)
+			n.ready.Messages = append(n.ready.Messages, w.m)
 			return true
 		}
 		return false
@@ -64,11 +64,11 @@
 		n.heldMessages = append(n.heldMessages, heldMessage{n.seq, m})
 		return
 	}
-	n.out.Send = append(n.out.Send, m)
+	n.ready.Messages = append(n.ready.Messages, m)
 }
 
-// SyncBatch syncs a batch that changes nothing for the node itself, and numbers it.
-func (n *Node) SyncBatch(now time.Duration, b *wire.Batch) (seq uint64) {
+// Persist syncs a batch that changes nothing for the node itself, and numbers it.
+func (n *Node) Persist(now time.Duration, b *wire.Batch) (seq uint64) {
 	n.syncBatch(now, b)
 	return n.seq
 }
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -80,7 +80,7 @@
 // TransferLeadershipTo is the same among those peers that may lead and acknowledged something that was sent
 // no longer than a time ago.
 func (n *Node) TransferLeadershipTo(now, acked time.Duration, may func(wire.Member) bool) bool {
-	var best *peer
+	var best *progress
 	for _, p := range n.sorted() {
 		if p.voter && may(p.member) && now-p.acked < acked && (best == nil || p.match > best.match) {
 			best = p
--- a/internal/controlplane/consensus/explore.go
+++ b/internal/controlplane/consensus/explore.go
@@ -24,15 +24,15 @@
 	c.electorate = slices.Clone(n.electorate)
 	c.votes = maps.Clone(n.votes)
 	c.consents = maps.Clone(n.consents)
-	c.peers = make(map[string]*peer, len(n.peers))
-	for name, p := range n.peers {
+	c.progress = make(map[string]*progress, len(n.progress))
+	for name, p := range n.progress {
 		copied := *p
 		copied.inFlight = slices.Clone(p.inFlight)
-		if p.transfer != nil {
-			t := *p.transfer
-			copied.transfer = &t
+		if p.chunks != nil {
+			t := *p.chunks
+			copied.chunks = &t
 		}
-		c.peers[name] = &copied
+		c.progress[name] = &copied
 	}
 	if n.incoming != nil {
 		in := *n.incoming
@@ -41,8 +41,8 @@
 	}
 	c.unsyncedBatches = slices.Clone(n.unsyncedBatches)
 	c.heldMessages = slices.Clone(n.heldMessages)
-	c.out = Out{Batches: slices.Clone(n.out.Batches), Send: slices.Clone(n.out.Send), Apply: slices.Clone(n.out.Apply), Restore: n.out.Restore,
-		Refused: slices.Clone(n.out.Refused)}
+	c.ready = Ready{Batches: slices.Clone(n.ready.Batches), Messages: slices.Clone(n.ready.Messages), CommittedEntries: slices.Clone(n.ready.CommittedEntries), Snapshot: n.ready.Snapshot,
+		Rejected: slices.Clone(n.ready.Rejected)}
 	return &c
 }
 
@@ -52,23 +52,23 @@
 // Vote returns whom this node voted for in its present term, "" for nobody.
 func (n *Node) Vote() string { return n.vote }
 
-// Canon writes state down in a canonical form: machines are renamed, and points
+// CanonicalEncoder writes state down in a canonical form: machines are renamed, and points
 // in time become distances from the present, cut off where no decision of a node
 // depends on them any more. States that differ only in these come out equal.
-type Canon struct {
-	Bytes []byte
-	Name  func(name string) byte   // the machine's new place
-	Disk  func(disk uint64) uint64 // the disk's new number
+type CanonicalEncoder struct {
+	Bytes      []byte
+	NodeIndex  func(name string) byte   // the machine's new place
+	DiskNumber func(disk uint64) uint64 // the disk's new number
 	// DeadlineStep, if given, is the only span by which time passes: deadlines within
 	// the same step are equal then.
 	DeadlineStep time.Duration
 }
 
 // Uint appends a number.
-func (c *Canon) Uint(v uint64) { c.Bytes = binary.AppendUvarint(c.Bytes, v) }
+func (c *CanonicalEncoder) Uint(v uint64) { c.Bytes = binary.AppendUvarint(c.Bytes, v) }
 
 // Bool appends a truth value.
-func (c *Canon) Bool(v bool) {
+func (c *CanonicalEncoder) Bool(v bool) {
 	if v {
 		c.Bytes = append(c.Bytes, 1)
 	} else {
@@ -77,7 +77,7 @@
 }
 
 // Age appends how long before now at was, at most most and at least -most.
-func (c *Canon) Age(now, at, most time.Duration) {
+func (c *CanonicalEncoder) Age(now, at, most time.Duration) {
 	age := most
 	if at > now-most {
 		age = max(now-at, -most)
@@ -85,28 +85,28 @@
 	c.Bytes = binary.AppendVarint(c.Bytes, int64(age))
 }
 
-// Machine appends a machine's name.
-func (c *Canon) Machine(name string) { c.Bytes = append(c.Bytes, c.Name(name)) }
+// NodeName appends a machine's name.
+func (c *CanonicalEncoder) NodeName(name string) { c.Bytes = append(c.Bytes, c.NodeIndex(name)) }
 
 // Machines appends a set of machines.
-func (c *Canon) Machines(set map[string]bool) {
+func (c *CanonicalEncoder) NodeNames(set map[string]bool) {
 	var bits uint64
 	for name, in := range set {
 		if in {
-			bits |= 1 << c.Name(name)
+			bits |= 1 << c.NodeIndex(name)
 		}
 	}
 	c.Uint(bits)
 }
 
 // Member appends a member.
-func (c *Canon) Member(m wire.Member) {
-	c.Machine(m.Name)
-	c.Uint(c.Disk(m.Disk))
+func (c *CanonicalEncoder) Member(m wire.Member) {
+	c.NodeName(m.Name)
+	c.Uint(c.DiskNumber(m.Disk))
 }
 
 // Members appends a list of members, whose order means nothing.
-func (c *Canon) Members(ms []wire.Member) {
+func (c *CanonicalEncoder) Members(ms []wire.Member) {
 	if !slices.IsSortedFunc(ms, c.compare) {
 		ms = slices.SortedFunc(slices.Values(ms), c.compare)
 	}
@@ -116,12 +116,12 @@
 	}
 }
 
-func (c *Canon) compare(a, b wire.Member) int {
-	return cmp.Or(cmp.Compare(c.Name(a.Name), c.Name(b.Name)), cmp.Compare(c.Disk(a.Disk), c.Disk(b.Disk)))
+func (c *CanonicalEncoder) compare(a, b wire.Member) int {
+	return cmp.Or(cmp.Compare(c.NodeIndex(a.Name), c.NodeIndex(b.Name)), cmp.Compare(c.DiskNumber(a.Disk), c.DiskNumber(b.Disk)))
 }
 
 // Entries appends log entries.
-func (c *Canon) Entries(es []wire.Entry) {
+func (c *CanonicalEncoder) Entries(es []wire.Entry) {
 	c.Uint(uint64(len(es)))
 	for _, e := range es {
 		c.Uint(e.Index)
@@ -137,8 +137,8 @@
 	}
 }
 
-// Snap appends a snapshot.
-func (c *Canon) Snap(s *wire.Snapshot) {
+// Snapshot appends a snapshot.
+func (c *CanonicalEncoder) Snapshot(s *wire.Snapshot) {
 	c.Bool(s != nil)
 	if s == nil {
 		return
@@ -150,8 +150,8 @@
 	c.Bytes = append(c.Bytes, s.Data...)
 }
 
-// Piece appends a part of a snapshot or of a large entry.
-func (c *Canon) Piece(p *wire.Chunk) {
+// Chunk appends a part of a snapshot or of a large entry.
+func (c *CanonicalEncoder) Chunk(p *wire.Chunk) {
 	c.Bool(p != nil)
 	if p == nil {
 		return
@@ -166,10 +166,10 @@
 
 // Message appends a vote or append message; now is the present by the clock that
 // its stamp is of, or zero if the message has none.
-func (c *Canon) Message(m *wire.Message, now time.Duration) {
-	c.Machine(m.From)
-	c.Machine(m.To)
-	c.Uint(c.Disk(m.Disk))
+func (c *CanonicalEncoder) Message(m *wire.Message, now time.Duration) {
+	c.NodeName(m.From)
+	c.NodeName(m.To)
+	c.Uint(c.DiskNumber(m.Disk))
 	c.Uint(m.Epoch)
 	c.Uint(m.Term)
 	if v := m.Vote; v != nil {
@@ -187,38 +187,38 @@
 			c.Uint(v)
 		}
 		c.Entries(a.Entries)
-		c.Piece(a.Chunk)
+		c.Chunk(a.Chunk)
 	}
 }
 
 // Batch appends what a batch puts on disk, without its number.
-func (c *Canon) Batch(b *wire.Batch) {
+func (c *CanonicalEncoder) Batch(b *wire.Batch) {
 	c.Bool(b.HasHardState)
 	c.Uint(b.Term)
-	c.Machine(b.Vote)
+	c.NodeName(b.Vote)
 	c.Uint(b.TruncateFrom)
 	c.Entries(b.Entries)
-	c.Snap(b.Snapshot)
+	c.Snapshot(b.Snapshot)
 }
 
-// Image appends what a disk holds.
-func (c *Canon) Image(im *Image) {
+// PersistentState appends what a disk holds.
+func (c *CanonicalEncoder) PersistentState(im *PersistentState) {
 	c.Uint(im.Epoch)
-	c.Uint(c.Disk(im.Disk))
+	c.Uint(c.DiskNumber(im.Disk))
 	c.Uint(im.Term)
-	c.Machine(im.Vote)
-	c.Snap(&im.Snapshot)
+	c.NodeName(im.Vote)
+	c.Snapshot(&im.Snapshot)
 	c.Entries(im.Log)
 }
 
 // Node appends a node's state at its time now. Output that was not taken yet is left out.
-func (c *Canon) Node(n *Node, now time.Duration) {
+func (c *CanonicalEncoder) Node(n *Node, now time.Duration) {
 	c.Member(n.self)
 	c.Uint(n.epoch)
 	c.Uint(uint64(n.role))
 	c.Uint(n.term)
-	c.Machine(n.vote)
-	c.Snap(&n.snap)
+	c.NodeName(n.vote)
+	c.Snapshot(&n.snap)
 	c.Entries(n.log)
 	c.Entries(n.tail)
 	c.assembly(n.incoming)
@@ -227,9 +227,9 @@
 	for _, v := range []uint64{n.commit, n.applied, n.stable, n.termStart} {
 		c.Uint(v)
 	}
-	c.Machine(n.leader)
-	c.Machines(n.votes)
-	c.Machines(n.consents)
+	c.NodeName(n.leader)
+	c.NodeNames(n.votes)
+	c.NodeNames(n.consents)
 	c.Bool(n.unanimous)
 	c.Bool(n.outranked)
 	c.Age(now, n.leaderHeardAt, tuning.ElectionTimeoutMin)
@@ -243,30 +243,30 @@
 	c.unsynced(n, now)
 }
 
-func (c *Canon) transfer(t *transfer, now time.Duration) {
+func (c *CanonicalEncoder) transfer(t *chunkSender, now time.Duration) {
 	c.Bool(t != nil)
 	if t == nil {
 		return
 	}
-	c.Piece(&t.whole)
+	c.Chunk(&t.whole)
 	c.Uint(t.prevTerm)
 	c.Uint(t.held)
 	c.Bool(t.underWay)
 	c.Age(now, t.sentAt, tuning.ElectionTimeoutMin)
 }
 
-func (c *Canon) assembly(a *assembly) {
+func (c *CanonicalEncoder) assembly(a *chunkReceiver) {
 	c.Bool(a != nil)
 	if a == nil {
 		return
 	}
-	c.Piece(&a.whole)
+	c.Chunk(&a.whole)
 	c.Uint(uint64(len(a.data)))
 	c.Bytes = append(c.Bytes, a.data...)
 	c.Bool(a.done)
 }
 
-func (c *Canon) deadline(now, at time.Duration) {
+func (c *CanonicalEncoder) deadline(now, at time.Duration) {
 	if c.DeadlineStep > 0 {
 		steps := max(0, (at-now+c.DeadlineStep-1)/c.DeadlineStep)
 		at = now + steps*c.DeadlineStep
@@ -274,9 +274,9 @@
 	c.Age(now, at, 5*tuning.ElectionTimeoutMin)
 }
 
-func (c *Canon) peers(n *Node, now time.Duration) {
+func (c *CanonicalEncoder) peers(n *Node, now time.Duration) {
 	ps := n.sorted()
-	slices.SortFunc(ps, func(a, b *peer) int { return c.compare(a.member, b.member) })
+	slices.SortFunc(ps, func(a, b *progress) int { return c.compare(a.member, b.member) })
 	c.Uint(uint64(len(ps)))
 	for _, p := range ps {
 		c.Member(p.member)
@@ -290,12 +290,12 @@
 			c.Uint(s.last)
 			c.Uint(uint64(s.bytes))
 		}
-		c.transfer(p.transfer, now)
+		c.transfer(p.chunks, now)
 	}
 }
 
 // unsynced appends what waits for the disk, numbered from the last batch backwards.
-func (c *Canon) unsynced(n *Node, now time.Duration) {
+func (c *CanonicalEncoder) unsynced(n *Node, now time.Duration) {
 	c.Uint(uint64(len(n.unsyncedBatches)))
 	for _, b := range n.unsyncedBatches {
 		c.Age(now, b.at, tuning.SyncStall+time.Millisecond)
--- a/internal/controlplane/consensus/explore_test.go
+++ b/internal/controlplane/consensus/explore_test.go
@@ -19,14 +19,14 @@
 	}{
 		{Node{}, []string{"self", "epoch", "role", "term", "vote", "snap", "log", "tail", "incoming", "members", "commit", "applied", "stable", "leader",
 			"leaderHeardAt", "deadline", "votes", "unanimous", "consents", "outranked", "leaderSpokeAt", "askedAt", "votedAt", "electorate",
-			"peers", "beatAt", "since", "seq", "hardSeq", "unsyncedBatches", "heldMessages", "termStart", "out"}},
-		{peer{}, []string{"member", "voter", "next", "match", "acked", "inFlight", "rewoundAt", "transfer"}},
+			"progress", "beatAt", "since", "seq", "hardSeq", "unsyncedBatches", "heldMessages", "termStart", "ready"}},
+		{progress{}, []string{"member", "voter", "next", "match", "acked", "inFlight", "rewoundAt", "chunks"}},
 		{sentEntries{}, []string{"last", "bytes"}},
-		{transfer{}, []string{"whole", "prevTerm", "held", "underWay", "sentAt"}},
-		{assembly{}, []string{"whole", "data", "done"}},
+		{chunkSender{}, []string{"whole", "prevTerm", "held", "underWay", "sentAt"}},
+		{chunkReceiver{}, []string{"whole", "data", "done"}},
 		{unsyncedBatch{}, []string{"seq", "at", "last"}},
 		{heldMessage{}, []string{"seq", "m"}},
-		{Out{}, []string{"Batches", "Send", "Apply", "Restore", "Refused"}},
+		{Ready{}, []string{"Batches", "Messages", "CommittedEntries", "Snapshot", "Rejected"}},
 		{wire.Vote{}, []string{"PreVote", "Reply", "Granted", "LastIndex", "LastTerm", "Transfer", "Unanimous", "NoLeader"}},
 		{wire.Append{}, []string{"Reply", "Success", "PrevIndex", "PrevTerm", "Commit", "MatchIndex", "Entries", "Chunk"}},
 		{wire.Chunk{}, []string{"IsEntry", "Index", "Term", "Kind", "Members", "Size", "Checksum", "Offset", "Data"}},
@@ -44,7 +44,7 @@
 }
 
 func canonOf(n *Node, now time.Duration) []byte {
-	c := Canon{Name: func(name string) byte { return append([]byte(name), 255)[0] }, Disk: func(d uint64) uint64 { return d }}
+	c := CanonicalEncoder{NodeIndex: func(name string) byte { return append([]byte(name), 255)[0] }, DiskNumber: func(d uint64) uint64 { return d }}
 	c.Node(n, now)
 	return c.Bytes
 }
--- a/internal/controlplane/consensus/export_test.go
+++ b/internal/controlplane/consensus/export_test.go
@@ -17,7 +17,7 @@
 	}
 	var held []uint64
 	for _, m := range n.members {
-		switch p := n.peers[m.Name]; {
+		switch p := n.progress[m.Name]; {
 		case m == n.self:
 			held = append(held, n.stable)
 		case p != nil && p.member == m:
@@ -42,7 +42,7 @@
 }
 
 // SkipApplied keeps agreed entries from the state machine.
-func (n *Node) SkipApplied() { n.out.Apply = nil }
+func (n *Node) SkipApplied() { n.ready.CommittedEntries = nil }
 
 // CommitOwn commits what only the leader itself has synced.
 func (n *Node) CommitOwn(now time.Duration) {
--- a/internal/controlplane/consensus/fuzz_test.go
+++ b/internal/controlplane/consensus/fuzz_test.go
@@ -115,14 +115,14 @@
 			commit, term, before := n.commit, n.term, agreed(n)
 			switch s.next() % 4 {
 			case 0, 1:
-				n.Recv(now, s.message(now))
+				n.Step(now, s.message(now))
 			case 2:
 				now += time.Duration(s.next()) * 10 * time.Millisecond
 				n.Tick(now)
 			case 3:
-				n.Synced(now, n.seq)
+				n.Advance(now, n.seq)
 			}
-			n.Take()
+			n.Ready()
 			if n.commit < commit || n.term < term {
 				t.Fatalf("commit %d after %d, term %d after %d", n.commit, commit, n.term, term)
 			}
@@ -140,12 +140,12 @@
 	now := tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	n.Tick(now)
 	for n.Role() != Leader {
-		n.Synced(now, n.seq)
+		n.Advance(now, n.seq)
 		pre, term := n.Role() == PreCandidate, n.Term()
 		if pre {
 			term++
 		}
-		n.Recv(now, &wire.Message{From: "b", Disk: 2, Epoch: 1, Term: term, Vote: &wire.Vote{PreVote: pre, Reply: true, Granted: true}})
+		n.Step(now, &wire.Message{From: "b", Disk: 2, Epoch: 1, Term: term, Vote: &wire.Vote{PreVote: pre, Reply: true, Granted: true}})
 	}
 	return now
 }
@@ -156,23 +156,23 @@
 	f.Add([]byte{1, 1, 2, 2, 3, 0, 1, 1}, uint8(2))
 	f.Fuzz(func(_ *testing.T, b []byte, batches uint8) {
 		s := &script{b}
-		im := Image{Epoch: 1, Disk: 1}
+		im := PersistentState{Epoch: 1, Disk: 1}
 		for range batches % 8 {
 			batch := &wire.Batch{HasHardState: s.bit(), Term: s.number(), Vote: s.name(), TruncateFrom: s.number(), Entries: s.entries(s.number())}
 			if s.bit() {
 				batch.Snapshot = &wire.Snapshot{Index: s.number(), Term: s.number(), Members: s.members()}
 			}
-			im.Fold(batch)
+			im.ApplyBatch(batch)
 		}
-		if CheckImage(&im) != nil {
+		if im.Validate() != nil {
 			return
 		}
 		n := New(0, "a", im)
 		for now := time.Duration(0); now < 3*time.Second; now += 100 * time.Millisecond {
 			n.Tick(now)
-			n.Recv(now, s.message(now))
-			n.Synced(now, n.seq)
-			n.Take()
+			n.Step(now, s.message(now))
+			n.Advance(now, n.seq)
+			n.Ready()
 		}
 	})
 }
@@ -195,21 +195,21 @@
 		"a snapshot without members":     {2, wire.Append{PrevIndex: 9, Chunk: &wire.Chunk{Index: 9, Term: 1}}, ErrMalformed},
 		"a piece of a later term":        {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 3}}, ErrMalformed},
 		"an entry in pieces with a gap":  {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 9, Term: 1}}, ErrMalformed},
-		"another entry in pieces":        {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 2}}, ErrContradiction},
-		"another entry than that agreed": {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}}}, ErrContradiction},
+		"another entry in pieces":        {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 2}}, ErrCommitConflict},
+		"another entry than that agreed": {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}}}, ErrCommitConflict},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, _ := node("a")
-			n.Recv(1, &wire.Message{From: "b", Disk: 2, Epoch: 1, Term: 1, Append: &wire.Append{PrevIndex: 1, Commit: 2, Entries: []wire.Entry{entry}}})
-			n.Synced(1, n.seq)
-			n.Take()
+			n.Step(1, &wire.Message{From: "b", Disk: 2, Epoch: 1, Term: 1, Append: &wire.Append{PrevIndex: 1, Commit: 2, Entries: []wire.Entry{entry}}})
+			n.Advance(1, n.seq)
+			n.Ready()
 			before := canonOf(n, 1)
-			n.Recv(1, &wire.Message{From: "c", Disk: 3, Epoch: 1, Term: c.term, Append: &c.append})
-			o := n.Take()
-			if len(o.Refused) != 1 || !errors.Is(o.Refused[0].Err, c.want) || o.Refused[0].From != "c" {
-				t.Errorf("refused %v", o.Refused)
+			n.Step(1, &wire.Message{From: "c", Disk: 3, Epoch: 1, Term: c.term, Append: &c.append})
+			o := n.Ready()
+			if len(o.Rejected) != 1 || !errors.Is(o.Rejected[0].Err, c.want) || o.Rejected[0].From != "c" {
+				t.Errorf("refused %v", o.Rejected)
 			}
-			if len(o.Send)+len(o.Batches) > 0 || !slices.Equal(before, canonOf(n, 1)) {
+			if len(o.Messages)+len(o.Batches) > 0 || !slices.Equal(before, canonOf(n, 1)) {
 				t.Error("it was acted on")
 			}
 		})
--- a/internal/controlplane/consensus/image.go
+++ b/internal/controlplane/consensus/image.go
@@ -11,8 +11,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Image is what a disk holds: every batch folded in order.
-type Image struct {
+// PersistentState is what a disk holds: every batch folded in order.
+type PersistentState struct {
 	Epoch          uint64
 	Disk           uint64
 	Term           uint64
@@ -26,10 +26,10 @@
 	BootstrapEpoch uint64
 }
 
-// Fold applies one batch.
-func (im *Image) Fold(b *wire.Batch) {
+// ApplyBatch applies one batch.
+func (im *PersistentState) ApplyBatch(b *wire.Batch) {
 	if b.Reset {
-		*im = Image{Disk: im.Disk}
+		*im = PersistentState{Disk: im.Disk}
 	}
 	if b.Disk != 0 {
 		im.Disk = b.Disk
@@ -56,16 +56,16 @@
 	im.Log = append(im.Log, b.Entries...)
 }
 
-// Whole is the image as one batch, for the head of a ring file.
-func (im *Image) Whole() *wire.Batch {
+// Checkpoint is the image as one batch, for the head of a ring file.
+func (im *PersistentState) Checkpoint() *wire.Batch {
 	return &wire.Batch{Reset: true, Epoch: im.Epoch, Disk: im.Disk, HasHardState: true, Term: im.Term, Vote: im.Vote,
 		Snapshot: &im.Snapshot, Entries: im.Log, BootstrapLock: im.BootstrapLock, RecoveredState: im.RecoveredState,
 		Founders: im.Founders, BootstrapEpoch: im.BootstrapEpoch}
 }
 
-// CheckImage says what in an image from disk can't be used: a gap in the log, entries that
+// Validate says what in a state from disk can't be used: a gap in the log, entries that
 // do not follow the snapshot, or a list of members that does not decode.
-func CheckImage(im *Image) error {
+func (im *PersistentState) Validate() error {
 	next := im.Snapshot.Index + 1
 	for _, e := range im.Log {
 		if e.Index != next {
--- a/internal/controlplane/consensus/member.go
+++ b/internal/controlplane/consensus/member.go
@@ -51,34 +51,34 @@
 }
 
 func (n *Node) syncPartners() {
-	for _, p := range n.peers {
+	for _, p := range n.progress {
 		p.voter = slices.Contains(n.members, p.member)
 	}
 	for _, m := range n.members {
 		if m == n.self {
 			continue
 		}
-		if p := n.peers[m.Name]; p == nil || p.member != m {
-			n.peers[m.Name] = &peer{member: m, voter: true, next: n.last() + 1, acked: -1 << 62}
+		if p := n.progress[m.Name]; p == nil || p.member != m {
+			n.progress[m.Name] = &progress{member: m, voter: true, next: n.last() + 1, acked: -1 << 62}
 		}
 	}
 }
 
 // AddLearner has the leader keep m up to date without a vote.
 func (n *Node) AddLearner(m wire.Member) {
-	if p := n.peers[m.Name]; n.role == Leader && (p == nil || p.member != m) && !n.isVoterName(m.Name) {
-		n.peers[m.Name] = &peer{member: m, next: n.last() + 1, acked: -1 << 62}
+	if p := n.progress[m.Name]; n.role == Leader && (p == nil || p.member != m) && !n.isVoterName(m.Name) {
+		n.progress[m.Name] = &progress{member: m, next: n.last() + 1, acked: -1 << 62}
 	}
 }
 
 // RetainLearners stops keeping those without a vote up to date that are not to be kept.
 func (n *Node) RetainLearners(keep func(wire.Member) bool) {
-	maps.DeleteFunc(n.peers, func(_ string, p *peer) bool { return !p.voter && !keep(p.member) })
+	maps.DeleteFunc(n.progress, func(_ string, p *progress) bool { return !p.voter && !keep(p.member) })
 }
 
 // RecentlyActive says that a member, or one that learns, has answered lately.
 func (n *Node) RecentlyActive(now time.Duration, m wire.Member) bool {
-	p := n.peers[m.Name]
+	p := n.progress[m.Name]
 	return m == n.self || p != nil && p.member == m && now-p.acked < tuning.LeaderLease
 }
 
@@ -95,7 +95,7 @@
 
 // Match is the last entry that a peer is known to hold, if it is kept up to date.
 func (n *Node) Match(m wire.Member) (index uint64, ok bool) {
-	p := n.peers[m.Name]
+	p := n.progress[m.Name]
 	if p == nil || p.member != m {
 		return 0, false
 	}
--- a/internal/controlplane/consensus/mutation_test.go
+++ b/internal/controlplane/consensus/mutation_test.go
@@ -32,32 +32,32 @@
 	rates    []int64
 	breaks   []string
 }{
-	{name: "vote sent before it is synced", scenario: "election", breaks: []string{modelcheck.PromisesAreSynced},
-		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return b.HasHardState }}},
+	{name: "vote sent before it is synced", scenario: "election", breaks: []string{modelcheck.SyncedBeforeSent},
+		faults: modelcheck.Faults{AcknowledgeEarly: func(b *wire.Batch) bool { return b.HasHardState }}},
 	{name: "vote sent before it is synced: what follows", seed: 8, scenario: "election", walks: 3000, breaks: []string{modelcheck.OneVotePerTerm},
-		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return b.HasHardState }, Ignore: []string{modelcheck.PromisesAreSynced}}},
-	{name: "entry confirmed before it is synced", scenario: "late-sync", breaks: []string{modelcheck.PromisesAreSynced},
-		faults: modelcheck.Faults{AckEarly: anyBatch}},
+		faults: modelcheck.Faults{AcknowledgeEarly: func(b *wire.Batch) bool { return b.HasHardState }, Ignore: []string{modelcheck.SyncedBeforeSent}}},
+	{name: "entry confirmed before it is synced", scenario: "late-sync", breaks: []string{modelcheck.SyncedBeforeSent},
+		faults: modelcheck.Faults{AcknowledgeEarly: anyBatch}},
 	{name: "entry confirmed before it is synced: what follows", seed: 7, scenario: "late-sync", walks: 3000,
-		breaks: []string{modelcheck.LeaderComplete, modelcheck.CommittedKept, modelcheck.LogMatching, modelcheck.NoPanic},
-		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return !b.HasHardState }, Ignore: []string{modelcheck.PromisesAreSynced}}},
-	{name: "snapshot confirmed before it is synced", scenario: "snapshot-under-way", breaks: []string{modelcheck.PromisesAreSynced},
-		faults: modelcheck.Faults{AckEarly: func(b *wire.Batch) bool { return b.Snapshot != nil && b.TruncateFrom != 0 }}},
+		breaks: []string{modelcheck.LeaderCompleteness, modelcheck.CommittedEntriesKept, modelcheck.LogMatching, modelcheck.NoPanic},
+		faults: modelcheck.Faults{AcknowledgeEarly: func(b *wire.Batch) bool { return !b.HasHardState }, Ignore: []string{modelcheck.SyncedBeforeSent}}},
+	{name: "snapshot confirmed before it is synced", scenario: "snapshot-under-way", breaks: []string{modelcheck.SyncedBeforeSent},
+		faults: modelcheck.Faults{AcknowledgeEarly: func(b *wire.Batch) bool { return b.Snapshot != nil && b.TruncateFrom != 0 }}},
 	{name: "vote forgotten by a restart", seed: 1, scenario: "election", walks: 3000, breaks: []string{modelcheck.OneVotePerTerm},
-		faults: modelcheck.Faults{Restart: func(im *consensus.Image) { im.Vote = "" }}},
-	{name: "vote forgotten by a restart: what follows", seed: 11, scenario: "election", walks: 6000, breaks: []string{modelcheck.OneLeaderPerTerm},
-		faults: modelcheck.Faults{Restart: func(im *consensus.Image) { im.Vote = "" }, Ignore: []string{modelcheck.OneVotePerTerm, modelcheck.VotersAreMembers}}},
-	{name: "commit by count of an earlier term", scenario: "overtaken", seed: 1, walks: 20000, breaks: []string{modelcheck.LeaderComplete, modelcheck.CommittedKept},
+		faults: modelcheck.Faults{Restart: func(im *consensus.PersistentState) { im.Vote = "" }}},
+	{name: "vote forgotten by a restart: what follows", seed: 11, scenario: "election", walks: 6000, breaks: []string{modelcheck.ElectionSafety},
+		faults: modelcheck.Faults{Restart: func(im *consensus.PersistentState) { im.Vote = "" }, Ignore: []string{modelcheck.OneVotePerTerm, modelcheck.VotersAreMembers}}},
+	{name: "commit by count of an earlier term", scenario: "overtaken", seed: 1, walks: 20000, breaks: []string{modelcheck.LeaderCompleteness, modelcheck.CommittedEntriesKept},
 		faults: modelcheck.Faults{AfterStep: (*consensus.Node).CommitByCount}},
-	{name: "commit before a majority", seed: 2, scenario: "diverged", walks: 3000, breaks: []string{modelcheck.LeaderComplete, modelcheck.CommittedKept},
+	{name: "commit before a majority", seed: 2, scenario: "diverged", walks: 3000, breaks: []string{modelcheck.LeaderCompleteness, modelcheck.CommittedEntriesKept},
 		faults: modelcheck.Faults{AfterStep: (*consensus.Node).CommitOwn}},
-	{name: "votes for whoever lacks entries", seed: 8, scenario: "diverged", walks: 3000, breaks: []string{modelcheck.LeaderComplete},
+	{name: "votes for whoever lacks entries", seed: 8, scenario: "diverged", walks: 3000, breaks: []string{modelcheck.LeaderCompleteness},
 		faults: modelcheck.Faults{Deliver: func(_ *consensus.Node, m *wire.Message) {
 			if m.Vote != nil && !m.Vote.Reply {
 				m.Vote.LastTerm, m.Vote.LastIndex = m.Term, 1<<40
 			}
 		}}},
-	{name: "entries taken after one that differs", seed: 1, scenario: "diverged", walks: 3000, breaks: []string{modelcheck.LogMatching, modelcheck.CommittedKept, modelcheck.NoPanic},
+	{name: "entries taken after one that differs", seed: 1, scenario: "diverged", walks: 3000, breaks: []string{modelcheck.LogMatching, modelcheck.CommittedEntriesKept, modelcheck.NoPanic},
 		faults: modelcheck.Faults{Deliver: func(n *consensus.Node, m *wire.Message) {
 			if a := m.Append; a != nil && !a.Reply && n.TermAt(a.PrevIndex) != 0 {
 				a.PrevTerm = n.TermAt(a.PrevIndex)
@@ -65,30 +65,30 @@
 		}}},
 	{name: "agreed entries kept from the state machine", scenario: "late-sync", breaks: []string{modelcheck.StateMachineSafety},
 		faults: modelcheck.Faults{AfterStep: func(n *consensus.Node, _ time.Duration) { n.SkipApplied() }}},
-	{name: "lease longer than the refusal", seed: 12, scenario: "second-leader", rates: []int64{450, 1000, 1000}, walks: 3000, breaks: []string{modelcheck.OneLease},
-		faults: modelcheck.Faults{Ignore: []string{modelcheck.LeaseIsCurrent}}},
+	{name: "lease longer than the refusal", seed: 12, scenario: "second-leader", rates: []int64{450, 1000, 1000}, walks: 3000, breaks: []string{modelcheck.SingleLeaseHolder},
+		faults: modelcheck.Faults{Ignore: []string{modelcheck.LeaseHolderIsCurrent}}},
 	{name: "lease longer than the refusal: what follows", seed: 12, scenario: "second-leader", rates: []int64{450, 1000, 1000}, walks: 3000,
-		faults: modelcheck.Faults{Ignore: []string{modelcheck.OneLease}}, breaks: []string{modelcheck.LeaseIsCurrent}},
+		faults: modelcheck.Faults{Ignore: []string{modelcheck.SingleLeaseHolder}}, breaks: []string{modelcheck.LeaseHolderIsCurrent}},
 	{name: "vote of a disk that is no member", seed: 4, scenario: "members", walks: 6000,
-		breaks: []string{modelcheck.VotersAreMembers, modelcheck.LeaderComplete, modelcheck.CommittedKept, modelcheck.OneLeaderPerTerm},
+		breaks: []string{modelcheck.VotersAreMembers, modelcheck.LeaderCompleteness, modelcheck.CommittedEntriesKept, modelcheck.ElectionSafety},
 		faults: modelcheck.Faults{Deliver: func(n *consensus.Node, m *wire.Message) {
 			if d := n.DiskOf(m.From); d != 0 {
 				m.Disk = d
 			}
 		}}},
 	{name: "vote of a disk that is no member: what follows", seed: 10, scenario: "members", walks: 6000,
-		breaks: []string{modelcheck.LeaderComplete, modelcheck.CommittedKept, modelcheck.OneLeaderPerTerm},
+		breaks: []string{modelcheck.LeaderCompleteness, modelcheck.CommittedEntriesKept, modelcheck.ElectionSafety},
 		faults: modelcheck.Faults{Ignore: []string{modelcheck.VotersAreMembers}, Deliver: func(n *consensus.Node, m *wire.Message) {
 			if d := n.DiskOf(m.From); d != 0 {
 				m.Disk = d
 			}
 		}}},
 	{name: "two members changed at once: what follows", seed: 11, scenario: "members", walks: 6000,
-		breaks: []string{modelcheck.LeaderComplete, modelcheck.CommittedKept, modelcheck.OneLeaderPerTerm, modelcheck.OneLease},
-		faults: modelcheck.Faults{Ignore: []string{modelcheck.MajoritiesMeet}, ChangeMembers: func(n *consensus.Node, now time.Duration, ms []wire.Member) {
+		breaks: []string{modelcheck.LeaderCompleteness, modelcheck.CommittedEntriesKept, modelcheck.ElectionSafety, modelcheck.SingleLeaseHolder},
+		faults: modelcheck.Faults{Ignore: []string{modelcheck.QuorumsIntersect}, ChangeMembers: func(n *consensus.Node, now time.Duration, ms []wire.Member) {
 			n.ProposeAnyMembers(now, withoutFirst(ms))
 		}}},
-	{name: "two members changed at once", scenario: "members", breaks: []string{modelcheck.MajoritiesMeet},
+	{name: "two members changed at once", scenario: "members", breaks: []string{modelcheck.QuorumsIntersect},
 		faults: modelcheck.Faults{ChangeMembers: func(n *consensus.Node, now time.Duration, ms []wire.Member) {
 			n.ProposeAnyMembers(now, withoutFirst(ms))
 		}}},
@@ -97,10 +97,10 @@
 func TestMutations(t *testing.T) {
 	for _, mu := range mutations {
 		t.Run(mu.name, func(t *testing.T) {
-			s := *modelcheck.ByName(mu.scenario)
+			s := *modelcheck.ScenarioByName(mu.scenario)
 			s.Faults = mu.faults
 			if mu.rates != nil {
-				s.Rates = mu.rates
+				s.ClockRates = mu.rates
 			}
 			var r *modelcheck.Report
 			if mu.walks > 0 {
@@ -109,8 +109,8 @@
 				r = modelcheck.Search(&s, modelcheck.Limits{States: 20000, Depth: 100, Workers: 2})
 			}
 			t.Log(r)
-			if !slices.ContainsFunc(mu.breaks, func(name string) bool { return strings.HasPrefix(r.Broken, name+":") }) {
-				t.Errorf("it broke %q, wanted one of %v", r.Broken, mu.breaks)
+			if !slices.ContainsFunc(mu.breaks, func(name string) bool { return strings.HasPrefix(r.Violation, name+":") }) {
+				t.Errorf("it broke %q, wanted one of %v", r.Violation, mu.breaks)
 			}
 		})
 	}
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -45,13 +45,13 @@
 	EntryData
 )
 
-// Out is what a step left to do, in order: sync, send, apply.
-type Out struct {
-	Batches []*wire.Batch
-	Send    []*wire.Message
-	Apply   []wire.Entry
-	Restore *wire.Snapshot
-	Refused []Refusal
+// Ready is what a step left to do, in order: sync, send, apply.
+type Ready struct {
+	Batches          []*wire.Batch
+	Messages         []*wire.Message
+	CommittedEntries []wire.Entry
+	Snapshot         *wire.Snapshot
+	Rejected         []Rejection
 }
 
 // Node is one member of the agreement, or one that learns. It has no clock and does no I/O: what
@@ -64,8 +64,8 @@
 	vote            string
 	snap            wire.Snapshot
 	log             []wire.Entry
-	tail            []wire.Entry // the last entries that the snapshot stands for, for peers a little behind; in memory only
-	incoming        *assembly    // a snapshot or large entry that arrives in pieces
+	tail            []wire.Entry   // the last entries that the snapshot stands for, for peers a little behind; in memory only
+	incoming        *chunkReceiver // a snapshot or large entry that arrives in pieces
 	members         []wire.Member
 	commit          uint64
 	applied         uint64
@@ -81,7 +81,7 @@
 	askedAt         time.Duration
 	votedAt         time.Duration
 	electorate      []wire.Member // the members, and those before the last change if that may be under way
-	peers           map[string]*peer
+	progress        map[string]*progress
 	beatAt          time.Duration
 	since           time.Duration
 	seq             uint64
@@ -89,14 +89,14 @@
 	unsyncedBatches []unsyncedBatch
 	heldMessages    []heldMessage
 	termStart       uint64
-	out             Out
+	ready           Ready
 }
 
 // New starts a node from what its disk holds. Booting counts as having heard a
 // leader, since the node may have promised one that it would wait.
-func New(now time.Duration, self string, im Image) *Node {
+func New(now time.Duration, self string, im PersistentState) *Node {
 	n := &Node{self: wire.Member{Name: self, Disk: im.Disk}, epoch: im.Epoch, term: im.Term, vote: im.Vote,
-		snap: im.Snapshot, log: slices.Clone(im.Log), leaderHeardAt: now, leaderSpokeAt: -1 << 62, askedAt: -1 << 62, peers: map[string]*peer{}}
+		snap: im.Snapshot, log: slices.Clone(im.Log), leaderHeardAt: now, leaderSpokeAt: -1 << 62, askedAt: -1 << 62, progress: map[string]*progress{}}
 	n.commit, n.applied = im.Snapshot.Index, im.Snapshot.Index
 	n.stable = n.last()
 	n.readMembers()
@@ -119,16 +119,16 @@
 // Commit is the index of the last entry that the node knows to be agreed.
 func (n *Node) Commit() uint64 { return n.commit }
 
-// Last is the index of the last entry of the node's log.
-func (n *Node) Last() uint64 { return n.last() }
+// LastIndex is the index of the last entry of the node's log.
+func (n *Node) LastIndex() uint64 { return n.last() }
 
-// Since is when the node last took a role, by its own clock.
-func (n *Node) Since() time.Duration { return n.since }
+// RoleSince is when the node last took a role, by its own clock.
+func (n *Node) RoleSince() time.Duration { return n.since }
 
-// NobodyLedSince says, of a leader, that nobody else has decided since a term in which it led. Who
+// NoOtherLeaderSince says, of a leader, that nobody else has decided since a term in which it led. Who
 // decides in a term has had its first entry there agreed, and later leaders have what is agreed:
 // so it would stand in the log before the entry that began this leader's term.
-func (n *Node) NobodyLedSince(term uint64) bool {
+func (n *Node) NoOtherLeaderSince(term uint64) bool {
 	if n.role != Leader || term == n.term {
 		return n.role == Leader
 	}
@@ -136,10 +136,10 @@
 	return ok && t == term
 }
 
-// Take hands over what there is to do and empties it.
-func (n *Node) Take() Out {
-	o := n.out
-	n.out = Out{}
+// Ready hands over what there is to do and empties it.
+func (n *Node) Ready() Ready {
+	o := n.ready
+	n.ready = Ready{}
 	return o
 }
 
@@ -160,7 +160,7 @@
 	n.role = r
 	n.since = now
 	n.votes, n.consents, n.unanimous, n.outranked = map[string]bool{}, map[string]bool{}, false, false
-	n.peers = map[string]*peer{}
+	n.progress = map[string]*progress{}
 	h := fnv.New64a()
 	h.Write([]byte(n.self.Name))
 	h.Write([]byte{byte(n.term), byte(n.term >> 8), byte(now >> 20), byte(now >> 28)})
@@ -168,7 +168,7 @@
 	if r == Leader {
 		n.leader = n.self.Name
 		n.syncPartners()
-		for _, p := range n.peers {
+		for _, p := range n.progress {
 			p.next = n.last() + 1
 		}
 		n.termStart = n.add(now, EntryNoop, nil)
@@ -176,8 +176,8 @@
 	}
 }
 
-// HearsLeader says whether a leader is heard, or is this node.
-func (n *Node) HearsLeader(now time.Duration) bool {
+// HasLeader says whether a leader is heard, or is this node.
+func (n *Node) HasLeader(now time.Duration) bool {
 	return n.role == Leader || n.leader != "" && now-n.leaderHeardAt < 3*tuning.ElectionTimeoutMin
 }
 
@@ -191,7 +191,7 @@
 	for _, m := range n.members {
 		if m == n.self {
 			at = append(at, now)
-		} else if p := n.peers[m.Name]; p != nil && p.member == m {
+		} else if p := n.progress[m.Name]; p != nil && p.member == m {
 			at = append(at, p.acked)
 		} else {
 			at = append(at, -1<<62)
@@ -250,14 +250,14 @@
 	}
 }
 
-// Recv takes a message of kind KVote or KAppend of this node's epoch. One that no sound
+// Step takes a message of kind KVote or KAppend of this node's epoch. One that no sound
 // member can have sent is dropped and told of in Out.Refused.
-func (n *Node) Recv(now time.Duration, m *wire.Message) {
+func (n *Node) Step(now time.Duration, m *wire.Message) {
 	if m.Epoch != n.epoch {
 		return
 	}
 	if err := n.acceptable(m); err != nil {
-		n.out.Refused = append(n.out.Refused, Refusal{m.From, err})
+		n.ready.Rejected = append(n.ready.Rejected, Rejection{m.From, err})
 		return
 	}
 	switch {
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -12,9 +12,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func node(name string) (*Node, Image) {
+func node(name string) (*Node, PersistentState) {
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
-	im := Image{Epoch: 1, Disk: uint64(name[0]-'a') + 1, Snapshot: wire.Snapshot{Index: 1, Members: ms}}
+	im := PersistentState{Epoch: 1, Disk: uint64(name[0]-'a') + 1, Snapshot: wire.Snapshot{Index: 1, Members: ms}}
 	return New(0, name, im), im
 }
 
@@ -22,9 +22,9 @@
 	return &wire.Message{Kind: wire.KindVote, From: from, Disk: disk, Epoch: 1, Term: term, Vote: &wire.Vote{LastIndex: 1, Transfer: transfer}}
 }
 
-func granted(o Out) int {
+func granted(o Ready) int {
 	n := 0
-	for _, m := range o.Send {
+	for _, m := range o.Messages {
 		if m.Vote != nil && m.Vote.Granted {
 			n++
 		}
@@ -37,29 +37,29 @@
 func TestVote(t *testing.T) {
 	late := tuning.ElectionTimeoutMin + time.Second
 	n, im := node("a")
-	n.Recv(late, ask(5, 2, "b", false))
-	o := n.Take()
+	n.Step(late, ask(5, 2, "b", false))
+	o := n.Ready()
 	if granted(o) != 0 || len(o.Batches) == 0 {
 		t.Fatal("a vote left before it was on disk")
 	}
 	for _, b := range o.Batches {
-		im.Fold(b)
+		im.ApplyBatch(b)
 	}
-	n.Synced(late, o.Batches[len(o.Batches)-1].Seq)
-	if granted(n.Take()) != 1 {
+	n.Advance(late, o.Batches[len(o.Batches)-1].Seq)
+	if granted(n.Ready()) != 1 {
 		t.Fatal("no vote")
 	}
 	n = New(0, "a", im)
-	n.Recv(late, ask(5, 3, "c", false))
-	o = n.Take()
+	n.Step(late, ask(5, 3, "c", false))
+	o = n.Ready()
 	for _, b := range o.Batches {
-		n.Synced(late, b.Seq)
+		n.Advance(late, b.Seq)
 	}
-	if granted(o)+granted(n.Take()) != 0 {
+	if granted(o)+granted(n.Ready()) != 0 {
 		t.Fatal("two votes in a term")
 	}
-	n.Recv(late, ask(6, 9, "c", false))
-	if o := n.Take(); len(o.Send) > 0 || n.Term() == 6 {
+	n.Step(late, ask(6, 9, "c", false))
+	if o := n.Ready(); len(o.Messages) > 0 || n.Term() == 6 {
 		t.Fatal("a disk that is no member was heard")
 	}
 }
@@ -68,12 +68,12 @@
 // unless that leader itself hands over.
 func TestPatience(t *testing.T) {
 	n, _ := node("a")
-	n.Recv(tuning.ElectionTimeoutMin/2, ask(5, 2, "b", false))
-	if n.Take(); n.Term() != 0 {
+	n.Step(tuning.ElectionTimeoutMin/2, ask(5, 2, "b", false))
+	if n.Ready(); n.Term() != 0 {
 		t.Fatal("voted while a leader may still decide")
 	}
-	n.Recv(tuning.ElectionTimeoutMin/2, ask(5, 2, "b", true))
-	if n.Take(); n.Term() != 5 {
+	n.Step(tuning.ElectionTimeoutMin/2, ask(5, 2, "b", true))
+	if n.Ready(); n.Term() != 5 {
 		t.Fatal("a handover was refused")
 	}
 	if tuning.ElectionTimeoutMin < tuning.LeaderLease*105/100 || tuning.SyncStall >= tuning.ElectionTimeoutMin {
@@ -85,14 +85,14 @@
 func TestOverwrite(t *testing.T) {
 	n, _ := node("a")
 	app := func(term, prev, prevTerm, commit uint64, es ...wire.Entry) *wire.Append {
-		n.Recv(1, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: term,
+		n.Step(1, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: term,
 			Append: &wire.Append{PrevIndex: prev, PrevTerm: prevTerm, Commit: commit, Entries: es}})
-		o := n.Take()
+		o := n.Ready()
 		for _, b := range o.Batches {
-			n.Synced(1, b.Seq)
+			n.Advance(1, b.Seq)
 		}
-		o.Send = append(o.Send, n.Take().Send...)
-		return o.Send[len(o.Send)-1].Append
+		o.Messages = append(o.Messages, n.Ready().Messages...)
+		return o.Messages[len(o.Messages)-1].Append
 	}
 	e := func(i, t uint64) wire.Entry { return wire.Entry{Index: i, Term: t} }
 	if r := app(1, 1, 0, 2, e(2, 1), e(3, 1), e(4, 1)); !r.Success || r.MatchIndex != 4 || n.Commit() != 2 {
@@ -101,13 +101,13 @@
 	if r := app(2, 3, 2, 2); r.Success || r.MatchIndex != 2 {
 		t.Fatalf("%+v", r)
 	}
-	if r := app(2, 2, 1, 3, e(3, 2)); !r.Success || n.Last() != 3 || n.Commit() != 3 {
-		t.Fatalf("%+v last %d", r, n.Last())
+	if r := app(2, 2, 1, 3, e(3, 2)); !r.Success || n.LastIndex() != 3 || n.Commit() != 3 {
+		t.Fatalf("%+v last %d", r, n.LastIndex())
 	}
-	n.Recv(1, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: 3,
+	n.Step(1, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: 3,
 		Append: &wire.Append{PrevIndex: 2, PrevTerm: 1, Commit: 3, Entries: []wire.Entry{e(3, 3)}}})
-	o := n.Take()
-	if len(o.Refused) != 1 || !errors.Is(o.Refused[0].Err, ErrContradiction) || len(o.Send)+len(o.Batches) > 0 {
+	o := n.Ready()
+	if len(o.Rejected) != 1 || !errors.Is(o.Rejected[0].Err, ErrCommitConflict) || len(o.Messages)+len(o.Batches) > 0 {
 		t.Fatalf("an agreed entry would be overwritten and it says %+v", o)
 	}
 	if at, _ := n.termAt(3); at != 2 || n.Term() != 2 || n.Commit() != 3 {
@@ -121,24 +121,24 @@
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
 	snap := wire.Snapshot{Index: 1, Term: 5, Members: ms}
 	nodes := map[string]*Node{
-		"a": New(0, "a", Image{Epoch: 1, Disk: 1, Term: 5, Snapshot: snap, Log: []wire.Entry{{Index: 2, Term: 5}}}),
-		"b": New(0, "b", Image{Epoch: 1, Disk: 2, Term: 6, Vote: "b", Snapshot: snap})}
+		"a": New(0, "a", PersistentState{Epoch: 1, Disk: 1, Term: 5, Snapshot: snap, Log: []wire.Entry{{Index: 2, Term: 5}}}),
+		"b": New(0, "b", PersistentState{Epoch: 1, Disk: 2, Term: 6, Vote: "b", Snapshot: snap})}
 	for now := time.Duration(0); now < 10*time.Second; now += tuning.TickEvery {
 		for _, name := range []string{"a", "b"} {
 			n := nodes[name]
 			n.Tick(now)
 			for {
-				o := n.Take()
-				if len(o.Batches)+len(o.Send) == 0 {
+				o := n.Ready()
+				if len(o.Batches)+len(o.Messages) == 0 {
 					break
 				}
-				for _, m := range o.Send {
+				for _, m := range o.Messages {
 					if to := nodes[m.To]; to != nil {
-						to.Recv(now, m)
+						to.Step(now, m)
 					}
 				}
 				if k := len(o.Batches); k > 0 {
-					n.Synced(now, o.Batches[k-1].Seq)
+					n.Advance(now, o.Batches[k-1].Seq)
 				}
 			}
 		}
@@ -153,7 +153,7 @@
 type trio struct {
 	now   time.Duration
 	nodes map[string]*Node
-	imgs  map[string]*Image
+	imgs  map[string]*PersistentState
 	cut   map[string]bool // "ab": nothing goes from a to b
 	way   []flying
 }
@@ -165,7 +165,7 @@
 }
 
 func newTrio() *trio {
-	w := &trio{nodes: map[string]*Node{}, imgs: map[string]*Image{}, cut: map[string]bool{}}
+	w := &trio{nodes: map[string]*Node{}, imgs: map[string]*PersistentState{}, cut: map[string]bool{}}
 	for _, n := range []string{"a", "b", "c"} {
 		_, im := node(n)
 		w.imgs[n] = &im
@@ -183,7 +183,7 @@
 	for end := w.now + d; w.now < end; w.now += time.Millisecond {
 		for i := 0; i < len(w.way); i++ {
 			if f := w.way[i]; f.at <= w.now && w.nodes[f.m.To] == f.to {
-				f.to.Recv(w.now, f.m)
+				f.to.Step(w.now, f.m)
 			}
 		}
 		w.way = slices.DeleteFunc(w.way, func(f flying) bool { return f.at <= w.now })
@@ -191,15 +191,15 @@
 		for _, name := range []string{"a", "b", "c"} {
 			n := w.nodes[name]
 			n.Tick(w.now)
-			for o := n.Take(); len(o.Batches)+len(o.Send) > 0; o = n.Take() {
-				for _, m := range o.Send {
+			for o := n.Ready(); len(o.Batches)+len(o.Messages) > 0; o = n.Ready() {
+				for _, m := range o.Messages {
 					if to := w.nodes[m.To]; !w.cut[name+m.To] {
 						w.way = append(w.way, flying{w.now + 2*time.Millisecond, to, m})
 					}
 				}
 				for _, b := range o.Batches {
-					w.imgs[name].Fold(b)
-					n.Synced(w.now, b.Seq)
+					w.imgs[name].ApplyBatch(b)
+					n.Advance(w.now, b.Seq)
 				}
 			}
 			if n.HasLease(w.now) {
@@ -275,13 +275,13 @@
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
 	left, _ := json.Marshal(ms[:2])
 	now := tuning.ElectionTimeoutMin / 4
-	n := New(0, "a", Image{Epoch: 1, Disk: 1, Term: 3, Snapshot: wire.Snapshot{Index: 1, Members: ms}, Log: []wire.Entry{{Index: 2, Term: 3, Kind: EntryMembers, Data: left}}})
+	n := New(0, "a", PersistentState{Epoch: 1, Disk: 1, Term: 3, Snapshot: wire.Snapshot{Index: 1, Members: ms}, Log: []wire.Entry{{Index: 2, Term: 3, Kind: EntryMembers, Data: left}}})
 	leave := func(from string, disk uint64, pre bool, term uint64) {
-		n.Recv(now, &wire.Message{Kind: wire.KindVote, From: from, Disk: disk, Epoch: 1, Term: term,
+		n.Step(now, &wire.Message{Kind: wire.KindVote, From: from, Disk: disk, Epoch: 1, Term: term,
 			Vote: &wire.Vote{PreVote: pre, Reply: true, Unanimous: true, Granted: true, NoLeader: true, LastIndex: 1}})
-		for o := n.Take(); len(o.Batches)+len(o.Send) > 0; o = n.Take() {
+		for o := n.Ready(); len(o.Batches)+len(o.Messages) > 0; o = n.Ready() {
 			for _, b := range o.Batches {
-				n.Synced(now, b.Seq)
+				n.Advance(now, b.Seq)
 			}
 		}
 	}
@@ -318,7 +318,7 @@
 		}
 		first := w.leader()
 		n, term := w.nodes[first], w.nodes[first].Term()
-		if !n.NobodyLedSince(term) {
+		if !n.NoOtherLeaderSince(term) {
 			t.Error("in its own term nobody else has led")
 		}
 		w.cutOff(first, true)
@@ -350,7 +350,7 @@
 		for _, e := range n.log {
 			led = led || e.Term > term && e.Term < n.Term()
 		}
-		if got := n.NobodyLedSince(term); got == led || another && got {
+		if got := n.NoOtherLeaderSince(term); got == led || another && got {
 			t.Errorf("another %v: says that nobody led since term %d is %v, entries of another's term in the log %v", another, term, got, led)
 		}
 	}
--- a/internal/controlplane/consensus/refusal.go
+++ b/internal/controlplane/consensus/refusal.go
@@ -15,12 +15,12 @@
 // ErrMalformed marks a message that contradicts itself, ErrContradiction one that
 // contradicts what is agreed here: two leaders, or damage somewhere.
 var (
-	ErrMalformed     = errors.New("malformed message")
-	ErrContradiction = errors.New("message contradicts what is agreed")
+	ErrMalformed      = errors.New("malformed message")
+	ErrCommitConflict = errors.New("message contradicts what is agreed")
 )
 
-// Refusal is a message that was dropped whole, and why. It belongs in the log.
-type Refusal struct {
+// Rejection is a message that was dropped whole, and why. It belongs in the log.
+type Rejection struct {
 	From string
 	Err  error
 }
@@ -76,7 +76,7 @@
 func (n *Node) keepsAgreed(entries []wire.Entry) error {
 	for _, e := range entries {
 		if t, ok := n.termAt(e.Index); ok && e.Index <= n.commit && t != e.Term {
-			return errors.Mark(errors.Newf("agreed entry %d of term %d would be overwritten by one of term %d", e.Index, t, e.Term), ErrContradiction)
+			return errors.Mark(errors.Newf("agreed entry %d of term %d would be overwritten by one of term %d", e.Index, t, e.Term), ErrCommitConflict)
 		}
 	}
 	return nil
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -17,8 +17,8 @@
 // leader of this one: the stamp may be by the clock of an earlier process of its name.
 const noStamp = -1 << 62
 
-// peer is what a leader knows of another member, or of one that learns.
-type peer struct {
+// progress is what a leader knows of another member, or of one that learns.
+type progress struct {
 	member    wire.Member
 	voter     bool
 	next      uint64
@@ -26,7 +26,7 @@
 	acked     time.Duration
 	inFlight  []sentEntries // sent and not acknowledged, in order
 	rewoundAt time.Duration // when entries were last begun again after a loss
-	transfer  *transfer     // what goes to it in pieces, if anything does
+	chunks    *chunkSender  // what goes to it in pieces, if anything does
 }
 
 // sentEntries is one message's entries.
@@ -35,7 +35,7 @@
 	bytes int
 }
 
-func (p *peer) inFlightBytes() (b int) {
+func (p *progress) inFlightBytes() (b int) {
 	for _, s := range p.inFlight {
 		b += s.bytes
 	}
@@ -70,7 +70,7 @@
 		for _, m := range n.members {
 			if m == n.self {
 				ix = append(ix, n.stable)
-			} else if p := n.peers[m.Name]; p != nil && p.member == m {
+			} else if p := n.progress[m.Name]; p != nil && p.member == m {
 				ix = append(ix, p.match)
 			} else {
 				ix = append(ix, 0)
@@ -87,7 +87,7 @@
 	}
 	for n.applied < n.commit && n.applied < n.last() {
 		n.applied++
-		n.out.Apply = append(n.out.Apply, n.log[n.applied-n.snap.Index-1])
+		n.ready.CommittedEntries = append(n.ready.CommittedEntries, n.log[n.applied-n.snap.Index-1])
 	}
 	if n.role == Leader && n.commit >= n.termStart && n.CanChangeMembers() && !n.isVoter(n.self.Name, n.self.Disk) {
 		n.become(now, Follower)
@@ -121,16 +121,16 @@
 // others learn it with the next heartbeat.
 func (n *Node) announceCommit(now time.Duration) {
 	for _, p := range n.sorted() {
-		n.sendAppend(now, p, p.transfer == nil && p.match < n.commit)
+		n.sendAppend(now, p, p.chunks == nil && p.match < n.commit)
 	}
 }
 
-func (n *Node) sorted() []*peer {
-	var ps []*peer
-	for _, p := range n.peers {
+func (n *Node) sorted() []*progress {
+	var ps []*progress
+	for _, p := range n.progress {
 		ps = append(ps, p)
 	}
-	slices.SortFunc(ps, func(a, b *peer) int {
+	slices.SortFunc(ps, func(a, b *progress) int {
 		if a.member.Name < b.member.Name {
 			return -1
 		}
@@ -157,29 +157,29 @@
 
 // startTransfer begins what has to go to a peer in pieces: a snapshot, if the entries that
 // it needs are gone, or an entry that is too large for one message.
-func (n *Node) startTransfer(p *peer) {
+func (n *Node) startTransfer(p *progress) {
 	if p.next > n.last() {
 		return
 	}
 	e, prevTerm, ok := n.retained(p.next)
 	switch {
 	case !ok:
-		p.transfer = snapshotTransfer(n.snap)
+		p.chunks = snapshotTransfer(n.snap)
 		p.next = n.snap.Index + 1
 		p.inFlight = nil
 	case len(e.Data) > tuning.AppendMax && len(p.inFlight) == 0:
-		p.transfer = entryTransfer(e, prevTerm)
+		p.chunks = entryTransfer(e, prevTerm)
 	}
 }
 
 // sendAppend sends a peer what it needs next, as far as what is under way to it allows, or a
 // heartbeat.
-func (n *Node) sendAppend(now time.Duration, p *peer, heartbeat bool) {
+func (n *Node) sendAppend(now time.Duration, p *progress, heartbeat bool) {
 	a := &wire.Append{Commit: n.commit}
-	if p.transfer == nil {
+	if p.chunks == nil {
 		n.startTransfer(p)
 	}
-	if t := p.transfer; t != nil {
+	if t := p.chunks; t != nil {
 		a.PrevIndex, a.PrevTerm = t.prev()
 		a.Chunk = t.next(now)
 		if a.Chunk == nil && !heartbeat {
@@ -200,7 +200,7 @@
 }
 
 // takeEntries are the next entries for a peer: no more are under way than AppendMax.
-func (n *Node) takeEntries(p *peer) (entries []wire.Entry) {
+func (n *Node) takeEntries(p *progress) (entries []wire.Entry) {
 	size, room := 0, tuning.AppendMax-p.inFlightBytes()
 	for {
 		e, _, ok := n.retained(p.next)
@@ -311,7 +311,7 @@
 		n.follow(now, m.Term)
 		return
 	}
-	p := n.peers[m.From]
+	p := n.progress[m.From]
 	if n.role != Leader || m.Term != n.term || p == nil || p.member.Disk != m.Disk {
 		return
 	}
@@ -320,8 +320,8 @@
 		stamp = noStamp // it tells nothing of when
 	}
 	p.acked = max(p.acked, stamp)
-	if p.transfer != nil {
-		p.transfer.answered(m.Append.Chunk, stamp)
+	if p.chunks != nil {
+		p.chunks.answered(m.Append.Chunk, stamp)
 	}
 	if m.Append.Success {
 		n.acknowledged(now, p, min(m.Append.MatchIndex, n.last()))
@@ -334,22 +334,22 @@
 }
 
 // acknowledged takes that a peer has all up to an index on disk.
-func (n *Node) acknowledged(now time.Duration, p *peer, match uint64) {
+func (n *Node) acknowledged(now time.Duration, p *progress, match uint64) {
 	p.match = max(p.match, match)
 	p.next = max(p.next, p.match+1)
 	p.inFlight = slices.DeleteFunc(p.inFlight, func(s sentEntries) bool { return s.last <= p.match })
-	if t := p.transfer; t != nil && p.match >= t.whole.Index {
-		p.transfer = nil
+	if t := p.chunks; t != nil && p.match >= t.whole.Index {
+		p.chunks = nil
 	}
 	n.advance(now)
 }
 
 // rewind begins entries again from where a peer says that its log ends. Answers to what was
 // sent before the last time tell of the same loss and change nothing.
-func (n *Node) rewind(now time.Duration, p *peer, last uint64, stamp time.Duration) {
-	if stamp < p.rewoundAt || p.transfer != nil && !p.transfer.whole.IsEntry {
+func (n *Node) rewind(now time.Duration, p *progress, last uint64, stamp time.Duration) {
+	if stamp < p.rewoundAt || p.chunks != nil && !p.chunks.whole.IsEntry {
 		return // a snapshot's receiver has no such entry until it is installed
 	}
-	p.rewoundAt, p.inFlight, p.transfer = now, nil, nil
+	p.rewoundAt, p.inFlight, p.chunks = now, nil, nil
 	p.next = max(p.match+1, min(p.next, last+1))
 }
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -10,8 +10,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Snap is the latest snapshot, which the log goes on from. It must not be changed.
-func (n *Node) Snap() *wire.Snapshot { return &n.snap }
+// Snapshot is the latest snapshot, which the log goes on from. It must not be changed.
+func (n *Node) Snapshot() *wire.Snapshot { return &n.snap }
 
 // SnapshotDue says that a snapshot is due.
 func (n *Node) SnapshotDue() bool {
--- a/internal/controlplane/consensus/stamp_test.go
+++ b/internal/controlplane/consensus/stamp_test.go
@@ -14,10 +14,10 @@
 func TestLateAppendRenewsNoLease(t *testing.T) {
 	const earlierClock = int64(time.Hour)
 	follower, _ := node("b")
-	follower.Recv(0, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 3, Append: &wire.Append{PrevIndex: 1}})
-	follower.Take()
-	follower.Recv(1, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 2, Timestamp: earlierClock, Append: &wire.Append{PrevIndex: 1}})
-	late := follower.Take().Send[0]
+	follower.Step(0, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 3, Append: &wire.Append{PrevIndex: 1}})
+	follower.Ready()
+	follower.Step(1, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 2, Timestamp: earlierClock, Append: &wire.Append{PrevIndex: 1}})
+	late := follower.Ready().Messages[0]
 	if late.Term != 3 || late.Timestamp == earlierClock {
 		t.Errorf("term %d, stamp %d", late.Term, late.Timestamp)
 	}
@@ -27,23 +27,23 @@
 	start := tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	leader.Tick(start)
 	for leader.Role() != Leader {
-		o := leader.Take()
+		o := leader.Ready()
 		for _, b := range o.Batches {
-			leader.Synced(start, b.Seq)
+			leader.Advance(start, b.Seq)
 		}
 		pre := leader.Role() == PreCandidate
 		term := leader.Term()
 		if pre {
 			term++
 		}
-		leader.Recv(start, &wire.Message{Kind: wire.KindVote, From: "b", Disk: 2, Epoch: 1, Term: term, Vote: &wire.Vote{PreVote: pre, Reply: true, Granted: true}})
+		leader.Step(start, &wire.Message{Kind: wire.KindVote, From: "b", Disk: 2, Epoch: 1, Term: term, Vote: &wire.Vote{PreVote: pre, Reply: true, Granted: true}})
 	}
-	for _, b := range leader.Take().Batches {
-		leader.Synced(start, b.Seq)
+	for _, b := range leader.Ready().Batches {
+		leader.Advance(start, b.Seq)
 	}
 	reply := func(stamp time.Duration) {
-		leader.Recv(start, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: leader.Term(), Timestamp: int64(stamp),
-			Append: &wire.Append{Reply: true, Success: true, MatchIndex: leader.Last()}})
+		leader.Step(start, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: leader.Term(), Timestamp: int64(stamp),
+			Append: &wire.Append{Reply: true, Success: true, MatchIndex: leader.LastIndex()}})
 	}
 	for _, stamp := range []time.Duration{time.Duration(earlierClock), start - 1, noStamp} {
 		if reply(stamp); leader.HasLease(start) {
--- a/internal/controlplane/consensus/transfer.go
+++ b/internal/controlplane/consensus/transfer.go
@@ -14,9 +14,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// transfer is a snapshot or an entry on its way to a peer. It keeps what it began with:
+// chunkSender is a snapshot or an entry on its way to a peer. It keeps what it began with:
 // a newer snapshot does not restart it.
-type transfer struct {
+type chunkSender struct {
 	whole    wire.Chunk // what is sent; its Data is all of it
 	prevTerm uint64     // of the entry before, for the receiver's check
 	held     uint64     // how many bytes the receiver is known to hold
@@ -30,19 +30,19 @@
 	return h.Sum64()
 }
 
-func snapshotTransfer(s wire.Snapshot) *transfer {
-	return &transfer{whole: wire.Chunk{Index: s.Index, Term: s.Term, Members: s.Members,
+func snapshotTransfer(s wire.Snapshot) *chunkSender {
+	return &chunkSender{whole: wire.Chunk{Index: s.Index, Term: s.Term, Members: s.Members,
 		Size: uint64(len(s.Data)), Checksum: sumOf(s.Data), Data: s.Data}}
 }
 
-func entryTransfer(e wire.Entry, prevTerm uint64) *transfer {
-	return &transfer{prevTerm: prevTerm, whole: wire.Chunk{IsEntry: true, Index: e.Index, Term: e.Term, Kind: e.Kind,
+func entryTransfer(e wire.Entry, prevTerm uint64) *chunkSender {
+	return &chunkSender{prevTerm: prevTerm, whole: wire.Chunk{IsEntry: true, Index: e.Index, Term: e.Term, Kind: e.Kind,
 		Size: uint64(len(e.Data)), Checksum: sumOf(e.Data), Data: e.Data}}
 }
 
 // prev is the log position that the receiver has once all has arrived, or for an entry,
 // before that, the one that it must have had before.
-func (t *transfer) prev() (index, term uint64) {
+func (t *chunkSender) prev() (index, term uint64) {
 	if t.whole.IsEntry && t.held < t.whole.Size {
 		return t.whole.Index - 1, t.prevTerm
 	}
@@ -50,7 +50,7 @@
 }
 
 // next is the piece to send now, nil if one is under way or all has arrived.
-func (t *transfer) next(now time.Duration) *wire.Chunk {
+func (t *chunkSender) next(now time.Duration) *wire.Chunk {
 	if t.underWay || t.held == t.whole.Size && t.whole.Size > 0 {
 		return nil
 	}
@@ -63,7 +63,7 @@
 
 // answered takes what an answer says the receiver holds; stamp is when the message that
 // it answers was sent.
-func (t *transfer) answered(held *wire.Chunk, stamp time.Duration) {
+func (t *chunkSender) answered(held *wire.Chunk, stamp time.Duration) {
 	var n uint64
 	if held != nil && sameWhole(held, &t.whole) {
 		n = min(held.Offset, t.whole.Size)
@@ -78,16 +78,16 @@
 	return a.IsEntry == b.IsEntry && a.Index == b.Index && a.Term == b.Term && a.Size == b.Size && a.Checksum == b.Checksum
 }
 
-// assembly is what has arrived of a transfer. Once complete it keeps only what it was, so
+// chunkReceiver is what has arrived of a transfer. Once complete it keeps only what it was, so
 // that answers go on to say that all has arrived.
-type assembly struct {
+type chunkReceiver struct {
 	whole wire.Chunk
 	data  []byte
 	done  bool
 }
 
 // status is what an answer says of it.
-func (a *assembly) status() *wire.Chunk {
+func (a *chunkReceiver) status() *wire.Chunk {
 	if a == nil {
 		return nil
 	}
@@ -108,7 +108,7 @@
 		if p.Offset != 0 {
 			return wire.Chunk{}, false
 		}
-		n.incoming = &assembly{whole: *p}
+		n.incoming = &chunkReceiver{whole: *p}
 		n.incoming.whole.Data = nil
 	}
 	in := n.incoming
@@ -144,7 +144,7 @@
 	}
 	n.readMembers()
 	n.syncBatch(now, &wire.Batch{Snapshot: &s, TruncateFrom: 1})
-	n.out.Restore = &s
-	n.out.Apply = nil
+	n.ready.Snapshot = &s
+	n.ready.CommittedEntries = nil
 	return true
 }
--- a/internal/controlplane/consensus/transfer_test.go
+++ b/internal/controlplane/consensus/transfer_test.go
@@ -19,7 +19,7 @@
 	now      time.Duration
 	names    []string
 	nodes    map[string]*Node
-	images   map[string]*Image
+	images   map[string]*PersistentState
 	linkRate map[string]float64 // bytes a second into a member, 0: no bound
 	linkFree map[string]time.Duration
 	syncTime map[string]time.Duration
@@ -41,7 +41,7 @@
 }
 
 func newLinkedCluster(members ...string) *linkedCluster {
-	c := &linkedCluster{nodes: map[string]*Node{}, images: map[string]*Image{}, linkRate: map[string]float64{}, linkFree: map[string]time.Duration{},
+	c := &linkedCluster{nodes: map[string]*Node{}, images: map[string]*PersistentState{}, linkRate: map[string]float64{}, linkFree: map[string]time.Duration{},
 		syncTime: map[string]time.Duration{}, restored: map[string]int{}, lose: func(*wire.Message) bool { return false }, onSend: func(*wire.Message, int) {},
 		onApply: func(string, wire.Entry) {}, state: func(string) []byte { return []byte("state") }}
 	var list []wire.Member
@@ -49,12 +49,12 @@
 		list = append(list, wire.Member{Name: name, Disk: uint64(i) + 1})
 	}
 	for _, m := range list {
-		c.add(m, Image{Epoch: 1, Disk: m.Disk, Snapshot: wire.Snapshot{Index: 1, Members: list}})
+		c.add(m, PersistentState{Epoch: 1, Disk: m.Disk, Snapshot: wire.Snapshot{Index: 1, Members: list}})
 	}
 	return c
 }
 
-func (c *linkedCluster) add(m wire.Member, im Image) {
+func (c *linkedCluster) add(m wire.Member, im PersistentState) {
 	c.names = append(c.names, m.Name)
 	c.images[m.Name] = &im
 	c.restart(m.Name)
@@ -91,14 +91,14 @@
 
 func (c *linkedCluster) collect(name string) {
 	n := c.nodes[name]
-	for o := n.Take(); len(o.Batches)+len(o.Send)+len(o.Apply) > 0 || o.Restore != nil; o = n.Take() {
-		for _, m := range o.Send {
+	for o := n.Ready(); len(o.Batches)+len(o.Messages)+len(o.CommittedEntries) > 0 || o.Snapshot != nil; o = n.Ready() {
+		for _, m := range o.Messages {
 			c.send(m)
 		}
-		if o.Restore != nil {
+		if o.Snapshot != nil {
 			c.restored[name]++
 		}
-		for _, e := range o.Apply {
+		for _, e := range o.CommittedEntries {
 			c.onApply(name, e)
 		}
 		if len(o.Batches) > 0 {
@@ -122,7 +122,7 @@
 	})
 	for _, f := range due {
 		if c.nodes[f.m.To] == f.to {
-			f.to.Recv(c.now, f.m)
+			f.to.Step(c.now, f.m)
 			c.collect(f.m.To)
 		}
 	}
@@ -136,9 +136,9 @@
 	for _, s := range done {
 		if c.nodes[s.name] == s.to {
 			for _, b := range s.batches {
-				c.images[s.name].Fold(b)
+				c.images[s.name].ApplyBatch(b)
 			}
-			s.to.Synced(c.now, s.batches[len(s.batches)-1].Seq)
+			s.to.Advance(c.now, s.batches[len(s.batches)-1].Seq)
 			c.collect(s.name)
 		}
 	}
@@ -234,7 +234,7 @@
 		}
 		sent += len(m.Append.Chunk.Data)
 	}
-	c.add(learner, Image{Epoch: 1, Disk: 9})
+	c.add(learner, PersistentState{Epoch: 1, Disk: 9})
 	from, compacted := c.now, false
 	first := uint64(0)
 	var contact time.Duration
@@ -246,7 +246,7 @@
 			first = n.snap.Index
 		}
 		compacted = compacted || n.snap.Index > first
-		if p := n.peers["d"]; p.acked > from {
+		if p := n.progress["d"]; p.acked > from {
 			contact = max(contact, c.now-p.acked)
 		}
 		match, ok := n.Match(learner)
@@ -268,7 +268,7 @@
 	c.run(10*time.Second, func() bool { // and stays so
 		tick()
 		_, n := c.leader(t)
-		if lag := n.Last() - n.peers["d"].match; lag > 10 {
+		if lag := n.LastIndex() - n.progress["d"].match; lag > 10 {
 			t.Fatalf("%d entries behind again at %v", lag, c.now)
 		}
 		return false
@@ -289,8 +289,8 @@
 	c.run(20*time.Second, func() bool {
 		tick()
 		_, n := c.leader(t)
-		contact = max(contact, c.now-n.peers[slow].acked)
-		if b := n.peers[slow].inFlightBytes(); b > tuning.AppendMax {
+		contact = max(contact, c.now-n.progress[slow].acked)
+		if b := n.progress[slow].inFlightBytes(); b > tuning.AppendMax {
 			t.Fatalf("%d bytes under way", b)
 		}
 		return false
@@ -300,8 +300,8 @@
 	}
 	from := c.now
 	_, n := c.leader(t)
-	if !c.run(15*time.Second, func() bool { return n.peers[slow].match >= n.Commit() }) {
-		t.Fatalf("at %d of %d after the changes ended", n.peers[slow].match, n.Commit())
+	if !c.run(15*time.Second, func() bool { return n.progress[slow].match >= n.Commit() }) {
+		t.Fatalf("at %d of %d after the changes ended", n.progress[slow].match, n.Commit())
 	}
 	t.Logf("longest without contact %v; there %v after the changes ended", contact, c.now-from)
 }
@@ -339,7 +339,7 @@
 			}
 			return gone
 		}
-		c.add(wire.Member{Name: "d", Disk: 9}, Image{Epoch: 1, Disk: 9})
+		c.add(wire.Member{Name: "d", Disk: 9}, PersistentState{Epoch: 1, Disk: 9})
 		from := c.now
 		if kind == "entry" {
 			c.run(time.Second, func() bool { n.AddLearner(wire.Member{Name: "d", Disk: 9}); return false })
@@ -350,9 +350,9 @@
 		}
 		if !c.run(20*time.Second, func() bool {
 			n.AddLearner(wire.Member{Name: "d", Disk: 9})
-			return n.peers["d"].match >= n.Last() && n.Commit() == n.Last()
+			return n.progress["d"].match >= n.LastIndex() && n.Commit() == n.LastIndex()
 		}) {
-			t.Fatalf("%s: at %d of %d", kind, n.peers["d"].match, n.Last())
+			t.Fatalf("%s: at %d of %d", kind, n.progress["d"].match, n.LastIndex())
 		}
 		needed := 0
 		for _, bytes := range once {
@@ -386,19 +386,19 @@
 	_, im := node("a")
 	s := wire.Snapshot{Index: 50, Term: 1, Members: im.Snapshot.Members, Data: []byte("the whole state")}
 	n := follower()
-	recv := func(a *wire.Append) (Out, *wire.Append) {
-		n.Recv(1, appendFrom(1, a))
-		o := n.Take()
+	recv := func(a *wire.Append) (Ready, *wire.Append) {
+		n.Step(1, appendFrom(1, a))
+		o := n.Ready()
 		for _, b := range o.Batches {
 			if b.HasHardState {
-				n.Synced(1, b.Seq)
-				o.Send = append(o.Send, n.Take().Send...)
+				n.Advance(1, b.Seq)
+				o.Messages = append(o.Messages, n.Ready().Messages...)
 			}
 		}
-		if len(o.Send) == 0 {
+		if len(o.Messages) == 0 {
 			return o, nil
 		}
-		return o, o.Send[len(o.Send)-1].Append
+		return o, o.Messages[len(o.Messages)-1].Append
 	}
 	recv(&wire.Append{}) // the term
 	if _, r := recv(pieceOf(s, 5, 9)); r.Success || r.Chunk != nil {
@@ -415,14 +415,14 @@
 	}
 	recv(pieceOf(s, 0, 5))
 	o, r := recv(pieceOf(s, 5, 15))
-	if r != nil || o.Restore == nil || string(o.Restore.Data) != string(s.Data) || len(o.Batches) != 1 {
-		t.Fatalf("acknowledged before it was synced: %+v, restore %v", r, o.Restore)
+	if r != nil || o.Snapshot == nil || string(o.Snapshot.Data) != string(s.Data) || len(o.Batches) != 1 {
+		t.Fatalf("acknowledged before it was synced: %+v, restore %v", r, o.Snapshot)
 	}
 	if _, r := recv(&wire.Append{PrevIndex: 50, PrevTerm: 1}); r == nil || !r.Success || r.MatchIndex >= 50 {
 		t.Fatalf("a heartbeat before the sync: %+v", r)
 	}
-	n.Synced(1, o.Batches[0].Seq)
-	if a := n.Take().Send[0].Append; !a.Success || a.MatchIndex != 50 {
+	n.Advance(1, o.Batches[0].Seq)
+	if a := n.Ready().Messages[0].Append; !a.Success || a.MatchIndex != 50 {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -431,9 +431,9 @@
 // none of them away.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	n := follower(wire.Entry{Index: 2, Term: 1}, wire.Entry{Index: 3, Term: 1}, wire.Entry{Index: 4, Term: 1})
-	n.Recv(1, appendFrom(1, pieceOf(wire.Snapshot{Index: 3, Term: 1, Members: n.members, Data: []byte("s")}, 0, 1)))
-	if o := n.Take(); n.Last() != 4 || o.Restore != nil {
-		t.Fatalf("log ends at %d, restore %v", n.Last(), o.Restore)
+	n.Step(1, appendFrom(1, pieceOf(wire.Snapshot{Index: 3, Term: 1, Members: n.members, Data: []byte("s")}, 0, 1)))
+	if o := n.Ready(); n.LastIndex() != 4 || o.Snapshot != nil {
+		t.Fatalf("log ends at %d, restore %v", n.LastIndex(), o.Snapshot)
 	}
 }
 
@@ -441,22 +441,22 @@
 // acknowledged.
 func TestHeartbeatOnSlowDisk(t *testing.T) {
 	n := follower()
-	n.Recv(1, appendFrom(1, &wire.Append{}))
-	for _, b := range n.Take().Batches {
-		n.Synced(1, b.Seq)
-	}
-	n.Take()
-	n.Recv(2, appendFrom(1, &wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 1}}}))
-	o := n.Take()
-	if len(o.Send) != 0 {
+	n.Step(1, appendFrom(1, &wire.Append{}))
+	for _, b := range n.Ready().Batches {
+		n.Advance(1, b.Seq)
+	}
+	n.Ready()
+	n.Step(2, appendFrom(1, &wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 1}}}))
+	o := n.Ready()
+	if len(o.Messages) != 0 {
 		t.Fatal("acknowledged before the sync")
 	}
-	n.Recv(3, appendFrom(1, &wire.Append{PrevIndex: 2, PrevTerm: 1}))
-	if s := n.Take().Send; len(s) != 1 || !s[0].Append.Success || s[0].Append.MatchIndex != 1 {
+	n.Step(3, appendFrom(1, &wire.Append{PrevIndex: 2, PrevTerm: 1}))
+	if s := n.Ready().Messages; len(s) != 1 || !s[0].Append.Success || s[0].Append.MatchIndex != 1 {
 		t.Fatalf("%+v", s)
 	}
-	n.Synced(4, o.Batches[0].Seq)
-	if s := n.Take().Send; len(s) != 1 || s[0].Append.MatchIndex != 2 {
+	n.Advance(4, o.Batches[0].Seq)
+	if s := n.Ready().Messages; len(s) != 1 || s[0].Append.MatchIndex != 2 {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -466,10 +466,10 @@
 	n := follower()
 	e := wire.Entry{Index: 2, Term: 1, Kind: EntryData, Data: []byte("large")}
 	piece := &wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 1, Kind: EntryData, Size: 5, Checksum: sumOf(e.Data), Data: e.Data}}
-	n.Recv(1, appendFrom(1, piece))
-	n.Recv(2, appendFrom(2, &wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}}}))
-	n.Recv(3, appendFrom(3, piece))
-	if got, _ := n.termAt(2); got != 1 || n.Last() != 2 {
+	n.Step(1, appendFrom(1, piece))
+	n.Step(2, appendFrom(2, &wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}}}))
+	n.Step(3, appendFrom(3, piece))
+	if got, _ := n.termAt(2); got != 1 || n.LastIndex() != 2 {
 		t.Fatalf("entry 2 has term %d", got)
 	}
 }
@@ -495,7 +495,7 @@
 	if !c.run(5*time.Second, func() bool {
 		tick()
 		_, n = c.leader(t)
-		return n.peers[away] != nil && n.peers[away].match >= n.Commit()
+		return n.progress[away] != nil && n.progress[away].match >= n.Commit()
 	}) {
 		t.Fatal("it never caught up")
 	}
@@ -519,7 +519,7 @@
 		c.collect(name)
 		c.step()
 		if i%10 == 0 {
-			c.run(20*time.Millisecond, func() bool { return n.Commit() == n.Last() })
+			c.run(20*time.Millisecond, func() bool { return n.Commit() == n.LastIndex() })
 		}
 	}
 	c.run(time.Second, never)
@@ -529,7 +529,7 @@
 		for _, e := range n.tail {
 			tailBytes += len(e.Data)
 		}
-		whole, err := wire.EncodeBatch(im.Whole())
+		whole, err := wire.EncodeBatch(im.Checkpoint())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -562,10 +562,10 @@
 		if _, leads := c.leader(t); leads != n {
 			t.Fatal("another leads")
 		}
-		contact = max(contact, c.now-n.peers[slow].acked)
+		contact = max(contact, c.now-n.progress[slow].acked)
 		return false
 	})
-	if lag := n.Last() - n.peers[slow].match; lag > 3 || contact > 2*tuning.HeartbeatEvery {
+	if lag := n.LastIndex() - n.progress[slow].match; lag > 3 || contact > 2*tuning.HeartbeatEvery {
 		t.Errorf("the slow one is %d entries behind, %v without contact", lag, contact)
 	}
 
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -65,7 +65,7 @@
 // Controller is the owner of a core daemon's state: a member or a standby of the core.
 type Controller struct {
 	settings              Settings
-	image                 consensus.Image
+	image                 consensus.PersistentState
 	node                  *consensus.Node
 	state                 state.State
 	directory             discovery.Directory
@@ -195,7 +195,7 @@
 
 // New starts a member from what its disk holds; a disk without a number yet is
 // given the shell's.
-func New(now time.Duration, set Settings, img consensus.Image) *Controller {
+func New(now time.Duration, set Settings, img consensus.PersistentState) *Controller {
 	c := &Controller{settings: set, image: img, startedAt: now, directory: discovery.Directory{}, proxyRecoveredStates: map[string]proxyMemory{}, unreadRecoveredStates: map[string][]byte{}, proxies: map[string]*proxyState{},
 		pendingChanges: map[string]*pendingCall{}, relayedCalls: map[uint64]*pendingCall{}, requestedMembers: map[string]bool{}, peerContacts: map[string]heard{}, sentDirectories: map[string]toldList{}, learners: map[string]learning{}, domainRestoredAt: map[string]time.Duration{}, state: state.New(), lastRelayID: set.Self.Incarnation << 20}
 	c.settings.Self.Disk = img.Disk
@@ -261,26 +261,26 @@
 // drain carries out what the node left to do.
 func (c *Controller) applyNodeOutput(now time.Duration) {
 	for c.node != nil {
-		o := c.node.Take()
-		for _, r := range o.Refused {
+		o := c.node.Ready()
+		for _, r := range o.Rejected {
 			c.emit(statemachine.StateChange{Subject: statemachine.SubjectMessage, From: r.From, To: "refused", Reason: r.Err.Error()})
 		}
-		if len(o.Batches)+len(o.Send)+len(o.Apply) == 0 && o.Restore == nil {
+		if len(o.Batches)+len(o.Messages)+len(o.CommittedEntries) == 0 && o.Snapshot == nil {
 			return
 		}
 		c.countOutput(&o)
 		for _, b := range o.Batches {
 			b.Seq += c.batchOffset
-			c.image.Fold(b)
+			c.image.ApplyBatch(b)
 			c.emit(statemachine.Sync{Batch: b})
 		}
-		for _, m := range o.Send {
+		for _, m := range o.Messages {
 			c.send(m.To, m)
 		}
-		if o.Restore != nil {
-			c.restoreSnapshot(o.Restore)
+		if o.Snapshot != nil {
+			c.restoreSnapshot(o.Snapshot)
 		}
-		for _, e := range o.Apply {
+		for _, e := range o.CommittedEntries {
 			c.apply(now, e)
 		}
 		if c.undecodable == nil && c.node.SnapshotDue() {
@@ -292,7 +292,7 @@
 func (c *Controller) handleSynced(now time.Duration, seq uint64) {
 	c.syncedSeq = max(c.syncedSeq, seq)
 	if c.node != nil && seq > c.batchOffset {
-		c.node.Synced(now, seq-c.batchOffset)
+		c.node.Advance(now, seq-c.batchOffset)
 	}
 }
 
@@ -302,7 +302,7 @@
 		panic("founding over a running node")
 	}
 	c.batchOffset++
-	b := c.image.Whole()
+	b := c.image.Checkpoint()
 	b.Seq = c.batchOffset
 	c.emit(statemachine.Sync{Batch: b})
 }
--- a/internal/controlplane/corestatus.go
+++ b/internal/controlplane/corestatus.go
@@ -106,18 +106,18 @@
 	if c.node == nil {
 		return ControlPlaneView{Leader: c.leaderHint}
 	}
-	v := ControlPlaneView{Leader: c.leader(now), Commit: c.node.Commit(), Last: c.node.Last()}
+	v := ControlPlaneView{Leader: c.leader(now), Commit: c.node.Commit(), Last: c.node.LastIndex()}
 	v.Voters = len(c.node.Members())
 	v.Majority = v.Voters/2 + 1
 	if c.node.Role() != consensus.Leader {
-		v.LeaderLastContactMs = (now - max(c.node.LeaderHeardAt(), c.leadershipSince)).Milliseconds() // leadAt: when it led last
+		v.LeaderLastContactMs = (now - max(c.node.LastLeaderContact(), c.leadershipSince)).Milliseconds() // leadAt: when it led last
 		return v
 	}
-	v.LeadingMs = (now - c.node.Since()).Milliseconds()
+	v.LeadingMs = (now - c.node.RoleSince()).Milliseconds()
 	v.HoldsLease = c.HoldsLease(now)
 	progress := c.node.Progress(now)
 	for _, p := range progress {
-		if p.Voter && p.Recent {
+		if p.Voter && p.RecentlyActive {
 			v.LeaseVoters = append(v.LeaseVoters, p.Member.Name)
 		}
 	}
@@ -128,12 +128,12 @@
 }
 
 // memberViews are the members, those that learn, and the standbys, in this order.
-func (c *Controller) memberViews(now time.Duration, progress []consensus.Progress) []MemberView {
+func (c *Controller) memberViews(now time.Duration, progress []consensus.ReplicaProgress) []MemberView {
 	var l []MemberView
 	listed := map[string]bool{}
 	for _, m := range c.node.Members() {
-		i := slices.IndexFunc(progress, func(p consensus.Progress) bool { return p.Member == m })
-		p := consensus.Progress{Member: m, Voter: true}
+		i := slices.IndexFunc(progress, func(p consensus.ReplicaProgress) bool { return p.Member == m })
+		p := consensus.ReplicaProgress{Member: m, Voter: true}
 		if i >= 0 {
 			p = progress[i]
 		}
@@ -160,7 +160,7 @@
 }
 
 // voterView is one place of the member list.
-func (c *Controller) voterView(now time.Duration, p consensus.Progress) MemberView {
+func (c *Controller) voterView(now time.Duration, p consensus.ReplicaProgress) MemberView {
 	name := p.Member.Name
 	v := MemberView{Name: name, Domain: c.domainOf(name), Voter: true, Match: p.Match}
 	switch {
@@ -170,7 +170,7 @@
 		v.State = MemberLeader
 	case c.peerContacts[name].stops:
 		v.State = MemberStopping
-	case !p.Recent:
+	case !p.RecentlyActive:
 		v.State = MemberUnresponsive
 	case p.NeedsSnapshot:
 		v.State = MemberCatchingUp
@@ -185,7 +185,7 @@
 
 // noContactFor is how long a daemon has neither answered the log nor said hello, as far
 // as this process and this lead have listened.
-func (c *Controller) noContactFor(now time.Duration, p consensus.Progress) time.Duration {
+func (c *Controller) noContactFor(now time.Duration, p consensus.ReplicaProgress) time.Duration {
 	return now - max(c.peerContacts[p.Member.Name].at, p.AckedAt, c.startedAt)
 }
 
@@ -236,7 +236,7 @@
 	}
 	left := time.Duration(0)
 	if m.State == MemberUnresponsive {
-		listening := tuning.NewLeaderGrace - (now - c.node.Since())
+		listening := tuning.NewLeaderGrace - (now - c.node.RoleSince())
 		left = max(0, listening, c.memberReplaceAfter()-time.Duration(m.NoContactMs)*time.Millisecond)
 	}
 	ms := left.Milliseconds()
@@ -262,13 +262,13 @@
 }
 
 // countOutput counts what the node sends and agrees that operators look for.
-func (c *Controller) countOutput(o *consensus.Out) {
-	for _, m := range o.Send {
+func (c *Controller) countOutput(o *consensus.Ready) {
+	for _, m := range o.Messages {
 		if m.Append != nil && !m.Append.Reply && m.Append.Chunk.BeginsSnapshot() {
 			c.counts.SnapshotsSent++
 		}
 	}
-	for _, e := range o.Apply {
+	for _, e := range o.CommittedEntries {
 		if e.Kind == consensus.EntryMembers {
 			c.counts.MemberChanges++
 		}
--- a/internal/controlplane/damage_test.go
+++ b/internal/controlplane/damage_test.go
@@ -23,7 +23,7 @@
 
 func newRefounded(memories ...state.RecoveredState) *refounded {
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
-	im := consensus.Image{Disk: 7, Epoch: 2, Snapshot: wire.Snapshot{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
+	im := consensus.PersistentState{Disk: 7, Epoch: 2, Snapshot: wire.Snapshot{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
 	return &refounded{rest{now: time.Second, c: New(time.Second, Settings{Self: self, BootstrapSize: 1}, im)}, memories}
 }
 
@@ -111,11 +111,11 @@
 	}
 	change := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d1", Token: "x"})
 	long := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: strings.Repeat("d", 2*tuning.CompressFrom)})
-	image := func(snap []byte, log ...wire.Entry) *consensus.Image {
-		return &consensus.Image{Epoch: 1, Disk: 7, Snapshot: wire.Snapshot{Index: 1, Data: snap}, Log: log}
+	image := func(snap []byte, log ...wire.Entry) *consensus.PersistentState {
+		return &consensus.PersistentState{Epoch: 1, Disk: 7, Snapshot: wire.Snapshot{Index: 1, Data: snap}, Log: log}
 	}
 	sound := state.Encode(&s)
-	for name, im := range map[string]*consensus.Image{
+	for name, im := range map[string]*consensus.PersistentState{
 		"empty":   {Disk: 7},
 		"founded": image(nil),
 		"whole":   image(sound, entry(2, consensus.EntryNoop, nil), entry(3, consensus.EntryMembers, []byte("[]")), entry(4, consensus.EntryData, change), entry(5, consensus.EntryData, long)),
@@ -124,7 +124,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for name, im := range map[string]*consensus.Image{
+	for name, im := range map[string]*consensus.PersistentState{
 		"snapshot":          image(sound[:len(sound)-1]),
 		"entry":             image(sound, entry(2, consensus.EntryData, change[:len(change)-1])),
 		"compressed entry":  image(sound, entry(2, consensus.EntryData, long[:len(long)-1])),
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -57,7 +57,7 @@
 
 // led is the leader that this member hears or is, "" if there is none.
 func (c *Controller) heardLeader(now time.Duration) string {
-	if c.node == nil || c.abstains() || !c.node.HearsLeader(now) {
+	if c.node == nil || c.abstains() || !c.node.HasLeader(now) {
 		return ""
 	}
 	return c.node.Leader()
--- a/internal/controlplane/encoding.go
+++ b/internal/controlplane/encoding.go
@@ -12,8 +12,8 @@
 
 // CheckImage says what of an image from disk can't be used. A member whose image is damaged
 // must not take part with it: it is one that lost its disk.
-func CheckImage(im *consensus.Image) error {
-	if err := consensus.CheckImage(im); err != nil {
+func CheckImage(im *consensus.PersistentState) error {
+	if err := im.Validate(); err != nil {
 		return errors.Mark(err, state.ErrDamaged)
 	}
 	_, _, err := stateFromDisk(im)
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -121,12 +121,12 @@
 // silentFor is how long a member has not been heard. What was not heard before this
 // member led counts too, once it has led for long enough to hear everybody.
 func (c *Controller) silentFor(now time.Duration, name string) time.Duration {
-	if name == c.settings.Self.Name || now-c.node.Since() < tuning.NewLeaderGrace {
+	if name == c.settings.Self.Name || now-c.node.RoleSince() < tuning.NewLeaderGrace {
 		return 0
 	}
 	h, ok := c.peerContacts[name]
 	if !ok {
-		return now - c.node.Since()
+		return now - c.node.RoleSince()
 	}
 	return now - h.at
 }
--- a/internal/controlplane/memory_test.go
+++ b/internal/controlplane/memory_test.go
@@ -37,13 +37,13 @@
 	}
 
 	now := time.Second
-	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: wire.ControlDaemon, Addr: "c9", Incarnation: 1}}, consensus.Image{Disk: 9})
+	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: wire.ControlDaemon, Addr: "c9", Incarnation: 1}}, consensus.PersistentState{Disk: 9})
 	empty.Step(now, remembering(t, "g1", 1))
 	if len(empty.proxyRecoveredStates) != 1 {
 		t.Error("an empty member has not read what a proxy remembers")
 	}
 
-	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}}, consensus.Image{Disk: 7, Epoch: 1,
+	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}}, consensus.PersistentState{Disk: 7, Epoch: 1,
 		Snapshot: wire.Snapshot{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}}})
 	member.Step(now, remembering(t, "g1", 1))
 	for range 3 * tuning.HelloEvery / tuning.TickEvery {
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -53,7 +53,7 @@
 			}
 		}
 		if c.node != nil && !c.declines(m) {
-			c.node.Recv(now, m)
+			c.node.Step(now, m)
 		}
 	case wire.KindPull:
 		c.handlePull(now, m)
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -236,12 +236,12 @@
 	}
 	if c.image.BootstrapLock != c.currentOffer {
 		k := &wire.Batch{BootstrapLock: c.currentOffer, Founders: ms, BootstrapEpoch: epoch}
-		c.image.Fold(k)
+		c.image.ApplyBatch(k)
 		if c.node == nil {
 			c.syncImage()
 			c.bootstrapLockSeq = c.batchOffset
 		} else {
-			c.bootstrapLockSeq = c.batchOffset + c.node.SyncBatch(now, k)
+			c.bootstrapLockSeq = c.batchOffset + c.node.Persist(now, k)
 		}
 	}
 }
@@ -289,7 +289,7 @@
 	for i := range c.bootstrapSize {
 		b.Founders = append(b.Founders, wire.Member{Name: fmt.Sprintf("absent-%d", i+1)})
 	}
-	c.image.Fold(b)
+	c.image.ApplyBatch(b)
 	c.syncImage()
 }
 
@@ -319,7 +319,7 @@
 func (c *Controller) beginEpoch(now time.Duration) {
 	epoch := c.image.BootstrapEpoch
 	// The founding is entry 1, so that a member that was too slow to found learns it as a snapshot.
-	img := consensus.Image{Epoch: epoch, Disk: c.image.Disk, BootstrapLock: c.image.BootstrapLock, Founders: c.image.Founders, BootstrapEpoch: epoch,
+	img := consensus.PersistentState{Epoch: epoch, Disk: c.image.Disk, BootstrapLock: c.image.BootstrapLock, Founders: c.image.Founders, BootstrapEpoch: epoch,
 		Snapshot: wire.Snapshot{Index: 1, Members: c.image.Founders}}
 	img.RecoveredState = c.image.RecoveredState
 	s, term, err := stateFromDisk(&c.image)
@@ -346,7 +346,7 @@
 func (c *Controller) join(now time.Duration, epoch uint64) {
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: fmt.Sprint(c.image.Epoch), To: fmt.Sprint(epoch), Reason: "joined"})
 	c.node, c.currentOffer = nil, 0
-	c.image = consensus.Image{Epoch: epoch, Disk: c.image.Disk}
+	c.image = consensus.PersistentState{Epoch: epoch, Disk: c.image.Disk}
 	c.batchOffset += 1 << 32
 	c.syncImage()
 	c.startNode(now)
--- a/internal/controlplane/refusal_test.go
+++ b/internal/controlplane/refusal_test.go
@@ -172,7 +172,7 @@
 // The three kinds that a change may meet, as a caller reads them.
 func TestRefusalsOfChanges(t *testing.T) {
 	r := atRest(1, 1)
-	alone := New(time.Second, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}, BootstrapSize: 3}, consensus.Image{Disk: 7})
+	alone := New(time.Second, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}, BootstrapSize: 3}, consensus.PersistentState{Disk: 7})
 	for _, x := range []struct {
 		name        string
 		c           *Controller
--- a/internal/controlplane/rest_test.go
+++ b/internal/controlplane/rest_test.go
@@ -71,7 +71,7 @@
 
 func atRest(gates, targets int) *rest {
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
-	r := &rest{now: time.Second, c: New(time.Second, Settings{Self: self, BootstrapSize: 1}, consensus.Image{Disk: 7}), keys: make([]*wire.Table, gates)}
+	r := &rest{now: time.Second, c: New(time.Second, Settings{Self: self, BootstrapSize: 1}, consensus.PersistentState{Disk: 7}), keys: make([]*wire.Table, gates)}
 	for i := range gates {
 		n := fmt.Sprintf("g%d", i+1)
 		r.gates = append(r.gates, wire.Daemon{Name: n, Kind: wire.ProxyDaemon, Addr: n, Incarnation: uint64(i + 1), Domain: fmt.Sprintf("d%d", i%3)})
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -51,7 +51,7 @@
 // its term, which then stood in the log between this member's last lead and this one.
 func (c *Controller) canResumeLeadership(now time.Duration) bool {
 	return c.lostLeadership.term != 0 && c.lostLeadership.epoch == c.node.Epoch() && now-c.lostLeadership.lostAt < tuning.LeadershipResumeWindow &&
-		c.node.NobodyLedSince(c.lostLeadership.term)
+		c.node.NoOtherLeaderSince(c.lostLeadership.term)
 }
 
 // canResumeAtOnce says that this member goes on deciding where it stopped: nobody else led, and no proxy's
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -61,7 +61,7 @@
 		return true
 	case waited <= tuning.LeaderLease:
 		return false // whoever leads next may be told first
-	case c.node.Removed() || c.isNonVoter() && !c.node.HearsLeader(now):
+	case c.node.Removed() || c.isNonVoter() && !c.node.HasLeader(now):
 		return true
 	case !c.isNonVoter() && (c.hasStandby(now) || len(c.node.Members())%2 == 0):
 		return false // its successor is to come, or is in and it is to be removed: its vote may be needed for that
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -19,7 +19,7 @@
 // survived is the state that a disk leads to when nobody can say any more what
 // of its log was agreed: all of it, since any of it may have been acknowledged. With
 // an error it is what comes before the damage.
-func stateFromDisk(im *consensus.Image) (s state.State, term uint64, err error) {
+func stateFromDisk(im *consensus.PersistentState) (s state.State, term uint64, err error) {
 	if s, err = state.Decode(im.Snapshot.Data); err != nil {
 		return s, 0, errors.Wrapf(err, "snapshot %d", im.Snapshot.Index)
 	}
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -55,11 +55,11 @@
 			if got := r.c.Table().Revision; got != table {
 				t.Errorf("a table of revision %d was made", got)
 			}
-			snap := r.c.node.Snap().Index
+			snap := r.c.node.Snapshot().Index
 			for i := range 10 {
 				r.c.apply(r.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d"})})
 			}
-			if len(r.c.state.EmptiedDomains) > 0 || r.c.node.Snap().Index != snap {
+			if len(r.c.state.EmptiedDomains) > 0 || r.c.node.Snapshot().Index != snap {
 				t.Error("entries after the one that did not decode are applied")
 			}
 		})
@@ -88,7 +88,7 @@
 	k := &cluster{now: time.Second, members: map[string]*Controller{}, names: []string{"c1", "c2", "c3"}}
 	for i, n := range k.names {
 		self := wire.Daemon{Name: n, Kind: wire.ControlDaemon, Addr: n, Incarnation: 1}
-		k.members[n] = New(k.now, Settings{Self: self, BootstrapSize: 3, Seeds: k.names}, consensus.Image{Disk: uint64(i + 7)})
+		k.members[n] = New(k.now, Settings{Self: self, BootstrapSize: 3, Seeds: k.names}, consensus.PersistentState{Disk: uint64(i + 7)})
 	}
 	return k
 }
--- a/internal/controlplane/wal/ring.go
+++ b/internal/controlplane/wal/ring.go
@@ -45,8 +45,8 @@
 // ErrDamaged is returned for a ring in which unsound bytes stand before sound records.
 var ErrDamaged = errors.New("ring damaged")
 
-// ErrFull is returned for a state that no file can hold.
-var ErrFull = errors.New("state larger than a ring file")
+// ErrTooLarge is returned for a state that no file can hold.
+var ErrTooLarge = errors.New("state larger than a ring file")
 
 // Log is an open ring of files. Its methods are for one goroutine.
 type Log struct {
@@ -396,7 +396,7 @@
 // that does not fit, with its echo, into a file.
 func (r *Log) Rotate(whole []byte) error {
 	if int64(len(whole)+head) > r.size/2 {
-		return errors.Wrapf(ErrFull, "%d bytes, half a file is %d", len(whole), r.size/2)
+		return errors.Wrapf(ErrTooLarge, "%d bytes, half a file is %d", len(whole), r.size/2)
 	}
 	next := (r.current + 1) % len(r.files)
 	r.buffer = r.buffer[:0]
--- a/internal/controlplane/wal/ring_test.go
+++ b/internal/controlplane/wal/ring_test.go
@@ -198,7 +198,7 @@
 			t.Fatalf("file %d has %d bytes", i, st.Size())
 		}
 	}
-	if err := (&Log{size: size, files: []*os.File{nil}}).Rotate(make([]byte, size)); !errors.Is(err, ErrFull) {
+	if err := (&Log{size: size, files: []*os.File{nil}}).Rotate(make([]byte, size)); !errors.Is(err, ErrTooLarge) {
 		t.Fatal(err)
 	}
 }
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -31,7 +31,7 @@
 type Disk struct {
 	h      *Process
 	ring   store
-	img    consensus.Image
+	img    consensus.PersistentState
 	queue  chan *wire.Batch
 	retry  time.Duration // how long after a refused write the next is tried
 	failed error         // why writes are refused now
@@ -39,15 +39,15 @@
 
 // OpenDisk reads what the folder holds; an empty one gets a number of its own. An error that
 // is marked wal.ErrDamaged or core.ErrDamaged says that it can't be read whole.
-func (h *Process) OpenDisk() (*Disk, consensus.Image, error) {
+func (h *Process) OpenDisk() (*Disk, consensus.PersistentState, error) {
 	r, recs, err := wal.Open(h.Settings.Data, tuning.WALFiles, tuning.WALFileSize)
 	if err != nil {
-		return nil, consensus.Image{}, err
+		return nil, consensus.PersistentState{}, err
 	}
 	d := h.newDisk(r)
 	if err := d.load(recs); err != nil {
 		r.Close()
-		return nil, consensus.Image{}, err
+		return nil, consensus.PersistentState{}, err
 	}
 	return d, d.image(), nil
 }
@@ -62,7 +62,7 @@
 		if err != nil {
 			return errors.Mark(errors.Wrap(err, "ring record"), wal.ErrDamaged)
 		}
-		d.img.Fold(b)
+		d.img.ApplyBatch(b)
 	}
 	if err := controlplane.CheckImage(&d.img); err != nil {
 		return err
@@ -77,7 +77,7 @@
 // newDiskNumber is drawn so that no two disks have the same; 0 is none.
 func newDiskNumber() uint64 { return rand.Uint64() | 1 }
 
-func (d *Disk) image() consensus.Image {
+func (d *Disk) image() consensus.PersistentState {
 	img := d.img
 	img.Log = slices.Clone(img.Log)
 	return img
@@ -85,9 +85,9 @@
 
 // recreateDisk begins a damaged disk anew under another number: to the core this member's
 // disk is lost, so it learns all again and votes once it has been added again.
-func (h *Process) recreateDisk() (*Disk, consensus.Image, error) {
-	img := consensus.Image{Disk: newDiskNumber()}
-	whole, err := wire.EncodeBatch(img.Whole())
+func (h *Process) recreateDisk() (*Disk, consensus.PersistentState, error) {
+	img := consensus.PersistentState{Disk: newDiskNumber()}
+	whole, err := wire.EncodeBatch(img.Checkpoint())
 	if err != nil {
 		return nil, img, err
 	}
@@ -103,7 +103,7 @@
 // openDiskInTime opens the disk, however often that has to be tried; damage is what was
 // found if it had to be begun anew. A process that ended instead would be started again to
 // meet the same.
-func (h *Process) openDiskInTime() (d *Disk, img consensus.Image, damage error) {
+func (h *Process) openDiskInTime() (d *Disk, img consensus.PersistentState, damage error) {
 	said := ""
 	for {
 		d, img, err := h.OpenDisk()
@@ -129,7 +129,7 @@
 }
 
 func (d *Disk) rotate() error {
-	b, err := wire.EncodeBatch(d.img.Whole())
+	b, err := wire.EncodeBatch(d.img.Checkpoint())
 	if err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 func (d *Disk) sync(batches []*wire.Batch) {
 	var recs [][]byte
 	for _, b := range batches {
-		d.img.Fold(b)
+		d.img.ApplyBatch(b)
 		rec, err := wire.EncodeBatch(b)
 		if err != nil {
 			d.h.Fatal(err, "batch not encoded")
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -158,7 +158,7 @@
 	if _, _, err := h.OpenDisk(); err == nil {
 		t.Fatal("opened")
 	}
-	opened := make(chan consensus.Image)
+	opened := make(chan consensus.PersistentState)
 	go func() {
 		_, im, _ := h.openDiskInTime()
 		opened <- im
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -96,7 +96,7 @@
 		t.Fatal(err, img)
 	}
 	go d.Run()
-	want := consensus.Image{Disk: img.Disk}
+	want := consensus.PersistentState{Disk: img.Disk}
 	big := []byte(`{"op":"restore","name":"` + strings.Repeat("x", 100<<10) + `"}`) // an entry that decodes, and a state
 	for i := range uint64(200) {
 		b := &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1, Kind: consensus.EntryData, Data: big}}}
@@ -104,7 +104,7 @@
 			b.Snapshot = &wire.Snapshot{Index: i, Term: 1, Data: big}
 		}
 		d.queue <- b
-		want.Fold(b)
+		want.ApplyBatch(b)
 	}
 	for seq := uint64(0); seq < 200; {
 		it := <-h.Loop.queue
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -87,9 +87,9 @@
 	}
 }
 
-func imageBytes(tb testing.TB, im *consensus.Image) int {
+func imageBytes(tb testing.TB, im *consensus.PersistentState) int {
 	tb.Helper()
-	b, err := wire.EncodeBatch(im.Whole())
+	b, err := wire.EncodeBatch(im.Checkpoint())
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -69,7 +69,7 @@
 func newLeader(t *testing.T) *leader {
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
 	l := &leader{now: time.Second}
-	l.core = controlplane.New(l.now, controlplane.Settings{Self: self, BootstrapSize: 1}, consensus.Image{Disk: 7})
+	l.core = controlplane.New(l.now, controlplane.Settings{Self: self, BootstrapSize: 1}, consensus.PersistentState{Disk: 7})
 	for range 12 {
 		l.second()
 	}
--- a/internal/verification/modelcheck/action.go
+++ b/internal/verification/modelcheck/action.go
@@ -11,28 +11,28 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Kind is what sort of action it is.
-type Kind uint8
+// TransitionKind is what sort of action it is.
+type TransitionKind uint8
 
 // The kinds of actions.
 const (
-	Deliver    Kind = iota // a message arrives
-	Duplicate              // a message arrives and stays under way
-	Tick                   // a process looks at its clock
-	Sync                   // the disk has synced all Count batches
-	Advance                // true time passes for all machines
-	Restart                // a process ends and starts again; Count unsynced batches had been written
-	Wipe                   // the same with its disk lost
-	Propose                // a leader adds an entry
-	AddLearner             // a leader keeps Member up to date
-	AddMember              // a leader proposes the list with Member
-	DropMember             // a leader proposes the list without Member
-	Compact                // a process replaces its log by a snapshot
-	Transfer               // a leader hands over
+	Deliver            TransitionKind = iota // a message arrives
+	Duplicate                                // a message arrives and stays under way
+	Tick                                     // a process looks at its clock
+	Sync                                     // the disk has synced all Count batches
+	Advance                                  // true time passes for all machines
+	Restart                                  // a process ends and starts again; Count unsynced batches had been written
+	Wipe                                     // the same with its disk lost
+	Propose                                  // a leader adds an entry
+	AddLearner                               // a leader keeps Member up to date
+	AddMember                                // a leader proposes the list with Member
+	DropMember                               // a leader proposes the list without Member
+	Compact                                  // a process replaces its log by a snapshot
+	TransferLeadership                       // a leader hands over
 	kinds
 )
 
-func (k Kind) String() string {
+func (k TransitionKind) String() string {
 	return [...]string{"deliver", "deliver and keep", "tick", "sync", "advance", "restart", "wipe", "propose", "learn", "add", "drop", "compact", "transfer"}[k]
 }
 
@@ -43,22 +43,22 @@
 // free are the kinds that are not counted.
 var free = [kinds]bool{Deliver: true, Tick: true, Sync: true, AddLearner: true}
 
-// Action is one event.
-type Action struct {
-	Kind    Kind
-	Machine int
-	Count   int
-	Span    time.Duration
-	Member  wire.Member
-	Packet  packet
+// Transition is one event.
+type Transition struct {
+	Kind     TransitionKind
+	Machine  int
+	Count    int
+	Duration time.Duration
+	Member   wire.Member
+	packet   packet
 }
 
-func (a Action) String() string {
+func (a Transition) String() string {
 	switch a.Kind {
 	case Deliver, Duplicate:
-		return fmt.Sprintf("%v %s", a.Kind, describe(a.Packet.m))
+		return fmt.Sprintf("%v %s", a.Kind, describe(a.packet.m))
 	case Advance:
-		return fmt.Sprintf("advance %v", a.Span)
+		return fmt.Sprintf("advance %v", a.Duration)
 	case Sync, Restart:
 		return fmt.Sprintf("%s: %v, %d batches", machineName(a.Machine), a.Kind, a.Count)
 	case AddLearner, AddMember, DropMember:
@@ -87,46 +87,46 @@
 }
 
 // actions lists what may happen next, in a fixed order.
-func (w *World) actions() []Action {
-	var as []Action
-	add := func(a Action) {
+func (w *State) actions() []Transition {
+	var as []Transition
+	add := func(a Transition) {
 		if free[a.Kind] || w.used[a.Kind] < w.scenario.Budget[a.Kind] {
 			as = append(as, a)
 		}
 	}
 	for _, p := range w.network {
-		add(Action{Kind: Deliver, Packet: p})
-		add(Action{Kind: Duplicate, Packet: p})
+		add(Transition{Kind: Deliver, packet: p})
+		add(Transition{Kind: Duplicate, packet: p})
 	}
 	for i, m := range w.machines {
-		add(Action{Kind: Tick, Machine: i})
+		add(Transition{Kind: Tick, Machine: i})
 		if k := len(m.pending); k > 0 {
-			add(Action{Kind: Sync, Machine: i, Count: k})
+			add(Transition{Kind: Sync, Machine: i, Count: k})
 		}
 		for k := 0; k <= len(m.pending); k++ {
-			add(Action{Kind: Restart, Machine: i, Count: k})
+			add(Transition{Kind: Restart, Machine: i, Count: k})
 		}
-		add(Action{Kind: Wipe, Machine: i})
-		if m.applied.index > m.node.Snap().Index {
-			add(Action{Kind: Compact, Machine: i})
+		add(Transition{Kind: Wipe, Machine: i})
+		if m.applied.index > m.node.Snapshot().Index {
+			add(Transition{Kind: Compact, Machine: i})
 		}
 		if m.node.Role() == consensus.Leader {
-			add(Action{Kind: Transfer, Machine: i})
+			add(Transition{Kind: TransferLeadership, Machine: i})
 		}
 		if m.node.HasLease(m.clock(w.now)) {
-			add(Action{Kind: Propose, Machine: i})
+			add(Transition{Kind: Propose, Machine: i})
 			w.memberActions(i, m, add)
 		}
 	}
-	for _, d := range w.scenario.Steps {
-		add(Action{Kind: Advance, Span: d})
+	for _, d := range w.scenario.TimeSteps {
+		add(Transition{Kind: Advance, Duration: d})
 	}
 	return as
 }
 
 // memberActions are the changes of members that a leader may propose: any one
 // change, more than the core would choose. As in the core, one learns first.
-func (w *World) memberActions(i int, m *machine, add func(Action)) {
+func (w *State) memberActions(i int, m *machine, add func(Transition)) {
 	if !m.node.CanChangeMembers() {
 		return
 	}
@@ -135,7 +135,7 @@
 		if len(members) == 1 {
 			break // nobody would be left
 		}
-		add(Action{Kind: DropMember, Machine: i, Member: member})
+		add(Transition{Kind: DropMember, Machine: i, Member: member})
 	}
 	for j, other := range w.machines {
 		member := wire.Member{Name: other.name, Disk: diskNumber(j, other.disks)}
@@ -143,16 +143,16 @@
 			continue
 		}
 		if w.scenario.Budget[AddMember] > 0 {
-			add(Action{Kind: AddLearner, Machine: i, Member: member})
+			add(Transition{Kind: AddLearner, Machine: i, Member: member})
 		}
 		if m.node.CaughtUp(m.clock(w.now), member) {
-			add(Action{Kind: AddMember, Machine: i, Member: member})
+			add(Transition{Kind: AddMember, Machine: i, Member: member})
 		}
 	}
 }
 
 // next is the state after an action, nil if the action is not possible here.
-func (w *World) next(a Action) *World {
+func (w *State) next(a Transition) *State {
 	if a.Kind != Deliver && a.Kind != Duplicate && a.Kind != Advance && !w.possible(a) {
 		return nil
 	}
@@ -169,7 +169,7 @@
 	case Sync:
 		step(func(_ *consensus.Node, now time.Duration) { c.sync(c.machines[a.Machine], a.Count, now) })
 	case Advance:
-		c.now += a.Span
+		c.now += a.Duration
 		c.checkLeases()
 	case Restart:
 		c.restart(a.Machine, a.Count)
@@ -183,7 +183,7 @@
 		step(func(n *consensus.Node, now time.Duration) { c.changeMembers(n, now, a) })
 	case Compact:
 		step(func(n *consensus.Node, now time.Duration) { n.Compact(now, c.machines[a.Machine].applied.encode()) })
-	case Transfer:
+	case TransferLeadership:
 		step(func(n *consensus.Node, now time.Duration) { n.TransferLeadership(now) })
 	}
 	return c
@@ -191,16 +191,16 @@
 
 // possible says whether a machine can do what a trace, of which something may
 // have been left out, has it do here.
-func (w *World) possible(a Action) bool {
-	return slices.ContainsFunc(w.actions(), func(b Action) bool {
+func (w *State) possible(a Transition) bool {
+	return slices.ContainsFunc(w.actions(), func(b Transition) bool {
 		return a.Kind == b.Kind && a.Machine == b.Machine && a.Count == b.Count && a.Member == b.Member
 	})
 }
 
-func (w *World) deliver(a Action) *World {
-	i := slices.IndexFunc(w.network, func(p packet) bool { return p.id == a.Packet.id })
+func (w *State) deliver(a Transition) *State {
+	i := slices.IndexFunc(w.network, func(p packet) bool { return p.id == a.packet.id })
 	if i < 0 {
-		i = slices.IndexFunc(w.network, func(p packet) bool { return describe(p.m) == describe(a.Packet.m) })
+		i = slices.IndexFunc(w.network, func(p packet) bool { return describe(p.m) == describe(a.packet.m) })
 	}
 	if i < 0 {
 		return nil
@@ -217,7 +217,7 @@
 			msg = copyOf(msg)
 			hook(n, msg)
 		}
-		n.Recv(now, msg)
+		n.Step(now, msg)
 	})
 	return c
 }
@@ -235,7 +235,7 @@
 	return &c
 }
 
-func (w *World) changeMembers(n *consensus.Node, now time.Duration, a Action) {
+func (w *State) changeMembers(n *consensus.Node, now time.Duration, a Transition) {
 	members := n.Members()
 	if a.Kind == AddMember {
 		members = append(members, a.Member)
--- a/internal/verification/modelcheck/canonical.go
+++ b/internal/verification/modelcheck/canonical.go
@@ -21,7 +21,7 @@
 
 // keeper makes keys; it keeps its buffers, so each worker has one.
 type keeper struct {
-	canon  consensus.Canon
+	canon  consensus.CanonicalEncoder
 	place  [32]byte // the new place of each machine
 	best   []byte
 	chunks [][]byte
@@ -35,11 +35,11 @@
 type signature [12]uint64
 
 func newKeeper(s *Scenario) *keeper {
-	k := &keeper{fixed: len(s.Rates) > 1 || s.Ghosts > 0}
-	if len(s.Steps) == 1 && s.Steps[0] == timeout && len(s.Rates) == 0 {
+	k := &keeper{fixed: len(s.ClockRates) > 1 || s.VacantMembers > 0}
+	if len(s.TimeSteps) == 1 && s.TimeSteps[0] == timeout && len(s.ClockRates) == 0 {
 		k.canon.DeadlineStep = timeout // whenever a deadline is within the next step, it has passed after it
 	}
-	k.canon.Name = func(name string) byte {
+	k.canon.NodeIndex = func(name string) byte {
 		if name == "" {
 			return noMachine
 		}
@@ -49,7 +49,7 @@
 		}
 		return p
 	}
-	k.canon.Disk = func(disk uint64) uint64 {
+	k.canon.DiskNumber = func(disk uint64) uint64 {
 		if disk == 0 {
 			return 0
 		}
@@ -60,7 +60,7 @@
 
 // key is the least of the state's forms over all orders of the machines that their
 // signatures leave open.
-func (k *keeper) key(w *World) key {
+func (k *keeper) key(w *State) key {
 	k.best = k.best[:0]
 	k.sign(w)
 	k.eachOrder(0, func() {
@@ -74,11 +74,11 @@
 }
 
 // sign fills in the machines' signatures and orders the machines by them.
-func (k *keeper) sign(w *World) {
+func (k *keeper) sign(w *State) {
 	k.signs, k.order = k.signs[:0], k.order[:0]
 	for i, m := range w.machines {
 		n := m.node
-		s := signature{uint64(n.Role()), n.Term(), n.Commit(), n.Last(), n.Snap().Index, m.disks, uint64(len(m.pending)),
+		s := signature{uint64(n.Role()), n.Term(), n.Commit(), n.LastIndex(), n.Snapshot().Index, m.disks, uint64(len(m.pending)),
 			m.disk.Term, m.applied.index, uint64(len(n.Members()))}
 		if k.fixed {
 			s = signature{uint64(i)}
@@ -111,7 +111,7 @@
 }
 
 // machineForm is the form of one machine alone.
-func (k *keeper) machineForm(w *World, i int) []byte {
+func (k *keeper) machineForm(w *State, i int) []byte {
 	for j := range w.machines {
 		k.place[j] = byte(j)
 	}
@@ -121,7 +121,7 @@
 }
 
 // write writes the state down with the machine order[i] at place i.
-func (k *keeper) write(w *World, order []int) {
+func (k *keeper) write(w *State, order []int) {
 	c := &k.canon
 	c.Bytes = c.Bytes[:0]
 	for place, i := range order {
@@ -135,10 +135,10 @@
 	k.writeHistory(w)
 }
 
-func (k *keeper) writeMachine(w *World, i int) {
+func (k *keeper) writeMachine(w *State, i int) {
 	c, m := &k.canon, w.machines[i]
 	c.Node(m.node, m.clock(w.now))
-	c.Image(&m.disk)
+	c.PersistentState(&m.disk)
 	c.Uint(m.applied.index)
 	c.Uint(m.disks)
 	c.Uint(uint64(len(m.pending)))
@@ -148,7 +148,7 @@
 }
 
 // writeNetwork appends the messages under way as a set.
-func (k *keeper) writeNetwork(w *World) {
+func (k *keeper) writeNetwork(w *State) {
 	c := &k.canon
 	start := len(c.Bytes)
 	k.chunks = k.chunks[:0]
@@ -172,7 +172,7 @@
 
 // stampClock is the present by the clock that a message's stamp is of: the
 // leader's, who sends appends and gets their replies.
-func (w *World) stampClock(m *wire.Message) time.Duration {
+func (w *State) stampClock(m *wire.Message) time.Duration {
 	if m.Append == nil {
 		return 0
 	}
@@ -184,19 +184,19 @@
 }
 
 // writeHistory appends what the invariants remember, in an order of its own.
-func (k *keeper) writeHistory(w *World) {
+func (k *keeper) writeHistory(w *State) {
 	c := &k.canon
 	for _, l := range w.history.leaders {
 		c.Uint(l.term)
-		c.Machine(l.machine)
+		c.NodeName(l.machine)
 	}
 	votes := slices.SortedFunc(slices.Values(w.history.votes), func(a, b voteRecord) int {
-		return int(a.term)*1024 + int(c.Disk(a.voter.Disk)) - int(b.term)*1024 - int(c.Disk(b.voter.Disk))
+		return int(a.term)*1024 + int(c.DiskNumber(a.voter.Disk)) - int(b.term)*1024 - int(c.DiskNumber(b.voter.Disk))
 	})
 	for _, v := range votes {
 		c.Uint(v.term)
 		c.Member(v.voter)
-		c.Machine(v.candidate)
+		c.NodeName(v.candidate)
 	}
 	for _, e := range w.history.committed {
 		c.Uint(e.entryTerm)
--- a/internal/verification/modelcheck/explore_test.go
+++ b/internal/verification/modelcheck/explore_test.go
@@ -14,7 +14,7 @@
 	for i := range Scenarios {
 		r := Search(&Scenarios[i], Limits{States: statesInTests, Depth: 1000, Workers: 2})
 		t.Log(r)
-		if r.Broken != "" {
+		if r.Violation != "" {
 			t.Error(r)
 		}
 		if r.Transitions < r.States {
@@ -28,7 +28,7 @@
 	for i := range Scenarios {
 		r := Walk(&Scenarios[i], 1, walksInTests, walkLength)
 		t.Log(r)
-		if r.Broken != "" {
+		if r.Violation != "" {
 			t.Error(r)
 		}
 		if r.Leaders < 3 || r.Committed < 5 {
@@ -39,7 +39,7 @@
 
 // A search finds the same whatever the number of workers.
 func TestSearchIsDeterministic(t *testing.T) {
-	s := ByName("diverged")
+	s := ScenarioByName("diverged")
 	one := Search(s, Limits{States: 2000, Depth: 6, Workers: 1})
 	for range 3 {
 		if r := Search(s, Limits{States: 2000, Depth: 6, Workers: 3}); r.String() != one.String() {
@@ -50,7 +50,7 @@
 
 // States that differ by the names of machines or by the time of day are one.
 func TestSymmetry(t *testing.T) {
-	s := *ByName("election")
+	s := *ScenarioByName("election")
 	k := newKeeper(&s)
 	w := newWorld(&s)
 	base := k.key(w)
@@ -61,7 +61,7 @@
 	}
 	var first key
 	for i := range w.machines {
-		ticked := w.next(Action{Kind: Tick, Machine: i})
+		ticked := w.next(Transition{Kind: Tick, Machine: i})
 		if key := k.key(ticked); i == 0 {
 			first = key
 		} else if key != first {
--- a/internal/verification/modelcheck/invariant.go
+++ b/internal/verification/modelcheck/invariant.go
@@ -13,18 +13,18 @@
 
 // Names of the invariants, with which a violation begins.
 const (
-	OneLeaderPerTerm   = "one leader per term"
-	CommittedKept      = "committed entries are kept"
-	LogMatching        = "logs match"
-	StateMachineSafety = "state machines agree"
-	LeaderComplete     = "leaders hold what is committed"
-	MajoritiesMeet     = "majorities of successive lists meet"
-	OneLease           = "one lease at a time"
-	LeaseIsCurrent     = "a lease holder knows the latest commit"
-	VotersAreMembers   = "only members vote and are counted"
-	OneVotePerTerm     = "one vote per term"
-	PromisesAreSynced  = "what is promised is synced"
-	NoPanic            = "no step panics"
+	ElectionSafety       = "one leader per term"
+	CommittedEntriesKept = "committed entries are kept"
+	LogMatching          = "logs match"
+	StateMachineSafety   = "state machines agree"
+	LeaderCompleteness   = "leaders hold what is committed"
+	QuorumsIntersect     = "majorities of successive lists meet"
+	SingleLeaseHolder    = "one lease at a time"
+	LeaseHolderIsCurrent = "a lease holder knows the latest commit"
+	VotersAreMembers     = "only members vote and are counted"
+	OneVotePerTerm       = "one vote per term"
+	SyncedBeforeSent     = "what is promised is synced"
+	NoPanic              = "no step panics"
 )
 
 type (
@@ -58,14 +58,14 @@
 	return history{slices.Clip(h.leaders), slices.Clip(h.votes), slices.Clip(h.committed)}
 }
 
-func (w *World) fail(invariant, format string, args ...any) {
+func (w *State) fail(invariant, format string, args ...any) {
 	if w.broken == "" && !slices.Contains(w.scenario.Faults.Ignore, invariant) {
 		w.broken = invariant + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
 // check looks at the machine that acted last, against all others.
-func (w *World) check(i int) {
+func (w *State) check(i int) {
 	m := w.machines[i]
 	w.checkLeader(m)
 	w.checkCommitted(m)
@@ -79,7 +79,7 @@
 }
 
 // checkLeader records who leads a term, and that a majority of members voted for it.
-func (w *World) checkLeader(m *machine) {
+func (w *State) checkLeader(m *machine) {
 	if m.node.Role() != consensus.Leader {
 		return
 	}
@@ -90,12 +90,12 @@
 		w.history.leaders = append(w.history.leaders, leaderRecord{term, m.name})
 		w.checkElection(m, term)
 	case w.history.leaders[k].machine != m.name:
-		w.fail(OneLeaderPerTerm, "%s and %s in term %d", w.history.leaders[k].machine, m.name, term)
+		w.fail(ElectionSafety, "%s and %s in term %d", w.history.leaders[k].machine, m.name, term)
 	}
 	w.checkComplete(m, term)
 }
 
-func (w *World) checkElection(m *machine, term uint64) {
+func (w *State) checkElection(m *machine, term uint64) {
 	members := m.node.Members()
 	self := wire.Member{Name: m.name, Disk: m.disk.Disk}
 	if !slices.Contains(members, self) {
@@ -113,23 +113,23 @@
 }
 
 // checkComplete wants a leader to hold all that was committed in earlier terms.
-func (w *World) checkComplete(m *machine, term uint64) {
-	log, snap := m.node.Log(), m.node.Snap()
+func (w *State) checkComplete(m *machine, term uint64) {
+	log, snap := m.node.Log(), m.node.Snapshot()
 	for _, c := range w.history.committed {
 		if c.byTerm >= term || c.index <= snap.Index {
 			continue
 		}
 		k := c.index - snap.Index - 1
 		if k >= uint64(len(log)) || log[k].Term != c.entryTerm {
-			w.fail(LeaderComplete, "%s leads term %d without entry %d of term %d, committed in term %d", m.name, term, c.index, c.entryTerm, c.byTerm)
+			w.fail(LeaderCompleteness, "%s leads term %d without entry %d of term %d, committed in term %d", m.name, term, c.index, c.entryTerm, c.byTerm)
 		}
 	}
 }
 
 // checkCommitted follows what the node holds for committed and compares it with
 // what any node ever did.
-func (w *World) checkCommitted(m *machine) {
-	snap, log, commit := m.node.Snap(), m.node.Log(), min(m.node.Commit(), m.node.Last())
+func (w *State) checkCommitted(m *machine) {
+	snap, log, commit := m.node.Snapshot(), m.node.Log(), min(m.node.Commit(), m.node.LastIndex())
 	if snap.Index < firstIndex {
 		return
 	}
@@ -147,23 +147,23 @@
 	}
 }
 
-func (w *World) compareCommitted(m *machine, at progress, term uint64) {
+func (w *State) compareCommitted(m *machine, at progress, term uint64) {
 	k := int(at.index) - firstIndex
 	known := w.history.committed
 	switch {
 	case k < len(known) && known[k].progress != at:
-		w.fail(CommittedKept, "%s holds another entry %d than was committed", m.name, at.index)
+		w.fail(CommittedEntriesKept, "%s holds another entry %d than was committed", m.name, at.index)
 	case k == len(known):
 		w.history.committed = append(known, commitRecord{at, term, m.node.Term()})
 	case k > len(known):
-		w.fail(CommittedKept, "%s has a snapshot at %d beyond what was committed", m.name, at.index)
+		w.fail(CommittedEntriesKept, "%s has a snapshot at %d beyond what was committed", m.name, at.index)
 	}
 }
 
 // checkLogs wants two logs that agree on the term of an entry to agree on all before it.
-func (w *World) checkLogs(a, b *machine) {
-	from := max(a.node.Snap().Index, b.node.Snap().Index) + 1
-	last := min(a.node.Last(), b.node.Last())
+func (w *State) checkLogs(a, b *machine) {
+	from := max(a.node.Snapshot().Index, b.node.Snapshot().Index) + 1
+	last := min(a.node.LastIndex(), b.node.LastIndex())
 	matched := false
 	for i := last; i >= from; i-- {
 		x, y := entryAt(a.node, i), entryAt(b.node, i)
@@ -176,23 +176,23 @@
 	}
 }
 
-func entryAt(n *consensus.Node, i uint64) wire.Entry { return n.Log()[i-n.Snap().Index-1] }
+func entryAt(n *consensus.Node, i uint64) wire.Entry { return n.Log()[i-n.Snapshot().Index-1] }
 
 // checkLists wants each list of members in a log to share a member between any
 // majority of it and any majority of the list before.
-func (w *World) checkLists(m *machine) {
-	list := m.node.Snap().Members
+func (w *State) checkLists(m *machine) {
+	list := m.node.Snapshot().Members
 	for _, e := range m.node.Log() {
 		if e.Kind != consensus.EntryMembers {
 			continue
 		}
 		var after []wire.Member
 		if err := json.Unmarshal(e.Data, &after); err != nil {
-			w.fail(MajoritiesMeet, "entry %d of %s: %v", e.Index, m.name, err)
+			w.fail(QuorumsIntersect, "entry %d of %s: %v", e.Index, m.name, err)
 			return
 		}
 		if !majoritiesMeet(list, after) {
-			w.fail(MajoritiesMeet, "entry %d of %s: %v after %v", e.Index, m.name, after, list)
+			w.fail(QuorumsIntersect, "entry %d of %s: %v after %v", e.Index, m.name, after, list)
 		}
 		list = after
 	}
@@ -210,26 +210,26 @@
 
 // checkLeases wants at most one machine to hold a lease at one true time, and
 // that one to know of every commit.
-func (w *World) checkLeases() {
+func (w *State) checkLeases() {
 	holder := -1
 	for i, m := range w.machines {
 		if !m.node.HasLease(m.clock(w.now)) {
 			continue
 		}
 		if holder >= 0 {
-			w.fail(OneLease, "%s in term %d and %s in term %d", w.machines[holder].name, w.machines[holder].node.Term(), m.name, m.node.Term())
+			w.fail(SingleLeaseHolder, "%s in term %d and %s in term %d", w.machines[holder].name, w.machines[holder].node.Term(), m.name, m.node.Term())
 		}
 		holder = i
 		latest := w.history.committed[len(w.history.committed)-1]
 		if latest.byTerm > m.node.Term() {
-			w.fail(LeaseIsCurrent, "%s holds a lease in term %d, entry %d was committed in term %d", m.name, m.node.Term(), latest.index, latest.byTerm)
+			w.fail(LeaseHolderIsCurrent, "%s holds a lease in term %d, entry %d was committed in term %d", m.name, m.node.Term(), latest.index, latest.byTerm)
 		}
 	}
 }
 
 // checkPromise looks at a message that leaves: votes and confirmations must be on
 // disk, unless the disk is in a later term already, when they count as sent late.
-func (w *World) checkPromise(m *machine, msg *wire.Message) {
+func (w *State) checkPromise(m *machine, msg *wire.Message) {
 	v, a := msg.Vote, msg.Append
 	switch {
 	case v != nil && !v.PreVote && !v.Reply:
@@ -239,33 +239,33 @@
 		w.recordVote(m, msg.Term, msg.To)
 		w.wantSyncedVote(m, msg, msg.To)
 	case v != nil && !v.PreVote && v.NoLeader && m.disk.Term < msg.Term:
-		w.fail(PromisesAreSynced, "%s gave its consent to term %d and has term %d on disk", m.name, msg.Term, m.disk.Term)
+		w.fail(SyncedBeforeSent, "%s gave its consent to term %d and has term %d on disk", m.name, msg.Term, m.disk.Term)
 	case a != nil && !a.Reply && m.disk.Term < msg.Term:
-		w.fail(PromisesAreSynced, "%s leads in term %d and has term %d on disk", m.name, msg.Term, m.disk.Term)
+		w.fail(SyncedBeforeSent, "%s leads in term %d and has term %d on disk", m.name, msg.Term, m.disk.Term)
 	case a != nil && a.Reply && a.Success:
 		w.wantSyncedLog(m, msg)
 	}
 }
 
-func (w *World) wantSyncedVote(m *machine, msg *wire.Message, candidate string) {
+func (w *State) wantSyncedVote(m *machine, msg *wire.Message, candidate string) {
 	if m.disk.Term < msg.Term || m.disk.Term == msg.Term && m.disk.Vote != candidate {
-		w.fail(PromisesAreSynced, "%s voted for %s in term %d and has term %d, vote %q on disk", m.name, candidate, msg.Term, m.disk.Term, m.disk.Vote)
+		w.fail(SyncedBeforeSent, "%s voted for %s in term %d and has term %d, vote %q on disk", m.name, candidate, msg.Term, m.disk.Term, m.disk.Vote)
 	}
 }
 
-func (w *World) wantSyncedLog(m *machine, msg *wire.Message) {
+func (w *State) wantSyncedLog(m *machine, msg *wire.Message) {
 	match := msg.Append.MatchIndex
 	last := m.disk.Snapshot.Index + uint64(len(m.disk.Log))
 	if m.disk.Term > msg.Term {
 		return
 	}
 	if m.disk.Term < msg.Term || last < match {
-		w.fail(PromisesAreSynced, "%s confirmed entry %d in term %d and has entry %d, term %d on disk", m.name, match, msg.Term, last, m.disk.Term)
+		w.fail(SyncedBeforeSent, "%s confirmed entry %d in term %d and has entry %d, term %d on disk", m.name, match, msg.Term, last, m.disk.Term)
 	}
 }
 
 // recordVote keeps who voted for whom, over restarts.
-func (w *World) recordVote(m *machine, term uint64, candidate string) {
+func (w *State) recordVote(m *machine, term uint64, candidate string) {
 	voter := wire.Member{Name: m.name, Disk: m.disk.Disk}
 	for _, v := range w.history.votes {
 		if v.term == term && v.voter == voter {
--- a/internal/verification/modelcheck/scenario.go
+++ b/internal/verification/modelcheck/scenario.go
@@ -13,27 +13,27 @@
 
 // Scenario is a start and the bounds of what may happen from there.
 type Scenario struct {
-	Name        string
-	About       string
-	Machines    int
-	Voters      int             // the first so many are members at the start
-	Ghosts      int             // places of the list that are kept and nobody has
-	Rates       []int64         // of the machines' clocks in thousandths, one after another; none: all run true
-	SyncAtOnce  bool            // disks have no delay, which leaves depth for the rest
-	MaxInFlight int             // messages under way; the oldest beyond that are lost
-	Steps       []time.Duration // by which true time passes
-	Budget      Budget
-	Prepare     func(w *World)
-	Faults      Faults
+	Name             string
+	Description      string
+	Machines         int
+	Voters           int             // the first so many are members at the start
+	VacantMembers    int             // places of the list that are kept and nobody has
+	ClockRates       []int64         // of the machines' clocks in thousandths, one after another; none: all run true
+	SynchronousDisks bool            // disks have no delay, which leaves depth for the rest
+	MaxInFlight      int             // messages under way; the oldest beyond that are lost
+	TimeSteps        []time.Duration // by which true time passes
+	Budget           Budget
+	Setup            func(w *State)
+	Faults           Faults
 }
 
 // Faults alter what a scenario's machines do, to see the invariants fail. The zero
 // value alters nothing.
 type Faults struct {
-	// AckEarly says which batches the node is told are on disk before they are.
-	AckEarly func(b *wire.Batch) bool
+	// AcknowledgeEarly says which batches the node is told are on disk before they are.
+	AcknowledgeEarly func(b *wire.Batch) bool
 	// Restart changes what a restart finds on its disk.
-	Restart func(im *consensus.Image)
+	Restart func(im *consensus.PersistentState)
 	// Deliver changes a copy of a message on its way to n.
 	Deliver func(n *consensus.Node, m *wire.Message)
 	// AfterStep is called after each step of a node.
@@ -56,7 +56,7 @@
 var driftingRates = []int64{1000, 1010, 990}
 
 // elected has a leader that everybody follows and an agreed entry.
-func elected(w *World) {
+func elected(w *State) {
 	w.settle(2 * time.Second)
 	i := w.leader()
 	w.act(i, func(n *consensus.Node, now time.Duration) { n.Propose(now, []byte("start")) })
@@ -66,7 +66,7 @@
 
 // compacted has a leader whose snapshot covers the log, so that whoever lacks
 // entries needs it.
-func compacted(w *World) {
+func compacted(w *State) {
 	elected(w)
 	i := w.leader()
 	w.act(i, func(n *consensus.Node, now time.Duration) { n.Compact(now, w.machines[i].applied.encode()) })
@@ -74,7 +74,7 @@
 }
 
 // electWith has machine i elected by the vote of j alone, with nothing else delivered.
-func electWith(w *World, i, j int) {
+func electWith(w *State, i, j int) {
 	w.network = nil
 	before := w.machines[i].node.Term()
 	for w.machines[i].node.Role() != consensus.Leader || w.machines[i].node.Term() == before {
@@ -89,7 +89,7 @@
 		}
 		p := w.network[0]
 		w.network = w.network[1:]
-		w.act(w.place(p.m.To), func(n *consensus.Node, now time.Duration) { n.Recv(now, p.m) })
+		w.act(w.place(p.m.To), func(n *consensus.Node, now time.Duration) { n.Step(now, p.m) })
 	}
 }
 
@@ -98,7 +98,7 @@
 // machine with one of the second term at the same place: the case in which a
 // majority that holds an entry of an earlier term does not make it committed
 // (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 5.4.2).
-func overtaken(w *World) {
+func overtaken(w *State) {
 	elected(w)
 	a := w.leader()
 	b, c := (a+1)%len(w.machines), (a+2)%len(w.machines)
@@ -115,12 +115,12 @@
 }
 
 // passBetween delivers what two machines have for each other and syncs the second one's disk.
-func (w *World) passBetween(i, j int) {
+func (w *State) passBetween(i, j int) {
 	for len(w.network) > 0 {
 		p := w.network[0]
 		w.network = w.network[1:]
 		if to := w.place(p.m.To); to == i || to == j {
-			w.act(to, func(n *consensus.Node, now time.Duration) { n.Recv(now, p.m) })
+			w.act(to, func(n *consensus.Node, now time.Duration) { n.Step(now, p.m) })
 		}
 		w.act(j, func(_ *consensus.Node, now time.Duration) { w.sync(w.machines[j], len(w.machines[j].pending), now) })
 	}
@@ -128,7 +128,7 @@
 
 // lagging has a member that lacks entries which the leader's snapshot covers, and
 // the snapshot for it is under way.
-func lagging(w *World) {
+func lagging(w *State) {
 	elected(w)
 	i := w.leader()
 	late := w.machines[(i+1)%len(w.machines)].name
@@ -151,7 +151,7 @@
 		}
 		p := w.network[0]
 		w.network = w.network[1:]
-		w.act(w.place(p.m.To), func(n *consensus.Node, now time.Duration) { n.Recv(now, p.m) })
+		w.act(w.place(p.m.To), func(n *consensus.Node, now time.Duration) { n.Step(now, p.m) })
 	}
 	panic("no snapshot is under way")
 }
@@ -159,74 +159,74 @@
 // Scenarios are all explorations, in the order in which they run.
 var Scenarios = []Scenario{
 	{
-		Name: "first-start", About: "three machines start at once and none waits; disks are late",
-		Machines: 3, Voters: 3, MaxInFlight: 5, Steps: []time.Duration{timeout},
+		Name: "first-start", Description: "three machines start at once and none waits; disks are late",
+		Machines: 3, Voters: 3, MaxInFlight: 5, TimeSteps: []time.Duration{timeout},
 		Budget: Budget{Advance: 1, Restart: 1},
 	},
 	{
-		Name: "election", About: "no leader was heard for long: candidates, votes, late syncs, restarts, duplicates",
-		Machines: 3, Voters: 3, MaxInFlight: 5, Steps: []time.Duration{timeout},
-		Budget: Budget{Advance: 1, Restart: 1, Duplicate: 1}, Prepare: func(w *World) { w.now += timeout },
+		Name: "election", Description: "no leader was heard for long: candidates, votes, late syncs, restarts, duplicates",
+		Machines: 3, Voters: 3, MaxInFlight: 5, TimeSteps: []time.Duration{timeout},
+		Budget: Budget{Advance: 1, Restart: 1, Duplicate: 1}, Setup: func(w *State) { w.now += timeout },
 	},
 	{
-		Name: "second-leader", About: "a leader is out of touch while another is elected; clocks differ by 2 %",
-		Machines: 3, Voters: 3, SyncAtOnce: true, MaxInFlight: 6, Steps: []time.Duration{heartbeat, halfQuiet, timeout}, Rates: driftingRates,
-		Budget: Budget{Advance: 4, Propose: 1, Restart: 1}, Prepare: elected,
+		Name: "second-leader", Description: "a leader is out of touch while another is elected; clocks differ by 2 %",
+		Machines: 3, Voters: 3, SynchronousDisks: true, MaxInFlight: 6, TimeSteps: []time.Duration{heartbeat, halfQuiet, timeout}, ClockRates: driftingRates,
+		Budget: Budget{Advance: 4, Propose: 1, Restart: 1}, Setup: elected,
 	},
 	{
-		Name: "late-sync", About: "a leader proposes, disks are late, processes end",
-		Machines: 3, Voters: 3, MaxInFlight: 5, Steps: []time.Duration{timeout},
-		Budget: Budget{Advance: 1, Propose: 2, Restart: 2}, Prepare: elected,
+		Name: "late-sync", Description: "a leader proposes, disks are late, processes end",
+		Machines: 3, Voters: 3, MaxInFlight: 5, TimeSteps: []time.Duration{timeout},
+		Budget: Budget{Advance: 1, Propose: 2, Restart: 2}, Setup: elected,
 	},
 	{
-		Name: "diverged", About: "two leaders in turn propose what nobody else has yet",
-		Machines: 3, Voters: 3, SyncAtOnce: true, MaxInFlight: 5, Steps: []time.Duration{timeout},
-		Budget: Budget{Advance: 3, Propose: 2, Restart: 1}, Prepare: elected,
+		Name: "diverged", Description: "two leaders in turn propose what nobody else has yet",
+		Machines: 3, Voters: 3, SynchronousDisks: true, MaxInFlight: 5, TimeSteps: []time.Duration{timeout},
+		Budget: Budget{Advance: 3, Propose: 2, Restart: 1}, Setup: elected,
 	},
 	{
-		Name: "overtaken", About: "a majority holds an entry of an earlier term, another machine one of a term between",
-		Machines: 3, Voters: 3, MaxInFlight: 4, Steps: []time.Duration{timeout},
-		Budget: Budget{Advance: 2, Restart: 1}, Prepare: overtaken,
+		Name: "overtaken", Description: "a majority holds an entry of an earlier term, another machine one of a term between",
+		Machines: 3, Voters: 3, MaxInFlight: 4, TimeSteps: []time.Duration{timeout},
+		Budget: Budget{Advance: 2, Restart: 1}, Setup: overtaken,
 	},
 	{
-		Name: "members", About: "three members and a standby: changes of the list, lost disks",
-		Machines: 4, Voters: 3, SyncAtOnce: true, MaxInFlight: 4, Steps: []time.Duration{timeout},
-		Budget: Budget{Advance: 1, AddMember: 1, DropMember: 1, Wipe: 1, Propose: 1}, Prepare: elected,
+		Name: "members", Description: "three members and a standby: changes of the list, lost disks",
+		Machines: 4, Voters: 3, SynchronousDisks: true, MaxInFlight: 4, TimeSteps: []time.Duration{timeout},
+		Budget: Budget{Advance: 1, AddMember: 1, DropMember: 1, Wipe: 1, Propose: 1}, Setup: elected,
 	},
 	{
-		Name: "one-grows", About: "one member and a standby, the smallest core that grows",
-		Machines: 2, Voters: 1, MaxInFlight: 5, Steps: []time.Duration{heartbeat, timeout},
-		Budget: Budget{Advance: 3, AddMember: 1, DropMember: 1, Restart: 2, Wipe: 1, Propose: 2}, Prepare: nil,
+		Name: "one-grows", Description: "one member and a standby, the smallest core that grows",
+		Machines: 2, Voters: 1, MaxInFlight: 5, TimeSteps: []time.Duration{heartbeat, timeout},
+		Budget: Budget{Advance: 3, AddMember: 1, DropMember: 1, Restart: 2, Wipe: 1, Propose: 2}, Setup: nil,
 	},
 	{
-		Name: "snapshot", About: "a member lost its disk or lags behind a snapshot; disks are late",
-		Machines: 3, Voters: 3, MaxInFlight: 4, Steps: []time.Duration{heartbeat, timeout},
-		Budget: Budget{Advance: 2, Wipe: 1, Compact: 1, Propose: 1, Restart: 1}, Prepare: compacted,
+		Name: "snapshot", Description: "a member lost its disk or lags behind a snapshot; disks are late",
+		Machines: 3, Voters: 3, MaxInFlight: 4, TimeSteps: []time.Duration{heartbeat, timeout},
+		Budget: Budget{Advance: 2, Wipe: 1, Compact: 1, Propose: 1, Restart: 1}, Setup: compacted,
 	},
 	{
-		Name: "snapshot-under-way", About: "a lagging member takes a snapshot in; disks are late, processes end",
-		Machines: 3, Voters: 3, MaxInFlight: 4, Steps: []time.Duration{timeout},
-		Budget: Budget{Advance: 2, Compact: 1, Propose: 1, Restart: 2}, Prepare: lagging,
+		Name: "snapshot-under-way", Description: "a lagging member takes a snapshot in; disks are late, processes end",
+		Machines: 3, Voters: 3, MaxInFlight: 4, TimeSteps: []time.Duration{timeout},
+		Budget: Budget{Advance: 2, Compact: 1, Propose: 1, Restart: 2}, Setup: lagging,
 	},
 	{
-		Name: "handover", About: "a leader hands over while its messages are still under way",
-		Machines: 3, Voters: 3, MaxInFlight: 5, Steps: []time.Duration{heartbeat, timeout},
-		Budget: Budget{Advance: 2, Transfer: 2, Propose: 1, Duplicate: 1}, Prepare: elected,
+		Name: "handover", Description: "a leader hands over while its messages are still under way",
+		Machines: 3, Voters: 3, MaxInFlight: 5, TimeSteps: []time.Duration{heartbeat, timeout},
+		Budget: Budget{Advance: 2, TransferLeadership: 2, Propose: 1, Duplicate: 1}, Setup: elected,
 	},
 	{
-		Name: "kept-place", About: "two members and a place that is kept for a third, which is given to a standby",
-		Machines: 3, Voters: 2, Ghosts: 1, SyncAtOnce: true, MaxInFlight: 4, Steps: []time.Duration{timeout},
-		Budget: Budget{Advance: 2, AddMember: 1, DropMember: 1, Restart: 1, Propose: 1}, Prepare: elected,
+		Name: "kept-place", Description: "two members and a place that is kept for a third, which is given to a standby",
+		Machines: 3, Voters: 2, VacantMembers: 1, SynchronousDisks: true, MaxInFlight: 4, TimeSteps: []time.Duration{timeout},
+		Budget: Budget{Advance: 2, AddMember: 1, DropMember: 1, Restart: 1, Propose: 1}, Setup: elected,
 	},
 	{
-		Name: "five", About: "five machines, one leader after another",
-		Machines: 5, Voters: 5, SyncAtOnce: true, MaxInFlight: 6, Steps: []time.Duration{timeout},
-		Budget: Budget{Advance: 2, Propose: 1, Restart: 1}, Prepare: elected,
+		Name: "five", Description: "five machines, one leader after another",
+		Machines: 5, Voters: 5, SynchronousDisks: true, MaxInFlight: 6, TimeSteps: []time.Duration{timeout},
+		Budget: Budget{Advance: 2, Propose: 1, Restart: 1}, Setup: elected,
 	},
 }
 
-// ByName is the scenario of that name, nil if there is none.
-func ByName(name string) *Scenario {
+// ScenarioByName is the scenario of that name, nil if there is none.
+func ScenarioByName(name string) *Scenario {
 	for i := range Scenarios {
 		if Scenarios[i].Name == name {
 			return &Scenarios[i]
--- a/internal/verification/modelcheck/search.go
+++ b/internal/verification/modelcheck/search.go
@@ -11,15 +11,15 @@
 
 // Report is what a search or a walk has seen.
 type Report struct {
-	Scenario    string
-	States      int // distinct ones
-	Transitions int // actions carried out
-	Depth       int // the most actions from the start
-	Complete    bool
-	Leaders     int // the most terms that had a leader on one way
-	Committed   int // the most entries committed on one way, beyond the start
-	Broken      string
-	Trace       []Action
+	Scenario       string
+	States         int // distinct ones
+	Transitions    int // actions carried out
+	Depth          int // the most actions from the start
+	Complete       bool
+	Leaders        int // the most terms that had a leader on one way
+	Committed      int // the most entries committed on one way, beyond the start
+	Violation      string
+	Counterexample []Transition
 }
 
 func (r *Report) String() string {
@@ -28,10 +28,10 @@
 		s += " (all there are)"
 	}
 	s += fmt.Sprintf(", up to %d leaders and %d commits on a way", r.Leaders, r.Committed)
-	if r.Broken != "" {
+	if r.Violation != "" {
 		var b strings.Builder
-		fmt.Fprintf(&b, "%s\nBROKEN: %s\n", s, r.Broken)
-		for i, a := range r.Trace {
+		fmt.Fprintf(&b, "%s\nBROKEN: %s\n", s, r.Violation)
+		for i, a := range r.Counterexample {
 			fmt.Fprintf(&b, "%3d %v\n", i+1, a)
 		}
 		return b.String()
@@ -39,7 +39,7 @@
 	return s
 }
 
-func (r *Report) see(w *World) {
+func (r *Report) see(w *State) {
 	r.Leaders = max(r.Leaders, len(w.history.leaders))
 	r.Committed = max(r.Committed, len(w.history.committed)-1)
 }
@@ -60,7 +60,7 @@
 // reached is a state that is to be expanded.
 type reached struct {
 	id int32
-	w  *World
+	w  *State
 }
 
 // successor is what a worker made of a state.
@@ -68,7 +68,7 @@
 	parent int32
 	action uint16
 	key    key
-	w      *World
+	w      *State
 }
 
 // batchSize is how many states a worker expands at a time.
@@ -80,7 +80,7 @@
 	r := &Report{Scenario: s.Name}
 	first := newWorld(s)
 	if first.broken != "" {
-		r.Broken = first.broken
+		r.Violation = first.broken
 		return r
 	}
 	steps := []step{{parent: -1}}
@@ -100,17 +100,17 @@
 				steps = append(steps, step{c.parent, c.action})
 				id := int32(len(steps) - 1)
 				r.see(c.w)
-				if c.w.broken != "" && r.Broken == "" {
-					r.Broken, r.Trace = c.w.broken, trace(first, steps, id)
+				if c.w.broken != "" && r.Violation == "" {
+					r.Violation, r.Counterexample = c.w.broken, trace(first, steps, id)
 				}
 				next = append(next, reached{id, c.w})
 			}
-			if r.Broken != "" || len(steps) >= limits.States {
+			if r.Violation != "" || len(steps) >= limits.States {
 				break
 			}
 		}
 		layer = next
-		if r.Broken != "" || len(steps) >= limits.States {
+		if r.Violation != "" || len(steps) >= limits.States {
 			r.States = len(steps)
 			return r
 		}
@@ -169,7 +169,7 @@
 		own := k.key(st.w)
 		for i, a := range st.w.actions() {
 			w := st.w.next(a)
-			if w == nil || a.Kind == Deliver && k.unmoved(st.w, w, st.w.place(a.Packet.m.To)) {
+			if w == nil || a.Kind == Deliver && k.unmoved(st.w, w, st.w.place(a.packet.m.To)) {
 				continue
 			}
 			key := k.key(w)
@@ -184,18 +184,18 @@
 
 // unmoved says that a delivery changed nothing but that the message is gone, after
 // which nothing can happen that could not happen before.
-func (k *keeper) unmoved(before, after *World, i int) bool {
+func (k *keeper) unmoved(before, after *State, i int) bool {
 	return after.broken == "" && len(after.network) == len(before.network)-1 &&
 		bytes.Equal(k.machineForm(before, i), k.machineForm(after, i))
 }
 
 // trace plays the way to a state again and names its actions.
-func trace(first *World, steps []step, id int32) []Action {
+func trace(first *State, steps []step, id int32) []Transition {
 	var way []uint16
 	for ; steps[id].parent >= 0; id = steps[id].parent {
 		way = append(way, steps[id].action)
 	}
-	var as []Action
+	var as []Transition
 	w := first
 	for i := len(way) - 1; i >= 0; i-- {
 		a := w.actions()[way[i]]
--- a/internal/verification/modelcheck/walk.go
+++ b/internal/verification/modelcheck/walk.go
@@ -10,7 +10,7 @@
 // walkWeights say how often a walk picks each kind of action that is possible.
 var walkWeights = [kinds]int{
 	Deliver: 60, Duplicate: 3, Tick: 25, Sync: 25, Advance: 10, Restart: 2, Wipe: 1, Propose: 10,
-	AddLearner: 4, AddMember: 6, DropMember: 2, Compact: 2, Transfer: 1,
+	AddLearner: 4, AddMember: 6, DropMember: 2, Compact: 2, TransferLeadership: 1,
 }
 
 // Walk takes walks of so many actions each from the start of a scenario, without a
@@ -25,7 +25,7 @@
 		rnd := rand.New(rand.NewPCG(seed, uint64(i)))
 		first := newWorld(&unbounded)
 		w, weights := first, swarm(rnd)
-		var way []Action
+		var way []Transition
 		for len(way) < length && w.broken == "" {
 			a := pick(rnd, weights, w.actions())
 			w = w.next(a)
@@ -36,7 +36,7 @@
 		r.Depth = max(r.Depth, len(way))
 		r.see(w)
 		if w.broken != "" {
-			r.Trace, r.Broken = shorten(first, way, w.broken)
+			r.Counterexample, r.Violation = shorten(first, way, w.broken)
 			return r
 		}
 	}
@@ -48,7 +48,7 @@
 func swarm(rnd *rand.Rand) [kinds]int {
 	weights := walkWeights
 	for k := range weights {
-		if Kind(k) != Deliver && Kind(k) != Tick && Kind(k) != Sync && Kind(k) != Advance && rnd.IntN(2) == 0 {
+		if TransitionKind(k) != Deliver && TransitionKind(k) != Tick && TransitionKind(k) != Sync && TransitionKind(k) != Advance && rnd.IntN(2) == 0 {
 			weights[k] = 0
 		}
 	}
@@ -56,8 +56,8 @@
 }
 
 // pick draws a kind by weight and then one action of it.
-func pick(rnd *rand.Rand, weights [kinds]int, as []Action) Action {
-	var of [kinds][]Action
+func pick(rnd *rand.Rand, weights [kinds]int, as []Transition) Transition {
+	var of [kinds][]Transition
 	for _, a := range as {
 		of[a.Kind] = append(of[a.Kind], a)
 	}
@@ -81,7 +81,7 @@
 }
 
 // shorten leaves actions out as long as what is left breaks an invariant.
-func shorten(first *World, way []Action, broken string) ([]Action, string) {
+func shorten(first *State, way []Transition, broken string) ([]Transition, string) {
 	for size := len(way) / 2; size > 0; {
 		shorter := false
 		for at := 0; at+size <= len(way); {
@@ -100,7 +100,7 @@
 }
 
 // replay carries out those actions that are possible, up to a violation.
-func replay(first *World, way []Action) (done []Action, broken string) {
+func replay(first *State, way []Transition) (done []Transition, broken string) {
 	w := first
 	for _, a := range way {
 		next := w.next(a)
--- a/internal/verification/modelcheck/world.go
+++ b/internal/verification/modelcheck/world.go
@@ -70,8 +70,8 @@
 type machine struct {
 	name    string
 	node    *consensus.Node
-	disk    consensus.Image // what a restart finds at least
-	pending []*wire.Batch   // handed to the disk, not known to be synced
+	disk    consensus.PersistentState // what a restart finds at least
+	pending []*wire.Batch             // handed to the disk, not known to be synced
 	applied progress
 	disks   uint64 // how many disks it has had
 	rate    int64  // of its clock, in thousandths of the true time
@@ -96,8 +96,8 @@
 	m  *wire.Message
 }
 
-// World is one state of an exploration.
-type World struct {
+// State is one state of an exploration.
+type State struct {
 	scenario *Scenario
 	now      time.Duration
 	machines []*machine
@@ -108,19 +108,19 @@
 }
 
 // newWorld starts the scenario's machines: its voters are the first members.
-func newWorld(s *Scenario) *World {
-	w := &World{scenario: s, now: startAt}
+func newWorld(s *Scenario) *State {
+	w := &State{scenario: s, now: startAt}
 	var members []wire.Member
 	for i := range s.Voters {
 		members = append(members, wire.Member{Name: machineName(i), Disk: diskNumber(i, 0)})
 	}
-	for i := range s.Ghosts {
+	for i := range s.VacantMembers {
 		members = append(members, wire.Member{Name: fmt.Sprintf("%s-kept", machineName(i))})
 	}
 	for i := range s.Machines {
-		m := &machine{name: machineName(i), rate: nominalRate, disk: consensus.Image{Epoch: epoch, Disk: diskNumber(i, 0)}}
-		if len(s.Rates) > 0 {
-			m.rate = s.Rates[i%len(s.Rates)]
+		m := &machine{name: machineName(i), rate: nominalRate, disk: consensus.PersistentState{Epoch: epoch, Disk: diskNumber(i, 0)}}
+		if len(s.ClockRates) > 0 {
+			m.rate = s.ClockRates[i%len(s.ClockRates)]
 		}
 		if i < s.Voters {
 			m.disk.Snapshot = wire.Snapshot{Index: firstIndex, Members: members}
@@ -133,8 +133,8 @@
 		w.machines = append(w.machines, m)
 	}
 	w.history.committed = []commitRecord{{progress: progress{index: firstIndex}}}
-	if s.Prepare != nil {
-		s.Prepare(w)
+	if s.Setup != nil {
+		s.Setup(w)
 		w.used = Budget{}
 	}
 	return w
@@ -147,12 +147,12 @@
 }
 
 // place is the machine's index, -1 for names that no machine has.
-func (w *World) place(name string) int {
+func (w *State) place(name string) int {
 	return slices.IndexFunc(w.machines, func(m *machine) bool { return m.name == name })
 }
 
 // clone copies the world but not its machines.
-func (w *World) clone() *World {
+func (w *State) clone() *State {
 	c := *w
 	c.machines = slices.Clone(w.machines)
 	c.network = slices.Clone(w.network)
@@ -162,7 +162,7 @@
 
 // act has one machine take a step and carries out what it left to do. The world
 // must be a fresh clone.
-func (w *World) act(i int, step func(n *consensus.Node, now time.Duration)) {
+func (w *State) act(i int, step func(n *consensus.Node, now time.Duration)) {
 	m := w.machines[i].clone()
 	w.machines[i] = m
 	defer func() {
@@ -181,50 +181,50 @@
 
 // carryOut takes the node's output until there is none: batches go to the disk,
 // messages to the network, agreed entries to the state machine.
-func (w *World) carryOut(_ int, m *machine, now time.Duration) {
+func (w *State) carryOut(_ int, m *machine, now time.Duration) {
 	for {
-		out := m.node.Take()
-		if len(out.Batches)+len(out.Send)+len(out.Apply) == 0 && out.Restore == nil {
+		out := m.node.Ready()
+		if len(out.Batches)+len(out.Messages)+len(out.CommittedEntries) == 0 && out.Snapshot == nil {
 			return
 		}
-		for _, msg := range out.Send {
+		for _, msg := range out.Messages {
 			w.checkPromise(m, msg)
 			w.send(msg)
 		}
-		if out.Restore != nil {
-			m.applied = decodeProgress(out.Restore.Data)
+		if out.Snapshot != nil {
+			m.applied = decodeProgress(out.Snapshot.Data)
 		}
-		for _, e := range out.Apply {
+		for _, e := range out.CommittedEntries {
 			m.applied = m.applied.then(e)
 		}
 		m.pending = append(m.pending, out.Batches...)
-		if w.scenario.SyncAtOnce {
+		if w.scenario.SynchronousDisks {
 			w.sync(m, len(m.pending), now)
 			continue
 		}
 		for _, b := range out.Batches {
-			if early := w.scenario.Faults.AckEarly; early != nil && early(b) {
-				m.node.Synced(now, b.Seq)
+			if early := w.scenario.Faults.AcknowledgeEarly; early != nil && early(b) {
+				m.node.Advance(now, b.Seq)
 			}
 		}
 	}
 }
 
 // sync puts the first k batches on disk and tells the node.
-func (w *World) sync(m *machine, k int, now time.Duration) {
+func (w *State) sync(m *machine, k int, now time.Duration) {
 	if k == 0 {
 		return
 	}
 	for _, b := range m.pending[:k] {
-		m.disk.Fold(b)
+		m.disk.ApplyBatch(b)
 	}
 	seq := m.pending[k-1].Seq
 	m.pending = slices.Clone(m.pending[k:])
-	m.node.Synced(now, seq)
+	m.node.Advance(now, seq)
 }
 
 // send puts a message on the network; over its bound the oldest one is lost.
-func (w *World) send(msg *wire.Message) {
+func (w *State) send(msg *wire.Message) {
 	if w.place(msg.To) < 0 {
 		return
 	}
@@ -239,7 +239,7 @@
 }
 
 func messageID(m *wire.Message) uint64 {
-	c := consensus.Canon{Name: func(name string) byte { return (name + "\xff")[0] }, Disk: func(d uint64) uint64 { return d }}
+	c := consensus.CanonicalEncoder{NodeIndex: func(name string) byte { return (name + "\xff")[0] }, DiskNumber: func(d uint64) uint64 { return d }}
 	c.Message(m, 0)
 	c.Uint(uint64(m.Timestamp))
 	h := fnv.New64a()
@@ -249,11 +249,11 @@
 
 // restart ends a process and starts it again from its disk, to which the first
 // written of the pending batches have got.
-func (w *World) restart(i, written int) {
+func (w *State) restart(i, written int) {
 	m := w.machines[i].clone()
 	w.machines[i] = m
 	for _, b := range m.pending[:written] {
-		m.disk.Fold(b)
+		m.disk.ApplyBatch(b)
 	}
 	if hook := w.scenario.Faults.Restart; hook != nil {
 		hook(&m.disk)
@@ -263,15 +263,15 @@
 
 // wipe has a machine come back with an empty disk, as a member of the epoch that
 // has heard of no members, which is how the core has it join.
-func (w *World) wipe(i int) {
+func (w *State) wipe(i int) {
 	m := w.machines[i].clone()
 	w.machines[i] = m
 	m.disks++
-	m.disk = consensus.Image{Epoch: epoch, Disk: diskNumber(i, m.disks)}
+	m.disk = consensus.PersistentState{Epoch: epoch, Disk: diskNumber(i, m.disks)}
 	w.boot(i, m)
 }
 
-func (w *World) boot(i int, m *machine) {
+func (w *State) boot(i int, m *machine) {
 	defer func() {
 		if r := recover(); r != nil {
 			w.fail(NoPanic, "%s: %v", m.name, r)
@@ -287,7 +287,7 @@
 }
 
 // settle lets time pass with every message delivered in order and every sync done.
-func (w *World) settle(d time.Duration) {
+func (w *State) settle(d time.Duration) {
 	for end := w.now + d; w.now < end; w.now += tuning.TickEvery {
 		for i := range w.machines {
 			w.act(i, func(n *consensus.Node, now time.Duration) { n.Tick(now) })
@@ -297,10 +297,10 @@
 }
 
 // drain delivers and syncs until nothing is left to do.
-func (w *World) drain() { w.drainExcept("") }
+func (w *State) drain() { w.drainExcept("") }
 
 // drainExcept does the same, but what goes to one machine is lost.
-func (w *World) drainExcept(name string) {
+func (w *State) drainExcept(name string) {
 	for busy := true; busy; {
 		busy = false
 		for i, m := range w.machines {
@@ -316,12 +316,12 @@
 			if p.m.To == name {
 				continue
 			}
-			w.act(w.place(p.m.To), func(n *consensus.Node, now time.Duration) { n.Recv(now, p.m) })
+			w.act(w.place(p.m.To), func(n *consensus.Node, now time.Duration) { n.Step(now, p.m) })
 		}
 	}
 }
 
 // leader is the machine that may decide now, -1 if there is none.
-func (w *World) leader() int {
+func (w *State) leader() int {
 	return slices.IndexFunc(w.machines, func(m *machine) bool { return m.node.HasLease(m.clock(w.now)) })
 }
--- a/internal/verification/simulator/operate_test.go
+++ b/internal/verification/simulator/operate_test.go
@@ -176,7 +176,7 @@
 		}
 		w.Run(w.now + 60*time.Millisecond)
 		for _, n := range w.all(wire.ControlDaemon) {
-			rec, err := wire.EncodeBatch(w.procs[n].disk.img.Whole())
+			rec, err := wire.EncodeBatch(w.procs[n].disk.img.Checkpoint())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -18,7 +18,7 @@
 )
 
 type disk struct {
-	img      consensus.Image
+	img      consensus.PersistentState
 	open     []*wire.Batch
 	stalled  bool
 	slow     int  // how many times longer a sync takes, 0: as usual
@@ -143,7 +143,7 @@
 	w.log("kill %s", p.name)
 	p.alive, p.since = false, w.now
 	for len(p.disk.open) > 0 && w.rnd.IntN(3) > 0 {
-		p.disk.img.Fold(p.disk.open[0])
+		p.disk.img.ApplyBatch(p.disk.open[0])
 		p.disk.open = p.disk.open[1:]
 	}
 	p.disk.open, p.disk.stalled = nil, false
@@ -162,7 +162,7 @@
 func (w *World) WipeDisk(p *Process) {
 	w.log("wipe disk of %s", p.name)
 	w.loseMajority(p)
-	p.disk = &disk{img: consensus.Image{Disk: w.rnd.Uint64() | 1}}
+	p.disk = &disk{img: consensus.PersistentState{Disk: w.rnd.Uint64() | 1}}
 }
 
 // Restart starts a dead process again, unless its machine is gone.
@@ -356,7 +356,7 @@
 	}
 	var seq uint64
 	for _, b := range d.open {
-		d.img.Fold(b)
+		d.img.ApplyBatch(b)
 		seq = b.Seq
 	}
 	d.open = nil
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -38,9 +38,9 @@
 
 // storedImages are what members' disks held at moments of simulated runs: nothing yet, a bootstrap
 // lock, a log from the beginning, and a snapshot with a log.
-func storedImages(t *testing.T) map[string]consensus.Image {
+func storedImages(t *testing.T) map[string]consensus.PersistentState {
 	t.Helper()
-	images := map[string]consensus.Image{"fresh": New(11, Small).procs["c1"].disk.img}
+	images := map[string]consensus.PersistentState{"fresh": New(11, Small).procs["c1"].disk.img}
 	locked := New(11, Small)
 	for locked.procs["c1"].disk.img.BootstrapLock == 0 {
 		if locked.now > 5*time.Second {
@@ -66,7 +66,7 @@
 func TestStoredImages(t *testing.T) {
 	for name, img := range storedImages(t) {
 		t.Run(name, func(t *testing.T) {
-			got, err := wire.EncodeBatch(img.Whole())
+			got, err := wire.EncodeBatch(img.Checkpoint())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -78,12 +78,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var read consensus.Image
-			read.Fold(b)
+			var read consensus.PersistentState
+			read.ApplyBatch(b)
 			if err := controlplane.CheckImage(&read); err != nil {
 				t.Fatal(err)
 			}
-			if again, err := wire.EncodeBatch(read.Whole()); err != nil || !bytes.Equal(again, want) {
+			if again, err := wire.EncodeBatch(read.Checkpoint()); err != nil || !bytes.Equal(again, want) {
 				t.Fatalf("%v; read and written again it is another image", err)
 			}
 			status, err := json.MarshalIndent(controlplane.New(0, controlplane.Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon}}, read).Status(0), "", " ")
