--- a/internal/dataplane/choice.go
+++ b/internal/dataplane/choice.go
@@ -20,13 +20,13 @@
 	eligible
 )
 
-func (g *Proxy) eligibility(now time.Duration, t *targetState, x *request) eligibility {
+func (p *Proxy) eligibility(now time.Duration, t *targetState, x *request) eligibility {
 	if t.leaving || t.Draining || t.Pending || t.State == config.Leaving ||
-		slices.Contains(g.table.EmptiedDomains, t.Domain) || len(x.triedTargets) > 0 && slices.Contains(x.triedTargets, t.ID()) {
+		slices.Contains(p.table.EmptiedDomains, t.Domain) || len(x.triedTargets) > 0 && slices.Contains(x.triedTargets, t.ID()) {
 		return ineligible
 	}
 	if t.ejectedUntil > now || t.ownEjectionUntil > now {
-		if g.isHeartbeating(now, t) && t.ownEjectionUntil <= now {
+		if p.isHeartbeating(now, t) && t.ownEjectionUntil <= now {
 			return lastResort
 		}
 		return ineligible
@@ -35,25 +35,25 @@
 }
 
 // chooseTarget finds a target that takes the request now; any says that one may later.
-func (g *Proxy) chooseTarget(now time.Duration, x *request) (t *targetState, any bool) {
-	s := g.service(x.serviceName)
+func (p *Proxy) chooseTarget(now time.Duration, x *request) (t *targetState, any bool) {
+	s := p.service(x.serviceName)
 	if s.reportsSlots {
-		return g.chooseBySlots(now, x, s)
+		return p.chooseBySlots(now, x, s)
 	}
-	return g.chooseLeastLoaded(now, x, s)
+	return p.chooseLeastLoaded(now, x, s)
 }
 
 // spread picks the less burdened of two admitted targets, met in a turn that
 // goes round them all, or the least burdened of all if both are full. A target
 // whose ejection was lifted starts at the back, so that its return moves nothing.
-func (g *Proxy) chooseLeastLoaded(now time.Duration, x *request, s *serviceState) (t *targetState, any bool) {
-	open, barred := g.eligibleBuffer[:0], g.lastResortBuffer[:0]
-	defer func() { g.eligibleBuffer, g.lastResortBuffer = open[:0], barred[:0] }()
+func (p *Proxy) chooseLeastLoaded(now time.Duration, x *request, s *serviceState) (t *targetState, any bool) {
+	open, barred := p.eligibleBuffer[:0], p.lastResortBuffer[:0]
+	defer func() { p.eligibleBuffer, p.lastResortBuffer = open[:0], barred[:0] }()
 	for _, t := range s.targets {
 		if t.warmingUp(now, x) && t.warmupInterval == 0 {
 			continue
 		}
-		switch g.eligibility(now, t, x) {
+		switch p.eligibility(now, t, x) {
 		case eligible:
 			open = append(open, t)
 		case lastResort:
@@ -66,17 +66,17 @@
 	if len(open) == 0 {
 		return nil, false
 	}
-	g.rotation++
+	p.rotation++
 	n := uint64(len(open))
-	a, b := open[g.rotation%n], open[0]
+	a, b := open[p.rotation%n], open[0]
 	if n > 1 {
-		b = open[(g.rotation+1+g.rotation/n%(n-1))%n] // never a itself
+		b = open[(p.rotation+1+p.rotation/n%(n-1))%n] // never a itself
 	}
-	best := g.lessLoaded(now, a, b, x)
+	best := p.lessLoaded(now, a, b, x)
 	if best == nil || best.avoidedUntil > now {
 		best = nil
 		for _, t := range open {
-			best = g.lessLoaded(now, best, t, x)
+			best = p.lessLoaded(now, best, t, x)
 		}
 	}
 	return best, true
@@ -84,15 +84,15 @@
 
 // beats says whether a target is known to beat: by the table while the leader
 // keeps it fresh, else by what was heard here, straight or through a peer.
-func (g *Proxy) isHeartbeating(now time.Duration, t *targetState) bool {
-	if g.state == Leased {
+func (p *Proxy) isHeartbeating(now time.Duration, t *targetState) bool {
+	if p.state == Leased {
 		return t.Heartbeating
 	}
 	return t.heartbeats.IsSteady(now)
 }
 
-func (g *Proxy) lessLoaded(now time.Duration, a, b *targetState, x *request) *targetState {
-	sa, sb := g.relativeLoad(now, a, x), g.relativeLoad(now, b, x)
+func (p *Proxy) lessLoaded(now time.Duration, a, b *targetState, x *request) *targetState {
+	sa, sb := p.relativeLoad(now, a, x), p.relativeLoad(now, b, x)
 	switch {
 	case sa < 0 && sb < 0:
 		return nil
@@ -103,11 +103,11 @@
 }
 
 // relativeLoad is under 0 for a target without room.
-func (g *Proxy) relativeLoad(now time.Duration, t *targetState, x *request) float64 {
+func (p *Proxy) relativeLoad(now time.Duration, t *targetState, x *request) float64 {
 	if t == nil {
 		return -1
 	}
-	room := g.capacity(now, t, x.serviceConfig)
+	room := p.capacity(now, t, x.serviceConfig)
 	if t.inFlight >= room || t.fullUntil > now || t.warmingUp(now, x) && now < t.nextWarmupAt {
 		return -1
 	}
@@ -137,18 +137,18 @@
 
 // chooseBySlots goes by tier, then by load, speed and open connections; a turn that begins
 // elsewhere at each proxy breaks ties, so that not all go to the same.
-func (g *Proxy) chooseBySlots(now time.Duration, x *request, s *serviceState) (t *targetState, any bool) {
-	room := g.priorityAllows(now, x, s)
-	g.rotation++
+func (p *Proxy) chooseBySlots(now time.Duration, x *request, s *serviceState) (t *targetState, any bool) {
+	room := p.priorityAllows(now, x, s)
+	p.rotation++
 	// Its own slots nearby come first: mostly there is no need to look further.
-	if t, at, any := g.bestAmong(now, x, s, s.quotaTargets, eligible, room); t != nil && at == ownLocal {
-		g.countChoice(at)
+	if t, at, any := p.bestAmong(now, x, s, s.quotaTargets, eligible, room); t != nil && at == ownLocal {
+		p.countChoice(at)
 		return t, any
 	}
 	for _, as := range []eligibility{eligible, lastResort} {
-		if t, at, any := g.bestAmong(now, x, s, s.targets, as, room); any {
+		if t, at, any := p.bestAmong(now, x, s, s.targets, as, room); any {
 			if t != nil {
-				g.countChoice(at)
+				p.countChoice(at)
 			}
 			return t, true
 		}
@@ -156,16 +156,16 @@
 	return nil, false
 }
 
-func (g *Proxy) bestAmong(now time.Duration, x *request, s *serviceState, ts []*targetState, as eligibility, room bool) (best *targetState, at tier, any bool) {
+func (p *Proxy) bestAmong(now time.Duration, x *request, s *serviceState, ts []*targetState, as eligibility, room bool) (best *targetState, at tier, any bool) {
 	at = noTier
 	load, n := 0.0, len(ts)
 	for i := range ts {
-		c := ts[(int((g.nameHash+g.rotation)%uint64(n))+i)%n]
-		if g.eligibility(now, c, x) != as || c.warmingUp(now, x) && c.warmupInterval == 0 || c.slots == 0 {
+		c := ts[(int((p.nameHash+p.rotation)%uint64(n))+i)%n]
+		if p.eligibility(now, c, x) != as || c.warmingUp(now, x) && c.warmupInterval == 0 || c.slots == 0 {
 			continue
 		}
 		any = true
-		k := g.tier(now, c, x, s)
+		k := p.tier(now, c, x, s)
 		if k == noTier || k > at || !room && !c.hasFreeSlot(now) {
 			continue
 		}
@@ -176,21 +176,21 @@
 	return best, at, any
 }
 
-func (g *Proxy) countChoice(k tier) {
+func (p *Proxy) countChoice(k tier) {
 	switch k {
 	case ownLocal, ownRemote:
-		g.Counts.WithinQuota++
+		p.Counts.WithinQuota++
 	case warmupTurn:
-		g.Counts.ToWarmingUp++
+		p.Counts.ToWarmingUp++
 	default:
-		g.Counts.Borrowed++
+		p.Counts.Borrowed++
 	}
 }
 
 // priorityAllows says whether a request of its priority may go to a target now: while the
 // service is under pressure and higher ones come, each leaves a part to those before
 // it, unless a target offers more.
-func (g *Proxy) priorityAllows(now time.Duration, x *request, s *serviceState) bool {
+func (p *Proxy) priorityAllows(now time.Duration, x *request, s *serviceState) bool {
 	r := priorityLevel(x.priority)
 	if r == 0 || !s.underPressure(now) {
 		return true
@@ -204,7 +204,7 @@
 	if higher == 0 || float64(s.inFlight+1) <= s.window*(1-tuning.PriorityReserve*float64(higher)) {
 		return true
 	}
-	g.Counts.LowPriority++
+	p.Counts.LowPriority++
 	return false
 }
 
@@ -212,7 +212,7 @@
 	return s.pressureAt > 0 && now-s.pressureAt < tuning.PressureTTL
 }
 
-func (g *Proxy) tier(now time.Duration, t *targetState, x *request, s *serviceState) tier {
+func (p *Proxy) tier(now time.Duration, t *targetState, x *request, s *serviceState) tier {
 	switch {
 	case t.fullUntil > now || t.inFlight >= t.slots:
 		return noTier
--- a/internal/dataplane/cold.go
+++ b/internal/dataplane/cold.go
@@ -9,8 +9,8 @@
 )
 
 // warmupTime is how long a target of a service is cold from its start.
-func (g *Proxy) warmupTime(svc string) time.Duration {
-	s := g.configuration.Services[svc]
+func (p *Proxy) warmupTime(svc string) time.Duration {
+	s := p.configuration.Services[svc]
 	if s.WarmupRate <= 0 {
 		return 0
 	}
@@ -29,14 +29,14 @@
 // each beyond the rate stays within half of it; while a change of the roster is under
 // way, only those that both rosters draw have a part, and the smaller one. Of a target
 // that is still warming too only those are drawn that have a part of its warming cap.
-func (g *Proxy) warmupIntervalOf(t *targetState, set config.Service) time.Duration {
+func (p *Proxy) warmupIntervalOf(t *targetState, set config.Service) time.Duration {
 	perS := set.WarmupRate
 	if perS <= 0 {
 		return 0
 	}
 	var gap time.Duration
 	k := targetHash(t.ID())
-	for _, names := range [][]string{g.memberProxies, g.table.PreviousProxies} {
+	for _, names := range [][]string{p.memberProxies, p.table.PreviousProxies} {
 		if len(names) == 0 {
 			continue
 		}
@@ -44,7 +44,7 @@
 			names = namesWithShare(set.WarmCap, t.remainderOffset(set.WarmCap, names), names)
 		}
 		n := min(max(1, int(perS/2)), len(names))
-		if !isAmongFirst(k, g.settings.Self.Name, names, n) {
+		if !isAmongFirst(k, p.settings.Self.Name, names, n) {
 			return 0
 		}
 		gap = max(gap, time.Duration(float64(n)/perS*float64(time.Second)))
--- a/internal/dataplane/connections.go
+++ b/internal/dataplane/connections.go
@@ -14,12 +14,12 @@
 // connections is left half of them for requests under way and for probes; of the others each proxy may keep one for
 // each slot that is dealt to it, and what is left over is shared evenly. So all proxies together keep no more
 // than half, or than the target has slots, also when there are more proxies than connections.
-func (g *Proxy) maxIdleConnections(t *targetState, set config.Service) int {
+func (p *Proxy) maxIdleConnections(t *targetState, set config.Service) int {
 	if set.ConnCap <= 0 {
 		return tuning.IdleConnsMax
 	}
 	room := set.ConnCap / tuning.IdleConnParts
-	spare := max(0, room-t.slots) / max(1, len(g.liveProxies))
+	spare := max(0, room-t.slots) / max(1, len(p.liveProxies))
 	return min(tuning.IdleConnsMax, room, t.quota+spare)
 }
 
--- a/internal/dataplane/deal.go
+++ b/internal/dataplane/deal.go
@@ -51,32 +51,32 @@
 // share is this proxy's part of a number that holds for all proxies together: the
 // parts of the live proxies add up to it, and the remainder falls on other proxies
 // for other keys.
-func (g *Proxy) shareOf(total int, key string) int {
+func (p *Proxy) shareOf(total int, key string) int {
 	h := fnv.New32a()
 	h.Write([]byte(key))
-	return evenShare(total, int(h.Sum32()>>1), g.settings.Self.Name, g.liveProxies)
+	return evenShare(total, int(h.Sum32()>>1), p.settings.Self.Name, p.liveProxies)
 }
 
 // reindex prepares what choices go by, when table, targets or state have changed.
-func (g *Proxy) reindex(now time.Duration) {
-	g.liveProxies, g.memberProxies, g.reindexAt = nil, nil, 0
-	for _, s := range g.services {
+func (p *Proxy) reindex(now time.Duration) {
+	p.liveProxies, p.memberProxies, p.reindexAt = nil, nil, 0
+	for _, s := range p.services {
 		s.targets, s.quotaTargets = nil, nil
 	}
-	if g.table == nil {
+	if p.table == nil {
 		return
 	}
 	var doms []string
-	for _, r := range g.table.Proxies {
-		g.memberProxies = append(g.memberProxies, r.Name)
+	for _, r := range p.table.Proxies {
+		p.memberProxies = append(p.memberProxies, r.Name)
 		// The proxies that the leader hears share caps, or all of them if there is no leader to say.
-		if r.Live || r.Name == g.settings.Self.Name || g.state != Leased {
-			g.liveProxies = append(g.liveProxies, r.Name)
+		if r.Live || r.Name == p.settings.Self.Name || p.state != Leased {
+			p.liveProxies = append(p.liveProxies, r.Name)
 			doms = append(doms, r.Domain)
 		}
 	}
-	ts := make([]*targetState, 0, len(g.targets))
-	for _, t := range g.targets {
+	ts := make([]*targetState, 0, len(p.targets))
+	for _, t := range p.targets {
 		ts = append(ts, t)
 	}
 	slices.SortFunc(ts, func(a, b *targetState) int { return a.ID().Compare(b.ID()) })
@@ -85,28 +85,28 @@
 		if n < 0 {
 			n = len(ts)
 		}
-		s := g.service(ts[0].Service)
+		s := p.service(ts[0].Service)
 		s.targets, ts = ts[:n:n], ts[n:]
-		g.prepareService(now, s, doms)
+		p.prepareService(now, s, doms)
 	}
-	for n, s := range g.services {
-		s.retryCredit.slack = g.settings.Retry.slackOf(hashOf(n), g.settings.Self.Name, g.memberProxies, g.table.PreviousProxies)
+	for n, s := range p.services {
+		s.retryCredit.slack = p.settings.Retry.slackOf(hashOf(n), p.settings.Self.Name, p.memberProxies, p.table.PreviousProxies)
 	}
 }
 
 // prepareService readies a service's targets: who is cold and what this proxy may send there,
 // and which slots are its own.
-func (g *Proxy) prepareService(now time.Duration, s *serviceState, doms []string) {
+func (p *Proxy) prepareService(now time.Duration, s *serviceState, doms []string) {
 	s.reportsSlots, s.quotaTargets = false, nil
 	total := 0
-	set := g.configuration.Services[s.targets[0].Service]
+	set := p.configuration.Services[s.targets[0].Service]
 	lots, barred := make([]slotPool, 0, len(s.targets)), []slotPool(nil)
 	for _, t := range s.targets {
 		s.reportsSlots = s.reportsSlots || t.Slots > 0
-		g.prepareTarget(now, t, set)
+		p.prepareTarget(now, t, set)
 		switch {
 		case t.warmupUntil > now:
-		case t.Draining || t.Pending || t.State == config.Leaving || slices.Contains(g.table.EmptiedDomains, t.Domain):
+		case t.Draining || t.Pending || t.State == config.Leaving || slices.Contains(p.table.EmptiedDomains, t.Domain):
 		case t.EjectionLeft > 0:
 			barred = append(barred, slotPool{targetHash(t.ID()), t.Domain, t.slots, t})
 		case t.State == config.Warming:
@@ -125,37 +125,37 @@
 			total += l.slots
 		}
 	}
-	g.assignQuotas(s, lots, doms)
-	s.evenQuota = float64(total) / float64(max(1, len(g.liveProxies)))
+	p.assignQuotas(s, lots, doms)
+	s.evenQuota = float64(total) / float64(max(1, len(p.liveProxies)))
 	s.window = min(max(s.window, s.minWindow()), s.maxWindow())
 }
 
 // prepareTarget readies one target: the bounds that hold for it, its cold rate and, while it is warming, the
 // part of its cap that this proxy has.
-func (g *Proxy) prepareTarget(now time.Duration, t *targetState, set config.Service) {
-	t.quota, t.slots, t.local = 0, int(t.Slots), t.Domain == g.settings.Self.Domain
+func (p *Proxy) prepareTarget(now time.Duration, t *targetState, set config.Service) {
+	t.quota, t.slots, t.local = 0, int(t.Slots), t.Domain == p.settings.Self.Domain
 	if t.capped = t.slots == 0 || set.Cap < t.slots; t.capped {
 		t.slots = set.Cap
 	}
-	g.limitWarmingShare(now, t, set)
-	gap := g.warmupIntervalOf(t, set)
+	p.limitWarmingShare(now, t, set)
+	gap := p.warmupIntervalOf(t, set)
 	if gap > 0 && t.warmupInterval == 0 {
 		t.nextWarmupAt = now + gap // another life of this proxy may just have sent one
 	}
 	t.warmupInterval = gap
-	if t.warmupUntil > now && (g.reindexAt == 0 || t.warmupUntil < g.reindexAt) {
-		g.reindexAt = t.warmupUntil
+	if t.warmupUntil > now && (p.reindexAt == 0 || t.warmupUntil < p.reindexAt) {
+		p.reindexAt = t.warmupUntil
 	}
-	isOut := t.Draining || t.Pending || t.State == config.Leaving || slices.Contains(g.table.EmptiedDomains, t.Domain) || t.EjectionLeft > 0
+	isOut := t.Draining || t.Pending || t.State == config.Leaving || slices.Contains(p.table.EmptiedDomains, t.Domain) || t.EjectionLeft > 0
 	if t.State == config.Warming && (t.warmupUntil > now || !isOut) {
-		t.quota = g.capacity(now, t, set)
+		t.quota = p.capacity(now, t, set)
 	}
 }
 
 // assignQuotas deals the slots of a service's targets and notes those that are this proxy's own.
-func (g *Proxy) assignQuotas(s *serviceState, lots []slotPool, doms []string) {
-	for i, parts := range distributeSlots(lots, g.liveProxies, doms) {
-		if at := slices.Index(g.liveProxies, g.settings.Self.Name); at >= 0 {
+func (p *Proxy) assignQuotas(s *serviceState, lots []slotPool, doms []string) {
+	for i, parts := range distributeSlots(lots, p.liveProxies, doms) {
+		if at := slices.Index(p.liveProxies, p.settings.Self.Name); at >= 0 {
 			lots[i].target.quota = parts[at]
 		}
 	}
@@ -269,14 +269,14 @@
 // cap, whatever tables the proxies stand on: its cap is dealt among the whole roster,
 // and while a change of that is not in force everywhere, a proxy has the smaller of
 // both parts.
-func (g *Proxy) capacity(now time.Duration, t *targetState, set config.Service) int {
+func (p *Proxy) capacity(now time.Duration, t *targetState, set config.Service) int {
 	part := func(c int, among []string) int {
-		return evenShare(c, t.remainderOffset(c, among), g.settings.Self.Name, among)
+		return evenShare(c, t.remainderOffset(c, among), p.settings.Self.Name, among)
 	}
 	if t.State == config.Warming {
-		n := part(set.WarmCap, g.memberProxies)
-		if len(g.table.PreviousProxies) > 0 {
-			n = min(n, part(set.WarmCap, g.table.PreviousProxies))
+		n := part(set.WarmCap, p.memberProxies)
+		if len(p.table.PreviousProxies) > 0 {
+			n = min(n, part(set.WarmCap, p.table.PreviousProxies))
 		}
 		if t.warmingShareRisesAt > now {
 			n = min(n, t.warmingShare)
@@ -287,7 +287,7 @@
 	if since := now - t.readyAt; t.readyAt > 0 && since < tuning.SlowStart && set.WarmCap < c {
 		c = set.WarmCap + int(float64(c-set.WarmCap)*float64(since)/float64(tuning.SlowStart))
 	}
-	return part(c, g.liveProxies)
+	return part(c, p.liveProxies)
 }
 
 // remainderOffset is from where on among names the remainder of a target's cap is dealt.
@@ -300,14 +300,14 @@
 // limitWarmingShare keeps this proxy's part of a warming target's cap from growing before all that
 // others sent there under the parts of an earlier roster must be over: the parts of one
 // table add up to the cap, those of two tables that follow one another need not.
-func (g *Proxy) limitWarmingShare(now time.Duration, t *targetState, set config.Service) {
+func (p *Proxy) limitWarmingShare(now time.Duration, t *targetState, set config.Service) {
 	if t.State != config.Warming {
 		t.warmingShare, t.nextWarmingShare, t.warmingShareRisesAt = 0, 0, 0
 		return
 	}
 	at := t.warmingShareRisesAt
 	t.warmingShareRisesAt = 0
-	n := g.capacity(now, t, set)
+	n := p.capacity(now, t, set)
 	switch {
 	case t.newToFleet, n <= t.warmingShare, n == t.nextWarmingShare && now >= at:
 		t.newToFleet, t.warmingShare, t.nextWarmingShare = false, n, n
@@ -315,17 +315,17 @@
 	case n == t.nextWarmingShare:
 		t.warmingShareRisesAt = at
 	default:
-		t.nextWarmingShare, t.warmingShareRisesAt = n, now+g.maxRequestTime(t.Service)+tuning.ChoiceTTL
+		t.nextWarmingShare, t.warmingShareRisesAt = n, now+p.maxRequestTime(t.Service)+tuning.ChoiceTTL
 	}
-	if g.reindexAt == 0 || t.warmingShareRisesAt < g.reindexAt {
-		g.reindexAt = t.warmingShareRisesAt
+	if p.reindexAt == 0 || t.warmingShareRisesAt < p.reindexAt {
+		p.reindexAt = t.warmingShareRisesAt
 	}
 }
 
 // maxRequestTime is how long a request of a service may take.
-func (g *Proxy) maxRequestTime(svc string) time.Duration {
-	d := time.Duration(g.configuration.Services[svc].TimeoutMs) * time.Millisecond
-	for _, r := range g.configuration.Routes {
+func (p *Proxy) maxRequestTime(svc string) time.Duration {
+	d := time.Duration(p.configuration.Services[svc].TimeoutMs) * time.Millisecond
+	for _, r := range p.configuration.Routes {
 		if r.Service == svc || slices.ContainsFunc(r.Split, func(s config.Share) bool { return s.Service == svc }) {
 			d = max(d, r.Timeout())
 		}
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -24,11 +24,11 @@
 }
 
 // way is a route's, begun anew when its split has changed.
-func (g *Proxy) route(name string, r *config.Route) *routeState {
-	w := g.routes[name]
+func (p *Proxy) route(name string, r *config.Route) *routeState {
+	w := p.routes[name]
 	if w == nil {
 		w = &routeState{}
-		g.routes[name] = w
+		p.routes[name] = w
 	}
 	if w.split == nil {
 		w.split = r.Shares()
@@ -67,23 +67,23 @@
 
 // resetRoutes has splits begin anew under another configuration and drops the routes that
 // it lacks.
-func (g *Proxy) resetRoutes() {
-	for n, w := range g.routes {
-		if _, ok := g.configuration.Routes[n]; !ok && n != "" {
-			delete(g.routes, n)
+func (p *Proxy) resetRoutes() {
+	for n, w := range p.routes {
+		if _, ok := p.configuration.Routes[n]; !ok && n != "" {
+			delete(p.routes, n)
 		}
 		w.split = nil
 	}
 }
 
-func (g *Proxy) service(n string) *serviceState {
-	s := g.services[n]
+func (p *Proxy) service(n string) *serviceState {
+	s := p.services[n]
 	if s == nil {
 		s = &serviceState{}
-		if g.table != nil {
-			s.retryCredit.slack = g.settings.Retry.slackOf(hashOf(n), g.settings.Self.Name, g.memberProxies, g.table.PreviousProxies)
+		if p.table != nil {
+			s.retryCredit.slack = p.settings.Retry.slackOf(hashOf(n), p.settings.Self.Name, p.memberProxies, p.table.PreviousProxies)
 		}
-		g.services[n] = s
+		p.services[n] = s
 	}
 	return s
 }
@@ -93,73 +93,73 @@
 	return method == "GET" || method == "HEAD" || method == "OPTIONS"
 }
 
-func (g *Proxy) admit(now time.Duration, e statemachine.Admit) {
+func (p *Proxy) admit(now time.Duration, e statemachine.Admit) {
 	x := &request{id: e.ID, startedAt: now, timeoutUnknown: e.Timeout <= 0, deadline: now + e.Timeout}
-	if g.acceptingStopped {
-		g.rejectStopping(now, x)
+	if p.acceptingStopped {
+		p.rejectStopping(now, x)
 		return
 	}
-	if !g.Serving() {
-		g.Counts.NotServing++
-		g.reject(now, x, 503, "not_serving", "this proxy has no fresh table")
+	if !p.Serving() {
+		p.Counts.NotServing++
+		p.reject(now, x, 503, "not_serving", "this proxy has no fresh table")
 		return
 	}
-	name, route, ok := g.configuration.FindRoute(e.Host, e.Path)
+	name, route, ok := p.configuration.FindRoute(e.Host, e.Path)
 	if ok && e.Pipelined && !route.Idempotent() {
-		g.emit(statemachine.Reject{ID: e.ID, Code: statemachine.CodeNotPipelined})
+		p.emit(statemachine.Reject{ID: e.ID, Code: statemachine.CodeNotPipelined})
 		return
 	}
 	if ok {
-		x.routeName, x.route, x.routeState = name, route, g.route(name, &route)
+		x.routeName, x.route, x.routeState = name, route, p.route(name, &route)
 		x.serviceName = x.routeState.nextService()
 	} else {
-		svc, allowed, ok := g.configuration.FindRule(e.Host, e.Path, e.Method)
+		svc, allowed, ok := p.configuration.FindRule(e.Host, e.Path, e.Method)
 		switch {
 		case !ok && len(allowed) > 0:
-			g.Counts.Unmatched++
-			g.emit(statemachine.Reject{ID: e.ID, Status: 405, Code: "method", Message: "the rule for this path takes other methods", Allowed: allowed})
+			p.Counts.Unmatched++
+			p.emit(statemachine.Reject{ID: e.ID, Status: 405, Code: "method", Message: "the rule for this path takes other methods", Allowed: allowed})
 			return
 		case !ok:
-			g.Counts.Unmatched++
-			g.Counts.NoRoute++
-			g.reject(now, x, 404, "no_rule", "no rule for this host and path")
+			p.Counts.Unmatched++
+			p.Counts.NoRoute++
+			p.reject(now, x, 404, "no_rule", "no rule for this host and path")
 			return
 		}
-		set := g.configuration.Services[svc]
+		set := p.configuration.Services[svc]
 		x.serviceName, x.route = svc, config.Route{Kind: config.KindOnce, TimeoutMs: set.TimeoutMs, Attempts: set.Attempts, Service: svc}
 		if isIdempotent(e.Method) {
 			x.route.Kind = config.KindRepeatable
 		}
 	}
-	x.serviceConfig = g.configuration.Services[x.serviceName]
+	x.serviceConfig = p.configuration.Services[x.serviceName]
 	d := x.route.Timeout()
 	if e.Timeout > 0 {
 		d = min(d, e.Timeout)
 	}
 	x.deadline = now + d
-	if !g.fitsShutdown(now, x) {
-		g.rejectStopping(now, x)
+	if !p.fitsShutdown(now, x) {
+		p.rejectStopping(now, x)
 		return
 	}
-	g.requests[x.id] = x
-	s := g.service(x.serviceName)
+	p.requests[x.id] = x
+	s := p.service(x.serviceName)
 	s.countArrival(now, x)
-	g.schedule(now, x, true)
+	p.schedule(now, x, true)
 }
 
 // schedule gives the request a target, lets it wait, or refuses it.
-func (g *Proxy) schedule(now time.Duration, x *request, mayWait bool) {
-	s := g.service(x.serviceName)
-	if g.deadlineTooClose(now, x, s) {
-		g.Counts.DeadlineTooClose++
-		g.reject(now, x, 503, "late", "it could not be answered in time")
+func (p *Proxy) schedule(now time.Duration, x *request, mayWait bool) {
+	s := p.service(x.serviceName)
+	if p.deadlineTooClose(now, x, s) {
+		p.Counts.DeadlineTooClose++
+		p.reject(now, x, 503, "late", "it could not be answered in time")
 		return
 	}
-	full := x.serviceConfig.MaxInFlight > 0 && s.inFlight >= g.shareOf(x.serviceConfig.MaxInFlight, x.serviceName)
+	full := x.serviceConfig.MaxInFlight > 0 && s.inFlight >= p.shareOf(x.serviceConfig.MaxInFlight, x.serviceName)
 	var t *targetState
 	any := true
-	if !full && !(mayWait && g.mustQueue(s, x)) {
-		t, any = g.chooseTarget(now, x)
+	if !full && !(mayWait && p.mustQueue(s, x)) {
+		t, any = p.chooseTarget(now, x)
 	}
 	if !any && x.routeState != nil {
 		for _, o := range x.routeState.split {
@@ -167,10 +167,10 @@
 				continue
 			}
 			was, set := x.serviceName, x.serviceConfig
-			x.serviceName, x.serviceConfig = o.Service, g.configuration.Services[o.Service]
-			if c, _ := g.chooseTarget(now, x); c != nil && (!x.isRetry || g.service(x.serviceName).retryCredit.available(now, g.settings.Retry)) {
-				t, any, s = c, true, g.service(x.serviceName)
-				g.Counts.SplitFallbacks++
+			x.serviceName, x.serviceConfig = o.Service, p.configuration.Services[o.Service]
+			if c, _ := p.chooseTarget(now, x); c != nil && (!x.isRetry || p.service(x.serviceName).retryCredit.available(now, p.settings.Retry)) {
+				t, any, s = c, true, p.service(x.serviceName)
+				p.Counts.SplitFallbacks++
 				break
 			}
 			x.serviceName, x.serviceConfig = was, set
@@ -178,29 +178,29 @@
 	}
 	switch {
 	case t != nil:
-		g.forward(now, x, t, s)
+		p.forward(now, x, t, s)
 	case !any:
-		g.Counts.NoTarget++
-		g.reject(now, x, 503, "no_target", "no target of the service may be used")
-	case mayWait && g.enqueue(now, x, s):
+		p.Counts.NoTarget++
+		p.reject(now, x, 503, "no_target", "no target of the service may be used")
+	case mayWait && p.enqueue(now, x, s):
 	default:
 		s.pressureAt = now
-		g.Counts.Busy++
-		g.reject(now, x, 503, "busy", "every target of the service is busy")
+		p.Counts.Busy++
+		p.reject(now, x, 503, "busy", "every target of the service is busy")
 	}
 }
 
-func (g *Proxy) forward(now time.Duration, x *request, t *targetState, s *serviceState) {
+func (p *Proxy) forward(now time.Duration, x *request, t *targetState, s *serviceState) {
 	x.queued, x.target = false, t
 	x.attempts++
 	if !x.forwarded {
 		x.forwarded = true // one that is refused brings its service no traffic
 		x.arrivedAt.fairness.countForward(now, priorityLevel(x.route.Priority))
-		s.retryCredit.countRequest(now, g.settings.Retry)
+		s.retryCredit.countRequest(now, p.settings.Retry)
 	}
 	if x.isRetry {
 		s.retryCredit.spend()
-		g.Counts.Retries++
+		p.Counts.Retries++
 	}
 	if t.warmingUp(now, x) {
 		t.nextWarmupAt = now + t.warmupInterval
@@ -208,31 +208,31 @@
 	t.inFlight++
 	t.lastUsedAt = now
 	s.inFlight++
-	g.Counts.Forwarded++
-	g.emit(statemachine.Forward{ID: x.id, Service: x.serviceName, ServiceConfig: x.serviceConfig, RouteName: x.routeName, Route: x.route, Target: t.Target, TimeLeft: x.deadline - now, WorkTime: g.workTime(now, x), WriteBy: now + tuning.ChoiceTTL, MayRetry: x.attempts < x.route.Attempts, ConnectTimeout: connectTimeout(&x.route), MaxIdle: g.maxIdleConnections(t, x.serviceConfig)})
+	p.Counts.Forwarded++
+	p.emit(statemachine.Forward{ID: x.id, Service: x.serviceName, ServiceConfig: x.serviceConfig, RouteName: x.routeName, Route: x.route, Target: t.Target, TimeLeft: x.deadline - now, WorkTime: p.workTime(now, x), WriteBy: now + tuning.ChoiceTTL, MayRetry: x.attempts < x.route.Attempts, ConnectTimeout: connectTimeout(&x.route), MaxIdle: p.maxIdleConnections(t, x.serviceConfig)})
 }
 
 // deadlineTooClose says that a service under pressure better spends its time on others.
-func (g *Proxy) deadlineTooClose(now time.Duration, x *request, s *serviceState) bool {
+func (p *Proxy) deadlineTooClose(now time.Duration, x *request, s *serviceState) bool {
 	return x.routeState != nil && s.underPressure(now) && x.deadline-now < x.routeState.meanTime()
 }
 
 // mustQueue says that others of its rank or before it wait already.
-func (g *Proxy) mustQueue(s *serviceState, x *request) bool {
-	return len(s.queue) > 0 && g.requests[s.queue[0]].priority <= x.priority
+func (p *Proxy) mustQueue(s *serviceState, x *request) bool {
+	return len(s.queue) > 0 && p.requests[s.queue[0]].priority <= x.priority
 }
 
 // enqueue puts the request among those that wait, by priority and then by when they
 // came. On a route it waits for a part of its aim at most, and only as many do as have
 // a chance of a target by then; one of a lower priority makes room.
-func (g *Proxy) enqueue(now time.Duration, x *request, s *serviceState) bool {
+func (p *Proxy) enqueue(now time.Duration, x *request, s *serviceState) bool {
 	most := time.Duration(x.serviceConfig.QueueTimeoutMs) * time.Millisecond
 	room := 0
 	if x.routeState == nil {
 		if most == 0 {
 			return false
 		}
-		room = g.shareOf(x.serviceConfig.QueueLength, x.serviceName)
+		room = p.shareOf(x.serviceConfig.QueueLength, x.serviceName)
 	} else {
 		most = expectedTime(&x.route) / tuning.WaitTargetParts
 		most = min(x.startedAt+most-now, x.deadline-now-x.routeState.meanTime())
@@ -249,30 +249,30 @@
 		if n == 0 {
 			return false
 		}
-		o := g.requests[s.queue[n-1]]
+		o := p.requests[s.queue[n-1]]
 		if o.priority <= x.priority {
 			return false
 		}
-		g.Counts.Preempted++
-		g.reject(now, o, 503, "busy", "every target of the service is busy")
+		p.Counts.Preempted++
+		p.reject(now, o, 503, "busy", "every target of the service is busy")
 	}
 	x.queued = true
 	x.queuedUntil = min(now+most, x.deadline)
-	at, _ := slices.BinarySearchFunc(s.queue, x.priority, func(id uint64, p int) int {
-		if g.requests[id].priority <= p {
+	at, _ := slices.BinarySearchFunc(s.queue, x.priority, func(id uint64, priority int) int {
+		if p.requests[id].priority <= priority {
 			return -1
 		}
 		return 1
 	})
 	s.queue = slices.Insert(s.queue, at, x.id)
 	s.pressureAt = now
-	g.Counts.Queued++
+	p.Counts.Queued++
 	return true
 }
 
 // reject gives the final answer. A caller whose time is known is told to come back
 // while it still has some, each at another moment.
-func (g *Proxy) reject(now time.Duration, x *request, status int, code, msg string) {
+func (p *Proxy) reject(now time.Duration, x *request, status int, code, msg string) {
 	r := statemachine.Reject{ID: x.id, Status: status, Code: code, Message: msg}
 	if status == 503 {
 		spread := x.id * 2654435761 >> 8
@@ -286,24 +286,24 @@
 			r.RetryAfter = max(tuning.RetryAfterFloor, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/tuning.RetryAfterTimeParts))
 		}
 	}
-	g.emit(r)
+	p.emit(r)
 	if status >= 500 && x.serviceName != "" {
-		g.countObjectives(now, x, false)
+		p.countObjectives(now, x, false)
 	}
-	g.removeRequest(x)
+	p.removeRequest(x)
 }
 
 // countObjectives counts a request's end for the aims of its service.
-func (g *Proxy) countObjectives(now time.Duration, x *request, good bool) {
-	for n, a := range g.configuration.Objectives {
+func (p *Proxy) countObjectives(now time.Duration, x *request, good bool) {
+	for n, a := range p.configuration.Objectives {
 		if a.Service != x.serviceName {
 			continue
 		}
-		if g.objectives[n] == nil {
-			g.objectives[n] = &objectiveCounts{}
+		if p.objectives[n] == nil {
+			p.objectives[n] = &objectiveCounts{}
 		}
 		min := int(now / time.Minute)
-		m := &g.objectives[n].minutes[min%tuning.ObjectiveMinutes]
+		m := &p.objectives[n].minutes[min%tuning.ObjectiveMinutes]
 		if m.minute != min {
 			m.minute, m.good, m.all = min, 0, 0
 		}
@@ -315,18 +315,18 @@
 }
 
 // removeRequest drops a request that has its final answer.
-func (g *Proxy) removeRequest(x *request) {
-	delete(g.requests, x.id)
+func (p *Proxy) removeRequest(x *request) {
+	delete(p.requests, x.id)
 	if x.queued {
-		s := g.service(x.serviceName)
+		s := p.service(x.serviceName)
 		s.queue = slices.DeleteFunc(s.queue, func(id uint64) bool { return id == x.id })
 	}
 }
 
 // retry gives another target to a request that may have one. The answer to one that
 // may run only once, and whose latest try may have run, is final.
-func (g *Proxy) retry(now time.Duration, e statemachine.Retry) {
-	x := g.requests[e.ID]
+func (p *Proxy) retry(now time.Duration, e statemachine.Retry) {
+	x := p.requests[e.ID]
 	if x == nil || x.target != nil || x.queued {
 		return
 	}
@@ -337,28 +337,28 @@
 	x.isRetry = x.isRetry || e.Sent || x.lastOutcome == statemachine.TargetRejected || x.lastOutcome == statemachine.WrongIdentity && x.serviceConfig.HasHealthCheck()
 	switch {
 	case !x.route.Idempotent() && ran && (e.Sent || x.routeState != nil):
-		g.Counts.NotRepeatable++
-		g.reject(now, x, 502, "may_have_run", "it may have run and must not run again")
-	case !g.Serving():
-		g.reject(now, x, 503, "not_serving", "this proxy has no fresh table")
+		p.Counts.NotRepeatable++
+		p.reject(now, x, 502, "may_have_run", "it may have run and must not run again")
+	case !p.Serving():
+		p.reject(now, x, 503, "not_serving", "this proxy has no fresh table")
 	case x.attempts >= x.route.Attempts || x.failedConnects >= tuning.ConnectAttemptsMax || now >= x.deadline:
-		g.reject(now, x, 503, "tries", "no try is left")
-	case x.isRetry && !g.service(x.serviceName).retryCredit.available(now, g.settings.Retry):
-		g.Counts.RetriesDenied++
-		g.reject(now, x, 503, "retry_budget", "the service's retry budget is used up")
+		p.reject(now, x, 503, "tries", "no try is left")
+	case x.isRetry && !p.service(x.serviceName).retryCredit.available(now, p.settings.Retry):
+		p.Counts.RetriesDenied++
+		p.reject(now, x, 503, "retry_budget", "the service's retry budget is used up")
 	default:
-		g.schedule(now, x, x.routeState != nil)
+		p.schedule(now, x, x.routeState != nil)
 	}
 }
 
-func (g *Proxy) attemptDone(now time.Duration, e statemachine.AttemptDone) {
-	x := g.requests[e.ID]
+func (p *Proxy) attemptDone(now time.Duration, e statemachine.AttemptDone) {
+	x := p.requests[e.ID]
 	if x == nil {
 		return
 	}
 	if t := x.target; t != nil {
-		s := g.service(x.serviceName)
-		g.learn(now, t, x, s, e)
+		s := p.service(x.serviceName)
+		p.learn(now, t, x, s, e)
 		t.inFlight--
 		s.inFlight--
 		x.target, x.lastOutcome = nil, e.Outcome
@@ -382,109 +382,109 @@
 		case statemachine.TargetRejected:
 			t.statistics.Rejected++
 		case statemachine.ChoiceExpired:
-			g.Counts.ExpiredChoices++
+			p.Counts.ExpiredChoices++
 		case statemachine.ConnectFailed, statemachine.WrongIdentity:
 			t.statistics.Errors++
 			t.avoidedUntil = now + tuning.AvoidFor
-			g.Counts.AvoidedTargets++
+			p.Counts.AvoidedTargets++
 			if t.failedConnects++; t.failedConnects >= tuning.ProbeMisses {
 				t.ownEjectionUntil = max(t.ownEjectionUntil, now+tuning.ClosedEjection)
-				g.Counts.OwnEjections++
+				p.Counts.OwnEjections++
 			}
 		}
 	}
 	if e.Last {
 		if e.Outcome != statemachine.ClientGone {
-			g.countObjectives(now, x, e.Outcome == statemachine.Served)
+			p.countObjectives(now, x, e.Outcome == statemachine.Served)
 		}
-		g.removeRequest(x)
+		p.removeRequest(x)
 	}
-	g.serveQueue(now, g.service(x.serviceName))
+	p.serveQueue(now, p.service(x.serviceName))
 }
 
-func (g *Proxy) cancel(now time.Duration, e statemachine.Cancel) {
-	x := g.requests[e.ID]
+func (p *Proxy) cancel(now time.Duration, e statemachine.Cancel) {
+	x := p.requests[e.ID]
 	if x == nil {
 		return
 	}
 	if e.Failed {
-		g.countObjectives(now, x, false)
+		p.countObjectives(now, x, false)
 	}
 	if x.target != nil {
-		g.attemptDone(now, statemachine.AttemptDone{ID: e.ID, Outcome: statemachine.ClientGone, Last: true})
+		p.attemptDone(now, statemachine.AttemptDone{ID: e.ID, Outcome: statemachine.ClientGone, Last: true})
 		return
 	}
-	g.removeRequest(x)
+	p.removeRequest(x)
 }
 
 // queues refuses those that have waited long enough, and gives the others what
 // became free meanwhile.
-func (g *Proxy) processQueues(now time.Duration) {
+func (p *Proxy) processQueues(now time.Duration) {
 	var waited []string
-	for n, s := range g.services {
+	for n, s := range p.services {
 		if len(s.queue) > 0 {
 			waited = append(waited, n)
 		}
 	}
 	slices.Sort(waited)
 	for _, n := range waited {
-		s := g.services[n]
+		s := p.services[n]
 		for _, id := range slices.Clone(s.queue) {
-			if x := g.requests[id]; now >= x.queuedUntil {
-				g.Counts.Busy++
+			if x := p.requests[id]; now >= x.queuedUntil {
+				p.Counts.Busy++
 				s.pressureAt = now
-				g.reject(now, x, 503, "busy", "every target of the service is busy")
+				p.reject(now, x, 503, "busy", "every target of the service is busy")
 			}
 		}
-		g.serveQueue(now, s)
+		p.serveQueue(now, s)
 	}
 }
 
 // serveQueue gives what became free to those who wait, in their order.
-func (g *Proxy) serveQueue(now time.Duration, s *serviceState) {
-	for g.Serving() && len(s.queue) > 0 {
-		x := g.requests[s.queue[0]]
-		full := x.serviceConfig.MaxInFlight > 0 && s.inFlight >= g.shareOf(x.serviceConfig.MaxInFlight, x.serviceName)
-		t, any := g.chooseTarget(now, x)
+func (p *Proxy) serveQueue(now time.Duration, s *serviceState) {
+	for p.Serving() && len(s.queue) > 0 {
+		x := p.requests[s.queue[0]]
+		full := x.serviceConfig.MaxInFlight > 0 && s.inFlight >= p.shareOf(x.serviceConfig.MaxInFlight, x.serviceName)
+		t, any := p.chooseTarget(now, x)
 		if full || t == nil && any {
 			break
 		}
 		s.queue = s.queue[1:]
 		x.queued = false
-		if t == nil || g.deadlineTooClose(now, x, s) {
-			g.schedule(now, x, false)
+		if t == nil || p.deadlineTooClose(now, x, s) {
+			p.schedule(now, x, false)
 			continue
 		}
-		if x.isRetry && !s.retryCredit.available(now, g.settings.Retry) {
-			g.Counts.RetriesDenied++
-			g.reject(now, x, 503, "retry_budget", "the service's retry budget is used up")
+		if x.isRetry && !s.retryCredit.available(now, p.settings.Retry) {
+			p.Counts.RetriesDenied++
+			p.reject(now, x, 503, "retry_budget", "the service's retry budget is used up")
 			continue
 		}
-		g.forward(now, x, t, s)
+		p.forward(now, x, t, s)
 	}
 }
 
 // reportUnreachable tells which targets nothing reaches, when that has changed.
-func (g *Proxy) reportUnreachable(now time.Duration) {
+func (p *Proxy) reportUnreachable(now time.Duration) {
 	n, same := 0, true
 	is := func(t *targetState) bool {
 		return t.ejectedUntil > now && t.ejectedAsUnreachable || t.ownEjectionUntil > now && t.missedProbes >= tuning.ProbeMisses
 	}
-	for id, t := range g.targets {
+	for id, t := range p.targets {
 		if is(t) {
 			n++
-			same = same && g.unreachable[id]
+			same = same && p.unreachable[id]
 		}
 	}
-	if same && n == len(g.unreachable) {
+	if same && n == len(p.unreachable) {
 		return
 	}
 	dark := make(map[wire.TargetID]bool, n)
-	for id, t := range g.targets {
+	for id, t := range p.targets {
 		if is(t) {
 			dark[id] = true
 		}
 	}
-	g.unreachable = dark
-	g.emit(statemachine.UnreachableTargets{IDs: dark})
+	p.unreachable = dark
+	p.emit(statemachine.UnreachableTargets{IDs: dark})
 }
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -21,56 +21,56 @@
 
 // hasPeerMajority says that a majority of the roster, and of the one before while that still
 // counts, answers.
-func (g *Proxy) hasPeerMajority(now time.Duration) bool {
+func (p *Proxy) hasPeerMajority(now time.Duration) bool {
 	most := func(n int, name func(int) string) bool {
 		k := 0
 		for i := range n {
-			if name(i) == g.settings.Self.Name {
-				if g.joined {
+			if name(i) == p.settings.Self.Name {
+				if p.joined {
 					k++
 				}
-			} else if at, ok := g.peerConfirmedAt[name(i)]; ok && now < at+tuning.PeerLease {
+			} else if at, ok := p.peerConfirmedAt[name(i)]; ok && now < at+tuning.PeerLease {
 				k++
 			}
 		}
 		return 2*k > n
 	}
-	return most(len(g.table.Proxies), func(i int) string { return g.table.Proxies[i].Name }) &&
-		(len(g.table.PreviousProxies) == 0 || most(len(g.table.PreviousProxies), func(i int) string { return g.table.PreviousProxies[i] }))
+	return most(len(p.table.Proxies), func(i int) string { return p.table.Proxies[i].Name }) &&
+		(len(p.table.PreviousProxies) == 0 || most(len(p.table.PreviousProxies), func(i int) string { return p.table.PreviousProxies[i] }))
 }
 
 // leader is the one that the core members last heard name in the latest epoch and term.
-func (g *Proxy) leader(now time.Duration) string { return g.directory.Leader(now) }
+func (p *Proxy) leader(now time.Duration) string { return p.directory.Leader(now) }
 
 // sendHellos tells the core daemons of this proxy. What it remembers is long: it is told to those
 // that were heard lately, once to each process and then now and again.
-func (g *Proxy) sendHellos(now time.Duration) {
-	g.lastHelloAt = now
-	self, memory := g.selfReport(), []byte(nil)
+func (p *Proxy) sendHellos(now time.Duration) {
+	p.lastHelloAt = now
+	self, memory := p.selfReport(), []byte(nil)
 	sent := map[string]bool{}
-	for _, n := range slices.Sorted(maps.Keys(g.directory)) {
-		k := g.directory[n]
+	for _, n := range slices.Sorted(maps.Keys(p.directory)) {
+		k := p.directory[n]
 		if now-k.LastContact > tuning.DaemonExpiry {
-			delete(g.directory, n)
+			delete(p.directory, n)
 		} else if k.Kind == wire.ControlDaemon {
 			sent[k.Addr] = true
 			h := &wire.Hello{Self: self}
 			who := fmt.Sprint(n, " ", k.Incarnation)
-			if at, ok := g.recoveredStateSentAt[who]; g.state != Leased && now-k.LastContact < 4*tuning.HelloEvery && (!ok || now-at >= tuning.RecoveredStateEvery) {
+			if at, ok := p.recoveredStateSentAt[who]; p.state != Leased && now-k.LastContact < 4*tuning.HelloEvery && (!ok || now-at >= tuning.RecoveredStateEvery) {
 				if memory == nil {
-					memory = g.recoveredState()
+					memory = p.recoveredState()
 				}
 				if h.RecoveredState = memory; len(memory) > 0 {
-					g.recoveredStateSentAt[who] = now
+					p.recoveredStateSentAt[who] = now
 				}
 			}
-			g.emit(statemachine.Send{Addr: k.Addr, Message: &wire.Message{Kind: wire.KindHello, From: g.settings.Self.Name, Hello: h}})
+			p.emit(statemachine.Send{Addr: k.Addr, Message: &wire.Message{Kind: wire.KindHello, From: p.settings.Self.Name, Hello: h}})
 		}
 	}
-	maps.DeleteFunc(g.recoveredStateSentAt, func(_ string, at time.Duration) bool { return now-at >= tuning.RecoveredStateEvery })
-	for _, a := range g.settings.Seeds {
-		if !sent[a] && a != g.settings.Self.Addr {
-			g.emit(statemachine.Send{Addr: a, Message: &wire.Message{Kind: wire.KindHello, From: g.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
+	maps.DeleteFunc(p.recoveredStateSentAt, func(_ string, at time.Duration) bool { return now-at >= tuning.RecoveredStateEvery })
+	for _, a := range p.settings.Seeds {
+		if !sent[a] && a != p.settings.Self.Addr {
+			p.emit(statemachine.Send{Addr: a, Message: &wire.Message{Kind: wire.KindHello, From: p.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
 		}
 	}
 }
@@ -78,48 +78,48 @@
 // touch asks peers whether they still stand on no later table: a part of the roster at
 // each turn, those first who were asked longest ago, so that all are within a touch lease
 // and no proxy's work grows with more than the roster.
-func (g *Proxy) pollPeers(now time.Duration) {
-	for n := range g.peerAskedAt {
-		if !slices.ContainsFunc(g.table.Proxies, func(r wire.Proxy) bool { return r.Name == n }) {
-			delete(g.peerAskedAt, n)
+func (p *Proxy) pollPeers(now time.Duration) {
+	for n := range p.peerAskedAt {
+		if !slices.ContainsFunc(p.table.Proxies, func(r wire.Proxy) bool { return r.Name == n }) {
+			delete(p.peerAskedAt, n)
 		}
 	}
 	var who []*wire.Proxy
-	for i := range g.table.Proxies {
-		if r := &g.table.Proxies[i]; r.Name != g.settings.Self.Name {
+	for i := range p.table.Proxies {
+		if r := &p.table.Proxies[i]; r.Name != p.settings.Self.Name {
 			who = append(who, r)
 		}
 	}
 	if len(who) > 0 { // each begins elsewhere, so that not all ask the same ones at once
-		k := int(g.nameHash % uint64(len(who)))
+		k := int(p.nameHash % uint64(len(who)))
 		who = append(who[k:], who[:k]...)
 	}
-	slices.SortStableFunc(who, func(a, b *wire.Proxy) int { return cmp.Compare(g.peerAskedAt[a.Name], g.peerAskedAt[b.Name]) })
+	slices.SortStableFunc(who, func(a, b *wire.Proxy) int { return cmp.Compare(p.peerAskedAt[a.Name], p.peerAskedAt[b.Name]) })
 	n := max(tuning.PeerLeaseFanout, (len(who)+tuning.PeerLeaseTurns-1)/tuning.PeerLeaseTurns)
-	self := g.selfReport()
+	self := p.selfReport()
 	for i, r := range who[:min(n, len(who))] {
-		if k := g.directory[r.Name]; k == nil {
-			g.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, LastContact: now}
+		if k := p.directory[r.Name]; k == nil {
+			p.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, LastContact: now}
 		}
-		g.peerAskedAt[r.Name] = now
+		p.peerAskedAt[r.Name] = now
 		// Back from a freeze or a cut, what peers hold against targets is wanted too.
-		m := wire.Pull{Self: self, Key: g.table.Key, WantTable: !g.Serving() && (len(who) <= tuning.PeerLeaseFanout || i < tuning.PeerTableFanout)}
-		g.send(r.Name, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: g.settings.Self.Incarnation, Pull: &m})
+		m := wire.Pull{Self: self, Key: p.table.Key, WantTable: !p.Serving() && (len(who) <= tuning.PeerLeaseFanout || i < tuning.PeerTableFanout)}
+		p.send(r.Name, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: p.settings.Self.Incarnation, Pull: &m})
 	}
 }
 
 // alone says that the leader is out of reach, for one that has ever been part of the fleet;
 // another waits for the leader while that speaks to it.
-func (g *Proxy) hasNoLeader(now time.Duration) bool {
-	return g.doubtsLeader(now) && (g.joined || g.leaderHeardAt == 0 || now-g.leaderHeardAt > tuning.ProxyLive)
+func (p *Proxy) hasNoLeader(now time.Duration) bool {
+	return p.doubtsLeader(now) && (p.joined || p.leaderHeardAt == 0 || now-p.leaderHeardAt > tuning.ProxyLive)
 }
 
 // memory is what this proxy tells a core that has lost its own.
-func (g *Proxy) recoveredState() []byte {
-	if g.table == nil || g.state == Leased {
+func (p *Proxy) recoveredState() []byte {
+	if p.table == nil || p.state == Leased {
 		return nil
 	}
-	l, ok := state.RecoveredFrom(g.table)
+	l, ok := state.RecoveredFrom(p.table)
 	if !ok {
 		return nil
 	}
@@ -129,49 +129,49 @@
 
 // doubts says that the leader has been silent for over two pulls: peers are
 // touched and targets probed from then on, so that both are known when the lease lapses.
-func (g *Proxy) doubtsLeader(now time.Duration) bool {
+func (p *Proxy) doubtsLeader(now time.Duration) bool {
 	after := tuning.LeaderSuspectAfter
-	if g.table != nil && len(g.table.Proxies) > tuning.PeerLeaseFanout {
+	if p.table != nil && len(p.table.Proxies) > tuning.PeerLeaseFanout {
 		after = tuning.LeaderSuspectAfterLarge
 	}
-	return now > g.leaseUntil-tuning.ProxyLease+after
+	return now > p.leaseUntil-tuning.ProxyLease+after
 }
 
-func (g *Proxy) pullTable(now time.Duration) {
-	g.lastPullAt, g.pullAtNextTick = now, false
-	l := g.leader(now)
+func (p *Proxy) pullTable(now time.Duration) {
+	p.lastPullAt, p.pullAtNextTick = now, false
+	l := p.leader(now)
 	if l == "" {
 		return
 	}
 	// The leader that leases knows this proxy; another is told all of it.
-	p := &wire.Pull{}
-	if d := g.selfReport(); d != g.reportedSelf || l != g.reportedTo || g.state != Leased || g.doubtsLeader(now) {
-		p.Self, g.reportedSelf, g.reportedTo = d, d, l
+	pull := &wire.Pull{}
+	if d := p.selfReport(); d != p.reportedSelf || l != p.reportedTo || p.state != Leased || p.doubtsLeader(now) {
+		pull.Self, p.reportedSelf, p.reportedTo = d, d, l
 	}
-	if g.table != nil {
-		p.Key, p.Revision, p.StateIndex = g.table.Key, g.table.Revision, g.table.StateIndex
-		if g.leaderWantsTable {
-			p.Table = g.exportTable(now)
+	if p.table != nil {
+		pull.Key, pull.Revision, pull.StateIndex = p.table.Key, p.table.Revision, p.table.StateIndex
+		if p.leaderWantsTable {
+			pull.Table = p.exportTable(now)
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.TargetID.Compare) {
-		if t := g.targets[id]; t.statistics.Successes+t.statistics.Errors > 0 || t.statistics.ProbeAnswered {
+	for _, id := range slices.SortedFunc(maps.Keys(p.targets), wire.TargetID.Compare) {
+		if t := p.targets[id]; t.statistics.Successes+t.statistics.Errors > 0 || t.statistics.ProbeAnswered {
 			s := t.statistics
 			s.Service, s.Name, s.Incarnation = id.Service, id.Name, id.Incarnation
-			p.Stats = append(p.Stats, s)
+			pull.Stats = append(pull.Stats, s)
 			t.statistics = wire.TargetStats{}
 		}
 	}
-	g.send(l, &wire.Message{Kind: wire.KindPull, Epoch: p.Key.Epoch, Timestamp: int64(now), Disk: g.settings.Self.Incarnation, Pull: p})
+	p.send(l, &wire.Message{Kind: wire.KindPull, Epoch: pull.Key.Epoch, Timestamp: int64(now), Disk: p.settings.Self.Incarnation, Pull: pull})
 }
 
 // exportTable is the table as it stands here now, with ejections' time left and holds
 // that were heard here.
-func (g *Proxy) exportTable(now time.Duration) *wire.Table {
-	t := *g.table
+func (p *Proxy) exportTable(now time.Duration) *wire.Table {
+	t := *p.table
 	t.Targets = nil
-	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.TargetID.Compare) {
-		l := g.targets[id]
+	for _, id := range slices.SortedFunc(maps.Keys(p.targets), wire.TargetID.Compare) {
+		l := p.targets[id]
 		w := l.Target
 		if w.EjectionLeft = max(0, int64(l.ejectedUntil-now)); l.ownEjectionUntil > now && w.EjectionLeft == 0 {
 			w.EjectionLeft, w.EjectedBy = int64(l.ownEjectionUntil-now), config.DefaultPolicyName
@@ -184,95 +184,95 @@
 }
 
 // handlePush takes a leader's word, or a peer's answer to a touch.
-func (g *Proxy) handlePush(now time.Duration, m *wire.Message) {
-	p := m.Push
-	mine := m.Disk == g.settings.Self.Incarnation && m.Timestamp > 0 && time.Duration(m.Timestamp) <= now
-	if k := g.directory[m.From]; k != nil && k.Kind == wire.ProxyDaemon {
-		if p.Table != nil && !g.applyTable(now, p.Table) && g.table != nil && g.table.Key == p.Table.Key && !g.Serving() {
-			g.adoptPeerEjections(now, p.Table)
+func (p *Proxy) handlePush(now time.Duration, m *wire.Message) {
+	push := m.Push
+	mine := m.Disk == p.settings.Self.Incarnation && m.Timestamp > 0 && time.Duration(m.Timestamp) <= now
+	if k := p.directory[m.From]; k != nil && k.Kind == wire.ProxyDaemon {
+		if push.Table != nil && !p.applyTable(now, push.Table) && p.table != nil && p.table.Key == push.Table.Key && !p.Serving() {
+			p.adoptPeerEjections(now, push.Table)
 		}
-		if p.LeaseGranted && mine && g.table != nil && !g.table.Key.Less(p.Key) {
-			g.peerConfirmedAt[m.From] = max(g.peerConfirmedAt[m.From], time.Duration(m.Timestamp))
+		if push.LeaseGranted && mine && p.table != nil && !p.table.Key.Less(push.Key) {
+			p.peerConfirmedAt[m.From] = max(p.peerConfirmedAt[m.From], time.Duration(m.Timestamp))
 		}
-		if p.LeaseGranted && g.table != nil && g.table.Key.Less(p.Key) && now-g.peerTableAskedAt >= g.peerTableInterval() {
-			g.peerTableAskedAt = now // one at a time sends its table, without what this proxy has
-			g.send(m.From, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: g.settings.Self.Incarnation,
-				Pull: &wire.Pull{Self: g.selfReport(), Revision: g.table.Revision, StateIndex: g.table.StateIndex}})
+		if push.LeaseGranted && p.table != nil && p.table.Key.Less(push.Key) && now-p.peerTableAskedAt >= p.peerTableInterval() {
+			p.peerTableAskedAt = now // one at a time sends its table, without what this proxy has
+			p.send(m.From, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: p.settings.Self.Incarnation,
+				Pull: &wire.Pull{Self: p.selfReport(), Revision: p.table.Revision, StateIndex: p.table.StateIndex}})
 		}
 		return
 	}
-	if m.Epoch < g.leaderEpoch || m.Epoch == g.leaderEpoch && m.Term < g.leaderTerm {
+	if m.Epoch < p.leaderEpoch || m.Epoch == p.leaderEpoch && m.Term < p.leaderTerm {
 		return
 	}
-	g.leaderEpoch, g.leaderTerm, g.leaderHeardAt = m.Epoch, m.Term, now
-	if p.WantTable && g.table != nil && !g.leaderWantsTable {
-		g.leaderWantsTable = true
-		g.pullTable(now)
+	p.leaderEpoch, p.leaderTerm, p.leaderHeardAt = m.Epoch, m.Term, now
+	if push.WantTable && p.table != nil && !p.leaderWantsTable {
+		p.leaderWantsTable = true
+		p.pullTable(now)
 	}
-	g.leaderWantsTable = p.WantTable
-	for _, id := range p.ProbeTargets {
-		if t := g.targets[id]; t != nil && mine {
+	p.leaderWantsTable = push.WantTable
+	for _, id := range push.ProbeTargets {
+		if t := p.targets[id]; t != nil && mine {
 			t.indirectProbe = true
-			g.sendProbe(now, t)
+			p.sendProbe(now, t)
 		}
 	}
-	if p.Table != nil {
-		fresh := g.applyTable(now, p.Table)
+	if push.Table != nil {
+		fresh := p.applyTable(now, push.Table)
 		if fresh {
-			g.pullTable(now) // confirms at once
+			p.pullTable(now) // confirms at once
 		}
 	}
 	// The lease is for the table that it names, and so for any later one of that leader too.
-	if p.LeaseGranted && mine && g.table != nil && g.table.Key.Epoch == p.Key.Epoch && g.table.Key.Term == p.Key.Term && g.table.Key.Version >= p.Key.Version {
-		g.joined = true
-		g.leaseUntil = max(g.leaseUntil, time.Duration(m.Timestamp)+tuning.ProxyLease)
+	if push.LeaseGranted && mine && p.table != nil && p.table.Key.Epoch == push.Key.Epoch && p.table.Key.Term == push.Key.Term && p.table.Key.Version >= push.Key.Version {
+		p.joined = true
+		p.leaseUntil = max(p.leaseUntil, time.Duration(m.Timestamp)+tuning.ProxyLease)
 	}
 }
 
 // peerTableInterval is how often a proxy fetches a later table from a peer, which sends all of its rows: so
 // seldom that, whatever the fleet's size, tables take no more than a part of a slow link. A proxy that is cut off
 // from a leader which makes ever new tables would else fill its link, and its peers' links, with them.
-func (g *Proxy) peerTableInterval() time.Duration {
-	bytes := tuning.TableRowBytes * (len(g.table.Targets) + len(g.table.Proxies))
+func (p *Proxy) peerTableInterval() time.Duration {
+	bytes := tuning.TableRowBytes * (len(p.table.Targets) + len(p.table.Proxies))
 	return max(2*tuning.PullEvery, time.Duration(bytes)*time.Second*tuning.PeerTableParts/tuning.SlowLink)
 }
 
 // answerPeer answers another proxy's question.
-func (g *Proxy) answerPeer(now time.Duration, m *wire.Message) {
+func (p *Proxy) answerPeer(now time.Duration, m *wire.Message) {
 	if m.Pull == nil {
 		return
 	}
 	if m.Pull.Self.Kind == wire.ProxyDaemon {
-		g.directory[m.From] = &discovery.Peer{Daemon: m.Pull.Self, LastContact: now}
+		p.directory[m.From] = &discovery.Peer{Daemon: m.Pull.Self, LastContact: now}
 	}
-	p := &wire.Push{LeaseGranted: g.joined && g.table != nil}
-	if g.table != nil {
-		p.Key = g.table.Key
+	push := &wire.Push{LeaseGranted: p.joined && p.table != nil}
+	if p.table != nil {
+		push.Key = p.table.Key
 		switch {
-		case !p.LeaseGranted:
+		case !push.LeaseGranted:
 		case m.Pull.Key == wire.TableKey{}:
-			p.Table = g.exportTable(now)
-			if m.Pull.Revision == p.Table.Revision && m.Pull.StateIndex != 0 {
-				p.Table.Document = nil
-				if m.Pull.StateIndex == p.Table.StateIndex {
-					p.Table.State = nil
+			push.Table = p.exportTable(now)
+			if m.Pull.Revision == push.Table.Revision && m.Pull.StateIndex != 0 {
+				push.Table.Document = nil
+				if m.Pull.StateIndex == push.Table.StateIndex {
+					push.Table.State = nil
 				}
 			}
-		case m.Pull.WantTable && m.Pull.Key == p.Key:
-			p.Table = g.ejectionsAndDrains(now)
+		case m.Pull.WantTable && m.Pull.Key == push.Key:
+			push.Table = p.ejectionsAndDrains(now)
 		}
 	}
-	g.send(m.From, &wire.Message{Kind: wire.KindPush, Timestamp: m.Timestamp, Disk: m.Disk, Push: p})
+	p.send(m.From, &wire.Message{Kind: wire.KindPush, Timestamp: m.Timestamp, Disk: m.Disk, Push: push})
 }
 
 // holds is what stands here against targets beside the table, as a change to it.
-func (g *Proxy) ejectionsAndDrains(now time.Duration) *wire.Table {
-	all, t := g.exportTable(now), &wire.Table{Key: g.table.Key, DeltaBase: g.table.Key, StateIndex: g.table.StateIndex, Revision: g.table.Revision}
+func (p *Proxy) ejectionsAndDrains(now time.Duration) *wire.Table {
+	all, t := p.exportTable(now), &wire.Table{Key: p.table.Key, DeltaBase: p.table.Key, StateIndex: p.table.StateIndex, Revision: p.table.Revision}
 	listed := map[wire.TargetID]bool{}
-	for i := range g.table.Targets {
-		id := g.table.Targets[i].ID()
+	for i := range p.table.Targets {
+		id := p.table.Targets[i].ID()
 		listed[id] = true
-		if g.targets[id] == nil {
+		if p.targets[id] == nil {
 			t.RemovedTargets = append(t.RemovedTargets, id)
 		}
 	}
@@ -287,10 +287,10 @@
 // heed takes over what a peer holds against the targets of the same table, and
 // the later starts that it has put in the place of some; a probe of this proxy's own
 // soon says more.
-func (g *Proxy) adoptPeerEjections(now time.Duration, b *wire.Table) {
+func (p *Proxy) adoptPeerEjections(now time.Duration, b *wire.Table) {
 	out := map[wire.TargetID]bool{}
 	if b.DeltaBase == (wire.TableKey{}) {
-		for id := range g.targets {
+		for id := range p.targets {
 			out[id] = !slices.ContainsFunc(b.Targets, func(w wire.Target) bool { return w.ID() == id })
 		}
 	}
@@ -298,12 +298,12 @@
 		out[id] = true
 	}
 	for _, w := range b.Targets {
-		t := g.targets[w.ID()]
+		t := p.targets[w.ID()]
 		if t == nil {
-			for id := range g.targets {
-				if id.Service == w.Service && id.Name == w.Name && out[id] && g.leavingSince[w.ID()] == 0 {
+			for id := range p.targets {
+				if id.Service == w.Service && id.Name == w.Name && out[id] && p.leavingSince[w.ID()] == 0 {
 					t = &targetState{Target: w}
-					g.replaceTarget(now, id, t)
+					p.replaceTarget(now, id, t)
 					break
 				}
 			}
@@ -319,11 +319,11 @@
 }
 
 // succeed puts a later start in a target's place.
-func (g *Proxy) replaceTarget(now time.Duration, id wire.TargetID, h *targetState) {
-	delete(g.targets, id)
-	g.leavingSince[id] = now
+func (p *Proxy) replaceTarget(now time.Duration, id wire.TargetID, h *targetState) {
+	delete(p.targets, id)
+	p.leavingSince[id] = now
 	h.newToFleet = true
-	g.targets[h.ID()] = h
-	h.extendWarmup(now, max(h.WarmupLeft, int64(g.warmupTime(h.Service))))
-	g.publishTargets(now)
+	p.targets[h.ID()] = h
+	h.extendWarmup(now, max(h.WarmupLeft, int64(p.warmupTime(h.Service))))
+	p.publishTargets(now)
 }
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -44,7 +44,7 @@
 }
 
 // learn takes in what an answer tells of its target.
-func (g *Proxy) learn(now time.Duration, t *targetState, x *request, s *serviceState, e statemachine.AttemptDone) {
+func (p *Proxy) learn(now time.Duration, t *targetState, x *request, s *serviceState, e statemachine.AttemptDone) {
 	if e.Load != nil {
 		t.otherLoad, t.loadReportedAt = max(0, float64(e.Load.Running+e.Load.Waiting-t.inFlight)), now
 	}
@@ -53,7 +53,7 @@
 		t.fullUntil = now + tuning.TargetFullBackoff
 		s.window = max(s.minWindow(), s.window*tuning.QuotaBackoffFactor)
 		s.pressureAt = now
-		g.Counts.TargetRejections++
+		p.Counts.TargetRejections++
 	case statemachine.Served:
 		if float64(s.inFlight)+1 >= s.window {
 			s.window = min(s.maxWindow(), s.window+1/max(1, s.window))
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -250,154 +250,154 @@
 		targets: map[wire.TargetID]*targetState{}, leavingSince: map[wire.TargetID]time.Duration{}, services: map[string]*serviceState{}, requests: map[uint64]*request{}, objectives: map[string]*objectiveCounts{}, leaseUntil: -1}
 }
 
-func (g *Proxy) emit(cmd statemachine.Command) { g.commands = append(g.commands, cmd) }
+func (p *Proxy) emit(cmd statemachine.Command) { p.commands = append(p.commands, cmd) }
 
 // Step is the owner: one event in, commands out.
-func (g *Proxy) Step(now time.Duration, ev statemachine.Event) []statemachine.Command {
-	g.updateState(now) // time may have passed since the last step, and with it a lease
+func (p *Proxy) Step(now time.Duration, ev statemachine.Event) []statemachine.Command {
+	p.updateState(now) // time may have passed since the last step, and with it a lease
 	switch e := ev.(type) {
 	case statemachine.Receive:
-		g.receive(now, e.Message)
+		p.receive(now, e.Message)
 	case statemachine.Tick:
-		g.tick(now)
+		p.tick(now)
 	case statemachine.ProbeResult:
-		g.handleProbeResult(now, e)
+		p.handleProbeResult(now, e)
 	case statemachine.Call:
-		g.answerCall(now, e)
+		p.answerCall(now, e)
 	case statemachine.Stop:
-		g.beginShutdown(now)
+		p.beginShutdown(now)
 	case statemachine.Admit:
-		g.admit(now, e)
+		p.admit(now, e)
 	case statemachine.Retry:
-		g.retry(now, e)
+		p.retry(now, e)
 	case statemachine.AttemptDone:
-		g.attemptDone(now, e)
+		p.attemptDone(now, e)
 	case statemachine.Cancel:
-		g.cancel(now, e)
+		p.cancel(now, e)
 	}
-	g.updateState(now)
-	o := g.commands
-	g.commands = nil
+	p.updateState(now)
+	o := p.commands
+	p.commands = nil
 	return o
 }
 
 // judge sets the state from what is known at this moment.
-func (g *Proxy) updateState(now time.Duration) {
+func (p *Proxy) updateState(now time.Duration) {
 	switch {
-	case g.table == nil:
-		g.setState(now, NoTable, "no table")
-	case now < g.leaseUntil:
-		g.setState(now, Leased, "the leader answers")
-	case g.hasPeerMajority(now):
-		g.joined = true
-		g.setState(now, PeerServing, "a majority of proxies answers")
+	case p.table == nil:
+		p.setState(now, NoTable, "no table")
+	case now < p.leaseUntil:
+		p.setState(now, Leased, "the leader answers")
+	case p.hasPeerMajority(now):
+		p.joined = true
+		p.setState(now, PeerServing, "a majority of proxies answers")
 	default:
-		g.setState(now, Isolated, "neither the leader nor a majority of proxies answers")
+		p.setState(now, Isolated, "neither the leader nor a majority of proxies answers")
 	}
 }
 
-func (g *Proxy) setState(now time.Duration, s State, why string) {
-	if s == g.state {
+func (p *Proxy) setState(now time.Duration, s State, why string) {
+	if s == p.state {
 		return
 	}
-	g.emit(statemachine.StateChange{Subject: statemachine.SubjectProxy, From: g.state.String(), To: s.String(), Reason: why})
-	g.state = s
-	g.reindex(now)
+	p.emit(statemachine.StateChange{Subject: statemachine.SubjectProxy, From: p.state.String(), To: s.String(), Reason: why})
+	p.state = s
+	p.reindex(now)
 	if s == Leased {
 		// The leader judges again, and has taken in what was seen here meanwhile.
-		for _, t := range g.targets {
+		for _, t := range p.targets {
 			t.missedProbes, t.probePendingSince, t.probedAt, t.ownEjectionUntil = 0, 0, 0, 0
 		}
 	}
 }
 
 // Serving says whether requests may be admitted now.
-func (g *Proxy) Serving() bool { return g.state == Leased || g.state == PeerServing }
+func (p *Proxy) Serving() bool { return p.state == Leased || p.state == PeerServing }
 
 // Ready is what the platform is told: an emptied domain's proxy serves on but
 // asks for no more callers.
-func (g *Proxy) Ready() bool {
-	return g.Serving() && !g.stopping && (g.settings.ReadyWhenEmptied || !slices.Contains(g.table.EmptiedDomains, g.settings.Self.Domain))
+func (p *Proxy) Ready() bool {
+	return p.Serving() && !p.stopping && (p.settings.ReadyWhenEmptied || !slices.Contains(p.table.EmptiedDomains, p.settings.Self.Domain))
 }
 
 // State returns by what right it serves.
-func (g *Proxy) State() State { return g.state }
+func (p *Proxy) State() State { return p.state }
 
 // Table returns the table that it stands on, nil: none yet.
-func (g *Proxy) Table() *wire.Table { return g.table }
+func (p *Proxy) Table() *wire.Table { return p.table }
 
 // InFlight returns how many requests are under way.
-func (g *Proxy) InFlight() int { return len(g.requests) }
+func (p *Proxy) InFlight() int { return len(p.requests) }
 
-func (g *Proxy) send(name string, m *wire.Message) {
-	if k := g.directory[name]; k != nil && name != g.settings.Self.Name {
-		m.To, m.From = name, g.settings.Self.Name
-		g.emit(statemachine.Send{Addr: k.Addr, Message: m})
+func (p *Proxy) send(name string, m *wire.Message) {
+	if k := p.directory[name]; k != nil && name != p.settings.Self.Name {
+		m.To, m.From = name, p.settings.Self.Name
+		p.emit(statemachine.Send{Addr: k.Addr, Message: m})
 	}
 }
 
-func (g *Proxy) selfReport() wire.Daemon {
-	d := g.settings.Self
-	d.State, d.Ready = g.state.String(), g.table != nil && g.Ready()
-	if g.table != nil {
-		d.Epoch = g.table.Key.Epoch
+func (p *Proxy) selfReport() wire.Daemon {
+	d := p.settings.Self
+	d.State, d.Ready = p.state.String(), p.table != nil && p.Ready()
+	if p.table != nil {
+		d.Epoch = p.table.Key.Epoch
 	}
 	return d
 }
 
-func (g *Proxy) receive(now time.Duration, m *wire.Message) {
+func (p *Proxy) receive(now time.Duration, m *wire.Message) {
 	wire.DiscardNonFinite(m)
 	switch m.Kind {
 	case wire.KindHello:
 		if m.Hello == nil {
 			return
 		}
-		led := g.leader(now)
-		g.directory.Merge(now, g.settings.Self.Name, m.Hello)
-		if l := g.leader(now); l != led && l == m.From && now > g.lastPullAt {
-			g.pullTable(now) // the leader waits for what proxies hold, and they for its lease
+		led := p.leader(now)
+		p.directory.Merge(now, p.settings.Self.Name, m.Hello)
+		if l := p.leader(now); l != led && l == m.From && now > p.lastPullAt {
+			p.pullTable(now) // the leader waits for what proxies hold, and they for its lease
 		}
 		if !m.Hello.Reply {
-			h := &wire.Hello{Self: g.selfReport(), Reply: true, Daemons: g.directory.Daemons()}
-			g.send(m.From, &wire.Message{Kind: wire.KindHello, Hello: h})
+			h := &wire.Hello{Self: p.selfReport(), Reply: true, Daemons: p.directory.Daemons()}
+			p.send(m.From, &wire.Message{Kind: wire.KindHello, Hello: h})
 		}
 	case wire.KindPush:
 		if m.Push != nil {
-			g.handlePush(now, m)
+			p.handlePush(now, m)
 		}
 	case wire.KindPull:
-		g.answerPeer(now, m)
+		p.answerPeer(now, m)
 	case wire.KindHeartbeat:
 		if m.Heartbeat != nil {
-			g.handleHeartbeat(now, *m.Heartbeat)
+			p.handleHeartbeat(now, *m.Heartbeat)
 		}
 	}
 }
 
-func (g *Proxy) tick(now time.Duration) {
-	if now-g.lastHelloAt >= tuning.HelloLeasedEvery || now-g.lastHelloAt >= tuning.HelloEvery && g.doubtsLeader(now) {
-		g.sendHellos(now)
+func (p *Proxy) tick(now time.Duration) {
+	if now-p.lastHelloAt >= tuning.HelloLeasedEvery || now-p.lastHelloAt >= tuning.HelloEvery && p.doubtsLeader(now) {
+		p.sendHellos(now)
 	}
-	if now-g.lastPullAt >= tuning.PullEvery || g.pullAtNextTick {
-		g.pullTable(now)
+	if now-p.lastPullAt >= tuning.PullEvery || p.pullAtNextTick {
+		p.pullTable(now)
 	}
-	if g.table != nil && g.hasNoLeader(now) && now-g.lastPeerPollAt >= tuning.PullEvery {
-		g.lastPeerPollAt = now
-		g.pollPeers(now)
+	if p.table != nil && p.hasNoLeader(now) && now-p.lastPeerPollAt >= tuning.PullEvery {
+		p.lastPeerPollAt = now
+		p.pollPeers(now)
 	}
-	if g.state != NoTable && g.hasNoLeader(now) {
-		g.checkHealth(now)
+	if p.state != NoTable && p.hasNoLeader(now) {
+		p.checkHealth(now)
 	}
-	if g.reindexAt > 0 && now >= g.reindexAt {
-		g.reindex(now)
+	if p.reindexAt > 0 && now >= p.reindexAt {
+		p.reindex(now)
 	}
-	g.processQueues(now)
-	g.reportUnreachable(now)
-	g.tickShutdown(now)
+	p.processQueues(now)
+	p.reportUnreachable(now)
+	p.tickShutdown(now)
 }
 
 // Seeds replaces the seed addresses.
-func (g *Proxy) SetSeeds(s []string) { g.settings.Seeds = s }
+func (p *Proxy) SetSeeds(s []string) { p.settings.Seeds = s }
 
 // Revision is the configuration's that this proxy serves by.
-func (g *Proxy) Revision() uint64 { return g.revision }
+func (p *Proxy) Revision() uint64 { return p.revision }
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -23,14 +23,14 @@
 }
 
 // beginShutdown goes unready.
-func (g *Proxy) beginShutdown(now time.Duration) {
-	if g.stopping {
+func (p *Proxy) beginShutdown(now time.Duration) {
+	if p.stopping {
 		return
 	}
-	g.stopping, g.stopRequestedAt = true, now
-	g.emit(statemachine.CloseAfterResponse{})
-	why := fmt.Sprintf("asked to, with %d requests under way", len(g.requests))
-	g.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "serving", To: "stopping", Reason: why})
+	p.stopping, p.stopRequestedAt = true, now
+	p.emit(statemachine.CloseAfterResponse{})
+	why := fmt.Sprintf("asked to, with %d requests under way", len(p.requests))
+	p.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "serving", To: "stopping", Reason: why})
 }
 
 // responseReserve is what a stopping proxy keeps of its time, for targets' last answers and for its own.
@@ -41,27 +41,27 @@
 // fitsShutdown ends a request that comes to a stopping proxy with the process, and says whether it may be taken: its
 // own deadline comes before, or its target has the time that the route aims at. In the linger all are taken:
 // callers have had no time to hear of the stop.
-func (g *Proxy) fitsShutdown(now time.Duration, x *request) bool {
-	if !g.stopping {
+func (p *Proxy) fitsShutdown(now time.Duration, x *request) bool {
+	if !p.stopping {
 		return true
 	}
-	linger, most := g.settings.shutdownTimes()
-	answerBy := g.stopRequestedAt + most - responseReserve(most)/2
+	linger, most := p.settings.shutdownTimes()
+	answerBy := p.stopRequestedAt + most - responseReserve(most)/2
 	fits := x.deadline <= answerBy
 	x.deadline = min(x.deadline, answerBy)
-	if fits || now-g.stopRequestedAt <= linger {
+	if fits || now-p.stopRequestedAt <= linger {
 		return true
 	}
-	return x.routeState != nil && g.workTime(now, x) >= expectedTime(&x.route)
+	return x.routeState != nil && p.workTime(now, x) >= expectedTime(&x.route)
 }
 
 // workTime is how long a target that gets the request now may work on it: until its deadline, or, if this
 // process stops, until so long before its end that the target's own answer can still be passed on.
-func (g *Proxy) workTime(now time.Duration, x *request) time.Duration {
+func (p *Proxy) workTime(now time.Duration, x *request) time.Duration {
 	until := x.deadline
-	if g.stopping {
-		_, most := g.settings.shutdownTimes()
-		until = min(until, g.stopRequestedAt+most-responseReserve(most))
+	if p.stopping {
+		_, most := p.settings.shutdownTimes()
+		until = min(until, p.stopRequestedAt+most-responseReserve(most))
 	}
 	return max(time.Millisecond, until-now)
 }
@@ -77,30 +77,30 @@
 
 // rejectStopping sends a request to another proxy. It is to come back as after any refusal, not at once: where many
 // proxies stop together it would only meet the next of them.
-func (g *Proxy) rejectStopping(now time.Duration, x *request) {
-	g.Counts.Stopping++
-	g.reject(now, x, 503, "stopping", "this proxy is stopping and takes no more such requests")
+func (p *Proxy) rejectStopping(now time.Duration, x *request) {
+	p.Counts.Stopping++
+	p.reject(now, x, 503, "stopping", "this proxy is stopping and takes no more such requests")
 }
 
 // tickShutdown ends the process when nothing is under way after the linger, or the time is up.
-func (g *Proxy) tickShutdown(now time.Duration) {
-	if !g.stopping || g.acceptingStopped {
+func (p *Proxy) tickShutdown(now time.Duration) {
+	if !p.stopping || p.acceptingStopped {
 		return
 	}
-	linger, most := g.settings.shutdownTimes()
-	waited := now - g.stopRequestedAt
+	linger, most := p.settings.shutdownTimes()
+	waited := now - p.stopRequestedAt
 	switch {
-	case waited > most && len(g.requests) > 0:
-		g.finishShutdown(most-waited, fmt.Sprintf("out of time, with %d requests under way", len(g.requests)))
-	case waited > linger && len(g.requests) == 0:
-		g.finishShutdown(most-waited, "no request is under way")
+	case waited > most && len(p.requests) > 0:
+		p.finishShutdown(most-waited, fmt.Sprintf("out of time, with %d requests under way", len(p.requests)))
+	case waited > linger && len(p.requests) == 0:
+		p.finishShutdown(most-waited, "no request is under way")
 	}
 }
 
 // finishShutdown closes the intake and ends the process, which has so long for answers that are still being written.
-func (g *Proxy) finishShutdown(left time.Duration, why string) {
-	g.acceptingStopped = true
-	g.emit(statemachine.StopAccepting{TimeLeft: left})
-	g.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "stopping", To: "stopped", Reason: why})
-	g.emit(statemachine.Exit{})
+func (p *Proxy) finishShutdown(left time.Duration, why string) {
+	p.acceptingStopped = true
+	p.emit(statemachine.StopAccepting{TimeLeft: left})
+	p.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "stopping", To: "stopped", Reason: why})
+	p.emit(statemachine.Exit{})
 }
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -16,18 +16,18 @@
 
 // publishTargets follows a change of the targets: choices go by the new ones, and connections to
 // others go.
-func (g *Proxy) publishTargets(now time.Duration) {
-	g.reindex(now)
+func (p *Proxy) publishTargets(now time.Duration) {
+	p.reindex(now)
 	live := map[wire.TargetID]string{}
-	for id, t := range g.targets {
+	for id, t := range p.targets {
 		live[id] = t.Addr
 	}
-	g.emit(statemachine.TargetsChanged{Addresses: live, Limits: g.configuration.Limits})
+	p.emit(statemachine.TargetsChanged{Addresses: live, Limits: p.configuration.Limits})
 }
 
 // fullTable is a table with all that it leaves out because this proxy has it, nil if it has not.
-func (g *Proxy) fullTable(t *wire.Table) *wire.Table {
-	old, w := g.table, *t
+func (p *Proxy) fullTable(t *wire.Table) *wire.Table {
+	old, w := p.table, *t
 	if len(t.Document) == 0 {
 		if old == nil || old.Key.Epoch != t.Key.Epoch || old.Revision != t.Revision || len(t.State) == 0 && old.StateIndex != t.StateIndex {
 			return nil
@@ -67,14 +67,14 @@
 }
 
 // isLoadUpdate says that a change to the table tells only what nothing is dealt by, such as demand.
-func (g *Proxy) isLoadUpdate(now time.Duration, t *wire.Table) bool {
-	if t.DeltaBase == (wire.TableKey{}) || len(t.Document)+len(t.State)+len(t.Proxies)+len(t.RemovedTargets) > 0 || !slices.Equal(t.EmptiedDomains, g.table.EmptiedDomains) || !slices.Equal(t.PreviousProxies, g.table.PreviousProxies) ||
-		len(g.targets) != len(g.table.Targets) {
+func (p *Proxy) isLoadUpdate(now time.Duration, t *wire.Table) bool {
+	if t.DeltaBase == (wire.TableKey{}) || len(t.Document)+len(t.State)+len(t.Proxies)+len(t.RemovedTargets) > 0 || !slices.Equal(t.EmptiedDomains, p.table.EmptiedDomains) || !slices.Equal(t.PreviousProxies, p.table.PreviousProxies) ||
+		len(p.targets) != len(p.table.Targets) {
 		return false
 	}
 	for i := range t.Targets {
 		w := t.Targets[i]
-		o := g.targets[w.ID()]
+		o := p.targets[w.ID()]
 		if o == nil {
 			return false
 		}
@@ -83,8 +83,8 @@
 			return false
 		}
 	}
-	for i := range g.table.Targets { // and no later start stands here in the place of one
-		if g.targets[g.table.Targets[i].ID()] == nil {
+	for i := range p.table.Targets { // and no later start stands here in the place of one
+		if p.targets[p.table.Targets[i].ID()] == nil {
 			return false
 		}
 	}
@@ -92,10 +92,10 @@
 }
 
 // applyTable puts a later table in force; an earlier one never replaces a later.
-func (g *Proxy) applyTable(now time.Duration, t *wire.Table) bool {
-	if g.table != nil && !g.table.Key.Less(t.Key) {
-		if t.Key.Less(g.table.Key) {
-			g.Counts.StaleTables++
+func (p *Proxy) applyTable(now time.Duration, t *wire.Table) bool {
+	if p.table != nil && !p.table.Key.Less(t.Key) {
+		if t.Key.Less(p.table.Key) {
+			p.Counts.StaleTables++
 		}
 		return false
 	}
@@ -107,41 +107,41 @@
 		}
 	}
 	said := t
-	if t = g.fullTable(t); t == nil {
+	if t = p.fullTable(t); t == nil {
 		return false // said to an earlier process of this name, or long ago: the next pull asks for all
 	}
-	if g.table == nil || g.table.Key.Epoch != t.Key.Epoch || t.Revision != g.revision || len(g.configuration.Services) == 0 {
+	if p.table == nil || p.table.Key.Epoch != t.Key.Epoch || t.Revision != p.revision || len(p.configuration.Services) == 0 {
 		cfg, err := readConfiguration(t)
 		if err != nil {
-			g.rejectTable(t, err)
+			p.rejectTable(t, err)
 			return false
 		}
-		if t.Revision != g.revision {
-			g.emit(statemachine.StateChange{Subject: statemachine.SubjectRevision, From: fmt.Sprint(g.revision), To: fmt.Sprint(t.Revision), Reason: fmt.Sprintf("table %v", t.Key)})
+		if t.Revision != p.revision {
+			p.emit(statemachine.StateChange{Subject: statemachine.SubjectRevision, From: fmt.Sprint(p.revision), To: fmt.Sprint(t.Revision), Reason: fmt.Sprintf("table %v", t.Key)})
 		}
-		g.configuration, g.revision = cfg, t.Revision
-		g.resetRoutes()
+		p.configuration, p.revision = cfg, t.Revision
+		p.resetRoutes()
 	}
-	g.Counts.Tables++
-	if g.isLoadUpdate(now, said) {
-		g.table = t
+	p.Counts.Tables++
+	if p.isLoadUpdate(now, said) {
+		p.table = t
 		for _, w := range said.Targets {
-			g.targets[w.ID()].Target = w
+			p.targets[w.ID()].Target = w
 		}
-		g.processQueues(now)
+		p.processQueues(now)
 		return true
 	}
-	g.table = t
+	p.table = t
 	next := map[wire.TargetID]*targetState{}
 	for _, w := range t.Targets {
 		id := w.ID()
-		n := g.targets[id]
+		n := p.targets[id]
 		if n != nil && changed != nil && !changed[id] {
 			next[id] = n // nothing new is said of it
 			continue
 		}
 		if n == nil {
-			n = &targetState{newToFleet: g.state == Leased}
+			n = &targetState{newToFleet: p.state == Leased}
 		}
 		was := n.ejectedUntil > now
 		if n.State == config.Warming && w.State == config.Ready {
@@ -155,14 +155,14 @@
 		} else if was {
 			n.reinstatedAt = now
 		}
-		if g.leavingSince[id] != 0 || w.Draining {
+		if p.leavingSince[id] != 0 || w.Draining {
 			n.leaving = true
 		}
 		next[id] = n
 	}
-	g.targets = next
-	maps.DeleteFunc(g.leavingSince, func(id wire.TargetID, at time.Duration) bool { return next[id] == nil && now-at > tuning.TombstoneKeep })
-	g.publishTargets(now)
-	g.processQueues(now)
+	p.targets = next
+	maps.DeleteFunc(p.leavingSince, func(id wire.TargetID, at time.Duration) bool { return next[id] == nil && now-at > tuning.TombstoneKeep })
+	p.publishTargets(now)
+	p.processQueues(now)
 	return true
 }
--- a/internal/dataplane/unsound.go
+++ b/internal/dataplane/unsound.go
@@ -36,12 +36,12 @@
 
 // rejectTable counts an unsound table and reports its configuration once, however often the
 // leader sends it.
-func (g *Proxy) rejectTable(t *wire.Table, err error) {
-	g.Counts.InvalidTables++
+func (p *Proxy) rejectTable(t *wire.Table, err error) {
+	p.Counts.InvalidTables++
 	document := invalidDocument{t.Key.Epoch, t.Revision}
-	if document == g.reportedInvalid {
+	if document == p.reportedInvalid {
 		return
 	}
-	g.reportedInvalid = document
-	g.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: fmt.Sprintf("table %v, revision %d", t.Key, t.Revision), Reason: err.Error()})
+	p.reportedInvalid = document
+	p.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: fmt.Sprintf("table %v, revision %d", t.Key, t.Revision), Reason: err.Error()})
 }
--- a/internal/dataplane/view.go
+++ b/internal/dataplane/view.go
@@ -43,12 +43,12 @@
 }
 
 // View returns the proxy's state as operators may read it.
-func (g *Proxy) View(now time.Duration) View {
-	v := View{Name: g.settings.Self.Name, State: g.state.String(), Ready: g.table != nil && g.Ready(), Leader: g.leader(now),
-		Revision: g.revision, InFlight: len(g.requests), Counts: g.Counts, Targets: []TargetView{}}
-	for _, n := range slices.Sorted(maps.Keys(g.configuration.Objectives)) {
-		a := ObjectiveView{Name: n, Objective: g.configuration.Objectives[n]}
-		if t := g.objectives[n]; t != nil {
+func (p *Proxy) View(now time.Duration) View {
+	v := View{Name: p.settings.Self.Name, State: p.state.String(), Ready: p.table != nil && p.Ready(), Leader: p.leader(now),
+		Revision: p.revision, InFlight: len(p.requests), Counts: p.Counts, Targets: []TargetView{}}
+	for _, n := range slices.Sorted(maps.Keys(p.configuration.Objectives)) {
+		a := ObjectiveView{Name: n, Objective: p.configuration.Objectives[n]}
+		if t := p.objectives[n]; t != nil {
 			for _, m := range t.minutes {
 				if int(now/time.Minute)-m.minute < a.WindowMinutes {
 					a.Good, a.Total = a.Good+m.good, a.Total+m.all
@@ -57,12 +57,12 @@
 		}
 		v.Objectives = append(v.Objectives, a)
 	}
-	if g.table != nil {
-		v.Table = g.table.Key
-		for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.TargetID.Compare) {
-			t := g.targets[id]
-			tv := TargetView{Target: t.Target, InFlight: t.inFlight, Capacity: g.capacity(now, t, g.configuration.Services[t.Service])}
-			if s := g.services[t.Service]; s != nil && s.reportsSlots {
+	if p.table != nil {
+		v.Table = p.table.Key
+		for _, id := range slices.SortedFunc(maps.Keys(p.targets), wire.TargetID.Compare) {
+			t := p.targets[id]
+			tv := TargetView{Target: t.Target, InFlight: t.inFlight, Capacity: p.capacity(now, t, p.configuration.Services[t.Service])}
+			if s := p.services[t.Service]; s != nil && s.reportsSlots {
 				tv.Capacity = t.quota
 			}
 			tv.Draining = t.Draining || t.leaving
