--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/api.go
@@ -29,7 +29,7 @@
 func (c *Controller) handleCall(now time.Duration, e statemachine.Call) {
 	p := &pendingCall{token: e.Token, callID: e.ID, receivedAt: now}
 	if c.exited {
-		c.answer(p, noLeader())
+		c.answer(p, noLeaderReply())
 		return
 	}
 	word := wire.Target{}
@@ -53,7 +53,7 @@
 		p.token = id
 	}
 	if c.leadership == Leading {
-		c.operate(now, p, &wire.Call{Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body})
+		c.executeCall(now, p, &wire.Call{Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body})
 		return
 	}
 	l := ""
@@ -63,7 +63,7 @@
 	if p.targetReport && !targetreport.IsLeaving(word) && l != "" {
 		c.handleHeartbeat(now, word, true)
 		if !c.reaches(now, l) {
-			c.answer(p, notPropagated()) // the leader may be heard and not hear: another daemon is to be told too
+			c.answer(p, notPropagatedReply()) // the leader may be heard and not hear: another daemon is to be told too
 			return
 		}
 		c.answer(p, targetreport.Acknowledgement(word))
@@ -71,7 +71,7 @@
 	}
 	waits := p.targetReport && c.leadership == Gathering
 	if !waits && (l == "" || l == c.settings.Self.Name || c.directory[l] == nil) {
-		c.answer(p, noLeader())
+		c.answer(p, noLeaderReply())
 		return
 	}
 	c.lastRelayID++
@@ -102,9 +102,9 @@
 	return n, err == nil
 }
 
-func (c *Controller) operate(now time.Duration, p *pendingCall, a *wire.Call) {
+func (c *Controller) executeCall(now time.Duration, p *pendingCall, a *wire.Call) {
 	if c.leadership != Leading {
-		c.answer(p, noLeader())
+		c.answer(p, noLeaderReply())
 		return
 	}
 	if strings.HasPrefix(a.Path, "/v1/targets") && a.Method != "GET" {
@@ -150,24 +150,24 @@
 		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "config": c.state.Document})})
 	case call == "PUT config" && seg[2] == "":
 		if sum, ok := c.precheckChange(now, p, a, a.Body, "whole"); ok {
-			c.config(now, p, a.Body, "whole", sum)
+			c.proposeConfig(now, p, a.Body, "whole", sum)
 		}
 	case call == "PATCH config" && seg[2] == "":
-		c.patch(now, p, a, a.Body, "partial")
+		c.patchConfig(now, p, a, a.Body, "partial")
 	case call == "GET config" && seg[2] == "history":
 		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"changes": c.state.Records})})
 	case call == "GET config" && seg[2] == "diff":
-		c.diff(p, a)
+		c.answerDiff(p, a)
 	case call == "POST config" && seg[2] == "rollback":
 		to, ok := number(a.Query, "to")
-		doc := c.docAt(to)
+		doc := c.documentAt(to)
 		if !ok || doc == nil {
 			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, tuning.ChangesKept)}))
 			return
 		}
 		what := fmt.Sprintf("rollback to %d", to)
 		if sum, ok := c.precheckChange(now, p, a, []byte("{}"), what); ok {
-			c.config(now, p, unnumbered(doc), what, sum)
+			c.proposeConfig(now, p, withoutRevision(doc), what, sum)
 		}
 	case call == "GET changes":
 		if r := c.state.FindRecord(seg[2]); r != nil {
@@ -184,9 +184,9 @@
 	case call == "GET policies":
 		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "policies": c.policyStats(now), "since_ms": (now - c.leadershipSince).Milliseconds()})})
 	case call == "PUT policies":
-		c.patch(now, p, a, patchOf(seg[2], a.Body), "policy "+seg[2])
+		c.patchConfig(now, p, a, policyPatch(seg[2], a.Body), "policy "+seg[2])
 	case call == "DELETE policies":
-		c.patch(now, p, a, patchOf(seg[2], []byte("null")), "policy "+seg[2]+" removed")
+		c.patchConfig(now, p, a, policyPatch(seg[2], []byte("null")), "policy "+seg[2]+" removed")
 	case call == "GET domains":
 		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"emptied": append([]string{}, c.state.EmptiedDomains...), "domains": c.failureDomains()})})
 	case call == "POST domains" && (seg[3] == "empty" || seg[3] == "restore"):
@@ -194,7 +194,7 @@
 			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
 			return
 		}
-		c.change(now, p, state.Command{Operation: state.Operation(seg[3]), Name: seg[2]})
+		c.proposeChange(now, p, state.Command{Operation: state.Operation(seg[3]), Name: seg[2]})
 	case call == "POST gates" && seg[3] == "forget":
 		if !c.isProxyMember(seg[2]) {
 			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "no such proxy in the roster"}))
@@ -204,7 +204,7 @@
 			c.answer(p, reply.Problem(409, config.ErrorBody{Code: "alive", Message: "that proxy is still asking for its table"}))
 			return
 		}
-		c.change(now, p, state.Command{Operation: state.OpForgetProxy, Name: seg[2]})
+		c.proposeChange(now, p, state.Command{Operation: state.OpForgetProxy, Name: seg[2]})
 	case call == "POST core" && (seg[3] == "add" || seg[3] == "remove"):
 		c.changeMember(now, p, seg[2], seg[3])
 	default:
@@ -212,7 +212,7 @@
 	}
 }
 
-func (c *Controller) change(now time.Duration, p *pendingCall, o state.Command) bool {
+func (c *Controller) proposeChange(now time.Duration, p *pendingCall, o state.Command) bool {
 	o.Token = p.token
 	if c.node.UncommittedBytes() > tuning.ProposedBytesMax {
 		c.answer(p, reply.Problem(503, config.ErrorBody{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
@@ -240,7 +240,7 @@
 			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "no core daemon of that name has been heard"}))
 			return
 		}
-		c.change(now, p, state.Command{Operation: state.OpAddMember, Name: name})
+		c.proposeChange(now, p, state.Command{Operation: state.OpAddMember, Name: name})
 	case i < 0:
 		c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: name + " is no member"}))
 	case len(ms) == 1 || !c.node.CanChangeMembers():
@@ -249,7 +249,7 @@
 		c.answer(p, reply.Problem(503, config.ErrorBody{Code: "leading", Message: name + " leads; it hands leadership over first and nothing was changed; ask again"}))
 		c.node.TransferLeadership(now)
 	default:
-		if c.change(now, p, state.Command{Operation: state.OpRemoveMember, Name: name}) && c.node.CanChangeMembers() {
+		if c.proposeChange(now, p, state.Command{Operation: state.OpRemoveMember, Name: name}) && c.node.CanChangeMembers() {
 			c.node.ProposeMembers(now, slices.Delete(slices.Clone(ms), i, i+1))
 		}
 	}
--- a/internal/controlplane/configcall.go
+++ b/internal/controlplane/configapi.go
@@ -21,14 +21,14 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func patchOf(name string, doc []byte) []byte {
+func policyPatch(name string, doc []byte) []byte {
 	if !json.Valid(doc) {
 		return doc
 	}
 	return reply.Body(map[string]any{"policies": map[string]json.RawMessage{name: doc}})
 }
 
-func unnumbered(doc []byte) []byte {
+func withoutRevision(doc []byte) []byte {
 	d, err := config.WithoutRevision(doc)
 	if err != nil {
 		panic(errors.Wrap(err, "an agreed document"))
@@ -41,7 +41,7 @@
 // call: its kind, its base and what its body says.
 func (c *Controller) precheckChange(now time.Duration, p *pendingCall, a *wire.Call, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
 	if len(text) > tuning.DocumentMax {
-		c.answer(p, tooLarge())
+		c.answer(p, tooLargeReply())
 		return nil, false
 	}
 	b, named := number(a.Query, "base")
@@ -66,7 +66,7 @@
 		c.answerUnknown(p)
 	default:
 		c.counts.Rejected++
-		c.answer(p, c.staleBase(p.token))
+		c.answer(p, c.staleBaseReply(p.token))
 	}
 	return nil, false
 }
@@ -75,10 +75,10 @@
 // which holds it, is in force.
 func (c *Controller) answerWhenInForce(now time.Duration, p *pendingCall, revision uint64) {
 	c.counts.RepeatsAnswered++
-	c.waiters = append(c.waiters, &inForceWaiter{version: c.tableVersion, waitingSince: now, call: p, reply: accepted(p.token, revision)})
+	c.waiters = append(c.waiters, &inForceWaiter{version: c.tableVersion, waitingSince: now, call: p, reply: acceptedReply(p.token, revision)})
 }
 
-func (c *Controller) patch(now time.Duration, p *pendingCall, a *wire.Call, patch []byte, what string) {
+func (c *Controller) patchConfig(now time.Duration, p *pendingCall, a *wire.Call, patch []byte, what string) {
 	sum, ok := c.precheckChange(now, p, a, patch, what)
 	if !ok {
 		return
@@ -91,20 +91,20 @@
 			doc, faults, err = n.Apply(c.state.Document)
 		}
 		if err != nil || len(faults) > 0 {
-			c.refuseInvalid(p, faults, err)
+			c.rejectInvalid(p, faults, err)
 			return
 		}
-	} else if doc, err = config.MergePatch(unnumbered(c.state.Document), patch); err != nil {
-		c.refuseInvalid(p, nil, err)
+	} else if doc, err = config.MergePatch(withoutRevision(c.state.Document), patch); err != nil {
+		c.rejectInvalid(p, nil, err)
 		return
 	}
-	c.config(now, p, doc, what, sum)
+	c.proposeConfig(now, p, doc, what, sum)
 }
 
-// config proposes a whole configuration on the present revision.
-func (c *Controller) config(now time.Duration, p *pendingCall, doc []byte, what string, sum *state.ChangeDigest) {
+// proposeConfig proposes a whole configuration on the present revision.
+func (c *Controller) proposeConfig(now time.Duration, p *pendingCall, doc []byte, what string, sum *state.ChangeDigest) {
 	if len(doc) > tuning.DocumentMax {
-		c.answer(p, tooLarge())
+		c.answer(p, tooLargeReply())
 		return
 	}
 	cfg, faults, err := outlier.ParseConfig(doc)
@@ -112,19 +112,19 @@
 		faults = append(faults, config.Fault{Path: "revision", Text: fmt.Sprintf("not above the present %d", c.state.Revision)})
 	}
 	if err != nil || len(faults) > 0 {
-		c.refuseInvalid(p, faults, err)
+		c.rejectInvalid(p, faults, err)
 		return
 	}
 	var b bytes.Buffer
 	if json.Compact(&b, doc) != nil {
 		panic("a checked document is JSON")
 	}
-	if c.change(now, p, state.Command{Operation: state.OpConfigure, Base: c.state.Revision, Document: b.Bytes(), Description: what, RequestedRevision: cfg.Revision, Digest: sum}) {
+	if c.proposeChange(now, p, state.Command{Operation: state.OpConfigure, Base: c.state.Revision, Document: b.Bytes(), Description: what, RequestedRevision: cfg.Revision, Digest: sum}) {
 		c.lastCheckedConfig = checkedConfig{b.Bytes(), cfg}
 	}
 }
 
-func (c *Controller) docAt(rev uint64) json.RawMessage {
+func (c *Controller) documentAt(rev uint64) json.RawMessage {
 	for _, r := range c.state.Records {
 		if r.Revision == rev && r.Document != nil {
 			return r.Document
@@ -133,10 +133,10 @@
 	return nil
 }
 
-func (c *Controller) diff(p *pendingCall, a *wire.Call) {
+func (c *Controller) answerDiff(p *pendingCall, a *wire.Call) {
 	from, _ := number(a.Query, "from")
 	to, _ := number(a.Query, "to")
-	x, y := c.docAt(from), c.docAt(to)
+	x, y := c.documentAt(from), c.documentAt(to)
 	if from == 0 {
 		x = json.RawMessage(`{}`)
 	}
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -75,20 +75,20 @@
 	sortedDaemonNames     []string // those in the directory, as last sorted
 	visibleFounders       string   // who could found, as last looked at, and since when
 	visibleFoundersSince  time.Duration
-	proxyRecoveredStates  map[string]proxyMemory // what proxies said that they remember
-	unreadRecoveredStates map[string][]byte      // the same as they sent it, not looked at yet
+	proxyRecoveredStates  map[string]proxyRecoveredState // what proxies said that they remember
+	unreadRecoveredStates map[string][]byte              // the same as they sent it, not looked at yet
 	recoveryConsent       discovery.RecoveryConsent
 	bootstrapLockSeq      uint64 // batch that has the lock; it is told to nobody before that is synced
 	syncedSeq             uint64
-	leaderHint            string                   // who leads, as last heard of
-	bootstrapSize         int                      // of the first core, if this process may found it
-	peerContacts          map[string]heard         // other core daemons, as last heard
-	membersReviewedAt     time.Duration            // when the members were last looked after
-	memberChangePending   bool                     // a change of members may be under way
-	sentDirectories       map[string]toldList      // what daemons were last told of those known
-	learners              map[string]learning      // how learners come on
-	standbySince          map[string]time.Duration // since when standbys are there
-	batchOffset           uint64                   // number of the last founding batch; a node's batches count on from it
+	leaderHint            string                     // who leads, as last heard of
+	bootstrapSize         int                        // of the first core, if this process may found it
+	peerContacts          map[string]contact         // other core daemons, as last heard
+	membersReviewedAt     time.Duration              // when the members were last looked after
+	memberChangePending   bool                       // a change of members may be under way
+	sentDirectories       map[string]sentDirectory   // what daemons were last told of those known
+	learners              map[string]learnerProgress // how learners come on
+	standbySince          map[string]time.Duration   // since when standbys are there
+	batchOffset           uint64                     // number of the last founding batch; a node's batches count on from it
 	stopping              bool
 	exited                bool // it stopped, and has asked for its process's end: it takes no more calls
 	stoppingSince         time.Duration
@@ -196,8 +196,8 @@
 // New starts a member from what its disk holds; a disk without a number yet is
 // given the shell's.
 func New(now time.Duration, set Settings, img consensus.PersistentState) *Controller {
-	c := &Controller{settings: set, image: img, startedAt: now, directory: discovery.Directory{}, proxyRecoveredStates: map[string]proxyMemory{}, unreadRecoveredStates: map[string][]byte{}, proxies: map[string]*proxyState{},
-		pendingChanges: map[string]*pendingCall{}, relayedCalls: map[uint64]*pendingCall{}, requestedMembers: map[string]bool{}, peerContacts: map[string]heard{}, sentDirectories: map[string]toldList{}, learners: map[string]learning{}, domainRestoredAt: map[string]time.Duration{}, state: state.New(), lastRelayID: set.Self.Incarnation << 20}
+	c := &Controller{settings: set, image: img, startedAt: now, directory: discovery.Directory{}, proxyRecoveredStates: map[string]proxyRecoveredState{}, unreadRecoveredStates: map[string][]byte{}, proxies: map[string]*proxyState{},
+		pendingChanges: map[string]*pendingCall{}, relayedCalls: map[uint64]*pendingCall{}, requestedMembers: map[string]bool{}, peerContacts: map[string]contact{}, sentDirectories: map[string]sentDirectory{}, learners: map[string]learnerProgress{}, domainRestoredAt: map[string]time.Duration{}, state: state.New(), lastRelayID: set.Self.Incarnation << 20}
 	c.settings.Self.Disk = img.Disk
 	switch {
 	case set.BootstrapSize > 0:
@@ -239,7 +239,7 @@
 	case statemachine.Synced:
 		c.handleSynced(now, e.Seq)
 	case statemachine.DiskHealth:
-		c.diskRefuses(e.Err)
+		c.recordDiskHealth(e.Err)
 	case statemachine.ProbeResult:
 		c.handleProbeResult(now, e)
 	case statemachine.Call:
@@ -309,12 +309,12 @@
 
 func (c *Controller) tick(now time.Duration) {
 	every := tuning.HelloEvery
-	if now-c.startedAt < tuning.HelloStartup && c.heardLeader(now) == "" {
+	if now-c.startedAt < tuning.HelloStartup && c.activeLeader(now) == "" {
 		every = tuning.PreVoteInterval // members that start together know no one's address yet
 	}
 	if now-c.lastHelloAt >= every {
 		c.lastHelloAt = now
-		c.hello(now)
+		c.sendHellos(now)
 		c.recordBootstrapIntent()
 		for n, k := range c.directory {
 			if now-k.LastContact > tuning.DaemonExpiry {
@@ -346,14 +346,14 @@
 		case c.leadership == Leading:
 			delete(c.relayedCalls, id)
 			p.relayCount++
-			c.operate(now, p, p.call)
+			c.executeCall(now, p, p.call)
 		case l != "" && l != c.settings.Self.Name && (l != p.relayedTo || c.Term() != p.relayedTerm || p.targetReport && now-p.relayedAt > tuning.TargetReportRetry):
 			c.relay(now, id, p, l) // under its id a change is made once, whoever hears it how often
 		}
 	}
 	c.tickWaiters(now)
 	if c.stopping {
-		c.tickStop(now)
+		c.tickShutdown(now)
 	}
 	c.maintainMembers(now)
 	if c.leadership >= Gathering {
--- a/internal/controlplane/corestatus.go
+++ b/internal/controlplane/corestatus.go
@@ -151,9 +151,9 @@
 			listed[v.Name] = true
 		}
 	}
-	for _, d := range c.coreDaemons(now, true) {
+	for _, d := range c.controlDaemons(now, true) {
 		if !listed[d.Name] && d.Disk != 0 && d.State != stoppingState && c.state.RemovedMembers[d.Name] == 0 {
-			l = append(l, MemberView{Name: d.Name, Domain: d.Domain, State: MemberStandby, NoContactMs: c.silentFor(now, d.Name).Milliseconds()})
+			l = append(l, MemberView{Name: d.Name, Domain: d.Domain, State: MemberStandby, NoContactMs: c.sinceLastContact(now, d.Name).Milliseconds()})
 		}
 	}
 	return l
@@ -168,7 +168,7 @@
 		v.State, v.Domain = MemberPlaceholder, ""
 	case name == c.settings.Self.Name:
 		v.State = MemberLeader
-	case c.peerContacts[name].stops:
+	case c.peerContacts[name].stopping:
 		v.State = MemberStopping
 	case !p.RecentlyActive:
 		v.State = MemberUnresponsive
@@ -186,7 +186,7 @@
 // noContactFor is how long a daemon has neither answered the log nor said hello, as far
 // as this process and this lead have listened.
 func (c *Controller) noContactFor(now time.Duration, p consensus.ReplicaProgress) time.Duration {
-	return now - max(c.peerContacts[p.Member.Name].at, p.AckedAt, c.startedAt)
+	return now - max(c.peerContacts[p.Member.Name].lastAt, p.AckedAt, c.startedAt)
 }
 
 // countsTowardsQuorum says that a voter would be part of the next majority: it answers, is not
--- a/internal/controlplane/damage.go
+++ b/internal/controlplane/damage.go
@@ -48,15 +48,15 @@
 	c.recoveredState = l
 }
 
-// canAdopt says that an epoch may begin with what has been recovered: never with nothing
+// canRecover says that an epoch may begin with what has been recovered: never with nothing
 // while somebody remembers something unreadable, unless an operator says so.
-func (c *Controller) canAdopt() bool {
+func (c *Controller) canRecover() bool {
 	return len(c.recoveredState.State) > 0 || !c.unreadableRecoveredState || c.emptyStateAllowed
 }
 
-// diskRefuses notes that the disk takes no writes, or does again. What follows from that is
+// recordDiskHealth notes that the disk takes no writes, or does again. What follows from that is
 // the node's: a leader whose sync hangs steps down, and nothing is acknowledged.
-func (c *Controller) diskRefuses(err error) {
+func (c *Controller) recordDiskHealth(err error) {
 	was := c.diskError
 	if c.diskError = ""; err != nil {
 		c.diskError = err.Error()
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -16,11 +16,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// heard is what is kept of a core daemon after its silence.
-type heard struct {
-	at     time.Duration
-	domain string
-	stops  bool // it said that it stops, so it is to come back
+// contact is what is kept of a core daemon after its silence.
+type contact struct {
+	lastAt   time.Duration
+	domain   string
+	stopping bool // it said that it stops, so it is to come back
 	// repliedAt is when it last answered a hello: then it heard this daemon, and not only
 	// this daemon it.
 	repliedAt time.Duration
@@ -56,7 +56,7 @@
 }
 
 // led is the leader that this member hears or is, "" if there is none.
-func (c *Controller) heardLeader(now time.Duration) string {
+func (c *Controller) activeLeader(now time.Duration) string {
 	if c.node == nil || c.abstains() || !c.node.HasLeader(now) {
 		return ""
 	}
@@ -66,7 +66,7 @@
 // leader is where calls and words are passed on to: who leads, as heard from it or, by
 // a daemon that no leader speaks to, from those to whom one does.
 func (c *Controller) leader(now time.Duration) string {
-	if l := c.heardLeader(now); l != "" {
+	if l := c.activeLeader(now); l != "" {
 		return l
 	}
 	if !c.isNonVoter() {
@@ -78,14 +78,14 @@
 // relayTo is whom a call may be passed on to again: a member's only while it is heard.
 func (c *Controller) relayTo(now time.Duration) string {
 	if !c.isNonVoter() {
-		return c.heardLeader(now)
+		return c.activeLeader(now)
 	}
 	return c.leader(now)
 }
 
 // hearer is one of those seen that hears a leader, "" if none does.
-func (c *Controller) whoHearsLeader(now time.Duration, all []wire.Daemon) string {
-	if c.heardLeader(now) != "" {
+func (c *Controller) daemonWithLeader(now time.Duration, all []wire.Daemon) string {
+	if c.activeLeader(now) != "" {
 		return c.settings.Self.Name
 	}
 	for _, d := range all {
@@ -97,14 +97,14 @@
 }
 
 // listed is when and in which state a daemon was last told the list of those known.
-type toldList struct {
-	at  time.Duration
-	sum uint64
+type sentDirectory struct {
+	sentAt time.Duration
+	digest uint64
 }
 
-// sortedDaemons are the names of the daemons known, in order. They are sorted again only when one
+// orderedDaemonNames are the names of the daemons known, in order. They are sorted again only when one
 // came or went, since they are asked for with each hello.
-func (c *Controller) sortedDaemons() []string {
+func (c *Controller) orderedDaemonNames() []string {
 	ok := len(c.sortedDaemonNames) == len(c.directory)
 	for i := 0; ok && i < len(c.sortedDaemonNames); i++ {
 		ok = c.directory[c.sortedDaemonNames[i]] != nil
@@ -124,7 +124,7 @@
 	if k != nil {
 		fmt.Fprint(h, k.Incarnation) // another process of its name has been told nothing
 	}
-	names := c.sortedDaemons()
+	names := c.orderedDaemonNames()
 	for _, n := range names {
 		if k := c.directory[n]; all || k.Kind == wire.ControlDaemon {
 			io.WriteString(h, n)
@@ -133,7 +133,7 @@
 			io.WriteString(h, " ")
 		}
 	}
-	if was, ok := c.sentDirectories[to]; ok && was.sum == h.Sum64() && now-was.at < tuning.ListEvery {
+	if was, ok := c.sentDirectories[to]; ok && was.digest == h.Sum64() && now-was.sentAt < tuning.ListEvery {
 		return nil
 	}
 	for _, n := range names {
@@ -141,20 +141,20 @@
 			l = append(l, k.Daemon)
 		}
 	}
-	c.sentDirectories[to] = toldList{now, h.Sum64()}
+	c.sentDirectories[to] = sentDirectory{now, h.Sum64()}
 	return l
 }
 
-// helloMsg is a hello to a daemon, "" if only its address is known.
-func (c *Controller) helloMsg(now time.Duration, to string, reply bool) *wire.Message {
-	h := &wire.Hello{Self: c.self(), Reply: reply, Daemons: c.directoryFor(now, to), Leader: c.heardLeader(now), BootstrapEpoch: c.lockedFor()}
+// helloTo is a hello to a daemon, "" if only its address is known.
+func (c *Controller) helloTo(now time.Duration, to string, reply bool) *wire.Message {
+	h := &wire.Hello{Self: c.self(), Reply: reply, Daemons: c.directoryFor(now, to), Leader: c.activeLeader(now), BootstrapEpoch: c.syncedLockEpoch()}
 	if c.node != nil {
 		h.Term = c.node.Term()
 	}
 	if k := c.directory[to]; k != nil && k.Kind != wire.ControlDaemon {
 		return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
 	}
-	m := c.lastMembers()
+	m := c.latestMembership()
 	h.Members, h.MembersEpoch, h.MembersIndex = m.Members, m.Epoch, m.Index
 	h.RecoveryConsent, h.LostMembers = c.recoveryConsent.Granted, c.recoveryConsent.LostMembers
 	if c.node != nil && !c.state.Recovered {
@@ -163,28 +163,28 @@
 	return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
 }
 
-func (c *Controller) hello(now time.Duration) {
-	maps.DeleteFunc(c.sentDirectories, func(n string, _ toldList) bool { return n != "" && c.directory[n] == nil })
+func (c *Controller) sendHellos(now time.Duration) {
+	maps.DeleteFunc(c.sentDirectories, func(n string, _ sentDirectory) bool { return n != "" && c.directory[n] == nil })
 	done := map[string]bool{c.settings.Self.Addr: true}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
 		if k := c.directory[n]; k.Kind == wire.ControlDaemon && !done[k.Addr] {
 			done[k.Addr] = true
-			c.emit(statemachine.Send{Addr: k.Addr, Message: c.helloMsg(now, n, false)})
+			c.emit(statemachine.Send{Addr: k.Addr, Message: c.helloTo(now, n, false)})
 		}
 	}
 	for _, a := range c.settings.Seeds {
 		if !done[a] {
 			done[a] = true
 			delete(c.sentDirectories, "")
-			c.emit(statemachine.Send{Addr: a, Message: c.helloMsg(now, "", false)})
+			c.emit(statemachine.Send{Addr: a, Message: c.helloTo(now, "", false)})
 		}
 	}
 }
 
-func (c *Controller) coreDaemons(now time.Duration, fresh bool) []wire.Daemon {
+func (c *Controller) controlDaemons(now time.Duration, fresh bool) []wire.Daemon {
 	l := []wire.Daemon{c.self()}
 	for _, k := range c.directory {
-		if k.Kind == wire.ControlDaemon && (!fresh || c.heardLately(now, k.Name)) {
+		if k.Kind == wire.ControlDaemon && (!fresh || c.hadRecentContact(now, k.Name)) {
 			l = append(l, k.Daemon)
 		}
 	}
@@ -199,7 +199,7 @@
 	return name == c.settings.Self.Name || now-max(c.peerContacts[name].repliedAt, c.startedAt) < 4*tuning.HelloEvery
 }
 
-func (c *Controller) heardLately(now time.Duration, name string) bool {
+func (c *Controller) hadRecentContact(now time.Duration, name string) bool {
 	k := c.directory[name]
 	return name == c.settings.Self.Name || k != nil && now-k.LastContact < 4*tuning.HelloEvery
 }
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -81,7 +81,7 @@
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
-		c.emit(statemachine.Send{Addr: c.directory[n].Addr, Message: c.helloMsg(now, n, true)})
+		c.emit(statemachine.Send{Addr: c.directory[n].Addr, Message: c.helloTo(now, n, true)})
 	}
 }
 
@@ -109,7 +109,7 @@
 					c.addRecovered(l)
 				}
 			}
-			c.readMemories()
+			c.decodeProxyStates()
 			for _, n := range slices.Sorted(maps.Keys(c.proxyRecoveredStates)) {
 				c.addRecovered(c.proxyRecoveredStates[n].RecoveredState)
 			}
@@ -122,7 +122,7 @@
 	case Recovering:
 		if c.state.Recovered {
 			c.setLeadership(now, Gathering, "epoch's first state agreed")
-		} else if now-c.leadershipSince > tuning.RecoveryWait && !c.initialStateProposed && c.canAdopt() {
+		} else if now-c.leadershipSince > tuning.RecoveryWait && !c.initialStateProposed && c.canRecover() {
 			c.initialStateProposed = true
 			c.propose(now, state.Command{Operation: state.OpRecover, State: c.recoveredState.State})
 		}
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -15,11 +15,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// learning is a learner's progress.
-type learning struct {
-	since time.Duration // when it began to learn
-	match uint64
-	at    time.Duration // when it last came on
+// learnerProgress is a learner's progress.
+type learnerProgress struct {
+	since      time.Duration // when it began to learn
+	matchIndex uint64
+	advancedAt time.Duration // when it last came on
 }
 
 // memberReplaceAfter is how long a member is silent before a standby takes its place.
@@ -49,7 +49,7 @@
 		return
 	}
 	members := c.node.Members()
-	all := c.coreDaemons(now, true)
+	all := c.controlDaemons(now, true)
 	if c.replaceLostDisk(now, members, all) || c.admitRequested(now, members, all) {
 		return
 	}
@@ -118,9 +118,9 @@
 	return true
 }
 
-// silentFor is how long a member has not been heard. What was not heard before this
+// sinceLastContact is how long a member has not been heard. What was not heard before this
 // member led counts too, once it has led for long enough to hear everybody.
-func (c *Controller) silentFor(now time.Duration, name string) time.Duration {
+func (c *Controller) sinceLastContact(now time.Duration, name string) time.Duration {
 	if name == c.settings.Self.Name || now-c.node.RoleSince() < tuning.NewLeaderGrace {
 		return 0
 	}
@@ -128,7 +128,7 @@
 	if !ok {
 		return now - c.node.RoleSince()
 	}
-	return now - h.at
+	return now - h.lastAt
 }
 
 // hasResponsiveMajority says that a list of members has a majority that answers now.
@@ -202,9 +202,9 @@
 	case c.isStopping(m.Name):
 		return "it stops"
 	}
-	return fmt.Sprintf("silent for %v", c.silentFor(now, m.Name).Truncate(time.Second/10))
+	return fmt.Sprintf("silent for %v", c.sinceLastContact(now, m.Name).Truncate(time.Second/10))
 }
 
 func (c *Controller) isStopping(name string) bool {
-	return name == c.settings.Self.Name && c.stopping || c.peerContacts[name].stops
+	return name == c.settings.Self.Name && c.stopping || c.peerContacts[name].stopping
 }
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -30,15 +30,15 @@
 		}
 		c.directory.Merge(now, c.settings.Self.Name, m.Hello)
 		if d := m.Hello.Self; d.Kind == wire.ControlDaemon && d.Name != c.settings.Self.Name {
-			h := heard{at: now, domain: d.Domain, stops: d.State == stoppingState, repliedAt: c.peerContacts[d.Name].repliedAt}
+			h := contact{lastAt: now, domain: d.Domain, stopping: d.State == stoppingState, repliedAt: c.peerContacts[d.Name].repliedAt}
 			if m.Hello.Reply {
 				h.repliedAt = now
 			}
 			c.peerContacts[d.Name] = h
 		}
-		c.hearMemory(m)
+		c.recvRecoveredState(m)
 		if !m.Hello.Reply {
-			c.send(m.From, c.helloMsg(now, m.From, true))
+			c.send(m.From, c.helloTo(now, m.From, true))
 		}
 	case wire.KindVote, wire.KindAppend:
 		if m.Epoch < c.image.BootstrapEpoch {
@@ -46,13 +46,13 @@
 		}
 		if m.Append != nil && !m.Append.Reply && (c.node == nil || m.Epoch > c.node.Epoch()) {
 			// An empty member, or one of an older epoch that has been passed by, learns from a leader.
-			if m.Epoch == c.lockedFor() {
+			if m.Epoch == c.syncedLockEpoch() {
 				c.beginEpoch(now) // a founder that had not seen all the locks: what it remembers counts
 			} else {
-				c.join(now, m.Epoch)
+				c.joinEpoch(now, m.Epoch)
 			}
 		}
-		if c.node != nil && !c.declines(m) {
+		if c.node != nil && !c.declinesTransfer(m) {
 			c.node.Step(now, m)
 		}
 	case wire.KindPull:
@@ -79,6 +79,6 @@
 			}
 			return
 		}
-		c.operate(now, &pendingCall{token: m.Call.Token, receivedAt: now, relayedFrom: m.From, relayedFromID: m.Call.ID}, m.Call)
+		c.executeCall(now, &pendingCall{token: m.Call.Token, receivedAt: now, relayedFrom: m.From, relayedFromID: m.Call.ID}, m.Call)
 	}
 }
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -37,8 +37,8 @@
 	return c.node != nil && c.image.BootstrapEpoch > c.node.Epoch()
 }
 
-// lockedFor is the epoch of a lock that is on disk.
-func (c *Controller) lockedFor() uint64 {
+// syncedLockEpoch is the epoch of a lock that is on disk.
+func (c *Controller) syncedLockEpoch() uint64 {
 	if c.syncedSeq < c.bootstrapLockSeq {
 		return 0
 	}
@@ -46,54 +46,54 @@
 }
 
 // memory is what a proxy remembers, and the members that it names.
-type proxyMemory struct {
+type proxyRecoveredState struct {
 	state.RecoveredState
 	members discovery.Membership
 }
 
-// hearMemory takes what another daemon says that it remembers. A proxy's is long, and all proxies
+// recvRecoveredState takes what another daemon says that it remembers. A proxy's is long, and all proxies
 // tell theirs as soon as they lose a leader, so a member puts it by unread until nobody hears a
 // leader: it matters only where a core has to be founded.
-func (c *Controller) hearMemory(m *wire.Message) {
+func (c *Controller) recvRecoveredState(m *wire.Message) {
 	if len(m.Hello.RecoveredState) == 0 {
 		return
 	}
 	if m.Hello.Self.Kind == wire.ProxyDaemon {
 		c.unreadRecoveredStates[m.From] = m.Hello.RecoveredState
 		if c.node == nil || c.leadership == Recovering {
-			c.readMemories()
+			c.decodeProxyStates()
 		}
 		return
 	}
-	if l, ok := decodeMemory(m.Hello.RecoveredState); ok {
+	if l, ok := decodeRecoveredState(m.Hello.RecoveredState); ok {
 		c.addRecovered(l)
 	}
 }
 
-// readMemories reads what proxies have told.
-func (c *Controller) readMemories() {
+// decodeProxyStates reads what proxies have told.
+func (c *Controller) decodeProxyStates() {
 	for _, from := range slices.Sorted(maps.Keys(c.unreadRecoveredStates)) {
-		if l, ok := decodeMemory(c.unreadRecoveredStates[from]); ok {
+		if l, ok := decodeRecoveredState(c.unreadRecoveredStates[from]); ok {
 			c.addRecovered(l)
-			c.rememberProxy(from, l)
+			c.recordProxyState(from, l)
 		}
 	}
 	clear(c.unreadRecoveredStates)
 }
 
-// decodeMemory reads a state as hellos carry it.
-func decodeMemory(b []byte) (l state.RecoveredState, ok bool) {
+// decodeRecoveredState reads a state as hellos carry it.
+func decodeRecoveredState(b []byte) (l state.RecoveredState, ok bool) {
 	plain, err := wire.Decompress(b)
 	return l, err == nil && json.Unmarshal(plain, &l) == nil
 }
 
-// rememberProxy keeps what a proxy remembers. It says so again and again while it has no leader,
+// recordProxyState keeps what a proxy remembers. It says so again and again while it has no leader,
 // so only what is new is read.
-func (c *Controller) rememberProxy(from string, l state.RecoveredState) {
+func (c *Controller) recordProxyState(from string, l state.RecoveredState) {
 	if m := c.proxyRecoveredStates[from]; m.Epoch == l.Epoch && m.Term == l.Term && m.Index == l.Index && bytes.Equal(m.State, l.State) {
 		return
 	}
-	m := proxyMemory{RecoveredState: l}
+	m := proxyRecoveredState{RecoveredState: l}
 	if s, err := state.Decode(l.State); err != nil {
 		c.reportDamage("memory of proxy "+from, err)
 	} else if len(s.Members) > 0 {
@@ -102,8 +102,8 @@
 	c.proxyRecoveredStates[from] = m
 }
 
-// lastMembers is the latest list known here: its own, other members', or proxies'.
-func (c *Controller) lastMembers() (m discovery.Membership) {
+// latestMembership is the latest list known here: its own, other members', or proxies'.
+func (c *Controller) latestMembership() (m discovery.Membership) {
 	if c.node != nil && len(c.node.Members()) > 0 {
 		m = discovery.Membership{Epoch: c.node.Epoch(), Index: c.node.Commit(), Members: c.node.Members()}
 	}
@@ -121,20 +121,20 @@
 }
 
 // outlook is what can be said of the last core from those who are seen.
-type survivors struct {
-	last                       discovery.Membership
-	sized                      bool
-	places                     int // how many members a founding has
-	lostDisk, withDisk, unseen int // of the last members: disk gone, here with their disk and no later lock, not seen
+type membershipSurvey struct {
+	last                            discovery.Membership
+	fixedSize                       bool
+	size                            int // how many members a founding has
+	lostDisk, withDisk, unreachable int // of the last members: disk gone, here with their disk and no later lock, not seen
 }
 
-func (c *Controller) surveySurvivors(all []wire.Daemon, gone []string) survivors {
-	o := survivors{last: c.lastMembers(), sized: c.settings.BootstrapSize > 0}
-	o.places = cmp.Or(len(o.last.Members), c.bootstrapSize)
+func (c *Controller) surveyMembers(all []wire.Daemon, gone []string) membershipSurvey {
+	o := membershipSurvey{last: c.latestMembership(), fixedSize: c.settings.BootstrapSize > 0}
+	o.size = cmp.Or(len(o.last.Members), c.bootstrapSize)
 	for _, n := range gone {
 		if !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name == n }) &&
 			(len(o.last.Members) == 0 || slices.ContainsFunc(o.last.Members, func(m wire.Member) bool { return m.Name == n })) {
-			o.places--
+			o.size--
 		}
 	}
 	for _, m := range o.last.Members {
@@ -144,15 +144,15 @@
 		case i < 0 && slices.Contains(gone, m.Name) || i >= 0 && all[i].Disk != m.Disk:
 			o.lostDisk++
 		case i < 0:
-			o.unseen++
-		case c.foundingOf(m.Name) <= o.last.Epoch:
+			o.unreachable++
+		case c.bootstrapEpochOf(m.Name) <= o.last.Epoch:
 			o.withDisk++
 		}
 	}
 	return o
 }
 
-func (c *Controller) foundingOf(name string) uint64 {
+func (c *Controller) bootstrapEpochOf(name string) uint64 {
 	if name == c.settings.Self.Name {
 		return c.image.BootstrapEpoch
 	}
@@ -161,20 +161,22 @@
 
 // founders are those of the seen who may found: the last core's members by name,
 // or, if nobody remembers one, whoever says that it may found the first.
-func (o survivors) founders(all []wire.Daemon) []wire.Daemon {
+func (o membershipSurvey) eligibleFounders(all []wire.Daemon) []wire.Daemon {
 	return slices.DeleteFunc(slices.Clone(all), func(d wire.Daemon) bool {
 		if len(o.last.Members) == 0 {
-			return !o.sized && d.State != emptyState
+			return !o.fixedSize && d.State != emptyState
 		}
 		return !slices.ContainsFunc(o.last.Members, func(m wire.Member) bool { return m.Name == d.Name })
 	})
 }
 
 // elects says that the last core can go on by itself.
-func (o survivors) canElect() bool { return 2*o.withDisk > len(o.last.Members) }
+func (o membershipSurvey) canElect() bool { return 2*o.withDisk > len(o.last.Members) }
 
 // certain says that it can't decide, whatever those that are not seen still hold.
-func (o survivors) canNeverElect() bool { return 2*(o.withDisk+o.unseen) <= len(o.last.Members) }
+func (o membershipSurvey) canNeverElect() bool {
+	return 2*(o.withDisk+o.unreachable) <= len(o.last.Members)
+}
 
 func (c *Controller) operatorConsent(all []wire.Daemon) (refound bool, gone []string) {
 	for _, d := range all {
@@ -198,19 +200,19 @@
 	if c.recoveryConsent.Granted && now-c.recoveryConsent.GrantedAt > tuning.ConsentTTL {
 		c.recoveryConsent = discovery.RecoveryConsent{}
 	}
-	all := c.coreDaemons(now, true)
-	if c.lockedFor() > c.image.Epoch && c.completeBootstrap(now, all) {
+	all := c.controlDaemons(now, true)
+	if c.syncedLockEpoch() > c.image.Epoch && c.completeBootstrap(now, all) {
 		return
 	}
 	c.currentOffer = 0
-	if c.whoHearsLeader(now, all) != "" {
+	if c.daemonWithLeader(now, all) != "" {
 		c.visibleFounders = ""
 		return
 	}
-	c.readMemories()
+	c.decodeProxyStates()
 	refound, gone := c.operatorConsent(all)
-	o := c.surveySurvivors(all, gone)
-	all = o.founders(all)
+	o := c.surveyMembers(all, gone)
+	all = o.eligibleFounders(all)
 	var b strings.Builder
 	for _, d := range all {
 		fmt.Fprintf(&b, "%s %d ", d.Name, d.Disk)
@@ -218,11 +220,11 @@
 	if b.String() != c.visibleFounders {
 		c.visibleFounders, c.visibleFoundersSince = b.String(), now
 	}
-	if len(all) > o.places || 2*len(all) <= o.places || o.canElect() || !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name == c.settings.Self.Name }) {
+	if len(all) > o.size || 2*len(all) <= o.size || o.canElect() || !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name == c.settings.Self.Name }) {
 		return
 	}
-	offer, epoch, ms := c.bootstrapOffer(all, o.places)
-	if len(all) < o.places {
+	offer, epoch, ms := c.nextBootstrap(all, o.size)
+	if len(all) < o.size {
 		waited := now-c.visibleFoundersSince >= tuning.BootstrapWait && o.canNeverElect()
 		if !waited && !refound && !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name != c.settings.Self.Name && d.BootstrapOffer == offer }) {
 			return
@@ -248,9 +250,9 @@
 
 // founding is what those seen would found: the epoch after all that they know, or
 // the one that some of them have locked already for this very set.
-func (c *Controller) bootstrapOffer(all []wire.Daemon, places int) (offer, epoch uint64, ms []wire.Member) {
+func (c *Controller) nextBootstrap(all []wire.Daemon, places int) (offer, epoch uint64, ms []wire.Member) {
 	for _, d := range all {
-		epoch = max(epoch, d.Epoch, c.foundingOf(d.Name))
+		epoch = max(epoch, d.Epoch, c.bootstrapEpochOf(d.Name))
 		ms = append(ms, wire.Member{Name: d.Name, Disk: d.Disk})
 	}
 	for _, k := range c.directory {
@@ -343,7 +345,7 @@
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: "", To: fmt.Sprint(epoch), Reason: fmt.Sprintf("%d of %d members agreed to found", there, len(img.Founders))})
 }
 
-func (c *Controller) join(now time.Duration, epoch uint64) {
+func (c *Controller) joinEpoch(now time.Duration, epoch uint64) {
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: fmt.Sprint(c.image.Epoch), To: fmt.Sprint(epoch), Reason: "joined"})
 	c.node, c.currentOffer = nil, 0
 	c.image = consensus.PersistentState{Epoch: epoch, Disk: c.image.Disk}
@@ -360,13 +362,13 @@
 	no := func(code, f string, a ...any) statemachine.Reply {
 		return reply.Problem(409, config.ErrorBody{Code: code, Message: fmt.Sprintf(f, a...) + "; nothing was changed"})
 	}
-	if c.leadership == Recovering && !c.canAdopt() {
+	if c.leadership == Recovering && !c.canRecover() {
 		c.emptyStateAllowed = true
 		return statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"begins_empty": true})}
 	}
 	gone := strings.FieldsFunc(list, func(r rune) bool { return r == ',' })
-	all := c.coreDaemons(now, true)
-	if n := c.whoHearsLeader(now, all); n != "" {
+	all := c.controlDaemons(now, true)
+	if n := c.daemonWithLeader(now, all); n != "" {
 		return no("living", "%s hears a leader", n)
 	}
 	for _, n := range gone {
@@ -374,14 +376,14 @@
 			return no("alive", "%s was heard less than %v ago", n, tuning.DaemonExpiry)
 		}
 	}
-	o := c.surveySurvivors(all, gone)
-	all = o.founders(all)
+	o := c.surveyMembers(all, gone)
+	all = o.eligibleFounders(all)
 	switch {
-	case 2*len(all) <= o.places:
-		return no("may_live", "%d of %d machines are seen, and the others may be a living majority; name those that are gone for good", len(all), o.places)
+	case 2*len(all) <= o.size:
+		return no("may_live", "%d of %d machines are seen, and the others may be a living majority; name those that are gone for good", len(all), o.size)
 	case o.canElect():
 		return no("living", "%d of %d members are here with their disks and can elect a leader", o.withDisk, len(o.last.Members))
 	}
 	c.recoveryConsent = discovery.RecoveryConsent{Granted: true, LostMembers: gone, GrantedAt: now}
-	return statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"refounding": true, "seen": len(all), "lost": o.lostDisk, "not_seen": o.unseen})}
+	return statemachine.Reply{Status: 202, Body: reply.Body(map[string]any{"refounding": true, "seen": len(all), "lost": o.lostDisk, "not_seen": o.unreachable})}
 }
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -14,26 +14,26 @@
 
 // coreView is what the leader knows of the core's machines at one look.
 type coreView struct {
-	members  []wire.Member
-	healthy  []wire.Member // heard, and not stopping
-	silent   []wire.Member // not heard for too long, or places without a disk
-	leaving  []wire.Member // they said that they stop
-	standbys []wire.Daemon // heard, no members, and able to become members
-	stuck    []wire.Daemon // the same, but they learn and do not come on
-	removed  []wire.Daemon // they stand in an earlier list, and are to learn that they are out
+	members     []wire.Member
+	healthy     []wire.Member // heard, and not stopping
+	unreachable []wire.Member // not heard for too long, or places without a disk
+	stopping    []wire.Member // they said that they stop
+	standbys    []wire.Daemon // heard, no members, and able to become members
+	stalled     []wire.Daemon // the same, but they learn and do not come on
+	removed     []wire.Daemon // they stand in an earlier list, and are to learn that they are out
 }
 
 // lost are the members to be replaced; those that can't answer come first.
-func (v *coreView) lost() []wire.Member { return append(slices.Clone(v.silent), v.leaving...) }
+func (v *coreView) lost() []wire.Member { return append(slices.Clone(v.unreachable), v.stopping...) }
 
-func (c *Controller) viewCore(now time.Duration, members []wire.Member, all []wire.Daemon) *coreView {
+func (c *Controller) newCoreView(now time.Duration, members []wire.Member, all []wire.Daemon) *coreView {
 	v := &coreView{members: members}
 	for _, m := range members {
 		switch {
-		case m.Disk == 0 || c.silentFor(now, m.Name) > c.memberReplaceAfter():
-			v.silent = append(v.silent, m)
+		case m.Disk == 0 || c.sinceLastContact(now, m.Name) > c.memberReplaceAfter():
+			v.unreachable = append(v.unreachable, m)
 		case c.isStopping(m.Name):
-			v.leaving = append(v.leaving, m)
+			v.stopping = append(v.stopping, m)
 		default:
 			v.healthy = append(v.healthy, m)
 		}
@@ -47,8 +47,8 @@
 		}
 		switch {
 		case d.State == stoppingState || c.state.RemovedMembers[d.Name] != 0:
-		case c.isStuck(now, d):
-			v.stuck = append(v.stuck, d)
+		case c.isStalled(now, d):
+			v.stalled = append(v.stalled, d)
 		default:
 			v.standbys = append(v.standbys, d)
 		}
@@ -70,9 +70,9 @@
 	c.standbySince = since
 }
 
-// isStuck says that a learner has not come on for too long. It goes on learning, but
+// isStalled says that a learner has not come on for too long. It goes on learning, but
 // nothing waits for it.
-func (c *Controller) isStuck(now time.Duration, d wire.Daemon) bool {
+func (c *Controller) isStalled(now time.Duration, d wire.Daemon) bool {
 	m := wire.Member{Name: d.Name, Disk: d.Disk}
 	match, learns := c.node.Match(m)
 	if !learns {
@@ -83,25 +83,25 @@
 	if !known {
 		l.since = now
 	}
-	if !known || l.match != match || c.node.CaughtUp(now, m) {
-		c.learners[d.Name] = learning{l.since, match, now}
+	if !known || l.matchIndex != match || c.node.CaughtUp(now, m) {
+		c.learners[d.Name] = learnerProgress{l.since, match, now}
 		return false
 	}
-	return now-l.at > tuning.LearnerTimeout
+	return now-l.advancedAt > tuning.LearnerTimeout
 }
 
 // reconcileMembers takes the next step, if there is one: a lost member that the others
 // are better off without goes, a standby comes for a lost one, the core grows, or it is
 // spread over domains again.
 func (c *Controller) reconcileMembers(now time.Duration, members []wire.Member, all []wire.Daemon) {
-	v := c.viewCore(now, members, all)
-	if c.removeSpent(now, v) {
+	v := c.newCoreView(now, members, all)
+	if c.shrinkQuorum(now, v) {
 		return
 	}
-	old, standby, replaces := c.replacement(now, v)
+	old, standby, replaces := c.bestReplacement(now, v)
 	next, grows := c.nextMember(now, v)
 	if !replaces && !grows {
-		next, grows = c.rebalance(now, v)
+		next, grows = c.rebalanceCandidate(now, v)
 	}
 	learners := c.readyLearners(v)
 	if replaces {
@@ -110,26 +110,26 @@
 	if grows {
 		learners = append(learners, next)
 	}
-	c.keepLearners(learners, v.removed)
+	c.retainLearners(learners, v.removed)
 	switch {
 	case replaces:
-		c.replace(now, v, old, standby)
+		c.replaceMember(now, v, old, standby)
 	case grows:
 		c.admit(now, members, next)
 	default:
-		c.shrink(now, v)
+		c.removeSurplus(now, v)
 	}
 }
 
 // slack is how many more of the members that are not lost may go before no majority is
 // left, if a list has so many lost ones.
-func slack(members, lost int) int { return members - lost - (members/2 + 1) }
+func faultMargin(members, lost int) int { return members - lost - (members/2 + 1) }
 
-// removeSpent removes a lost member if fewer then make a majority.
-func (c *Controller) removeSpent(now time.Duration, v *coreView) bool {
+// shrinkQuorum removes a lost member if fewer then make a majority.
+func (c *Controller) shrinkQuorum(now time.Duration, v *coreView) bool {
 	n, lost := len(v.members), v.lost()
 	for _, m := range lost {
-		if m.Name != c.settings.Self.Name && slack(n-1, len(lost)-1) > slack(n, len(lost)) &&
+		if m.Name != c.settings.Self.Name && faultMargin(n-1, len(lost)-1) > faultMargin(n, len(lost)) &&
 			c.removeMember(now, v.members, m, c.lostReason(now, m)) {
 			return true
 		}
@@ -137,9 +137,9 @@
 	return false
 }
 
-// replacement is the lost member and the standby that make the best core together, as
+// bestReplacement is the lost member and the standby that make the best core together, as
 // if everybody were back; among equals the standby of the lost one's domain.
-func (c *Controller) replacement(now time.Duration, v *coreView) (old wire.Member, standby wire.Daemon, ok bool) {
+func (c *Controller) bestReplacement(now time.Duration, v *coreView) (old wire.Member, standby wire.Daemon, ok bool) {
 	var best []int
 	for _, m := range v.lost() {
 		left := namesOf(without(v.members, m))
@@ -165,10 +165,10 @@
 	return c.node.CaughtUp(now, wire.Member{Name: d.Name, Disk: d.Disk})
 }
 
-// replace lets a standby that has caught up take a lost member's place. One that
+// replaceMember lets a standby that has caught up take a lost member's place. One that
 // answers is removed after the standby is in, so that no step leaves fewer copies; one
 // that is silent is removed before, so that no step needs the newcomer's answer.
-func (c *Controller) replace(now time.Duration, v *coreView, old wire.Member, standby wire.Daemon) {
+func (c *Controller) replaceMember(now time.Duration, v *coreView, old wire.Member, standby wire.Daemon) {
 	switch {
 	case !c.caughtUp(now, standby):
 	case len(v.members) > 2 && !c.node.RecentlyActive(now, old):
@@ -181,7 +181,7 @@
 }
 
 // losses is how many core machines may be lost at once.
-func (c *Controller) losses() int { return max(c.settings.MachineLosses, 1) }
+func (c *Controller) toleratedLosses() int { return max(c.settings.MachineLosses, 1) }
 
 // nextMember is who should become a member next, beside those who stay: the first of
 // those who make the best core, one from the domain with the fewest at each step. A
@@ -190,7 +190,7 @@
 func (c *Controller) nextMember(now time.Duration, v *coreView) (next wire.Daemon, ok bool) {
 	list, free := namesOf(v.healthy), slices.Clone(v.standbys)
 	best, first := c.resilience(list), wire.Daemon{}
-	if best[0] == 1 && best[1] >= c.losses() {
+	if best[0] == 1 && best[1] >= c.toleratedLosses() {
 		free = slices.DeleteFunc(free, func(d wire.Daemon) bool { return now-c.standbySince[d.Name] < tuning.GrowAfter })
 	}
 	for len(list) < tuning.VotersMax && len(free) > 0 {
@@ -213,9 +213,9 @@
 	return next, ok
 }
 
-// rebalance is a standby that makes the core outlive more in the place of a healthy
+// rebalanceCandidate is a standby that makes the core outlive more in the place of a healthy
 // member.
-func (c *Controller) rebalance(_ time.Duration, v *coreView) (next wire.Daemon, ok bool) {
+func (c *Controller) rebalanceCandidate(_ time.Duration, v *coreView) (next wire.Daemon, ok bool) {
 	if len(v.healthy) < len(v.members) {
 		return next, false
 	}
@@ -234,7 +234,7 @@
 // shrink removes the member without whom the core outlives more, if there is one; and,
 // without a standby for it, a lost one whose return would add nothing, or that has been
 // silent for so long that it is not waited for any more.
-func (c *Controller) shrink(now time.Duration, v *coreView) {
+func (c *Controller) removeSurplus(now time.Duration, v *coreView) {
 	if len(v.healthy) == len(v.members) {
 		if m, ok := c.surplusMember(v.members); ok {
 			c.removeMember(now, v.members, m, "the others outlive as much without it")
@@ -243,14 +243,14 @@
 	}
 	late := 0
 	for _, m := range v.lost() {
-		if c.silentFor(now, m.Name) > tuning.MemberExpiry {
+		if c.sinceLastContact(now, m.Name) > tuning.MemberExpiry {
 			late++
 		}
 	}
-	for _, m := range v.silent {
+	for _, m := range v.unreachable {
 		with, left := c.resilience(append(namesOf(v.healthy), m.Name)), c.resilience(namesOf(v.healthy))
 		spent := slices.Compare(with[:], left[:]) <= 0
-		fewer := c.silentFor(now, m.Name) > tuning.MemberExpiry && (len(v.members)-late)/2 < len(v.members)/2
+		fewer := c.sinceLastContact(now, m.Name) > tuning.MemberExpiry && (len(v.members)-late)/2 < len(v.members)/2
 		if (spent || fewer) && c.removeMember(now, v.members, m, c.lostReason(now, m)) {
 			return
 		}
@@ -273,9 +273,9 @@
 // readyLearners are the standbys that are kept up to date before anybody is lost: as
 // many as may be lost at once, spread over domains.
 func (c *Controller) readyLearners(v *coreView) (ready []wire.Daemon) {
-	free := append(slices.Clone(v.standbys), v.stuck...)
+	free := append(slices.Clone(v.standbys), v.stalled...)
 	per := map[string]int{}
-	for len(ready) < c.losses() && len(free) > 0 {
+	for len(ready) < c.toleratedLosses() && len(free) > 0 {
 		d := slices.MinFunc(free, func(a, b wire.Daemon) int {
 			return cmp.Or(cmp.Compare(per[a.Domain], per[b.Domain]), cmp.Compare(a.Name, b.Name))
 		})
@@ -286,8 +286,8 @@
 	return ready
 }
 
-// keepLearners has these learn, and those that were removed until they know it.
-func (c *Controller) keepLearners(learners, removed []wire.Daemon) {
+// retainLearners has these learn, and those that were removed until they know it.
+func (c *Controller) retainLearners(learners, removed []wire.Daemon) {
 	keep := map[string]bool{}
 	for _, d := range append(learners, removed...) {
 		keep[d.Name] = true
--- a/internal/controlplane/reply.go
+++ b/internal/controlplane/reply.go
@@ -13,11 +13,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func accepted(token string, rev uint64) statemachine.Reply {
+func acceptedReply(token string, rev uint64) statemachine.Reply {
 	return statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"id": token, "revision": rev, "in_force": true})}
 }
 
-func (c *Controller) staleBase(token string) statemachine.Reply {
+func (c *Controller) staleBaseReply(token string) statemachine.Reply {
 	return reply.Problem(412, config.ErrorBody{Code: "stale", Revision: c.state.Revision, ID: token,
 		Message: fmt.Sprintf("built on another revision than the present %d; nothing was changed", c.state.Revision)})
 }
@@ -28,7 +28,7 @@
 		c.answerUnknown(p)
 		return
 	}
-	c.answer(p, c.staleBase(p.token))
+	c.answer(p, c.staleBaseReply(p.token))
 }
 
 func (c *Controller) answer(p *pendingCall, r statemachine.Reply) {
@@ -57,28 +57,28 @@
 
 func (c *Controller) answerUnknown(p *pendingCall) {
 	if p.targetReport {
-		c.answer(p, notPropagated())
+		c.answer(p, notPropagatedReply())
 		return
 	}
 	c.answer(p, reply.Problem(504, config.ErrorBody{Code: "unknown", Ran: "unknown", ID: p.token,
 		Message: "it cannot be told whether the change was agreed or is in force everywhere; ask for it by its id"}))
 }
 
-func noLeader() statemachine.Reply {
+func noLeaderReply() statemachine.Reply {
 	return reply.Problem(503, config.ErrorBody{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
 }
 
 // unheard promises nothing to a target that says it leaves or is gone: it is to tell
 // another daemon.
-func notPropagated() statemachine.Reply {
+func notPropagatedReply() statemachine.Reply {
 	return reply.Problem(503, config.ErrorBody{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
 }
 
-func tooLarge() statemachine.Reply {
+func tooLargeReply() statemachine.Reply {
 	return reply.Problem(413, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
 }
 
-func (c *Controller) refuseInvalid(p *pendingCall, faults []config.Fault, err error) {
+func (c *Controller) rejectInvalid(p *pendingCall, faults []config.Fault, err error) {
 	c.counts.Rejected++
 	if err != nil {
 		c.answer(p, reply.Problem(400, config.ErrorBody{Code: "not_json", Message: err.Error()}))
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -20,23 +20,23 @@
 		return
 	}
 	c.stopping, c.stoppingSince = true, now
-	c.hello(now)
-	c.handOver(now)
+	c.sendHellos(now)
+	c.transferLeadership(now)
 }
 
-// handOver gives leadership to the best of the other members that do not stop too, if
+// transferLeadership gives leadership to the best of the other members that do not stop too, if
 // there is one: two that stop would hand it to each other until both are gone.
-func (c *Controller) handOver(now time.Duration) {
+func (c *Controller) transferLeadership(now time.Duration) {
 	stays := func(m wire.Member) bool { return !c.isStopping(m.Name) }
 	if c.node != nil && c.node.TransferLeadershipTo(now, tuning.LeaderLease, stays) {
 		c.emit(statemachine.StateChange{Subject: statemachine.SubjectTransfer, From: c.settings.Self.Name, To: "", Reason: "stopping"})
 	}
 }
 
-// tickStop goes on with the end, and ends the process once nothing is left to hand over.
-func (c *Controller) tickStop(now time.Duration) {
+// tickShutdown goes on with the end, and ends the process once nothing is left to hand over.
+func (c *Controller) tickShutdown(now time.Duration) {
 	if c.node != nil && c.node.Role() == consensus.Leader && c.node.CanChangeMembers() {
-		c.handOver(now)
+		c.transferLeadership(now)
 	}
 	if c.mayExit(now) && !c.exited {
 		c.exited = true
@@ -72,7 +72,7 @@
 // hasStandby says that a core daemon is there that could take this member's place.
 func (c *Controller) hasStandby(now time.Duration) bool {
 	members := c.node.Members()
-	for _, d := range c.coreDaemons(now, true) {
+	for _, d := range c.controlDaemons(now, true) {
 		if d.Name != c.settings.Self.Name && d.Disk != 0 && d.State != stoppingState && c.state.RemovedMembers[d.Name] == 0 &&
 			!slices.Contains(namesOf(members), d.Name) {
 			return true
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -107,12 +107,12 @@
 		return
 	}
 	c.rebuildTable(now, true)
-	c.awaitForce(now, o, p, rev)
+	c.awaitInForce(now, o, p, rev)
 }
 
-// awaitForce has who asked for a change that is agreed wait until it is in force, and a change of the
+// awaitInForce has who asked for a change that is agreed wait until it is in force, and a change of the
 // roster until it is, whoever asked.
-func (c *Controller) awaitForce(now time.Duration, o state.Command, p *pendingCall, revision uint64) {
+func (c *Controller) awaitInForce(now time.Duration, o state.Command, p *pendingCall, revision uint64) {
 	version := c.tableVersion
 	if c.leadership != Leading {
 		version++ // the first table of a lead that goes on has it
@@ -123,7 +123,7 @@
 	}
 	if p != nil {
 		c.counts.ChangesInForce++
-		f.call, f.reply = p, accepted(p.token, revision)
+		f.call, f.reply = p, acceptedReply(p.token, revision)
 	}
 	if f.proxyChange || p != nil {
 		c.waiters = append(c.waiters, f)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -94,7 +94,7 @@
 func (c *Controller) daemonViews(now time.Duration) []DaemonView {
 	l := []DaemonView{}
 	ms := c.node.Members()
-	for _, d := range append(c.coreDaemons(now, false), c.proxyDaemons()...) {
+	for _, d := range append(c.controlDaemons(now, false), c.proxyDaemons()...) {
 		v := DaemonView{Daemon: d, ProxyMember: c.isProxyMember(d.Name)}
 		v.Member = slices.ContainsFunc(ms, func(m wire.Member) bool { return m.Name == d.Name })
 		if k := c.directory[d.Name]; k != nil {
--- a/internal/controlplane/targetcall.go
+++ b/internal/controlplane/targetapi.go
@@ -17,7 +17,7 @@
 func (c *Controller) reportTarget(now time.Duration, p *pendingCall, w wire.Target) {
 	ids := []wire.TargetID{w.ID()}
 	if w.Service == "" {
-		ids = c.named(w.Name)
+		ids = c.identitiesNamed(w.Name)
 	}
 	for _, id := range ids {
 		t := w
@@ -44,8 +44,8 @@
 	c.waiters = append(c.waiters, &inForceWaiter{version: ver, waitingSince: now, call: p, reply: targetreport.Acknowledgement(w), majorityOnly: true, departures: ids})
 }
 
-// named are the identities under a name, those that signed off lately included.
-func (c *Controller) named(name string) []wire.TargetID {
+// identitiesNamed are the identities under a name, those that signed off lately included.
+func (c *Controller) identitiesNamed(name string) []wire.TargetID {
 	m := map[wire.TargetID]bool{}
 	add := func(id wire.TargetID) {
 		if id.Name == name {
--- a/internal/controlplane/undecodable.go
+++ b/internal/controlplane/undecodable.go
@@ -39,6 +39,6 @@
 
 // declines says that a message asks this member to stand for election at once, and that it must
 // not: members none of which can decode the log would pass leadership around without end.
-func (c *Controller) declines(m *wire.Message) bool {
+func (c *Controller) declinesTransfer(m *wire.Message) bool {
 	return c.undecodable != nil && m.Vote != nil && m.Vote.Transfer && m.Vote.Reply
 }
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -70,7 +70,7 @@
 func TestUndecodableEndsWithItsEpoch(t *testing.T) {
 	r := atRest(1, 1)
 	undecodableCases["snapshot"](r)
-	r.c.join(r.now, r.c.node.Epoch()+1)
+	r.c.joinEpoch(r.now, r.c.node.Epoch()+1)
 	if r.c.undecodable != nil || r.c.abstains() {
 		t.Errorf("still refuses: %v", r.c.undecodable)
 	}
