--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -13,27 +13,27 @@
 )
 
 // hearsNone says that this node leads nobody and that no leader has spoken to it lately.
-func (n *Node) hearsNoLeader(now time.Duration) bool {
-	return n.role != Leader && now-n.leaderSpokeAt >= tuning.LeaderQuiet
+func (n *Node) noLeaderContact(now time.Duration) bool {
+	return n.role != Leader && now-n.leaderMessageAt >= tuning.LeaderQuiet
 }
 
 // stand asks for votes; all says that every member is asked whether it may be at once.
 func (n *Node) campaign(now time.Duration, pre, transfer, all bool) {
-	n.askedAt = now
+	n.campaignedAt = now
 	if pre {
 		n.become(now, PreCandidate)
 	} else {
 		n.term++
 		n.vote = n.self.Name
 		n.become(now, Candidate)
-		n.syncHardState(now)
+		n.persistHardState(now)
 	}
 	t := n.term
 	if pre {
 		t++
 	}
 	n.unanimous = all
-	lt, _ := n.termAt(n.last())
+	lt, _ := n.termAt(n.lastIndex())
 	ask := n.members
 	if all {
 		ask = n.electorate
@@ -42,7 +42,7 @@
 		if m == n.self || m.Disk == 0 {
 			continue
 		}
-		v := &wire.Message{Kind: wire.KindVote, To: m.Name, Vote: &wire.Vote{PreVote: pre, LastIndex: n.last(), LastTerm: lt, Transfer: transfer, Unanimous: all}}
+		v := &wire.Message{Kind: wire.KindVote, To: m.Name, Vote: &wire.Vote{PreVote: pre, LastIndex: n.lastIndex(), LastTerm: lt, Transfer: transfer, Unanimous: all}}
 		n.send(v, !pre)
 		v.Term = t
 	}
@@ -53,7 +53,7 @@
 // count takes a vote, or only leave to stand at once, and acts on what there is.
 func (n *Node) countVote(now time.Duration, name string, vote bool) {
 	if vote && !n.votes[name] {
-		n.votes[name], n.votedAt = true, now
+		n.votes[name], n.lastVoteAt = true, now
 	}
 	if 2*len(n.votes) <= len(n.members) || n.unanimous && (n.outranked || !n.unanimousConsent()) {
 		return
@@ -81,8 +81,8 @@
 // no longer than a time ago.
 func (n *Node) TransferLeadershipTo(now, acked time.Duration, may func(wire.Member) bool) bool {
 	var best *progress
-	for _, p := range n.sorted() {
-		if p.voter && may(p.member) && now-p.acked < acked && (best == nil || p.match > best.match) {
+	for _, p := range n.sortedProgress() {
+		if p.voter && may(p.member) && now-p.ackedAt < acked && (best == nil || p.match > best.match) {
 			best = p
 		}
 	}
@@ -91,25 +91,25 @@
 	}
 	n.become(now, Follower)
 	n.leader = ""
-	n.deadline = now + 4*tuning.ElectionTimeoutMin
-	n.leaderSpokeAt = n.deadline
+	n.electionDeadline = now + 4*tuning.ElectionTimeoutMin
+	n.leaderMessageAt = n.electionDeadline
 	n.send(&wire.Message{Kind: wire.KindVote, To: best.member.Name, Vote: &wire.Vote{Transfer: true, Reply: true}}, false)
 	return true
 }
 
-func (n *Node) voteAsk(now time.Duration, m *wire.Message) {
+func (n *Node) handleVoteRequest(now time.Duration, m *wire.Message) {
 	v := m.Vote
 	for _, k := range n.members {
 		if k.Name == m.From && k.Disk != m.Disk {
 			return
 		}
 	}
-	lt, _ := n.termAt(n.last())
-	upToDate := v.LastTerm > lt || v.LastTerm == lt && v.LastIndex >= n.last()
-	quiet := v.Transfer || now-n.leaderHeardAt >= tuning.ElectionTimeoutMin && n.role != Leader || v.Unanimous && n.hearsNoLeader(now)
-	r := &wire.Message{Kind: wire.KindVote, To: m.From, Vote: &wire.Vote{PreVote: v.PreVote, Reply: true, Unanimous: v.Unanimous, LastIndex: n.last(), LastTerm: lt}}
+	lt, _ := n.termAt(n.lastIndex())
+	upToDate := v.LastTerm > lt || v.LastTerm == lt && v.LastIndex >= n.lastIndex()
+	quiet := v.Transfer || now-n.leaderContactAt >= tuning.ElectionTimeoutMin && n.role != Leader || v.Unanimous && n.noLeaderContact(now)
+	r := &wire.Message{Kind: wire.KindVote, To: m.From, Vote: &wire.Vote{PreVote: v.PreVote, Reply: true, Unanimous: v.Unanimous, LastIndex: n.lastIndex(), LastTerm: lt}}
 	if v.PreVote {
-		r.Vote.NoLeader = v.Unanimous && n.hearsNoLeader(now) && len(n.unsyncedBatches) == 0
+		r.Vote.NoLeader = v.Unanimous && n.noLeaderContact(now) && len(n.unsyncedBatches) == 0
 		r.Vote.Granted = quiet && upToDate && m.Term > n.term
 		n.send(r, false)
 		if r.Vote.Granted {
@@ -127,16 +127,16 @@
 	if upToDate && (n.vote == "" || n.vote == m.From) && n.role == Follower {
 		if n.vote == "" {
 			n.vote = m.From
-			n.syncHardState(now)
+			n.persistHardState(now)
 		}
 		r.Vote.Granted = true
-		n.deadline = now + tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
+		n.electionDeadline = now + tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	}
 	r.Vote.NoLeader = n.role == Follower // in a later term than any in which it led
 	n.send(r, true)
 }
 
-func (n *Node) voteReply(now time.Duration, m *wire.Message) {
+func (n *Node) handleVoteResponse(now time.Duration, m *wire.Message) {
 	from, v := wire.Member{Name: m.From, Disk: m.Disk}, m.Vote
 	if !slices.Contains(n.electorate, from) || v.Unanimous != n.unanimous && (n.role == PreCandidate || n.role == Candidate) {
 		return
@@ -144,8 +144,8 @@
 	vote := v.Granted && n.isVoter(m.From, m.Disk)
 	switch {
 	case n.role == PreCandidate && v.PreVote && (v.Granted && m.Term == n.term+1 || v.NoLeader && m.Term <= n.term):
-		lt, _ := n.termAt(n.last())
-		n.outranked = n.outranked || v.Unanimous && cmp.Or(cmp.Compare(v.LastTerm, lt), cmp.Compare(v.LastIndex, n.last()), cmp.Compare(n.self.Name, m.From)) > 0
+		lt, _ := n.termAt(n.lastIndex())
+		n.outranked = n.outranked || v.Unanimous && cmp.Or(cmp.Compare(v.LastTerm, lt), cmp.Compare(v.LastIndex, n.lastIndex()), cmp.Compare(n.self.Name, m.From)) > 0
 		n.consents[m.From] = n.consents[m.From] || v.NoLeader
 		n.countVote(now, m.From, vote)
 	case !v.Granted && m.Term > n.term:
--- a/internal/controlplane/consensus/explore.go
+++ b/internal/controlplane/consensus/explore.go
@@ -27,20 +27,20 @@
 	c.progress = make(map[string]*progress, len(n.progress))
 	for name, p := range n.progress {
 		copied := *p
-		copied.inFlight = slices.Clone(p.inFlight)
+		copied.inflight = slices.Clone(p.inflight)
 		if p.chunks != nil {
 			t := *p.chunks
 			copied.chunks = &t
 		}
 		c.progress[name] = &copied
 	}
-	if n.incoming != nil {
-		in := *n.incoming
+	if n.receiver != nil {
+		in := *n.receiver
 		in.data = slices.Clone(in.data)
-		c.incoming = &in
+		c.receiver = &in
 	}
 	c.unsyncedBatches = slices.Clone(n.unsyncedBatches)
-	c.heldMessages = slices.Clone(n.heldMessages)
+	c.pendingMessages = slices.Clone(n.pendingMessages)
 	c.ready = Ready{Batches: slices.Clone(n.ready.Batches), Messages: slices.Clone(n.ready.Messages), CommittedEntries: slices.Clone(n.ready.CommittedEntries), Snapshot: n.ready.Snapshot,
 		Rejected: slices.Clone(n.ready.Rejected)}
 	return &c
@@ -218,13 +218,13 @@
 	c.Uint(uint64(n.role))
 	c.Uint(n.term)
 	c.NodeName(n.vote)
-	c.Snapshot(&n.snap)
+	c.Snapshot(&n.snapshot)
 	c.Entries(n.log)
-	c.Entries(n.tail)
-	c.assembly(n.incoming)
+	c.Entries(n.compactedTail)
+	c.assembly(n.receiver)
 	c.Members(n.members)
 	c.Members(n.electorate)
-	for _, v := range []uint64{n.commit, n.applied, n.stable, n.termStart} {
+	for _, v := range []uint64{n.commit, n.applied, n.stable, n.termStartIndex} {
 		c.Uint(v)
 	}
 	c.NodeName(n.leader)
@@ -232,13 +232,13 @@
 	c.NodeNames(n.consents)
 	c.Bool(n.unanimous)
 	c.Bool(n.outranked)
-	c.Age(now, n.leaderHeardAt, tuning.ElectionTimeoutMin)
-	c.deadline(now, n.deadline)
-	c.Age(now, n.leaderSpokeAt, 5*tuning.ElectionTimeoutMin)
-	c.Age(now, n.askedAt, tuning.PreVoteInterval)
-	c.Age(now, n.votedAt, tuning.ElectionTimeoutMin)
-	c.Age(now, n.beatAt, tuning.HeartbeatEvery)
-	c.Age(now, n.since, tuning.ElectionTimeoutMin)
+	c.Age(now, n.leaderContactAt, tuning.ElectionTimeoutMin)
+	c.deadline(now, n.electionDeadline)
+	c.Age(now, n.leaderMessageAt, 5*tuning.ElectionTimeoutMin)
+	c.Age(now, n.campaignedAt, tuning.PreVoteInterval)
+	c.Age(now, n.lastVoteAt, tuning.ElectionTimeoutMin)
+	c.Age(now, n.heartbeatAt, tuning.HeartbeatEvery)
+	c.Age(now, n.roleSince, tuning.ElectionTimeoutMin)
 	c.peers(n, now)
 	c.unsynced(n, now)
 }
@@ -248,10 +248,10 @@
 	if t == nil {
 		return
 	}
-	c.Chunk(&t.whole)
+	c.Chunk(&t.content)
 	c.Uint(t.prevTerm)
-	c.Uint(t.held)
-	c.Bool(t.underWay)
+	c.Uint(t.acknowledged)
+	c.Bool(t.inFlight)
 	c.Age(now, t.sentAt, tuning.ElectionTimeoutMin)
 }
 
@@ -260,10 +260,10 @@
 	if a == nil {
 		return
 	}
-	c.Chunk(&a.whole)
+	c.Chunk(&a.content)
 	c.Uint(uint64(len(a.data)))
 	c.Bytes = append(c.Bytes, a.data...)
-	c.Bool(a.done)
+	c.Bool(a.complete)
 }
 
 func (c *CanonicalEncoder) deadline(now, at time.Duration) {
@@ -275,7 +275,7 @@
 }
 
 func (c *CanonicalEncoder) peers(n *Node, now time.Duration) {
-	ps := n.sorted()
+	ps := n.sortedProgress()
 	slices.SortFunc(ps, func(a, b *progress) int { return c.compare(a.member, b.member) })
 	c.Uint(uint64(len(ps)))
 	for _, p := range ps {
@@ -283,11 +283,11 @@
 		c.Bool(p.voter)
 		c.Uint(p.next)
 		c.Uint(p.match)
-		c.Age(now, p.acked, tuning.ElectionTimeoutMin)
+		c.Age(now, p.ackedAt, tuning.ElectionTimeoutMin)
 		c.Age(now, p.rewoundAt, tuning.ElectionTimeoutMin)
-		c.Uint(uint64(len(p.inFlight)))
-		for _, s := range p.inFlight {
-			c.Uint(s.last)
+		c.Uint(uint64(len(p.inflight)))
+		for _, s := range p.inflight {
+			c.Uint(s.lastIndex)
 			c.Uint(uint64(s.bytes))
 		}
 		c.transfer(p.chunks, now)
@@ -298,13 +298,13 @@
 func (c *CanonicalEncoder) unsynced(n *Node, now time.Duration) {
 	c.Uint(uint64(len(n.unsyncedBatches)))
 	for _, b := range n.unsyncedBatches {
-		c.Age(now, b.at, tuning.SyncStall+time.Millisecond)
-		c.Uint(b.last)
-		c.Bool(b.seq <= n.hardSeq)
+		c.Age(now, b.queuedAt, tuning.SyncStall+time.Millisecond)
+		c.Uint(b.lastIndex)
+		c.Bool(b.seq <= n.hardStateSeq)
 	}
-	c.Uint(uint64(len(n.heldMessages)))
-	for _, h := range n.heldMessages {
-		c.Uint(n.seq - h.seq)
-		c.Message(h.m, now)
+	c.Uint(uint64(len(n.pendingMessages)))
+	for _, h := range n.pendingMessages {
+		c.Uint(n.batchSeq - h.seq)
+		c.Message(h.message, now)
 	}
 }
--- a/internal/controlplane/consensus/explore_test.go
+++ b/internal/controlplane/consensus/explore_test.go
@@ -17,15 +17,15 @@
 		value  any
 		fields []string
 	}{
-		{Node{}, []string{"self", "epoch", "role", "term", "vote", "snap", "log", "tail", "incoming", "members", "commit", "applied", "stable", "leader",
-			"leaderHeardAt", "deadline", "votes", "unanimous", "consents", "outranked", "leaderSpokeAt", "askedAt", "votedAt", "electorate",
-			"progress", "beatAt", "since", "seq", "hardSeq", "unsyncedBatches", "heldMessages", "termStart", "ready"}},
-		{progress{}, []string{"member", "voter", "next", "match", "acked", "inFlight", "rewoundAt", "chunks"}},
-		{sentEntries{}, []string{"last", "bytes"}},
-		{chunkSender{}, []string{"whole", "prevTerm", "held", "underWay", "sentAt"}},
-		{chunkReceiver{}, []string{"whole", "data", "done"}},
-		{unsyncedBatch{}, []string{"seq", "at", "last"}},
-		{heldMessage{}, []string{"seq", "m"}},
+		{Node{}, []string{"self", "epoch", "role", "term", "vote", "snapshot", "log", "compactedTail", "receiver", "members", "commit", "applied", "stable", "leader",
+			"leaderContactAt", "electionDeadline", "votes", "unanimous", "consents", "outranked", "leaderMessageAt", "campaignedAt", "lastVoteAt", "electorate",
+			"progress", "heartbeatAt", "roleSince", "batchSeq", "hardStateSeq", "unsyncedBatches", "pendingMessages", "termStartIndex", "ready"}},
+		{progress{}, []string{"member", "voter", "next", "match", "ackedAt", "inflight", "rewoundAt", "chunks"}},
+		{sentEntries{}, []string{"lastIndex", "bytes"}},
+		{chunkSender{}, []string{"content", "prevTerm", "acknowledged", "inFlight", "sentAt"}},
+		{chunkReceiver{}, []string{"content", "data", "complete"}},
+		{unsyncedBatch{}, []string{"seq", "queuedAt", "lastIndex"}},
+		{pendingMessage{}, []string{"seq", "message"}},
 		{Ready{}, []string{"Batches", "Messages", "CommittedEntries", "Snapshot", "Rejected"}},
 		{wire.Vote{}, []string{"PreVote", "Reply", "Granted", "LastIndex", "LastTerm", "Transfer", "Unanimous", "NoLeader"}},
 		{wire.Append{}, []string{"Reply", "Success", "PrevIndex", "PrevTerm", "Commit", "MatchIndex", "Entries", "Chunk"}},
@@ -43,7 +43,7 @@
 	}
 }
 
-func canonOf(n *Node, now time.Duration) []byte {
+func canonicalForm(n *Node, now time.Duration) []byte {
 	c := CanonicalEncoder{NodeIndex: func(name string) byte { return append([]byte(name), 255)[0] }, DiskNumber: func(d uint64) uint64 { return d }}
 	c.Node(n, now)
 	return c.Bytes
@@ -51,12 +51,12 @@
 
 // A copy is equal, and neither sees what the other does.
 func TestClone(t *testing.T) {
-	w := newTrio()
+	w := newSimpleCluster()
 	w.run(t, 2*time.Second, func() bool { return false })
 	for _, n := range w.nodes {
-		before := canonOf(n, w.now)
+		before := canonicalForm(n, w.now)
 		c := n.Clone()
-		if !bytes.Equal(before, canonOf(c, w.now)) {
+		if !bytes.Equal(before, canonicalForm(c, w.now)) {
 			t.Fatal("a copy is not equal")
 		}
 		c.Tick(w.now + tuning.HeartbeatEvery)
@@ -64,10 +64,10 @@
 			c.Propose(w.now, []byte("x"))
 		}
 		c.Tick(w.now + 5*tuning.ElectionTimeoutMin)
-		if !bytes.Equal(before, canonOf(n, w.now)) {
+		if !bytes.Equal(before, canonicalForm(n, w.now)) {
 			t.Fatal("a step of the copy was seen")
 		}
-		if bytes.Equal(before, canonOf(c, w.now)) {
+		if bytes.Equal(before, canonicalForm(c, w.now)) {
 			t.Fatal("a step was not seen")
 		}
 	}
--- a/internal/controlplane/consensus/export_test.go
+++ b/internal/controlplane/consensus/export_test.go
@@ -29,7 +29,7 @@
 	slices.Sort(held)
 	if c := held[(len(held)-1)/2]; c > n.commit {
 		n.commit = c
-		n.advance(now)
+		n.advanceCommit(now)
 		n.replicate(now, false)
 	}
 }
@@ -37,7 +37,7 @@
 // ProposeAnyMembers adds a list of members without a look at the present one.
 func (n *Node) ProposeAnyMembers(now time.Duration, ms []wire.Member) {
 	b, _ := json.Marshal(ms)
-	n.add(now, EntryMembers, b)
+	n.appendEntry(now, EntryMembers, b)
 	n.replicate(now, false)
 }
 
@@ -46,9 +46,9 @@
 
 // CommitOwn commits what only the leader itself has synced.
 func (n *Node) CommitOwn(now time.Duration) {
-	if n.role == Leader && n.stable > n.commit && n.stable >= n.termStart {
+	if n.role == Leader && n.stable > n.commit && n.stable >= n.termStartIndex {
 		n.commit = n.stable
-		n.advance(now)
+		n.advanceCommit(now)
 	}
 }
 
--- a/internal/controlplane/consensus/fuzz_test.go
+++ b/internal/controlplane/consensus/fuzz_test.go
@@ -13,21 +13,21 @@
 )
 
 // script turns a fuzzer's bytes into choices; without bytes left it chooses zero.
-type script struct{ b []byte }
+type choices struct{ bytes []byte }
 
-func (s *script) next() byte {
-	if len(s.b) == 0 {
+func (s *choices) next() byte {
+	if len(s.bytes) == 0 {
 		return 0
 	}
-	c := s.b[0]
-	s.b = s.b[1:]
+	c := s.bytes[0]
+	s.bytes = s.bytes[1:]
 	return c
 }
 
-func (s *script) bit() bool { return s.next()&1 == 1 }
+func (s *choices) bit() bool { return s.next()&1 == 1 }
 
 // number is mostly small, where a node's own numbers are, and sometimes at an edge.
-func (s *script) number() uint64 {
+func (s *choices) number() uint64 {
 	switch c := s.next(); {
 	case c < 240:
 		return uint64(c % 8)
@@ -38,11 +38,11 @@
 	}
 }
 
-func (s *script) name() string {
+func (s *choices) name() string {
 	return []string{"a", "b", "c", "d", "", "\x00"}[s.next()%6]
 }
 
-func (s *script) members() []wire.Member {
+func (s *choices) members() []wire.Member {
 	var ms []wire.Member
 	for range s.next() % 4 {
 		ms = append(ms, wire.Member{Name: s.name(), Disk: s.number()})
@@ -50,7 +50,7 @@
 	return ms
 }
 
-func (s *script) entries(after uint64) []wire.Entry {
+func (s *choices) entries(after uint64) []wire.Entry {
 	var es []wire.Entry
 	for i := range uint64(s.next() % 4) {
 		e := wire.Entry{Index: after + 1 + i, Term: s.number(), Kind: uint16(s.next() % 4), Data: []byte{s.next()}}
@@ -65,16 +65,16 @@
 	return es
 }
 
-func (s *script) piece() *wire.Chunk {
+func (s *choices) chunk() *wire.Chunk {
 	p := &wire.Chunk{IsEntry: s.bit(), Index: s.number(), Term: s.number(), Kind: uint16(s.next() % 4), Members: s.members(), Offset: s.number(), Data: []byte{s.next()}}
-	p.Size, p.Checksum = uint64(len(p.Data)), sumOf(p.Data)
+	p.Size, p.Checksum = uint64(len(p.Data)), checksum(p.Data)
 	if s.next() == 0 {
 		p.Size = s.number()
 	}
 	return p
 }
 
-func (s *script) message(now time.Duration) *wire.Message {
+func (s *choices) message(now time.Duration) *wire.Message {
 	m := &wire.Message{From: s.name(), Disk: s.number(), Epoch: 1, Term: s.number(), Timestamp: int64(now)}
 	if s.next() == 0 {
 		m.Timestamp = int64(s.number())
@@ -86,14 +86,14 @@
 	a := &wire.Append{Reply: s.bit(), Success: s.bit(), PrevIndex: s.number(), PrevTerm: s.number(), Commit: s.number(), MatchIndex: s.number()}
 	a.Entries = s.entries(a.PrevIndex)
 	if s.next()%4 == 0 {
-		a.Chunk = s.piece()
+		a.Chunk = s.chunk()
 	}
 	m.Append = a
 	return m
 }
 
-// agreed is what a node holds for agreed, to be compared with what it holds later.
-func agreed(n *Node) []wire.Entry {
+// committedEntries is what a node holds for committedEntries, to be compared with what it holds later.
+func committedEntries(n *Node) []wire.Entry {
 	return slices.DeleteFunc(slices.Clone(n.log), func(e wire.Entry) bool { return e.Index > n.commit })
 }
 
@@ -105,14 +105,14 @@
 	f.Add([]byte{0, 1, 2, 1, 0, 0, 0, 0, 1, 0, 5, 0, 2, 1, 0, 9, 1, 1, 1, 0, 3, 1}, true)
 	f.Add([]byte{0, 1, 2, 245, 0, 1, 1, 245, 245, 245, 245, 0, 0, 0, 0, 245, 245}, true)
 	f.Fuzz(func(t *testing.T, b []byte, leads bool) {
-		n, _ := node("a")
+		n, _ := newTestNode("a")
 		now := time.Second
 		if leads {
-			now = lead(n)
+			now = electLeader(n)
 		}
-		s := &script{b}
-		for len(s.b) > 0 {
-			commit, term, before := n.commit, n.term, agreed(n)
+		s := &choices{b}
+		for len(s.bytes) > 0 {
+			commit, term, before := n.commit, n.term, committedEntries(n)
 			switch s.next() % 4 {
 			case 0, 1:
 				n.Step(now, s.message(now))
@@ -120,7 +120,7 @@
 				now += time.Duration(s.next()) * 10 * time.Millisecond
 				n.Tick(now)
 			case 3:
-				n.Advance(now, n.seq)
+				n.Advance(now, n.batchSeq)
 			}
 			n.Ready()
 			if n.commit < commit || n.term < term {
@@ -135,12 +135,12 @@
 	})
 }
 
-// lead has a node win an election by b's vote and returns the time.
-func lead(n *Node) time.Duration {
+// electLeader has a node win an election by b's vote and returns the time.
+func electLeader(n *Node) time.Duration {
 	now := tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	n.Tick(now)
 	for n.Role() != Leader {
-		n.Advance(now, n.seq)
+		n.Advance(now, n.batchSeq)
 		pre, term := n.Role() == PreCandidate, n.Term()
 		if pre {
 			term++
@@ -155,7 +155,7 @@
 	f.Add([]byte{}, uint8(0))
 	f.Add([]byte{1, 1, 2, 2, 3, 0, 1, 1}, uint8(2))
 	f.Fuzz(func(_ *testing.T, b []byte, batches uint8) {
-		s := &script{b}
+		s := &choices{b}
 		im := PersistentState{Epoch: 1, Disk: 1}
 		for range batches % 8 {
 			batch := &wire.Batch{HasHardState: s.bit(), Term: s.number(), Vote: s.name(), TruncateFrom: s.number(), Entries: s.entries(s.number())}
@@ -171,7 +171,7 @@
 		for now := time.Duration(0); now < 3*time.Second; now += 100 * time.Millisecond {
 			n.Tick(now)
 			n.Step(now, s.message(now))
-			n.Advance(now, n.seq)
+			n.Advance(now, n.batchSeq)
 			n.Ready()
 		}
 	})
@@ -199,17 +199,17 @@
 		"another entry than that agreed": {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}}}, ErrCommitConflict},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, _ := node("a")
+			n, _ := newTestNode("a")
 			n.Step(1, &wire.Message{From: "b", Disk: 2, Epoch: 1, Term: 1, Append: &wire.Append{PrevIndex: 1, Commit: 2, Entries: []wire.Entry{entry}}})
-			n.Advance(1, n.seq)
+			n.Advance(1, n.batchSeq)
 			n.Ready()
-			before := canonOf(n, 1)
+			before := canonicalForm(n, 1)
 			n.Step(1, &wire.Message{From: "c", Disk: 3, Epoch: 1, Term: c.term, Append: &c.append})
 			o := n.Ready()
 			if len(o.Rejected) != 1 || !errors.Is(o.Rejected[0].Err, c.want) || o.Rejected[0].From != "c" {
 				t.Errorf("refused %v", o.Rejected)
 			}
-			if len(o.Messages)+len(o.Batches) > 0 || !slices.Equal(before, canonOf(n, 1)) {
+			if len(o.Messages)+len(o.Batches) > 0 || !slices.Equal(before, canonicalForm(n, 1)) {
 				t.Error("it was acted on")
 			}
 		})
--- a/internal/controlplane/consensus/member.go
+++ b/internal/controlplane/consensus/member.go
@@ -26,8 +26,8 @@
 	return ms
 }
 
-func (n *Node) readMembers() {
-	n.members, n.electorate = n.snap.Members, nil
+func (n *Node) updateMembership() {
+	n.members, n.electorate = n.snapshot.Members, nil
 	for _, e := range n.log {
 		if e.Kind == EntryMembers {
 			n.electorate = n.members
@@ -42,7 +42,7 @@
 	}
 	n.electorate = slices.DeleteFunc(n.electorate, func(m wire.Member) bool { return m.Disk == 0 }) // a place that nobody has
 	if n.role == Leader {
-		n.syncPartners()
+		n.updateProgress()
 	}
 }
 
@@ -50,7 +50,7 @@
 	return slices.Contains(n.members, wire.Member{Name: name, Disk: disk})
 }
 
-func (n *Node) syncPartners() {
+func (n *Node) updateProgress() {
 	for _, p := range n.progress {
 		p.voter = slices.Contains(n.members, p.member)
 	}
@@ -59,7 +59,7 @@
 			continue
 		}
 		if p := n.progress[m.Name]; p == nil || p.member != m {
-			n.progress[m.Name] = &progress{member: m, voter: true, next: n.last() + 1, acked: -1 << 62}
+			n.progress[m.Name] = &progress{member: m, voter: true, next: n.lastIndex() + 1, ackedAt: -1 << 62}
 		}
 	}
 }
@@ -67,7 +67,7 @@
 // AddLearner has the leader keep m up to date without a vote.
 func (n *Node) AddLearner(m wire.Member) {
 	if p := n.progress[m.Name]; n.role == Leader && (p == nil || p.member != m) && !n.isVoterName(m.Name) {
-		n.progress[m.Name] = &progress{member: m, next: n.last() + 1, acked: -1 << 62}
+		n.progress[m.Name] = &progress{member: m, next: n.lastIndex() + 1, ackedAt: -1 << 62}
 	}
 }
 
@@ -79,7 +79,7 @@
 // RecentlyActive says that a member, or one that learns, has answered lately.
 func (n *Node) RecentlyActive(now time.Duration, m wire.Member) bool {
 	p := n.progress[m.Name]
-	return m == n.self || p != nil && p.member == m && now-p.acked < tuning.LeaderLease
+	return m == n.self || p != nil && p.member == m && now-p.ackedAt < tuning.LeaderLease
 }
 
 func (n *Node) isVoterName(name string) bool {
@@ -115,7 +115,7 @@
 // CanChangeMembers says that no change of members is under way and that the leader has
 // agreed an entry of its own term, so that a change may be proposed.
 func (n *Node) CanChangeMembers() bool {
-	return n.role == Leader && n.commit >= n.termStart && !n.membersUncommitted()
+	return n.role == Leader && n.commit >= n.termStartIndex && !n.membersUncommitted()
 }
 
 // ProposeMembers proposes a member list that differs from the present one by one.
@@ -135,6 +135,6 @@
 		panic(errors.AssertionFailedf("change of members by %d, settled %v", d, n.CanChangeMembers()))
 	}
 	b, _ := json.Marshal(ms)
-	n.add(now, EntryMembers, b)
+	n.appendEntry(now, EntryMembers, b)
 	n.replicate(now, false)
 }
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -31,17 +31,17 @@
 		return nil
 	}
 	l := []ReplicaProgress{{Member: n.self, Voter: n.isVoter(n.self.Name, n.self.Disk), Match: n.stable, AckedAt: now, RecentlyActive: true}}
-	for _, p := range n.sorted() {
-		l = append(l, ReplicaProgress{Member: p.member, Voter: p.voter, Match: p.match, AckedAt: max(0, p.acked),
-			RecentlyActive: now-p.acked < tuning.LeaderLease, NeedsSnapshot: n.needsSnapshot(p)})
+	for _, p := range n.sortedProgress() {
+		l = append(l, ReplicaProgress{Member: p.member, Voter: p.voter, Match: p.match, AckedAt: max(0, p.ackedAt),
+			RecentlyActive: now-p.ackedAt < tuning.LeaderLease, NeedsSnapshot: n.needsSnapshot(p)})
 	}
 	return l
 }
 
 func (n *Node) needsSnapshot(p *progress) bool {
-	_, _, ok := n.retained(p.match + 1)
-	return !ok && p.match < n.last()
+	_, _, ok := n.retainedEntry(p.match + 1)
+	return !ok && p.match < n.lastIndex()
 }
 
 // LastLeaderContact is when a follower last accepted a message of the leader; booting counts as one.
-func (n *Node) LastLeaderContact() time.Duration { return n.leaderHeardAt }
+func (n *Node) LastLeaderContact() time.Duration { return n.leaderContactAt }
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -57,49 +57,49 @@
 // Node is one member of the agreement, or one that learns. It has no clock and does no I/O: what
 // a step left to do is in its Out.
 type Node struct {
-	self            wire.Member
-	epoch           uint64
-	role            Role
-	term            uint64
-	vote            string
-	snap            wire.Snapshot
-	log             []wire.Entry
-	tail            []wire.Entry   // the last entries that the snapshot stands for, for peers a little behind; in memory only
-	incoming        *chunkReceiver // a snapshot or large entry that arrives in pieces
-	members         []wire.Member
-	commit          uint64
-	applied         uint64
-	stable          uint64
-	leader          string
-	leaderHeardAt   time.Duration
-	deadline        time.Duration
-	votes           map[string]bool
-	unanimous       bool            // it stands without waiting, by everybody's leave
-	consents        map[string]bool // who gave that
-	outranked       bool            // another member should stand in its place
-	leaderSpokeAt   time.Duration   // when a leader last spoke here since this start
-	askedAt         time.Duration
-	votedAt         time.Duration
-	electorate      []wire.Member // the members, and those before the last change if that may be under way
-	progress        map[string]*progress
-	beatAt          time.Duration
-	since           time.Duration
-	seq             uint64
-	hardSeq         uint64
-	unsyncedBatches []unsyncedBatch
-	heldMessages    []heldMessage
-	termStart       uint64
-	ready           Ready
+	self             wire.Member
+	epoch            uint64
+	role             Role
+	term             uint64
+	vote             string
+	snapshot         wire.Snapshot
+	log              []wire.Entry
+	compactedTail    []wire.Entry   // the last entries that the snapshot stands for, for peers a little behind; in memory only
+	receiver         *chunkReceiver // a snapshot or large entry that arrives in pieces
+	members          []wire.Member
+	commit           uint64
+	applied          uint64
+	stable           uint64
+	leader           string
+	leaderContactAt  time.Duration
+	electionDeadline time.Duration
+	votes            map[string]bool
+	unanimous        bool            // it stands without waiting, by everybody's leave
+	consents         map[string]bool // who gave that
+	outranked        bool            // another member should stand in its place
+	leaderMessageAt  time.Duration   // when a leader last spoke here since this start
+	campaignedAt     time.Duration
+	lastVoteAt       time.Duration
+	electorate       []wire.Member // the members, and those before the last change if that may be under way
+	progress         map[string]*progress
+	heartbeatAt      time.Duration
+	roleSince        time.Duration
+	batchSeq         uint64
+	hardStateSeq     uint64
+	unsyncedBatches  []unsyncedBatch
+	pendingMessages  []pendingMessage
+	termStartIndex   uint64
+	ready            Ready
 }
 
 // New starts a node from what its disk holds. Booting counts as having heard a
 // leader, since the node may have promised one that it would wait.
 func New(now time.Duration, self string, im PersistentState) *Node {
 	n := &Node{self: wire.Member{Name: self, Disk: im.Disk}, epoch: im.Epoch, term: im.Term, vote: im.Vote,
-		snap: im.Snapshot, log: slices.Clone(im.Log), leaderHeardAt: now, leaderSpokeAt: -1 << 62, askedAt: -1 << 62, progress: map[string]*progress{}}
+		snapshot: im.Snapshot, log: slices.Clone(im.Log), leaderContactAt: now, leaderMessageAt: -1 << 62, campaignedAt: -1 << 62, progress: map[string]*progress{}}
 	n.commit, n.applied = im.Snapshot.Index, im.Snapshot.Index
-	n.stable = n.last()
-	n.readMembers()
+	n.stable = n.lastIndex()
+	n.updateMembership()
 	n.become(now, Follower)
 	return n
 }
@@ -120,10 +120,10 @@
 func (n *Node) Commit() uint64 { return n.commit }
 
 // LastIndex is the index of the last entry of the node's log.
-func (n *Node) LastIndex() uint64 { return n.last() }
+func (n *Node) LastIndex() uint64 { return n.lastIndex() }
 
 // RoleSince is when the node last took a role, by its own clock.
-func (n *Node) RoleSince() time.Duration { return n.since }
+func (n *Node) RoleSince() time.Duration { return n.roleSince }
 
 // NoOtherLeaderSince says, of a leader, that nobody else has decided since a term in which it led. Who
 // decides in a term has had its first entry there agreed, and later leaders have what is agreed:
@@ -132,7 +132,7 @@
 	if n.role != Leader || term == n.term {
 		return n.role == Leader
 	}
-	t, ok := n.termAt(n.termStart - 1)
+	t, ok := n.termAt(n.termStartIndex - 1)
 	return ok && t == term
 }
 
@@ -143,47 +143,47 @@
 	return o
 }
 
-func (n *Node) last() uint64 { return n.snap.Index + uint64(len(n.log)) }
+func (n *Node) lastIndex() uint64 { return n.snapshot.Index + uint64(len(n.log)) }
 
 func (n *Node) termAt(i uint64) (uint64, bool) {
 	switch {
-	case i == n.snap.Index:
-		return n.snap.Term, true
-	case i < n.snap.Index || i > n.last():
+	case i == n.snapshot.Index:
+		return n.snapshot.Term, true
+	case i < n.snapshot.Index || i > n.lastIndex():
 		return 0, false
 	}
-	return n.log[i-n.snap.Index-1].Term, true
+	return n.log[i-n.snapshot.Index-1].Term, true
 }
 
 // become is the one place where the role changes.
 func (n *Node) become(now time.Duration, r Role) {
 	n.role = r
-	n.since = now
+	n.roleSince = now
 	n.votes, n.consents, n.unanimous, n.outranked = map[string]bool{}, map[string]bool{}, false, false
 	n.progress = map[string]*progress{}
 	h := fnv.New64a()
 	h.Write([]byte(n.self.Name))
 	h.Write([]byte{byte(n.term), byte(n.term >> 8), byte(now >> 20), byte(now >> 28)})
-	n.deadline = now + tuning.ElectionTimeoutMin + time.Duration(h.Sum64()%uint64(tuning.ElectionTimeoutSpread))
+	n.electionDeadline = now + tuning.ElectionTimeoutMin + time.Duration(h.Sum64()%uint64(tuning.ElectionTimeoutSpread))
 	if r == Leader {
 		n.leader = n.self.Name
-		n.syncPartners()
+		n.updateProgress()
 		for _, p := range n.progress {
-			p.next = n.last() + 1
+			p.next = n.lastIndex() + 1
 		}
-		n.termStart = n.add(now, EntryNoop, nil)
-		n.beatAt = 0
+		n.termStartIndex = n.appendEntry(now, EntryNoop, nil)
+		n.heartbeatAt = 0
 	}
 }
 
 // HasLeader says whether a leader is heard, or is this node.
 func (n *Node) HasLeader(now time.Duration) bool {
-	return n.role == Leader || n.leader != "" && now-n.leaderHeardAt < 3*tuning.ElectionTimeoutMin
+	return n.role == Leader || n.leader != "" && now-n.leaderContactAt < 3*tuning.ElectionTimeoutMin
 }
 
 // HasLease says whether this node may decide now.
 func (n *Node) HasLease(now time.Duration) bool {
-	return n.role == Leader && n.commit >= n.termStart && !n.DiskStalled(now) && n.majorityAckedAt(now) > now-tuning.LeaderLease
+	return n.role == Leader && n.commit >= n.termStartIndex && !n.DiskStalled(now) && n.majorityAckedAt(now) > now-tuning.LeaderLease
 }
 
 func (n *Node) majorityAckedAt(now time.Duration) time.Duration {
@@ -192,7 +192,7 @@
 		if m == n.self {
 			at = append(at, now)
 		} else if p := n.progress[m.Name]; p != nil && p.member == m {
-			at = append(at, p.acked)
+			at = append(at, p.ackedAt)
 		} else {
 			at = append(at, -1<<62)
 		}
@@ -208,31 +208,31 @@
 func (n *Node) Tick(now time.Duration) {
 	switch n.role {
 	case Leader:
-		if n.DiskStalled(now) || now-max(n.majorityAckedAt(now), n.since) > tuning.ElectionTimeoutMin {
+		if n.DiskStalled(now) || now-max(n.majorityAckedAt(now), n.roleSince) > tuning.ElectionTimeoutMin {
 			n.become(now, Follower)
 			n.leader = ""
 			return
 		}
-		if now-n.beatAt >= tuning.HeartbeatEvery {
-			n.beatAt = now
+		if now-n.heartbeatAt >= tuning.HeartbeatEvery {
+			n.heartbeatAt = now
 			n.replicate(now, true)
 		}
 	default:
 		if n.DiskStalled(now) || !n.isVoter(n.self.Name, n.self.Disk) {
 			return
 		}
-		if n.role == Candidate && n.unanimous && 2*len(n.votes) > len(n.members) && now-n.votedAt >= tuning.ElectionTimeoutMin {
+		if n.role == Candidate && n.unanimous && 2*len(n.votes) > len(n.members) && now-n.lastVoteAt >= tuning.ElectionTimeoutMin {
 			n.become(now, Leader) // whatever its voters had promised before is over now
 			n.replicate(now, true)
 			return
 		}
-		if now >= n.deadline && now-n.leaderHeardAt >= tuning.ElectionTimeoutMin {
+		if now >= n.electionDeadline && now-n.leaderContactAt >= tuning.ElectionTimeoutMin {
 			n.leader = ""
 			n.campaign(now, true, false, false)
-		} else if n.hearsNoLeader(now) && now-n.askedAt >= tuning.PreVoteInterval && (n.role == Follower || n.unanimous && n.role == PreCandidate) {
-			at := n.deadline
+		} else if n.noLeaderContact(now) && now-n.campaignedAt >= tuning.PreVoteInterval && (n.role == Follower || n.unanimous && n.role == PreCandidate) {
+			at := n.electionDeadline
 			n.campaign(now, true, false, true)
-			n.deadline = at
+			n.electionDeadline = at
 		}
 	}
 }
@@ -240,10 +240,10 @@
 func (n *Node) follow(now time.Duration, term uint64) {
 	if term > n.term {
 		n.term, n.vote, n.leader = term, "", ""
-		if n.incoming != nil && n.incoming.done {
-			n.incoming = nil // the new leader may have overwritten it
+		if n.receiver != nil && n.receiver.complete {
+			n.receiver = nil // the new leader may have overwritten it
 		}
-		n.syncHardState(now)
+		n.persistHardState(now)
 	}
 	if n.role != Follower {
 		n.become(now, Follower)
@@ -256,7 +256,7 @@
 	if m.Epoch != n.epoch {
 		return
 	}
-	if err := n.acceptable(m); err != nil {
+	if err := n.validate(m); err != nil {
 		n.ready.Rejected = append(n.ready.Rejected, Rejection{m.From, err})
 		return
 	}
@@ -266,12 +266,12 @@
 			n.campaign(now, false, true, false)
 		}
 	case m.Vote != nil && m.Vote.Reply:
-		n.voteReply(now, m)
+		n.handleVoteResponse(now, m)
 	case m.Vote != nil:
-		n.voteAsk(now, m)
+		n.handleVoteRequest(now, m)
 	case m.Append != nil && m.Append.Reply:
-		n.appendReply(now, m)
+		n.handleAppendResponse(now, m)
 	case m.Append != nil:
-		n.appendAsk(now, m)
+		n.handleAppendEntries(now, m)
 	}
 }
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -12,17 +12,17 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func node(name string) (*Node, PersistentState) {
+func newTestNode(name string) (*Node, PersistentState) {
 	ms := []wire.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
 	im := PersistentState{Epoch: 1, Disk: uint64(name[0]-'a') + 1, Snapshot: wire.Snapshot{Index: 1, Members: ms}}
 	return New(0, name, im), im
 }
 
-func ask(term, disk uint64, from string, transfer bool) *wire.Message {
+func voteRequest(term, disk uint64, from string, transfer bool) *wire.Message {
 	return &wire.Message{Kind: wire.KindVote, From: from, Disk: disk, Epoch: 1, Term: term, Vote: &wire.Vote{LastIndex: 1, Transfer: transfer}}
 }
 
-func granted(o Ready) int {
+func grantedVotes(o Ready) int {
 	n := 0
 	for _, m := range o.Messages {
 		if m.Vote != nil && m.Vote.Granted {
@@ -36,29 +36,29 @@
 // a restart, and not given to a disk that is no member.
 func TestVote(t *testing.T) {
 	late := tuning.ElectionTimeoutMin + time.Second
-	n, im := node("a")
-	n.Step(late, ask(5, 2, "b", false))
+	n, im := newTestNode("a")
+	n.Step(late, voteRequest(5, 2, "b", false))
 	o := n.Ready()
-	if granted(o) != 0 || len(o.Batches) == 0 {
+	if grantedVotes(o) != 0 || len(o.Batches) == 0 {
 		t.Fatal("a vote left before it was on disk")
 	}
 	for _, b := range o.Batches {
 		im.ApplyBatch(b)
 	}
 	n.Advance(late, o.Batches[len(o.Batches)-1].Seq)
-	if granted(n.Ready()) != 1 {
+	if grantedVotes(n.Ready()) != 1 {
 		t.Fatal("no vote")
 	}
 	n = New(0, "a", im)
-	n.Step(late, ask(5, 3, "c", false))
+	n.Step(late, voteRequest(5, 3, "c", false))
 	o = n.Ready()
 	for _, b := range o.Batches {
 		n.Advance(late, b.Seq)
 	}
-	if granted(o)+granted(n.Ready()) != 0 {
+	if grantedVotes(o)+grantedVotes(n.Ready()) != 0 {
 		t.Fatal("two votes in a term")
 	}
-	n.Step(late, ask(6, 9, "c", false))
+	n.Step(late, voteRequest(6, 9, "c", false))
 	if o := n.Ready(); len(o.Messages) > 0 || n.Term() == 6 {
 		t.Fatal("a disk that is no member was heard")
 	}
@@ -67,12 +67,12 @@
 // A member that may have promised a leader to wait does so after a restart too,
 // unless that leader itself hands over.
 func TestPatience(t *testing.T) {
-	n, _ := node("a")
-	n.Step(tuning.ElectionTimeoutMin/2, ask(5, 2, "b", false))
+	n, _ := newTestNode("a")
+	n.Step(tuning.ElectionTimeoutMin/2, voteRequest(5, 2, "b", false))
 	if n.Ready(); n.Term() != 0 {
 		t.Fatal("voted while a leader may still decide")
 	}
-	n.Step(tuning.ElectionTimeoutMin/2, ask(5, 2, "b", true))
+	n.Step(tuning.ElectionTimeoutMin/2, voteRequest(5, 2, "b", true))
 	if n.Ready(); n.Term() != 5 {
 		t.Fatal("a handover was refused")
 	}
@@ -83,7 +83,7 @@
 
 // A log that differs is overwritten from where it differs, and what was agreed never.
 func TestOverwrite(t *testing.T) {
-	n, _ := node("a")
+	n, _ := newTestNode("a")
 	app := func(term, prev, prevTerm, commit uint64, es ...wire.Entry) *wire.Append {
 		n.Step(1, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: term,
 			Append: &wire.Append{PrevIndex: prev, PrevTerm: prevTerm, Commit: commit, Entries: es}})
@@ -149,56 +149,56 @@
 	t.Fatalf("no leader: a is %v in term %d, b %v in term %d", nodes["a"].Role(), nodes["a"].Term(), nodes["b"].Role(), nodes["b"].Term())
 }
 
-// trio plays three members: messages take a hop unless their way is cut, and syncs are done at once.
-type trio struct {
-	now   time.Duration
-	nodes map[string]*Node
-	imgs  map[string]*PersistentState
-	cut   map[string]bool // "ab": nothing goes from a to b
-	way   []flying
+// simpleCluster plays three members: messages take a hop unless their way is cut, and syncs are done at once.
+type simpleCluster struct {
+	now         time.Duration
+	nodes       map[string]*Node
+	states      map[string]*PersistentState
+	partitioned map[string]bool // "ab": nothing goes from a to b
+	inFlight    []messageInFlight
 }
 
-type flying struct {
-	at time.Duration
-	to *Node // a restart loses what was under way to it
-	m  *wire.Message
+type messageInFlight struct {
+	deliverAt time.Duration
+	receiver  *Node // a restart loses what was under way to it
+	message   *wire.Message
 }
 
-func newTrio() *trio {
-	w := &trio{nodes: map[string]*Node{}, imgs: map[string]*PersistentState{}, cut: map[string]bool{}}
+func newSimpleCluster() *simpleCluster {
+	w := &simpleCluster{nodes: map[string]*Node{}, states: map[string]*PersistentState{}, partitioned: map[string]bool{}}
 	for _, n := range []string{"a", "b", "c"} {
-		_, im := node(n)
-		w.imgs[n] = &im
-		w.boot(n)
+		_, im := newTestNode(n)
+		w.states[n] = &im
+		w.restart(n)
 	}
 	return w
 }
 
-func (w *trio) boot(name string) {
-	im := *w.imgs[name]
+func (w *simpleCluster) restart(name string) {
+	im := *w.states[name]
 	w.nodes[name] = New(w.now, name, im)
 }
 
-func (w *trio) run(t *testing.T, d time.Duration, done func() bool) bool {
+func (w *simpleCluster) run(t *testing.T, d time.Duration, done func() bool) bool {
 	for end := w.now + d; w.now < end; w.now += time.Millisecond {
-		for i := 0; i < len(w.way); i++ {
-			if f := w.way[i]; f.at <= w.now && w.nodes[f.m.To] == f.to {
-				f.to.Step(w.now, f.m)
+		for i := 0; i < len(w.inFlight); i++ {
+			if f := w.inFlight[i]; f.deliverAt <= w.now && w.nodes[f.message.To] == f.receiver {
+				f.receiver.Step(w.now, f.message)
 			}
 		}
-		w.way = slices.DeleteFunc(w.way, func(f flying) bool { return f.at <= w.now })
+		w.inFlight = slices.DeleteFunc(w.inFlight, func(f messageInFlight) bool { return f.deliverAt <= w.now })
 		leads := 0
 		for _, name := range []string{"a", "b", "c"} {
 			n := w.nodes[name]
 			n.Tick(w.now)
 			for o := n.Ready(); len(o.Batches)+len(o.Messages) > 0; o = n.Ready() {
 				for _, m := range o.Messages {
-					if to := w.nodes[m.To]; !w.cut[name+m.To] {
-						w.way = append(w.way, flying{w.now + 2*time.Millisecond, to, m})
+					if to := w.nodes[m.To]; !w.partitioned[name+m.To] {
+						w.inFlight = append(w.inFlight, messageInFlight{w.now + 2*time.Millisecond, to, m})
 					}
 				}
 				for _, b := range o.Batches {
-					w.imgs[name].ApplyBatch(b)
+					w.states[name].ApplyBatch(b)
 					n.Advance(w.now, b.Seq)
 				}
 			}
@@ -216,7 +216,7 @@
 	return false
 }
 
-func (w *trio) leader() string {
+func (w *simpleCluster) leader() string {
 	for _, n := range []string{"a", "b", "c"} {
 		if w.nodes[n].HasLease(w.now) {
 			return n
@@ -227,13 +227,13 @@
 
 // After a start of all members nobody can still decide, so none waits.
 func TestAllStarted(t *testing.T) {
-	w := newTrio()
+	w := newSimpleCluster()
 	if !w.run(t, tuning.ElectionTimeoutMin/2, func() bool { return w.leader() != "" }) {
 		t.Fatal("no leader soon after the first start")
 	}
 	w.run(t, time.Second, func() bool { return false })
 	for _, n := range []string{"a", "b", "c"} {
-		w.boot(n)
+		w.restart(n)
 	}
 	if !w.run(t, tuning.ElectionTimeoutMin/2, func() bool { return w.leader() != "" }) {
 		t.Fatal("no leader soon after all were started again")
@@ -245,7 +245,7 @@
 // whoever starts again in between.
 func TestLeaveOfAll(t *testing.T) {
 	for step := range 60 {
-		w := newTrio()
+		w := newSimpleCluster()
 		w.run(t, 2*time.Second, func() bool { return false })
 		l := w.leader()
 		var rest []string
@@ -256,14 +256,14 @@
 		}
 		quiet := step%2 == 0 // else the leader hears nothing, but is heard
 		for _, n := range rest {
-			w.cut[n+l], w.cut[l+n] = true, quiet
+			w.partitioned[n+l], w.partitioned[l+n] = true, quiet
 		}
 		w.run(t, time.Duration(step)*7*time.Millisecond, func() bool { return false })
 		for _, n := range rest {
-			w.boot(n)
+			w.restart(n)
 		}
 		w.run(t, time.Duration(step%7)*20*time.Millisecond, func() bool { return false })
-		w.boot(rest[step%2])
+		w.restart(rest[step%2])
 		if !w.run(t, 8*time.Second, func() bool { n := w.leader(); return n != "" && n != l }) && quiet {
 			t.Fatal("the others never went on")
 		}
@@ -300,19 +300,19 @@
 	}
 }
 
-// cutOff cuts a member from the others, or joins it again.
-func (w *trio) cutOff(name string, cut bool) {
+// isolate cuts a member from the others, or joins it again.
+func (w *simpleCluster) isolate(name string, cut bool) {
 	for _, n := range []string{"a", "b", "c"} {
-		w.cut[name+n], w.cut[n+name] = cut, cut
+		w.partitioned[name+n], w.partitioned[n+name] = cut, cut
 	}
 }
 
 // A leader knows from its log whether another has decided since a term in which it led: not if it
 // was only without a majority for a while, and for certain if another was elected meanwhile.
 func TestNobodyLedSince(t *testing.T) {
-	leads := func(w *trio, name string) func() bool { return func() bool { return w.leader() == name } }
+	leads := func(w *simpleCluster, name string) func() bool { return func() bool { return w.leader() == name } }
 	for _, another := range []bool{false, true} {
-		w := newTrio()
+		w := newSimpleCluster()
 		if !w.run(t, 5*time.Second, func() bool { return w.leader() != "" }) {
 			t.Fatal("nobody leads")
 		}
@@ -321,19 +321,19 @@
 		if !n.NoOtherLeaderSince(term) {
 			t.Error("in its own term nobody else has led")
 		}
-		w.cutOff(first, true)
+		w.isolate(first, true)
 		if another && !w.run(t, 5*time.Second, func() bool { return w.leader() != "" && w.leader() != first }) {
 			t.Fatal("no other member was elected")
 		}
 		if !another {
 			// Nobody reaches anybody until the leader has given up, and then only it may stand.
 			for _, name := range []string{"a", "b", "c"} {
-				w.cutOff(name, true)
+				w.isolate(name, true)
 			}
 			w.run(t, tuning.ElectionTimeoutMin+tuning.HeartbeatEvery, func() bool { return n.Role() != Leader })
 		}
 		for _, name := range []string{"a", "b", "c"} {
-			w.cutOff(name, false)
+			w.isolate(name, false)
 		}
 		// What the others ask for is lost until the first leads again.
 		w.run(t, 300*time.Millisecond, func() bool { return false })
--- a/internal/controlplane/consensus/refusal.go
+++ b/internal/controlplane/consensus/refusal.go
@@ -25,55 +25,55 @@
 	Err  error
 }
 
-// numberMax bounds terms and indexes, so that what is counted on from them stays a number:
+// maxNumber bounds terms and indexes, so that what is counted on from them stays a number:
 // at a million a second they take 146,000 years.
-const numberMax = 1 << 62
+const maxNumber = 1 << 62
 
 func malformed(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), ErrMalformed)
 }
 
-// acceptable says whether a vote or append message may be looked at, and why not.
-func (n *Node) acceptable(m *wire.Message) error {
-	if m.Term >= numberMax {
+// validate says whether a vote or append message may be looked at, and why not.
+func (n *Node) validate(m *wire.Message) error {
+	if m.Term >= maxNumber {
 		return malformed("term %d", m.Term)
 	}
 	a := m.Append
 	if a == nil {
 		return nil
 	}
-	if a.PrevIndex >= numberMax || a.MatchIndex >= numberMax || a.Commit >= numberMax {
+	if a.PrevIndex >= maxNumber || a.MatchIndex >= maxNumber || a.Commit >= maxNumber {
 		return malformed("log position %d, %d or %d", a.PrevIndex, a.MatchIndex, a.Commit)
 	}
 	if a.Chunk != nil && !a.Reply {
-		if err := n.acceptablePiece(a, m.Term); err != nil {
+		if err := n.validateChunk(a, m.Term); err != nil {
 			return err
 		}
 	}
-	if err := acceptableEntries(a.Entries, a.PrevIndex, a.PrevTerm, m.Term); err != nil {
+	if err := validateEntries(a.Entries, a.PrevIndex, a.PrevTerm, m.Term); err != nil {
 		return err
 	}
-	return n.keepsAgreed(a.Entries)
+	return n.validateCommitted(a.Entries)
 }
 
-// acceptablePiece wants a piece of what a leader of the term can hold. An entry in pieces
+// validateChunk wants a piece of what a leader of the term can hold. An entry in pieces
 // is the one after PrevIndex; no list of members is so long.
-func (n *Node) acceptablePiece(a *wire.Append, term uint64) error {
+func (n *Node) validateChunk(a *wire.Append, term uint64) error {
 	p := a.Chunk
-	if p.Index == 0 || p.Index >= numberMax || p.Term > term {
+	if p.Index == 0 || p.Index >= maxNumber || p.Term > term {
 		return malformed("piece of %d of term %d in term %d", p.Index, p.Term, term)
 	}
 	if !p.IsEntry {
-		return acceptableMembers(p.Members)
+		return validateMembers(p.Members)
 	}
 	if p.Index != a.PrevIndex+1 || p.Term < a.PrevTerm || p.Kind == EntryMembers || len(a.Entries) > 0 {
 		return malformed("piece of entry %d of kind %d after %d with %d others", p.Index, p.Kind, a.PrevIndex, len(a.Entries))
 	}
-	return n.keepsAgreed([]wire.Entry{{Index: p.Index, Term: p.Term}})
+	return n.validateCommitted([]wire.Entry{{Index: p.Index, Term: p.Term}})
 }
 
-// keepsAgreed wants entries to leave alone what is agreed.
-func (n *Node) keepsAgreed(entries []wire.Entry) error {
+// validateCommitted wants entries to leave alone what is agreed.
+func (n *Node) validateCommitted(entries []wire.Entry) error {
 	for _, e := range entries {
 		if t, ok := n.termAt(e.Index); ok && e.Index <= n.commit && t != e.Term {
 			return errors.Mark(errors.Newf("agreed entry %d of term %d would be overwritten by one of term %d", e.Index, t, e.Term), ErrCommitConflict)
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// acceptableEntries wants entries that follow each other and the one before them, of
+// validateEntries wants entries that follow each other and the one before them, of
 // terms up to the present one.
-func acceptableEntries(entries []wire.Entry, prevIndex, prevTerm, term uint64) error {
+func validateEntries(entries []wire.Entry, prevIndex, prevTerm, term uint64) error {
 	before := prevTerm
 	for i, e := range entries {
 		if e.Index != prevIndex+1+uint64(i) || e.Term < before || e.Term > term {
@@ -98,15 +98,15 @@
 		if err := json.Unmarshal(e.Data, &ms); err != nil {
 			return errors.Mark(errors.Wrapf(err, "members entry %d", e.Index), ErrMalformed)
 		}
-		if err := acceptableMembers(ms); err != nil {
+		if err := validateMembers(ms); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// acceptableMembers wants a list with somebody in it and nobody twice.
-func acceptableMembers(ms []wire.Member) error {
+// validateMembers wants a list with somebody in it and nobody twice.
+func validateMembers(ms []wire.Member) error {
 	seen := map[string]bool{}
 	for _, m := range ms {
 		if m.Name == "" || seen[m.Name] {
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -13,9 +13,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// noStamp is in the answer to an append of an earlier term, which proves nothing to the
+// noTimestamp is in the answer to an append of an earlier term, which proves nothing to the
 // leader of this one: the stamp may be by the clock of an earlier process of its name.
-const noStamp = -1 << 62
+const noTimestamp = -1 << 62
 
 // progress is what a leader knows of another member, or of one that learns.
 type progress struct {
@@ -23,20 +23,20 @@
 	voter     bool
 	next      uint64
 	match     uint64
-	acked     time.Duration
-	inFlight  []sentEntries // sent and not acknowledged, in order
+	ackedAt   time.Duration
+	inflight  []sentEntries // sent and not acknowledged, in order
 	rewoundAt time.Duration // when entries were last begun again after a loss
 	chunks    *chunkSender  // what goes to it in pieces, if anything does
 }
 
 // sentEntries is one message's entries.
 type sentEntries struct {
-	last  uint64 // index
-	bytes int
+	lastIndex uint64 // index
+	bytes     int
 }
 
-func (p *progress) inFlightBytes() (b int) {
-	for _, s := range p.inFlight {
+func (p *progress) inflightBytes() (b int) {
+	for _, s := range p.inflight {
 		b += s.bytes
 	}
 	return b
@@ -45,26 +45,26 @@
 // entryOverhead is what an entry takes in a message beside its data, in bytes, about.
 const entryOverhead = 64
 
-func (n *Node) add(now time.Duration, kind uint16, data []byte) uint64 {
-	e := wire.Entry{Index: n.last() + 1, Term: n.term, Kind: kind, Data: data}
+func (n *Node) appendEntry(now time.Duration, kind uint16, data []byte) uint64 {
+	e := wire.Entry{Index: n.lastIndex() + 1, Term: n.term, Kind: kind, Data: data}
 	n.log = append(n.log, e)
 	if kind == EntryMembers {
-		n.readMembers()
+		n.updateMembership()
 	}
-	n.syncBatch(now, &wire.Batch{Entries: []wire.Entry{e}})
-	n.advance(now)
+	n.persistBatch(now, &wire.Batch{Entries: []wire.Entry{e}})
+	n.advanceCommit(now)
 	return e.Index
 }
 
 // Propose adds data to the log and returns its index; only a leader with a
 // lease may call it.
 func (n *Node) Propose(now time.Duration, data []byte) uint64 {
-	i := n.add(now, EntryData, data)
+	i := n.appendEntry(now, EntryData, data)
 	n.replicate(now, false)
 	return i
 }
 
-func (n *Node) advance(now time.Duration) {
+func (n *Node) advanceCommit(now time.Duration) {
 	if n.role == Leader {
 		var ix []uint64
 		for _, m := range n.members {
@@ -85,11 +85,11 @@
 			}
 		}
 	}
-	for n.applied < n.commit && n.applied < n.last() {
+	for n.applied < n.commit && n.applied < n.lastIndex() {
 		n.applied++
-		n.ready.CommittedEntries = append(n.ready.CommittedEntries, n.log[n.applied-n.snap.Index-1])
+		n.ready.CommittedEntries = append(n.ready.CommittedEntries, n.log[n.applied-n.snapshot.Index-1])
 	}
-	if n.role == Leader && n.commit >= n.termStart && n.CanChangeMembers() && !n.isVoter(n.self.Name, n.self.Disk) {
+	if n.role == Leader && n.commit >= n.termStartIndex && n.CanChangeMembers() && !n.isVoter(n.self.Name, n.self.Disk) {
 		n.become(now, Follower)
 		n.leader = ""
 	}
@@ -105,14 +105,14 @@
 }
 
 // UncommittedBytes is how much has been proposed and is not agreed yet.
-func (n *Node) UncommittedBytes() int { return n.entryBytes(n.commit, n.last()) }
+func (n *Node) UncommittedBytes() int { return n.entryBytes(n.commit, n.lastIndex()) }
 
 // replicate sends each peer what it may be sent now; a heartbeat goes to all of them.
 func (n *Node) replicate(now time.Duration, heartbeat bool) {
 	if n.role != Leader {
 		return
 	}
-	for _, p := range n.sorted() {
+	for _, p := range n.sortedProgress() {
 		n.sendAppend(now, p, heartbeat)
 	}
 }
@@ -120,12 +120,12 @@
 // announceCommit tells those who have not acknowledged what is agreed now that it is; the
 // others learn it with the next heartbeat.
 func (n *Node) announceCommit(now time.Duration) {
-	for _, p := range n.sorted() {
+	for _, p := range n.sortedProgress() {
 		n.sendAppend(now, p, p.chunks == nil && p.match < n.commit)
 	}
 }
 
-func (n *Node) sorted() []*progress {
+func (n *Node) sortedProgress() []*progress {
 	var ps []*progress
 	for _, p := range n.progress {
 		ps = append(ps, p)
@@ -139,36 +139,36 @@
 	return ps
 }
 
-// retained is an entry that is still in memory, and the term of the one before it.
-func (n *Node) retained(i uint64) (e wire.Entry, prevTerm uint64, ok bool) {
-	if i > n.last() {
+// retainedEntry is an entry that is still in memory, and the term of the one before it.
+func (n *Node) retainedEntry(i uint64) (e wire.Entry, prevTerm uint64, ok bool) {
+	if i > n.lastIndex() {
 		return e, 0, false
 	}
-	if i > n.snap.Index {
+	if i > n.snapshot.Index {
 		prevTerm, _ = n.termAt(i - 1)
-		return n.log[i-n.snap.Index-1], prevTerm, true
+		return n.log[i-n.snapshot.Index-1], prevTerm, true
 	}
-	first := n.snap.Index + 1 - uint64(len(n.tail))
+	first := n.snapshot.Index + 1 - uint64(len(n.compactedTail))
 	if i <= first {
 		return e, 0, false
 	}
-	return n.tail[i-first], n.tail[i-first-1].Term, true
+	return n.compactedTail[i-first], n.compactedTail[i-first-1].Term, true
 }
 
-// startTransfer begins what has to go to a peer in pieces: a snapshot, if the entries that
+// startChunks begins what has to go to a peer in pieces: a snapshot, if the entries that
 // it needs are gone, or an entry that is too large for one message.
-func (n *Node) startTransfer(p *progress) {
-	if p.next > n.last() {
+func (n *Node) startChunks(p *progress) {
+	if p.next > n.lastIndex() {
 		return
 	}
-	e, prevTerm, ok := n.retained(p.next)
+	e, prevTerm, ok := n.retainedEntry(p.next)
 	switch {
 	case !ok:
-		p.chunks = snapshotTransfer(n.snap)
-		p.next = n.snap.Index + 1
-		p.inFlight = nil
-	case len(e.Data) > tuning.AppendMax && len(p.inFlight) == 0:
-		p.chunks = entryTransfer(e, prevTerm)
+		p.chunks = newSnapshotSender(n.snapshot)
+		p.next = n.snapshot.Index + 1
+		p.inflight = nil
+	case len(e.Data) > tuning.AppendMax && len(p.inflight) == 0:
+		p.chunks = newEntrySender(e, prevTerm)
 	}
 }
 
@@ -177,21 +177,21 @@
 func (n *Node) sendAppend(now time.Duration, p *progress, heartbeat bool) {
 	a := &wire.Append{Commit: n.commit}
 	if p.chunks == nil {
-		n.startTransfer(p)
+		n.startChunks(p)
 	}
 	if t := p.chunks; t != nil {
-		a.PrevIndex, a.PrevTerm = t.prev()
-		a.Chunk = t.next(now)
+		a.PrevIndex, a.PrevTerm = t.prevEntry()
+		a.Chunk = t.nextChunk(now)
 		if a.Chunk == nil && !heartbeat {
 			return
 		}
 	} else {
 		a.PrevIndex = p.next - 1
 		a.PrevTerm, _ = n.termAt(a.PrevIndex)
-		if _, t, ok := n.retained(p.next); ok {
+		if _, t, ok := n.retainedEntry(p.next); ok {
 			a.PrevTerm = t
 		}
-		a.Entries = n.takeEntries(p)
+		a.Entries = n.nextEntries(p)
 		if len(a.Entries) == 0 && !heartbeat {
 			return
 		}
@@ -199,12 +199,12 @@
 	n.send(&wire.Message{Kind: wire.KindAppend, To: p.member.Name, Timestamp: int64(now), Append: a}, false)
 }
 
-// takeEntries are the next entries for a peer: no more are under way than AppendMax.
-func (n *Node) takeEntries(p *progress) (entries []wire.Entry) {
-	size, room := 0, tuning.AppendMax-p.inFlightBytes()
+// nextEntries are the next entries for a peer: no more are under way than AppendMax.
+func (n *Node) nextEntries(p *progress) (entries []wire.Entry) {
+	size, room := 0, tuning.AppendMax-p.inflightBytes()
 	for {
-		e, _, ok := n.retained(p.next)
-		if !ok || size+len(e.Data) > room && (size > 0 || len(p.inFlight) > 0) || len(e.Data) > tuning.AppendMax {
+		e, _, ok := n.retainedEntry(p.next)
+		if !ok || size+len(e.Data) > room && (size > 0 || len(p.inflight) > 0) || len(e.Data) > tuning.AppendMax {
 			break
 		}
 		size += len(e.Data) + entryOverhead
@@ -212,43 +212,43 @@
 		p.next++
 	}
 	if len(entries) > 0 {
-		p.inFlight = append(p.inFlight, sentEntries{p.next - 1, size})
+		p.inflight = append(p.inflight, sentEntries{p.next - 1, size})
 	}
 	return entries
 }
 
-func (n *Node) appendAsk(now time.Duration, m *wire.Message) {
+func (n *Node) handleAppendEntries(now time.Duration, m *wire.Message) {
 	a := m.Append
-	r := &wire.Message{Kind: wire.KindAppend, To: m.From, Timestamp: m.Timestamp, Append: &wire.Append{Reply: true, MatchIndex: n.last()}}
-	n.leaderSpokeAt = now
+	r := &wire.Message{Kind: wire.KindAppend, To: m.From, Timestamp: m.Timestamp, Append: &wire.Append{Reply: true, MatchIndex: n.lastIndex()}}
+	n.leaderMessageAt = now
 	if m.Term < n.term {
-		r.Timestamp = noStamp
+		r.Timestamp = noTimestamp
 		n.send(r, false)
 		return
 	}
 	n.follow(now, m.Term)
 	n.leader = m.From
-	n.leaderHeardAt = now
-	n.deadline = now + tuning.ElectionTimeoutMin + n.deadline%tuning.ElectionTimeoutSpread
+	n.leaderContactAt = now
+	n.electionDeadline = now + tuning.ElectionTimeoutMin + n.electionDeadline%tuning.ElectionTimeoutSpread
 	entries, installed := a.Entries, false
 	if a.Chunk != nil {
-		if whole, complete := n.receivePiece(a.Chunk); complete && whole.IsEntry {
+		if whole, complete := n.receiveChunk(a.Chunk); complete && whole.IsEntry {
 			entries = []wire.Entry{{Index: whole.Index, Term: whole.Term, Kind: whole.Kind, Data: whole.Data}}
 		} else if complete {
-			installed = n.install(now, wire.Snapshot{Index: whole.Index, Term: whole.Term, Members: whole.Members, Data: whole.Data})
+			installed = n.installSnapshot(now, wire.Snapshot{Index: whole.Index, Term: whole.Term, Members: whole.Members, Data: whole.Data})
 		}
 	}
-	r.Append.Chunk, r.Append.MatchIndex = n.incoming.status(), n.last()
+	r.Append.Chunk, r.Append.MatchIndex = n.receiver.status(), n.lastIndex()
 	t, ok := n.termAt(a.PrevIndex)
-	if a.PrevIndex < n.snap.Index {
+	if a.PrevIndex < n.snapshot.Index {
 		// All before the snapshot is agreed: answer for what it covers.
-		r.Append.Success, r.Append.MatchIndex = true, n.snap.Index
+		r.Append.Success, r.Append.MatchIndex = true, n.snapshot.Index
 		n.send(r, true)
 		return
 	}
 	if !ok || t != a.PrevTerm {
 		if ok {
-			r.Append.MatchIndex = n.beforeTerm(a.PrevIndex, t)
+			r.Append.MatchIndex = n.lastIndexBeforeTerm(a.PrevIndex, t)
 		}
 		n.send(r, false)
 		return
@@ -263,24 +263,24 @@
 			panic(errors.AssertionFailedf("%s: agreed entry %d would be overwritten", n.self.Name, e.Index))
 		}
 		fresh = entries[i:]
-		if e.Index <= n.last() {
+		if e.Index <= n.lastIndex() {
 			cut = e.Index
-			n.log = slices.Clone(n.log[:e.Index-n.snap.Index-1])
+			n.log = slices.Clone(n.log[:e.Index-n.snapshot.Index-1])
 			n.stable = min(n.stable, e.Index-1)
 			for i := range n.unsyncedBatches {
-				n.unsyncedBatches[i].last = min(n.unsyncedBatches[i].last, e.Index-1)
+				n.unsyncedBatches[i].lastIndex = min(n.unsyncedBatches[i].lastIndex, e.Index-1)
 			}
 		}
 		break
 	}
 	if len(fresh) > 0 {
 		n.log = append(n.log, fresh...)
-		n.readMembers()
-		n.syncBatch(now, &wire.Batch{TruncateFrom: cut, Entries: fresh})
+		n.updateMembership()
+		n.persistBatch(now, &wire.Batch{TruncateFrom: cut, Entries: fresh})
 	}
 	match := a.PrevIndex + uint64(len(entries))
 	r.Append.Success, r.Append.MatchIndex = true, match
-	termUnsynced := len(n.unsyncedBatches) > 0 && n.unsyncedBatches[0].seq <= n.hardSeq
+	termUnsynced := len(n.unsyncedBatches) > 0 && n.unsyncedBatches[0].seq <= n.hardStateSeq
 	if len(entries) == 0 && !installed && !termUnsynced {
 		// A heartbeat is contact however slow the disk is; what is not on it yet is not acknowledged.
 		r.Append.MatchIndex = min(match, n.stable)
@@ -290,13 +290,13 @@
 	}
 	if c := min(a.Commit, match); c > n.commit {
 		n.commit = c
-		n.advance(now)
+		n.advanceCommit(now)
 	}
 }
 
-// beforeTerm is the last index before the entries of a term that end at i, so that a leader
+// lastIndexBeforeTerm is the last index before the entries of a term that end at i, so that a leader
 // goes back by a term, not by an entry, at a time; what is agreed is not in question.
-func (n *Node) beforeTerm(i, term uint64) uint64 {
+func (n *Node) lastIndexBeforeTerm(i, term uint64) uint64 {
 	for i > n.commit+1 {
 		if t, _ := n.termAt(i - 1); t != term {
 			break
@@ -306,7 +306,7 @@
 	return i - 1
 }
 
-func (n *Node) appendReply(now time.Duration, m *wire.Message) {
+func (n *Node) handleAppendResponse(now time.Duration, m *wire.Message) {
 	if m.Term > n.term {
 		n.follow(now, m.Term)
 		return
@@ -316,15 +316,15 @@
 		return
 	}
 	stamp := time.Duration(m.Timestamp)
-	if stamp < n.since || stamp > now {
-		stamp = noStamp // it tells nothing of when
+	if stamp < n.roleSince || stamp > now {
+		stamp = noTimestamp // it tells nothing of when
 	}
-	p.acked = max(p.acked, stamp)
+	p.ackedAt = max(p.ackedAt, stamp)
 	if p.chunks != nil {
-		p.chunks.answered(m.Append.Chunk, stamp)
+		p.chunks.acknowledge(m.Append.Chunk, stamp)
 	}
 	if m.Append.Success {
-		n.acknowledged(now, p, min(m.Append.MatchIndex, n.last()))
+		n.acknowledged(now, p, min(m.Append.MatchIndex, n.lastIndex()))
 	} else {
 		n.rewind(now, p, m.Append.MatchIndex, stamp)
 	}
@@ -337,19 +337,19 @@
 func (n *Node) acknowledged(now time.Duration, p *progress, match uint64) {
 	p.match = max(p.match, match)
 	p.next = max(p.next, p.match+1)
-	p.inFlight = slices.DeleteFunc(p.inFlight, func(s sentEntries) bool { return s.last <= p.match })
-	if t := p.chunks; t != nil && p.match >= t.whole.Index {
+	p.inflight = slices.DeleteFunc(p.inflight, func(s sentEntries) bool { return s.lastIndex <= p.match })
+	if t := p.chunks; t != nil && p.match >= t.content.Index {
 		p.chunks = nil
 	}
-	n.advance(now)
+	n.advanceCommit(now)
 }
 
 // rewind begins entries again from where a peer says that its log ends. Answers to what was
 // sent before the last time tell of the same loss and change nothing.
 func (n *Node) rewind(now time.Duration, p *progress, last uint64, stamp time.Duration) {
-	if stamp < p.rewoundAt || p.chunks != nil && !p.chunks.whole.IsEntry {
+	if stamp < p.rewoundAt || p.chunks != nil && !p.chunks.content.IsEntry {
 		return // a snapshot's receiver has no such entry until it is installed
 	}
-	p.rewoundAt, p.inFlight, p.chunks = now, nil, nil
+	p.rewoundAt, p.inflight, p.chunks = now, nil, nil
 	p.next = max(p.match+1, min(p.next, last+1))
 }
--- a/internal/controlplane/consensus/stamp_test.go
+++ b/internal/controlplane/consensus/stamp_test.go
@@ -13,7 +13,7 @@
 // stamp is by another clock.
 func TestLateAppendRenewsNoLease(t *testing.T) {
 	const earlierClock = int64(time.Hour)
-	follower, _ := node("b")
+	follower, _ := newTestNode("b")
 	follower.Step(0, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 3, Append: &wire.Append{PrevIndex: 1}})
 	follower.Ready()
 	follower.Step(1, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 2, Timestamp: earlierClock, Append: &wire.Append{PrevIndex: 1}})
@@ -23,7 +23,7 @@
 	}
 
 	// The leader does not believe in stamps that it can't have given in this lead either.
-	leader, _ := node("a")
+	leader, _ := newTestNode("a")
 	start := tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	leader.Tick(start)
 	for leader.Role() != Leader {
@@ -45,7 +45,7 @@
 		leader.Step(start, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: leader.Term(), Timestamp: int64(stamp),
 			Append: &wire.Append{Reply: true, Success: true, MatchIndex: leader.LastIndex()}})
 	}
-	for _, stamp := range []time.Duration{time.Duration(earlierClock), start - 1, noStamp} {
+	for _, stamp := range []time.Duration{time.Duration(earlierClock), start - 1, noTimestamp} {
 		if reply(stamp); leader.HasLease(start) {
 			t.Errorf("a stamp of %v renews the lease at %v", stamp, start)
 		}
--- a/internal/controlplane/consensus/transfer.go
+++ b/internal/controlplane/consensus/transfer.go
@@ -17,73 +17,73 @@
 // chunkSender is a snapshot or an entry on its way to a peer. It keeps what it began with:
 // a newer snapshot does not restart it.
 type chunkSender struct {
-	whole    wire.Chunk // what is sent; its Data is all of it
-	prevTerm uint64     // of the entry before, for the receiver's check
-	held     uint64     // how many bytes the receiver is known to hold
-	underWay bool       // a piece was sent and not answered yet
-	sentAt   time.Duration
+	content      wire.Chunk // what is sent; its Data is all of it
+	prevTerm     uint64     // of the entry before, for the receiver's check
+	acknowledged uint64     // how many bytes the receiver is known to hold
+	inFlight     bool       // a piece was sent and not answered yet
+	sentAt       time.Duration
 }
 
-func sumOf(data []byte) uint64 {
+func checksum(data []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(data)
 	return h.Sum64()
 }
 
-func snapshotTransfer(s wire.Snapshot) *chunkSender {
-	return &chunkSender{whole: wire.Chunk{Index: s.Index, Term: s.Term, Members: s.Members,
-		Size: uint64(len(s.Data)), Checksum: sumOf(s.Data), Data: s.Data}}
+func newSnapshotSender(s wire.Snapshot) *chunkSender {
+	return &chunkSender{content: wire.Chunk{Index: s.Index, Term: s.Term, Members: s.Members,
+		Size: uint64(len(s.Data)), Checksum: checksum(s.Data), Data: s.Data}}
 }
 
-func entryTransfer(e wire.Entry, prevTerm uint64) *chunkSender {
-	return &chunkSender{prevTerm: prevTerm, whole: wire.Chunk{IsEntry: true, Index: e.Index, Term: e.Term, Kind: e.Kind,
-		Size: uint64(len(e.Data)), Checksum: sumOf(e.Data), Data: e.Data}}
+func newEntrySender(e wire.Entry, prevTerm uint64) *chunkSender {
+	return &chunkSender{prevTerm: prevTerm, content: wire.Chunk{IsEntry: true, Index: e.Index, Term: e.Term, Kind: e.Kind,
+		Size: uint64(len(e.Data)), Checksum: checksum(e.Data), Data: e.Data}}
 }
 
-// prev is the log position that the receiver has once all has arrived, or for an entry,
+// prevEntry is the log position that the receiver has once all has arrived, or for an entry,
 // before that, the one that it must have had before.
-func (t *chunkSender) prev() (index, term uint64) {
-	if t.whole.IsEntry && t.held < t.whole.Size {
-		return t.whole.Index - 1, t.prevTerm
+func (t *chunkSender) prevEntry() (index, term uint64) {
+	if t.content.IsEntry && t.acknowledged < t.content.Size {
+		return t.content.Index - 1, t.prevTerm
 	}
-	return t.whole.Index, t.whole.Term
+	return t.content.Index, t.content.Term
 }
 
-// next is the piece to send now, nil if one is under way or all has arrived.
-func (t *chunkSender) next(now time.Duration) *wire.Chunk {
-	if t.underWay || t.held == t.whole.Size && t.whole.Size > 0 {
+// nextChunk is the piece to send now, nil if one is under way or all has arrived.
+func (t *chunkSender) nextChunk(now time.Duration) *wire.Chunk {
+	if t.inFlight || t.acknowledged == t.content.Size && t.content.Size > 0 {
 		return nil
 	}
-	p := t.whole
-	p.Offset = t.held
-	p.Data = t.whole.Data[t.held:min(t.held+tuning.AppendMax, t.whole.Size)]
-	t.underWay, t.sentAt = true, now
+	p := t.content
+	p.Offset = t.acknowledged
+	p.Data = t.content.Data[t.acknowledged:min(t.acknowledged+tuning.AppendMax, t.content.Size)]
+	t.inFlight, t.sentAt = true, now
 	return &p
 }
 
-// answered takes what an answer says the receiver holds; stamp is when the message that
+// acknowledge takes what an answer says the receiver holds; stamp is when the message that
 // it answers was sent.
-func (t *chunkSender) answered(held *wire.Chunk, stamp time.Duration) {
+func (t *chunkSender) acknowledge(held *wire.Chunk, stamp time.Duration) {
 	var n uint64
-	if held != nil && sameWhole(held, &t.whole) {
-		n = min(held.Offset, t.whole.Size)
+	if held != nil && sameContent(held, &t.content) {
+		n = min(held.Offset, t.content.Size)
 	}
 	// Progress, or the answer to a message behind the piece, which therefore was lost.
-	if n > t.held || stamp > t.sentAt {
-		t.held, t.underWay = n, false
+	if n > t.acknowledged || stamp > t.sentAt {
+		t.acknowledged, t.inFlight = n, false
 	}
 }
 
-func sameWhole(a, b *wire.Chunk) bool {
+func sameContent(a, b *wire.Chunk) bool {
 	return a.IsEntry == b.IsEntry && a.Index == b.Index && a.Term == b.Term && a.Size == b.Size && a.Checksum == b.Checksum
 }
 
 // chunkReceiver is what has arrived of a transfer. Once complete it keeps only what it was, so
 // that answers go on to say that all has arrived.
 type chunkReceiver struct {
-	whole wire.Chunk
-	data  []byte
-	done  bool
+	content  wire.Chunk
+	data     []byte
+	complete bool
 }
 
 // status is what an answer says of it.
@@ -91,59 +91,59 @@
 	if a == nil {
 		return nil
 	}
-	s := a.whole
+	s := a.content
 	s.Data, s.Members, s.Offset = nil, nil, uint64(len(a.data))
-	if a.done {
+	if a.complete {
 		s.Offset = s.Size
 	}
 	return &s
 }
 
-// receivePiece takes a piece and says whether with it all has arrived whole.
-func (n *Node) receivePiece(p *wire.Chunk) (whole wire.Chunk, complete bool) {
+// receiveChunk takes a piece and says whether with it all has arrived whole.
+func (n *Node) receiveChunk(p *wire.Chunk) (whole wire.Chunk, complete bool) {
 	if p.Size > tuning.WireMax {
 		return wire.Chunk{}, false
 	}
-	if n.incoming == nil || !sameWhole(&n.incoming.whole, p) {
+	if n.receiver == nil || !sameContent(&n.receiver.content, p) {
 		if p.Offset != 0 {
 			return wire.Chunk{}, false
 		}
-		n.incoming = &chunkReceiver{whole: *p}
-		n.incoming.whole.Data = nil
+		n.receiver = &chunkReceiver{content: *p}
+		n.receiver.content.Data = nil
 	}
-	in := n.incoming
-	if in.done || p.Offset != uint64(len(in.data)) || p.Offset+uint64(len(p.Data)) > p.Size {
+	in := n.receiver
+	if in.complete || p.Offset != uint64(len(in.data)) || p.Offset+uint64(len(p.Data)) > p.Size {
 		return wire.Chunk{}, false // it came twice, or one before it is missing
 	}
 	in.data = append(in.data, p.Data...)
 	if uint64(len(in.data)) < p.Size {
 		return wire.Chunk{}, false
 	}
-	if sumOf(in.data) != p.Checksum {
-		n.incoming = nil // begun again from nothing
+	if checksum(in.data) != p.Checksum {
+		n.receiver = nil // begun again from nothing
 		return wire.Chunk{}, false
 	}
-	whole = in.whole
-	whole.Data, in.data, in.done = in.data, nil, true
+	whole = in.content
+	whole.Data, in.data, in.complete = in.data, nil, true
 	return whole, true
 }
 
-// install makes a snapshot that has arrived whole this node's state and says whether it did. One that the log
+// installSnapshot makes a snapshot that has arrived whole this node's state and says whether it did. One that the log
 // covers already changes nothing: what follows it there may have been acknowledged.
-func (n *Node) install(now time.Duration, s wire.Snapshot) bool {
+func (n *Node) installSnapshot(now time.Duration, s wire.Snapshot) bool {
 	if s.Index <= n.commit {
 		return false
 	}
 	if t, ok := n.termAt(s.Index); ok && t == s.Term {
 		return false
 	}
-	n.snap, n.log, n.tail = s, nil, nil
+	n.snapshot, n.log, n.compactedTail = s, nil, nil
 	n.commit, n.applied, n.stable = s.Index, s.Index, 0
 	for i := range n.unsyncedBatches {
-		n.unsyncedBatches[i].last = 0
+		n.unsyncedBatches[i].lastIndex = 0
 	}
-	n.readMembers()
-	n.syncBatch(now, &wire.Batch{Snapshot: &s, TruncateFrom: 1})
+	n.updateMembership()
+	n.persistBatch(now, &wire.Batch{Snapshot: &s, TruncateFrom: 1})
 	n.ready.Snapshot = &s
 	n.ready.CommittedEntries = nil
 	return true
--- a/internal/controlplane/consensus/transfer_test.go
+++ b/internal/controlplane/consensus/transfer_test.go
@@ -16,34 +16,34 @@
 // linkedCluster plays members whose links carry so many bytes a second and whose syncs take
 // time. A message that would wait for its link for too long is dropped, as a shell does.
 type linkedCluster struct {
-	now      time.Duration
-	names    []string
-	nodes    map[string]*Node
-	images   map[string]*PersistentState
-	linkRate map[string]float64 // bytes a second into a member, 0: no bound
-	linkFree map[string]time.Duration
-	syncTime map[string]time.Duration
-	lose     func(m *wire.Message) bool
-	onSend   func(m *wire.Message, bytes int)
-	onApply  func(name string, e wire.Entry)
-	state    func(name string) []byte // what a member compacts to
-	messages []flying
-	syncs    []dueSync
-	restored map[string]int
-	maxBytes int // of one message
+	now                time.Duration
+	names              []string
+	nodes              map[string]*Node
+	states             map[string]*PersistentState
+	linkRate           map[string]float64 // bytes a second into a member, 0: no bound
+	linkFreeAt         map[string]time.Duration
+	syncTime           map[string]time.Duration
+	drop               func(m *wire.Message) bool
+	onSend             func(m *wire.Message, bytes int)
+	onApply            func(name string, e wire.Entry)
+	compactedState     func(name string) []byte // what a member compacts to
+	inFlight           []messageInFlight
+	pendingSyncs       []pendingSync
+	snapshotsInstalled map[string]int
+	largestMessage     int // of one message
 }
 
-type dueSync struct {
-	at      time.Duration
-	to      *Node
+type pendingSync struct {
+	doneAt  time.Duration
+	node    *Node
 	name    string
 	batches []*wire.Batch
 }
 
 func newLinkedCluster(members ...string) *linkedCluster {
-	c := &linkedCluster{nodes: map[string]*Node{}, images: map[string]*PersistentState{}, linkRate: map[string]float64{}, linkFree: map[string]time.Duration{},
-		syncTime: map[string]time.Duration{}, restored: map[string]int{}, lose: func(*wire.Message) bool { return false }, onSend: func(*wire.Message, int) {},
-		onApply: func(string, wire.Entry) {}, state: func(string) []byte { return []byte("state") }}
+	c := &linkedCluster{nodes: map[string]*Node{}, states: map[string]*PersistentState{}, linkRate: map[string]float64{}, linkFreeAt: map[string]time.Duration{},
+		syncTime: map[string]time.Duration{}, snapshotsInstalled: map[string]int{}, drop: func(*wire.Message) bool { return false }, onSend: func(*wire.Message, int) {},
+		onApply: func(string, wire.Entry) {}, compactedState: func(string) []byte { return []byte("state") }}
 	var list []wire.Member
 	for i, name := range members {
 		list = append(list, wire.Member{Name: name, Disk: uint64(i) + 1})
@@ -56,12 +56,12 @@
 
 func (c *linkedCluster) add(m wire.Member, im PersistentState) {
 	c.names = append(c.names, m.Name)
-	c.images[m.Name] = &im
+	c.states[m.Name] = &im
 	c.restart(m.Name)
 }
 
 func (c *linkedCluster) restart(name string) {
-	im := *c.images[name]
+	im := *c.states[name]
 	im.Log = slices.Clone(im.Log)
 	c.nodes[name] = New(c.now, name, im)
 }
@@ -71,41 +71,41 @@
 	if err != nil {
 		panic(err)
 	}
-	c.maxBytes = max(c.maxBytes, bytes)
+	c.largestMessage = max(c.largestMessage, bytes)
 	c.onSend(m, bytes)
 	to := c.nodes[m.To]
-	if to == nil || c.lose(m) {
+	if to == nil || c.drop(m) {
 		return
 	}
 	at := c.now
 	if rate := c.linkRate[m.To]; rate > 0 {
-		free := max(c.linkFree[m.To], at)
+		free := max(c.linkFreeAt[m.To], at)
 		if free-at > tuning.SendQueueTTL {
 			return
 		}
 		at = free + time.Duration(float64(bytes)/rate*float64(time.Second))
-		c.linkFree[m.To] = at
+		c.linkFreeAt[m.To] = at
 	}
-	c.messages = append(c.messages, flying{at + 2*time.Millisecond, to, m})
+	c.inFlight = append(c.inFlight, messageInFlight{at + 2*time.Millisecond, to, m})
 }
 
-func (c *linkedCluster) collect(name string) {
+func (c *linkedCluster) carryOut(name string) {
 	n := c.nodes[name]
 	for o := n.Ready(); len(o.Batches)+len(o.Messages)+len(o.CommittedEntries) > 0 || o.Snapshot != nil; o = n.Ready() {
 		for _, m := range o.Messages {
 			c.send(m)
 		}
 		if o.Snapshot != nil {
-			c.restored[name]++
+			c.snapshotsInstalled[name]++
 		}
 		for _, e := range o.CommittedEntries {
 			c.onApply(name, e)
 		}
 		if len(o.Batches) > 0 {
-			c.syncs = append(c.syncs, dueSync{c.now + c.syncTime[name], n, name, o.Batches})
+			c.pendingSyncs = append(c.pendingSyncs, pendingSync{c.now + c.syncTime[name], n, name, o.Batches})
 		}
 		if n.SnapshotDue() {
-			n.Compact(c.now, c.state(name))
+			n.Compact(c.now, c.compactedState(name))
 		}
 	}
 }
@@ -113,38 +113,38 @@
 // step moves time on by a millisecond.
 func (c *linkedCluster) step() {
 	c.now += time.Millisecond
-	var due []flying
-	c.messages = slices.DeleteFunc(c.messages, func(f flying) bool {
-		if f.at <= c.now {
+	var due []messageInFlight
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(f messageInFlight) bool {
+		if f.deliverAt <= c.now {
 			due = append(due, f)
 		}
-		return f.at <= c.now
+		return f.deliverAt <= c.now
 	})
 	for _, f := range due {
-		if c.nodes[f.m.To] == f.to {
-			f.to.Step(c.now, f.m)
-			c.collect(f.m.To)
+		if c.nodes[f.message.To] == f.receiver {
+			f.receiver.Step(c.now, f.message)
+			c.carryOut(f.message.To)
 		}
 	}
-	var done []dueSync
-	c.syncs = slices.DeleteFunc(c.syncs, func(s dueSync) bool {
-		if s.at <= c.now {
+	var done []pendingSync
+	c.pendingSyncs = slices.DeleteFunc(c.pendingSyncs, func(s pendingSync) bool {
+		if s.doneAt <= c.now {
 			done = append(done, s)
 		}
-		return s.at <= c.now
+		return s.doneAt <= c.now
 	})
 	for _, s := range done {
-		if c.nodes[s.name] == s.to {
+		if c.nodes[s.name] == s.node {
 			for _, b := range s.batches {
-				c.images[s.name].ApplyBatch(b)
+				c.states[s.name].ApplyBatch(b)
 			}
-			s.to.Advance(c.now, s.batches[len(s.batches)-1].Seq)
-			c.collect(s.name)
+			s.node.Advance(c.now, s.batches[len(s.batches)-1].Seq)
+			c.carryOut(s.name)
 		}
 	}
 	for _, name := range c.names {
 		c.nodes[name].Tick(c.now)
-		c.collect(name)
+		c.carryOut(name)
 	}
 }
 
@@ -182,7 +182,7 @@
 	return b
 }
 
-func random(rnd *rand.Rand, bytes int) []byte {
+func randomBytes(rnd *rand.Rand, bytes int) []byte {
 	b := make([]byte, 0, bytes+8)
 	for len(b) < bytes {
 		b = binary.LittleEndian.AppendUint64(b, rnd.Uint64())
@@ -190,9 +190,9 @@
 	return b[:bytes]
 }
 
-// changing proposes a change ten times a second, and has all members compact to the last
+// proposeContinuously proposes a change ten times a second, and has all members compact to the last
 // sixteen of them, as the core's state does.
-func (c *linkedCluster) changing(t *testing.T, change func() []byte) (tick func()) {
+func (c *linkedCluster) proposeContinuously(t *testing.T, change func() []byte) (tick func()) {
 	kept := map[string][][]byte{}
 	c.onApply = func(name string, e wire.Entry) {
 		if e.Kind == EntryData {
@@ -200,14 +200,14 @@
 			kept[name] = kept[name][max(0, len(kept[name])-tuning.ChangesKept):]
 		}
 	}
-	c.state = func(name string) []byte { return slices.Concat(kept[name]...) }
+	c.compactedState = func(name string) []byte { return slices.Concat(kept[name]...) }
 	next := c.now
 	return func() {
 		if c.now >= next {
 			next = c.now + 100*time.Millisecond
 			name, n := c.leader(t)
 			n.Propose(c.now, change())
-			c.collect(name)
+			c.carryOut(name)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	c := newLinkedCluster("a", "b", "c")
 	rnd := rand.New(rand.NewPCG(1, 2))
 	c.run(2*time.Second, never)
-	tick := c.changing(t, func() []byte { return wire.Compress(configuration(rnd, 30<<10)) })
+	tick := c.proposeContinuously(t, func() []byte { return wire.Compress(configuration(rnd, 30<<10)) })
 	c.run(10*time.Second, func() bool { tick(); return false })
 
 	learner := wire.Member{Name: "d", Disk: 9}
@@ -243,16 +243,16 @@
 		_, n := c.leader(t)
 		n.AddLearner(learner)
 		if first == 0 {
-			first = n.snap.Index
+			first = n.snapshot.Index
 		}
-		compacted = compacted || n.snap.Index > first
-		if p := n.progress["d"]; p.acked > from {
-			contact = max(contact, c.now-p.acked)
+		compacted = compacted || n.snapshot.Index > first
+		if p := n.progress["d"]; p.ackedAt > from {
+			contact = max(contact, c.now-p.ackedAt)
 		}
 		match, ok := n.Match(learner)
 		return ok && match > 0 && match >= n.Commit() // all of it, not only nearly
 	})
-	t.Logf("caught up after %v: %d snapshot(s), %d of %d bytes sent, longest without contact %v, largest message %d bytes", c.now-from, begun, sent, whole, contact, c.maxBytes)
+	t.Logf("caught up after %v: %d snapshot(s), %d of %d bytes sent, longest without contact %v, largest message %d bytes", c.now-from, begun, sent, whole, contact, c.largestMessage)
 	if !caught || c.now-from > 5*time.Second {
 		t.Fatalf("not caught up after %v", c.now-from)
 	}
@@ -262,8 +262,8 @@
 	if contact >= tuning.LeaderLease {
 		t.Errorf("%v without contact", contact)
 	}
-	if c.maxBytes > tuning.AppendMax+4<<10 {
-		t.Errorf("a message of %d bytes", c.maxBytes)
+	if c.largestMessage > tuning.AppendMax+4<<10 {
+		t.Errorf("a message of %d bytes", c.largestMessage)
 	}
 	c.run(10*time.Second, func() bool { // and stays so
 		tick()
@@ -284,13 +284,13 @@
 	name, _ := c.leader(t)
 	slow := c.names[(slices.Index(c.names, name)+1)%3]
 	c.linkRate[slow] = tuning.SlowLink
-	tick := c.changing(t, func() []byte { return random(rnd, 30<<10) })
+	tick := c.proposeContinuously(t, func() []byte { return randomBytes(rnd, 30<<10) })
 	var contact time.Duration
 	c.run(20*time.Second, func() bool {
 		tick()
 		_, n := c.leader(t)
-		contact = max(contact, c.now-n.progress[slow].acked)
-		if b := n.progress[slow].inFlightBytes(); b > tuning.AppendMax {
+		contact = max(contact, c.now-n.progress[slow].ackedAt)
+		if b := n.progress[slow].inflightBytes(); b > tuning.AppendMax {
 			t.Fatalf("%d bytes under way", b)
 		}
 		return false
@@ -314,18 +314,18 @@
 		c.run(2*time.Second, never)
 		name, n := c.leader(t)
 		const size = 400 << 10
-		c.state = func(string) []byte { return random(rnd, size) }
-		data := random(rnd, size)
+		c.compactedState = func(string) []byte { return randomBytes(rnd, size) }
+		data := randomBytes(rnd, size)
 		if kind == "snapshot" { // larger than tuning.LogBytes, so it is compacted at once
-			data = random(rnd, size/3)
+			data = randomBytes(rnd, size/3)
 			for range 3 {
 				n.Propose(c.now, data)
-				c.collect(name)
+				c.carryOut(name)
 				c.run(time.Second, never)
 			}
 		}
 		sent, lost, once := 0, 0, map[string]int{} // once: bytes of each piece to each member
-		c.lose = func(m *wire.Message) bool {
+		c.drop = func(m *wire.Message) bool {
 			if m.Append == nil || m.Append.Chunk == nil {
 				return false
 			}
@@ -346,7 +346,7 @@
 			from, sent = c.now, 0
 			clear(once)
 			n.Propose(c.now, data)
-			c.collect(name)
+			c.carryOut(name)
 		}
 		if !c.run(20*time.Second, func() bool {
 			n.AddLearner(wire.Member{Name: "d", Disk: 9})
@@ -365,8 +365,8 @@
 	}
 }
 
-func follower(log ...wire.Entry) *Node {
-	_, im := node("a")
+func newFollower(log ...wire.Entry) *Node {
+	_, im := newTestNode("a")
 	im.Log = log
 	return New(0, "a", im)
 }
@@ -375,17 +375,17 @@
 	return &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: term, Append: a}
 }
 
-func pieceOf(s wire.Snapshot, from, to int) *wire.Append {
+func snapshotChunk(s wire.Snapshot, from, to int) *wire.Append {
 	return &wire.Append{PrevIndex: s.Index, PrevTerm: s.Term, Chunk: &wire.Chunk{Index: s.Index, Term: s.Term, Members: s.Members,
-		Size: uint64(len(s.Data)), Checksum: sumOf(s.Data), Offset: uint64(from), Data: s.Data[from:to]}}
+		Size: uint64(len(s.Data)), Checksum: checksum(s.Data), Offset: uint64(from), Data: s.Data[from:to]}}
 }
 
 // A snapshot is acknowledged only whole and synced; a damaged one is begun again; pieces that
 // come twice or out of order change nothing.
 func TestSnapshotIsWholeBeforeItCounts(t *testing.T) {
-	_, im := node("a")
+	_, im := newTestNode("a")
 	s := wire.Snapshot{Index: 50, Term: 1, Members: im.Snapshot.Members, Data: []byte("the whole state")}
-	n := follower()
+	n := newFollower()
 	recv := func(a *wire.Append) (Ready, *wire.Append) {
 		n.Step(1, appendFrom(1, a))
 		o := n.Ready()
@@ -401,20 +401,20 @@
 		return o, o.Messages[len(o.Messages)-1].Append
 	}
 	recv(&wire.Append{}) // the term
-	if _, r := recv(pieceOf(s, 5, 9)); r.Success || r.Chunk != nil {
+	if _, r := recv(snapshotChunk(s, 5, 9)); r.Success || r.Chunk != nil {
 		t.Fatalf("a piece without those before it: %+v", r)
 	}
-	if _, r := recv(pieceOf(s, 0, 5)); r.Success || r.Chunk == nil || r.Chunk.Offset != 5 {
+	if _, r := recv(snapshotChunk(s, 0, 5)); r.Success || r.Chunk == nil || r.Chunk.Offset != 5 {
 		t.Fatalf("%+v", r)
 	}
-	recv(pieceOf(s, 0, 5))
-	bad := pieceOf(s, 5, 15)
+	recv(snapshotChunk(s, 0, 5))
+	bad := snapshotChunk(s, 5, 15)
 	bad.Chunk.Data = []byte("DAMAGED!!!")
 	if _, r := recv(bad); r.Success || r.Chunk != nil || n.Commit() != 1 {
 		t.Fatalf("damaged: %+v", r)
 	}
-	recv(pieceOf(s, 0, 5))
-	o, r := recv(pieceOf(s, 5, 15))
+	recv(snapshotChunk(s, 0, 5))
+	o, r := recv(snapshotChunk(s, 5, 15))
 	if r != nil || o.Snapshot == nil || string(o.Snapshot.Data) != string(s.Data) || len(o.Batches) != 1 {
 		t.Fatalf("acknowledged before it was synced: %+v, restore %v", r, o.Snapshot)
 	}
@@ -430,8 +430,8 @@
 // A snapshot that comes late, to a member that has acknowledged entries past it since, takes
 // none of them away.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
-	n := follower(wire.Entry{Index: 2, Term: 1}, wire.Entry{Index: 3, Term: 1}, wire.Entry{Index: 4, Term: 1})
-	n.Step(1, appendFrom(1, pieceOf(wire.Snapshot{Index: 3, Term: 1, Members: n.members, Data: []byte("s")}, 0, 1)))
+	n := newFollower(wire.Entry{Index: 2, Term: 1}, wire.Entry{Index: 3, Term: 1}, wire.Entry{Index: 4, Term: 1})
+	n.Step(1, appendFrom(1, snapshotChunk(wire.Snapshot{Index: 3, Term: 1, Members: n.members, Data: []byte("s")}, 0, 1)))
 	if o := n.Ready(); n.LastIndex() != 4 || o.Snapshot != nil {
 		t.Fatalf("log ends at %d, restore %v", n.LastIndex(), o.Snapshot)
 	}
@@ -440,7 +440,7 @@
 // A heartbeat is answered at once however slow the disk is, and what is not on it yet is not
 // acknowledged.
 func TestHeartbeatOnSlowDisk(t *testing.T) {
-	n := follower()
+	n := newFollower()
 	n.Step(1, appendFrom(1, &wire.Append{}))
 	for _, b := range n.Ready().Batches {
 		n.Advance(1, b.Seq)
@@ -463,9 +463,9 @@
 
 // An entry that arrived in pieces and was overwritten since is taken again.
 func TestOverwrittenEntryIsTakenAgain(t *testing.T) {
-	n := follower()
+	n := newFollower()
 	e := wire.Entry{Index: 2, Term: 1, Kind: EntryData, Data: []byte("large")}
-	piece := &wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 1, Kind: EntryData, Size: 5, Checksum: sumOf(e.Data), Data: e.Data}}
+	piece := &wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 1, Kind: EntryData, Size: 5, Checksum: checksum(e.Data), Data: e.Data}}
 	n.Step(1, appendFrom(1, piece))
 	n.Step(2, appendFrom(2, &wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}}}))
 	n.Step(3, appendFrom(3, piece))
@@ -481,16 +481,16 @@
 	c.run(2*time.Second, never)
 	name, n := c.leader(t)
 	away := c.names[(slices.Index(c.names, name)+1)%3]
-	tick := c.changing(t, func() []byte { return random(rnd, 4<<10) })
+	tick := c.proposeContinuously(t, func() []byte { return randomBytes(rnd, 4<<10) })
 	c.run(time.Second, func() bool { tick(); return false })
-	c.lose = func(m *wire.Message) bool { return m.To == away || m.From == away }
-	before := n.snap.Index
+	c.drop = func(m *wire.Message) bool { return m.To == away || m.From == away }
+	before := n.snapshot.Index
 	c.run(8*time.Second, func() bool { tick(); return false })
-	if n.snap.Index == before {
+	if n.snapshot.Index == before {
 		t.Fatal("nothing was compacted meanwhile")
 	}
 	c.restart(away)
-	c.lose = func(*wire.Message) bool { return false }
+	c.drop = func(*wire.Message) bool { return false }
 	from := c.now
 	if !c.run(5*time.Second, func() bool {
 		tick()
@@ -500,7 +500,7 @@
 		t.Fatal("it never caught up")
 	}
 	t.Logf("caught up after %v", c.now-from)
-	if c.restored[away] != 0 {
+	if c.snapshotsInstalled[away] != 0 {
 		t.Error("a snapshot was needed")
 	}
 }
@@ -511,12 +511,12 @@
 	c := newLinkedCluster("a", "b", "c")
 	rnd := rand.New(rand.NewPCG(9, 10))
 	c.run(2*time.Second, never)
-	c.changing(t, nil)
-	doc := func() []byte { return random(rnd, 200+rnd.IntN(8<<10)) }
+	c.proposeContinuously(t, nil)
+	doc := func() []byte { return randomBytes(rnd, 200+rnd.IntN(8<<10)) }
 	for i := range 10000 {
 		name, n := c.leader(t)
 		n.Propose(c.now, doc())
-		c.collect(name)
+		c.carryOut(name)
 		c.step()
 		if i%10 == 0 {
 			c.run(20*time.Millisecond, func() bool { return n.Commit() == n.LastIndex() })
@@ -524,9 +524,9 @@
 	}
 	c.run(time.Second, never)
 	for _, name := range c.names {
-		n, im := c.nodes[name], c.images[name]
-		logBytes, tailBytes := n.entryBytes(0, n.last()), 0
-		for _, e := range n.tail {
+		n, im := c.nodes[name], c.states[name]
+		logBytes, tailBytes := n.entryBytes(0, n.lastIndex()), 0
+		for _, e := range n.compactedTail {
 			tailBytes += len(e.Data)
 		}
 		whole, err := wire.EncodeBatch(im.Checkpoint())
@@ -537,12 +537,12 @@
 		if n.Commit() < 10000 || len(n.log) > tuning.LogMax+2 || logBytes > tuning.LogBytes+tuning.AppendMax || tailBytes > tuning.LogTailBytes || len(whole) > tuning.WALFileSize/2 {
 			t.Errorf("%s holds too much", name)
 		}
-		if len(n.unsyncedBatches)+len(n.heldMessages) > 0 {
-			t.Errorf("%s: %d batches and %d messages left over", name, len(n.unsyncedBatches), len(n.heldMessages))
+		if len(n.unsyncedBatches)+len(n.pendingMessages) > 0 {
+			t.Errorf("%s: %d batches and %d messages left over", name, len(n.unsyncedBatches), len(n.pendingMessages))
 		}
 	}
-	if c.maxBytes > tuning.AppendMax+4<<10 {
-		t.Errorf("a message of %d bytes", c.maxBytes)
+	if c.largestMessage > tuning.AppendMax+4<<10 {
+		t.Errorf("a message of %d bytes", c.largestMessage)
 	}
 }
 
@@ -555,14 +555,14 @@
 	name, n := c.leader(t)
 	slow := c.names[(slices.Index(c.names, name)+1)%3]
 	c.syncTime[slow] = 30 * 2 * time.Millisecond
-	tick := c.changing(t, func() []byte { return random(rnd, 4<<10) })
+	tick := c.proposeContinuously(t, func() []byte { return randomBytes(rnd, 4<<10) })
 	var contact time.Duration
 	c.run(10*time.Second, func() bool {
 		tick()
 		if _, leads := c.leader(t); leads != n {
 			t.Fatal("another leads")
 		}
-		contact = max(contact, c.now-n.progress[slow].acked)
+		contact = max(contact, c.now-n.progress[slow].ackedAt)
 		return false
 	})
 	if lag := n.LastIndex() - n.progress[slow].match; lag > 3 || contact > 2*tuning.HeartbeatEvery {
@@ -571,7 +571,7 @@
 
 	c.syncTime[name] = 10 * time.Second
 	index := n.Propose(c.now, []byte("not on the leader's disk"))
-	c.collect(name)
+	c.carryOut(name)
 	from := c.now
 	if !c.run(tuning.ElectionTimeoutMin, func() bool { return !n.HasLease(c.now) }) {
 		t.Fatal("it decides with a disk that does not answer")
@@ -591,7 +591,7 @@
 		t.Error("it counts what its disk has not taken")
 	}
 	c.run(10*time.Second, never)
-	if held := len(n.heldMessages); held > tuning.SendQueue {
+	if held := len(n.pendingMessages); held > tuning.SendQueue {
 		t.Errorf("%d messages held", held)
 	}
 }
