--- a/cmd/mfchaos/main.go
+++ b/cmd/mfchaos/main.go
@@ -6,6 +6,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -59,6 +60,7 @@
 // proc is a process of the fleet.
 type proc struct {
 	name, kind, domain string
+	program            string // path of its program, "": that of its kind
 	args               []string
 	cmd                *exec.Cmd
 	addr, http, listen string
@@ -83,6 +85,7 @@
 	faults  []string
 	forces  []float64
 	net     fabric
+	initial programs // what the fleet starts with, by kind of process; of others: what stands in bin
 	broken  map[string]int
 	history linearizability.Log
 	notes   []string
@@ -103,6 +106,7 @@
 	phase       time.Duration
 	policyPhase time.Duration
 	soak        soakOptions
+	upgrade     upgradeOptions
 	net         int
 }
 
@@ -129,6 +133,7 @@
 	policies := app.Command("policies", "one target fails, then one is slow: load without and with the shipped policy, put in force under load, and compare on the recording")
 	policies.Flag("phase", "how long each load lasts").Default("12s").DurationVar(&o.policyPhase)
 	o.soak.bind(app.Command("soak", "stops, hangups and changes in series that overlap, under callers that use their connections until a process is gone"))
+	o.upgrade.bind(app.Command("upgrade", "roll a fleet of earlier daemons to the present ones and back, under callers and changes; nothing is lost, nothing is damaged"))
 }
 
 func main() {
@@ -149,6 +154,11 @@
 		l.dep, l.routes, l.grace = o.soak.deployment(), true, o.soak.grace
 		o.config = filepath.Join("sample", "kelani-routes.json")
 	}
+	if cmd == "upgrade" {
+		l.dep, l.routes, l.grace = o.upgrade.soak.deployment(), true, o.upgrade.soak.grace
+		l.initial = o.upgrade.earlier()
+		o.config = filepath.Join("sample", "kelani-routes.json")
+	}
 	if err := l.readConfig(o.config); err != nil {
 		fmt.Fprintln(os.Stderr, "mfchaos:", err)
 		os.Exit(2)
@@ -206,6 +216,8 @@
 		done <- l.overload(o.phase)
 	case "soak":
 		done <- l.runSoak(&o.soak)
+	case "upgrade":
+		done <- l.runUpgrade(&o.upgrade)
 	case "measure":
 		done <- l.measure(o.rounds)
 	}
@@ -275,6 +287,7 @@
 	}
 	all := slices.Concat(l.cores, l.gates, l.stubs)
 	for _, p := range all {
+		p.program = l.initial[p.kind]
 		if err := l.spawn(p); err != nil {
 			return err
 		}
@@ -329,7 +342,7 @@
 		return err
 	}
 	defer f.Close()
-	p.cmd = exec.Command(filepath.Join(l.bin, p.kind), p.args...)
+	p.cmd = exec.Command(cmp.Or(p.program, filepath.Join(l.bin, p.kind)), p.args...)
 	p.cmd.Stdout, p.cmd.Stderr = f, f
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	p.stopped, p.frozen = false, false
