--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -20,8 +20,8 @@
 func (c *Controller) loadRegistrations(now time.Duration) {
 	c.persistedRegistrations, c.persistedTombstones = map[wire.TargetID]state.Registration{}, map[wire.TargetID]bool{}
 	for _, m := range c.state.Tombstones {
-		c.persistedTombstones[m.ID()] = m.SignedOff
-		if m.SignedOff {
+		c.persistedTombstones[m.ID()] = m.Gone
+		if m.Gone {
 			c.tombstones[m.ID()] = now
 		} else {
 			c.leavingTargets[m.ID()] = now
@@ -94,7 +94,7 @@
 	changed := func(id wire.TargetID, gone bool) {
 		was, ok := c.persistedTombstones[id]
 		if (!ok || was != gone) && (ok || len(c.persistedTombstones) < tuning.RegistryMax) {
-			r.AddTombstones = append(r.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, SignedOff: gone})
+			r.AddTombstones = append(r.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Gone: gone})
 		}
 	}
 	for id := range c.leavingTargets {
@@ -115,7 +115,7 @@
 	}
 	slices.SortFunc(r.DropTombstones, func(a, b state.Tombstone) int { return a.ID().Compare(b.ID()) })
 	for _, m := range r.AddTombstones {
-		c.persistedTombstones[m.ID()] = m.SignedOff
+		c.persistedTombstones[m.ID()] = m.Gone
 	}
 	for _, m := range r.DropTombstones {
 		delete(c.persistedTombstones, m.ID())
@@ -132,7 +132,7 @@
 	case full:
 		return true
 	case c.tombstones[id] != 0:
-		return marked && mark.SignedOff
+		return marked && mark.Gone
 	case t != nil && t.Draining:
 		p, ok := c.state.Registration(id)
 		return ok && p.Leaving
--- /dev/null
+++ b/internal/shared/state/apply.go
@@ -0,0 +1,166 @@
+// This file changes the state by committed log entries.
+
+package state
+
+import (
+	"cmp"
+	"encoding/json"
+	"slices"
+)
+
+// Apply changes the state by the committed entry at a log index. It is the one place that does, and
+// depends on nothing else, so all members that applied the same entries have the same state.
+func (s *State) Apply(index uint64, command Command) {
+	if command.Operation == OpRegisterTargets {
+		s.changeRegistry(command.Targets) // no table depends on it, so Index stays
+		return
+	}
+	s.Index = index
+	if s.isApplied(command.Token) {
+		return
+	}
+	switch command.Operation {
+	case OpChangeProxies:
+		s.changeProxies(index, command.Proxies, command.RemovedProxies)
+	case OpProxiesInForce:
+		s.confirmProxies(command.Base)
+	case OpRecover:
+		s.recover(index, command.State)
+	default:
+		s.applyOperatorChange(index, command)
+	}
+}
+
+// isApplied says that a command with this token is in the log already, of which Apply keeps the first.
+func (s *State) isApplied(token string) bool {
+	if s.FindRecord(token) != nil {
+		return true
+	}
+	_, accepted := s.FindToken(token)
+	return accepted
+}
+
+// applyOperatorChange applies a change that an operator asked for and records it under its token.
+func (s *State) applyOperatorChange(index uint64, command Command) {
+	record := Record{
+		ID:          command.Token,
+		Description: cmp.Or(command.Description, string(command.Operation)+" "+command.Name),
+		Outcome:     OutcomeAccepted,
+		Base:        command.Base,
+		Index:       index,
+	}
+	switch command.Operation {
+	case OpConfigure:
+		if !s.isNextConfiguration(command) {
+			record.Outcome, record.Revision = s.outcomeOfStaleBase(command)
+			s.addRecord(record)
+			return
+		}
+		s.replaceConfiguration(command)
+		record.Document, record.Digest = command.Document, command.Digest
+	case OpEmptyDomain:
+		s.emptyDomain(command.Name)
+	case OpRestoreDomain:
+		s.restoreDomain(command.Name)
+	case OpForgetProxy:
+		s.changeProxies(index, nil, []string{command.Name})
+	case OpRemoveMember:
+		s.RemovedMembers[command.Name] = index
+	case OpAddMember:
+		delete(s.RemovedMembers, command.Name)
+	}
+	if command.Token == "" {
+		return
+	}
+	record.Revision = s.Revision
+	s.addRecord(record)
+	if command.Operation != OpConfigure {
+		s.Changes.addToken(command.Token, s.Revision)
+	}
+}
+
+// isNextConfiguration says that a configuration was built on the present revision and has a number above it.
+func (s *State) isNextConfiguration(command Command) bool {
+	return command.Base == s.Revision && (command.RequestedRevision == 0 || command.RequestedRevision > s.Revision)
+}
+
+// outcomeOfStaleBase is what becomes of a configuration that is not the next one: of two commands for
+// the same change the second finds it accepted.
+func (s *State) outcomeOfStaleBase(command Command) (outcome Outcome, revision uint64) {
+	if command.Digest == nil {
+		return OutcomeStale, s.Revision
+	}
+	status, revision := s.FindChange(*command.Digest, command.Base)
+	switch status {
+	case AlreadyAccepted:
+		return OutcomeAccepted, revision
+	case Forgotten:
+		return OutcomeUnknown, s.Revision
+	}
+	return OutcomeStale, s.Revision
+}
+
+func (s *State) replaceConfiguration(command Command) {
+	s.Revision = cmp.Or(command.RequestedRevision, s.Revision+1)
+	s.Document = command.Document
+	if command.Digest != nil {
+		s.Changes.addConfiguration(*command.Digest, s.Revision)
+	}
+}
+
+func (s *State) emptyDomain(domain string) {
+	if slices.Contains(s.EmptiedDomains, domain) {
+		return
+	}
+	s.EmptiedDomains = append(slices.Clone(s.EmptiedDomains), domain)
+	slices.Sort(s.EmptiedDomains)
+}
+
+func (s *State) restoreDomain(domain string) {
+	s.EmptiedDomains = slices.DeleteFunc(slices.Clone(s.EmptiedDomains), func(d string) bool { return d == domain })
+}
+
+// changeProxies changes the proxy membership. The one before counts beside it until the new one is in
+// force everywhere; while that is so, further changes keep the first, so that any two majorities that
+// decide share a proxy.
+func (s *State) changeProxies(index uint64, added []ProxyEntry, removed []string) {
+	isReplaced := func(proxy ProxyEntry) bool {
+		return slices.Contains(removed, proxy.Name) ||
+			slices.ContainsFunc(added, func(a ProxyEntry) bool { return a.Name == proxy.Name })
+	}
+	proxies := append(slices.DeleteFunc(slices.Clone(s.Proxies), isReplaced), added...)
+	slices.SortFunc(proxies, func(a, b ProxyEntry) int { return cmp.Compare(a.Name, b.Name) })
+	if len(s.PreviousProxies) == 0 {
+		s.PreviousProxies = s.ProxyNames()
+	}
+	s.Proxies, s.ProxiesIndex = proxies, index
+}
+
+// confirmProxies ends the time of the previous proxy membership, unless Proxies has changed again since
+// the change at this log index.
+func (s *State) confirmProxies(changeIndex uint64) {
+	if changeIndex == s.ProxiesIndex {
+		s.PreviousProxies = nil
+	}
+}
+
+// recover begins an epoch with a state from an earlier one. Only the first such entry counts. One that
+// does not decode leaves the epoch without its first state: the leader goes on to another.
+func (s *State) recover(index uint64, encoded json.RawMessage) {
+	if s.Recovered {
+		return
+	}
+	first, err := Decode(encoded)
+	if err != nil {
+		return
+	}
+	*s = first
+	s.Members = nil
+	if len(s.Document) == 0 {
+		s.Document = json.RawMessage(emptyDocument)
+	}
+	if s.RemovedMembers == nil {
+		s.RemovedMembers = map[string]uint64{}
+	}
+	s.Recovered, s.Index = true, index
+}
--- a/internal/shared/state/changes_test.go
+++ b/internal/shared/state/changes_test.go
@@ -8,50 +8,69 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// taken is a state after so many accepted changes, each built on the one before.
+// stateAfter is a state after so many accepted changes, each built on the one before.
 func stateAfter(changes int) State {
 	s := New()
 	s.Recovered = true
 	for i := range changes {
-		d := DigestOf(fmt.Append(nil, i))
-		s.Apply(uint64(i+1), Command{Operation: OpConfigure, Token: fmt.Sprint("t", i), Base: s.Revision, Document: json.RawMessage(`{}`), Digest: &d})
+		digest := digestOfChange(i)
+		s.Apply(uint64(i+1), Command{Operation: OpConfigure, Token: fmt.Sprint("t", i), Base: s.Revision, Document: json.RawMessage(`{}`), Digest: &digest})
 	}
 	return s
 }
 
-// Accepted orders are known far past the records, and of one that was built on a revision
-// before all that is remembered nobody says that it was refused.
-func TestOrderMemory(t *testing.T) {
-	changes := tuning.AcceptedChangesKept + 100
+// digestOfChange is the digest of a change of stateAfter.
+func digestOfChange(i int) ChangeDigest { return DigestOf(fmt.Append(nil, i)) }
+
+// checkFindChange checks what a state says of each of so many changes, of which it keeps the latest, and
+// of other changes on the same bases.
+func checkFindChange(t *testing.T, s *State, changes, kept int) {
+	t.Helper()
+	other := DigestOf([]byte("other"))
+	for i := range changes {
+		base, isKept := uint64(i), i >= changes-kept
+		status, revision := s.FindChange(digestOfChange(i), base)
+		if isKept && (status != AlreadyAccepted || revision != base+1) || !isKept && status != Forgotten {
+			t.Fatalf("change %d: status %d, revision %d", i, status, revision)
+		}
+		want := Forgotten
+		if isKept {
+			want = NeverAccepted
+		}
+		if status, _ := s.FindChange(other, base); status != want {
+			t.Fatalf("another change on base %d: status %d, want %d", base, status, want)
+		}
+	}
+}
+
+// Accepted changes are recognized far beyond the records, and a change that was built on a revision
+// before all that is kept is not called rejected: also in a state that was encoded and in proxies' copies.
+func TestAcceptedChangesOutliveRecords(t *testing.T) {
+	const changes = tuning.AcceptedChangesKept + 100
 	s := stateAfter(changes)
 	text, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read State
-	if err := json.Unmarshal(text, &read); err != nil {
+	var decoded State
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	read.completeChanges()
-	proxies := State{}
-	if err := json.Unmarshal(s.EncodeForProxies(nil), &proxies); err != nil {
+	decoded.completeChanges()
+	var atProxies State
+	if err := json.Unmarshal(s.EncodeForProxies(nil), &atProxies); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
 		name  string
 		state State
 		kept  int
-	}{{"kept", s, tuning.AcceptedChangesKept}, {"read again", read, tuning.AcceptedChangesKept}, {"with proxies", proxies, tuning.AcceptedChangesInTables}} {
-		for i := range changes {
-			base := uint64(i)
-			v, revision := c.state.FindChange(DigestOf(fmt.Append(nil, i)), base)
-			if known := i >= changes-c.kept; known && (v != AlreadyAccepted || revision != base+1) || !known && v != Forgotten {
-				t.Fatalf("%s: change %d: verdict %d, revision %d", c.name, i, v, revision)
-			}
-			if v, _ := c.state.FindChange(DigestOf([]byte("other")), base); v == AlreadyAccepted || v == NeverAccepted && i < changes-c.kept || v == Forgotten && i >= changes-c.kept {
-				t.Fatalf("%s: another on base %d: verdict %d", c.name, base, v)
-			}
-		}
+	}{
+		{"applied", s, tuning.AcceptedChangesKept},
+		{"decoded", decoded, tuning.AcceptedChangesKept},
+		{"at proxies", atProxies, tuning.AcceptedChangesInTables},
+	} {
+		t.Run(c.name, func(t *testing.T) { checkFindChange(t, &c.state, changes, c.kept) })
 	}
 	if most := tuning.AcceptedChangesKept*acceptedChangeBytes*4/3 + 16<<10; len(text) > most {
 		t.Errorf("a state of %d bytes", len(text))
@@ -61,34 +80,33 @@
 	}
 }
 
-// The log's verdict is the same: taken again, refused for good, or unknown.
-func TestOrdersAgainInTheLog(t *testing.T) {
-	s := stateAfter(tuning.AcceptedChangesKept + 100)
-	last := DigestOf(fmt.Append(nil, tuning.AcceptedChangesKept+99))
-	first, other := DigestOf(fmt.Append(nil, 0)), DigestOf([]byte("other"))
+// A repeated change that reaches the log is accepted as the first was, stale or unknown, and changes nothing.
+func TestRepeatedChangesInTheLog(t *testing.T) {
+	const changes = tuning.AcceptedChangesKept + 100
+	s := stateAfter(changes)
 	for _, c := range []struct {
 		token   string
 		base    uint64
-		sum     ChangeDigest
+		digest  ChangeDigest
 		outcome Outcome
 	}{
-		{"a", s.Revision - 1, last, OutcomeAccepted},
-		{"b", s.Revision - 1, other, OutcomeStale},
-		{"c", 0, first, OutcomeUnknown},
+		{"last", s.Revision - 1, digestOfChange(changes - 1), OutcomeAccepted},
+		{"other", s.Revision - 1, DigestOf([]byte("other")), OutcomeStale},
+		{"first", 0, digestOfChange(0), OutcomeUnknown},
 	} {
-		was := s.Revision
-		s.Apply(s.Index+1, Command{Operation: OpConfigure, Token: c.token, Base: c.base, Document: json.RawMessage(`{"x":1}`), Digest: &c.sum})
-		if r := s.FindRecord(c.token); r == nil || r.Outcome != c.outcome || s.Revision != was {
+		before := s.Revision
+		s.Apply(s.Index+1, Command{Operation: OpConfigure, Token: c.token, Base: c.base, Document: json.RawMessage(`{"x":1}`), Digest: &c.digest})
+		if r := s.FindRecord(c.token); r == nil || r.Outcome != c.outcome || s.Revision != before {
 			t.Errorf("%+v: %+v, revision %d", c, r, s.Revision)
 		}
 	}
 }
 
-// A state that was written before orders were remembered refuses none that it can't know.
-func TestStateWithoutOrders(t *testing.T) {
+// A state that was written before accepted changes were kept rejects none that it can't know.
+func TestStateWithoutAcceptedChanges(t *testing.T) {
 	s := State{Revision: 7}
 	s.completeChanges()
-	if v, _ := s.FindChange(ChangeDigest{1}, 6); v != Forgotten {
-		t.Errorf("verdict %d", v)
+	if status, _ := s.FindChange(ChangeDigest{1}, 6); status != Forgotten {
+		t.Errorf("status %d", status)
 	}
 }
--- a/internal/shared/state/encoding.go
+++ b/internal/shared/state/encoding.go
@@ -1,6 +1,5 @@
-// This file is the form that the agreed state and its log entries have in the log, in
-// snapshots and on disk: JSON, compressed where it is long, so that disks, links and
-// memory hold a fraction. What does not decode is damage, and an error of that kind.
+// This file is the form that the state and its log entries have in the log, in snapshots and on disk:
+// JSON, compressed where it is long, so that disks, links and memory hold a fraction.
 
 package state
 
@@ -13,34 +12,38 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// ErrDamaged marks a state, or an entry that leads to it, which can't be read whole.
+// ErrDamaged marks a state, or an entry that leads to it, that can't be decoded completely.
 var ErrDamaged = errors.New("agreed state damaged")
 
-func EncodeCommand(o Command) []byte {
-	b, err := json.Marshal(o)
+// EncodeCommand is the form of a command in a log entry.
+func EncodeCommand(command Command) []byte {
+	text, err := json.Marshal(command)
 	if err != nil {
 		panic(errors.Wrap(err, "log entry"))
 	}
-	return wire.Compress(b)
+	return wire.Compress(text)
 }
 
-func DecodeCommand(data []byte) (o Command, err error) {
+// DecodeCommand reads what EncodeCommand writes. Its errors are marked ErrDamaged.
+func DecodeCommand(data []byte) (command Command, err error) {
 	text, err := wire.Decompress(data)
 	if err == nil {
-		err = json.Unmarshal(text, &o)
+		err = json.Unmarshal(text, &command)
 	}
-	return o, errors.Mark(err, ErrDamaged)
+	return command, errors.Mark(err, ErrDamaged)
 }
 
+// Encode is the form of a state in a snapshot.
 func Encode(s *State) []byte {
-	b, err := json.Marshal(s)
+	text, err := json.Marshal(s)
 	if err != nil {
 		panic(errors.Wrap(err, "state"))
 	}
-	return wire.Compress(b)
+	return wire.Compress(text)
 }
 
-// Decode reads a state; no data is the state that nothing has changed yet.
+// Decode reads what Encode writes; no data is the state before the first entry. Its errors are marked
+// ErrDamaged, and come with that state.
 func Decode(data []byte) (State, error) {
 	s := New()
 	if len(data) == 0 {
@@ -57,10 +60,10 @@
 	return s, nil
 }
 
-// DecodeRecovered reads what somebody remembers of an earlier epoch, as far as an epoch's
-// first state needs it: also its configuration must be one that can be put in force.
-func DecodeRecovered(l RecoveredState) (State, error) {
-	s, err := Decode(l.State)
+// DecodeRecovered reads a state of an earlier epoch. Since an epoch begins with it, its configuration
+// too must be one that can be put in force. Its errors are marked ErrDamaged.
+func DecodeRecovered(recovered RecoveredState) (State, error) {
+	s, err := Decode(recovered.State)
 	if err == nil && len(s.Document) > 0 {
 		_, _, err = outlier.ParseConfig(s.Document)
 	}
--- a/internal/shared/state/state.go
+++ b/internal/shared/state/state.go
@@ -1,11 +1,12 @@
-// Package state is the durable state that the core's members agree on: its types, the one function
-// that changes it by an agreed log entry (State.Apply), and the form that it has in the log, in
-// snapshots, on disk and in proxies' memories. It knows nothing of consensus or I/O. Begin with
-// State and Apply in state.go.
+// Package state is the durable state that the members of the control plane agree on: its types, the
+// one function that changes it by a committed log entry (State.Apply), and its form in the log, in
+// snapshots, on disk and in what proxies store. It knows nothing of consensus, time or I/O.
+//
+// Begin with State in this file and State.Apply in apply.go. The names of JSON keys stand in stored
+// data and on the wire, so they keep the form that they have.
 package state
 
 import (
-	"cmp"
 	"encoding/json"
 	"slices"
 
@@ -13,244 +14,75 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// ProxyEntry is a proxy's place in the durable roster.
-type ProxyEntry struct {
-	Name   string `json:"name"`
-	Addr   string `json:"addr"`
-	Domain string `json:"domain"`
-}
-
-// Record is one change as it was agreed.
-type Record struct {
-	ID          string          `json:"id"`
-	Description string          `json:"what"`
-	Outcome     Outcome         `json:"outcome"` // one of the outcomes below
-	Base        uint64          `json:"base,omitempty"`
-	Revision    uint64          `json:"revision"`
-	Index       uint64          `json:"seq"`
-	Document    json.RawMessage `json:"doc,omitempty"`
-	Digest      *ChangeDigest   `json:"sum,omitempty"` // of a configuration's change as it was asked for
-}
+// emptyDocument is the configuration of a state that no change has reached yet.
+const emptyDocument = `{}`
 
-// Outcome is what became of an agreed change. The texts stand in the log and in answers.
-type Outcome string
-
-// Outcomes of a change.
-const (
-	OutcomeAccepted Outcome = "accepted"
-	OutcomeStale    Outcome = "stale"   // built on another revision than the present one
-	OutcomeUnknown  Outcome = "unknown" // built on a revision so old that it may have been accepted long ago
-)
-
-// State is what the members agree on.
+// State is what the members agree on. A copy by value is a snapshot: Apply replaces slices and does
+// not write into them. RemovedMembers alone is changed in place.
 type State struct {
-	Recovered       bool              `json:"adopted"`
-	Index           uint64            `json:"seq"`
-	Revision        uint64            `json:"revision"`
-	Document        json.RawMessage   `json:"doc"`
-	Records         []Record          `json:"records,omitempty"`
-	Changes         AcceptedChanges   `json:"orders,omitzero"`
-	Proxies         []ProxyEntry      `json:"roster,omitempty"`
-	PreviousProxies []string          `json:"was,omitempty"`       // the roster before, while this one is not in force everywhere
-	ProxiesIndex    uint64            `json:"roster_at,omitempty"` // entry of the roster's last change
-	EmptiedDomains  []string          `json:"emptied,omitempty"`
-	RemovedMembers  map[string]uint64 `json:"out,omitempty"`     // members taken out by an operator
-	Members         []wire.Member     `json:"members,omitempty"` // in proxies' copies only: who a core could be rebuilt with
-	Registrations   []Registration    `json:"places,omitempty"`  // the targets there were, by identity; proxies have them in their tables
-	Tombstones      []Tombstone       `json:"marks,omitempty"`
-}
-
-// Operation is what a Command does. The texts stand in the log.
-type Operation string
-
-// Operations.
-const (
-	OpConfigure       Operation = "config"   // replaces the configuration
-	OpEmptyDomain     Operation = "empty"    // a failure domain gets no new requests
-	OpRestoreDomain   Operation = "restore"  // it does again
-	OpChangeProxies   Operation = "roster"   // admits and drops proxies
-	OpProxiesInForce  Operation = "enrolled" // the last change of proxies is in force everywhere
-	OpForgetProxy     Operation = "forget"   // an operator drops a proxy
-	OpRemoveMember    Operation = "out"      // an operator takes a member out of the core
-	OpAddMember       Operation = "in"       // and lets it in again
-	OpRecover         Operation = "adopt"    // an epoch's first state, recovered from an earlier one
-	OpRegisterTargets Operation = "targets"  // a batch of the registry of targets
-)
-
-// Command is a log entry's text.
-type Command struct {
-	Operation         Operation       `json:"op"`
-	Token             string          `json:"token,omitempty"`
-	Base              uint64          `json:"base,omitempty"`
-	Document          json.RawMessage `json:"doc,omitempty"`
-	Description       string          `json:"what,omitempty"`
-	Name              string          `json:"name,omitempty"`
-	Proxies           []ProxyEntry    `json:"gates,omitempty"`
-	RemovedProxies    []string        `json:"gone,omitempty"`
-	State             json.RawMessage `json:"state,omitempty"`
-	RequestedRevision uint64          `json:"rev,omitempty"` // the operator's own number for a configuration
-	Digest            *ChangeDigest   `json:"sum,omitempty"`
-	Targets           *RegistryChange `json:"reg,omitempty"`
+	// Recovered says that the epoch has its first state; until then the leader decides nothing.
+	Recovered bool `json:"adopted"`
+	// Index is the log index of the last entry that tables depend on.
+	Index uint64 `json:"seq"`
+	// Revision numbers the configuration: 0 is the empty one before any change.
+	Revision uint64 `json:"revision"`
+	// Document is the configuration at Revision.
+	Document json.RawMessage `json:"doc"`
+	// Records are the latest changes, the oldest first.
+	Records []Record `json:"records,omitempty"`
+	// Changes says which changes were accepted, far beyond what Records holds.
+	Changes AcceptedChanges `json:"orders,omitzero"`
+	// Proxies is the proxy membership, sorted by name.
+	Proxies []ProxyEntry `json:"roster,omitempty"`
+	// PreviousProxies names the proxy membership before the last change, while that change is not
+	// in force everywhere: until then a majority of both is needed.
+	PreviousProxies []string `json:"was,omitempty"`
+	// ProxiesIndex is the log index of the last change of Proxies.
+	ProxiesIndex uint64 `json:"roster_at,omitempty"`
+	// EmptiedDomains are the failure domains that get no new requests, sorted.
+	EmptiedDomains []string `json:"emptied,omitempty"`
+	// RemovedMembers has the members that an operator removed, with the log index of the removal.
+	RemovedMembers map[string]uint64 `json:"out,omitempty"`
+	// Members is set in proxies' copies only: the members that a control plane could be recovered with.
+	Members []wire.Member `json:"members,omitempty"`
+	// Registrations are the registered targets, sorted by identity. Proxies' copies lack them, since
+	// their tables have the targets.
+	Registrations []Registration `json:"places,omitempty"`
+	// Tombstones are the targets that were leaving or have left, sorted by identity.
+	Tombstones []Tombstone `json:"marks,omitempty"`
 }
 
-func New() State { return State{Document: json.RawMessage(`{}`), RemovedMembers: map[string]uint64{}} }
-
-// slim is the state as proxies keep it, without the texts of past changes and
-// without the document, which travels beside it, and with the members of the time.
-func (s *State) EncodeForProxies(ms []wire.Member) []byte {
-	t := *s
-	t.Document, t.Members, t.Registrations, t.Tombstones = nil, ms, nil, nil
-	t.Changes = s.Changes.latest(tuning.AcceptedChangesInTables)
-	t.Records = slices.Clone(s.Records)
-	for i := range t.Records {
-		t.Records[i].Document = nil
-	}
-	b, _ := json.Marshal(t)
-	return b
-}
-
-func (s *State) addRecord(r Record) {
-	s.Records = append(s.Records, r)
-	// Configurations and all else are kept apart: orders that are repeated push no text out.
-	same, first := 0, -1
-	for i, o := range s.Records {
-		if (o.Digest == nil) == (r.Digest == nil) {
-			if same++; first < 0 {
-				first = i
-			}
-		}
-	}
-	if same > tuning.ChangesKept {
-		s.Records = slices.Delete(slices.Clone(s.Records), first, first+1)
-	}
-	left := tuning.HistoryBytes
-	for i := len(s.Records) - 1; i >= 0; i-- {
-		if left -= len(s.Records[i].Document); left < 0 {
-			s.Records = slices.Clone(s.Records)
-			s.Records[i].Document = nil
-		}
-	}
-}
-
-func (s *State) FindRecord(token string) *Record {
-	for i := range s.Records {
-		if s.Records[i].ID == token && token != "" {
-			return &s.Records[i]
-		}
-	}
-	return nil
-}
-
-// Apply is the one place where agreed entries change the state.
-func (s *State) Apply(index uint64, o Command) {
-	if o.Operation == OpRegisterTargets { // no table goes by these, so its sequence stays
-		s.register(o.Targets)
-		return
-	}
-	s.Index = index
-	if s.FindRecord(o.Token) != nil {
-		return
-	}
-	if _, taken := s.FindToken(o.Token); taken {
-		return
-	}
-	r := Record{ID: o.Token, Description: cmp.Or(o.Description, string(o.Operation)+" "+o.Name), Outcome: OutcomeAccepted, Base: o.Base, Index: index}
-	switch o.Operation {
-	case OpConfigure:
-		if o.Base != s.Revision || o.RequestedRevision != 0 && o.RequestedRevision <= s.Revision {
-			r.Outcome, r.Revision = s.outcomeOfStaleBase(o)
-			s.addRecord(r)
-			return
-		}
-		s.Revision = cmp.Or(o.RequestedRevision, s.Revision+1)
-		s.Document = o.Document
-		r.Document, r.Digest = o.Document, o.Digest
-		if o.Digest != nil {
-			s.Changes.addConfiguration(*o.Digest, s.Revision)
-		}
-	case OpEmptyDomain:
-		if !slices.Contains(s.EmptiedDomains, o.Name) {
-			s.EmptiedDomains = append(slices.Clone(s.EmptiedDomains), o.Name)
-			slices.Sort(s.EmptiedDomains)
-		}
-	case OpRestoreDomain:
-		s.EmptiedDomains = slices.DeleteFunc(slices.Clone(s.EmptiedDomains), func(d string) bool { return d == o.Name })
-	case OpChangeProxies:
-		s.changeProxies(index, o.Proxies, o.RemovedProxies)
-		return
-	case OpProxiesInForce:
-		if o.Base == s.ProxiesIndex {
-			s.PreviousProxies = nil
-		}
-		return
-	case OpForgetProxy:
-		s.changeProxies(index, nil, []string{o.Name})
-	case OpRemoveMember:
-		s.RemovedMembers[o.Name] = index
-	case OpAddMember:
-		delete(s.RemovedMembers, o.Name)
-	case OpRecover:
-		if s.Recovered {
-			return
-		}
-		t, err := Decode(o.State)
-		if err != nil {
-			return // not adopted: the leader goes on to what else is remembered
-		}
-		*s = t
-		s.Members = nil
-		if len(s.Document) == 0 {
-			s.Document = json.RawMessage(`{}`)
-		}
-		if s.RemovedMembers == nil {
-			s.RemovedMembers = map[string]uint64{}
-		}
-		s.Recovered, s.Index = true, index
-		return
-	}
-	if o.Token == "" {
-		return
-	}
-	r.Revision = s.Revision
-	s.addRecord(r)
-	if o.Operation != OpConfigure {
-		s.Changes.addToken(o.Token, s.Revision)
-	}
+// ProxyEntry is a proxy in the proxy membership.
+type ProxyEntry struct {
+	Name   string `json:"name"`
+	Addr   string `json:"addr"`   // host:port of the daemons' transport
+	Domain string `json:"domain"` // failure domain
 }
 
-// outcomeOfStaleBase is what becomes of a change of the configuration that is not built on
-// the present revision, or numbered below it.
-func (s *State) outcomeOfStaleBase(o Command) (outcome Outcome, revision uint64) {
-	if o.Digest == nil {
-		return OutcomeStale, s.Revision
-	}
-	verdict, revision := s.FindChange(*o.Digest, o.Base)
-	switch verdict {
-	case AlreadyAccepted: // asked twice before it was agreed
-		return OutcomeAccepted, revision
-	case Forgotten:
-		return OutcomeUnknown, s.Revision
-	}
-	return OutcomeStale, s.Revision
+// New is the state before the first log entry.
+func New() State {
+	return State{Document: json.RawMessage(emptyDocument), RemovedMembers: map[string]uint64{}}
 }
 
-// changeProxies changes the roster. The one before counts with it until the new one is in
-// force everywhere; while that is so, further changes keep the first.
-func (s *State) changeProxies(index uint64, add []ProxyEntry, gone []string) {
-	l := slices.DeleteFunc(slices.Clone(s.Proxies), func(g ProxyEntry) bool {
-		return slices.Contains(gone, g.Name) || slices.ContainsFunc(add, func(a ProxyEntry) bool { return a.Name == g.Name })
-	})
-	l = append(l, add...)
-	slices.SortFunc(l, func(a, b ProxyEntry) int { return cmp.Compare(a.Name, b.Name) })
-	if len(s.PreviousProxies) == 0 {
-		s.PreviousProxies = s.ProxyNames()
+// EncodeForProxies is the state as proxies store it, in JSON: with the members of the time, and
+// without the configuration and the targets, which travel beside it, and the texts of past changes.
+func (s *State) EncodeForProxies(members []wire.Member) []byte {
+	stored := *s
+	stored.Document, stored.Members, stored.Registrations, stored.Tombstones = nil, members, nil, nil
+	stored.Changes = s.Changes.latest(tuning.AcceptedChangesInTables)
+	stored.Records = slices.Clone(s.Records)
+	for i := range stored.Records {
+		stored.Records[i].Document = nil
 	}
-	s.Proxies, s.ProxiesIndex = l, index
+	text, _ := json.Marshal(stored)
+	return text
 }
 
-func (s *State) ProxyNames() (l []string) {
-	for _, g := range s.Proxies {
-		l = append(l, g.Name)
+// ProxyNames are the names in the proxy membership, in its order.
+func (s *State) ProxyNames() []string {
+	var names []string
+	for _, proxy := range s.Proxies {
+		names = append(names, proxy.Name)
 	}
-	return l
+	return names
 }
