--- /dev/null
+++ b/internal/dataplane/reverseproxy/errors.go
@@ -0,0 +1,115 @@
+// This file has the errors that the proxy answers with itself. Their codes and messages are part of the HTTP API.
+
+package reverseproxy
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/tuning"
+)
+
+// Whether a request ran at a target, as errors say it.
+const (
+	ranNo      = "no"
+	ranUnknown = "unknown"
+)
+
+// requestError is an error that ends a request.
+type requestError struct {
+	status     int
+	retryAfter time.Duration // when the caller may come back, 0: not said
+	code       string
+	message    string
+}
+
+// Errors of what a caller sent.
+var (
+	errHeaderTooLarge = &requestError{status: http.StatusRequestHeaderFieldsTooLarge, code: "header", message: "the header is too large"}
+	errNotForwardable = badRequest("neither tunnels nor paths that could be read two ways are carried")
+	errBodyIncomplete = badRequest("the body ended early")
+	errBodyTooLarge   = &requestError{status: http.StatusRequestEntityTooLarge, code: "body", message: "the body is over the service's limit"}
+	errBodyTimeout    = &requestError{
+		status: http.StatusRequestTimeout, retryAfter: tuning.RetryAfterMin,
+		code: "late", message: "the body did not come in the time that the caller gave",
+	}
+)
+
+// badRequest returns an error of status 400.
+func badRequest(message string) *requestError {
+	return &requestError{status: http.StatusBadRequest, code: "bad_request", message: message}
+}
+
+// Error returns what is wrong with the request.
+func (e *requestError) Error() string { return e.message }
+
+// attemptError is why an attempt brought no response that could be passed on. The caller gets it if no other attempt
+// follows.
+type attemptError struct{ code, message string }
+
+// Error returns the reason.
+func (e *attemptError) Error() string { return e.message }
+
+// Errors before anything of the request was written.
+var (
+	errNoConnection     = &attemptError{"closed", "no connection to the target"}
+	errConnectionClosed = &attemptError{"closed", "the connection to the target was closed"}
+	errConnectDeadline  = &attemptError{"late", "the deadline came before a connection to the target"}
+	errChoiceExpired    = &attemptError{"stale", "the choice of a target grew too old before anything was sent"}
+	errWrongIdentity    = &attemptError{"foreign", "the target's address answers for another"}
+)
+
+// Errors after something of the request was written.
+var (
+	errResponseLost        = &attemptError{"lost", "the target's answer was lost"}
+	errResponseTruncated   = &attemptError{"lost", "the target's answer was cut"}
+	errResponseDeadline    = &attemptError{"late", "no answer within the deadline"}
+	errResponseOfAnother   = &attemptError{"strange", "the target's answer is another exchange's"}
+	errResponseNotTargets  = &attemptError{"strange", "the target's answer is not its own"}
+	errTargetUnreachable   = &attemptError{"dark", "nothing reaches the target, which has not answered"}
+	errTargetRejected      = &attemptError{"turned_away", "the target turned it away"}
+	errTargetFailed        = &attemptError{"failed", "the target failed"}
+	errTargetFailedUnclear = &attemptError{"unclear", "the target failed"}
+)
+
+// Errors of a connection to a target; an attempt turns them into one of those above.
+var (
+	errInvalidResponse = errors.New("the target's response is not valid HTTP/1; check what listens at its address")
+	errNotReusable     = errors.New("the target closes its connections after a response; have it keep them open")
+)
+
+// RetryAfter returns a Retry-After header's value: seconds, rounded up, and in thousandths below one second.
+func RetryAfter(delay time.Duration) string {
+	if delay >= time.Second {
+		return strconv.Itoa(int((delay + time.Second - 1) / time.Second))
+	}
+	return strconv.FormatFloat(max(0.001, delay.Seconds()), 'f', 3, 64)
+}
+
+// WriteError answers a request with an error in the one JSON shape. retryAfter is when the caller may come back, 0: not
+// said.
+func WriteError(w http.ResponseWriter, status int, retryAfter time.Duration, body config.ErrorBody) {
+	writeError(w, RanHeader, status, retryAfter, body)
+}
+
+// writeError is WriteError with a name for the header that says whether the request ran.
+func writeError(w http.ResponseWriter, ranHeader string, status int, retryAfter time.Duration, body config.ErrorBody) {
+	if body.Ran == "" {
+		body.Ran = ranNo
+	}
+	header := w.Header()
+	if retryAfter > 0 {
+		header.Set("Retry-After", RetryAfter(retryAfter))
+	}
+	header.Set(ranHeader, body.Ran)
+	header.Set("Content-Type", "application/json")
+	header.Set("Cache-Control", "no-store")
+	text := body.JSON()
+	header.Set("Content-Length", strconv.Itoa(len(text)))
+	w.WriteHeader(status)
+	w.Write(text)
+}
--- a/internal/dataplane/reverseproxy/forward_test.go
+++ b/internal/dataplane/reverseproxy/forward_test.go
@@ -808,6 +808,10 @@
 func TestIdleConnectionsKept(t *testing.T) {
 	a := newRawBackend(t, "a", respond(200, "ok"))
 	f := newTestProxy(t, a.Target)
+	keep := func(conn *Conn, maxIdle int) {
+		target := statemachine.Forward{Target: a.Target, MaxIdle: maxIdle}
+		(&attempt{request: &request{forwarder: f.forwarder}, target: target, conn: conn}).keepConn()
+	}
 	var opened []*Conn
 	for range 5 {
 		p, err := Dial(t.Context(), a.Addr, nil)
@@ -815,7 +819,7 @@
 			t.Fatal(err)
 		}
 		opened = append(opened, p)
-		f.forwarder.keepIdle(&statemachine.Forward{Target: a.Target, MaxIdle: 2}, p)
+		keep(p, 2)
 	}
 	take := func() *Conn { return f.pool.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
 	for _, want := range []*Conn{opened[4], opened[3], nil} {
@@ -832,7 +836,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.forwarder.keepIdle(&statemachine.Forward{Target: a.Target}, p); take() != nil {
+	if keep(p, 0); take() != nil {
 		t.Fatal("one is kept where none may be")
 	}
 }
--- a/internal/dataplane/reverseproxy/limits.go
+++ b/internal/dataplane/reverseproxy/limits.go
@@ -1,58 +1,40 @@
-// This file holds callers to the bounds of the configuration, which may change at any
-// moment: sizes are looked at request by request, and a connection turns the two
-// deadlines that the library's server sets on it into the configured ones. What the
-// configuration leaves open has the program's own bounds.
+// This file has the limits on what callers send. The configuration's may change at any moment and are read with each
+// request; what the configuration leaves open has the limits of package tuning.
 
 package reverseproxy
 
 import (
-	"time"
-
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
 
-func (c *Forwarder) limits() config.Limits {
-	if l := c.Limits.Load(); l != nil {
-		return *l
+// limits returns the configuration's limits; zero values set none.
+func (f *Forwarder) limits() config.Limits {
+	if limits := f.Limits.Load(); limits != nil {
+		return *limits
 	}
 	return config.Limits{}
 }
 
-// maxHeaderBytes is how large a caller's header may be.
-func (c *Forwarder) maxHeaderBytes() int {
-	if n := c.limits().HeaderBytes; n > 0 {
+// maxHeaderBytes returns how large a request's header may be, in bytes.
+func (f *Forwarder) maxHeaderBytes() int {
+	if n := f.limits().HeaderBytes; n > 0 {
 		return n
 	}
 	return tuning.HeaderMax
 }
 
-// maxBodyBytes is how large a caller's body for a service may be. One whose targets are asked
-// for their health has the configuration's bound alone, others the smaller of both.
-func (c *Forwarder) maxBodyBytes(s *config.Service) int64 {
-	own, all := int64(s.BodyMax), int64(c.limits().BodyBytes)
+// maxBodyBytes returns how large a request's body for a service may be, in bytes. For a service with a health check the
+// configuration's limit for all callers replaces the service's own; for others the smaller one holds.
+func (f *Forwarder) maxBodyBytes(service *config.Service) int64 {
+	own, common := int64(service.BodyMax), int64(f.limits().BodyBytes)
 	switch {
-	case s.HasHealthCheck() && all > 0:
-		return all
-	case s.HasHealthCheck():
+	case service.HasHealthCheck() && common > 0:
+		return common
+	case service.HasHealthCheck():
 		return max(own, tuning.CallerBody)
-	case all > 0:
-		return min(own, all)
+	case common > 0:
+		return min(own, common)
 	}
 	return own
 }
-
-// SetReadDeadline is the server's and, while a request is under way, the forwarder's. The
-// server sets one further away than a header's while it waits for the next request.
-func (p *callerConn) SetReadDeadline(t time.Time) error {
-	if left := time.Until(t); !p.requestActive && !t.IsZero() && left > 0 {
-		l := p.forwarder.limits()
-		switch {
-		case left <= tuning.CallerHeader && l.HeaderMs > 0:
-			t = t.Add(time.Duration(l.HeaderMs)*time.Millisecond - tuning.CallerHeader)
-		case left > tuning.CallerHeader && l.IdleMs > 0:
-			t = t.Add(time.Duration(l.IdleMs)*time.Millisecond + tuning.IdleSlack - tuning.CallerIdle)
-		}
-	}
-	return p.Conn.SetReadDeadline(t)
-}
