--- a/cmd/mfbackend/main.go
+++ b/cmd/mfbackend/main.go
@@ -32,22 +32,23 @@
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/version"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Entry is a ledger's line.
 type Entry struct {
-	At      int64  `json:"at_ns"`
-	ID      string `json:"id"`
-	Service string `json:"service"`
-	Name    string `json:"name"`
-	Inc     uint64 `json:"incarnation"`
-	Domain  string `json:"domain"`
-	Method  string `json:"method"`
-	Wrong   string `json:"meant_for,omitempty"` // the caller meant another service
-	State   string `json:"state"`
-	LeaveMs int64  `json:"leaving_for_ms,omitempty"`
-	InWork  int64  `json:"in_work"`
-	Cold    bool   `json:"cold,omitempty"`
+	At      int64            `json:"at_ns"`
+	ID      string           `json:"id"`
+	Service string           `json:"service"`
+	Name    string           `json:"name"`
+	Inc     uint64           `json:"incarnation"`
+	Domain  string           `json:"domain"`
+	Method  string           `json:"method"`
+	Wrong   string           `json:"meant_for,omitempty"` // the caller meant another service
+	State   wire.TargetState `json:"state"`
+	LeaveMs int64            `json:"leaving_for_ms,omitempty"`
+	InWork  int64            `json:"in_work"`
+	Cold    bool             `json:"cold,omitempty"`
 }
 
 // longest is how long a request may take that says nothing of it.
@@ -168,10 +169,10 @@
 		s.inc = 1
 	}
 	s.coldTill = time.Now().Add(o.cold)
-	s.state.Store(config.Ready)
+	s.state.Store(wire.TargetReady)
 	if o.warm > 0 {
-		s.state.Store(config.Warming)
-		time.AfterFunc(o.warm, func() { s.state.CompareAndSwap(config.Warming, config.Ready) })
+		s.state.Store(wire.TargetWarming)
+		time.AfterFunc(o.warm, func() { s.state.CompareAndSwap(wire.TargetWarming, wire.TargetReady) })
 	}
 	s.mode.Store(modeOK)
 	s.slots = make(chan struct{}, s.bears)
@@ -214,7 +215,7 @@
 // beat is what the stub says of itself now.
 func (s *stub) beat() config.TargetReport {
 	d := float64(s.inWork.Load()) / float64(s.bears)
-	b := config.TargetReport{Service: s.service, Name: s.name, Incarnation: s.inc, Address: s.addr, Domain: s.domain, State: s.state.Load().(string), Demand: &d}
+	b := config.TargetReport{Service: s.service, Name: s.name, Incarnation: s.inc, Address: s.addr, Domain: s.domain, State: s.state.Load().(wire.TargetState), Demand: &d}
 	if s.health != "" {
 		b.Slots, b.WarmupLeftMs = s.bears, s.coldLeft()
 	}
@@ -240,7 +241,7 @@
 // healthAnswer is the body of a health page, notRunAnswer that of a request that is not run.
 type (
 	healthAnswer struct {
-		State string `json:"state"`
+		State wire.TargetState `json:"state"`
 	}
 	notRunAnswer struct {
 		Error string `json:"error"`
@@ -258,12 +259,12 @@
 	if left := s.coldLeft(); left > 0 {
 		h.Set(names.WarmupLeft, strconv.FormatInt(left, 10))
 	}
-	if st := s.state.Load().(string); st != config.Ready {
-		s.turned(w, r, http.StatusServiceUnavailable, st) // alive, and not yet or no more what 200 would say
+	if st := s.state.Load().(wire.TargetState); st != wire.TargetReady {
+		s.turned(w, r, http.StatusServiceUnavailable, string(st)) // alive, and not yet or no more what 200 would say
 		return
 	}
 	s.load(h)
-	daemon.WriteJSON(w, http.StatusOK, healthAnswer{State: config.Ready})
+	daemon.WriteJSON(w, http.StatusOK, healthAnswer{State: wire.TargetReady})
 }
 
 // repeats puts the id of the request in an answer's headers.
@@ -329,7 +330,7 @@
 // leave says so to every daemon, serves on until its work is done and callers
 // have had time to hear of it, then signs off and ends.
 func (s *stub) leave() {
-	if s.state.Swap(config.Leaving) != config.Leaving {
+	if s.state.Swap(wire.TargetLeaving) != wire.TargetLeaving {
 		s.leftAt.Store(time.Now().UnixNano())
 	}
 	for _, d := range s.daemons {
@@ -450,7 +451,7 @@
 // entry is the ledger's line for a request.
 func (s *stub) entry(r *http.Request, inWork int64) Entry {
 	e := Entry{At: time.Now().UnixNano(), ID: r.Header.Get("Exchange-Id"), Service: s.service, Name: s.name, Inc: s.inc, Domain: s.domain,
-		Method: r.Method, State: s.state.Load().(string), InWork: inWork, Cold: s.coldLeft() > 0}
+		Method: r.Method, State: s.state.Load().(wire.TargetState), InWork: inWork, Cold: s.coldLeft() > 0}
 	if m := r.Header.Get("Exchange-Service"); m != "" && m != s.service {
 		e.Wrong = m
 	}
--- a/internal/controlplane/numbers_test.go
+++ b/internal/controlplane/numbers_test.go
@@ -6,14 +6,13 @@
 	"myrtlefold/internal/shared/statemachine"
 	"testing"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/wire"
 )
 
 // A demand that is no finite number does not end a leader, and is not told to operators.
 func TestUnsoundDemandIsDiscarded(t *testing.T) {
 	for _, demand := range []float64{math.Inf(1), math.Inf(-1), math.NaN()} {
-		target := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: config.Ready, Demand: demand, HasDemand: true}
+		target := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: wire.TargetReady, Demand: demand, HasDemand: true}
 		seen := wire.TargetStats{Service: "s0", Name: "t0", Incarnation: 9, Successes: 1, TotalMs: demand, Demand: demand, HasDemand: true}
 		for name, m := range map[string]wire.Message{
 			"beat":    {Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &target},
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -11,7 +11,6 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -29,11 +28,11 @@
 	}
 	for _, p := range c.state.Registrations {
 		c.persistedRegistrations[p.ID()] = p
-		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Incarnation: p.Incarnation, Addr: p.Addr, Domain: p.Domain, State: config.Warming, Slots: p.Slots, ShareOffset: p.ShareOffset},
+		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Incarnation: p.Incarnation, Addr: p.Addr, Domain: p.Domain, State: wire.TargetWarming, Slots: p.Slots, ShareOffset: p.ShareOffset},
 			unconfirmed: true, lastHeartbeatAt: now - tuning.TargetHeartbeatTimeout/2, lastAliveAt: now, statsJudgedAt: now,
 			lastProbeAt: now - tuning.ProbeEvery}
 		if p.Leaving {
-			t.Draining, t.State = true, config.Leaving
+			t.Draining, t.State = true, wire.TargetLeaving
 		}
 		if p.WarmingUp {
 			svc := c.activeConfig.Services[p.Service]
--- a/internal/controlplane/rest_test.go
+++ b/internal/controlplane/rest_test.go
@@ -28,7 +28,7 @@
 		case statemachine.Sync:
 			r.step(statemachine.Synced{Seq: c.Batch.Seq})
 		case statemachine.Probe:
-			b := config.TargetReport{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, Address: c.Addr, State: config.Ready}
+			b := config.TargetReport{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, Address: c.Addr, State: wire.TargetReady}
 			r.step(statemachine.ProbeResult{ID: c.ID, SentAt: r.now, Milliseconds: 1, Report: &b})
 		case statemachine.Send:
 			r.sent++
@@ -77,7 +77,7 @@
 		r.gates = append(r.gates, wire.Daemon{Name: n, Kind: wire.ProxyDaemon, Addr: n, Incarnation: uint64(i + 1), Domain: fmt.Sprintf("d%d", i%3)})
 	}
 	for i := range targets {
-		r.target = append(r.target, wire.Target{Service: fmt.Sprintf("s%d", i%12), Name: fmt.Sprintf("t%d", i), Incarnation: 9, Addr: fmt.Sprintf("10.0.0.1:%d", i+1), State: config.Ready})
+		r.target = append(r.target, wire.Target{Service: fmt.Sprintf("s%d", i%12), Name: fmt.Sprintf("t%d", i), Incarnation: 9, Addr: fmt.Sprintf("10.0.0.1:%d", i+1), State: wire.TargetReady})
 	}
 	for range 12 {
 		r.second()
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -10,7 +10,6 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/wire"
 )
@@ -61,7 +60,7 @@
 			v.Why = "pending: its address's earlier target is not yet out of every table"
 		case slices.Contains(c.state.EmptiedDomains, t.Domain):
 			v.Why = "its domain is emptied"
-		case t.State == config.Warming:
+		case t.State == wire.TargetWarming:
 			v.Why = "warming: up to its share"
 		case v.WarmupLeft > 0:
 			v.Why = "cold: up to its service's cold rate"
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -10,7 +10,6 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -112,13 +111,14 @@
 
 // facts are what decides in a table about one target; the rest is carried along.
 type routingFacts struct {
-	addr, domain, state, ejectedBy                                    string
+	addr, domain, ejectedBy                                           string
+	state                                                             wire.TargetState
 	draining, pending, heartbeatingWhileEjected, warmingUp, published bool
 	slots                                                             uint32
 }
 
 func routingFactsOf(w *wire.Target) routingFacts {
-	return routingFacts{w.Addr, w.Domain, w.State, w.EjectedBy, w.Draining, w.Pending, w.Heartbeating && w.EjectionLeft > 0, w.WarmupLeft > 0, true, w.Slots}
+	return routingFacts{w.Addr, w.Domain, w.EjectedBy, w.State, w.Draining, w.Pending, w.Heartbeating && w.EjectionLeft > 0, w.WarmupLeft > 0, true, w.Slots}
 }
 
 // colder says that a target is cold for longer than the last table said; each word's
@@ -186,7 +186,7 @@
 // worse says that requests that were right by the facts before may be wrong by later ones.
 func (f routingFacts) worse(o routingFacts) bool {
 	return f.published && (f.addr != o.addr || f.domain != o.domain || o.draining && !f.draining || o.pending && !f.pending || o.warmingUp != f.warmingUp ||
-		o.ejectedBy != "" && f.ejectedBy != o.ejectedBy || f.heartbeatingWhileEjected && !o.heartbeatingWhileEjected || f.state != o.state && o.state != config.Ready)
+		o.ejectedBy != "" && f.ejectedBy != o.ejectedBy || f.heartbeatingWhileEjected && !o.heartbeatingWhileEjected || f.state != o.state && o.state != wire.TargetReady)
 }
 
 // moved is rebuild after an event of one target: if nothing was decided, only its own
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -11,7 +11,6 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -103,7 +102,7 @@
 	if t.Draining {
 		return
 	}
-	t.Draining, t.State = true, config.Leaving
+	t.Draining, t.State = true, wire.TargetLeaving
 	c.counts.Drains++
 	d := outlier.Decision{At: now, Policy: "leaving", Kind: "hold", Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Reason: why}
 	c.emit(statemachine.Publish{Decision: &d})
@@ -139,7 +138,7 @@
 		return
 	}
 	t := c.targets[id]
-	if w.State == config.Gone {
+	if w.State == wire.TargetGone {
 		c.removeTarget(now, id, "signed off")
 		delete(c.claims, id)
 		c.tombstones[id] = now
@@ -149,12 +148,12 @@
 	if o := cmp.Or(t, c.claims[id]); o != nil && w.Number != 0 && w.Number <= o.Number {
 		return
 	}
-	if t != nil && t.Addr != w.Addr && w.State != config.Leaving {
+	if t != nil && t.Addr != w.Addr && w.State != wire.TargetLeaving {
 		c.counts.Rejected++
 		return
 	}
 	if t == nil {
-		if w.State == config.Leaving {
+		if w.State == wire.TargetLeaving {
 			c.leavingTargets[id] = now // also if it only claims its place so far
 		}
 		if t = c.registerTarget(now, w); t == nil {
@@ -205,11 +204,11 @@
 
 // advanceState moves a target only forward: what has said that it is leaving
 // stays held until it signs off.
-func (c *Controller) advanceState(now time.Duration, t *target, s string) {
+func (c *Controller) advanceState(now time.Duration, t *target, s wire.TargetState) {
 	switch {
-	case s == config.Leaving:
+	case s == wire.TargetLeaving:
 		c.drainTarget(now, t, "a beat says leaving")
-	case s == config.Ready && !t.Draining:
+	case s == wire.TargetReady && !t.Draining:
 		t.State = s
 	}
 }
@@ -243,7 +242,7 @@
 func (c *Controller) registerTarget(now time.Duration, w wire.Target) *target {
 	t := c.claims[w.ID()]
 	if t == nil {
-		t = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: config.Warming},
+		t = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: wire.TargetWarming},
 			lastHeartbeatAt: now, lastAliveAt: now, lastProbeAt: now - tuning.ProbeEvery, statsJudgedAt: now, unconfirmed: true}
 	}
 	if len(c.conflictingTargets(w)) > 0 {
@@ -281,10 +280,10 @@
 }
 
 // enter puts a target into the registry.
-func (c *Controller) admitTarget(now time.Duration, t *target, state string) {
+func (c *Controller) admitTarget(now time.Duration, t *target, state wire.TargetState) {
 	id := t.ID()
-	if state == config.Ready {
-		t.State = config.Ready
+	if state == wire.TargetReady {
+		t.State = wire.TargetReady
 	}
 	t.Pending = t.addressReused
 	name := [2]string{id.Service, id.Name}
--- a/internal/controlplane/targetapi_test.go
+++ b/internal/controlplane/targetapi_test.go
@@ -5,7 +5,6 @@
 	"myrtlefold/internal/shared/targetreport"
 	"testing"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/wire"
 )
 
@@ -16,7 +15,7 @@
 // What a target is acknowledged with is small, and names no address for later heartbeats:
 // each member takes them, so there is none to prefer.
 func TestAcknowledgementsAreSmall(t *testing.T) {
-	for _, state := range []string{config.Ready, config.Warming, config.Leaving, config.Gone} {
+	for _, state := range []wire.TargetState{wire.TargetReady, wire.TargetWarming, wire.TargetLeaving, wire.TargetGone} {
 		r := targetreport.Acknowledgement(wire.Target{State: state})
 		var fields map[string]any
 		if err := json.Unmarshal(r.Body, &fields); err != nil {
--- a/internal/controlplane/watchdog.go
+++ b/internal/controlplane/watchdog.go
@@ -11,7 +11,6 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
@@ -118,7 +117,7 @@
 		return
 	}
 	if t.lastProbeMissed && t.consecutiveMisses < tuning.ProbeMisses && t.probeSentAt != 0 && t.indirectProbeFor != t.probeSentAt && now-t.probeSentAt >= tuning.IndirectAfter &&
-		t.lastSuccessAt < t.probeSentAt+tuning.IndirectAfter && !t.Draining && t.State != config.Leaving {
+		t.lastSuccessAt < t.probeSentAt+tuning.IndirectAfter && !t.Draining && t.State != wire.TargetLeaving {
 		t.indirectProbeFor = t.probeSentAt
 		c.requestIndirectProbes(now, id)
 	}
--- a/internal/daemon/healthcheck.go
+++ b/internal/daemon/healthcheck.go
@@ -129,7 +129,7 @@
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		b.State = config.Ready
+		b.State = wire.TargetReady
 	case resp.Header.Get(names.NotRun) != "" || resp.StatusCode == http.StatusTooManyRequests:
 		// alive, and too busy to say more
 	default:
--- a/internal/daemon/healthcheck_test.go
+++ b/internal/daemon/healthcheck_test.go
@@ -52,15 +52,15 @@
 		hd     []string
 		miss   bool
 		who    string
-		state  string
+		state  wire.TargetState
 		cold   time.Duration
 		demand *float64
 	}{
-		{"well", 200, []string{"I", "x"}, false, "x", config.Ready, 0, nil},
-		{"well, says no name", 200, nil, false, "x", config.Ready, 0, nil},
-		{"cold and loaded", 200, []string{"I", "x", "C", "1500", "L", "1,1,4"}, false, "x", config.Ready, 1500 * time.Millisecond, &half},
-		{"nonsense", 200, []string{"C", "-3", "L", "1,,4"}, false, "x", config.Ready, 0, nil},
-		{"another", 200, []string{"I", "y"}, false, "y", config.Ready, 0, nil},
+		{"well", 200, []string{"I", "x"}, false, "x", wire.TargetReady, 0, nil},
+		{"well, says no name", 200, nil, false, "x", wire.TargetReady, 0, nil},
+		{"cold and loaded", 200, []string{"I", "x", "C", "1500", "L", "1,1,4"}, false, "x", wire.TargetReady, 1500 * time.Millisecond, &half},
+		{"nonsense", 200, []string{"C", "-3", "L", "1,,4"}, false, "x", wire.TargetReady, 0, nil},
+		{"another", 200, []string{"I", "y"}, false, "y", wire.TargetReady, 0, nil},
 		{"too busy", 503, []string{"N", "1"}, false, "x", "", 0, nil},
 		{"too many", 429, nil, false, "x", "", 0, nil},
 		{"unwell", 503, nil, true, "", "", 0, nil},
@@ -100,12 +100,12 @@
 		if r.URL.Path != config.IdentityPath {
 			t.Error(r.URL)
 		}
-		json.NewEncoder(w).Encode(config.TargetReport{Service: "s", Name: "z", Incarnation: 4, State: config.Leaving})
+		json.NewEncoder(w).Encode(config.TargetReport{Service: "s", Name: "z", Incarnation: 4, State: wire.TargetLeaving})
 	})
 	h := prober()
 	for range 3 {
 		got := h.probeOnce(statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr})
-		if b := got.Report; b == nil || b.ID() != (wire.TargetID{Service: "s", Name: "z", Incarnation: 4}) || b.State != config.Leaving {
+		if b := got.Report; b == nil || b.ID() != (wire.TargetID{Service: "s", Name: "z", Incarnation: 4}) || b.State != wire.TargetLeaving {
 			t.Fatalf("%+v", got)
 		}
 	}
--- a/internal/dataplane/choice.go
+++ b/internal/dataplane/choice.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
 // standing of a target before a request.
@@ -21,7 +21,7 @@
 )
 
 func (p *Proxy) eligibility(now time.Duration, t *targetState, x *request) eligibility {
-	if t.leaving || t.Draining || t.Pending || t.State == config.Leaving ||
+	if t.leaving || t.Draining || t.Pending || t.State == wire.TargetLeaving ||
 		slices.Contains(p.table.EmptiedDomains, t.Domain) || len(x.triedTargets) > 0 && slices.Contains(x.triedTargets, t.ID()) {
 		return ineligible
 	}
@@ -216,7 +216,7 @@
 	switch {
 	case t.fullUntil > now || t.inFlight >= t.slots:
 		return noTier
-	case t.State == config.Warming && t.inFlight >= t.quota:
+	case t.State == wire.TargetWarming && t.inFlight >= t.quota:
 		return noTier
 	case t.warmingUp(now, x):
 		if now < t.nextWarmupAt {
--- a/internal/dataplane/cold.go
+++ b/internal/dataplane/cold.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/wire"
 )
 
 // warmupTime is how long a target of a service is cold from its start.
@@ -40,7 +41,7 @@
 		if len(names) == 0 {
 			continue
 		}
-		if t.State == config.Warming {
+		if t.State == wire.TargetWarming {
 			names = namesWithShare(set.WarmCap, t.remainderOffset(set.WarmCap, names), names)
 		}
 		n := min(max(1, int(perS/2)), len(names))
--- a/internal/dataplane/deal.go
+++ b/internal/dataplane/deal.go
@@ -106,10 +106,10 @@
 		p.prepareTarget(now, t, set)
 		switch {
 		case t.warmupUntil > now:
-		case t.Draining || t.Pending || t.State == config.Leaving || slices.Contains(p.table.EmptiedDomains, t.Domain):
+		case t.Draining || t.Pending || t.State == wire.TargetLeaving || slices.Contains(p.table.EmptiedDomains, t.Domain):
 		case t.EjectionLeft > 0:
 			barred = append(barred, slotPool{targetHash(t.ID()), t.Domain, t.slots, t})
-		case t.State == config.Warming:
+		case t.State == wire.TargetWarming:
 			total += t.slots
 		default:
 			total += t.slots
@@ -146,8 +146,8 @@
 	if t.warmupUntil > now && (p.reindexAt == 0 || t.warmupUntil < p.reindexAt) {
 		p.reindexAt = t.warmupUntil
 	}
-	isOut := t.Draining || t.Pending || t.State == config.Leaving || slices.Contains(p.table.EmptiedDomains, t.Domain) || t.EjectionLeft > 0
-	if t.State == config.Warming && (t.warmupUntil > now || !isOut) {
+	isOut := t.Draining || t.Pending || t.State == wire.TargetLeaving || slices.Contains(p.table.EmptiedDomains, t.Domain) || t.EjectionLeft > 0
+	if t.State == wire.TargetWarming && (t.warmupUntil > now || !isOut) {
 		t.quota = p.capacity(now, t, set)
 	}
 }
@@ -273,7 +273,7 @@
 	part := func(c int, among []string) int {
 		return evenShare(c, t.remainderOffset(c, among), p.settings.Self.Name, among)
 	}
-	if t.State == config.Warming {
+	if t.State == wire.TargetWarming {
 		n := part(set.WarmCap, p.memberProxies)
 		if len(p.table.PreviousProxies) > 0 {
 			n = min(n, part(set.WarmCap, p.table.PreviousProxies))
@@ -301,7 +301,7 @@
 // others sent there under the parts of an earlier roster must be over: the parts of one
 // table add up to the cap, those of two tables that follow one another need not.
 func (p *Proxy) limitWarmingShare(now time.Duration, t *targetState, set config.Service) {
-	if t.State != config.Warming {
+	if t.State != wire.TargetWarming {
 		t.warmingShare, t.nextWarmingShare, t.warmingShareRisesAt = 0, 0, 0
 		return
 	}
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -11,7 +11,6 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -38,10 +37,10 @@
 func (p *Proxy) handleHeartbeat(now time.Duration, w wire.Target) {
 	if t := p.targets[w.ID()]; t != nil {
 		t.heartbeats.RecordHeartbeat(now)
-	} else if p.state == PeerServing && w.State != config.Gone {
+	} else if p.state == PeerServing && w.State != wire.TargetGone {
 		p.noteSuccessor(now, w)
 	}
-	if w.State != config.Leaving && w.State != config.Gone {
+	if w.State != wire.TargetLeaving && w.State != wire.TargetGone {
 		return
 	}
 	if p.leavingSince[w.ID()] == 0 {
@@ -70,7 +69,7 @@
 		return
 	}
 	if at.successor == nil || at.successor.ID() != w.ID() || at.successor.Addr != w.Addr {
-		at.successor = &targetState{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: config.Warming, ShareOffset: at.ShareOffset, Slots: w.Slots, WarmupLeft: w.WarmupLeft}}
+		at.successor = &targetState{Target: wire.Target{Service: w.Service, Name: w.Name, Incarnation: w.Incarnation, Addr: w.Addr, Domain: w.Domain, State: wire.TargetWarming, ShareOffset: at.ShareOffset, Slots: w.Slots, WarmupLeft: w.WarmupLeft}}
 	}
 	at.successor.heartbeats.RecordHeartbeat(now)
 }
@@ -85,11 +84,11 @@
 		}
 		h.probePendingSince = 0
 		gone := t.leaving || t.Draining || t.missedProbes >= tuning.ProbeMisses || t.Addr == h.Addr
-		if p.state != PeerServing || !gone || result.Report == nil || result.Report.ID() != result.ID || result.Report.State == config.Leaving {
+		if p.state != PeerServing || !gone || result.Report == nil || result.Report.ID() != result.ID || result.Report.State == wire.TargetLeaving {
 			return
 		}
-		if result.Report.State == config.Ready {
-			h.State = config.Ready
+		if result.Report.State == wire.TargetReady {
+			h.State = wire.TargetReady
 		}
 		p.emit(statemachine.StateChange{Subject: statemachine.SubjectTarget, From: fmt.Sprint(id.Incarnation), To: fmt.Sprint(h.Incarnation), Reason: "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there"})
 		p.replaceTarget(now, id, h)
@@ -165,19 +164,19 @@
 	if asked {
 		t.statistics.ProbeAnswered, p.pullAtNextTick = true, true
 	}
-	if b.State == config.Ready && t.State == config.Warming && p.state == PeerServing {
-		t.State, t.readyAt = config.Ready, now
+	if b.State == wire.TargetReady && t.State == wire.TargetWarming && p.state == PeerServing {
+		t.State, t.readyAt = wire.TargetReady, now
 	}
 	if t.ownEjectionUntil > now && (!asked || p.doubtsLeader(now)) {
 		t.ownEjectionUntil, t.reinstatedAt = 0, now
 	}
-	if b.State == config.Leaving {
+	if b.State == wire.TargetLeaving {
 		p.handleHeartbeat(now, t.leavingReport())
 	}
 }
 
 func (t *targetState) leavingReport() wire.Target {
 	w := t.Target
-	w.State = config.Leaving
+	w.State = wire.TargetLeaving
 	return w
 }
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -59,7 +59,7 @@
 }
 
 func to(n string, mods ...func(*wire.Target)) wire.Target {
-	t := wire.Target{Service: "s", Name: n, Incarnation: 1, Addr: n, State: config.Ready, Heartbeating: true}
+	t := wire.Target{Service: "s", Name: n, Incarnation: 1, Addr: n, State: wire.TargetReady, Heartbeating: true}
 	for _, m := range mods {
 		m(&t)
 	}
@@ -67,7 +67,7 @@
 }
 
 func barred(t *wire.Target)  { t.EjectionLeft, t.EjectedBy = int64(tuning.EjectionTTL), "default" }
-func warming(t *wire.Target) { t.State = config.Warming }
+func warming(t *wire.Target) { t.State = wire.TargetWarming }
 func busy(t *wire.Target)    { t.Demand = 0.9 }
 
 const plain = `{"services":{"s":{"cap":8,"warm_cap":3}},"rules":[{"path":"/s","service":"s"}]}`
@@ -302,22 +302,22 @@
 		beat  *config.TargetReport
 		taken bool
 	}{
-		{"the same place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "a"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
-		{"another place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, true},
+		{"the same place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "a"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: wire.TargetReady}, true},
+		{"another place", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: wire.TargetReady}, true},
 		{"no answer", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, nil, false},
-		{"somebody else answers", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 3, State: config.Ready}, false},
-		{"a name that the table lacks", wire.Target{Service: "s", Name: "new", Incarnation: 2, Addr: "z"}, &config.TargetReport{Service: "s", Name: "new", Incarnation: 2, State: config.Ready}, false},
-		{"another target's address", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "other"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: config.Ready}, false},
-		{"one that has left", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "gone"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: config.Leaving}, false},
+		{"somebody else answers", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "z"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 3, State: wire.TargetReady}, false},
+		{"a name that the table lacks", wire.Target{Service: "s", Name: "new", Incarnation: 2, Addr: "z"}, &config.TargetReport{Service: "s", Name: "new", Incarnation: 2, State: wire.TargetReady}, false},
+		{"another target's address", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "other"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: wire.TargetReady}, false},
+		{"one that has left", wire.Target{Service: "s", Name: "a", Incarnation: 2, Addr: "gone"}, &config.TargetReport{Service: "s", Name: "a", Incarnation: 2, State: wire.TargetLeaving}, false},
 	} {
-		away := wire.Target{Service: "t", Name: "other", Incarnation: 1, Addr: "other", State: config.Ready}
+		away := wire.Target{Service: "t", Name: "other", Incarnation: 1, Addr: "other", State: wire.TargetReady}
 		b := newBench("g1", 3, plain, to("a", func(t *wire.Target) { t.ShareOffset = 5 }), away)
 		word := c.heir
-		word.State = config.Ready
+		word.State = wire.TargetReady
 		b.hear(word)
 		b.orphan()
 		old := to("a")
-		old.State = config.Gone
+		old.State = wire.TargetGone
 		b.hear(old)
 		b.hear(word)
 		b.now += tuning.TickEvery
@@ -403,7 +403,7 @@
 				g.table.Proxies = append(g.table.Proxies, wire.Proxy{Name: n, Live: true})
 			}
 			g.reindex(0)
-			return g.capacity(0, &targetState{Target: wire.Target{Service: "s", State: config.Warming, ShareOffset: turn}}, set)
+			return g.capacity(0, &targetState{Target: wire.Target{Service: "s", State: wire.TargetWarming, ShareOffset: turn}}, set)
 		}
 		every := append(append([]string{}, before...), after[len(after)-1])
 		if len(after) < len(before) {
@@ -645,7 +645,7 @@
 		t.Fatal("a miss was told")
 	}
 	ask()
-	b.step(statemachine.ProbeResult{ID: id, Report: &config.TargetReport{Service: "s", Name: "a", Incarnation: 1, State: config.Ready}})
+	b.step(statemachine.ProbeResult{ID: id, Report: &config.TargetReport{Service: "s", Name: "a", Incarnation: 1, State: wire.TargetReady}})
 	if told() != 1 || told() != 0 || b.g.targets[id].ownEjectionUntil == 0 {
 		t.Fatal("an answer is told once, with the next tick, and clears no own bar")
 	}
--- a/internal/dataplane/reverseproxy/ahead_test.go
+++ b/internal/dataplane/reverseproxy/ahead_test.go
@@ -175,7 +175,7 @@
 // or has no attempts left waits on.
 func TestDarkTarget(t *testing.T) {
 	for _, c := range []struct {
-		kind   string
+		kind   config.RouteKind
 		more   bool
 		second int64
 	}{{config.KindRepeatable, true, 1}, {config.KindOnce, true, 0}, {config.KindRepeatable, false, 0}} {
--- a/internal/dataplane/reverseproxy/callers_test.go
+++ b/internal/dataplane/reverseproxy/callers_test.go
@@ -20,7 +20,7 @@
 // A pipelined request of a route whose requests may run once only is not begun ahead:
 // behind an answer that ends the connection it counts as not read, and is sent again.
 func TestOnceIsNotBegunAhead(t *testing.T) {
-	for kind, want := range map[string]int64{config.KindOnce: 1, config.KindRepeatable: 2} {
+	for kind, want := range map[config.RouteKind]int64{config.KindOnce: 1, config.KindRepeatable: 2} {
 		hold, second := make(chan bool), make(chan bool, 1)
 		a := newRawBackend(t, "a", func(_, _ int, r *http.Request) (string, bool) {
 			if r.URL.Path == "/1" {
--- a/internal/dataplane/reverseproxy/forward_test.go
+++ b/internal/dataplane/reverseproxy/forward_test.go
@@ -399,7 +399,7 @@
 }
 
 // withHealthCheck makes the service one whose targets are withHealthCheck for their health, with names of its own.
-func (f *testProxy) withHealthCheck(kind string) *testProxy {
+func (f *testProxy) withHealthCheck(kind config.RouteKind) *testProxy {
 	f.service.HealthPath = "/h"
 	f.route.Kind = kind
 	f.forwarder.Headers = Headers{Deadline: "D", Ran: "R", Attempt: "A", ExpectTarget: "E", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C", Proof: "P"}
@@ -449,11 +449,11 @@
 		{"another protocol", head("HTTP/1.1 101 X\r\nA: ID\r\nP: yes\r\n\r\n"), end{502, "unknown", "", 0, statemachine.ResponseLost}, is(other, statemachine.ResponseLost)},
 		{"interim first", head("HTTP/1.1 103 X\r\nZ: 1\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: ID\r\nP: yes\r\n\r\nfine"), end{200, "", "fine", 0, statemachine.Served}, end{200, "", "fine", 0, statemachine.Served}},
 	} {
-		for kind, want := range map[string]end{config.KindOnce: c.once, config.KindRepeatable: c.repeat} {
-			t.Run(kind+"/"+c.name, func(t *testing.T) {
+		for kind, want := range map[config.RouteKind]end{config.KindOnce: c.once, config.KindRepeatable: c.repeat} {
+			t.Run(string(kind)+"/"+c.name, func(t *testing.T) {
 				a, b := newRawBackend(t, "a", c.say), newRawBackend(t, "b", respond(200, "fine"))
 				f := newTestProxy(t, a.Target, b.Target).withHealthCheck(kind)
-				method := map[string]string{config.KindOnce: "GET", config.KindRepeatable: "POST"}[kind] // the route says, not the method
+				method := map[config.RouteKind]string{config.KindOnce: "GET", config.KindRepeatable: "POST"}[kind] // the route says, not the method
 				status, h, body := f.do(t, method, "/x", "body", "A", "1f")
 				d := (<-f.notified).(statemachine.AttemptDone)
 				if status != want.status || h.Get("R") != want.ran || want.body != "" && body != want.body || b.runs.Load() != want.second || d.Outcome != want.outcome || a.runs.Load() != 1 {
@@ -491,7 +491,7 @@
 func TestPromise(t *testing.T) {
 	away, silent := newRawBackend(t, "a", respond(503, "", "N", "1")), newRawBackend(t, "b", respondOnce(""))
 	for _, c := range []struct {
-		kind    string
+		kind    config.RouteKind
 		targets []wire.Target
 		status  int
 		ran     string
@@ -660,7 +660,7 @@
 func TestLate(t *testing.T) {
 	hold := make(chan bool)
 	defer close(hold)
-	for _, kind := range []string{config.KindOnce, config.KindRepeatable} {
+	for _, kind := range []config.RouteKind{config.KindOnce, config.KindRepeatable} {
 		a := newRawBackend(t, "a", func(int, int, *http.Request) (string, bool) { <-hold; return "", false })
 		f := newTestProxy(t, a.Target, a.Target).withHealthCheck(kind)
 		f.timeLeft = 60 * time.Millisecond
--- a/internal/dataplane/reverseproxy/ledger_test.go
+++ b/internal/dataplane/reverseproxy/ledger_test.go
@@ -231,7 +231,7 @@
 	}
 	f.pool.SetTargets(live)
 	type state struct {
-		kind  string
+		kind  config.RouteKind
 		tried []int
 	}
 	states, turn := map[uint64]*state{}, make(chan *rand.Rand, 1)
--- a/internal/dataplane/route_test.go
+++ b/internal/dataplane/route_test.go
@@ -422,7 +422,7 @@
 		perS := rapid.Float64Range(0.3, 40).Draw(t, "rate")
 		r := RetryBudget{0.2, 10 * time.Second, rapid.Float64Range(1, 90).Draw(t, "slack")}
 		late := rapid.Bool().Draw(t, "late")
-		state := rapid.SampledFrom([]string{config.Ready, config.Warming}).Draw(t, "state")
+		state := rapid.SampledFrom([]wire.TargetState{wire.TargetReady, wire.TargetWarming}).Draw(t, "state")
 		set := config.Service{WarmupRate: perS, WarmCap: rapid.IntRange(1, 20).Draw(t, "warming cap")}
 		rate, slack, least := 0.0, 0.0, 0
 		for _, n := range all {
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -144,7 +144,7 @@
 			n = &targetState{newToFleet: p.state == Leased}
 		}
 		was := n.ejectedUntil > now
-		if n.State == config.Warming && w.State == config.Ready {
+		if n.State == wire.TargetWarming && w.State == wire.TargetReady {
 			n.readyAt = now
 		}
 		n.Target = w
--- a/internal/dataplane/unsound_test.go
+++ b/internal/dataplane/unsound_test.go
@@ -4,7 +4,6 @@
 	"myrtlefold/internal/shared/statemachine"
 	"testing"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -51,7 +50,7 @@
 
 // A first table that can't be read leaves the proxy cold, without a table.
 func TestUnsoundFirstTable(t *testing.T) {
-	b := newBench("g1", 1, `[]`, wire.Target{Service: "s", Name: "a", Incarnation: 1, State: config.Ready})
+	b := newBench("g1", 1, `[]`, wire.Target{Service: "s", Name: "a", Incarnation: 1, State: wire.TargetReady})
 	if b.g.State() != NoTable || b.g.Table() != nil || b.g.Counts.InvalidTables != 1 {
 		t.Errorf("%v with %+v", b.g.State(), b.g.Counts)
 	}
--- a/internal/shared/config/heartbeat.go
+++ b/internal/shared/config/heartbeat.go
@@ -18,23 +18,15 @@
 // IdentityPath is the HTTP path at which a back end answers with its Beat.
 const IdentityPath = "/.myrtlefold/identity"
 
-// States of a back end, in the only order in which they follow each other.
-const (
-	Warming = "warming"
-	Ready   = "ready"
-	Leaving = "leaving"
-	Gone    = "gone"
-)
-
 // TargetReport is what a back end says of itself, in heartbeats and at IdentityPath.
 type TargetReport struct {
-	Service     string   `json:"service"`
-	Name        string   `json:"name"`
-	Incarnation uint64   `json:"incarnation"`
-	Address     string   `json:"address,omitempty"`
-	Domain      string   `json:"domain,omitempty"`
-	State       string   `json:"state"`
-	Demand      *float64 `json:"demand,omitempty"`
+	Service     string           `json:"service"`
+	Name        string           `json:"name"`
+	Incarnation uint64           `json:"incarnation"`
+	Address     string           `json:"address,omitempty"`
+	Domain      string           `json:"domain,omitempty"`
+	State       wire.TargetState `json:"state"`
+	Demand      *float64         `json:"demand,omitempty"`
 	// Slots are the requests that it works on at once, 0: not said. ColdLeftMs is how much longer
 	// it takes only its service's cold rate. Number rises with each heartbeat, 0: not numbered.
 	Slots        int64  `json:"slots,omitempty"`
@@ -58,7 +50,7 @@
 	if ap, err := netip.ParseAddrPort(b.Address); err != nil || ap.Port() == 0 {
 		c.add("address", "must be IP:port")
 	}
-	if !slices.Contains([]string{Warming, Ready, Leaving, Gone}, b.State) {
+	if !slices.Contains([]wire.TargetState{wire.TargetWarming, wire.TargetReady, wire.TargetLeaving, wire.TargetGone}, b.State) {
 		c.add("state", "warming, ready, leaving or gone, not %q", b.State)
 	}
 	if len(b.Domain) > tuning.DomainNameMax {
--- a/internal/shared/config/model.go
+++ b/internal/shared/config/model.go
@@ -57,37 +57,47 @@
 	Service string   `koanf:"service" json:"service"`
 }
 
-// Slices of what is known of a target, of which a policy sees one.
+// Slice is a part of what is known of a target, of which a policy sees one. The texts stand in
+// configurations, recordings and streams of events.
+type Slice string
+
+// The slices.
 const (
-	SliceProbe     = "probe"    // answers to health probes
-	SliceHeartbeat = "beat"     // the target's heartbeats
-	SliceRequest   = "exchange" // outcomes of callers' requests
-	SliceDemand    = "demand"   // what the target says of its load
+	SliceProbe     Slice = "probe"    // answers to health probes
+	SliceHeartbeat Slice = "beat"     // the target's heartbeats
+	SliceRequest   Slice = "exchange" // outcomes of callers' requests
+	SliceDemand    Slice = "demand"   // what the target says of its load
 )
 
+// DecisionKind is what a decision of a policy does. The texts stand in configurations and streams.
+type DecisionKind string
+
 // Decisions that a policy may make.
 const (
-	DecideEject = "bar"  // ejection: no requests, until a time to live has passed
-	DecideDrain = "hold" // draining: no new requests, until a condition clears it
+	DecideEject DecisionKind = "bar"  // ejection: no requests, until a time to live has passed
+	DecideDrain DecisionKind = "hold" // draining: no new requests, until a condition clears it
 )
 
+// PolicyMode says whether a policy is evaluated and its decisions take effect. The texts stand in configurations.
+type PolicyMode string
+
 // Modes of a policy.
 const (
-	ModeLive   = "live"   // its decisions take effect
-	ModeShadow = "shadow" // it decides and is scored, without effect
-	ModeOff    = "off"    // it is not evaluated
+	ModeLive   PolicyMode = "live"   // its decisions take effect
+	ModeShadow PolicyMode = "shadow" // it decides and is scored, without effect
+	ModeOff    PolicyMode = "off"    // it is not evaluated
 )
 
 // Policy is an operator's health policy: one condition over one slice of what is known of a
 // target, and one decision. Conditions are written in the language of package expr.
 type Policy struct {
-	Slice  string `koanf:"slice" json:"slice"`
-	When   string `koanf:"when" json:"when"`
-	Clear  string `koanf:"clear" json:"clear,omitempty"` // ends the decision before its time
-	Decide string `koanf:"decide" json:"decide"`
-	TTLMs  int    `koanf:"ttl_ms" json:"ttl_ms,omitempty"` // of an ejection, in ms
-	Mode   string `koanf:"mode" json:"mode,omitempty"`
-	Note   string `koanf:"note" json:"note,omitempty"` // for people
+	Slice  Slice        `koanf:"slice" json:"slice"`
+	When   string       `koanf:"when" json:"when"`
+	Clear  string       `koanf:"clear" json:"clear,omitempty"` // ends the decision before its time
+	Decide DecisionKind `koanf:"decide" json:"decide"`
+	TTLMs  int          `koanf:"ttl_ms" json:"ttl_ms,omitempty"` // of an ejection, in ms
+	Mode   PolicyMode   `koanf:"mode" json:"mode,omitempty"`
+	Note   string       `koanf:"note" json:"note,omitempty"` // for people
 }
 
 // DefaultPolicyName is the name of the policy that holds the given design; a
--- a/internal/shared/config/route.go
+++ b/internal/shared/config/route.go
@@ -11,11 +11,14 @@
 	"time"
 )
 
-// Kinds of routes: what a request on one may be subjected to.
+// RouteKind says whether a route's requests are idempotent. The texts stand in configurations.
+type RouteKind string
+
+// The kinds of routes.
 const (
-	KindRepeatable = "repeatable" // may run more than once
-	KindOnce       = "once"       // may run at most once for each call
-	KindDownload   = "download"   // as repeatable, with large answers
+	KindRepeatable RouteKind = "repeatable" // may run more than once
+	KindOnce       RouteKind = "once"       // may run at most once for each call
+	KindDownload   RouteKind = "download"   // as repeatable, with large answers
 )
 
 // Share is a service's part in a split.
@@ -26,15 +29,15 @@
 
 // Route is what holds for requests under a host and prefix. Times are in ms.
 type Route struct {
-	Host            string  `json:"host"`
-	Prefix          string  `json:"prefix"`
-	Kind            string  `json:"kind"`
-	TimeoutMs       int     `json:"timeout_ms"`
-	LatencyTargetMs int     `json:"aim_ms,omitempty"`   // an answer within it is worth most to the caller; 0: none
-	Priority        int     `json:"priority,omitempty"` // 0 is the highest
-	Attempts        int     `json:"attempts"`           // targets that one request may be sent to
-	Service         string  `json:"service,omitempty"`
-	Split           []Share `json:"split,omitempty"`
+	Host            string    `json:"host"`
+	Prefix          string    `json:"prefix"`
+	Kind            RouteKind `json:"kind"`
+	TimeoutMs       int       `json:"timeout_ms"`
+	LatencyTargetMs int       `json:"aim_ms,omitempty"`   // an answer within it is worth most to the caller; 0: none
+	Priority        int       `json:"priority,omitempty"` // 0 is the highest
+	Attempts        int       `json:"attempts"`           // targets that one request may be sent to
+	Service         string    `json:"service,omitempty"`
+	Split           []Share   `json:"split,omitempty"`
 }
 
 // Limits bound what callers may send. Bytes and ms; 0: the program's own bound.
--- a/internal/shared/config/routeread.go
+++ b/internal/shared/config/routeread.go
@@ -122,7 +122,7 @@
 		case "prefix":
 			c.text(at, k, v, &r.Prefix)
 		case "kind":
-			c.text(at, k, v, &r.Kind)
+			c.text(at, k, v, (*string)(&r.Kind))
 		case "timeout_ms":
 			c.whole(at, k, v, &r.TimeoutMs)
 		case "aim_ms":
@@ -186,7 +186,7 @@
 	if !isHost(r.Host) {
 		c.add(at+".host", notHost)
 	}
-	if !slices.Contains([]string{KindRepeatable, KindOnce, KindDownload}, r.Kind) {
+	if !slices.Contains([]RouteKind{KindRepeatable, KindOnce, KindDownload}, r.Kind) {
 		c.add(at+".kind", "%s, %s or %s, not %q", KindRepeatable, KindOnce, KindDownload, r.Kind)
 	}
 	c.bound(at, "timeout_ms", r.TimeoutMs, 1, tuning.TimeoutMaxMs)
--- a/internal/shared/outlier/compare.go
+++ b/internal/shared/outlier/compare.go
@@ -233,7 +233,7 @@
 }
 
 // lastBad is the slice of the latest bad event.
-func (t *track) lastBad() string {
+func (t *track) lastBad() config.Slice {
 	for _, e := range slices.Backward(t.events) {
 		if e.Slice == config.SliceProbe && !e.Success || e.Slice == config.SliceRequest && e.Errors+e.Slow > 0 {
 			return e.Slice
--- a/internal/shared/outlier/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -38,7 +38,7 @@
 }
 
 // compile checks a condition on a slice and compiles it.
-func compile(slice, condition string) (*vm.Program, error) {
+func compile(slice config.Slice, condition string) (*vm.Program, error) {
 	l := &costly{}
 	options := []expr.Option{expr.Env(facts[slice]), expr.AsBool(), expr.MaxNodes(tuning.PolicyNodes), expr.DisableAllBuiltins(), expr.Patch(l)}
 	for _, name := range allowed {
@@ -78,14 +78,14 @@
 	default:
 		add("decide", "bar or hold, not %q", p.Decide)
 	}
-	if !slices.Contains([]string{config.ModeLive, config.ModeShadow, config.ModeOff}, p.Mode) {
+	if !slices.Contains([]config.PolicyMode{config.ModeLive, config.ModeShadow, config.ModeOff}, p.Mode) {
 		add("mode", "live, shadow or off, not %q", p.Mode)
 	}
 	return faults
 }
 
 // checkCondition returns the fault of the condition in a field, if it has one.
-func checkCondition(slice, field, condition string) []config.Fault {
+func checkCondition(slice config.Slice, field, condition string) []config.Fault {
 	_, err := compile(slice, condition)
 	if err == nil {
 		return nil
--- a/internal/shared/outlier/policy.go
+++ b/internal/shared/outlier/policy.go
@@ -25,18 +25,18 @@
 
 // Event is one thing learnt about a target. Only the fields of its slice count.
 type Event struct {
-	At           time.Duration `json:"at_ns"` // by the clock of whoever recorded it
-	Slice        string        `json:"slice"` // a slice's name, as package config has them
-	Service      string        `json:"service"`
-	Name         string        `json:"name"`
-	Incarnation  uint64        `json:"incarnation"`
-	Success      bool          `json:"ok,omitempty"`     // probe: it answered; beat: a heartbeat came, not silence
-	Milliseconds float64       `json:"ms,omitempty"`     // probe: answer time; beat: silence; exchange: time of all Count together
-	State        string        `json:"state,omitempty"`  // beat: the target's state
-	Count        int           `json:"count,omitempty"`  // exchange: requests that ended, and of them
-	Errors       int           `json:"errors,omitempty"` // failed ones
-	Slow         int           `json:"slow,omitempty"`   // slow ones
-	Demand       float64       `json:"demand,omitempty"` // demand: 0 and more, 1: as much as the target bears
+	At           time.Duration    `json:"at_ns"` // by the clock of whoever recorded it
+	Slice        config.Slice     `json:"slice"` // a slice's name, as package config has them
+	Service      string           `json:"service"`
+	Name         string           `json:"name"`
+	Incarnation  uint64           `json:"incarnation"`
+	Success      bool             `json:"ok,omitempty"`     // probe: it answered; beat: a heartbeat came, not silence
+	Milliseconds float64          `json:"ms,omitempty"`     // probe: answer time; beat: silence; exchange: time of all Count together
+	State        wire.TargetState `json:"state,omitempty"`  // beat: the target's state
+	Count        int              `json:"count,omitempty"`  // exchange: requests that ended, and of them
+	Errors       int              `json:"errors,omitempty"` // failed ones
+	Slow         int              `json:"slow,omitempty"`   // slow ones
+	Demand       float64          `json:"demand,omitempty"` // demand: 0 and more, 1: as much as the target bears
 }
 
 // ID returns the identity of the target.
@@ -46,21 +46,21 @@
 
 // Kinds of decisions, besides config.DecideBar and config.DecideHold, which begin one.
 const (
-	KindClear = "clear" // the condition to clear it is met
-	KindLapse = "lapse" // the ejection's time to live is over
+	KindClear config.DecisionKind = "clear" // the condition to clear it is met
+	KindLapse config.DecisionKind = "lapse" // the ejection's time to live is over
 )
 
 // Decision is one change of a target's standing under one policy.
 type Decision struct {
-	At          time.Duration `json:"at_ns"`
-	Policy      string        `json:"policy"`
-	Kind        string        `json:"kind"` // config.DecideBar, config.DecideHold, KindClear or KindLapse
-	Service     string        `json:"service"`
-	Name        string        `json:"name"`
-	Incarnation uint64        `json:"incarnation"`
-	TTLMs       int64         `json:"ttl_ms,omitempty"`
-	Shadow      bool          `json:"shadow,omitempty"` // it has no effect
-	Reason      string        `json:"why,omitempty"`
+	At          time.Duration       `json:"at_ns"`
+	Policy      string              `json:"policy"`
+	Kind        config.DecisionKind `json:"kind"` // config.DecideBar, config.DecideHold, KindClear or KindLapse
+	Service     string              `json:"service"`
+	Name        string              `json:"name"`
+	Incarnation uint64              `json:"incarnation"`
+	TTLMs       int64               `json:"ttl_ms,omitempty"`
+	Shadow      bool                `json:"shadow,omitempty"` // it has no effect
+	Reason      string              `json:"why,omitempty"`
 }
 
 // policy is a policy in force.
@@ -93,15 +93,15 @@
 
 // Detector evaluates the policies in force on events of any number of targets.
 type Detector struct {
-	policies map[string]*policy                   // by name
-	sorted   []string                             // the policies' names
-	windows  map[wire.TargetID]map[string]*window // by slice
-	marks    map[wire.TargetID]map[string]mark    // by policy
+	policies map[string]*policy                         // by name
+	sorted   []string                                   // the policies' names
+	windows  map[wire.TargetID]map[config.Slice]*window // by slice
+	marks    map[wire.TargetID]map[string]mark          // by policy
 }
 
 // New returns a Judge without policies; Replace puts them in force.
 func New() *Detector {
-	return &Detector{policies: map[string]*policy{}, windows: map[wire.TargetID]map[string]*window{}, marks: map[wire.TargetID]map[string]mark{}}
+	return &Detector{policies: map[string]*policy{}, windows: map[wire.TargetID]map[config.Slice]*window{}, marks: map[wire.TargetID]map[string]mark{}}
 }
 
 // Replace puts the policies of a configuration, which must have passed Check, in force. What a kept or changed ejection
@@ -195,7 +195,7 @@
 	return out
 }
 
-func (p *policy) decision(now time.Duration, kind string, id wire.TargetID, why string) Decision {
+func (p *policy) decision(now time.Duration, kind config.DecisionKind, id wire.TargetID, why string) Decision {
 	d := Decision{At: now, Policy: p.name, Kind: kind, Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Shadow: p.spec.Mode == config.ModeShadow, Reason: why}
 	if kind == config.DecideEject {
 		d.TTLMs = int64(p.spec.TTLMs)
@@ -207,7 +207,7 @@
 func (j *Detector) Step(e Event) []Decision {
 	id := e.ID()
 	if j.windows[id] == nil {
-		j.windows[id] = map[string]*window{}
+		j.windows[id] = map[config.Slice]*window{}
 	}
 	w := j.windows[id][e.Slice]
 	if w == nil {
--- a/internal/shared/outlier/policy_test.go
+++ b/internal/shared/outlier/policy_test.go
@@ -21,7 +21,7 @@
 func kinds(ds []Decision) string {
 	var l []string
 	for _, d := range ds {
-		l = append(l, d.Policy+" "+d.Kind)
+		l = append(l, d.Policy+" "+string(d.Kind))
 	}
 	return strings.Join(l, ",")
 }
@@ -162,7 +162,7 @@
 			pr, ex, be, de := e, e, e, e
 			pr.Slice, pr.Success, pr.Milliseconds = "probe", true, 2
 			ex.Slice, ex.Count, ex.Milliseconds = "exchange", 10, 200
-			be.Slice, be.Success, be.State = "beat", true, config.Ready
+			be.Slice, be.Success, be.State = "beat", true, wire.TargetReady
 			de.Slice, de.Demand = "demand", 0.3
 			beats := true
 			if sick {
@@ -297,7 +297,7 @@
 			case l.Error != "":
 				got = append(got, "error")
 			case l.Decision != nil:
-				got = append(got, l.Decision.Kind)
+				got = append(got, string(l.Decision.Kind))
 			default:
 				got = append(got, "replaced")
 			}
--- a/internal/shared/outlier/slice.go
+++ b/internal/shared/outlier/slice.go
@@ -57,7 +57,7 @@
 }
 
 // facts has, for each slice, the type that conditions on it are compiled for.
-var facts = map[string]any{
+var facts = map[config.Slice]any{
 	config.SliceProbe:     probeFacts{},
 	config.SliceHeartbeat: beatFacts{},
 	config.SliceRequest:   exchangeFacts{},
@@ -127,7 +127,7 @@
 }
 
 func (w *window) beatFacts(e Event) beatFacts {
-	b := beatFacts{State: e.State}
+	b := beatFacts{State: string(e.State)}
 	if !e.Success {
 		b.SilentMs = e.Milliseconds
 	}
@@ -193,7 +193,7 @@
 
 // others yields the windows that a service's other targets have of a slice, in order so that sums
 // of floats come out the same in every run.
-func (j *Detector) others(id wire.TargetID, slice string) iter.Seq2[wire.TargetID, *window] {
+func (j *Detector) others(id wire.TargetID, slice config.Slice) iter.Seq2[wire.TargetID, *window] {
 	return func(yield func(wire.TargetID, *window) bool) {
 		for _, o := range slices.SortedFunc(maps.Keys(j.windows), wire.TargetID.Compare) {
 			if o.Service != id.Service || o == id {
--- a/internal/shared/targetreport/call.go
+++ b/internal/shared/targetreport/call.go
@@ -16,7 +16,9 @@
 )
 
 // leaves says that a word has to be safe before it is acknowledged.
-func IsLeaving(w wire.Target) bool { return w.State == config.Leaving || w.State == config.Gone }
+func IsLeaving(w wire.Target) bool {
+	return w.State == wire.TargetLeaving || w.State == wire.TargetGone
+}
 
 // readWord reads a back end's own call; a reply with a status refuses it. A sign-off by
 // name alone has no service.
@@ -26,7 +28,7 @@
 	svc, name, both := strings.Cut(rest, "/")
 	switch {
 	case named && e.Method == "DELETE":
-		b := config.TargetReport{Service: svc, Name: name, Address: "127.0.0.1:1", State: config.Gone}
+		b := config.TargetReport{Service: svc, Name: name, Address: "127.0.0.1:1", State: wire.TargetGone}
 		if b.Incarnation, _ = strconv.ParseUint(queryValue(e.Query, "incarnation"), 10, 64); !both {
 			b.Service, b.Name, b.Incarnation = "any", rest, 1
 		}
--- a/internal/shared/wire/decode.go
+++ b/internal/shared/wire/decode.go
@@ -236,7 +236,7 @@
 
 func (d *decoder) target(c TargetC, t *Target) {
 	t.Service, t.Name, t.Incarnation = d.again(c.ServiceBytes()), d.text(c.NameBytes()), c.Incarnation()
-	t.Addr, t.Domain, t.State = d.text(c.AddrBytes()), d.again(c.DomainBytes()), d.again(c.StateBytes())
+	t.Addr, t.Domain, t.State = d.text(c.AddrBytes()), d.again(c.DomainBytes()), TargetState(d.again(c.StateBytes()))
 	t.Demand, t.HasDemand, t.Draining = c.Demand(), c.HasDemand(), c.Draining()
 	t.EjectionLeft, t.EjectedBy = c.EjectionLeft(), d.again(c.EjectedByBytes())
 	t.Pending, t.Heartbeating, t.ShareOffset = c.Pending(), c.Heartbeating(), c.ShareOffset()
--- a/internal/shared/wire/encode.go
+++ b/internal/shared/wire/encode.go
@@ -273,7 +273,7 @@
 	c.SetIncarnation(t.Incarnation)
 	e.ok(c.SetAddr(t.Addr))
 	e.ok(c.SetDomain(t.Domain))
-	e.ok(c.SetState(t.State))
+	e.ok(c.SetState(string(t.State)))
 	c.SetDemand(t.Demand)
 	c.SetHasDemand(t.HasDemand)
 	c.SetDraining(t.Draining)
--- a/internal/shared/wire/size.go
+++ b/internal/shared/wire/size.go
@@ -118,7 +118,7 @@
 
 func (t *Target) size() int {
 	return targetSize + textSize(t.Service) + textSize(t.Name) + textSize(t.Addr) + textSize(t.Domain) +
-		textSize(t.State) + textSize(t.EjectedBy)
+		textSize(string(t.State)) + textSize(t.EjectedBy)
 }
 
 func (p *Chunk) size() int {
--- a/internal/shared/wire/wire.go
+++ b/internal/shared/wire/wire.go
@@ -152,26 +152,37 @@
 // BeginsSnapshot says that this is a snapshot's first piece.
 func (p *Chunk) BeginsSnapshot() bool { return p != nil && !p.IsEntry && p.Offset == 0 }
 
+// TargetState is what a target says of its life. The texts stand on the wire, in stored data and in targets' reports.
+type TargetState string
+
+// States of a target, in the only order in which they follow each other.
+const (
+	TargetWarming TargetState = "warming" // it has started, and takes few requests
+	TargetReady   TargetState = "ready"   // it takes requests
+	TargetLeaving TargetState = "leaving" // it finishes the requests that it has, and takes no others
+	TargetGone    TargetState = "gone"    // it has ended
+)
+
 // Target is a back end as the daemons know it; its identity is the first four
 // fields. Held (draining), BarLeft (ejection) and Pending are decisions and travel in tables only.
 type Target struct {
-	Service      string  `json:"service"`
-	Name         string  `json:"name"`
-	Incarnation  uint64  `json:"incarnation"`
-	Addr         string  `json:"address"`
-	Domain       string  `json:"domain,omitempty"`
-	State        string  `json:"state"`
-	Demand       float64 `json:"demand,omitempty"`
-	HasDemand    bool    `json:"-"`
-	Draining     bool    `json:"held"`                   // gets no new requests until a policy clears it
-	EjectionLeft int64   `json:"bar_left_ns,omitempty"`  // of its ejection
-	EjectedBy    string  `json:"bar_why,omitempty"`      // the policy that ejected it
-	Pending      bool    `json:"pending,omitempty"`      // gets no requests until it is confirmed
-	Heartbeating bool    `json:"beating"`                // its heartbeats arrive
-	ShareOffset  uint32  `json:"-"`                      // its place where caps are split among proxies
-	Slots        uint32  `json:"slots,omitempty"`        // requests that it works on at once, 0: not said
-	WarmupLeft   int64   `json:"cold_left_ns,omitempty"` // how much longer it bears only its service's cold rate
-	Number       uint64  `json:"number,omitempty"`       // its heartbeat's number, which rises with each; 0: not numbered
+	Service      string      `json:"service"`
+	Name         string      `json:"name"`
+	Incarnation  uint64      `json:"incarnation"`
+	Addr         string      `json:"address"`
+	Domain       string      `json:"domain,omitempty"`
+	State        TargetState `json:"state"`
+	Demand       float64     `json:"demand,omitempty"`
+	HasDemand    bool        `json:"-"`
+	Draining     bool        `json:"held"`                   // gets no new requests until a policy clears it
+	EjectionLeft int64       `json:"bar_left_ns,omitempty"`  // of its ejection
+	EjectedBy    string      `json:"bar_why,omitempty"`      // the policy that ejected it
+	Pending      bool        `json:"pending,omitempty"`      // gets no requests until it is confirmed
+	Heartbeating bool        `json:"beating"`                // its heartbeats arrive
+	ShareOffset  uint32      `json:"-"`                      // its place where caps are split among proxies
+	Slots        uint32      `json:"slots,omitempty"`        // requests that it works on at once, 0: not said
+	WarmupLeft   int64       `json:"cold_left_ns,omitempty"` // how much longer it bears only its service's cold rate
+	Number       uint64      `json:"number,omitempty"`       // its heartbeat's number, which rises with each; 0: not numbered
 }
 
 // TargetID is a target's identity; a restarted target has a higher incarnation.
--- a/internal/verification/fuzzing/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -15,7 +15,7 @@
 )
 
 // fuzzNames are drawn for texts more often than others, so that messages concern what there is.
-var fuzzNames = []string{"", "c1", "c2", "g1", "g2", "s0", "s1", "t0", "t1", string(wire.ControlDaemon), string(wire.ProxyDaemon), "d0", config.Ready, config.Warming, config.Leaving, config.Gone, "10.0.0.1:1", "x"}
+var fuzzNames = []string{"", "c1", "c2", "g1", "g2", "s0", "s1", "t0", "t1", string(wire.ControlDaemon), string(wire.ProxyDaemon), "d0", string(wire.TargetReady), string(wire.TargetWarming), string(wire.TargetLeaving), string(wire.TargetGone), "10.0.0.1:1", "x"}
 
 // fuzzSource turns fuzzed bytes into values; at their end all are zero.
 type fuzzSource struct{ data []byte }
@@ -129,7 +129,7 @@
 	case 1:
 		p := statemachine.ProbeResult{ID: wire.TargetID{Service: s.text(), Name: s.text(), Incarnation: s.number()}, SentAt: time.Duration(s.number()), Milliseconds: 1}
 		if s.byte()%2 == 1 {
-			p.Report = &config.TargetReport{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: s.text()}
+			p.Report = &config.TargetReport{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: wire.TargetState(s.text())}
 		}
 		return p
 	default:
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -9,7 +9,6 @@
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/dataplane"
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -50,7 +49,7 @@
 
 func (l *leader) second() {
 	gate := wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Incarnation: 1, Domain: "d0"}
-	beat := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: config.Ready}
+	beat := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: wire.TargetReady}
 	l.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: "g1", Hello: &wire.Hello{Self: gate}}})
 	for range int(time.Second / tuning.PullEvery) {
 		for range int(tuning.PullEvery / tuning.TickEvery) {
@@ -101,7 +100,7 @@
 		Document: []byte(`{"services":{"s0":{"cap":8,"warm_cap":3},"s1":{"cap":4,"warm_cap":2}},"rules":[{"path":"/s","service":"s0"}]}`),
 		Proxies:  []wire.Proxy{{Name: "g1", Addr: "g1", Live: true}, {Name: "g2", Addr: "g2", Live: true}}}
 	for i := range 2 {
-		table.Targets = append(table.Targets, wire.Target{Service: "s0", Name: fmt.Sprint("t", i), Incarnation: 9, Addr: fmt.Sprint("10.0.0.1:", i+1), State: config.Ready, Heartbeating: true})
+		table.Targets = append(table.Targets, wire.Target{Service: "s0", Name: fmt.Sprint("t", i), Incarnation: 9, Addr: fmt.Sprint("10.0.0.1:", i+1), State: wire.TargetReady, Heartbeating: true})
 	}
 	p.Step(now, statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(now), Disk: 9,
 		Push: &wire.Push{LeaseGranted: true, Key: table.Key, Table: table}}})
--- a/internal/verification/simulator/backend.go
+++ b/internal/verification/simulator/backend.go
@@ -23,7 +23,7 @@
 	surplus                     bool // sends answers that nobody waits for
 	fail                        bool
 	deaf                        bool // misses probes, beats and serves
-	state                       string
+	state                       wire.TargetState
 	leftAt                      time.Duration // when a daemon first took its word that it leaves
 	goneAt                      time.Duration
 	works                       []*request // those in work
@@ -42,7 +42,7 @@
 func (w *World) AddTarget(svc, name, domain, addr string, warm time.Duration) *Target {
 	w.nextInc++
 	t := &Target{service: svc, name: name, domain: domain, addr: addr, inc: w.nextInc + uint64(w.rnd.IntN(1000))*100000, alive: true,
-		state: config.Ready, usual: w.ms(5, 30)}
+		state: wire.TargetReady, usual: w.ms(5, 30)}
 	t.work = t.usual
 	t.named = w.nextInc%3 != 0
 	if w.Plan.WarmupRate > 0 && w.now > coldSpan {
@@ -51,10 +51,10 @@
 	}
 	t.resets = w.nextInc%5 == 0
 	if warm > 0 && w.Plan.WarmupRate == 0 {
-		t.state = config.Warming
+		t.state = wire.TargetWarming
 		w.at(warm, func() {
-			if t.state == config.Warming {
-				t.state = config.Ready
+			if t.state == wire.TargetWarming {
+				t.state = wire.TargetReady
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 		if cold > w.now && t.coldTold != cold {
 			t.coldTold, t.coldFrom = cold, w.now+coldHeard
 		}
-		if state == config.Leaving && t.leftAt == 0 {
+		if state == wire.TargetLeaving && t.leftAt == 0 {
 			t.leftAt = w.now
 			w.Stats.Drains++
 			w.log("%s/%s leaving, taken by %s", t.service, t.name, p.name)
@@ -124,7 +124,7 @@
 }
 
 // word is a call that says how a target is.
-func (w *World) word(t *Target, state string) (method, path string, body []byte) {
+func (w *World) word(t *Target, state wire.TargetState) (method, path string, body []byte) {
 	b := config.TargetReport{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state, Slots: int64(w.Plan.Slots)}
 	if t.coldTill > w.now && w.sabotage != "cold" {
 		b.WarmupLeftMs = (t.coldTill - w.now).Milliseconds() + 1
@@ -141,7 +141,7 @@
 }
 
 // say has a daemon hear a target's word, as a late or repeated one would be.
-func (w *World) say(p *Process, t *Target, state string) {
+func (w *World) say(p *Process, t *Target, state wire.TargetState) {
 	b, _ := json.Marshal(config.TargetReport{Service: t.service, Name: t.name, Incarnation: t.inc, Address: t.addr, Domain: t.domain, State: state})
 	w.call(p, "POST", "/v1/targets", "", b, "", func(statemachine.Reply) {})
 }
@@ -161,7 +161,7 @@
 
 // DrainTarget has a back end announce that it leaves, wait, sign off and end; then runs after.
 func (w *World) DrainTarget(t *Target, after func()) {
-	t.state = config.Leaving
+	t.state = wire.TargetLeaving
 	t.number++
 	w.beat(t, 0)
 	var end func()
@@ -195,7 +195,7 @@
 	t := w.listen[c.Addr]
 	switch {
 	case w.sabotage == "probes":
-		answer(w.ms(1, 5), &config.TargetReport{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, State: config.Ready})
+		answer(w.ms(1, 5), &config.TargetReport{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, State: wire.TargetReady})
 	case t != nil && (t.hang || t.deaf || !w.reach(p.name, t.name) || !w.reach(t.name, p.name)):
 		answer(tuning.ProbeTimeout, nil)
 	case t == nil:
@@ -212,7 +212,7 @@
 func (w *World) pickTarget() *Target {
 	var l []*Target
 	for _, t := range w.targets {
-		if t.alive && t.state != config.Leaving {
+		if t.alive && t.state != wire.TargetLeaving {
 			l = append(l, t)
 		}
 	}
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/day.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"myrtlefold/internal/dataplane"
-	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/wire"
 )
 
 // Start founds the fleet and puts a first configuration in force.
@@ -119,7 +119,7 @@
 // not offer. Of two that claim one name, one is enough.
 func (w *World) missing() string {
 	for _, t := range w.targets {
-		if t.alive && t.state == config.Ready && w.listen[t.addr] == t && !w.served(t) &&
+		if t.alive && t.state == wire.TargetReady && w.listen[t.addr] == t && !w.served(t) &&
 			!slices.ContainsFunc(w.targets, func(o *Target) bool { return o.service == t.service && o.name == t.name && w.served(o) }) {
 			return t.service + "/" + t.name
 		}
--- a/internal/verification/simulator/faults_network.go
+++ b/internal/verification/simulator/faults_network.go
@@ -7,7 +7,6 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/wire"
 )
 
@@ -22,7 +21,7 @@
 		for range 6 {
 			t := w.targets[w.rnd.IntN(len(w.targets))]
 			if p := w.pick([]wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon}[w.rnd.IntN(2)], true); p != nil && !t.alive {
-				state := []string{config.Ready, config.Warming}[w.rnd.IntN(2)]
+				state := []wire.TargetState{wire.TargetReady, wire.TargetWarming}[w.rnd.IntN(2)]
 				w.at(w.ms(0, 3000), func() { w.say(p, t, state) })
 			}
 		}
--- a/internal/verification/simulator/faults_target.go
+++ b/internal/verification/simulator/faults_target.go
@@ -9,7 +9,6 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/wire"
 )
 
@@ -132,7 +131,7 @@
 		w.log("empty and remove %s, hand its addresses to %s", gone, other)
 		var homes []*Target
 		for _, t := range slices.Clone(w.targets) {
-			if t.alive && t.service == gone && t.state != config.Leaving {
+			if t.alive && t.service == gone && t.state != wire.TargetLeaving {
 				homes = append(homes, t)
 				w.DrainTarget(t, func() {
 					w.at(w.ms(0, 300), func() {
@@ -185,7 +184,7 @@
 func (w *World) spare(svc string) int {
 	n := 0
 	for _, t := range w.targets {
-		if t.alive && t.service == svc && t.state != config.Leaving && !t.hang {
+		if t.alive && t.service == svc && t.state != wire.TargetLeaving && !t.hang {
 			n++
 		}
 	}
@@ -199,7 +198,7 @@
 	w.log("roll %s", svc)
 	var l []*Target
 	for _, t := range w.targets {
-		if t.alive && t.service == svc && t.state != config.Leaving {
+		if t.alive && t.service == svc && t.state != wire.TargetLeaving {
 			l = append(l, t)
 		}
 	}
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"myrtlefold/internal/dataplane"
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -225,9 +224,9 @@
 	}
 	// A leaving target answers probes and even says that it is ready: it stays held.
 	l := w.targets[1]
-	l.state = config.Leaving
+	l.state = wire.TargetLeaving
 	w.Run(w.now + time.Second)
-	l.state = config.Ready
+	l.state = wire.TargetReady
 	w.Run(w.now + 3*time.Second)
 	check(t, w)
 	for _, x := range w.Leader().core.Table().Targets {
@@ -250,7 +249,7 @@
 			fares = append(fares, tg)
 		}
 	}
-	fares[0].state = config.Leaving
+	fares[0].state = wire.TargetLeaving
 	w.quiet = true
 	w.Run(w.now + 4*time.Second)
 	w.quiet = false
--- a/internal/verification/simulator/operator.go
+++ b/internal/verification/simulator/operator.go
@@ -117,8 +117,8 @@
 			svc["conn_cap"] = w.Plan.ConnectionLimit
 		}
 		svcs[s] = svc
-		for kind, prefix := range map[string]string{config.KindRepeatable: "/" + s + "/", config.KindOnce: "/" + s + "/once/"} {
-			routes[s+"-"+kind] = config.Route{Prefix: prefix, Kind: kind, TimeoutMs: 1000 + n, LatencyTargetMs: 400, Attempts: 3, Service: s}
+		for kind, prefix := range map[config.RouteKind]string{config.KindRepeatable: "/" + s + "/", config.KindOnce: "/" + s + "/once/"} {
+			routes[s+"-"+string(kind)] = config.Route{Prefix: prefix, Kind: kind, TimeoutMs: 1000 + n, LatencyTargetMs: 400, Attempts: 3, Service: s}
 		}
 		rules = append(rules, map[string]any{"path": "/" + s + "/", "service": s})
 	}
--- a/internal/verification/simulator/overload_test.go
+++ b/internal/verification/simulator/overload_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -34,7 +33,7 @@
 func (w *World) release(share float64, atOnce int, gap time.Duration) {
 	var all []*Target
 	for _, t := range w.targets {
-		if t.alive && t.state != config.Leaving {
+		if t.alive && t.state != wire.TargetLeaving {
 			all = append(all, t)
 		}
 	}
--- a/internal/verification/simulator/registry_test.go
+++ b/internal/verification/simulator/registry_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -63,7 +62,7 @@
 		w.Run(w.now + time.Second)
 		x := w.targets[1]
 		x.still = true
-		word := wire.Target{Service: x.service, Name: x.name, Incarnation: x.inc, Addr: x.addr, Domain: x.domain, State: config.Leaving}
+		word := wire.Target{Service: x.service, Name: x.name, Incarnation: x.inc, Addr: x.addr, Domain: x.domain, State: wire.TargetLeaving}
 		method, path, query := "POST", "/v1/targets", ""
 		if seed%2 == 1 {
 			method, path, query = "DELETE", "/v1/targets/"+x.service+"/"+x.name, fmt.Sprintf("incarnation=%d", x.inc)
@@ -74,7 +73,7 @@
 		}
 		w.lossOfAll()
 		for end := w.now + 6*time.Second; w.now < end && w.Run(w.now+200*time.Millisecond); {
-			w.say(w.procs[w.names[w.rnd.IntN(3)]], x, config.Ready) // it was under way
+			w.say(w.procs[w.names[w.rnd.IntN(3)]], x, wire.TargetReady) // it was under way
 			if w.served(x) {
 				t.Fatalf("seed %d: %s/%s is offered again after its %s was acknowledged", seed, x.service, x.name, method)
 			}
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -6,10 +6,10 @@
 import (
 	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -107,7 +107,7 @@
 	if x.final == "no" {
 		w.broken("refused but ran", "exchange %d runs after its refusal", x.id)
 	}
-	if t.state == config.Warming {
+	if t.state == wire.TargetWarming {
 		n := 1 // those that a dead proxy left behind, or whose caller has its answer, are nobody's any more
 		for _, o := range t.works {
 			if o.gate.alive && o.gate.gen == o.gen && w.open[o.id] == o {
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -13,7 +13,6 @@
 	"strings"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/wire"
 )
 
@@ -170,9 +169,9 @@
 }
 
 // heard is a target's state as daemons hear it.
-func (w *World) heard(state string) string {
-	if w.sabotage == "holds" && state == config.Leaving {
-		return config.Ready
+func (w *World) heard(state wire.TargetState) wire.TargetState {
+	if w.sabotage == "holds" && state == wire.TargetLeaving {
+		return wire.TargetReady
 	}
 	return state
 }
--- a/internal/verification/simulator/targets_test.go
+++ b/internal/verification/simulator/targets_test.go
@@ -4,7 +4,6 @@
 	"testing"
 	"time"
 
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/wire"
 )
 
@@ -52,11 +51,11 @@
 			for w.Leader() == nil && w.now < 30*time.Second {
 				w.Run(w.now + 5*time.Millisecond)
 			}
-			w.say(w.Leader(), old, config.Ready) // before anything else is heard
+			w.say(w.Leader(), old, wire.TargetReady) // before anything else is heard
 		}
 		for range 20 {
-			w.say(w.pick(wire.ProxyDaemon, true), old, config.Ready)
-			w.say(w.Leader(), old, config.Warming)
+			w.say(w.pick(wire.ProxyDaemon, true), old, wire.TargetReady)
+			w.say(w.Leader(), old, wire.TargetWarming)
 			w.Run(w.now + 50*time.Millisecond)
 			if w.served(old) {
 				t.Fatalf("seed %d: the old start is served\n%s", seed, w.Trace(20))
@@ -126,7 +125,7 @@
 			w.Run(w.now + 5*time.Millisecond)
 		}
 		for range 10 {
-			w.say(w.Leader(), old, config.Ready)
+			w.say(w.Leader(), old, wire.TargetReady)
 			w.Run(w.now + 30*time.Millisecond)
 			if w.served(old) {
 				t.Fatalf("seed %d: served again\n%s", seed, w.Trace(20))
@@ -151,8 +150,8 @@
 		}
 		w.Run(w.now + 3*time.Second)
 		for _, x := range dead {
-			w.say(w.Leader(), x, config.Ready)
-			w.say(w.pick(wire.ProxyDaemon, true), x, config.Ready)
+			w.say(w.Leader(), x, wire.TargetReady)
+			w.say(w.pick(wire.ProxyDaemon, true), x, wire.TargetReady)
 		}
 		w.Run(w.now + 2*time.Second)
 		check(t, w)
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -34,7 +34,7 @@
 	return n
 }
 
-func numbered(t *Target, state string, number uint64, more string) string {
+func numbered(t *Target, state wire.TargetState, number uint64, more string) string {
 	return fmt.Sprintf(`{"service":%q,"incarnation":%d,"address":%q,"domain":%q,"state":%q,"number":%d,"mood":["any"]%s}`, t.service, t.inc, t.addr, t.domain, state, number, more)
 }
 
@@ -57,7 +57,7 @@
 		{`,"slots":-1`, "slots"}, {`,"slots":1000001`, "slots"}, {`,"slots":"x"`, "slots"}, {`,"cold_left_ms":-5`, "cold_left_ms"},
 		{`,"cold_left_ms":3600001`, "cold_left_ms"}, {`,"address":"nowhere"`, "address"}, {`,"state":"odd"`, "state"}, {`,"service":"A b"`, "service"},
 	} {
-		if s, at := put(f, numbered(a, config.Ready, 1, c.more)); s != 422 || at != c.at {
+		if s, at := put(f, numbered(a, wire.TargetReady, 1, c.more)); s != 422 || at != c.at {
 			t.Errorf("%s: %d at %q", c.more, s, at)
 		}
 	}
@@ -68,14 +68,14 @@
 		t.Fatalf("%+v", e)
 	}
 	for _, n := range []uint64{a.number, 1} {
-		if s, _ := put(f, numbered(a, config.Leaving, n, "")); s != 200 {
+		if s, _ := put(f, numbered(a, wire.TargetLeaving, n, "")); s != 200 {
 			t.Errorf("an old word: %d", s)
 		}
 	}
 	if e := entry(w.Leader().core.Table(), a.name); e.Draining {
 		t.Error("an old word has it held")
 	}
-	if s, _ := put(f, numbered(a, config.Ready, a.number+100, `,"slots":7`)); s != 202 {
+	if s, _ := put(f, numbered(a, wire.TargetReady, a.number+100, `,"slots":7`)); s != 202 {
 		t.Errorf("a word at a follower: %d", s)
 	}
 	w.Run(w.now + 300*time.Millisecond)
@@ -107,7 +107,7 @@
 				acks = append(acks, r.Status)
 			})
 		}
-		leaving := numbered(a, config.Leaving, 1000, "")
+		leaving := numbered(a, wire.TargetLeaving, 1000, "")
 		if seed < 4 {
 			ask("PUT", "/v1/targets/"+a.name, leaving)
 			ask("PUT", "/v1/targets/"+a.name, leaving)
@@ -140,7 +140,7 @@
 	a.still = true
 	w.isolate([]string{"g1", "g2"}, 3*time.Second, true, true)
 	from := w.now
-	r, _ := w.inquire(t, followers(w)[0], "PUT", "/v1/targets/"+a.name, "", numbered(a, config.Leaving, 1000, ""), "")
+	r, _ := w.inquire(t, followers(w)[0], "PUT", "/v1/targets/"+a.name, "", numbered(a, wire.TargetLeaving, 1000, ""), "")
 	if r.Status != 200 || w.now-from > tuning.PullEvery*2 {
 		t.Errorf("%d after %v", r.Status, w.now-from)
 	}
@@ -158,7 +158,7 @@
 	}
 	for _, at := range []*Process{w.Leader(), followers(w)[0]} {
 		from := w.now
-		r, m := w.inquire(t, at, "PUT", "/v1/targets/"+a.name, "", numbered(a, config.Leaving, 1000, ""), "")
+		r, m := w.inquire(t, at, "PUT", "/v1/targets/"+a.name, "", numbered(a, wire.TargetLeaving, 1000, ""), "")
 		if r.Status != 503 || r.RetryAfter == 0 || m["error"].(map[string]any)["ran"] != "no" || w.now-from > 920*time.Millisecond {
 			t.Errorf("%d after %v: %s", r.Status, w.now-from, r.Body)
 		}
@@ -168,7 +168,7 @@
 		w.Kill(p)
 	}
 	w.Run(w.now + 2*time.Second)
-	for _, state := range []string{config.Ready, config.Leaving} {
+	for _, state := range []wire.TargetState{wire.TargetReady, wire.TargetLeaving} {
 		if r, _ := w.inquire(t, l, "PUT", "/v1/targets/"+a.name, "", numbered(a, state, 1001, ""), ""); r.Status != 503 || r.RetryAfter == 0 {
 			t.Errorf("%s without a leader: %d", state, r.Status)
 		}
@@ -189,7 +189,7 @@
 		a.still = true
 		w.Run(w.now + 600*time.Millisecond)
 		status := 0
-		word, path, method := numbered(a, config.Leaving, 1000, ""), "/v1/targets/"+a.name, "PUT"
+		word, path, method := numbered(a, wire.TargetLeaving, 1000, ""), "/v1/targets/"+a.name, "PUT"
 		if seed%2 == 1 {
 			method, word = "DELETE", ""
 		}
@@ -227,7 +227,7 @@
 		w.Run(w.now + 600*time.Millisecond)
 		left := func() time.Duration { return time.Duration(entry(w.Leader().core.Table(), a.name).WarmupLeft) }
 		say := func(number uint64, cold int) {
-			w.inquire(t, w.Leader(), "PUT", "/v1/targets/"+a.name, "", numbered(a, config.Ready, number, fmt.Sprintf(`,"cold_left_ms":%d`, cold)), "")
+			w.inquire(t, w.Leader(), "PUT", "/v1/targets/"+a.name, "", numbered(a, wire.TargetReady, number, fmt.Sprintf(`,"cold_left_ms":%d`, cold)), "")
 		}
 		say(1000, 9000)
 		if l := left(); l < 8*time.Second || l > 9*time.Second {
