--- a/cmd/mfchaos/faults.go
+++ b/cmd/mfchaos/faults.go
@@ -250,7 +250,7 @@
 			}
 		}
 		log, _ := os.ReadFile(l.path("log", p.name+".log"))
-		if !bytes.Contains(log, []byte("unsound; the old ones stay")) || !bytes.Contains(log, []byte("settings changed")) {
+		if !bytes.Contains(log, []byte("invalid; the previous ones stay in effect")) || !bytes.Contains(log, []byte("settings changed")) {
 			l.note("settings changed", "%s said nothing of it", p.name)
 		}
 	}},
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -1,34 +1,71 @@
-// This file is the control daemon's process: it opens the disk, starts the core's state
-// machine, and carries out its commands.
+// This file is the control daemon's process: it opens the disk, starts the controller, and carries out its commands.
 
 package daemon
 
 import (
-	"myrtlefold/internal/shared/statemachine"
-	"myrtlefold/internal/shared/wire"
+	"context"
 	"net/http"
 	"sync/atomic"
 	"time"
 
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 )
 
-// coreDaemon is a control daemon's parts.
-type coreDaemon struct {
+// controlDaemon is a control daemon's parts.
+type controlDaemon struct {
 	*Process
-	owner *controlplane.Controller
-	disk  *Disk
-	hub   *EventStream
-	term  atomic.Uint64 // the owner's, for the lines of the stream
+	controller *controlplane.Controller
+	disk       *Disk
+	stream     *EventStream
+	term       atomic.Uint64 // the controller's, for the lines of the stream
 }
 
 // RunControl is mfcontrol: it runs a control daemon until it is stopped, and returns the exit code.
-func RunControl(args []string, dialect Platform) int {
-	h := Start(wire.ControlDaemon, args, dialect)
-	disk, image, damage := h.openDiskInTime()
-	s := h.Settings
-	owner := controlplane.New(h.Now(), controlplane.Settings{
-		Self:          h.Daemon(),
+func RunControl(args []string, platform Platform) int {
+	p, code := Start(wire.ControlDaemon, args, platform)
+	if p == nil {
+		return code
+	}
+	disk, persisted, damage, err := p.openDiskWithRetry(p.stops)
+	if err != nil {
+		p.Log.WithError(err).Info("stopped")
+		return exitOK
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	d := newControlDaemon(ctx, p, disk, persisted)
+	if damage != nil {
+		d.controller.ReportDamage("state on this disk", damage)
+	}
+	server, err := d.listen(ctx)
+	if err != nil {
+		p.Log.WithError(err).Error("daemon can't start")
+		return exitFailed
+	}
+	go d.disk.Run(ctx)
+	go d.Loop.Run(ctx, d.step, d.execute)
+	code = d.Wait(ctx, d.controller.SetSeeds)
+	d.shutDownAPI(server)
+	d.Log.Info("stopped")
+	return code
+}
+
+// listen opens the daemon's ports: for other daemons and for the HTTP API.
+func (d *controlDaemon) listen(ctx context.Context) (api *http.Server, err error) {
+	if err := d.listenForDaemons(ctx); err != nil {
+		return nil, err
+	}
+	d.RegisterCounters("core", d.counts)
+	return d.serveAPI(d.handler(ctx))
+}
+
+func newControlDaemon(ctx context.Context, p *Process, disk *Disk, persisted consensus.PersistentState) *controlDaemon {
+	s := p.Settings
+	controller := controlplane.New(p.Now(), controlplane.Settings{
+		Self:          p.Daemon(),
 		BootstrapSize: s.Size,
 		Seeds:         s.Seeds,
 		Bootstrap:     s.Bootstrap,
@@ -36,72 +73,63 @@
 		CatchUpTime:   milliseconds(s.CatchUpMs),
 		MachineLosses: s.ToleratedLosses,
 		StopGrace:     milliseconds(s.GraceMs),
-	}, image)
-	if damage != nil {
-		owner.ReportDamage("state on this disk", damage)
-	}
-	d := &coreDaemon{Process: h, owner: owner, disk: disk, hub: NewEventStream()}
-	if err := d.ListenForPeers(); err != nil {
-		d.Fatal(err, "start")
-	}
-	d.RegisterCounters("core", func() any {
-		var n controlplane.Counts
-		d.Loop.Inspect(func(now time.Duration) { n = d.owner.Status(now).Counts })
-		return n
-	})
-	server, err := d.Serve(s.HTTP, d.handler())
-	if err != nil {
-		d.Fatal(err, "start")
-	}
-	go d.disk.Run()
-	go d.Loop.Run(d.step, d.execute)
-	code := d.Wait(d.owner.SetSeeds)
-	d.closeAPI(server)
-	d.Log.Info("stopped")
-	return code
+	}, persisted)
+	return &controlDaemon{Process: p, controller: controller, disk: disk, stream: NewEventStream(ctx)}
 }
 
-// step steps the state machine; on the owner's goroutine.
-func (d *coreDaemon) step(now time.Duration, event statemachine.Event) []statemachine.Command {
-	commands := d.owner.Step(now, event)
-	d.term.Store(d.owner.Term())
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+
+// counts are the controller's counters, a controlplane.Counts.
+func (d *controlDaemon) counts() any {
+	var counts controlplane.Counts
+	d.Loop.Inspect(func(now time.Duration) { counts = d.controller.Status(now).Counts })
+	return counts
+}
+
+// step steps the controller; only on the loop's goroutine.
+func (d *controlDaemon) step(now time.Duration, event statemachine.Event) []statemachine.Command {
+	commands := d.controller.Step(now, event)
+	d.term.Store(d.controller.Term())
 	return commands
 }
 
-// execute carries out a command of the state machine; on the owner's goroutine.
-func (d *coreDaemon) execute(cmd statemachine.Command) {
-	switch c := cmd.(type) {
+// execute carries out a command of the controller; only on the loop's goroutine.
+func (d *controlDaemon) execute(ctx context.Context, command statemachine.Command) {
+	switch c := command.(type) {
 	case statemachine.Sync:
-		d.disk.queue <- c.Batch
+		d.disk.Write(ctx, c.Batch)
 	case statemachine.Publish:
-		d.hub.Publish(d.term.Load(), c)
+		d.stream.Publish(d.term.Load(), c)
 	default:
-		d.Execute(cmd)
+		d.Execute(ctx, command)
 	}
 }
 
 // handler is the daemon's HTTP API: for operators, and for targets' heartbeats.
-func (d *coreDaemon) handler() http.Handler {
+func (d *controlDaemon) handler(ctx context.Context) http.Handler {
 	mux := d.AdminMux(func() (ready bool, role any) {
-		d.Loop.Inspect(func(now time.Duration) { ready, role = d.owner.Ready(), d.owner.Status(now).Role })
+		d.Loop.Inspect(func(now time.Duration) { ready, role = d.controller.Ready(), d.controller.Status(now).Role })
 		return ready, role
 	})
-	mux.HandleFunc("GET /v1/stream", d.stream)
-	mux.Handle("POST /v1/judge", NewSessions())
-	var ids atomic.Uint64
-	mux.HandleFunc("/v1/", d.CallHandler(func() uint64 { return ids.Add(1) }))
+	mux.HandleFunc("GET /v1/stream", d.serveStream)
+	mux.Handle("POST /v1/judge", NewSessions(ctx))
+	mux.HandleFunc("/v1/", d.CallHandler(firstCallID))
 	return mux
 }
 
-// stream serves the stream of target events, or sends the reader to the leader.
-func (d *coreDaemon) stream(w http.ResponseWriter, r *http.Request) {
+// serveStream serves the stream of target events, or redirects the reader to the leader.
+func (d *controlDaemon) serveStream(w http.ResponseWriter, r *http.Request) {
 	var leading bool
 	var leaderAddr string
 	d.Loop.Inspect(func(now time.Duration) {
-		status := d.owner.Status(now)
-		leading = d.owner.Leading()
+		status := d.controller.Status(now)
+		leading = d.controller.Leading()
 		d.term.Store(status.Term)
-		leaderAddr = d.owner.HTTPAddr(status.Leader)
+		leaderAddr = d.controller.HTTPAddr(status.Leader)
 	})
-	d.hub.Serve(w, r, leading, leaderAddr)
+	if leading {
+		d.stream.Serve(w, r)
+	} else {
+		redirectToLeader(w, r, leaderAddr)
+	}
 }
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -1,193 +1,151 @@
-// This file is a member's disk: batches in, syncs out, on a goroutine of its own. A disk
-// that refuses writes is tried again until it takes them, and nothing is acknowledged
-// meanwhile; one whose contents can't be read whole counts as lost.
+// This file is a member's disk: batches in, syncs out, on a goroutine of its own. A write that the disk rejects is
+// retried until it succeeds, and nothing is acknowledged meanwhile.
 
 package daemon
 
 import (
-	"math/rand/v2"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
-	"os"
+	"context"
 	"slices"
 	"time"
 
 	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
 
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/controlplane/wal"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// store is where a disk's records go: a *wal.Ring, or a stand-in that fails in tests.
-type store interface {
-	Append(recs ...[]byte) (room bool, err error)
-	Rotate(whole []byte) error
+// recordLog is where a disk's records go: a *wal.Log, or one that fails in tests.
+type recordLog interface {
+	// Append writes and syncs records. It returns false if there was no room, and then has written none.
+	Append(records ...[]byte) (room bool, err error)
+	// Rotate begins a new file with a record that stands for all before it.
+	Rotate(complete []byte) error
 }
 
-// Disk owns the ring: batches in, numbers of synced ones out.
+// Disk owns a member's write-ahead log: batches in, numbers of synced ones out.
 type Disk struct {
-	h      *Process
-	ring   store
-	img    consensus.PersistentState
-	queue  chan *wire.Batch
-	retry  time.Duration // how long after a refused write the next is tried
-	failed error         // why writes are refused now
-}
-
-// OpenDisk reads what the folder holds; an empty one gets a number of its own. An error that
-// is marked wal.ErrDamaged or core.ErrDamaged says that it can't be read whole.
-func (h *Process) OpenDisk() (*Disk, consensus.PersistentState, error) {
-	r, recs, err := wal.Open(h.Settings.Data, tuning.WALFiles, tuning.WALFileSize)
-	if err != nil {
-		return nil, consensus.PersistentState{}, err
-	}
-	d := h.newDisk(r)
-	if err := d.load(recs); err != nil {
-		r.Close()
-		return nil, consensus.PersistentState{}, err
-	}
-	return d, d.image(), nil
+	log       *logrus.Logger
+	loop      *Loop
+	wal       recordLog
+	persisted consensus.PersistentState // what the log's records amount to
+	queue     chan *wire.Batch
+	retryGap  time.Duration // how long after a rejected write it is retried
+	failure   error         // why writes are rejected now, nil: they are not
 }
 
-func (h *Process) newDisk(s store) *Disk {
-	return &Disk{h: h, ring: s, queue: make(chan *wire.Batch, tuning.EventQueue), retry: tuning.DiskRetry}
+func newDisk(log *logrus.Logger, loop *Loop, records recordLog) *Disk {
+	return &Disk{log: log, loop: loop, wal: records, queue: make(chan *wire.Batch, tuning.EventQueue), retryGap: tuning.DiskRetry}
 }
 
-func (d *Disk) load(recs [][]byte) error {
-	for _, rec := range recs {
-		b, err := wire.DecodeBatch(rec)
-		if err != nil {
-			return errors.Mark(errors.Wrap(err, "ring record"), wal.ErrDamaged)
-		}
-		d.img.ApplyBatch(b)
-	}
-	if err := controlplane.CheckImage(&d.img); err != nil {
-		return err
+// Write queues a batch, which Run writes and acknowledges by a statemachine.Synced; it waits while the queue is full.
+func (d *Disk) Write(ctx context.Context, batch *wire.Batch) {
+	select {
+	case d.queue <- batch:
+	case <-ctx.Done():
 	}
-	if d.img.Disk != 0 {
-		return nil
-	}
-	d.img.Disk = newDiskNumber()
-	return d.rotate()
 }
 
-// newDiskNumber is drawn so that no two disks have the same; 0 is none.
-func newDiskNumber() uint64 { return rand.Uint64() | 1 }
-
-func (d *Disk) image() consensus.PersistentState {
-	img := d.img
-	img.Log = slices.Clone(img.Log)
-	return img
-}
-
-// recreateDisk begins a damaged disk anew under another number: to the core this member's
-// disk is lost, so it learns all again and votes once it has been added again.
-func (h *Process) recreateDisk() (*Disk, consensus.PersistentState, error) {
-	img := consensus.PersistentState{Disk: newDiskNumber()}
-	whole, err := wire.EncodeBatch(img.Checkpoint())
-	if err != nil {
-		return nil, img, err
-	}
-	r, err := wal.Recreate(h.Settings.Data, tuning.WALFiles, tuning.WALFileSize, whole)
-	if err != nil {
-		return nil, img, err
-	}
-	d := h.newDisk(r)
-	d.img = img
-	return d, d.image(), nil
-}
-
-// openDiskInTime opens the disk, however often that has to be tried; damage is what was
-// found if it had to be begun anew. A process that ended instead would be started again to
-// meet the same.
-func (h *Process) openDiskInTime() (d *Disk, img consensus.PersistentState, damage error) {
-	said := ""
+// Run writes and syncs batches as they come until the context ends, those that wait together in one write.
+func (d *Disk) Run(ctx context.Context) {
 	for {
-		d, img, err := h.OpenDisk()
-		if errors.IsAny(err, wal.ErrDamaged, state.ErrDamaged) {
-			h.Log.WithError(err).Error("state on disk can't be read whole; it counts as lost, and this member learns all again")
-			damage = err
-			d, img, err = h.recreateDisk()
-		}
-		if err == nil {
-			return d, img, damage
-		}
-		if said != err.Error() {
-			said = err.Error()
-			h.Log.WithError(err).Error("disk can't be opened; tried again")
-		}
 		select {
-		case <-time.After(tuning.DiskRetry):
-		case <-h.stops:
-			h.Log.Info("stopped; its disk was never opened")
-			os.Exit(0)
-		}
-	}
-}
-
-func (d *Disk) rotate() error {
-	b, err := wire.EncodeBatch(d.img.Checkpoint())
-	if err != nil {
-		return err
-	}
-	return d.ring.Rotate(b)
-}
-
-// Run syncs batches as they come, those that wait together in one piece.
-func (d *Disk) Run() {
-	for b := range d.queue {
-		batches := []*wire.Batch{b}
-		for len(d.queue) > 0 && len(batches) < tuning.SyncBatches {
-			batches = append(batches, <-d.queue)
+		case <-ctx.Done():
+			return
+		case batch := <-d.queue:
+			batches := []*wire.Batch{batch}
+			for len(d.queue) > 0 && len(batches) < tuning.SyncBatches {
+				batches = append(batches, <-d.queue)
+			}
+			d.sync(ctx, batches)
 		}
-		d.sync(batches)
 	}
 }
 
-// sync writes batches until the disk has taken them, and only then says so.
-func (d *Disk) sync(batches []*wire.Batch) {
-	var recs [][]byte
-	for _, b := range batches {
-		d.img.ApplyBatch(b)
-		rec, err := wire.EncodeBatch(b)
+// sync writes batches until the disk has taken them or the context ends, and acknowledges them if it has.
+func (d *Disk) sync(ctx context.Context, batches []*wire.Batch) {
+	var records [][]byte
+	for _, batch := range batches {
+		d.persisted.ApplyBatch(batch)
+		record, err := wire.EncodeBatch(batch)
 		if err != nil {
-			d.h.Fatal(err, "batch not encoded")
+			d.log.WithError(err).WithField("batch", batch.Seq).Fatal("batch can't be encoded")
 		}
-		recs = append(recs, rec)
+		records = append(records, record)
 	}
 	for {
-		err := d.write(recs)
-		d.report(err)
+		err := d.write(records)
+		d.reportHealth(err)
 		if err == nil {
 			break
 		}
-		time.Sleep(d.retry)
+		select {
+		case <-time.After(d.retryGap):
+		case <-ctx.Done():
+			return
+		}
 	}
-	d.h.Loop.Post(statemachine.Synced{Seq: batches[len(batches)-1].Seq})
+	d.loop.Post(statemachine.Synced{Seq: batches[len(batches)-1].Seq})
 }
 
-func (d *Disk) write(recs [][]byte) error {
-	room, err := d.ring.Append(recs...)
+func (d *Disk) write(records [][]byte) error {
+	room, err := d.wal.Append(records...)
 	if err == nil && !room {
 		err = d.rotate()
 	}
 	return err
 }
 
-// report says when writes begin to be refused, for another reason, or taken again.
-func (d *Disk) report(err error) {
-	was := d.failed
-	d.failed = err
+// rotate puts one record of the complete persisted state in place of all others.
+func (d *Disk) rotate() error {
+	record, err := wire.EncodeBatch(d.persisted.Checkpoint())
+	if err != nil {
+		return err
+	}
+	return d.wal.Rotate(record)
+}
+
+// reportHealth logs and posts when writes begin to be rejected, for another reason, or accepted again.
+func (d *Disk) reportHealth(err error) {
+	before := d.failure
+	d.failure = err
 	switch {
-	case err == nil && was == nil, err != nil && was != nil && err.Error() == was.Error():
+	case err == nil && before == nil, err != nil && before != nil && err.Error() == before.Error():
 		return
 	case err == nil:
-		d.h.Log.Info("disk takes writes again")
+		d.log.Info("disk accepts writes again")
 	default:
-		d.h.Log.WithError(err).Error("disk refuses writes; nothing is acknowledged until it takes them")
+		d.log.WithError(err).Error("disk rejects writes; nothing is acknowledged until it accepts them")
+	}
+	d.loop.Post(statemachine.DiskHealth{Err: err})
+}
+
+// load reads the records of the log; an empty log gets a disk number of its own.
+func (d *Disk) load(records [][]byte) error {
+	for _, record := range records {
+		batch, err := wire.DecodeBatch(record)
+		if err != nil { // its text is in the API's status of a member, and so stays as it is
+			return errors.Mark(errors.Wrap(err, "ring record"), wal.ErrDamaged)
+		}
+		d.persisted.ApplyBatch(batch)
 	}
-	d.h.Loop.Post(statemachine.DiskHealth{Err: err})
+	if err := controlplane.CheckImage(&d.persisted); err != nil {
+		return err
+	}
+	if d.persisted.Disk != 0 {
+		return nil
+	}
+	d.persisted.Disk = newDiskNumber()
+	return d.rotate()
+}
+
+// persistedCopy returns the persisted state as it is now; the disk's own changes with each batch.
+func (d *Disk) persistedCopy() consensus.PersistentState {
+	persisted := d.persisted
+	persisted.Log = slices.Clone(persisted.Log)
+	return persisted
 }
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -3,9 +3,9 @@
 import (
 	"bytes"
 	"io"
-	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"path/filepath"
+	"strings"
 	"syscall"
 	"testing"
 
@@ -13,94 +13,128 @@
 	"github.com/sirupsen/logrus"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/wire"
 )
 
-func diskHost(t testing.TB) *Process {
-	t.Helper()
+// newDiskProcess returns a process with an empty data folder, whose loop the test reads.
+func newDiskProcess(tb testing.TB) *Process {
+	tb.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	h := &Process{Settings: Settings{Data: t.TempDir()}, Log: log}
-	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h}
-	return h
+	return &Process{Settings: Settings{Data: tb.TempDir()}, Log: log, Loop: newLoop(&Clock{})}
 }
 
-// faultyStore refuses writes with the errors that are due, one each.
-type faultyStore struct {
-	due    []error
-	noRoom int // appends that find no room
-	taken  [][]byte
-	wholes int
+// postedEvents takes the events that have been posted so far.
+func postedEvents(loop *Loop) (events []statemachine.Event) {
+	for len(loop.queue) > 0 {
+		events = append(events, (<-loop.queue).event)
+	}
+	return events
 }
 
-func (s *faultyStore) refuse() error {
-	if len(s.due) == 0 {
+// faultyLog rejects writes with the errors that are due, one each.
+type faultyLog struct {
+	due       []error
+	noRoom    int // appends that find no room
+	appended  [][]byte
+	rotations int
+}
+
+func (l *faultyLog) reject() error {
+	if len(l.due) == 0 {
 		return nil
 	}
-	err := s.due[0]
-	s.due = s.due[1:]
+	err := l.due[0]
+	l.due = l.due[1:]
 	return err
 }
 
-func (s *faultyStore) Append(recs ...[]byte) (bool, error) {
-	if err := s.refuse(); err != nil {
+func (l *faultyLog) Append(records ...[]byte) (bool, error) {
+	if err := l.reject(); err != nil {
 		return true, err
 	}
-	if s.noRoom > 0 {
-		s.noRoom--
+	if l.noRoom > 0 {
+		l.noRoom--
 		return false, nil
 	}
-	s.taken = append(s.taken, recs...)
+	l.appended = append(l.appended, records...)
 	return true, nil
 }
 
-func (s *faultyStore) Rotate(_ []byte) error {
-	if err := s.refuse(); err != nil {
+func (l *faultyLog) Rotate(_ []byte) error {
+	if err := l.reject(); err != nil {
 		return err
 	}
-	s.wholes++
+	l.rotations++
 	return nil
 }
 
-// A disk that is full or fails is tried again: nothing is acknowledged before it has taken
-// all, in order, and each reason is told once.
-func TestDiskThatRefusesWrites(t *testing.T) {
+// A member finds on its disk again what was synced, over many rotations of the write-ahead log.
+func TestDiskKeepsWhatWasSynced(t *testing.T) {
+	p := newDiskProcess(t)
+	d, persisted, err := p.OpenDisk()
+	if err != nil || persisted.Disk == 0 {
+		t.Fatal(err, persisted)
+	}
+	go d.Run(t.Context())
+	want := consensus.PersistentState{Disk: persisted.Disk}
+	big := []byte(`{"op":"restore","name":"` + strings.Repeat("x", 100<<10) + `"}`) // an entry that decodes, and a state
+	for i := range uint64(200) {
+		batch := &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1, Kind: consensus.EntryData, Data: big}}}
+		if i%8 == 7 {
+			batch.Snapshot = &wire.Snapshot{Index: i, Term: 1, Data: big}
+		}
+		d.Write(t.Context(), batch)
+		want.ApplyBatch(batch)
+	}
+	for seq := uint64(0); seq < 200; {
+		item := <-p.Loop.queue
+		seq = item.event.(statemachine.Synced).Seq
+	}
+	_, got, err := p.OpenDisk()
+	if err != nil || got.Disk != want.Disk || got.Snapshot.Index != want.Snapshot.Index || len(got.Log) != len(want.Log) || got.Log[0].Index != want.Log[0].Index {
+		t.Fatalf("%v: %d %d", err, got.Snapshot.Index, len(got.Log))
+	}
+}
+
+// A write to a disk that is full or fails is retried: nothing is acknowledged before the disk has taken all, in order,
+// and each reason is reported once.
+func TestRejectedWriteIsRetried(t *testing.T) {
 	full, broken := syscall.ENOSPC, syscall.EIO
-	for name, s := range map[string]*faultyStore{
+	for name, records := range map[string]*faultyLog{
 		"append":   {due: []error{full, full, broken, full}},
 		"rotation": {due: []error{full, nil, broken, nil, broken}, noRoom: 9},
 	} {
-		h := diskHost(t)
-		d := h.newDisk(s)
-		d.retry = 0
-		var batches []*wire.Batch
-		for i := range uint64(3) {
-			batches = append(batches, &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1}}})
-		}
-		d.sync(batches)
-		var told []statemachine.Event
-		for len(h.Loop.queue) > 0 {
-			told = append(told, (<-h.Loop.queue).ev)
-		}
-		if last, ok := told[len(told)-1].(statemachine.Synced); !ok || last.Seq != 3 {
-			t.Fatalf("%s: %v", name, told)
-		}
-		before := told[:len(told)-1]
-		for i, ev := range before {
-			r, ok := ev.(statemachine.DiskHealth)
-			if !ok || (r.Err == nil) != (i == len(before)-1) || i > 0 && r.Err != nil && errors.Is(r.Err, before[i-1].(statemachine.DiskHealth).Err) {
-				t.Errorf("%s: told %v", name, told)
+		t.Run(name, func(t *testing.T) {
+			p := newDiskProcess(t)
+			d := newDisk(p.Log, p.Loop, records)
+			d.retryGap = 0
+			var batches []*wire.Batch
+			for i := range uint64(3) {
+				batches = append(batches, &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1}}})
 			}
-		}
-		if len(s.due) > 0 || len(s.taken)+3*s.wholes != 3 || len(d.img.Log) != 3 {
-			t.Errorf("%s: %d records and %d whole ones taken, %d entries", name, len(s.taken), s.wholes, len(d.img.Log))
-		}
+			d.sync(t.Context(), batches)
+			posted := postedEvents(p.Loop)
+			if last, ok := posted[len(posted)-1].(statemachine.Synced); !ok || last.Seq != 3 {
+				t.Fatal(posted)
+			}
+			before := posted[:len(posted)-1]
+			for i, event := range before {
+				health, ok := event.(statemachine.DiskHealth)
+				if !ok || (health.Err == nil) != (i == len(before)-1) || i > 0 && health.Err != nil && errors.Is(health.Err, before[i-1].(statemachine.DiskHealth).Err) {
+					t.Errorf("posted %v", posted)
+				}
+			}
+			if len(records.due) > 0 || len(records.appended)+3*records.rotations != 3 || len(d.persisted.Log) != 3 {
+				t.Errorf("%d records and %d complete ones taken, %d entries", len(records.appended), records.rotations, len(d.persisted.Log))
+			}
+		})
 	}
 }
 
-// A disk that can't be read whole counts as lost: it is begun anew under another number,
-// once, and says why. Damage is of a record, of a file, or of what a sound record says.
+// A disk that can't be read completely counts as lost: it is recreated under another number, once, and says why.
+// Damage is of a record, of a file, or of what a sound record says.
 func TestDamagedDiskCountsAsLost(t *testing.T) {
 	for name, damage := range map[string]func(t *testing.T, dir string){
 		"a flipped bit": func(t *testing.T, dir string) {
@@ -121,8 +155,8 @@
 		},
 		"an entry that does not decode": func(_ *testing.T, _ string) {},
 	} {
-		h := diskHost(t)
-		d, before, err := h.OpenDisk()
+		p := newDiskProcess(t)
+		d, before, err := p.OpenDisk()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -134,39 +168,54 @@
 		}
 		for i, text := range []string{"first", "second", "third"} {
 			e := wire.Entry{Index: uint64(i) + 1, Term: 1, Kind: consensus.EntryData, Data: data(text)}
-			d.sync([]*wire.Batch{{Seq: uint64(i) + 1, HasHardState: true, Term: 1, Vote: "b", Entries: []wire.Entry{e}}})
+			d.sync(t.Context(), []*wire.Batch{{Seq: uint64(i) + 1, HasHardState: true, Term: 1, Vote: "b", Entries: []wire.Entry{e}}})
 		}
-		damage(t, h.Settings.Data)
-		_, im, found := h.openDiskInTime()
-		if found == nil || im.Disk == before.Disk || im.Disk == 0 || im.Term != 0 || len(im.Log) != 0 {
-			t.Errorf("%s: damage %v, disk %d after %d, term %d, %d entries", name, found, im.Disk, before.Disk, im.Term, len(im.Log))
+		damage(t, p.Settings.Data)
+		_, persisted, found, err := p.openDiskWithRetry(nil)
+		if err != nil || found == nil || persisted.Disk == before.Disk || persisted.Disk == 0 || persisted.Term != 0 || len(persisted.Log) != 0 {
+			t.Errorf("%s: error %v, damage %v, disk %d after %d, term %d, %d entries", name, err, found, persisted.Disk, before.Disk, persisted.Term, len(persisted.Log))
 		}
-		if _, again, found := h.openDiskInTime(); found != nil || again.Disk != im.Disk {
-			t.Errorf("%s: at the next start %v, disk %d after %d", name, found, again.Disk, im.Disk)
+		if _, again, found, err := p.openDiskWithRetry(nil); err != nil || found != nil || again.Disk != persisted.Disk {
+			t.Errorf("%s: at the next start %v, damage %v, disk %d after %d", name, err, found, again.Disk, persisted.Disk)
 		}
 	}
 }
 
-// A disk that can't be opened is tried again and ends no process.
-func TestDiskThatCantBeOpened(t *testing.T) {
-	h := diskHost(t)
-	parent := filepath.Join(h.Settings.Data, "disk")
+// Opening a disk that can't be opened is retried and ends no process.
+func TestOpeningTheDiskIsRetried(t *testing.T) {
+	p := newDiskProcess(t)
+	parent := filepath.Join(p.Settings.Data, "disk")
 	if err := os.WriteFile(parent, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	h.Settings.Data = filepath.Join(parent, "ring")
-	if _, _, err := h.OpenDisk(); err == nil {
+	p.Settings.Data = filepath.Join(parent, "ring")
+	if _, _, err := p.OpenDisk(); err == nil {
 		t.Fatal("opened")
 	}
 	opened := make(chan consensus.PersistentState)
 	go func() {
-		_, im, _ := h.openDiskInTime()
-		opened <- im
+		_, persisted, _, _ := p.openDiskWithRetry(nil)
+		opened <- persisted
 	}()
 	if err := os.Remove(parent); err != nil {
 		t.Fatal(err)
 	}
-	if im := <-opened; im.Disk == 0 {
+	if persisted := <-opened; persisted.Disk == 0 {
 		t.Fatal("no number")
 	}
 }
+
+// A process that is asked to stop while its disk can't be opened gives up.
+func TestStopEndsOpeningTheDisk(t *testing.T) {
+	p := newDiskProcess(t)
+	file := filepath.Join(p.Settings.Data, "file")
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	p.Settings.Data = filepath.Join(file, "ring")
+	stop := make(chan os.Signal, 1)
+	stop <- syscall.SIGTERM
+	if _, _, _, err := p.openDiskWithRetry(stop); !errors.Is(err, errStopped) {
+		t.Fatal(err)
+	}
+}
--- a/internal/daemon/healthcheck_test.go
+++ b/internal/daemon/healthcheck_test.go
@@ -2,16 +2,14 @@
 
 import (
 	"encoding/json"
-	"myrtlefold/internal/shared/statemachine"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"runtime"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"myrtlefold/internal/shared/statemachine"
 
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
@@ -19,179 +17,148 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func prober() *Process {
-	h := &Process{start: time.Now(), Headers: reverseproxy.Headers{Deadline: "D", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C"}}
-	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h}
-	return h
+// newTestChecker returns a health checker with short header names, whose loop the test reads.
+func newTestChecker() *HealthChecker {
+	clock := &Clock{start: time.Now()}
+	headers := reverseproxy.Headers{Deadline: "D", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C"}
+	return newHealthChecker(clock, newLoop(clock), nil, headers)
 }
 
-func (h *Process) probeOnce(p statemachine.Probe) statemachine.ProbeResult {
-	h.CheckHealth(p)
-	return (<-h.Loop.queue).ev.(statemachine.ProbeResult)
+// checkOnce carries out one health check and waits for its result.
+func (h *HealthChecker) checkOnce(probe statemachine.Probe) statemachine.ProbeResult {
+	h.Check(probe)
+	return (<-h.loop.queue).event.(statemachine.ProbeResult)
 }
 
-func counting(t *testing.T, hd http.HandlerFunc) (string, *atomic.Int64) {
-	n := &atomic.Int64{}
-	s := httptest.NewUnstartedServer(hd)
-	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
-		if st == http.StateNew {
-			n.Add(1)
+// startTarget starts a target and returns its address and the number of connections that it gets.
+func startTarget(t *testing.T, handler http.HandlerFunc) (addr string, connections *atomic.Int64) {
+	t.Helper()
+	connections = &atomic.Int64{}
+	server := httptest.NewUnstartedServer(handler)
+	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
+		if state == http.StateNew {
+			connections.Add(1)
 		}
 	}
-	s.Start()
-	t.Cleanup(s.Close)
-	return s.Listener.Addr().String(), n
+	server.Start()
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String(), connections
 }
 
-// What an answer to a probe says of its target.
-func TestProbe(t *testing.T) {
+// What a response to a health check says of its target.
+func TestHealthCheck(t *testing.T) {
 	half := 0.5
 	for _, c := range []struct {
-		name   string
-		status int
-		hd     []string
-		miss   bool
-		who    string
-		state  wire.TargetState
-		cold   time.Duration
-		demand *float64
+		name       string
+		status     int
+		headers    []string
+		noReport   bool
+		targetName string
+		state      wire.TargetState
+		warmupLeft time.Duration
+		demand     *float64
 	}{
-		{"well", 200, []string{"I", "x"}, false, "x", wire.TargetReady, 0, nil},
-		{"well, says no name", 200, nil, false, "x", wire.TargetReady, 0, nil},
-		{"cold and loaded", 200, []string{"I", "x", "C", "1500", "L", "1,1,4"}, false, "x", wire.TargetReady, 1500 * time.Millisecond, &half},
-		{"nonsense", 200, []string{"C", "-3", "L", "1,,4"}, false, "x", wire.TargetReady, 0, nil},
-		{"another", 200, []string{"I", "y"}, false, "y", wire.TargetReady, 0, nil},
+		{"healthy", 200, []string{"I", "x"}, false, "x", wire.TargetReady, 0, nil},
+		{"healthy, without a name", 200, nil, false, "x", wire.TargetReady, 0, nil},
+		{"warming up and loaded", 200, []string{"I", "x", "C", "1500", "L", "1,1,4"}, false, "x", wire.TargetReady, 1500 * time.Millisecond, &half},
+		{"invalid headers", 200, []string{"C", "-3", "L", "1,,4"}, false, "x", wire.TargetReady, 0, nil},
+		{"another target", 200, []string{"I", "y"}, false, "y", wire.TargetReady, 0, nil},
 		{"too busy", 503, []string{"N", "1"}, false, "x", "", 0, nil},
 		{"too many", 429, nil, false, "x", "", 0, nil},
-		{"unwell", 503, nil, true, "", "", 0, nil},
+		{"unhealthy", 503, nil, true, "", "", 0, nil},
 		{"no such path", 404, nil, true, "", "", 0, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addr, conns := counting(t, func(w http.ResponseWriter, r *http.Request) {
+			addr, connections := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path != "/well" || r.Header.Get("D") == "" {
 					t.Error(r.URL, r.Header)
 				}
-				for i := 0; i+1 < len(c.hd); i += 2 {
-					w.Header().Set(c.hd[i], c.hd[i+1])
+				for i := 0; i+1 < len(c.headers); i += 2 {
+					w.Header().Set(c.headers[i], c.headers[i+1])
 				}
 				w.WriteHeader(c.status)
 			})
-			h := prober()
-			p := statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/well"}
+			checker := newTestChecker()
+			probe := statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/well"}
 			for range 3 {
-				got := h.probeOnce(p)
-				if got.ID != p.ID || got.WarmupLeft != c.cold || (got.Report == nil) != c.miss {
+				got := checker.checkOnce(probe)
+				if got.ID != probe.ID || got.WarmupLeft != c.warmupLeft || (got.Report == nil) != c.noReport {
 					t.Fatalf("%+v", got)
 				}
-				if b := got.Report; b != nil && (b.ID() != (wire.TargetID{Service: "s", Name: c.who, Incarnation: 3}) || b.State != c.state || (b.Demand == nil) != (c.demand == nil) || b.Demand != nil && *b.Demand != *c.demand) {
-					t.Fatalf("%+v", b)
+				if r := got.Report; r != nil && (r.ID() != (wire.TargetID{Service: "s", Name: c.targetName, Incarnation: 3}) || r.State != c.state || (r.Demand == nil) != (c.demand == nil) || r.Demand != nil && *r.Demand != *c.demand) {
+					t.Fatalf("%+v", r)
 				}
 			}
-			if conns.Load() != 1 {
-				t.Fatal(conns.Load(), "pipes")
+			if connections.Load() != 1 {
+				t.Fatal(connections.Load(), "connections")
 			}
 		})
 	}
 }
 
-// Targets without a health path are asked who they are, also on a connection that stays.
-func TestProbeIdentity(t *testing.T) {
-	addr, conns := counting(t, func(w http.ResponseWriter, r *http.Request) {
+// Targets without a health check's path are asked for their identity, also on a connection that stays.
+func TestIdentityCheck(t *testing.T) {
+	addr, connections := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != config.IdentityPath {
 			t.Error(r.URL)
 		}
 		json.NewEncoder(w).Encode(config.TargetReport{Service: "s", Name: "z", Incarnation: 4, State: wire.TargetLeaving})
 	})
-	h := prober()
+	checker := newTestChecker()
 	for range 3 {
-		got := h.probeOnce(statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr})
-		if b := got.Report; b == nil || b.ID() != (wire.TargetID{Service: "s", Name: "z", Incarnation: 4}) || b.State != wire.TargetLeaving {
+		got := checker.checkOnce(statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr})
+		if r := got.Report; r == nil || r.ID() != (wire.TargetID{Service: "s", Name: "z", Incarnation: 4}) || r.State != wire.TargetLeaving {
 			t.Fatalf("%+v", got)
 		}
 	}
-	if conns.Load() != 1 {
-		t.Fatal(conns.Load(), "pipes")
+	if connections.Load() != 1 {
+		t.Fatal(connections.Load(), "connections")
 	}
 }
 
-// A kept connection that its target closed is no miss, a target that moved is asked at its
-// new address, and connections of targets that are no longer probed go.
-func TestProbePipes(t *testing.T) {
-	addr, conns := counting(t, func(w http.ResponseWriter, _ *http.Request) {
-		c, _, _ := http.NewResponseController(w).Hijack()
-		c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-		c.Close()
+// A kept connection that its target closed is no failed check, a target that moved is checked at its new address, and
+// connections of targets that are no longer checked are closed.
+func TestHealthCheckConnections(t *testing.T) {
+	addr, connections := startTarget(t, func(w http.ResponseWriter, _ *http.Request) {
+		conn, _, _ := http.NewResponseController(w).Hijack()
+		conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+		conn.Close()
 	})
-	h := prober()
-	p := statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/w"}
+	checker := newTestChecker()
+	probe := statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/w"}
 	for i := range 3 {
-		if got := h.probeOnce(p); got.Report == nil || conns.Load() != int64(i+1) {
-			t.Fatal(got, conns.Load())
+		if got := checker.checkOnce(probe); got.Report == nil || connections.Load() != int64(i+1) {
+			t.Fatal(got, connections.Load())
 		}
 	}
-	gone := make(chan bool, 8)
-	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
-		if st == http.StateClosed {
-			gone <- true
+	closed := make(chan bool, 8)
+	moved := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	moved.Config.ConnState = func(_ net.Conn, state http.ConnState) {
+		if state == http.StateClosed {
+			closed <- true
 		}
 	}
-	s.Start()
-	defer s.Close()
-	p.Addr = s.Listener.Addr().String()
-	if got := h.probeOnce(p); got.Report == nil {
-		t.Fatal("not asked where it is now")
-	}
-	h.start = h.start.Add(-2 * tuning.ProbeConnIdle)
-	p.ID.Name = "other"
-	p.Addr = addr
-	h.probeOnce(p)
-	<-gone
-	if len(h.probes) != 1 {
-		t.Fatal(len(h.probes), "places")
-	}
-	ln, _ := net.Listen("tcp", "127.0.0.1:0")
-	p.Addr = ln.Addr().String()
-	ln.Close()
-	if got := h.probeOnce(p); got.Report != nil {
-		t.Fatal("an answer from nobody")
-	}
-}
-
-// Connections to and from daemons, callers and targets break when what is sent on
-// them stays unacknowledged.
-func TestSocketOptions(t *testing.T) {
-	ln, err := reverseproxy.Listen("127.0.0.1:0", tuning.CallerAckTimeout)
-	if err != nil {
-		t.Fatal(err)
+	moved.Start()
+	defer moved.Close()
+	probe.Addr = moved.Listener.Addr().String()
+	if got := checker.checkOnce(probe); got.Report == nil {
+		t.Fatal("not checked at its new address")
 	}
-	defer ln.Close()
-	out, err := reverseproxy.NewDialer(nil, time.Second).Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
+	checker.clock.start = checker.clock.start.Add(-2 * tuning.ProbeConnIdle)
+	probe.ID.Name = "other"
+	probe.Addr = addr
+	checker.checkOnce(probe)
+	<-closed
+	if len(checker.targets) != 1 {
+		t.Fatal(len(checker.targets), "targets")
 	}
-	defer out.Close()
-	in, err := ln.Accept()
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
-	for c, want := range map[net.Conn]time.Duration{out: tuning.AckTimeout, in: tuning.CallerAckTimeout} {
-		raw, _ := c.(*net.TCPConn).SyscallConn()
-		for _, o := range []struct{ level, name, want int }{
-			{unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(want.Milliseconds())},
-			{unix.IPPROTO_TCP, unix.TCP_NODELAY, 1},
-			{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
-			{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(tuning.KeepAliveIdle / time.Second)},
-			{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(tuning.KeepAliveInterval / time.Second)},
-			{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, tuning.KeepAliveCount},
-		} {
-			raw.Control(func(fd uintptr) {
-				if got, err := unix.GetsockoptInt(int(fd), o.level, o.name); err != nil || got != o.want {
-					t.Errorf("option %d is %d, not %d: %v", o.name, got, o.want, err)
-				}
-			})
-		}
+	probe.Addr = unused.Addr().String()
+	unused.Close()
+	if got := checker.checkOnce(probe); got.Report != nil {
+		t.Fatal("a report from no target")
 	}
-	runtime.KeepAlive(out)
 }
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -1,4 +1,4 @@
-// This file is the HTTP servers of a daemon.
+// This file is the HTTP servers of a daemon, and its HTTP API as far as both daemons have it.
 
 package daemon
 
@@ -6,9 +6,9 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 	"strings"
+	"sync/atomic"
 	"time"
 
 	"github.com/cockroachdb/errors"
@@ -17,25 +17,26 @@
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/changeid"
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
 
-// liveAnswer and readyAnswer are the bodies of /live and /ready.
-type (
-	liveAnswer struct {
-		Live bool `json:"live"`
-	}
-	readyAnswer struct {
-		Ready bool `json:"ready"`
-		State any  `json:"state"` // why, in the owner's words
-	}
-)
+// liveResponse is the body of /live.
+type liveResponse struct {
+	Live bool `json:"live"`
+}
+
+// readyResponse is the body of /ready.
+type readyResponse struct {
+	Ready bool `json:"ready"`
+	State any  `json:"state"` // the state machine's, which says why
+}
 
 // AdminMux returns the mux that every daemon's HTTP API starts from: /live, /ready and /metrics.
-func (h *Process) AdminMux(ready func() (bool, any)) *http.ServeMux {
+func (p *Process) AdminMux(ready func() (ready bool, state any)) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, _ *http.Request) {
-		WriteJSON(w, http.StatusOK, liveAnswer{Live: true})
+		WriteJSON(w, http.StatusOK, liveResponse{Live: true})
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
 		ok, state := ready()
@@ -43,83 +44,111 @@
 		if !ok {
 			status = http.StatusServiceUnavailable
 		}
-		WriteJSON(w, status, readyAnswer{Ready: ok, State: state})
+		WriteJSON(w, status, readyResponse{Ready: ok, State: state})
 	})
-	mux.Handle("GET /metrics", promhttp.HandlerFor(h.Metrics, promhttp.HandlerOpts{}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(p.Metrics, promhttp.HandlerOpts{}))
 	return mux
 }
 
-// WriteJSON answers with a status and a JSON body.
-func WriteJSON(w http.ResponseWriter, status int, v any) {
+// WriteJSON responds with a status and a JSON body.
+func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(v)
+	json.NewEncoder(w).Encode(body) // an error is the client's connection's, and there is nobody to report it to
 }
 
-// refuse answers an operator's call with an error of the kind that its status stands for.
-func refuse(w http.ResponseWriter, status int, retry time.Duration, t config.ErrorBody) {
-	t.Rejection = config.RejectionOf(status)
-	reverseproxy.WriteError(w, status, retry, t)
+// writeError responds to an operator's call with an error, which gets the kind of rejection that its status stands for.
+func writeError(w http.ResponseWriter, status int, retryAfter time.Duration, body config.ErrorBody) {
+	body.Rejection = config.RejectionOf(status)
+	reverseproxy.WriteError(w, status, retryAfter, body)
 }
 
-// Serve runs an HTTP server on addr until it is closed.
-func (h *Process) Serve(addr string, hd http.Handler) (*http.Server, error) {
-	return h.serve(addr, hd, nil)
+// serveAPI runs the server of the HTTP API until it is closed.
+func (p *Process) serveAPI(handler http.Handler) (*http.Server, error) {
+	return p.serve(p.Settings.HTTP, newServer(handler), nil)
 }
 
-// ServeCallers runs the forwarder's server for callers on addr until it is shut down.
-func (h *Process) ServeCallers(addr string, c *reverseproxy.Forwarder) (*http.Server, error) {
-	return h.serve(addr, c, c)
+// serveCallers runs the forwarder's server for callers until the forwarder accepts no more.
+func (p *Process) serveCallers(forwarder *reverseproxy.Forwarder) (*http.Server, error) {
+	server := newServer(forwarder)
+	server.ConnContext, server.ConnState = forwarder.ConnContext, forwarder.Callers.ConnState
+	return p.serve(p.Settings.Listen, server, forwarder)
+}
+
+func newServer(handler http.Handler) *http.Server {
+	return &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: tuning.CallerHeader,
+		IdleTimeout:       tuning.CallerIdle,
+		MaxHeaderBytes:    tuning.ServerHeaderMax,
+	}
 }
 
-func (h *Process) serve(addr string, hd http.Handler, c *reverseproxy.Forwarder) (*http.Server, error) {
-	ln, err := reverseproxy.Listen(addr, tuning.CallerAckTimeout)
+// serve starts a server on addr; forwarder, if there is one, wraps the listener and may close it.
+func (p *Process) serve(addr string, server *http.Server, forwarder *reverseproxy.Forwarder) (*http.Server, error) {
+	listener, err := reverseproxy.Listen(addr, tuning.CallerAckTimeout)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for HTTP")
+		return nil, errors.Wrapf(err, "listen for HTTP on %s", addr)
 	}
-	s := &http.Server{Handler: hd, ReadHeaderTimeout: tuning.CallerHeader, IdleTimeout: tuning.CallerIdle, MaxHeaderBytes: tuning.ServerHeaderMax}
-	if c != nil {
-		ln, s.ConnContext, s.ConnState = c.WrapListener(ln), c.ConnContext, c.Callers.ConnState
+	if forwarder != nil {
+		listener = forwarder.WrapListener(listener)
 	}
 	go func() {
-		err := s.Serve(ln)
-		if errors.Is(err, http.ErrServerClosed) || c != nil && c.Callers.Closed() {
-			return
+		err := server.Serve(listener)
+		closed := errors.Is(err, http.ErrServerClosed) || forwarder != nil && forwarder.Callers.Closed()
+		if !closed {
+			p.Log.WithError(err).WithField("addr", addr).Fatal("HTTP server failed")
 		}
-		h.Fatal(err, "HTTP server")
 	}()
-	return s, nil
+	return server, nil
 }
 
-// CallHandler returns the handler that passes operators' and back ends' calls to the owner; next gives each
-// an id of its own.
-func (h *Process) CallHandler(next func() uint64) http.HandlerFunc {
+// CallHandler returns the handler that passes operators' and targets' calls to the state machine. The calls' ids count
+// up from firstID.
+func (p *Process) CallHandler(firstID uint64) http.HandlerFunc {
+	var lastID atomic.Uint64
+	lastID.Store(firstID - 1)
 	return func(w http.ResponseWriter, r *http.Request) {
-		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocumentMax+1))
-		var mb *http.MaxBytesError
-		if errors.As(err, &mb) {
-			refuse(w, http.StatusRequestEntityTooLarge, 0, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
-			return
-		}
-		if err != nil {
+		body, ok := readCall(w, r)
+		if !ok {
 			return
 		}
-		id := next()
-		q := r.URL.Query()
-		if v := strings.Trim(r.Header.Get("If-Match"), `"`); v != "" && !q.Has("base") {
-			q.Set("base", v)
+		call := statemachine.Call{
+			ID:     lastID.Add(1),
+			Token:  changeid.New(),
+			Method: r.Method,
+			Path:   r.URL.Path,
+			Query:  callQuery(r),
+			Body:   body,
 		}
-		token := changeid.New()
-		v := h.Loop.Call(r.Context(), id, statemachine.Call{ID: id, Token: token, Method: r.Method, Path: r.URL.Path, Query: q.Encode(), Body: b}, nil)
-		a, ok := v.(statemachine.Reply)
-		if !ok {
+		reply, ok := p.Loop.Call(r.Context(), call.ID, call, nil).(statemachine.Reply)
+		if !ok { // the client has gone
 			return
 		}
-		if a.RetryAfter > 0 {
-			w.Header().Set("Retry-After", reverseproxy.RetryAfter(a.RetryAfter))
+		if reply.RetryAfter > 0 {
+			w.Header().Set("Retry-After", reverseproxy.RetryAfter(reply.RetryAfter))
 		}
 		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(a.Status)
-		w.Write(a.Body)
+		w.WriteHeader(reply.Status)
+		w.Write(reply.Body)
+	}
+}
+
+// readCall reads a call's body. It returns false if there is no complete one, and has responded if it is too large.
+func readCall(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocumentMax+1))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		writeError(w, http.StatusRequestEntityTooLarge, 0, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
+	}
+	return body, err == nil
+}
+
+// callQuery is a call's query; the header If-Match stands for the parameter base.
+func callQuery(r *http.Request) string {
+	query := r.URL.Query()
+	if base := strings.Trim(r.Header.Get("If-Match"), `"`); base != "" && !query.Has("base") {
+		query.Set("base", base)
 	}
+	return query.Encode()
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -1,97 +1,128 @@
-// This file runs an owner: events in, commands out, on one goroutine.
+// This file runs a state machine: events in, commands out, on one goroutine.
 
 package daemon
 
 import (
 	"context"
-	"myrtlefold/internal/shared/statemachine"
-	"syscall"
 	"time"
 
-	"github.com/cockroachdb/errors"
-
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
 
-// item is what the owner's goroutine takes: an event, a question, its cancellation, or a look.
-type item struct {
-	ev    statemachine.Event
-	id    uint64
-	reply chan statemachine.Command
-	look  func(now time.Duration)
+// loopItem is what the loop's goroutine takes from its queue: an event, a call, a call's cancellation, or an
+// inspection.
+type loopItem struct {
+	event   statemachine.Event          // nil: none
+	callID  uint64                      // of a call or its cancellation, else 0
+	reply   chan<- statemachine.Command // of a call, else nil
+	inspect func(now time.Duration)     // of an inspection, else nil
 }
 
-// Loop feeds one owner's state machine from one goroutine.
+// Loop feeds one state machine from one goroutine, that of Run. All other methods but Respond may be called on any
+// goroutine; once Run has returned they return at once.
 type Loop struct {
-	queue   chan item
-	host    *Process
-	waiting map[uint64]chan statemachine.Command
+	queue   chan loopItem
+	ended   chan struct{} // closed when Run returns
+	clock   *Clock
+	pending map[uint64]chan<- statemachine.Command // who waits in Call, by id; Run's goroutine owns it
+}
+
+func newLoop(clock *Clock) *Loop {
+	return &Loop{
+		queue:   make(chan loopItem, tuning.EventQueue),
+		ended:   make(chan struct{}),
+		clock:   clock,
+		pending: map[uint64]chan<- statemachine.Command{},
+	}
+}
+
+// enqueue waits while the queue is full. It reports whether the loop takes items at all.
+func (l *Loop) enqueue(item loopItem) bool {
+	select {
+	case l.queue <- item:
+		return true
+	case <-l.ended:
+		return false
+	}
 }
 
-// Post queues an event for the owner; it waits while the queue is full.
-func (l *Loop) Post(ev statemachine.Event) { l.queue <- item{ev: ev} }
+// Post queues an event for the state machine; it waits while the queue is full.
+func (l *Loop) Post(event statemachine.Event) { l.enqueue(loopItem{event: event}) }
 
-// Call tells the owner the event ev, and returns the command that answers id. If the context ends
-// first it tells the owner cancel and returns nil.
-func (l *Loop) Call(ctx context.Context, id uint64, ev, cancel statemachine.Event) statemachine.Command {
-	ch := make(chan statemachine.Command, 1)
-	l.queue <- item{ev: ev, id: id, reply: ch}
+// Call posts an event and returns the command that answers id. If the context ends first it posts cancel, which may
+// be nil, and returns nil.
+func (l *Loop) Call(ctx context.Context, id uint64, event, cancel statemachine.Event) statemachine.Command {
+	reply := make(chan statemachine.Command, 1)
+	if !l.enqueue(loopItem{event: event, callID: id, reply: reply}) {
+		return nil
+	}
 	select {
-	case v := <-ch:
-		return v
+	case command := <-reply:
+		return command
 	case <-ctx.Done():
-		l.queue <- item{ev: cancel, id: id}
+		l.enqueue(loopItem{event: cancel, callID: id})
+		return nil
+	case <-l.ended:
 		return nil
 	}
 }
 
-// Inspect runs f on the owner's goroutine and waits for it.
+// Inspect runs f between two steps of the state machine and waits for it. Once Run has returned, f is not run.
 func (l *Loop) Inspect(f func(now time.Duration)) {
-	done := make(chan struct{})
-	l.queue <- item{look: func(now time.Duration) { f(now); close(done) }}
-	<-done
+	inspected := make(chan struct{})
+	item := loopItem{inspect: func(now time.Duration) { f(now); close(inspected) }}
+	if !l.enqueue(item) {
+		return
+	}
+	select {
+	case <-inspected:
+	case <-l.ended:
+	}
 }
 
-// Respond passes the answer to id to whoever waits in Ask; on the owner's goroutine.
-func (l *Loop) Respond(id uint64, v statemachine.Command) {
-	if ch := l.waiting[id]; ch != nil {
-		delete(l.waiting, id)
-		ch <- v
+// Respond passes a command to whoever waits for it in Call, if it still waits; only on Run's goroutine.
+func (l *Loop) Respond(id uint64, command statemachine.Command) {
+	if reply := l.pending[id]; reply != nil {
+		delete(l.pending, id)
+		reply <- command
 	}
 }
 
-// Run is the owner's goroutine: it steps the state machine for each event and each tick, and passes
-// the commands to exec. It does not return.
-func (l *Loop) Run(step func(time.Duration, statemachine.Event) []statemachine.Command, exec func(cmd statemachine.Command)) {
-	tick := time.NewTicker(tuning.TickEvery)
-	defer tick.Stop()
-	do := func(ev statemachine.Event) {
-		for _, c := range step(l.host.Now(), ev) {
-			exec(c)
+// Run steps the state machine for each event and each tick until the context ends, and passes the commands to
+// execute. It reads the clock after it has taken an event, so a step's time is never before the event's arrival.
+func (l *Loop) Run(ctx context.Context, step func(time.Duration, statemachine.Event) []statemachine.Command, execute func(context.Context, statemachine.Command)) {
+	defer close(l.ended)
+	ticker := time.NewTicker(tuning.TickEvery)
+	defer ticker.Stop()
+	stepAndExecute := func(event statemachine.Event) {
+		for _, command := range step(l.clock.Now(), event) {
+			execute(ctx, command)
 		}
 	}
 	for {
 		select {
-		case it := <-l.queue:
-			switch {
-			case it.look != nil:
-				it.look(l.host.Now())
-				continue
-			case it.reply != nil:
-				l.waiting[it.id] = it.reply
-			case it.id != 0:
-				delete(l.waiting, it.id)
+		case item := <-l.queue:
+			if event := l.take(item); event != nil {
+				stepAndExecute(event)
 			}
-			if it.ev != nil {
-				do(it.ev)
-			}
-		case <-tick.C:
-			do(statemachine.Tick{})
+		case <-ticker.C:
+			stepAndExecute(statemachine.Tick{})
+		case <-ctx.Done():
+			return
 		}
 	}
 }
 
-// passes reports whether a listener's error ends by itself: descriptors come free, or one caller went.
-func passes(err error) bool {
-	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED)
+// take does what an item asks of the loop itself, and returns its event, nil: it has none.
+func (l *Loop) take(item loopItem) statemachine.Event {
+	switch {
+	case item.inspect != nil:
+		item.inspect(l.clock.Now())
+	case item.reply != nil:
+		l.pending[item.callID] = item.reply
+	case item.callID != 0:
+		delete(l.pending, item.callID)
+	}
+	return item.event
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -1,4 +1,4 @@
-// This file shows the owners' counters.
+// This file shows the state machines' counters on /metrics.
 
 package daemon
 
@@ -9,56 +9,68 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Counters puts the counts of an owner or forwarder on /metrics: each field of the struct that get
-// returns, if it is an unsigned integer or atomic, as mf_PREFIX_NAME_total. NAME is the field's tag
-// `metric:"name"`, or its Go name in snake case if it has none.
-func (h *Process) RegisterCounters(prefix string, get func() any) {
-	h.Metrics.MustRegister(counts{prefix, get})
+// RegisterCounters puts the counts of a state machine or the forwarder on /metrics: each field of the struct that
+// counts returns (or points to), if it is an unsigned integer or atomic, as mf_PREFIX_NAME_total. NAME is the field's
+// tag `metric:"name"`, or its Go name in snake case if it has none.
+func (p *Process) RegisterCounters(prefix string, counts func() any) {
+	p.Metrics.MustRegister(counterCollector{prefix, counts})
 }
 
-// counts is a prometheus.Collector of a struct's fields.
-type counts struct {
+// counterCollector is a prometheus.Collector of a struct's fields.
+type counterCollector struct {
 	prefix string
-	get    func() any
+	counts func() any
 }
 
-func (c counts) Describe(chan<- *prometheus.Desc) {}
+// Describe sends no descriptor, which makes the collector an unchecked one.
+func (c counterCollector) Describe(chan<- *prometheus.Desc) {}
 
-func (c counts) Collect(ch chan<- prometheus.Metric) {
-	v := reflect.Indirect(reflect.ValueOf(c.get()))
-	for i := range v.NumField() {
-		f := v.Field(i)
-		n := metricName(v.Type().Field(i))
-		var x float64
-		switch {
-		case f.CanUint():
-			x = float64(f.Uint())
-		case f.CanAddr() && f.Addr().MethodByName("Load").IsValid():
-			x = float64(f.Addr().MethodByName("Load").Call(nil)[0].Uint())
-		default:
+// Collect sends the counts to a registry.
+func (c counterCollector) Collect(metrics chan<- prometheus.Metric) {
+	counts := reflect.Indirect(reflect.ValueOf(c.counts()))
+	for i := range counts.NumField() {
+		value, ok := counterValue(counts.Field(i))
+		if !ok {
 			continue
 		}
-		d := prometheus.NewDesc("mf_"+c.prefix+"_"+n+"_total", "Count of "+strings.ReplaceAll(n, "_", " ")+".", nil, nil)
-		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, x)
+		name := metricName(counts.Type().Field(i))
+		help := "Count of " + strings.ReplaceAll(name, "_", " ") + "."
+		desc := prometheus.NewDesc("mf_"+c.prefix+"_"+name+"_total", help, nil, nil)
+		metrics <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, value)
 	}
 }
 
+// counterValue reads an unsigned integer or an atomic one; of other fields it returns false.
+func counterValue(field reflect.Value) (value float64, ok bool) {
+	if field.CanUint() {
+		return float64(field.Uint()), true
+	}
+	if !field.CanAddr() {
+		return 0, false
+	}
+	load := field.Addr().MethodByName("Load")
+	if !load.IsValid() {
+		return 0, false
+	}
+	return float64(load.Call(nil)[0].Uint()), true
+}
+
 // metricName is what a counter's field is called on /metrics, between prefix and suffix.
 func metricName(field reflect.StructField) string {
 	if name := field.Tag.Get("metric"); name != "" {
 		return name
 	}
-	return snake(field.Name)
+	return snakeCase(field.Name)
 }
 
-// snake returns a Go name in snake case.
-func snake(s string) string {
-	var b strings.Builder
-	for i, r := range s {
-		if i > 0 && r >= 'A' && r <= 'Z' {
-			b.WriteByte('_')
+// snakeCase returns a Go name in snake case.
+func snakeCase(name string) string {
+	var snake strings.Builder
+	for i, letter := range name {
+		if i > 0 && letter >= 'A' && letter <= 'Z' {
+			snake.WriteByte('_')
 		}
-		b.WriteRune(r)
+		snake.WriteRune(letter)
 	}
-	return strings.ToLower(b.String())
+	return strings.ToLower(snake.String())
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -1,16 +1,13 @@
-// Package daemon is what is around the state machines of the daemons (their owners): the clock,
-// the loop that feeds an owner on its one goroutine, messages between daemons over TCP,
-// probes, the disk, settings, logs and counters. Host is the one context that all of it
-// shares. Nothing here decides anything. The package also holds mfctl, the operators' command.
+// This file is a daemon's process: what its parts share, and how it starts.
+
 package daemon
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"myrtlefold/internal/shared/statemachine"
 	"net"
-	"net/http"
 	"os"
 	"os/signal"
 	"runtime/debug"
@@ -23,39 +20,18 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/internal/dataplane/reverseproxy"
-	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/version"
 	"myrtlefold/internal/shared/wire"
 )
 
-// Process is the context that a daemon's parts share.
-type Process struct {
-	Kind        wire.DaemonKind
-	Settings    Settings
-	Log         *logrus.Logger
-	Metrics     *prometheus.Registry
-	Incarnation uint64 // a random number of this start
-	Loop        *Loop
-	// exitCode takes the exit code when the owner is done.
-	exitCode chan int
-	// Traffic counts the messages between this daemon and others.
-	Traffic *Traffic
-	// Headers are the names of the headers on probes; none: the product's own.
-	Headers reverseproxy.Headers
-
-	load        func() (Settings, []byte, []config.Fault, error)
-	dialect     Platform
-	rawSettings []byte         // the text that Settings were read from
-	hup         chan os.Signal // SIGHUP, caught from the start on: by default it ends a process
-	stops       chan os.Signal // SIGTERM and SIGINT, caught from the start on: requests may be under way before Wait
-	start       time.Time
-	queues      map[string]chan queued // messages to be sent, by address
-	tables      packedTables           // those that are sent to many
-	probes      map[wire.TargetID]*probed
-	probesAt    time.Duration // when idle connections were last closed
-}
+// The exit codes of a daemon.
+const (
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2 // the command line or the settings are invalid
+)
 
 // Kind says which of the two daemons a process is.
 type Kind = wire.DaemonKind
@@ -66,148 +42,173 @@
 	ProxyDaemon   = wire.ProxyDaemon
 )
 
+// program is a daemon's program as its command line names it.
+type program struct{ name, help string }
+
 // programs are the daemons' programs, by kind of daemon.
-var programs = map[wire.DaemonKind]struct{ name, help string }{
+var programs = map[wire.DaemonKind]program{
 	wire.ControlDaemon: {"mfcontrol", "A control daemon: keeps the configuration, the proxy membership and the health of targets."},
 	wire.ProxyDaemon:   {"mfproxy", "A proxy daemon: forwards callers' requests to back ends."},
 }
 
-// Start reads command line and settings and returns the daemon's context. If anything is wrong it
-// prints each fault and ends the process with exit code 2.
-func Start(kind wire.DaemonKind, args []string, dialect Platform) *Process {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+// Process is a daemon's process: what its parts share.
+type Process struct {
+	*Clock
+	Kind        wire.DaemonKind
+	Settings    Settings
+	Log         *logrus.Logger
+	Metrics     *prometheus.Registry
+	Incarnation uint64 // a random number of this start
+	Loop        *Loop
+	Transport   *Transport
+	Checker     *HealthChecker
+
+	platform    Platform
+	rawSettings []byte         // the text that Settings were read from
+	hangups     chan os.Signal // SIGHUP, caught from the start on: by default it ends a process
+	stops       chan os.Signal // SIGTERM and SIGINT, caught from the start on: requests may be under way before Wait
+	exitCode    chan int       // takes the exit code when the state machine is done
+}
+
+// Start reads command line and settings and returns the daemon's process. If anything is wrong, or only a check was
+// asked for, it prints that and returns no process but the exit code.
+func Start(kind wire.DaemonKind, args []string, platform Platform) (*Process, int) {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	stops := make(chan os.Signal, 2)
 	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
-	program := programs[kind]
-	app := kingpin.New(program.name, program.help)
+
+	name := programs[kind].name
+	app := kingpin.New(name, programs[kind].help)
 	app.Version(version.Version)
 	app.HelpFlag.Short('h')
-	f := &Flags{}
-	load := dialect.Load
-	if load == nil {
-		f.Bind(app, kind)
-		load = func() (Settings, []byte, []config.Fault, error) { return f.Load(kind) }
+	if platform.Load == nil {
+		flags := &Flags{}
+		flags.Bind(app, kind)
+		platform.Load = func() (LoadedSettings, error) { return flags.Load(kind) }
 	}
 	check := app.Flag("check", "check the settings and exit").Bool()
 	if _, err := app.Parse(args); err != nil {
-		fmt.Fprintf(os.Stderr, "%s: %v, see --help\n", program.name, err)
-		os.Exit(2)
+		fmt.Fprintf(os.Stderr, "%s: %v, see --help\n", name, err)
+		return nil, exitUsage
 	}
-	set, raw, faults, err := load()
+	loaded, err := platform.Load()
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s: %v\n", program.name, err)
-		os.Exit(2)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
+		return nil, exitUsage
 	}
-	for _, x := range faults {
-		fmt.Fprintf(os.Stderr, "%s: settings: %s: %s\n", program.name, x.Path, x.Text)
+	for _, fault := range loaded.Faults {
+		fmt.Fprintf(os.Stderr, "%s: settings: %s: %s\n", name, fault.Path, fault.Text)
 	}
-	if len(faults) > 0 {
-		os.Exit(2)
+	if len(loaded.Faults) > 0 {
+		return nil, exitUsage
 	}
 	if *check {
 		fmt.Println("settings are sound")
-		os.Exit(0)
+		return nil, exitOK
 	}
+	limitMemory(loaded.Settings)
+	p := newProcess(kind, loaded.Settings, newLogger(loaded.Settings.LogLevel), platform)
+	p.rawSettings, p.hangups, p.stops = loaded.Raw, hangups, stops
+	return p, exitOK
+}
+
+// newLogger returns a logger that writes JSON lines to standard error.
+func newLogger(level string) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
 	log.SetFormatter(&logrus.JSONFormatter{})
-	lv, _ := logrus.ParseLevel(set.LogLevel)
-	log.SetLevel(lv)
-	h := newProcess(kind, set, log)
-	h.load, h.dialect, h.Headers, h.rawSettings, h.hup, h.stops = load, dialect, dialect.Headers, raw, hup, stops
-	h.bound(set)
-	h.Metrics.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	return h
+	parsed, _ := logrus.ParseLevel(level) // it was checked with the settings
+	log.SetLevel(parsed)
+	return log
 }
 
-// newProcess returns a daemon's context without touching what a process has only one of.
-func newProcess(kind wire.DaemonKind, set Settings, log *logrus.Logger) *Process {
-	h := &Process{Kind: kind, Settings: set, Log: log, Metrics: prometheus.NewRegistry(), Incarnation: rand.Uint64() | 1, Traffic: &Traffic{},
-		start: time.Now(), queues: map[string]chan queued{}, exitCode: make(chan int, 1)}
-	h.Metrics.MustRegister(h.Traffic)
-	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h, waiting: map[uint64]chan statemachine.Command{}}
-	return h
+func newProcess(kind wire.DaemonKind, settings Settings, log *logrus.Logger, platform Platform) *Process {
+	clock := &Clock{start: time.Now()}
+	loop := newLoop(clock)
+	traffic := &Traffic{}
+	localAddr := settings.localAddr()
+	metrics := prometheus.NewRegistry()
+	metrics.MustRegister(traffic, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	return &Process{
+		Clock:       clock,
+		Kind:        kind,
+		Settings:    settings,
+		Log:         log,
+		Metrics:     metrics,
+		Incarnation: rand.Uint64() | 1, // never 0, which is none
+		Loop:        loop,
+		Transport:   &Transport{log: log, clock: clock, loop: loop, traffic: traffic, localAddr: localAddr, queues: map[string]chan outgoing{}},
+		Checker:     newHealthChecker(clock, loop, localAddr, platform.Headers),
+		platform:    platform,
+		exitCode:    make(chan int, 1),
+	}
 }
 
-// bound tells the runtime how much memory it may use: a part of the process's, since the rest goes
-// to what the runtime does not count.
-func (h *Process) bound(s Settings) {
-	if s.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(float64(s.MemoryMb<<20) * tuning.MemoryShare))
+// limitMemory bounds the runtime's memory by a part of the process's, since the rest goes to what the runtime doesn't
+// count.
+func limitMemory(settings Settings) {
+	if settings.MemoryMb > 0 {
+		debug.SetMemoryLimit(int64(float64(settings.MemoryMb<<20) * tuning.MemoryShare))
 		debug.SetGCPercent(tuning.GCPercent)
 	}
 }
 
-// Now returns the monotonic time since the process started; it is never 0.
-func (h *Process) Now() time.Duration { return time.Since(h.start) + time.Millisecond }
-
-// LocalAddr returns the address that connections leave from, nil for the system's choice.
-func (h *Process) LocalAddr() net.Addr {
-	if h.Settings.LocalIP == "" {
+// localAddr returns the address that connections leave from, nil for the system's choice.
+func (s *Settings) localAddr() net.Addr {
+	if s.LocalIP == "" {
 		return nil
 	}
-	return &net.TCPAddr{IP: net.ParseIP(h.Settings.LocalIP)}
+	return &net.TCPAddr{IP: net.ParseIP(s.LocalIP)}
 }
 
 // Daemon returns what the daemon says of itself to others.
-func (h *Process) Daemon() wire.Daemon {
-	return wire.Daemon{Name: h.Settings.Name, Kind: h.Kind, Domain: h.Settings.Domain, Addr: h.Settings.Addr, HTTP: h.Settings.HTTP, Incarnation: h.Incarnation}
+func (p *Process) Daemon() wire.Daemon {
+	return wire.Daemon{
+		Name:        p.Settings.Name,
+		Kind:        p.Kind,
+		Domain:      p.Settings.Domain,
+		Addr:        p.Settings.Addr,
+		HTTP:        p.Settings.HTTP,
+		Incarnation: p.Incarnation,
+	}
 }
 
-// Fatal logs an error that the daemon can't go on with, and ends the process with exit code 1.
-func (h *Process) Fatal(err error, what string) {
-	h.Log.WithError(err).Error(what)
-	os.Exit(1)
+// listenForDaemons accepts other daemons' connections until the context ends.
+func (p *Process) listenForDaemons(ctx context.Context) error {
+	return p.Transport.Listen(ctx, cmp.Or(p.Settings.Bind, p.Settings.Addr), func(err error) {
+		p.Log.WithError(err).Fatal("connections of daemons can't be accepted")
+	})
 }
 
-// Execute carries out the commands that both kinds of owners give; on the owner's goroutine.
-func (h *Process) Execute(cmd statemachine.Command) {
-	switch c := cmd.(type) {
+// Execute carries out the commands that the state machines of both daemons give; only on the loop's goroutine. What a
+// command starts ends with the context.
+func (p *Process) Execute(ctx context.Context, command statemachine.Command) {
+	switch c := command.(type) {
 	case statemachine.Send:
-		h.Send(c.Addr, c.Message)
+		p.Transport.Send(ctx, c.Addr, c.Message)
 	case statemachine.Probe:
-		h.CheckHealth(c)
+		p.Checker.Check(c)
 	case statemachine.Reply:
-		h.Loop.Respond(c.ID, c)
+		p.Loop.Respond(c.ID, c)
 	case statemachine.StateChange:
-		h.Log.WithFields(logrus.Fields{"what": c.Subject, "from": c.From, "to": c.To, "why": c.Reason, "daemon": h.Settings.Name}).Info("change")
+		p.logStateChange(c)
 	case statemachine.Exit:
 		select {
-		case h.exitCode <- 0:
-		default:
+		case p.exitCode <- exitOK:
+		default: // it is said already
 		}
 	default:
-		panic(errors.AssertionFailedf("command %T", cmd))
-	}
-}
-
-// Signals has the first SIGTERM or SIGINT stop the owner, and a second one end the process.
-func (h *Process) HandleSignals() {
-	go func() {
-		<-h.stops
-		h.Loop.Post(statemachine.Stop{})
-		<-h.stops
-		h.Log.Warn("second signal")
-		os.Exit(1)
-	}()
-}
-
-// closeAPI ends the HTTP API: it takes no more calls, and the answers that the owner has given are written.
-func (h *Process) closeAPI(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), tuning.ShutdownWriteTimeout)
-	defer cancel()
-	if err := server.Shutdown(ctx); err != nil {
-		h.Log.WithError(err).Warn("calls are left without an answer")
-		server.Close()
+		panic(errors.AssertionFailedf("command %T", command))
 	}
 }
 
-// Wait handles signals and changes of settings until the owner is done, and returns the exit code.
-// seeds takes new seeds, on the owner's goroutine.
-func (h *Process) Wait(seeds func([]string)) int {
-	h.HandleSignals()
-	h.WatchSettings(func(s []string) { h.Loop.Inspect(func(time.Duration) { seeds(s) }) })
-	h.Log.WithField("settings", h.Settings).Info("started")
-	return <-h.exitCode
+func (p *Process) logStateChange(change statemachine.StateChange) {
+	p.Log.WithFields(logrus.Fields{
+		"subject": change.Subject,
+		"from":    change.From,
+		"to":      change.To,
+		"reason":  change.Reason,
+		"daemon":  p.Settings.Name,
+	}).Info("state changed")
 }
--- a/internal/daemon/proxy.go
+++ b/internal/daemon/proxy.go
@@ -1,12 +1,10 @@
-// This file is the proxy daemon's process: it starts the proxy's state machine and the
-// forwarder, and carries out the state machine's commands.
+// This file is the proxy daemon's process: it starts the proxy's state machine and the forwarder, and carries out the
+// state machine's commands.
 
 package daemon
 
 import (
 	"context"
-	"myrtlefold/internal/shared/statemachine"
-	"myrtlefold/internal/shared/wire"
 	"net/http"
 	"strconv"
 	"sync/atomic"
@@ -17,84 +15,91 @@
 
 	"myrtlefold/internal/dataplane"
 	"myrtlefold/internal/dataplane/reverseproxy"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
-// firstCallID sets the ids of calls to the daemon's HTTP API apart from those of callers' requests.
-const firstCallID = 1 << 63
+// Calls of the HTTP API count up from their first id, which sets a proxy's apart from its callers' requests.
+const (
+	firstCallID      = 1
+	firstProxyCallID = 1<<63 + 1
+)
 
-// gateDaemon is a proxy daemon's parts.
-type gateDaemon struct {
+// proxyDaemon is a proxy daemon's parts.
+type proxyDaemon struct {
 	*Process
-	owner     *dataplane.Proxy
-	pool      *reverseproxy.Pool
-	forwarder *reverseproxy.Forwarder
-	endBy     atomic.Int64 // when the last answers of a stop have to be written, by Now
+	proxy        *dataplane.Proxy
+	pool         *reverseproxy.Pool
+	forwarder    *reverseproxy.Forwarder
+	stopDeadline atomic.Int64 // when the last responses of a stop have to be written, by Now
 }
 
 // RunProxy is mfproxy: it runs a proxy daemon until it is stopped, and returns the exit code.
-func RunProxy(args []string, dialect Platform) int {
-	d := newGateDaemon(Start(wire.ProxyDaemon, args, dialect))
-	if err := d.ListenForPeers(); err != nil {
-		d.Fatal(err, "start")
-	}
-	d.register()
-	admin, err := d.Serve(d.Settings.HTTP, d.handler())
-	if err != nil {
-		d.Fatal(err, "start")
+func RunProxy(args []string, platform Platform) int {
+	p, code := Start(wire.ProxyDaemon, args, platform)
+	if p == nil {
+		return code
 	}
-	callers, err := d.ServeCallers(d.Settings.Listen, d.forwarder)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	d := newProxyDaemon(p)
+	api, callers, err := d.listen(ctx)
 	if err != nil {
-		d.Fatal(err, "start")
+		p.Log.WithError(err).Error("daemon can't start")
+		return exitFailed
 	}
-	go d.Loop.Run(d.owner.Step, d.execute)
-	code := d.Wait(d.owner.SetSeeds)
-	d.closeAPI(admin)
-	if !d.awaitAnswers() {
-		code = 1
+	go d.Loop.Run(ctx, d.proxy.Step, d.execute)
+	code = d.Wait(ctx, d.proxy.SetSeeds)
+	d.shutDownAPI(api)
+	if !d.awaitResponses() {
+		code = exitFailed
 	}
-	d.logEnd(code)
+	d.logStopped(code)
 	callers.Close()
 	return code
 }
 
-// logEnd logs what callers are left with at the end of a stop.
-func (d *gateDaemon) logEnd(code int) {
-	counts := &d.forwarder.Counts
-	d.Log.WithFields(logrus.Fields{
-		"code":             code,
-		"open_connections": d.forwarder.Callers.Open(),
-		"unanswered":       d.forwarder.Callers.Busy(),
-		"late_kept":        counts.DrainingOldConns.Load(),
-		"late_new":         counts.DrainingNewConns.Load(),
-	}).Info("stopped")
-}
-
-func newGateDaemon(h *Process) *gateDaemon {
-	s := h.Settings
-	d := &gateDaemon{Process: h, pool: reverseproxy.NewPool()}
-	d.owner = dataplane.New(dataplane.Settings{
-		Self:             h.Daemon(),
+func newProxyDaemon(p *Process) *proxyDaemon {
+	s := p.Settings
+	d := &proxyDaemon{Process: p, pool: reverseproxy.NewPool()}
+	d.proxy = dataplane.New(dataplane.Settings{
+		Self:             p.Daemon(),
 		Seeds:            s.Seeds,
 		GracePeriod:      milliseconds(s.GraceMs),
 		ReadyWhenEmptied: s.ReadyWhenEmptied,
-		Retry:            dataplane.RetryBudget{Ratio: s.RetryRatio, Window: milliseconds(s.RetryWindowMs), Slack: float64(s.RetrySlack)},
+		Retry: dataplane.RetryBudget{
+			Ratio:  s.RetryRatio,
+			Window: milliseconds(s.RetryWindowMs),
+			Slack:  float64(s.RetrySlack),
+		},
 	})
-	ask := func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command {
-		return h.Loop.Call(ctx, id, event, statemachine.Cancel{ID: id})
+	call := func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command {
+		return p.Loop.Call(ctx, id, event, statemachine.Cancel{ID: id})
 	}
-	d.forwarder = reverseproxy.New(reverseproxy.Owner{Now: h.Now, Notify: h.Loop.Post, Ask: ask}, d.pool)
-	d.forwarder.SourceAddr = h.LocalAddr()
-	d.forwarder.Headers = h.dialect.Headers
-	d.forwarder.SendForwardedFor = h.dialect.Headers == reverseproxy.DefaultHeaders()
+	d.forwarder = reverseproxy.New(reverseproxy.Owner{Now: p.Now, Notify: p.Loop.Post, Ask: call}, d.pool)
+	d.forwarder.SourceAddr = s.localAddr()
+	d.forwarder.Headers = p.platform.Headers
+	d.forwarder.SendForwardedFor = p.platform.Headers == reverseproxy.DefaultHeaders()
 	return d
 }
 
-func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+// listen opens the daemon's ports: for other daemons, for the HTTP API and for callers.
+func (d *proxyDaemon) listen(ctx context.Context) (api, callers *http.Server, err error) {
+	if err := d.listenForDaemons(ctx); err != nil {
+		return nil, nil, err
+	}
+	d.registerMetrics()
+	if api, err = d.serveAPI(d.handler()); err != nil {
+		return nil, nil, err
+	}
+	callers, err = d.serveCallers(d.forwarder)
+	return api, callers, err
+}
 
-// execute carries out a command of the state machine; on the owner's goroutine.
-func (d *gateDaemon) execute(cmd statemachine.Command) {
-	switch c := cmd.(type) {
+// execute carries out a command of the proxy's state machine; only on the loop's goroutine.
+func (d *proxyDaemon) execute(ctx context.Context, command statemachine.Command) {
+	switch c := command.(type) {
 	case statemachine.Forward:
 		d.Loop.Respond(c.ID, c)
 	case statemachine.Reject:
@@ -107,65 +112,75 @@
 	case statemachine.CloseAfterResponse:
 		d.forwarder.Draining.Store(true)
 	case statemachine.StopAccepting:
-		d.endBy.Store(int64(d.Now() + c.TimeLeft + tuning.ShutdownWriteTimeout))
+		d.stopDeadline.Store(int64(d.Now() + c.TimeLeft + tuning.ShutdownWriteTimeout))
 		d.forwarder.Callers.Close()
 	default:
-		d.Execute(cmd)
+		d.Execute(ctx, command)
 	}
 }
 
-// register puts the daemon's counters and times on /metrics.
-func (d *gateDaemon) register() {
-	seconds := prometheus.NewHistogramVec(prometheus.HistogramOpts{
+// registerMetrics puts the daemon's counters and times on /metrics.
+func (d *proxyDaemon) registerMetrics() {
+	times := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "mf_exchange_seconds",
 		Help:    "Time of exchanges by service and status.",
 		Buckets: prometheus.ExponentialBuckets(0.001, 2, 14),
 	}, []string{"service", "status"})
-	d.Metrics.MustRegister(seconds)
-	d.forwarder.Observe = func(service string, status int, sec float64) {
-		seconds.WithLabelValues(service, strconv.Itoa(status)).Observe(sec)
+	d.Metrics.MustRegister(times)
+	d.forwarder.Observe = func(service string, status int, seconds float64) {
+		times.WithLabelValues(service, strconv.Itoa(status)).Observe(seconds)
 	}
 	d.RegisterCounters("gate", func() any {
-		var n dataplane.Counts
-		d.Loop.Inspect(func(time.Duration) { n = d.owner.Counts })
-		return n
+		var counts dataplane.Counts
+		d.Loop.Inspect(func(time.Duration) { counts = d.proxy.Counts })
+		return counts
 	})
 	d.RegisterCounters("carry", func() any { return &d.forwarder.Counts })
 }
 
 // view is the proxy's state as operators may read it.
-func (d *gateDaemon) view() (v dataplane.View) {
-	d.Loop.Inspect(func(now time.Duration) { v = d.owner.View(now) })
-	return v
+func (d *proxyDaemon) view() (view dataplane.View) {
+	d.Loop.Inspect(func(now time.Duration) { view = d.proxy.View(now) })
+	return view
 }
 
 // handler is the daemon's HTTP API: for operators, and for targets' heartbeats.
-func (d *gateDaemon) handler() http.Handler {
-	mux := d.AdminMux(func() (bool, any) {
-		v := d.view()
-		return v.Ready, v.State
+func (d *proxyDaemon) handler() http.Handler {
+	mux := d.AdminMux(func() (ready bool, state any) {
+		view := d.view()
+		return view.Ready, view.State
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, d.view())
 	})
-	var ids atomic.Uint64
-	ids.Store(firstCallID)
-	call := d.CallHandler(func() uint64 { return ids.Add(1) })
+	call := d.CallHandler(firstProxyCallID)
 	mux.HandleFunc("POST /v1/targets", call)
 	mux.HandleFunc("PUT /v1/targets/", call)
 	mux.HandleFunc("DELETE /v1/targets/", call)
 	return mux
 }
 
-// awaitAnswers waits, once the owner has ended, for what callers' connections still have under way: answers
+// awaitResponses waits, once the state machine is done, for what callers' connections still have under way: responses
 // that are being written and bodies that are being read. It returns false if some are left at the end.
-func (d *gateDaemon) awaitAnswers() bool {
-	look := time.NewTicker(tuning.ShutdownPoll)
-	defer look.Stop()
-	for till := d.endBy.Load(); d.forwarder.Callers.Busy() > 0; <-look.C {
-		if int64(d.Now()) > till {
+func (d *proxyDaemon) awaitResponses() bool {
+	poll := time.NewTicker(tuning.ShutdownPoll)
+	defer poll.Stop()
+	for deadline := d.stopDeadline.Load(); d.forwarder.Callers.Busy() > 0; <-poll.C {
+		if int64(d.Now()) > deadline {
 			return false
 		}
 	}
 	return true
 }
+
+// logStopped logs what callers are left with at the end of a stop.
+func (d *proxyDaemon) logStopped(code int) {
+	counts := &d.forwarder.Counts
+	d.Log.WithFields(logrus.Fields{
+		"code":             code,
+		"open_connections": d.forwarder.Callers.Open(),
+		"unanswered":       d.forwarder.Callers.Busy(),
+		"late_kept":        counts.DrainingOldConns.Load(),
+		"late_new":         counts.DrainingNewConns.Load(),
+	}).Info("stopped")
+}
--- a/internal/daemon/recorded_test.go
+++ b/internal/daemon/recorded_test.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
+	"sync/atomic"
 	"testing"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -17,8 +19,8 @@
 
 var update = flag.Bool("update", false, "record names anew, which only an intended change may need")
 
-// asRecorded fails unless lines are those of the file in testdata.
-func asRecorded(t *testing.T, name string, lines []byte) {
+// checkRecorded fails unless lines are those of the file in testdata.
+func checkRecorded(t *testing.T, name string, lines []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
 	if *update {
@@ -37,11 +39,11 @@
 
 // The counters on /metrics keep their names.
 func TestMetricNames(t *testing.T) {
-	h := &Process{Metrics: prometheus.NewRegistry()}
-	h.RegisterCounters("core", func() any { return &controlplane.Counts{} })
-	h.RegisterCounters("gate", func() any { return &dataplane.Counts{} })
-	h.RegisterCounters("carry", func() any { return &reverseproxy.Counts{} })
-	families, err := h.Metrics.Gather()
+	p := &Process{Metrics: prometheus.NewRegistry()}
+	p.RegisterCounters("core", func() any { return &controlplane.Counts{} })
+	p.RegisterCounters("gate", func() any { return &dataplane.Counts{} })
+	p.RegisterCounters("carry", func() any { return &reverseproxy.Counts{} })
+	families, err := p.Metrics.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,5 +51,29 @@
 	for _, f := range families {
 		fmt.Fprintln(&lines, f.GetName())
 	}
-	asRecorded(t, "metrics.txt", lines.Bytes())
+	checkRecorded(t, "metrics.txt", lines.Bytes())
+}
+
+// A counter's name is its field's tag, or else the field's name in snake case; other fields are no counters.
+func TestCounterNames(t *testing.T) {
+	p := &Process{Metrics: prometheus.NewRegistry()}
+	p.RegisterCounters("x", func() any {
+		return &struct {
+			TwoWords uint64
+			Renamed  uint64 `metric:"old_name"`
+			Atomic   atomic.Uint64
+			Text     string
+		}{}
+	})
+	families, err := p.Metrics.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, family := range families {
+		names = append(names, family.GetName())
+	}
+	if want := []string{"mf_x_atomic_total", "mf_x_old_name_total", "mf_x_two_words_total"}; !slices.Equal(names, want) {
+		t.Errorf("%v, want %v", names, want)
+	}
 }
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -3,63 +3,65 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/statemachine"
+
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// loneCore is a core of one member on a real ring, whose clock the test moves.
-type loneCore struct {
-	disk  *Disk
-	core  *controlplane.Controller
-	now   time.Duration
-	taken int
+// soleMember is a control plane of one member on a real write-ahead log, whose clock the test moves.
+type soleMember struct {
+	disk       *Disk
+	loop       *Loop
+	controller *controlplane.Controller
+	now        time.Duration
+	accepted   int
 }
 
-func newLoneCore(tb testing.TB, h *Process) *loneCore {
+func newSoleMember(tb testing.TB, p *Process) *soleMember {
 	tb.Helper()
-	d, img, err := h.OpenDisk()
+	disk, persisted, err := p.OpenDisk()
 	if err != nil {
 		tb.Fatal(err)
 	}
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
-	return &loneCore{disk: d, now: time.Second, core: controlplane.New(time.Second, controlplane.Settings{Self: self, BootstrapSize: 1}, img)}
+	return &soleMember{disk: disk, loop: p.Loop, now: time.Second, controller: controlplane.New(time.Second, controlplane.Settings{Self: self, BootstrapSize: 1}, persisted)}
 }
 
-func (l *loneCore) step(tb testing.TB, ev statemachine.Event) {
+func (m *soleMember) step(tb testing.TB, event statemachine.Event) {
 	tb.Helper()
 	var batches []*wire.Batch
-	for _, cmd := range l.core.Step(l.now, ev) {
-		switch c := cmd.(type) {
+	for _, command := range m.controller.Step(m.now, event) {
+		switch c := command.(type) {
 		case statemachine.Sync:
 			batches = append(batches, c.Batch)
 		case statemachine.Reply:
 			if c.Status != 200 {
 				tb.Fatalf("%d %s", c.Status, c.Body)
 			}
-			l.taken++
+			m.accepted++
 		}
 	}
 	if len(batches) > 0 {
-		l.disk.sync(batches)
-		for len(l.disk.h.Loop.queue) > 0 {
-			l.step(tb, (<-l.disk.h.Loop.queue).ev)
+		m.disk.sync(tb.Context(), batches)
+		for len(m.loop.queue) > 0 {
+			m.step(tb, (<-m.loop.queue).event)
 		}
 	}
 }
 
-func (l *loneCore) lead(tb testing.TB) {
+func (m *soleMember) lead(tb testing.TB) {
 	tb.Helper()
-	for end := l.now + 10*time.Second; !l.core.Leading() && l.now < end; l.now += tuning.TickEvery {
-		l.step(tb, statemachine.Tick{})
+	for end := m.now + 10*time.Second; !m.controller.Leading() && m.now < end; m.now += tuning.TickEvery {
+		m.step(tb, statemachine.Tick{})
 	}
-	if !l.core.Leading() {
-		tb.Fatal("it does not lead")
+	if !m.controller.Leading() {
+		tb.Fatal("it is not the leader")
 	}
 }
 
@@ -75,21 +77,21 @@
 	return append(doc, "}}"...)
 }
 
-func (l *loneCore) change(tb testing.TB, changes, services int) {
+func (m *soleMember) change(tb testing.TB, changes, services int) {
 	tb.Helper()
 	rnd := rand.New(rand.NewPCG(uint64(changes), uint64(services)))
 	for i := range changes {
-		l.step(tb, statemachine.Call{ID: uint64(i) + 1, Token: fmt.Sprint("t", i), Method: "PUT", Path: "/v1/config", Query: fmt.Sprintf("base=%d", l.core.Revision()), Body: changingConfig(rnd, services)})
-		l.now += time.Millisecond
+		m.step(tb, statemachine.Call{ID: uint64(i) + 1, Token: fmt.Sprint("t", i), Method: "PUT", Path: "/v1/config", Query: fmt.Sprintf("base=%d", m.controller.Revision()), Body: changingConfig(rnd, services)})
+		m.now += time.Millisecond
 	}
-	if l.taken != changes {
-		tb.Fatalf("%d of %d changes taken", l.taken, changes)
+	if m.accepted != changes {
+		tb.Fatalf("%d of %d changes accepted", m.accepted, changes)
 	}
 }
 
-func imageBytes(tb testing.TB, im *consensus.PersistentState) int {
+func persistedBytes(tb testing.TB, persisted *consensus.PersistentState) int {
 	tb.Helper()
-	b, err := wire.EncodeBatch(im.Checkpoint())
+	b, err := wire.EncodeBatch(persisted.Checkpoint())
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -99,41 +101,41 @@
 // A member that starts again after many changes is where it was, whatever their number, and
 // its disk holds no more than after a few hundred.
 func TestRestartAfterManyChanges(t *testing.T) {
-	h := diskHost(t)
-	l := newLoneCore(t, h)
-	l.lead(t)
-	l.change(t, 300, 10)
-	again := newLoneCore(t, h)
+	p := newDiskProcess(t)
+	m := newSoleMember(t, p)
+	m.lead(t)
+	m.change(t, 300, 10)
+	again := newSoleMember(t, p)
 	again.lead(t)
-	if a, b := again.core.Revision(), l.core.Revision(); a != b || a != 300 {
+	if a, b := again.controller.Revision(), m.controller.Revision(); a != b || a != 300 {
 		t.Errorf("revision %d after %d", a, b)
 	}
-	if n := imageBytes(t, &l.disk.img); n > tuning.WALFileSize/2 {
-		t.Errorf("an image of %d bytes", n)
+	if n := persistedBytes(t, &m.disk.persisted); n > tuning.WALFileSize/2 {
+		t.Errorf("a persisted state of %d bytes", n)
 	}
 }
 
-// The time from a process's start until its core can take part: the ring is read, the image
-// is checked, and the state is made from it.
+// The time from a process's start until its member can take part: the write-ahead log is read, its state is checked,
+// and the state machine is made from it.
 func BenchmarkRestart(b *testing.B) {
 	for _, services := range []int{70, 350} {
 		for _, changes := range []int{10, 1000, 10000} {
 			b.Run(fmt.Sprintf("%d-services-%d-changes", services, changes), func(b *testing.B) {
-				h := diskHost(b)
-				l := newLoneCore(b, h)
-				l.lead(b)
-				l.change(b, changes, services)
-				im := l.disk.image()
-				size := imageBytes(b, &im)
+				p := newDiskProcess(b)
+				m := newSoleMember(b, p)
+				m.lead(b)
+				m.change(b, changes, services)
+				persisted := m.disk.persistedCopy()
+				size := persistedBytes(b, &persisted)
 				b.ReportAllocs()
 				for b.Loop() {
-					again := newLoneCore(b, h)
-					if again.core.Revision() > uint64(changes) {
+					again := newSoleMember(b, p)
+					if again.controller.Revision() > uint64(changes) {
 						b.Fatal("more than there was")
 					}
 				}
 				b.ReportMetric(float64(size), "image-bytes")
-				b.ReportMetric(float64(len(im.Log)), "log-entries")
+				b.ReportMetric(float64(len(persisted.Log)), "log-entries")
 			})
 		}
 	}
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -1,11 +1,12 @@
-// This file is policy sessions over HTTP: POST /v1/judge takes lines of target events as they come
-// and answers each at once. A session that breaks off is kept for a while, so that its client goes
-// on from the line it had got to. Sessions have no effect on the fleet.
+// This file is policy sessions over HTTP: POST /v1/judge takes lines of target events as they come and answers each
+// at once. A session that breaks off is kept for a while, so that its client goes on from the line it had got to.
+// Sessions have no effect on the fleet.
 
 package daemon
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
@@ -17,117 +18,160 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// session is a policy session with its client's state.
+// session is a policy session with its client's state. Who has opened it owns it, until it is released.
 type session struct {
 	*outlier.Session
-	id   string
-	left time.Time // when its client went, zero while it is there
+	id         string
+	releasedAt time.Time // when its client went, zero while it is there
 }
 
-// sessionRequest asks for a new session, or the one of that id, or gives one back.
+// sessionRequest asks for a new session or for the one of that id, or releases one.
 type sessionRequest struct {
-	id    string
-	leave *session
-	reply chan sessionReply
+	id      string // "": a new one
+	reply   chan<- sessionReply
+	release *session // if it is not nil, nothing is asked for
 }
 
-// sessionReply is the session, or the HTTP status and reason of a refusal.
+// sessionReply is the session, or why there is none.
 type sessionReply struct {
 	session *session
-	status  int
-	why     string
+	err     *sessionError
 }
 
-// Sessions serves policy sessions. One goroutine owns the list of them; a session is its client's
-// while that is there.
-type Sessions struct{ requests chan sessionRequest }
+// sessionError says why a session can't be opened.
+type sessionError struct {
+	status  int // of the HTTP response
+	message string
+}
+
+// Error returns the message of the HTTP response.
+func (e *sessionError) Error() string { return e.message }
 
-// NewSessions starts the goroutine that owns the sessions, which runs as long as the process.
-func NewSessions() *Sessions {
-	u := &Sessions{make(chan sessionRequest)}
-	go u.run()
-	return u
+// Sessions serves policy sessions. One goroutine owns the list of them.
+type Sessions struct {
+	requests chan sessionRequest
+	ended    <-chan struct{} // closed when the context ends
 }
 
-func (u *Sessions) run() {
-	kept := map[string]*session{}
-	for r := range u.requests {
-		for id, s := range kept {
-			if !s.left.IsZero() && time.Since(s.left) > tuning.SessionKept {
-				delete(kept, id)
+// NewSessions starts the goroutine that owns the sessions, which ends with the context.
+func NewSessions(ctx context.Context) *Sessions {
+	s := &Sessions{requests: make(chan sessionRequest), ended: ctx.Done()}
+	go s.run()
+	return s
+}
+
+func (s *Sessions) run() {
+	sessions := map[string]*session{}
+	for {
+		select {
+		case request := <-s.requests:
+			dropExpired(sessions)
+			if request.release != nil {
+				request.release.releasedAt = time.Now()
+				continue
 			}
+			opened, err := openSession(sessions, request.id)
+			request.reply <- sessionReply{opened, err}
+		case <-s.ended:
+			return
 		}
-		if r.leave != nil {
-			r.leave.left = time.Now()
-			continue
+	}
+}
+
+// dropExpired drops the sessions whose clients have not come back in time.
+func dropExpired(sessions map[string]*session) {
+	for id, s := range sessions {
+		if !s.releasedAt.IsZero() && time.Since(s.releasedAt) > tuning.SessionKept {
+			delete(sessions, id)
 		}
-		r.reply <- open(kept, r.id)
 	}
 }
 
-// open finds the session of that id, or begins one if id is empty.
-func open(kept map[string]*session, id string) sessionReply {
-	s := kept[id]
+// openSession finds the session of that id, or begins one if id is empty.
+func openSession(sessions map[string]*session, id string) (*session, *sessionError) {
+	s := sessions[id]
 	switch {
 	case id != "" && s == nil:
-		return sessionReply{status: http.StatusNotFound, why: "no such stream is kept; begin anew"}
-	case id != "" && s.left.IsZero():
-		return sessionReply{status: http.StatusConflict, why: "that stream has its reader"}
+		return nil, &sessionError{http.StatusNotFound, "no such stream is kept; begin anew"}
+	case id != "" && s.releasedAt.IsZero():
+		return nil, &sessionError{http.StatusConflict, "that stream has its reader"}
 	case id != "":
-		s.left = time.Time{}
-	case len(kept) >= tuning.Sessions:
-		return sessionReply{status: http.StatusServiceUnavailable, why: fmt.Sprintf("%d streams are open", tuning.Sessions)}
+		s.releasedAt = time.Time{}
+	case len(sessions) >= tuning.Sessions:
+		return nil, &sessionError{http.StatusServiceUnavailable, fmt.Sprintf("%d streams are open", tuning.Sessions)}
 	default:
 		s = &session{Session: outlier.NewSession(&config.Config{}), id: fmt.Sprintf("%016x", rand.Uint64())}
-		kept[s.id] = s
+		sessions[s.id] = s
 	}
-	return sessionReply{session: s}
+	return s, nil
 }
 
-// sessionBegun is the first line of an answer: how to resume, and up to which line it was taken.
-type sessionBegun struct {
+// request passes a request to the goroutine that owns the sessions; it returns false if that has ended.
+func (s *Sessions) request(request sessionRequest) bool {
+	select {
+	case s.requests <- request:
+		return true
+	case <-s.ended:
+		return false
+	}
+}
+
+// open returns the session of that id or, if id is empty, a new one. Without either the process ends.
+func (s *Sessions) open(id string) (*session, *sessionError) {
+	reply := make(chan sessionReply, 1)
+	if !s.request(sessionRequest{id: id, reply: reply}) {
+		return nil, &sessionError{http.StatusServiceUnavailable, "the daemon stops"}
+	}
+	r := <-reply
+	return r.session, r.err
+}
+
+// sessionOpened is the first line of a response: how to resume, and up to which line it was taken.
+type sessionOpened struct {
 	Line   uint64 `json:"line"`
 	Stream string `json:"stream"`
 }
 
 // ServeHTTP runs one session until its client ends it.
-func (u *Sessions) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	rc := http.NewResponseController(w)
-	if rc.EnableFullDuplex() != nil { // or the answer would wait for the end of what is asked
+func (s *Sessions) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	controller := http.NewResponseController(w)
+	if controller.EnableFullDuplex() != nil { // the response would wait for the end of the request
 		return
 	}
-	request := sessionRequest{id: r.URL.Query().Get("resume"), reply: make(chan sessionReply, 1)}
-	u.requests <- request
-	got := <-request.reply
-	if got.session == nil {
-		retry := time.Duration(0)
-		if got.status == http.StatusServiceUnavailable {
-			retry = tuning.RetryAfterMin
+	session, err := s.open(r.URL.Query().Get("resume"))
+	if err != nil {
+		retryAfter := time.Duration(0)
+		if err.status == http.StatusServiceUnavailable {
+			retryAfter = tuning.RetryAfterMin
 		}
 		w.Header().Set("Connection", "close")
-		refuse(w, got.status, retry, config.ErrorBody{Code: "stream", Message: got.why})
+		writeError(w, err.status, retryAfter, config.ErrorBody{Code: "stream", Message: err.message})
 		return
 	}
-	defer func() { u.requests <- sessionRequest{leave: got.session} }()
+	defer s.request(sessionRequest{release: session})
 	w.Header().Set("Content-Type", "application/jsonl")
 	w.WriteHeader(http.StatusOK)
-	enc := json.NewEncoder(w)
-	if enc.Encode(sessionBegun{Line: got.session.Lines, Stream: got.session.id}) != nil || rc.Flush() != nil {
-		return
+	encoder := json.NewEncoder(w)
+	if encoder.Encode(sessionOpened{Line: session.Lines, Stream: session.id}) == nil && controller.Flush() == nil {
+		session.evaluate(r, encoder, controller)
 	}
-	sc := bufio.NewScanner(r.Body)
-	sc.Buffer(nil, tuning.SessionLineMax)
-	for sc.Scan() {
-		for _, l := range got.session.Evaluate(sc.Bytes()) {
-			if enc.Encode(l) != nil {
+}
+
+// evaluate answers the lines of a request's body until it ends or the client goes.
+func (s *session) evaluate(r *http.Request, encoder *json.Encoder, controller *http.ResponseController) {
+	lines := bufio.NewScanner(r.Body)
+	lines.Buffer(nil, tuning.SessionLineMax)
+	for lines.Scan() {
+		for _, answer := range s.Evaluate(lines.Bytes()) {
+			if encoder.Encode(answer) != nil {
 				return
 			}
 		}
-		if rc.Flush() != nil {
+		if controller.Flush() != nil {
 			return
 		}
 	}
-	if err := sc.Err(); err != nil {
-		enc.Encode(outlier.Result{Line: got.session.Lines + 1, Error: err.Error()})
+	if err := lines.Err(); err != nil {
+		encoder.Encode(outlier.Result{Line: s.Lines + 1, Error: err.Error()})
 	}
 }
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -1,90 +1,82 @@
 package daemon
 
 import (
-	"myrtlefold/internal/shared/statemachine"
-	"myrtlefold/internal/shared/wire"
 	"os"
-	"os/signal"
 	"path/filepath"
-	"runtime"
 	"slices"
-	"strings"
-	"syscall"
 	"testing"
-	"time"
-)
 
-// settingsFile is a core member's, on its own folder.
-func settingsFile(t *testing.T, seeds string) string {
-	t.Helper()
-	f := filepath.Join(t.TempDir(), "set.json")
-	writeSettings(t, f, seeds)
-	return f
-}
+	"github.com/alecthomas/kingpin/v2"
+
+	"myrtlefold/internal/shared/wire"
+)
 
-func writeSettings(t *testing.T, f, seeds string) {
+func loadSettings(t *testing.T, kind wire.DaemonKind, doc string, given Settings) (Settings, []string) {
 	t.Helper()
-	doc := `{"name":"c","domain":"d","addr":"127.0.0.1:1","http":"127.0.0.1:2","data":"x","size":3,"log":"error","seeds":["` + seeds + `"]}`
-	if err := os.WriteFile(f, []byte(doc), 0o600); err != nil {
+	file := filepath.Join(t.TempDir(), "set.json")
+	if err := os.WriteFile(file, []byte(doc), 0o600); err != nil {
 		t.Fatal(err)
 	}
-}
-
-// A SIGHUP that comes while a daemon starts does not end it, and the changed settings are
-// looked at once it watches them: seeds that differ later are taken.
-func TestHangupWhileStarting(t *testing.T) {
-	f := settingsFile(t, "127.0.0.1:3")
-	h := Start(wire.ControlDaemon, []string{"-s", f}, DefaultPlatform())
-	writeSettings(t, f, "127.0.0.1:4")
-	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil { // would end this process by default
+	loaded, err := (&Flags{File: file, given: given}).Load(kind)
+	if err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan []string, 4)
-	h.WatchSettings(func(seeds []string) { got <- seeds })
-	select {
-	case seeds := <-got:
-		if !slices.Equal(seeds, []string{"127.0.0.1:4"}) {
-			t.Error(seeds)
-		}
-	case <-time.After(time.Minute):
-		t.Fatal("changed seeds were not taken")
-	}
-	writeSettings(t, f, strings.Repeat("x", 3)) // unsound: the old ones stay
-	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
-		t.Fatal(err)
+	var paths []string
+	for _, fault := range loaded.Faults {
+		paths = append(paths, fault.Path)
 	}
-	writeSettings(t, f, "127.0.0.1:5")
-	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
-		t.Fatal(err)
+	slices.Sort(paths)
+	return loaded.Settings, paths
+}
+
+// Every fault of the settings is named, flags override the file, samples are valid.
+func TestSettings(t *testing.T) {
+	_, got := loadSettings(t, wire.ControlDaemon, `{"name":"a b","addr":"localhost:1","http":"0.0.0.0:1","seeds":["x"],"size":4,"listen":"127.0.0.1:3","log":"loud","odd":1,"bind":"here","from":"0.0.0.0"}`, Settings{})
+	if want := []string{"addr", "bind", "data", "domain", "from", "http", "listen", "log", "name", "odd", "seeds[0]", "size"}; !slices.Equal(got, want) {
+		t.Fatalf("%v", got)
 	}
-	select {
-	case seeds := <-got:
-		if !slices.Equal(seeds, []string{"127.0.0.1:5"}) {
-			t.Error(seeds)
+	for k, program := range programs {
+		b, err := os.ReadFile("../../sample/" + program.name + ".json")
+		if err != nil {
+			t.Fatal(err)
+		}
+		s, got := loadSettings(t, k, string(b), Settings{Name: "other"})
+		if len(got) > 0 || s.Name != "other" || s.Domain != "hill" {
+			t.Fatal(k, got, s)
 		}
-	case <-time.After(time.Minute):
-		t.Fatal("seeds changed after unsound settings were not taken")
 	}
 }
 
-// A SIGTERM that comes while a daemon starts does not end it at once: it serves callers before it waits for
-// signals, and stops as at any time.
-func TestStopWhileStarting(t *testing.T) {
-	h := Start(wire.ControlDaemon, []string{"-s", settingsFile(t, "127.0.0.1:3")}, DefaultPlatform())
-	t.Cleanup(func() { signal.Stop(h.stops) })
-	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil { // would end this process by default
-		t.Fatal(err)
-	}
-	for len(h.stops) == 0 {
-		runtime.Gosched() // until it has arrived
+// The other samples of settings are valid too, and leave the control plane's size to the seeds.
+func TestSampleSettings(t *testing.T) {
+	for f, kind := range map[string]wire.DaemonKind{"mfcontrol-seeds": wire.ControlDaemon, "mfproxy-bounded": wire.ProxyDaemon} {
+		b, err := os.ReadFile("../../sample/" + f + ".json")
+		if err != nil {
+			t.Fatal(err)
+		}
+		s, faults := loadSettings(t, kind, string(b), Settings{})
+		if len(faults) > 0 || s.Size != 0 {
+			t.Errorf("%s: %v, size %d", f, faults, s.Size)
+		}
 	}
-	h.HandleSignals()
-	select {
-	case it := <-h.Loop.queue:
-		if _, ok := it.ev.(statemachine.Stop); !ok {
-			t.Errorf("%T", it.ev)
+}
+
+// A size by flag overrides the file's, also 0; if none is given it is 3.
+func TestSizeByFlag(t *testing.T) {
+	base := []string{"--name", "c", "--domain", "d", "--addr", "127.0.0.1:1", "--http", "127.0.0.1:2", "--data", "x", "--seed", "127.0.0.1:1"}
+	for _, c := range []struct {
+		more  []string
+		size  int
+		found bool
+	}{{nil, 3, false}, {[]string{"--size", "5"}, 5, false}, {[]string{"--size", "0", "--found"}, 0, true}} {
+		flags, app := &Flags{}, kingpin.New("x", "")
+		flags.Bind(app, wire.ControlDaemon)
+		if _, err := app.Parse(append(c.more, base...)); err != nil {
+			t.Fatal(err)
+		}
+		loaded, err := flags.Load(wire.ControlDaemon)
+		if s := loaded.Settings; err != nil || len(loaded.Faults) > 0 || s.Size != c.size || s.Bootstrap != c.found {
+			t.Errorf("%v: %+v %v", c.more, loaded, err)
 		}
-	case <-time.After(time.Minute):
-		t.Fatal("the owner was not told to stop")
 	}
 }
--- /dev/null
+++ b/internal/daemon/settingscheck.go
@@ -0,0 +1,119 @@
+// This file checks settings.
+
+package daemon
+
+import (
+	"fmt"
+	"math"
+	"net/netip"
+	"slices"
+	"strings"
+
+	"github.com/sirupsen/logrus"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
+)
+
+// faultList collects the faults of settings.
+type faultList struct{ faults []config.Fault }
+
+func (l *faultList) add(path, format string, arguments ...any) {
+	l.faults = append(l.faults, config.Fault{Path: path, Text: fmt.Sprintf(format, arguments...)})
+}
+
+// checkReachable checks an address that others connect to.
+func (l *faultList) checkReachable(path, addr string) {
+	if parsed, err := netip.ParseAddrPort(addr); err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
+		l.add(path, "%q is not IP:port with an address that others can reach", addr)
+	}
+}
+
+// Check returns the faults of settings for a kind of daemon, by the settings' names.
+func (s *Settings) Check(kind wire.DaemonKind) []config.Fault {
+	l := &faultList{}
+	if s.Name == "" || len(s.Name) > tuning.ItemNameMax || strings.ContainsAny(s.Name, " /\"") {
+		l.add("name", "must be 1 to %d characters without spaces, quotes or /", tuning.ItemNameMax)
+	}
+	if s.Domain == "" {
+		l.add("domain", "is missing")
+	}
+	s.checkAddresses(l)
+	if _, err := logrus.ParseLevel(s.LogLevel); err != nil {
+		l.add("log", "%v", err)
+	}
+	s.checkNumbers(l)
+	switch kind {
+	case wire.ControlDaemon:
+		s.checkControl(l)
+	case wire.ProxyDaemon:
+		s.checkProxy(l)
+	}
+	return l.faults
+}
+
+func (s *Settings) checkAddresses(l *faultList) {
+	l.checkReachable("addr", s.Addr)
+	l.checkReachable("http", s.HTTP)
+	if s.Bind != "" {
+		if parsed, err := netip.ParseAddrPort(s.Bind); err != nil || parsed.Port() == 0 {
+			l.add("bind", "%q is not IP:port", s.Bind)
+		}
+	}
+	if s.LocalIP != "" {
+		if ip, err := netip.ParseAddr(s.LocalIP); err != nil || ip.IsUnspecified() {
+			l.add("from", "%q is not an IP of this machine", s.LocalIP)
+		}
+	}
+	for i, seed := range s.Seeds {
+		l.checkReachable(fmt.Sprintf("seeds[%d]", i), seed)
+	}
+}
+
+func (s *Settings) checkNumbers(l *faultList) {
+	for _, number := range []struct {
+		path  string
+		value float64
+	}{
+		{"memory_mb", float64(s.MemoryMb)},
+		{"grace_ms", float64(s.GraceMs)},
+		{"catch_up_ms", float64(s.CatchUpMs)},
+		{"losses", float64(s.ToleratedLosses)},
+		{"retry_ratio", s.RetryRatio},
+		{"retry_window_ms", float64(s.RetryWindowMs)},
+		{"retry_slack", float64(s.RetrySlack)},
+	} {
+		if !(number.value >= 0 && number.value <= math.MaxInt32+1) {
+			l.add(number.path, "%v is below 0 or too large", number.value)
+		}
+	}
+}
+
+func (s *Settings) checkControl(l *faultList) {
+	if s.Data == "" {
+		l.add("data", "is missing: a core member needs a folder")
+	}
+	if !slices.Contains([]int{0, 1, 3, 5}, s.Size) {
+		l.add("size", "a core has 3 or 5 members (1 for trials, 0 if the seeds found it), not %d", s.Size)
+	}
+	if s.Size == 0 && len(s.Seeds) == 0 {
+		l.add("seeds", "is empty, and no size is told")
+	}
+	if s.Size > 1 && len(s.Seeds) == 0 {
+		l.add("seeds", "is empty")
+	}
+	if s.Listen != "" {
+		l.add("listen", "is for proxies")
+	}
+}
+
+func (s *Settings) checkProxy(l *faultList) {
+	l.checkReachable("listen", s.Listen)
+	if len(s.Seeds) == 0 {
+		l.add("seeds", "is empty")
+	}
+	if s.Size != 0 {
+		l.add("size", "is for core members")
+	}
+}
--- a/internal/daemon/stream.go
+++ b/internal/daemon/stream.go
@@ -1,157 +1,194 @@
-// This file is the stream of target events and decisions that a leading core
-// daemon serves as JSON lines. A reader resumes by the last line's term and
-// number; one that is too slow, or comes too late, is told what it missed.
+// This file is the stream of target events and decisions that a leading control daemon serves as JSON lines. A reader
+// resumes by the last line's term and number; one that is too slow, or comes too late, gets the number of lines that
+// it missed.
 
 package daemon
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
 
-// line is one line of the stream.
-type line struct {
+// streamLine is one line of the stream.
+type streamLine struct {
 	Term uint64 `json:"term"`
 	Seq  uint64 `json:"seq"`
 	statemachine.Publish
-	Missed uint64 `json:"missed,omitempty"`
-	Why    string `json:"note,omitempty"`
+	Missed uint64 `json:"missed,omitempty"` // lines that this one stands for
+	Note   string `json:"note,omitempty"`   // why they were missed
 }
 
-// reader is a client of the stream.
-type reader struct {
-	lines chan line
-	lost  uint64 // lines that it was too slow for and has not been told of
+// streamReader is a client of the stream.
+type streamReader struct {
+	lines   chan streamLine
+	dropped uint64 // lines that it was too slow for and has not been notified of
 }
 
-// join adds a reader, or removes it.
-type join struct {
-	r         *reader
-	term, seq uint64
-	resume    bool
-	leave     bool
+// position is where a reader stands in the stream: the last line that it read.
+type position struct{ term, seq uint64 }
+
+// subscription adds a reader, or removes it.
+type subscription struct {
+	reader *streamReader
+	after  *position // resume after this line; nil: with the next one
+	remove bool
 }
 
-// EventStream passes notes of target events to the readers of the stream, and keeps the last ones for those
-// that resume. One goroutine owns both.
+// EventStream passes target events to the readers of the stream, and keeps the last lines for those that resume. One
+// goroutine owns both.
 type EventStream struct {
-	put  chan line
-	join chan join
+	published     chan streamLine
+	subscriptions chan subscription
+	ended         <-chan struct{} // closed when the stream's context ends
 }
 
-// NewEventStream starts the goroutine that owns the stream, which runs as long as the process.
-func NewEventStream() *EventStream {
-	u := &EventStream{make(chan line, tuning.EventQueue), make(chan join)}
-	go u.run()
-	return u
+// NewEventStream starts the goroutine that owns the stream, which ends with the context.
+func NewEventStream(ctx context.Context) *EventStream {
+	s := &EventStream{
+		published:     make(chan streamLine, tuning.EventQueue),
+		subscriptions: make(chan subscription),
+		ended:         ctx.Done(),
+	}
+	go s.run()
+	return s
 }
 
-// Publish adds a note; it never waits for readers.
-func (u *EventStream) Publish(term uint64, n statemachine.Publish) {
-	u.put <- line{Term: term, Publish: n}
+// Publish adds a line; it never waits for readers.
+func (s *EventStream) Publish(term uint64, event statemachine.Publish) {
+	select {
+	case s.published <- streamLine{Term: term, Publish: event}:
+	case <-s.ended:
+	}
 }
 
-// give passes a line to a reader, without waiting for it.
-func (r *reader) give(l line) {
-	if r.lost > 0 {
-		select {
-		case r.lines <- line{Term: l.Term, Seq: l.Seq, Missed: r.lost, Why: "the reader was too slow"}:
-			r.lost = 0
-		default:
-		}
-	}
+// subscribe reports whether the stream still runs.
+func (s *EventStream) subscribe(change subscription) bool {
 	select {
-	case r.lines <- l:
-	default:
-		r.lost++
+	case s.subscriptions <- change:
+		return true
+	case <-s.ended:
+		return false
 	}
 }
 
-func (u *EventStream) run() {
-	var kept []line
+func (s *EventStream) run() {
+	var kept []streamLine
 	var seq uint64
-	readers := map[*reader]bool{}
+	readers := map[*streamReader]bool{}
 	for {
 		select {
-		case l := <-u.put:
+		case line := <-s.published:
 			seq++
-			l.Seq = seq
-			kept = append(kept, l)
+			line.Seq = seq
+			kept = append(kept, line)
 			if len(kept) > 2*tuning.EventsKept {
-				kept = append([]line(nil), kept[tuning.EventsKept:]...)
+				kept = append([]streamLine(nil), kept[tuning.EventsKept:]...)
 			}
-			for r := range readers {
-				r.give(l)
+			for reader := range readers {
+				reader.offer(line)
 			}
-		case j := <-u.join:
-			if j.leave {
-				delete(readers, j.r)
+		case change := <-s.subscriptions:
+			if change.remove {
+				delete(readers, change.reader)
 				continue
 			}
-			readers[j.r] = true
-			if j.resume {
-				j.r.replay(kept, j.term, j.seq)
+			readers[change.reader] = true
+			if change.after != nil {
+				change.reader.replay(kept, *change.after)
 			}
+		case <-s.ended:
+			return
 		}
 	}
 }
 
-// replay gives a reader the kept lines behind the one that it read last, and tells it if there were
-// others between.
-func (r *reader) replay(kept []line, term, seq uint64) {
-	missing := true
-	for _, l := range kept {
-		if l.Term < term || l.Term == term && l.Seq <= seq {
-			missing = false
+// offer passes a line to a reader, without waiting for it; before it goes how many the reader was too slow for.
+func (r *streamReader) offer(line streamLine) {
+	if r.dropped > 0 {
+		select {
+		case r.lines <- streamLine{Term: line.Term, Seq: line.Seq, Missed: r.dropped, Note: "the reader was too slow"}:
+			r.dropped = 0
+		default:
+		}
+	}
+	select {
+	case r.lines <- line:
+	default:
+		r.dropped++
+	}
+}
+
+// replay offers a reader the kept lines behind the one that it read last, and before them how many others there were.
+func (r *streamReader) replay(kept []streamLine, last position) {
+	gap := true // between the last line read and the first one kept
+	for _, line := range kept {
+		if line.Term < last.term || line.Term == last.term && line.Seq <= last.seq {
+			gap = false
 			continue
 		}
-		if missing {
-			r.give(line{Term: l.Term, Seq: l.Seq, Missed: max(1, l.Seq-min(l.Seq, seq+1)), Why: "lines before this one are no longer kept here, or stood with another leader"})
-			missing = false
+		if gap {
+			missed := max(1, line.Seq-min(line.Seq, last.seq+1))
+			r.offer(streamLine{Term: line.Term, Seq: line.Seq, Missed: missed, Note: "lines before this one are no longer kept here, or stood with another leader"})
+			gap = false
 		}
-		r.give(l)
+		r.offer(line)
 	}
 }
 
-// Serve answers one reader until it goes, if this daemon leads; else it sends the reader to the
-// leader's HTTP address.
-func (u *EventStream) Serve(w http.ResponseWriter, r *http.Request, leads bool, leader string) {
-	if !leads {
-		if leader == "" {
-			refuse(w, http.StatusServiceUnavailable, tuning.RetryAfterMin, config.ErrorBody{Code: "no_leader", Message: "no leader is known"})
-			return
-		}
-		http.Redirect(w, r, "http://"+leader+r.URL.RequestURI(), http.StatusTemporaryRedirect)
+// redirectToLeader sends a reader to the leader's HTTP address, "" if none is known.
+func redirectToLeader(w http.ResponseWriter, r *http.Request, leaderAddr string) {
+	if leaderAddr == "" {
+		writeError(w, http.StatusServiceUnavailable, tuning.RetryAfterMin, config.ErrorBody{Code: "no_leader", Message: "no leader is known"})
 		return
 	}
-	j := join{r: &reader{lines: make(chan line, 2*tuning.EventsKept+tuning.StreamBuffer)}}
-	if f := r.URL.Query().Get("from"); f != "" {
-		if _, err := fmt.Sscanf(f, "%d.%d", &j.term, &j.seq); err != nil {
-			refuse(w, http.StatusBadRequest, 0, config.ErrorBody{Code: "bad_request", Message: "from is term.seq of the last line read"})
-			return
-		}
-		j.resume = true
+	http.Redirect(w, r, "http://"+leaderAddr+r.URL.RequestURI(), http.StatusTemporaryRedirect)
+}
+
+// parseFrom reads where a reader resumes from the parameter from; nil: it does not resume.
+func parseFrom(from string) (*position, error) {
+	if from == "" {
+		return nil, nil
+	}
+	var last position
+	if _, err := fmt.Sscanf(from, "%d.%d", &last.term, &last.seq); err != nil {
+		return nil, err
+	}
+	return &last, nil
+}
+
+// Serve responds to one reader with the stream's lines until it goes.
+func (s *EventStream) Serve(w http.ResponseWriter, r *http.Request) {
+	after, err := parseFrom(r.URL.Query().Get("from"))
+	if err != nil {
+		writeError(w, http.StatusBadRequest, 0, config.ErrorBody{Code: "bad_request", Message: "from is term.seq of the last line read"})
+		return
 	}
 	w.Header().Set("Content-Type", "application/jsonl")
 	w.WriteHeader(http.StatusOK)
-	rc := http.NewResponseController(w)
-	rc.Flush()
-	u.join <- j
-	defer func() { u.join <- join{r: j.r, leave: true} }()
-	enc := json.NewEncoder(w)
+	flusher := http.NewResponseController(w)
+	flusher.Flush()
+	reader := &streamReader{lines: make(chan streamLine, 2*tuning.EventsKept+tuning.StreamBuffer)}
+	if !s.subscribe(subscription{reader: reader, after: after}) {
+		return
+	}
+	defer s.subscribe(subscription{reader: reader, remove: true})
+	encoder := json.NewEncoder(w)
 	for {
 		select {
-		case l := <-j.r.lines:
-			if enc.Encode(l) != nil || len(j.r.lines) == 0 && rc.Flush() != nil {
+		case line := <-reader.lines:
+			if encoder.Encode(line) != nil || len(reader.lines) == 0 && flusher.Flush() != nil {
 				return
 			}
 		case <-r.Context().Done():
 			return
+		case <-s.ended:
+			return
 		}
 	}
 }
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -4,125 +4,135 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"myrtlefold/internal/shared/statemachine"
 	"net/http"
 	"net/http/httptest"
+	"runtime"
 	"testing"
 
+	"myrtlefold/internal/shared/statemachine"
+
 	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/tuning"
 )
 
-func note() statemachine.Publish { return statemachine.Publish{Event: &outlier.Event{}} }
+func publishedEvent() statemachine.Publish { return statemachine.Publish{Event: &outlier.Event{}} }
+
+// await waits until all lines published so far have been taken from the queue.
+func (s *EventStream) await() {
+	for len(s.published) > 0 {
+		runtime.Gosched()
+	}
+}
 
-// A reader resumes after the line it names, and is told of what it missed, be it
-// for coming late or for reading too slowly.
+// A reader resumes after the line it names, and gets the number of lines that it missed, be it for coming late or for
+// reading too slowly.
 func TestStream(t *testing.T) {
-	u := NewEventStream()
+	stream := NewEventStream(t.Context())
 	for range 10 {
-		u.Publish(3, note())
+		stream.Publish(3, publishedEvent())
 	}
-	next := func(r *reader) line { return <-r.lines }
-	r := &reader{lines: make(chan line, 64)}
-	for len(u.put) > 0 {
-	}
-	u.join <- join{r: r, term: 3, seq: 4, resume: true}
+	next := func(reader *streamReader) streamLine { return <-reader.lines }
+	reader := &streamReader{lines: make(chan streamLine, 64)}
+	stream.await()
+	stream.subscribe(subscription{reader: reader, after: &position{term: 3, seq: 4}})
 	for want := uint64(5); want <= 10; want++ {
-		if l := next(r); l.Seq != want || l.Missed != 0 {
-			t.Fatalf("%+v, want %d", l, want)
+		if line := next(reader); line.Seq != want || line.Missed != 0 {
+			t.Fatalf("%+v, want %d", line, want)
 		}
 	}
-	u.Publish(4, note())
-	if l := next(r); l.Seq != 11 || l.Term != 4 {
-		t.Fatalf("%+v", l)
+	stream.Publish(4, publishedEvent())
+	if line := next(reader); line.Seq != 11 || line.Term != 4 {
+		t.Fatalf("%+v", line)
 	}
-	other := &reader{lines: make(chan line, 64)}
-	u.join <- join{r: other, term: 2, seq: 900, resume: true} // from another leader
-	if l := next(other); l.Missed == 0 {
-		t.Fatalf("%+v", l)
+	other := &streamReader{lines: make(chan streamLine, 64)}
+	stream.subscribe(subscription{reader: other, after: &position{term: 2, seq: 900}}) // from another leader
+	if line := next(other); line.Missed == 0 {
+		t.Fatalf("%+v", line)
 	}
-	slow := &reader{lines: make(chan line, 2)}
-	u.join <- join{r: slow}
+	slow := &streamReader{lines: make(chan streamLine, 2)}
+	stream.subscribe(subscription{reader: slow})
 	for range 5 {
-		u.Publish(4, note())
-	}
-	for len(u.put) > 0 {
+		stream.Publish(4, publishedEvent())
 	}
-	u.join <- join{r: other, leave: true} // taken only when the last line has been given out
+	stream.await()
+	stream.subscribe(subscription{reader: other, remove: true}) // taken only when the last line has been offered
 	if a, b := next(slow), next(slow); a.Seq != 12 || b.Seq != 13 {
 		t.Fatalf("%+v %+v", a, b)
 	}
-	u.Publish(4, note())
-	if l := next(slow); l.Missed != 3 {
-		t.Fatalf("%+v", l)
+	stream.Publish(4, publishedEvent())
+	if line := next(slow); line.Missed != 3 {
+		t.Fatalf("%+v", line)
 	}
 	for range 3 * tuning.EventsKept {
-		u.Publish(4, note()) // nobody reads, nobody waits
+		stream.Publish(4, publishedEvent()) // nobody reads, nobody waits
 	}
 }
 
-// The judge over HTTP: each line is answered while the stream is open, and one that
-// broke off goes on where it was.
+// openTestSession opens a policy session: what is written to lines is its request's body.
+func openTestSession(t *testing.T, url string) (lines *io.PipeWriter, answers *json.Decoder, response *http.Response) {
+	t.Helper()
+	body, lines := io.Pipe()
+	request, err := http.NewRequest(http.MethodPost, url, body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err = http.DefaultClient.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return lines, json.NewDecoder(response.Body), response
+}
+
+// The outlier detector over HTTP: each line is answered while the stream is open, and one that broke off goes on where
+// it was.
 func TestSessions(t *testing.T) {
-	srv := httptest.NewServer(NewSessions())
-	defer srv.Close()
-	open := func(q string) (*io.PipeWriter, *json.Decoder, *http.Response) {
-		r, w := io.Pipe()
-		req, _ := http.NewRequest("POST", srv.URL+q, r)
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return w, json.NewDecoder(resp.Body), resp
-	}
-	miss := func(w io.Writer, at int) {
+	server := httptest.NewServer(NewSessions(t.Context()))
+	defer server.Close()
+	missedCheck := func(w io.Writer, at int) {
 		fmt.Fprintf(w, `{"at_ns":%d,"slice":"probe","service":"s","name":"a","incarnation":1}`+"\n", at)
 	}
-	var hello struct {
-		Stream string
-		Line   uint64
-	}
-	var l outlier.Result
-	w, d, resp := open("")
-	if err := d.Decode(&hello); err != nil || hello.Line != 0 {
-		t.Fatal(err, hello)
+	checkStatus := func(query string, want int) {
+		t.Helper()
+		lines, _, response := openTestSession(t, server.URL+query)
+		if response.StatusCode != want {
+			t.Fatal(response.Status)
+		}
+		lines.Close()
 	}
-	if pw, _, other := open("?resume=" + hello.Stream); other.StatusCode != 409 {
-		t.Fatal(other.Status)
-	} else {
-		pw.Close()
+	var opened sessionOpened
+	var result outlier.Result
+	lines, answers, response := openTestSession(t, server.URL)
+	if err := answers.Decode(&opened); err != nil || opened.Line != 0 {
+		t.Fatal(err, opened)
 	}
-	fmt.Fprintln(w, "nonsense")
-	if err := d.Decode(&l); err != nil || l.Line != 1 || l.Error == "" {
-		t.Fatal(err, l)
+	checkStatus("?resume="+opened.Stream, http.StatusConflict)
+	fmt.Fprintln(lines, "nonsense")
+	if err := answers.Decode(&result); err != nil || result.Line != 1 || result.Error == "" {
+		t.Fatal(err, result)
 	}
-	miss(w, 1e9)
-	w.Close()
-	for d.Decode(&l) == nil {
+	missedCheck(lines, 1e9)
+	lines.Close()
+	for answers.Decode(&result) == nil {
 	}
-	resp.Body.Close()
-	again := func() (*io.PipeWriter, *json.Decoder, *http.Response) {
+	response.Body.Close()
+	resume := func() (*io.PipeWriter, *json.Decoder, *http.Response) {
 		for {
-			w, d, resp := open("?resume=" + hello.Stream)
-			if resp.StatusCode != 409 {
-				return w, d, resp
+			lines, answers, response := openTestSession(t, server.URL+"?resume="+opened.Stream)
+			if response.StatusCode != http.StatusConflict {
+				return lines, answers, response
 			}
-			w.Close()
+			lines.Close()
 		}
 	}
-	w, d, resp = again()
-	if err := d.Decode(&hello); err != nil || hello.Line != 2 {
-		t.Fatal(err, hello)
-	}
-	miss(w, 2e9)
-	if err := d.Decode(&l); err != nil || l.Line != 3 || l.Decision == nil || l.Decision.Kind != "bar" {
-		t.Fatal(err, l)
+	lines, answers, response = resume()
+	if err := answers.Decode(&opened); err != nil || opened.Line != 2 {
+		t.Fatal(err, opened)
 	}
-	w.Close()
-	resp.Body.Close()
-	if pw, _, none := open("?resume=gone"); none.StatusCode != 404 {
-		t.Fatal(none.Status)
-	} else {
-		pw.Close()
+	missedCheck(lines, 2e9)
+	if err := answers.Decode(&result); err != nil || result.Line != 3 || result.Decision == nil || result.Decision.Kind != "bar" {
+		t.Fatal(err, result)
 	}
+	lines.Close()
+	response.Body.Close()
+	checkStatus("?resume=gone", http.StatusNotFound)
 }
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -1,74 +1,86 @@
-// This file is the count of messages between daemons, by direction and kind, as
-// /metrics shows it.
+// This file counts the messages between daemons, by direction and kind, as /metrics shows them.
 
 package daemon
 
 import (
-	"myrtlefold/internal/shared/wire"
 	"sync/atomic"
 
 	"github.com/prometheus/client_golang/prometheus"
+
+	"myrtlefold/internal/shared/wire"
 )
 
-// kinds are the messages' names, by wire.Kind.
-var kinds = [...]string{"unknown", "hello", "vote", "append", "pull", "push", "beat", "ask"}
+// kindLabels are the kinds of messages as /metrics names them, by wire.Kind.
+var kindLabels = [...]string{"unknown", "hello", "vote", "append", "pull", "push", "beat", "ask"}
+
+// Direction is which way a message went, as /metrics names it.
+type Direction string
 
-// MessageCount is what went one way in messages of one kind; bytes are as on the connection, packed.
+// The directions, as this daemon sees them.
+const (
+	received Direction = "received"
+	sent     Direction = "sent"
+)
+
+// MessageCount is how many messages of a kind went one way. Bytes are as on the connection, packed.
 type MessageCount struct {
-	Sent            bool
+	Direction       Direction
 	Kind            string
 	Messages, Bytes uint64
 }
 
 // Traffic counts a daemon's messages to and from others. It is a prometheus.Collector.
 type Traffic struct {
-	counts [2][len(kinds)]struct{ msgs, bytes atomic.Uint64 }
+	received, sent [len(kindLabels)]messageCounter
 }
 
-func (t *Traffic) add(sent bool, kind wire.Kind, bytes int) {
-	if int(kind) >= len(kinds) {
-		kind = 0
+// messageCounter counts the messages of one kind that went one way.
+type messageCounter struct{ messages, bytes atomic.Uint64 }
+
+func (t *Traffic) counters(direction Direction) *[len(kindLabels)]messageCounter {
+	if direction == sent {
+		return &t.sent
 	}
-	c := &t.counts[way(sent)][kind]
-	c.msgs.Add(1)
-	c.bytes.Add(uint64(bytes))
+	return &t.received
 }
 
-func way(sent bool) int {
-	if sent {
-		return 1
+func (t *Traffic) add(direction Direction, kind wire.Kind, bytes int) {
+	if int(kind) >= len(kindLabels) {
+		kind = 0
 	}
-	return 0
+	counter := &t.counters(direction)[kind]
+	counter.messages.Add(1)
+	counter.bytes.Add(uint64(bytes))
 }
 
-// Flows returns the counts so far, without those that are 0.
-func (t *Traffic) Counts() (l []MessageCount) {
-	for _, sent := range []bool{false, true} {
-		for k := range kinds {
-			c := &t.counts[way(sent)][k]
-			if n := c.msgs.Load(); n > 0 {
-				l = append(l, MessageCount{sent, kinds[k], n, c.bytes.Load()})
+// Counts returns the counts so far, without those that are 0.
+func (t *Traffic) Counts() (counts []MessageCount) {
+	for _, direction := range []Direction{received, sent} {
+		counters := t.counters(direction)
+		for kind, label := range kindLabels {
+			if n := counters[kind].messages.Load(); n > 0 {
+				counts = append(counts, MessageCount{direction, label, n, counters[kind].bytes.Load()})
 			}
 		}
 	}
-	return l
+	return counts
 }
 
-// Describe says nothing, which makes the collector an unchecked one.
+// Describe sends no descriptor, which makes the collector an unchecked one.
 func (t *Traffic) Describe(chan<- *prometheus.Desc) {}
 
-// Collect gives the counts to a registry.
-func (t *Traffic) Collect(ch chan<- prometheus.Metric) {
-	desc := func(what, help string) *prometheus.Desc {
-		return prometheus.NewDesc("mf_wire_"+what+"_total", help, []string{"direction", "kind"}, nil)
-	}
-	msgs, bytes := desc("messages", "Messages between daemons."), desc("bytes", "Bytes of messages between daemons.")
-	for _, f := range t.Counts() {
-		dir := "received"
-		if f.Sent {
-			dir = "sent"
-		}
-		ch <- prometheus.MustNewConstMetric(msgs, prometheus.CounterValue, float64(f.Messages), dir, f.Kind)
-		ch <- prometheus.MustNewConstMetric(bytes, prometheus.CounterValue, float64(f.Bytes), dir, f.Kind)
+var trafficLabels = []string{"direction", "kind"}
+
+var (
+	messagesDesc = prometheus.NewDesc("mf_wire_messages_total", "Messages between daemons.", trafficLabels, nil)
+	bytesDesc    = prometheus.NewDesc("mf_wire_bytes_total", "Bytes of messages between daemons.", trafficLabels, nil)
+)
+
+// Collect sends the counts to a registry.
+func (t *Traffic) Collect(metrics chan<- prometheus.Metric) {
+	for _, c := range t.Counts() {
+		direction := string(c.Direction)
+		metrics <- prometheus.MustNewConstMetric(messagesDesc, prometheus.CounterValue, float64(c.Messages), direction, c.Kind)
+		metrics <- prometheus.MustNewConstMetric(bytesDesc, prometheus.CounterValue, float64(c.Bytes), direction, c.Kind)
 	}
 }
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -1,167 +1,194 @@
-// This file is the connections between daemons.
+// This file is the connections between daemons. Each carries messages one way: a daemon sends on the connections
+// that it opened, and reads from those that others opened.
 
 package daemon
 
 import (
-	"cmp"
+	"context"
 	"io"
-	"myrtlefold/internal/shared/statemachine"
 	"net"
+	"syscall"
 	"time"
 
 	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
 
 	"myrtlefold/internal/dataplane/reverseproxy"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// ListenForPeers opens the daemon's address and passes the messages of other daemons to the owner.
-func (h *Process) ListenForPeers() error {
-	ln, err := reverseproxy.Listen(cmp.Or(h.Settings.Bind, h.Settings.Addr), tuning.AckTimeout)
+// Transport sends messages to other daemons and posts theirs to the loop.
+type Transport struct {
+	log       *logrus.Logger
+	clock     *Clock
+	loop      *Loop
+	traffic   *Traffic
+	localAddr net.Addr // that connections leave from, nil: the system's choice
+
+	queues map[string]chan outgoing // messages to be sent, by address; the loop's goroutine owns them
+	tables packedTables             // those that are sent to many; the loop's goroutine owns them
+}
+
+// Listen accepts other daemons' connections on addr until the context ends. failed gets the error that ends it
+// before, on a goroutine of its own.
+func (t *Transport) Listen(ctx context.Context, addr string, failed func(error)) error {
+	listener, err := reverseproxy.Listen(addr, tuning.AckTimeout)
 	if err != nil {
-		return errors.Wrap(err, "listen for daemons")
+		return errors.Wrapf(err, "listen for daemons on %s", addr)
 	}
-	go h.accept(ln)
+	context.AfterFunc(ctx, func() { listener.Close() })
+	go func() {
+		if err := t.accept(ctx, listener); ctx.Err() == nil {
+			failed(errors.Wrapf(err, "accept connections of daemons on %s", addr))
+		}
+	}()
 	return nil
 }
 
-func (h *Process) accept(ln net.Listener) {
+func (t *Transport) accept(ctx context.Context, listener net.Listener) error {
 	for {
-		c, err := ln.Accept()
-		if passes(err) {
+		conn, err := listener.Accept()
+		if isTransient(err) {
 			time.Sleep(tuning.Redial)
 			continue
 		}
 		if err != nil {
-			h.Fatal(err, "accept from daemons")
+			return err
 		}
-		go h.receive(c)
+		go t.receive(ctx, conn)
 	}
 }
 
-// receive reads the messages of one connection until it ends, or one of them is unsound.
-func (h *Process) receive(c net.Conn) {
-	defer c.Close()
-	r, from := wire.NewReader(c), ""
+// isTransient reports whether a listener's error ends by itself: descriptors come free, or one caller went.
+func isTransient(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED)
+}
+
+// receive posts the messages of one connection until it or the context ends, or a message can't be decoded.
+func (t *Transport) receive(ctx context.Context, conn net.Conn) {
+	defer closeAtEnd(ctx, conn)()
+	reader := wire.NewReader(conn)
+	sender := ""
 	for {
-		b, err := r.Next()
+		encoded, err := reader.Next()
 		if err != nil {
 			return
 		}
-		m, err := wire.Decode(b)
+		message, err := wire.Decode(encoded)
 		if err != nil {
-			h.Log.WithError(err).WithField("from", c.RemoteAddr().String()).Warn("message not understood")
+			t.log.WithError(err).WithField("from", conn.RemoteAddr().String()).Warn("message can't be decoded; connection closed")
 			return
 		}
-		if m.From == "" {
-			m.From = from // the sender is named once
+		if message.From == "" {
+			message.From = sender // the first message of a connection names the sender for all
 		}
-		from = m.From
-		h.Traffic.add(false, m.Kind, r.Size)
-		h.Loop.Post(statemachine.Receive{Message: m})
+		sender = message.From
+		t.traffic.add(received, message.Kind, reader.Size)
+		t.loop.Post(statemachine.Receive{Message: message})
 	}
 }
 
-// queued is a message that waits to be sent, and since when.
-type queued struct {
-	m     *wire.Message
-	table *wire.PackedTable // the message's, if it is packed for all who get it
-	at    time.Duration
+// closeAtEnd closes a connection when the context ends, or when the returned function is called.
+func closeAtEnd(ctx context.Context, conn net.Conn) (closeNow func()) {
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	return func() {
+		stop()
+		conn.Close()
+	}
 }
 
-// packedTables are the tables last sent. An owner never changes a table that it has handed out, so
-// the pointer tells which it is.
-type packedTables struct {
-	tables [tuning.PackedTables]*wire.Table
-	packed [tuning.PackedTables]*wire.PackedTable
-	next   int // which is replaced next
+// outgoing is a message that waits to be sent.
+type outgoing struct {
+	message  *wire.Message
+	table    *wire.PackedTable // the message's, if it is packed for all who get it
+	queuedAt time.Duration
 }
 
-// of is a table in its packed form, nil if it can't be packed: then who sends it says why.
-func (p *packedTables) of(t *wire.Table) *wire.PackedTable {
-	if t == nil {
-		return nil
+// Send queues a message for an address; only on the loop's goroutine, which it doesn't keep waiting. Messages that
+// can't be sent soon are dropped: state machines repeat them, or send later ones in their place.
+func (t *Transport) Send(ctx context.Context, addr string, message *wire.Message) {
+	queue := t.queues[addr]
+	if queue == nil {
+		queue = make(chan outgoing, tuning.SendQueue)
+		t.queues[addr] = queue
+		go t.runSender(ctx, addr, queue)
 	}
-	for i := range p.tables {
-		if p.tables[i] == t {
-			return p.packed[i]
-		}
-	}
-	b, err := wire.PackTable(t)
-	if err != nil {
-		return nil
-	}
-	p.tables[p.next], p.packed[p.next] = t, b
-	p.next = (p.next + 1) % len(p.tables)
-	return b
-}
-
-// Send queues a message for an address; called on the owner's goroutine. Messages that can't be
-// sent soon are dropped: owners repeat them, or send later ones in their place.
-func (h *Process) Send(addr string, m *wire.Message) {
-	ch := h.queues[addr]
-	if ch == nil {
-		ch = make(chan queued, tuning.SendQueue)
-		h.queues[addr] = ch
-		go h.sender(addr, ch)
-	}
-	q := queued{m: m, at: h.Now()}
-	if m.Push != nil {
-		q.table = h.tables.of(m.Push.Table)
+	item := outgoing{message: message, queuedAt: t.clock.Now()}
+	if message.Push != nil {
+		item.table = t.tables.pack(message.Push.Table)
 	}
 	select {
-	case ch <- q:
+	case queue <- item:
 	default:
 	}
 }
 
-// sender sends the messages of one queue, on a connection that is opened when there are any.
-func (h *Process) sender(addr string, ch chan queued) {
-	var c net.Conn
-	var w *wire.Writer
-	for q := range ch {
-		if h.Now()-q.at > tuning.SendQueueTTL { // it would only keep later ones waiting
-			continue
-		}
-		var err error
-		if c == nil {
-			if c, err = h.dial(addr); err != nil {
-				c = nil
-				time.Sleep(tuning.Redial)
-				for len(ch) > 0 {
-					<-ch // stale by now
-				}
-				continue
+// runSender sends the messages of one queue until the context ends.
+func (t *Transport) runSender(ctx context.Context, addr string, queue chan outgoing) {
+	s := sender{Transport: t, addr: addr, queue: queue}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case item := <-queue:
+			if t.clock.Now()-item.queuedAt <= tuning.SendQueueTTL { // an older one would only delay later ones
+				s.send(ctx, item)
 			}
-			w = wire.NewWriter(c)
-		}
-		c.SetWriteDeadline(time.Now().Add(tuning.ProxyLease))
-		size := 0
-		if size, err = w.PutPacked(q.m, q.table); err == nil {
-			h.Traffic.add(true, q.m.Kind, size)
-		}
-		if err == nil && len(ch) == 0 {
-			err = w.Flush()
-		}
-		if err != nil {
-			h.Log.WithError(err).WithField("to", addr).Debug("message not sent")
-			c.Close()
-			c = nil
 		}
 	}
 }
 
-// dial opens a connection for sending. The other side never sends: only its close is read.
-func (h *Process) dial(addr string) (net.Conn, error) {
-	d := reverseproxy.NewDialer(h.LocalAddr(), tuning.ProbeTimeout)
-	c, err := d.Dial("tcp", addr)
+// sender sends messages to one address; the goroutine of runSender owns it.
+type sender struct {
+	*Transport
+	addr       string
+	queue      chan outgoing
+	writer     *wire.Writer // nil: there is no connection
+	conn       net.Conn
+	disconnect func() // closes conn
+}
+
+// send sends a message, on a connection that it opens if there is none. What is written goes out when no other
+// message waits.
+func (s *sender) send(ctx context.Context, item outgoing) {
+	if s.writer == nil && !s.connect(ctx) {
+		return
+	}
+	s.conn.SetWriteDeadline(time.Now().Add(tuning.ProxyLease))
+	size, err := s.writer.PutPacked(item.message, item.table)
+	if err == nil {
+		s.traffic.add(sent, item.message.Kind, size)
+	}
+	if err == nil && len(s.queue) == 0 {
+		err = s.writer.Flush()
+	}
 	if err != nil {
-		return nil, err
+		s.log.WithError(err).WithField("to", s.addr).Debug("message not sent")
+		s.disconnect()
+		s.writer = nil
 	}
-	go func() {
-		io.Copy(io.Discard, c)
-		c.Close()
+}
+
+// connect opens the connection. If it can't, it waits a little and drops what is in the queue, which is stale by then.
+func (s *sender) connect(ctx context.Context) bool {
+	dialer := reverseproxy.NewDialer(s.localAddr, tuning.ProbeTimeout)
+	conn, err := dialer.DialContext(ctx, "tcp", s.addr)
+	if err != nil {
+		select {
+		case <-time.After(tuning.Redial):
+		case <-ctx.Done():
+		}
+		for len(s.queue) > 0 {
+			<-s.queue
+		}
+		return false
+	}
+	s.conn, s.writer, s.disconnect = conn, wire.NewWriter(conn), closeAtEnd(ctx, conn)
+	go func() { // the other side never sends: this reads only its close
+		io.Copy(io.Discard, conn)
+		conn.Close()
 	}()
-	return c, nil
+	return true
 }
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -288,11 +288,11 @@
 			if _, err := app.Parse([]string{"--settings", file}); err != nil {
 				t.Fatal(err)
 			}
-			s, _, faults, err := flags.Load(kind)
-			if err != nil || len(faults) > 0 {
-				t.Fatal(faults, err)
+			loaded, err := flags.Load(kind)
+			if err != nil || len(loaded.Faults) > 0 {
+				t.Fatal(loaded.Faults, err)
 			}
-			got, err := json.MarshalIndent(s, "", "  ")
+			got, err := json.MarshalIndent(loaded.Settings, "", "  ")
 			if err != nil {
 				t.Fatal(err)
 			}
