--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -35,8 +35,8 @@
 	word := wire.Target{}
 	if strings.HasPrefix(e.Path, "/v1/targets") && e.Method != "GET" {
 		w, r := targetreport.Parse(e)
-		if r.Status != 0 {
-			c.answer(p, r)
+		if r != nil {
+			c.answer(p, *r)
 			return
 		}
 		word, p.targetReport = w, true
@@ -110,8 +110,8 @@
 	if strings.HasPrefix(a.Path, "/v1/targets") && a.Method != "GET" {
 		p.targetReport = true
 		w, r := targetreport.Parse(statemachine.Call{Method: a.Method, Path: a.Path, Query: a.Query, Body: a.Body})
-		if r.Status != 0 {
-			c.answer(p, r)
+		if r != nil {
+			c.answer(p, *r)
 			return
 		}
 		c.reportTarget(now, p, w)
--- a/internal/shared/discovery/discovery.go
+++ b/internal/shared/discovery/discovery.go
@@ -1,5 +1,6 @@
-// Package discovery is what a daemon knows of the others: who there is, where, and who leads, as
-// hellos tell it. It sends nothing itself.
+// Package discovery is what a daemon knows of the other daemons from their hellos: which there are, at
+// which addresses, and who leads. It sends nothing, and has no clock: times are those of the daemon that
+// asks, since its start. Begin with Directory.
 package discovery
 
 import (
@@ -12,73 +13,96 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Peer is what a daemon has heard of another.
+// Peer is what a daemon knows of another one.
 type Peer struct {
 	wire.Daemon
-	LastContact    time.Duration
-	Leader         string
-	Term           uint64
-	Members        Membership
+	// LastContact is when its last hello arrived. For one that is known from others' hellos only, it
+	// is set back by half of tuning.DaemonExpiry.
+	LastContact time.Duration
+	// Leader names the leader that it hears, "" if it hears none.
+	Leader string
+	// Term is its term, 0 if it is no member.
+	Term uint64
+	// Members is the latest membership that it knows.
+	Members Membership
+	// BootstrapEpoch is the latest epoch that it has locked for a bootstrap, 0: none.
 	BootstrapEpoch uint64
-	Consent        RecoveryConsent
+	// Consent is the operator's consent to a recovery that it was given.
+	Consent RecoveryConsent
 }
 
-// Membership is a list of members as of an epoch and a place in its log.
+// Membership is the control plane's members as of an epoch and an index of its log.
 type Membership struct {
 	Epoch, Index uint64
 	Members      []wire.Member
 }
 
-func (m Membership) IsBefore(o Membership) bool {
-	return cmp.Or(cmp.Compare(m.Epoch, o.Epoch), cmp.Compare(m.Index, o.Index)) < 0
+// IsBefore says that other is later: of a later epoch, else of a later entry.
+func (m Membership) IsBefore(other Membership) bool {
+	return cmp.Or(cmp.Compare(m.Epoch, other.Epoch), cmp.Compare(m.Index, other.Index)) < 0
 }
 
-// RecoveryConsent is an operator's word that a core must be founded again, and that the disks of
-// some of its members will never come back.
+// RecoveryConsent is an operator's consent to recover a control plane without waiting for the members
+// that are missing.
 type RecoveryConsent struct {
-	Granted     bool
+	Granted bool
+	// LostMembers names the members whose disks the operator knows to be lost for good.
 	LostMembers []string
-	GrantedAt   time.Duration
+	// GrantedAt is when this daemon learnt of it.
+	GrantedAt time.Duration
 }
 
 // Directory is a daemon's list of the others, by name.
 type Directory map[string]*Peer
 
-// Merge merges what a hello says of the daemons: its sender is taken at its word,
-// others are only added.
-func (b Directory) Merge(now time.Duration, self string, h *wire.Hello) {
-	if h.Self.Name == "" || h.Self.Name == self {
+// Merge adds what a hello says of daemons. What its sender says of itself replaces what was known of
+// it; the daemons that it lists are only added if they were unknown. Self is the name of the receiver,
+// which is never in its own directory.
+func (d Directory) Merge(now time.Duration, self string, hello *wire.Hello) {
+	sender := hello.Self
+	if sender.Name == "" || sender.Name == self {
 		return
 	}
-	b[h.Self.Name] = &Peer{Daemon: h.Self, LastContact: now, Leader: h.Leader, Term: h.Term, BootstrapEpoch: h.BootstrapEpoch,
-		Members: Membership{h.MembersEpoch, h.MembersIndex, h.Members}, Consent: RecoveryConsent{h.RecoveryConsent, h.LostMembers, now}}
-	for _, d := range h.Daemons {
-		if b[d.Name] == nil && d.Name != self && d.Name != "" {
-			b[d.Name] = &Peer{Daemon: d, LastContact: now - tuning.DaemonExpiry/2}
+	d[sender.Name] = &Peer{
+		Daemon:         sender,
+		LastContact:    now,
+		Leader:         hello.Leader,
+		Term:           hello.Term,
+		BootstrapEpoch: hello.BootstrapEpoch,
+		Members:        Membership{Epoch: hello.MembersEpoch, Index: hello.MembersIndex, Members: hello.Members},
+		Consent:        RecoveryConsent{Granted: hello.RecoveryConsent, LostMembers: hello.LostMembers, GrantedAt: now},
+	}
+	for _, listed := range hello.Daemons {
+		if d[listed.Name] == nil && listed.Name != self && listed.Name != "" {
+			d[listed.Name] = &Peer{Daemon: listed, LastContact: now - tuning.DaemonExpiry/2}
 		}
 	}
 }
 
-// Daemons is the book as it is handed on.
-func (b Directory) Daemons() (l []wire.Daemon) {
-	for _, n := range slices.Sorted(maps.Keys(b)) {
-		l = append(l, b[n].Daemon)
+// Daemons are the daemons of the directory, sorted by name.
+func (d Directory) Daemons() []wire.Daemon {
+	var daemons []wire.Daemon
+	for _, name := range slices.Sorted(maps.Keys(d)) {
+		daemons = append(daemons, d[name].Daemon)
 	}
-	return l
+	return daemons
 }
 
-// Leader is the one that core daemons last named, in the latest epoch and term.
-func (b Directory) Leader(now time.Duration) string {
-	var best *Peer
-	for _, n := range slices.Sorted(maps.Keys(b)) {
-		k := b[n]
-		if k.Kind == wire.ControlDaemon && k.Leader != "" && now-k.LastContact < tuning.DaemonExpiry &&
-			(best == nil || cmp.Or(cmp.Compare(k.Epoch, best.Epoch), cmp.Compare(k.Term, best.Term)) > 0) {
-			best = k
+// Leader is the leader that a control daemon named in the latest epoch and term, "" if none did within
+// tuning.DaemonExpiry.
+func (d Directory) Leader(now time.Duration) string {
+	var latest *Peer
+	for _, name := range slices.Sorted(maps.Keys(d)) {
+		peer := d[name]
+		if peer.Kind != wire.ControlDaemon || peer.Leader == "" || now-peer.LastContact >= tuning.DaemonExpiry {
+			continue
+		}
+		if latest == nil || cmp.Or(cmp.Compare(peer.Epoch, latest.Epoch), cmp.Compare(peer.Term, latest.Term)) > 0 {
+			latest = peer
 		}
 	}
-	if best == nil {
+	if latest == nil {
 		return ""
 	}
-	return best.Leader
+	return latest.Leader
 }
--- a/internal/shared/reply/reply.go
+++ b/internal/shared/reply/reply.go
@@ -1,29 +1,36 @@
-// Package reply builds the answers of the HTTP API that both daemons give.
+// Package reply builds the answers of the HTTP API that control daemons and proxies give alike. It decides
+// nothing about a call. Begin with Problem.
 package reply
 
 import (
 	"encoding/json"
 
+	"github.com/cockroachdb/errors"
+
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Body is v in JSON, with a line end. It panics for what JSON can't express.
-func Body(v any) []byte {
-	b, err := json.Marshal(v)
+// statusUnavailable is the HTTP status of an answer that promises nothing.
+const statusUnavailable = 503
+
+// Body is a value in JSON with a line end. It panics for a value that JSON can't express.
+func Body(value any) []byte {
+	text, err := json.Marshal(value)
 	if err != nil {
-		panic(err)
+		panic(errors.Wrap(err, "answer of the API"))
 	}
-	return append(b, '\n')
+	return append(text, '\n')
 }
 
-// Problem is a refusal, or an answer that promises nothing; its kind goes by the status.
-func Problem(status int, t config.ErrorBody) statemachine.Reply {
-	t.Rejection = config.RejectionOf(status)
-	r := statemachine.Reply{Status: status, Body: t.JSON()}
-	if status == 503 {
-		r.RetryAfter = tuning.RetryAfterMin
+// Problem is the answer to a call that is rejected, or that promises nothing. The kind of rejection follows
+// from the HTTP status; a 503 says after which time to ask again.
+func Problem(status int, body config.ErrorBody) statemachine.Reply {
+	body.Rejection = config.RejectionOf(status)
+	problem := statemachine.Reply{Status: status, Body: body.JSON()}
+	if status == statusUnavailable {
+		problem.RetryAfter = tuning.RetryAfterMin
 	}
-	return r
+	return problem
 }
