--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -42,7 +42,7 @@
 	service := p.service(req.serviceName)
 	if req.deadlineTooClose(now, service) {
 		p.Counts.DeadlineTooClose++
-		p.reject(now, req, rejectedLate)
+		p.reject(now, req, rejectedDeadline)
 		return
 	}
 	var target *targetState
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -34,7 +34,7 @@
 // hasNoLeader reports that the leader is out of reach. A proxy that has never had the right to serve waits
 // for the leader as long as that sends anything.
 func (p *Proxy) hasNoLeader(now time.Duration) bool {
-	return p.doubtsLeader(now) && (p.joined || p.leaderHeardAt == 0 || now-p.leaderHeardAt > tuning.ProxyLive)
+	return p.doubtsLeader(now) && (p.joined || p.lastLeaderPushAt == 0 || now-p.lastLeaderPushAt > tuning.ProxyLive)
 }
 
 func (p *Proxy) handleHello(now time.Duration, from string, hello *wire.Hello) {
@@ -165,7 +165,7 @@
 	if message.Epoch < p.leaderEpoch || message.Epoch == p.leaderEpoch && message.Term < p.leaderTerm {
 		return
 	}
-	p.leaderEpoch, p.leaderTerm, p.leaderHeardAt = message.Epoch, message.Term, now
+	p.leaderEpoch, p.leaderTerm, p.lastLeaderPushAt = message.Epoch, message.Term, now
 	p.handleLeaderPush(now, message, isAnswer)
 }
 
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -73,7 +73,7 @@
 	// The leader and its lease.
 	leaderEpoch      uint64        // the highest that a leader spoke with
 	leaderTerm       uint64        // the highest of that epoch
-	leaderHeardAt    time.Duration // when a leader last sent anything
+	lastLeaderPushAt time.Duration // when a leader last sent anything
 	leaderWantsTable bool          // it recovers, and collects the proxies' tables
 	leaseUntil       time.Duration
 	joined           bool // this process has had the right to serve: its own vote counts in a majority
--- a/internal/dataplane/rejection.go
+++ b/internal/dataplane/rejection.go
@@ -20,7 +20,7 @@
 	rejectedNoRule      = rejection{http.StatusNotFound, "no_rule", "no rule for this host and path"}
 	rejectedNotServing  = rejection{http.StatusServiceUnavailable, "not_serving", "this proxy has no fresh table"}
 	rejectedStopping    = rejection{http.StatusServiceUnavailable, "stopping", "this proxy is stopping and takes no more such requests"}
-	rejectedLate        = rejection{http.StatusServiceUnavailable, "late", "it could not be answered in time"}
+	rejectedDeadline    = rejection{http.StatusServiceUnavailable, "late", "it could not be answered in time"}
 	rejectedBusy        = rejection{http.StatusServiceUnavailable, "busy", "every target of the service is busy"}
 	rejectedNoTarget    = rejection{http.StatusServiceUnavailable, "no_target", "no target of the service may be used"}
 	rejectedNoAttempt   = rejection{http.StatusServiceUnavailable, "tries", "no try is left"}
