--- a/internal/controlplane/corestatus.go
+++ b/internal/controlplane/failuretolerance.go
@@ -260,34 +260,3 @@
 		return cmp.Or(-cmp.Compare(a.Match, b.Match), cmp.Compare(a.Name, b.Name))
 	}).Name
 }
-
-// countOutput counts what the node sends and agrees that operators look for.
-func (c *Controller) countOutput(o *consensus.Ready) {
-	for _, m := range o.Messages {
-		if m.Append != nil && !m.Append.Reply && m.Append.Chunk.BeginsSnapshot() {
-			c.counts.SnapshotsSent++
-		}
-	}
-	for _, e := range o.CommittedEntries {
-		if e.Kind == consensus.EntryMembers {
-			c.counts.MemberChanges++
-		}
-	}
-}
-
-// countAnswer counts an answer to a call by its kind; a target's by whether its leaving was acknowledged.
-func (c *Controller) countAnswer(p *pendingCall, status int) {
-	switch {
-	case p.targetReport && status == 503:
-		c.counts.LeavingsUnacknowledged++
-	case p.targetReport:
-	case status == 412:
-		c.counts.RejectedVersion++
-	case status == 503:
-		c.counts.AnsweredUnavailable++
-	case status == 504:
-		c.counts.AnsweredUnknown++
-	case status == 400 || status == 413 || status == 422 || status == 428:
-		c.counts.RejectedInvalid++
-	}
-}
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -1,75 +1,92 @@
-// This file tells when a table binds every proxy, and answers those who wait for it.
+// This file decides when a table is in force, which is when no proxy serves by an earlier one, and answers what waits
+// for that.
 
 package controlplane
 
 import (
 	"fmt"
 	"maps"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// force is something that waits until a table is in force everywhere.
+// inForceWaiter is something that waits until a table is in force, and for further conditions if they are set.
 type inForceWaiter struct {
-	version             uint64
-	majorityConfirmedAt time.Duration
-	waitingSince        time.Duration
-	call                *pendingCall // who waits for reply, if any
-	reply               statemachine.Reply
-	pendingTarget       wire.TargetID // target that may be served from then on
-	proxyChange         bool          // a change of the roster
-	member              string        // a core member whose joining or leaving is waited for
-	joining             bool
-	majorityOnly        bool            // confirmed by a majority of the proxies is enough
-	departures          []wire.TargetID // targets whose leaving or sign-off has to be agreed
-	longWaitReported    bool            // that it waits long has been logged
+	version             uint64        // of the table
+	waitingSince        time.Duration // when it was made
+	majorityConfirmedAt time.Duration // when a majority of the proxies had confirmed the table, 0: not yet
+	longWaitReported    bool          // a line in the log has said that it takes long
+
+	// What is done once it is in force.
+
+	call          *pendingCall // is answered with reply, nil: nobody waits for an answer
+	reply         statemachine.Reply
+	pendingTarget wire.TargetID // may be given requests from then on
+	proxyChange   bool          // the proxy membership before counts no more from then on
+
+	// Further conditions.
+
+	member       string          // this member of the control plane has joined, or left
+	joining      bool            // whether it has to join
+	departures   []wire.TargetID // the leaving or sign-off of these targets is committed
+	majorityOnly bool            // weaker: a majority of the proxies is enough, the others' leases may still run
 }
 
-// isInForce says whether a table binds every proxy: a majority of the roster, and of
-// the one before while that still counts, has confirmed it, and each other one's lease, from the leader or from
-// peers that had not confirmed yet, must have lapsed.
-func (c *Controller) isInForce(now time.Duration, f *inForceWaiter) bool {
-	if f.member != "" && (!c.node.CanChangeMembers() || f.joining != slices.ContainsFunc(c.node.Members(), func(m wire.Member) bool { return m.Name == f.member })) {
+// isInForce says whether what w waits for is reached. A table is in force once a majority of the proxies has confirmed
+// it, of the membership and of the one before while that counts, and each other proxy's lease has run out, be it from
+// the leader or from a peer that had not confirmed it yet. Majorities of two tables share a proxy, and that proxy
+// reports the later table to a new leader.
+func (c *Controller) isInForce(now time.Duration, w *inForceWaiter) bool {
+	if !c.memberChangeDone(w) {
 		return false
 	}
-	if slices.ContainsFunc(f.departures, func(id wire.TargetID) bool { return !c.departureCommitted(id) }) {
+	if slices.ContainsFunc(w.departures, func(id wire.TargetID) bool { return !c.departureCommitted(id) }) {
 		return false
 	}
-	if !c.majorityConfirmed(f.version) {
-		f.majorityConfirmedAt = 0
+	if !c.majorityConfirmed(w.version) {
+		w.majorityConfirmedAt = 0
 		return false
 	}
-	if f.majorityOnly {
+	if w.majorityOnly {
 		return true
 	}
-	if f.majorityConfirmedAt == 0 {
-		f.majorityConfirmedAt = now
+	if w.majorityConfirmedAt == 0 {
+		w.majorityConfirmedAt = now
 	}
 	for i := range c.state.Proxies {
-		if c.mayServeEarlierTable(now, c.state.Proxies[i].Name, f) {
+		if c.mayServeEarlierTable(now, c.state.Proxies[i].Name, w) {
 			return false
 		}
 	}
-	for _, n := range c.state.PreviousProxies {
-		if c.mayServeEarlierTable(now, n, f) {
+	for _, name := range c.state.PreviousProxies {
+		if c.mayServeEarlierTable(now, name, w) {
 			return false
 		}
 	}
 	return true
 }
 
-// hasConfirmed says that a proxy stands on a table or a later one.
+// memberChangeDone says that the member that w waits for has joined or left, and that this is committed.
+func (c *Controller) memberChangeDone(w *inForceWaiter) bool {
+	if w.member == "" {
+		return true
+	}
+	isMember := slices.ContainsFunc(c.node.Members(), func(m wire.Member) bool { return m.Name == w.member })
+	return c.node.CanChangeMembers() && w.joining == isMember
+}
+
+// hasConfirmed says that a proxy has this table of the present term, or a later one.
 func (c *Controller) hasConfirmed(name string, version uint64) bool {
-	g := c.proxies[name]
-	return g != nil && g.tableKey.Epoch == c.node.Epoch() && g.tableKey.Term == c.node.Term() && g.tableKey.Version >= version
+	proxy := c.proxies[name]
+	return proxy != nil && proxy.tableKey.Epoch == c.node.Epoch() && proxy.tableKey.Term == c.node.Term() && proxy.tableKey.Version >= version
 }
 
-// majorityConfirmed says that a majority of the roster, and of the one before while that counts, does.
+// majorityConfirmed says that a majority of the proxies has confirmed a table, and of the membership before while that
+// counts. Without proxies it is true. It makes no lists, since it is asked after each event for each waiter.
 func (c *Controller) majorityConfirmed(version uint64) bool {
 	confirmed := 0
 	for i := range c.state.Proxies {
@@ -77,7 +94,7 @@
 			confirmed++
 		}
 	}
-	if n := len(c.state.Proxies); n > 0 && 2*confirmed <= n {
+	if total := len(c.state.Proxies); total > 0 && 2*confirmed <= total {
 		return false
 	}
 	confirmed = 0
@@ -86,120 +103,128 @@
 			confirmed++
 		}
 	}
-	n := len(c.state.PreviousProxies)
-	return n == 0 || 2*confirmed > n
+	total := len(c.state.PreviousProxies)
+	return total == 0 || 2*confirmed > total
 }
 
-// mayServeEarlierTable says that a proxy may still serve by an earlier table than one that waits to be in force:
-// on a lease of this leader's, or of a peer's that had not confirmed it either.
-func (c *Controller) mayServeEarlierTable(now time.Duration, name string, f *inForceWaiter) bool {
-	g := c.proxies[name]
-	if g == nil || c.hasConfirmed(name, f.version) {
+// mayServeEarlierTable says that a proxy may still serve by a table before that of w: on a lease of this leader, or on
+// leases of peers that had not confirmed the table either. Since those must be a majority, none is granted any more once a
+// majority has confirmed it.
+func (c *Controller) mayServeEarlierTable(now time.Duration, name string, w *inForceWaiter) bool {
+	proxy := c.proxies[name]
+	if proxy == nil || c.hasConfirmed(name, w.version) {
 		return false
 	}
-	return now-g.leaseGrantedAt <= tuning.ProxyLease+tuning.LeaseMargin || now-f.majorityConfirmedAt <= tuning.PeerLease+tuning.LeaseMargin
+	return now-proxy.leaseGrantedAt <= tuning.ProxyLease+tuning.LeaseMargin || now-w.majorityConfirmedAt <= tuning.PeerLease+tuning.LeaseMargin
 }
 
-// answerWaiters answers for what has come into force. It is called after each event, so what it does for
-// one who still waits has to be little.
+// answerWaiters does what waits for tables that are in force now. It runs after each event, so it has to do little for
+// what goes on waiting.
 func (c *Controller) answerWaiters(now time.Duration) {
 	var done []*inForceWaiter
-	c.waiters = slices.DeleteFunc(c.waiters, func(f *inForceWaiter) bool {
-		if c.isInForce(now, f) {
-			done = append(done, f)
+	c.waiters = slices.DeleteFunc(c.waiters, func(w *inForceWaiter) bool {
+		if c.isInForce(now, w) {
+			done = append(done, w)
 			return true
 		}
-		c.reportLongWait(now, f)
-		return c.expireWaiter(now, f)
+		c.reportLongWait(now, w)
+		return c.expireWaiter(now, w)
 	})
-	for _, f := range done {
-		if f.call != nil {
-			c.answer(f.call, f.reply)
+	for _, w := range done {
+		if w.call != nil {
+			c.answer(w.call, w.reply)
 		}
-		if f.proxyChange && len(c.state.PreviousProxies) > 0 && !slices.ContainsFunc(c.waiters, func(f *inForceWaiter) bool { return f.proxyChange }) {
-			c.proposeProxyChange(now, state.Command{Operation: state.OpProxiesInForce, Base: c.state.ProxiesIndex})
+		if w.proxyChange {
+			c.endPreviousProxies(now)
 		}
-		if t := c.targets[f.pendingTarget]; t != nil && t.Pending {
+		if t := c.targets[w.pendingTarget]; t != nil && t.Pending {
 			t.Pending = false
 			c.rebuildTable(now, false)
 		}
 	}
 }
 
-// reportLongWait logs once what a change waits for that is not in force when it should be.
-func (c *Controller) reportLongWait(now time.Duration, f *inForceWaiter) {
-	if f.call == nil || f.longWaitReported || now-f.waitingSince <= tuning.InForceUsual {
+// reportLongWait logs once why a change is not in force by the time that it usually takes.
+func (c *Controller) reportLongWait(now time.Duration, w *inForceWaiter) {
+	if w.call == nil || w.longWaitReported || now-w.waitingSince <= tuning.InForceUsual {
 		return
 	}
-	f.longWaitReported = true
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectConfiguration, From: "asked", To: "waiting", Reason: c.describeWait(now, f)})
+	w.longWaitReported = true
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectConfiguration, From: "proposed", To: "waiting", Reason: c.describeWait(now, w)})
 }
 
-// describeWait says for people what a waiter waits for.
-func (c *Controller) describeWait(now time.Duration, f *inForceWaiter) string {
-	if !c.majorityConfirmed(f.version) {
-		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d before", f.version, len(c.state.Proxies), len(c.state.PreviousProxies))
+// describeWait says what w waits for, in words for the log.
+func (c *Controller) describeWait(now time.Duration, w *inForceWaiter) string {
+	if !c.majorityConfirmed(w.version) {
+		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d in the membership before", w.version, len(c.state.Proxies), len(c.state.PreviousProxies))
 	}
-	var past []string
+	var lagging []string
 	for i := range c.state.Proxies {
 		name := c.state.Proxies[i].Name
-		if !c.mayServeEarlierTable(now, name, f) {
+		if !c.mayServeEarlierTable(now, name, w) {
 			continue
 		}
-		g := c.proxies[name]
-		past = append(past, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, g.tableKey.Version, g.tableKey.Term, (now-g.leaseGrantedAt).Round(time.Millisecond)))
+		proxy := c.proxies[name]
+		lagging = append(lagging, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, proxy.tableKey.Version, proxy.tableKey.Term, (now-proxy.leaseGrantedAt).Round(time.Millisecond)))
 	}
-	if len(past) == 0 {
-		return fmt.Sprintf("table %d: members, targets or proxies of the list before", f.version)
+	if len(lagging) == 0 {
+		return fmt.Sprintf("table %d waits for members, targets or proxies of the membership before", w.version)
 	}
-	return fmt.Sprintf("table %d: %d proxies, such as %s", f.version, len(past), past[0])
+	return fmt.Sprintf("table %d waits for %d proxies, such as %s", w.version, len(lagging), lagging[0])
 }
 
-// expireWaiter answers who has waited long enough, and says whether nothing waits any more.
-func (c *Controller) expireWaiter(now time.Duration, f *inForceWaiter) bool {
-	if f.call == nil || now-f.waitingSince <= tuning.CallWait && !(f.call.targetReport && now-f.call.receivedAt > tuning.TargetReportWait) {
+// expireWaiter answers a caller that has waited for long enough, and says whether nothing is left to wait for.
+func (c *Controller) expireWaiter(now time.Duration, w *inForceWaiter) bool {
+	if w.call == nil {
 		return false
 	}
-	c.answerUnknown(f.call)
-	f.call = nil
-	return !f.proxyChange
+	reportExpired := w.call.targetReport && now-w.call.receivedAt > tuning.TargetReportWait
+	if now-w.waitingSince <= tuning.CallWait && !reportExpired {
+		return false
+	}
+	c.answerUnknown(w.call)
+	w.call = nil
+	return !w.proxyChange
 }
 
-// retainWaiters has those who wait go on waiting when the lead is lost: mostly it is had back in a moment,
-// and they get the answer that they wait for in place of none. What most proxies confirmed counts anew then.
+// retainWaiters lets callers go on waiting when leadership is lost, if it may be resumed: mostly that takes a moment,
+// and they get an answer then. Which proxies have confirmed is counted anew, since another term may begin.
 func (c *Controller) retainWaiters(now time.Duration) {
 	if c.stopping || !c.mayResumeLeadership(now) {
 		c.abandonWaiters()
 		return
 	}
-	for _, f := range c.waiters {
-		f.majorityConfirmedAt = 0
+	for _, w := range c.waiters {
+		w.majorityConfirmedAt = 0
 	}
 }
 
-// mayResumeLeadership says that this member may soon go on with the lead that it lost: it is not longer ago than
-// an election takes, and no other leader has been heard since.
+// mayResumeLeadership says that this member may soon resume the leadership that it lost: that is not longer ago than an
+// election takes, and it knows of no other leader.
 func (c *Controller) mayResumeLeadership(now time.Duration) bool {
-	l := c.node.Leader()
-	return c.lostLeadership.term != 0 && c.lostLeadership.epoch == c.node.Epoch() && now-c.lostLeadership.lostAt < tuning.PendingCallsKept && (l == "" || l == c.settings.Self.Name) &&
-		!c.abstains()
+	lost := c.lostLeadership
+	if lost.term == 0 || lost.epoch != c.node.Epoch() || now-lost.lostAt >= tuning.PendingCallsKept || c.abstains() {
+		return false
+	}
+	leader := c.node.Leader()
+	return leader == "" || leader == c.settings.Self.Name
 }
 
-// abandonWaiters answers all who wait that it can't be told.
+// abandonWaiters answers all callers whose change is proposed or waits for a table that its outcome is unknown.
 func (c *Controller) abandonWaiters() {
-	for _, t := range slices.Sorted(maps.Keys(c.pendingChanges)) {
-		c.answerUnknown(c.pendingChanges[t])
+	for _, token := range slices.Sorted(maps.Keys(c.pendingChanges)) {
+		c.answerUnknown(c.pendingChanges[token])
 	}
-	for _, f := range c.waiters {
-		if f.call != nil {
-			c.answerUnknown(f.call)
+	for _, w := range c.waiters {
+		if w.call != nil {
+			c.answerUnknown(w.call)
 		}
 	}
 	c.waiters = nil
 	clear(c.pendingChanges)
 }
 
-// tickWaiters looks after those who wait while this member does not decide.
+// tickWaiters expires waiters while this member does not lead. A leader does so in answerWaiters.
 func (c *Controller) tickWaiters(now time.Duration) {
 	if c.leadership == Leading || len(c.waiters)+len(c.pendingChanges) == 0 {
 		return
@@ -208,5 +233,5 @@
 		c.abandonWaiters()
 		return
 	}
-	c.waiters = slices.DeleteFunc(c.waiters, func(f *inForceWaiter) bool { return c.expireWaiter(now, f) })
+	c.waiters = slices.DeleteFunc(c.waiters, func(w *inForceWaiter) bool { return c.expireWaiter(now, w) })
 }
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -1,162 +1,249 @@
-// This file decides whether this member leads, and what a new leader does before
-// it decides: it adopts the first state of an epoch, or gathers the proxies' tables.
+// This file decides whether this member leads, and takes it through the states of Leadership. Leadership begins with
+// a lease of a majority and ends with it; establishLeadership and revokeLeadership undo one another.
 
 package controlplane
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"maps"
-	"myrtlefold/internal/shared/discovery"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/discovery"
 	"myrtlefold/internal/shared/outlier"
+	"myrtlefold/internal/shared/state"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// Leadership is a member's standing as the one who decides.
+// Leadership is how far a member with a lease has come as the leader.
 type Leadership int
 
-// What a member may be doing as the one who decides.
+// The states of leadership, in the order in which a member goes through them. Each but the first needs the lease.
 const (
+	// NotLeading is a member without a lease.
 	NotLeading Leadership = iota
-	Recovering            // a refounded core gathers what others remember
-	Gathering             // a new leader gathers tables
+	// Recovering is the leader of a new epoch that collects what others remember of earlier epochs, to begin with the latest.
+	Recovering
+	// Gathering is a new leader that collects the proxies' tables. It knows targets and grants no leases yet.
+	Gathering
+	// Leading is a leader that makes tables, grants leases and accepts changes.
 	Leading
 )
 
+// String returns the state's name in a member's status.
 func (l Leadership) String() string { return [...]string{"idle", "adopting", "warming", "deciding"}[l] }
 
-func (c *Controller) setLeadership(now time.Duration, l Leadership, why string) {
-	if l == c.leadership {
+// updateLeadership begins, continues or revokes leadership. It runs before and after each event, so that nothing is
+// decided on a lease that has run out.
+func (c *Controller) updateLeadership(now time.Duration) {
+	if !c.mayLead(now) {
+		c.revokeLeadership(now, "no lease of a majority")
+		c.transferUnstableLeadership(now)
 		return
 	}
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectLeadership, From: c.leadership.String(), To: l.String(), Reason: why})
-	was := c.leadership
-	c.leadership, c.leadershipSince = l, now
-	switch l {
+	// In a new term the lease was lost in between, if only within one event: another member may have led.
+	if c.leadershipTerm != c.node.Term() {
+		c.revokeLeadership(now, "new term")
+		c.leadershipTerm = c.node.Term()
+	}
+	switch c.leadership {
 	case NotLeading:
-		c.recordLostLeadership(now, was)
-		c.counts.LeasesLost++
-		c.retainWaiters(now)
+		c.beginLeadership(now)
 	case Recovering:
-		c.initialStateProposed = false
+		c.tickRecovering(now)
 	case Gathering:
-		kept := c.canResumeLeadership(now) && c.table != nil
-		if kept {
-			c.restoreLeadershipState(now)
-		} else {
-			c.resetLeadershipState(now)
-		}
-		c.beginTerm()
-		// Whatever an earlier leader granted may still run.
-		for _, g := range c.proxies {
-			g.leaseGrantedAt, g.tableMerged = now, false
-			if !kept {
-				g.tableKey, g.revision, g.stateIndex = wire.TableKey{}, 0, 0
-			}
-			g.sentKey, g.bytesInFlight = wire.TableKey{}, 0
-		}
-		for _, n := range append(c.state.ProxyNames(), c.state.PreviousProxies...) {
-			if c.proxies[n] == nil {
-				c.proxies[n] = &proxyState{leaseGrantedAt: now}
-			}
-		}
-		c.announceLeadership(now)
+		c.tickGathering(now)
+	case Leading:
 	}
 }
 
-// announceLeadership tells every daemon at once who leads now; the roster's proxies need not have
-// been heard for that.
-func (c *Controller) announceLeadership(now time.Duration) {
-	for _, r := range c.state.Proxies {
-		if c.directory[r.Name] == nil {
-			c.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, LastContact: now - tuning.DaemonExpiry/2}
-		}
+func (c *Controller) mayLead(now time.Duration) bool {
+	return c.node != nil && !c.stopping && !c.abstains() && c.node.HasLease(now)
+}
+
+// setLeadership enters a state. Its callers do what goes with that.
+func (c *Controller) setLeadership(now time.Duration, next Leadership, reason string) {
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectLeadership, From: c.leadership.String(), To: next.String(), Reason: reason})
+	c.leadership, c.leadershipSince = next, now
+}
+
+// revokeLeadership ends leadership, if this member has any. What the leader keeps in memory stays as it is, since a
+// member that leads again soon may go on with it.
+func (c *Controller) revokeLeadership(now time.Duration, reason string) {
+	if c.leadership == NotLeading {
+		return
 	}
-	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
-		c.emit(statemachine.Send{Addr: c.directory[n].Addr, Message: c.helloTo(now, n, true)})
+	ended := c.leadership
+	c.setLeadership(now, NotLeading, reason)
+	if ended == Leading {
+		c.recordLostLeadership(now)
 	}
+	c.counts.LeasesLost++
+	c.retainWaiters(now)
 }
 
-func (c *Controller) updateLeadership(now time.Duration) {
-	leads := c.node != nil && !c.stopping && !c.abstains() && c.node.HasLease(now)
-	if !leads {
-		c.setLeadership(now, NotLeading, "no grant from a majority")
-		c.transferUnstableLeadership(now)
+// beginLeadership takes a member that got a lease into its first state.
+func (c *Controller) beginLeadership(now time.Duration) {
+	switch {
+	case !c.state.Recovered:
+		c.beginRecovering(now)
+	case c.canResumeAtOnce(now):
+		c.resumeLeadershipAtOnce(now)
+	default:
+		c.beginGathering(now, "elected")
+	}
+}
+
+// beginRecovering collects what is remembered of earlier epochs: here on disk, and by proxies so far. More may come
+// until RecoveryWait is over.
+func (c *Controller) beginRecovering(now time.Duration) {
+	c.recoveredState, c.unreadableRecoveredState = state.RecoveredState{}, false
+	c.addRecoveredFromImage()
+	c.decodeProxyStates()
+	for _, name := range slices.Sorted(maps.Keys(c.proxyRecoveredStates)) {
+		c.addRecovered(c.proxyRecoveredStates[name].RecoveredState)
+	}
+	c.setLeadership(now, Recovering, "elected in a new epoch")
+	c.initialStateProposed = false
+}
+
+// addRecoveredFromImage adds what this member's disk holds of an earlier epoch.
+func (c *Controller) addRecoveredFromImage() {
+	if len(c.image.RecoveredState) == 0 {
 		return
 	}
-	if c.leadershipTerm != c.node.Term() {
-		c.setLeadership(now, NotLeading, "new term")
-		c.leadershipTerm = c.node.Term()
+	var recovered state.RecoveredState
+	if err := json.Unmarshal(c.image.RecoveredState, &recovered); err != nil {
+		c.unreadableRecoveredState = true
+		c.reportDamage("recovered state of an earlier epoch on this disk", err)
+		return
 	}
-	switch c.leadership {
-	case NotLeading:
-		if !c.state.Recovered {
-			c.recoveredState, c.unreadableRecoveredState = state.RecoveredState{}, false
-			if len(c.image.RecoveredState) > 0 {
-				var l state.RecoveredState
-				if err := json.Unmarshal(c.image.RecoveredState, &l); err != nil {
-					c.unreadableRecoveredState = true
-					c.reportDamage("memory of an earlier epoch on this disk", err)
-				} else {
-					c.addRecovered(l)
-				}
-			}
-			c.decodeProxyStates()
-			for _, n := range slices.Sorted(maps.Keys(c.proxyRecoveredStates)) {
-				c.addRecovered(c.proxyRecoveredStates[n].RecoveredState)
-			}
-			c.setLeadership(now, Recovering, "elected in a new epoch")
-		} else if c.canResumeAtOnce(now) {
-			c.resumeLeadershipAtOnce(now)
-		} else {
-			c.setLeadership(now, Gathering, "elected")
-		}
-	case Recovering:
-		if c.state.Recovered {
-			c.setLeadership(now, Gathering, "epoch's first state agreed")
-		} else if now-c.leadershipSince > tuning.RecoveryWait && !c.initialStateProposed && c.canRecover() {
-			c.initialStateProposed = true
-			c.propose(now, state.Command{Operation: state.OpRecover, State: c.recoveredState.State})
+	c.addRecovered(recovered)
+}
+
+// tickRecovering proposes the first state of the epoch once everybody had the time to send one, and goes on once one
+// is committed, which may be another leader's.
+func (c *Controller) tickRecovering(now time.Duration) {
+	if c.state.Recovered {
+		c.beginGathering(now, "the epoch's first state is committed")
+		return
+	}
+	if now-c.leadershipSince > tuning.RecoveryWait && !c.initialStateProposed && c.canRecover() {
+		c.initialStateProposed = true
+		c.propose(now, state.Command{Operation: state.OpRecover, State: c.recoveredState.State})
+	}
+}
+
+// beginGathering begins a leadership from what this member remembers of its last one, if nobody led in between, or
+// else from the log alone, and asks the proxies for their tables.
+func (c *Controller) beginGathering(now time.Duration, reason string) {
+	c.setLeadership(now, Gathering, reason)
+	resumed := c.canResumeLeadership(now) && c.table != nil
+	if resumed {
+		c.restoreLeadershipState(now)
+	} else {
+		c.resetLeadershipState(now)
+	}
+	c.beginTerm()
+	// An earlier leader may have granted any proxy a lease until just now. A table is in force only after such leases
+	// have run out, so each proxy counts as leased now: those met already, and those that only the log names.
+	for _, proxy := range c.proxies {
+		proxy.leaseGrantedAt, proxy.tableMerged = now, false
+		if !resumed {
+			proxy.tableKey, proxy.revision, proxy.stateIndex = wire.TableKey{}, 0, 0
 		}
-	case Gathering:
-		told, need := 0, 0
-		for _, r := range c.state.Proxies {
-			need++
-			if g := c.proxies[r.Name]; g != nil && g.tableMerged {
-				told++
-			}
+		proxy.sentKey, proxy.bytesInFlight = wire.TableKey{}, 0
+	}
+	for _, name := range append(c.state.ProxyNames(), c.state.PreviousProxies...) {
+		if c.proxies[name] == nil {
+			c.proxies[name] = &proxyState{leaseGrantedAt: now}
 		}
-		if told == need && (need > 0 || now-c.leadershipSince > tuning.FirstProxiesWait) || now-c.leadershipSince > tuning.GatherTablesWait ||
-			2*told > need && now-c.leadershipSince > tuning.GatherTablesWait/3 {
-			c.establishLeadership(now, fmt.Sprintf("heard %d of %d proxies", told, need), true)
+	}
+	c.announceLeadership(now)
+}
+
+// tickGathering begins to lead once the proxies' tables are merged.
+func (c *Controller) tickGathering(now time.Duration) {
+	merged, total := 0, len(c.state.Proxies)
+	for i := range c.state.Proxies {
+		if proxy := c.proxies[c.state.Proxies[i].Name]; proxy != nil && proxy.tableMerged {
+			merged++
 		}
 	}
+	if hasGathered(merged, total, now-c.leadershipSince) {
+		c.establishLeadership(now, fmt.Sprintf("merged the tables of %d of %d proxies", merged, total), true)
+	}
 }
 
-func (c *Controller) applyPolicies() {
-	if c.activeRevision == c.state.Revision && c.activeRevision != 0 {
-		return
+// hasGathered says that enough proxies' tables are merged, of all in the membership. A table that was in force is held
+// by a majority of the proxies, so a majority is enough to know of all that was. The wait beyond that is for ejections and
+// drains that only the other proxies know of, and with no proxy in the membership for the first ones to come.
+func hasGathered(merged, total int, waited time.Duration) bool {
+	switch {
+	case waited > tuning.GatherTablesWait:
+		return true
+	case total == 0:
+		return waited > tuning.FirstProxiesWait
+	case merged == total:
+		return true
+	}
+	return 2*merged > total && waited > tuning.GatherTablesWait/3
+}
+
+// establishLeadership begins to lead, with a first table: a new one, or the present one again if refresh is false and
+// nothing has changed.
+func (c *Controller) establishLeadership(now time.Duration, reason string, refresh bool) {
+	c.setLeadership(now, Leading, reason)
+	c.rebuildTable(now, refresh)
+	c.restartWaiters(now)
+}
+
+// restartWaiters makes anew what waits for a table without a caller: tables of an earlier leadership are confirmed by
+// nobody any more.
+func (c *Controller) restartWaiters(now time.Duration) {
+	c.waiters = slices.DeleteFunc(c.waiters, func(w *inForceWaiter) bool { return w.call == nil && w.member == "" })
+	if len(c.state.PreviousProxies) > 0 {
+		c.waiters = append(c.waiters, &inForceWaiter{version: c.tableVersion, waitingSince: now, proxyChange: true})
 	}
-	cfg := c.lastCheckedConfig.config
-	if cfg == nil || !bytes.Equal(c.lastCheckedConfig.document, c.state.Document) {
-		var err error
-		if cfg, _, err = outlier.ParseConfig(c.state.Document); err != nil {
-			c.cannotDecode(fmt.Sprintf("configuration %d", c.state.Revision), err)
-			if c.activeConfig == nil {
-				c.activeConfig = &config.Config{} // for the rest of this step, in which the lead ends
-			}
-			return
+	for _, id := range c.targetIDs() {
+		if c.targets[id].Pending {
+			c.waiters = append(c.waiters, &inForceWaiter{version: c.tableVersion, waitingSince: now, pendingTarget: id})
 		}
 	}
-	c.activeConfig = cfg
-	c.detector.Replace(cfg)
-	c.activeRevision = c.state.Revision
+}
+
+// announceLeadership sends every daemon a hello with the new leader, also proxies that only the log names.
+func (c *Controller) announceLeadership(now time.Duration) {
+	for _, proxy := range c.state.Proxies {
+		if c.directory[proxy.Name] == nil {
+			daemon := wire.Daemon{Name: proxy.Name, Kind: wire.ProxyDaemon, Addr: proxy.Addr, Domain: proxy.Domain}
+			c.directory[proxy.Name] = &discovery.Peer{Daemon: daemon, LastContact: now - tuning.DaemonExpiry/2}
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(c.directory)) {
+		c.emit(statemachine.Send{Addr: c.directory[name].Addr, Message: c.helloTo(now, name, true)})
+	}
+}
+
+// resetLeadershipState begins a leadership with the targets registered in the log and nothing else. The table's
+// version goes on, since a version must not come twice in a term.
+func (c *Controller) resetLeadershipState(now time.Duration) {
+	c.abandonWaiters()
+	c.targets, c.claims = map[wire.TargetID]*target{}, map[wire.TargetID]*target{}
+	c.sortedTargetIDs = nil
+	c.tombstones, c.leavingTargets = map[wire.TargetID]time.Duration{}, map[wire.TargetID]time.Duration{}
+	c.withdrawnInVersion = map[wire.TargetID]uint64{}
+	c.lastShareOffset, c.shareOffsetByName = map[string]uint32{}, map[serviceTarget]uint32{}
+	c.detector, c.activeRevision = outlier.New(), 0
+	c.scorer = outlier.NewScorer(c.detector)
+	c.table, c.deltas, c.removedTargets = nil, nil, nil
+	c.latestMergedKey = wire.TableKey{}
+	c.proxiesChangedInVersion, c.oldestDeltaBase = c.tableVersion+1, c.tableVersion+1
+	c.leadershipTerms = nil
+	c.proxyChangeIndex = 0
+	c.activateConfig()
+	c.loadRegistrations(now)
 }
--- a/internal/controlplane/resume_test.go
+++ b/internal/controlplane/resume_test.go
@@ -21,7 +21,7 @@
 		for id, x := range r.c.targets {
 			last[id] = x.lastProbeAt
 		}
-		r.c.setLeadership(r.now, NotLeading, "late")
+		r.c.revokeLeadership(r.now, "late")
 		r.now += tuning.TickEvery
 		r.step(statemachine.Tick{})
 		if !r.c.Leading() {
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -83,7 +83,7 @@
 	if c.leadership == Recovering || c.leadership == NotLeading && c.lostLeadership.term == 0 {
 		return
 	}
-	c.applyPolicies()
+	c.activateConfig()
 	if c.undecodable != nil {
 		return // no table is made of it
 	}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -10,7 +10,6 @@
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/wire"
 )
 
@@ -70,17 +69,6 @@
 	return l
 }
 
-// policyStats are the policies in force with their scores since this leader began.
-func (c *Controller) policyStats(now time.Duration) map[string]outlier.PolicyStats {
-	l := c.detector.Stats()
-	for name, s := range c.scorer.Scores(now) {
-		x := l[name]
-		x.Score = &s
-		l[name] = x
-	}
-	return l
-}
-
 // DaemonView is what operators read of a daemon.
 type DaemonView struct {
 	wire.Daemon
