--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -25,24 +25,24 @@
 
 // RunControl is mfcontrol: it runs a control daemon until it is stopped, and returns the exit code.
 func RunControl(args []string, platform Platform) int {
-	p, code := Start(wire.ControlDaemon, args, platform)
-	if p == nil {
+	process, code := Start(wire.ControlDaemon, args, platform)
+	if process == nil {
 		return code
 	}
-	disk, persisted, damage, err := p.openDiskWithRetry(p.stops)
+	disk, persisted, damage, err := process.openDiskWithRetry(process.stops)
 	if err != nil {
-		p.Log.WithError(err).Info("stopped")
+		process.Log.WithError(err).Info("stopped")
 		return exitOK
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d := newControlDaemon(ctx, p, disk, persisted)
+	d := newControlDaemon(ctx, process, disk, persisted)
 	if damage != nil {
 		d.controller.ReportDamage("state on this disk", damage)
 	}
 	server, err := d.listen(ctx)
 	if err != nil {
-		p.Log.WithError(err).Error("daemon can't start")
+		process.Log.WithError(err).Error("daemon can't start")
 		return exitFailed
 	}
 	go d.disk.Run(ctx)
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -23,7 +23,7 @@
 // goroutine; once Run has returned they return at once.
 type Loop struct {
 	queue   chan loopItem
-	ended   chan struct{} // closed when Run returns
+	done    chan struct{} // closed when Run returns
 	clock   *Clock
 	pending map[uint64]chan<- statemachine.Command // who waits in Call, by id; Run's goroutine owns it
 }
@@ -31,7 +31,7 @@
 func newLoop(clock *Clock) *Loop {
 	return &Loop{
 		queue:   make(chan loopItem, tuning.EventQueue),
-		ended:   make(chan struct{}),
+		done:    make(chan struct{}),
 		clock:   clock,
 		pending: map[uint64]chan<- statemachine.Command{},
 	}
@@ -42,7 +42,7 @@
 	select {
 	case l.queue <- item:
 		return true
-	case <-l.ended:
+	case <-l.done:
 		return false
 	}
 }
@@ -63,7 +63,7 @@
 	case <-ctx.Done():
 		l.enqueue(loopItem{event: cancel, callID: id})
 		return nil
-	case <-l.ended:
+	case <-l.done:
 		return nil
 	}
 }
@@ -77,7 +77,7 @@
 	}
 	select {
 	case <-inspected:
-	case <-l.ended:
+	case <-l.done:
 	}
 }
 
@@ -92,7 +92,7 @@
 // Run steps the state machine for each event and each tick until the context ends, and passes the commands to
 // execute. It reads the clock after it has taken an event, so a step's time is never before the event's arrival.
 func (l *Loop) Run(ctx context.Context, step func(time.Duration, statemachine.Event) []statemachine.Command, execute func(context.Context, statemachine.Command)) {
-	defer close(l.ended)
+	defer close(l.done)
 	ticker := time.NewTicker(tuning.TickEvery)
 	defer ticker.Stop()
 	stepAndExecute := func(event statemachine.Event) {
--- a/internal/daemon/proxy.go
+++ b/internal/daemon/proxy.go
@@ -37,16 +37,16 @@
 
 // RunProxy is mfproxy: it runs a proxy daemon until it is stopped, and returns the exit code.
 func RunProxy(args []string, platform Platform) int {
-	p, code := Start(wire.ProxyDaemon, args, platform)
-	if p == nil {
+	process, code := Start(wire.ProxyDaemon, args, platform)
+	if process == nil {
 		return code
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d := newProxyDaemon(p)
+	d := newProxyDaemon(process)
 	api, callers, err := d.listen(ctx)
 	if err != nil {
-		p.Log.WithError(err).Error("daemon can't start")
+		process.Log.WithError(err).Error("daemon can't start")
 		return exitFailed
 	}
 	go d.Loop.Run(ctx, d.proxy.Step, d.execute)
@@ -60,28 +60,28 @@
 	return code
 }
 
-func newProxyDaemon(p *Process) *proxyDaemon {
-	s := p.Settings
-	d := &proxyDaemon{Process: p, pool: reverseproxy.NewPool()}
-	d.proxy = dataplane.New(dataplane.Settings{
-		Self:             p.Daemon(),
-		Seeds:            s.Seeds,
-		GracePeriod:      milliseconds(s.GraceMs),
-		ReadyWhenEmptied: s.ReadyWhenEmptied,
+func newProxyDaemon(process *Process) *proxyDaemon {
+	settings := process.Settings
+	daemon := &proxyDaemon{Process: process, pool: reverseproxy.NewPool()}
+	daemon.proxy = dataplane.New(dataplane.Settings{
+		Self:             process.Daemon(),
+		Seeds:            settings.Seeds,
+		GracePeriod:      milliseconds(settings.GraceMs),
+		ReadyWhenEmptied: settings.ReadyWhenEmptied,
 		Retry: dataplane.RetryBudget{
-			Ratio:  s.RetryRatio,
-			Window: milliseconds(s.RetryWindowMs),
-			Slack:  float64(s.RetrySlack),
+			Ratio:  settings.RetryRatio,
+			Window: milliseconds(settings.RetryWindowMs),
+			Slack:  float64(settings.RetrySlack),
 		},
 	})
 	call := func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command {
-		return p.Loop.Call(ctx, id, event, statemachine.Cancel{ID: id})
+		return process.Loop.Call(ctx, id, event, statemachine.Cancel{ID: id})
 	}
-	d.forwarder = reverseproxy.New(reverseproxy.Owner{Now: p.Now, Notify: p.Loop.Post, Ask: call}, d.pool)
-	d.forwarder.SourceAddr = s.localAddr()
-	d.forwarder.Headers = p.platform.Headers
-	d.forwarder.SendForwardedFor = p.platform.Headers == reverseproxy.DefaultHeaders()
-	return d
+	daemon.forwarder = reverseproxy.New(reverseproxy.Owner{Now: process.Now, Notify: process.Loop.Post, Ask: call}, daemon.pool)
+	daemon.forwarder.SourceAddr = settings.localAddr()
+	daemon.forwarder.Headers = process.platform.Headers
+	daemon.forwarder.SendForwardedFor = process.platform.Headers == reverseproxy.DefaultHeaders()
+	return daemon
 }
 
 // listen opens the daemon's ports: for other daemons, for the HTTP API and for callers.
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -9,6 +9,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"net/http"
 	"time"
@@ -50,12 +51,12 @@
 // Sessions serves policy sessions. One goroutine owns the list of them.
 type Sessions struct {
 	requests chan sessionRequest
-	ended    <-chan struct{} // closed when the context ends
+	done     <-chan struct{} // closed when the context ends
 }
 
 // NewSessions starts the goroutine that owns the sessions, which ends with the context.
 func NewSessions(ctx context.Context) *Sessions {
-	s := &Sessions{requests: make(chan sessionRequest), ended: ctx.Done()}
+	s := &Sessions{requests: make(chan sessionRequest), done: ctx.Done()}
 	go s.run()
 	return s
 }
@@ -72,7 +73,7 @@
 			}
 			opened, err := openSession(sessions, request.id)
 			request.reply <- sessionReply{opened, err}
-		case <-s.ended:
+		case <-s.done:
 			return
 		}
 	}
@@ -111,7 +112,7 @@
 	select {
 	case s.requests <- request:
 		return true
-	case <-s.ended:
+	case <-s.done:
 		return false
 	}
 }
@@ -128,8 +129,8 @@
 
 // sessionOpened is the first line of a response: how to resume, and up to which line it was taken.
 type sessionOpened struct {
-	Line   uint64 `json:"line"`
-	Stream string `json:"stream"`
+	LinesRead uint64 `json:"line"`
+	Stream    string `json:"stream"`
 }
 
 // ServeHTTP runs one session until its client ends it.
@@ -152,14 +153,14 @@
 	w.Header().Set("Content-Type", "application/jsonl")
 	w.WriteHeader(http.StatusOK)
 	encoder := json.NewEncoder(w)
-	if encoder.Encode(sessionOpened{Line: session.Lines, Stream: session.id}) == nil && controller.Flush() == nil {
-		session.evaluate(r, encoder, controller)
+	if encoder.Encode(sessionOpened{LinesRead: session.Lines, Stream: session.id}) == nil && controller.Flush() == nil {
+		session.evaluate(r.Body, encoder, controller)
 	}
 }
 
 // evaluate answers the lines of a request's body until it ends or the client goes.
-func (s *session) evaluate(r *http.Request, encoder *json.Encoder, controller *http.ResponseController) {
-	lines := bufio.NewScanner(r.Body)
+func (s *session) evaluate(body io.Reader, encoder *json.Encoder, controller *http.ResponseController) {
+	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, tuning.SessionLineMax)
 	for lines.Scan() {
 		for _, answer := range s.Evaluate(lines.Bytes()) {
--- a/internal/daemon/settingscheck.go
+++ b/internal/daemon/settingscheck.go
@@ -17,10 +17,10 @@
 )
 
 // faultList collects the faults of settings.
-type faultList struct{ faults []config.Fault }
+type faultList struct{ list []config.Fault }
 
 func (l *faultList) add(path, format string, arguments ...any) {
-	l.faults = append(l.faults, config.Fault{Path: path, Text: fmt.Sprintf(format, arguments...)})
+	l.list = append(l.list, config.Fault{Path: path, Text: fmt.Sprintf(format, arguments...)})
 }
 
 // checkReachable checks an address that others connect to.
@@ -32,46 +32,46 @@
 
 // Check returns the faults of settings for a kind of daemon, by the settings' names.
 func (s *Settings) Check(kind wire.DaemonKind) []config.Fault {
-	l := &faultList{}
+	faults := &faultList{}
 	if s.Name == "" || len(s.Name) > tuning.ItemNameMax || strings.ContainsAny(s.Name, " /\"") {
-		l.add("name", "must be 1 to %d characters without spaces, quotes or /", tuning.ItemNameMax)
+		faults.add("name", "must be 1 to %d characters without spaces, quotes or /", tuning.ItemNameMax)
 	}
 	if s.Domain == "" {
-		l.add("domain", "is missing")
+		faults.add("domain", "is missing")
 	}
-	s.checkAddresses(l)
+	s.checkAddresses(faults)
 	if _, err := logrus.ParseLevel(s.LogLevel); err != nil {
-		l.add("log", "%v", err)
+		faults.add("log", "%v", err)
 	}
-	s.checkNumbers(l)
+	s.checkNumbers(faults)
 	switch kind {
 	case wire.ControlDaemon:
-		s.checkControl(l)
+		s.checkControl(faults)
 	case wire.ProxyDaemon:
-		s.checkProxy(l)
+		s.checkProxy(faults)
 	}
-	return l.faults
+	return faults.list
 }
 
-func (s *Settings) checkAddresses(l *faultList) {
-	l.checkReachable("addr", s.Addr)
-	l.checkReachable("http", s.HTTP)
+func (s *Settings) checkAddresses(faults *faultList) {
+	faults.checkReachable("addr", s.Addr)
+	faults.checkReachable("http", s.HTTP)
 	if s.Bind != "" {
 		if parsed, err := netip.ParseAddrPort(s.Bind); err != nil || parsed.Port() == 0 {
-			l.add("bind", "%q is not IP:port", s.Bind)
+			faults.add("bind", "%q is not IP:port", s.Bind)
 		}
 	}
 	if s.LocalIP != "" {
 		if ip, err := netip.ParseAddr(s.LocalIP); err != nil || ip.IsUnspecified() {
-			l.add("from", "%q is not an IP of this machine", s.LocalIP)
+			faults.add("from", "%q is not an IP of this machine", s.LocalIP)
 		}
 	}
 	for i, seed := range s.Seeds {
-		l.checkReachable(fmt.Sprintf("seeds[%d]", i), seed)
+		faults.checkReachable(fmt.Sprintf("seeds[%d]", i), seed)
 	}
 }
 
-func (s *Settings) checkNumbers(l *faultList) {
+func (s *Settings) checkNumbers(faults *faultList) {
 	for _, number := range []struct {
 		path  string
 		value float64
@@ -85,35 +85,35 @@
 		{"retry_slack", float64(s.RetrySlack)},
 	} {
 		if !(number.value >= 0 && number.value <= math.MaxInt32+1) {
-			l.add(number.path, "%v is below 0 or too large", number.value)
+			faults.add(number.path, "%v is below 0 or too large", number.value)
 		}
 	}
 }
 
-func (s *Settings) checkControl(l *faultList) {
+func (s *Settings) checkControl(faults *faultList) {
 	if s.Data == "" {
-		l.add("data", "is missing: a core member needs a folder")
+		faults.add("data", "is missing: a core member needs a folder")
 	}
 	if !slices.Contains([]int{0, 1, 3, 5}, s.Size) {
-		l.add("size", "a core has 3 or 5 members (1 for trials, 0 if the seeds found it), not %d", s.Size)
+		faults.add("size", "a core has 3 or 5 members (1 for trials, 0 if the seeds found it), not %d", s.Size)
 	}
 	if s.Size == 0 && len(s.Seeds) == 0 {
-		l.add("seeds", "is empty, and no size is told")
+		faults.add("seeds", "is empty, and no size is told")
 	}
 	if s.Size > 1 && len(s.Seeds) == 0 {
-		l.add("seeds", "is empty")
+		faults.add("seeds", "is empty")
 	}
 	if s.Listen != "" {
-		l.add("listen", "is for proxies")
+		faults.add("listen", "is for proxies")
 	}
 }
 
-func (s *Settings) checkProxy(l *faultList) {
-	l.checkReachable("listen", s.Listen)
+func (s *Settings) checkProxy(faults *faultList) {
+	faults.checkReachable("listen", s.Listen)
 	if len(s.Seeds) == 0 {
-		l.add("seeds", "is empty")
+		faults.add("seeds", "is empty")
 	}
 	if s.Size != 0 {
-		l.add("size", "is for core members")
+		faults.add("size", "is for core members")
 	}
 }
--- a/internal/daemon/stream.go
+++ b/internal/daemon/stream.go
@@ -15,8 +15,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// streamLine is one line of the stream.
-type streamLine struct {
+// streamRecord is one line of the stream.
+type streamRecord struct {
 	Term uint64 `json:"term"`
 	Seq  uint64 `json:"seq"`
 	statemachine.Publish
@@ -26,7 +26,7 @@
 
 // streamReader is a client of the stream.
 type streamReader struct {
-	lines   chan streamLine
+	lines   chan streamRecord
 	dropped uint64 // lines that it was too slow for and has not been notified of
 }
 
@@ -43,17 +43,17 @@
 // EventStream passes target events to the readers of the stream, and keeps the last lines for those that resume. One
 // goroutine owns both.
 type EventStream struct {
-	published     chan streamLine
+	published     chan streamRecord
 	subscriptions chan subscription
-	ended         <-chan struct{} // closed when the stream's context ends
+	done          <-chan struct{} // closed when the stream's context ends
 }
 
 // NewEventStream starts the goroutine that owns the stream, which ends with the context.
 func NewEventStream(ctx context.Context) *EventStream {
 	s := &EventStream{
-		published:     make(chan streamLine, tuning.EventQueue),
+		published:     make(chan streamRecord, tuning.EventQueue),
 		subscriptions: make(chan subscription),
-		ended:         ctx.Done(),
+		done:          ctx.Done(),
 	}
 	go s.run()
 	return s
@@ -62,8 +62,8 @@
 // Publish adds a line; it never waits for readers.
 func (s *EventStream) Publish(term uint64, event statemachine.Publish) {
 	select {
-	case s.published <- streamLine{Term: term, Publish: event}:
-	case <-s.ended:
+	case s.published <- streamRecord{Term: term, Publish: event}:
+	case <-s.done:
 	}
 }
 
@@ -72,13 +72,13 @@
 	select {
 	case s.subscriptions <- change:
 		return true
-	case <-s.ended:
+	case <-s.done:
 		return false
 	}
 }
 
 func (s *EventStream) run() {
-	var kept []streamLine
+	var kept []streamRecord
 	var seq uint64
 	readers := map[*streamReader]bool{}
 	for {
@@ -88,7 +88,7 @@
 			line.Seq = seq
 			kept = append(kept, line)
 			if len(kept) > 2*tuning.EventsKept {
-				kept = append([]streamLine(nil), kept[tuning.EventsKept:]...)
+				kept = append([]streamRecord(nil), kept[tuning.EventsKept:]...)
 			}
 			for reader := range readers {
 				reader.offer(line)
@@ -102,17 +102,17 @@
 			if change.after != nil {
 				change.reader.replay(kept, *change.after)
 			}
-		case <-s.ended:
+		case <-s.done:
 			return
 		}
 	}
 }
 
 // offer passes a line to a reader, without waiting for it; before it goes how many the reader was too slow for.
-func (r *streamReader) offer(line streamLine) {
+func (r *streamReader) offer(line streamRecord) {
 	if r.dropped > 0 {
 		select {
-		case r.lines <- streamLine{Term: line.Term, Seq: line.Seq, Missed: r.dropped, Note: "the reader was too slow"}:
+		case r.lines <- streamRecord{Term: line.Term, Seq: line.Seq, Missed: r.dropped, Note: "the reader was too slow"}:
 			r.dropped = 0
 		default:
 		}
@@ -125,7 +125,7 @@
 }
 
 // replay offers a reader the kept lines behind the one that it read last, and before them how many others there were.
-func (r *streamReader) replay(kept []streamLine, last position) {
+func (r *streamReader) replay(kept []streamRecord, last position) {
 	gap := true // between the last line read and the first one kept
 	for _, line := range kept {
 		if line.Term < last.term || line.Term == last.term && line.Seq <= last.seq {
@@ -134,7 +134,7 @@
 		}
 		if gap {
 			missed := max(1, line.Seq-min(line.Seq, last.seq+1))
-			r.offer(streamLine{Term: line.Term, Seq: line.Seq, Missed: missed, Note: "lines before this one are no longer kept here, or stood with another leader"})
+			r.offer(streamRecord{Term: line.Term, Seq: line.Seq, Missed: missed, Note: "lines before this one are no longer kept here, or stood with another leader"})
 			gap = false
 		}
 		r.offer(line)
@@ -173,7 +173,7 @@
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
 	flusher.Flush()
-	reader := &streamReader{lines: make(chan streamLine, 2*tuning.EventsKept+tuning.StreamBuffer)}
+	reader := &streamReader{lines: make(chan streamRecord, 2*tuning.EventsKept+tuning.StreamBuffer)}
 	if !s.subscribe(subscription{reader: reader, after: after}) {
 		return
 	}
@@ -187,7 +187,7 @@
 			}
 		case <-r.Context().Done():
 			return
-		case <-s.ended:
+		case <-s.done:
 			return
 		}
 	}
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -31,8 +31,8 @@
 	for range 10 {
 		stream.Publish(3, publishedEvent())
 	}
-	next := func(reader *streamReader) streamLine { return <-reader.lines }
-	reader := &streamReader{lines: make(chan streamLine, 64)}
+	next := func(reader *streamReader) streamRecord { return <-reader.lines }
+	reader := &streamReader{lines: make(chan streamRecord, 64)}
 	stream.await()
 	stream.subscribe(subscription{reader: reader, after: &position{term: 3, seq: 4}})
 	for want := uint64(5); want <= 10; want++ {
@@ -44,12 +44,12 @@
 	if line := next(reader); line.Seq != 11 || line.Term != 4 {
 		t.Fatalf("%+v", line)
 	}
-	other := &streamReader{lines: make(chan streamLine, 64)}
+	other := &streamReader{lines: make(chan streamRecord, 64)}
 	stream.subscribe(subscription{reader: other, after: &position{term: 2, seq: 900}}) // from another leader
 	if line := next(other); line.Missed == 0 {
 		t.Fatalf("%+v", line)
 	}
-	slow := &streamReader{lines: make(chan streamLine, 2)}
+	slow := &streamReader{lines: make(chan streamRecord, 2)}
 	stream.subscribe(subscription{reader: slow})
 	for range 5 {
 		stream.Publish(4, publishedEvent())
@@ -102,7 +102,7 @@
 	var opened sessionOpened
 	var result outlier.Result
 	lines, answers, response := openTestSession(t, server.URL)
-	if err := answers.Decode(&opened); err != nil || opened.Line != 0 {
+	if err := answers.Decode(&opened); err != nil || opened.LinesRead != 0 {
 		t.Fatal(err, opened)
 	}
 	checkStatus("?resume="+opened.Stream, http.StatusConflict)
@@ -125,7 +125,7 @@
 		}
 	}
 	lines, answers, response = resume()
-	if err := answers.Decode(&opened); err != nil || opened.Line != 2 {
+	if err := answers.Decode(&opened); err != nil || opened.LinesRead != 2 {
 		t.Fatal(err, opened)
 	}
 	missedCheck(lines, 2e9)
