--- a/internal/dataplane/starved_test.go
+++ b/internal/dataplane/starved_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// load is how often a class of requests comes, and on which route.
-type load struct {
+// requestClass is how often a class of requests comes, and on which route.
+type requestClass struct {
 	path  string
 	every time.Duration
 }
 
 // press plays classes of requests against a service for a time, each request working so
 // long, and says which part of each class was given a target.
-func press(b *bench, work, span time.Duration, classes []load) map[string]float64 {
+func offerLoad(proxy *testProxy, work, span time.Duration, classes []requestClass) map[string]float64 {
 	asked, given := map[string]int{}, map[string]int{}
 	class := map[uint64]string{}
 	type end struct {
@@ -24,33 +24,33 @@
 	var ends []end
 	take := func(cmds []statemachine.Command) {
 		for _, c := range cmds {
-			if g, ok := c.(statemachine.Forward); ok {
-				given[class[g.ID]]++
-				ends = append(ends, end{b.now + work, g.ID})
+			if forward, ok := c.(statemachine.Forward); ok {
+				given[class[forward.ID]]++
+				ends = append(ends, end{proxy.now + work, forward.ID})
 			}
 		}
 	}
 	id := uint64(0)
-	till := b.now + span
+	till := proxy.now + span
 	next := map[string]time.Duration{}
-	for b.now < till {
-		b.now += time.Millisecond
-		b.g.leaseUntil = b.now + time.Second
-		for len(ends) > 0 && ends[0].at <= b.now {
+	for proxy.now < till {
+		proxy.now += time.Millisecond
+		proxy.machine.leaseUntil = proxy.now + time.Second
+		for len(ends) > 0 && ends[0].at <= proxy.now {
 			e := ends[0]
 			ends = ends[1:]
-			take(b.step(statemachine.AttemptDone{ID: e.id, Outcome: statemachine.Served, Milliseconds: float64(work.Milliseconds()), Last: true}))
+			take(proxy.step(statemachine.AttemptDone{ID: e.id, Outcome: statemachine.Served, Milliseconds: float64(work.Milliseconds()), Last: true}))
 		}
-		if b.now%(10*time.Millisecond) == 0 {
-			take(b.step(statemachine.Tick{}))
+		if proxy.now%(10*time.Millisecond) == 0 {
+			take(proxy.step(statemachine.Tick{}))
 		}
 		for _, c := range classes {
-			for next[c.path] <= b.now {
-				next[c.path] = max(next[c.path], b.now-c.every) + c.every
+			for next[c.path] <= proxy.now {
+				next[c.path] = max(next[c.path], proxy.now-c.every) + c.every
 				id++
 				class[id] = c.path
 				asked[c.path]++
-				take(b.step(statemachine.Admit{ID: id, Host: "h", Path: c.path, Timeout: 2 * time.Second}))
+				take(proxy.step(statemachine.Admit{ID: id, Host: "h", Path: c.path, Timeout: 2 * time.Second}))
 			}
 		}
 	}
@@ -67,10 +67,10 @@
 
 // Under lasting pressure by more urgent requests than the targets can bear, the least urgent
 // are still served a quarter as often as all.
-func TestLeastUrgentAreNotStarved(t *testing.T) {
+func TestLowPriorityIsNotStarved(t *testing.T) {
 	for _, urgent := range []time.Duration{8 * time.Millisecond, 4 * time.Millisecond, 2 * time.Millisecond} {
-		b := newBench("g1", 1, routed, to("a", slots(4)), to("b", slots(4)))
-		got := press(b, 50*time.Millisecond, 30*time.Second, []load{{"/once/", urgent}, {"/low/", 20 * time.Millisecond}})
+		proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(4)), readyTarget("b", withSlots(4)))
+		got := offerLoad(proxy, 50*time.Millisecond, 30*time.Second, []requestClass{{"/once/", urgent}, {"/low/", 20 * time.Millisecond}})
 		t.Logf("urgent every %v: %v", urgent, got)
 		if got["/low/"] < got["all"]/4 {
 			t.Errorf("urgent every %v: the least urgent are served at %.2f, all at %.2f", urgent, got["/low/"], got["all"])
