--- /dev/null
+++ b/internal/dataplane/reverseproxy/faults_test.go
@@ -0,0 +1,319 @@
+package reverseproxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/tuning"
+)
+
+// faultProxy is a forwarder to such targets, whose owner forwards each request to up to three of them, to each once.
+type faultProxy struct {
+	forwarder *Forwarder
+	pool      *Pool
+	server    *httptest.Server
+}
+
+// newFaultProxy starts a faultProxy.
+func newFaultProxy(faulty *faultyTargets, seed uint64, healthCheck bool) *faultProxy {
+	f := &faultProxy{pool: NewPool()}
+	f.pool.SetTargets(addressesOf(faulty.targets...))
+	type requestState struct {
+		kind  config.RouteKind
+		tried []int
+	}
+	states, turn := map[uint64]*requestState{}, make(chan *rand.Rand, 1)
+	turn <- rand.New(rand.NewPCG(seed, 99))
+	owner := Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}}
+	owner.Ask = func(_ context.Context, id uint64, event statemachine.Event) statemachine.Command {
+		rnd := <-turn
+		defer func() { turn <- rnd }()
+		if admit, ok := event.(statemachine.Admit); ok {
+			states[id] = &requestState{kind: config.KindRepeatable}
+			if strings.HasPrefix(admit.Path, "/once/") {
+				states[id].kind = config.KindOnce
+			}
+		}
+		request := states[id]
+		if len(request.tried) == 3 {
+			return statemachine.Reject{ID: id, Status: 503, RetryAfter: time.Second, Code: "attempts", Message: "no attempt is left"}
+		}
+		n := rnd.IntN(len(faulty.targets))
+		for slices.Contains(request.tried, n) {
+			n = (n + 1) % len(faulty.targets)
+		}
+		request.tried = append(request.tried, n)
+		service := config.Service{BodyMax: 1 << 20}
+		if healthCheck {
+			service.HealthPath = "/h"
+		}
+		return statemachine.Forward{
+			ID:             id,
+			Service:        "s",
+			ServiceConfig:  service,
+			Route:          config.Route{Kind: request.kind},
+			Target:         faulty.targets[n],
+			TimeLeft:       time.Minute,
+			WriteBy:        time.Hour,
+			ConnectTimeout: tuning.ConnectTimeoutMin,
+			MaxIdle:        tuning.IdleConnsMax,
+		}
+	}
+	f.forwarder = New(owner, f.pool)
+	f.forwarder.Headers = testHeaders()
+	f.server = httptest.NewUnstartedServer(f.forwarder)
+	f.server.Listener, f.server.Config.ConnContext = f.forwarder.WrapListener(f.server.Listener), f.forwarder.ConnContext
+	f.server.Start()
+	return f
+}
+
+// callerResults is what callers found in their responses.
+type callerResults struct {
+	wrong      []string        // responses that are another's, truncated or altered
+	rejected   map[string]bool // requests that may run only once and were answered as not run
+	served     int
+	incomplete int // ended without a complete response
+}
+
+// check compares a response with its request, and returns whether the connection stays open.
+func (c *callerResults) check(id string, once bool, resp *http.Response, ids bool) bool {
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		c.incomplete++
+		return false
+	}
+	got := string(body)
+	size, _ := strconv.Atoi(resp.Header.Get("Content-Length"))
+	switch {
+	case resp.StatusCode < 300:
+		c.served++
+		if got == "" || got != payloadOf(id, len(got)-len(id)-1) || size > 0 && size != len(got) || ids && resp.Header.Get("A") != id || ids && resp.Header.Get("P") == "" {
+			c.wrong = append(c.wrong, fmt.Sprintf("%s got %d %.60q of %s", id, resp.StatusCode, got, resp.Header.Get("A")))
+		}
+	case resp.Header.Get("P") != "" && (resp.StatusCode != 503 || got != "fail"):
+		c.wrong = append(c.wrong, fmt.Sprintf("%s got a failure of the proxy's with a target's proof: %d %q", id, resp.StatusCode, got))
+	case once && (promisesNotRun(resp.StatusCode) || resp.Header.Get("R") == "no"):
+		c.rejected[id] = true
+	}
+	return !resp.Close
+}
+
+// call is one caller, which keeps its connections, pipelines and leaves at random.
+func (f *faultProxy) call(name string, n int, rnd *rand.Rand, ids bool) (c callerResults) {
+	c.rejected = map[string]bool{}
+	var conn net.Conn
+	var reader *bufio.Reader
+	leave := func() {
+		if conn != nil {
+			conn.Close()
+			conn = nil
+		}
+	}
+	defer leave()
+	head := func(id string, once, body bool) string {
+		path, header := "/"+id, ""
+		if once {
+			path = "/once/" + id
+		}
+		if ids {
+			header = "A: " + id + "\r\n"
+		}
+		if body {
+			return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\n%sContent-Length: 5\r\n\r\nhello", path, header)
+		}
+		return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: h\r\n%s\r\n", path, header)
+	}
+	for i := 0; i < n; {
+		if conn == nil {
+			var err error
+			if conn, err = net.Dial("tcp", f.server.Listener.Addr().String()); err != nil {
+				c.wrong = append(c.wrong, err.Error())
+				return c
+			}
+			reader = bufio.NewReader(conn)
+		}
+		count, pipeline := 1, ""
+		if rnd.IntN(3) == 0 {
+			count = 2 + rnd.IntN(4)
+		}
+		var sent []string
+		var onces []bool
+		for range count {
+			id, once := fmt.Sprintf("%s-%d", name, i), rnd.IntN(2) == 0
+			sent, onces, i = append(sent, id), append(onces, once), i+1
+			pipeline += head(id, once, once && count == 1)
+		}
+		io.WriteString(conn, pipeline)
+		expected := len(sent)
+		if rnd.IntN(10) == 0 {
+			expected = rnd.IntN(len(sent)) // it leaves before it has all its responses
+		}
+		for k := range expected {
+			resp, err := http.ReadResponse(reader, nil)
+			if err != nil {
+				c.incomplete++
+				leave()
+				break
+			}
+			if !c.check(sent[k], onces[k], resp, ids) {
+				leave()
+				break
+			}
+		}
+		if expected < len(sent) {
+			leave()
+		}
+	}
+	return c
+}
+
+// faultResult is what a run of all callers came to.
+type faultResult struct {
+	callerResults
+	ranTwice, ranRejected []string
+	ran                   int
+}
+
+// runFaults runs all callers against targets with faults. ids: callers send ids and the proxy checks them.
+func runFaults(t *testing.T, seed uint64, healthCheck, ids bool, faults []targetFault) (res faultResult, faulty *faultyTargets, proxy *faultProxy) {
+	const callers, requests = 12, 120
+	faulty = newFaultyTargets(t, 5, seed, faults)
+	proxy = newFaultProxy(faulty, seed, healthCheck)
+	if !ids {
+		proxy.forwarder.Headers.Attempt = ""
+	}
+	counted := make(chan map[string]int)
+	go func() {
+		runs := map[string]int{}
+		for r := range faulty.runs {
+			runs[r.id]++
+		}
+		counted <- runs
+	}()
+	ends := make(chan callerResults, callers)
+	for k := range callers {
+		go func() {
+			ends <- proxy.call(fmt.Sprint("c", k), requests, rand.New(rand.NewPCG(seed, 1000+uint64(k))), healthCheck)
+		}()
+	}
+	rejected := map[string]bool{}
+	for range callers {
+		c := <-ends
+		res.wrong, res.served, res.incomplete = append(res.wrong, c.wrong...), res.served+c.served, res.incomplete+c.incomplete
+		maps.Copy(rejected, c.rejected)
+	}
+	proxy.server.Close()
+	proxy.pool.Close()
+	faulty.close()
+	runs := <-counted
+	for _, id := range slices.Sorted(maps.Keys(runs)) {
+		res.ran += runs[id]
+		if runs[id] > 0 && rejected[id] {
+			res.ranRejected = append(res.ranRejected, id)
+		}
+	}
+	for k := range callers {
+		rnd := rand.New(rand.NewPCG(seed, 1000+uint64(k)))
+		for id := range onceIDs(fmt.Sprint("c", k), requests, rnd) {
+			if runs[id] > 1 {
+				res.ranTwice = append(res.ranTwice, fmt.Sprintf("%s ran %d times", id, runs[id]))
+			}
+		}
+	}
+	return res, faulty, proxy
+}
+
+// onceIDs draws a caller's random numbers again and returns which of its requests may run only once.
+func onceIDs(name string, n int, rnd *rand.Rand) map[string]bool {
+	ids := map[string]bool{}
+	for i := 0; i < n; {
+		count := 1
+		if rnd.IntN(3) == 0 {
+			count = 2 + rnd.IntN(4)
+		}
+		for range count {
+			if rnd.IntN(2) == 0 {
+				ids[fmt.Sprintf("%s-%d", name, i)] = true
+			}
+			i++
+		}
+		if rnd.IntN(10) == 0 {
+			rnd.IntN(count)
+		}
+	}
+	return ids
+}
+
+// TestFaultyTargets runs many callers, some of which pipeline and leave, against targets with all faults: nothing
+// that may run only once runs twice, nothing that was rejected has run, and no caller gets a response that is
+// another's, truncated or altered.
+func TestFaultyTargets(t *testing.T) {
+	var all []targetFault
+	for fault := range targetFaults {
+		all = append(all, fault)
+	}
+	// Targets without a health check repeat no id: there only what comes at once or on an idle connection can be
+	// distinguished from a response.
+	framed := []targetFault{chunkedResponse, interimFirst, surplusAtOnce, closesAfter, closesWithoutResponse, resets, resetsUnread, truncatedResponse, truncatedHeader, garbage, largeResponse, largeTruncated}
+	for _, tc := range []struct {
+		name        string
+		healthCheck bool
+		faults      []targetFault
+	}{{"ids", true, all}, {"identity", false, framed}} {
+		var caused [targetFaults]int64
+		var mismatched, opened, reused, pipelined, deferred uint64
+		for seed := range uint64(4) {
+			res, faulty, proxy := runFaults(t, seed, tc.healthCheck, true, tc.faults)
+			for _, violations := range [][]string{res.wrong, res.ranTwice, res.ranRejected} {
+				if len(violations) > 0 {
+					t.Errorf("%s, seed %d: %d, e.g. %s", tc.name, seed, len(violations), violations[0])
+				}
+			}
+			if res.served < 300 {
+				t.Errorf("%s, seed %d: %d served", tc.name, seed, res.served)
+			}
+			for fault := range targetFaults {
+				caused[fault] += faulty.caused[fault].Load()
+			}
+			counts := &proxy.forwarder.Counts
+			mismatched, opened, reused = mismatched+counts.MismatchedResponses.Load(), opened+counts.ConnsOpened.Load(), reused+counts.ConnsReused.Load()
+			pipelined, deferred = pipelined+counts.Pipelined.Load(), deferred+counts.Deferred.Load()
+		}
+		for _, fault := range tc.faults {
+			if caused[fault] < 10 {
+				t.Errorf("%s: %s came %d times", tc.name, targetFaultNames[fault], caused[fault])
+			}
+		}
+		if reused < 100 || pipelined < 100 || deferred < 20 || tc.healthCheck && mismatched < 20 {
+			t.Errorf("%s: reused %d, pipelined %d, deferred %d, mismatched %d", tc.name, reused, pipelined, deferred, mismatched)
+		}
+		t.Logf("%s: caused %v, mismatched %d, opened %d, reused %d, pipelined %d, deferred %d", tc.name, caused, mismatched, opened, reused, pipelined, deferred)
+	}
+}
+
+// TestFaultyTargetsFindsMissingIDCheck checks that without the check of the id TestFaultyTargets would find
+// responses that belong to others.
+func TestFaultyTargetsFindsMissingIDCheck(t *testing.T) {
+	wrong := 0
+	for seed := range uint64(3) {
+		res, _, _ := runFaults(t, seed, true, false, []targetFault{surplusLater, surplusInPlace})
+		wrong += len(res.wrong)
+	}
+	if wrong == 0 {
+		t.Fatal("no response was another's")
+	}
+}
--- /dev/null
+++ b/internal/dataplane/reverseproxy/reverseproxy_test.go
@@ -0,0 +1,277 @@
+package reverseproxy
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"runtime"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
+)
+
+// TestErrorShapeAndTransparency checks that errors have one shape, and that bodies, headers and trailers pass
+// unaltered.
+func TestErrorShapeAndTransparency(t *testing.T) {
+	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		w.Header().Set("X-Len", fmt.Sprint(len(body)))
+		w.Header().Set("Trailer", "X-Sum")
+		w.Header().Set("Connection", "X-Hop")
+		w.Header().Set("X-Hop", "1")
+		w.WriteHeader(207)
+		w.Write(body)
+		w.Header().Set("X-Sum", "s")
+	})
+	proxy := newTestProxy(t, a.Target)
+	for _, tc := range []struct {
+		method, path, body string
+		head               []string
+		status             int
+		ran                string
+	}{
+		{"GET", "/a/../b", "", nil, 400, "no"},
+		{"GET", "/a%2fb", "", nil, 400, "no"},
+		{"GET", "/a", "", []string{DeadlineHeader, "soon"}, 400, "no"},
+		{"GET", "/a", "", []string{"X-Big", strings.Repeat("x", 40<<10)}, 431, "no"},
+		{"POST", "/a", strings.Repeat("x", 101<<10), nil, 413, "no"},
+	} {
+		status, header, b := proxy.request(t, tc.method, tc.path, tc.body, tc.head...)
+		var e struct{ Error config.ErrorBody }
+		if json.Unmarshal([]byte(b), &e) != nil || status != tc.status || e.Error.Ran != tc.ran || header.Get(RanHeader) != tc.ran || e.Error.Code == "" {
+			t.Errorf("%s %s: %d %s", tc.method, tc.path, status, b)
+		}
+	}
+	if a.runs.Load() != 0 {
+		t.Fatal("a bad request ran")
+	}
+	body := strings.Repeat("0123456789", 9000) // too large to be buffered
+	req, _ := http.NewRequest("PUT", proxy.url+"/q?a=1&a=2", io.MultiReader(strings.NewReader(body)))
+	req.Header.Set("Connection", "X-Mine")
+	req.Header.Set("X-Mine", "1")
+	resp, err := proxy.client.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := io.ReadAll(resp.Body)
+	r := <-a.requests
+	if err != nil || string(got) != body || resp.StatusCode != 207 || resp.Header.Get("X-Hop") != "" || resp.Trailer.Get("X-Sum") != "s" || resp.Header.Get("X-Len") != fmt.Sprint(len(body)) {
+		t.Fatalf("%v %d %v %v, %d bytes", err, resp.StatusCode, resp.Header, resp.Trailer, len(got))
+	}
+	if r.Header.Get("X-Mine") != "" || r.Header.Get("X-Forwarded-For") == "" || r.URL.RawQuery != "a=1&a=2" || r.Host != proxy.addr || r.Header.Get(DeadlineHeader) == "" {
+		t.Fatalf("%v %v %v", r.Header, r.URL, r.Host)
+	}
+}
+
+// TestRequestToTargetWithHealthCheck checks what is sent to a target with a health check: its name, the time left,
+// and the request as it came; nothing else.
+func TestRequestToTargetWithHealthCheck(t *testing.T) {
+	a := newRawBackend(t, "a", respond(200, "ok", "L", "3, 1,4"))
+	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
+	conn := dial(t, proxy.addr)
+	fmt.Fprint(conn, "POST /a%41/b?x=%2f&&y HTTP/1.1\r\nHost: h.example\r\nA: 77\r\nD: 900\r\nE: another\r\nTransfer-Encoding: chunked\r\nConnection: Mine\r\nMine: 1\r\nKept: v\r\n\r\n2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n")
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil || resp.StatusCode != 200 || resp.Header.Get("A") != "77" || resp.Header.Get("Date") != "" || resp.Header.Get("Content-Type") != "" || resp.ContentLength != 2 {
+		t.Fatal(err, resp)
+	}
+	r := <-a.requests
+	if r.RequestURI != "/a%41/b?x=%2f&&y" || r.Host != "h.example" || r.Method != "POST" || <-a.bodies != "abcde" || r.ContentLength != 5 {
+		t.Fatal(r.RequestURI, r.Host, r.ContentLength)
+	}
+	var left int
+	fmt.Sscan(r.Header.Get("D"), &left)
+	if left < 1 || left > int((proxy.timeLeft-tuning.NetHop).Milliseconds()) {
+		t.Fatal("left", left)
+	}
+	r.Header.Del("D")
+	if got, want := fmt.Sprint(r.Header), fmt.Sprint(http.Header{"A": {"77"}, "E": {"a"}, "Kept": {"v"}, "Content-Length": {"5"}}); got != want {
+		t.Fatal(got)
+	}
+	if done := (<-proxy.notified).(statemachine.AttemptDone); done.Load == nil || *done.Load != (statemachine.TargetLoad{Running: 3, Waiting: 1, Slots: 4}) {
+		t.Fatal(done.Load)
+	}
+	if admit := proxy.asked[0].(statemachine.Admit); admit.Timeout <= 0 || admit.Timeout > 900*time.Millisecond {
+		t.Fatal(admit.Timeout)
+	}
+	if a.conns.Load() != 1 || a.runs.Load() != 1 {
+		t.Fatal("asked for its identity")
+	}
+}
+
+// TestConcurrentRequestsGetTheirOwnResponses sends many requests at once over few connections that come and go.
+func TestConcurrentRequestsGetTheirOwnResponses(t *testing.T) {
+	a := newRawBackend(t, "a", func(connNumber, n int, r *http.Request) (string, bool) {
+		response, _ := respond(200, r.URL.Path)(connNumber, n, r)
+		return response, n%7 != 0 // it closes a connection now and then
+	})
+	go func() {
+		for range a.requests {
+			<-a.bodies
+		}
+	}()
+	forwarder := newForwarder(t, func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+		return statemachine.Forward{ID: id, Service: "s", Target: a.Target, TimeLeft: time.Minute, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20, HealthPath: "/h"}, Route: config.Route{Kind: config.KindRepeatable}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
+	})
+	forwarder.pool.SetTargets(addressesOf(a.Target))
+	forwarder.Headers.Attempt = "A"
+	server := httptest.NewServer(forwarder)
+	defer server.Close()
+	stop, swept := make(chan bool), make(chan bool)
+	go func() {
+		defer close(swept)
+		for {
+			select {
+			case <-stop:
+				return
+			default:
+				for _, conns := range *forwarder.pool.targets.Load() {
+					conns.closeExpired(time.Now())
+				}
+				forwarder.pool.SetTargets(addressesOf(a.Target))
+				runtime.Gosched()
+			}
+		}
+	}()
+	ends := make(chan error, 8)
+	for k := range 8 {
+		go func() {
+			for i := range 100 {
+				req, _ := http.NewRequest("GET", fmt.Sprintf("%s/%d/%d", server.URL, k, i), nil)
+				req.Header.Set("A", fmt.Sprintf("%d-%d", k, i))
+				resp, err := http.DefaultClient.Do(req)
+				if err != nil {
+					ends <- err
+					return
+				}
+				body, _ := io.ReadAll(resp.Body)
+				resp.Body.Close()
+				if resp.StatusCode != 200 || string(body) != req.URL.Path || resp.Header.Get("A") != req.Header.Get("A") {
+					ends <- fmt.Errorf("%s got %d %q", req.URL.Path, resp.StatusCode, body)
+					return
+				}
+			}
+			ends <- nil
+		}()
+	}
+	for range 8 {
+		if err := <-ends; err != nil {
+			t.Error(err)
+		}
+	}
+	close(stop)
+	<-swept
+}
+
+// TestCallerThatLeavesEndsItsRequest checks that a caller that leaves gets nothing that looks like a response, and
+// that its target is notified.
+func TestCallerThatLeavesEndsItsRequest(t *testing.T) {
+	left := make(chan bool)
+	a := newBackend(t, "a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(left) })
+	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
+	conn := dial(t, proxy.addr)
+	fmt.Fprint(conn, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
+	<-a.requests
+	conn.(*net.TCPConn).CloseWrite()
+	<-left
+	if body, _ := io.ReadAll(conn); len(body) > 0 {
+		t.Fatalf("%q", body)
+	}
+	if done := (<-proxy.notified).(statemachine.AttemptDone); done.Outcome != statemachine.ClientGone || !done.Last {
+		t.Fatal(done)
+	}
+}
+
+// BenchmarkRequest measures one small request from end to end over loopback, caller and target included.
+func BenchmarkRequest(b *testing.B) {
+	const response = "HTTP/1.1 200 OK\r\nContent-Length: 600\r\nMyrtlefold-Attempt: 1f\r\nDate: Mon, 01 Jan 2024 00:00:00 GMT\r\nContent-Type: text/plain\r\n\r\n"
+	listener := listen(b)
+	target := wire.Target{Service: "s", Name: "a", Incarnation: 7, Addr: listener.Addr().String()}
+	id, _ := json.Marshal(config.TargetReport{Service: "s", Name: "a", Incarnation: 7})
+	out := []byte(response + strings.Repeat("x", 600))
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				reader := make([]byte, 8<<10)
+				for {
+					n, err := c.Read(reader)
+					if err != nil {
+						return
+					}
+					say := out
+					if bytes.HasPrefix(reader[:n], []byte("GET "+config.IdentityPath)) {
+						say = fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
+					}
+					c.Write(say)
+				}
+			}()
+		}
+	}()
+	forwarder := newForwarder(b, func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
+		return statemachine.Forward{ID: id, Service: "s", Target: target, TimeLeft: 5 * time.Second, WriteBy: time.Hour, ServiceConfig: config.Service{BodyMax: 1 << 20}, MaxIdle: tuning.IdleConnsMax, ConnectTimeout: tuning.ConnectTimeoutMin}
+	})
+	forwarder.pool.SetTargets(addressesOf(target))
+	server := httptest.NewServer(forwarder)
+	defer server.Close()
+	conn := dial(b, server.Listener.Addr().String())
+	reader := bufio.NewReader(conn)
+	req := []byte("GET /lep/2f HTTP/1.1\r\nHost: h.example\r\nMyrtlefold-Attempt: 1f\r\nMyrtlefold-Deadline-Ms: 2000\r\nUser-Agent: b\r\nAccept: */*\r\n\r\n")
+	one := func() {
+		conn.Write(req)
+		for n := 0; ; {
+			l, err := reader.ReadSlice('\n')
+			if err != nil {
+				b.Fatal(err)
+			}
+			if bytes.HasPrefix(l, []byte("Content-Length: ")) {
+				n = 600
+			}
+			if len(l) == 2 {
+				reader.Discard(n)
+				return
+			}
+		}
+	}
+	one()
+	b.ReportAllocs()
+	for b.Loop() {
+		one()
+	}
+}
+
+// TestWorkTimeLimitsTheDeadlineHeader checks that the deadline that a target is sent is the time that it may work,
+// which in a draining proxy is less than the caller still gives.
+func TestWorkTimeLimitsTheDeadlineHeader(t *testing.T) {
+	deadlines := make(chan string, 1)
+	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
+		deadlines <- r.Header.Get("D")
+		w.Header().Set("P", "a")
+	})
+	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
+	proxy.timeLeft = time.Minute
+	for _, work := range []time.Duration{0, 2 * time.Second} {
+		proxy.workTime = work
+		if status, _, _ := proxy.request(t, "GET", "/x", "", "D", "60000"); status != http.StatusOK {
+			t.Fatal(status)
+		}
+		ms, err := strconv.Atoi(<-deadlines)
+		if most := proxy.timeLeft; err != nil || work == 0 && ms > int(most.Milliseconds()) || work > 0 && ms > int(work.Milliseconds()) {
+			t.Errorf("of %v, at work for at most %v, the target gets %d ms, %v", proxy.timeLeft, work, ms, err)
+		}
+	}
+}
