--- /dev/null
+++ b/internal/controlplane/targetview.go
@@ -0,0 +1,61 @@
+package controlplane
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"myrtlefold/internal/shared/wire"
+)
+
+// TargetView is what operators read of a target.
+type TargetView struct {
+	wire.Target
+	// Ejection is the outlier policy that ejected it, "" if it is not ejected, and EjectionLeftMs for how much longer.
+	Ejection       string `json:"bar,omitempty"`
+	EjectionLeftMs int64  `json:"bar_left_ms,omitempty"`
+	// Why says, for people, whether it gets requests and why not.
+	Why string `json:"why"`
+	// LastHeartbeatMs is how long ago its last heartbeat came.
+	LastHeartbeatMs float64 `json:"last_beat_ms"`
+}
+
+// Targets returns the leader's targets in order. At any other member they are those of its last leadership.
+func (c *Controller) Targets(now time.Duration) []TargetView {
+	views := []TargetView{}
+	for _, id := range c.targetIDs() {
+		t := c.targets[id]
+		view := TargetView{Target: t.Target, LastHeartbeatMs: milliseconds(now - t.lastHeartbeatAt)}
+		view.Heartbeating, view.WarmupLeft = t.isHeartbeating(now), t.warmupLeft(now)
+		if until, policy := c.detector.Ejected(now, id); until > now {
+			view.Ejection, view.EjectionLeftMs = policy, (until - now).Milliseconds()
+		}
+		view.Why = c.explainTarget(t, view)
+		views = append(views, view)
+	}
+	return views
+}
+
+// explainTarget says the first reason that keeps requests from a target. The texts are part of the API.
+func (c *Controller) explainTarget(t *target, view TargetView) string {
+	switch {
+	case t.Draining:
+		return "held: it said that it is leaving"
+	case view.Ejection != "":
+		return fmt.Sprintf("barred by policy %s: %s", view.Ejection, c.detector.Stats()[view.Ejection].Policy.When)
+	case t.unconfirmed:
+		return "known by hearsay: not served until it has answered for itself"
+	case t.Pending:
+		return "pending: its address's earlier target is not yet out of every table"
+	case slices.Contains(c.state.EmptiedDomains, t.Domain):
+		return "its domain is emptied"
+	case t.State == wire.TargetWarming:
+		return "warming: up to its share"
+	case view.WarmupLeft > 0:
+		return "cold: up to its service's cold rate"
+	}
+	return "serving"
+}
+
+// milliseconds returns a time with its fraction, as views have it.
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
