--- a/internal/shared/wire/compress.go
+++ b/internal/shared/wire/compress.go
@@ -1,10 +1,10 @@
 package wire
 
-// Long texts between daemons (configurations, and the states that proxies remember) are
-// compressed once by whoever makes them and decompressed where they are read: a configuration of
-// a thousand routes takes a tenth of its size, and a slow link or a leader that sends it to all
-// proxies a tenth of the time. A compressed text begins with a byte that no plain one begins with;
-// short texts stay as they are.
+// Long texts between daemons (configurations, and the state that proxies keep for disaster recovery)
+// are compressed once by their sender and decompressed by the receiver: a configuration of a thousand
+// routes shrinks to a tenth, and with it the time that it takes on a slow link or for a leader that
+// sends it to all proxies. A compressed text begins with a byte that no plain one begins with; short
+// texts stay as they are.
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// compressedMark is the first byte of a compressed text.
-const compressedMark = 0
+// compressedHeader is the first byte of a compressed text. Plain texts are JSON, which never begins with it.
+const compressedHeader = 0
 
 // Compress returns a form of text that Decompress reads: text itself, if it is shorter than
 // tuning.CompressFrom or would not become shorter. The same text always gives the same bytes.
@@ -25,9 +25,9 @@
 	if len(text) < tuning.CompressFrom {
 		return text
 	}
-	var b bytes.Buffer
-	b.WriteByte(compressedMark)
-	w, err := flate.NewWriter(&b, flate.BestSpeed)
+	var compressed bytes.Buffer
+	compressed.WriteByte(compressedHeader)
+	w, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err == nil {
 		if _, err = w.Write(text); err == nil {
 			err = w.Close()
@@ -36,16 +36,16 @@
 	if err != nil {
 		panic(err) // writing to a buffer does not fail
 	}
-	if b.Len() >= len(text) {
+	if compressed.Len() >= len(text) {
 		return text
 	}
-	return bytes.Clone(b.Bytes())
+	return bytes.Clone(compressed.Bytes())
 }
 
-// Decompress returns the text that Compress made b of. A text that is cut short or becomes longer
-// than tuning.WireMax is an error.
+// Decompress returns the text that Compress made b of. It fails if b is truncated or malformed, or if
+// the text is longer than tuning.WireMax bytes.
 func Decompress(b []byte) ([]byte, error) {
-	if len(b) == 0 || b[0] != compressedMark {
+	if len(b) == 0 || b[0] != compressedHeader {
 		return b, nil
 	}
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b[1:])), tuning.WireMax+1))
--- a/internal/shared/wire/compress_test.go
+++ b/internal/shared/wire/compress_test.go
@@ -10,8 +10,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// What is compressed decompresses to the same text, and is shorter where that can be.
-func TestCompressedTextDecompresses(t *testing.T) {
+// A compressed text decompresses to the same text, is never longer, and routes shrink to half or less.
+func TestCompressedTextRoundTrips(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	noise := make([]byte, 5*tuning.CompressFrom)
 	for i := range noise {
@@ -27,7 +27,7 @@
 			t.Errorf("%d bytes grew to %d", len(text), len(b))
 		}
 		if got, err := Decompress(b); err != nil || !bytes.Equal(got, text) {
-			t.Errorf("%d bytes opened to %d: %v", len(text), len(got), err)
+			t.Errorf("%d bytes decompressed to %d: %v", len(text), len(got), err)
 		}
 		if again := Compress(text); !bytes.Equal(again, b) {
 			t.Errorf("%d bytes are compressed in two ways", len(text))
@@ -38,16 +38,16 @@
 	}
 }
 
-// A text that breaks off is an error, and so is one that grows without a bound.
-func TestUnsoundCompressedTextIsRefused(t *testing.T) {
+// A truncated text is an error, and so is one that grows over the bound of a message.
+func TestMalformedCompressedTextIsAnError(t *testing.T) {
 	whole := Compress(bytes.Repeat([]byte("one and another "), tuning.CompressFrom))
 	for n := 1; n < len(whole); n++ {
 		if _, err := Decompress(whole[:n]); err == nil {
-			t.Fatalf("%d of %d bytes were opened", n, len(whole))
+			t.Fatalf("%d of %d bytes were decompressed", n, len(whole))
 		}
 	}
 	var b bytes.Buffer
-	b.WriteByte(compressedMark)
+	b.WriteByte(compressedHeader)
 	w, err := flate.NewWriter(&b, flate.BestCompression)
 	if err != nil {
 		t.Fatal(err)
@@ -61,6 +61,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Decompress(b.Bytes()); err == nil {
-		t.Error("a text over a message's bound was opened")
+		t.Error("a text over a message's bound was decompressed")
 	}
 }
--- a/internal/shared/wire/msg.capnp
+++ b/internal/shared/wire/msg.capnp
@@ -1,10 +1,13 @@
-# What the daemons say to one another: one message struct, one part per kind.
-# The Go side of each struct stands in the wire package under the same name.
+# The messages between daemons and the records on a member's disk. The Go struct of each struct here is in
+# package wire under its name without the C (IdentityC is TargetID), with the same fields: their comments are
+# there. A field's ordinal is its position in all messages and records: it never changes, and new fields come
+# at the end. gen.sh generates msg.capnp.go.
 using Go = import "/go.capnp";
 @0xb6d1f0c2a94e7713;
 $Go.package("wire");
 $Go.import("myrtlefold/internal/shared/wire");
 
+# A message between daemons: exactly the part of its kind is set.
 struct MessageC {
   kind @0 :UInt16;
   from @1 :Text;
@@ -21,6 +24,8 @@
   heartbeat @12 :TargetC;
   call @13 :CallC;
 }
+
+# A control daemon or a proxy, as it describes itself.
 struct DaemonC {
   name @0 :Text;
   kind @1 :Text;
@@ -35,6 +40,8 @@
   state @10 :Text;
   bootstrapOffer @11 :UInt64;
 }
+
+# Discovery: the sender, the daemons that it knows of, and the leader.
 struct HelloC {
   self @0 :DaemonC;
   daemons @1 :List(DaemonC);
@@ -49,6 +56,8 @@
   lostMembers @10 :List(Text);
   recoveryConsent @11 :Bool;
 }
+
+# A request for a vote, or the response.
 struct VoteC {
   preVote @0 :Bool;
   reply @1 :Bool;
@@ -59,22 +68,30 @@
   unanimous @6 :Bool;
   noLeader @7 :Bool;
 }
+
+# An entry of the replicated log.
 struct EntryC {
   index @0 :UInt64;
   term @1 :UInt64;
   kind @2 :UInt16;
   data @3 :Data;
 }
+
+# A member of the control plane: a daemon on one disk.
 struct MemberC {
   name @0 :Text;
   disk @1 :UInt64;
 }
+
+# The state after the log's entry index, in place of all entries up to it.
 struct SnapshotC {
   index @0 :UInt64;
   term @1 :UInt64;
   members @2 :List(MemberC);
   data @3 :Data;
 }
+
+# A leader's heartbeat with log entries or a chunk, or the response.
 struct AppendC {
   reply @0 :Bool;
   success @1 :Bool;
@@ -83,11 +100,12 @@
   commit @4 :UInt64;
   matchIndex @5 :UInt64;
   entries @6 :List(EntryC);
-  snap @7 :SnapshotC; # unused: snapshots go in chunks
+  snap @7 :SnapshotC; # unused: snapshots are sent in chunks
   chunk @8 :ChunkC;
 }
-# A part of a snapshot, or of one log entry that is too large for one message. In a reply: how
-# much of it the receiver holds, as offset, without data.
+
+# A part of a snapshot, or of one log entry that is too large for one message. In a response:
+# how many bytes the receiver has, as offset, without data.
 struct ChunkC {
   isEntry @0 :Bool;
   index @1 :UInt64;
@@ -99,6 +117,8 @@
   offset @7 :UInt64;
   data @8 :Data;
 }
+
+# A target as daemons describe it to each other. Times left are in ns.
 struct TargetC {
   service @0 :Text;
   name @1 :Text;
@@ -118,6 +138,8 @@
   warmupLeft @15 :Int64;
   number @16 :UInt64;
 }
+
+# What one proxy observed of one target since its last report.
 struct TargetStatsC {
   service @0 :Text;
   name @1 :Text;
@@ -131,17 +153,23 @@
   rejected @9 :UInt32;
   probeAnswered @10 :Bool;
 }
+
+# A table's order: epoch, then term, then version.
 struct TableKeyC {
   epoch @0 :UInt64;
   term @1 :UInt64;
   version @2 :UInt64;
 }
+
+# A proxy as a table lists it.
 struct ProxyC {
   name @0 :Text;
   addr @1 :Text;
   domain @2 :Text;
   live @3 :Bool;
 }
+
+# What proxies route by, complete or as a delta to the table deltaBase.
 struct TableC {
   key @0 :TableKeyC;
   stateIndex @1 :UInt64;
@@ -155,11 +183,15 @@
   deltaBase @9 :TableKeyC;
   removedTargets @10 :List(IdentityC);
 }
+
+# A target's identity.
 struct IdentityC {
   service @0 :Text;
   name @1 :Text;
   incarnation @2 :UInt64;
 }
+
+# A proxy's request for its table and lease.
 struct PullC {
   self @0 :DaemonC;
   key @1 :TableKeyC;
@@ -169,6 +201,8 @@
   stateIndex @5 :UInt64;
   wantTable @6 :Bool;
 }
+
+# The response to a pull.
 struct PushC {
   leaseGranted @0 :Bool;
   wantTable @1 :Bool;
@@ -176,6 +210,8 @@
   table @3 :TableC;
   probeTargets @4 :List(IdentityC);
 }
+
+# An HTTP call that a member forwards to the leader, or the response.
 struct CallC {
   id @0 :UInt64;
   reply @1 :Bool;
@@ -187,6 +223,8 @@
   retryAfterMs @7 :UInt32;
   token @8 :Text;
 }
+
+# What a member writes to its disk at once: the form of a record on disk.
 struct BatchC {
   seq @0 :UInt64;
   reset @1 :Bool;
--- a/internal/shared/wire/table_test.go
+++ b/internal/shared/wire/packedtable_test.go
@@ -18,8 +18,8 @@
 	return t
 }
 
-// A push with a packed table is read as the same message as one that is written whole, whoever it
-// is from and whatever stands in it beside.
+// A push with a packed table is read as the same message as one that is encoded as a whole, whoever its
+// sender is and whatever else is in it.
 func TestPackedTableIsTheSameMessage(t *testing.T) {
 	change := &Table{Key: TableKey{1, 2, 4}, DeltaBase: TableKey{1, 2, 3}, RemovedTargets: []TargetID{{Service: "s", Name: "i-1", Incarnation: 1}}}
 	for _, table := range []*Table{{}, change, fleetTable(3, 0), fleetTable(0, 7), fleetTable(64, 307)} {
@@ -27,8 +27,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var whole, pieces bytes.Buffer
-		a, b := NewWriter(&whole), NewWriter(&pieces)
+		var encoded, packedOnce bytes.Buffer
+		a, b := NewWriter(&encoded), NewWriter(&packedOnce)
 		for i, p := range []Push{{LeaseGranted: true, Key: table.Key}, {WantTable: true}, {ProbeTargets: []TargetID{{Service: "s", Name: "x", Incarnation: 2}}}, {}} {
 			p.Table = table
 			m := &Message{Kind: KindPush, From: "c1", To: "g1", Disk: 7, Epoch: 1, Term: 2, Timestamp: int64(i), Push: &p}
@@ -40,15 +40,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if k > n+word {
-				t.Errorf("%d bytes in pieces, %d as a whole", k, n)
+			if k > n+wordSize {
+				t.Errorf("%d bytes with the packed table, %d encoded as a whole", k, n)
 			}
 		}
 		a.Flush()
 		b.Flush()
-		x, y := NewReader(&whole), NewReader(&pieces)
+		x, y := NewReader(&encoded), NewReader(&packedOnce)
 		for range 4 {
-			want, got := next(t, x), next(t, y)
+			want, got := readMessage(t, x), readMessage(t, y)
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("read %+v, want %+v", got, want)
 			}
@@ -56,7 +56,7 @@
 	}
 }
 
-func next(t *testing.T, r *Reader) *Message {
+func readMessage(t *testing.T, r *Reader) *Message {
 	t.Helper()
 	b, err := r.Next()
 	if err != nil {
@@ -69,7 +69,7 @@
 	return m
 }
 
-// BenchmarkTable writes a table of a large fleet to one proxy: anew, and packed once for all.
+// BenchmarkTable writes a table of a large fleet to one proxy: encoded for it, and packed once for all.
 func BenchmarkTable(b *testing.B) {
 	table := fleetTable(64, 307)
 	m := &Message{Kind: KindPush, From: "c1", Timestamp: 7, Push: &Push{LeaseGranted: true, Table: table}}
--- a/internal/shared/wire/size.go
+++ b/internal/shared/wire/size.go
@@ -1,111 +1,138 @@
-// This file tells how many bytes a message takes before it is written: sizes follow from the structs,
-// so that one slice is made, written in place and handed on.
-
 package wire
 
+// The size of a message is computed before it is written, from the structs' sizes, so that one buffer
+// is allocated and written in place.
+
 import (
 	capnp "capnproto.org/go/capnp/v3"
 )
 
+// Sizes of Cap'n Proto's encoding, in bytes.
+
 const (
-	word   = 8    // bytes, the unit that Cap'n Proto counts in
-	header = 8    // bytes before the one segment: how many more there are and its words
-	tag    = word // before the elements of a list of structs
-	root   = word // the pointer that a segment begins with
+	wordSize   = 8        // the unit that Cap'n Proto counts in
+	headerSize = 8        // before the one segment: the number of further segments and its words
+	tagSize    = wordSize // before the elements of a list of structs
+	rootSize   = wordSize // the pointer that a segment begins with
 )
 
-// Bytes of each struct without what it points to, as the schema has them.
+// Sizes of the structs without what they point to, in bytes, as the generated code has them.
 var (
-	msgSize    = fixed(NewMessageC)
-	daemonSize = fixed(NewDaemonC)
-	helloSize  = fixed(NewHelloC)
-	voteSize   = fixed(NewVoteC)
-	entrySize  = fixed(NewEntryC)
-	memberSize = fixed(NewMemberC)
-	snapSize   = fixed(NewSnapshotC)
-	appendSize = fixed(NewAppendC)
-	pieceSize  = fixed(NewChunkC)
-	targetSize = fixed(NewTargetC)
-	seenSize   = fixed(NewTargetStatsC)
-	keySize    = fixed(NewTableKeyC)
-	gateSize   = fixed(NewProxyC)
-	tableSize  = fixed(NewTableC)
-	idSize     = fixed(NewIdentityC)
-	pullSize   = fixed(NewPullC)
-	pushSize   = fixed(NewPushC)
-	askSize    = fixed(NewCallC)
-	batchSize  = fixed(NewBatchC)
+	messageSize     = fixedSize(NewMessageC)
+	daemonSize      = fixedSize(NewDaemonC)
+	helloSize       = fixedSize(NewHelloC)
+	voteSize        = fixedSize(NewVoteC)
+	entrySize       = fixedSize(NewEntryC)
+	memberSize      = fixedSize(NewMemberC)
+	snapshotSize    = fixedSize(NewSnapshotC)
+	appendSize      = fixedSize(NewAppendC)
+	chunkSize       = fixedSize(NewChunkC)
+	targetSize      = fixedSize(NewTargetC)
+	targetStatsSize = fixedSize(NewTargetStatsC)
+	tableKeySize    = fixedSize(NewTableKeyC)
+	proxySize       = fixedSize(NewProxyC)
+	tableSize       = fixedSize(NewTableC)
+	identitySize    = fixedSize(NewIdentityC)
+	pullSize        = fixedSize(NewPullC)
+	pushSize        = fixedSize(NewPushC)
+	callSize        = fixedSize(NewCallC)
+	batchSize       = fixedSize(NewBatchC)
 )
 
-func fixed[T ~capnp.StructKind](create func(*capnp.Segment) (T, error)) int {
+// fixedSize returns the size of a struct of the schema without what it points to.
+func fixedSize[T ~capnp.StructKind](create func(*capnp.Segment) (T, error)) int {
 	_, seg := capnp.NewSingleSegmentMessage(nil)
 	c, err := create(seg)
 	if err != nil {
 		panic(err)
 	}
 	size := capnp.Struct(c).Size()
-	return int(size.DataSize) + word*int(size.PointerCount)
+	return int(size.DataSize) + wordSize*int(size.PointerCount)
 }
 
-func padded(n int) int { return (n + word - 1) / word * word }
+// paddedSize rounds up to whole words.
+func paddedSize(n int) int { return (n + wordSize - 1) / wordSize * wordSize }
 
 func textSize(s string) int {
 	if s == "" {
 		return 0
 	}
-	return padded(len(s) + 1) // its end is marked by a zero
+	return paddedSize(len(s) + 1) // a text ends with a zero byte
 }
 
-func textsSize(ss []string) int {
-	n := word * len(ss)
-	for _, s := range ss {
+func textsSize(texts []string) int {
+	n := wordSize * len(texts)
+	for _, s := range texts {
 		n += textSize(s)
 	}
 	return n
 }
 
-func dataSize(b []byte) int { return padded(len(b)) }
+func dataSize(b []byte) int { return paddedSize(len(b)) }
 
+// listSize returns the size of a list of n structs of so many bytes each; an empty one is not allocated.
 func listSize(n, each int) int {
 	if n == 0 {
 		return 0
 	}
-	return tag + n*each
+	return tagSize + n*each
 }
 
+// size returns the size of the message without header and root pointer.
 func (m *Message) size() int {
-	n := msgSize + textSize(m.From) + textSize(m.To)
-	if h := m.Hello; h != nil {
-		n += helloSize + h.Self.size() + listSize(len(h.Daemons), 0) + textSize(h.Leader) + dataSize(h.RecoveredState) +
-			membersSize(h.Members) + textsSize(h.LostMembers)
-		for i := range h.Daemons {
-			n += h.Daemons[i].size()
-		}
+	size := messageSize + textSize(m.From) + textSize(m.To)
+	if m.Hello != nil {
+		size += m.Hello.size()
 	}
 	if m.Vote != nil {
-		n += voteSize
+		size += voteSize
 	}
-	if a := m.Append; a != nil {
-		n += appendSize + entriesSize(a.Entries) + a.Chunk.size()
+	if m.Append != nil {
+		size += m.Append.size()
 	}
-	if p := m.Pull; p != nil {
-		n += pullSize + p.Self.size() + keySize + listSize(len(p.Stats), seenSize) + p.Table.size()
-		for i := range p.Stats {
-			n += textSize(p.Stats[i].Service) + textSize(p.Stats[i].Name)
-		}
+	if m.Pull != nil {
+		size += m.Pull.size()
 	}
-	if p := m.Push; p != nil {
-		n += pushSize + keySize + p.Table.size() + idsSize(p.ProbeTargets)
+	if m.Push != nil {
+		size += m.Push.size()
 	}
 	if m.Heartbeat != nil {
-		n += m.Heartbeat.size()
+		size += m.Heartbeat.size()
+	}
+	if m.Call != nil {
+		size += m.Call.size()
 	}
-	if a := m.Call; a != nil {
-		n += askSize + textSize(a.Method) + textSize(a.Path) + textSize(a.Query) + dataSize(a.Body) + textSize(a.Token)
+	return size
+}
+
+func (h *Hello) size() int {
+	n := helloSize + h.Self.size() + listSize(len(h.Daemons), 0) + textSize(h.Leader) + dataSize(h.RecoveredState) +
+		membersSize(h.Members) + textsSize(h.LostMembers)
+	for i := range h.Daemons {
+		n += h.Daemons[i].size()
 	}
 	return n
 }
 
+func (a *Append) size() int { return appendSize + entriesSize(a.Entries) + a.Chunk.size() }
+
+func (p *Pull) size() int {
+	n := pullSize + p.Self.size() + tableKeySize + listSize(len(p.Stats), targetStatsSize) + p.Table.size()
+	for i := range p.Stats {
+		n += textSize(p.Stats[i].Service) + textSize(p.Stats[i].Name)
+	}
+	return n
+}
+
+func (p *Push) size() int {
+	return pushSize + tableKeySize + p.Table.size() + identitiesSize(p.ProbeTargets)
+}
+
+func (c *Call) size() int {
+	return callSize + textSize(c.Method) + textSize(c.Path) + textSize(c.Query) + dataSize(c.Body) + textSize(c.Token)
+}
+
+// size returns the size of the batch without header and root pointer.
 func (b *Batch) size() int {
 	return batchSize + textSize(b.Vote) + entriesSize(b.Entries) + b.Snapshot.size() + dataSize(b.RecoveredState) +
 		membersSize(b.Founders)
@@ -121,22 +148,22 @@
 		textSize(string(t.State)) + textSize(t.EjectedBy)
 }
 
-func (p *Chunk) size() int {
-	if p == nil {
+func (c *Chunk) size() int {
+	if c == nil {
 		return 0
 	}
-	return pieceSize + membersSize(p.Members) + dataSize(p.Data)
+	return chunkSize + membersSize(c.Members) + dataSize(c.Data)
 }
 
 func (s *Snapshot) size() int {
 	if s == nil {
 		return 0
 	}
-	return snapSize + membersSize(s.Members) + dataSize(s.Data)
+	return snapshotSize + membersSize(s.Members) + dataSize(s.Data)
 }
 
-func idsSize(ids []TargetID) int {
-	n := listSize(len(ids), idSize)
+func identitiesSize(ids []TargetID) int {
+	n := listSize(len(ids), identitySize)
 	for i := range ids {
 		n += textSize(ids[i].Service) + textSize(ids[i].Name)
 	}
@@ -147,8 +174,8 @@
 	if t == nil {
 		return 0
 	}
-	n := tableSize + keySize + dataSize(t.Document) + dataSize(t.State) + listSize(len(t.Proxies), gateSize) +
-		textsSize(t.EmptiedDomains) + listSize(len(t.Targets), 0) + textsSize(t.PreviousProxies) + keySize + idsSize(t.RemovedTargets)
+	n := tableSize + tableKeySize + dataSize(t.Document) + dataSize(t.State) + listSize(len(t.Proxies), proxySize) +
+		textsSize(t.EmptiedDomains) + listSize(len(t.Targets), 0) + textsSize(t.PreviousProxies) + tableKeySize + identitiesSize(t.RemovedTargets)
 	for i := range t.Proxies {
 		n += textSize(t.Proxies[i].Name) + textSize(t.Proxies[i].Addr) + textSize(t.Proxies[i].Domain)
 	}
@@ -158,18 +185,18 @@
 	return n
 }
 
-func membersSize(ms []Member) int {
-	n := listSize(len(ms), memberSize)
-	for i := range ms {
-		n += textSize(ms[i].Name)
+func membersSize(members []Member) int {
+	n := listSize(len(members), memberSize)
+	for i := range members {
+		n += textSize(members[i].Name)
 	}
 	return n
 }
 
-func entriesSize(es []Entry) int {
-	n := listSize(len(es), entrySize)
-	for i := range es {
-		n += dataSize(es[i].Data)
+func entriesSize(entries []Entry) int {
+	n := listSize(len(entries), entrySize)
+	for i := range entries {
+		n += dataSize(entries[i].Data)
 	}
 	return n
 }
