--- a/internal/dataplane/reverseproxy/attempt.go
+++ b/internal/dataplane/reverseproxy/attempt.go
@@ -144,8 +144,8 @@
 	return conn, nil
 }
 
-// verify checks that a new connection is to the target that is meant and takes a request. A target with a health check
-// is told with each request who is meant; any other one is asked.
+// verify checks that a new connection is to the target that is meant and takes a request. A target with a health
+// check is told with each request who is meant; any other one is asked.
 func (a *attempt) verify(conn *Conn) error {
 	if !a.target.ServiceConfig.HasHealthCheck() {
 		report, reusable, err := conn.Identify(earlier(a.deadline, time.Now().Add(tuning.DialTimeout)), a.target.Target.Addr)
@@ -214,8 +214,8 @@
 	}()
 }
 
-// release ends the attempt's use of its connection. That is kept if reusable and if the request is over on it; else it
-// is closed, so that nobody reads a response that comes later.
+// release ends the attempt's use of its connection. That is kept if reusable and if the request is over on it;
+// else it is closed, so that nobody reads a response that comes later.
 func (a *attempt) release(reusable bool) {
 	if a.released {
 		return
--- a/internal/dataplane/reverseproxy/draining.go
+++ b/internal/dataplane/reverseproxy/draining.go
@@ -1,5 +1,5 @@
-// This file has how a proxy that stops ends the taking of requests: it knows its callers' connections and which of them have a
-// request under way, has responses close their connections, and closes the others.
+// This file has how a proxy that stops ends the taking of requests: it knows its callers' connections and which of
+// them have a request under way, has responses close their connections, and closes the others.
 
 package reverseproxy
 
@@ -10,8 +10,8 @@
 	"sync/atomic"
 )
 
-// CallerConns are the callers' connections, by what http.Server says of them. A connection is busy from the moment at which
-// a request's header was read until its response was written. Any goroutine may call its methods.
+// CallerConns are the callers' connections, by what http.Server says of them. A connection is busy from the moment
+// at which a request's header was read until its response was written. Any goroutine may call its methods.
 type CallerConns struct {
 	listener atomic.Pointer[net.Listener]
 	states   sync.Map // *callerConn to http.ConnState
@@ -29,8 +29,9 @@
 // Closed reports whether Close was called.
 func (c *CallerConns) Closed() bool { return c.closed.Load() }
 
-// Close closes the listener and each connection without a request under way. Connections with one are closed after it. From
-// then on the owner has to reject what comes: a request may just be read from a connection that is closed here.
+// Close closes the listener and each connection without a request under way. Connections with one are closed after
+// it. From then on the owner has to reject what comes: a request may just be read from a connection that is closed
+// here.
 func (c *CallerConns) Close() {
 	c.closed.Store(true)
 	if listener := c.listener.Load(); listener != nil {
@@ -84,8 +85,8 @@
 	}
 }
 
-// closingWriter has the responses of a draining proxy close their connections, also those to requests that came before
-// it began to drain. While pipelined requests are unanswered on a connection, no response closes it.
+// closingWriter has the responses of a draining proxy close their connections, also those to requests that came
+// before it began to drain. While pipelined requests are unanswered on a connection, no response closes it.
 type closingWriter struct {
 	http.ResponseWriter
 	conn *callerConn
--- a/internal/dataplane/reverseproxy/errors.go
+++ b/internal/dataplane/reverseproxy/errors.go
@@ -47,8 +47,8 @@
 // Error returns what is wrong with the request.
 func (e *requestError) Error() string { return e.message }
 
-// attemptError is why an attempt brought no response that could be passed on. The caller gets it if no other attempt
-// follows.
+// attemptError is why an attempt brought no response that could be passed on. The caller gets it if no other
+// attempt follows.
 type attemptError struct{ code, message string }
 
 // Error returns the reason.
@@ -90,8 +90,8 @@
 	return strconv.FormatFloat(max(0.001, delay.Seconds()), 'f', 3, 64)
 }
 
-// WriteError answers a request with an error in the one JSON shape. retryAfter is when the caller may come back, 0: not
-// said.
+// WriteError answers a request with an error in the one JSON shape. retryAfter is when the caller may come back,
+// 0: not said.
 func WriteError(w http.ResponseWriter, status int, retryAfter time.Duration, body config.ErrorBody) {
 	writeError(w, RanHeader, status, retryAfter, body)
 }
--- a/internal/dataplane/reverseproxy/headers.go
+++ b/internal/dataplane/reverseproxy/headers.go
@@ -1,4 +1,5 @@
-// This file has the names of the headers that are spoken with callers and targets, and the rules on headers and paths.
+// This file has the names of the headers that are spoken with callers and targets, and the rules on headers and
+// paths.
 
 package reverseproxy
 
@@ -30,8 +31,8 @@
 	Ran string
 	// Attempt is the request's id, which the response repeats. A response with another id is not passed on.
 	Attempt string
-	// ExpectTarget is the name of the target that a request is meant for; any other one answers 421 and does not run
-	// it. It is sent to targets with a health check.
+	// ExpectTarget is the name of the target that a request is meant for; any other one answers 421 and does not
+	// run it. It is sent to targets with a health check.
 	ExpectTarget string
 	// NotRun marks a target's response as a rejection of a request that it did not run, whatever its value.
 	NotRun string
@@ -79,7 +80,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// removeHopByHopHeaders removes the headers that concern one connection only, those that Connection names among them.
+// removeHopByHopHeaders removes the headers that concern one connection only, those that Connection names among
+// them.
 func removeHopByHopHeaders(header http.Header) {
 	for _, value := range header.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
@@ -93,7 +95,8 @@
 	}
 }
 
-// isHopByHop reports whether a header concerns one connection only. connection has the request's Connection headers.
+// isHopByHop reports whether a header concerns one connection only. connection has the request's Connection
+// headers.
 func isHopByHop(connection []string, name string) bool {
 	if slices.Contains(hopByHopHeaders, name) {
 		return true
@@ -127,7 +130,8 @@
 	return append(out, "\r\n"...)
 }
 
-// isUnambiguousPath reports whether a URL's path can be read in one way only, so that a rule and a target read it alike.
+// isUnambiguousPath reports whether a URL's path can be read in one way only, so that a rule and a target read it
+// alike.
 func isUnambiguousPath(address *url.URL) bool {
 	decoded := address.Path
 	if !strings.HasPrefix(decoded, "/") || strings.Contains(decoded, "//") || strings.ContainsAny(decoded, "\x00\\") {
--- a/internal/dataplane/reverseproxy/limits.go
+++ b/internal/dataplane/reverseproxy/limits.go
@@ -1,5 +1,5 @@
-// This file has the limits on what callers send. The configuration's may change at any moment and are read with each
-// request; what the configuration leaves open has the limits of package tuning.
+// This file has the limits on what callers send. The configuration's may change at any moment and are read with
+// each request; what the configuration leaves open has the limits of package tuning.
 
 package reverseproxy
 
@@ -24,8 +24,8 @@
 	return tuning.HeaderMax
 }
 
-// maxBodyBytes returns how large a request's body for a service may be, in bytes. For a service with a health check the
-// configuration's limit for all callers replaces the service's own; for others the smaller one holds.
+// maxBodyBytes returns how large a request's body for a service may be, in bytes. For a service with a health
+// check the configuration's limit for all callers replaces the service's own; for others the smaller one holds.
 func (f *Forwarder) maxBodyBytes(service *config.Service) int64 {
 	own, common := int64(service.BodyMax), int64(f.limits().BodyBytes)
 	switch {
--- a/internal/dataplane/reverseproxy/listener.go
+++ b/internal/dataplane/reverseproxy/listener.go
@@ -1,5 +1,5 @@
-// This file has the callers' side of the network: the listener and the connections that it accepts. What is read from
-// them is in pipelining.go, how they end in draining.go.
+// This file has the callers' side of the network: the listener and the connections that it accepts. What is read
+// from them is in pipelining.go, how they end in draining.go.
 
 package reverseproxy
 
@@ -15,8 +15,8 @@
 // callerConnKey is the key of a request's callerConn in its context.
 type callerConnKey struct{}
 
-// WrapListener returns a listener whose connections start pipelined requests before their turn and are known to Callers,
-// which closes it when the proxy stops. It is called once, for the server that the forwarder handles.
+// WrapListener returns a listener whose connections start pipelined requests before their turn and are known to
+// Callers, which closes it when the proxy stops. It is called once, for the server that the forwarder handles.
 func (f *Forwarder) WrapListener(listener net.Listener) net.Listener {
 	f.Callers.listener.Store(&listener)
 	return callerListener{listener, f}
@@ -44,7 +44,8 @@
 	return conn, nil
 }
 
-// ConnContext is the http.Server.ConnContext of the callers' server: it has requests know which connection they came on.
+// ConnContext is the http.Server.ConnContext of the callers' server: it has requests know which connection they
+// came on.
 func (f *Forwarder) ConnContext(ctx context.Context, netConn net.Conn) context.Context {
 	if conn, ok := netConn.(*callerConn); ok {
 		return context.WithValue(ctx, callerConnKey{}, conn)
@@ -52,8 +53,8 @@
 	return ctx
 }
 
-// callerConn is a caller's connection. The server reads it on one goroutine at a time and serves its requests one after
-// another, but reads also while a request is being served.
+// callerConn is a caller's connection. The server reads it on one goroutine at a time and serves its requests one
+// after another, but reads also while a request is being served.
 type callerConn struct {
 	net.Conn
 	forwarder           *Forwarder
@@ -61,7 +62,8 @@
 	cancel              context.CancelFunc
 	openedWhileDraining bool
 
-	// pipelined are the requests that were started before their turn, in their order: from the reading side to the serving side.
+	// pipelined are the requests that were started before their turn, in their order: from the reading side to the
+	// serving side.
 	pipelined chan *pipelinedRequest
 	// unanswered is how many of them are not answered yet; below 0: none is started any more.
 	unanswered atomic.Int64
@@ -93,9 +95,9 @@
 	return nil
 }
 
-// SetReadDeadline sets the server's deadlines and, while a request is active, the forwarder's. The server's are turned
-// into those of the configuration, which may change at any moment: that for a header, and a longer one for the next
-// request on an idle connection.
+// SetReadDeadline sets the server's deadlines and, while a request is active, the forwarder's. The server's are
+// turned into those of the configuration, which may change at any moment: that for a header, and a longer one for
+// the next request on an idle connection.
 func (c *callerConn) SetReadDeadline(deadline time.Time) error {
 	if left := time.Until(deadline); !c.requestActive && !deadline.IsZero() && left > 0 {
 		limits := c.forwarder.limits()
--- a/internal/dataplane/reverseproxy/pipelining.go
+++ b/internal/dataplane/reverseproxy/pipelining.go
@@ -1,9 +1,9 @@
-// This file starts pipelined requests before the ones ahead of them on their connection are answered. net/http's server
-// reads a caller's next request only after the response to the one before. A callerConn therefore looks at the bytes
-// that the server reads: while one request is being served, a further one that is complete, plain and without a body
-// is started on a goroutine of its own, and its response is kept until the server has come to it in the usual way. So
-// bytes, order and framing remain the server's. Once something comes that is not a plain request in each byte,
-// nothing more is interpreted on that connection.
+// This file starts pipelined requests before the ones ahead of them on their connection are answered. net/http's
+// server reads a caller's next request only after the response to the one before. A callerConn therefore looks at
+// the bytes that the server reads: while one request is being served, a further one that is complete, plain and
+// without a body is started on a goroutine of its own, and its response is kept until the server has come to it in
+// the usual way. So bytes, order and framing remain the server's. Once something comes that is not a plain request
+// in each byte, nothing more is interpreted on that connection.
 
 package reverseproxy
 
@@ -16,6 +16,7 @@
 	"slices"
 	"strings"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
 
@@ -31,7 +32,8 @@
 		if n, err := c.fill(); n == 0 {
 			return 0, err
 		}
-		// The server reads one byte while it serves a request: then the first header that came is a further request's.
+		// The server reads one byte while it serves a request: then the first header that came is a further
+		// request's.
 		c.scan(len(buffer) == 1 && c.headersRead > 0 && len(c.header) == 0)
 	}
 	n := min(len(buffer), len(c.unread))
@@ -154,8 +156,14 @@
 // isNotPrintable reports whether a character is none of ASCII's printable ones.
 func isNotPrintable(char rune) bool { return char < ' ' || char > '~' }
 
-// startPipelined starts the connection's request of that number, from 1, before its turn. It returns false if as many
-// are started as may be, or if the connection is to end.
+// hasToWait reports whether the owner has a pipelined request wait for its turn.
+func hasToWait(command statemachine.Command) bool {
+	rejection, ok := command.(statemachine.Reject)
+	return ok && rejection.Code == statemachine.CodeNotPipelined
+}
+
+// startPipelined starts the connection's request of that number, from 1, before its turn. It returns false if as
+// many are started as may be, or if the connection is to end.
 func (c *callerConn) startPipelined(number int, header []byte) bool {
 	if c.forwarder.Draining.Load() {
 		return false
@@ -197,8 +205,8 @@
 	return c.unanswered.Load() < 0 || c.unanswered.CompareAndSwap(0, -1)
 }
 
-// takePipelined returns what was started of the request that the server has come to, nil if nothing was. It panics with
-// http.ErrAbortHandler if that is not what the server read: then nothing is answered.
+// takePipelined returns what was started of the request that the server has come to, nil if nothing was. It panics
+// with http.ErrAbortHandler if that is not what the server read: then nothing is answered.
 func (c *callerConn) takePipelined(incoming *http.Request) *pipelinedRequest {
 	c.served++
 	if c.nextPipelined == nil {
@@ -224,7 +232,8 @@
 		maps.EqualFunc(a.Header, b.Header, slices.Equal[[]string])
 }
 
-// finishPipelined passes on the response to a request that was started before its turn, now that the server has come to it.
+// finishPipelined passes on the response to a request that was started before its turn, now that the server has
+// come to it.
 func (f *Forwarder) finishPipelined(w closingWriter, r *http.Request, started *pipelinedRequest) {
 	defer context.AfterFunc(r.Context(), w.conn.cancel)()
 	select {
@@ -248,8 +257,9 @@
 	}
 }
 
-// pipelinedRequest is a request that was started before its turn, and the http.ResponseWriter of its response. The response is
-// kept; if it is larger than what is kept, its own goroutine writes it on once the server has come to the request.
+// pipelinedRequest is a request that was started before its turn, and the http.ResponseWriter of its response. The
+// response is kept; if it is larger than what is kept, its own goroutine writes it on once the server has come to
+// the request.
 type pipelinedRequest struct {
 	number  int // on its connection, from 1
 	request *http.Request
@@ -265,7 +275,8 @@
 	deferred bool // nothing was sent, since it may run only once; it is served when its turn has come
 }
 
-// run serves the request. Its goroutine ends with the request, at the latest when the caller's connection has ended.
+// run serves the request. Its goroutine ends with the request, at the latest when the caller's connection has
+// ended.
 func (p *pipelinedRequest) run(forwarder *Forwarder) {
 	defer close(p.done)
 	defer func() { p.panicked = recover() }()
--- a/internal/dataplane/reverseproxy/pool.go
+++ b/internal/dataplane/reverseproxy/pool.go
@@ -1,5 +1,5 @@
-// This file has the idle connections to targets. A target's are in a fixed number of slots, which are taken and filled
-// by single atomic steps, so that requests wait for no lock.
+// This file has the idle connections to targets. A target's are in a fixed number of slots, which are taken and
+// filled by single atomic steps, so that requests wait for no lock.
 
 package reverseproxy
 
@@ -15,8 +15,8 @@
 // processStart is what connections count their age from.
 var processStart = time.Now()
 
-// Pool has the idle connections to the table's targets. Any goroutine may call its methods, but for SetTargets and
-// SetUnreachable, which belong to one, and Close.
+// Pool has the idle connections to the table's targets. SetTargets and SetUnreachable are called by one goroutine,
+// the owner's; requests take and put connections on theirs.
 type Pool struct {
 	targets atomic.Pointer[map[wire.TargetID]*targetConns]
 	stop    chan struct{}
@@ -78,16 +78,16 @@
 	return conns != nil && conns.unreachable.Load()
 }
 
-// Close closes all idle connections, and has those closed that come back later. It is called once, and waits for the
-// pool's goroutine.
+// Close closes all idle connections, and has those closed that come back later. It is called once, and waits for
+// the pool's goroutine.
 func (p *Pool) Close() {
 	close(p.stop)
 	p.sweeper.Wait()
 	p.SetTargets(nil)
 }
 
-// take returns the connection to a target that was used last, with that deadline, if it has been unused for less than
-// maxIdle; else nil.
+// take returns the connection to a target that was used last, with that deadline, if it has been unused for less
+// than maxIdle; else nil.
 func (p *Pool) take(id wire.TargetID, maxIdle time.Duration, deadline time.Time) *Conn {
 	if conns := (*p.targets.Load())[id]; conns != nil {
 		return conns.take(maxIdle, deadline)
@@ -111,8 +111,8 @@
 	unreachable atomic.Bool // nothing reaches the target
 }
 
-// put keeps a connection, and closes those unused for longest so that at most limit are left: one that was used just now
-// serves every request, an old one only those that may be repeated.
+// put keeps a connection, and closes those unused for longest so that at most limit are left: one that was used
+// just now serves every request, an old one only those that may be repeated.
 func (t *targetConns) put(conn *Conn, limit int) {
 	conn.lastUsed.Store(int64(time.Since(processStart)))
 	if limit <= 0 {
@@ -157,7 +157,8 @@
 	}
 }
 
-// take returns the connection that was used last, with that deadline, if it has been unused for less than maxIdle; else nil.
+// take returns the connection that was used last, with that deadline, if it has been unused for less than maxIdle;
+// else nil.
 func (t *targetConns) take(maxIdle time.Duration, deadline time.Time) *Conn {
 	for {
 		newest, slot := t.newest()
@@ -217,7 +218,8 @@
 	return now.Sub(processStart) - time.Duration(c.lastUsed.Load())
 }
 
-// isExpired reports whether a connection is too old to be used. The caller must own it: the connection must be in no slot.
+// isExpired reports whether a connection is too old to be used. The caller must own it: the connection must be in
+// no slot.
 func (c *Conn) isExpired(now time.Time) bool {
 	return c.idleFor(now) >= tuning.ConnIdle || !c.reuseUntil.IsZero() && now.After(c.reuseUntil)
 }
--- a/internal/dataplane/reverseproxy/response.go
+++ b/internal/dataplane/reverseproxy/response.go
@@ -18,7 +18,8 @@
 	complete bool   // that is all of its body
 }
 
-// readResponse reads the response to the request that was written. It passes the response on, or says why it does not.
+// readResponse reads the response to the request that was written. It passes the response on, or says why it does
+// not.
 func (a *attempt) readResponse() attemptResult {
 	defer a.release(false)
 	if !a.awaitResponse() {
@@ -80,13 +81,12 @@
 	return received.Header.Get(a.request.forwarder.Headers.NotRun) != ""
 }
 
-// bufferBody reads the response's body, up to tuning.ResponseBufferMax bytes, unless it may stream for as long as it likes: a body
-// without a length is buffered only where its status decides on what follows.
+// bufferBody reads the response's body, up to tuning.ResponseBufferMax bytes, unless that may stream from the start.
 func (a *attempt) bufferBody(received *http.Response) (*response, error) {
 	resp := &response{http: received}
 	var err error
 	switch {
-	case received.ContentLength >= 0 || a.target.ServiceConfig.HasHealthCheck() || a.isMarkedNotRun(received) || a.idempotent && isServerError(received):
+	case !a.mayStream(received):
 		resp.buffered, resp.complete, err = readComplete(received, tuning.ResponseBufferMax)
 	case received.Body == http.NoBody:
 		resp.complete = true
@@ -94,6 +94,13 @@
 	return resp, err
 }
 
+// mayStream reports whether a response is passed on before its end: it has no length, so it may last for as long as
+// it likes, and nothing in its header needs its end for a decision.
+func (a *attempt) mayStream(received *http.Response) bool {
+	return received.ContentLength < 0 && !a.target.ServiceConfig.HasHealthCheck() &&
+		!a.isMarkedNotRun(received) && !(a.idempotent && isServerError(received))
+}
+
 // rejectedByTarget says what a response means whose target did not run the request.
 func (a *attempt) rejectedByTarget(resp *response) attemptResult {
 	a.request.forwarder.Counts.TargetRejected.Add(1)
@@ -125,8 +132,8 @@
 	return result
 }
 
-// mayDoBetter reports whether another target may serve the request after a target's own failure. A target's time-out
-// is its answer, and a further attempt needs time.
+// mayDoBetter reports whether another target may serve the request after a target's own failure. A target's
+// time-out is its answer, and a further attempt needs time.
 func (a *attempt) mayDoBetter(received *http.Response) bool {
 	return isServerError(received) && a.idempotent && a.target.Route.Kind != "" &&
 		received.StatusCode != http.StatusGatewayTimeout && time.Until(a.deadline) > tuning.RetryTimeMin
--- a/internal/dataplane/reverseproxy/retries.go
+++ b/internal/dataplane/reverseproxy/retries.go
@@ -15,7 +15,8 @@
 // idSpread is a multiplier that spreads consecutive ids over all values (Knuth's multiplicative hashing).
 const idSpread = 2654435761
 
-// forward carries out the owner's commands for the request, the first of which it is given, until the caller has a response.
+// forward carries out the owner's commands for the request, the first of which it is given, until the caller has a
+// response.
 func (q *request) forward(command statemachine.Command) {
 	for {
 		if command == nil {
@@ -56,8 +57,8 @@
 	q.fail(&failed, q.ran)
 }
 
-// tryTarget makes an attempt at a target. It returns whether something of the request may have come there, and whether
-// the request is over.
+// tryTarget makes an attempt at a target. It returns whether something of the request may have come there, and
+// whether the request is over.
 func (q *request) tryTarget(target *statemachine.Forward) (sent, over bool) {
 	q.service = target.Service
 	if !q.limitBody(target) {
@@ -95,7 +96,8 @@
 	return target.Route.Idempotent()
 }
 
-// conclude ends the request after an attempt, unless another attempt may follow. It returns whether the request is over.
+// conclude ends the request after an attempt, unless another attempt may follow. It returns whether the request is
+// over.
 func (q *request) conclude(result *attemptResult, idempotent bool) (over bool) {
 	switch {
 	case result.status != 0:
@@ -160,8 +162,8 @@
 	return true
 }
 
-// failAfter answers with the error of the last attempt. When to come back differs by request, so that callers do not
-// come back at once.
+// failAfter answers with the error of the last attempt. When to come back differs by request, so that callers do
+// not come back at once.
 func (q *request) failAfter(result *attemptResult) {
 	status := q.errorStatus
 	if status == 0 {
--- a/internal/dataplane/reverseproxy/reverseproxy.go
+++ b/internal/dataplane/reverseproxy/reverseproxy.go
@@ -1,8 +1,8 @@
 // Package reverseproxy forwards callers' HTTP requests to targets and passes the targets' responses back.
 //
 // It chooses no target and decides on no queue, limit or retry: it asks the proxy's state machine (Owner, which is
-// package dataplane) and carries out the Forward or Reject that comes back. It has connections to targets of its own
-// (upstream.go, pool.go), because net/http's transport sends some requests again by itself.
+// package dataplane) and carries out the Forward or Reject that comes back. It has connections to targets of its
+// own (upstream.go, pool.go), because net/http's transport sends some requests again by itself.
 //
 // What holds for each request:
 //   - It counts as not run only if nothing of it was written, or if its target says so.
@@ -14,8 +14,8 @@
 //   - Responses pass unaltered but for their hop-by-hop headers. Errors have one JSON shape that says whether
 //     the request ran: no, or unknown.
 //
-// Begin with Forwarder.ServeHTTP; request.forward (retries.go) is the loop over targets and attempt.run (attempt.go)
-// is one round of it. Requests that a caller pipelines are in pipelining.go.
+// Begin with Forwarder.ServeHTTP; request.forward (retries.go) is the loop over targets and attempt.run
+// (attempt.go) is one round of it. Requests that a caller pipelines are in pipelining.go.
 package reverseproxy
 
 import (
@@ -36,8 +36,9 @@
 	Now func() time.Duration
 	// Notify passes an event on and does not wait.
 	Notify func(event statemachine.Event)
-	// Ask passes an event of the request with that id on and waits for the statemachine.Forward or statemachine.Reject
-	// that it leads to. If ctx ends first it returns nil, and the owner has been notified of the request's end.
+	// Ask passes an event of the request with that id on and waits for the statemachine.Forward or
+	// statemachine.Reject that it leads to. If ctx ends first it returns nil, and the owner has been notified of
+	// the request's end.
 	Ask func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command
 }
 
@@ -53,7 +54,8 @@
 	// Observe is called at the end of each request with its service ("": none was found), its status (0: the caller
 	// got none) and the time that it took, in seconds. Default: nothing.
 	Observe func(service string, status int, seconds float64)
-	// Draining has each response close its caller's connection, so that callers move to other proxies. Default: false.
+	// Draining has each response close its caller's connection, so that callers move to other proxies. Default:
+	// false.
 	Draining atomic.Bool
 	// Callers are the callers' connections.
 	Callers CallerConns
@@ -63,7 +65,8 @@
 	SourceAddr net.Addr
 	// Headers are the names of the headers that are spoken with callers and targets. Default: DefaultHeaders.
 	Headers Headers
-	// SendForwardedFor adds the caller's address to X-Forwarded-For, for targets without a health check. Default: true.
+	// SendForwardedFor adds the caller's address to X-Forwarded-For, for targets without a health check. Default:
+	// true.
 	SendForwardedFor bool
 }
 
@@ -78,8 +81,8 @@
 	}
 }
 
-// ServeHTTP forwards a caller's request, or passes on the response to one that was started before its turn. It panics with
-// http.ErrAbortHandler to close the connection of a caller that has left or got a truncated response.
+// ServeHTTP forwards a caller's request, or passes on the response to one that was started before its turn. It
+// panics with http.ErrAbortHandler to close the connection of a caller that has left or got a truncated response.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(callerConnKey{}).(*callerConn)
 	if conn == nil {
@@ -137,7 +140,7 @@
 		Timeout:   timeout,
 		Pipelined: q.pipelined != nil,
 	})
-	if rejection, ok := command.(statemachine.Reject); ok && q.pipelined != nil && rejection.Code == statemachine.CodeNotPipelined {
+	if q.pipelined != nil && hasToWait(command) {
 		q.pipelined.deferred = true
 		return
 	}
@@ -151,8 +154,8 @@
 	}
 }
 
-// accept checks the request and reads its body as far as it is buffered. It returns how much time the caller still gives,
-// 0 if the caller does not say, and false if the caller got an error.
+// accept checks the request and reads its body as far as it is buffered. It returns how much time the caller still
+// gives, 0 if the caller does not say, and false if the caller got an error.
 func (q *request) accept() (timeout time.Duration, accepted bool) {
 	timeout, failed := q.check()
 	if failed == nil {
@@ -168,12 +171,14 @@
 	return timeout, true
 }
 
-// check returns the time that the caller gives, 0 if the caller does not say, or what is wrong with the request's header.
+// check returns the time that the caller gives, 0 if the caller does not say, or what is wrong with the request's
+// header.
 func (q *request) check() (timeout time.Duration, failed *requestError) {
 	if headerSize(q.incoming.Header) > q.forwarder.maxHeaderBytes() {
 		return 0, errHeaderTooLarge
 	}
-	if method := q.incoming.Method; method == http.MethodConnect || method == http.MethodTrace || !isUnambiguousPath(q.incoming.URL) {
+	method := q.incoming.Method
+	if method == http.MethodConnect || method == http.MethodTrace || !isUnambiguousPath(q.incoming.URL) {
 		return 0, errNotForwardable
 	}
 	name := q.forwarder.Headers.Deadline
@@ -200,7 +205,8 @@
 	writeError(q.writer, q.forwarder.Headers.Ran, failed.status, failed.retryAfter, body)
 }
 
-// abort ends a request whose caller has left: any response, or an empty one, would be a false one. It does not return.
+// abort ends a request whose caller has left: any response, or an empty one, would be a false one. It does not
+// return.
 func (q *request) abort() {
 	q.forwarder.Counts.CallersGone.Add(1)
 	panic(http.ErrAbortHandler)
--- a/internal/dataplane/reverseproxy/sockets.go
+++ b/internal/dataplane/reverseproxy/sockets.go
@@ -21,19 +21,22 @@
 	Count:    tuning.KeepAliveCount,
 }
 
-// NewDialer returns a dialer of connections that break when the other side acknowledges nothing for tuning.AckTimeout.
-// source is the address that they leave from, nil for the system's choice; timeout is for opening one.
+// NewDialer returns a dialer of connections that break when the other side acknowledges nothing for
+// tuning.AckTimeout. source is the address that they leave from, nil for the system's choice; timeout is for
+// opening one.
 func NewDialer(source net.Addr, timeout time.Duration) *net.Dialer {
 	return &net.Dialer{LocalAddr: source, Timeout: timeout, Control: userTimeout(tuning.AckTimeout), KeepAliveConfig: keepAlive}
 }
 
-// Listen listens on a TCP address for connections that break when the other side acknowledges nothing for ackTimeout.
+// Listen listens on a TCP address for connections that break when the other side acknowledges nothing for
+// ackTimeout.
 func Listen(addr string, ackTimeout time.Duration) (net.Listener, error) {
 	config := net.ListenConfig{Control: userTimeout(ackTimeout), KeepAliveConfig: keepAlive}
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// userTimeout returns a control function that sets how long sent data may stay unacknowledged (TCP_USER_TIMEOUT, tcp(7)).
+// userTimeout returns a control function that sets how long sent data may stay unacknowledged (TCP_USER_TIMEOUT,
+// tcp(7)).
 func userTimeout(timeout time.Duration) func(network, addr string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
--- a/internal/dataplane/reverseproxy/streaming.go
+++ b/internal/dataplane/reverseproxy/streaming.go
@@ -10,12 +10,13 @@
 	"strconv"
 )
 
-// writeTo passes the response on to a caller whose request had that method. One that is not complete streams: what has
-// come is written before more is read. An error is the target's or the caller's; the caller's response is truncated then.
+// writeTo passes the response on to a caller whose request had that method. One that is not complete streams: what
+// has come is written before more is read. An error is the target's or the caller's; the caller's response is
+// truncated then.
 func (resp *response) writeTo(w http.ResponseWriter, method string) error {
 	announced := slices.Collect(maps.Keys(resp.http.Trailer))
 	size := resp.bodySize(len(announced) > 0)
-	hasBody := method != http.MethodHead && resp.http.StatusCode != http.StatusNoContent && resp.http.StatusCode != http.StatusNotModified
+	hasBody := mayHaveBody(method, resp.http.StatusCode)
 	header := w.Header()
 	resp.copyHeaderTo(header)
 	if size >= 0 && hasBody {
@@ -39,7 +40,13 @@
 	return nil
 }
 
-// bodySize returns the size of the body in bytes, below 0 if the body is chunked: its size is unknown, or a trailer follows.
+// mayHaveBody reports whether a response of that status to a request of that method has a body (RFC 9110, section 6.4.1).
+func mayHaveBody(method string, status int) bool {
+	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
+}
+
+// bodySize returns the size of the body in bytes, below 0 if the body is chunked: its size is unknown, or a
+// trailer follows.
 func (resp *response) bodySize(hasTrailer bool) int64 {
 	if resp.complete && !hasTrailer {
 		return int64(len(resp.buffered))
--- a/internal/dataplane/reverseproxy/uploads.go
+++ b/internal/dataplane/reverseproxy/uploads.go
@@ -17,8 +17,9 @@
 // streamBufferBytes is how much of a body that streams is read at once.
 const streamBufferBytes = 32 << 10
 
-// requestBody is a caller's body: what was read of it before the owner was asked for a target, and the rest, which is
-// sent on as it comes. While sendRest runs on its own goroutine, the fields below rest belong to that goroutine.
+// requestBody is a caller's body: what was read of it before the owner was asked for a target, and the rest, which
+// is sent on as it comes. While sendRest runs on its own goroutine, the fields below rest belong to that
+// goroutine.
 type requestBody struct {
 	buffered []byte
 	rest     io.Reader   // nil: all of it is buffered
@@ -42,7 +43,8 @@
 	return incoming.Context().Err() != nil
 }
 
-// receiveBody reads the request's body as far as it is buffered, within the time that the caller gave (0: not said).
+// receiveBody reads the request's body as far as it is buffered, within the time that the caller gave (0: not
+// said).
 func (q *request) receiveBody(timeout time.Duration) *requestError {
 	body, err := q.readBody(timeout)
 	if err == nil {
@@ -108,7 +110,8 @@
 	return body, nil
 }
 
-// appendChunk appends data to out as one chunk of a chunked body; no data is no chunk, since that would end the body.
+// appendChunk appends data to out as one chunk of a chunked body; no data is no chunk, since that would end the
+// body.
 func appendChunk(out, data []byte) []byte {
 	if len(data) == 0 {
 		return out
--- a/internal/dataplane/reverseproxy/upstream.go
+++ b/internal/dataplane/reverseproxy/upstream.go
@@ -1,6 +1,6 @@
-// This file has the connections to targets: one TCP connection each, HTTP/1.1, one request at a time, written and read by
-// the goroutine of the request. So it is known of every byte whether it went out, an idle connection costs no
-// goroutine, and what comes without having been asked for is seen before the connection is used again.
+// This file has the connections to targets: one TCP connection each, HTTP/1.1, one request at a time, written and
+// read by the goroutine of the request. So it is known of every byte whether it went out, an idle connection costs
+// no goroutine, and what comes without having been asked for is seen before the connection is used again.
 
 package reverseproxy
 
@@ -96,8 +96,8 @@
 	return err == nil && nothingToRead
 }
 
-// awaitResponse waits until something comes, until the deadline, or until isUnreachable says that the target is not to be
-// waited for any longer. It returns false in that last case.
+// awaitResponse waits until something comes, until the deadline, or until isUnreachable says that the target is
+// not to be waited for any longer. It returns false in that last case.
 func (c *Conn) awaitResponse(ctx context.Context, deadline time.Time, isUnreachable func() bool) bool {
 	c.readLimit = responseHeaderMax
 	for wait := tuning.UnreachableCheckAfter; ; wait = tuning.UnreachableCheckEvery {
@@ -122,14 +122,15 @@
 	return true
 }
 
-// noResponseYet reports whether nothing has come. A read whose deadline has passed does not look at the socket: a response
-// may have come meanwhile, and a process that was held up looks late.
+// noResponseYet reports whether nothing has come. A read whose deadline has passed does not look at the socket: a
+// response may have come meanwhile, and a process that was held up looks late.
 func (c *Conn) noResponseYet(deadline time.Time) bool {
 	c.netConn.SetReadDeadline(deadline)
 	return c.isIdle()
 }
 
-// readHeader reads the status and the header of the response to a request of that method, and passes over interim responses.
+// readHeader reads the status and the header of the response to a request of that method, and passes over interim
+// responses.
 func (c *Conn) readHeader(method string) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	for range tuning.InterimMax {
@@ -138,7 +139,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if resp.ProtoMajor != 1 || resp.StatusCode < 100 || resp.StatusCode > 999 || resp.StatusCode == http.StatusSwitchingProtocols {
+		if !isValid(resp) {
 			return nil, errInvalidResponse
 		}
 		if resp.StatusCode >= http.StatusOK {
@@ -150,6 +151,12 @@
 	return nil, errInvalidResponse
 }
 
+// isValid reports whether a response is HTTP/1 with a status of three digits, and no change of protocol.
+func isValid(resp *http.Response) bool {
+	return resp.ProtoMajor == 1 && resp.StatusCode >= 100 && resp.StatusCode <= 999 &&
+		resp.StatusCode != http.StatusSwitchingProtocols
+}
+
 // noteKeepAlive notes for how long the target says that it keeps the connection.
 func (c *Conn) noteKeepAlive(resp *http.Response) {
 	c.reuseUntil = time.Time{}
@@ -161,8 +168,9 @@
 	}
 }
 
-// Get sends a GET request and reads a response whose body has up to tuning.ProbeBody bytes; a larger one is cut there. headers
-// are names and values in turn. reusable reports whether the connection may be used again.
+// Get sends a GET request and reads the response. Its body is complete up to tuning.ProbeBody bytes; a larger one
+// is not read to its end, and the connection is not reusable then. headers are names and values in turn. reusable
+// reports whether the connection may be used again.
 func (c *Conn) Get(deadline time.Time, host, path string, headers ...string) (resp *http.Response, body []byte, reusable bool, err error) {
 	c.netConn.SetDeadline(deadline)
 	if !c.fresh && !c.isIdle() {
@@ -192,7 +200,8 @@
 	return append(out, "\r\n"...)
 }
 
-// Identify asks a target without a health check who it is. reusable reports whether the connection may be used again.
+// Identify asks a target without a health check who it is. reusable reports whether the connection may be used
+// again.
 func (c *Conn) Identify(deadline time.Time, addr string) (report *config.TargetReport, reusable bool, err error) {
 	resp, body, reusable, err := c.Get(deadline, addr, config.IdentityPath)
 	if err != nil {
