--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -36,7 +36,7 @@
 
 	// Consensus and the state that it agrees on.
 
-	image       consensus.PersistentState // what is on disk once all batches are synced
+	persistentState       consensus.PersistentState // what is on disk once all batches are synced
 	node        *consensus.Node           // nil before this daemon takes part in an epoch
 	state       state.State               // as far as the log is applied
 	batchOffset uint64                    // number of the last batch that replaced the image; the node's batches count on from it
@@ -165,7 +165,7 @@
 	c := &Controller{
 		settings:              settings,
 		startedAt:             now,
-		image:                 image,
+		persistentState:                 image,
 		state:                 state.New(),
 		directory:             discovery.Directory{},
 		sentDirectories:       map[string]sentDirectory{},
@@ -206,9 +206,9 @@
 
 // startNode begins to take part in the epoch of the image.
 func (c *Controller) startNode(now time.Duration) {
-	c.node = consensus.New(now, c.settings.Self.Name, c.image)
+	c.node = consensus.New(now, c.settings.Self.Name, c.persistentState)
 	c.undecodable = nil
-	c.restoreSnapshot(&c.image.Snapshot)
+	c.restoreSnapshot(&c.persistentState.Snapshot)
 }
 
 func (c *Controller) restoreSnapshot(snapshot *wire.Snapshot) {
@@ -267,7 +267,7 @@
 		c.countOutput(&output)
 		for _, batch := range output.Batches {
 			batch.Seq += c.batchOffset
-			c.image.ApplyBatch(batch)
+			c.persistentState.ApplyBatch(batch)
 			c.emit(statemachine.Sync{Batch: batch})
 		}
 		for _, m := range output.Messages {
@@ -301,7 +301,7 @@
 		panic("an image is replaced under a running node")
 	}
 	c.batchOffset++
-	batch := c.image.Checkpoint()
+	batch := c.persistentState.Checkpoint()
 	batch.Seq = c.batchOffset
 	c.emit(statemachine.Sync{Batch: batch})
 }
--- a/internal/controlplane/damage_test.go
+++ b/internal/controlplane/damage_test.go
@@ -17,14 +17,14 @@
 
 // refounded is a lone member at the beginning of epoch 2, told what proxies remember.
 type refounded struct {
-	rest
+	idleFleet
 	memories []state.RecoveredState
 }
 
 func newRefounded(memories ...state.RecoveredState) *refounded {
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
 	im := consensus.PersistentState{Disk: 7, Epoch: 2, Snapshot: wire.Snapshot{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
-	return &refounded{rest{now: time.Second, c: New(time.Second, Settings{Self: self, BootstrapSize: 1}, im)}, memories}
+	return &refounded{idleFleet{now: time.Second, controller: New(time.Second, Settings{Self: self, BootstrapSize: 1}, im)}, memories}
 }
 
 func (r *refounded) seconds(n int) {
@@ -34,7 +34,7 @@
 			g := wire.Daemon{Name: "g" + string(m.State[:1]), Kind: wire.ProxyDaemon, Addr: "g"}
 			r.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: g.Name, Hello: &wire.Hello{Self: g, RecoveredState: b}}})
 		}
-		r.second()
+		r.runSecond()
 	}
 }
 
@@ -59,10 +59,10 @@
 	for name, text := range unreadable {
 		r := newRefounded(memory(40, 4), state.RecoveredState{Epoch: 1, Term: 3, Index: 90, State: json.RawMessage(text)}, memory(50, 5))
 		r.seconds(6)
-		if !r.c.Leading() || r.c.state.Revision != 5 {
-			t.Errorf("%s: leads %v with revision %d", name, r.c.Leading(), r.c.state.Revision)
+		if !r.controller.Leading() || r.controller.state.Revision != 5 {
+			t.Errorf("%s: leads %v with revision %d", name, r.controller.Leading(), r.controller.state.Revision)
 		}
-		if d := r.c.Status(r.now).Damage; len(d) == 0 || len(d) > tuning.DamageReportsKept {
+		if d := r.controller.Status(r.now).Damage; len(d) == 0 || len(d) > tuning.DamageReportsKept {
 			t.Errorf("%s: %d findings of damage", name, len(d))
 		}
 	}
@@ -74,11 +74,11 @@
 	for name, text := range unreadable {
 		r := newRefounded(state.RecoveredState{Epoch: 1, Term: 3, Index: 90, State: json.RawMessage(text)})
 		r.seconds(20)
-		if r.c.Leading() || r.c.state.Recovered || len(r.c.Status(r.now).Damage) == 0 {
-			t.Errorf("%s: leads %v, adopted %v, damage %v", name, r.c.Leading(), r.c.state.Recovered, r.c.damage)
+		if r.controller.Leading() || r.controller.state.Recovered || len(r.controller.Status(r.now).Damage) == 0 {
+			t.Errorf("%s: leads %v, adopted %v, damage %v", name, r.controller.Leading(), r.controller.state.Recovered, r.controller.damage)
 		}
 		r.step(statemachine.Call{ID: 1, Method: "POST", Path: "/v1/core/refound"})
-		if r.seconds(3); !r.c.Leading() || r.c.state.Revision != 0 {
+		if r.seconds(3); !r.controller.Leading() || r.controller.state.Revision != 0 {
 			t.Errorf("%s: an operator's word did not count", name)
 		}
 	}
@@ -92,13 +92,13 @@
 		t.Error("adopted")
 	}
 	r := newRefounded(memory(50, 5))
-	for r.c.leadership != Recovering {
+	for r.controller.leadership != Recovering {
 		r.seconds(1)
 	}
-	r.c.propose(r.now, state.Command{Operation: state.OpRecover, State: json.RawMessage(`{"seq":"ninety"}`)})
+	r.controller.propose(r.now, state.Command{Operation: state.OpRecover, State: json.RawMessage(`{"seq":"ninety"}`)})
 	r.seconds(6)
-	if !r.c.Leading() || r.c.state.Revision != 5 || len(r.c.damage) == 0 {
-		t.Errorf("leads %v with revision %d, damage %v", r.c.Leading(), r.c.state.Revision, r.c.damage)
+	if !r.controller.Leading() || r.controller.state.Revision != 5 || len(r.controller.damage) == 0 {
+		t.Errorf("leads %v with revision %d, damage %v", r.controller.Leading(), r.controller.state.Revision, r.controller.damage)
 	}
 }
 
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -35,7 +35,7 @@
 
 func (c *Controller) self() wire.Daemon {
 	d := c.settings.Self
-	d.Disk, d.BootstrapLock, d.BootstrapOffer = c.image.Disk, c.image.BootstrapLock, c.currentOffer
+	d.Disk, d.BootstrapLock, d.BootstrapOffer = c.persistentState.Disk, c.persistentState.BootstrapLock, c.currentOffer
 	if c.syncedSeq < c.bootstrapLockSeq {
 		d.BootstrapLock = 0
 	}
@@ -158,7 +158,7 @@
 	h.Members, h.MembersEpoch, h.MembersIndex = m.Members, m.Epoch, m.Index
 	h.RecoveryConsent, h.LostMembers = c.recoveryConsent.Granted, c.recoveryConsent.LostMembers
 	if c.node != nil && !c.state.Recovered {
-		h.RecoveredState = c.image.RecoveredState
+		h.RecoveredState = c.persistentState.RecoveredState
 	}
 	return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
 }
--- a/internal/controlplane/healthcheck_test.go
+++ b/internal/controlplane/healthcheck_test.go
@@ -9,12 +9,12 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// named puts a configuration in force that names all of the fleet's services.
-func (r *rest) named(t *testing.T) {
+// configureServices puts a configuration in force that names all of the fleet's services.
+func (r *idleFleet) configureServices(t *testing.T) {
 	t.Helper()
 	services, rules := map[string]any{}, []any{}
-	for i := range r.target {
-		s := r.target[i].Service
+	for i := range r.targets {
+		s := r.targets[i].Service
 		if services[s] == nil {
 			services[s] = map[string]any{"cap": 40}
 			rules = append(rules, map[string]any{"path": "/" + s + "/", "service": s})
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	r.step(statemachine.Call{ID: 1, Token: "first", Method: "PUT", Path: "/v1/config", Query: "base=0", Body: b})
-	if r.c.state.Revision == 0 {
+	if r.controller.state.Revision == 0 {
 		t.Fatal("the configuration was not taken")
 	}
 }
@@ -34,37 +34,37 @@
 // services, are probed at little more than the usual pace, and all of them in good time.
 func TestProbesArePaced(t *testing.T) {
 	const targets = 294
-	r := atRest(69, targets)
-	r.named(t)
-	for id := range r.c.targets {
-		r.c.targets[id].lastProbeAt = 0 // all are due
+	r := newIdleFleet(69, targets)
+	r.configureServices(t)
+	for id := range r.controller.targets {
+		r.controller.targets[id].lastProbeAt = 0 // all are due
 	}
-	most, first := uint64(0), r.c.counts.Probes
+	most, first := uint64(0), r.controller.counts.Probes
 	from := r.now
 	for r.now < from+tuning.ProbeEvery {
-		was := r.c.counts.Probes
+		was := r.controller.counts.Probes
 		r.now += tuning.TickEvery
 		r.step(statemachine.Tick{})
-		most = max(most, r.c.counts.Probes-was)
+		most = max(most, r.controller.counts.Probes-was)
 	}
 	if steady := uint64(targets * tuning.TickEvery / tuning.ProbeEvery); most > steady+steady/2 {
 		t.Errorf("%d probes began in a tick, %d are the usual", most, steady)
 	}
-	if n := r.c.counts.Probes - first; n < targets {
+	if n := r.controller.counts.Probes - first; n < targets {
 		t.Errorf("%d of %d targets were probed in %v", n, targets, tuning.ProbeEvery)
 	}
 }
 
 // Probes of those that missed one go out in time, however many others are due.
-func TestMissedAreProbedFirst(t *testing.T) {
-	r := atRest(69, 294)
-	r.named(t)
+func TestMissedTargetsAreProbedFirst(t *testing.T) {
+	r := newIdleFleet(69, 294)
+	r.configureServices(t)
 	for range 2 {
-		r.second()
+		r.runSecond()
 	}
-	missed := r.c.targets[r.target[293].ID()]
-	for id := range r.c.targets {
-		r.c.targets[id].lastProbeAt = 0
+	missed := r.controller.targets[r.targets[293].ID()]
+	for id := range r.controller.targets {
+		r.controller.targets[id].lastProbeAt = 0
 	}
 	missed.lastProbeMissed, missed.consecutiveMisses = true, 1
 	r.now += tuning.TickEvery
@@ -76,16 +76,16 @@
 
 // At rest each target is probed at the usual interval and a tick or two.
 func TestProbesKeepTheirInterval(t *testing.T) {
-	r := atRest(69, 294)
-	r.named(t)
+	r := newIdleFleet(69, 294)
+	r.configureServices(t)
 	for range 2 {
-		r.second()
+		r.runSecond()
 	}
 	most := time.Duration(0)
 	for range 100 {
 		r.now += tuning.TickEvery
 		r.step(statemachine.Tick{})
-		for _, x := range r.c.targets {
+		for _, x := range r.controller.targets {
 			most = max(most, r.now-x.lastProbeAt)
 		}
 	}
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -39,7 +39,7 @@
 // updateLeadership begins, continues or revokes leadership. It runs before and after each event, so that nothing is
 // decided on a lease that has run out.
 func (c *Controller) updateLeadership(now time.Duration) {
-	if !c.mayLead(now) {
+	if !c.leadershipAllowed(now) {
 		c.revokeLeadership(now, "no lease of a majority")
 		c.transferUnstableLeadership(now)
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-func (c *Controller) mayLead(now time.Duration) bool {
+func (c *Controller) leadershipAllowed(now time.Duration) bool {
 	return c.node != nil && !c.stopping && !c.abstains() && c.node.HasLease(now)
 }
 
@@ -112,11 +112,11 @@
 
 // addRecoveredFromImage adds what this member's disk holds of an earlier epoch.
 func (c *Controller) addRecoveredFromImage() {
-	if len(c.image.RecoveredState) == 0 {
+	if len(c.persistentState.RecoveredState) == 0 {
 		return
 	}
 	var recovered state.RecoveredState
-	if err := json.Unmarshal(c.image.RecoveredState, &recovered); err != nil {
+	if err := json.Unmarshal(c.persistentState.RecoveredState, &recovered); err != nil {
 		c.unreadableRecoveredState = true
 		c.reportDamage("recovered state of an earlier epoch on this disk", err)
 		return
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -41,7 +41,7 @@
 			c.send(m.From, c.helloTo(now, m.From, true))
 		}
 	case wire.KindVote, wire.KindAppend:
-		if m.Epoch < c.image.BootstrapEpoch {
+		if m.Epoch < c.persistentState.BootstrapEpoch {
 			return // this member has promised to found a later epoch and takes no more part in this one
 		}
 		if m.Append != nil && !m.Append.Reply && (c.node == nil || m.Epoch > c.node.Epoch()) {
--- a/internal/controlplane/numbers_test.go
+++ b/internal/controlplane/nonfinite_test.go
@@ -10,7 +10,7 @@
 )
 
 // A demand that is no finite number does not end a leader, and is not told to operators.
-func TestUnsoundDemandIsDiscarded(t *testing.T) {
+func TestNonFiniteDemandIsDiscarded(t *testing.T) {
 	for _, demand := range []float64{math.Inf(1), math.Inf(-1), math.NaN()} {
 		target := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: wire.TargetReady, Demand: demand, HasDemand: true}
 		seen := wire.TargetStats{Service: "s0", Name: "t0", Incarnation: 9, Successes: 1, TotalMs: demand, Demand: demand, HasDemand: true}
@@ -19,10 +19,10 @@
 			"outcome": {Kind: wire.KindPull, From: "g1", Pull: &wire.Pull{Stats: []wire.TargetStats{seen}}},
 			"table":   {Kind: wire.KindPull, From: "g1", Pull: &wire.Pull{Table: &wire.Table{Targets: []wire.Target{target}}}},
 		} {
-			r := atRest(1, 1)
+			r := newIdleFleet(1, 1)
 			r.step(statemachine.Receive{Message: &m})
 			r.step(statemachine.Call{ID: 1, Method: "GET", Path: "/v1/targets"})
-			if _, err := json.Marshal(r.c.Targets(r.now)); err != nil {
+			if _, err := json.Marshal(r.controller.Targets(r.now)); err != nil {
 				t.Errorf("%s with %v: %v", name, demand, err)
 			}
 		}
--- a/internal/controlplane/recoveredstate_test.go
+++ b/internal/controlplane/recoveredstate_test.go
@@ -29,11 +29,11 @@
 // Where a leader is heard nobody reads what proxies remember, which all of them tell at once when
 // they lose their leases; one who has no leader to hear reads it before a core is founded.
 func TestMemoriesAreReadOnlyWithoutALeader(t *testing.T) {
-	r := atRest(3, 3)
+	r := newIdleFleet(3, 3)
 	r.step(remembering(t, "g1", 1))
-	r.second()
-	if len(r.c.proxyRecoveredStates) != 0 || len(r.c.unreadRecoveredStates) != 1 {
-		t.Errorf("a leader has read %d memories, %d lie unread", len(r.c.proxyRecoveredStates), len(r.c.unreadRecoveredStates))
+	r.runSecond()
+	if len(r.controller.proxyRecoveredStates) != 0 || len(r.controller.unreadRecoveredStates) != 1 {
+		t.Errorf("a leader has read %d memories, %d lie unread", len(r.controller.proxyRecoveredStates), len(r.controller.unreadRecoveredStates))
 	}
 
 	now := time.Second
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -34,7 +34,7 @@
 
 // retired says that this member has locked a later founding than the epoch it stands in.
 func (c *Controller) superseded() bool {
-	return c.node != nil && c.image.BootstrapEpoch > c.node.Epoch()
+	return c.node != nil && c.persistentState.BootstrapEpoch > c.node.Epoch()
 }
 
 // syncedLockEpoch is the epoch of a lock that is on disk.
@@ -42,7 +42,7 @@
 	if c.syncedSeq < c.bootstrapLockSeq {
 		return 0
 	}
-	return c.image.BootstrapEpoch
+	return c.persistentState.BootstrapEpoch
 }
 
 // memory is what a proxy remembers, and the members that it names.
@@ -154,7 +154,7 @@
 
 func (c *Controller) bootstrapEpochOf(name string) uint64 {
 	if name == c.settings.Self.Name {
-		return c.image.BootstrapEpoch
+		return c.persistentState.BootstrapEpoch
 	}
 	return c.directory[name].BootstrapEpoch
 }
@@ -201,7 +201,7 @@
 		c.recoveryConsent = discovery.RecoveryConsent{}
 	}
 	all := c.controlDaemons(now, true)
-	if c.syncedLockEpoch() > c.image.Epoch && c.completeBootstrap(now, all) {
+	if c.syncedLockEpoch() > c.persistentState.Epoch && c.completeBootstrap(now, all) {
 		return
 	}
 	c.currentOffer = 0
@@ -236,9 +236,9 @@
 			return
 		}
 	}
-	if c.image.BootstrapLock != c.currentOffer {
+	if c.persistentState.BootstrapLock != c.currentOffer {
 		k := &wire.Batch{BootstrapLock: c.currentOffer, Founders: ms, BootstrapEpoch: epoch}
-		c.image.ApplyBatch(k)
+		c.persistentState.ApplyBatch(k)
 		if c.node == nil {
 			c.syncImage()
 			c.bootstrapLockSeq = c.batchOffset
@@ -284,14 +284,14 @@
 // claim keeps on disk that this process was told to found, so that a restart while it
 // does changes nothing: as a lock of no epoch.
 func (c *Controller) recordBootstrapIntent() {
-	if c.settings.BootstrapSize > 0 || c.bootstrapSize == 0 || c.node != nil || c.image.BootstrapLock != 0 {
+	if c.settings.BootstrapSize > 0 || c.bootstrapSize == 0 || c.node != nil || c.persistentState.BootstrapLock != 0 {
 		return
 	}
 	b := &wire.Batch{BootstrapLock: 1}
 	for i := range c.bootstrapSize {
 		b.Founders = append(b.Founders, wire.Member{Name: fmt.Sprintf("absent-%d", i+1)})
 	}
-	c.image.ApplyBatch(b)
+	c.persistentState.ApplyBatch(b)
 	c.syncImage()
 }
 
@@ -299,10 +299,10 @@
 // then all had.
 func (c *Controller) completeBootstrap(now time.Duration, all []wire.Daemon) bool {
 	locked := true
-	for _, m := range c.image.Founders {
+	for _, m := range c.persistentState.Founders {
 		i := slices.IndexFunc(all, func(d wire.Daemon) bool { return d.Name == m.Name && d.Disk == m.Disk })
-		locked = locked && (m.Disk == 0 || i >= 0 && all[i].BootstrapLock == c.image.BootstrapLock)
-		if i >= 0 && all[i].BootstrapLock == c.image.BootstrapLock && all[i].Epoch == c.image.BootstrapEpoch {
+		locked = locked && (m.Disk == 0 || i >= 0 && all[i].BootstrapLock == c.persistentState.BootstrapLock)
+		if i >= 0 && all[i].BootstrapLock == c.persistentState.BootstrapLock && all[i].Epoch == c.persistentState.BootstrapEpoch {
 			locked = true
 			break
 		}
@@ -315,16 +315,16 @@
 
 // vacant says that this process is no member of anything: empty, or only learning.
 func (c *Controller) isNonVoter() bool {
-	return c.node == nil || !slices.Contains(c.node.Members(), wire.Member{Name: c.settings.Self.Name, Disk: c.image.Disk})
+	return c.node == nil || !slices.Contains(c.node.Members(), wire.Member{Name: c.settings.Self.Name, Disk: c.persistentState.Disk})
 }
 
 func (c *Controller) beginEpoch(now time.Duration) {
-	epoch := c.image.BootstrapEpoch
+	epoch := c.persistentState.BootstrapEpoch
 	// The founding is entry 1, so that a member that was too slow to found learns it as a snapshot.
-	img := consensus.PersistentState{Epoch: epoch, Disk: c.image.Disk, BootstrapLock: c.image.BootstrapLock, Founders: c.image.Founders, BootstrapEpoch: epoch,
-		Snapshot: wire.Snapshot{Index: 1, Members: c.image.Founders}}
-	img.RecoveredState = c.image.RecoveredState
-	s, term, err := stateFromDisk(&c.image)
+	img := consensus.PersistentState{Epoch: epoch, Disk: c.persistentState.Disk, BootstrapLock: c.persistentState.BootstrapLock, Founders: c.persistentState.Founders, BootstrapEpoch: epoch,
+		Snapshot: wire.Snapshot{Index: 1, Members: c.persistentState.Founders}}
+	img.RecoveredState = c.persistentState.RecoveredState
+	s, term, err := stateFromDisk(&c.persistentState)
 	if err != nil { // it goes on with what comes before the damage, which says of itself how old it is
 		c.reportDamage("state on this disk", err)
 	}
@@ -338,7 +338,7 @@
 			there++
 		}
 	}
-	c.node, c.image, c.currentOffer, c.recoveryConsent = nil, img, 0, discovery.RecoveryConsent{}
+	c.node, c.persistentState, c.currentOffer, c.recoveryConsent = nil, img, 0, discovery.RecoveryConsent{}
 	c.batchOffset += 1 << 32 // past every number of the old node
 	c.syncImage()
 	c.startNode(now)
@@ -346,9 +346,9 @@
 }
 
 func (c *Controller) joinEpoch(now time.Duration, epoch uint64) {
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: fmt.Sprint(c.image.Epoch), To: fmt.Sprint(epoch), Reason: "joined"})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: fmt.Sprint(c.persistentState.Epoch), To: fmt.Sprint(epoch), Reason: "joined"})
 	c.node, c.currentOffer = nil, 0
-	c.image = consensus.PersistentState{Epoch: epoch, Disk: c.image.Disk}
+	c.persistentState = consensus.PersistentState{Epoch: epoch, Disk: c.persistentState.Disk}
 	c.batchOffset += 1 << 32
 	c.syncImage()
 	c.startNode(now)
--- a/internal/controlplane/rejection_test.go
+++ b/internal/controlplane/rejection_test.go
@@ -171,7 +171,7 @@
 
 // The three kinds that a change may meet, as a caller reads them.
 func TestRefusalsOfChanges(t *testing.T) {
-	r := atRest(1, 1)
+	r := newIdleFleet(1, 1)
 	alone := New(time.Second, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}, BootstrapSize: 3}, consensus.PersistentState{Disk: 7})
 	for _, x := range []struct {
 		name        string
@@ -179,10 +179,10 @@
 		query, body string
 		want        refusal
 	}{
-		{"built on another version", r.c, "base=9", `{"services":{}}`, refusal{412, "stale", config.RejectedVersion}},
-		{"invalid", r.c, "base=0", `{"services":{"a":{"cap":-1}}}`, refusal{422, "invalid", config.RejectedInvalid}},
-		{"not JSON", r.c, "base=0", `{`, refusal{400, "not_json", config.RejectedInvalid}},
-		{"no base", r.c, "", `{}`, refusal{428, "base_missing", config.RejectedInvalid}},
+		{"built on another version", r.controller, "base=9", `{"services":{}}`, refusal{412, "stale", config.RejectedVersion}},
+		{"invalid", r.controller, "base=0", `{"services":{"a":{"cap":-1}}}`, refusal{422, "invalid", config.RejectedInvalid}},
+		{"not JSON", r.controller, "base=0", `{`, refusal{400, "not_json", config.RejectedInvalid}},
+		{"no base", r.controller, "", `{}`, refusal{428, "base_missing", config.RejectedInvalid}},
 		{"no leader", alone, "base=0", `{}`, refusal{503, "no_leader", config.RejectedUndecided}},
 	} {
 		if got := ask(t, x.c, r.now, "PUT", "/v1/config", x.query, x.body); got != x.want {
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -16,13 +16,13 @@
 )
 
 // undecodableCases are agreed data that this member can't decode.
-var undecodableCases = map[string]func(r *rest){
-	"entry no JSON":    func(r *rest) { r.c.node.Propose(r.now, []byte("{")) },
-	"entry wrong type": func(r *rest) { r.c.node.Propose(r.now, []byte(`{"op":7}`)) },
-	"entry compressed": func(r *rest) { r.c.node.Propose(r.now, []byte("\x28\xb5\x2f\xfd broken off")) },
-	"snapshot":         func(r *rest) { r.c.restoreSnapshot(&wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)}) },
-	"configuration": func(r *rest) {
-		r.c.propose(r.now, state.Command{Operation: state.OpConfigure, Base: r.c.state.Revision, Document: json.RawMessage(`[]`)})
+var undecodableCases = map[string]func(r *idleFleet){
+	"entry no JSON":    func(r *idleFleet) { r.controller.node.Propose(r.now, []byte("{")) },
+	"entry wrong type": func(r *idleFleet) { r.controller.node.Propose(r.now, []byte(`{"op":7}`)) },
+	"entry compressed": func(r *idleFleet) { r.controller.node.Propose(r.now, []byte("\x28\xb5\x2f\xfd broken off")) },
+	"snapshot":         func(r *idleFleet) { r.controller.restoreSnapshot(&wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)}) },
+	"configuration": func(r *idleFleet) {
+		r.controller.propose(r.now, state.Command{Operation: state.OpConfigure, Base: r.controller.state.Revision, Document: json.RawMessage(`[]`)})
 	},
 }
 
@@ -31,35 +31,35 @@
 func TestUndecodableEndsLeading(t *testing.T) {
 	for name, inject := range undecodableCases {
 		t.Run(name, func(t *testing.T) {
-			r := atRest(1, 1)
-			table := r.c.Table().Revision
+			r := newIdleFleet(1, 1)
+			table := r.controller.Table().Revision
 			inject(r)
 			for range 30 {
-				r.second()
+				r.runSecond()
 			}
-			status := r.c.Status(r.now)
-			if r.c.Leading() || r.c.HoldsLease(r.now) || status.Current || len(status.Damage) != 1 || r.c.counts.DamageReports != 1 {
-				t.Fatalf("leads %v, damage %v", r.c.Leading(), status.Damage)
+			status := r.controller.Status(r.now)
+			if r.controller.Leading() || r.controller.HoldsLease(r.now) || status.Current || len(status.Damage) != 1 || r.controller.counts.DamageReports != 1 {
+				t.Fatalf("leads %v, damage %v", r.controller.Leading(), status.Damage)
 			}
-			if !errors.Is(r.c.undecodable, state.ErrDamaged) {
-				t.Errorf("cause %v", r.c.undecodable)
+			if !errors.Is(r.controller.undecodable, state.ErrDamaged) {
+				t.Errorf("cause %v", r.controller.undecodable)
 			}
 			for i, a := range []statemachine.Call{{Method: "GET", Path: "/v1/config"}, {Method: "PUT", Path: "/v1/config", Body: []byte(`{}`)}} {
 				a.ID, a.Token = uint64(i+1), fmt.Sprint("t", i)
-				for _, cmd := range r.c.Step(r.now, a) {
+				for _, cmd := range r.controller.Step(r.now, a) {
 					if reply, ok := cmd.(statemachine.Reply); ok && reply.Status != 503 {
 						t.Errorf("%s %s: %d %s", a.Method, a.Path, reply.Status, reply.Body)
 					}
 				}
 			}
-			if got := r.c.Table().Revision; got != table {
+			if got := r.controller.Table().Revision; got != table {
 				t.Errorf("a table of revision %d was made", got)
 			}
-			snap := r.c.node.Snapshot().Index
+			snap := r.controller.node.Snapshot().Index
 			for i := range 10 {
-				r.c.apply(r.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d"})})
+				r.controller.apply(r.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d"})})
 			}
-			if len(r.c.state.EmptiedDomains) > 0 || r.c.node.Snapshot().Index != snap {
+			if len(r.controller.state.EmptiedDomains) > 0 || r.controller.node.Snapshot().Index != snap {
 				t.Error("entries after the one that did not decode are applied")
 			}
 		})
@@ -68,11 +68,11 @@
 
 // In a later epoch the member takes part again.
 func TestUndecodableEndsWithItsEpoch(t *testing.T) {
-	r := atRest(1, 1)
+	r := newIdleFleet(1, 1)
 	undecodableCases["snapshot"](r)
-	r.c.joinEpoch(r.now, r.c.node.Epoch()+1)
-	if r.c.undecodable != nil || r.c.abstains() {
-		t.Errorf("still refuses: %v", r.c.undecodable)
+	r.controller.joinEpoch(r.now, r.controller.node.Epoch()+1)
+	if r.controller.undecodable != nil || r.controller.abstains() {
+		t.Errorf("still refuses: %v", r.controller.undecodable)
 	}
 }
 
