--- a/internal/mfctl/commands.go
+++ b/internal/mfctl/commands.go
@@ -3,7 +3,6 @@
 package mfctl
 
 import (
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"net/url"
@@ -17,22 +16,23 @@
 // handler carries out a command whose arguments have been parsed, and returns the exit code.
 type handler func() int
 
-// ctlCommand is a command or, without a handler of its own, a group of commands.
-type ctlCommand struct {
-	name string // as it is typed, behind its group's name
-	help string
-	// define puts the command's arguments on the command line and returns its handler; nil: a group.
-	define func(*ctl, *kingpin.CmdClause) handler
-	// offline commands need no member of the core.
-	offline bool
+// definition puts a command's arguments on the command line and returns its handler; nil: it is a group of commands.
+type definition func(*cli, *kingpin.CmdClause) handler
+
+// command is a command or, without a handler of its own, a group of commands.
+type command struct {
+	name    string // as it is typed, behind its group's name
+	help    string
+	define  definition // nil: a group
+	offline bool       // it needs no member of the control plane
 }
 
-// ctlCommands are in the order of the help; a group stands before its commands.
-var ctlCommands = []ctlCommand{
-	{name: "status", help: "each member's own view, and the core as its leader sees it: who leads and by whom, who is silent or learning, and whether the next loss can be borne", define: without((*ctl).status)},
-	{name: "roster", help: "all daemons: kind, domain, address, readiness", define: show("/v1/roster", rosterText)},
-	{name: "targets", help: "back ends, with the reason for each bar or hold", define: show("/v1/targets", targetsText)},
-	{name: "aims", help: "service-level aims: what part of each service's exchanges met them, over all proxies", define: without((*ctl).aims)},
+// commands are in the order of the help; a group stands before its commands.
+var commands = []command{
+	{name: "status", help: "each member's own view, and the core as its leader sees it: who leads and by whom, who is silent or learning, and whether the next loss can be borne", define: withoutArguments((*cli).status)},
+	{name: "roster", help: "all daemons: kind, domain, address, readiness", define: show("/v1/roster", printDaemons)},
+	{name: "targets", help: "back ends, with the reason for each bar or hold", define: show("/v1/targets", printTargets)},
+	{name: "aims", help: "service-level aims: what part of each service's exchanges met them, over all proxies", define: withoutArguments((*cli).objectives)},
 
 	{name: "config", help: "the configuration and its revisions"},
 	{name: "config get", help: "print the configuration in force", define: configGet},
@@ -57,7 +57,7 @@
 	{name: "domain restore", help: "take an emptied domain back", define: post("domain", "name", "/v1/domains/%s/restore")},
 
 	{name: "policy", help: "policies that judge targets"},
-	{name: "policy list", help: "policies in force, with their counts", define: show("/v1/policies", policiesText)},
+	{name: "policy list", help: "policies in force, with their counts", define: show("/v1/policies", printPolicies)},
 	{name: "policy put", help: "create or replace a policy", define: policyPut},
 	{name: "policy remove", help: "remove a policy", define: policyRemove},
 	{name: "policy compare", help: "run policies over recorded events and compare them", define: policyCompare, offline: true},
@@ -76,10 +76,10 @@
 
 // define puts all commands on the command line; it returns the handlers by the commands' names, and
 // which of them need no member.
-func (c *ctl) define(app *kingpin.Application) (handlers map[string]handler, offline map[string]bool) {
+func (c *cli) define(app *kingpin.Application) (handlers map[string]handler, offline map[string]bool) {
 	handlers, offline = map[string]handler{}, map[string]bool{}
 	groups := map[string]*kingpin.CmdClause{}
-	for _, command := range ctlCommands {
+	for _, command := range commands {
 		group, name, nested := strings.Cut(command.name, " ")
 		var clause *kingpin.CmdClause
 		if nested {
@@ -96,51 +96,63 @@
 	return handlers, offline
 }
 
-// without defines a command without arguments.
-func without(run func(*ctl) int) func(*ctl, *kingpin.CmdClause) handler {
-	return func(c *ctl, _ *kingpin.CmdClause) handler {
+// withoutArguments defines a command without arguments.
+func withoutArguments(run func(*cli) int) definition {
+	return func(c *cli, _ *kingpin.CmdClause) handler {
 		return func() int { return run(c) }
 	}
 }
 
 // show defines a command that prints what a member answers; text prints it for people, nil: as JSON.
-func show(path string, text func([]byte)) func(*ctl, *kingpin.CmdClause) handler {
-	return without(func(c *ctl) int { return c.show(path, text) })
+func show(path string, text func(body []byte)) definition {
+	return withoutArguments(func(c *cli) int { return c.show(path, text) })
 }
 
 // post defines a command that makes a change of the one thing that its argument names.
-func post(argument, help, path string) func(*ctl, *kingpin.CmdClause) handler {
-	return func(c *ctl, cmd *kingpin.CmdClause) handler {
-		name := cmd.Arg(argument, help).Required().String()
+func post(argument, help, path string) definition {
+	return func(c *cli, clause *kingpin.CmdClause) handler {
+		name := clause.Arg(argument, help).Required().String()
 		return func() int {
-			return c.change(http.MethodPost, fmt.Sprintf(path, url.PathEscape(*name)), url.Values{}, nil)
+			return c.change(request{method: http.MethodPost, path: fmt.Sprintf(path, url.PathEscape(*name)), query: url.Values{}})
 		}
 	}
 }
 
-func fileArg(cmd *kingpin.CmdClause) *string {
-	return cmd.Arg("file", "JSON file, - for standard input").Required().String()
+func fileArgument(clause *kingpin.CmdClause) *string {
+	return clause.Arg("file", "JSON file, - for standard input").Required().String()
+}
+
+func nameArgument(clause *kingpin.CmdClause, help string) *string {
+	return clause.Arg("name", help).Required().String()
 }
 
-func baseFlag(cmd *kingpin.CmdClause, help string) *uint64 {
-	return cmd.Flag("base", help).Required().Uint64()
+// namedKinds are the parts of a configuration that hold items by name.
+var namedKinds = []string{"services", "routes", "policies", "aims"}
+
+func kindArgument(clause *kingpin.CmdClause) *string {
+	return clause.Arg("kind", strings.Join(namedKinds, ", ")).Required().Enum(namedKinds...)
 }
 
-func ownRevisionFlag(cmd *kingpin.CmdClause) *uint64 {
-	return cmd.Flag("revision", "your own number for the result, above the present one (default: the document's, else the next)").Uint64()
+// baseHelp is the help of the flag --base.
+const baseHelp = "revision that it was built on"
+
+func baseFlag(clause *kingpin.CmdClause, help string) *uint64 {
+	return clause.Flag("base", help).Required().Uint64()
 }
 
-func kindArg(cmd *kingpin.CmdClause) *string {
-	return cmd.Arg("kind", strings.Join(namedKinds, ", ")).Required().Enum(namedKinds...)
+func revisionFlag(clause *kingpin.CmdClause) *uint64 {
+	return clause.Flag("revision", "your own number for the result, above the present one (default: the document's, else the next)").Uint64()
 }
 
-const builtOn = "revision that it was built on"
+func revisionArgument(clause *kingpin.CmdClause, name string) *uint64 {
+	return clause.Arg(name, "revision").Required().Uint64()
+}
 
-// basedOn is the query of a change to a revision of the configuration.
-func basedOn(revision uint64) url.Values { return url.Values{"base": {fmt.Sprint(revision)}} }
+// baseQuery is the query of a change to a revision of the configuration.
+func baseQuery(revision uint64) url.Values { return url.Values{"base": {fmt.Sprint(revision)}} }
 
-func configGet(c *ctl, cmd *kingpin.CmdClause) handler {
-	plain := cmd.Flag("plain", "only the document, with its revision inside, as 'config put' takes it").Bool()
+func configGet(c *cli, clause *kingpin.CmdClause) handler {
+	plain := clause.Flag("plain", "only the document, with its revision inside, as 'config put' takes it").Bool()
 	return func() int {
 		if *plain {
 			return c.show("/v1/config?plain", nil)
@@ -149,124 +161,124 @@
 	}
 }
 
-func configPut(c *ctl, cmd *kingpin.CmdClause) handler {
-	file, base, own := fileArg(cmd), baseFlag(cmd, builtOn), ownRevisionFlag(cmd)
-	return func() int { return c.put(*file, *own, basedOn(*base)) }
+func configPut(c *cli, clause *kingpin.CmdClause) handler {
+	file, base, revision := fileArgument(clause), baseFlag(clause, baseHelp), revisionFlag(clause)
+	return func() int { return c.putConfig(*file, *revision, baseQuery(*base)) }
 }
 
-func configPatch(c *ctl, cmd *kingpin.CmdClause) handler {
-	file, base := fileArg(cmd), baseFlag(cmd, builtOn)
-	return func() int { return c.file(*file, http.MethodPatch, "/v1/config", basedOn(*base)) }
+func configPatch(c *cli, clause *kingpin.CmdClause) handler {
+	file, base := fileArgument(clause), baseFlag(clause, baseHelp)
+	return func() int {
+		return c.changeByFile(*file, request{method: http.MethodPatch, path: "/v1/config", query: baseQuery(*base)})
+	}
 }
 
-func configSet(c *ctl, cmd *kingpin.CmdClause) handler {
-	kind := kindArg(cmd)
-	name := cmd.Arg("name", "the item's name").Required().String()
-	file, base, own := fileArg(cmd), baseFlag(cmd, builtOn), ownRevisionFlag(cmd)
-	return func() int { return c.set(*kind, *name, *file, *own, basedOn(*base)) }
+func configSet(c *cli, clause *kingpin.CmdClause) handler {
+	kind := kindArgument(clause)
+	name := nameArgument(clause, "the item's name")
+	file, base, revision := fileArgument(clause), baseFlag(clause, baseHelp), revisionFlag(clause)
+	return func() int { return c.setItem(*kind, *name, *file, *revision, baseQuery(*base)) }
 }
 
-func configDrop(c *ctl, cmd *kingpin.CmdClause) handler {
-	kind := kindArg(cmd)
-	names := cmd.Arg("name", "names to remove; one that is not there is no fault").Required().Strings()
-	base, own := baseFlag(cmd, builtOn), ownRevisionFlag(cmd)
+func configDrop(c *cli, clause *kingpin.CmdClause) handler {
+	kind := kindArgument(clause)
+	names := clause.Arg("name", "names to remove; one that is not there is no fault").Required().Strings()
+	base, revision := baseFlag(clause, baseHelp), revisionFlag(clause)
 	return func() int {
-		return c.named(config.NamedChange{Revision: *own, Drop: map[string][]string{*kind: *names}}, basedOn(*base))
+		drop := map[string][]string{*kind: *names}
+		return c.changeNamed(config.NamedChange{Revision: *revision, Drop: drop}, baseQuery(*base))
 	}
 }
 
-func configCheck(c *ctl, cmd *kingpin.CmdClause) handler {
-	file := fileArg(cmd)
-	changes := cmd.Flag("change", "check what this partial change makes of it, too (repeat; each on the one before)").Strings()
-	return func() int { return c.check(*file, *changes) }
+func configCheck(c *cli, clause *kingpin.CmdClause) handler {
+	file := fileArgument(clause)
+	changes := clause.Flag("change", "check what this partial change makes of it, too (repeat; each on the one before)").Strings()
+	return func() int { return c.checkConfig(*file, *changes) }
 }
 
-func configDiff(c *ctl, cmd *kingpin.CmdClause) handler {
-	from := cmd.Arg("from", "revision").Required().Uint64()
-	to := cmd.Arg("to", "revision").Required().Uint64()
+func configDiff(c *cli, clause *kingpin.CmdClause) handler {
+	from, to := revisionArgument(clause, "from"), revisionArgument(clause, "to")
 	return func() int { return c.show(fmt.Sprintf("/v1/config/diff?from=%d&to=%d", *from, *to), nil) }
 }
 
-func configRollback(c *ctl, cmd *kingpin.CmdClause) handler {
-	to := cmd.Arg("to", "revision").Required().Uint64()
-	base := baseFlag(cmd, "present revision")
+func configRollback(c *cli, clause *kingpin.CmdClause) handler {
+	to := revisionArgument(clause, "to")
+	base := baseFlag(clause, "present revision")
 	return func() int {
-		query := basedOn(*base)
+		query := baseQuery(*base)
 		query.Set("to", fmt.Sprint(*to))
-		return c.change(http.MethodPost, "/v1/config/rollback", query, nil)
+		return c.change(request{method: http.MethodPost, path: "/v1/config/rollback", query: query})
 	}
 }
 
 // routesGroup defines the flag that the commands on routes have in common.
-func routesGroup(c *ctl, cmd *kingpin.CmdClause) handler {
-	cmd.Flag("config", "read this file instead of asking a member").StringVar(&c.routesFile)
+func routesGroup(c *cli, clause *kingpin.CmdClause) handler {
+	clause.Flag("config", "read this file instead of asking a member").StringVar(&c.routesFile)
 	return nil
 }
 
-func routesList(c *ctl, cmd *kingpin.CmdClause) handler {
-	cmd.Default()
-	return func() int { return c.routes(c.listRoutes) }
+func routesList(c *cli, clause *kingpin.CmdClause) handler {
+	clause.Default()
+	return func() int { return c.withConfig(c.listRoutes) }
 }
 
-func routesMatch(c *ctl, cmd *kingpin.CmdClause) handler {
-	host := cmd.Arg("host", "host that the caller names").Required().String()
-	path := cmd.Arg("path", "path of the exchange").Required().String()
-	method := cmd.Flag("method", "method, for rules").Default(http.MethodGet).String()
+func routesMatch(c *cli, clause *kingpin.CmdClause) handler {
+	host := clause.Arg("host", "host that the caller names").Required().String()
+	path := clause.Arg("path", "path of the exchange").Required().String()
+	method := clause.Flag("method", "method, for rules").Default(http.MethodGet).String()
 	return func() int {
-		return c.routes(func(cfg *config.Config) bool { return c.match(cfg, *host, *path, *method) })
+		return c.withConfig(func(cfg *config.Config) bool { return c.matchRoute(cfg, *host, *path, *method) })
 	}
 }
 
-func changeGet(c *ctl, cmd *kingpin.CmdClause) handler {
-	id := cmd.Arg("id", "the change's id").Required().String()
+func changeGet(c *cli, clause *kingpin.CmdClause) handler {
+	id := clause.Arg("id", "the change's id").Required().String()
 	return func() int { return c.show("/v1/changes/"+url.PathEscape(*id), nil) }
 }
 
-func policyPut(c *ctl, cmd *kingpin.CmdClause) handler {
-	name := cmd.Arg("name", "policy").Required().String()
-	file := fileArg(cmd)
-	base := baseFlag(cmd, "configuration revision that it was built on")
+func policyPath(name string) string { return "/v1/policies/" + url.PathEscape(name) }
+
+func policyPut(c *cli, clause *kingpin.CmdClause) handler {
+	name := nameArgument(clause, "policy")
+	file := fileArgument(clause)
+	base := baseFlag(clause, "configuration revision that it was built on")
 	return func() int {
-		return c.file(*file, http.MethodPut, "/v1/policies/"+url.PathEscape(*name), basedOn(*base))
+		return c.changeByFile(*file, request{method: http.MethodPut, path: policyPath(*name), query: baseQuery(*base)})
 	}
 }
 
-func policyRemove(c *ctl, cmd *kingpin.CmdClause) handler {
-	name := cmd.Arg("name", "policy").Required().String()
-	base := baseFlag(cmd, "configuration revision")
+func policyRemove(c *cli, clause *kingpin.CmdClause) handler {
+	name := nameArgument(clause, "policy")
+	base := baseFlag(clause, "configuration revision")
 	return func() int {
-		return c.change(http.MethodDelete, "/v1/policies/"+url.PathEscape(*name), basedOn(*base), nil)
+		return c.change(request{method: http.MethodDelete, path: policyPath(*name), query: baseQuery(*base)})
 	}
 }
 
-func policyCompare(c *ctl, cmd *kingpin.CmdClause) handler {
-	events := cmd.Flag("events", "recording (JSON lines), - for standard input").Required().String()
-	files := cmd.Arg("file", "policy files; the default policy always takes part").Strings()
-	return func() int { return c.compare(*events, *files) }
+func policyCompare(c *cli, clause *kingpin.CmdClause) handler {
+	events := clause.Flag("events", "recording (JSON lines), - for standard input").Required().String()
+	files := clause.Arg("file", "policy files; the default policy always takes part").Strings()
+	return func() int { return c.comparePolicies(*events, *files) }
 }
 
-func policyJudge(_ *ctl, cmd *kingpin.CmdClause) handler {
-	config := cmd.Flag("config", "configuration whose policies judge; without it the default policy").String()
-	return func() int { return judgeLines(*config) }
+func policyJudge(_ *cli, clause *kingpin.CmdClause) handler {
+	file := clause.Flag("config", "configuration whose policies judge; without it the default policy").String()
+	return func() int { return evaluatePolicies(*file) }
 }
 
-func streamFollow(c *ctl, cmd *kingpin.CmdClause) handler {
-	from := cmd.Flag("from", "resume after this term.seq").String()
-	span := cmd.Flag("for", "stop after so long").Duration()
-	return func() int { return c.stream(*from, *span) }
+func streamFollow(c *cli, clause *kingpin.CmdClause) handler {
+	from := clause.Flag("from", "resume after this term.seq").String()
+	duration := clause.Flag("for", "stop after so long").Duration()
+	return func() int { return c.followStream(*from, *duration) }
 }
 
-func coreRefound(c *ctl, cmd *kingpin.CmdClause) handler {
-	gone := cmd.Flag("gone", "a member whose disk will never come back (repeat)").Strings()
+func coreRefound(c *cli, clause *kingpin.CmdClause) handler {
+	gone := clause.Flag("gone", "a member whose disk will never come back (repeat)").Strings()
 	return func() int {
-		status, out, err := c.call(http.MethodPost, "/v1/core/refound", url.Values{"gone": {strings.Join(*gone, ",")}}, nil)
-		return c.end(status, out, err, func(b []byte) {
-			fmt.Printf("founding again: %s; watch it with 'mfctl status'\n", strings.TrimSpace(string(b)))
+		query := url.Values{"gone": {strings.Join(*gone, ",")}}
+		got, err := c.call(request{method: http.MethodPost, path: "/v1/core/refound", query: query})
+		return c.finish(got, err, func(body []byte) {
+			fmt.Printf("founding again: %s; watch it with 'mfctl status'\n", strings.TrimSpace(string(body)))
 		})
 	}
 }
-
-// setOne is the change that adds or replaces one item.
-func setOne(kind, name string, item []byte) config.NamedChange {
-	return config.NamedChange{Set: map[string]map[string]json.RawMessage{kind: {name: item}}}
-}
--- /dev/null
+++ b/internal/mfctl/fleet.go
@@ -0,0 +1,127 @@
+// This file prints the daemons, the targets and the objectives of services.
+
+package mfctl
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"net/http"
+	"os"
+	"slices"
+	"time"
+
+	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane"
+	"myrtlefold/internal/shared/wire"
+)
+
+// parseDaemons reads the body of /v1/roster. With an error it returns what could be read.
+func parseDaemons(body []byte) ([]controlplane.DaemonView, error) {
+	var roster struct{ Daemons []controlplane.DaemonView }
+	err := json.Unmarshal(body, &roster)
+	return roster.Daemons, err
+}
+
+// printDaemons prints the body of /v1/roster.
+func printDaemons(body []byte) {
+	daemons, _ := parseDaemons(body)
+	table := newTable()
+	defer table.Flush()
+	fmt.Fprintln(table, "NAME\tKIND\tDOMAIN\tADDRESS\tHTTP\tREADY\tSTATE\tPLACE\tHEARD MS\tTABLE\tINCARNATION")
+	for _, d := range daemons {
+		membership := "-"
+		if d.Member {
+			membership = "member"
+		} else if d.ProxyMember {
+			membership = "roster"
+		}
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%s\t%.0f\t%d\t%x\n", d.Name, d.Kind, d.Domain, d.Addr, d.HTTP,
+			d.Ready, d.State, membership, d.LastContactMs, d.TableVersion, d.Incarnation)
+	}
+}
+
+// printTargets prints the body of /v1/targets.
+func printTargets(body []byte) {
+	var list struct{ Targets []controlplane.TargetView }
+	json.Unmarshal(body, &list) // what can't be read is left out
+	table := newTable()
+	defer table.Flush()
+	fmt.Fprintln(table, "SERVICE\tNAME\tADDRESS\tDOMAIN\tSTATE\tDEMAND\tSLOTS\tCOLD LEFT\tBEAT MS\tBAR LEFT\tWHY")
+	for _, t := range list.Targets {
+		slots, warmupLeft, ejectionLeft := "-", "-", "-"
+		if t.Slots > 0 {
+			slots = fmt.Sprint(t.Slots)
+		}
+		if t.WarmupLeft > 0 {
+			warmupLeft = fmt.Sprintf("%.1fs", time.Duration(t.WarmupLeft).Seconds())
+		}
+		if t.Ejection != "" {
+			ejectionLeft = fmt.Sprintf("%.1fs", float64(t.EjectionLeftMs)/1000)
+		}
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%.2f\t%s\t%s\t%.0f\t%s\t%s\n", t.Service, t.Name, t.Addr, t.Domain,
+			t.State, t.Demand, slots, warmupLeft, t.LastHeartbeatMs, ejectionLeft, t.Why)
+	}
+}
+
+// objectives prints the objectives of services, added up over all proxies that answer.
+func (c *cli) objectives() int {
+	got, err := c.call(request{method: http.MethodGet, path: "/v1/roster"})
+	if err != nil || got.status != http.StatusOK {
+		return c.finish(got, err, nil)
+	}
+	daemons, _ := parseDaemons(got.body)
+	sums := map[string]*dataplane.ObjectiveView{}
+	for _, daemon := range daemons {
+		if daemon.Kind != wire.ProxyDaemon {
+			continue
+		}
+		counted, err := proxyObjectives(daemon.HTTP)
+		if err != nil {
+			fmt.Fprintf(os.Stderr, "mfctl: %s left out: %v\n", daemon.Name, err)
+			continue
+		}
+		for _, objective := range counted {
+			if sum := sums[objective.Name]; sum != nil {
+				sum.Good, sum.Total = sum.Good+objective.Good, sum.Total+objective.Total
+			} else {
+				sums[objective.Name] = &objective
+			}
+		}
+	}
+	if c.json {
+		printJSON(sums)
+	} else {
+		printObjectives(sums)
+	}
+	return exitOK
+}
+
+// proxyObjectives are what one proxy has counted.
+func proxyObjectives(proxy string) ([]dataplane.ObjectiveView, error) {
+	got, err := httpClient.Get("http://" + proxy + "/v1/status")
+	if err != nil {
+		return nil, err
+	}
+	defer got.Body.Close()
+	var view dataplane.View
+	err = json.NewDecoder(got.Body).Decode(&view)
+	return view.Objectives, err
+}
+
+func printObjectives(sums map[string]*dataplane.ObjectiveView) {
+	table := newTable()
+	defer table.Flush()
+	fmt.Fprintln(table, "AIM\tSERVICE\tWINDOW MIN\tUNDER MS\tAIM\tMET\tEXCHANGES\tLEFT OF WHAT MAY MISS")
+	for _, name := range slices.Sorted(maps.Keys(sums)) {
+		sum := sums[name]
+		met, budgetLeft := "-", "-"
+		if sum.Total > 0 {
+			missed, allowed := float64(sum.Total-sum.Good), float64(sum.Total)*(1-sum.SuccessRatio)
+			met = fmt.Sprintf("%.4f", float64(sum.Good)/float64(sum.Total))
+			budgetLeft = fmt.Sprintf("%.0f %%", 100*(1-missed/allowed))
+		}
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%g\t%s\t%d\t%s\n", name, sum.Service, sum.WindowMinutes, sum.LatencyTargetMs,
+			sum.SuccessRatio, met, sum.Total, budgetLeft)
+	}
+}
--- a/internal/mfctl/mfctl_test.go
+++ b/internal/mfctl/mfctl_test.go
@@ -16,48 +16,65 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// said runs mfctl and gives its exit code and what it said on both of its outputs.
-func said(t *testing.T, args ...string) (int, string) {
+// runCommand runs mfctl and returns its exit code and what it printed on both of its outputs.
+func runCommand(t *testing.T, args ...string) (code int, output string) {
 	t.Helper()
-	f, err := os.CreateTemp(t.TempDir(), "out")
+	file, err := os.CreateTemp(t.TempDir(), "out")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, fail := os.Stdout, os.Stderr
-	os.Stdout, os.Stderr = f, f
-	code := Run(args)
-	os.Stdout, os.Stderr = out, fail
-	f.Close()
-	b, err := os.ReadFile(f.Name())
+	stdout, stderr := os.Stdout, os.Stderr
+	os.Stdout, os.Stderr = file, file
+	code = Run(args)
+	os.Stdout, os.Stderr = stdout, stderr
+	file.Close()
+	printed, err := os.ReadFile(file.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return code, string(b)
+	return code, string(printed)
 }
 
-func write(t *testing.T, text string) string {
+// writeDocument writes a file and returns its name.
+func writeDocument(t *testing.T, text string) string {
 	t.Helper()
-	f := filepath.Join(t.TempDir(), "doc.json")
-	if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
+	file := filepath.Join(t.TempDir(), "doc.json")
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return file
 }
 
-// Every sample of a configuration is sound, and the changes on them.
+// startMember starts a member and returns its address.
+func startMember(t *testing.T, handler http.HandlerFunc) string {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return addressOf(server)
+}
+
+func addressOf(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
+
+// noLeader is a member that knows no leader.
+func noLeader(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(http.StatusServiceUnavailable)
+	w.Write(config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}.JSON())
+}
+
+// Every sample of a configuration is valid, and the changes on them.
 func TestSamples(t *testing.T) {
-	changes := []string{"--change", "../../sample/change-split.json", "--change", "../../sample/change-unsplit.json"}
-	for f, more := range map[string][]string{"kelani": nil, "kiyihat": nil, "press": nil, "kelani-routes": nil, "press-routes": nil, "kiyihat-routes": changes} {
-		if code, out := said(t, append([]string{"config", "check", "../../sample/" + f + ".json"}, more...)...); code != exitOK {
-			t.Errorf("%s: %d %s", f, code, out)
+	split := []string{"--change", "../../sample/change-split.json", "--change", "../../sample/change-unsplit.json"}
+	for name, changes := range map[string][]string{"kelani": nil, "kiyihat": nil, "press": nil, "kelani-routes": nil, "press-routes": nil, "kiyihat-routes": split} {
+		if code, out := runCommand(t, append([]string{"config", "check", "../../sample/" + name + ".json"}, changes...)...); code != exitOK {
+			t.Errorf("%s: %d %s", name, code, out)
 		}
 	}
 }
 
 // A check without any fleet names every fault by its place, also in what a change leads to.
 func TestCheckConfig(t *testing.T) {
-	bad := write(t, `{"services":{"a":{"cap":0,"odd":1}},"routes":{"r":{"host":"","prefix":"x","kind":"sometimes","timeout_ms":0,"attempts":1,"service":"b"}}}`)
-	code, out := said(t, "config", "check", bad)
+	bad := writeDocument(t, `{"services":{"a":{"cap":0,"odd":1}},"routes":{"r":{"host":"","prefix":"x","kind":"sometimes","timeout_ms":0,"attempts":1,"service":"b"}}}`)
+	code, out := runCommand(t, "config", "check", bad)
 	if code != exitInvalid {
 		t.Fatal(code, out)
 	}
@@ -66,10 +83,10 @@
 			t.Errorf("%s is not named in\n%s", at, out)
 		}
 	}
-	if code, out := said(t, "config", "check", write(t, `{"services":`)); code != exitInvalid {
+	if code, out := runCommand(t, "config", "check", writeDocument(t, `{"services":`)); code != exitInvalid {
 		t.Fatal(code, out)
 	}
-	if code, out := said(t, "config", "check", "no-such-file"); code != exitUsage {
+	if code, out := runCommand(t, "config", "check", "no-such-file"); code != exitUsage {
 		t.Fatal(code, out)
 	}
 	for _, c := range []struct{ change, at string }{
@@ -78,7 +95,7 @@
 		{`{"set":{"routes":[]}}`, "set.routes"},
 		{`{"set":{},"more":1}`, "more"},
 	} {
-		code, out := said(t, "config", "check", "../../sample/kiyihat-routes.json", "--change", write(t, c.change))
+		code, out := runCommand(t, "config", "check", "../../sample/kiyihat-routes.json", "--change", writeDocument(t, c.change))
 		if code != exitInvalid || !strings.Contains(out, c.at+": ") {
 			t.Errorf("%s: %d %s", c.change, code, out)
 		}
@@ -86,24 +103,26 @@
 }
 
 // Routes are listed and matched, from a file or from a member.
-func TestCtlRoutes(t *testing.T) {
-	doc := write(t, `{"services":{"a":{},"b":{}},"routes":{
+func TestRoutesCommand(t *testing.T) {
+	doc := writeDocument(t, `{"services":{"a":{},"b":{}},"routes":{
 		"all":{"prefix":"/x/","host":"","kind":"repeatable","timeout_ms":500,"attempts":2,"service":"a"},
 		"own":{"prefix":"/x/","host":"h.test","kind":"once","timeout_ms":700,"attempts":1,"priority":3,"split":[{"service":"a","weight":1},{"service":"b","weight":3}]}},
 		"rules":[{"path":"/y","methods":["GET"],"service":"b"}]}`)
-	b, _ := os.ReadFile(doc)
-	if _, faults, err := outlier.ParseConfig(b); err != nil || len(faults) > 0 {
+	text, err := os.ReadFile(doc)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, faults, err := outlier.ParseConfig(text); err != nil || len(faults) > 0 {
 		t.Fatal(faults, err)
 	}
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	member := startMember(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/config" || !r.URL.Query().Has("plain") {
-			http.Error(w, "{}", 404)
+			http.Error(w, "{}", http.StatusNotFound)
 			return
 		}
-		w.Write(b)
-	}))
-	defer srv.Close()
-	for _, from := range [][]string{{"--config", doc}, {"--at", strings.TrimPrefix(srv.URL, "http://")}} {
+		w.Write(text)
+	})
+	for _, from := range [][]string{{"--config", doc}, {"--at", member}} {
 		for _, c := range []struct {
 			host, path, method, want string
 			code                     int
@@ -115,11 +134,11 @@
 			{"other", "/z", "GET", "nothing takes it: callers get 404\n", exitFailed},
 		} {
 			args := append([]string{"routes", "match", c.host, c.path, "--method", c.method}, from...)
-			if code, out := said(t, args...); code != c.code || out != c.want {
+			if code, out := runCommand(t, args...); code != c.code || out != c.want {
 				t.Errorf("%v: %d %q", args, code, out)
 			}
 		}
-		code, out := said(t, append([]string{"routes"}, from...)...)
+		code, out := runCommand(t, append([]string{"routes"}, from...)...)
 		if lines := strings.Split(strings.TrimSpace(out), "\n"); code != exitOK || len(lines) != 4 || !strings.HasPrefix(lines[1], "all") || !strings.HasPrefix(lines[2], "own") {
 			t.Errorf("%d %s", code, out)
 		}
@@ -130,16 +149,14 @@
 func TestNamedChangesSent(t *testing.T) {
 	var method, query string
 	var body map[string]any
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)
+	at := startMember(t, func(w http.ResponseWriter, r *http.Request) {
+		sent, _ := io.ReadAll(r.Body)
 		body = nil
-		json.Unmarshal(b, &body)
+		json.Unmarshal(sent, &body)
 		method, query = r.Method+" "+r.URL.Path, r.URL.RawQuery
 		daemon.WriteJSON(w, 200, map[string]any{"revision": 12, "id": "x"})
-	}))
-	defer srv.Close()
-	at := strings.TrimPrefix(srv.URL, "http://")
-	item := write(t, `{"cap": 3}`)
+	})
+	item := writeDocument(t, `{"cap": 3}`)
 	for _, c := range []struct {
 		args       []string
 		call, want string
@@ -150,19 +167,19 @@
 		{[]string{"config", "put", item, "--base", "4", "--revision", "12"}, "PUT /v1/config", `{"cap":3,"revision":12}`},
 		{[]string{"config", "put", item, "--base", "4"}, "PUT /v1/config", `{"cap":3}`},
 	} {
-		code, out := said(t, append(c.args, "--at", at)...)
-		b, _ := json.Marshal(body)
-		if code != exitOK || method != c.call || string(b) != c.want || !strings.Contains(query, "base=4") || !strings.Contains(query, "id=") {
-			t.Errorf("%v: %d %s; %s ?%s %s", c.args, code, out, method, query, b)
+		code, out := runCommand(t, append(c.args, "--at", at)...)
+		sent, _ := json.Marshal(body)
+		if code != exitOK || method != c.call || string(sent) != c.want || !strings.Contains(query, "base=4") || !strings.Contains(query, "id=") {
+			t.Errorf("%v: %d %s; %s ?%s %s", c.args, code, out, method, query, sent)
 		}
 	}
 	method = ""
 	for _, args := range [][]string{{"config", "set", "odd", "a", item, "--base", "4"}, {"config", "drop", "routes", "--base", "4"}} {
-		if code, out := said(t, append(args, "--at", at)...); code != exitUsage || method != "" {
+		if code, out := runCommand(t, append(args, "--at", at)...); code != exitUsage || method != "" {
 			t.Errorf("%v: %d %s", args, code, out)
 		}
 	}
-	if code, out := said(t, "config", "set", "routes", "a", write(t, "{"), "--base", "4", "--at", at); code != exitInvalid || method != "" {
+	if code, out := runCommand(t, "config", "set", "routes", "a", writeDocument(t, "{"), "--base", "4", "--at", at); code != exitInvalid || method != "" {
 		t.Error(code, out)
 	}
 }
@@ -170,38 +187,36 @@
 // Status asks the members that are named, then those of the roster, each once.
 func TestStatusOfAllMembers(t *testing.T) {
 	asked := map[string]int{}
-	member := func(name string, roster func() []map[string]any) *httptest.Server {
-		return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	member := func(name string, roster func() []map[string]any) string {
+		return startMember(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/v1/roster" {
 				daemon.WriteJSON(w, 200, map[string]any{"daemons": roster()})
 				return
 			}
 			asked[name]++
 			daemon.WriteJSON(w, 200, map[string]any{"name": name, "role": "follower"})
-		}))
+		})
 	}
-	var a, b *httptest.Server
+	var a, b string
 	roster := func() []map[string]any {
-		l := []map[string]any{{"Name": "g", "Kind": wire.ProxyDaemon, "Http": "192.0.2.1:1"}}
-		for _, s := range []*httptest.Server{a, b} {
-			l = append(l, map[string]any{"Kind": wire.ControlDaemon, "Http": strings.TrimPrefix(s.URL, "http://")})
+		daemons := []map[string]any{{"Name": "g", "Kind": wire.ProxyDaemon, "Http": "192.0.2.1:1"}}
+		for _, addr := range []string{a, b} {
+			daemons = append(daemons, map[string]any{"Kind": wire.ControlDaemon, "Http": addr})
 		}
-		return l
+		return daemons
 	}
 	a, b = member("a", roster), member("b", roster)
-	defer a.Close()
-	defer b.Close()
-	code, out := said(t, "status", "--at", strings.TrimPrefix(a.URL, "http://"))
+	code, out := runCommand(t, "status", "--at", a)
 	if code != exitOK || asked["a"] != 1 || asked["b"] != 1 || strings.Count(out, "follower") != 2 {
 		t.Fatal(code, asked, out)
 	}
 }
 
-// A refusal is told by its kind, and its code names the cause; mfctl ends with the kind's code.
-func TestCtlSaysWhichRefusal(t *testing.T) {
-	for _, x := range []struct {
+// A rejection prints as its kind and a code that names the cause; mfctl exits with the kind's code.
+func TestRejectionsByKind(t *testing.T) {
+	for _, c := range []struct {
 		status int
-		t      config.ErrorBody
+		body   config.ErrorBody
 		code   int
 		want   string
 	}{
@@ -212,54 +227,43 @@
 		{409, config.ErrorBody{Code: "member", Rejection: config.RejectedConflict}, exitFailed, "conflict (member)"},
 		{404, config.ErrorBody{Code: "not_found", Rejection: config.RejectedNotFound}, exitFailed, "not found (not_found)"},
 	} {
-		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(x.status)
-			w.Write(x.t.JSON())
-		}))
-		code, out := said(t, "--wait", "0s", "--at", strings.TrimPrefix(srv.URL, "http://"), "domain", "empty", "north")
-		srv.Close()
-		if code != x.code || !strings.Contains(out, "mfctl: "+x.want+": ") {
-			t.Errorf("%d: exit %d, %q; want %d, %q", x.status, code, out, x.code, x.want)
-		}
+		t.Run(c.body.Code, func(t *testing.T) {
+			member := startMember(t, func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(c.status)
+				w.Write(c.body.JSON())
+			})
+			code, out := runCommand(t, "--wait", "0s", "--at", member, "domain", "empty", "north")
+			if code != c.code || !strings.Contains(out, "mfctl: "+c.want+": ") {
+				t.Errorf("%d: exit %d, %q; want %d, %q", c.status, code, out, c.code, c.want)
+			}
+		})
 	}
 }
 
-// While some members are down, what the others answer is told, not that those are down.
-func TestCtlTellsTheAnswerThatItGot(t *testing.T) {
-	down := httptest.NewServer(nil)
-	down.Close()
-	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.WriteHeader(503)
-		w.Write(config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}.JSON())
-	}))
-	defer up.Close()
-	at := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	code, out := said(t, "--wait", "100ms", "--at", at(up), "--at", at(down), "domain", "empty", "north")
+// While some members are down, what the others answer is printed, not that those are down.
+func TestAnswerComesBeforeAFailedConnection(t *testing.T) {
+	server := httptest.NewServer(nil)
+	down := addressOf(server)
+	server.Close()
+	up := startMember(t, noLeader)
+	code, out := runCommand(t, "--wait", "100ms", "--at", up, "--at", down, "domain", "empty", "north")
 	if code != exitNoLeader || !strings.Contains(out, "cannot tell now (no_leader)") {
 		t.Error(code, out)
 	}
 }
 
-// A change whose answer was lost may have been taken: a later 'nothing was changed' of
-// another member does not say that it was not.
-func TestCtlLostAnswerIsUnknown(t *testing.T) {
-	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		panic(http.ErrAbortHandler)
-	}))
-	defer broken.Close()
-	idle := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.WriteHeader(503)
-		w.Write(config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}.JSON())
-	}))
-	defer idle.Close()
-	at := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	for _, order := range [][]string{{at(broken), at(idle)}, {at(idle), at(broken)}} {
-		code, out := said(t, "--wait", "100ms", "--at", order[0], "--at", order[1], "domain", "empty", "north")
+// A change whose response was lost may have been accepted: a later 'nothing was changed' of another member does not
+// say that it was not.
+func TestLostResponseIsUnknown(t *testing.T) {
+	broken := startMember(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	idle := startMember(t, noLeader)
+	for _, order := range [][]string{{broken, idle}, {idle, broken}} {
+		code, out := runCommand(t, "--wait", "100ms", "--at", order[0], "--at", order[1], "domain", "empty", "north")
 		if code != exitUnknown || !strings.Contains(out, "cannot tell now (unknown)") || !strings.Contains(out, "  id 20") {
 			t.Error(code, out)
 		}
 	}
-	code, out := said(t, "--wait", "100ms", "--at", at(broken), "--at", at(idle), "targets")
+	code, out := runCommand(t, "--wait", "100ms", "--at", broken, "--at", idle, "targets")
 	if code != exitNoLeader || !strings.Contains(out, "no_leader") {
 		t.Error(code, out)
 	}
--- a/internal/mfctl/policy.go
+++ b/internal/mfctl/policy.go
@@ -1,19 +1,17 @@
-// This file is the operators' commands that compare and stream policies.
+// This file is the commands on policies that need no member, and the list of policies.
 
 package mfctl
 
 import (
 	"bufio"
-	"context"
 	"encoding/json"
 	"fmt"
 	"io"
-	"net/http"
-	"net/url"
+	"maps"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
-	"time"
 
 	"github.com/cockroachdb/errors"
 
@@ -22,130 +20,128 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// compare prints each policy's score on a recording; policies are files named for the policy.
-func (c *ctl) compare(recording string, files []string) int {
+// comparePolicies prints each policy's score on a recording; policies are files named for the policy.
+func (c *cli) comparePolicies(recording string, files []string) int {
 	policies := map[string]config.Policy{config.DefaultPolicyName: config.DefaultPolicy()}
-	for _, f := range files {
-		p, sound := readPolicy(f)
-		if !sound {
+	for _, file := range files {
+		policy, valid := readPolicy(file)
+		if !valid {
 			return exitInvalid
 		}
-		policies[strings.TrimSuffix(filepath.Base(f), ".json")] = p
+		policies[strings.TrimSuffix(filepath.Base(file), ".json")] = policy
 	}
-	in := io.Reader(os.Stdin)
-	if recording != "-" {
-		f, err := os.Open(recording)
+	input := io.Reader(os.Stdin)
+	if recording != standardInput {
+		file, err := os.Open(recording)
 		if err != nil {
-			return failed(err, exitUsage)
+			return fail(err, exitUsage)
 		}
-		defer f.Close()
-		in = f
+		defer file.Close()
+		input = file
 	}
 	var events []outlier.Event
-	if err := outlier.ReadEvents(in, func(e outlier.Event) error { events = append(events, e); return nil }); err != nil {
-		return failed(err, exitInvalid)
+	err := outlier.ReadEvents(input, func(event outlier.Event) error {
+		events = append(events, event)
+		return nil
+	})
+	if err != nil {
+		return fail(err, exitInvalid)
 	}
 	scores := outlier.Compare(events, policies)
 	if c.json {
 		printJSON(scores)
-		return exitOK
+	} else {
+		printScores(scores)
 	}
-	tw := newTable()
-	fmt.Fprintln(tw, "POLICY\tBARS\tWRONG\tERRORS\tMISSED\tSLOW\tMISSED SLOW\tTO BAR MS\tBARRED MS\tMOVES\tFAILED")
+	return exitOK
+}
+
+func printScores(scores []outlier.Score) {
+	table := newTable()
+	defer table.Flush()
+	fmt.Fprintln(table, "POLICY\tBARS\tWRONG\tERRORS\tMISSED\tSLOW\tMISSED SLOW\tTO BAR MS\tBARRED MS\tMOVES\tFAILED")
 	for _, s := range scores {
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", s.Policy, s.Ejections, s.WrongEjections, s.Errors, s.MissedErrors, s.Slow, s.MissedSlow, s.TimeToEjectMs, s.EjectedMs, s.Transitions, s.FailedEvaluations)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", s.Policy, s.Ejections, s.WrongEjections, s.Errors,
+			s.MissedErrors, s.Slow, s.MissedSlow, s.TimeToEjectMs, s.EjectedMs, s.Transitions, s.FailedEvaluations)
 	}
-	tw.Flush()
-	return exitOK
 }
 
 // readPolicy reads a policy's file and prints what is wrong with it.
-func readPolicy(file string) (p config.Policy, sound bool) {
-	p.Mode = config.ModeLive
+func readPolicy(file string) (policy config.Policy, valid bool) {
+	policy.Mode = config.ModeLive
 	var faults []config.Fault
-	b, err := os.ReadFile(file)
+	text, err := os.ReadFile(file)
 	if err == nil {
-		faults, err = config.Decode(b, &p)
+		faults, err = config.Decode(text, &policy)
 	}
 	if err != nil {
-		failed(errors.Wrap(err, file), exitInvalid)
-		return p, false
+		fail(errors.Wrap(err, file), exitInvalid)
+		return policy, false
 	}
-	faults = append(faults, outlier.Check(p)...)
-	for _, f := range faults {
-		fmt.Fprintf(os.Stderr, "mfctl: %s: %s: %s\n", file, f.Path, f.Text)
+	faults = append(faults, outlier.Check(policy)...)
+	for _, fault := range faults {
+		fmt.Fprintf(os.Stderr, "mfctl: %s: %s: %s\n", file, fault.Path, fault.Text)
 	}
-	return p, len(faults) == 0
+	return policy, len(faults) == 0
 }
 
-// judgeLines evaluates policies on standard input's events and prints each answer.
-func judgeLines(file string) int {
-	cfg := &config.Config{}
+// evaluatePolicies evaluates the policies of a configuration's file ("": the default policy) on standard input's
+// events, and prints each result.
+func evaluatePolicies(file string) int {
+	policies := &config.Config{}
 	if file != "" {
-		b, err := os.ReadFile(file)
+		text, err := os.ReadFile(file)
 		var faults []config.Fault
 		if err == nil {
-			cfg, faults, err = outlier.ParseConfig(b)
+			policies, faults, err = outlier.ParseConfig(text)
 		}
 		if err != nil || len(faults) > 0 {
 			fmt.Fprintf(os.Stderr, "mfctl: %s: %v %v\n", file, err, faults)
 			return exitInvalid
 		}
 	}
-	session := outlier.NewSession(cfg)
-	enc := json.NewEncoder(os.Stdout)
+	session := outlier.NewSession(policies)
+	results := json.NewEncoder(os.Stdout)
 	code := exitOK
-	sc := bufio.NewScanner(os.Stdin)
-	sc.Buffer(nil, tuning.SessionLineMax)
-	for sc.Scan() {
-		for _, l := range session.Evaluate(sc.Bytes()) {
-			if l.Error != "" {
-				code = exitInvalid // said at the end; the stream goes on
+	lines := bufio.NewScanner(os.Stdin)
+	lines.Buffer(nil, tuning.SessionLineMax)
+	for lines.Scan() {
+		for _, result := range session.Evaluate(lines.Bytes()) {
+			if result.Error != "" {
+				code = exitInvalid // it is returned at the end: the stream goes on
 			}
-			if enc.Encode(l) != nil {
+			if results.Encode(result) != nil {
 				return exitFailed
 			}
 		}
 	}
-	if err := sc.Err(); err != nil {
+	if err := lines.Err(); err != nil {
 		fmt.Fprintf(os.Stderr, "mfctl: line %d: %v\n", session.Lines+1, err)
 		return exitInvalid
 	}
 	return code
 }
 
-// stream prints the stream of a member, for span or (0) until it ends.
-func (c *ctl) stream(from string, span time.Duration) int {
-	ctx := context.Background()
-	if span > 0 {
-		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, span)
-		defer cancel()
+// printPolicies prints the body of /v1/policies.
+func printPolicies(body []byte) {
+	var list struct {
+		Revision uint64
+		SinceMs  float64 `json:"since_ms"`
+		Policies map[string]outlier.PolicyStats
 	}
-	q := ""
-	if from != "" {
-		q = "?from=" + url.QueryEscape(from)
-	}
-	for _, a := range c.at {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a+"/v1/stream"+q, nil)
-		if err != nil {
-			return exitUsage
-		}
-		resp, err := (&http.Client{}).Do(req)
-		if err != nil || resp.StatusCode != http.StatusOK {
-			if err == nil {
-				resp.Body.Close()
-			}
-			continue
-		}
-		_, err = io.Copy(os.Stdout, resp.Body)
-		resp.Body.Close()
-		if ctx.Err() != nil {
-			return exitOK
+	json.Unmarshal(body, &list) // what can't be read is left out
+	table := newTable()
+	defer table.Flush()
+	fmt.Fprintf(table, "revision %d, scores of the last %.0f s\n", list.Revision, list.SinceMs/1000)
+	fmt.Fprintln(table, "NAME\tMODE\tSLICE\tDECIDES\tTTL MS\tEVALUATED\tFAILED\tOUT\tBARS\tWRONG\tERRORS\tMISSED\tTO BAR MS\tWHEN\tLAST ERROR")
+	for _, name := range slices.Sorted(maps.Keys(list.Policies)) {
+		stats := list.Policies[name]
+		policy, score := stats.Policy, outlier.Score{}
+		if stats.Score != nil {
+			score = *stats.Score
 		}
-		fmt.Fprintf(os.Stderr, "mfctl: the stream ended: %v\n", err)
-		return exitFailed
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\n", name, policy.Mode, policy.Slice,
+			policy.Decide, policy.TTLMs, stats.Evaluated, stats.Failed, stats.TargetsOut, score.Ejections, score.WrongEjections,
+			score.Errors, score.MissedErrors, score.TimeToEjectMs, policy.When, stats.Error)
 	}
-	fmt.Fprintln(os.Stderr, "mfctl: no member serves the stream")
-	return exitNoLeader
 }
--- a/internal/mfctl/recorded_test.go
+++ b/internal/mfctl/recorded_test.go
@@ -16,7 +16,7 @@
 // The commands of mfctl keep their names, arguments and flags.
 func TestCommandNames(t *testing.T) {
 	app := kingpin.New("mfctl", "")
-	(&ctl{}).define(app)
+	(&cli{}).define(app)
 	var lines bytes.Buffer
 	var list func(name string, commands []*kingpin.CmdModel)
 	list = func(name string, commands []*kingpin.CmdModel) {
--- /dev/null
+++ b/internal/mfctl/routes.go
@@ -0,0 +1,133 @@
+// This file is the commands on routes and rules.
+
+package mfctl
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"net/http"
+	"net/url"
+	"slices"
+	"strings"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/outlier"
+)
+
+// withConfig passes a configuration to show, which reports whether there was what it looked for. The configuration is
+// that of the flag's file or, without one, the one in force.
+func (c *cli) withConfig(show func(*config.Config) bool) int {
+	var text []byte
+	if c.routesFile != "" {
+		var err error
+		if text, err = readFile(c.routesFile); err != nil {
+			return fail(err, exitUsage)
+		}
+	} else {
+		got, err := c.call(request{method: http.MethodGet, path: "/v1/config", query: url.Values{"plain": {""}}})
+		if err != nil || got.status != http.StatusOK {
+			return c.finish(got, err, nil)
+		}
+		text = got.body
+	}
+	parsed, faults, err := outlier.ParseConfig(text)
+	if err != nil {
+		return fail(err, exitInvalid)
+	}
+	printFaults(faults)
+	switch {
+	case len(faults) > 0:
+		return exitInvalid
+	case !show(parsed):
+		return exitFailed
+	}
+	return exitOK
+}
+
+// destinationText says where a route's requests go, and with which shares.
+func destinationText(route config.Route) string {
+	shares := route.Shares()
+	sum := 0.0
+	for _, share := range shares {
+		sum += share.Weight
+	}
+	var texts []string
+	for _, share := range shares {
+		if len(shares) == 1 {
+			return share.Service
+		}
+		texts = append(texts, fmt.Sprintf("%s %.1f %%", share.Service, 100*share.Weight/sum))
+	}
+	return strings.Join(texts, ", ")
+}
+
+// hostText is a route's or rule's host for people.
+func hostText(host string) string { return cmp.Or(host, "*") }
+
+// routeList is the routes and rules of a configuration, printed as JSON.
+type routeList struct {
+	Routes map[string]config.Route `json:"routes"`
+	Rules  []config.Rule           `json:"rules"`
+}
+
+// listRoutes prints all routes, sorted by host and prefix, and then the rules.
+func (c *cli) listRoutes(cfg *config.Config) bool {
+	if c.json {
+		printJSON(routeList{Routes: cfg.Routes, Rules: cfg.Rules})
+		return true
+	}
+	table := newTable()
+	defer table.Flush()
+	fmt.Fprintln(table, "ROUTE\tHOST\tPREFIX\tKIND\tTIMEOUT MS\tAIM MS\tPRIORITY\tATTEMPTS\tGOES TO")
+	names := slices.SortedFunc(maps.Keys(cfg.Routes), func(first, second string) int {
+		a, b := cfg.Routes[first], cfg.Routes[second]
+		return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Prefix, b.Prefix))
+	})
+	for _, name := range names {
+		route := cfg.Routes[name]
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", name, hostText(route.Host), route.Prefix, route.Kind,
+			route.TimeoutMs, route.LatencyTargetMs, route.Priority, route.Attempts, destinationText(route))
+	}
+	for i, rule := range cfg.Rules {
+		service := cfg.Services[rule.Service]
+		methods := cmp.Or(strings.Join(rule.Methods, ","), "-")
+		fmt.Fprintf(table, "rules[%d]\t%s\t%s\t%s\t%d\t\t\t%d\t%s\n", i, hostText(rule.Host), rule.Path, methods,
+			service.TimeoutMs, service.Attempts, rule.Service)
+	}
+	return true
+}
+
+// routeMatch is the route that a request goes by, printed as JSON.
+type routeMatch struct {
+	Route config.Route `json:"is"`
+	Name  string       `json:"route"`
+}
+
+// ruleMatch is the rule that a request goes by, printed as JSON.
+type ruleMatch struct {
+	Allowed []string `json:"allowed"` // the methods that the rule takes
+	Service string   `json:"service"`
+}
+
+// matchRoute prints the route or rule that a request goes by, and reports whether there is one.
+func (c *cli) matchRoute(cfg *config.Config, host, path, method string) bool {
+	name, route, isRoute := cfg.FindRoute(host, path)
+	service, allowed, isRule := cfg.FindRule(host, path, method)
+	switch {
+	case c.json && isRoute:
+		printJSON(routeMatch{Name: name, Route: route})
+	case c.json:
+		printJSON(ruleMatch{Service: service, Allowed: allowed})
+	case isRoute:
+		fmt.Printf("route %s: %s%s, %s, %d ms, %d attempts, priority %d, goes to %s\n", name, hostText(route.Host), route.Prefix,
+			route.Kind, route.TimeoutMs, route.Attempts, route.Priority, destinationText(route))
+	case isRule:
+		fmt.Printf("a rule: goes to %s\n", service)
+	case len(allowed) > 0:
+		fmt.Printf("a rule takes that path, but not by %s: only by %s\n", method, strings.Join(allowed, ", "))
+	default:
+		fmt.Println("nothing takes it: callers get 404")
+	}
+	return isRoute || isRule
+}
--- a/internal/mfctl/core_test.go
+++ b/internal/mfctl/status_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
 
@@ -10,25 +9,24 @@
 	"myrtlefold/internal/daemon"
 )
 
-// statusServers are members that answer with given views.
-func statusServers(t *testing.T, views ...controlplane.StatusView) (args []string) {
+// startMembers starts members that answer with given views.
+func startMembers(t *testing.T, views ...controlplane.StatusView) (args []string) {
 	t.Helper()
-	for _, v := range views {
-		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	for _, view := range views {
+		args = append(args, "--at", startMember(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/v1/status" {
 				http.Error(w, "{}", http.StatusServiceUnavailable)
 				return
 			}
-			daemon.WriteJSON(w, 200, v)
+			daemon.WriteJSON(w, http.StatusOK, view)
 		}))
-		t.Cleanup(srv.Close)
-		args = append(args, "--at", strings.TrimPrefix(srv.URL, "http://"))
 	}
 	return args
 }
 
-// leaderView is a leader of three, one of which is silent while another learns.
-func leaderView(left int64) controlplane.StatusView {
+// leaderView is a leader of three members, one of which is unresponsive while a learner catches up, which may replace it
+// in replaceableInMs.
+func leaderView(replaceableInMs int64) controlplane.StatusView {
 	return controlplane.StatusView{Name: "core-1", Role: "leader", Leadership: "deciding", Leader: "core-1", Epoch: 1, Term: 4, ControlPlane: controlplane.ControlPlaneView{
 		Leader: "core-1", HoldsLease: true, LeadingMs: 72_340, Commit: 812, Last: 813, Voters: 3, Majority: 2, LeaseVoters: []string{"core-1", "core-3"},
 		Members: []controlplane.MemberView{
@@ -39,14 +37,14 @@
 			{Name: "core-5", Domain: "west", State: controlplane.MemberStandby},
 		},
 		FailureTolerance: controlplane.FailureToleranceView{Evaluated: true, DomainsAtRisk: []string{"north", "west"},
-			Blockers: []controlplane.Blocker{{Kind: controlplane.BlockerUnresponsive, Member: "core-2", Successor: "core-4", ReplaceableInMs: &left}}}}}
+			Blockers: []controlplane.Blocker{{Kind: controlplane.BlockerUnresponsive, Member: "core-2", Successor: "core-4", ReplaceableInMs: &replaceableInMs}}}}}
 }
 
-// The text says who leads, by whom, since when, who is silent, who learns and how far, and
-// until when the next loss can't be borne.
-func TestCtlStatusOfTheCore(t *testing.T) {
+// The text says who leads, by whom, since when, who is unresponsive, who catches up and how far, and until when the
+// next loss can't be tolerated.
+func TestStatusOfTheControlPlane(t *testing.T) {
 	behind := controlplane.StatusView{Name: "core-9", Role: "leader", Epoch: 1, Term: 3, ControlPlane: controlplane.ControlPlaneView{HoldsLease: true, FailureTolerance: controlplane.FailureToleranceView{Evaluated: true, Tolerable: true, Machines: 1}}}
-	code, out := said(t, append(statusServers(t, behind, leaderView(4790)), "status")...)
+	code, out := runCommand(t, append(startMembers(t, behind, leaderView(4790)), "status")...)
 	if code != exitOK {
 		t.Fatal(code, out)
 	}
@@ -62,34 +60,34 @@
 			t.Errorf("%q is not in\n%s", want, out)
 		}
 	}
-	if _, out := said(t, append(statusServers(t, leaderView(0)), "status")...); !strings.Contains(out, "core-4 replaces it as soon as it has caught up") {
+	if _, out := runCommand(t, append(startMembers(t, leaderView(0)), "status")...); !strings.Contains(out, "core-4 replaces it as soon as it has caught up") {
 		t.Error(out)
 	}
 	follower := controlplane.StatusView{Name: "core-2", Role: "follower", ControlPlane: controlplane.ControlPlaneView{Leader: "core-1", LeaderLastContactMs: 9120}}
-	code, out = said(t, append(statusServers(t, follower), "status")...)
+	code, out = runCommand(t, append(startMembers(t, follower), "status")...)
 	if code != exitOK || !strings.Contains(out, "cannot be told\n  core-2 last heard core-1 9.1s ago\n") {
 		t.Error(code, out)
 	}
 	hurt := leaderView(0)
 	hurt.Damage, hurt.DiskError = []controlplane.Damage{{Subject: "snapshot", Reason: "does not decode"}}, "no space left on device"
-	if _, out = said(t, append(statusServers(t, hurt), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 takes no writes: no space left on device\n") {
+	if _, out = runCommand(t, append(startMembers(t, hurt), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 takes no writes: no space left on device\n") {
 		t.Error(out)
 	}
 	warming := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", ControlPlane: controlplane.ControlPlaneView{Leader: "core-3"}}
-	if _, out = said(t, append(statusServers(t, warming), "status")...); !strings.Contains(out, "  core-3 is elected, and gathers what the proxies hold") {
+	if _, out = runCommand(t, append(startMembers(t, warming), "status")...); !strings.Contains(out, "  core-3 is elected, and gathers what the proxies hold") {
 		t.Error(out)
 	}
-	code, out = said(t, append(statusServers(t, leaderView(4790)), "-o", "json", "status")...)
+	code, out = runCommand(t, append(startMembers(t, leaderView(4790)), "-o", "json", "status")...)
 	if code != exitOK || !strings.Contains(out, `"next_loss":{"known":true,"machines":0,"bearable":false,"domains_at_risk":["north","west"],"obstacles":[{"kind":"silent","member":"core-2","replaceable_in_ms":4790,"by":"core-4"}]}`) {
 		t.Error(code, out)
 	}
 }
 
-// Each way of standing against the next loss is told in words of its own.
-func TestCtlObstacles(t *testing.T) {
+// Each blocker of the next loss has a text of its own.
+func TestBlockerTexts(t *testing.T) {
 	soon := int64(2500)
-	v := controlplane.ControlPlaneView{Voters: 2, Majority: 2}
-	for want, o := range map[string]controlplane.Blocker{
+	view := controlplane.ControlPlaneView{Voters: 2, Majority: 2}
+	for want, blocker := range map[string]controlplane.Blocker{
 		"2 of 2 members are needed, until another core machine is there":                                    {Kind: controlplane.BlockerTooFewMembers},
 		"2 of 2 members are needed, until c3 has come in":                                                   {Kind: controlplane.BlockerTooFewMembers, Successor: "c3"},
 		"c1 is catching up, until it has the leader's snapshot":                                             {Kind: controlplane.BlockerCatchingUp, Member: "c1"},
@@ -97,16 +95,16 @@
 		"c1 is a place that nobody has taken yet, until it is back; c3 replaces it in 2.5s at the earliest": {Kind: controlplane.BlockerPlaceholder, Member: "c1", Successor: "c3", ReplaceableInMs: &soon},
 		"c1 is silent, until it is back; c3 is there: 'mfctl core add c3', then 'mfctl core remove c1'":     {Kind: controlplane.BlockerUnresponsive, Member: "c1", Successor: "c3"},
 	} {
-		if got := obstacleText(o, v); got != want {
-			t.Errorf("%+v: %q, want %q", o, got, want)
+		if got := blockerText(blocker, view); got != want {
+			t.Errorf("%+v: %q, want %q", blocker, got, want)
 		}
 	}
-	for want, l := range map[string]controlplane.FailureToleranceView{
+	for want, tolerance := range map[string]controlplane.FailureToleranceView{
 		"cannot be borne now":                                               {Evaluated: true},
 		"any 1 machine can be borne now, and any one domain":                {Machines: 1, Tolerable: true},
 		"any 2 machines can be borne now, but not the loss of domain north": {Machines: 2, Tolerable: true, DomainsAtRisk: []string{"north"}},
 	} {
-		if got := lossText(l); got != want {
+		if got := toleranceText(tolerance); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
--- /dev/null
+++ b/internal/mfctl/stream.go
@@ -0,0 +1,56 @@
+package mfctl
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"os"
+	"time"
+)
+
+// followStream prints the stream of target events of the first member that serves it, for so long or (0) until it ends.
+func (c *cli) followStream(from string, duration time.Duration) int {
+	ctx := context.Background()
+	if duration > 0 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, duration)
+		defer cancel()
+	}
+	query := ""
+	if from != "" {
+		query = "?from=" + url.QueryEscape(from)
+	}
+	for _, member := range c.members {
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+member+"/v1/stream"+query, nil)
+		if err != nil {
+			return exitUsage
+		}
+		served, err := copyStream(request)
+		switch {
+		case !served:
+			continue
+		case ctx.Err() != nil:
+			return exitOK
+		}
+		fmt.Fprintf(os.Stderr, "mfctl: the stream ended: %v\n", err)
+		return exitFailed
+	}
+	fmt.Fprintln(os.Stderr, "mfctl: no member serves the stream")
+	return exitNoLeader
+}
+
+// copyStream prints a stream until it ends. It returns false if the member does not serve it.
+func copyStream(request *http.Request) (served bool, err error) {
+	got, err := (&http.Client{}).Do(request) // without the time-out of other calls
+	if err != nil {
+		return false, err
+	}
+	defer got.Body.Close()
+	if got.StatusCode != http.StatusOK {
+		return false, nil
+	}
+	_, err = io.Copy(os.Stdout, got.Body)
+	return true, err
+}
