--- a/cmd/mfchaos/checks.go
+++ b/cmd/mfchaos/checks.go
@@ -3,88 +3,73 @@
 package main
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"time"
 )
 
-func (l *lab) note(rule, f string, a ...any) {
-	l.broken[rule]++
-	l.notes = append(l.notes, rule+": "+fmt.Sprintf(f, a...))
-	l.say("BROKEN %s: %s", rule, fmt.Sprintf(f, a...))
+// violation notes that a rule was broken.
+func (f *fleet) violation(rule, format string, args ...any) {
+	f.violations[rule]++
+	f.violationTexts = append(f.violationTexts, rule+": "+fmt.Sprintf(format, args...))
+	f.logf("BROKEN %s: %s", rule, fmt.Sprintf(format, args...))
 }
 
+// emptiedSlack is how long after the acknowledgement a request that was on its way may still begin in an emptied domain.
+const emptiedSlack = 500 * time.Millisecond
+
 // checkEmptied looks for requests that began in an emptied domain.
-func (l *lab) checkEmptied(domain string, from, to time.Time) {
-	files, _ := filepath.Glob(l.path("ledger", "*.ledger"))
+func (f *fleet) checkEmptied(domain string, from, until time.Time) {
 	late := 0
-	for _, f := range files {
-		b, _ := os.ReadFile(f)
-		for line := range bytes.Lines(b) {
-			var e struct {
-				At     int64  `json:"at_ns"`
-				Domain string `json:"domain"`
-			}
-			if json.Unmarshal(line, &e) == nil && e.Domain == domain && e.At > from.UnixNano()+5e9/10 && e.At < to.UnixNano() {
-				late++
-			}
+	for _, entry := range f.ledgerEntries() {
+		if entry.Domain == domain && entry.At > from.Add(emptiedSlack).UnixNano() && entry.At < until.UnixNano() {
+			late++
 		}
 	}
 	if late > 0 {
-		l.note("emptied domain", "%d exchanges ran in %s more than 0.5 s after it was emptied", late, domain)
+		f.violation("emptied domain", "%d exchanges ran in %s more than 0.5 s after it was emptied", late, domain)
 	}
 }
 
-// checkCold looks in the ledgers for seconds in which a cold target ran more than its
-// service's rate and the half over it that whole turns can make.
-func (l *lab) checkCold() {
-	var cfg struct {
+// checkWarmupRate looks in the ledgers for seconds in which a warming target ran more than its service's rate and the
+// half over it that complete turns can make.
+func (f *fleet) checkWarmupRate() {
+	var configuration struct {
 		Services map[string]struct {
-			PerS float64 `json:"cold_per_s"`
+			Rate float64 `json:"cold_per_s"`
 		}
 	}
-	if err := json.Unmarshal(l.config, &cfg); err != nil {
-		l.note("cold rate", "the configuration is not read: %v", err)
+	if err := json.Unmarshal(f.config, &configuration); err != nil {
+		f.violation("cold rate", "the configuration is not read: %v", err)
 		return
 	}
-	files, _ := filepath.Glob(l.path("ledger", "*.ledger"))
 	ran, most := 0, 0
-	for _, f := range files {
-		b, _ := os.ReadFile(f)
-		at := map[string][]int64{}
-		for line := range bytes.Lines(b) {
-			var e struct {
-				At      int64 `json:"at_ns"`
-				Service string
-				Name    string
-				Cold    bool
-			}
-			if json.Unmarshal(line, &e) != nil || !e.Cold {
-				continue
-			}
-			ran++
-			w := append(at[e.Name], e.At)
-			slices.Sort(w)
-			w = slices.DeleteFunc(w, func(t int64) bool { return t <= e.At-1e9 })
-			at[e.Name] = w
-			most = max(most, len(w))
-			if rate := cfg.Services[e.Service].PerS; rate > 0 && float64(len(w)) > 1.5*rate {
-				l.note("cold rate", "%s ran %d exchanges in a second while cold, of %g", e.Name, len(w), rate)
-			}
+	arrivals := map[string][]int64{} // of the last second, by back end
+	for _, entry := range f.ledgerEntries() {
+		if !entry.Cold {
+			continue
+		}
+		ran++
+		second := append(arrivals[entry.Name], entry.At)
+		slices.Sort(second)
+		second = slices.DeleteFunc(second, func(at int64) bool { return at <= entry.At-int64(time.Second) })
+		arrivals[entry.Name] = second
+		most = max(most, len(second))
+		if rate := configuration.Services[entry.Service].Rate; rate > 0 && float64(len(second)) > 1.5*rate {
+			f.violation("cold rate", "%s ran %d exchanges in a second while cold, of %g", entry.Name, len(second), rate)
 		}
 	}
-	l.say("%d exchanges ran at cold targets, at most %d in a second at one", ran, most)
+	f.logf("%d exchanges ran at cold targets, at most %d in a second at one", ran, most)
 }
 
-func (l *lab) verdict(seed uint64) int {
+// verdict prints what the load saw and which rules held, and returns the exit code.
+func (f *fleet) verdict(seed uint64) int {
 	var rep map[string]any
-	b, _ := os.ReadFile(l.path("load.json"))
-	if json.Unmarshal(b, &rep) != nil {
+	report, _ := os.ReadFile(f.path("load.json"))
+	if json.Unmarshal(report, &rep) != nil {
 		fmt.Println("the load generator left no report")
 		return 1
 	}
@@ -92,13 +77,13 @@
 	for rule, k := range map[string]string{"runs twice": "ran_twice", "refused but ran": "ran_though_refused", "wrong answer": "wrong_answers", "another's answer": "answers_of_others",
 		"wrong service": "wrong_service", "leaving target": "to_leaving_after_2s", "come back when": "refused_without_retry_after"} {
 		if n := num(k); n > 0 {
-			l.note(rule, "%d", n)
+			f.violation(rule, "%d", n)
 		}
 	}
-	if l.routes {
-		l.checkCold()
+	if f.routes {
+		f.checkWarmupRate()
 	}
-	fmt.Printf("\nseed %d, %s, faults: %s\n", seed, l.name, strings.Join(l.faults, ", "))
+	fmt.Printf("\nseed %d, %s, faults: %s\n", seed, f.name, strings.Join(f.faults, ", "))
 	fmt.Printf("offered %d, served %d, refused %d, unknown %d, no answer %d, latency ms %v, latest to a leaving target %d ms\n",
 		num("offered"), num("served"), num("refused"), num("unknown"), num("no_answer"), rep["latency_ms"], num("latest_to_leaving_ms"))
 	for _, e := range examplesOf(rep) {
@@ -106,16 +91,16 @@
 	}
 	for _, r := range []string{"runs twice", "refused but ran", "wrong answer", "another's answer", "wrong service", "leaving target", "cold rate", "come back when", "emptied domain",
 		"in force everywhere", "one base", "history", "invalid configuration", "planned restart", "settings changed", "capacity back", "back in 15 s"} {
-		if r == "cold rate" && !l.routes {
+		if r == "cold rate" && !f.routes {
 			continue
 		}
 		v := "held"
-		if l.broken[r] > 0 {
-			v = fmt.Sprintf("BROKEN %d times", l.broken[r])
+		if f.violations[r] > 0 {
+			v = fmt.Sprintf("BROKEN %d times", f.violations[r])
 		}
 		fmt.Printf("  %-22s %s\n", r, v)
 	}
-	if len(l.broken) > 0 {
+	if len(f.violations) > 0 {
 		return 1
 	}
 	return 0
--- a/cmd/mfchaos/history.go
+++ b/cmd/mfchaos/history.go
@@ -21,70 +21,70 @@
 
 // configCall is one run of 'mfctl config put'.
 type configCall struct {
-	out   string
-	code  int
-	ended time.Duration
+	output  string
+	code    int
+	endedAt time.Duration
 }
 
 // putConfig puts a configuration on a base and records the call.
-func (l *lab) putConfig(doc []byte, base int, flags ...string) (out string, code int) {
-	write := l.recordOrder(doc, base)
-	call := l.runPut(doc, base, flags...)
-	recordAnswer(write, call)
-	return call.out, call.code
+func (f *fleet) putConfig(doc []byte, base int, flags ...string) (out string, code int) {
+	write := f.recordChange(doc, base)
+	call := f.runPut(doc, base, flags...)
+	recordReply(write, call)
+	return call.output, call.code
 }
 
-// recordOrder takes an order into the history as it is sent.
-func (l *lab) recordOrder(doc []byte, base int) *linearizability.Operation {
+// recordChange takes an order into the history as it is sent.
+func (f *fleet) recordChange(doc []byte, base int) *linearizability.Operation {
 	text := canonical(doc)
-	return l.history.Write(time.Since(l.start), linearizability.Change{Base: uint64(base), Key: text, Value: text})
+	return f.history.Write(time.Since(f.startedAt), linearizability.Change{Base: uint64(base), Key: text, Value: text})
 }
 
 // runPut runs mfctl. It touches nothing of the lab, so that several may run at once.
-func (l *lab) runPut(doc []byte, base int, flags ...string) configCall {
+func (f *fleet) runPut(doc []byte, base int, flags ...string) configCall {
 	args := append([]string{"-o", "json"}, flags...)
-	out, code := l.ctl(doc, append(args, "config", "put", "-", "--base", strconv.Itoa(base))...)
-	return configCall{out, code, time.Since(l.start)}
+	out, code := f.ctl(doc, append(args, "config", "put", "-", "--base", strconv.Itoa(base))...)
+	return configCall{out, code, time.Since(f.startedAt)}
 }
 
-// recordAnswer takes an order's answer into the history.
-func recordAnswer(write *linearizability.Operation, call configCall) {
+// recordReply takes an order's answer into the history.
+func recordReply(write *linearizability.Operation, call configCall) {
 	var v struct {
 		Revision uint64 `json:"revision"`
 		Error    struct {
 			Revision uint64 `json:"revision"`
 		} `json:"error"`
 	}
-	if json.Unmarshal([]byte(call.out), &v) != nil && call.code == ctlDone {
+	if json.Unmarshal([]byte(call.output), &v) != nil && call.code == ctlDone {
 		return // it is acknowledged, but nobody knows as which revision
 	}
 	switch call.code {
 	case ctlDone:
-		write.Acknowledge(call.ended, v.Revision)
+		write.Acknowledge(call.endedAt, v.Revision)
 	case ctlStale:
-		write.Reject(call.ended, v.Error.Revision)
+		write.Reject(call.endedAt, v.Error.Revision)
 	case ctlInvalid, ctlNoLeader:
-		write.Void(call.ended)
+		write.Void(call.endedAt)
 	}
 }
 
 // revision reads the configuration's revision, -1 if nobody tells it.
-func (l *lab) revision() int {
-	read := l.history.Read(time.Since(l.start))
-	out, code := l.ctl(nil, "-o", "json", "config", "get")
+func (f *fleet) revision() int {
+	read := f.history.Read(time.Since(f.startedAt))
+	out, code := f.ctl(nil, "-o", "json", "config", "get")
 	var v struct {
 		Revision int             `json:"revision"`
 		Config   json.RawMessage `json:"config"`
 	}
 	if code != 0 || json.Unmarshal([]byte(out), &v) != nil {
-		read.Void(time.Since(l.start))
+		read.Void(time.Since(f.startedAt))
 		return -1
 	}
 	value := ""
 	if v.Revision > 0 {
 		value = canonical(v.Config)
 	}
-	read.Return(time.Since(l.start), uint64(v.Revision), value)
+	read.Return(time.Since(f.startedAt), uint64(v.Revision), value)
 	return v.Revision
 }
 
@@ -96,10 +96,10 @@
 	return string(doc)
 }
 
-// checkHistory looks whether all that operators were told fits one order of events.
-func (l *lab) checkHistory() {
-	if err := l.history.Check(); err != nil {
-		l.note("history", "%v", err)
+// checkHistory looks whether all answers to operators fit one order of events.
+func (f *fleet) checkHistory() {
+	if err := f.history.Check(); err != nil {
+		f.violation("history", "%v", err)
 	}
-	l.say("%d calls for the configuration were recorded", l.history.Len())
+	f.logf("%d calls for the configuration were recorded", f.history.Len())
 }
--- a/cmd/mfchaos/net.go
+++ b/cmd/mfchaos/net.go
@@ -1,4 +1,4 @@
-// This file is the lab's network: a relay before each address that daemons and back
+// This file is the fleet's network: a relay before each address that daemons and back
 // ends tell the others, which can hold back what one machine sends another, or delay
 // all. What is held back arrives when the cut ends, as late as it then is; that is
 // harder on the fleet than losing it. Machines are told apart by the addresses that
@@ -15,8 +15,8 @@
 	"time"
 )
 
-type fabric struct {
-	cuts  atomic.Pointer[map[[2]string]bool] // from machine, to machine; replaced as a whole
+type network struct {
+	cuts  atomic.Pointer[map[[2]string]bool] // from machine, to machine; replaced, never changed
 	delay atomic.Int64
 }
 
@@ -33,22 +33,22 @@
 }
 func boundAt(addr string) string { return strings.Replace(addr, addresses.reached, addresses.bound, 1) }
 
-// firstNet is the second number of a lab's loopback addresses unless told otherwise.
-const firstNet = 20
+// defaultNetwork is the second number of a fleet's loopback addresses unless the command line gives another.
+const defaultNetwork = 20
 
 // addresses are the beginnings of this lab's loopback addresses: those at which its machines listen, and those at which the others
 // reach them. They are set once, before anything runs; labs with different ones run side by side.
-var addresses = addressesOf(firstNet)
+var addresses = prefixesOf(defaultNetwork)
 
-// labAddresses are two beginnings of loopback addresses.
-type labAddresses struct{ bound, reached string }
+// addressPrefixes are two beginnings of loopback addresses.
+type addressPrefixes struct{ bound, reached string }
 
-func addressesOf(net int) labAddresses {
-	return labAddresses{fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+1)}
+func prefixesOf(net int) addressPrefixes {
+	return addressPrefixes{fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+1)}
 }
 
-// pairs are the ways between two groups of machines.
-func pairs(a, b []*proc, out, back bool) map[[2]string]bool {
+// directedPairs are the ways between two groups of machines.
+func directedPairs(a, b []*process, out, back bool) map[[2]string]bool {
 	m := map[[2]string]bool{}
 	for _, x := range a {
 		for _, y := range b {
@@ -64,15 +64,15 @@
 	return m
 }
 
-func (f *fabric) set(cuts map[[2]string]bool) { f.cuts.Store(&cuts) }
+func (f *network) set(cuts map[[2]string]bool) { f.cuts.Store(&cuts) }
 
-func (f *fabric) parted(from, to string) bool {
+func (f *network) isCut(from, to string) bool {
 	m := f.cuts.Load()
 	return m != nil && (*m)[[2]string{from, to}]
 }
 
 // relay takes connections at one address and passes them on to another.
-func (f *fabric) relay(at, to string) error {
+func (f *network) relay(at, to string) error {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		return err
@@ -83,49 +83,49 @@
 			if err != nil {
 				return
 			}
-			go f.pass(c, to)
+			go f.forward(c, to)
 		}
 	}()
 	return nil
 }
 
-func (f *fabric) pass(c net.Conn, to string) {
-	defer c.Close()
-	src, dst := machineOf(c.RemoteAddr().String()), machineOf(to)
-	for f.parted(src, dst) || f.parted(dst, src) { // a handshake needs both ways
+func (f *network) forward(caller net.Conn, address string) {
+	defer caller.Close()
+	src, dst := machineOf(caller.RemoteAddr().String()), machineOf(address)
+	for f.isCut(src, dst) || f.isCut(dst, src) { // a handshake needs both ways
 		time.Sleep(5 * time.Millisecond)
 	}
-	d, err := net.DialTimeout("tcp", to, time.Second)
+	d, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
-		c.(*net.TCPConn).SetLinger(0) // refused there is refused here
+		caller.(*net.TCPConn).SetLinger(0) // refused there is refused here
 		return
 	}
 	defer d.Close()
 	done := make(chan bool, 2)
-	go func() { f.pump(c, d, src, dst); done <- true }()
-	go func() { f.pump(d, c, dst, src); done <- true }()
+	go func() { f.copyOneWay(caller, d, src, dst); done <- true }()
+	go func() { f.copyOneWay(d, caller, dst, src); done <- true }()
 	<-done
 }
 
-// pump copies one way.
-func (f *fabric) pump(from, to net.Conn, src, dst string) {
-	b := make([]byte, 64<<10)
+// copyOneWay copies one way.
+func (f *network) copyOneWay(source, destination net.Conn, src, dst string) {
+	buffer := make([]byte, 64<<10)
 	for {
-		n, err := from.Read(b)
-		for f.parted(src, dst) {
+		count, err := source.Read(buffer)
+		for f.isCut(src, dst) {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if d := f.delay.Load(); d > 0 {
 			time.Sleep(time.Duration(d))
 		}
-		if n > 0 {
-			if _, werr := to.Write(b[:n]); werr != nil {
+		if count > 0 {
+			if _, werr := destination.Write(buffer[:count]); werr != nil {
 				return
 			}
 		}
 		if err != nil {
 			if err == io.EOF {
-				if t, ok := to.(*net.TCPConn); ok {
+				if t, ok := destination.(*net.TCPConn); ok {
 					t.CloseWrite()
 				}
 			}
--- a/cmd/mfchaos/soak_callers.go
+++ b/cmd/mfchaos/soak_callers.go
@@ -1,5 +1,5 @@
 // This file is a soak's callers. Each keeps one connection, rests on it for up to seconds between requests, and uses
-// it until the other side closes it, whatever it hears of proxies that are not ready.
+// it until the other side closes it, whether proxies are ready or not.
 
 package main
 
@@ -22,10 +22,10 @@
 )
 
 const (
-	soakDeadline  = 3 * time.Second        // that callers give
-	soakRestMost  = 4 * time.Second        // between two requests of a connection
-	soakReadyLook = 300 * time.Millisecond // how often callers hear which proxies are ready
-	soakPipeline  = 3                      // requests at once of a caller that pipelines
+	soakDeadline   = 3 * time.Second        // that callers give
+	soakRestMost   = 4 * time.Second        // between two requests of a connection
+	soakReadyEvery = 300 * time.Millisecond // how often callers hear which proxies are ready
+	soakPipeline   = 3                      // requests at once of a caller that pipelines
 )
 
 // soakKind is a sort of request.
@@ -45,24 +45,24 @@
 
 // soakOutcome is what became of one request.
 type soakOutcome struct {
-	id      string
-	kind    *soakKind
-	proxy   string
-	behind  bool      // it was sent behind another on its connection
-	sent    time.Time // when its last byte was written
-	ended   time.Time
-	status  int           // 0: there was no whole answer
-	unsent  bool          // it was not written whole
-	wrong   string        // what is wrong with the answer
-	promise bool          // it was answered that it did not run
-	unknown bool          // it was answered that it may have run, by the proxy
-	again   time.Duration // when to come back, as a refusal says
+	id         string
+	kind       *soakKind
+	proxy      string
+	pipelined  bool      // it was sent behind another on its connection
+	sentAt     time.Time // when its last byte was written
+	endedAt    time.Time
+	status     int           // 0: there was no complete response
+	notWritten bool          // it was not written completely
+	wrong      string        // what is wrong with the answer
+	notRun     bool          // it was answered that it did not run
+	unknownRun bool          // it was answered that it may have run, by the proxy
+	retryAfter time.Duration // when to come back, as a refusal says
 }
 
 // soakCallers are all callers of a run.
 type soakCallers struct {
 	soak     *soak
-	ready    atomic.Pointer[[]*proc]
+	ready    atomic.Pointer[[]*process]
 	stop     chan struct{}
 	running  sync.WaitGroup
 	outcomes chan []soakOutcome
@@ -71,7 +71,7 @@
 // startCallers lets the callers begin.
 func (s *soak) startCallers() *soakCallers {
 	c := &soakCallers{soak: s, stop: make(chan struct{}), outcomes: make(chan []soakOutcome, s.options.callers)}
-	c.look()
+	c.refreshReady()
 	c.running.Go(c.watch)
 	for i := range s.options.callers {
 		c.running.Go(func() { c.outcomes <- c.call(i, s.options.random(1000+uint64(i))) })
@@ -93,24 +93,24 @@
 
 // watch keeps the list of proxies that are ready, as the platform would.
 func (c *soakCallers) watch() {
-	look := time.NewTicker(soakReadyLook)
+	look := time.NewTicker(soakReadyEvery)
 	defer look.Stop()
 	for {
 		select {
 		case <-c.stop:
 			return
 		case <-look.C:
-			c.look()
+			c.refreshReady()
 		}
 	}
 }
 
-func (c *soakCallers) look() {
-	ready := make([]*proc, len(c.soak.gates))
+func (c *soakCallers) refreshReady() {
+	ready := make([]*process, len(c.soak.proxies))
 	var asked sync.WaitGroup
-	for i, g := range c.soak.gates {
+	for i, g := range c.soak.proxies {
 		asked.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), soakReadyLook)
+			ctx, cancel := context.WithTimeout(context.Background(), soakReadyEvery)
 			defer cancel()
 			request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.http+"/ready", nil)
 			if err != nil {
@@ -127,9 +127,9 @@
 		})
 	}
 	asked.Wait()
-	ready = slices.DeleteFunc(ready, func(p *proc) bool { return p == nil })
+	ready = slices.DeleteFunc(ready, func(p *process) bool { return p == nil })
 	if len(ready) == 0 {
-		ready = c.soak.gates
+		ready = c.soak.proxies
 	}
 	c.ready.Store(&ready)
 }
@@ -140,8 +140,8 @@
 	var outcomes []soakOutcome
 	loyal := number%4 == 0
 	pipelines := number%5 == 0
-	home := c.soak.gates[rnd.IntN(len(c.soak.gates))]
-	for round := 0; !c.ended(); round++ {
+	home := c.soak.proxies[rnd.IntN(len(c.soak.proxies))]
+	for round := 0; !c.isStopped(); round++ {
 		to := home
 		if ready := *c.ready.Load(); !loyal {
 			to = ready[rnd.IntN(len(ready))]
@@ -151,7 +151,7 @@
 			c.rest(time.Duration(20+rnd.IntN(80)) * time.Millisecond)
 			continue
 		}
-		k := &soakConnection{callers: c, conn: conn, reader: bufio.NewReader(conn), proxy: to.name, rnd: rnd, pipelines: pipelines,
+		k := &soakConnection{callers: c, conn: conn, reader: bufio.NewReader(conn), proxy: to.name, random: rnd, pipelines: pipelines,
 			prefix: fmt.Sprintf("%d-%d-%d", c.soak.options.seed, number, round)}
 		outcomes = append(outcomes, k.use()...)
 		conn.Close()
@@ -160,7 +160,7 @@
 	return outcomes
 }
 
-func (c *soakCallers) ended() bool {
+func (c *soakCallers) isStopped() bool {
 	select {
 	case <-c.stop:
 		return true
@@ -183,7 +183,7 @@
 	conn      net.Conn
 	reader    *bufio.Reader
 	proxy     string
-	rnd       *rand.Rand
+	random    *rand.Rand
 	pipelines bool
 	prefix    string
 	sent      int
@@ -191,43 +191,43 @@
 
 // use sends requests until the connection is closed or the run ends.
 func (k *soakConnection) use() (outcomes []soakOutcome) {
-	for !k.callers.ended() {
-		batch, open := k.exchange()
+	for !k.callers.isStopped() {
+		batch, open := k.roundTrip()
 		outcomes = append(outcomes, batch...)
 		if !open {
 			return outcomes
 		}
-		k.callers.rest(batch[len(batch)-1].again)
-		if k.rnd.IntN(3) > 0 { // others send on at once
-			k.callers.rest(time.Duration(k.rnd.Int64N(int64(soakRestMost))))
+		k.callers.rest(batch[len(batch)-1].retryAfter)
+		if k.random.IntN(3) > 0 { // others send on at once
+			k.callers.rest(time.Duration(k.random.Int64N(int64(soakRestMost))))
 		}
 	}
 	return outcomes
 }
 
-// exchange sends one request, or some that are pipelined, and reads the answers; open is false if the
+// roundTrip sends one request, or some that are pipelined, and reads the answers; open is false if the
 // connection has ended.
-func (k *soakConnection) exchange() (batch []soakOutcome, open bool) {
-	n := 1
+func (k *soakConnection) roundTrip() (batch []soakOutcome, open bool) {
+	requests := 1
 	if k.pipelines {
-		n += k.rnd.IntN(soakPipeline)
+		requests += k.random.IntN(soakPipeline)
 	}
 	var text []byte
-	for i := range n {
-		kind := &soakKinds[k.rnd.IntN(len(soakKinds))]
-		if n > 1 {
+	for i := range requests {
+		kind := &soakKinds[k.random.IntN(len(soakKinds))]
+		if requests > 1 {
 			kind = &soakKinds[0]
 		}
 		id := fmt.Sprintf("%s-%d", k.prefix, k.sent)
 		k.sent++
-		batch = append(batch, soakOutcome{id: id, kind: kind, proxy: k.proxy, behind: i > 0})
+		batch = append(batch, soakOutcome{id: id, kind: kind, proxy: k.proxy, pipelined: i > 0})
 		text = append(text, k.compose(kind, id)...)
 	}
 	k.conn.SetDeadline(time.Now().Add(2 * k.callers.soak.options.grace))
 	_, err := k.conn.Write(text)
 	sent := time.Now()
 	for i := range batch {
-		batch[i].sent, batch[i].unsent = sent, err != nil
+		batch[i].sentAt, batch[i].notWritten = sent, err != nil
 	}
 	open = err == nil
 	for i := range batch {
@@ -235,7 +235,7 @@
 			open = k.read(&batch[i])
 		}
 		if batch[i].status == 0 {
-			batch[i].ended = time.Now()
+			batch[i].endedAt = time.Now()
 		}
 	}
 	return batch, open
@@ -246,7 +246,7 @@
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: soak\r\nExchange-Id: %s\r\nExchange-Service: %s\r\n%s: %s\r\n%s: %d\r\n",
 		kind.method, kind.path, id, kind.service, names.Attempt, id, names.Deadline, soakDeadline.Milliseconds())
-	fmt.Fprintf(&b, "Stub-Work-Ms: %d\r\n", 20+k.rnd.IntN(1000))
+	fmt.Fprintf(&b, "Stub-Work-Ms: %d\r\n", 20+k.random.IntN(1000))
 	if kind.body > 0 {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", kind.body)
 	}
@@ -256,8 +256,8 @@
 }
 
 // read reads one answer; it returns false if the connection ends with it or instead of it.
-func (k *soakConnection) read(o *soakOutcome) bool {
-	response, err := http.ReadResponse(k.reader, &http.Request{Method: o.kind.method})
+func (k *soakConnection) read(outcome *soakOutcome) bool {
+	response, err := http.ReadResponse(k.reader, &http.Request{Method: outcome.kind.method})
 	if err != nil {
 		return false
 	}
@@ -265,15 +265,15 @@
 	if _, err = io.Copy(io.Discard, response.Body); err != nil {
 		return false
 	}
-	o.ended, o.status = time.Now(), response.StatusCode
+	outcome.endedAt, outcome.status = time.Now(), response.StatusCode
 	names := reverseproxy.DefaultHeaders()
 	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
-		o.again = min(soakRestMost, time.Duration(seconds*float64(time.Second)))
+		outcome.retryAfter = min(soakRestMost, time.Duration(seconds*float64(time.Second)))
 	}
 	ran := response.Header.Get(names.Ran)
-	o.promise, o.unknown = ran == "no", ran == "unknown"
-	if id := response.Header.Get(names.Attempt); id != "" && id != o.id {
-		o.wrong = "the answer is to " + strconv.Quote(id)
+	outcome.notRun, outcome.unknownRun = ran == "no", ran == "unknown"
+	if id := response.Header.Get(names.Attempt); id != "" && id != outcome.id {
+		outcome.wrong = "the answer is to " + strconv.Quote(id)
 	}
 	return !response.Close
 }
--- a/cmd/mfchaos/soak_log.go
+++ b/cmd/mfchaos/soak_log.go
@@ -14,8 +14,6 @@
 const (
 	eventStop       eventKind = iota // SIGTERM
 	eventKill                        // SIGKILL, unplanned
-	eventEnd                         // the process is gone
-	eventStart                       // it was started
 	eventHangup                      // SIGHUP
 	eventChange                      // a change of the configuration was acknowledged
 	eventUnanswered                  // an order had no clear answer
--- a/cmd/mfchaos/soak_operator.go
+++ b/cmd/mfchaos/soak_operator.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	orderPause  = 150 * time.Millisecond
-	orderAgain  = 50 * time.Millisecond
-	orderWait   = 2 * time.Second  // for one answer
-	orderMost   = 20 * time.Second // until an order counts as unanswered: a core may be down as a whole for a while
-	recoverWait = 15 * time.Second
+	changePause   = 150 * time.Millisecond
+	changeRetry   = 50 * time.Millisecond
+	changeTimeout = 2 * time.Second  // for one answer
+	changeGiveUp  = 20 * time.Second // until a change counts as unanswered: all control daemons may be down for a while
+	recoverWait   = 15 * time.Second
 )
 
 // soakOperator is one operator and what it was promised.
 type soakOperator struct {
 	soak     *soak
-	rnd      *rand.Rand
+	random   *rand.Rand
 	stop     chan struct{}
 	running  sync.WaitGroup
 	revision int             // the newest that was acknowledged
@@ -41,7 +41,7 @@
 }
 
 func (s *soak) startOperator() *soakOperator {
-	o := &soakOperator{soak: s, rnd: s.options.random(2), stop: make(chan struct{}), emptied: map[string]bool{}}
+	o := &soakOperator{soak: s, random: s.options.random(2), stop: make(chan struct{}), emptied: map[string]bool{}}
 	o.running.Go(o.run)
 	return o
 }
@@ -56,7 +56,7 @@
 		select {
 		case <-o.stop:
 			return
-		case <-time.After(time.Duration(o.rnd.Int64N(int64(2 * orderPause)))):
+		case <-time.After(time.Duration(o.random.Int64N(int64(2 * changePause)))):
 		}
 		if i%8 == 7 {
 			o.emptyOrRestore()
@@ -67,12 +67,12 @@
 }
 
 // call sends one call to one control daemon.
-func (o *soakOperator) call(core *proc, method, path string, body []byte) (status int, answer []byte) {
+func (o *soakOperator) call(core *process, method, path string, body []byte) (status int, answer []byte) {
 	request, err := http.NewRequest(method, "http://"+core.http+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
-	response, err := (&http.Client{Timeout: orderWait}).Do(request)
+	response, err := (&http.Client{Timeout: changeTimeout}).Do(request)
 	if err != nil {
 		return 0, nil
 	}
@@ -84,15 +84,15 @@
 	return response.StatusCode, answer
 }
 
-// order sends an order to any daemon, and the same again until an answer is clear.
-func (o *soakOperator) order(method, path string, body []byte) (status int, answer []byte) {
-	for begun := time.Now(); time.Since(begun) < orderMost; {
-		core := o.soak.cores[o.rnd.IntN(len(o.soak.cores))]
+// sendUntilClear sends an sendUntilClear to any daemon, and the same again until an answer is clear.
+func (o *soakOperator) sendUntilClear(method, path string, body []byte) (status int, answer []byte) {
+	for begun := time.Now(); time.Since(begun) < changeGiveUp; {
+		core := o.soak.controls[o.random.IntN(len(o.soak.controls))]
 		status, answer = o.call(core, method, path, body)
 		if status >= 200 && status < 500 {
 			return status, answer
 		}
-		time.Sleep(orderAgain)
+		time.Sleep(changeRetry)
 	}
 	o.soak.log.add(eventUnanswered, "")
 	return 0, nil
@@ -100,15 +100,15 @@
 
 // change puts another configuration on top of the newest acknowledged one.
 func (o *soakOperator) change() {
-	doc, err := config.MergePatch(o.soak.config, fmt.Appendf(nil, `{"limits":{"body_bytes":%d}}`, tuning.BodyMaxDefault-o.rnd.IntN(tuning.BodyMaxDefault/2)))
+	doc, err := config.MergePatch(o.soak.config, fmt.Appendf(nil, `{"limits":{"body_bytes":%d}}`, tuning.BodyMaxDefault-o.random.IntN(tuning.BodyMaxDefault/2)))
 	if err != nil {
-		o.soak.note("lab", "%v", err)
+		o.soak.violation("lab", "%v", err)
 		return
 	}
 	if o.revision == 0 {
 		o.revision, _ = o.read()
 	}
-	status, answer := o.order(http.MethodPut, "/v1/config?base="+strconv.Itoa(o.revision), doc)
+	status, answer := o.sendUntilClear(http.MethodPut, "/v1/config?base="+strconv.Itoa(o.revision), doc)
 	var v struct {
 		Revision int `json:"revision"`
 	}
@@ -122,15 +122,15 @@
 			o.revision, o.doc = revision, text
 		}
 	default:
-		o.soak.note("order refused", "a change on %d, the newest acknowledged: %d %.200s", o.revision, status, answer)
+		o.soak.violation("order refused", "a change on %d, the newest acknowledged: %d %.200s", o.revision, status, answer)
 		o.revision, o.doc = o.read()
 	}
 }
 
 // read reads the configuration in force, 0 if nobody tells it.
 func (o *soakOperator) read() (revision int, doc []byte) {
-	for begun := time.Now(); time.Since(begun) < orderMost; time.Sleep(orderAgain) {
-		for _, core := range o.soak.cores {
+	for begun := time.Now(); time.Since(begun) < changeGiveUp; time.Sleep(changeRetry) {
+		for _, core := range o.soak.controls {
 			status, answer := o.call(core, http.MethodGet, "/v1/config", nil)
 			var v struct {
 				Revision int             `json:"revision"`
@@ -150,19 +150,19 @@
 		if !is {
 			continue
 		}
-		if status, _ := o.order(http.MethodPost, "/v1/domains/"+domain+"/restore", nil); status == http.StatusOK {
+		if status, _ := o.sendUntilClear(http.MethodPost, "/v1/domains/"+domain+"/restore", nil); status == http.StatusOK {
 			delete(o.emptied, domain)
 		} else {
 			o.emptied[domain] = false // nobody knows
 		}
 		return
 	}
-	domains := o.soak.dep.Domains
-	domain := domains[o.rnd.IntN(len(domains))]
+	domains := o.soak.deployment.Domains
+	domain := domains[o.random.IntN(len(domains))]
 	if _, unknown := o.emptied[domain]; unknown {
 		return
 	}
-	if status, _ := o.order(http.MethodPost, "/v1/domains/"+domain+"/empty", nil); status == http.StatusOK {
+	if status, _ := o.sendUntilClear(http.MethodPost, "/v1/domains/"+domain+"/empty", nil); status == http.StatusOK {
 		o.emptied[domain] = true
 	} else {
 		o.emptied[domain] = false
@@ -171,46 +171,47 @@
 
 // checkAfterLoss kills all daemons at once, loses the disk of one control daemon if the core bears that, and looks
 // whether what was acknowledged is there again.
-func (o *soakOperator) checkAfterLoss(s *soak) {
-	daemons := slices.Concat(s.cores, s.gates)
+func (o *soakOperator) checkAfterLoss() {
+	run := o.soak
+	daemons := slices.Concat(run.controls, run.proxies)
 	for _, p := range daemons {
 		p.signal(9)
 	}
 	for _, p := range daemons {
 		p.kill()
 	}
-	if len(s.cores) > 2 {
-		os.RemoveAll(s.path("data", s.cores[o.rnd.IntN(len(s.cores))].name))
+	if len(run.controls) > 2 {
+		os.RemoveAll(run.path("data", run.controls[o.random.IntN(len(run.controls))].name))
 	}
 	for _, p := range daemons {
-		s.again(p)
+		run.restart(p)
 	}
 	end := time.Now().Add(recoverWait)
 	revision, doc := o.read()
 	switch {
 	case time.Now().After(end):
-		s.note("back in 15 s", "no configuration is read after a loss of all daemons")
+		run.violation("back in 15 s", "no configuration is read after a loss of all daemons")
 	case revision < o.revision:
-		s.note("acknowledged lost", "revision %d is read, %d was acknowledged", revision, o.revision)
+		run.violation("acknowledged lost", "revision %d is read, %d was acknowledged", revision, o.revision)
 	case revision == o.revision && o.doc != nil && canonical(doc) != canonical(o.doc):
-		s.note("acknowledged lost", "revision %d is another one than was acknowledged", revision)
+		run.violation("acknowledged lost", "revision %d is another one than was acknowledged", revision)
 	}
 	for domain, is := range o.emptied {
 		if is && !slices.Contains(o.emptiedNow(), domain) {
-			s.note("acknowledged lost", "domain %s was acknowledged as emptied", domain)
+			run.violation("acknowledged lost", "domain %s was acknowledged as emptied", domain)
 		}
 	}
 	for domain := range o.emptied {
-		o.order(http.MethodPost, "/v1/domains/"+domain+"/restore", nil)
+		o.sendUntilClear(http.MethodPost, "/v1/domains/"+domain+"/restore", nil)
 	}
-	if err := s.serving(recoverWait); err != nil {
-		s.note("back in 15 s", "after a loss of all daemons: %v", err)
+	if err := run.awaitServing(recoverWait); err != nil {
+		run.violation("back in 15 s", "after a loss of all daemons: %v", err)
 	}
 }
 
 func (o *soakOperator) emptiedNow() []string {
-	for begun := time.Now(); time.Since(begun) < recoverWait; time.Sleep(orderAgain) {
-		for _, core := range o.soak.cores {
+	for begun := time.Now(); time.Since(begun) < recoverWait; time.Sleep(changeRetry) {
+		for _, core := range o.soak.controls {
 			status, answer := o.call(core, http.MethodGet, "/v1/domains", nil)
 			var v struct {
 				Emptied []string `json:"emptied"`
--- a/cmd/mfchaos/soak_script.go
+++ b/cmd/mfchaos/soak_script.go
@@ -31,7 +31,7 @@
 
 // actor is a process of the script.
 type actor struct {
-	*proc
+	*process
 	phase   phase
 	stopAt  time.Time // when it was asked to stop
 	startAt time.Time // when it is started again
@@ -39,7 +39,7 @@
 	wipe    bool      // its disk is lost while it is down
 }
 
-// processEnd tells the script that a process is gone.
+// processEnd is the notice that a process is gone.
 type processEnd struct {
 	actor *actor
 	cmd   *exec.Cmd
@@ -50,37 +50,37 @@
 type series struct {
 	next time.Time
 	gap  time.Duration // the mean
-	do   func()
+	act  func()
 }
 
 // script is a run's processes and series.
 type script struct {
-	soak    *soak
-	rnd     *rand.Rand
-	proxies []*actor
-	cores   []*actor
-	targets []*actor
-	series  []*series
-	ends    chan processEnd
+	soak     *soak
+	random   *rand.Rand
+	proxies  []*actor
+	controls []*actor
+	targets  []*actor
+	series   []*series
+	ends     chan processEnd
 }
 
 // playScript plays the script to its end, with all processes up again, and returns what operators were promised.
 func (s *soak) playScript() *soakOperator {
-	c := &script{soak: s, rnd: s.options.random(1), ends: make(chan processEnd, 16)}
-	c.proxies, c.cores, c.targets = c.actors(s.gates), c.actors(s.cores), c.actors(s.stubs)
-	c.plan()
+	script := &script{soak: s, random: s.options.random(1), ends: make(chan processEnd, 16)}
+	script.proxies, script.controls, script.targets = script.actors(s.proxies), script.actors(s.controls), script.actors(s.backends)
+	script.plan()
 	operator := s.startOperator()
-	end := s.begin.Add(s.options.span)
+	end := s.startedAt.Add(s.options.span)
 	quiet := end.Add(-scriptQuiet * s.options.grace)
 	step := time.NewTicker(scriptStep)
 	defer step.Stop()
 	for now := range step.C {
 		if now.Before(quiet) {
-			c.begin(now)
+			script.begin(now)
 		}
-		c.drainEnds(now)
-		c.tend(now)
-		if now.After(end) && c.allUp() {
+		script.drainEnds(now)
+		script.superviseActors(now)
+		if now.After(end) && script.allUp() {
 			break
 		}
 	}
@@ -88,25 +88,27 @@
 	return operator
 }
 
-func (c *script) actors(procs []*proc) []*actor {
+func (c *script) actors(procs []*process) []*actor {
 	var all []*actor
 	for _, p := range procs {
-		a := &actor{proc: p}
+		a := &actor{process: p}
 		all = append(all, a)
-		c.await(a)
+		c.awaitEnd(a)
 	}
 	return all
 }
 
-// await has the process's end told to the script.
-func (c *script) await(a *actor) {
+// awaitEnd sends the process's end to the script.
+func (c *script) awaitEnd(a *actor) {
 	cmd := a.cmd
 	go func() { c.ends <- processEnd{a, cmd, cmd.Wait()} }()
 }
 
 // plan draws how often each kind of work comes.
 func (c *script) plan() {
-	between := func(low, high time.Duration) time.Duration { return low + time.Duration(c.rnd.Int64N(int64(high-low))) }
+	between := func(low, high time.Duration) time.Duration {
+		return low + time.Duration(c.random.Int64N(int64(high-low)))
+	}
 	fleet := time.Duration(max(1, len(c.proxies)/5))
 	c.add(between(800*time.Millisecond, 3*time.Second)/fleet, c.stopProxies)
 	c.add(between(3*time.Second, 9*time.Second), c.stopCore)
@@ -120,7 +122,7 @@
 }
 
 func (c *script) add(gap time.Duration, do func()) {
-	c.series = append(c.series, &series{next: time.Now().Add(gap), gap: gap, do: do})
+	c.series = append(c.series, &series{next: time.Now().Add(gap), gap: gap, act: do})
 }
 
 // begin does what is due.
@@ -129,17 +131,17 @@
 		if now.Before(s.next) {
 			continue
 		}
-		s.next = now.Add(time.Duration(c.rnd.ExpFloat64() * float64(s.gap)))
-		s.do()
+		s.next = now.Add(time.Duration(c.random.ExpFloat64() * float64(s.gap)))
+		s.act()
 	}
 }
 
-// tend ends by force what has not stopped in its grace, and starts what is to come back.
-func (c *script) tend(now time.Time) {
-	for _, a := range slices.Concat(c.proxies, c.cores, c.targets) {
+// superviseActors ends by force what has not stopped in its grace, and starts what is to come back.
+func (c *script) superviseActors(now time.Time) {
+	for _, a := range slices.Concat(c.proxies, c.controls, c.targets) {
 		switch {
-		case a.phase == phaseStopping && now.Sub(a.stopAt) > c.soak.options.grace+stopSlack && a.kind != "mfbackend":
-			c.soak.note("planned restart", "%s did not stop in its grace", a.name)
+		case a.phase == phaseStopping && now.Sub(a.stopAt) > c.soak.options.grace+stopSlack && a.kind != backendProgram:
+			c.soak.violation("planned restart", "%s did not stop in its grace", a.name)
 			a.signal(syscall.SIGKILL)
 			a.stopAt = now
 		case a.phase == phaseDown && now.After(a.startAt):
@@ -154,13 +156,12 @@
 		a.wipe = false
 	}
 	a.logged = c.logLength(a)
-	if err := c.soak.spawn(a.proc); err != nil {
-		c.soak.note("lab", "%v", err)
+	if err := c.soak.startProcess(a.process); err != nil {
+		c.soak.violation("lab", "%v", err)
 		return
 	}
 	a.phase = phaseUp
-	c.soak.log.add(eventStart, a.name)
-	c.await(a)
+	c.awaitEnd(a)
 }
 
 // logLength is how long a process's log is, over all its starts.
@@ -177,33 +178,32 @@
 	for {
 		select {
 		case end := <-c.ends:
-			c.ended(now, end)
+			c.processEnded(now, end)
 		default:
 			return
 		}
 	}
 }
 
-func (c *script) ended(now time.Time, end processEnd) {
+func (c *script) processEnded(now time.Time, end processEnd) {
 	a := end.actor
 	if a.cmd != end.cmd {
 		return
 	}
-	c.soak.log.add(eventEnd, a.name)
 	switch {
 	case a.phase == phaseUp:
-		c.soak.note("ended by itself", "%s: %v", a.name, end.err)
-	case a.phase == phaseStopping && c.logLength(a) == a.logged && a.kind != "mfbackend":
+		c.soak.violation("ended by itself", "%s: %v", a.name, end.err)
+	case a.phase == phaseStopping && c.logLength(a) == a.logged && a.kind != backendProgram:
 		// It was asked before the first line of its program ran: nothing was taken.
 	case a.phase == phaseStopping && end.err != nil:
-		c.soak.note("planned restart", "%s: %v", a.name, end.err)
+		c.soak.violation("planned restart", "%s: %v", a.name, end.err)
 	}
 	a.stopped, a.phase = true, phaseDown
-	a.startAt = now.Add(restartPause + time.Duration(c.rnd.Int64N(int64(restartSpread))))
+	a.startAt = now.Add(restartPause + time.Duration(c.random.Int64N(int64(restartSpread))))
 }
 
 func (c *script) allUp() bool {
-	for _, a := range slices.Concat(c.proxies, c.cores, c.targets) {
+	for _, a := range slices.Concat(c.proxies, c.controls, c.targets) {
 		if a.phase != phaseUp {
 			return false
 		}
@@ -214,7 +214,7 @@
 // up is the actors that are neither stopping nor down, in an order drawn anew.
 func (c *script) up(of []*actor) []*actor {
 	up := slices.DeleteFunc(slices.Clone(of), func(a *actor) bool { return a.phase != phaseUp })
-	c.rnd.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
+	c.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
 	return up
 }
 
@@ -228,14 +228,14 @@
 func (c *script) kill(a *actor) {
 	c.soak.log.add(eventKill, a.name)
 	a.phase = phaseDown
-	a.startAt = time.Now().Add(time.Hour) // until its end is told
+	a.startAt = time.Now().Add(time.Hour) // until its end is noticed
 	a.signal(syscall.SIGKILL)
 }
 
 // stopProxies stops some proxies at once; one stays.
 func (c *script) stopProxies() {
 	up := c.up(c.proxies)
-	n := min(1+c.rnd.IntN(max(1, len(c.proxies)/4)), len(up)-1)
+	n := min(1+c.random.IntN(max(1, len(c.proxies)/4)), len(up)-1)
 	for i := range n {
 		c.stop(up[i])
 	}
@@ -243,7 +243,7 @@
 
 // stopCore stops a control daemon if all others are up.
 func (c *script) stopCore() {
-	if up := c.up(c.cores); len(up) == len(c.cores) {
+	if up := c.up(c.controls); len(up) == len(c.controls) {
 		c.stop(up[0])
 	}
 }
@@ -262,8 +262,8 @@
 
 // hangUp sends a SIGHUP to any daemon, also one that is starting or stopping.
 func (c *script) hangUp() {
-	daemons := slices.Concat(c.proxies, c.cores)
-	a := daemons[c.rnd.IntN(len(daemons))]
+	daemons := slices.Concat(c.proxies, c.controls)
+	a := daemons[c.random.IntN(len(daemons))]
 	if a.phase != phaseDown {
 		c.soak.log.add(eventHangup, a.name)
 		a.signal(syscall.SIGHUP)
@@ -278,14 +278,14 @@
 
 // killCore kills a control daemon if all others are up; at times its disk is lost.
 func (c *script) killCore() {
-	if up := c.up(c.cores); len(up) == len(c.cores) {
-		up[0].wipe = len(c.cores) > 2 && c.rnd.IntN(2) == 0
+	if up := c.up(c.controls); len(up) == len(c.controls) {
+		up[0].wipe = len(c.controls) > 2 && c.random.IntN(2) == 0
 		c.kill(up[0])
 	}
 }
 
 func (c *script) killAllCores() {
-	for _, a := range c.up(c.cores) {
+	for _, a := range c.up(c.controls) {
 		c.kill(a)
 	}
 }
