--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -1,5 +1,4 @@
-// This file is the election: who asks for votes, who leases them, and when a
-// candidate leads.
+// This file is the election: when a node campaigns, who votes for it, and when it has won.
 
 package consensus
 
@@ -12,146 +11,210 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// hearsNone says that this node leads nobody and that no leader has spoken to it lately.
-func (n *Node) noLeaderContact(now time.Duration) bool {
-	return n.role != Leader && now-n.leaderMessageAt >= tuning.LeaderQuiet
+// campaignKind is why, and how, a node asks for votes.
+type campaignKind int
+
+const (
+	// preElection asks whether an election would be won, without a new term.
+	preElection campaignKind = iota
+	// election asks for votes in a new term.
+	election
+	// transferElection is an election that the leader itself has asked for, so members don't wait for its lease.
+	transferElection
+)
+
+// tickElection campaigns when it is time to. A learner, and a member whose disk hangs, could not lead and doesn't.
+func (n *Node) tickElection(now time.Duration) {
+	if n.DiskStalled(now) || !n.isSelfVoter() {
+		return
+	}
+	switch {
+	case n.mayWinWithoutConsents(now):
+		n.becomeLeader(now)
+	case now >= n.electionDeadline && now-n.leaderContactAt >= tuning.ElectionTimeoutMin:
+		n.leader = ""
+		n.campaign(now, preElection, false)
+	case n.mayAskForConsents(now):
+		// The ordinary election stays due: a member that doesn't answer must not put it off.
+		deadline := n.electionDeadline
+		n.campaign(now, preElection, true)
+		n.electionDeadline = deadline
+	}
+}
+
+// mayWinWithoutConsents says whether a unanimous election has become an ordinary one: it has the votes of a majority, and
+// the last of these is so old that every lease which its voters supported has run out.
+func (n *Node) mayWinWithoutConsents(now time.Duration) bool {
+	return n.role == Candidate && n.unanimous && n.hasMajority(len(n.votes)) && now-n.lastVoteAt >= tuning.ElectionTimeoutMin
+}
+
+// mayAskForConsents says whether a unanimous election may be tried, or tried again.
+func (n *Node) mayAskForConsents(now time.Duration) bool {
+	idle := n.role == Follower || n.unanimous && n.role == PreCandidate
+	return idle && n.noLeaderContact(now) && now-n.campaignedAt >= tuning.PreVoteInterval
 }
 
-// stand asks for votes; all says that every member is asked whether it may be at once.
-func (n *Node) campaign(now time.Duration, pre, transfer, all bool) {
+// campaign asks for votes: the members', or in a unanimous election those of the whole electorate.
+func (n *Node) campaign(now time.Duration, kind campaignKind, unanimous bool) {
 	n.campaignedAt = now
-	if pre {
-		n.become(now, PreCandidate)
+	if kind == preElection {
+		n.becomePreCandidate(now)
 	} else {
-		n.term++
-		n.vote = n.self.Name
-		n.become(now, Candidate)
-		n.persistHardState(now)
-	}
-	t := n.term
-	if pre {
-		t++
-	}
-	n.unanimous = all
-	lt, _ := n.termAt(n.lastIndex())
-	ask := n.members
-	if all {
-		ask = n.electorate
-	}
-	for _, m := range ask {
-		if m == n.self || m.Disk == 0 {
-			continue
-		}
-		v := &wire.Message{Kind: wire.KindVote, To: m.Name, Vote: &wire.Vote{PreVote: pre, LastIndex: n.lastIndex(), LastTerm: lt, Transfer: transfer, Unanimous: all}}
-		n.send(v, !pre)
-		v.Term = t
+		n.becomeCandidate(now)
 	}
+	n.unanimous = unanimous
+	n.requestVotes(kind)
 	n.consents[n.self.Name] = true
 	n.countVote(now, n.self.Name, true)
 }
 
-// count takes a vote, or only leave to stand at once, and acts on what there is.
+// requestVotes sends vote requests. Those of an election wait until the candidate's own vote is synced: a candidate that
+// restarts must not vote for another in the same term. A pre-vote promises nothing, and is for the term after the
+// present one.
+func (n *Node) requestVotes(kind campaignKind) {
+	preVote := kind == preElection
+	term := n.term
+	if preVote {
+		term++
+	}
+	voters := n.members
+	if n.unanimous {
+		voters = n.electorate
+	}
+	lastTerm, _ := n.termAt(n.lastIndex())
+	for _, member := range voters {
+		if member == n.self || isVacant(member) {
+			continue
+		}
+		request := &wire.Message{Kind: wire.KindVote, To: member.Name, Vote: &wire.Vote{PreVote: preVote,
+			LastIndex: n.lastIndex(), LastTerm: lastTerm, Transfer: kind == transferElection, Unanimous: n.unanimous}}
+		n.send(request, !preVote)
+		request.Term = term
+	}
+}
+
+// countVote takes a vote in, or only a consent, and goes on once there are enough. A unanimous election needs a
+// majority's votes as well as all consents, and only the candidate with the best log goes on with it.
 func (n *Node) countVote(now time.Duration, name string, vote bool) {
 	if vote && !n.votes[name] {
 		n.votes[name], n.lastVoteAt = true, now
 	}
-	if 2*len(n.votes) <= len(n.members) || n.unanimous && (n.outranked || !n.unanimousConsent()) {
+	if !n.hasMajority(len(n.votes)) || n.unanimous && (n.outranked || !n.hasAllConsents()) {
 		return
 	}
 	switch n.role {
 	case PreCandidate:
-		n.campaign(now, false, false, n.unanimous)
+		n.campaign(now, election, n.unanimous)
 	case Candidate:
-		n.become(now, Leader)
-		n.replicate(now, true)
+		n.becomeLeader(now)
 	}
 }
 
-// unanimousConsent says that every member has given leave to stand at once.
-func (n *Node) unanimousConsent() bool {
+// hasAllConsents says whether every member, also of the list before an uncommitted change, has consented. A member that
+// the change removes counts, since it may be the leader that proposed it and may still decide.
+func (n *Node) hasAllConsents() bool {
 	return !slices.ContainsFunc(n.electorate, func(m wire.Member) bool { return !n.consents[m.Name] })
 }
 
-// TransferLeadership gives leadership up and asks the best peer to stand at once.
-func (n *Node) TransferLeadership(now time.Duration) bool {
-	return n.TransferLeadershipTo(now, tuning.LeaderLease, func(wire.Member) bool { return true })
-}
-
-// TransferLeadershipTo is the same among those peers that may lead and acknowledged something that was sent
-// no longer than a time ago.
-func (n *Node) TransferLeadershipTo(now, acked time.Duration, may func(wire.Member) bool) bool {
-	var best *progress
-	for _, p := range n.sortedProgress() {
-		if p.voter && may(p.member) && now-p.ackedAt < acked && (best == nil || p.match > best.match) {
-			best = p
-		}
-	}
-	if n.role != Leader || best == nil {
-		return false
-	}
-	n.become(now, Follower)
-	n.leader = ""
-	n.electionDeadline = now + 4*tuning.ElectionTimeoutMin
-	n.leaderMessageAt = n.electionDeadline
-	n.send(&wire.Message{Kind: wire.KindVote, To: best.member.Name, Vote: &wire.Vote{Transfer: true, Reply: true}}, false)
-	return true
-}
-
-func (n *Node) handleVoteRequest(now time.Duration, m *wire.Message) {
-	v := m.Vote
-	for _, k := range n.members {
-		if k.Name == m.From && k.Disk != m.Disk {
-			return
-		}
+// handleVoteRequest answers a candidate or pre-candidate.
+func (n *Node) handleVoteRequest(now time.Duration, message *wire.Message) {
+	if n.isReplacedDisk(message) {
+		return
 	}
-	lt, _ := n.termAt(n.lastIndex())
-	upToDate := v.LastTerm > lt || v.LastTerm == lt && v.LastIndex >= n.lastIndex()
-	quiet := v.Transfer || now-n.leaderContactAt >= tuning.ElectionTimeoutMin && n.role != Leader || v.Unanimous && n.noLeaderContact(now)
-	r := &wire.Message{Kind: wire.KindVote, To: m.From, Vote: &wire.Vote{PreVote: v.PreVote, Reply: true, Unanimous: v.Unanimous, LastIndex: n.lastIndex(), LastTerm: lt}}
-	if v.PreVote {
-		r.Vote.NoLeader = v.Unanimous && n.noLeaderContact(now) && len(n.unsyncedBatches) == 0
-		r.Vote.Granted = quiet && upToDate && m.Term > n.term
-		n.send(r, false)
-		if r.Vote.Granted {
-			r.Term = m.Term
-		} // else the asker learns this node's term, or it might never ask for a later one
+	response := n.newVoteResponse(message)
+	if message.Vote.PreVote {
+		n.answerPreVote(now, message, response)
 		return
 	}
-	if !quiet || m.Term < n.term {
-		n.send(r, false)
+	if !n.allowsElection(now, message.Vote) || message.Term < n.term {
+		n.send(response, false)
 		return
 	}
-	if m.Term > n.term {
-		n.follow(now, m.Term)
+	if message.Term > n.term {
+		n.becomeFollower(now, message.Term)
 	}
-	if upToDate && (n.vote == "" || n.vote == m.From) && n.role == Follower {
+	if n.isUpToDate(message.Vote) && (n.vote == "" || n.vote == message.From) && n.role == Follower {
 		if n.vote == "" {
-			n.vote = m.From
+			n.vote = message.From
 			n.persistHardState(now)
 		}
-		r.Vote.Granted = true
+		response.Vote.Granted = true
 		n.electionDeadline = now + tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	}
-	r.Vote.NoLeader = n.role == Follower // in a later term than any in which it led
-	n.send(r, true)
+	// A follower is in a later term than any in which it led, so it can't decide any more, vote or no vote.
+	response.Vote.NoLeader = n.role == Follower
+	n.send(response, true)
+}
+
+// newVoteResponse answers a request without a vote, with this node's last entry.
+func (n *Node) newVoteResponse(m *wire.Message) *wire.Message {
+	lastTerm, _ := n.termAt(n.lastIndex())
+	return &wire.Message{Kind: wire.KindVote, To: m.From, Vote: &wire.Vote{PreVote: m.Vote.PreVote, Reply: true,
+		Unanimous: m.Vote.Unanimous, LastIndex: n.lastIndex(), LastTerm: lastTerm}}
+}
+
+// answerPreVote says whether this node would vote for the pre-candidate, and changes nothing. A vote carries the term
+// that the pre-candidate asked for; any other answer carries this node's term, or a pre-candidate of an earlier term
+// might never ask for a later one.
+func (n *Node) answerPreVote(now time.Duration, m, response *wire.Message) {
+	response.Vote.NoLeader = m.Vote.Unanimous && n.noLeaderContact(now) && len(n.unsyncedBatches) == 0
+	response.Vote.Granted = n.allowsElection(now, m.Vote) && n.isUpToDate(m.Vote) && m.Term > n.term
+	n.send(response, false)
+	if response.Vote.Granted {
+		response.Term = m.Term
+	}
+}
+
+// isUpToDate says whether a candidate's log ends at least as late as this node's: with a vote from a majority it then
+// holds every committed entry (section 5.4.1 of the paper).
+func (n *Node) isUpToDate(request *wire.Vote) bool {
+	lastTerm, _ := n.termAt(n.lastIndex())
+	return request.LastTerm > lastTerm || request.LastTerm == lastTerm && request.LastIndex >= n.lastIndex()
+}
+
+// allowsElection says whether another leader may be elected as far as this node's promises go. Each acknowledgement of a
+// leader's message supports its lease, so candidates are rejected for longer than that lasts, unless the leader itself
+// asked for the election or every member consents to it.
+func (n *Node) allowsElection(now time.Duration, request *wire.Vote) bool {
+	leaseExpired := n.role != Leader && now-n.leaderContactAt >= tuning.ElectionTimeoutMin
+	return request.Transfer || leaseExpired || request.Unanimous && n.noLeaderContact(now)
 }
 
-func (n *Node) handleVoteResponse(now time.Duration, m *wire.Message) {
-	from, v := wire.Member{Name: m.From, Disk: m.Disk}, m.Vote
-	if !slices.Contains(n.electorate, from) || v.Unanimous != n.unanimous && (n.role == PreCandidate || n.role == Candidate) {
+// handleVoteResponse counts the answer of a member of the electorate.
+func (n *Node) handleVoteResponse(now time.Duration, message *wire.Message) {
+	response := message.Vote
+	campaigning := n.role == PreCandidate || n.role == Candidate
+	if !slices.Contains(n.electorate, wire.Member{Name: message.From, Disk: message.Disk}) || campaigning && response.Unanimous != n.unanimous {
 		return
 	}
-	vote := v.Granted && n.isVoter(m.From, m.Disk)
+	vote := response.Granted && n.isVoter(message.From, message.Disk)
 	switch {
-	case n.role == PreCandidate && v.PreVote && (v.Granted && m.Term == n.term+1 || v.NoLeader && m.Term <= n.term):
-		lt, _ := n.termAt(n.lastIndex())
-		n.outranked = n.outranked || v.Unanimous && cmp.Or(cmp.Compare(v.LastTerm, lt), cmp.Compare(v.LastIndex, n.lastIndex()), cmp.Compare(n.self.Name, m.From)) > 0
-		n.consents[m.From] = n.consents[m.From] || v.NoLeader
-		n.countVote(now, m.From, vote)
-	case !v.Granted && m.Term > n.term:
-		n.follow(now, m.Term)
-	case n.role == Candidate && !v.PreVote && m.Term == n.term:
-		n.consents[m.From] = n.consents[m.From] || v.NoLeader
-		n.countVote(now, m.From, vote)
+	case n.role == PreCandidate && n.isPreVoteOrConsent(message):
+		n.outranked = n.outranked || response.Unanimous && n.isOutrankedBy(message)
+		n.consents[message.From] = n.consents[message.From] || response.NoLeader
+		n.countVote(now, message.From, vote)
+	case !response.Granted && message.Term > n.term:
+		n.becomeFollower(now, message.Term)
+	case n.role == Candidate && !response.PreVote && message.Term == n.term:
+		n.consents[message.From] = n.consents[message.From] || response.NoLeader
+		n.countVote(now, message.From, vote)
 	}
 }
+
+// isPreVoteOrConsent says whether a response is to this node's present pre-vote and supports it.
+func (n *Node) isPreVoteOrConsent(m *wire.Message) bool {
+	granted := m.Vote.Granted && m.Term == n.term+1
+	consents := m.Vote.NoLeader && m.Term <= n.term
+	return m.Vote.PreVote && (granted || consents)
+}
+
+// isOutrankedBy says whether another member is the better candidate: the one with the later log, then the one whose name
+// comes first. All members reach the same result, so just one of them goes on.
+func (n *Node) isOutrankedBy(m *wire.Message) bool {
+	lastTerm, _ := n.termAt(n.lastIndex())
+	return cmp.Or(
+		cmp.Compare(m.Vote.LastTerm, lastTerm),
+		cmp.Compare(m.Vote.LastIndex, n.lastIndex()),
+		cmp.Compare(n.self.Name, m.From),
+	) > 0
+}
--- a/internal/controlplane/consensus/export_test.go
+++ b/internal/controlplane/consensus/export_test.go
@@ -2,46 +2,34 @@
 
 import (
 	"encoding/json"
-	"slices"
 	"time"
 
 	"myrtlefold/internal/shared/wire"
 )
 
-// What follows takes a guard of the node out, to see that the exploration notices.
+// What follows disables a guard of the node, to see that the model checker notices.
 
-// CommitByCount commits what a majority holds whatever term it is of.
+// CommitByCount commits what a majority holds, whatever term it is of.
 func (n *Node) CommitByCount(now time.Duration) {
 	if n.role != Leader {
 		return
 	}
-	var held []uint64
-	for _, m := range n.members {
-		switch p := n.progress[m.Name]; {
-		case m == n.self:
-			held = append(held, n.stable)
-		case p != nil && p.member == m:
-			held = append(held, p.match)
-		default:
-			held = append(held, 0)
-		}
-	}
-	slices.Sort(held)
-	if c := held[(len(held)-1)/2]; c > n.commit {
-		n.commit = c
+	index := majorityValue(n, n.stable, 0, func(p *progress) uint64 { return p.match })
+	if index > n.commit {
+		n.commit = index
 		n.advanceCommit(now)
 		n.replicate(now, false)
 	}
 }
 
-// ProposeAnyMembers adds a list of members without a look at the present one.
-func (n *Node) ProposeAnyMembers(now time.Duration, ms []wire.Member) {
-	b, _ := json.Marshal(ms)
-	n.appendEntry(now, EntryMembers, b)
+// ProposeAnyMembers proposes a member list, however it differs from the present one.
+func (n *Node) ProposeAnyMembers(now time.Duration, members []wire.Member) {
+	data, _ := json.Marshal(members)
+	n.appendEntry(now, EntryMembers, data)
 	n.replicate(now, false)
 }
 
-// SkipApplied keeps agreed entries from the state machine.
+// SkipApplied withholds committed entries from the state machine.
 func (n *Node) SkipApplied() { n.ready.CommittedEntries = nil }
 
 // CommitOwn commits what only the leader itself has synced.
@@ -52,13 +40,13 @@
 	}
 }
 
-// TermAt is the term of an entry, 0 if there is none.
-func (n *Node) TermAt(i uint64) uint64 {
-	t, _ := n.termAt(i)
-	return t
+// TermAt returns the term of an entry, 0 if there is none.
+func (n *Node) TermAt(index uint64) uint64 {
+	term, _ := n.termAt(index)
+	return term
 }
 
-// DiskOf is the disk that the member list has for a name, 0 if it is not in there.
+// DiskOf returns the disk that the member list has for a name, 0 if the name isn't listed.
 func (n *Node) DiskOf(name string) uint64 {
 	for _, m := range n.members {
 		if m.Name == name {
--- a/internal/controlplane/consensus/fuzz_test.go
+++ b/internal/controlplane/consensus/fuzz_test.go
@@ -6,15 +6,13 @@
 	"testing"
 	"time"
 
-	"github.com/cockroachdb/errors"
-
-	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// script turns a fuzzer's bytes into choices; without bytes left it chooses zero.
+// choices turns a fuzzer's bytes into choices; without bytes left it chooses zero.
 type choices struct{ bytes []byte }
 
+// next is the next byte.
 func (s *choices) next() byte {
 	if len(s.bytes) == 0 {
 		return 0
@@ -26,7 +24,7 @@
 
 func (s *choices) bit() bool { return s.next()&1 == 1 }
 
-// number is mostly small, where a node's own numbers are, and sometimes at an edge.
+// number is mostly small, as a node's own numbers are, and sometimes at a limit.
 func (s *choices) number() uint64 {
 	switch c := s.next(); {
 	case c < 240:
@@ -43,15 +41,15 @@
 }
 
 func (s *choices) members() []wire.Member {
-	var ms []wire.Member
+	var members []wire.Member
 	for range s.next() % 4 {
-		ms = append(ms, wire.Member{Name: s.name(), Disk: s.number()})
+		members = append(members, wire.Member{Name: s.name(), Disk: s.number()})
 	}
-	return ms
+	return members
 }
 
 func (s *choices) entries(after uint64) []wire.Entry {
-	var es []wire.Entry
+	var entries []wire.Entry
 	for i := range uint64(s.next() % 4) {
 		e := wire.Entry{Index: after + 1 + i, Term: s.number(), Kind: uint16(s.next() % 4), Data: []byte{s.next()}}
 		if s.next() == 0 {
@@ -60,9 +58,9 @@
 		if e.Kind == EntryMembers && s.bit() {
 			e.Data, _ = json.Marshal(s.members())
 		}
-		es = append(es, e)
+		entries = append(entries, e)
 	}
-	return es
+	return entries
 }
 
 func (s *choices) chunk() *wire.Chunk {
@@ -92,25 +90,24 @@
 	return m
 }
 
-// committedEntries is what a node holds for committedEntries, to be compared with what it holds later.
+// committedEntries are those that a node holds, to be compared with what it holds later.
 func committedEntries(n *Node) []wire.Entry {
 	return slices.DeleteFunc(slices.Clone(n.log), func(e wire.Entry) bool { return e.Index > n.commit })
 }
 
-// Whatever comes from other daemons a node never panics, and never goes back on what
-// is agreed, nor on its term.
-func FuzzRecv(f *testing.F) {
+// Whatever comes from other daemons a node never panics, and its committed entries and its term never go back.
+func FuzzStep(f *testing.F) {
 	f.Add([]byte{}, false)
 	f.Add([]byte{1, 1, 2, 3, 0, 1, 0, 0, 1, 0, 1, 2, 3, 1, 2, 2, 1, 1, 1, 1}, false)
 	f.Add([]byte{0, 1, 2, 1, 0, 0, 0, 0, 1, 0, 5, 0, 2, 1, 0, 9, 1, 1, 1, 0, 3, 1}, true)
 	f.Add([]byte{0, 1, 2, 245, 0, 1, 1, 245, 245, 245, 245, 0, 0, 0, 0, 245, 245}, true)
-	f.Fuzz(func(t *testing.T, b []byte, leads bool) {
+	f.Fuzz(func(t *testing.T, data []byte, leads bool) {
 		n, _ := newTestNode("a")
 		now := time.Second
 		if leads {
 			now = electLeader(n)
 		}
-		s := &choices{b}
+		s := &choices{data}
 		for len(s.bytes) > 0 {
 			commit, term, before := n.commit, n.term, committedEntries(n)
 			switch s.next() % 4 {
@@ -127,47 +124,32 @@
 				t.Fatalf("commit %d after %d, term %d after %d", n.commit, commit, n.term, term)
 			}
 			for _, e := range before {
-				if at, ok := n.termAt(e.Index); ok && at != e.Term {
-					t.Fatalf("agreed entry %d of term %d is now of term %d", e.Index, e.Term, at)
+				if now, ok := n.termAt(e.Index); ok && now != e.Term {
+					t.Fatalf("committed entry %d of term %d is now of term %d", e.Index, e.Term, now)
 				}
 			}
 		}
 	})
 }
 
-// electLeader has a node win an election by b's vote and returns the time.
-func electLeader(n *Node) time.Duration {
-	now := tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
-	n.Tick(now)
-	for n.Role() != Leader {
-		n.Advance(now, n.batchSeq)
-		pre, term := n.Role() == PreCandidate, n.Term()
-		if pre {
-			term++
-		}
-		n.Step(now, &wire.Message{From: "b", Disk: 2, Epoch: 1, Term: term, Vote: &wire.Vote{PreVote: pre, Reply: true, Granted: true}})
-	}
-	return now
-}
-
-// What a node holds on disk, however odd, is refused with an error or can be started from.
-func FuzzImage(f *testing.F) {
+// What a disk holds, however odd, is rejected with an error, or a node can start from it.
+func FuzzPersistentState(f *testing.F) {
 	f.Add([]byte{}, uint8(0))
 	f.Add([]byte{1, 1, 2, 2, 3, 0, 1, 1}, uint8(2))
-	f.Fuzz(func(_ *testing.T, b []byte, batches uint8) {
-		s := &choices{b}
-		im := PersistentState{Epoch: 1, Disk: 1}
+	f.Fuzz(func(_ *testing.T, data []byte, batches uint8) {
+		s := &choices{data}
+		state := PersistentState{Epoch: 1, Disk: 1}
 		for range batches % 8 {
 			batch := &wire.Batch{HasHardState: s.bit(), Term: s.number(), Vote: s.name(), TruncateFrom: s.number(), Entries: s.entries(s.number())}
 			if s.bit() {
 				batch.Snapshot = &wire.Snapshot{Index: s.number(), Term: s.number(), Members: s.members()}
 			}
-			im.ApplyBatch(batch)
+			state.ApplyBatch(batch)
 		}
-		if im.Validate() != nil {
+		if state.Validate() != nil {
 			return
 		}
-		n := New(0, "a", im)
+		n := New(0, "a", state)
 		for now := time.Duration(0); now < 3*time.Second; now += 100 * time.Millisecond {
 			n.Tick(now)
 			n.Step(now, s.message(now))
@@ -176,42 +158,3 @@
 		}
 	})
 }
-
-// Each kind of senseless message is refused, told of, and changes nothing.
-func TestRefusals(t *testing.T) {
-	entry := wire.Entry{Index: 2, Term: 1}
-	for name, c := range map[string]struct {
-		term   uint64
-		append wire.Append
-		want   error
-	}{
-		"a term beyond all":              {1 << 62, wire.Append{PrevIndex: 1}, ErrMalformed},
-		"a position beyond all":          {2, wire.Append{PrevIndex: 1<<64 - 1}, ErrMalformed},
-		"entries with a gap":             {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{entry, {Index: 4, Term: 1}}}, ErrMalformed},
-		"entries of a later term":        {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 3}}}, ErrMalformed},
-		"entries whose terms go back":    {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}, {Index: 3, Term: 1}}}, ErrMalformed},
-		"members that can't be read":     {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 1, Kind: EntryMembers, Data: []byte("{")}}}, ErrMalformed},
-		"no members":                     {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 1, Kind: EntryMembers, Data: []byte("[]")}}}, ErrMalformed},
-		"a snapshot without members":     {2, wire.Append{PrevIndex: 9, Chunk: &wire.Chunk{Index: 9, Term: 1}}, ErrMalformed},
-		"a piece of a later term":        {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 3}}, ErrMalformed},
-		"an entry in pieces with a gap":  {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 9, Term: 1}}, ErrMalformed},
-		"another entry in pieces":        {2, wire.Append{PrevIndex: 1, Chunk: &wire.Chunk{IsEntry: true, Index: 2, Term: 2}}, ErrCommitConflict},
-		"another entry than that agreed": {2, wire.Append{PrevIndex: 1, Entries: []wire.Entry{{Index: 2, Term: 2}}}, ErrCommitConflict},
-	} {
-		t.Run(name, func(t *testing.T) {
-			n, _ := newTestNode("a")
-			n.Step(1, &wire.Message{From: "b", Disk: 2, Epoch: 1, Term: 1, Append: &wire.Append{PrevIndex: 1, Commit: 2, Entries: []wire.Entry{entry}}})
-			n.Advance(1, n.batchSeq)
-			n.Ready()
-			before := canonicalForm(n, 1)
-			n.Step(1, &wire.Message{From: "c", Disk: 3, Epoch: 1, Term: c.term, Append: &c.append})
-			o := n.Ready()
-			if len(o.Rejected) != 1 || !errors.Is(o.Rejected[0].Err, c.want) || o.Rejected[0].From != "c" {
-				t.Errorf("refused %v", o.Rejected)
-			}
-			if len(o.Messages)+len(o.Batches) > 0 || !slices.Equal(before, canonicalForm(n, 1)) {
-				t.Error("it was acted on")
-			}
-		})
-	}
-}
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -1,4 +1,4 @@
-// This file replaces the applied log by the state that it led to.
+// This file takes snapshots, which replace the applied log by the state that it led to, and installs a leader's.
 
 package consensus
 
@@ -10,45 +10,37 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Snapshot is the latest snapshot, which the log goes on from. It must not be changed.
-func (n *Node) Snapshot() *wire.Snapshot { return &n.snapshot }
-
-// SnapshotDue says that a snapshot is due.
+// SnapshotDue says whether the log has grown so long that the caller should call Compact.
 func (n *Node) SnapshotDue() bool {
 	return n.applied > n.snapshot.Index && (len(n.log) > tuning.LogMax || n.entryBytes(n.snapshot.Index, n.applied) > tuning.LogBytes)
 }
 
-// Compact replaces the applied log by the state that it led to.
+// Compact replaces the applied entries by a snapshot; data is the state machine's state after the last of them.
 func (n *Node) Compact(now time.Duration, data []byte) {
-	t, ok := n.termAt(n.applied)
+	term, ok := n.termAt(n.applied)
 	if !ok || n.applied == n.snapshot.Index {
 		return
 	}
-	ms := n.snapshot.Members
-	for _, e := range n.log {
-		if e.Index <= n.applied && e.Kind == EntryMembers {
-			ms = membersOf(e)
-		}
-	}
-	s := wire.Snapshot{Index: n.applied, Term: t, Members: ms, Data: data}
-	n.retainTail(n.log[:n.applied-n.snapshot.Index])
-	n.log = slices.Clone(n.log[n.applied-n.snapshot.Index:])
-	n.snapshot = s
-	n.persistBatch(now, &wire.Batch{Snapshot: &s})
+	snapshot := wire.Snapshot{Index: n.applied, Term: term, Members: n.membersAt(n.applied), Data: data}
+	compacted := n.applied - n.snapshot.Index
+	n.retainTail(n.log[:compacted])
+	n.log = slices.Clone(n.log[compacted:])
+	n.snapshot = snapshot
+	n.persistBatch(now, &wire.Batch{Snapshot: &snapshot})
 }
 
-// retainTail keeps the last of the entries that a snapshot replaces in memory, up to
-// tuning.TailBytes: a peer that is a little behind, or was while a snapshot went to it,
-// goes on from them and needs no other snapshot.
-func (n *Node) retainTail(compacted []wire.Entry) {
-	n.compactedTail = append(slices.Clone(n.compactedTail), compacted...)
-	size, from := 0, len(n.compactedTail)
-	for from > 0 {
-		size += len(n.compactedTail[from-1].Data) + entryOverhead
-		if size > tuning.LogTailBytes {
-			break
-		}
-		from--
+// installSnapshot makes a leader's complete snapshot this node's state, and says whether it did. One that the log covers
+// already changes nothing: the entries after it may have been acknowledged, and a leader counts on these.
+func (n *Node) installSnapshot(now time.Duration, snapshot wire.Snapshot) bool {
+	if snapshot.Index <= n.commit || n.matchesTerm(snapshot.Index, snapshot.Term) {
+		return false
 	}
-	n.compactedTail = slices.Clone(n.compactedTail[from:])
+	n.snapshot, n.log, n.compactedTail = snapshot, nil, nil
+	n.commit, n.applied = snapshot.Index, snapshot.Index
+	n.truncateUnsynced(0)
+	n.updateMembership()
+	n.persistBatch(now, &wire.Batch{Snapshot: &snapshot, TruncateFrom: 1})
+	n.ready.Snapshot = &snapshot
+	n.ready.CommittedEntries = nil // the snapshot covers them
+	return true
 }
