--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -36,11 +36,11 @@
 
 	// Consensus and the state that it agrees on.
 
-	persistentState       consensus.PersistentState // what is on disk once all batches are synced
-	node        *consensus.Node           // nil before this daemon takes part in an epoch
-	state       state.State               // as far as the log is applied
-	batchOffset uint64                    // number of the last batch that replaced the image; the node's batches count on from it
-	syncedSeq   uint64                    // the last batch known to be on disk
+	persistentState consensus.PersistentState // what is on disk once all batches are synced
+	node            *consensus.Node           // nil before this daemon takes part in an epoch
+	state           state.State               // as far as the log is applied
+	batchOffset     uint64                    // number of the last batch that replaced the image; the node's batches count on from it
+	syncedSeq       uint64                    // the last batch known to be on disk
 
 	// Discovery of other daemons.
 
@@ -165,7 +165,7 @@
 	c := &Controller{
 		settings:              settings,
 		startedAt:             now,
-		persistentState:                 image,
+		persistentState:       image,
 		state:                 state.New(),
 		directory:             discovery.Directory{},
 		sentDirectories:       map[string]sentDirectory{},
--- a/internal/controlplane/healthcheck_test.go
+++ b/internal/controlplane/healthcheck_test.go
@@ -2,94 +2,96 @@
 
 import (
 	"encoding/json"
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
 
 // configureServices puts a configuration in force that names all of the fleet's services.
-func (r *idleFleet) configureServices(t *testing.T) {
+func (f *idleFleet) configureServices(t *testing.T) {
 	t.Helper()
 	services, rules := map[string]any{}, []any{}
-	for i := range r.targets {
-		s := r.targets[i].Service
-		if services[s] == nil {
-			services[s] = map[string]any{"cap": 40}
-			rules = append(rules, map[string]any{"path": "/" + s + "/", "service": s})
+	for i := range f.targets {
+		service := f.targets[i].Service
+		if services[service] == nil {
+			services[service] = map[string]any{"cap": 40}
+			rules = append(rules, map[string]any{"path": "/" + service + "/", "service": service})
 		}
 	}
-	b, err := json.Marshal(map[string]any{"services": services, "rules": rules})
+	document, err := json.Marshal(map[string]any{"services": services, "rules": rules})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.step(statemachine.Call{ID: 1, Token: "first", Method: "PUT", Path: "/v1/config", Query: "base=0", Body: b})
-	if r.controller.state.Revision == 0 {
-		t.Fatal("the configuration was not taken")
+	f.step(statemachine.Call{ID: 1, Token: "first", Method: "PUT", Path: "/v1/config", Query: "base=0", Body: document})
+	if f.controller.state.Revision == 0 {
+		t.Fatal("the configuration was not accepted")
 	}
 }
 
-// Many targets that have to be probed at once, as when a configuration first names their
-// services, are probed at little more than the usual pace, and all of them in good time.
-func TestProbesArePaced(t *testing.T) {
-	const targets = 294
-	r := newIdleFleet(69, targets)
-	r.configureServices(t)
-	for id := range r.controller.targets {
-		r.controller.targets[id].lastProbeAt = 0 // all are due
+// newProbedFleet returns a large fleet whose targets are probed.
+func newProbedFleet(t *testing.T) *idleFleet {
+	t.Helper()
+	fleet := newIdleFleet(largeProxies, largeTargets)
+	fleet.configureServices(t)
+	for range 2 {
+		fleet.runSecond()
+	}
+	return fleet
+}
+
+// makeAllProbesDue has every target wait for a probe at once.
+func (f *idleFleet) makeAllProbesDue() {
+	for _, target := range f.controller.targets {
+		target.lastProbeAt = 0
 	}
-	most, first := uint64(0), r.controller.counts.Probes
-	from := r.now
-	for r.now < from+tuning.ProbeEvery {
-		was := r.controller.counts.Probes
-		r.now += tuning.TickEvery
-		r.step(statemachine.Tick{})
-		most = max(most, r.controller.counts.Probes-was)
+}
+
+// Many targets that are due at once, as when a configuration first names their services, are probed at little more than
+// the usual pace, and all of them within an interval.
+func TestProbesArePaced(t *testing.T) {
+	fleet := newIdleFleet(largeProxies, largeTargets)
+	fleet.configureServices(t)
+	fleet.makeAllProbesDue()
+	probesBefore, start := fleet.controller.counts.Probes, fleet.now
+	mostPerTick := uint64(0)
+	for fleet.now < start+tuning.ProbeEvery {
+		probesBeforeTick := fleet.controller.counts.Probes
+		fleet.runTick()
+		mostPerTick = max(mostPerTick, fleet.controller.counts.Probes-probesBeforeTick)
 	}
-	if steady := uint64(targets * tuning.TickEvery / tuning.ProbeEvery); most > steady+steady/2 {
-		t.Errorf("%d probes began in a tick, %d are the usual", most, steady)
+	if usual := uint64(largeTargets * tuning.TickEvery / tuning.ProbeEvery); mostPerTick > usual+usual/2 {
+		t.Errorf("%d probes began in a tick, %d usually do", mostPerTick, usual)
 	}
-	if n := r.controller.counts.Probes - first; n < targets {
-		t.Errorf("%d of %d targets were probed in %v", n, targets, tuning.ProbeEvery)
+	if probes := fleet.controller.counts.Probes - probesBefore; probes < largeTargets {
+		t.Errorf("%d of %d targets were probed in %v", probes, largeTargets, tuning.ProbeEvery)
 	}
 }
 
-// Probes of those that missed one go out in time, however many others are due.
+// Targets that missed a probe are probed in time, however many others are due.
 func TestMissedTargetsAreProbedFirst(t *testing.T) {
-	r := newIdleFleet(69, 294)
-	r.configureServices(t)
-	for range 2 {
-		r.runSecond()
-	}
-	missed := r.controller.targets[r.targets[293].ID()]
-	for id := range r.controller.targets {
-		r.controller.targets[id].lastProbeAt = 0
-	}
+	fleet := newProbedFleet(t)
+	fleet.makeAllProbesDue()
+	missed := fleet.controller.targets[fleet.targets[largeTargets-1].ID()]
 	missed.lastProbeMissed, missed.consecutiveMisses = true, 1
-	r.now += tuning.TickEvery
-	r.step(statemachine.Tick{})
-	if missed.lastProbeAt != r.now {
-		t.Error("the one that missed a probe waits behind others")
+	fleet.runTick()
+	if missed.lastProbeAt != fleet.now {
+		t.Error("a target that missed a probe waits behind others")
 	}
 }
 
-// At rest each target is probed at the usual interval and a tick or two.
+// While nothing happens each target is probed at its interval, within a tick or two.
 func TestProbesKeepTheirInterval(t *testing.T) {
-	r := newIdleFleet(69, 294)
-	r.configureServices(t)
-	for range 2 {
-		r.runSecond()
-	}
-	most := time.Duration(0)
+	fleet := newProbedFleet(t)
+	longest := time.Duration(0)
 	for range 100 {
-		r.now += tuning.TickEvery
-		r.step(statemachine.Tick{})
-		for _, x := range r.controller.targets {
-			most = max(most, r.now-x.lastProbeAt)
+		fleet.runTick()
+		for _, target := range fleet.controller.targets {
+			longest = max(longest, fleet.now-target.lastProbeAt)
 		}
 	}
-	if most > tuning.ProbeEvery+2*tuning.TickEvery {
-		t.Errorf("a target was not probed for %v", most)
+	if longest > tuning.ProbeEvery+2*tuning.TickEvery {
+		t.Errorf("a target was not probed for %v", longest)
 	}
 }
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -20,7 +20,9 @@
 	"entry no JSON":    func(r *idleFleet) { r.controller.node.Propose(r.now, []byte("{")) },
 	"entry wrong type": func(r *idleFleet) { r.controller.node.Propose(r.now, []byte(`{"op":7}`)) },
 	"entry compressed": func(r *idleFleet) { r.controller.node.Propose(r.now, []byte("\x28\xb5\x2f\xfd broken off")) },
-	"snapshot":         func(r *idleFleet) { r.controller.restoreSnapshot(&wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)}) },
+	"snapshot": func(r *idleFleet) {
+		r.controller.restoreSnapshot(&wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)})
+	},
 	"configuration": func(r *idleFleet) {
 		r.controller.propose(r.now, state.Command{Operation: state.OpConfigure, Base: r.controller.state.Revision, Document: json.RawMessage(`[]`)})
 	},
