--- /dev/null
+++ b/internal/controlplane/answer.go
@@ -0,0 +1,141 @@
+// This file answers the API's calls. What an answer promises is true: it says that nothing was changed only
+// where that is certain, and else that the outcome is unknown.
+
+package controlplane
+
+import (
+	"fmt"
+	"time"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/reply"
+	"myrtlefold/internal/shared/state"
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
+)
+
+// statusUnavailable is the HTTP status of an answer that promises nothing.
+const statusUnavailable = 503
+
+// answer answers a call and its duplicates.
+func (c *Controller) answer(call *pendingCall, response statemachine.Reply) {
+	duplicates := call.duplicates
+	call.duplicates = nil
+	for _, duplicate := range duplicates {
+		c.answer(duplicate, response)
+	}
+	if response.Status == statusUnavailable && call.relayCount > 1 && !call.targetReport {
+		c.answerUnknown(call) // an earlier leader had it too and may have proposed it
+		return
+	}
+	c.countAnswer(call, response.Status)
+	c.deliver(call, response)
+}
+
+// deliver sends an answer to the client here or to the daemon that relayed the call.
+func (c *Controller) deliver(call *pendingCall, response statemachine.Reply) {
+	if call.relayedFrom == "" {
+		response.ID = call.callID
+		c.emit(response)
+		return
+	}
+	c.send(call.relayedFrom, &wire.Message{Kind: wire.KindCall, Call: &wire.Call{
+		ID:           call.relayedFromID,
+		Reply:        true,
+		Status:       uint16(response.Status),
+		RetryAfterMs: uint32(response.RetryAfter.Milliseconds()),
+		Body:         response.Body,
+	}})
+}
+
+// recvCallReply delivers a leader's reply to a call that was relayed to it.
+func (c *Controller) recvCallReply(from string, response *wire.Call) {
+	call := c.relayedCalls[response.ID]
+	if call == nil || call.relayedTo != from {
+		return
+	}
+	if response.Status == statusUnavailable && call.targetReport {
+		return // it is relayed again until its time is over
+	}
+	if response.Status == statusUnavailable && call.relayCount > 1 {
+		call.relayedTo = "" // an earlier leader may have committed it, which the next one that leads will know
+		return
+	}
+	delete(c.relayedCalls, response.ID)
+	c.deliver(call, statemachine.Reply{
+		ID:         call.callID,
+		Status:     int(response.Status),
+		RetryAfter: time.Duration(response.RetryAfterMs) * time.Millisecond,
+		Body:       response.Body,
+	})
+}
+
+// answerNotAccepted answers a change that was committed without taking effect.
+func (c *Controller) answerNotAccepted(call *pendingCall, record *state.Record) {
+	if record.Outcome == state.OutcomeUnknown {
+		c.answerUnknown(call)
+		return
+	}
+	c.answer(call, c.staleBaseReply(call.token))
+}
+
+// answerUnknown answers a change that may take effect or not. A target's report is never in doubt: it is
+// reported again, to any daemon, until one acknowledges it.
+func (c *Controller) answerUnknown(call *pendingCall) {
+	if call.targetReport {
+		c.answer(call, notPropagatedReply())
+		return
+	}
+	c.reject(call, 504, config.ErrorBody{Code: "unknown", Ran: "unknown", ID: call.token,
+		Message: "it cannot be told whether the change was agreed or is in force everywhere; ask for it by its id"})
+}
+
+// rejectInvalid answers a change whose text is no JSON, if err is set, or has faults.
+func (c *Controller) rejectInvalid(call *pendingCall, faults []config.Fault, err error) {
+	c.counts.Rejected++
+	if err != nil {
+		c.reject(call, 400, config.ErrorBody{Code: "not_json", Message: err.Error()})
+		return
+	}
+	c.reject(call, 422, config.ErrorBody{Code: "invalid", Message: fmt.Sprintf("%d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision})
+}
+
+// acceptedAnswer is the body of an answer; its keys stand in alphabetical order.
+type acceptedAnswer struct {
+	ID       string `json:"id"`
+	InForce  bool   `json:"in_force"`
+	Revision uint64 `json:"revision"`
+}
+
+// acceptedReply says that a change is in force, and the revision that it led to.
+func acceptedReply(token string, revision uint64) statemachine.Reply {
+	return statemachine.Reply{Status: 200, Body: reply.Body(acceptedAnswer{ID: token, InForce: true, Revision: revision})}
+}
+
+// staleBaseReply rejects a change that was built on another revision than the present one.
+func (c *Controller) staleBaseReply(token string) statemachine.Reply {
+	return reply.Problem(412, config.ErrorBody{Code: "stale", Revision: c.state.Revision, ID: token,
+		Message: fmt.Sprintf("built on another revision than the present %d; nothing was changed", c.state.Revision)})
+}
+
+// noLeaderReply rejects a call that no leader can take now.
+func noLeaderReply() statemachine.Reply {
+	return reply.Problem(503, config.ErrorBody{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
+}
+
+// notPropagatedReply promises nothing to a target whose report has not reached the proxies: it is to
+// report to another daemon.
+func notPropagatedReply() statemachine.Reply {
+	return reply.Problem(503, config.ErrorBody{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
+}
+
+// busyReply rejects a change while too much is proposed and not committed.
+func busyReply() statemachine.Reply {
+	return reply.Problem(503, config.ErrorBody{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"})
+}
+
+// tooLargeReply rejects a configuration of more than tuning.DocumentMax bytes.
+func tooLargeReply() statemachine.Reply {
+	return reply.Problem(413, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
+}
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -1,259 +1,195 @@
-// This file is what operators see of the core: the durable state and how the
-// agreed log changes it, and the calls that read or change it. A change is
-// answered only once it is in force; when that cannot be told any more, the
-// answer is 'unknown' with the change's id, which can be asked about.
+// This file takes calls of the HTTP API: from clients of this daemon, which it answers itself, executes as
+// leader or relays to the leader; and from the daemons that relayed them here. What each call does stands in
+// api_routes.go, configapi.go and targetapi.go.
 
 package controlplane
 
 import (
-	"fmt"
-	"myrtlefold/internal/shared/reply"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
-	"myrtlefold/internal/shared/targetreport"
 	"net/url"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	"github.com/cockroachdb/errors"
-
-	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/reply"
+	"myrtlefold/internal/shared/state"
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/targetreport"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// ask takes a call at this daemon: some it answers itself, the others it
-// carries out as leader or passes to the leader.
-func (c *Controller) handleCall(now time.Duration, e statemachine.Call) {
-	p := &pendingCall{token: e.Token, callID: e.ID, receivedAt: now}
+// Calls that each member answers itself, whether it leads or not.
+const (
+	statusPath   = "/v1/status"
+	recoveryPath = "/v1/core/refound"
+)
+
+const targetsPath = "/v1/targets"
+
+// methodGet is the method of calls that change nothing.
+const methodGet = "GET"
+
+// isTargetReport says that a call is a target's own: a heartbeat, a leaving or a sign-off.
+func isTargetReport(method, path string) bool {
+	return strings.HasPrefix(path, targetsPath) && method != methodGet
+}
+
+// handleCall takes a client's call at this daemon.
+func (c *Controller) handleCall(now time.Duration, event statemachine.Call) {
+	call := &pendingCall{token: event.Token, callID: event.ID, receivedAt: now}
 	if c.exited {
-		c.answer(p, noLeaderReply())
+		c.answer(call, noLeaderReply())
 		return
 	}
-	word := wire.Target{}
-	if strings.HasPrefix(e.Path, "/v1/targets") && e.Method != "GET" {
-		w, r := targetreport.Parse(e)
-		if r != nil {
-			c.answer(p, *r)
+	var report wire.Target
+	if isTargetReport(event.Method, event.Path) {
+		parsed, rejection := targetreport.Parse(event)
+		if rejection != nil {
+			c.answer(call, *rejection)
 			return
 		}
-		word, p.targetReport = w, true
+		report, call.targetReport = parsed, true
 	}
-	if e.Path == "/v1/core/refound" && e.Method == "POST" {
-		c.answer(p, c.recoverByOperator(now, query(e.Query, "gone")))
+	switch {
+	case event.Path == recoveryPath && event.Method == "POST":
+		c.answer(call, c.recoverByOperator(now, queryValue(event.Query, "gone")))
 		return
-	}
-	if e.Path == "/v1/status" {
-		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(c.Status(now))})
+	case event.Path == statusPath:
+		c.answer(call, statemachine.Reply{Status: 200, Body: reply.Body(c.Status(now))})
 		return
 	}
-	if id := query(e.Query, "id"); id != "" {
-		p.token = id
+	if token := queryValue(event.Query, "id"); token != "" {
+		call.token = token
 	}
+	request := &wire.Call{Token: call.token, Method: event.Method, Path: event.Path, Query: event.Query, Body: event.Body}
 	if c.leadership == Leading {
-		c.executeCall(now, p, &wire.Call{Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body})
+		c.executeCall(now, call, request)
 		return
 	}
-	l := ""
+	c.forwardCall(now, call, request, report)
+}
+
+// forwardCall has the leader execute a call at a member that doesn't lead.
+func (c *Controller) forwardCall(now time.Duration, call *pendingCall, request *wire.Call, report wire.Target) {
+	leader := ""
 	if !c.stopping {
-		l = c.leader(now)
+		leader = c.leader(now)
 	}
-	if p.targetReport && !targetreport.IsLeaving(word) && l != "" {
-		c.handleHeartbeat(now, word, true)
-		if !c.reaches(now, l) {
-			c.answer(p, notPropagatedReply()) // the leader may be heard and not hear: another daemon is to be told too
-			return
-		}
-		c.answer(p, targetreport.Acknowledgement(word))
+	if call.targetReport && !targetreport.IsLeaving(report) && leader != "" {
+		c.forwardHeartbeat(now, call, report, leader)
 		return
 	}
-	waits := p.targetReport && c.leadership == Gathering
-	if !waits && (l == "" || l == c.settings.Self.Name || c.directory[l] == nil) {
-		c.answer(p, noLeaderReply())
+	// A member that gathers tables will lead in a moment; a target that leaves can wait for that.
+	executesSoon := call.targetReport && c.leadership == Gathering
+	if !executesSoon && (leader == "" || leader == c.settings.Self.Name || c.directory[leader] == nil) {
+		c.answer(call, noLeaderReply())
 		return
 	}
 	c.lastRelayID++
-	c.relayedCalls[c.lastRelayID] = p
-	p.call = &wire.Call{ID: c.lastRelayID, Token: p.token, Method: e.Method, Path: e.Path, Query: e.Query, Body: e.Body}
-	if waits {
-		p.relayedTo = c.settings.Self.Name // made known as soon as this member decides
-		c.handleHeartbeat(now, word, false)
+	request.ID = c.lastRelayID
+	call.call = request
+	c.relayedCalls[request.ID] = call
+	if executesSoon {
+		call.relayedTo = c.settings.Self.Name
+		c.handleHeartbeat(now, report, false)
 		return
 	}
-	c.relay(now, c.lastRelayID, p, l)
+	c.relay(now, call, leader)
 }
 
-// pass hands a call to the leader.
-func (c *Controller) relay(now time.Duration, id uint64, p *pendingCall, leader string) {
-	p.relayedTo, p.relayedAt, p.relayedTerm = leader, now, c.Term()
-	p.relayCount++
-	c.send(leader, &wire.Message{Kind: wire.KindCall, Call: p.call})
-}
-
-func query(q, k string) string {
-	v, _ := url.ParseQuery(q)
-	return v.Get(k)
+// forwardHeartbeat passes a target's heartbeat on to the leader and answers at once, since the next one
+// makes up for one that is lost. A leader that this member has contact from but that gets nothing from it
+// would miss them all: then the target is asked to report to another daemon.
+func (c *Controller) forwardHeartbeat(now time.Duration, call *pendingCall, report wire.Target, leader string) {
+	c.handleHeartbeat(now, report, true)
+	if !c.reaches(now, leader) {
+		c.answer(call, notPropagatedReply())
+		return
+	}
+	c.answer(call, targetreport.Acknowledgement(report))
 }
 
-func number(q, k string) (uint64, bool) {
-	n, err := strconv.ParseUint(query(q, k), 10, 64)
-	return n, err == nil
+// relay sends a call to a leader, whose reply names the id that the call has here.
+func (c *Controller) relay(now time.Duration, call *pendingCall, leader string) {
+	call.relayedTo, call.relayedAt, call.relayedTerm = leader, now, c.Term()
+	call.relayCount++
+	c.send(leader, &wire.Message{Kind: wire.KindCall, Call: call.call})
 }
 
-func (c *Controller) executeCall(now time.Duration, p *pendingCall, a *wire.Call) {
+// executeCall executes a call as leader. A change is answered once it is in force, all else at once.
+func (c *Controller) executeCall(now time.Duration, call *pendingCall, request *wire.Call) {
 	if c.leadership != Leading {
-		c.answer(p, noLeaderReply())
-		return
-	}
-	if strings.HasPrefix(a.Path, "/v1/targets") && a.Method != "GET" {
-		p.targetReport = true
-		w, r := targetreport.Parse(statemachine.Call{Method: a.Method, Path: a.Path, Query: a.Query, Body: a.Body})
-		if r != nil {
-			c.answer(p, *r)
-			return
-		}
-		c.reportTarget(now, p, w)
+		c.answer(call, noLeaderReply())
 		return
 	}
-	if r := c.state.FindRecord(p.token); r != nil && a.Method != "GET" {
-		if r.Outcome != state.OutcomeAccepted {
-			c.answerNotAccepted(p, r)
+	if isTargetReport(request.Method, request.Path) {
+		call.targetReport = true
+		report, rejection := targetreport.Parse(statemachine.Call{Method: request.Method, Path: request.Path, Query: request.Query, Body: request.Body})
+		if rejection != nil {
+			c.answer(call, *rejection)
 			return
 		}
-		// The same change again: wait for it as for the first.
-		c.answerWhenInForce(now, p, r.Revision)
+		c.reportTarget(now, call, report)
 		return
 	}
-	if revision, taken := c.state.FindToken(p.token); taken && a.Method != "GET" {
-		c.answerWhenInForce(now, p, revision)
+	if request.Method != methodGet && c.answerRepeated(now, call) {
 		return
 	}
-	if first := c.pendingChanges[p.token]; first != nil && a.Method != "GET" {
-		first.duplicates = append(first.duplicates, p)
-		return
+	c.executeRoute(now, call, request)
+}
+
+// answerRepeated answers a change whose token was used before as it answered the first, so that a retry
+// changes nothing twice. False: the token is new.
+func (c *Controller) answerRepeated(now time.Duration, call *pendingCall) bool {
+	if record := c.state.FindRecord(call.token); record != nil {
+		if record.Outcome != state.OutcomeAccepted {
+			c.answerNotAccepted(call, record)
+			return true
+		}
+		c.answerWhenInForce(now, call, record.Revision)
+		return true
 	}
-	seg := strings.Split(strings.Trim(a.Path, "/"), "/")
-	for len(seg) < 4 {
-		seg = append(seg, "")
+	if revision, accepted := c.state.FindToken(call.token); accepted {
+		c.answerWhenInForce(now, call, revision)
+		return true
 	}
-	call := a.Method + " " + seg[1]
-	switch {
-	case call == "GET config" && seg[2] == "" && has(a.Query, "plain"):
-		doc, err := config.WithRevision(c.state.Document, c.state.Revision)
-		if err != nil {
-			panic(errors.Wrap(err, "an agreed document"))
-		}
-		c.answer(p, statemachine.Reply{Status: 200, Body: append(slices.Clone(doc), '\n')})
-	case call == "GET config" && seg[2] == "":
-		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "config": c.state.Document})})
-	case call == "PUT config" && seg[2] == "":
-		if sum, ok := c.precheckChange(now, p, a, a.Body, "whole"); ok {
-			c.proposeConfig(now, p, a.Body, "whole", sum)
-		}
-	case call == "PATCH config" && seg[2] == "":
-		c.patchConfig(now, p, a, a.Body, "partial")
-	case call == "GET config" && seg[2] == "history":
-		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"changes": c.state.Records})})
-	case call == "GET config" && seg[2] == "diff":
-		c.answerDiff(p, a)
-	case call == "POST config" && seg[2] == "rollback":
-		to, ok := number(a.Query, "to")
-		doc := c.documentAt(to)
-		if !ok || doc == nil {
-			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, tuning.ChangesKept)}))
-			return
-		}
-		what := fmt.Sprintf("rollback to %d", to)
-		if sum, ok := c.precheckChange(now, p, a, []byte("{}"), what); ok {
-			c.proposeConfig(now, p, withoutRevision(doc), what, sum)
-		}
-	case call == "GET changes":
-		if r := c.state.FindRecord(seg[2]); r != nil {
-			t := *r
-			t.Document = nil
-			c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(t)})
-			return
-		}
-		c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Ran: "unknown", Message: "no such change has been agreed so far"}))
-	case call == "GET roster":
-		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"daemons": c.daemonViews(now)})})
-	case call == "GET targets":
-		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "targets": c.Targets(now)})})
-	case call == "GET policies":
-		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"revision": c.state.Revision, "policies": c.policyStats(now), "since_ms": (now - c.leadershipSince).Milliseconds()})})
-	case call == "PUT policies":
-		c.patchConfig(now, p, a, policyPatch(seg[2], a.Body), "policy "+seg[2])
-	case call == "DELETE policies":
-		c.patchConfig(now, p, a, policyPatch(seg[2], []byte("null")), "policy "+seg[2]+" removed")
-	case call == "GET domains":
-		c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"emptied": append([]string{}, c.state.EmptiedDomains...), "domains": c.failureDomains()})})
-	case call == "POST domains" && (seg[3] == "empty" || seg[3] == "restore"):
-		if !slices.Contains(c.failureDomains(), seg[2]) && !slices.Contains(c.state.EmptiedDomains, seg[2]) {
-			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", seg[2])}))
-			return
-		}
-		c.proposeChange(now, p, state.Command{Operation: state.Operation(seg[3]), Name: seg[2]})
-	case call == "POST gates" && seg[3] == "forget":
-		if !c.isProxyMember(seg[2]) {
-			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "no such proxy in the roster"}))
-			return
-		}
-		if g := c.proxies[seg[2]]; g != nil && now-g.lastPullAt < tuning.ProxyLive {
-			c.answer(p, reply.Problem(409, config.ErrorBody{Code: "alive", Message: "that proxy is still asking for its table"}))
-			return
-		}
-		c.proposeChange(now, p, state.Command{Operation: state.OpForgetProxy, Name: seg[2]})
-	case call == "POST core" && (seg[3] == "add" || seg[3] == "remove"):
-		c.changeMember(now, p, seg[2], seg[3])
-	default:
-		c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "no such call: " + a.Method + " " + a.Path}))
+	if first := c.pendingChanges[call.token]; first != nil {
+		first.duplicates = append(first.duplicates, call)
+		return true
 	}
+	return false
 }
 
-func (c *Controller) proposeChange(now time.Duration, p *pendingCall, o state.Command) bool {
-	o.Token = p.token
+// proposeChange proposes an operator's change under its token, or rejects it if too much is proposed
+// already.
+func (c *Controller) proposeChange(now time.Duration, call *pendingCall, command state.Command) (proposed bool) {
 	if c.node.UncommittedBytes() > tuning.ProposedBytesMax {
-		c.answer(p, reply.Problem(503, config.ErrorBody{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
+		c.answer(call, busyReply())
 		return false
 	}
-	c.pendingChanges[p.token] = p
-	c.propose(now, o)
+	command.Token = call.token
+	c.pendingChanges[call.token] = call
+	c.propose(now, command)
 	return true
 }
 
-func has(q, k string) bool {
-	v, _ := url.ParseQuery(q)
-	return v.Has(k)
+// queryValue is the first value of a key in a query, "" if it has none.
+func queryValue(query, key string) string {
+	values, _ := url.ParseQuery(query)
+	return values.Get(key)
 }
 
-// swap adds or removes a core member on an operator's word.
-func (c *Controller) changeMember(now time.Duration, p *pendingCall, name, what string) {
-	ms := c.node.Members()
-	i := slices.IndexFunc(ms, func(m wire.Member) bool { return m.Name == name })
-	switch {
-	case what == "add" && i >= 0:
-		c.answer(p, reply.Problem(409, config.ErrorBody{Code: "member", Message: name + " is a member"}))
-	case what == "add":
-		if k := c.directory[name]; k == nil || k.Kind != wire.ControlDaemon {
-			c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "no core daemon of that name has been heard"}))
-			return
-		}
-		c.proposeChange(now, p, state.Command{Operation: state.OpAddMember, Name: name})
-	case i < 0:
-		c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: name + " is no member"}))
-	case len(ms) == 1 || !c.node.CanChangeMembers():
-		c.answer(p, reply.Problem(409, config.ErrorBody{Code: "busy", Message: "the last member stays, and changes of members go one at a time"}))
-	case name == c.settings.Self.Name:
-		c.answer(p, reply.Problem(503, config.ErrorBody{Code: "leading", Message: name + " leads; it hands leadership over first and nothing was changed; ask again"}))
-		c.node.TransferLeadership(now)
-	default:
-		if c.proposeChange(now, p, state.Command{Operation: state.OpRemoveMember, Name: name}) && c.node.CanChangeMembers() {
-			c.node.ProposeMembers(now, slices.Delete(slices.Clone(ms), i, i+1))
-		}
-	}
+// queryNumber is the first value of a key in a query as a number.
+func queryNumber(query, key string) (number uint64, ok bool) {
+	number, err := strconv.ParseUint(queryValue(query, key), 10, 64)
+	return number, err == nil
+}
+
+// queryHas says that a query has a key, if only without a value.
+func queryHas(query, key string) bool {
+	values, _ := url.ParseQuery(query)
+	return values.Has(key)
 }
 
-// Seeds replaces the seed addresses.
-func (c *Controller) SetSeeds(s []string) { c.settings.Seeds = s }
+// SetSeeds replaces the addresses at which this member looks for other daemons.
+func (c *Controller) SetSeeds(addresses []string) { c.settings.Seeds = addresses }
--- a/internal/controlplane/configapi.go
+++ b/internal/controlplane/configapi.go
@@ -1,4 +1,5 @@
-// This file takes operators' changes of the configuration.
+// This file takes operators' changes of the configuration. Each names the revision that it was built on and
+// is proposed only while that is the present one, so that no change undoes another unseen.
 
 package controlplane
 
@@ -6,9 +7,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"myrtlefold/internal/shared/reply"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
 	"strconv"
 	"time"
 
@@ -17,136 +15,227 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
+	"myrtlefold/internal/shared/reply"
+	"myrtlefold/internal/shared/state"
 	"myrtlefold/internal/shared/tuning"
-	"myrtlefold/internal/shared/wire"
 )
 
-func policyPatch(name string, doc []byte) []byte {
-	if !json.Valid(doc) {
-		return doc
+// Descriptions of changes, which stand in their records and in their digests.
+const (
+	replaceDescription = "whole"
+	patchDescription   = "partial"
+)
+
+// configChange is a change of the configuration that may be proposed.
+type configChange struct {
+	call        *pendingCall
+	description string
+	digest      *state.ChangeDigest // of its description, its base and what its text says
+}
+
+// replaceConfig replaces the configuration by the call's body.
+func (c *Controller) replaceConfig(request *apiRequest) {
+	if change := c.checkBase(request, request.body, replaceDescription); change != nil {
+		c.proposeConfig(request.now, change, request.body)
 	}
-	return reply.Body(map[string]any{"policies": map[string]json.RawMessage{name: doc}})
 }
 
-func withoutRevision(doc []byte) []byte {
-	d, err := config.WithoutRevision(doc)
-	if err != nil {
-		panic(errors.Wrap(err, "an agreed document"))
+// patchConfig changes parts of the configuration: by a named change, or by a JSON merge patch.
+func (c *Controller) patchConfig(request *apiRequest) {
+	change := c.checkBase(request, request.body, patchDescription)
+	if change == nil {
+		return
+	}
+	if config.IsNamedChange(request.body) {
+		c.applyNamedChange(request.now, change, request.body)
+		return
+	}
+	c.mergePatch(request.now, change, request.body)
+}
+
+// replacePolicy replaces one policy by the call's body.
+func (c *Controller) replacePolicy(request *apiRequest) {
+	patch := policyPatch(request.path.name, request.body)
+	if change := c.checkBase(request, patch, "policy "+request.path.name); change != nil {
+		c.mergePatch(request.now, change, patch)
+	}
+}
+
+// removePolicy removes one policy.
+func (c *Controller) removePolicy(request *apiRequest) {
+	patch := policyPatch(request.path.name, []byte("null"))
+	if change := c.checkBase(request, patch, "policy "+request.path.name+" removed"); change != nil {
+		c.mergePatch(request.now, change, patch)
+	}
+}
+
+// rollBackConfig replaces the configuration by that of an earlier revision.
+func (c *Controller) rollBackConfig(request *apiRequest) {
+	revision, ok := queryNumber(request.query, "to")
+	document := c.documentAt(revision)
+	if !ok || document == nil {
+		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", revision, tuning.ChangesKept)})
+		return
+	}
+	description := fmt.Sprintf("rollback to %d", revision)
+	if change := c.checkBase(request, []byte(state.EmptyDocument), description); change != nil {
+		c.proposeConfig(request.now, change, withoutRevision(document))
 	}
-	return d
 }
 
-// screen looks at a change of the configuration before anything is made of it: its size,
-// its base, and whether the very same call has been taken already. sum stands for the
-// call: its kind, its base and what its body says.
-func (c *Controller) precheckChange(now time.Duration, p *pendingCall, a *wire.Call, text []byte, what string) (sum *state.ChangeDigest, ok bool) {
+// policyPatch is the merge patch that sets a policy. What is no JSON stays as it is, to be rejected as such.
+func policyPatch(name string, policy []byte) []byte {
+	if !json.Valid(policy) {
+		return policy
+	}
+	return reply.Body(map[string]map[string]json.RawMessage{"policies": {name: policy}})
+}
+
+// checkBase checks a change of the configuration before its document is made: its size, its base, and
+// whether the same change was accepted before. Nil: it has been answered.
+func (c *Controller) checkBase(request *apiRequest, text []byte, description string) *configChange {
+	call := request.call
 	if len(text) > tuning.DocumentMax {
-		c.answer(p, tooLargeReply())
-		return nil, false
+		c.answer(call, tooLargeReply())
+		return nil
 	}
-	b, named := number(a.Query, "base")
-	if !named {
-		c.answer(p, reply.Problem(428, config.ErrorBody{Code: "base_missing", Message: "name the revision this was built on: base=N or If-Match", Revision: c.state.Revision}))
-		return nil, false
+	base, ok := queryNumber(request.query, "base")
+	if !ok {
+		c.reject(call, 428, config.ErrorBody{Code: "base_missing", Message: "name the revision this was built on: base=N or If-Match", Revision: c.state.Revision})
+		return nil
 	}
-	said, err := config.Canonical(text)
+	canonical, err := config.Canonical(text)
 	if err != nil {
-		c.counts.Rejected++
-		c.answer(p, reply.Problem(400, config.ErrorBody{Code: "not_json", Message: err.Error()}))
-		return nil, false
+		c.rejectInvalid(call, nil, err)
+		return nil
 	}
-	digest := state.DigestOf([]byte(what), strconv.AppendUint(nil, b, 10), said)
-	if b == c.state.Revision {
-		return &digest, true
+	digest := state.DigestOf([]byte(description), strconv.AppendUint(nil, base, 10), canonical)
+	if base != c.state.Revision {
+		c.answerOtherBase(request.now, call, digest, base)
+		return nil
 	}
-	switch verdict, revision := c.state.FindChange(digest, b); verdict {
+	return &configChange{call: call, description: description, digest: &digest}
+}
+
+// answerOtherBase answers a change that is not built on the present revision. It may be a retry of one that
+// was accepted: then it is answered as that was, and as unknown if its base is before all that is kept.
+func (c *Controller) answerOtherBase(now time.Duration, call *pendingCall, digest state.ChangeDigest, base uint64) {
+	status, revision := c.state.FindChange(digest, base)
+	switch status {
 	case state.AlreadyAccepted:
-		c.answerWhenInForce(now, p, revision)
+		c.answerWhenInForce(now, call, revision)
 	case state.Forgotten:
-		c.answerUnknown(p)
+		c.answerUnknown(call)
 	default:
 		c.counts.Rejected++
-		c.answer(p, c.staleBaseReply(p.token))
+		c.answer(call, c.staleBaseReply(call.token))
 	}
-	return nil, false
 }
 
-// answerWhenInForce acknowledges an order that was taken earlier, once the present table,
-// which holds it, is in force.
-func (c *Controller) answerWhenInForce(now time.Duration, p *pendingCall, revision uint64) {
+// answerWhenInForce acknowledges a change that was accepted before, once the present table is in force:
+// no earlier one need be waited for, since it has the change.
+func (c *Controller) answerWhenInForce(now time.Duration, call *pendingCall, revision uint64) {
 	c.counts.RepeatsAnswered++
-	c.waiters = append(c.waiters, &inForceWaiter{version: c.tableVersion, waitingSince: now, call: p, reply: acceptedReply(p.token, revision)})
+	c.waiters = append(c.waiters, &inForceWaiter{version: c.tableVersion, waitingSince: now, call: call, reply: acceptedReply(call.token, revision)})
 }
 
-func (c *Controller) patchConfig(now time.Duration, p *pendingCall, a *wire.Call, patch []byte, what string) {
-	sum, ok := c.precheckChange(now, p, a, patch, what)
-	if !ok {
+func (c *Controller) applyNamedChange(now time.Duration, change *configChange, text []byte) {
+	named, faults, err := config.ParseNamedChange(text)
+	var document []byte
+	if err == nil && len(faults) == 0 {
+		document, faults, err = named.Apply(c.state.Document)
+	}
+	if err != nil || len(faults) > 0 {
+		c.rejectInvalid(change.call, faults, err)
 		return
 	}
-	var doc []byte
-	var err error
-	if what == "partial" && config.IsNamedChange(patch) {
-		n, faults, err := config.ParseNamedChange(patch)
-		if err == nil && len(faults) == 0 {
-			doc, faults, err = n.Apply(c.state.Document)
-		}
-		if err != nil || len(faults) > 0 {
-			c.rejectInvalid(p, faults, err)
-			return
-		}
-	} else if doc, err = config.MergePatch(withoutRevision(c.state.Document), patch); err != nil {
-		c.rejectInvalid(p, nil, err)
+	c.proposeConfig(now, change, document)
+}
+
+func (c *Controller) mergePatch(now time.Duration, change *configChange, patch []byte) {
+	document, err := config.MergePatch(withoutRevision(c.state.Document), patch)
+	if err != nil {
+		c.rejectInvalid(change.call, nil, err)
 		return
 	}
-	c.proposeConfig(now, p, doc, what, sum)
+	c.proposeConfig(now, change, document)
 }
 
-// proposeConfig proposes a whole configuration on the present revision.
-func (c *Controller) proposeConfig(now time.Duration, p *pendingCall, doc []byte, what string, sum *state.ChangeDigest) {
-	if len(doc) > tuning.DocumentMax {
-		c.answer(p, tooLargeReply())
+// proposeConfig proposes a complete configuration on the present revision, if it is valid.
+func (c *Controller) proposeConfig(now time.Duration, change *configChange, document []byte) {
+	if len(document) > tuning.DocumentMax {
+		c.answer(change.call, tooLargeReply())
 		return
 	}
-	cfg, faults, err := outlier.ParseConfig(doc)
-	if err == nil && cfg.Revision != 0 && cfg.Revision <= c.state.Revision {
+	parsed, faults, err := outlier.ParseConfig(document)
+	if err == nil && parsed.Revision != 0 && parsed.Revision <= c.state.Revision {
 		faults = append(faults, config.Fault{Path: "revision", Text: fmt.Sprintf("not above the present %d", c.state.Revision)})
 	}
 	if err != nil || len(faults) > 0 {
-		c.rejectInvalid(p, faults, err)
+		c.rejectInvalid(change.call, faults, err)
 		return
 	}
-	var b bytes.Buffer
-	if json.Compact(&b, doc) != nil {
-		panic("a checked document is JSON")
-	}
-	if c.proposeChange(now, p, state.Command{Operation: state.OpConfigure, Base: c.state.Revision, Document: b.Bytes(), Description: what, RequestedRevision: cfg.Revision, Digest: sum}) {
-		c.lastCheckedConfig = checkedConfig{b.Bytes(), cfg}
+	var compact bytes.Buffer
+	if err := json.Compact(&compact, document); err != nil {
+		panic(errors.Wrap(err, "a configuration that was parsed"))
+	}
+	proposed := c.proposeChange(now, change.call, state.Command{
+		Operation:         state.OpConfigure,
+		Base:              c.state.Revision,
+		Document:          compact.Bytes(),
+		Description:       change.description,
+		RequestedRevision: parsed.Revision,
+		Digest:            change.digest,
+	})
+	if proposed {
+		c.lastCheckedConfig = checkedConfig{document: compact.Bytes(), config: parsed}
 	}
 }
 
-func (c *Controller) documentAt(rev uint64) json.RawMessage {
-	for _, r := range c.state.Records {
-		if r.Revision == rev && r.Document != nil {
-			return r.Document
+// documentAt is the configuration at a revision, nil if it is not kept.
+func (c *Controller) documentAt(revision uint64) json.RawMessage {
+	for i := range c.state.Records {
+		if record := &c.state.Records[i]; record.Revision == revision && record.Document != nil {
+			return record.Document
 		}
 	}
 	return nil
 }
 
-func (c *Controller) answerDiff(p *pendingCall, a *wire.Call) {
-	from, _ := number(a.Query, "from")
-	to, _ := number(a.Query, "to")
-	x, y := c.documentAt(from), c.documentAt(to)
+// diffAnswer is the body of an answer; its keys stand in alphabetical order.
+type diffAnswer struct {
+	From       uint64          `json:"from"`
+	MergePatch json.RawMessage `json:"merge_patch"`
+	To         uint64          `json:"to"`
+}
+
+// answerDiff answers with what changed between two revisions, as a JSON merge patch.
+func (c *Controller) answerDiff(request *apiRequest) {
+	from, _ := queryNumber(request.query, "from")
+	to, _ := queryNumber(request.query, "to")
+	earlier, later := c.documentAt(from), c.documentAt(to)
 	if from == 0 {
-		x = json.RawMessage(`{}`)
+		earlier = json.RawMessage(state.EmptyDocument)
 	}
-	if x == nil || y == nil {
-		c.answer(p, reply.Problem(404, config.ErrorBody{Code: "not_found", Message: "one of the revisions is not kept"}))
+	if earlier == nil || later == nil {
+		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: "one of the revisions is not kept"})
 		return
 	}
-	d, err := jsonpatch.CreateMergePatch(x, y)
+	patch, err := jsonpatch.CreateMergePatch(earlier, later)
+	if err != nil {
+		panic(errors.Wrapf(err, "difference of revisions %d and %d", from, to))
+	}
+	c.answerBody(request.call, diffAnswer{From: from, MergePatch: patch, To: to})
+}
+
+// withoutRevision is a committed configuration without a revision in it.
+func withoutRevision(document []byte) []byte { return mustRewrite(config.WithoutRevision(document)) }
+
+// mustRewrite returns a committed configuration as it was rewritten. It was valid when it was proposed, so
+// an error is a fault of this program.
+func mustRewrite(document []byte, err error) []byte {
 	if err != nil {
-		panic(err)
+		panic(errors.Wrap(err, "a committed configuration"))
 	}
-	c.answer(p, statemachine.Reply{Status: 200, Body: reply.Body(map[string]any{"from": from, "to": to, "merge_patch": json.RawMessage(d)})})
+	return document
 }
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -163,6 +163,26 @@
 	return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: h.Self.Epoch, Hello: h}
 }
 
+// recvHello takes what a daemon says of itself and of others, and replies to a hello that is no reply.
+func (c *Controller) recvHello(now time.Duration, message *wire.Message) {
+	hello := message.Hello
+	if hello == nil {
+		return
+	}
+	c.directory.Merge(now, c.settings.Self.Name, hello)
+	if sender := hello.Self; sender.Kind == wire.ControlDaemon && sender.Name != c.settings.Self.Name {
+		contact := contact{lastAt: now, domain: sender.Domain, stopping: sender.State == stoppingState, repliedAt: c.peerContacts[sender.Name].repliedAt}
+		if hello.Reply {
+			contact.repliedAt = now
+		}
+		c.peerContacts[sender.Name] = contact
+	}
+	c.recvRecoveredState(message)
+	if !hello.Reply {
+		c.send(message.From, c.helloTo(now, message.From, true))
+	}
+}
+
 func (c *Controller) sendHellos(now time.Duration) {
 	maps.DeleteFunc(c.sentDirectories, func(n string, _ sentDirectory) bool { return n != "" && c.directory[n] == nil })
 	done := map[string]bool{c.settings.Self.Addr: true}
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -1,84 +1,81 @@
-// This file takes in messages from other daemons and hands each to the part of
-// the core that it concerns.
+// This file takes messages from other daemons and hands each to the file that it concerns.
 
 package controlplane
 
 import (
-	"myrtlefold/internal/shared/statemachine"
 	"time"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/wire"
 )
 
-func (c *Controller) emit(cmd statemachine.Command) { c.commands = append(c.commands, cmd) }
+// emit adds a command to those that the present step returns.
+func (c *Controller) emit(command statemachine.Command) { c.commands = append(c.commands, command) }
 
-func (c *Controller) send(name string, m *wire.Message) {
-	k := c.directory[name]
-	if k == nil || name == c.settings.Self.Name {
+// send sends a message to a daemon by its name; one that is unknown gets nothing, as from a network that
+// lost it.
+func (c *Controller) send(name string, message *wire.Message) {
+	peer := c.directory[name]
+	if peer == nil || name == c.settings.Self.Name {
 		return
 	}
-	m.To, m.From = name, c.settings.Self.Name
-	c.emit(statemachine.Send{Addr: k.Addr, Message: m})
+	message.To, message.From = name, c.settings.Self.Name
+	c.emit(statemachine.Send{Addr: peer.Addr, Message: message})
 }
 
-func (c *Controller) recv(now time.Duration, m *wire.Message) {
-	wire.DiscardNonFinite(m)
-	switch m.Kind {
+// recv takes a message. One without the part that its kind has does nothing.
+func (c *Controller) recv(now time.Duration, message *wire.Message) {
+	wire.DiscardNonFinite(message)
+	switch message.Kind {
 	case wire.KindHello:
-		if m.Hello == nil {
-			return
-		}
-		c.directory.Merge(now, c.settings.Self.Name, m.Hello)
-		if d := m.Hello.Self; d.Kind == wire.ControlDaemon && d.Name != c.settings.Self.Name {
-			h := contact{lastAt: now, domain: d.Domain, stopping: d.State == stoppingState, repliedAt: c.peerContacts[d.Name].repliedAt}
-			if m.Hello.Reply {
-				h.repliedAt = now
-			}
-			c.peerContacts[d.Name] = h
-		}
-		c.recvRecoveredState(m)
-		if !m.Hello.Reply {
-			c.send(m.From, c.helloTo(now, m.From, true))
-		}
+		c.recvHello(now, message)
 	case wire.KindVote, wire.KindAppend:
-		if m.Epoch < c.persistentState.BootstrapEpoch {
-			return // this member has promised to found a later epoch and takes no more part in this one
-		}
-		if m.Append != nil && !m.Append.Reply && (c.node == nil || m.Epoch > c.node.Epoch()) {
-			// An empty member, or one of an older epoch that has been passed by, learns from a leader.
-			if m.Epoch == c.syncedLockEpoch() {
-				c.beginEpoch(now) // a founder that had not seen all the locks: what it remembers counts
-			} else {
-				c.joinEpoch(now, m.Epoch)
-			}
-		}
-		if c.node != nil && !c.declinesTransfer(m) {
-			c.node.Step(now, m)
-		}
+		c.recvConsensus(now, message)
 	case wire.KindPull:
-		c.handlePull(now, m)
+		c.handlePull(now, message)
 	case wire.KindHeartbeat:
-		if m.Heartbeat != nil {
-			c.handleHeartbeat(now, *m.Heartbeat, m.Timestamp == 0)
+		if message.Heartbeat != nil {
+			c.handleHeartbeat(now, *message.Heartbeat, message.Timestamp == 0)
 		}
 	case wire.KindCall:
-		if m.Call == nil {
-			return
-		}
-		if m.Call.Reply {
-			if p := c.relayedCalls[m.Call.ID]; p != nil && p.relayedTo == m.From {
-				if p.targetReport && m.Call.Status == 503 {
-					return // it is passed on again while it may wait
-				}
-				if p.relayCount > 1 && m.Call.Status == 503 {
-					p.relayedTo = "" // an earlier leader may have agreed it: the next that decides will know
-					return
-				}
-				delete(c.relayedCalls, m.Call.ID)
-				c.deliver(p, statemachine.Reply{ID: p.callID, Status: int(m.Call.Status), RetryAfter: time.Duration(m.Call.RetryAfterMs) * time.Millisecond, Body: m.Call.Body})
-			}
-			return
-		}
-		c.executeCall(now, &pendingCall{token: m.Call.Token, receivedAt: now, relayedFrom: m.From, relayedFromID: m.Call.ID}, m.Call)
+		c.recvCall(now, message)
+	}
+}
+
+// recvConsensus hands a message to consensus, in the epoch that it belongs to.
+func (c *Controller) recvConsensus(now time.Duration, message *wire.Message) {
+	if message.Epoch < c.persistentState.BootstrapEpoch {
+		// Who has locked a bootstrap takes part in no earlier epoch: only so do all locks together
+		// show that the epoch before has no majority any more.
+		return
+	}
+	isLeadersAppend := message.Append != nil && !message.Append.Reply
+	if isLeadersAppend && (c.node == nil || message.Epoch > c.node.Epoch()) {
+		c.enterEpoch(now, message.Epoch)
+	}
+	if c.node != nil && !c.declinesTransfer(message) {
+		c.node.Step(now, message)
+	}
+}
+
+// enterEpoch enters a later epoch, which has a leader. A founder that had not seen all the locks enters it
+// as one, so that what its disk has can be recovered; any other learns the state from the leader.
+func (c *Controller) enterEpoch(now time.Duration, epoch uint64) {
+	if epoch == c.syncedLockEpoch() {
+		c.beginEpoch(now)
+		return
+	}
+	c.joinEpoch(now, epoch)
+}
+
+// recvCall takes a call that another daemon relayed, or the reply to one that this one relayed.
+func (c *Controller) recvCall(now time.Duration, message *wire.Message) {
+	switch request := message.Call; {
+	case request == nil:
+	case request.Reply:
+		c.recvCallReply(message.From, request)
+	default:
+		call := &pendingCall{token: request.Token, receivedAt: now, relayedFrom: message.From, relayedFromID: request.ID}
+		c.executeCall(now, call, request)
 	}
 }
--- a/internal/controlplane/pendingcall.go
+++ b/internal/controlplane/pendingcall.go
@@ -60,7 +60,7 @@
 		case leader == "" || leader == c.settings.Self.Name:
 		case leader != call.relayedTo || c.Term() != call.relayedTerm || call.targetReport && now-call.relayedAt > tuning.TargetReportRetry:
 			// The token is the same, so that a change is made once, however many leaders receive it.
-			c.relay(now, id, call, leader)
+			c.relay(now, call, leader)
 		}
 	}
 }
--- a/internal/controlplane/targetapi.go
+++ b/internal/controlplane/targetapi.go
@@ -1,55 +1,67 @@
-// This file takes the calls of targets: heartbeats, leavings and sign-offs.
+// This file takes targets' reports at the leader: heartbeats, leavings and sign-offs.
 
 package controlplane
 
 import (
 	"maps"
-	"myrtlefold/internal/shared/targetreport"
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/targetreport"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// word takes a back end's word as leader. One that says leaving or gone is acknowledged
-// when most proxies have a table that says so; the others' leases lapse by themselves.
-func (c *Controller) reportTarget(now time.Duration, p *pendingCall, w wire.Target) {
-	ids := []wire.TargetID{w.ID()}
-	if w.Service == "" {
-		ids = c.identitiesNamed(w.Name)
+// reportTarget takes a report and answers it: a heartbeat at once, and a leaving or sign-off when a majority
+// of the proxies has confirmed a table that says so. The leases of the others lapse by themselves.
+func (c *Controller) reportTarget(now time.Duration, call *pendingCall, report wire.Target) {
+	ids := []wire.TargetID{report.ID()}
+	if report.Service == "" {
+		ids = c.identitiesNamed(report.Name)
 	}
 	for _, id := range ids {
-		t := w
-		t.Service, t.Incarnation = id.Service, id.Incarnation
-		c.handleHeartbeat(now, t, false)
+		identified := report
+		identified.Service, identified.Incarnation = id.Service, id.Incarnation
+		c.handleHeartbeat(now, identified, false)
 	}
-	if !targetreport.IsLeaving(w) {
-		c.answer(p, targetreport.Acknowledgement(w))
+	if !targetreport.IsLeaving(report) {
+		c.answer(call, targetreport.Acknowledgement(report))
 		return
 	}
 	c.persistSoon = true
 	c.persistRegistrations(now, tuning.RegistryEvery)
-	ver := uint64(0)
+	c.waiters = append(c.waiters, &inForceWaiter{
+		version:      c.withdraw(ids),
+		waitingSince: now,
+		call:         call,
+		reply:        targetreport.Acknowledgement(report),
+		majorityOnly: true,
+		departures:   ids,
+	})
+}
+
+// withdraw notes the first table without some targets, or with them draining, and returns its version: of
+// the earliest that has all. A late report, which has changed nothing, notes nothing.
+func (c *Controller) withdraw(ids []wire.TargetID) (version uint64) {
 	for _, id := range ids {
-		out := c.withdrawnInVersion[id]
-		if out == 0 {
-			out = c.tableVersion
+		withdrawnIn := c.withdrawnInVersion[id]
+		if withdrawnIn == 0 {
+			withdrawnIn = c.tableVersion
 		}
-		if t := c.targets[id]; t == nil || t.Draining { // an old word has changed nothing
-			c.withdrawnInVersion[id] = out
+		if t := c.targets[id]; t == nil || t.Draining {
+			c.withdrawnInVersion[id] = withdrawnIn
 		}
-		ver = max(ver, out)
+		version = max(version, withdrawnIn)
 	}
-	c.waiters = append(c.waiters, &inForceWaiter{version: ver, waitingSince: now, call: p, reply: targetreport.Acknowledgement(w), majorityOnly: true, departures: ids})
+	return version
 }
 
-// identitiesNamed are the identities under a name, those that signed off lately included.
+// identitiesNamed are the targets of a name, those that signed off lately included, sorted.
 func (c *Controller) identitiesNamed(name string) []wire.TargetID {
-	m := map[wire.TargetID]bool{}
+	ids := map[wire.TargetID]bool{}
 	add := func(id wire.TargetID) {
 		if id.Name == name {
-			m[id] = true
+			ids[id] = true
 		}
 	}
 	for id := range c.targets {
@@ -61,5 +73,5 @@
 	for id := range c.tombstones {
 		add(id)
 	}
-	return slices.SortedFunc(maps.Keys(m), wire.TargetID.Compare)
+	return slices.SortedFunc(maps.Keys(ids), wire.TargetID.Compare)
 }
--- a/internal/shared/state/apply.go
+++ b/internal/shared/state/apply.go
@@ -157,7 +157,7 @@
 	*s = first
 	s.Members = nil
 	if len(s.Document) == 0 {
-		s.Document = json.RawMessage(emptyDocument)
+		s.Document = json.RawMessage(EmptyDocument)
 	}
 	if s.RemovedMembers == nil {
 		s.RemovedMembers = map[string]uint64{}
--- a/internal/shared/state/state.go
+++ b/internal/shared/state/state.go
@@ -14,8 +14,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// emptyDocument is the configuration of a state that no change has reached yet.
-const emptyDocument = `{}`
+// EmptyDocument is the configuration at revision 0.
+const EmptyDocument = `{}`
 
 // State is what the members agree on. A copy by value is a snapshot: Apply replaces slices and does
 // not write into them. RemovedMembers alone is changed in place.
@@ -61,7 +61,7 @@
 
 // New is the state before the first log entry.
 func New() State {
-	return State{Document: json.RawMessage(emptyDocument), RemovedMembers: map[string]uint64{}}
+	return State{Document: json.RawMessage(EmptyDocument), RemovedMembers: map[string]uint64{}}
 }
 
 // EncodeForProxies is the state as proxies store it, in JSON: with the members of the time, and
