--- a/internal/dataplane/connections_test.go
+++ b/internal/dataplane/connections_test.go
@@ -10,7 +10,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// All proxies of a fleet together keep no more than half of the connections that a target takes.
+// All proxies together keep no more than half of the connections that a target takes.
 func TestIdleConnectionsOfAllProxies(t *testing.T) {
 	for _, x := range []struct{ proxies, cap, slots int }{{8, 96, 6}, {12, 130, 3}, {64, 32, 6}, {69, 53, 3}, {281, 84, 6}, {285, 210, 3}, {3, 2, 1}, {64, 4, 6}} {
 		var names []string
@@ -32,12 +32,12 @@
 	}
 }
 
-// A connection may take a quarter of the route's aim to open, and never less than it takes anywhere; a
-// choice still lives when it opens last.
+// A connection may take a quarter of the route's latency target to open, and never less than it takes anywhere; a
+// choice has not expired when it opens last.
 func TestConnectTimeout(t *testing.T) {
 	for aim, want := range map[int]time.Duration{0: tuning.ConnectTimeoutMin, 300: tuning.ConnectTimeoutMin, 600: 150 * time.Millisecond, 1500: 375 * time.Millisecond, 60000: tuning.DialTimeout} {
 		if got := connectTimeout(&config.Route{LatencyTargetMs: aim}); got != want || got >= tuning.ChoiceTTL {
-			t.Errorf("aim %d ms: %v", aim, got)
+			t.Errorf("latency target %d ms: %v", aim, got)
 		}
 	}
 }
--- a/internal/dataplane/starved_test.go
+++ b/internal/dataplane/fairness_test.go
@@ -1,31 +1,32 @@
 package dataplane
 
 import (
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
+
+	"myrtlefold/internal/shared/statemachine"
 )
 
-// requestClass is how often a class of requests comes, and on which route.
+// requestClass is how often requests of a class come, and on which route.
 type requestClass struct {
 	path  string
 	every time.Duration
 }
 
-// press plays classes of requests against a service for a time, each request working so
-// long, and says which part of each class was given a target.
+// offerLoad plays classes of requests against a service for a time, each request working equally long, and returns
+// which part of each class was forwarded.
 func offerLoad(proxy *testProxy, work, span time.Duration, classes []requestClass) map[string]float64 {
-	asked, given := map[string]int{}, map[string]int{}
+	asked, forwarded := map[string]int{}, map[string]int{}
 	class := map[uint64]string{}
 	type end struct {
 		at time.Duration
 		id uint64
 	}
 	var ends []end
-	take := func(cmds []statemachine.Command) {
-		for _, c := range cmds {
+	take := func(commands []statemachine.Command) {
+		for _, c := range commands {
 			if forward, ok := c.(statemachine.Forward); ok {
-				given[class[forward.ID]]++
+				forwarded[class[forward.ID]]++
 				ends = append(ends, end{proxy.now + work, forward.ID})
 			}
 		}
@@ -57,26 +58,26 @@
 	parts := map[string]float64{}
 	all := 0
 	for p, n := range asked {
-		parts[p] = float64(given[p]) / float64(n)
-		parts["all"] += float64(given[p])
+		parts[p] = float64(forwarded[p]) / float64(n)
+		parts["all"] += float64(forwarded[p])
 		all += n
 	}
 	parts["all"] /= float64(all)
 	return parts
 }
 
-// Under lasting pressure by more urgent requests than the targets can bear, the least urgent
-// are still served a quarter as often as all.
+// Under lasting pressure by more requests of higher priority than the targets can take, those of lower priority are
+// still served a quarter as often as all.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	for _, urgent := range []time.Duration{8 * time.Millisecond, 4 * time.Millisecond, 2 * time.Millisecond} {
 		proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(4)), readyTarget("b", withSlots(4)))
 		got := offerLoad(proxy, 50*time.Millisecond, 30*time.Second, []requestClass{{"/once/", urgent}, {"/low/", 20 * time.Millisecond}})
 		t.Logf("urgent every %v: %v", urgent, got)
 		if got["/low/"] < got["all"]/4 {
-			t.Errorf("urgent every %v: the least urgent are served at %.2f, all at %.2f", urgent, got["/low/"], got["all"])
+			t.Errorf("urgent every %v: low priority is served at %.2f, all at %.2f", urgent, got["/low/"], got["all"])
 		}
 		if got["/once/"] < got["/low/"]-0.05 {
-			t.Errorf("urgent every %v: the urgent are served at %.2f, the least urgent at %.2f", urgent, got["/once/"], got["/low/"])
+			t.Errorf("urgent every %v: high priority is served at %.2f, low at %.2f", urgent, got["/once/"], got["/low/"])
 		}
 	}
 }
--- a/internal/dataplane/unsound_test.go
+++ b/internal/dataplane/invalidtable_test.go
@@ -1,18 +1,17 @@
 package dataplane
 
 import (
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// A table whose configuration can't be read is not put in force: the proxy keeps the one it
-// has, counts each refusal, reports the document once, and neither confirms the table nor
-// takes a lease for it.
+// A table whose configuration can't be read is not put in force: the proxy keeps the one it has, counts each
+// rejection, reports the document once, and neither confirms the table nor takes a lease for it.
 func TestInvalidTableIsNotApplied(t *testing.T) {
-	for name, doc := range map[string]string{
+	for name, document := range map[string]string{
 		"no JSON":    `{"services":`,
 		"wrong type": `[]`,
 		"invalid":    `{"services":{"s":{"cap":-1}}}`,
@@ -23,7 +22,7 @@
 			key, leaseUntil, reports := proxy.machine.Table().Key, proxy.machine.leaseUntil, 0
 			proxy.now += tuning.PullEvery
 			for range 3 {
-				for _, cmd := range proxy.table(1, doc, readyTarget("z")) {
+				for _, cmd := range proxy.table(1, document, readyTarget("z")) {
 					if change, ok := cmd.(statemachine.StateChange); ok && change.Subject == "damage" {
 						reports++
 					}
@@ -36,19 +35,19 @@
 			if proxy.machine.Counts.InvalidTables != 3 || reports != 1 {
 				t.Errorf("%d counted, %d reported", proxy.machine.Counts.InvalidTables, reports)
 			}
-			if given, ok := proxy.admit(1).(statemachine.Forward); !ok || given.Target.Name != "a" {
-				t.Errorf("not served by the table before: %v", given)
+			if forwarded, ok := proxy.admit(1).(statemachine.Forward); !ok || forwarded.Target.Name != "a" {
+				t.Errorf("not served by the table before: %v", forwarded)
 			}
 			proxy.version += 2
 			proxy.table(1, ruleConfig, readyTarget("c"))
 			if proxy.machine.Table().Targets[0].Name != "c" || proxy.machine.leaseUntil == leaseUntil {
-				t.Error("a later sound table is not taken")
+				t.Error("a later valid table is not taken")
 			}
 		})
 	}
 }
 
-// A first table that can't be read leaves the proxy cold, without a table.
+// A first table that can't be read leaves the proxy without one.
 func TestInvalidFirstTable(t *testing.T) {
 	proxy := newTestProxy("g1", 1, `[]`, wire.Target{Service: "s", Name: "a", Incarnation: 1, State: wire.TargetReady})
 	if proxy.machine.State() != NoTable || proxy.machine.Table() != nil || proxy.machine.Counts.InvalidTables != 1 {
