--- /dev/null
+++ b/internal/verification/requestlog/requestlog_test.go
@@ -0,0 +1,61 @@
+package requestlog
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"myrtlefold/internal/shared/wire"
+)
+
+// Entries are read as they were written, over several files and starts; the part of a line that a killed back end
+// leaves is passed over.
+func TestEntriesAreReadAsWritten(t *testing.T) {
+	dir := t.TempDir()
+	entries := []Entry{
+		{At: 5, ID: "a-1", Service: "s", Name: "b1", Incarnation: 7, Domain: "d", Method: "GET", State: wire.TargetReady, RequestsInFlight: 2},
+		{At: 6, ID: "a-2", Service: "s", Name: "b1", Incarnation: 7, Method: "POST", IntendedService: "t", State: wire.TargetLeaving, LeavingForMs: 40, RequestsInFlight: 1, WarmingUp: true},
+		{At: 4, ID: "a-3", Service: "t", Name: "b2", Method: "GET", State: wire.TargetReady},
+	}
+	for i, file := range []string{"1.ledger", "1.ledger", "2.ledger"} {
+		writer, err := Create(filepath.Join(dir, file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		writer.Write(entries[i])
+		if err := writer.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	killed := filepath.Join(dir, "3.ledger")
+	if err := os.WriteFile(killed, []byte(`{"at_ns":9,"id":"a-`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var got []Entry
+	if err := ReadAll(dir, func(entry Entry) { got = append(got, entry) }); err != nil {
+		t.Fatal(err)
+	}
+	if !slices.Equal(got, entries) {
+		t.Errorf("%+v", got)
+	}
+	line, err := os.ReadFile(filepath.Join(dir, "2.ledger"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"at_ns":4,"id":"a-3","service":"t","name":"b2","incarnation":0,"domain":"","method":"GET","state":"ready","in_work":0}` + "\n"; string(line) != want {
+		t.Errorf("%s", line)
+	}
+}
+
+// Without a file entries go nowhere.
+func TestNoFile(t *testing.T) {
+	writer, err := Create("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	writer.Write(Entry{ID: "x"})
+	if err := writer.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
