--- a/cmd/mfbackend/surplus.go
+++ b/cmd/mfbackend/surplus.go
@@ -1,4 +1,4 @@
-// This file is a back end's connections that go wrong after a whole answer.
+// This file is a back end's connections that go wrong after a complete response.
 
 package main
 
@@ -12,51 +12,61 @@
 	"time"
 )
 
-// surplusKept is how long a connection on which a surplus answer went out is kept for a
-// next request, which is answered by a close.
-const surplusKept = 5 * time.Second
+// surplusConnKept is how long a connection on which a surplus response went out is kept for a next request, whose
+// response is a close.
+const surplusConnKept = 5 * time.Second
 
-// surplusAnswer sends an answer and, after a while, another one that nobody waits for: with
-// the id of the request before it, or with one that no request has.
-func surplusAnswer(c net.Conn, header http.Header, body []byte, id, attempt string, late time.Duration) {
-	defer c.Close()
-	if writeAnswer(c, header, body) != nil {
+// surplusResponse is a response that is followed by another one.
+type surplusResponse struct {
+	header        http.Header
+	body          []byte
+	id            string // the request's, which the body and attemptHeader repeat
+	attemptHeader string
+	delay         time.Duration // between the two
+}
+
+// sendSurplus sends a response and, after its delay or with the next request, another one that nobody waits for: its
+// id is one that no request has.
+func sendSurplus(conn net.Conn, response surplusResponse) {
+	defer conn.Close()
+	if writeResponse(conn, response.header, response.body) != nil {
 		return
 	}
 	next := make([]byte, 1)
-	if late > 0 {
-		c.SetReadDeadline(time.Now().Add(late))
-		if _, err := c.Read(next); err == io.EOF {
+	if response.delay > 0 {
+		conn.SetReadDeadline(time.Now().Add(response.delay))
+		if _, err := conn.Read(next); err == io.EOF {
 			return
 		}
 	}
-	other := header.Clone()
-	other.Set(attempt, "surplus-"+id)
-	body = bytes.Replace(body, strconv.AppendQuote(nil, id), strconv.AppendQuote(nil, "surplus-"+id), 1)
-	other.Set("Content-Length", strconv.Itoa(len(body)))
-	if writeAnswer(c, other, body) != nil {
+	surplusID := "surplus-" + response.id
+	body := bytes.Replace(response.body, strconv.AppendQuote(nil, response.id), strconv.AppendQuote(nil, surplusID), 1)
+	header := response.header.Clone()
+	header.Set(response.attemptHeader, surplusID)
+	header.Set("Content-Length", strconv.Itoa(len(body)))
+	if writeResponse(conn, header, body) != nil {
 		return
 	}
-	c.SetReadDeadline(time.Now().Add(surplusKept))
-	c.Read(next)
+	conn.SetReadDeadline(time.Now().Add(surplusConnKept))
+	conn.Read(next)
 }
 
-func writeAnswer(w io.Writer, header http.Header, body []byte) error {
-	var b bytes.Buffer
-	fmt.Fprint(&b, "HTTP/1.1 200 OK\r\n")
-	if err := header.Write(&b); err != nil {
+func writeResponse(w io.Writer, header http.Header, body []byte) error {
+	var response bytes.Buffer
+	fmt.Fprint(&response, "HTTP/1.1 200 OK\r\n")
+	if err := header.Write(&response); err != nil {
 		return err
 	}
-	b.WriteString("\r\n")
-	b.Write(body)
-	_, err := w.Write(b.Bytes())
+	response.WriteString("\r\n")
+	response.Write(body)
+	_, err := w.Write(response.Bytes())
 	return err
 }
 
 // reset ends a connection at once; its other side reads an error.
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
--- a/cmd/mfbackend/surplus_test.go
+++ b/cmd/mfbackend/surplus_test.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// A surplus answer follows a whole one at once, or with the next request at the latest, and
-// bears neither its id nor its body.
-func TestSurplusAnswer(t *testing.T) {
-	for _, late := range []time.Duration{0, time.Hour} {
-		a, b := net.Pipe()
+// A surplus response follows a complete one at once, or with the next request at the latest, and has neither its id nor
+// its body.
+func TestSurplusResponse(t *testing.T) {
+	for _, delay := range []time.Duration{0, time.Hour} {
+		server, client := net.Pipe()
 		header := http.Header{"Att": {"7"}, "Content-Length": {"10"}}
-		go surplusAnswer(a, header, []byte(`{"id":"7"}`), "7", "Att", late)
-		rd := bufio.NewReader(b)
+		go sendSurplus(server, surplusResponse{header: header, body: []byte(`{"id":"7"}`), id: "7", attemptHeader: "Att", delay: delay})
+		responses := bufio.NewReader(client)
 		for _, want := range [][2]string{{"7", `{"id":"7"}`}, {"surplus-7", `{"id":"surplus-7"}`}} {
-			resp, err := http.ReadResponse(rd, nil)
+			response, err := http.ReadResponse(responses, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			body, err := io.ReadAll(resp.Body)
-			if err != nil || string(body) != want[1] || resp.Header.Get("Att") != want[0] {
-				t.Fatalf("%v %v %q", err, resp.Header, body)
+			body, err := io.ReadAll(response.Body)
+			if err != nil || string(body) != want[1] || response.Header.Get("Att") != want[0] {
+				t.Fatalf("%v %v %q", err, response.Header, body)
 			}
-			if late > 0 && want[0] == "7" {
-				b.Write([]byte("G"))
+			if delay > 0 && want[0] == "7" {
+				client.Write([]byte("G"))
 			}
 		}
-		b.Close()
+		client.Close()
 	}
 }
