--- a/internal/controlplane/admission.go
+++ b/internal/controlplane/admission.go
@@ -4,6 +4,7 @@
 package controlplane
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -17,7 +18,10 @@
 	id := report.ID()
 	t := c.claims[id]
 	if t == nil {
-		t = newTarget(now, now, wire.Target{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Addr: report.Addr, Domain: report.Domain, State: wire.TargetWarming})
+		t = newTarget(now, now, wire.Target{
+			Service: id.Service, Name: id.Name, Incarnation: id.Incarnation,
+			Addr: report.Addr, Domain: report.Domain, State: wire.TargetWarming,
+		})
 	}
 	if len(c.conflictingTargets(report)) > 0 {
 		t.Addr = report.Addr
@@ -115,3 +119,31 @@
 	c.lastShareOffset[service] = max(c.lastShareOffset[service], offset)
 	c.shareOffsetByName[serviceTarget{service, name}] = offset
 }
+
+// claimIDs returns the identities of those that have claims, in order.
+func (c *Controller) claimIDs() []wire.TargetID {
+	return slices.SortedFunc(maps.Keys(c.claims), wire.TargetID.Compare)
+}
+
+// expireClaims removes the claims of those that don't heartbeat any more.
+func (c *Controller) expireClaims(now time.Duration) {
+	maps.DeleteFunc(c.claims, func(_ wire.TargetID, t *target) bool { return now-t.lastHeartbeatAt > tuning.TargetHeartbeatTimeout })
+}
+
+// cleanUpTargets removes, now and then, what is kept of targets that are no more.
+func (c *Controller) cleanUpTargets(now time.Duration) {
+	if now-c.lastCleanupAt <= tuning.ReconcileEvery {
+		return
+	}
+	c.lastCleanupAt = now
+	expired := func(_ wire.TargetID, at time.Duration) bool { return now-at > tuning.TombstoneKeep }
+	maps.DeleteFunc(c.tombstones, expired)
+	maps.DeleteFunc(c.leavingTargets, expired)
+	maps.DeleteFunc(c.withdrawnInVersion, func(id wire.TargetID, _ uint64) bool {
+		return c.targets[id] == nil && c.claims[id] == nil && c.tombstones[id] == 0
+	})
+	// Most of these names never come back, and for one that does another offset costs little.
+	if len(c.shareOffsetByName) > 2*len(c.targets)+tuning.ShareOffsetsKept {
+		c.shareOffsetByName = map[serviceTarget]uint32{}
+	}
+}
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -122,7 +122,7 @@
 		f.member, f.joining = o.Name, o.Operation == state.OpAddMember
 	}
 	if p != nil {
-		c.counts.ChangesInForce++
+		c.counts.ChangesCommitted++
 		f.call, f.reply = p, acceptedReply(p.token, revision)
 	}
 	if f.proxyChange || p != nil {
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -9,7 +9,7 @@
 // begins with the registrations in the log, and recovers drains and ejections from proxies' tables and heartbeats.
 //
 // Begin reading with Controller.Step here, then leadership.go (becoming leader), table.go and proxylease.go (what
-// the leader sends to proxies), and operator.go (calls).
+// the leader sends to proxies), and api.go (calls).
 package controlplane
 
 import (
@@ -55,7 +55,7 @@
 
 	bootstrapSize         int    // members of the first control plane, 0 if this process may not bootstrap it
 	currentOffer          uint64 // the bootstrap offered to others now, 0: none
-	bootstrapLockSeq      uint64 // the batch with the lock; others are told of the lock only once that is synced
+	bootstrapLockSeq      uint64 // the batch with the lock; announced to others only once that is synced
 	visibleFounders       string // who could bootstrap when last looked, and since when these
 	visibleFoundersSince  time.Duration
 	recoveryConsent       discovery.RecoveryConsent
@@ -110,7 +110,7 @@
 	targets            map[wire.TargetID]*target
 	sortedTargetIDs    []wire.TargetID                 // keys of targets, as last sorted
 	claims             map[wire.TargetID]*target       // targets whose name or address another target has
-	tombstones         map[wire.TargetID]time.Duration // signed off or superseded, and when last heard: its reports are rejected
+	tombstones         map[wire.TargetID]time.Duration // signed off or superseded, and when it last sent a report: those are rejected
 	leavingTargets     map[wire.TargetID]time.Duration // was draining when its contact was lost: drains again if it comes back
 	withdrawnInVersion map[wire.TargetID]uint64        // first table in which the target is draining or absent, for reports that say so again
 	domainRestoredAt   map[string]time.Duration        // when emptied domains were last restored
@@ -353,3 +353,18 @@
 		c.node.Tick(now)
 	}
 }
+
+// tickLeader does what recurs while this member is Gathering or Leading.
+func (c *Controller) tickLeader(now time.Duration) {
+	c.probeTargets(now)
+	c.judgeTargets(now)
+	c.expireClaims(now)
+	c.cleanUpTargets(now)
+	c.publishDecisions(c.scorer.Tick(now))
+	if c.leadership != Leading {
+		return
+	}
+	c.rebuildTable(now, now-c.tableRefreshedAt >= tuning.ReconcileEvery)
+	c.updateProxyMembership(now)
+	c.persistRegistrations(now, tuning.RegistryEvery)
+}
--- a/internal/controlplane/counts.go
+++ b/internal/controlplane/counts.go
@@ -21,8 +21,8 @@
 	Drains uint64 `json:"Holds" metric:"holds"`
 	// MissesOverruled counts missed probes that didn't count, since a proxy had a response meanwhile.
 	MissesOverruled uint64 `json:"Overruled" metric:"overruled"`
-	// ChangesInForce counts operators' changes that were committed and wait to be in force, or are.
-	ChangesInForce uint64 `json:"Changes" metric:"changes"`
+	// ChangesCommitted counts operators' changes that were committed.
+	ChangesCommitted uint64 `json:"Changes" metric:"changes"`
 	// Rejected counts operators' changes rejected, before or after they were committed, and targets' reports rejected.
 	Rejected uint64 `json:"Refused" metric:"refused"`
 	// Elections counts the terms that this member led.
--- a/internal/controlplane/healthcheck.go
+++ b/internal/controlplane/healthcheck.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// checkOutstandingProbe gives up a probe that got no result, and asks proxies to probe too if that may tell more.
+// checkOutstandingProbe gives up a probe that got no result, and asks proxies to probe too if that helps to find whose fault it is.
 func (c *Controller) checkOutstandingProbe(now time.Duration, id wire.TargetID, t *target) {
 	if t.probeSentAt != 0 && now-t.probeSentAt > 2*tuning.ProbeTimeout {
 		t.probeSentAt = 0
@@ -96,7 +96,7 @@
 }
 
 // canSkipProbe says that requests show that a target is alive: a proxy had a response from it later than the probe before
-// the one due now would have gone out, so that a fault is found as early as by probes alone. Only probes tell of a
+// the one due now would have gone out, so that a fault is found as early as by probes alone. Only probes report a
 // warm-up, so each target is still probed now and then.
 func (c *Controller) canSkipProbe(now time.Duration, t *target) bool {
 	if len(c.targets) <= tuning.ProbeAllMax || t.lastProbeMissed || t.unconfirmed || t.warmupEnd > now {
--- a/internal/controlplane/indirectprobe.go
+++ b/internal/controlplane/indirectprobe.go
@@ -11,11 +11,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// indirectProber is a proxy that may probe in the leader's place.
+// indirectProber is a proxy that may probe for the leader.
 type indirectProber struct {
 	name, domain   string
 	random         uint32 // differs for each probe, and is the same for the same one
-	nthInDomain    int    // its place among the probers of its domain, in order of random
+	nthInDomain    int    // its number among the probers of its domain, in order of random
 	inLeaderDomain bool
 }
 
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -156,7 +156,8 @@
 // describeWait says what w waits for, in words for the log.
 func (c *Controller) describeWait(now time.Duration, w *inForceWaiter) string {
 	if !c.majorityConfirmed(w.version) {
-		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d in the membership before", w.version, len(c.state.Proxies), len(c.state.PreviousProxies))
+		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d in the membership before",
+			w.version, len(c.state.Proxies), len(c.state.PreviousProxies))
 	}
 	var lagging []string
 	for i := range c.state.Proxies {
@@ -165,7 +166,8 @@
 			continue
 		}
 		proxy := c.proxies[name]
-		lagging = append(lagging, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, proxy.tableKey.Version, proxy.tableKey.Term, (now-proxy.leaseGrantedAt).Round(time.Millisecond)))
+		leasedFor := (now - proxy.leaseGrantedAt).Round(time.Millisecond)
+		lagging = append(lagging, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, proxy.tableKey.Version, proxy.tableKey.Term, leasedFor))
 	}
 	if len(lagging) == 0 {
 		return fmt.Sprintf("table %d waits for members, targets or proxies of the membership before", w.version)
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -39,7 +39,7 @@
 // updateLeadership begins, continues or revokes leadership. It runs before and after each event, so that nothing is
 // decided on a lease that has run out.
 func (c *Controller) updateLeadership(now time.Duration) {
-	if !c.leadershipAllowed(now) {
+	if !c.canBeLeader(now) {
 		c.revokeLeadership(now, "no lease of a majority")
 		c.transferUnstableLeadership(now)
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-func (c *Controller) leadershipAllowed(now time.Duration) bool {
+func (c *Controller) canBeLeader(now time.Duration) bool {
 	return c.node != nil && !c.stopping && !c.abstains() && c.node.HasLease(now)
 }
 
@@ -178,8 +178,8 @@
 	}
 }
 
-// hasGathered says that enough proxies' tables are merged, of all in the membership. A table that was in force is held
-// by a majority of the proxies, so a majority is enough to know of all that was. The wait beyond that is for ejections and
+// hasGathered says that enough proxies' tables are merged, of all in the membership. A majority of the
+// proxies has any table that was in force, so a majority is enough to know of all that was. The wait beyond that is for ejections and
 // drains that only the other proxies know of, and with no proxy in the membership for the first ones to come.
 func hasGathered(merged, total int, waited time.Duration) bool {
 	switch {
@@ -201,8 +201,8 @@
 	c.restartWaiters(now)
 }
 
-// restartWaiters makes anew what waits for a table without a caller: tables of an earlier leadership are confirmed by
-// nobody any more.
+// restartWaiters has all that waits for a table without a caller wait for the present one: tables of an earlier term are
+// confirmed by nobody any more.
 func (c *Controller) restartWaiters(now time.Duration) {
 	c.waiters = slices.DeleteFunc(c.waiters, func(w *inForceWaiter) bool { return w.call == nil && w.member == "" })
 	if len(c.state.PreviousProxies) > 0 {
--- a/internal/controlplane/memberview.go
+++ b/internal/controlplane/memberview.go
@@ -105,7 +105,8 @@
 	}
 	for _, daemon := range c.controlDaemons(now, true) {
 		if !listed[daemon.Name] && daemon.Disk != 0 && daemon.State != stoppingState && c.state.RemovedMembers[daemon.Name] == 0 {
-			views = append(views, MemberView{Name: daemon.Name, Domain: daemon.Domain, State: MemberStandby, NoContactMs: c.sinceLastContact(now, daemon.Name).Milliseconds()})
+			noContact := c.sinceLastContact(now, daemon.Name)
+			views = append(views, MemberView{Name: daemon.Name, Domain: daemon.Domain, State: MemberStandby, NoContactMs: noContact.Milliseconds()})
 		}
 	}
 	return views
--- a/internal/controlplane/outlierdetection.go
+++ b/internal/controlplane/outlierdetection.go
@@ -1,10 +1,8 @@
-// This file gives the outlier policies their events, and does what recurs for the targets while this member is the leader.
+// This file gives the outlier policies their events and publishes what they decide.
 
 package controlplane
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"myrtlefold/internal/shared/config"
@@ -14,21 +12,6 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// tickLeader does what recurs while this member is Gathering or Leading.
-func (c *Controller) tickLeader(now time.Duration) {
-	c.probeTargets(now)
-	c.judgeTargets(now)
-	c.expireClaims(now)
-	c.cleanUpTargets(now)
-	c.publishDecisions(c.scorer.Tick(now))
-	if c.leadership != Leading {
-		return
-	}
-	c.rebuildTable(now, now-c.tableRefreshedAt >= tuning.ReconcileEvery)
-	c.updateProxyMembership(now)
-	c.persistRegistrations(now, tuning.RegistryEvery)
-}
-
 // judgeTargets gives the outlier policies what has come in of each target, and removes those of which nothing comes.
 func (c *Controller) judgeTargets(now time.Duration) {
 	for _, id := range c.targetIDs() {
@@ -81,29 +64,6 @@
 	}
 }
 
-// expireClaims removes the claims of those that don't heartbeat any more.
-func (c *Controller) expireClaims(now time.Duration) {
-	maps.DeleteFunc(c.claims, func(_ wire.TargetID, t *target) bool { return now-t.lastHeartbeatAt > tuning.TargetHeartbeatTimeout })
-}
-
-// cleanUpTargets removes, now and then, what is kept of targets that are no more.
-func (c *Controller) cleanUpTargets(now time.Duration) {
-	if now-c.lastCleanupAt <= tuning.ReconcileEvery {
-		return
-	}
-	c.lastCleanupAt = now
-	expired := func(_ wire.TargetID, at time.Duration) bool { return now-at > tuning.TombstoneKeep }
-	maps.DeleteFunc(c.tombstones, expired)
-	maps.DeleteFunc(c.leavingTargets, expired)
-	maps.DeleteFunc(c.withdrawnInVersion, func(id wire.TargetID, _ uint64) bool {
-		return c.targets[id] == nil && c.claims[id] == nil && c.tombstones[id] == 0
-	})
-	// Most of these names never come back, and for one that does another offset costs little.
-	if len(c.shareOffsetByName) > 2*len(c.targets)+tuning.ShareOffsetsKept {
-		c.shareOffsetByName = map[serviceTarget]uint32{}
-	}
-}
-
 // judgeEvent publishes an event of a target and gives it to the outlier policies.
 func (c *Controller) judgeEvent(event outlier.Event) {
 	c.emit(statemachine.Publish{Event: &event})
@@ -142,8 +102,3 @@
 	}
 	return stats
 }
-
-// claimIDs returns the identities of those that have claims, in order.
-func (c *Controller) claimIDs() []wire.TargetID {
-	return slices.SortedFunc(maps.Keys(c.claims), wire.TargetID.Compare)
-}
--- a/internal/controlplane/proxymembership.go
+++ b/internal/controlplane/proxymembership.go
@@ -57,8 +57,8 @@
 	return entries
 }
 
-// expiredProxies returns the names of those members that have not pulled for too long. A leader can't tell before it has
-// led for as long.
+// expiredProxies returns the names of those members that have not pulled for too long. A leader has to
+// lead for as long before it can say so.
 func (c *Controller) expiredProxies(now time.Duration) (names []string) {
 	if now-c.leadershipSince <= tuning.ProxyExpiry {
 		return nil
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -19,7 +19,7 @@
 	lostAt      time.Duration
 }
 
-// recordLostLeadership keeps what tells later whether the leadership lost now can be resumed.
+// recordLostLeadership keeps by what it can be decided later whether to resume the leadership lost now.
 func (c *Controller) recordLostLeadership(now time.Duration) {
 	c.lostLeadership = lostLeadership{c.table.Key.Epoch, c.leadershipTerm, now}
 	c.leadershipLosses = append(c.leadershipLosses, now)
@@ -43,7 +43,8 @@
 	lastContact := tuning.LeaderLease + tuning.ElectionTimeoutMin
 	if c.node.TransferLeadershipTo(now, lastContact, func(m wire.Member) bool { return !c.isStopping(m.Name) }) {
 		c.leadershipTransferredAt = now
-		c.emit(statemachine.StateChange{Subject: statemachine.SubjectTransfer, From: c.settings.Self.Name, Reason: "the lease was lost several times in a short while"})
+		reason := "the lease was lost several times in a short while"
+		c.emit(statemachine.StateChange{Subject: statemachine.SubjectTransfer, From: c.settings.Self.Name, Reason: reason})
 	}
 }
 
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -156,8 +156,8 @@
 	}
 	until, policy := c.detector.Ejected(now, t.ID())
 	row.EjectionLeft, row.EjectedBy = max(0, int64(until-now)), policy
-	// Proxies look at heartbeats only where all targets that they could use are ejected. So they are told only of ejected
-	// targets: else each late heartbeat would make a table.
+	// Proxies look at heartbeats only where all targets that they could use are ejected. So heartbeats are published of
+	// ejected targets only: else each late heartbeat would make a table.
 	row.Heartbeating = policy == "" || t.isHeartbeating(now)
 	row.WarmupLeft = t.warmupLeft(now)
 	return row
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -90,7 +90,7 @@
 	return c.sortedTargetIDs
 }
 
-// assumeContact counts a target as heard of at a time.
+// assumeContact counts a target as heartbeating and alive at a time.
 func (t *target) assumeContact(at time.Duration) {
 	t.lastHeartbeatAt, t.lastAliveAt = max(t.lastHeartbeatAt, at), max(t.lastAliveAt, at)
 }
