--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -36,34 +36,34 @@
 	majorityOnly bool            // weaker: a majority of the proxies is enough, the others' leases may still run
 }
 
-// isInForce says whether what w waits for is reached. A table is in force once a majority of the proxies has confirmed
+// isInForce says whether what a waiter waits for is reached. A table is in force once a majority of the proxies has confirmed
 // it, of the membership and of the one before while that counts, and each other proxy's lease has run out, be it from
 // the leader or from a peer that had not confirmed it yet. Majorities of two tables share a proxy, and that proxy
 // reports the later table to a new leader.
-func (c *Controller) isInForce(now time.Duration, w *inForceWaiter) bool {
-	if !c.memberChangeDone(w) {
+func (c *Controller) isInForce(now time.Duration, waiter *inForceWaiter) bool {
+	if !c.memberChangeDone(waiter) {
 		return false
 	}
-	if slices.ContainsFunc(w.departures, func(id wire.TargetID) bool { return !c.departureCommitted(id) }) {
+	if slices.ContainsFunc(waiter.departures, func(id wire.TargetID) bool { return !c.departureCommitted(id) }) {
 		return false
 	}
-	if !c.majorityConfirmed(w.version) {
-		w.majorityConfirmedAt = 0
+	if !c.majorityConfirmed(waiter.version) {
+		waiter.majorityConfirmedAt = 0
 		return false
 	}
-	if w.majorityOnly {
+	if waiter.majorityOnly {
 		return true
 	}
-	if w.majorityConfirmedAt == 0 {
-		w.majorityConfirmedAt = now
+	if waiter.majorityConfirmedAt == 0 {
+		waiter.majorityConfirmedAt = now
 	}
 	for i := range c.state.Proxies {
-		if c.mayServeEarlierTable(now, c.state.Proxies[i].Name, w) {
+		if c.mayServeEarlierTable(now, c.state.Proxies[i].Name, waiter) {
 			return false
 		}
 	}
 	for _, name := range c.state.PreviousProxies {
-		if c.mayServeEarlierTable(now, name, w) {
+		if c.mayServeEarlierTable(now, name, waiter) {
 			return false
 		}
 	}
@@ -153,16 +153,16 @@
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectConfiguration, From: "proposed", To: "waiting", Reason: c.describeWait(now, w)})
 }
 
-// describeWait says what w waits for, in words for the log.
-func (c *Controller) describeWait(now time.Duration, w *inForceWaiter) string {
-	if !c.majorityConfirmed(w.version) {
+// describeWait says what a waiter waits for, in words for the log.
+func (c *Controller) describeWait(now time.Duration, waiter *inForceWaiter) string {
+	if !c.majorityConfirmed(waiter.version) {
 		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d in the membership before",
-			w.version, len(c.state.Proxies), len(c.state.PreviousProxies))
+			waiter.version, len(c.state.Proxies), len(c.state.PreviousProxies))
 	}
 	var lagging []string
 	for i := range c.state.Proxies {
 		name := c.state.Proxies[i].Name
-		if !c.mayServeEarlierTable(now, name, w) {
+		if !c.mayServeEarlierTable(now, name, waiter) {
 			continue
 		}
 		proxy := c.proxies[name]
@@ -170,9 +170,9 @@
 		lagging = append(lagging, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, proxy.tableKey.Version, proxy.tableKey.Term, leasedFor))
 	}
 	if len(lagging) == 0 {
-		return fmt.Sprintf("table %d waits for members, targets or proxies of the membership before", w.version)
+		return fmt.Sprintf("table %d waits for members, targets or proxies of the membership before", waiter.version)
 	}
-	return fmt.Sprintf("table %d waits for %d proxies, such as %s", w.version, len(lagging), lagging[0])
+	return fmt.Sprintf("table %d waits for %d proxies, such as %s", waiter.version, len(lagging), lagging[0])
 }
 
 // expireWaiter answers a caller that has waited for long enough, and says whether nothing is left to wait for.
--- a/internal/controlplane/proxylease.go
+++ b/internal/controlplane/proxylease.go
@@ -32,12 +32,12 @@
 }
 
 // handlePull takes a proxy's pull. It is also how a proxy confirms a table and reports the statistics of targets.
-func (c *Controller) handlePull(now time.Duration, m *wire.Message) {
-	pull := m.Pull
+func (c *Controller) handlePull(now time.Duration, message *wire.Message) {
+	pull := message.Pull
 	if pull == nil {
 		return
 	}
-	incarnation, found := c.discoverProxy(now, m)
+	incarnation, found := c.discoverProxy(now, message)
 	if !found {
 		return
 	}
@@ -49,15 +49,15 @@
 	if c.leadership == NotLeading {
 		return
 	}
-	proxy := c.proxies[m.From]
+	proxy := c.proxies[message.From]
 	if proxy == nil {
 		proxy = &proxyState{}
-		c.proxies[m.From] = proxy
+		c.proxies[message.From] = proxy
 	}
 	if !proxy.enterIncarnation(incarnation) {
 		return
 	}
-	c.confirmTable(now, proxy, m)
+	c.confirmTable(now, proxy, message)
 	if pull.Table != nil && c.leadership >= Gathering && !proxy.tableMerged {
 		proxy.tableMerged = true
 		c.mergeTable(now, pull.Table)
@@ -68,7 +68,7 @@
 		proxy.tableMerged = true // it has none
 	}
 	c.addTargetStats(now, pull.Stats)
-	c.sendPush(m.From, proxy, c.leadership == Leading && c.mayGrantLease(now, m.From, proxy))
+	c.sendPush(message.From, proxy, c.leadership == Leading && c.mayGrantLease(now, message.From, proxy))
 }
 
 // discoverProxy notes in the directory that a proxy is there, and returns its incarnation. One that leaves itself out
