--- /dev/null
+++ b/cmd/mfsim/availability.go
@@ -0,0 +1,108 @@
+package main
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"myrtlefold/internal/verification/simulator"
+)
+
+// pairsShown is how many of the pairs of kinds are printed.
+const pairsShown = 40
+
+// measureAvailability prints a row for each kind of fault, or pair of kinds: figures over all seeds, worst first.
+// It returns the exit status.
+func measureAvailability(o options) int {
+	var rows []row
+	status := 0
+	for _, measured := range measure(o, faultSets(o.pairs)) {
+		for _, m := range measured {
+			if m.Failure != "" {
+				fmt.Printf("%v: %s\n", m.Faults, m.Failure)
+				status = statusFailed
+			}
+		}
+		rows = append(rows, rowOf(measured))
+	}
+	slices.SortStableFunc(rows, func(a, b row) int { return cmp.Compare(b.unserved, a.unserved) })
+	fmt.Println("| kind | refused % | failed % | no answer % | longest gap s | whole again s | change in force s | other outcomes |\n|---|---|---|---|---|---|---|---|")
+	for i, r := range rows {
+		if !o.pairs || i < pairsShown {
+			fmt.Println(r.text)
+		}
+	}
+	return status
+}
+
+// faultSets returns each kind of fault by itself, or each pair of two.
+func faultSets(pairs bool) (sets [][]simulator.Fault) {
+	for i, a := range simulator.Faults {
+		if !pairs {
+			sets = append(sets, []simulator.Fault{a})
+			continue
+		}
+		for _, b := range simulator.Faults[i+1:] {
+			sets = append(sets, []simulator.Fault{a, b})
+		}
+	}
+	return sets
+}
+
+// measure runs each set of faults with each seed, as many sets at once as there are processors.
+func measure(o options, sets [][]simulator.Fault) [][]simulator.Availability {
+	plan := simulator.Plans[o.plan]
+	measured := make([][]simulator.Availability, len(sets))
+	forEach(len(sets), func(i int) {
+		for seed := o.from; seed < o.from+o.seeds; seed++ {
+			measured[i] = append(measured[i], simulator.MeasureAvailability(seed, plan, sets[i]...))
+		}
+	})
+	return measured
+}
+
+// row is a row of the table, with what it is sorted by.
+type row struct {
+	unserved float64 // part of the requests
+	text     string
+}
+
+// rowOf adds up the seeds of one set of faults.
+func rowOf(measured []simulator.Availability) row {
+	var sum simulator.Availability
+	var gaps, recoveries, latencies []time.Duration
+	outcomes := map[simulator.ChangeOutcome]int{}
+	for _, m := range measured {
+		sum.Requests += m.Requests
+		sum.Rejected += m.Rejected
+		sum.Failed += m.Failed
+		sum.Abandoned += m.Abandoned
+		gaps, recoveries = append(gaps, m.LongestGap), append(recoveries, m.Recovery)
+		outcomes[m.Outcome]++
+		if m.Outcome == simulator.OutcomeInForce {
+			latencies = append(latencies, m.ChangeLatency)
+		}
+	}
+	percent := func(count int) string {
+		return fmt.Sprintf("%.2f", 100*float64(count)/float64(max(1, sum.Requests)))
+	}
+	var others []string
+	for _, outcome := range []simulator.ChangeOutcome{simulator.OutcomeRejected, simulator.OutcomeUnknown, simulator.OutcomeNoReply} {
+		if outcomes[outcome] > 0 {
+			others = append(others, fmt.Sprintf("%s %d", outcome, outcomes[outcome]))
+		}
+	}
+	return row{sum.UnservedShare(), fmt.Sprintf("| %s | %s | %s | %s | %s | %s | %s | %s |", strings.Join(measured[0].Faults, " + "),
+		percent(sum.Rejected), percent(sum.Failed), percent(sum.Abandoned), medianAndMost(gaps), medianAndMost(recoveries), medianAndMost(latencies), strings.Join(others, ", "))}
+}
+
+// medianAndMost prints both in seconds; it sorts the durations.
+func medianAndMost(durations []time.Duration) string {
+	if len(durations) == 0 {
+		return "-"
+	}
+	slices.Sort(durations)
+	return fmt.Sprintf("%.1f (%.1f)", durations[len(durations)/2].Seconds(), durations[len(durations)-1].Seconds())
+}
--- /dev/null
+++ b/cmd/mfsim/parallel.go
@@ -0,0 +1,20 @@
+package main
+
+import (
+	"runtime"
+	"sync"
+)
+
+// forEach calls a function with each number below count, as many at once as there are processors, and waits for all.
+func forEach(count int, run func(i int)) {
+	var all sync.WaitGroup
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	for i := range count {
+		all.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			run(i)
+		})
+	}
+	all.Wait()
+}
--- a/internal/verification/simulator/bulk_orders_test.go
+++ b/internal/verification/simulator/bulk_changes_test.go
@@ -21,15 +21,15 @@
 	lost := 0
 	for seed := range uint64(6) {
 		w := Day(500+seed, Small, kinds, 12, 25*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 		lost += w.Stats.LostReplies
-		if w.bulkOrders == 0 || w.bulkOrders > mostBulkOrders {
-			t.Errorf("seed %d: %d orders in bulk, of at most %d", w.Seed, w.bulkOrders, mostBulkOrders)
+		if w.operators.bulkChanges == 0 || w.operators.bulkChanges > maxBulkChanges {
+			t.Errorf("seed %d: %d orders in bulk, of at most %d", w.Seed, w.operators.bulkChanges, maxBulkChanges)
 		}
 		began := time.Now()
 		w.CheckHistory()
 		if took := time.Since(began); took > 5*time.Second {
-			t.Errorf("seed %d: the check of %d calls took %v", w.Seed, w.history.Len(), took)
+			t.Errorf("seed %d: the check of %d calls took %v", w.Seed, w.checks.history.Len(), took)
 		}
 	}
 	if lost == 0 {
@@ -42,14 +42,14 @@
 	t.Parallel()
 	w := Start(41, Small)
 	before := w.Revision()
-	w.loseAnswers(4 * time.Second)
+	w.loseReplies(4 * time.Second)
 	w.Run(w.now + 8*time.Second)
-	check(t, w)
-	if w.Stats.LostReplies < w.bulkOrders {
-		t.Errorf("%d answers of %d orders were lost", w.Stats.LostReplies, w.bulkOrders)
+	requireNoFailure(t, w)
+	if w.Stats.LostReplies < w.operators.bulkChanges {
+		t.Errorf("%d answers of %d orders were lost", w.Stats.LostReplies, w.operators.bulkChanges)
 	}
-	for _, c := range w.changes {
-		if c.state == "open" {
+	for _, c := range w.operators.changes {
+		if c.state == changeOpen {
 			t.Errorf("%s on %d was never answered", c.token, c.base)
 		}
 	}
@@ -57,15 +57,15 @@
 		t.Errorf("%d orders were accepted, and the revision went from %d to %d", w.Stats.AcceptedChanges-1, before, w.Revision())
 	}
 	w.Finish()
-	check(t, w)
+	requireNoFailure(t, w)
 }
 
 // Lost answers show a core that refuses an order which it has taken when it is sent again.
 func TestLostAnswersShowRefusedRepetition(t *testing.T) {
 	t.Parallel()
 	w := Start(42, Small)
-	w.sabotage = repetitionRefused
-	w.loseAnswers(4 * time.Second)
+	w.disabledGuard = guardIdempotentChanges
+	w.loseReplies(4 * time.Second)
 	w.Run(w.now + 8*time.Second)
 	w.CheckHistory()
 	if w.Failure == "" {
@@ -81,7 +81,7 @@
 		repetitions, status int
 		open                bool
 	}{{0, 503, false}, {1, 503, true}, {1, 412, false}, {1, 409, false}, {0, 412, false}} {
-		order := &operatorOrder{repetitions: c.repetitions}
+		order := &operatorChange{repetitions: c.repetitions}
 		if order.leavesOpen(statemachine.Reply{Status: c.status}) != c.open {
 			t.Errorf("%d after %d repetitions: open %v, want %v", c.status, c.repetitions, !c.open, c.open)
 		}
--- a/internal/verification/simulator/connection_test.go
+++ b/internal/verification/simulator/connection_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// narrow is a fleet with more proxies than connections that a target takes, at work on long requests of
+// connectionLimitedFleet is a fleet with more proxies than connections that a target takes, at work on long requests of
 // which most may not run twice, so that connections soon grow too old for them.
-func narrow() Plan {
-	p := ferry()
+func connectionLimitedFleet() Plan {
+	p := largeControlPlane()
 	p.Resources = nil
 	p.Services = map[string]int{"fares": 181, "pay": 111}
 	p.Rate, p.NonIdempotent, p.ConnectionLimit = 1200, 0.8, 32
 	return p
 }
 
-// overCapIn has a fleet release a third of its targets, and tells which part of the connections opened
+// releaseUnderConnectionLimit has a fleet release a third of its targets, and tells which part of the connections opened
 // meanwhile were over their target's cap, and how many there were for each request.
-func overCapIn(seed uint64, sabotage string) (over, opened float64, w *World) {
-	w = Start(seed, narrow())
-	w.sabotage = sabotage
-	for _, t := range w.targets {
-		t.usual = w.ms(200, 600)
-		t.work = t.usual
+func releaseUnderConnectionLimit(seed uint64, disabled Guard) (over, opened float64, w *World) {
+	w = Start(seed, connectionLimitedFleet())
+	w.disabledGuard = disabled
+	for _, t := range w.targets.all {
+		t.usualServiceTime = w.randomMilliseconds(200, 600)
+		t.serviceTime = t.usualServiceTime
 	}
 	w.Run(w.now + 2*time.Second)
 	before := w.Stats
-	w.release(0.6, 8, 300*time.Millisecond)
+	w.releaseTargets(0.6, 8, 300*time.Millisecond)
 	w.Run(w.now + 6*time.Second)
 	n := float64(w.Stats.OpenedConnections - before.OpenedConnections)
 	return float64(w.Stats.OverConnectionLimit-before.OverConnectionLimit) / n, n / float64(w.Stats.Requests-before.Requests), w
@@ -40,12 +40,12 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			over, opened, w := overCapIn(seed, "")
+			over, opened, w := releaseUnderConnectionLimit(seed, "")
 			if over > 0 {
 				t.Errorf("%.4f of the connections were over the cap", over)
 			}
 			t.Logf("%.4f over the cap, %.2f connections opened for each request, %d at once", over, opened, w.Stats.MostConnections)
-			check(t, w)
+			requireNoFailure(t, w)
 		})
 	}
 }
@@ -53,7 +53,7 @@
 // The check can fail: with a part of each target's connections for every proxy, whatever their number.
 func TestConnectionsStayUnderTheirCapCanFail(t *testing.T) {
 	t.Parallel()
-	over, opened, w := overCapIn(0, "idle connections")
+	over, opened, w := releaseUnderConnectionLimit(0, "idle connections")
 	if over == 0 {
 		t.Error("no connection was over the cap")
 	}
--- a/internal/verification/simulator/corestatus_test.go
+++ b/internal/verification/simulator/corestatus_test.go
@@ -13,18 +13,9 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// coreView is the leader's own view of the core.
-func (w *World) coreView(t *testing.T) controlplane.ControlPlaneView {
-	t.Helper()
-	l := w.Leader()
-	if l == nil {
-		t.Fatalf("seed %d: no leader\n%s", w.Seed, w.Trace(30))
-	}
-	return l.core.Status(l.local()).ControlPlane
-}
-
-func viewOf(v controlplane.ControlPlaneView, name string) controlplane.MemberView {
-	for _, m := range v.Members {
+// memberNamed is a member in the leader's view, empty if it is not there.
+func memberNamed(view controlplane.ControlPlaneView, name string) controlplane.MemberView {
+	for _, m := range view.Members {
 		if m.Name == name {
 			return m
 		}
@@ -32,35 +23,25 @@
 	return controlplane.MemberView{}
 }
 
-// follower is a member that does not lead.
-func (w *World) follower() *Process {
-	for _, n := range w.memberNames() {
-		if p := w.procs[n]; p != w.Leader() && p.alive {
-			return p
-		}
-	}
-	return nil
-}
-
 // The leader says by which majority it leads, who is silent and for how long, that the next
 // loss can't be borne and until when, and that it can again once a standby has come in.
 func TestStatusOfALoss(t *testing.T) {
 	t.Parallel()
-	w := Start(7, open(4, 3))
-	w.until(10*time.Second, func() bool { return len(w.memberNames()) == 3 })
+	w := Start(7, bootstrapPlan(4, 3))
+	w.runUntil(10*time.Second, w.hasMembers(3))
 	w.Run(w.now + 2*time.Second)
-	v := w.coreView(t)
+	v := w.controlPlaneView(t)
 	if v.Voters != 3 || v.Majority != 2 || len(v.LeaseVoters) != 3 || !v.HoldsLease || v.LeadingMs == 0 || v.Leader != w.Leader().name {
 		t.Fatalf("%+v", v)
 	}
 	if !v.FailureTolerance.Evaluated || !v.FailureTolerance.Tolerable || v.FailureTolerance.Machines != 1 || len(v.FailureTolerance.Blockers) > 0 || len(v.FailureTolerance.DomainsAtRisk) > 0 {
 		t.Fatalf("%+v", v.FailureTolerance)
 	}
-	lost := w.follower()
+	lost := w.followerMember()
 	w.Kill(lost)
 	w.Run(w.now + 2*time.Second)
-	v = w.coreView(t)
-	if m := viewOf(v, lost.name); m.State != controlplane.MemberUnresponsive || m.NoContactMs < 1200 || m.NoContactMs > 2500 {
+	v = w.controlPlaneView(t)
+	if m := memberNamed(v, lost.name); m.State != controlplane.MemberUnresponsive || m.NoContactMs < 1200 || m.NoContactMs > 2500 {
 		t.Errorf("the silent member: %+v", m)
 	}
 	if len(v.LeaseVoters) != 2 || slices.Contains(v.LeaseVoters, lost.name) {
@@ -76,38 +57,38 @@
 	if o.Kind != controlplane.BlockerUnresponsive || o.Member != lost.name || o.Successor == "" || o.ReplaceableInMs == nil || *o.ReplaceableInMs > 10_000 {
 		t.Errorf("%+v", o)
 	}
-	if !w.until(30*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).FailureTolerance.Tolerable }) {
-		t.Fatalf("never bearable again: %+v", w.coreView(t))
+	if !w.runUntil(30*time.Second, func() bool { return w.Leader() != nil && w.controlPlaneView(t).FailureTolerance.Tolerable }) {
+		t.Fatalf("never bearable again: %+v", w.controlPlaneView(t))
 	}
-	v = w.coreView(t)
-	if m := viewOf(v, o.Successor); m.State != controlplane.MemberFollower || !m.Voter || m.Match < 1 {
+	v = w.controlPlaneView(t)
+	if m := memberNamed(v, o.Successor); m.State != controlplane.MemberFollower || !m.Voter || m.Match < 1 {
 		t.Errorf("%s came in for it: %+v", o.Successor, m)
 	}
-	if n := w.Leader().core.Status(0).Counts.MemberChanges; n < 1 {
+	if n := w.Leader().controller.Status(0).Counts.MemberChanges; n < 1 {
 		t.Errorf("%d changes of members are counted", n)
 	}
-	check(t, w)
+	requireNoFailure(t, w)
 }
 
 // A follower says that it can't tell, and how long ago it heard its leader.
 func TestStatusOfAFollower(t *testing.T) {
 	t.Parallel()
-	w := Start(3, open(3, 3))
-	w.until(10*time.Second, func() bool { return len(w.memberNames()) == 3 })
-	f := w.follower()
+	w := Start(3, bootstrapPlan(3, 3))
+	w.runUntil(10*time.Second, w.hasMembers(3))
+	f := w.followerMember()
 	w.Run(w.now + time.Second)
-	v := f.core.Status(f.local()).ControlPlane
+	v := f.controller.Status(f.localTime()).ControlPlane
 	if v.FailureTolerance.Evaluated || v.FailureTolerance.Tolerable || v.HoldsLease || v.Leader != w.Leader().name || v.LeaderLastContactMs > 1000 || len(v.Members) > 0 {
 		t.Errorf("%+v", v)
 	}
 	leader := w.Leader()
-	for _, n := range w.all(wire.ControlDaemon) {
-		if w.procs[n] != f {
-			w.Kill(w.procs[n])
+	for _, p := range w.daemons(wire.ControlDaemon) {
+		if p != f {
+			w.Kill(p)
 		}
 	}
 	w.Run(w.now + 3*time.Second)
-	v = f.core.Status(f.local()).ControlPlane
+	v = f.controller.Status(f.localTime()).ControlPlane
 	if v.HoldsLease || v.LeaderLastContactMs < 2000 {
 		t.Errorf("3 s without %s: %+v", leader.name, v)
 	}
@@ -116,17 +97,17 @@
 // A leader that is left alone counts its silence from when it led last.
 func TestStatusOfALeaderLeftAlone(t *testing.T) {
 	t.Parallel()
-	w := Start(3, open(3, 3))
-	w.until(10*time.Second, func() bool { return len(w.memberNames()) == 3 })
+	w := Start(3, bootstrapPlan(3, 3))
+	w.runUntil(10*time.Second, w.hasMembers(3))
 	w.Run(w.now + 10*time.Second)
 	leader := w.Leader()
-	for _, n := range w.all(wire.ControlDaemon) {
-		if w.procs[n] != leader {
-			w.Kill(w.procs[n])
+	for _, p := range w.daemons(wire.ControlDaemon) {
+		if p != leader {
+			w.Kill(p)
 		}
 	}
 	w.Run(w.now + 3*time.Second)
-	if v := leader.core.Status(leader.local()).ControlPlane; v.HoldsLease || v.LeaderLastContactMs < 1500 || v.LeaderLastContactMs > 3500 {
+	if v := leader.controller.Status(leader.localTime()).ControlPlane; v.HoldsLease || v.LeaderLastContactMs < 1500 || v.LeaderLastContactMs > 3500 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -134,9 +115,9 @@
 // One machine alone decides, and says that it is too few.
 func TestStatusOfOneMember(t *testing.T) {
 	t.Parallel()
-	w := Start(5, open(1, 1))
-	w.until(10*time.Second, func() bool { return w.Leader() != nil })
-	v := w.coreView(t)
+	w := Start(5, bootstrapPlan(1, 1))
+	w.runUntil(10*time.Second, w.hasLeader)
+	v := w.controlPlaneView(t)
 	if v.FailureTolerance.Tolerable || len(v.FailureTolerance.Blockers) != 1 || v.FailureTolerance.Blockers[0].Kind != controlplane.BlockerTooFewMembers || v.FailureTolerance.Blockers[0].Successor != "" {
 		t.Errorf("%+v", v.FailureTolerance)
 	}
@@ -145,21 +126,21 @@
 // A member that stops politely is told from one that fell silent.
 func TestStatusOfAPlannedStop(t *testing.T) {
 	t.Parallel()
-	w := Start(9, open(3, 3))
-	w.until(10*time.Second, func() bool { return len(w.memberNames()) == 3 })
-	f := w.follower()
-	w.stop(f)
+	w := Start(9, bootstrapPlan(3, 3))
+	w.runUntil(10*time.Second, w.hasMembers(3))
+	f := w.followerMember()
+	w.stopProcess(f)
 	w.Run(w.now + 2*time.Second)
-	v := w.coreView(t)
-	if m := viewOf(v, f.name); m.State != controlplane.MemberStopping {
+	v := w.controlPlaneView(t)
+	if m := memberNamed(v, f.name); m.State != controlplane.MemberStopping {
 		t.Errorf("%+v", m)
 	}
 	if len(v.FailureTolerance.Blockers) != 1 || v.FailureTolerance.Blockers[0].Kind != controlplane.BlockerStopping || v.FailureTolerance.Blockers[0].ReplaceableInMs != nil {
 		t.Errorf("%+v", v.FailureTolerance.Blockers)
 	}
 	w.Restart(f)
-	if !w.until(5*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).FailureTolerance.Tolerable }) {
-		t.Errorf("back, and the next loss can't be borne: %+v", w.coreView(t).FailureTolerance)
+	if !w.runUntil(5*time.Second, func() bool { return w.Leader() != nil && w.controlPlaneView(t).FailureTolerance.Tolerable }) {
+		t.Errorf("back, and the next loss can't be borne: %+v", w.controlPlaneView(t).FailureTolerance)
 	}
 }
 
@@ -172,7 +153,7 @@
 	l := w.Leader()
 	base := w.Revision()
 	put := func(query, body, token string) int {
-		r, _ := w.inquire(t, w.Leader(), "PUT", "/v1/config", query, body, token)
+		r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/config", query, body, token)
 		return r.Status
 	}
 	doc := string(w.Document(4))
@@ -188,11 +169,11 @@
 			t.Fatalf("%s: %d, want %d", x.body[:1], s, x.want)
 		}
 	}
-	n := l.core.Status(0).Counts
+	n := l.controller.Status(0).Counts
 	if n.RepeatsAnswered != 1 || n.RejectedVersion != 1 || n.RejectedInvalid != 1 || n.AnsweredUnknown != 0 {
 		t.Errorf("%+v", n)
 	}
-	f := w.follower()
+	f := w.followerMember()
 	w.isolate([]string{l.name}, 4*time.Second, true, true)
 	unknown := 0
 	w.call(l, "PUT", "/v1/config", "base="+strconv.FormatUint(w.Revision(), 10), w.Document(5), "", func(r statemachine.Reply) { unknown = r.Status })
@@ -200,10 +181,10 @@
 	if unknown != 504 {
 		t.Errorf("a change put to a leader that is cut off is answered %d", unknown)
 	}
-	if r, _ := w.inquire(t, l, "GET", "/v1/config", "", "", ""); r.Status != 503 {
+	if r, _ := w.callAndWait(t, l, "GET", "/v1/config", "", "", ""); r.Status != 503 {
 		t.Errorf("a leader cut off answers %d", r.Status)
 	}
-	n = l.core.Status(0).Counts
+	n = l.controller.Status(0).Counts
 	if n.LeasesLost != 1 || n.AnsweredUnavailable != 1 || n.AnsweredUnknown != 1 {
 		t.Errorf("%+v", n)
 	}
@@ -217,9 +198,9 @@
 	w.Restart(f)
 	w.Run(w.now + 5*time.Second)
 	sent := uint64(0)
-	for _, name := range w.all(wire.ControlDaemon) {
-		if p := w.procs[name]; p.alive {
-			sent += p.core.Status(0).Counts.SnapshotsSent
+	for _, p := range w.daemons(wire.ControlDaemon) {
+		if p.alive {
+			sent += p.controller.Status(0).Counts.SnapshotsSent
 		}
 	}
 	if sent < 1 {
@@ -227,9 +208,9 @@
 	}
 }
 
-// backWithin is how soon somebody decides after a loss that was said to be bearable: an
+// failoverWithin is how soon somebody decides after a loss that was said to be bearable: an
 // election after the longest promise, a second try, and the wait for proxies' tables.
-const backWithin = 5 * time.Second
+const failoverWithin = 5 * time.Second
 
 // noticedWithin is how soon the status shows a loss: it counts a voter until that has not
 // answered for a lease.
@@ -246,27 +227,27 @@
 		size := []lossSize{{3, 3}, {4, 3}, {5, 3}, {7, 3}, {11, 3}}[seed%5]
 		t.Run(fmt.Sprintf("%d machines, seed %d", size.cores, seed), func(t *testing.T) {
 			t.Parallel()
-			w := Start(seed, open(size.cores, size.seeds))
-			w.until(10*time.Second, func() bool { return len(w.memberNames()) == min(size.cores, 7) })
+			w := Start(seed, bootstrapPlan(size.cores, size.seeds))
+			w.runUntil(10*time.Second, w.hasMembers(min(size.cores, 7)))
 			for round := range 8 {
-				if !w.until(90*time.Second, func() bool { return w.Leader() != nil && w.coreView(t).FailureTolerance.Tolerable }) {
-					t.Fatalf("round %d: never bearable: %+v\n%s", round, w.coreView(t), w.Trace(20))
+				if !w.runUntil(90*time.Second, func() bool { return w.Leader() != nil && w.controlPlaneView(t).FailureTolerance.Tolerable }) {
+					t.Fatalf("round %d: never bearable: %+v\n%s", round, w.controlPlaneView(t), w.Trace(20))
 				}
-				v := w.coreView(t)
+				v := w.controlPlaneView(t)
 				lost := w.chooseLoss(v, round)
 				for _, name := range lost {
-					w.Kill(w.procs[name])
+					w.Kill(w.process(name))
 				}
-				if !w.until(backWithin, func() bool { return w.Leader() != nil }) {
-					t.Fatalf("round %d: nobody decides %v after the loss of %v, which was said to be bearable: %+v\n%s", round, backWithin, lost, v, w.Trace(40))
+				if !w.runUntil(failoverWithin, w.hasLeader) {
+					t.Fatalf("round %d: nobody decides %v after the loss of %v, which was said to be bearable: %+v\n%s", round, failoverWithin, lost, v, w.Trace(40))
 				}
-				w.at(w.ms(0, 12000), func() { // often after the next loss
+				w.schedule(w.randomMilliseconds(0, 12000), func() { // often after the next loss
 					for _, name := range lost {
-						w.Restart(w.procs[name])
+						w.Restart(w.process(name))
 					}
 				})
 				w.Run(w.now + noticedWithin)
-				check(t, w)
+				requireNoFailure(t, w)
 			}
 		})
 	}
@@ -277,17 +258,17 @@
 func (w *World) chooseLoss(v controlplane.ControlPlaneView, round int) (names []string) {
 	var voters []string
 	for _, m := range v.Members {
-		if m.Voter && w.procs[m.Name] != nil && w.procs[m.Name].alive {
+		if m.Voter && w.process(m.Name) != nil && w.process(m.Name).alive {
 			voters = append(voters, m.Name)
 		}
 	}
 	if round%3 == 2 {
 		domain := w.Leader().domain
 		if !slices.Contains(v.FailureTolerance.DomainsAtRisk, domain) {
-			return slices.DeleteFunc(voters, func(n string) bool { return w.procs[n].domain != domain })
+			return slices.DeleteFunc(voters, func(n string) bool { return w.process(n).domain != domain })
 		}
 	}
-	w.rnd.Shuffle(len(voters), func(i, j int) { voters[i], voters[j] = voters[j], voters[i] })
+	w.random.Shuffle(len(voters), func(i, j int) { voters[i], voters[j] = voters[j], voters[i] })
 	if i := slices.Index(voters, w.Leader().name); round%2 == 0 && i > 0 {
 		voters[0], voters[i] = voters[i], voters[0]
 	}
--- a/internal/verification/simulator/cutoff_test.go
+++ b/internal/verification/simulator/cutoff_test.go
@@ -27,7 +27,7 @@
 		{"deaf", func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, false, true) }},
 		{"frozen", func(w *World, p *Process) { w.Freeze(p, cutOffSpan) }},
 		{"disk stalls", func(w *World, p *Process) { w.StallDisk(p, cutOffSpan) }},
-		{"slow", func(w *World, p *Process) { w.slowDown(p, 5, cutOffSpan) }},
+		{"slow", func(w *World, p *Process) { w.slowProcess(p, 5, cutOffSpan) }},
 	}
 	may := map[string]allowance{"disk stalls": {passOn: true}, "slow": {passOn: true, lead: true}}
 	for _, trouble := range troubles {
@@ -36,10 +36,10 @@
 				t.Parallel()
 				for seed := range uint64(3) {
 					w := Start(seed, Small)
-					for _, fault := range w.cutOffOnce(t, leads, trouble.do, may[trouble.name]) {
+					for _, fault := range w.isolateOnce(t, leads, trouble.do, may[trouble.name]) {
 						t.Errorf("seed %d: %s", seed, fault)
 					}
-					check(t, w)
+					requireNoFailure(t, w)
 				}
 			})
 		}
@@ -50,8 +50,8 @@
 func TestCutOffCanFail(t *testing.T) {
 	t.Parallel()
 	w := Start(1, Small)
-	w.sabotage = followersAnswer
-	faults := w.cutOffOnce(t, false, func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, true, true) }, allowance{})
+	w.disabledGuard = guardReadsAtLeader
+	faults := w.isolateOnce(t, false, func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, true, true) }, allowance{})
 	if len(faults) == 0 {
 		t.Error("a member that is cut off answered reads, and nothing was seen")
 	}
@@ -63,13 +63,13 @@
 	lead   bool
 }
 
-// cutOffOnce brings a trouble about once and lists what was wrong.
-func (w *World) cutOffOnce(t *testing.T, leads bool, trouble func(*World, *Process), may allowance) (faults []string) {
+// isolateOnce brings a trouble about once and lists what was wrong.
+func (w *World) isolateOnce(t *testing.T, leads bool, trouble func(*World, *Process), may allowance) (faults []string) {
 	wrong := func(f string, a ...any) { faults = append(faults, fmt.Sprintf(f, a...)) }
 	w.StartReaders(100 * time.Millisecond)
 	p := w.Leader()
 	if !leads {
-		p = followers(w)[w.Seed%2]
+		p = w.followers()[w.Seed%2]
 	}
 	begin := w.now
 	trouble(w, p)
@@ -85,11 +85,11 @@
 	}
 	base := w.Revision()
 	for i := range 60 {
-		w.at(time.Duration(i)*cutOffSpan/60, func() {
+		w.schedule(time.Duration(i)*cutOffSpan/60, func() {
 			ask("GET", "/v1/config", "", nil)
 			ask("PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(1000+i))
 			if l := w.Leader(); l != nil && l != p {
-				w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Document(2000+i), "", w.ignore)
+				w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Document(2000+i), "", w.ignoreReply)
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 	if l == nil || l == p && leads && !may.lead {
 		return append(faults, "no other leader")
 	}
-	term := l.core.Term()
+	term := l.controller.Term()
 	for status, n := range told {
 		if status != 503 && status != 504 && !may.passOn {
 			wrong("it answered %d %d times", status, n)
@@ -108,13 +108,13 @@
 		wrong("it answered nothing")
 	}
 	w.Run(begin + cutOffSpan + 8*time.Second)
-	if now := w.Leader(); now != l || now.core.Term() != term {
+	if now := w.Leader(); now != l || now.controller.Term() != term {
 		wrong("%s was unseated", l.name)
 	}
-	if r, _ := w.inquire(t, p, "GET", "/v1/config", "", "", ""); r.Status != 200 || p.core.Revision() != l.core.Revision() {
-		wrong("back, it answers %d and has revision %d of %d", r.Status, p.core.Revision(), l.core.Revision())
+	if r, _ := w.callAndWait(t, p, "GET", "/v1/config", "", "", ""); r.Status != 200 || p.controller.Revision() != l.controller.Revision() {
+		wrong("back, it answers %d and has revision %d of %d", r.Status, p.controller.Revision(), l.controller.Revision())
 	}
-	if err := w.history.Check(); err != nil {
+	if err := w.checks.history.Check(); err != nil {
 		wrong("%v", err)
 	}
 	w.CheckAcknowledgedChanges()
@@ -127,21 +127,21 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := Start(seed, Small)
-		p := followers(w)[seed%2]
+		p := w.followers()[seed%2]
 		word := `{"service":"fares","name":"new","incarnation":9,"address":"10.9.9.9:80","domain":"d1","state":"ready"}`
-		if r, _ := w.inquire(t, p, "POST", "/v1/targets", "", word, ""); r.Status != 202 {
+		if r, _ := w.callAndWait(t, p, "POST", "/v1/targets", "", word, ""); r.Status != 202 {
 			t.Errorf("seed %d: before: %d", seed, r.Status)
 		}
 		w.isolate([]string{p.name}, cutOffSpan, true, false)
 		w.Run(w.now + 5*tuning.HelloEvery)
-		if r, _ := w.inquire(t, p, "POST", "/v1/targets", "", word, ""); r.Status != 503 {
+		if r, _ := w.callAndWait(t, p, "POST", "/v1/targets", "", word, ""); r.Status != 503 {
 			t.Errorf("seed %d: unheard: %d", seed, r.Status)
 		}
 		w.Run(w.now + cutOffSpan)
-		if r, _ := w.inquire(t, p, "POST", "/v1/targets", "", word, ""); r.Status != 202 {
+		if r, _ := w.callAndWait(t, p, "POST", "/v1/targets", "", word, ""); r.Status != 202 {
 			t.Errorf("seed %d: after: %d", seed, r.Status)
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -151,16 +151,16 @@
 	t.Parallel()
 	for seed := range uint64(8) {
 		w := Start(seed, Small)
-		l, p := w.Leader(), followers(w)[seed%2]
+		l, p := w.Leader(), w.followers()[seed%2]
 		w.Kill(l)
 		var got statemachine.Reply
 		w.call(p, "PUT", "/v1/config", "base=1", w.Document(2), "", func(r statemachine.Reply) { got = r })
-		w.Run(w.now + w.ms(30, 200))
+		w.Run(w.now + w.randomMilliseconds(30, 200))
 		w.Restart(l)
 		w.Run(w.now + 4*time.Second)
 		if got.Status != 200 {
 			t.Errorf("seed %d: %d %s", seed, got.Status, got.Body)
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/day.go
@@ -1,49 +1,63 @@
-// This file holds the days that are made of faults: a day draws faults by its
-// seed, lets them overlap, heals all, and then wants service back and everything
-// acknowledged still in force.
-
 package simulator
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/wire"
 	"slices"
 	"strings"
 	"time"
+)
 
-	"myrtlefold/internal/dataplane"
-	"myrtlefold/internal/shared/wire"
+const (
+	// bootstrapTime is how long a fleet that is switched on may take until it has a leader, in the usual case, and
+	// maxBootstrapTime if a vote is split: that costs another election.
+	bootstrapTime    = 5 * time.Second
+	maxBootstrapTime = 10 * time.Second
+	// firstConfigurationTime is how long it may take to serve by its first configuration.
+	firstConfigurationTime = 3 * time.Second
+	// afterFaults is how long a day goes on after its last fault, before healing.
+	afterFaults = 9 * time.Second
+	// recoveryBound is how long after healing everything must serve again.
+	recoveryBound = 15 * time.Second
+	// observationTime is for how long after recovery requests are counted, and servedShare the part of them that
+	// must be served.
+	observationTime = 8 * time.Second
+	servedShare     = 0.7
+	// readInterval is the time between two reads of the configuration.
+	readInterval = 400 * time.Millisecond
 )
 
-// Start founds the fleet and puts a first configuration in force.
-func Start(seed uint64, p Plan) *World {
-	w := New(seed, p)
-	if !w.Run(5 * time.Second) {
+// Start bootstraps the fleet, puts a first configuration in force and starts the callers.
+func Start(seed uint64, plan Plan) *World {
+	w := New(seed, plan)
+	if !w.Run(bootstrapTime) {
 		return w
 	}
-	for w.Leader() == nil && w.now < 10*time.Second && w.Failure == "" {
-		w.Run(w.now + 100*time.Millisecond) // a split vote costs an election more
+	for w.Leader() == nil && w.now < maxBootstrapTime && w.Failure == "" {
+		w.Run(w.now + 100*time.Millisecond)
 	}
-	l := w.Leader()
-	if l == nil {
-		w.broken("start", "no leader after 10 s")
+	leader := w.Leader()
+	if leader == nil {
+		w.violated(ruleBootstrap, "no leader after 10 s")
 		return w
 	}
-	w.PutConfig(l, 0, 1)
-	if !w.AwaitServing(3*time.Second) && w.Failure == "" {
-		w.broken("start", "not serving 3 s after the first configuration")
+	w.PutConfig(leader, 0, 1)
+	if !w.AwaitServing(firstConfigurationTime) && w.Failure == "" {
+		w.violated(ruleBootstrap, "not serving 3 s after the first configuration")
 	}
 	w.StartCallers()
 	return w
 }
 
-// Day runs a seed: so many faults drawn from kinds (all if none is named) over
-// a span, then healing, then the last checks.
-func Day(seed uint64, p Plan, kinds []Fault, faults int, span time.Duration) *World {
-	return day(seed, p, kinds, faults, span, func(*World) {})
+// Day runs a seed: so many faults drawn from kinds (all if none is named) that begin over
+// a span of time, then healing, then the last checks.
+func Day(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration) *World {
+	return day(seed, plan, kinds, faults, span, func(*World) {})
 }
 
-func day(seed uint64, p Plan, kinds []Fault, faults int, span time.Duration, prepare func(*World)) *World {
-	w := Start(seed, p)
+// day is a Day that is prepared by a function once the fleet serves. With as many kinds as faults each comes once.
+func day(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration, prepare func(*World)) *World {
+	w := Start(seed, plan)
 	if w.Failure != "" {
 		return w
 	}
@@ -53,103 +67,109 @@
 	}
 	begin := w.now
 	for i := range faults {
-		f := kinds[w.rnd.IntN(len(kinds))]
+		fault := kinds[w.random.IntN(len(kinds))]
 		if len(kinds) == faults {
-			f = kinds[i]
+			fault = kinds[i]
 		}
-		w.at(time.Duration(w.rnd.Int64N(int64(span))), func() {
-			w.log("fault: %s", f.Name)
-			f.Inject(w)
-		})
+		w.schedule(time.Duration(w.random.Int64N(int64(span))), func() { w.inject(fault) })
 	}
-	w.StartReaders(400 * time.Millisecond)
-	if !w.Run(begin + span + 9*time.Second) {
+	w.StartReaders(readInterval)
+	if !w.Run(begin + span + afterFaults) {
 		return w
 	}
 	w.Heal()
-	w.AwaitRecovery(15 * time.Second)
+	w.AwaitRecovery(recoveryBound)
 	w.Finish()
 	return w
 }
 
-// Heal ends all that may still be wrong.
+// inject starts a fault.
+func (w *World) inject(f Fault) {
+	w.logf("fault: %s", f.Name)
+	f.Inject(w)
+}
+
+// Heal ends all faults.
 func (w *World) Heal() {
-	w.log("heal")
-	clear(w.cut)
-	if l := w.Leader(); l != nil { // a service may have been left out
-		w.PutConfig(l, w.Revision(), w.rnd.IntN(1000))
+	w.logf("heal")
+	clear(w.network.blocked)
+	putConfig := func() { // a service may have been left out
+		if leader := w.Leader(); leader != nil {
+			w.PutConfig(leader, w.Revision(), w.random.IntN(1000))
+		}
+	}
+	if w.Leader() != nil {
+		putConfig()
 	} else {
-		w.at(4*time.Second, func() {
-			if l := w.Leader(); l != nil {
-				w.PutConfig(l, w.Revision(), w.rnd.IntN(1000))
-			}
-		})
-	}
-	w.answersLostUntil = 0
-	w.loss, w.delay, w.late = 0, time.Millisecond, 0
-	for _, n := range w.names {
-		p := w.procs[n]
-		p.slow, p.disk.slow, p.disk.full = 0, 0, false
+		w.schedule(4*time.Second, putConfig)
+	}
+	w.operators.repliesLostUntil = 0
+	w.calmNetwork()
+	for _, p := range w.fleet() {
+		p.slowdown, p.disk.slowdown, p.disk.full = 0, 0, false
 		if !p.alive {
 			w.Restart(p)
 		}
 		w.Thaw(p)
 	}
-	for _, t := range w.targets {
-		t.hang, t.lose, t.surplus, t.work = false, false, false, t.usual
+	for _, t := range w.targets.all {
+		t.hanging, t.losesResponses, t.sendsSurplus, t.serviceTime = false, false, false, t.usualServiceTime
 	}
 }
 
-// AwaitRecovery wants service within d.
-func (w *World) AwaitRecovery(d time.Duration) {
+// AwaitRecovery runs until the fleet serves with all targets that are ready; it must within that time.
+func (w *World) AwaitRecovery(within time.Duration) {
 	from := w.now
-	if !w.AwaitServing(d) && w.Failure == "" {
-		w.broken("back in 15 s", "not serving %v after healing: %s", d, w.why())
+	if !w.AwaitServing(within) && w.Failure == "" {
+		w.violated(ruleRecoveryTime, "not serving %v after healing: %s", within, w.describeDaemons())
 	}
-	for w.Failure == "" && w.missing() != "" {
-		if w.now-from > d {
-			w.broken("capacity back", "%s not served %v after healing", w.missing(), d)
+	for w.Failure == "" && w.missingTarget() != "" {
+		if w.now-from > within {
+			w.violated(ruleFullCapacity, "%s not served %v after healing", w.missingTarget(), within)
 		}
 		w.Run(w.now + 100*time.Millisecond)
 	}
 	w.Stats.RecoveryTime = w.now - from
 }
 
-// missing names a target that lives and is ready, and that the leader's table does
-// not offer. Of two that claim one name, one is enough.
-func (w *World) missing() string {
-	for _, t := range w.targets {
-		if t.alive && t.state == wire.TargetReady && w.listen[t.addr] == t && !w.served(t) &&
-			!slices.ContainsFunc(w.targets, func(o *Target) bool { return o.service == t.service && o.name == t.name && w.served(o) }) {
-			return t.service + "/" + t.name
+// missingTarget names a target that lives and is ready, and that the leader's table does
+// not offer; "" if there is none. Of two that claim one name, one is enough.
+func (w *World) missingTarget() string {
+	for _, t := range w.targets.all {
+		if !t.alive || t.state != wire.TargetReady || w.targets.listening[t.address] != t || w.offered(t) {
+			continue
+		}
+		offersNamesake := func(o *Target) bool { return o.fullName() == t.fullName() && w.offered(o) }
+		if !slices.ContainsFunc(w.targets.all, offersNamesake) {
+			return t.fullName()
 		}
 	}
 	return ""
 }
 
-// served says whether the leader's table offers a target.
-func (w *World) served(t *Target) bool {
-	l := w.Leader()
-	if l == nil || l.core.Table() == nil {
+// offered says whether the leader's table offers a target to requests.
+func (w *World) offered(t *Target) bool {
+	leader := w.Leader()
+	if leader == nil || leader.controller.Table() == nil {
 		return false
 	}
-	for _, x := range l.core.Table().Targets {
-		if x.Service == t.service && x.Name == t.name && x.Incarnation == t.inc {
-			return !x.Draining && !x.Pending && x.EjectionLeft == 0
+	for _, entry := range leader.controller.Table().Targets {
+		if entry.ID() == t.id() {
+			return !entry.Draining && !entry.Pending && entry.EjectionLeft == 0
 		}
 	}
 	return false
 }
 
-func (w *World) why() string {
+// describeDaemons says how each daemon is.
+func (w *World) describeDaemons() string {
 	var b strings.Builder
-	for _, n := range w.names {
-		p := w.procs[n]
-		if p.core != nil {
-			s := p.core.Status(p.local())
-			fmt.Fprintf(&b, "%s %s %s epoch %d term %d; ", n, s.Role, s.Leadership, s.Epoch, s.Term)
+	for _, p := range w.fleet() {
+		if p.controller != nil {
+			status := p.controller.Status(p.localTime())
+			fmt.Fprintf(&b, "%s %s %s epoch %d term %d; ", p.name, status.Role, status.Leadership, status.Epoch, status.Term)
 		} else {
-			fmt.Fprintf(&b, "%s %s; ", n, p.gate.State())
+			fmt.Fprintf(&b, "%s %s; ", p.name, p.proxy.State())
 		}
 	}
 	return b.String()
@@ -161,18 +181,14 @@
 		return
 	}
 	from := w.now
-	w.Run(w.now + 8*time.Second)
-	if w.Failure == "" && w.ServedBetween(from, w.now) < int(w.Plan.Rate*8*0.7) {
-		w.broken("serving again", "%d exchanges served in the 8 s after healing", w.ServedBetween(from, w.now))
+	w.Run(w.now + observationTime)
+	if served := w.ServedBetween(from, w.now); w.Failure == "" && served < int(w.Plan.Rate*observationTime.Seconds()*servedShare) {
+		w.violated(ruleServingAgain, "%d exchanges served in the 8 s after healing", served)
 	}
-	w.quiet = true
+	w.callers.stopped = true
 	w.Run(w.now + 3*time.Second)
 	w.CheckAcknowledgedChanges()
 	w.CheckHistory()
 	w.CheckRetryBudget()
-	for _, n := range w.names {
-		if p := w.procs[n]; w.Failure == "" && p.gate != nil && p.alive && p.gate.State() == dataplane.Leased && p.gate.InFlight() > 0 {
-			w.broken("forgotten exchange", "%s still counts %d in flight", n, p.gate.InFlight())
-		}
-	}
+	w.checkNothingInFlight()
 }
--- /dev/null
+++ b/internal/verification/simulator/faults_control.go
@@ -0,0 +1,239 @@
+package simulator
+
+import (
+	"time"
+
+	"myrtlefold/internal/shared/wire"
+)
+
+// slowMachine is how many times longer a slow machine takes for everything, slowDiskTimes a slow disk for a sync.
+const (
+	slowMachine   = 5
+	slowDiskTimes = 30
+)
+
+// controlFaults are the faults of control daemons: kills, losses of power, freezes, disks and partitions.
+var controlFaults = []Fault{
+	{"core killed", func(w *World) {
+		if p := w.expendableControlDaemon(); p != nil {
+			w.killAndRestart(p, 200, 4000)
+		}
+	}},
+	{"core herd killed", func(w *World) {
+		if w.expendableControlDaemon() == nil {
+			return
+		}
+		if leader := w.Leader(); leader != nil && w.random.IntN(2) == 0 {
+			w.putNextConfig(leader)
+		}
+		w.schedule(w.randomMilliseconds(0, 20), func() { w.killAndRestartAll(w.daemons(wire.ControlDaemon), 200, 2000) })
+	}},
+	{"core gone for long, service rolled", func(w *World) {
+		if w.expendableControlDaemon() == nil {
+			return
+		}
+		w.killAndRestartAll(w.daemons(wire.ControlDaemon), 9000, 20000)
+		w.schedule(time.Second, w.rollService)
+	}},
+	{"power fails everywhere", func(w *World) {
+		if w.expendableControlDaemon() == nil {
+			return
+		}
+		if leader := w.Leader(); leader != nil {
+			w.putNextConfig(leader)
+		}
+		w.schedule(w.randomMilliseconds(0, 20), func() {
+			w.logf("power fails everywhere")
+			w.killAndRestartAll(w.fleet(), 200, 2000)
+		})
+	}},
+	{"leader killed", func(w *World) {
+		if p := w.expendableLeader(); p != nil {
+			w.killAndRestart(p, 200, 4000)
+		}
+	}},
+	{"core loses disk", func(w *World) {
+		if p := w.expendableControlDaemon(); p != nil {
+			w.Kill(p)
+			w.WipeDisk(p)
+			w.restartLater(p, w.randomMilliseconds(200, 3000))
+		}
+	}},
+	{"leader stopped", func(w *World) {
+		if p := w.expendableLeader(); p != nil {
+			w.logf("stop %s", p.name)
+			w.stopProcess(p)
+			w.schedule(3*time.Second, func() { w.Kill(p); w.Restart(p) })
+		}
+	}},
+	{"leader frozen", func(w *World) {
+		if p := w.expendableLeader(); p != nil {
+			w.Freeze(p, w.randomMilliseconds(300, 5000))
+		}
+	}},
+	{"leader's disk stalls", func(w *World) {
+		if p := w.expendableLeader(); p != nil {
+			w.StallDisk(p, w.randomMilliseconds(300, 5000))
+		}
+	}},
+	{"follower's disk stalls", func(w *World) {
+		if p := w.expendableControlDaemon(); p != nil && p != w.Leader() {
+			w.StallDisk(p, w.randomMilliseconds(300, 5000))
+		}
+	}},
+	{"a majority's disks stall", func(w *World) {
+		if w.expendableControlDaemon() == nil {
+			return
+		}
+		for _, p := range w.daemons(wire.ControlDaemon)[1:] {
+			w.StallDisk(p, w.randomMilliseconds(300, 3000))
+		}
+	}},
+	{"core split", (*World).splitControlPlane},
+	{"leader isolated", func(w *World) {
+		if p := w.Leader(); p != nil {
+			w.isolate([]string{p.name}, w.randomMilliseconds(500, 5000), true, w.random.IntN(2) == 0)
+		}
+	}},
+	{"leader cut off from targets", (*World).cutLeaderOffFromTargets},
+	{"core cut off from proxies", (*World).cutControlPlaneOffFromProxies},
+	{"core connections reset", func(w *World) {
+		for range 3 {
+			w.schedule(w.randomMilliseconds(0, 1000), func() {
+				w.logf("reset the connections of all core members")
+				for _, p := range w.daemons(wire.ControlDaemon) {
+					w.resetDaemonConnections(p)
+				}
+			})
+		}
+	}},
+	{"core machine slow", func(w *World) {
+		if p := w.pickProcess(wire.ControlDaemon, true); p != nil {
+			w.slowProcess(p, slowMachine, w.randomMilliseconds(2000, 10000))
+		}
+	}},
+	{"leader's machine slow", func(w *World) {
+		if p := w.Leader(); p != nil {
+			w.slowProcess(p, slowMachine, w.randomMilliseconds(2000, 10000))
+		}
+	}},
+	{"core disk slow", func(w *World) {
+		if p := w.pickProcess(wire.ControlDaemon, true); p != nil {
+			w.slowDisk(p, slowDiskTimes, w.randomMilliseconds(2000, 10000))
+		}
+	}},
+	{"leader's disk slow", func(w *World) {
+		if p := w.Leader(); p != nil {
+			w.slowDisk(p, slowDiskTimes, w.randomMilliseconds(2000, 10000))
+		}
+	}},
+	{"core disk full", func(w *World) {
+		if p := w.expendableControlDaemon(); p != nil {
+			w.fillDisk(p, w.randomMilliseconds(1000, 6000))
+		}
+	}},
+	{"core frozen by twos and threes", func(w *World) {
+		for _, p := range w.twoOrThreeControlDaemons() {
+			w.Freeze(p, w.randomMilliseconds(300, 20000))
+		}
+	}},
+	{"core hurt by twos and threes", func(w *World) {
+		for _, p := range w.twoOrThreeControlDaemons() {
+			w.schedule(w.randomMilliseconds(0, 1500), func() { w.injectRandomFault(p) })
+		}
+	}},
+	{"core machine replaced for good", func(w *World) { w.replaceRandomControlDaemon(false) }},
+	{"core machine replaced by plan", func(w *World) { w.replaceRandomControlDaemon(true) }},
+}
+
+// expendableLeader is the leader, nil if there is none or a loss leaves no sound majority.
+func (w *World) expendableLeader() *Process {
+	leader := w.Leader()
+	if leader == nil || w.expendableControlDaemon() == nil {
+		return nil
+	}
+	return leader
+}
+
+// splitControlPlane partitions the control daemons into two halves, drawn anew.
+func (w *World) splitControlPlane() {
+	names := w.daemonNames(wire.ControlDaemon)
+	w.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+	var links []link
+	for _, a := range names[:len(names)/2] {
+		for _, b := range names[len(names)/2:] {
+			links = append(links, bothDirections(a, b)...)
+		}
+	}
+	w.logf("split core %v", names[:len(names)/2])
+	w.partition(links, w.randomMilliseconds(500, 6000))
+}
+
+// cutLeaderOffFromTargets blocks the links between the leader and half of the targets.
+func (w *World) cutLeaderOffFromTargets() {
+	leader := w.Leader()
+	if leader == nil {
+		return
+	}
+	w.logf("cut %s off from targets", leader.name)
+	var links []link
+	for _, t := range w.targets.all {
+		if w.random.IntN(2) == 0 {
+			links = append(links, bothDirections(leader.name, t.name)...)
+		}
+	}
+	w.partition(links, w.randomMilliseconds(1000, 6000))
+}
+
+// cutControlPlaneOffFromProxies blocks the links between control daemons and all proxies, or some of them.
+func (w *World) cutControlPlaneOffFromProxies() {
+	some := w.random.IntN(2) == 0
+	w.logf("cut core off from proxies, some %v", some)
+	var links []link
+	for _, proxy := range w.daemonNames(wire.ProxyDaemon) {
+		if some && w.random.IntN(2) == 0 {
+			continue
+		}
+		for _, control := range w.daemonNames(wire.ControlDaemon) {
+			links = append(links, bothDirections(control, proxy)...)
+		}
+	}
+	w.partition(links, w.randomMilliseconds(1000, 6000))
+}
+
+// twoOrThreeControlDaemons draws two or three living control daemons.
+func (w *World) twoOrThreeControlDaemons() []*Process {
+	var living []*Process
+	for _, p := range w.daemons(wire.ControlDaemon) {
+		if p.alive && !p.frozen {
+			living = append(living, p)
+		}
+	}
+	w.random.Shuffle(len(living), func(i, j int) { living[i], living[j] = living[j], living[i] })
+	return living[:min(len(living), 2+w.random.IntN(2))]
+}
+
+// injectRandomFault injects one fault into a control daemon, of any kind that ends by itself.
+func (w *World) injectRandomFault(p *Process) {
+	if !p.alive {
+		return
+	}
+	span := w.randomMilliseconds(500, 8000)
+	switch w.random.IntN(7) {
+	case 0:
+		w.Freeze(p, span)
+	case 1:
+		w.StallDisk(p, span)
+	case 2:
+		w.slowDisk(p, slowDiskTimes, span)
+	case 3:
+		w.slowProcess(p, slowMachine, span)
+	case 4:
+		w.resetDaemonConnections(p)
+	case 5:
+		w.isolate([]string{p.name}, span, true, w.random.IntN(2) == 0)
+	default:
+		w.Kill(p)
+		w.restartLater(p, span/2)
+	}
+}
--- a/internal/verification/simulator/faults_network.go
+++ b/internal/verification/simulator/faults_network.go
@@ -1,5 +1,3 @@
-// This file holds the faults of domains and of the network between them.
-
 package simulator
 
 import (
@@ -13,51 +11,59 @@
 // networkFaults are the faults of domains and links, and of messages that come late.
 var networkFaults = []Fault{
 	{"domain cut off", func(w *World) {
-		dom := w.domain()
-		w.log("domain %s cut off", dom)
-		w.cutDomain(dom, w.ms(3000, 30000))
-	}},
-	{"late words", func(w *World) {
-		for range 6 {
-			t := w.targets[w.rnd.IntN(len(w.targets))]
-			if p := w.pick([]wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon}[w.rnd.IntN(2)], true); p != nil && !t.alive {
-				state := []wire.TargetState{wire.TargetReady, wire.TargetWarming}[w.rnd.IntN(2)]
-				w.at(w.ms(0, 3000), func() { w.say(p, t, state) })
-			}
-		}
+		domain := w.randomDomain()
+		w.logf("domain %s cut off", domain)
+		w.isolateDomain(domain, w.randomMilliseconds(3000, 30000))
 	}},
+	{"late words", (*World).sendLateReports},
 	{"target moves", func(w *World) {
-		if t := w.pickTarget(); t != nil && w.spare(t.service) > 1 {
+		if t := w.pickTarget(); t != nil && w.usableTargets(t.service) > 1 {
 			w.CrashTarget(t)
-			w.at(w.ms(0, 1500), func() {
-				w.log("%s/%s starts elsewhere", t.service, t.name)
-				w.AddTarget(t.service, t.name, t.domain, fmt.Sprintf("10.3.0.%d:80", len(w.targets)), w.ms(0, 1000))
+			w.schedule(w.randomMilliseconds(0, 1500), func() {
+				w.logf("%s starts elsewhere", t.fullName())
+				w.AddTarget(t.service, t.name, t.domain, fmt.Sprintf("10.3.0.%d:80", len(w.targets.all)), w.randomMilliseconds(0, 1000))
 			})
 		}
 	}},
-	{"domain loses power", func(w *World) {
-		if w.mayHurtCore() == nil {
-			return
+	{"domain loses power", (*World).cutPowerOfDomain},
+	{"net loses and delays", func(w *World) {
+		w.logf("loss and delay")
+		w.disturbNetwork(0.05, 30*time.Millisecond, 0.03)
+		w.schedule(w.randomMilliseconds(1000, 5000), w.calmNetwork)
+	}},
+}
+
+// sendLateReports has daemons receive reports of targets that have ended.
+func (w *World) sendLateReports() {
+	kinds := []wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon}
+	states := []wire.TargetState{wire.TargetReady, wire.TargetWarming}
+	for range 6 {
+		t := w.targets.all[w.random.IntN(len(w.targets.all))]
+		if p := w.pickProcess(kinds[w.random.IntN(2)], true); p != nil && !t.alive {
+			state := states[w.random.IntN(2)]
+			w.schedule(w.randomMilliseconds(0, 3000), func() { w.reportTarget(p, t, state) })
 		}
-		dom := w.domain()
-		w.log("domain %s loses power", dom)
-		d := w.ms(500, 6000)
-		for _, n := range w.names {
-			if p := w.procs[n]; p.domain == dom && p.alive {
-				w.Kill(p)
-				w.at(d, func() { w.Restart(p) })
-			}
+	}
+}
+
+// cutPowerOfDomain ends all processes and targets of a domain, and starts them again later.
+func (w *World) cutPowerOfDomain() {
+	if w.expendableControlDaemon() == nil {
+		return
+	}
+	domain := w.randomDomain()
+	w.logf("domain %s loses power", domain)
+	span := w.randomMilliseconds(500, 6000)
+	for _, p := range w.fleet() {
+		if p.domain == domain && p.alive {
+			w.Kill(p)
+			w.restartLater(p, span)
 		}
-		for _, t := range slices.Clone(w.targets) {
-			if t.alive && t.domain == dom {
-				w.CrashTarget(t)
-				w.replace(t, d+w.ms(0, 500), w.ms(0, 1000))
-			}
+	}
+	for _, t := range slices.Clone(w.targets.all) {
+		if t.alive && t.domain == domain {
+			w.CrashTarget(t)
+			w.restartTarget(t, span+w.randomMilliseconds(0, 500), w.randomMilliseconds(0, 1000))
 		}
-	}},
-	{"net loses and delays", func(w *World) {
-		w.log("loss and delay")
-		w.loss, w.delay, w.late = 0.05, 30*time.Millisecond, 0.03
-		w.at(w.ms(1000, 5000), func() { w.loss, w.delay, w.late = 0, time.Millisecond, 0 })
-	}},
+	}
 }
--- a/internal/verification/simulator/faults_proxy.go
+++ b/internal/verification/simulator/faults_proxy.go
@@ -1,93 +1,58 @@
-// This file holds the faults of proxies.
-
 package simulator
 
 import (
 	"fmt"
-	"maps"
-	"myrtlefold/internal/shared/statemachine"
-	"myrtlefold/internal/shared/wire"
-	"slices"
 	"time"
+
+	"myrtlefold/internal/shared/wire"
 )
 
-// proxyFaults are the faults of proxies: kills, freezes, cuts and planned stops.
+// proxyFaults are the faults of proxies: kills, freezes, partitions and graceful stops.
 var proxyFaults = []Fault{
 	{"gate killed", func(w *World) {
-		if p := w.pick(wire.ProxyDaemon, true); p != nil {
-			w.Kill(p)
-			w.at(w.ms(200, 6000), func() { w.Restart(p) })
+		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
+			w.killAndRestart(p, 200, 6000)
 		}
 	}},
 	{"gate herd killed", func(w *World) {
-		d := w.ms(200, 3000)
-		for _, n := range w.all(wire.ProxyDaemon) {
-			if p := w.procs[n]; p.alive && w.rnd.IntN(3) > 0 {
+		span := w.randomMilliseconds(200, 3000)
+		for _, p := range w.daemons(wire.ProxyDaemon) {
+			if p.alive && w.random.IntN(3) > 0 {
 				w.Kill(p)
-				w.at(d, func() { w.Restart(p) })
-			}
-		}
-	}},
-	{"gate added, another gone for good", func(w *World) {
-		if len(w.all(wire.ProxyDaemon)) > w.Plan.Proxies+2 {
-			return
-		}
-		w.log("a proxy is added")
-		w.addProc(wire.ProxyDaemon, fmt.Sprintf("g%d", 10+len(w.names)), w.rnd.IntN(w.Plan.Domains))
-		w.start(w.procs[w.names[len(w.names)-1]])
-		p := w.pick(wire.ProxyDaemon, false)
-		if p == nil {
-			p = w.pick(wire.ProxyDaemon, true)
-		}
-		w.Kill(p)
-		forget := func() {
-			if l := w.Leader(); l != nil && !p.alive {
-				w.call(l, "POST", "/v1/gates/"+p.name+"/forget", "", nil, "", func(statemachine.Reply) {})
+				w.restartLater(p, span)
 			}
 		}
-		w.at(3*time.Second, forget)
 	}},
+	{"gate added, another gone for good", (*World).replaceProxy},
 	{"gate frozen", func(w *World) {
-		if p := w.pick(wire.ProxyDaemon, true); p != nil {
-			w.Freeze(p, w.ms(300, 5000))
-		}
-	}},
-	{"gate frozen with work in hand", func(w *World) {
-		p := w.pick(wire.ProxyDaemon, true)
-		if p == nil || p.frozen {
-			return
-		}
-		for i := range 4 * len(w.Plan.Services) { // chosen, and not yet written
-			w.requestAt(p, slices.Sorted(maps.Keys(w.Plan.Services))[i%len(w.Plan.Services)], i%2 == 0, 9)
-		}
-		w.Freeze(p, w.ms(300, 8000))
-		if t := w.pickTarget(); t != nil && w.spare(t.service) > 2 {
-			w.DrainTarget(t, func() { w.replace(t, w.ms(100, 3000), 0) })
+		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
+			w.Freeze(p, w.randomMilliseconds(300, 5000))
 		}
 	}},
+	{"gate frozen with work in hand", (*World).freezeBusyProxy},
 	{"gate isolated", func(w *World) {
-		if p := w.pick(wire.ProxyDaemon, true); p != nil {
-			w.isolate([]string{p.name}, w.ms(500, 6000), true, true)
+		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
+			w.isolate([]string{p.name}, w.randomMilliseconds(500, 6000), true, true)
 		}
 	}},
 	{"gate cut one way", func(w *World) {
-		if p := w.pick(wire.ProxyDaemon, true); p != nil {
-			out := w.rnd.IntN(2) == 0
-			w.isolate([]string{p.name}, w.ms(500, 6000), out, !out)
+		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
+			outbound := w.random.IntN(2) == 0
+			w.isolate([]string{p.name}, w.randomMilliseconds(500, 6000), outbound, !outbound)
 		}
 	}},
 	{"gate restarted", func(w *World) {
-		if p := w.pick(wire.ProxyDaemon, true); p != nil {
-			w.log("stop %s", p.name)
-			w.bounce(p, 7*time.Second)
+		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
+			w.logf("stop %s", p.name)
+			w.restartGracefully(p, 7*time.Second)
 		}
 	}},
 	{"connections reset", func(w *World) {
-		for range 1 + w.rnd.IntN(3) {
-			w.at(w.ms(0, 3000), func() {
-				for _, n := range w.all(wire.ProxyDaemon) {
-					if p := w.procs[n]; p.alive && !p.frozen {
-						w.resetConnections(p, []float64{0.5, 1}[w.rnd.IntN(2)])
+		for range 1 + w.random.IntN(3) {
+			w.schedule(w.randomMilliseconds(0, 3000), func() {
+				for _, p := range w.daemons(wire.ProxyDaemon) {
+					if p.alive && !p.frozen {
+						w.resetConnections(p, []float64{0.5, 1}[w.random.IntN(2)])
 					}
 				}
 			})
@@ -95,16 +60,52 @@
 	}},
 	{"callers leave", func(w *World) {
 		for i := range 10 {
-			w.at(time.Duration(i)*200*time.Millisecond, func() {
-				for _, n := range w.all(wire.ProxyDaemon) {
-					w.callersLeave(w.procs[n], 0.3, &w.Stats.Canceled)
+			w.schedule(time.Duration(i)*200*time.Millisecond, func() {
+				for _, p := range w.daemons(wire.ProxyDaemon) {
+					w.cancelRequests(p, 0.3, &w.Stats.Canceled)
 				}
 			})
 		}
 	}},
 	{"gate slow", func(w *World) {
-		if p := w.pick(wire.ProxyDaemon, true); p != nil {
-			w.slowDown(p, 5, w.ms(2000, 10000))
+		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
+			w.slowProcess(p, slowMachine, w.randomMilliseconds(2000, 10000))
 		}
 	}},
 }
+
+// replaceProxy adds a proxy, ends another for good and has an operator forget it.
+func (w *World) replaceProxy() {
+	if len(w.daemonNames(wire.ProxyDaemon)) > w.Plan.Proxies+2 {
+		return
+	}
+	w.logf("a proxy is added")
+	w.addAndStart(wire.ProxyDaemon, fmt.Sprintf("g%d", 10+len(w.processes.names)), w.random.IntN(w.Plan.Domains))
+	old := w.pickProcess(wire.ProxyDaemon, false)
+	if old == nil {
+		old = w.pickProcess(wire.ProxyDaemon, true)
+	}
+	w.Kill(old)
+	w.schedule(3*time.Second, func() {
+		if leader := w.Leader(); leader != nil && !old.alive {
+			w.call(leader, "POST", "/v1/gates/"+old.name+"/forget", "", nil, "", w.ignoreReply)
+		}
+	})
+}
+
+// freezeBusyProxy freezes a proxy with requests whose targets are chosen and that are not yet written, while a
+// target is drained.
+func (w *World) freezeBusyProxy() {
+	p := w.pickProcess(wire.ProxyDaemon, true)
+	if p == nil || p.frozen {
+		return
+	}
+	services := w.services()
+	for i := range 4 * len(services) {
+		w.sendRequestTo(p, services[i%len(services)], i%2 == 0, maxResubmissions)
+	}
+	w.Freeze(p, w.randomMilliseconds(300, 8000))
+	if t := w.pickTarget(); t != nil && w.usableTargets(t.service) > 2 {
+		w.DrainTarget(t, func() { w.restartTarget(t, w.randomMilliseconds(100, 3000), 0) })
+	}
+}
--- a/internal/verification/simulator/fleet_test.go
+++ b/internal/verification/simulator/fleet_test.go
@@ -14,51 +14,6 @@
 
 // Here the core's size is not given: seeds found it, and the leader grows and mends it.
 
-func open(cores, seeds int) Plan {
-	p := Small
-	p.ControlDaemons, p.Seeds, p.Rate = cores, seeds, 20
-	return p
-}
-
-// until runs the world until ok, at most d.
-func (w *World) until(d time.Duration, ok func() bool) bool {
-	end := w.now + d
-	for !ok() && w.now < end && w.Failure == "" {
-		w.Run(w.now + 50*time.Millisecond)
-	}
-	return ok()
-}
-
-func (w *World) memberNames() (l []string) {
-	if w.Leader() == nil {
-		return nil
-	}
-	for _, m := range w.Leader().core.Status(0).Members {
-		l = append(l, m.Name)
-	}
-	return l
-}
-
-// sane wants a core that any one machine and any one domain may leave.
-func (w *World) sane(t *testing.T, n int) {
-	t.Helper()
-	ms, per := w.memberNames(), map[string]int{}
-	for _, m := range ms {
-		per[w.procs[m].domain]++
-		if !w.procs[m].alive {
-			t.Errorf("seed %d: %s is a member and dead", w.Seed, m)
-		}
-	}
-	if len(ms) != n {
-		t.Fatalf("seed %d: members %v, wanted %d\n%s", w.Seed, ms, n, w.Trace(40))
-	}
-	for d, k := range per {
-		if n >= 3 && 2*k >= n {
-			t.Errorf("seed %d: %d of %d members are in %s: %v", w.Seed, k, n, d, ms)
-		}
-	}
-}
-
 // Whatever the number of seeds and daemons, one core is founded and grows to what
 // outlives a machine and a domain; a seed may be restarted in between, and is then not
 // told any more that this is the first start.
@@ -68,29 +23,29 @@
 		for seed := range uint64(12) {
 			t.Run(fmt.Sprintf("%d of %d", c.seeds, c.cores), func(t *testing.T) {
 				t.Parallel()
-				w := New(seed, open(c.cores, c.seeds))
+				w := New(seed, bootstrapPlan(c.cores, c.seeds))
 				if seed%3 > 0 { // its disk keeps what it was told
-					w.at(w.ms(100, 2500), func() {
-						p := w.procs[w.names[w.rnd.IntN(c.seeds)]]
+					w.schedule(w.randomMilliseconds(100, 2500), func() {
+						p := w.process(w.processes.names[w.random.IntN(c.seeds)])
 						w.Kill(p)
 						if seed%3 == 2 && c.seeds == 3 {
 							w.WipeDisk(p)
 						}
-						w.at(w.ms(50, 1200), func() { w.Restart(p) })
+						w.schedule(w.randomMilliseconds(50, 1200), func() { w.Restart(p) })
 					})
 				}
-				w.until(25*time.Second, func() bool { return len(w.memberNames()) == c.want })
+				w.runUntil(25*time.Second, w.hasMembers(c.want))
 				w.Run(w.now + 4*time.Second)
-				check(t, w)
-				w.sane(t, c.want)
-				if e := w.Leader().core.Status(0).Epoch; e != 1 && seed%3 == 0 {
+				requireNoFailure(t, w)
+				w.checkMembership(t, c.want)
+				if e := w.Leader().controller.Status(0).Epoch; e != 1 && seed%3 == 0 {
 					t.Errorf("epoch %d", e)
 				}
 				w.PutConfig(w.Leader(), 0, 1)
 				w.AwaitRecovery(10 * time.Second)
-				check(t, w)
-				for _, n := range w.all(wire.ControlDaemon) { // a spare passes calls on too
-					if !w.procs[n].core.Ready() {
+				requireNoFailure(t, w)
+				for _, n := range w.daemonNames(wire.ControlDaemon) { // a spare passes calls on too
+					if !w.process(n).controller.Ready() {
 						t.Errorf("%s is not ready", n)
 					}
 				}
@@ -102,15 +57,15 @@
 // A daemon that is no seed, or that is not told of a first start, founds nothing.
 func TestNobodyFoundsFromNothing(t *testing.T) {
 	t.Parallel()
-	w := New(1, open(5, 3))
-	for _, n := range w.names[:3] {
-		p := w.procs[n]
-		w.at(1001*time.Millisecond, func() { w.Kill(p); w.WipeDisk(p) })
-		w.at(1100*time.Millisecond, func() { w.Restart(p) })
+	w := New(1, bootstrapPlan(5, 3))
+	for _, n := range w.processes.names[:3] {
+		p := w.process(n)
+		w.schedule(1001*time.Millisecond, func() { w.Kill(p); w.WipeDisk(p) })
+		w.schedule(1100*time.Millisecond, func() { w.Restart(p) })
 	}
 	w.Run(1001 * time.Millisecond)
 	w.Run(60 * time.Second)
-	check(t, w)
+	requireNoFailure(t, w)
 	if w.Leader() != nil {
 		t.Fatalf("%s leads\n%s", w.Leader().name, w.Trace(20))
 	}
@@ -124,50 +79,50 @@
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			cores := []int{3, 5, 7, 9}[seed%4]
-			w := Start(seed, open(cores, 3))
-			w.until(10*time.Second, func() bool { return len(w.memberNames()) == min(cores, 7) })
+			w := Start(seed, bootstrapPlan(cores, 3))
+			w.runUntil(10*time.Second, w.hasMembers(min(cores, 7)))
 			for round := range 8 {
 				ms := w.memberNames()
 				if len(ms) == 0 {
 					t.Fatalf("no leader in round %d\n%s", round, w.Trace(40))
 				}
-				old := w.procs[ms[w.rnd.IntN(len(ms))]]
+				old := w.process(ms[w.random.IntN(len(ms))])
 				if round%3 == 2 {
 					old = w.Leader()
 				}
 				w.Kill(old)
-				w.names = slices.DeleteFunc(w.names, func(n string) bool { return n == old.name })
-				w.at(w.ms(0, 6000), func() {
+				w.forgetMachine(old)
+				w.schedule(w.randomMilliseconds(0, 6000), func() {
 					name := fmt.Sprintf("n%d", round)
-					w.addProc(wire.ControlDaemon, name, int(old.domain[1]-'1'))
-					w.seeds = []string{ms[0], ms[len(ms)-1], name}
-					w.start(w.procs[name])
+					w.addProcess(wire.ControlDaemon, name, int(old.domain[1]-'1'))
+					w.processes.seeds = []string{ms[0], ms[len(ms)-1], name}
+					w.startProcess(w.process(name))
 				})
 				if cores > 3 {
-					w.at(w.ms(7000, 12000), func() {
+					w.schedule(w.randomMilliseconds(7000, 12000), func() {
 						if l := w.Leader(); l != nil {
 							w.Kill(l)
-							w.at(w.ms(500, 3000), func() { w.Restart(l) })
+							w.schedule(w.randomMilliseconds(500, 3000), func() { w.Restart(l) })
 						}
 					})
 				}
 				w.Run(w.now + 16*time.Second)
-				w.until(25*time.Second, func() bool {
+				w.runUntil(25*time.Second, func() bool {
 					l := w.memberNames()
 					return len(l) == min(cores, 7) && !slices.Contains(l, old.name)
 				})
-				check(t, w)
-				w.sane(t, min(cores, 7))
+				requireNoFailure(t, w)
+				w.checkMembership(t, min(cores, 7))
 				w.PutConfig(w.Leader(), w.Revision(), round+5)
 				w.Run(w.now + 3*time.Second)
 			}
 			w.AwaitRecovery(15 * time.Second)
 			w.Finish()
-			check(t, w)
-			if r := w.Leader().core.Revision(); r < 8 {
+			requireNoFailure(t, w)
+			if r := w.Leader().controller.Revision(); r < 8 {
 				t.Errorf("revision %d", r)
 			}
-			if e := w.Leader().core.Status(0).Epoch; e != 1 {
+			if e := w.Leader().controller.Status(0).Epoch; e != 1 {
 				t.Errorf("epoch %d", e)
 			}
 		})
@@ -183,16 +138,16 @@
 		polite bool
 		cores  int
 	}{{true, 6}, {true, 5}, {false, 6}, {false, 5}} {
-		w := Start(4, open(c.cores, 3))
-		w.until(10*time.Second, func() bool { return len(w.memberNames()) == 5 })
+		w := Start(4, bootstrapPlan(c.cores, 3))
+		w.runUntil(10*time.Second, w.hasMembers(5))
 		ms := w.memberNames()
-		p := w.procs[ms[0]]
+		p := w.process(ms[0])
 		if p == w.Leader() {
-			p = w.procs[ms[1]]
+			p = w.process(ms[1])
 		}
 		if c.polite {
-			w.stop(p)
-			w.until(tuning.HandoverWait, func() bool { return !p.alive })
+			w.stopProcess(p)
+			w.runUntil(tuning.HandoverWait, func() bool { return !p.alive })
 		} else {
 			w.Kill(p)
 			w.Run(w.now + tuning.CatchUpDefault/tuning.ReplaceParts + time.Second)
@@ -204,13 +159,13 @@
 			t.Errorf("%+v: %v without %s\n%s", c, w.memberNames(), p.name, w.Trace(20))
 		}
 		w.Run(w.now + 30*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 		if keeps := slices.Contains(w.memberNames(), p.name); keeps != (c.cores == 5) {
 			t.Errorf("%+v: later %v without %s\n%s", c, w.memberNames(), p.name, w.Trace(20))
 		}
 		w.Restart(p)
 		w.Run(w.now + 5*time.Second)
-		w.sane(t, 5)
+		w.checkMembership(t, 5)
 	}
 }
 
@@ -219,27 +174,27 @@
 func TestDomainLost(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := Start(seed, open([]int{3, 5, 7, 11}[seed%4], 3))
+		w := Start(seed, bootstrapPlan([]int{3, 5, 7, 11}[seed%4], 3))
 		w.Run(w.now + 5*time.Second)
 		n := len(w.memberNames())
-		for _, name := range w.all(wire.ControlDaemon) {
-			if p := w.procs[name]; p.domain == "d1" {
+		for _, p := range w.daemons(wire.ControlDaemon) {
+			if p.domain == "d1" {
 				w.Kill(p)
 			}
 		}
-		w.until(4*time.Second, func() bool { return w.Leader() != nil })
+		w.runUntil(4*time.Second, w.hasLeader)
 		if w.Leader() == nil {
 			t.Fatalf("seed %d: no leader\n%s", seed, w.Trace(30))
 		}
 		w.Run(w.now + 90*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 		t.Log(n, w.memberNames())
-		for _, name := range w.all(wire.ControlDaemon) {
-			w.Restart(w.procs[name])
+		for _, p := range w.daemons(wire.ControlDaemon) {
+			w.Restart(p)
 		}
 		w.Run(w.now + 20*time.Second)
-		check(t, w)
-		w.sane(t, n)
+		requireNoFailure(t, w)
+		w.checkMembership(t, n)
 	}
 }
 
@@ -247,17 +202,17 @@
 // three is enough, and a third may go.
 func TestShrinkWithoutReplacement(t *testing.T) {
 	t.Parallel()
-	w := Start(3, open(5, 3))
-	w.until(10*time.Second, func() bool { return len(w.memberNames()) == 5 })
+	w := Start(3, bootstrapPlan(5, 3))
+	w.runUntil(10*time.Second, w.hasMembers(5))
 	for range 3 {
 		for _, n := range w.memberNames() {
-			if p := w.procs[n]; p != w.Leader() && p.alive {
+			if p := w.process(n); p != w.Leader() && p.alive {
 				w.Kill(p)
 				break
 			}
 		}
 		w.Run(w.now + 75*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 		if w.Leader() == nil {
 			t.Fatalf("no leader\n%s", w.Trace(30))
 		}
@@ -275,7 +230,7 @@
 			if seed%2 == 1 {
 				p.CatchUp = testCatchUp
 			}
-			check(t, Day(seed, p, nil, 12, 25*time.Second))
+			requireNoFailure(t, Day(seed, p, nil, 12, 25*time.Second))
 		})
 	}
 }
@@ -284,18 +239,18 @@
 func TestManyProxiesComeUp(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		p := open(7, 3)
+		p := bootstrapPlan(7, 3)
 		p.Proxies, p.Rate = 40, 60
 		w := New(seed, p)
-		if !w.until(10*time.Second, func() bool { return w.Leader() != nil }) {
+		if !w.runUntil(10*time.Second, w.hasLeader) {
 			t.Fatalf("no leader\n%s", w.Trace(20))
 		}
 		at := w.now
 		w.PutConfig(w.Leader(), 0, 1)
 		if !w.AwaitServing(4 * time.Second) {
-			t.Fatalf("not serving after %v: %s", w.now-at, w.why())
+			t.Fatalf("not serving after %v: %s", w.now-at, w.describeDaemons())
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -309,44 +264,43 @@
 		p.Rate, p.Proxies = 300, 5
 		w := Start(seed, p)
 		w.Run(w.now + time.Second)
-		var ks [][2]string
+		var ks []link
 		for _, g := range []string{"g1", "g2", "g3"} {
-			for _, o := range w.names {
+			for _, o := range w.processes.names {
 				if o != "g1" && o != "g2" && o != "g3" {
-					ks = append(ks, both(g, o)...)
+					ks = append(ks, bothDirections(g, o)...)
 				}
 			}
 		}
-		w.cutFor(ks, 12*time.Second)
+		w.partition(ks, 12*time.Second)
 		for i := range 8 {
 			name := fmt.Sprintf("g%d", 60+i)
-			w.addProc(wire.ProxyDaemon, name, i%3)
-			w.start(w.procs[name])
+			w.addAndStart(wire.ProxyDaemon, name, i%3)
 			for _, g := range []string{"g1", "g2", "g3"} {
-				w.cutFor(both(g, name), 12*time.Second)
+				w.partition(bothDirections(g, name), 12*time.Second)
 			}
 		}
-		w.Run(w.now + w.ms(500, 2500))
+		w.Run(w.now + w.randomMilliseconds(500, 2500))
 		if seed%2 == 1 {
 			w.Kill(w.Leader())
-			w.at(2*time.Second, func() {
-				for _, n := range w.all(wire.ControlDaemon) {
-					w.Restart(w.procs[n])
+			w.schedule(2*time.Second, func() {
+				for _, p := range w.daemons(wire.ControlDaemon) {
+					w.Restart(p)
 				}
 			})
-			w.until(5*time.Second, func() bool { return w.Leader() != nil })
+			w.runUntil(5*time.Second, w.hasLeader)
 		}
-		w.SendChange(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, &change{what: "empty d1", empty: "d1"})
+		w.SendChange(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, emptyChange("d1"))
 		w.PutConfig(w.Leader(), 1, 2)
 		w.Run(w.now + 9*time.Second)
-		check(t, w)
-		if w.acked == 2 {
+		requireNoFailure(t, w)
+		if w.checks.acknowledged == 2 {
 			t.Fatalf("seed %d: acknowledged without the old majority", seed)
 		}
 		w.Run(w.now + 3*time.Second)
 		w.Heal()
 		w.AwaitRecovery(15 * time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -356,19 +310,18 @@
 	f := func(name string) Fault { x, _ := FaultByName(name); return x }
 	kinds := []Fault{f("gate herd killed"), f("gate isolated"), f("domain cut off"), f("leader killed"), f("config"), f("core cut off from proxies"),
 		{"spares come", func(w *World) {
-			if len(w.all(wire.ProxyDaemon)) > w.Plan.Proxies+8 {
+			if len(w.daemonNames(wire.ProxyDaemon)) > w.Plan.Proxies+8 {
 				return
 			}
 			for range 4 {
-				name := fmt.Sprintf("g%d", 100+len(w.names))
-				w.addProc(wire.ProxyDaemon, name, w.rnd.IntN(w.Plan.Domains))
-				w.start(w.procs[name])
+				name := fmt.Sprintf("g%d", 100+len(w.processes.names))
+				w.addAndStart(wire.ProxyDaemon, name, w.random.IntN(w.Plan.Domains))
 			}
 		}}}
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			check(t, Day(seed, Small, kinds, 14, 25*time.Second))
+			requireNoFailure(t, Day(seed, Small, kinds, 14, 25*time.Second))
 		})
 	}
 }
--- a/internal/verification/simulator/found_test.go
+++ b/internal/verification/simulator/found_test.go
@@ -10,40 +10,40 @@
 
 // What becomes of one core machine in a total loss.
 const (
-	whole  = 'w' // its disk survives
-	lost   = 'l' // it comes back with an empty disk
-	gone   = 'g' // it never comes back; its disk is lost with it
-	cutOff = 'c' // it runs on with its disk, reached by nobody, and is back later
+	diskKept        = 'w' // its disk survives
+	diskLost        = 'l' // it comes back with an empty disk
+	machineGone     = 'g' // it never comes back; its disk is lost with it
+	machineIsolated = 'c' // it runs on with its disk, reached by nobody, and is back later
 )
 
 // strike lets fates befall the core machines at once; the proxies live on, or
 // forget too.
-func (w *World) strike(fates string, forget bool) {
-	w.log("fates %s, proxies forget %v", fates, forget)
+func (w *World) loseMachinesByFate(fates string, forget bool) {
+	w.logf("fates %s, proxies forget %v", fates, forget)
 	var cut []string
 	for i, f := range fates {
-		p := w.procs[w.all(wire.ControlDaemon)[i]]
+		p := w.daemons(wire.ControlDaemon)[i]
 		switch f {
-		case cutOff:
+		case machineIsolated:
 			cut = append(cut, p.name)
 			continue
-		case lost, gone:
+		case diskLost, machineGone:
 			w.Kill(p)
 			w.WipeDisk(p)
 		default:
 			w.Kill(p)
 		}
-		if f != gone {
-			w.at(w.ms(200, 2000), func() { w.Restart(p) })
+		if f != machineGone {
+			w.schedule(w.randomMilliseconds(200, 2000), func() { w.Restart(p) })
 		}
 	}
 	if len(cut) > 0 { // alone or together
 		w.isolate(cut, time.Hour, true, true)
 	}
-	for _, n := range w.all(wire.ProxyDaemon) {
-		if p := w.procs[n]; forget {
+	for _, p := range w.daemons(wire.ProxyDaemon) {
+		if forget {
 			w.Kill(p)
-			w.at(w.ms(200, 2000), func() { w.Restart(p) })
+			w.schedule(w.randomMilliseconds(200, 2000), func() { w.Restart(p) })
 		}
 	}
 }
@@ -56,21 +56,21 @@
 		p := Small
 		p.Rate = 20
 		w := Start(seed, p)
-		w.strike("wlc", seed%2 == 0)
+		w.loseMachinesByFate("wlc", seed%2 == 0)
 		w.Run(w.now + 8*time.Second)
 		if w.Leader() != nil {
 			t.Fatal("leads")
 		}
-		r, _ := w.inquire(t, w.procs["c1"], "POST", "/v1/core/refound", "", "", "")
+		r, _ := w.callAndWait(t, w.process("c1"), "POST", "/v1/core/refound", "", "", "")
 		if r.Status != 202 {
 			t.Fatalf("%s", r.Body)
 		}
 		w.Run(w.now + time.Duration(seed)*25*time.Millisecond)
-		clear(w.cut)
+		clear(w.network.blocked)
 		w.AwaitRecovery(15 * time.Second)
 		w.Run(w.now + 3*time.Second)
-		check(t, w)
-		if l := w.Leader(); l == nil || l.core.Revision() < w.acked {
+		requireNoFailure(t, w)
+		if l := w.Leader(); l == nil || l.controller.Revision() < w.checks.acknowledged {
 			t.Fatalf("seed %d: forgotten or no leader", seed)
 		}
 	}
@@ -115,11 +115,11 @@
 				elects := 2*count("w") > n
 				founds := 2*there > n && 2*(n-count("l")) <= n
 				vouched := 2*there > n-count("g") && !elects
-				w.strike(fates, forget)
+				w.loseMachinesByFate(fates, forget)
 				w.Run(w.now + 15*time.Second)
-				check(t, w)
+				requireNoFailure(t, w)
 				leader := func() *Process {
-					if l := w.Leader(); l != nil && !w.cut[[2]string{l.name, "g1"}] {
+					if l := w.Leader(); l != nil && !w.network.blocked[link{l.name, "g1"}] {
 						return l
 					}
 					return nil // nobody, or among the cut off only
@@ -132,44 +132,44 @@
 					var gone []string
 					for i, f := range fates {
 						if f == 'g' {
-							gone = append(gone, w.all(wire.ControlDaemon)[i])
+							gone = append(gone, w.daemonNames(wire.ControlDaemon)[i])
 						}
 					}
-					at := w.procs[w.all(wire.ControlDaemon)[strings.IndexAny(fates, "wl")]]
-					r, _ := w.inquire(t, at, "POST", "/v1/core/refound", "gone="+strings.Join(gone, ","), "", "")
+					at := w.daemons(wire.ControlDaemon)[strings.IndexAny(fates, "wl")]
+					r, _ := w.callAndWait(t, at, "POST", "/v1/core/refound", "gone="+strings.Join(gone, ","), "", "")
 					w.Run(w.now + 10*time.Second)
-					check(t, w)
+					requireNoFailure(t, w)
 					if l = leader(); (r.Status == 202) != vouched || (l != nil) != vouched {
 						t.Fatalf("vouched for: %d %s, leads %v, wanted %v\n%s", r.Status, r.Body, l != nil, vouched, w.Trace(40))
 					}
 				}
 				if l != nil {
-					if r := l.core.Revision(); r != 2 && (count("w") > 0 || !forget) {
+					if r := l.controller.Revision(); r != 2 && (count("w") > 0 || !forget) {
 						t.Errorf("revision %d\n%s", r, w.Trace(40))
 					}
-					if r, _ := w.inquire(t, l, "POST", "/v1/core/refound", "", "", ""); r.Status != 409 {
+					if r, _ := w.callAndWait(t, l, "POST", "/v1/core/refound", "", "", ""); r.Status != 409 {
 						t.Errorf("a living core is founded anew: %d", r.Status)
 					}
 				}
-				if l != nil && l.core.Revision() == 0 {
-					w.acked, w.changes = 0, nil // all that knew is lost
-					clear(w.ackedAt)
+				if l != nil && l.controller.Revision() == 0 {
+					w.checks.acknowledged, w.operators.changes = 0, nil // all that knew is lost
+					clear(w.checks.acknowledgedAt)
 					w.PutConfig(l, 0, 3)
 				}
-				clear(w.cut)
+				clear(w.network.blocked)
 				w.Run(w.now + 8*time.Second)
-				check(t, w)
+				requireNoFailure(t, w)
 				leads := elects || vouched || 2*(count("w")+cut) > n || 2*(there+cut) > n && 2*(n-count("l")) <= n
 				if l := w.Leader(); leads != (l != nil) {
 					t.Fatalf("after healing: leader %v\n%s", l != nil, w.Trace(40))
 				} else if l != nil {
-					epoch := l.core.Status(0).Epoch
+					epoch := l.controller.Status(0).Epoch
 					for i, f := range fates {
-						if s := w.procs[w.all(wire.ControlDaemon)[i]].core.Status(0); f != gone && (s.Epoch != epoch || s.Leader == "") {
+						if s := w.daemons(wire.ControlDaemon)[i].controller.Status(0); f != machineGone && (s.Epoch != epoch || s.Leader == "") {
 							t.Errorf("c%d: epoch %d, leader %q, the leader's epoch %d\n%s", i+1, s.Epoch, s.Leader, epoch, w.Trace(30))
 						}
 					}
-					if w.acked >= 2 && l.core.Revision() < 2 {
+					if w.checks.acknowledged >= 2 && l.controller.Revision() < 2 {
 						t.Errorf("forgotten")
 					}
 				}
--- a/internal/verification/simulator/grown_test.go
+++ b/internal/verification/simulator/grown_test.go
@@ -1,71 +1,57 @@
 package simulator
 
 import (
-	"encoding/json"
 	"fmt"
-	"maps"
-	"slices"
 	"testing"
 	"time"
 
-	"myrtlefold/internal/dataplane"
-	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/wire"
 )
 
-// grown is a fleet of many proxies on little: a sixth of a processor and a thin link each.
-func grown() Plan {
+// largeFleet is a fleet of many proxies on little: a sixth of a processor and a thin link each.
+func largeFleet() Plan {
 	p := Small
 	p.Proxies, p.Services, p.Rate = 69, map[string]int{"fares": 243, "pay": 51}, 20
 	p.Resources = &LimitedResources{ControlShare: 0.48, ProxyShare: 0.16, ProxyLink: 250e3}
 	return p
 }
 
-func granted(w *World) (n int) {
-	for _, g := range w.all(wire.ProxyDaemon) {
-		if p := w.procs[g]; p.alive && p.gate.State() == dataplane.Leased {
-			n++
-		}
-	}
-	return n
-}
-
 // Where processors and links are scarce a large fleet still comes to its feet, takes changes,
 // and comes back after its leader has gone and after all of its proxies have.
 func TestLargeFleetOnLittle(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		w := Start(seed, grown())
+		w := Start(seed, largeFleet())
 		w.Run(w.now + 4*time.Second)
-		if n := granted(w); n < 69 {
+		if n := leasedProxies(w); n < 69 {
 			t.Fatalf("seed %d: %d of 69 proxies are granted at %v\n%s", seed, n, w.now, w.Trace(40))
 		}
 		for range 2 {
-			from := w.acked
+			from := w.checks.acknowledged
 			w.PutConfig(w.Leader(), w.Revision(), 3)
-			if w.Run(w.now + 2*time.Second); w.acked == from {
+			if w.Run(w.now + 2*time.Second); w.checks.acknowledged == from {
 				t.Errorf("seed %d: a change was not in force after 2 s", seed)
 			}
 			w.Kill(w.Leader())
-			if w.Run(w.now + 6*time.Second); granted(w) < 69 {
-				t.Errorf("seed %d: %d of 69 proxies are granted 6 s after the leader died\n%s", seed, granted(w), w.Trace(40))
+			if w.Run(w.now + 6*time.Second); leasedProxies(w) < 69 {
+				t.Errorf("seed %d: %d of 69 proxies are granted 6 s after the leader died\n%s", seed, leasedProxies(w), w.Trace(40))
 			}
-			for _, c := range w.all(wire.ControlDaemon) {
-				w.Restart(w.procs[c])
+			for _, p := range w.daemons(wire.ControlDaemon) {
+				w.Restart(p)
 			}
 			w.Run(w.now + 3*time.Second)
 		}
-		for _, g := range w.all(wire.ProxyDaemon) {
-			w.Kill(w.procs[g])
+		for _, p := range w.daemons(wire.ProxyDaemon) {
+			w.Kill(p)
 		}
 		w.Run(w.now + time.Second)
-		for _, g := range w.all(wire.ProxyDaemon) {
-			w.Restart(w.procs[g])
+		for _, p := range w.daemons(wire.ProxyDaemon) {
+			w.Restart(p)
 		}
-		if w.Run(w.now + 4*time.Second); granted(w) < 69 {
-			t.Errorf("seed %d: %d of 69 proxies are granted 4 s after all were restarted", seed, granted(w))
+		if w.Run(w.now + 4*time.Second); leasedProxies(w) < 69 {
+			t.Errorf("seed %d: %d of 69 proxies are granted 4 s after all were restarted", seed, leasedProxies(w))
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -77,24 +63,24 @@
 		same := 0
 		for i := range 120 {
 			if i%10 == 0 {
-				w.CrashTarget(w.targets[w.rnd.IntN(len(w.targets))])
+				w.CrashTarget(w.targets.all[w.random.IntN(len(w.targets.all))])
 			}
 			if i%17 == 0 {
 				w.PutConfig(w.Leader(), w.Revision(), 3)
 			}
 			w.Run(w.now + 100*time.Millisecond)
 			l := w.Leader()
-			if l == nil || l.core.Table() == nil {
+			if l == nil || l.controller.Table() == nil {
 				continue
 			}
-			want := l.core.Table()
-			for _, g := range w.all(wire.ProxyDaemon) {
-				p := w.procs[g]
-				if !p.alive || p.gate.Table() == nil || p.gate.Table().Key != want.Key {
+			want := l.controller.Table()
+			for _, g := range w.daemonNames(wire.ProxyDaemon) {
+				p := w.process(g)
+				if !p.alive || p.proxy.Table() == nil || p.proxy.Table().Key != want.Key {
 					continue
 				}
 				same++
-				got := p.gate.Table()
+				got := p.proxy.Table()
 				if len(got.Targets) != len(want.Targets) || len(got.Proxies) != len(want.Proxies) || string(got.Document) != string(want.Document) || string(got.State) != string(want.State) {
 					t.Fatalf("seed %d: %s holds %+v, its leader made %+v", seed, g, got, want)
 				}
@@ -115,29 +101,8 @@
 		if same < 300 {
 			t.Errorf("seed %d: compared %d times", seed, same)
 		}
-		check(t, w)
-	}
-}
-
-// bulk is a configuration with many routes besides those of a plan.
-func (w *World) bulk(n, routes int) []byte {
-	var doc map[string]any
-	if err := json.Unmarshal(w.Document(n), &doc); err != nil {
-		panic(err)
-	}
-	svcs := slices.Sorted(maps.Keys(w.Plan.Services))
-	all := map[string]config.Route{}
-	for i := range routes {
-		x := uint64(i) * 0x9e3779b97f4a7c15
-		all[fmt.Sprintf("r-%07x", x>>36)] = config.Route{Host: fmt.Sprintf("%05x.example", x>>44), Prefix: fmt.Sprintf("/%07x/%04x/", x>>36, i), Kind: config.KindRepeatable,
-			TimeoutMs: 2000, LatencyTargetMs: 300, Priority: 2, Attempts: 2, Service: svcs[i%len(svcs)]}
-	}
-	doc["routes"] = all
-	b, err := json.Marshal(doc)
-	if err != nil {
-		panic(err)
+		requireNoFailure(t, w)
 	}
-	return b
 }
 
 // A configuration with very many routes is in force in good time on thin links, and what
@@ -145,34 +110,34 @@
 func TestManyRoutesOnThinLinks(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		w := Start(seed, grown())
+		w := Start(seed, largeFleet())
 		w.Run(w.now + 4*time.Second)
 		for i := range 3 {
-			l, from := w.Leader(), w.acked
+			l, from := w.Leader(), w.checks.acknowledged
 			if l == nil {
 				t.Fatalf("seed %d: nobody leads at %v\n%s", seed, w.now, w.Trace(40))
 			}
-			w.SendChange(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.bulk(3+i, 1400), &change{what: "config", base: w.Revision()})
+			w.SendChange(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.documentWithRoutes(3+i, 1400), configChange(w.Revision()))
 			for range 30 {
 				w.Run(w.now + 100*time.Millisecond)
-				if n := granted(w); n < 69 {
+				if n := leasedProxies(w); n < 69 {
 					t.Fatalf("seed %d: %d of 69 proxies are granted at %v\n%s", seed, n, w.now, w.Trace(40))
 				}
 			}
-			if w.acked == from {
+			if w.checks.acknowledged == from {
 				t.Errorf("seed %d: change %d was not in force after 3 s", seed, i)
 			}
 			if w.Stats.SlowestChange > time.Second {
 				t.Errorf("seed %d: a change took %v", seed, w.Stats.SlowestChange)
 			}
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
-// ferry is a fleet with more core machines than members, each on a quarter of a processor, that
+// largeControlPlane is a fleet with more core machines than members, each on a quarter of a processor, that
 // all targets speak to; proxies have a sixth.
-func ferry() Plan {
+func largeControlPlane() Plan {
 	p := Small
 	p.ControlDaemons, p.Seeds, p.Proxies, p.Domains, p.Rate = 11, 3, 64, 4, 20
 	p.Services = map[string]int{"fares": 181, "pay": 111, "papers": 15}
@@ -188,84 +153,83 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := Start(seed, ferry())
+			w := Start(seed, largeControlPlane())
 			n := 1
 			change := func(when string) {
 				t.Helper()
 				n++
-				from, at := w.acked, w.now
-				for w.now < at+5*time.Second && w.acked == from && w.Failure == "" {
+				from, at := w.checks.acknowledged, w.now
+				for w.now < at+5*time.Second && w.checks.acknowledged == from && w.Failure == "" {
 					if l := w.Leader(); l != nil {
-						w.PutConfig(w.procs[w.all(wire.ControlDaemon)[w.rnd.IntN(len(w.all(wire.ControlDaemon)))]], w.Revision(), n)
+						w.PutConfig(w.daemons(wire.ControlDaemon)[w.random.IntN(len(w.daemonNames(wire.ControlDaemon)))], w.Revision(), n)
 					}
-					w.until(4*time.Second, func() bool { return w.acked > from })
+					w.runUntil(4*time.Second, func() bool { return w.checks.acknowledged > from })
 				}
-				if w.acked == from || w.now > at+4*time.Second {
+				if w.checks.acknowledged == from || w.now > at+4*time.Second {
 					t.Errorf("seed %d, %s: no change in force after %v\n%s", seed, when, w.now-at, w.Trace(40))
 				}
 				t.Logf("seed %d, %s: change in %v", seed, when, w.now-at)
 			}
-			if !w.until(10*time.Second, func() bool { return len(w.memberNames()) == 7 && granted(w) == 64 }) {
-				t.Fatalf("seed %d: members %v, %d proxies granted\n%s", seed, w.memberNames(), granted(w), w.Trace(40))
+			if !w.runUntil(10*time.Second, func() bool { return len(w.memberNames()) == 7 && leasedProxies(w) == 64 }) {
+				t.Fatalf("seed %d: members %v, %d proxies granted\n%s", seed, w.memberNames(), leasedProxies(w), w.Trace(40))
 			}
 			change("at rest")
 			for i, planned := range []bool{true, false} {
 				old := w.Leader()
 				name := fmt.Sprintf("n%d", i)
 				arrive := func() {
-					w.addProc(wire.ControlDaemon, name, int(old.domain[1]-'1'))
-					w.start(w.procs[name])
+					w.addAndStart(wire.ControlDaemon, name, domainIndex(old.domain))
 				}
 				if planned {
 					arrive()
 					w.Run(w.now + time.Second)
-					w.stop(old)
+					w.stopProcess(old)
 					w.Run(w.now + 2*time.Second)
 				} else {
-					w.at(1400*time.Millisecond, arrive)
+					w.schedule(1400*time.Millisecond, arrive)
 				}
 				w.Kill(old)
-				w.names = slices.DeleteFunc(w.names, func(n string) bool { return n == old.name })
+				w.forgetMachine(old)
 				w.Run(w.now + 3*time.Second)
 				change("a leader went for good")
 			}
-			herd := w.all(wire.ProxyDaemon)[:30]
+			herd := w.daemonNames(wire.ProxyDaemon)[:30]
 			for _, g := range herd {
-				w.Kill(w.procs[g])
+				w.Kill(w.process(g))
 			}
 			w.Run(w.now + 2*time.Second)
 			for _, g := range herd {
-				w.Restart(w.procs[g])
+				w.Restart(w.process(g))
 			}
-			if w.Run(w.now + 4*time.Second); granted(w) < 64 {
-				t.Errorf("seed %d: %d of 64 proxies are granted 4 s after a herd came back", seed, granted(w))
+			if w.Run(w.now + 4*time.Second); leasedProxies(w) < 64 {
+				t.Errorf("seed %d: %d of 64 proxies are granted 4 s after a herd came back", seed, leasedProxies(w))
 			}
 			change("a herd came back")
 			for _, m := range w.memberNames()[:2] {
-				w.Kill(w.procs[m])
-				w.WipeDisk(w.procs[m])
+				w.Kill(w.process(m))
+				w.WipeDisk(w.process(m))
 			}
 			w.Run(w.now + 1500*time.Millisecond)
-			for _, c := range w.all(wire.ControlDaemon) {
-				w.Restart(w.procs[c])
+			for _, p := range w.daemons(wire.ControlDaemon) {
+				w.Restart(p)
 			}
 			w.Run(w.now + 6*time.Second)
 			change("two disks were lost")
-			for _, c := range w.names {
-				w.Kill(w.procs[c])
+			for _, p := range w.fleet() {
+				w.Kill(p)
 			}
 			w.Run(w.now + 1500*time.Millisecond)
-			for _, c := range w.names {
-				w.Restart(w.procs[c])
+			for _, p := range w.fleet() {
+				w.Restart(p)
 			}
 			from := w.now
 			if !w.AwaitServing(15 * time.Second) {
-				t.Errorf("seed %d: not serving 15 s after all were lost: %s", seed, w.why())
+				t.Errorf("seed %d: not serving 15 s after all were lost: %s", seed, w.describeDaemons())
 			}
 			t.Logf("seed %d: serving %v after all were lost", seed, w.now-from)
 			w.Run(w.now + 3*time.Second)
 			change("all were lost")
-			check(t, w)
+			requireNoFailure(t, w)
 		})
 	}
 }
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -13,27 +13,6 @@
 // Each test here is aimed at one guard that random days seldom hit; docs/rules.md
 // says which guard was taken out to see it fail.
 
-func followers(w *World) (l []*Process) {
-	for _, n := range w.all(wire.ControlDaemon) {
-		if p := w.procs[n]; p.alive && p != w.Leader() {
-			l = append(l, p)
-		}
-	}
-	return l
-}
-
-func (w *World) killAll() {
-	for _, n := range w.names {
-		w.Kill(w.procs[n])
-	}
-}
-
-func (w *World) restartAll() {
-	for _, n := range w.names {
-		w.Restart(w.procs[n])
-	}
-}
-
 // A change is acknowledged only when a majority has it on disk: with two of three
 // disks stalled it must survive a power cut and the loss of the third disk, or not
 // have been acknowledged.
@@ -42,7 +21,7 @@
 	for seed := range uint64(6) {
 		for _, leaderToo := range []bool{false, true} {
 			w := Start(seed, Small)
-			l, fs := w.Leader(), followers(w)
+			l, fs := w.Leader(), w.followers()
 			lose := l
 			w.StallDisk(fs[0], time.Minute)
 			if leaderToo {
@@ -53,8 +32,8 @@
 			}
 			w.PutConfig(l, 1, 2)
 			w.Run(w.now + 350*time.Millisecond)
-			for _, n := range w.all(wire.ControlDaemon) {
-				w.procs[n].disk.open = nil // power goes before anything more is written
+			for _, p := range w.daemons(wire.ControlDaemon) {
+				p.disk.unsynced = nil // power goes before anything more is written
 			}
 			w.killAll()
 			w.WipeDisk(lose)
@@ -62,7 +41,7 @@
 			w.restartAll()
 			w.AwaitRecovery(15 * time.Second)
 			w.CheckAcknowledgedChanges()
-			check(t, w)
+			requireNoFailure(t, w)
 		}
 	}
 }
@@ -73,11 +52,11 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
-		l, fs := w.Leader(), followers(w)
+		l, fs := w.Leader(), w.followers()
 		w.isolate([]string{fs[1].name}, 3*time.Second, true, true)
 		w.PutConfig(l, 1, 2)
 		w.Run(w.now + 2*time.Second)
-		if w.acked != 2 {
+		if w.checks.acknowledged != 2 {
 			t.Fatalf("not acknowledged\n%s", w.Trace(30))
 		}
 		w.Kill(l)
@@ -92,7 +71,7 @@
 		w.Restart(l)
 		w.AwaitRecovery(15 * time.Second)
 		w.CheckAcknowledgedChanges()
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -105,14 +84,14 @@
 	for seed := range uint64(24) {
 		w := Start(seed, p)
 		w.isolate([]string{"g1"}, 4*time.Second, true, true)
-		for _, tg := range w.targets { // callers and back ends still reach it
-			delete(w.cut, [2]string{"g1", tg.name})
-			delete(w.cut, [2]string{tg.name, "g1"})
+		for _, tg := range w.targets.all { // callers and back ends still reach it
+			delete(w.network.blocked, link{"g1", tg.name})
+			delete(w.network.blocked, link{tg.name, "g1"})
 		}
 		if seed%2 == 0 {
 			w.PutConfig(w.Leader(), 1, 2)
 		} else {
-			w.stop(w.Leader())
+			w.stopProcess(w.Leader())
 			for i := 0; w.Leader() == nil && i < 100; i++ {
 				w.Run(w.now + 10*time.Millisecond)
 			}
@@ -122,10 +101,10 @@
 			w.PutConfig(w.Leader(), 1, 2)
 		}
 		w.Run(w.now + 3*time.Second)
-		if w.acked != 2 {
+		if w.checks.acknowledged != 2 {
 			t.Fatalf("seed %d: not acknowledged\n%s", seed, w.Trace(30))
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -133,22 +112,22 @@
 func TestStopFinishesWork(t *testing.T) {
 	t.Parallel()
 	w := Start(2, Small)
-	for _, tg := range w.targets {
-		tg.work = 4 * time.Second
+	for _, tg := range w.targets.all {
+		tg.serviceTime = 4 * time.Second
 	}
-	g := w.procs["g1"]
-	for g.gate.InFlight() == 0 {
+	g := w.process("g1")
+	for g.proxy.InFlight() == 0 {
 		w.Run(w.now + 10*time.Millisecond)
 	}
-	w.stop(g)
+	w.stopProcess(g)
 	w.Run(w.now + 2*time.Second)
 	if !g.alive {
 		t.Fatal("ended early")
 	}
 	w.Run(w.now + 5*time.Second)
-	check(t, w)
+	requireNoFailure(t, w)
 	if g.alive {
-		t.Fatalf("still there with %d exchanges\n%s", g.gate.InFlight(), w.Trace(20))
+		t.Fatalf("still there with %d exchanges\n%s", g.proxy.InFlight(), w.Trace(20))
 	}
 }
 
@@ -184,10 +163,10 @@
 	t.Parallel()
 	w := Start(5, Small)
 	w.Run(w.now + 5*time.Second)
-	tg := w.targets[0]
+	tg := w.targets.all[0]
 	in := func() (n int) {
-		for _, g := range w.all(wire.ProxyDaemon) {
-			for _, x := range w.procs[g].gate.Table().Targets {
+		for _, p := range w.daemons(wire.ProxyDaemon) {
+			for _, x := range p.proxy.Table().Targets {
 				if x.Name == tg.name && x.EjectionLeft == 0 {
 					n++
 				}
@@ -195,9 +174,9 @@
 		}
 		return n
 	}
-	delete(w.listen, tg.addr) // its port is shut, connections included, while its process beats on
-	for _, p := range w.procs {
-		delete(p.pool, wire.TargetID{Service: tg.service, Name: tg.name, Incarnation: tg.inc})
+	delete(w.targets.listening, tg.address) // its port is shut, connections included, while its process beats on
+	for _, p := range w.processes.byName {
+		delete(p.idle, wire.TargetID{Service: tg.service, Name: tg.name, Incarnation: tg.incarnation})
 	}
 	at := w.now
 	for in() > 0 && w.now < at+5*time.Second {
@@ -206,30 +185,30 @@
 	if took := w.now - at; took > 1500*time.Millisecond {
 		t.Fatalf("%v until no table held it", took)
 	}
-	ver := w.Leader().core.Table().Key.Version
+	ver := w.Leader().controller.Table().Key.Version
 	w.Run(w.now + 45*time.Second) // over several refreshes and the ejection's 30 s
-	if in() > 0 || w.Leader().core.Table().Key.Version == ver {
-		t.Fatalf("in %d tables again; version %d -> %d", in(), ver, w.Leader().core.Table().Key.Version)
+	if in() > 0 || w.Leader().controller.Table().Key.Version == ver {
+		t.Fatalf("in %d tables again; version %d -> %d", in(), ver, w.Leader().controller.Table().Key.Version)
 	}
-	w.listen[tg.addr] = tg
+	w.targets.listening[tg.address] = tg
 	w.Run(w.now + 2*time.Second)
 	if in() != 5 {
 		t.Fatalf("back in %d of 5 tables", in())
 	}
-	ver = w.Leader().core.Table().Key.Version
-	same := w.Leader().core.Status(0).Counts.TablesUnchanged
+	ver = w.Leader().controller.Table().Key.Version
+	same := w.Leader().controller.Status(0).Counts.TablesUnchanged
 	w.Run(w.now + 3*time.Second)
-	if s := w.Leader().core.Status(0); s.Counts.TablesUnchanged-same < 50 || s.Table.Version > ver+1 {
+	if s := w.Leader().controller.Status(0); s.Counts.TablesUnchanged-same < 50 || s.Table.Version > ver+1 {
 		t.Fatalf("%d idempotent rebuilds, version %d -> %d", s.Counts.TablesUnchanged-same, ver, s.Table.Version)
 	}
 	// A leaving target answers probes and even says that it is ready: it stays held.
-	l := w.targets[1]
+	l := w.targets.all[1]
 	l.state = wire.TargetLeaving
 	w.Run(w.now + time.Second)
 	l.state = wire.TargetReady
 	w.Run(w.now + 3*time.Second)
-	check(t, w)
-	for _, x := range w.Leader().core.Table().Targets {
+	requireNoFailure(t, w)
+	for _, x := range w.Leader().controller.Table().Targets {
 		if x.Name == l.name && (!x.Draining || x.EjectionLeft != 0) {
 			t.Fatalf("%+v", x)
 		}
@@ -243,22 +222,22 @@
 	w := Start(6, Small)
 	w.Run(w.now + 3*time.Second)
 	var fares []*Target
-	for _, tg := range w.targets {
+	for _, tg := range w.targets.all {
 		if tg.service == "fares" {
-			tg.deaf = true // probes fail, requests are served
+			tg.ignoresHealthChecks = true // probes fail, requests are served
 			fares = append(fares, tg)
 		}
 	}
 	fares[0].state = wire.TargetLeaving
-	w.quiet = true
+	w.callers.stopped = true
 	w.Run(w.now + 4*time.Second)
-	w.quiet = false
+	w.callers.stopped = false
 	before := w.Stats.Served
 	for range 50 {
-		w.request("fares", true, 9)
+		w.sendRequest("fares", true, 9)
 	}
 	w.Run(w.now + time.Second)
-	check(t, w)
+	requireNoFailure(t, w)
 	if w.Stats.Served-before != 50 {
 		t.Fatalf("%d of 50 served\n%s", w.Stats.Served-before, w.Trace(20))
 	}
@@ -273,13 +252,13 @@
 	w := Start(4, p)
 	w.Run(w.now + 3*time.Second)
 	l := w.Leader()
-	for _, tg := range w.targets {
-		w.cutFor(both(l.name, tg.name), 6*time.Second)
+	for _, tg := range w.targets.all {
+		w.partition(bothDirections(l.name, tg.name), 6*time.Second)
 	}
-	before := l.core.Status(0).Counts
+	before := l.controller.Status(0).Counts
 	w.Run(w.now + 6*time.Second)
-	check(t, w)
-	if n := l.core.Status(0).Counts; n.Ejections != before.Ejections || n.MissesOverruled < 50 {
+	requireNoFailure(t, w)
+	if n := l.controller.Status(0).Counts; n.Ejections != before.Ejections || n.MissesOverruled < 50 {
 		t.Fatalf("%d bars, %d misses overruled\n%s", n.Ejections-before.Ejections, n.MissesOverruled, w.Trace(20))
 	}
 }
@@ -294,21 +273,21 @@
 		w := Start(seed, p)
 		w.Run(w.now + 3*time.Second)
 		l := w.Leader()
-		for _, tg := range w.targets {
-			w.cutFor(both(l.name, tg.name), 6*time.Second)
+		for _, tg := range w.targets.all {
+			w.partition(bothDirections(l.name, tg.name), 6*time.Second)
 		}
-		before := l.core.Status(0).Counts
+		before := l.controller.Status(0).Counts
 		w.Run(w.now + 3*time.Second)
-		if n := l.core.Status(0).Counts; n.Ejections != before.Ejections || n.MissesOverruled == before.MissesOverruled {
+		if n := l.controller.Status(0).Counts; n.Ejections != before.Ejections || n.MissesOverruled == before.MissesOverruled {
 			t.Fatalf("seed %d: %d bars, %d misses overruled\n%s", seed, n.Ejections-before.Ejections, n.MissesOverruled, w.Trace(20))
 		}
-		w.CrashTarget(w.targets[int(seed)%len(w.targets)])
+		w.CrashTarget(w.targets.all[int(seed)%len(w.targets.all)])
 		w.Run(w.now + tuning.ProbeEvery + tuning.ProbeEvery + tuning.ProbeTimeout + 100*time.Millisecond)
-		if n := l.core.Status(0).Counts; n.Ejections != before.Ejections+1 {
+		if n := l.controller.Status(0).Counts; n.Ejections != before.Ejections+1 {
 			t.Fatalf("seed %d: %d bars after a death\n%s", seed, n.Ejections-before.Ejections, w.Trace(20))
 		}
 		w.Run(w.now + 3*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -322,19 +301,19 @@
 		w := Start(seed, p)
 		l := w.Leader()
 		w.isolate([]string{"g1", l.name}, 10*time.Second, true, true)
-		w.cutFor(both(l.name, "g1"), 3800*time.Millisecond) // so that its first event after the thaw is fresh
-		for _, tg := range w.targets {
-			delete(w.cut, [2]string{"g1", tg.name})
-			delete(w.cut, [2]string{tg.name, "g1"})
+		w.partition(bothDirections(l.name, "g1"), 3800*time.Millisecond) // so that its first event after the thaw is fresh
+		for _, tg := range w.targets.all {
+			delete(w.network.blocked, link{"g1", tg.name})
+			delete(w.network.blocked, link{tg.name, "g1"})
 		}
 		w.Freeze(l, 4*time.Second)
 		w.Run(w.now + 2500*time.Millisecond)
 		w.PutConfig(w.Leader(), 1, 2)
 		w.Run(w.now + 3*time.Second)
-		if w.acked != 2 {
+		if w.checks.acknowledged != 2 {
 			t.Fatalf("seed %d: not acknowledged\n%s", seed, w.Trace(30))
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -347,30 +326,30 @@
 		d := 4*time.Second + time.Duration(seed)*45*time.Millisecond // the heal meets its probes anywhere
 		w.isolate([]string{"g1"}, d, true, true)
 		w.Run(w.now + d)
-		g := w.procs["g1"]
-		for i := 0; g.gate.State() != dataplane.Leased && i < 100; i++ {
+		g := w.process("g1")
+		for i := 0; g.proxy.State() != dataplane.Leased && i < 100; i++ {
 			w.Run(w.now + 10*time.Millisecond)
 		}
-		for _, x := range g.gate.View(g.local()).Targets {
+		for _, x := range g.proxy.View(g.localTime()).Targets {
 			if x.OwnEjectionLeftMs > 0 {
 				t.Fatalf("%s is still barred for %d ms", x.Name, x.OwnEjectionLeftMs)
 			}
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
-// latest runs a world and says how long after its death a
+// latestAfterDeath runs a world and says how long after its death a
 // target was last chosen.
-func latest(t *testing.T, seed uint64, do func(w *World, tg *Target)) time.Duration {
+func latestAfterDeath(t *testing.T, seed uint64, do func(w *World, tg *Target)) time.Duration {
 	t.Helper()
 	p := Small
 	p.Rate = 60 // few enough that connections which do not open do not tell it first
 	w := Start(seed, p)
 	w.Run(w.now + time.Second)
-	do(w, w.targets[int(seed)%len(w.targets)])
+	do(w, w.targets.all[int(seed)%len(w.targets.all)])
 	w.Run(w.now + 8*time.Second)
-	check(t, w)
+	requireNoFailure(t, w)
 	return w.Stats.LatestToCrashed
 }
 
@@ -379,11 +358,11 @@
 func TestTargetDiesWithLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		if late := latest(t, seed, func(w *World, tg *Target) {
+		if late := latestAfterDeath(t, seed, func(w *World, tg *Target) {
 			w.Kill(w.Leader())
-			for _, n := range w.all(wire.ProxyDaemon)[1:] { // new proxies, which have seen nothing; one remembers the table
-				w.Kill(w.procs[n])
-				w.at(100*time.Millisecond, func() { w.Restart(w.procs[n]) })
+			for _, p := range w.daemons(wire.ProxyDaemon)[1:] { // new proxies, which have seen nothing; one remembers the table
+				w.Kill(p)
+				w.schedule(100*time.Millisecond, func() { w.Restart(p) })
 			}
 			w.CrashTarget(tg)
 		}); late > 2*time.Second {
@@ -396,10 +375,10 @@
 func TestTargetDiesBeforeLeaderIsCutOff(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		if late := latest(t, seed, func(w *World, tg *Target) {
+		if late := latestAfterDeath(t, seed, func(w *World, tg *Target) {
 			w.CrashTarget(tg)
 			w.Run(w.now + 300*time.Millisecond)
-			w.isolate(w.all(wire.ControlDaemon), 10*time.Second, true, true)
+			w.isolate(w.daemonNames(wire.ControlDaemon), 10*time.Second, true, true)
 		}); late > 2*time.Second {
 			t.Errorf("seed %d: chosen %v after its death", seed, late)
 		}
@@ -416,11 +395,11 @@
 		w := Start(seed, Small)
 		w.Run(w.now + time.Second)
 		f.Inject(w)
-		w.SendChange(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, &change{what: "empty d1", empty: "d1"})
+		w.SendChange(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, emptyChange("d1"))
 		w.Run(w.now + 9*time.Second)
-		check(t, w)
-		for _, n := range w.all(wire.ProxyDaemon) {
-			stale += w.procs[n].gate.Counts.ExpiredChoices
+		requireNoFailure(t, w)
+		for _, p := range w.daemons(wire.ProxyDaemon) {
+			stale += p.proxy.Counts.ExpiredChoices
 		}
 	}
 	if stale < 12 {
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -15,56 +15,25 @@
 	t.Helper()
 	w := Start(seed, replacementPlan(3, 3))
 	w.Run(w.now + testCatchUp)
-	check(t, w)
-	w.sane(t, 3)
+	requireNoFailure(t, w)
+	w.checkMembership(t, 3)
 	return w
 }
 
-func (w *World) listsMember(p *Process) bool { return slices.Contains(w.memberNames(), p.name) }
-
-func (w *World) followersOf(l *Process) (fs []*Process) {
-	for _, n := range w.memberNames() {
-		if n != l.name {
-			fs = append(fs, w.procs[n])
-		}
-	}
-	return fs
-}
-
-// addStandby starts an empty core daemon in a domain.
-func (w *World) addStandby(name string, domain int) *Process {
-	w.addProc(wire.ControlDaemon, name, domain-1)
-	w.start(w.procs[name])
-	return w.procs[name]
-}
-
-// awaitStep runs in small steps until ok.
-func (w *World) awaitStep(t *testing.T, within time.Duration, what string, ok func() bool) time.Duration {
-	t.Helper()
-	from := w.now
-	for !ok() {
-		if w.now-from > within || w.Failure != "" {
-			t.Fatalf("seed %d: %s not in %v\n%s", w.Seed, what, within, w.Trace(40))
-		}
-		w.Run(w.now + 2*time.Millisecond)
-	}
-	return w.now - from
-}
-
 // A silent member goes before its successor is in: a successor that dies as soon as it
 // is a member takes no majority with it.
 func TestNewcomerDiesAtOnce(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		w := threeMembers(t, seed)
-		old := w.followersOf(w.Leader())[seed%2]
+		old := w.followerMembers(w.Leader())[seed%2]
 		w.ReplaceControlDaemon(old, false, 0, func(time.Duration) {})
 		w.Run(w.now + time.Millisecond)
-		w.awaitStep(t, testCatchUp, "a successor", func() bool { return w.listsMember(w.procs["r1"]) })
-		w.Kill(w.procs["r1"])
+		w.requireWithin(t, testCatchUp, "a successor", func() bool { return w.isListed(w.process("r1")) })
+		w.Kill(w.process("r1"))
 		w.Run(w.now + 20*time.Millisecond)
-		w.takesChange(t)
-		check(t, w)
+		w.requireChange(t)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -74,14 +43,14 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		w := threeMembers(t, seed)
-		fs := w.followersOf(w.Leader())
+		fs := w.followerMembers(w.Leader())
 		w.ReplaceControlDaemon(fs[0], true, 100*time.Millisecond, func(time.Duration) {})
 		before := w.memberNames()
-		w.awaitStep(t, testCatchUp, "a change of members", func() bool { l := w.memberNames(); return l != nil && !slices.Equal(l, before) })
+		w.requireWithin(t, testCatchUp, "a change of members", func() bool { l := w.memberNames(); return l != nil && !slices.Equal(l, before) })
 		w.Kill(fs[1])
 		w.Run(w.now + 20*time.Millisecond)
-		w.takesChange(t)
-		check(t, w)
+		w.requireChange(t)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -92,21 +61,21 @@
 	for _, cores := range []int{1, 3, 4, 5, 7, 11} {
 		for seed := range uint64(6) {
 			w := Start(seed, replacementPlan(cores, 3))
-			w.until(10*time.Second, func() bool { return len(w.memberNames()) == []int{0, 1, 0, 3, 3, 5, 0, 7, 0, 0, 0, 7}[cores] })
+			w.runUntil(10*time.Second, w.hasMembers([]int{0, 1, 0, 3, 3, 5, 0, 7, 0, 0, 0, 7}[cores]))
 			w.Run(w.now + testCatchUp)
-			w.delay, w.loss = 60*time.Millisecond, 0.02
+			w.network.delay, w.network.loss = 60*time.Millisecond, 0.02
 			old := w.Leader()
-			if fs := w.followersOf(old); seed%2 == 1 && len(fs) > 0 {
+			if fs := w.followerMembers(old); seed%2 == 1 && len(fs) > 0 {
 				old = fs[0]
 			}
 			n := len(w.memberNames())
 			w.ReplaceControlDaemon(old, true, 0, func(time.Duration) {})
-			w.awaitStep(t, stopGrace, "the end", func() bool { return !old.alive })
-			w.awaitStep(t, testReceipt, "a leader", func() bool { return w.Leader() != nil })
-			if w.listsMember(old) || len(w.memberNames()) < n {
+			w.requireWithin(t, controlStopGrace, "the end", func() bool { return !old.alive })
+			w.requireWithin(t, failoverBound, "a leader", w.hasLeader)
+			if w.isListed(old) || len(w.memberNames()) < n {
 				t.Errorf("seed %d: of %d, %s ended with members %v\n%s", seed, cores, old.name, w.memberNames(), w.Trace(20))
 			}
-			check(t, w)
+			requireNoFailure(t, w)
 		}
 	}
 }
@@ -122,16 +91,16 @@
 		p := replacementPlan(cores, 3)
 		p.CatchUp = bound
 		w := Start(seed, p)
-		w.until(2*tuning.GrowAfter, func() bool { return len(w.memberNames()) == cores })
+		w.runUntil(2*tuning.GrowAfter, w.hasMembers(cores))
 		w.Run(w.now + bound)
 		old := w.Leader()
 		w.ReplaceControlDaemon(old, false, 0, func(time.Duration) {})
 		w.Run(w.now + time.Millisecond)
-		d := w.awaitStep(t, bound, "the repair", func() bool { return w.listsMember(w.procs["r1"]) && !w.listsMember(old) })
+		d := w.requireWithin(t, bound, "the repair", func() bool { return w.isListed(w.process("r1")) && !w.isListed(old) })
 		if d > most {
 			t.Errorf("seed %d: repaired after %v, wanted %v", seed, d, most)
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -139,12 +108,12 @@
 func TestStandbyIsReady(t *testing.T) {
 	t.Parallel()
 	w := threeMembers(t, 1)
-	s := w.addStandby("s1", 1)
+	s := w.addAndStart(wire.ControlDaemon, "s1", 0)
 	w.Run(w.now + time.Second)
-	w.takesChange(t)
+	w.requireChange(t)
 	w.Run(w.now + 300*time.Millisecond)
-	if s.core.Revision() != w.Leader().core.Revision() || w.listsMember(s) {
-		t.Errorf("the standby has %d, the leader %d; members %v", s.core.Revision(), w.Leader().core.Revision(), w.memberNames())
+	if s.controller.Revision() != w.Leader().controller.Revision() || w.isListed(s) {
+		t.Errorf("the standby has %d, the leader %d; members %v", s.controller.Revision(), w.Leader().controller.Revision(), w.memberNames())
 	}
 }
 
@@ -154,16 +123,16 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := threeMembers(t, seed)
-		old := w.followersOf(w.Leader())[0]
+		old := w.followerMembers(w.Leader())[0]
 		dom := int(old.domain[1] - '0')
-		bad := w.addStandby("s1", dom)
+		bad := w.addAndStart(wire.ControlDaemon, "s1", dom-1)
 		w.StallDisk(bad, time.Minute)
-		good := w.addStandby("s2", dom%3+1)
+		good := w.addAndStart(wire.ControlDaemon, "s2", dom%3)
 		w.Run(w.now + 500*time.Millisecond)
 		w.Kill(old)
-		w.forgetProc(old)
-		w.awaitStep(t, tuning.LearnerTimeout+testCatchUp, "the other standby", func() bool { return w.listsMember(good) && !w.listsMember(old) })
-		check(t, w)
+		w.removeMachine(old)
+		w.requireWithin(t, tuning.LearnerTimeout+testCatchUp, "the other standby", func() bool { return w.isListed(good) && !w.isListed(old) })
+		requireNoFailure(t, w)
 	}
 }
 
@@ -172,18 +141,18 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := threeMembers(t, seed)
-		old := w.followersOf(w.Leader())[0]
-		w.StallDisk(w.addStandby("s1", int(old.domain[1]-'0')), time.Minute)
+		old := w.followerMembers(w.Leader())[0]
+		w.StallDisk(w.addAndStart(wire.ControlDaemon, "s1", domainIndex(old.domain)), time.Minute)
 		w.Run(w.now + 500*time.Millisecond)
 		w.Kill(old)
 		w.Run(w.now + testCatchUp)
-		if !w.listsMember(old) {
+		if !w.isListed(old) {
 			t.Errorf("seed %d: %v", seed, w.memberNames())
 		}
 		w.Restart(old)
 		w.Run(w.now + time.Second)
-		w.sane(t, 3)
-		check(t, w)
+		w.checkMembership(t, 3)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -195,18 +164,18 @@
 		p := replacementPlan(11, 3)
 		p.Losses = 2
 		w := Start(seed, p)
-		w.until(2*tuning.GrowAfter, func() bool { return len(w.memberNames()) == 7 })
+		w.runUntil(2*tuning.GrowAfter, w.hasMembers(7))
 		w.Run(w.now + testCatchUp)
 		first := w.Leader()
-		second := slices.MinFunc(w.followersOf(first), func(a, b *Process) int { return cmp.Compare(a.name, b.name) }) // leadership would go there
+		second := slices.MinFunc(w.followerMembers(first), func(a, b *Process) int { return cmp.Compare(a.name, b.name) }) // leadership would go there
 		for _, old := range []*Process{first, second} {
 			w.ReplaceControlDaemon(old, true, time.Millisecond, func(time.Duration) {})
 		}
-		w.awaitStep(t, stopGrace, "the end", func() bool { return !first.alive && !second.alive })
-		w.awaitStep(t, testReceipt, "a leader", func() bool { return w.Leader() != nil })
-		if w.listsMember(first) || w.listsMember(second) || len(w.memberNames()) != 7 {
+		w.requireWithin(t, controlStopGrace, "the end", func() bool { return !first.alive && !second.alive })
+		w.requireWithin(t, failoverBound, "a leader", w.hasLeader)
+		if w.isListed(first) || w.isListed(second) || len(w.memberNames()) != 7 {
 			t.Errorf("seed %d: %s and %s ended with members %v\n%s", seed, first.name, second.name, w.memberNames(), w.Trace(20))
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
--- a/internal/verification/simulator/history_test.go
+++ b/internal/verification/simulator/history_test.go
@@ -2,29 +2,30 @@
 
 import (
 	"fmt"
+	"myrtlefold/internal/shared/wire"
 	"testing"
 	"time"
 )
 
 // operators sends pairs of changes on one base to two members, each order again some time
 // later, while leaders die and are cut off, and reads all the while.
-func (w *World) operators(pairs int) {
+func (w *World) changeWhileLeadersFail(pairs int) {
 	w.StartReaders(40 * time.Millisecond)
 	for i := range pairs {
-		w.at(time.Duration(i)*700*time.Millisecond, func() {
+		w.schedule(time.Duration(i)*700*time.Millisecond, func() {
 			base := w.Revision()
 			for k := range 2 {
 				order := w.Document(100 + 2*i + k)
 				for _, after := range []int{0, 400, 3000} {
-					w.at(time.Duration(after)*time.Millisecond+w.ms(0, 20), func() {
-						p := w.cores()[w.rnd.IntN(w.Plan.ControlDaemons)]
-						w.call(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), order, "", w.ignore)
+					w.schedule(time.Duration(after)*time.Millisecond+w.randomMilliseconds(0, 20), func() {
+						p := w.daemons(wire.ControlDaemon)[w.random.IntN(w.Plan.ControlDaemons)]
+						w.call(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), order, "", w.ignoreReply)
 					})
 				}
 			}
 		})
 		if i%4 == 3 {
-			w.at(time.Duration(i)*700*time.Millisecond+w.ms(0, 40), func() {
+			w.schedule(time.Duration(i)*700*time.Millisecond+w.randomMilliseconds(0, 40), func() {
 				l := w.Leader()
 				switch {
 				case l == nil:
@@ -32,7 +33,7 @@
 					l.pauseAfterStep = 2 * time.Second
 				case i%8 == 3:
 					w.Kill(l)
-					w.at(1500*time.Millisecond, func() { w.Restart(l) })
+					w.schedule(1500*time.Millisecond, func() { w.Restart(l) })
 				case i%12 == 7:
 					w.isolate([]string{l.name}, 3*time.Second, true, true) // from the next leader's word too
 					w.Freeze(l, 2*time.Second)
@@ -50,10 +51,10 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
-		w.operators(16)
+		w.changeWhileLeadersFail(16)
 		w.CheckHistory()
-		check(t, w)
-		if n := w.history.Len(); n < 300 {
+		requireNoFailure(t, w)
+		if n := w.checks.history.Len(); n < 300 {
 			t.Errorf("seed %d: %d calls only", seed, n)
 		}
 	}
@@ -70,16 +71,16 @@
 		w := Start(seed, Small)
 		w.StartReaders(40 * time.Millisecond)
 		for i := range 10 {
-			w.at(time.Duration(i)*1500*time.Millisecond, func() {
+			w.schedule(time.Duration(i)*1500*time.Millisecond, func() {
 				if l := w.Leader(); l != nil {
-					l.pauseAfterStep = w.ms(300, 4000)
+					l.pauseAfterStep = w.randomMilliseconds(300, 4000)
 					base := w.Revision()
 					for k := range 2 {
-						w.call(w.cores()[(i+k)%w.Plan.ControlDaemons], "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(100+2*i+k), "", w.ignore)
+						w.call(w.daemons(wire.ControlDaemon)[(i+k)%w.Plan.ControlDaemons], "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(100+2*i+k), "", w.ignoreReply)
 					}
 				}
 			})
-			w.at(time.Duration(i)*1500*time.Millisecond+900*time.Millisecond, func() {
+			w.schedule(time.Duration(i)*1500*time.Millisecond+900*time.Millisecond, func() {
 				if l := w.Leader(); l != nil {
 					w.PutConfig(l, w.Revision(), 300+i)
 				}
@@ -88,7 +89,7 @@
 		w.Run(w.now + 25*time.Second)
 		w.CheckHistory()
 		w.CheckAcknowledgedChanges()
-		check(t, w)
+		requireNoFailure(t, w)
 		late += w.Stats.DelayedSteps
 	}
 	if late < 60 {
@@ -100,14 +101,14 @@
 // that can't fail is none.
 func TestHistoryCanFail(t *testing.T) {
 	t.Parallel()
-	for _, sabotage := range []string{followersAnswer, answerBeforeMajority, repetitionRefused, clockOfTheCall} {
-		t.Run(sabotage, func(t *testing.T) {
+	for _, disabled := range []Guard{guardReadsAtLeader, guardMajorityBeforeReply, guardIdempotentChanges, guardFreshClock} {
+		t.Run(string(disabled), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(10) {
 				w := Start(seed, Small)
-				w.sabotage = sabotage
-				w.operators(16)
-				if err := w.history.Check(); err != nil {
+				w.disabledGuard = disabled
+				w.changeWhileLeadersFail(16)
+				if err := w.checks.history.Check(); err != nil {
 					t.Logf("seed %d: %v", seed, err)
 					return
 				}
--- a/internal/verification/simulator/kept_test.go
+++ b/internal/verification/simulator/kept_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// keptPlan is a fleet whose callers rest for seconds on their connections, and whose targets take as long
+// persistentConnectionPlan is a fleet whose callers rest for seconds on their connections, and whose targets take as long
 // for a request as the platforms' do.
-func keptPlan() Plan {
+func persistentConnectionPlan() Plan {
 	p := Small
 	p.Rate, p.NonIdempotent, p.Resubmitted = 200, 0.5, 0
 	p.PersistentConnections, p.Grace = 600, 6*time.Second
@@ -22,18 +22,17 @@
 func TestStopWithKeptConnections(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
-		w := Start(seed, keptPlan())
-		for _, target := range w.targets {
-			target.work = w.ms(100, 900) // under the shortest deadline of a configuration
+		w := Start(seed, persistentConnectionPlan())
+		for _, target := range w.targets.all {
+			target.serviceTime = w.randomMilliseconds(100, 900) // under the shortest deadline of a configuration
 		}
 		w.Run(w.now + 3*time.Second)
-		w.planned = true
-		for i, name := range w.all(wire.ProxyDaemon) {
-			p := w.procs[name]
-			w.at(time.Duration(i)*2*time.Second, func() { w.bounce(p, keptPlan().Grace) })
+		w.checks.plannedOnly = true
+		for i, p := range w.daemons(wire.ProxyDaemon) {
+			w.schedule(time.Duration(i)*2*time.Second, func() { w.restartGracefully(p, persistentConnectionPlan().Grace) })
 		}
 		w.Run(w.now + 20*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 		if w.Stats.GracefulStops < 5 || w.Stats.Served < 400 {
 			t.Fatalf("seed %d: %d stops, %d served", seed, w.Stats.GracefulStops, w.Stats.Served)
 		}
@@ -49,7 +48,7 @@
 		w.Run(w.now + 2*time.Second)
 		p := w.Leader()
 		if seed%2 == 1 {
-			p = w.followersOf(p)[0]
+			p = w.followerMembers(p)[0]
 		}
 		answered := 0
 		var ask func()
@@ -59,15 +58,15 @@
 			}
 			w.call(p, "GET", "/v1/config", "", nil, "", func(statemachine.Reply) { answered++ })
 			w.call(p, "PATCH", "/v1/config", "base=1", []byte(`{"services":{"pay":{"timeout_ms":1234}}}`), "again", func(statemachine.Reply) { answered++ })
-			w.at(time.Millisecond, ask)
+			w.schedule(time.Millisecond, ask)
 		}
-		w.at(0, ask)
+		w.schedule(0, ask)
 		w.Run(w.now + 50*time.Millisecond)
-		w.isolate([]string{p.name}, stopGrace, true, true) // what it has passed on has no answer
+		w.isolate([]string{p.name}, controlStopGrace, true, true) // what it has passed on has no answer
 		w.Run(w.now + 100*time.Millisecond)
-		w.stop(p)
-		w.Run(w.now + stopGrace)
-		check(t, w)
+		w.stopProcess(p)
+		w.Run(w.now + controlStopGrace)
+		requireNoFailure(t, w)
 		if p.alive || answered < 50 {
 			t.Fatalf("seed %d: there: %v, %d answers", seed, p.alive, answered)
 		}
--- a/internal/verification/simulator/operate_test.go
+++ b/internal/verification/simulator/operate_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
 	"strings"
 	"testing"
 	"time"
@@ -12,29 +11,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// inquire makes a call at a member and waits for its answer.
-func (w *World) inquire(t *testing.T, p *Process, method, path, query, body, token string) (statemachine.Reply, map[string]any) {
-	t.Helper()
-	var got *statemachine.Reply
-	w.call(p, method, path, query, []byte(body), token, func(r statemachine.Reply) { got = &r })
-	for end := w.now + 10*time.Second; got == nil && w.now < end && w.Failure == ""; {
-		w.Run(w.now + 10*time.Millisecond)
-	}
-	if got == nil {
-		t.Fatalf("%s %s got no answer %s\n%s", method, path, w.Failure, w.Trace(20))
-	}
-	var m map[string]any
-	if err := json.Unmarshal(got.Body, &m); err != nil {
-		t.Fatalf("%s: %v", got.Body, err)
-	}
-	return *got, m
-}
-
 // What an operator is told, and that only 200 has changed anything.
 func TestOperatorsCalls(t *testing.T) {
 	t.Parallel()
 	w := Start(9, Small)
-	f := followers(w)[0] // passes on to the leader
+	f := w.followers()[0] // passes on to the leader
 	doc := string(w.Document(5))
 	for i, c := range []struct {
 		method, path, query, body, token string
@@ -67,7 +48,7 @@
 		if token == "" {
 			token = fmt.Sprintf("call%d", i)
 		}
-		r, m := w.inquire(t, f, c.method, c.path, c.query, c.body, token)
+		r, m := w.callAndWait(t, f, c.method, c.path, c.query, c.body, token)
 		code := ""
 		if e, ok := m["error"].(map[string]any); ok {
 			code, _ = e["code"].(string)
@@ -76,14 +57,14 @@
 			t.Errorf("call %d, %s %s?%s: %d %s", i, c.method, c.path, c.query, r.Status, r.Body)
 		}
 	}
-	_, m := w.inquire(t, f, "GET", "/v1/config/diff", "from=1&to=2", "", "d")
+	_, m := w.callAndWait(t, f, "GET", "/v1/config/diff", "from=1&to=2", "", "d")
 	if b, _ := json.Marshal(m["merge_patch"]); string(b) != `{"services":{"fares":{"cap":41}}}` {
 		t.Errorf("diff %s", b)
 	}
-	if r, m := w.inquire(t, f, "GET", "/v1/config", "", "", "g"); r.Status != 200 || m["revision"].(float64) != 5 {
+	if r, m := w.callAndWait(t, f, "GET", "/v1/config", "", "", "g"); r.Status != 200 || m["revision"].(float64) != 5 {
 		t.Errorf("%s", r.Body)
 	}
-	check(t, w)
+	requireNoFailure(t, w)
 }
 
 // Without a leader nothing is changed and the answer says so; when the proxies
@@ -92,29 +73,29 @@
 	t.Parallel()
 	w := Start(10, Small)
 	for _, n := range []string{"g1", "g2", "g3"} {
-		w.Kill(w.procs[n])
+		w.Kill(w.process(n))
 	}
-	r, m := w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(6)), "doubt")
+	r, m := w.callAndWait(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(6)), "doubt")
 	if e := m["error"].(map[string]any); r.Status != 504 || e["ran"] != "unknown" || e["id"] != "doubt" {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
-	if r, m := w.inquire(t, w.Leader(), "GET", "/v1/changes/doubt", "", "", "x"); r.Status != 200 || m["outcome"] != "accepted" || m["revision"].(float64) != 2 {
+	if r, m := w.callAndWait(t, w.Leader(), "GET", "/v1/changes/doubt", "", "", "x"); r.Status != 200 || m["outcome"] != "accepted" || m["revision"].(float64) != 2 {
 		t.Fatalf("%s", r.Body)
 	}
 	for _, n := range []string{"g1", "g2", "g3"} {
-		w.Restart(w.procs[n])
+		w.Restart(w.process(n))
 	}
 	w.AwaitRecovery(10 * time.Second)
 	l := w.Leader()
-	for _, p := range followers(w) {
+	for _, p := range w.followers() {
 		w.Kill(p)
 	}
 	w.Run(w.now + 2*time.Second)
-	r, m = w.inquire(t, l, "PUT", "/v1/config", "base=2", string(w.Document(7)), "none")
+	r, m = w.callAndWait(t, l, "PUT", "/v1/config", "base=2", string(w.Document(7)), "none")
 	if e := m["error"].(map[string]any); r.Status != 503 || r.RetryAfter == 0 || e["ran"] != "no" {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
-	check(t, w)
+	requireNoFailure(t, w)
 }
 
 // An address that another target has registered for is served for the new one
@@ -122,15 +103,15 @@
 func TestAddressTakenOver(t *testing.T) {
 	t.Parallel()
 	w := Start(11, Small)
-	old := w.targets[0]
+	old := w.targets.all[0]
 	w.isolate([]string{"g1"}, 3*time.Second, true, true) // has the old entry, and a grant
 	w.CrashTarget(old)
-	n := w.AddTarget("pay", "heir", old.domain, old.addr, 0)
+	n := w.AddTarget("pay", "heir", old.domain, old.address, 0)
 	seen := time.Duration(0)
 	for range 300 {
 		w.Run(w.now + 10*time.Millisecond)
-		for _, x := range w.Leader().core.Table().Targets {
-			if x.Name == old.name && x.Incarnation == old.inc && seen > 0 {
+		for _, x := range w.Leader().controller.Table().Targets {
+			if x.Name == old.name && x.Incarnation == old.incarnation && seen > 0 {
 				t.Fatal("the old entry is back")
 			}
 			if x.Name != n.name {
@@ -146,7 +127,7 @@
 				if d := w.now - seen; d < 500*time.Millisecond || d > 1500*time.Millisecond {
 					t.Fatalf("pending for %v", d)
 				}
-				check(t, w)
+				requireNoFailure(t, w)
 				return
 			}
 		}
@@ -167,16 +148,16 @@
 		doc["policies"] = map[string]any{"p": map[string]any{"slice": "probe", "when": "missed > 30", "decide": "bar", "ttl_ms": 5, "note": pad}}
 		b, _ := json.Marshal(doc)
 		if i%20 == 10 {
-			for _, p := range followers(w) {
+			for _, p := range w.followers() {
 				w.StallDisk(p, 1500*time.Millisecond)
 			}
 		}
 		if l := w.Leader(); l != nil {
-			w.SendChange(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), b, &change{what: "big"})
+			w.SendChange(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), b, &change{kind: "big"})
 		}
 		w.Run(w.now + 60*time.Millisecond)
-		for _, n := range w.all(wire.ControlDaemon) {
-			rec, err := wire.EncodeBatch(w.procs[n].disk.img.Checkpoint())
+		for _, n := range w.daemonNames(wire.ControlDaemon) {
+			rec, err := wire.EncodeBatch(w.process(n).disk.image.Checkpoint())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -186,7 +167,7 @@
 		}
 	}
 	w.Run(w.now + 8*time.Second)
-	check(t, w)
+	requireNoFailure(t, w)
 	if w.Stats.AcceptedChanges < 20 {
 		t.Fatalf("%+v", w.Stats)
 	}
@@ -197,20 +178,20 @@
 func TestLiveScores(t *testing.T) {
 	t.Parallel()
 	w := Start(11, Small)
-	r, _ := w.inquire(t, w.Leader(), "PUT", "/v1/policies/hasty", "base=1", `{"slice":"probe","when":"misses_in_row >= 1","clear":"ok_in_row >= 1","decide":"bar","ttl_ms":30000,"mode":"shadow"}`, "p")
+	r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/policies/hasty", "base=1", `{"slice":"probe","when":"misses_in_row >= 1","clear":"ok_in_row >= 1","decide":"bar","ttl_ms":30000,"mode":"shadow"}`, "p")
 	if r.Status != 200 {
 		t.Fatalf("%s", r.Body)
 	}
 	for i := range 4 { // pauses that only the hasty one takes for deaths, and a death
-		w.targets[i].hang = true
+		w.targets.all[i].hanging = true
 		w.Run(w.now + 430*time.Millisecond)
-		w.targets[i].hang = false
+		w.targets.all[i].hanging = false
 		w.Run(w.now + 2*time.Second)
 	}
-	w.CrashTarget(w.targets[5])
+	w.CrashTarget(w.targets.all[5])
 	w.Run(w.now + 3*time.Second)
-	check(t, w)
-	_, m := w.inquire(t, w.Leader(), "GET", "/v1/policies", "", "", "q")
+	requireNoFailure(t, w)
+	_, m := w.callAndWait(t, w.Leader(), "GET", "/v1/policies", "", "", "q")
 	score := func(n string) (bars, wrong, toBar float64) {
 		s := m["policies"].(map[string]any)[n].(map[string]any)["score"].(map[string]any)
 		return s["bars"].(float64), s["wrong_bars"].(float64), s["to_bar_ms"].(float64)
@@ -230,17 +211,17 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
-		r, _ := w.inquire(t, w.Leader(), "PUT", "/v1/policies/mute", "base=1", `{"slice":"beat","when":"silent_ms > 2000","clear":"silent_ms == 0","decide":"hold"}`, "p")
+		r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/policies/mute", "base=1", `{"slice":"beat","when":"silent_ms > 2000","clear":"silent_ms == 0","decide":"hold"}`, "p")
 		if r.Status != 200 {
 			t.Fatalf("%s", r.Body)
 		}
-		shut, mute := w.targets[0], w.targets[1]
-		delete(w.listen, shut.addr) // its port is shut, its process beats on
-		mute.state = "mute"         // no daemon takes such a word, but it answers probes
+		shut, mute := w.targets.all[0], w.targets.all[1]
+		delete(w.targets.listening, shut.address) // its port is shut, its process beats on
+		mute.state = "mute"                       // no daemon takes such a word, but it answers probes
 		w.Run(w.now + 4*time.Second)
 		out := func() (a, b bool) {
 			a, b = true, true
-			for _, x := range w.Leader().core.Table().Targets {
+			for _, x := range w.Leader().controller.Table().Targets {
 				a = a && (x.Name != shut.name || x.EjectionLeft > 0 || x.Pending)
 				b = b && (x.Name != mute.name || x.EjectionLeft > 0 || x.Pending)
 			}
@@ -251,18 +232,18 @@
 		}
 		if seed%2 == 0 {
 			w.Kill(w.Leader())
-		} else if r, _ := w.inquire(t, w.Leader(), "PUT", "/v1/policies/mute", "base=2", `{"slice":"beat","when":"silent_ms > 2100","clear":"silent_ms == 0","decide":"hold"}`, "q"); r.Status != 200 {
+		} else if r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/policies/mute", "base=2", `{"slice":"beat","when":"silent_ms > 2100","clear":"silent_ms == 0","decide":"hold"}`, "q"); r.Status != 200 {
 			t.Fatalf("%s", r.Body)
 		}
 		for range 300 {
 			w.Run(w.now + 10*time.Millisecond)
-			if w.Leader() != nil && w.Leader().core.Table() != nil {
+			if w.Leader() != nil && w.Leader().controller.Table() != nil {
 				if a, b := out(); !a || !b {
 					t.Fatalf("seed %d: back in a table: shut %v, mute %v\n%s", seed, !a, !b, w.Trace(20))
 				}
 			}
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -274,13 +255,13 @@
 	for seed := range uint64(60) {
 		w := Start(seed, Small)
 		l := w.Leader()
-		w.PutConfig(followers(w)[int(seed)%2], 1, 2)
+		w.PutConfig(w.followers()[int(seed)%2], 1, 2)
 		w.Run(w.now + time.Duration(seed%20)*time.Millisecond)
 		w.isolate([]string{l.name}, 5*time.Second, true, true)
 		w.Run(w.now + 8*time.Second)
 		w.CheckAcknowledgedChanges()
-		check(t, w)
-		if w.changes[1].state == "accepted" {
+		requireNoFailure(t, w)
+		if w.operators.changes[1].state == changeAccepted {
 			told++
 		}
 	}
--- a/internal/verification/simulator/operator.go
+++ b/internal/verification/simulator/operator.go
@@ -1,207 +1,264 @@
-// This file is the simulated operators and their changes.
-
 package simulator
 
 import (
 	"encoding/json"
 	"fmt"
 	"maps"
-	"myrtlefold/internal/shared/statemachine"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
 
-	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 )
 
+// operators are those who call the API of the daemons; targets' reports are calls too.
+type operators struct {
+	calls   uint64                  // calls so far, also the last one's id
+	pending map[uint64]*pendingCall // without a reply, by id
+	changes []*change
+
+	bulkChanges      int           // changes in bulk so far
+	repliesLostUntil time.Duration // until when most replies to changes of the configuration are lost
+}
+
+func newOperators() operators { return operators{pending: map[uint64]*pendingCall{}} }
+
+// pendingCall is a call that has no reply yet.
+type pendingCall struct {
+	description string
+	onReply     func(statemachine.Reply)
+	// reader is the process that has read the call, at its start of that number; nil: none has yet.
+	reader            *Process
+	readerIncarnation int
+}
+
+// change is an operator's change of the configuration, of a domain or of the members, and its fate.
 type change struct {
-	token string
-	rev   uint64
-	base  uint64
-	what  string
-	empty string
-	at    time.Duration
-	acked time.Duration
-	state string // open, accepted, refused, unknown
-	doc   string // what was sent
+	kind     changeKind
+	domain   string // that is emptied or restored
+	token    string
+	base     uint64 // revision of the configuration that it is built on
+	document string // what was sent
+	sentAt   time.Duration
+	state    changeState
+	revision uint64 // that an accepted one led to
 }
 
-type ask struct {
-	fn   func(statemachine.Reply)
-	at   *Process // who has read it, and in which start; nil: nobody yet
-	gen  int
-	what string
+// changeKind is what a change concerns.
+type changeKind string
+
+const (
+	changeConfig  changeKind = "config"
+	changeInvalid changeKind = "invalid" // a configuration that must be rejected
+	changeEmpty   changeKind = "empty"
+	changeRestore changeKind = "restore"
+)
+
+// String names a change in the trace.
+func (c *change) String() string {
+	if c.domain != "" {
+		return string(c.kind) + " " + c.domain
+	}
+	return string(c.kind)
 }
 
-// call sends a call to a member; the answer goes to fn, and its arrival is the ask's.
-func (w *World) call(p *Process, method, path, query string, body []byte, token string, fn func(statemachine.Reply)) *ask {
-	w.nextAsk++
-	id := w.nextAsk
+// changeState is what an operator knows of its change.
+type changeState int
+
+const (
+	changeOpen changeState = iota
+	changeAccepted
+	changeRejected
+	changeUnknown
+)
+
+// String names the state.
+func (s changeState) String() string { return [...]string{"open", "accepted", "refused", "unknown"}[s] }
+
+func configChange(base uint64) *change { return &change{kind: changeConfig, base: base} }
+
+func emptyChange(domain string) *change { return &change{kind: changeEmpty, domain: domain} }
+
+func restoreChange(domain string) *change { return &change{kind: changeRestore, domain: domain} }
+
+// callTime is how long a call takes to its daemon at most, in milliseconds; slowCallTime is the same with
+// guardBaseRevision disabled, so that changes meet.
+const (
+	callTime     = 2
+	slowCallTime = 60
+)
+
+// call sends a call to a daemon; the reply goes to onReply.
+func (w *World) call(p *Process, method, path, query string, body []byte, token string, onReply func(statemachine.Reply)) *pendingCall {
+	w.operators.calls++
+	id := w.operators.calls
 	recorded := w.record(method, path, query, body, token)
 	if token == "" {
 		token = fmt.Sprintf("t%d", id)
 	}
-	answered := func(r statemachine.Reply) {
+	pending := &pendingCall{description: method + " " + path, onReply: func(r statemachine.Reply) {
 		recorded(r)
-		fn(r)
-	}
-	sent := &ask{fn: answered, what: method + " " + path}
-	w.asks[id] = sent
-	late := 2
-	if w.sabotage == "base" {
-		late = 60
+		onReply(r)
+	}}
+	w.operators.pending[id] = pending
+	longest := callTime
+	if w.disabledGuard == guardBaseRevision {
+		longest = slowCallTime
 	}
-	w.at(w.ms(0, late), func() {
-		if w.sabotage == "base" && p.core != nil && strings.HasPrefix(query, "base=") {
-			query = fmt.Sprintf("base=%d", p.core.Revision())
-		}
-		call := statemachine.Call{ID: id, Token: token, Method: method, Path: path, Query: query, Body: body}
-		if r, spoilt := w.spoilCall(p, call); spoilt {
-			w.exec(p, r)
-			return
+	w.schedule(w.randomMilliseconds(0, longest), func() {
+		if w.disabledGuard == guardBaseRevision && p.controller != nil && strings.HasPrefix(query, "base=") {
+			query = fmt.Sprintf("base=%d", p.controller.Revision())
 		}
-		if w.Plan.Resources == nil {
-			sent.readBy(p)
+		w.callArrives(p, pending, statemachine.Call{ID: id, Token: token, Method: method, Path: path, Query: query, Body: body})
+	})
+	return pending
+}
+
+// callArrives has a daemon handle a call, once its processor is free where that is limited.
+func (w *World) callArrives(p *Process, pending *pendingCall, call statemachine.Call) {
+	if reply, replaced := w.replyWithoutGuard(p, call); replaced {
+		w.execute(p, reply)
+		return
+	}
+	if w.Plan.Resources == nil {
+		pending.markRead(p)
+		w.deliver(p, call)
+		return
+	}
+	incarnation := p.incarnation
+	w.schedule(w.useProcessor(p, taskCall, callCost)-w.now, func() {
+		if p.incarnation == incarnation {
+			pending.markRead(p)
 			w.deliver(p, call)
-			return
 		}
-		gen := p.gen
-		w.at(w.work(p, "call", costCall)-w.now, func() {
-			if p.gen == gen {
-				sent.readBy(p)
-				w.deliver(p, call)
-			}
-		})
 	})
-	return sent
 }
 
-// readBy notes that a process has read the call, if it runs.
-func (a *ask) readBy(p *Process) {
+// markRead notes that a process has read the call, if it runs.
+func (c *pendingCall) markRead(p *Process) {
 	if p.alive && !p.frozen {
-		a.at, a.gen = p, p.gen
+		c.reader, c.readerIncarnation = p, p.incarnation
 	}
 }
 
-// checkNoCallIsLeft looks whether a process that ends by plan leaves calls without an answer.
-func (w *World) checkNoCallIsLeft(p *Process) {
-	for _, id := range slices.Sorted(maps.Keys(w.asks)) {
-		if a := w.asks[id]; a.at == p && a.gen == p.gen {
-			w.broken("in flight", "%s left %s without an answer at a planned stop", p.name, a.what)
-		}
+// reply carries out a daemon's command to reply to a call.
+func (w *World) reply(r statemachine.Reply) {
+	if c := w.operators.pending[r.ID]; c != nil {
+		delete(w.operators.pending, r.ID)
+		w.schedule(w.randomMilliseconds(0, callTime), func() { c.onReply(r) })
 	}
 }
 
-// Document is a configuration that tells its revisions apart by n.
-func (w *World) Document(n int) []byte {
-	return w.DocumentFor(n, 40, slices.Sorted(maps.Keys(w.Plan.Services)))
-}
+// ignoreReply is for calls whose replies only the history looks at.
+func (w *World) ignoreReply(statemachine.Reply) {}
 
-func (w *World) warm(cap int) int {
-	if w.sabotage == "warm cap" {
-		return cap
-	}
-	return min(cap, warmCap)
-}
-
-// DocumentFor is one for some services, with a cap per target.
-func (w *World) DocumentFor(n, cap int, services []string) []byte {
-	svcs, routes := map[string]any{}, map[string]config.Route{}
-	var rules []any
-	for _, s := range services {
-		svc := map[string]any{"cap": cap, "warm_cap": w.warm(cap), "timeout_ms": 1000 + n}
-		if w.Plan.WarmupRate > 0 {
-			svc["cold_per_s"], svc["cold_s"] = w.Plan.WarmupRate, coldSpan.Seconds()
-		}
-		if w.Plan.ConnectionLimit > 0 {
-			svc["conn_cap"] = w.Plan.ConnectionLimit
+// checkNoCallPending checks that a process that ends gracefully leaves no call that it has read without a reply.
+func (w *World) checkNoCallPending(p *Process) {
+	for _, id := range slices.Sorted(maps.Keys(w.operators.pending)) {
+		if c := w.operators.pending[id]; c.reader == p && c.readerIncarnation == p.incarnation {
+			w.violated(ruleGracefulStop, "%s left %s without an answer at a planned stop", p.name, c.description)
 		}
-		svcs[s] = svc
-		for kind, prefix := range map[config.RouteKind]string{config.KindRepeatable: "/" + s + "/", config.KindOnce: "/" + s + "/once/"} {
-			routes[s+"-"+string(kind)] = config.Route{Prefix: prefix, Kind: kind, TimeoutMs: 1000 + n, LatencyTargetMs: 400, Attempts: 3, Service: s}
-		}
-		rules = append(rules, map[string]any{"path": "/" + s + "/", "service": s})
-	}
-	doc := map[string]any{"services": svcs, "rules": rules}
-	if w.Plan.Slots > 0 {
-		doc["rules"], doc["routes"] = []any{}, routes
 	}
-	b, _ := json.Marshal(doc)
-	return b
 }
 
-// SendChange sends an operator's change to a core member and follows its fate.
+// SendChange sends an operator's change to a control daemon and follows its fate.
 func (w *World) SendChange(p *Process, method, path, query string, body []byte, c *change) {
 	if !p.alive {
 		return
 	}
-	c.token = fmt.Sprintf("op%d", len(w.changes))
-	c.at, c.state, c.doc = w.now, "open", string(body)
-	w.changes = append(w.changes, c)
+	c.token = fmt.Sprintf("op%d", len(w.operators.changes))
+	c.sentAt, c.state, c.document = w.now, changeOpen, string(body)
+	w.operators.changes = append(w.operators.changes, c)
 	w.Stats.Changes++
-	if strings.HasSuffix(path, "/restore") {
-		delete(w.emptied, c.empty) // from the asking on, requests may go there again
+	if c.kind == changeRestore {
+		delete(w.checks.emptiedAt, c.domain) // from the call on, requests may go there again
 	}
-	order := &operatorOrder{method: method, path: path, query: query, body: body, token: c.token}
-	w.sendOrder(p, order, func(r statemachine.Reply) {
+	order := &operatorChange{method: method, path: path, query: query, body: body, token: c.token}
+	w.sendRepeatedly(p, order, func(r statemachine.Reply) {
 		switch {
-		case r.Status == 200:
-			var v struct {
-				Revision uint64 `json:"revision"`
-			}
-			json.Unmarshal(r.Body, &v)
-			c.state, c.rev, c.acked = "accepted", v.Revision, w.now
-			w.Stats.AcceptedChanges++
-			w.Stats.ChangeLatencies = append(w.Stats.ChangeLatencies, w.now-c.at)
-			w.Stats.SlowestChange = max(w.Stats.SlowestChange, w.now-c.at)
-			w.log("%s accepted as revision %d", c.what, v.Revision)
-			if w.acked = max(w.acked, v.Revision); w.ackedAt[v.Revision] == 0 {
-				w.ackedAt[v.Revision] = w.now
-			}
-			if c.what == "config" {
-				for _, o := range w.changes {
-					if o != c && o.what == "config" && o.state == "accepted" && o.base == c.base && (o.doc != c.doc || o.rev != c.rev) {
-						w.broken("one base", "%s and %s were both accepted on %d", o.token, c.token, c.base)
-					}
-				}
-			}
-			if strings.HasSuffix(path, "/empty") && !slices.ContainsFunc(w.changes, func(o *change) bool { return o.what == "restore "+c.empty && o.at > c.at }) {
-				w.emptied[c.empty] = w.now
-				w.Stats.EmptiedDomains++
-			}
-		case r.Status == 504 || order.leavesOpen(r):
-			c.state = "unknown"
+		case r.Status == http.StatusOK:
+			w.accepted(c, revisionOf(r))
+		case r.Status == http.StatusGatewayTimeout || order.leavesOpen(r):
+			c.state = changeUnknown
 			w.Stats.UnknownChanges++
 		default:
-			c.state = "refused"
+			c.state = changeRejected
 			w.Stats.RejectedChanges++
-			w.log("%s refused with %d", c.what, r.Status)
+			w.logf("%s refused with %d", c, r.Status)
 		}
 	})
 }
 
-// PutConfig tries a whole configuration on a base.
-func (w *World) PutConfig(p *Process, base uint64, n int) {
-	w.SendChange(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(n), &change{what: "config", base: base})
+// accepted notes that a change was acknowledged as a revision, and checks what follows from that.
+func (w *World) accepted(c *change, revision uint64) {
+	c.state, c.revision = changeAccepted, revision
+	w.Stats.AcceptedChanges++
+	w.Stats.ChangeLatencies = append(w.Stats.ChangeLatencies, w.now-c.sentAt)
+	w.Stats.SlowestChange = max(w.Stats.SlowestChange, w.now-c.sentAt)
+	w.logf("%s accepted as revision %d", c, revision)
+	w.acknowledge(revision)
+	switch c.kind {
+	case changeConfig:
+		w.checkOneChangePerBase(c)
+	case changeEmpty:
+		restoredSince := func(o *change) bool {
+			return o.kind == changeRestore && o.domain == c.domain && o.sentAt > c.sentAt
+		}
+		if !slices.ContainsFunc(w.operators.changes, restoredSince) {
+			w.checks.emptiedAt[c.domain] = w.now
+			w.Stats.EmptiedDomains++
+		}
+	}
+}
+
+// PutConfig sends a complete configuration that is built on a base; its number tells it from others.
+func (w *World) PutConfig(p *Process, base uint64, number int) {
+	w.SendChange(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(number), configChange(base))
 }
 
+// putNextConfig has a control daemon receive a configuration that no other change of the run has.
+func (w *World) putNextConfig(p *Process) { w.PutConfig(p, w.Revision(), w.nextDocumentNumber()) }
+
 // Revision is the highest that any living member has applied.
-func (w *World) Revision() (r uint64) {
-	for _, n := range w.names {
-		if p := w.procs[n]; p.core != nil && p.alive {
-			r = max(r, p.core.Revision())
+func (w *World) Revision() (revision uint64) {
+	for _, p := range w.daemons(wire.ControlDaemon) {
+		if p.controller != nil && p.alive {
+			revision = max(revision, p.controller.Revision())
 		}
 	}
-	return r
+	return revision
 }
 
-// revisionOf is the revision that an answer names, 0 if none.
+// revisionOf is the revision that a reply names, 0 if none.
 func revisionOf(r statemachine.Reply) uint64 {
-	var v struct {
+	var body struct {
 		Revision uint64 `json:"revision"`
 	}
-	if json.Unmarshal(r.Body, &v) != nil {
+	if json.Unmarshal(r.Body, &body) != nil {
 		return 0
 	}
-	return v.Revision
+	return body.Revision
+}
+
+// restoreDomain sends the restoring of an emptied domain again and again until it is accepted.
+func (w *World) restoreDomain(domain string) {
+	p := w.pickProcess(wire.ControlDaemon, true)
+	if p == nil {
+		w.schedule(time.Second, func() { w.restoreDomain(domain) })
+		return
+	}
+	c := restoreChange(domain)
+	w.SendChange(p, "POST", "/v1/domains/"+domain+"/restore", "", nil, c)
+	for _, t := range w.targets.all { // they had no requests meanwhile
+		if t.alive && t.domain == domain && w.Plan.WarmupRate > 0 && t.warmingUntil <= w.now {
+			w.warmUpAgain(t)
+		}
+	}
+	w.schedule(7*time.Second, func() {
+		if c.state != changeAccepted {
+			w.restoreDomain(domain)
+		}
+	})
 }
--- a/internal/verification/simulator/operators_bounds_test.go
+++ b/internal/verification/simulator/operators_bounds_test.go
@@ -21,7 +21,7 @@
 func calmSizes() map[string]Plan {
 	many := Small
 	many.Proxies, many.Rate = 69, 20
-	spares := open(11, 3)
+	spares := bootstrapPlan(11, 3)
 	spares.Proxies = 24
 	return map[string]Plan{"small": Small, "69 proxies": many, "11 core machines": spares}
 }
@@ -35,11 +35,11 @@
 			t.Parallel()
 			w := Start(5, plan)
 			w.Run(w.now + 6*time.Second)
-			cores := w.all(wire.ControlDaemon)
+			cores := w.daemonNames(wire.ControlDaemon)
 			slowest := time.Duration(0)
 			for i, call := range []string{"d1/empty", "d2/empty", "d1/restore", "d1/empty", "d2/restore", "d1/restore"} {
 				from, took := w.now, time.Duration(0)
-				w.call(w.procs[cores[i%len(cores)]], "POST", "/v1/domains/"+call, "", nil, fmt.Sprintf("calm-%d", i), func(r statemachine.Reply) {
+				w.call(w.process(cores[i%len(cores)]), "POST", "/v1/domains/"+call, "", nil, fmt.Sprintf("calm-%d", i), func(r statemachine.Reply) {
 					if r.Status == 200 {
 						took = w.now - from
 					}
@@ -51,7 +51,7 @@
 				slowest = max(slowest, took)
 			}
 			t.Logf("the slowest took %v", slowest)
-			check(t, w)
+			requireNoFailure(t, w)
 		})
 	}
 }
@@ -70,18 +70,18 @@
 					w.PutConfig(w.Leader(), w.Revision(), 3+looks/40)
 				}
 				w.Run(w.now + lookEvery)
-				for _, g := range w.all(wire.ProxyDaemon) {
-					if w.procs[g].gate.Ready() {
+				for _, g := range w.daemonNames(wire.ProxyDaemon) {
+					if w.process(g).proxy.Ready() {
 						ready[g]++
 					}
 				}
 			}
-			for _, g := range w.all(wire.ProxyDaemon) {
+			for _, g := range w.daemonNames(wire.ProxyDaemon) {
 				if 8*ready[g] < readyEighths*looks {
 					t.Errorf("%s was ready at %d of %d looks", g, ready[g], looks)
 				}
 			}
-			check(t, w)
+			requireNoFailure(t, w)
 		})
 	}
 }
@@ -94,20 +94,20 @@
 	w.Run(w.now + 5*time.Second)
 	first := []string{"fares", "pay"}
 	without := first[:1]
-	r, _ := w.inquire(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(3, 40, without)), "")
+	r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(3, 40, without)), "")
 	if r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	w.Run(w.now + 3*time.Second)
-	if r, _ = w.inquire(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(4, 40, first)), ""); r.Status != 200 {
+	if r, _ = w.callAndWait(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(4, 40, first)), ""); r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	w.Run(w.now + 2*time.Second)
 	served, asked := map[string]int{}, map[string]int{}
 	for range 20 {
 		w.Run(w.now + 500*time.Millisecond)
-		for _, g := range w.all(wire.ProxyDaemon) {
-			table := w.procs[g].gate.Table()
+		for _, table := range w.daemons(wire.ProxyDaemon) {
+			table := table.proxy.Table()
 			if table == nil {
 				continue
 			}
@@ -124,5 +124,5 @@
 			t.Errorf("%s could be served at %d of %d looks", svc, served[svc], asked[svc])
 		}
 	}
-	check(t, w)
+	requireNoFailure(t, w)
 }
--- a/internal/verification/simulator/overload_test.go
+++ b/internal/verification/simulator/overload_test.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"cmp"
 	"fmt"
 	"maps"
 	"slices"
@@ -12,9 +13,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// busyFerry is the ferry fleet under so much traffic that every target is heard of all the time.
-func busyFerry() Plan {
-	p := ferry()
+// busyLargeControlPlane is the ferry fleet under so much traffic that every target is heard of all the time.
+func busyLargeControlPlane() Plan {
+	p := largeControlPlane()
 	p.Rate = 1200
 	return p
 }
@@ -23,57 +24,28 @@
 func startLeased(t *testing.T, seed uint64, p Plan) *World {
 	t.Helper()
 	w := Start(seed, p)
-	if !w.until(10*time.Second, func() bool { return len(w.memberNames()) == 7 && granted(w) == 64 }) {
-		t.Fatalf("members %v, %d proxies leased", w.memberNames(), granted(w))
+	if !w.runUntil(10*time.Second, func() bool { return len(w.memberNames()) == 7 && leasedProxies(w) == 64 }) {
+		t.Fatalf("members %v, %d proxies leased", w.memberNames(), leasedProxies(w))
 	}
 	return w
 }
 
-// release replaces a part of all targets by later starts of them, so many at once and so far apart.
-func (w *World) release(share float64, atOnce int, gap time.Duration) {
-	var all []*Target
-	for _, t := range w.targets {
-		if t.alive && t.state != wire.TargetLeaving {
-			all = append(all, t)
-		}
-	}
-	w.rnd.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	wait := time.Duration(0)
-	for batch := range slices.Chunk(all[:int(share*float64(len(all)))], atOnce) {
-		w.at(wait, func() {
-			for _, t := range batch {
-				w.DrainTarget(t, func() { w.replace(t, w.ms(300, 900), 0) })
-			}
-		})
-		wait += gap
-	}
-}
-
-// leadsLost is how often a core daemon that runs has lost the lead.
-func (w *World) leadsLost() (n uint64) {
-	for _, c := range w.all(wire.ControlDaemon) {
-		if p := w.procs[c]; p.alive {
-			n += p.core.Status(p.local()).Counts.LeasesLost
-		}
-	}
-	return n
-}
-
-// spentOn tells what a process's processor time since an earlier moment went to, the most first.
-func (p *Process) spentOn(before map[string]time.Duration) string {
-	on := slices.SortedFunc(maps.Keys(p.spent), func(a, b string) int { return int(p.spent[b] - before[b] - p.spent[a] + before[a]) })
+// spentOn lists what a process's processor time since an earlier moment was spent on, the most first.
+func (p *Process) spentOn(before map[task]time.Duration) string {
+	spent := func(on task) time.Duration { return p.usage.processorTime[on] - before[on] }
+	tasks := slices.SortedFunc(maps.Keys(p.usage.processorTime), func(a, b task) int { return cmp.Compare(spent(b), spent(a)) })
 	var lines []string
-	for _, k := range on {
-		lines = append(lines, fmt.Sprintf("%s %v", k, (p.spent[k]-before[k]).Round(time.Millisecond)))
+	for _, on := range tasks {
+		lines = append(lines, fmt.Sprintf("%s %v", on, spent(on).Round(time.Millisecond)))
 	}
 	return strings.Join(lines, ", ")
 }
 
 // busyShare is the part of its processor that a process used since an earlier moment.
-func (w *World) busyShare(p *Process, before map[string]time.Duration, since time.Duration) float64 {
+func (w *World) busyShare(p *Process, before map[task]time.Duration, since time.Duration) float64 {
 	total := time.Duration(0)
-	for k, d := range p.spent {
-		total += d - before[k]
+	for on, spent := range p.usage.processorTime {
+		total += spent - before[on]
 	}
 	return float64(total) / float64(w.now-since) / w.Plan.Resources.share(p)
 }
@@ -88,12 +60,12 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := startLeased(t, seed, busyFerry())
-			leader, lost, since := w.Leader(), w.leadsLost(), w.now
-			before := maps.Clone(leader.spent)
-			w.release(0.6, 6, 600*time.Millisecond)
+			w := startLeased(t, seed, busyLargeControlPlane())
+			leader, lost, since := w.Leader(), w.lostLeases(), w.now
+			before := maps.Clone(leader.usage.processorTime)
+			w.releaseTargets(0.6, 6, 600*time.Millisecond)
 			w.Run(w.now + 9*time.Second)
-			if n := w.leadsLost() - lost; n > 0 {
+			if n := w.lostLeases() - lost; n > 0 {
 				t.Errorf("the lead was lost %d times in a release; the leader's time went to: %s", n, leader.spentOn(before))
 			}
 			if busy := w.busyShare(leader, before, since); busy > busyInRelease {
@@ -101,10 +73,10 @@
 			} else {
 				t.Logf("the leader used %.2f of its processor: %s", busy, leader.spentOn(before))
 			}
-			if n := granted(w); n < 64 {
+			if n := leasedProxies(w); n < 64 {
 				t.Errorf("%d of 64 proxies hold a lease after the release", n)
 			}
-			check(t, w)
+			requireNoFailure(t, w)
 		})
 	}
 }
@@ -116,23 +88,23 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := startLeased(t, seed, ferry())
-			leader, lost := w.Leader(), w.leadsLost()
-			before := maps.Clone(leader.spent)
-			w.release(0.3, 4, 900*time.Millisecond)
+			w := startLeased(t, seed, largeControlPlane())
+			leader, lost := w.Leader(), w.lostLeases()
+			before := maps.Clone(leader.usage.processorTime)
+			w.releaseTargets(0.3, 4, 900*time.Millisecond)
 			w.Run(w.now + time.Second)
-			w.slowDown(leader, 3, 4*time.Second)
+			w.slowProcess(leader, 3, 4*time.Second)
 			w.Run(w.now + 3*time.Second)
-			if n := granted(w); n < 64 {
-				t.Errorf("%d of 64 proxies hold a lease 3 s after the leader's machine became slow; the lead was lost %d times\n%s", n, w.leadsLost()-lost, w.Trace(30))
+			if n := leasedProxies(w); n < 64 {
+				t.Errorf("%d of 64 proxies hold a lease 3 s after the leader's machine became slow; the lead was lost %d times\n%s", n, w.lostLeases()-lost, w.Trace(30))
 			}
 			w.Run(w.now + time.Second)
-			slowed := w.leadsLost()
+			slowed := w.lostLeases()
 			w.Run(w.now + 3*time.Second)
-			if n := w.leadsLost() - slowed; n > 0 {
+			if n := w.lostLeases() - slowed; n > 0 {
 				t.Errorf("the lead was lost %d times more; the leader's time went to: %s", n, leader.spentOn(before))
 			}
-			check(t, w)
+			requireNoFailure(t, w)
 		})
 	}
 }
@@ -144,9 +116,9 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := startLeased(t, seed, busyFerry())
-			for _, c := range w.all(wire.ControlDaemon) {
-				w.Kill(w.procs[c])
+			w := startLeased(t, seed, busyLargeControlPlane())
+			for _, p := range w.daemons(wire.ControlDaemon) {
+				w.Kill(p)
 			}
 			w.Run(w.now + 2*time.Second)
 			probes, exchanges, served := w.Stats.ProxyHealthChecks, w.Stats.Requests, w.Stats.Served
@@ -171,31 +143,31 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			p := grown()
+			p := largeFleet()
 			p.Rate, p.Slots, p.ReportToControlOnly, p.HeartbeatEvery = 200, 3, true, 1500*time.Millisecond
 			w := Start(seed, p)
 			w.Run(w.now + 3*time.Second)
-			w.SendChange(w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.bulk(3, 1400), &change{what: "config", base: w.Revision()})
+			w.SendChange(w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.documentWithRoutes(3, 1400), configChange(w.Revision()))
 			w.Run(w.now + 3*time.Second)
-			w.release(0.3, 4, 500*time.Millisecond)
+			w.releaseTargets(0.3, 4, 500*time.Millisecond)
 			var cut []*Process
-			var links [][2]string
-			for i, g := range w.all(wire.ProxyDaemon) {
+			var links []link
+			for i, g := range w.daemonNames(wire.ProxyDaemon) {
 				if i%4 > 0 {
 					continue
 				}
-				cut = append(cut, w.procs[g])
-				for _, c := range w.all(wire.ControlDaemon) {
-					links = append(links, both(g, c)...)
+				cut = append(cut, w.process(g))
+				for _, c := range w.daemonNames(wire.ControlDaemon) {
+					links = append(links, bothDirections(g, c)...)
 				}
 			}
 			w.Run(w.now + time.Second)
-			w.cutFor(links, 5500*time.Millisecond)
+			w.partition(links, 5500*time.Millisecond)
 			full, samples := 0, 0
 			for range 25 {
 				w.Run(w.now + 200*time.Millisecond)
 				for _, g := range cut {
-					if samples++; g.in-w.now > 100*time.Millisecond {
+					if samples++; g.usage.inboundUntil-w.now > 100*time.Millisecond {
 						full++
 					}
 				}
@@ -205,10 +177,10 @@
 			} else {
 				t.Logf("full for %.2f of the time", part)
 			}
-			if !w.until(2500*time.Millisecond, func() bool { return granted(w) == 69 }) {
-				t.Errorf("%d of 69 proxies hold a lease 2 s after the cut", granted(w))
+			if !w.runUntil(2500*time.Millisecond, func() bool { return leasedProxies(w) == 69 }) {
+				t.Errorf("%d of 69 proxies hold a lease 2 s after the cut", leasedProxies(w))
 			}
-			check(t, w)
+			requireNoFailure(t, w)
 		})
 	}
 }
--- a/internal/verification/simulator/registry_test.go
+++ b/internal/verification/simulator/registry_test.go
@@ -9,10 +9,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// lossOfAll ends all daemons, some of them with what their disks had only, and starts them again.
-func (w *World) lossOfAll() {
-	for _, n := range w.all(wire.ControlDaemon) {
-		w.procs[n].disk.open = nil
+// restartAllAfterPowerLoss ends all daemons, some of them with what their disks had only, and starts them again.
+func (w *World) restartAllAfterPowerLoss() {
+	for _, p := range w.daemons(wire.ControlDaemon) {
+		p.disk.unsynced = nil
 	}
 	w.killAll()
 	w.Run(w.now + 700*time.Millisecond)
@@ -26,11 +26,11 @@
 	for seed := range uint64(4) {
 		w := Start(seed, Small)
 		w.Run(w.now + time.Second)
-		for _, x := range w.targets {
-			x.still = true
+		for _, x := range w.targets.all {
+			x.silent = true
 		}
-		dead := w.targets[2]
-		w.lossOfAll()
+		dead := w.targets.all[2]
+		w.restartAllAfterPowerLoss()
 		w.CrashTarget(dead)
 		from := w.now
 		for w.Run(w.now+20*time.Millisecond) && !w.Serving() {
@@ -39,17 +39,17 @@
 			}
 		}
 		w.Run(w.now + tuning.DialTimeout)
-		for _, x := range w.targets {
-			if w.served(x) != (x != dead) {
-				t.Errorf("seed %d: %s/%s offered %v, ended %v", seed, x.service, x.name, w.served(x), x == dead)
+		for _, x := range w.targets.all {
+			if w.offered(x) != (x != dead) {
+				t.Errorf("seed %d: %s/%s offered %v, ended %v", seed, x.service, x.name, w.offered(x), x == dead)
 			}
 		}
 		for end := w.now + tuning.TargetExpiry + time.Second; w.now < end && w.Run(w.now+100*time.Millisecond); {
-			if w.served(dead) {
+			if w.offered(dead) {
 				t.Fatalf("seed %d: %s/%s is offered, which has ended", seed, dead.service, dead.name)
 			}
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -60,24 +60,24 @@
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
 		w.Run(w.now + time.Second)
-		x := w.targets[1]
-		x.still = true
-		word := wire.Target{Service: x.service, Name: x.name, Incarnation: x.inc, Addr: x.addr, Domain: x.domain, State: wire.TargetLeaving}
+		x := w.targets.all[1]
+		x.silent = true
+		word := wire.Target{Service: x.service, Name: x.name, Incarnation: x.incarnation, Addr: x.address, Domain: x.domain, State: wire.TargetLeaving}
 		method, path, query := "POST", "/v1/targets", ""
 		if seed%2 == 1 {
-			method, path, query = "DELETE", "/v1/targets/"+x.service+"/"+x.name, fmt.Sprintf("incarnation=%d", x.inc)
+			method, path, query = "DELETE", "/v1/targets/"+x.service+"/"+x.name, fmt.Sprintf("incarnation=%d", x.incarnation)
 		}
 		b := []byte(fmt.Sprintf(`{"service":%q,"name":%q,"incarnation":%d,"address":%q,"domain":%q,"state":"leaving"}`, word.Service, word.Name, word.Incarnation, word.Addr, word.Domain))
-		if r, _ := w.inquire(t, w.procs[w.all(wire.ControlDaemon)[int(seed)%3]], method, path, query, string(b), ""); r.Status != 200 {
+		if r, _ := w.callAndWait(t, w.daemons(wire.ControlDaemon)[int(seed)%3], method, path, query, string(b), ""); r.Status != 200 {
 			t.Fatalf("seed %d: %d %s", seed, r.Status, r.Body)
 		}
-		w.lossOfAll()
+		w.restartAllAfterPowerLoss()
 		for end := w.now + 6*time.Second; w.now < end && w.Run(w.now+200*time.Millisecond); {
-			w.say(w.procs[w.names[w.rnd.IntN(3)]], x, wire.TargetReady) // it was under way
-			if w.served(x) {
+			w.reportTarget(w.process(w.processes.names[w.random.IntN(3)]), x, wire.TargetReady) // it was under way
+			if w.offered(x) {
 				t.Fatalf("seed %d: %s/%s is offered again after its %s was acknowledged", seed, x.service, x.name, method)
 			}
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
--- a/internal/verification/simulator/replacement.go
+++ b/internal/verification/simulator/replacement.go
@@ -1,108 +1,120 @@
-// This file replaces core machines for good: the process and its disk never come
-// back, and an empty daemon at another address comes in their place.
-
 package simulator
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/wire"
 	"slices"
 	"time"
+
+	"myrtlefold/internal/shared/wire"
 )
 
-// stopGrace is how long after the polite signal a replaced machine's process is ended by force.
-const stopGrace = 6 * time.Second
+// controlStopGrace is how long after the stop signal the process of a replaced control machine is killed.
+const controlStopGrace = 6 * time.Second
 
-// ReplaceControlDaemon takes a core machine away for good; its successor stands in the same
-// domain under another name and address. Unplanned, the old one is killed now and the
+// ReplaceControlDaemon takes a control machine away for good: its process and disk never come back. Its successor
+// is an empty daemon in the same domain under another name and address. Unplanned, the old one is killed now and the
 // successor starts after the pause. Planned, the successor starts now and the old one
 // is told to stop after the pause. Then is called once both have happened, with the
 // time of the successor's start.
 func (w *World) ReplaceControlDaemon(old *Process, planned bool, pause time.Duration, then func(started time.Duration)) {
-	w.replaced++
-	w.replacing++
+	w.processes.replaced++
+	w.processes.replacing++
 	w.Stats.ReplacedMachines++
-	name := fmt.Sprintf("r%d", w.replaced)
-	successor := func() {
-		w.log("%s comes in place of %s", name, old.name)
-		w.addProc(wire.ControlDaemon, name, int(old.domain[1]-'1'))
-		w.seeds = w.someCores(name)
-		w.start(w.procs[name])
-	}
+	name := fmt.Sprintf("r%d", w.processes.replaced)
 	if !planned {
-		w.log("%s is gone for good", old.name)
+		w.logf("%s is gone for good", old.name)
 		w.Kill(old)
-		w.forgetProc(old)
-		w.at(pause, func() {
-			successor()
-			w.replacing--
+		w.removeMachine(old)
+		w.schedule(pause, func() {
+			w.startSuccessor(old, name)
+			w.processes.replacing--
 			then(w.now)
 		})
 		return
 	}
-	successor()
+	w.startSuccessor(old, name)
 	started := w.now
-	w.at(pause, func() {
-		w.log("stop %s for good", old.name)
+	w.schedule(pause, func() {
+		w.logf("stop %s for good", old.name)
 		if old.alive {
-			w.stop(old)
+			w.stopProcess(old)
 		}
-		w.endReplaced(old, w.now+stopGrace, func() {
-			w.replacing--
+		w.removeOnceStopped(old, w.now+controlStopGrace, func() {
+			w.processes.replacing--
 			then(started)
 		})
 	})
 }
 
-// replaceOne replaces a core machine, the leader half of the time, where the core looks
+// startSuccessor starts an empty control daemon in the domain of another.
+func (w *World) startSuccessor(old *Process, name string) {
+	w.logf("%s comes in place of %s", name, old.name)
+	w.addProcess(wire.ControlDaemon, name, domainIndex(old.domain))
+	w.processes.seeds = w.seedsFor(name)
+	w.startProcess(w.process(name))
+}
+
+// addAndStart starts a daemon on a new machine.
+func (w *World) addAndStart(kind wire.DaemonKind, name string, domain int) *Process {
+	w.addProcess(kind, name, domain)
+	p := w.process(name)
+	w.startProcess(p)
+	return p
+}
+
+// domainIndex is a domain's number from 0, by its name.
+func domainIndex(domain string) int { return int(domain[1] - '1') }
+
+// replaceRandomControlDaemon replaces a control machine, the leader half of the time, where the control plane looks
 // after its members itself and no other machine of it is lost.
-func (w *World) replaceOne(planned bool) {
-	p := w.mayHurtCore()
-	if p == nil || w.Plan.Seeds == 0 || w.now < w.coreCutUntil+w.lossPause() {
+func (w *World) replaceRandomControlDaemon(planned bool) {
+	p := w.expendableControlDaemon()
+	if p == nil || w.Plan.Seeds == 0 || w.partitionedLately() {
 		return
 	}
-	if l := w.Leader(); l != nil && w.rnd.IntN(2) == 0 {
-		p = l
+	if leader := w.Leader(); leader != nil && w.random.IntN(2) == 0 {
+		p = leader
 	}
-	if w.rnd.IntN(2) == 0 {
-		w.PutConfig(p, w.Revision(), w.docNumber())
+	if w.random.IntN(2) == 0 {
+		w.putNextConfig(p)
 	}
-	w.ReplaceControlDaemon(p, planned, w.ms(0, 1500), func(time.Duration) {})
+	w.ReplaceControlDaemon(p, planned, w.randomMilliseconds(0, 1500), func(time.Duration) {})
 }
 
-// endReplaced waits for a process that was told to stop, kills it at the deadline, and
+// removeOnceStopped waits for a process that was told to stop, kills it at the deadline, and
 // then removes its machine.
-func (w *World) endReplaced(old *Process, deadline time.Duration, then func()) {
+func (w *World) removeOnceStopped(old *Process, deadline time.Duration, then func()) {
 	if old.alive && w.now < deadline {
-		w.at(10*time.Millisecond, func() { w.endReplaced(old, deadline, then) })
+		w.schedule(10*time.Millisecond, func() { w.removeOnceStopped(old, deadline, then) })
 		return
 	}
 	w.Kill(old)
-	w.forgetProc(old)
+	w.removeMachine(old)
 	then()
 }
 
-// forgetProc removes a machine that never comes back; to the history its disk is lost.
-func (w *World) forgetProc(old *Process) {
-	w.loseMajority(old)
-	old.gone = true
-	w.names = slices.DeleteFunc(w.names, func(n string) bool { return n == old.name })
+// removeMachine removes a machine that never comes back; to the history its disk is lost.
+func (w *World) removeMachine(old *Process) {
+	w.recordDiskLoss(old)
+	old.removed = true
+	w.forgetMachine(old)
 }
 
-// someCores are the addresses that a process started now is told: up to three living
-// core daemons, the named one left out if there are others.
-func (w *World) someCores(but string) (seeds []string) {
-	for _, n := range w.all(wire.ControlDaemon) {
-		if w.procs[n].alive && n != but && len(seeds) < 3 {
-			seeds = append(seeds, n)
+// forgetMachine takes a machine out of the fleet.
+func (w *World) forgetMachine(old *Process) {
+	w.processes.names = slices.DeleteFunc(w.processes.names, func(name string) bool { return name == old.name })
+}
+
+// seedsFor are the names of the seeds of a process that is started now: up to three living
+// control daemons, itself left out if there are others.
+func (w *World) seedsFor(self string) (seeds []string) {
+	for _, p := range w.daemons(wire.ControlDaemon) {
+		if p.alive && p.name != self && len(seeds) < 3 {
+			seeds = append(seeds, p.name)
 		}
 	}
 	if len(seeds) == 0 {
-		return []string{but}
+		return []string{self}
 	}
 	return seeds
 }
-
-// docNumber tells each configuration of a run from all others: the same one asked for
-// twice on one base is rightly accepted twice.
-func (w *World) docNumber() int { return 1000 + len(w.changes) }
--- a/internal/verification/simulator/replacement_test.go
+++ b/internal/verification/simulator/replacement_test.go
@@ -10,13 +10,6 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-const (
-	// testCatchUp is the platform's shortest bound from a successor's start to the next loss.
-	testCatchUp = 4 * time.Second
-	// testReceipt is how long after a loss a leader may take to decide again.
-	testReceipt = 4 * time.Second
-)
-
 // loss is a kind of loss of a core machine; it reports when the next may follow.
 type loss struct {
 	name string
@@ -25,33 +18,33 @@
 
 var losses = []loss{
 	{"replaced", func(w *World, p *Process, over func(time.Duration)) {
-		w.ReplaceControlDaemon(p, false, w.ms(0, 1500), func(started time.Duration) { over(started + testCatchUp) })
+		w.ReplaceControlDaemon(p, false, w.randomMilliseconds(0, 1500), func(started time.Duration) { over(started + testCatchUp) })
 	}},
 	{"replaced by plan", func(w *World, p *Process, over func(time.Duration)) {
-		w.ReplaceControlDaemon(p, true, w.ms(0, 1500), func(started time.Duration) { over(max(w.now, started+testCatchUp)) })
+		w.ReplaceControlDaemon(p, true, w.randomMilliseconds(0, 1500), func(started time.Duration) { over(max(w.now, started+testCatchUp)) })
 	}},
 	{"restarted", func(w *World, p *Process, over func(time.Duration)) {
 		w.Kill(p)
-		w.at(w.ms(100, 6000), func() { w.Restart(p); over(w.now + testCatchUp) })
+		w.schedule(w.randomMilliseconds(100, 6000), func() { w.Restart(p); over(w.now + testCatchUp) })
 	}},
 	{"restarted by plan", func(w *World, p *Process, over func(time.Duration)) {
-		w.stop(p)
-		w.at(w.ms(800, 3000), func() { w.Kill(p); w.Restart(p); over(w.now + testCatchUp) })
+		w.stopProcess(p)
+		w.schedule(w.randomMilliseconds(800, 3000), func() { w.Kill(p); w.Restart(p); over(w.now + testCatchUp) })
 	}},
 	{"disk lost", func(w *World, p *Process, over func(time.Duration)) {
 		w.Kill(p)
 		w.WipeDisk(p)
-		w.at(w.ms(100, 3000), func() { w.Restart(p); over(w.now + testCatchUp) })
+		w.schedule(w.randomMilliseconds(100, 3000), func() { w.Restart(p); over(w.now + testCatchUp) })
 	}},
 	{"cut off", func(w *World, p *Process, over func(time.Duration)) {
-		d := w.ms(500, 9000)
+		d := w.randomMilliseconds(500, 9000)
 		w.isolate([]string{p.name}, d, true, true)
-		w.at(d, func() { over(w.now + testCatchUp) })
+		w.schedule(d, func() { over(w.now + testCatchUp) })
 	}},
 	{"frozen", func(w *World, p *Process, over func(time.Duration)) {
-		d := w.ms(300, 6000)
+		d := w.randomMilliseconds(300, 6000)
 		w.Freeze(p, d)
-		w.at(d, func() { over(w.now + testCatchUp) })
+		w.schedule(d, func() { over(w.now + testCatchUp) })
 	}},
 }
 
@@ -63,12 +56,12 @@
 	}
 	ms := w.memberNames()
 	for len(l) < machines {
-		p := w.procs[ms[w.rnd.IntN(len(ms))]]
-		switch w.rnd.IntN(6) {
+		p := w.process(ms[w.random.IntN(len(ms))])
+		switch w.random.IntN(6) {
 		case 0, 1:
 			p = w.Leader()
 		case 2:
-			p = w.pick(wire.ControlDaemon, true)
+			p = w.pickProcess(wire.ControlDaemon, true)
 		}
 		if p.alive && !slices.Contains(l, p) {
 			l = append(l, p)
@@ -84,53 +77,18 @@
 	until, open := time.Duration(0), machines
 	over := func(at time.Duration) { until, open = max(until, at), open-1 }
 	for _, p := range w.victims(t, machines) {
-		k := kinds[w.rnd.IntN(len(kinds))]
-		w.log("round %d: %s is %s", round, p.name, k.name)
+		k := kinds[w.random.IntN(len(kinds))]
+		w.logf("round %d: %s is %s", round, p.name, k.name)
 		k.do(w, p, over)
 	}
-	w.leadsAgain(t, round)
-	w.until(time.Minute, func() bool { return open == 0 })
+	w.requireLeader(t, round)
+	w.runUntil(time.Minute, func() bool { return open == 0 })
 	w.Run(max(w.now, until))
-	check(t, w)
-}
-
-// leadsAgain wants a leader that decides within the receipt.
-func (w *World) leadsAgain(t *testing.T, round int) {
-	t.Helper()
-	w.Run(w.now + 200*time.Millisecond)
-	if !w.until(testReceipt, func() bool { return w.Leader() != nil }) {
-		t.Fatalf("seed %d, round %d: nobody leads\n%s", w.Seed, round, w.Trace(60))
-	}
-}
-
-// storm has an operator change the configuration ten times a second.
-func (w *World) storm(d time.Duration) {
-	end := w.now + d
-	var next func()
-	next = func() {
-		if p := w.pick(wire.ControlDaemon, true); p != nil && w.now < end {
-			w.PutConfig(p, w.Revision(), w.docNumber())
-			w.at(100*time.Millisecond, next)
-		}
-	}
-	next()
-}
-
-// takesChange wants a change to be acknowledged within the receipt.
-func (w *World) takesChange(t *testing.T) {
-	t.Helper()
-	was := w.acked
-	if w.Leader() == nil {
-		t.Fatalf("seed %d: nobody leads\n%s", w.Seed, w.Trace(60))
-	}
-	w.PutConfig(w.Leader(), w.Revision(), w.docNumber())
-	if !w.until(testReceipt, func() bool { return w.acked > was }) {
-		t.Fatalf("seed %d: a change was not acknowledged in %v\n%s", w.Seed, testReceipt, w.Trace(40))
-	}
+	requireNoFailure(t, w)
 }
 
 func replacementPlan(cores, domains int) Plan {
-	p := open(cores, min(cores, 3))
+	p := bootstrapPlan(cores, min(cores, 3))
 	p.Domains, p.CatchUp = domains, testCatchUp
 	p.Proxies, p.Rate, p.Services = 2, 20, map[string]int{"fares": 2}
 	return p
@@ -150,8 +108,8 @@
 					p := replacementPlan(c.cores, c.domains)
 					p.Losses = c.atOnce
 					w := Start(seed, p)
-					w.until(10*time.Second, func() bool { return len(w.memberNames()) == c.want })
-					check(t, w)
+					w.runUntil(10*time.Second, w.hasMembers(c.want))
+					requireNoFailure(t, w)
 					w.Run(w.now + testCatchUp)
 					kinds := losses
 					if seed%2 == 0 {
@@ -159,17 +117,17 @@
 					}
 					for round := range 8 {
 						if storm {
-							w.storm(5 * time.Second)
+							w.changeTenTimesASecond(5 * time.Second)
 						}
 						w.loseMachines(t, round, kinds, 1+round%c.atOnce)
 					}
-					w.until(2*tuning.GrowAfter, func() bool { return len(w.memberNames()) == c.want })
-					w.sane(t, c.want)
-					w.takesChange(t)
+					w.runUntil(2*tuning.GrowAfter, w.hasMembers(c.want))
+					w.checkMembership(t, c.want)
+					w.requireChange(t)
 					w.AwaitRecovery(15 * time.Second)
 					w.Finish()
-					check(t, w)
-					if e := w.Leader().core.Status(0).Epoch; e != 1 {
+					requireNoFailure(t, w)
+					if e := w.Leader().controller.Status(0).Epoch; e != 1 {
 						t.Errorf("seed %d: epoch %d", seed, e)
 					}
 				})
@@ -186,17 +144,17 @@
 		w := Start(seed, replacementPlan(1, 3))
 		for round := range 5 {
 			if seed%2 == 1 {
-				w.storm(5 * time.Second)
+				w.changeTenTimesASecond(5 * time.Second)
 			}
 			w.loseMachines(t, round, losses[1:2], 1)
-			w.takesChange(t)
+			w.requireChange(t)
 			if n := len(w.memberNames()); n != 1 {
 				t.Fatalf("seed %d, round %d: members %v\n%s", seed, round, w.memberNames(), w.Trace(40))
 			}
 		}
 		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -207,9 +165,9 @@
 	for seed := range uint64(16) {
 		cores := []int{3, 4, 5, 7}[seed%4]
 		w := Start(seed, replacementPlan(cores, 3))
-		w.until(10*time.Second, func() bool { return len(w.memberNames()) == []int{3, 3, 5, 7}[seed%4] })
+		w.runUntil(10*time.Second, w.hasMembers([]int{3, 3, 5, 7}[seed%4]))
 		w.Run(w.now + testCatchUp)
-		w.storm(16 * time.Second)
+		w.changeTenTimesASecond(16 * time.Second)
 		w.Run(w.now + 2*time.Second)
 		w.loseMachines(t, 0, losses[1:2], 1)
 		w.Run(w.now + 10*time.Second)
@@ -218,17 +176,17 @@
 			t.Fatalf("seed %d: nobody leads after the storm\n%s", seed, w.Trace(60))
 		}
 		w.isolate([]string{l.name}, 4*time.Second, true, true)
-		w.leadsAgain(t, 1)
+		w.requireLeader(t, 1)
 		w.Run(w.now + 4*time.Second + testCatchUp)
 		w.loseMachines(t, 2, losses[:1], 1)
 		w.Run(w.now + 2*time.Second)
-		w.takesChange(t)
+		w.requireChange(t)
 		w.loseMachines(t, 3, losses[:1], 1)
 		w.Run(w.now + 2*time.Second)
-		w.takesChange(t)
+		w.requireChange(t)
 		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -240,33 +198,33 @@
 			t.Parallel()
 			cores := []int{3, 5, 7, 11}[seed%4]
 			w := Start(seed, replacementPlan(cores, 3+int(seed/4%2)))
-			w.until(10*time.Second, func() bool { return len(w.memberNames()) == min(cores, 7) })
+			w.runUntil(10*time.Second, w.hasMembers(min(cores, 7)))
 			w.Run(w.now + testCatchUp)
 			for round := range 6 {
 				if round%3 == 2 {
 					w.loseMachines(t, round, losses, 1)
 					continue
 				}
-				dom := w.domain()
-				w.log("round %d: domain %s is lost", round, dom)
-				d := w.ms(500, 8000)
-				for _, n := range w.all(wire.ControlDaemon) {
-					if p := w.procs[n]; p.domain == dom {
+				dom := w.randomDomain()
+				w.logf("round %d: domain %s is lost", round, dom)
+				d := w.randomMilliseconds(500, 8000)
+				for _, p := range w.daemons(wire.ControlDaemon) {
+					if p.domain == dom {
 						w.Kill(p)
-						w.at(d, func() { w.Restart(p) })
+						w.schedule(d, func() { w.Restart(p) })
 					}
 				}
 				from := w.now
-				w.leadsAgain(t, round)
+				w.requireLeader(t, round)
 				w.Run(from + d + testCatchUp)
-				check(t, w)
+				requireNoFailure(t, w)
 			}
-			w.until(2*tuning.GrowAfter, func() bool { return len(w.memberNames()) == min(cores, 7) })
-			w.sane(t, min(cores, 7))
-			w.takesChange(t)
+			w.runUntil(2*tuning.GrowAfter, w.hasMembers(min(cores, 7)))
+			w.checkMembership(t, min(cores, 7))
+			w.requireChange(t)
 			w.AwaitRecovery(15 * time.Second)
 			w.Finish()
-			check(t, w)
+			requireNoFailure(t, w)
 		})
 	}
 }
@@ -289,7 +247,7 @@
 	for seed := uint64(1); seed <= 40; seed++ {
 		p := replacementPlan([]int{3, 4, 5, 7, 11}[seed%5], 3+int(seed/5%2))
 		w := Day(seed, p, kinds, 30, 50*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 		replaced += w.Stats.ReplacedMachines
 	}
 	if replaced < 40 {
@@ -302,17 +260,17 @@
 // within wipeSpan are a majority's disks lost, and one is not.
 func TestReplacementLosesDisk(t *testing.T) {
 	t.Parallel()
-	w := Start(31, open(3, 3))
-	unacknowledged := w.acked + 1
-	w.history.Reset()
-	w.history.Read(w.now).Return(w.now, unacknowledged, "")
+	w := Start(31, bootstrapPlan(3, 3))
+	unacknowledged := w.checks.acknowledged + 1
+	w.checks.history.Reset()
+	w.checks.history.Read(w.now).Return(w.now, unacknowledged, "")
 	for i, left := range []int{1, 0} {
-		w.ReplaceControlDaemon(w.procs[w.all(wire.ControlDaemon)[0]], false, time.Second, func(time.Duration) {})
-		if w.history.Len() != left {
-			t.Errorf("after %d replaced machines the history holds %d reads of what may be lost, not %d", i+1, w.history.Len(), left)
+		w.ReplaceControlDaemon(w.daemons(wire.ControlDaemon)[0], false, time.Second, func(time.Duration) {})
+		if w.checks.history.Len() != left {
+			t.Errorf("after %d replaced machines the history holds %d reads of what may be lost, not %d", i+1, w.checks.history.Len(), left)
 		}
 		w.Run(w.now + 10*time.Second)
-		w.history.Reset()
-		w.history.Read(w.now).Return(w.now, w.acked+1, "")
+		w.checks.history.Reset()
+		w.checks.history.Read(w.now).Return(w.now, w.checks.acknowledged+1, "")
 	}
 }
--- a/internal/verification/simulator/resume_test.go
+++ b/internal/verification/simulator/resume_test.go
@@ -9,10 +9,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// known is how many targets a leader knows, and hearsay how many of them have to prove themselves
+// countTargets is how many targets a leader knows, and hearsay how many of them have to prove themselves
 // before they are served.
-func (w *World) known(p *Process) (n, hearsay int) {
-	all := p.core.Targets(w.now)
+func (w *World) countTargets(p *Process) (n, hearsay int) {
+	all := p.controller.Targets(w.now)
 	for _, t := range all {
 		if strings.HasPrefix(t.Why, "known by hearsay") {
 			hearsay++
@@ -21,15 +21,15 @@
 	return len(all), hearsay
 }
 
-// cutOff cuts a core member from the other core daemons, both ways, for a time.
-func (w *World) cutOff(p *Process, d time.Duration) {
-	var ks [][2]string
-	for _, n := range w.all(wire.ControlDaemon) {
+// isolateFromControlDaemons cuts a core member from the other core daemons, both ways, for a time.
+func (w *World) isolateFromControlDaemons(p *Process, d time.Duration) {
+	var ks []link
+	for _, n := range w.daemonNames(wire.ControlDaemon) {
 		if n != p.name {
-			ks = append(ks, [2]string{n, p.name}, [2]string{p.name, n})
+			ks = append(ks, link{n, p.name}, link{p.name, n})
 		}
 	}
-	w.cutFor(ks, d)
+	w.partition(ks, d)
 }
 
 // A leader that loses its lease for a moment, and nobody else leads meanwhile, goes on with all
@@ -44,20 +44,20 @@
 		if l == nil {
 			t.Fatalf("seed %d: nobody leads", seed)
 		}
-		had, _ := w.known(l)
-		before := l.core.Status(w.now)
-		w.cutOff(l, tuning.LeaderLease+time.Duration(seed%2)*tuning.HeartbeatEvery)
-		w.until(time.Second, func() bool { return !l.core.Leading() })
+		had, _ := w.countTargets(l)
+		before := l.controller.Status(w.now)
+		w.isolateFromControlDaemons(l, tuning.LeaderLease+time.Duration(seed%2)*tuning.HeartbeatEvery)
+		w.runUntil(time.Second, func() bool { return !l.controller.Leading() })
 		fewest, unproved := had, 0
 		for end := w.now + 2*time.Second; w.now < end && w.Leader() == nil; {
 			w.Run(w.now + tuning.TickEvery)
-			n, hearsay := w.known(l)
+			n, hearsay := w.countTargets(l)
 			fewest, unproved = min(fewest, n), max(unproved, hearsay)
 		}
 		if w.Leader() != l {
 			continue // another was elected, which is as good
 		}
-		after := l.core.Status(w.now)
+		after := l.controller.Status(w.now)
 		if after.Term > before.Term {
 			later++
 		} else if same++; after.Counts.Elections != before.Counts.Elections {
@@ -67,7 +67,7 @@
 			t.Errorf("seed %d: it knew %d targets, then %d, and %d of them by hearsay\n%s", seed, had, fewest, unproved, w.Trace(20))
 		}
 		w.Run(w.now + 2*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 	if same == 0 || later == 0 {
 		t.Errorf("%d leaders led again in the same term, %d in a later one", same, later)
@@ -83,24 +83,24 @@
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
 		first := w.Leader()
-		w.cutOff(first, tuning.LeadershipResumeWindow/2)
-		w.until(2*time.Second, func() bool { return w.Leader() != nil && w.Leader() != first })
+		w.isolateFromControlDaemons(first, tuning.LeadershipResumeWindow/2)
+		w.runUntil(2*time.Second, func() bool { return w.Leader() != nil && w.Leader() != first })
 		second := w.Leader()
 		if second == nil || second == first {
 			continue
 		}
-		w.CrashTarget(w.targets[0])
+		w.CrashTarget(w.targets.all[0])
 		w.Run(w.now + tuning.LeadershipResumeWindow/2)
 		w.Kill(second)
-		elections := first.core.Status(w.now).Counts.Elections
-		if !w.until(3*time.Second, func() bool { return w.Leader() != nil }) || w.Leader() != first {
+		elections := first.controller.Status(w.now).Counts.Elections
+		if !w.runUntil(3*time.Second, w.hasLeader) || w.Leader() != first {
 			continue
 		}
-		if first.core.Status(w.now).Counts.Elections > elections {
+		if first.controller.Status(w.now).Counts.Elections > elections {
 			forgot++
 		}
 		w.Run(w.now + 3*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 	t.Logf("%d leaders led again after another", forgot)
 }
@@ -112,21 +112,21 @@
 	for seed := range uint64(24) {
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
-		cores, gates := w.all(wire.ControlDaemon), w.all(wire.ProxyDaemon)
+		cores, gates := w.daemonNames(wire.ControlDaemon), w.daemonNames(wire.ProxyDaemon)
 		for _, c := range cores {
-			w.cutOff(w.procs[c], 2300*time.Millisecond)
+			w.isolateFromControlDaemons(w.process(c), 2300*time.Millisecond)
 		}
 		w.Run(w.now + tuning.LeaderLease - 200*time.Millisecond)
-		w.CrashTarget(w.targets[int(seed)%len(w.targets)])
+		w.CrashTarget(w.targets.all[int(seed)%len(w.targets.all)])
 		w.Run(w.now + 300*time.Millisecond)
 		for _, g := range gates {
-			w.Kill(w.procs[g])
+			w.Kill(w.process(g))
 		}
 		w.Run(w.now + 1600*time.Millisecond)
 		for _, g := range gates {
-			w.Restart(w.procs[g])
+			w.Restart(w.process(g))
 		}
 		w.Run(w.now + 6*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
--- a/internal/verification/simulator/same_change_test.go
+++ b/internal/verification/simulator/same_change_test.go
@@ -14,15 +14,15 @@
 		for seed := range uint64(6) {
 			w := Start(seed+1, Small)
 			for i, n := range []int{7, second} {
-				w.PutConfig(w.procs[w.all(wire.ControlDaemon)[i]], 1, n)
+				w.PutConfig(w.daemons(wire.ControlDaemon)[i], 1, n)
 			}
 			w.Run(w.now + 8*time.Second)
-			check(t, w)
+			requireNoFailure(t, w)
 			accepted, revs := 0, map[uint64]bool{}
-			for _, c := range w.changes[1:] {
-				if c.state == "accepted" {
+			for _, c := range w.operators.changes[1:] {
+				if c.state == changeAccepted {
 					accepted++
-					revs[c.rev] = true
+					revs[c.revision] = true
 				}
 			}
 			want := 1
