--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -1,14 +1,6 @@
-// This file holds a scene for each rule: a run that brings that very failure about,
-// counts how often it did, and names a guard which, taken out of the simulated
-// shell, makes the rule's check fail. It also measures what is left of the service
-// under each kind of fault, since a system that refuses everything breaks no rule.
-
 package simulator
 
 import (
-	"fmt"
-	"maps"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"strings"
 	"time"
@@ -16,286 +8,171 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Scene is a rule's own run.
+// Scene is a run of its own for a rule: it brings about the faults that threaten the rule, counts how often they came
+// about, and names a guard that, once disabled, makes the rule's check fail.
 type Scene struct {
-	Name          string
-	Rule          string // the rules that show it, should it come
-	Threat        string
-	Faults        []string // faults drawn, several times each
-	Repeats       int
-	AdjustPlan    func(*Plan)
-	Script        func(w *World) // instead of faults
-	Planned       bool
-	Occurrences   func(s *Stats) int
-	DisabledGuard string
+	Name        string
+	Rules       []Rule   // the rules of which one shows it if the guard is disabled
+	Threat      string   // what happens, for mfsim --rules
+	Faults      []string // faults that are injected
+	Repeats     int      // how often each of them is
+	AdjustPlan  func(*Plan)
+	Script      func(w *World) // runs in place of the faults
+	Planned     bool           // only planned work is done: no request may be lost
+	Occurrences func(s *Stats) int
+	// DisabledGuard is the guard without which the scene breaks a rule.
+	DisabledGuard Guard
 }
 
-// Scenes are all of them; what only HTTP can show (altered, foreign and cut answers)
+// Scenes are all of them; what only HTTP can show (altered, wrong and incomplete responses)
 // is caused in package reverseproxy.
 var Scenes = []Scene{
-	{Name: "twice", Rule: "ran twice", Threat: "back ends run an exchange and lose its answer, proxies die with it",
+	{Name: "twice", Rules: []Rule{ruleAtMostOnce}, Threat: "back ends run an exchange and lose its answer, proxies die with it",
 		Faults: []string{"service loses answers", "target loses answers", "gate killed"}, Repeats: 2,
-		Occurrences: func(s *Stats) int { return s.LostNonIdempotent }, DisabledGuard: "resend"},
-	{Name: "surplus", Rule: "another's answer", Threat: "targets send answers that nobody waits for, connections are reset and callers leave",
+		Occurrences: func(s *Stats) int { return s.LostNonIdempotent }, DisabledGuard: guardAtMostOnce},
+	{Name: "surplus", Rules: []Rule{ruleOwnResponse}, Threat: "targets send answers that nobody waits for, connections are reset and callers leave",
 		Faults: []string{"targets send surplus answers", "connections reset", "callers leave", "service loses answers"}, Repeats: 2, AdjustPlan: func(p *Plan) { p.Rate = 250 },
-		Occurrences: func(s *Stats) int { return min(s.SurplusResponses, s.MismatchedResponses, s.ResetAttempts, s.Canceled) }, DisabledGuard: "ids"},
-	{Name: "reset", Rule: "ran twice", Threat: "connections are reset and surplus answers come while requests that may run once are at their targets",
+		Occurrences: func(s *Stats) int { return min(s.SurplusResponses, s.MismatchedResponses, s.ResetAttempts, s.Canceled) }, DisabledGuard: guardResponseIDs},
+	{Name: "reset", Rules: []Rule{ruleAtMostOnce}, Threat: "connections are reset and surplus answers come while requests that may run once are at their targets",
 		Faults: []string{"connections reset", "targets send surplus answers"}, Repeats: 3, AdjustPlan: func(p *Plan) { p.Rate, p.NonIdempotent = 250, 0.7 },
-		Occurrences: func(s *Stats) int { return min(s.ResetAttempts, s.MismatchedResponses) }, DisabledGuard: "resend"},
-	{Name: "refused", Rule: "refused but ran", Threat: "refusals after a try, when answers are lost and targets hang",
+		Occurrences: func(s *Stats) int { return min(s.ResetAttempts, s.MismatchedResponses) }, DisabledGuard: guardAtMostOnce},
+	{Name: "refused", Rules: []Rule{ruleRejectedRequest}, Threat: "refusals after a try, when answers are lost and targets hang",
 		Faults: []string{"service loses answers", "target hangs", "service slow"}, Repeats: 2, AdjustPlan: func(p *Plan) { p.Rate = 700 },
-		Occurrences: func(s *Stats) int { return min(s.Rejected, s.LostResponses) }, DisabledGuard: "say no"},
-	{Name: "wrong-service", Rule: "wrong service", Threat: "addresses go to another service while proxies are cut off",
+		Occurrences: func(s *Stats) int { return min(s.Rejected, s.LostResponses) }, DisabledGuard: guardUnknownAfterSend},
+	{Name: "wrong-service", Rules: []Rule{ruleRightService}, Threat: "addresses go to another service while proxies are cut off",
 		Faults: []string{"address handed over", "address handed over", "service removed, its addresses handed over"}, Repeats: 3,
 		AdjustPlan:  func(p *Plan) { p.Rate = 250 },
-		Occurrences: func(s *Stats) int { return s.WrongIdentities }, DisabledGuard: "identity"},
-	{Name: "leaving", Rule: "leaving", Threat: "targets leave while leaders die and proxies are cut off",
+		Occurrences: func(s *Stats) int { return s.WrongIdentities }, DisabledGuard: guardIdentity},
+	{Name: "leaving", Rules: []Rule{ruleDrainingTarget}, Threat: "targets leave while leaders die and proxies are cut off",
 		Faults: []string{"target leaves", "leader killed", "gate isolated", "gate frozen with work in hand"}, Repeats: 2,
-		Occurrences: func(s *Stats) int { return s.Drains }, DisabledGuard: "holds"},
-	{Name: "gone", Rule: "gone", Threat: "targets die without a word, also with their leader",
+		Occurrences: func(s *Stats) int { return s.Drains }, DisabledGuard: guardDraining},
+	{Name: "gone", Rules: []Rule{ruleCrashedTarget}, Threat: "targets die without a word, also with their leader",
 		Faults: []string{"target vanishes", "target crash", "leader killed", "late words"}, Repeats: 2,
-		Occurrences: func(s *Stats) int { return s.TargetCrashes }, DisabledGuard: "probes"},
-	{Name: "emptied", Rule: "emptied domain", Threat: "a domain is emptied while proxies are cut off, frozen and led anew",
+		Occurrences: func(s *Stats) int { return s.TargetCrashes }, DisabledGuard: guardHealthChecks},
+	{Name: "emptied", Rules: []Rule{ruleEmptiedDomain}, Threat: "a domain is emptied while proxies are cut off, frozen and led anew",
 		Faults: []string{"domain emptied and restored", "gate isolated", "gate frozen with work in hand", "leader killed"}, Repeats: 2,
-		Occurrences: func(s *Stats) int { return s.EmptiedDomains }, DisabledGuard: "emptied"},
-	{Name: "in-force", Rule: "not in force", Threat: "configurations change while proxies are cut off, frozen and orphaned",
+		Occurrences: func(s *Stats) int { return s.EmptiedDomains }, DisabledGuard: guardEmptiedDomains},
+	{Name: "in-force", Rules: []Rule{ruleConfigurationInForce}, Threat: "configurations change while proxies are cut off, frozen and orphaned",
 		Faults: []string{"config", "config patch", "gate isolated", "gate frozen", "leader isolated"}, Repeats: 2,
-		Occurrences: func(s *Stats) int { return s.AcceptedChanges }, DisabledGuard: "early answer"},
-	{Name: "slip", Rule: "slipped back", Threat: "messages of earlier tables and leaders come late",
+		Occurrences: func(s *Stats) int { return s.AcceptedChanges }, DisabledGuard: guardReplyInForce},
+	{Name: "slip", Rules: []Rule{ruleRevisionOrder}, Threat: "messages of earlier tables and leaders come late",
 		Faults: []string{"net loses and delays", "config", "leader killed"}, Repeats: 3,
-		Occurrences: func(s *Stats) int { return min(s.AcceptedChanges, s.LateMessages) }, DisabledGuard: "old tables"},
-	{Name: "one-base", Rule: "one base", Threat: "two changes are built on one revision; invalid ones come between",
+		Occurrences: func(s *Stats) int { return min(s.AcceptedChanges, s.LateMessages) }, DisabledGuard: guardTableVersions},
+	{Name: "one-base", Rules: []Rule{ruleOneChangePerBase}, Threat: "two changes are built on one revision; invalid ones come between",
 		Faults: []string{"config pair", "config pair", "config invalid", "config rolled back"}, Repeats: 3,
-		Occurrences: func(s *Stats) int { return s.RejectedChanges }, DisabledGuard: "base"},
-	{Name: "forgotten", Rule: "forgotten|not in force|slipped back", Threat: "power goes and disks are lost just after an acknowledgement",
+		Occurrences: func(s *Stats) int { return s.RejectedChanges }, DisabledGuard: guardBaseRevision},
+	{Name: "forgotten", Rules: []Rule{ruleDurability, ruleConfigurationInForce, ruleRevisionOrder}, Threat: "power goes and disks are lost just after an acknowledgement",
 		Faults: []string{"power fails everywhere", "core herd killed", "config and leader killed"}, Repeats: 2,
-		Occurrences: func(s *Stats) int { return s.AcceptedChanges }, DisabledGuard: "sync"},
-	{Name: "warming", Rule: "warming", Threat: "a whole service comes back cold under its full load, proxies come and go",
+		Occurrences: func(s *Stats) int { return s.AcceptedChanges }, DisabledGuard: guardSync},
+	{Name: "warming", Rules: []Rule{ruleWarmingConcurrency}, Threat: "a whole service comes back cold under its full load, proxies come and go",
 		Faults: []string{"config", "service comes back cold", "gate added, another gone for good", "gate killed"}, Repeats: 2, AdjustPlan: func(p *Plan) { p.Rate = 300 },
-		Occurrences: func(s *Stats) int { return s.MostWhileWarming }, DisabledGuard: "warm cap"},
-	{Name: "cold", Rule: "cold rate", Threat: "a whole service comes back cold on routes under load, proxies come and go and orphan",
+		Occurrences: func(s *Stats) int { return s.MostWhileWarming }, DisabledGuard: guardWarmingConcurrency},
+	{Name: "cold", Rules: []Rule{ruleWarmupRate}, Threat: "a whole service comes back cold on routes under load, proxies come and go and orphan",
 		Faults: []string{"config", "service comes back cold", "target turns cold", "domain emptied and restored", "gate added, another gone for good", "gate killed", "gate isolated"}, Repeats: 2,
 		AdjustPlan:  func(p *Plan) { p.Rate, p.Slots, p.WarmupRate = 300, 6, 8 },
-		Occurrences: func(s *Stats) int { return s.WarmupArrivals }, DisabledGuard: "cold"},
-	{Name: "slots", Rule: "ran twice", Threat: "targets of few slots turn exchanges away and lose answers under load",
+		Occurrences: func(s *Stats) int { return s.WarmupArrivals }, DisabledGuard: guardWarmupReport},
+	{Name: "slots", Rules: []Rule{ruleAtMostOnce}, Threat: "targets of few slots turn exchanges away and lose answers under load",
 		Faults: []string{"service loses answers", "target loses answers", "service slow", "gate killed"}, Repeats: 2,
 		AdjustPlan:  func(p *Plan) { p.Rate, p.Slots = 500, 3 },
-		Occurrences: func(s *Stats) int { return min(s.TargetRejections, s.LostNonIdempotent) }, DisabledGuard: "resend"},
-	{Name: "retries", Rule: "retry budget", Threat: "a service loses all answers to exchanges that may be sent again",
+		Occurrences: func(s *Stats) int { return min(s.TargetRejections, s.LostNonIdempotent) }, DisabledGuard: guardAtMostOnce},
+	{Name: "retries", Rules: []Rule{ruleRetryBudget}, Threat: "a service loses all answers to exchanges that may be sent again",
 		Faults: []string{"service loses answers"}, Repeats: 3, AdjustPlan: func(p *Plan) { p.NonIdempotent, p.Rate = 0, 300 },
-		Occurrences: func(s *Stats) int { return s.Retries }, DisabledGuard: "budget"},
-	{Name: "in-flight", Rule: "in flight", Threat: "proxies, leaders, members, targets, configurations and domains change by plan under load",
+		Occurrences: func(s *Stats) int { return s.Retries }, DisabledGuard: guardRetryBudget},
+	{Name: "in-flight", Rules: []Rule{ruleGracefulStop}, Threat: "proxies, leaders, members, targets, configurations and domains change by plan under load",
 		Faults: []string{"gate restarted", "service rolled", "leader stopped", "config", "config patch", "domain emptied and restored", "member swapped", "policy replaced"}, Repeats: 1,
-		Planned: true, Occurrences: func(s *Stats) int { return s.GracefulStops }, DisabledGuard: "stop"},
-	{Name: "back", Rule: "back in 15 s", Threat: "everything is lost at once and one core machine never returns",
-		Script: func(w *World) {
-			for i, n := range w.names {
-				p := w.procs[n]
-				w.Kill(p)
-				if p.kind == wire.ControlDaemon {
-					w.WipeDisk(p)
-				}
-				if i > 0 {
-					w.at(w.ms(200, 2000), func() { w.Restart(p) })
-				}
-			}
-			w.acked, w.changes = 0, nil
-			clear(w.ackedAt)
-			w.history.Reset()
-			end := w.now + 15*time.Second
-			for w.Leader() == nil && w.now < end {
-				w.Run(w.now + 100*time.Millisecond)
-			}
-			if l := w.Leader(); l != nil {
-				w.PutConfig(l, 0, 3)
-			}
-			w.AwaitRecovery(end - w.now)
-			w.Finish()
-		}, Occurrences: func(*Stats) int { return 1 }, DisabledGuard: "hellos"},
-	{Name: "one-leader", Rule: "one leader", Threat: "leaders freeze, are isolated, stall and hand over",
+		Planned: true, Occurrences: func(s *Stats) int { return s.GracefulStops }, DisabledGuard: guardGracefulStop},
+	{Name: "back", Rules: []Rule{ruleRecoveryTime}, Threat: "everything is lost at once and one core machine never returns",
+		Script: (*World).loseEverything, Occurrences: func(*Stats) int { return 1 }, DisabledGuard: guardBootstrapHellos},
+	{Name: "one-leader", Rules: []Rule{ruleSingleLeader}, Threat: "leaders freeze, are isolated, stall and hand over",
 		Faults: []string{"leader frozen", "leader isolated", "core split", "leader's disk stalls", "leader stopped"}, Repeats: 2,
-		Occurrences: func(s *Stats) int { return s.Steps }, DisabledGuard: "clocks"},
+		Occurrences: func(s *Stats) int { return s.Steps }, DisabledGuard: guardClockRate},
 }
 
-// Run runs a scene by seed, with its guard taken out if broken is set.
-func (s *Scene) Run(seed uint64, p Plan, broken bool) *World {
+// sceneSpan is the time over which a scene's faults begin.
+const sceneSpan = 25 * time.Second
+
+// Run runs a scene by seed, with its guard disabled if asked to.
+func (s *Scene) Run(seed uint64, plan Plan, withoutGuard bool) *World {
 	if s.AdjustPlan != nil {
-		s.AdjustPlan(&p)
+		s.AdjustPlan(&plan)
 	}
-	sabotage := ""
-	if broken {
-		sabotage = s.DisabledGuard
+	disabled := guardNone
+	if withoutGuard {
+		disabled = s.DisabledGuard
 	}
 	if s.Script != nil {
-		w := Start(seed, p)
-		w.sabotage = sabotage
+		w := Start(seed, plan)
+		w.disabledGuard = disabled
 		w.Run(w.now + 2*time.Second)
 		s.Script(w)
 		return w
 	}
-	var kinds []Fault
-	for range s.Repeats {
-		for _, k := range s.Faults {
-			f, ok := FaultByName(k)
-			if !ok {
-				panic("no kind " + k)
-			}
-			kinds = append(kinds, f)
-		}
-	}
-	return day(seed, p, kinds, len(kinds), 25*time.Second, func(w *World) {
-		w.sabotage, w.planned = sabotage, s.Planned
-		for _, n := range w.names {
-			if p := w.procs[n]; sabotage == "clocks" {
-				p.base, p.boot = p.local(), w.now
-				p.rate = w.rate()
-			}
+	faults := s.faults()
+	return day(seed, plan, faults, len(faults), sceneSpan, func(w *World) {
+		w.disabledGuard, w.checks.plannedOnly = disabled, s.Planned
+		if disabled == guardClockRate {
+			w.redrawClockRates()
 		}
 	})
 }
 
-// Shows says whether a world failed by the scene's rule.
-func (s *Scene) ShownBy(w *World) bool {
-	rule, _, _ := strings.Cut(w.Failure, ":")
-	return w.Failure != "" && slices.Contains(strings.Split(s.Rule, "|"), rule)
-}
-
-// rate is how fast a process's clock runs.
-func (w *World) rate() float64 {
-	if w.sabotage == "clocks" {
-		return 0.2 + 1.8*w.rnd.Float64()
-	}
-	return 0.98 + 0.04*w.rnd.Float64()
-}
-
-// heard is a target's state as daemons hear it.
-func (w *World) heard(state wire.TargetState) wire.TargetState {
-	if w.sabotage == "holds" && state == wire.TargetLeaving {
-		return wire.TargetReady
+// faults are the scene's faults, each as often as it is injected.
+func (s *Scene) faults() (faults []Fault) {
+	for range s.Repeats {
+		for _, name := range s.Faults {
+			f, found := FaultByName(name)
+			if !found {
+				panic("no kind " + name)
+			}
+			faults = append(faults, f)
+		}
 	}
-	return state
+	return faults
 }
 
-// spoil takes a guard out of what one daemon says to another.
-func (w *World) spoil(from, to *Process, m *wire.Message) *wire.Message {
-	switch {
-	case w.sabotage == "hellos" && m.Hello != nil && from.kind == wire.ControlDaemon && to.kind == wire.ControlDaemon:
-		return nil
-	case w.sabotage == "emptied":
-		return altered(m, func(t *wire.Table) { t.EmptiedDomains = nil })
+// redrawClockRates gives the clocks of all processes another speed from now on.
+func (w *World) redrawClockRates() {
+	for _, p := range w.fleet() {
+		p.clockOffset, p.startedAt = p.localTime(), w.now
+		p.clockRate = w.randomClockRate()
 	}
-	return m
 }
 
-// altered is a message with a copy of its table changed, if it has one.
-func altered(m *wire.Message, change func(*wire.Table)) *wire.Message {
-	if m.Push == nil || m.Push.Table == nil {
-		return m
-	}
-	c, p, t := *m, *m.Push, *m.Push.Table
-	change(&t)
-	p.Table, c.Push = &t, &p
-	return &c
+// ShownBy says whether a world failed by one of the scene's rules.
+func (s *Scene) ShownBy(w *World) bool {
+	rule, _, _ := strings.Cut(w.Failure, ":")
+	return w.Failure != "" && slices.Contains(s.Rules, Rule(rule))
 }
 
-// spoilLate does the same to a leader's message that comes late: it brings all of the table
-// of its time as if that were the latest.
-func (w *World) spoilLate(from *Process, m *wire.Message) *wire.Message {
-	if w.sabotage != "old tables" || m.Push == nil || from.core == nil || from.core.Table() == nil {
-		return m
+// RuleNames are the scene's rules as mfsim prints them.
+func (s *Scene) RuleNames() string {
+	var names []string
+	for _, rule := range s.Rules {
+		names = append(names, string(rule))
 	}
-	c, p, t := *m, *m.Push, *from.core.Table()
-	t.Key.Version += 1000
-	p.Table, c.Push = &t, &p
-	return &c
-}
-
-// ---- availability ----
-
-// Availability is what a kind of fault, or two at once, left of the service.
-type Availability struct {
-	Faults                                []string
-	Requests, Rejected, Failed, Abandoned int
-	LongestGap                            time.Duration // longest time without an answer of some service
-	Recovery                              time.Duration // from the fault's beginning to full capacity
-	ChangeLatency                         time.Duration // a change asked for 0.5 s after it: until in force
-	Outcome                               string
-	Failure                               string
+	return strings.Join(names, "|")
 }
 
-// UnservedShare is the part of requests that were not served.
-func (r *Availability) UnservedShare() float64 {
-	return float64(r.Rejected+r.Failed+r.Abandoned) / float64(max(1, r.Requests))
-}
-
-// MeasureAvailability brings faults about once, all at the same moment, and looks at the 25 s
-// that follow, in which most end by themselves.
-func MeasureAvailability(seed uint64, p Plan, kinds ...Fault) Availability {
-	p.Resubmitted = 0 // each request counts once
-	var r Availability
-	for _, k := range kinds {
-		r.Faults = append(r.Faults, k.Name)
-	}
-	w := Start(seed, p)
-	w.Run(w.now + 3*time.Second)
-	b, t0 := w.Stats, w.now
-	w.Stats.LongestGap = 0
-	for _, k := range kinds {
-		w.log("fault: %s", k.Name)
-		k.Inject(w)
-	}
-	r.Outcome = "none"
-	w.at(500*time.Millisecond, func() { w.insist(t0+500*time.Millisecond, 0, &r) })
-	r.Recovery = 0
-	for w.now < t0+25*time.Second && w.Failure == "" {
-		w.Run(w.now + 100*time.Millisecond)
-		if w.missing() != "" || !w.Serving() {
-			r.Recovery = w.now - t0
+// loseEverything kills all daemons at once and wipes the disks of all control daemons; one of these never returns.
+func (w *World) loseEverything() {
+	for i, p := range w.fleet() {
+		w.Kill(p)
+		if p.kind == wire.ControlDaemon {
+			w.WipeDisk(p)
 		}
-	}
-	s := w.Stats
-	r.Requests, r.Rejected, r.Failed, r.Abandoned = s.Requests-b.Requests, s.Rejected-b.Rejected, s.Unknown-b.Unknown, s.Abandoned-b.Abandoned
-	r.LongestGap = s.LongestGap
-	for _, at := range w.lastOk {
-		r.LongestGap = max(r.LongestGap, w.now-at)
-	}
-	r.Failure = w.Failure
-	return r
-}
-
-// insist asks for a change as mfctl does: under one id, of one member after another,
-// for 8 s.
-func (w *World) insist(from time.Duration, i int, r *Availability) {
-	cores, svcs := w.all(wire.ControlDaemon), slices.Sorted(maps.Keys(w.Plan.Services))
-	p := w.procs[cores[i%len(cores)]]
-	again := func(o string) {
-		if r.Outcome = o; w.now-from < 8*time.Second {
-			w.at(200*time.Millisecond, func() { w.insist(from, i+1, r) })
+		if i > 0 {
+			w.restartLater(p, w.randomMilliseconds(200, 2000))
 		}
 	}
-	if !p.alive || p.frozen {
-		again("refused")
-		return
+	w.forgetAcknowledgements()
+	w.checks.history.Reset()
+	end := w.now + recoveryBound
+	for w.Leader() == nil && w.now < end {
+		w.Run(w.now + 100*time.Millisecond)
 	}
-	done := false
-	w.call(p, "PATCH", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), fmt.Appendf(nil, `{"services":{"%s":{"timeout_ms":1777}}}`, svcs[len(svcs)-1]), "insisted", func(a statemachine.Reply) {
-		if done {
-			return
-		}
-		done = true
-		switch a.Status {
-		case 200:
-			r.ChangeLatency, r.Outcome = w.now-from, "in force"
-		case 504:
-			r.ChangeLatency, r.Outcome = w.now-from, "unknown"
-		default:
-			again("refused")
-		}
-	})
-	w.at(6500*time.Millisecond, func() {
-		if !done {
-			done = true
-			r.ChangeLatency, r.Outcome = w.now-from, "no answer"
-		}
-	})
+	if leader := w.Leader(); leader != nil {
+		w.PutConfig(leader, 0, 3)
+	}
+	w.AwaitRecovery(end - w.now)
+	w.Finish()
 }
--- a/internal/verification/simulator/scenes_test.go
+++ b/internal/verification/simulator/scenes_test.go
@@ -15,7 +15,7 @@
 			caused := 0
 			for seed := range uint64(3) {
 				w := s.Run(seed+1, Small, false)
-				check(t, w)
+				requireNoFailure(t, w)
 				caused += s.Occurrences(&w.Stats)
 			}
 			if caused < 3 {
@@ -42,7 +42,7 @@
 					seen = append(seen, w.Failure)
 				}
 			}
-			t.Errorf("with %q out 30 seeds did not break %q; %v", s.DisabledGuard, s.Rule, seen)
+			t.Errorf("with %q out 30 seeds did not break %q; %v", s.DisabledGuard, s.RuleNames(), seen)
 		})
 	}
 }
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -40,21 +40,21 @@
 // lock, a log from the beginning, and a snapshot with a log.
 func storedImages(t *testing.T) map[string]consensus.PersistentState {
 	t.Helper()
-	images := map[string]consensus.PersistentState{"fresh": New(11, Small).procs["c1"].disk.img}
+	images := map[string]consensus.PersistentState{"fresh": New(11, Small).process("c1").disk.image}
 	locked := New(11, Small)
-	for locked.procs["c1"].disk.img.BootstrapLock == 0 {
+	for locked.process("c1").disk.image.BootstrapLock == 0 {
 		if locked.now > 5*time.Second {
 			t.Fatal("no bootstrap lock")
 		}
 		locked.Run(locked.now + time.Millisecond)
 	}
-	images["locked"] = locked.procs["c1"].disk.img
+	images["locked"] = locked.process("c1").disk.image
 	w := Start(11, Small)
-	images["log"] = w.procs["c2"].disk.img
+	images["log"] = w.process("c2").disk.image
 	for n := 2; images["snapshot"].Snapshot.Index <= 1 && w.Failure == "" && n < 2*tuning.LogMax; n++ {
 		w.PutConfig(w.Leader(), w.Revision(), n)
 		w.Run(w.now + 100*time.Millisecond)
-		images["snapshot"] = w.procs["c2"].disk.img
+		images["snapshot"] = w.process("c2").disk.image
 	}
 	if w.Failure != "" || images["snapshot"].Snapshot.Index <= 1 || len(images["snapshot"].Log) == 0 {
 		t.Fatal("no disk with a snapshot and a log:", w.Failure)
@@ -93,13 +93,13 @@
 			if want := recordedFile(t, name+".status.json", status); !bytes.Equal(status, want) {
 				t.Errorf("its member says %s", status)
 			}
-			inRing(t, want)
+			rewriteThroughWAL(t, want)
 		})
 	}
 }
 
-// inRing takes a record through a ring of the daemons' size.
-func inRing(t *testing.T, record []byte) {
+// rewriteThroughWAL takes a record through a ring of the daemons' size.
+func rewriteThroughWAL(t *testing.T, record []byte) {
 	t.Helper()
 	dir := t.TempDir()
 	r, err := wal.Recreate(dir, tuning.WALFiles, tuning.WALFileSize, record)
@@ -117,19 +117,19 @@
 // What a proxy remembers for a core that has lost all is read, and written again byte for byte.
 func TestStoredProxyMemory(t *testing.T) {
 	w := Start(11, Small)
-	for _, name := range w.all(wire.ControlDaemon) {
-		w.Kill(w.procs[name])
+	for _, p := range w.daemons(wire.ControlDaemon) {
+		w.Kill(p)
 	}
 	w.Run(w.now + 3*time.Second)
-	gate, member := w.procs["g1"], w.procs["c1"]
-	self := wire.Daemon{Name: member.name, Kind: wire.ControlDaemon, Domain: member.domain, Addr: member.addr, Incarnation: 1}
-	gate.gate.Step(gate.local(), statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
+	gate, member := w.process("g1"), w.process("c1")
+	self := wire.Daemon{Name: member.name, Kind: wire.ControlDaemon, Domain: member.domain, Addr: member.address, Incarnation: 1}
+	gate.proxy.Step(gate.localTime(), statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
 	var memory []byte
 	for step := time.Duration(0); memory == nil; step += tuning.TickEvery {
 		if step > 5*time.Second {
 			t.Fatal("the proxy says nothing of what it remembers")
 		}
-		for _, cmd := range gate.gate.Step(gate.local()+step, statemachine.Tick{}) {
+		for _, cmd := range gate.proxy.Step(gate.localTime()+step, statemachine.Tick{}) {
 			if send, ok := cmd.(statemachine.Send); ok && send.Message.Hello != nil && len(send.Message.Hello.RecoveredState) > 0 {
 				memory = send.Message.Hello.RecoveredState
 			}
@@ -152,7 +152,7 @@
 		t.Fatalf("%v; read and written again it is another memory", err)
 	}
 	var state state.State
-	if err := json.Unmarshal(recovered.State, &state); err != nil || state.Revision != w.acked || w.acked == 0 {
+	if err := json.Unmarshal(recovered.State, &state); err != nil || state.Revision != w.checks.acknowledged || w.checks.acknowledged == 0 {
 		t.Fatal(state.Revision, err)
 	}
 }
--- a/internal/verification/simulator/targets_test.go
+++ b/internal/verification/simulator/targets_test.go
@@ -13,15 +13,15 @@
 	t.Parallel()
 	for seed, cut := range []time.Duration{15 * time.Second, 25 * time.Second, 50 * time.Second, 90 * time.Second} {
 		w := Start(uint64(seed), Small)
-		w.cutDomain("d2", cut)
+		w.isolateDomain("d2", cut)
 		w.Run(w.now + cut)
 		healed := w.now
-		for w.missing() != "" && w.now < healed+30*time.Second {
+		for w.missingTarget() != "" && w.now < healed+30*time.Second {
 			w.Run(w.now + 100*time.Millisecond)
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 		if took := w.now - healed; took > 4*time.Second {
-			t.Errorf("cut for %v: %s missing %v after healing", cut, w.missing(), took)
+			t.Errorf("cut for %v: %s missing %v after healing", cut, w.missingTarget(), took)
 		}
 	}
 }
@@ -32,18 +32,18 @@
 	t.Parallel()
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
-		old := w.targets[int(seed)%len(w.targets)]
+		old := w.targets.all[int(seed)%len(w.targets.all)]
 		w.CrashTarget(old)
 		w.Run(w.now + 300*time.Millisecond)
-		n := w.AddTarget(old.service, old.name, old.domain, old.addr, 0)
-		n.inc = old.inc - 1 // a clock that went back, or plain chance: numbers have no order
-		if seed%3 == 1 {    // under another address
-			delete(w.listen, n.addr)
-			n.addr = "10.9.9.9:80"
-			w.listen[n.addr] = n
+		n := w.AddTarget(old.service, old.name, old.domain, old.address, 0)
+		n.incarnation = old.incarnation - 1 // a clock that went back, or plain chance: numbers have no order
+		if seed%3 == 1 {                    // under another address
+			delete(w.targets.listening, n.address)
+			n.address = "10.9.9.9:80"
+			w.targets.listening[n.address] = n
 		}
 		w.Run(w.now + 4*time.Second)
-		if !w.served(n) {
+		if !w.offered(n) {
 			t.Fatalf("seed %d: the new start is not served\n%s", seed, w.Trace(20))
 		}
 		if seed%2 == 0 {
@@ -51,20 +51,20 @@
 			for w.Leader() == nil && w.now < 30*time.Second {
 				w.Run(w.now + 5*time.Millisecond)
 			}
-			w.say(w.Leader(), old, wire.TargetReady) // before anything else is heard
+			w.reportTarget(w.Leader(), old, wire.TargetReady) // before anything else is heard
 		}
 		for range 20 {
-			w.say(w.pick(wire.ProxyDaemon, true), old, wire.TargetReady)
-			w.say(w.Leader(), old, wire.TargetWarming)
+			w.reportTarget(w.pickProcess(wire.ProxyDaemon, true), old, wire.TargetReady)
+			w.reportTarget(w.Leader(), old, wire.TargetWarming)
 			w.Run(w.now + 50*time.Millisecond)
-			if w.served(old) {
+			if w.offered(old) {
 				t.Fatalf("seed %d: the old start is served\n%s", seed, w.Trace(20))
 			}
 		}
 		w.Run(w.now + 2*time.Second)
-		check(t, w)
-		if !w.served(n) || w.served(old) {
-			t.Fatalf("seed %d: new served %v, old served %v\n%s", seed, w.served(n), w.served(old), w.Trace(20))
+		requireNoFailure(t, w)
+		if !w.offered(n) || w.offered(old) {
+			t.Fatalf("seed %d: new served %v, old served %v\n%s", seed, w.offered(n), w.offered(old), w.Trace(20))
 		}
 	}
 }
@@ -75,33 +75,33 @@
 	t.Parallel()
 	for seed := range uint64(8) {
 		w := Start(seed, Small)
-		a := w.targets[0]
+		a := w.targets.all[0]
 		b := w.AddTarget("pay", "rival", a.domain, "10.9.9.8:80", 0)
 		if seed%2 == 0 {
 			b.service, b.name = a.service, a.name
 		} else {
-			b.addr = a.addr // a still listens there
-			w.listen[a.addr] = a
-			delete(w.listen, "10.9.9.8:80")
+			b.address = a.address // a still listens there
+			w.targets.listening[a.address] = a
+			delete(w.targets.listening, "10.9.9.8:80")
 		}
 		w.Run(w.now + 3*time.Second)
-		if w.served(a) == w.served(b) {
-			t.Fatalf("seed %d: %v %v\n%s", seed, w.served(a), w.served(b), w.Trace(20))
+		if w.offered(a) == w.offered(b) {
+			t.Fatalf("seed %d: %v %v\n%s", seed, w.offered(a), w.offered(b), w.Trace(20))
 		}
-		first, turns := w.served(a), 0
+		first, turns := w.offered(a), 0
 		for range 900 {
 			w.Run(w.now + 100*time.Millisecond)
-			if now := w.served(a); now != first {
+			if now := w.offered(a); now != first {
 				first = now
 				turns++
 			}
 			if w.now > 60*time.Second && w.now < 60*time.Second+100*time.Millisecond {
 				w.Kill(w.Leader())
 				w.Run(w.now + 2*time.Second)
-				w.Restart(w.pick(wire.ControlDaemon, false))
+				w.Restart(w.pickProcess(wire.ControlDaemon, false))
 			}
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 		if turns > 2 { // a new leader may find out anew
 			t.Errorf("seed %d: %d turns", seed, turns)
 		}
@@ -114,7 +114,7 @@
 	t.Parallel()
 	for seed := range uint64(8) {
 		w := Start(seed, Small)
-		old := w.targets[1]
+		old := w.targets.all[1]
 		w.DrainTarget(old, func() {})
 		w.Run(w.now + 6*time.Second)
 		if old.alive {
@@ -125,13 +125,13 @@
 			w.Run(w.now + 5*time.Millisecond)
 		}
 		for range 10 {
-			w.say(w.Leader(), old, wire.TargetReady)
+			w.reportTarget(w.Leader(), old, wire.TargetReady)
 			w.Run(w.now + 30*time.Millisecond)
-			if w.served(old) {
+			if w.offered(old) {
 				t.Fatalf("seed %d: served again\n%s", seed, w.Trace(20))
 			}
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -142,7 +142,7 @@
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
 		var dead []*Target
-		for _, x := range w.targets {
+		for _, x := range w.targets.all {
 			if x.service == "fares" {
 				w.CrashTarget(x)
 				dead = append(dead, x)
@@ -150,11 +150,11 @@
 		}
 		w.Run(w.now + 3*time.Second)
 		for _, x := range dead {
-			w.say(w.Leader(), x, wire.TargetReady)
-			w.say(w.pick(wire.ProxyDaemon, true), x, wire.TargetReady)
+			w.reportTarget(w.Leader(), x, wire.TargetReady)
+			w.reportTarget(w.pickProcess(wire.ProxyDaemon, true), x, wire.TargetReady)
 		}
 		w.Run(w.now + 2*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -165,8 +165,8 @@
 	roll, _ := FaultByName("service rolled")
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
-		for _, n := range w.all(wire.ControlDaemon) {
-			w.Kill(w.procs[n])
+		for _, p := range w.daemons(wire.ControlDaemon) {
+			w.Kill(p)
 		}
 		w.Run(w.now + 2*time.Second)
 		roll.Inject(w)
@@ -180,7 +180,7 @@
 		w.restartAll()
 		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -197,17 +197,17 @@
 		p.Rate = 1
 		w := Start(3, p)
 		w.Run(w.now + 2*time.Second)
-		before := w.Leader().core.Status(0).Counts.Ejections
+		before := w.Leader().controller.Status(0).Counts.Ejections
 		for i := range 60 {
-			x := w.targets[i%len(w.targets)]
-			x.hang = true
+			x := w.targets.all[i%len(w.targets.all)]
+			x.hanging = true
 			w.Run(w.now + c.pause)
-			x.hang = false
+			x.hanging = false
 			w.Run(w.now + 2*time.Second - c.pause + time.Duration(i*37%450)*time.Millisecond)
 		}
-		n := int(w.Leader().core.Status(0).Counts.Ejections - before)
+		n := int(w.Leader().controller.Status(0).Counts.Ejections - before)
 		t.Logf("of 60 pauses of %v, %d led to a bar", c.pause, n)
-		check(t, w)
+		requireNoFailure(t, w)
 		if n < c.min || n > c.max {
 			t.Errorf("of 60 pauses of %v, %d led to a bar", c.pause, n)
 		}
@@ -222,19 +222,19 @@
 		p := Small
 		p.Rate = 400
 		w := Start(seed, p)
-		w.SendChange(w.Leader(), "PUT", "/v1/config", "base=1", w.DocumentFor(2, 10, []string{"fares"}), &change{what: "config", base: 1})
+		w.SendChange(w.Leader(), "PUT", "/v1/config", "base=1", w.DocumentFor(2, 10, []string{"fares"}), configChange(1))
 		w.Run(w.now + 2*time.Second)
-		for _, x := range w.targets {
+		for _, x := range w.targets.all {
 			if x.service == "pay" && (x.name != "pay1" || seed%2 == 0) {
 				w.CrashTarget(x)
 			}
 		}
 		w.Run(w.now + time.Duration(seed+1)*90*time.Millisecond)
-		w.SendChange(w.Leader(), "PUT", "/v1/config", "base=2", w.DocumentFor(3, 10, []string{"fares", "pay"}), &change{what: "config", base: 2})
+		w.SendChange(w.Leader(), "PUT", "/v1/config", "base=2", w.DocumentFor(3, 10, []string{"fares", "pay"}), configChange(2))
 		w.Run(w.now + 5*time.Second)
-		check(t, w)
-		if w.Leader().core.Revision() != 3 {
-			t.Fatalf("seed %d: revision %d", seed, w.Leader().core.Revision())
+		requireNoFailure(t, w)
+		if w.Leader().controller.Revision() != 3 {
+			t.Fatalf("seed %d: revision %d", seed, w.Leader().controller.Revision())
 		}
 	}
 }
--- a/internal/verification/simulator/trouble_test.go
+++ b/internal/verification/simulator/trouble_test.go
@@ -15,7 +15,7 @@
 		for seed := range uint64(2) {
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
-				check(t, Day(100+seed, open(cores, min(3, cores)), nil, 12, 25*time.Second))
+				requireNoFailure(t, Day(100+seed, bootstrapPlan(cores, min(3, cores)), nil, 12, 25*time.Second))
 			})
 		}
 	}
@@ -27,8 +27,8 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := Start(seed+1, Small)
-		p := w.procs[w.all(wire.ControlDaemon)[seed%3]] // the leader among them
-		started, written := p.gen, len(p.disk.img.Log)
+		p := w.daemons(wire.ControlDaemon)[seed%3] // the leader among them
+		started, written := p.incarnation, len(p.disk.image.Log)
 		w.fillDisk(p, 6*time.Second)
 		for n := range 3 {
 			if l := w.Leader(); l != nil {
@@ -36,26 +36,26 @@
 			}
 			w.Run(w.now + 1500*time.Millisecond)
 		}
-		check(t, w)
-		if w.Stats.RejectedWrites == 0 || w.acked < 3 {
-			t.Fatalf("seed %d: its disk refused %d writes, revision %d acknowledged\n%s", w.Seed, w.Stats.RejectedWrites, w.acked, w.Trace(30))
+		requireNoFailure(t, w)
+		if w.Stats.RejectedWrites == 0 || w.checks.acknowledged < 3 {
+			t.Fatalf("seed %d: its disk refused %d writes, revision %d acknowledged\n%s", w.Seed, w.Stats.RejectedWrites, w.checks.acknowledged, w.Trace(30))
 		}
 		if most := int(6*time.Second/tuning.DiskRetry) + 1; w.Stats.RejectedWrites > most {
 			t.Errorf("seed %d: %d writes were refused, one each %v makes %d", w.Seed, w.Stats.RejectedWrites, tuning.DiskRetry, most)
 		}
-		if len(p.disk.img.Log) != written {
+		if len(p.disk.image.Log) != written {
 			t.Errorf("seed %d: the full disk of %s took writes", w.Seed, p.name)
 		}
 		w.Run(w.now + 6*time.Second)
-		check(t, w)
-		if p.gen != started {
+		requireNoFailure(t, w)
+		if p.incarnation != started {
 			t.Errorf("seed %d: %s ended\n%s", w.Seed, p.name, w.Trace(30))
 		}
-		if !p.alive || p.core.Revision() < w.acked {
+		if !p.alive || p.controller.Revision() < w.checks.acknowledged {
 			t.Errorf("seed %d: %s is not back\n%s", w.Seed, p.name, w.Trace(30))
 		}
 		w.Finish()
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -64,8 +64,8 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := Start(seed+1, Small)
-		for _, n := range w.all(wire.ControlDaemon) {
-			w.slowDisk(w.procs[n], 30, 20*time.Second)
+		for _, p := range w.daemons(wire.ControlDaemon) {
+			w.slowDisk(p, 30, 20*time.Second)
 		}
 		for i := range 5 {
 			if l := w.Leader(); l != nil {
@@ -73,9 +73,9 @@
 			}
 			w.Run(w.now + 2*time.Second)
 		}
-		check(t, w)
-		if w.acked < 4 {
-			t.Errorf("seed %d: revision %d acknowledged\n%s", w.Seed, w.acked, w.Trace(30))
+		requireNoFailure(t, w)
+		if w.checks.acknowledged < 4 {
+			t.Errorf("seed %d: revision %d acknowledged\n%s", w.Seed, w.checks.acknowledged, w.Trace(30))
 		}
 		if w.Stats.SlowestChange < 40*time.Millisecond {
 			t.Errorf("seed %d: no change took over %v on slow disks", w.Seed, w.Stats.SlowestChange)
--- a/internal/verification/simulator/waiters_test.go
+++ b/internal/verification/simulator/waiters_test.go
@@ -17,27 +17,27 @@
 	for seed := range uint64(16) {
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
-		l, before := w.Leader(), w.leadsLost()
+		l, before := w.Leader(), w.lostLeases()
 		if l == nil {
 			t.Fatalf("seed %d: nobody leads", seed)
 		}
-		term, status := l.core.Status(w.now).Term, -1
-		w.cutOff(l, tuning.LeaderLease+time.Duration(seed%2)*tuning.HeartbeatEvery)
+		term, status := l.controller.Status(w.now).Term, -1
+		w.isolateFromControlDaemons(l, tuning.LeaderLease+time.Duration(seed%2)*tuning.HeartbeatEvery)
 		w.Run(w.now + tuning.LeaderLease/2)
 		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Document(5), "", func(r statemachine.Reply) { status = r.Status })
-		w.until(4*time.Second, func() bool { return status >= 0 })
-		if w.until(2*time.Second, func() bool { return w.Leader() != nil }); w.Leader() != l || w.leadsLost() == before {
+		w.runUntil(4*time.Second, func() bool { return status >= 0 })
+		if w.runUntil(2*time.Second, w.hasLeader); w.Leader() != l || w.lostLeases() == before {
 			continue // another leads, or the lead was not lost
 		}
 		kept++
-		if l.core.Status(w.now).Term > term {
+		if l.controller.Status(w.now).Term > term {
 			resumed++
 		}
 		if status != 200 {
 			t.Errorf("seed %d: answered %d\n%s", seed, status, w.Trace(20))
 		}
 		w.Run(w.now + 2*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 	if kept == 0 || resumed == 0 {
 		t.Errorf("%d leads were lost for a moment, %d of them went on in a later term", kept, resumed)
@@ -52,13 +52,13 @@
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
 		l, status, asked := w.Leader(), -1, w.now
-		w.cutOff(l, 10*time.Second)
+		w.isolateFromControlDaemons(l, 10*time.Second)
 		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Document(5), "", func(r statemachine.Reply) { status = r.Status })
-		w.until(10*time.Second, func() bool { return status >= 0 })
+		w.runUntil(10*time.Second, func() bool { return status >= 0 })
 		if status != 504 || w.now-asked > tuning.LeaderLease+tuning.PendingCallsKept+100*time.Millisecond {
 			t.Errorf("seed %d: answered %d after %v", seed, status, w.now-asked)
 		}
 		w.Run(w.now + 12*time.Second)
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -12,30 +12,21 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// entry is a target in a table, nil if it is not there.
-func entry(t *wire.Table, name string) *wire.Target {
-	for i := range t.Targets {
-		if t.Targets[i].Name == name {
-			return &t.Targets[i]
-		}
-	}
-	return nil
-}
-
-// out counts the proxies whose table does not let anything be sent to a target.
-func (w *World) out(name string) (n int) {
-	for _, g := range w.all(wire.ProxyDaemon) {
-		if p := w.procs[g]; p.alive && p.gate.Table() != nil {
-			if e := entry(p.gate.Table(), name); e == nil || e.Draining {
-				n++
+// proxiesWithout counts the proxies whose table does not let anything be sent to a target.
+func (w *World) proxiesWithout(name string) (count int) {
+	for _, p := range w.daemons(wire.ProxyDaemon) {
+		if p.alive && p.proxy.Table() != nil {
+			if entry := tableEntry(p.proxy.Table(), name); entry == nil || entry.Draining {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-func numbered(t *Target, state wire.TargetState, number uint64, more string) string {
-	return fmt.Sprintf(`{"service":%q,"incarnation":%d,"address":%q,"domain":%q,"state":%q,"number":%d,"mood":["any"]%s}`, t.service, t.inc, t.addr, t.domain, state, number, more)
+// reportJSON is a numbered report of a target, with an unknown field and what else is to be in it.
+func reportJSON(t *Target, state wire.TargetState, number uint64, more string) string {
+	return fmt.Sprintf(`{"service":%q,"incarnation":%d,"address":%q,"domain":%q,"state":%q,"number":%d,"mood":["any"]%s}`, t.service, t.incarnation, t.address, t.domain, state, number, more)
 }
 
 // Words by name: what is wrong is named by its place, slots reach the tables, and an old
@@ -43,10 +34,10 @@
 func TestWordsByName(t *testing.T) {
 	t.Parallel()
 	w := Start(21, Small)
-	a := w.targets[0]
-	f := followers(w)[0]
+	a := w.targets.all[0]
+	f := w.followers()[0]
 	put := func(p *Process, body string) (int, string) {
-		r, m := w.inquire(t, p, "PUT", "/v1/targets/"+a.name, "", body, "")
+		r, m := w.callAndWait(t, p, "PUT", "/v1/targets/"+a.name, "", body, "")
 		at := ""
 		if e, ok := m["error"].(map[string]any); ok && e["faults"] != nil {
 			at, _ = e["faults"].([]any)[0].(map[string]any)["path"].(string)
@@ -57,32 +48,32 @@
 		{`,"slots":-1`, "slots"}, {`,"slots":1000001`, "slots"}, {`,"slots":"x"`, "slots"}, {`,"cold_left_ms":-5`, "cold_left_ms"},
 		{`,"cold_left_ms":3600001`, "cold_left_ms"}, {`,"address":"nowhere"`, "address"}, {`,"state":"odd"`, "state"}, {`,"service":"A b"`, "service"},
 	} {
-		if s, at := put(f, numbered(a, wire.TargetReady, 1, c.more)); s != 422 || at != c.at {
+		if s, at := put(f, reportJSON(a, wire.TargetReady, 1, c.more)); s != 422 || at != c.at {
 			t.Errorf("%s: %d at %q", c.more, s, at)
 		}
 	}
-	if !a.named {
+	if !a.numbered {
 		t.Fatal("not a target with numbered words")
 	}
-	if e := entry(w.Leader().core.Table(), a.name); e == nil || e.Slots != DefaultSlots || e.Number == 0 {
+	if e := tableEntry(w.Leader().controller.Table(), a.name); e == nil || e.Slots != DefaultSlots || e.Number == 0 {
 		t.Fatalf("%+v", e)
 	}
-	for _, n := range []uint64{a.number, 1} {
-		if s, _ := put(f, numbered(a, wire.TargetLeaving, n, "")); s != 200 {
+	for _, n := range []uint64{a.lastNumber, 1} {
+		if s, _ := put(f, reportJSON(a, wire.TargetLeaving, n, "")); s != 200 {
 			t.Errorf("an old word: %d", s)
 		}
 	}
-	if e := entry(w.Leader().core.Table(), a.name); e.Draining {
+	if e := tableEntry(w.Leader().controller.Table(), a.name); e.Draining {
 		t.Error("an old word has it held")
 	}
-	if s, _ := put(f, numbered(a, wire.TargetReady, a.number+100, `,"slots":7`)); s != 202 {
+	if s, _ := put(f, reportJSON(a, wire.TargetReady, a.lastNumber+100, `,"slots":7`)); s != 202 {
 		t.Errorf("a word at a follower: %d", s)
 	}
 	w.Run(w.now + 300*time.Millisecond)
-	if e := entry(w.Leader().core.Table(), a.name); e.Slots != 7 {
+	if e := tableEntry(w.Leader().controller.Table(), a.name); e.Slots != 7 {
 		t.Errorf("%+v", e)
 	}
-	check(t, w)
+	requireNoFailure(t, w)
 }
 
 // A word that says leaving or gone is acknowledged once a majority of the proxies knows,
@@ -91,23 +82,23 @@
 	t.Parallel()
 	for seed := range uint64(8) {
 		w := Start(seed, Small)
-		a := w.targets[int(seed)%len(w.targets)]
-		a.still = true
+		a := w.targets.all[int(seed)%len(w.targets.all)]
+		a.silent = true
 		w.Run(w.now + 600*time.Millisecond)
 		at := w.Leader()
 		if seed%2 == 0 {
-			at = followers(w)[0]
+			at = w.followers()[0]
 		}
 		var acks []int
 		ask := func(method, path, body string) {
 			w.call(at, method, path, "", []byte(body), "", func(r statemachine.Reply) {
-				if r.Status == 200 && 2*w.out(a.name) <= w.Plan.Proxies {
-					t.Errorf("seed %d: %s acknowledged with %d of %d proxies", seed, method, w.out(a.name), w.Plan.Proxies)
+				if r.Status == 200 && 2*w.proxiesWithout(a.name) <= w.Plan.Proxies {
+					t.Errorf("seed %d: %s acknowledged with %d of %d proxies", seed, method, w.proxiesWithout(a.name), w.Plan.Proxies)
 				}
 				acks = append(acks, r.Status)
 			})
 		}
-		leaving := numbered(a, wire.TargetLeaving, 1000, "")
+		leaving := reportJSON(a, wire.TargetLeaving, 1000, "")
 		if seed < 4 {
 			ask("PUT", "/v1/targets/"+a.name, leaving)
 			ask("PUT", "/v1/targets/"+a.name, leaving)
@@ -119,16 +110,16 @@
 		if fmt.Sprint(acks) != "[200 200]" {
 			t.Fatalf("seed %d: %v", seed, acks)
 		}
-		if r, _ := w.inquire(t, at, "DELETE", "/v1/targets/"+a.name, "", "", ""); r.Status != 200 {
+		if r, _ := w.callAndWait(t, at, "DELETE", "/v1/targets/"+a.name, "", "", ""); r.Status != 200 {
 			t.Errorf("signed off: %d", r.Status)
 		}
-		if r, _ := w.inquire(t, at, "DELETE", "/v1/targets/never-heard", "", "", ""); r.Status != 200 {
+		if r, _ := w.callAndWait(t, at, "DELETE", "/v1/targets/never-heard", "", "", ""); r.Status != 200 {
 			t.Errorf("never heard: %d", r.Status)
 		}
-		if e := entry(w.Leader().core.Table(), a.name); e != nil {
+		if e := tableEntry(w.Leader().controller.Table(), a.name); e != nil {
 			t.Errorf("still there: %+v", e)
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -136,47 +127,47 @@
 func TestLeavingWaitsForNoneThatIsLost(t *testing.T) {
 	t.Parallel()
 	w := Start(25, Small)
-	a := w.targets[0]
-	a.still = true
+	a := w.targets.all[0]
+	a.silent = true
 	w.isolate([]string{"g1", "g2"}, 3*time.Second, true, true)
 	from := w.now
-	r, _ := w.inquire(t, followers(w)[0], "PUT", "/v1/targets/"+a.name, "", numbered(a, wire.TargetLeaving, 1000, ""), "")
+	r, _ := w.callAndWait(t, w.followers()[0], "PUT", "/v1/targets/"+a.name, "", reportJSON(a, wire.TargetLeaving, 1000, ""), "")
 	if r.Status != 200 || w.now-from > tuning.PullEvery*2 {
 		t.Errorf("%d after %v", r.Status, w.now-from)
 	}
-	check(t, w)
+	requireNoFailure(t, w)
 }
 
 // What can't be made known is not promised, in time for the caller to go elsewhere.
 func TestLeavingIsNotPromised(t *testing.T) {
 	t.Parallel()
 	w := Start(22, Small)
-	a := w.targets[0]
-	a.still = true
+	a := w.targets.all[0]
+	a.silent = true
 	for _, n := range []string{"g1", "g2", "g3"} {
-		w.Kill(w.procs[n])
+		w.Kill(w.process(n))
 	}
-	for _, at := range []*Process{w.Leader(), followers(w)[0]} {
+	for _, at := range []*Process{w.Leader(), w.followers()[0]} {
 		from := w.now
-		r, m := w.inquire(t, at, "PUT", "/v1/targets/"+a.name, "", numbered(a, wire.TargetLeaving, 1000, ""), "")
+		r, m := w.callAndWait(t, at, "PUT", "/v1/targets/"+a.name, "", reportJSON(a, wire.TargetLeaving, 1000, ""), "")
 		if r.Status != 503 || r.RetryAfter == 0 || m["error"].(map[string]any)["ran"] != "no" || w.now-from > 920*time.Millisecond {
 			t.Errorf("%d after %v: %s", r.Status, w.now-from, r.Body)
 		}
 	}
 	l := w.Leader()
-	for _, p := range followers(w) {
+	for _, p := range w.followers() {
 		w.Kill(p)
 	}
 	w.Run(w.now + 2*time.Second)
 	for _, state := range []wire.TargetState{wire.TargetReady, wire.TargetLeaving} {
-		if r, _ := w.inquire(t, l, "PUT", "/v1/targets/"+a.name, "", numbered(a, state, 1001, ""), ""); r.Status != 503 || r.RetryAfter == 0 {
+		if r, _ := w.callAndWait(t, l, "PUT", "/v1/targets/"+a.name, "", reportJSON(a, state, 1001, ""), ""); r.Status != 503 || r.RetryAfter == 0 {
 			t.Errorf("%s without a leader: %d", state, r.Status)
 		}
 	}
-	if r, _ := w.inquire(t, l, "GET", "/v1/config", "", "", ""); r.Status != 503 {
+	if r, _ := w.callAndWait(t, l, "GET", "/v1/config", "", "", ""); r.Status != 503 {
 		t.Errorf("read without a leader: %d", r.Status)
 	}
-	check(t, w)
+	requireNoFailure(t, w)
 }
 
 // What was acknowledged outlives the leader, though the target never speaks again but
@@ -185,15 +176,15 @@
 	t.Parallel()
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
-		a := w.targets[int(seed)%len(w.targets)]
-		a.still = true
+		a := w.targets.all[int(seed)%len(w.targets.all)]
+		a.silent = true
 		w.Run(w.now + 600*time.Millisecond)
 		status := 0
-		word, path, method := numbered(a, wire.TargetLeaving, 1000, ""), "/v1/targets/"+a.name, "PUT"
+		word, path, method := reportJSON(a, wire.TargetLeaving, 1000, ""), "/v1/targets/"+a.name, "PUT"
 		if seed%2 == 1 {
 			method, word = "DELETE", ""
 		}
-		w.call(followers(w)[0], method, path, "", []byte(word), "", func(r statemachine.Reply) {
+		w.call(w.followers()[0], method, path, "", []byte(word), "", func(r statemachine.Reply) {
 			status = r.Status
 			w.Kill(w.Leader())
 		})
@@ -203,13 +194,13 @@
 		}
 		for range 500 {
 			w.Run(w.now + 10*time.Millisecond)
-			if l := w.Leader(); l != nil && l.core.Table() != nil {
-				if e := entry(l.core.Table(), a.name); e != nil && !e.Draining {
+			if l := w.Leader(); l != nil && l.controller.Table() != nil {
+				if e := tableEntry(l.controller.Table(), a.name); e != nil && !e.Draining {
 					t.Fatalf("seed %d: back: %+v\n%s", seed, e, w.Trace(20))
 				}
 			}
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -219,15 +210,17 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := Start(seed, Small)
-		if r, _ := w.inquire(t, w.Leader(), "PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cold_s":20,"cold_per_s":5},"pay":{"cold_s":20,"cold_per_s":5}}}`, ""); r.Status != 200 {
+		if r, _ := w.callAndWait(t, w.Leader(), "PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cold_s":20,"cold_per_s":5},"pay":{"cold_s":20,"cold_per_s":5}}}`, ""); r.Status != 200 {
 			t.Fatalf("%s", r.Body)
 		}
-		a := w.targets[0]
-		a.still = true
+		a := w.targets.all[0]
+		a.silent = true
 		w.Run(w.now + 600*time.Millisecond)
-		left := func() time.Duration { return time.Duration(entry(w.Leader().core.Table(), a.name).WarmupLeft) }
+		left := func() time.Duration {
+			return time.Duration(tableEntry(w.Leader().controller.Table(), a.name).WarmupLeft)
+		}
 		say := func(number uint64, cold int) {
-			w.inquire(t, w.Leader(), "PUT", "/v1/targets/"+a.name, "", numbered(a, wire.TargetReady, number, fmt.Sprintf(`,"cold_left_ms":%d`, cold)), "")
+			w.callAndWait(t, w.Leader(), "PUT", "/v1/targets/"+a.name, "", reportJSON(a, wire.TargetReady, number, fmt.Sprintf(`,"cold_left_ms":%d`, cold)), "")
 		}
 		say(1000, 9000)
 		if l := left(); l < 8*time.Second || l > 9*time.Second {
@@ -246,7 +239,7 @@
 			t.Errorf("a later word did not end it: %v", left())
 		}
 		for _, what := range []string{"empty", "restore"} {
-			if r, _ := w.inquire(t, w.Leader(), "POST", "/v1/domains/"+a.domain+"/"+what, "", "", ""); r.Status != 200 {
+			if r, _ := w.callAndWait(t, w.Leader(), "POST", "/v1/domains/"+a.domain+"/"+what, "", "", ""); r.Status != 200 {
 				t.Fatalf("%s: %s", what, r.Body)
 			}
 		}
@@ -255,7 +248,7 @@
 		}
 		if seed%2 == 0 {
 			w.Kill(w.Leader())
-			for w.Leader() == nil || w.Leader().core.Table() == nil || entry(w.Leader().core.Table(), a.name) == nil {
+			for w.Leader() == nil || w.Leader().controller.Table() == nil || tableEntry(w.Leader().controller.Table(), a.name) == nil {
 				w.Run(w.now + 10*time.Millisecond)
 			}
 			if left() < 10*time.Second {
@@ -269,7 +262,7 @@
 				t.Errorf("its own later word did not end it: %v", left())
 			}
 		}
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -323,7 +316,7 @@
 	}
 	run := func(from int) {
 		for i, c := range steps[from:] {
-			r, m := w.inquire(t, followers(w)[0], c.method, c.path, c.query, c.body, "")
+			r, m := w.callAndWait(t, w.followers()[0], c.method, c.path, c.query, c.body, "")
 			rev, at := m["revision"], ""
 			if e, ok := m["error"].(map[string]any); ok {
 				rev = e["revision"]
@@ -340,16 +333,16 @@
 	w.Kill(w.Leader())
 	w.AwaitRecovery(10 * time.Second)
 	run(len(steps) - 1)
-	if r, _ := w.inquire(t, followers(w)[0], "GET", "/v1/config", "plain=", "", ""); string(r.Body) != doc(40, 4)+"\n" {
+	if r, _ := w.callAndWait(t, w.followers()[0], "GET", "/v1/config", "plain=", "", ""); string(r.Body) != doc(40, 4)+"\n" {
 		t.Errorf("%s", r.Body)
 	}
-	if r, m := w.inquire(t, followers(w)[0], "PATCH", "/v1/config", "base=40", `{"services":{"fares":{"cap":35}}}`, ""); r.Status != 200 || m["revision"] != 41.0 {
+	if r, m := w.callAndWait(t, w.followers()[0], "PATCH", "/v1/config", "base=40", `{"services":{"fares":{"cap":35}}}`, ""); r.Status != 200 || m["revision"] != 41.0 {
 		t.Errorf("%s", r.Body)
 	}
-	if _, m := w.inquire(t, followers(w)[0], "GET", "/v1/config", "plain=", "", ""); m["revision"] != 41.0 {
+	if _, m := w.callAndWait(t, w.followers()[0], "GET", "/v1/config", "plain=", "", ""); m["revision"] != 41.0 {
 		t.Errorf("a document without a revision inside: %v", m["revision"])
 	}
-	check(t, w)
+	requireNoFailure(t, w)
 }
 
 // The same change twice at once is one change; another on the same base loses.
@@ -360,7 +353,7 @@
 		same, other := w.Document(2), w.Document(3)
 		var got []string
 		for i, doc := range [][]byte{same, same, other} {
-			w.call(w.cores()[i%w.Plan.ControlDaemons], "PUT", "/v1/config", "base=1", doc, "", func(r statemachine.Reply) {
+			w.call(w.daemons(wire.ControlDaemon)[i%w.Plan.ControlDaemons], "PUT", "/v1/config", "base=1", doc, "", func(r statemachine.Reply) {
 				var m struct {
 					Revision uint64 `json:"revision"`
 				}
@@ -384,30 +377,22 @@
 		if len(got) != 3 || first+2*second != 2 || first == 1 {
 			t.Errorf("seed %d: %v", seed, got)
 		}
-		check(t, w)
-	}
-}
-
-// cores are the members.
-func (w *World) cores() (l []*Process) {
-	for _, n := range w.all(wire.ControlDaemon) {
-		l = append(l, w.procs[n])
+		requireNoFailure(t, w)
 	}
-	return l
 }
 
 // Orders that are repeated push no configuration out of what is kept.
 func TestRepeatedOrdersKeepHistory(t *testing.T) {
 	t.Parallel()
 	w := Start(24, Small)
-	w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(2)), "")
+	w.callAndWait(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(2)), "")
 	for range tuning.ChangesKept + 4 {
-		w.inquire(t, w.Leader(), "POST", "/v1/domains/d1/restore", "", "", "")
+		w.callAndWait(t, w.Leader(), "POST", "/v1/domains/d1/restore", "", "", "")
 	}
-	if r, m := w.inquire(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(2)), ""); r.Status != 200 || m["revision"] != 2.0 {
+	if r, m := w.callAndWait(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(2)), ""); r.Status != 200 || m["revision"] != 2.0 {
 		t.Errorf("%s", r.Body)
 	}
-	if n := len(w.Leader().core.ChangeRecords()); n > 2*tuning.ChangesKept {
+	if n := len(w.Leader().controller.ChangeRecords()); n > 2*tuning.ChangesKept {
 		t.Errorf("%d records", n)
 	}
 }
--- a/internal/verification/simulator/sim_test.go
+++ b/internal/verification/simulator/world_test.go
@@ -25,13 +25,6 @@
 	}
 }
 
-func check(t *testing.T, w *World) {
-	t.Helper()
-	if w.Failure != "" {
-		t.Fatalf("seed %d: %s\n%s", w.Seed, w.Failure, w.Trace(60))
-	}
-}
-
 // Every core disk is lost at once while the proxies live: the core founds a new
 // epoch and takes configuration and emptied domains back from the proxies.
 func TestCoreLosesAllDisks(t *testing.T) {
@@ -40,20 +33,20 @@
 		w := Start(seed, Small)
 		w.PutConfig(w.Leader(), 1, 2)
 		w.Run(w.now + 2*time.Second)
-		w.SendChange(w.Leader(), "POST", "/v1/domains/d2/empty", "", nil, &change{what: "empty d2", empty: "d2"})
+		w.SendChange(w.Leader(), "POST", "/v1/domains/d2/empty", "", nil, emptyChange("d2"))
 		w.Run(w.now + 3*time.Second)
-		for _, n := range w.all(wire.ControlDaemon) {
-			w.Kill(w.procs[n])
-			w.WipeDisk(w.procs[n])
+		for _, p := range w.daemons(wire.ControlDaemon) {
+			w.Kill(p)
+			w.WipeDisk(p)
 		}
 		w.Run(w.now + time.Second)
-		for _, n := range w.all(wire.ControlDaemon) {
-			w.Restart(w.procs[n])
+		for _, p := range w.daemons(wire.ControlDaemon) {
+			w.Restart(p)
 		}
 		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
-		check(t, w)
-		if s := w.Leader().core.Status(0); s.Epoch != 2 || s.Revision != 2 || len(s.Emptied) != 1 {
+		requireNoFailure(t, w)
+		if s := w.Leader().controller.Status(0); s.Epoch != 2 || s.Revision != 2 || len(s.Emptied) != 1 {
 			t.Fatalf("seed %d: %+v", seed, s)
 		}
 	}
@@ -68,20 +61,20 @@
 		w.PutConfig(w.Leader(), 1, 2)
 		w.Run(w.now + 2*time.Second)
 		keep := w.Leader()
-		for _, n := range w.names {
-			w.Kill(w.procs[n])
-			if p := w.procs[n]; p.kind == wire.ControlDaemon && p != keep {
+		for _, p := range w.fleet() {
+			w.Kill(p)
+			if p.kind == wire.ControlDaemon && p != keep {
 				w.WipeDisk(p)
 			}
 		}
 		w.Run(w.now + time.Second)
-		for _, n := range w.names {
-			w.Restart(w.procs[n])
+		for _, p := range w.fleet() {
+			w.Restart(p)
 		}
 		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
-		check(t, w)
-		if s := w.Leader().core.Status(0); s.Epoch != 2 || s.Revision != 2 {
+		requireNoFailure(t, w)
+		if s := w.Leader().controller.Status(0); s.Epoch != 2 || s.Revision != 2 {
 			t.Fatalf("seed %d: %+v", seed, s)
 		}
 	}
@@ -95,18 +88,18 @@
 		p.ControlDaemons = 3 + 2*int(seed%2)
 		w := Start(seed, p)
 		w.Run(w.now + 2*time.Second)
-		for _, n := range w.names {
-			w.Kill(w.procs[n])
-			if p := w.procs[n]; p.kind == wire.ControlDaemon {
+		for _, p := range w.fleet() {
+			w.Kill(p)
+			if p.kind == wire.ControlDaemon {
 				w.WipeDisk(p)
 			}
 		}
-		w.acked, w.changes = 0, nil
-		for _, n := range w.names {
-			w.Restart(w.procs[n])
+		w.checks.acknowledged, w.operators.changes = 0, nil
+		for _, p := range w.fleet() {
+			w.Restart(p)
 		}
-		w.loss, w.delay = 0.2, 100*time.Millisecond // founders hear of one another at unlike times
-		w.at(5*time.Second, func() { w.loss, w.delay = 0, time.Millisecond })
+		w.network.loss, w.network.delay = 0.2, 100*time.Millisecond // founders hear of one another at unlike times
+		w.schedule(5*time.Second, func() { w.network.loss, w.network.delay = 0, time.Millisecond })
 		end := w.now + 15*time.Second
 		for w.Leader() == nil && w.now < end {
 			w.Run(w.now + 100*time.Millisecond)
@@ -117,7 +110,7 @@
 		w.PutConfig(w.Leader(), 0, 3)
 		w.AwaitRecovery(end - w.now)
 		w.Finish()
-		check(t, w)
+		requireNoFailure(t, w)
 	}
 }
 
@@ -127,33 +120,32 @@
 	w := Start(3, Small)
 	for i := range 3 {
 		name := []string{"c7", "c8", "c9"}[i]
-		w.addProc(wire.ControlDaemon, name, i)
-		w.start(w.procs[name])
+		w.addAndStart(wire.ControlDaemon, name, i)
 		w.Run(w.now + 2*time.Second)
 		old := []string{"c1", "c2", "c3"}[i]
 		for _, call := range []string{name + "/add", old + "/remove"} {
 			c := &change{}
 			for range 3 {
-				c = &change{what: call}
+				c = &change{kind: changeKind(call)}
 				w.SendChange(w.Leader(), "POST", "/v1/core/"+call, "", nil, c)
 				w.Run(w.now + 4*time.Second)
-				if c.state != "refused" {
+				if c.state != changeRejected {
 					break // a leader that is to go yields first and says so
 				}
 			}
-			check(t, w)
-			if c.state != "accepted" {
+			requireNoFailure(t, w)
+			if c.state != changeAccepted {
 				t.Fatalf("%s %s\n%s", call, c.state, w.Trace(40))
 			}
 		}
-		w.Kill(w.procs[old])
+		w.Kill(w.process(old))
 		w.PutConfig(w.Leader(), w.Revision(), i+10)
 		w.Run(w.now + 2*time.Second)
 	}
-	check(t, w)
-	ms := w.Leader().core.Status(0).Members
-	if len(ms) != 3 || w.Leader().core.Revision() != 4 {
-		t.Fatalf("%v revision %d\n%s", ms, w.Leader().core.Revision(), w.Trace(40))
+	requireNoFailure(t, w)
+	ms := w.Leader().controller.Status(0).Members
+	if len(ms) != 3 || w.Leader().controller.Revision() != 4 {
+		t.Fatalf("%v revision %d\n%s", ms, w.Leader().controller.Revision(), w.Trace(40))
 	}
 	for _, m := range ms {
 		if m.Name[1] < '7' {
@@ -172,7 +164,7 @@
 	for seed := uint64(1); seed <= n; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			check(t, Day(seed, Small, nil, 12, 25*time.Second))
+			requireNoFailure(t, Day(seed, Small, nil, 12, 25*time.Second))
 		})
 	}
 }
@@ -181,7 +173,7 @@
 // service and never let a caller wait: Erlang's formula for each proxy, with callers of
 // whom a part comes again at once, to any proxy, up to three times. One that comes to the
 // proxy that it comes from finds that still full.
-func lossless(rate, again float64, took time.Duration, proxies, places int) float64 {
+func servedWithoutQueue(rate, again float64, took time.Duration, proxies, places int) float64 {
 	loss, all := 0.0, rate
 	for range 100 { // it settles far sooner
 		more, same := 0.0, 1/float64(proxies) // what each refusal brings elsewhere
@@ -216,11 +208,11 @@
 		p.Services = map[string]int{"fares": 5}
 		p.Rate, p.NonIdempotent, p.Resubmitted = 100, 0.3, 0.3
 		w := Start(seed+1, p)
-		for _, tg := range w.targets {
-			tg.work, tg.usual = 100*time.Millisecond, 100*time.Millisecond
+		for _, tg := range w.targets.all {
+			tg.serviceTime, tg.usualServiceTime = 100*time.Millisecond, 100*time.Millisecond
 		}
 		l := w.Leader()
-		w.SendChange(l, "PUT", "/v1/config", "base=1", w.DocumentFor(9, 10, []string{"fares"}), &change{what: "config", base: 1})
+		w.SendChange(l, "PUT", "/v1/config", "base=1", w.DocumentFor(9, 10, []string{"fares"}), configChange(1))
 		w.Run(w.now + 2*time.Second)
 		for i, c := range steps {
 			w.Plan.Rate = c.rate
@@ -236,7 +228,7 @@
 			}
 		}
 		w.CheckRetryBudget()
-		check(t, w)
+		requireNoFailure(t, w)
 		if w.Stats.Unknown > 0 || w.Stats.Retries > 0 {
 			t.Errorf("%+v", w.Stats)
 		}
@@ -246,7 +238,7 @@
 			t.Errorf("asked %v/s: served %v/s, wanted %v to %v", c.rate, served[i], c.lo, c.hi)
 		}
 		// The lower bound at the knee is this one alone. A request holds its place for its work and 1 ms on the way.
-		best := lossless(c.rate, 0.3, 101*time.Millisecond, Small.Proxies, bears/10/Small.Proxies)
+		best := servedWithoutQueue(c.rate, 0.3, 101*time.Millisecond, Small.Proxies, bears/10/Small.Proxies)
 		err := math.Sqrt((squares[i] - served[i]*served[i]) / (seeds - 1))
 		t.Logf("asked %v/s: served %.1f/s, error %.1f, %.1f by Erlang's formula", c.rate, served[i], err, best)
 		if served[i] < best-2*err {
