--- /dev/null
+++ b/cmd/mfload/mfload_test.go
@@ -0,0 +1,151 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"math/rand/v2"
+	"net/http"
+	"net/http/httptest"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"myrtlefold/internal/dataplane/reverseproxy"
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/verification/requestlog"
+	"myrtlefold/internal/verification/testbackend"
+)
+
+// sendTo sends one request to a proxy that responds by handler, and returns its outcome.
+func sendTo(t *testing.T, handler http.HandlerFunc) outcome {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	defer server.Close()
+	g := newGenerator(options{proxies: []string{strings.TrimPrefix(server.URL, "http://")}, workMs: -1})
+	g.proxies.refresh(t.Context())
+	kind := &requestKind{Name: "k", Service: "s", Method: http.MethodPost, Path: "/x", BodySize: 3, ResponseSize: 2}
+	return g.send(plannedRequest{kind: kind, id: "7", due: time.Now()})
+}
+
+// respond writes a back end's response.
+func respond(response testbackend.Response) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(response) }
+}
+
+// reject writes a proxy's error.
+func reject(status int, ran string, body config.ErrorBody) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set(reverseproxy.RanHeader, ran)
+		w.WriteHeader(status)
+		w.Write(body.JSON())
+	}
+}
+
+// What each response counts as.
+func TestClassesOfOutcomes(t *testing.T) {
+	sum := testbackend.Sum([]byte("aaa"))
+	for name, c := range map[string]struct {
+		handler http.HandlerFunc
+		class   outcomeClass
+		others  bool
+	}{
+		"served":                 {respond(testbackend.Response{ID: "7", Service: "s", Sum: sum, Padding: "xx"}), classServed, false},
+		"another request's":      {respond(testbackend.Response{ID: "8", Service: "s", Sum: sum, Padding: "xx"}), classWrong, true},
+		"another service's":      {respond(testbackend.Response{ID: "7", Service: "t", Sum: sum, Padding: "xx"}), classWrong, false},
+		"another body":           {respond(testbackend.Response{ID: "7", Service: "s", Sum: "0", Padding: "xx"}), classWrong, false},
+		"too short":              {respond(testbackend.Response{ID: "7", Service: "s", Sum: sum, Padding: "x"}), classWrong, false},
+		"rejected":               {reject(503, "no", config.ErrorBody{Code: "full", Ran: "no"}), classRejected, false},
+		"unknown":                {reject(504, "unknown", config.ErrorBody{Code: "lost", Ran: "unknown"}), classUnknown, false},
+		"header unlike its body": {reject(503, "no", config.ErrorBody{Code: "lost", Ran: "unknown"}), classWrong, false},
+		"an error of a back end": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, classUnknown, false},
+		"no response":            {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, classNone, false},
+		"a response that was cut": {func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set("Content-Length", "9")
+			w.Write([]byte("x"))
+		}, classNone, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got := sendTo(t, c.handler)
+			if got.class() != c.class || got.others != c.others {
+				t.Errorf("%s: %+v", got.class(), got)
+			}
+		})
+	}
+}
+
+// A run is broken by what the request logs say of its requests, and by nothing that other runs did.
+func TestRequestLogsAreChecked(t *testing.T) {
+	dir := t.TempDir()
+	writer, err := requestlog.Create(filepath.Join(dir, "b.ledger"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range []requestlog.Entry{
+		{ID: "r-1"}, {ID: "r-1"}, // not idempotent, twice
+		{ID: "r-2"}, {ID: "r-2"}, // idempotent
+		{ID: "r-3"}, // rejected
+		{ID: "r-4", IntendedService: "t"},
+		{ID: "r-5", LeavingForMs: leaveGraceMs},
+		{ID: "r-6", LeavingForMs: leaveGraceMs + 1},
+		{ID: "q-1"}, {ID: "q-1"}, {ID: "q-2", IntendedService: "t"},
+	} {
+		writer.Write(entry)
+	}
+	if err := writer.Close(); err != nil {
+		t.Fatal(err)
+	}
+	c := newCollector()
+	post, get := &requestKind{Method: http.MethodPost}, &requestKind{Method: http.MethodGet}
+	c.add(outcome{plannedRequest: plannedRequest{kind: post, id: "r-1"}, status: 200})
+	c.add(outcome{plannedRequest: plannedRequest{kind: get, id: "r-2"}, status: 200})
+	c.add(outcome{plannedRequest: plannedRequest{kind: get, id: "r-3"}, status: 503, ran: ranNo, retryAfter: "1"})
+	if c.report.broken() {
+		t.Fatalf("%+v", c.report)
+	}
+	if err := c.checkRequestLogs(dir, "r-"); err != nil {
+		t.Fatal(err)
+	}
+	r := c.finish(options{duration: time.Second})
+	if r.RanTwice != 1 || r.RanThoughRejected != 1 || r.Misrouted != 1 || r.PastLeaveGrace != 1 || r.LatestToLeavingMs != leaveGraceMs+1 || !r.broken() {
+		t.Errorf("%+v", r)
+	}
+}
+
+// A report for people has its quantiles, groups and seconds in a fixed form.
+func TestPrintedReport(t *testing.T) {
+	c := newCollector()
+	kind := &requestKind{Name: "fare", Method: http.MethodGet}
+	c.add(outcome{plannedRequest: plannedRequest{kind: kind, id: "1", due: c.begin}, status: 200, seconds: 0.01})
+	c.add(outcome{plannedRequest: plannedRequest{kind: kind, id: "2", due: c.begin, impatient: true}, status: 503, ran: ranNo, code: "full", retryAfter: "1", seconds: 0.002})
+	c.report.Seconds = 1
+	var printed bytes.Buffer
+	c.finish(options{duration: time.Second, perSecond: true}).print(&printed)
+	want := `offered 2, served 1 (1/s), refused 1, unknown 0, no answer 0 in 1.0 s
+latency ms from due: p50 10.0 p90 10.0 p99 10.0 max 10.0; refusals p50 2.0
+  fare              1  p50 10.0 p99 10.0
+  polite            1 user agents asked 1 times, 1 were served  p50 10.0 p99 10.0
+  at_once           1 user agents asked 1 times, 0 were served  p50 0.0 p99 0.0
+ran twice 0, ran though refused 0, wrong answers 0, wrong service 0, to leaving after 2 s 0 (latest 0 ms), refused without Retry-After 0
+{"offered":2,"refused":1,"served":1}
+  e.g. fare 2: 503 full
+`
+	if printed.String() != want {
+		t.Error(printed.String())
+	}
+}
+
+// Kinds are drawn by weight.
+func TestDraw(t *testing.T) {
+	drawn := map[string]int{}
+	random := rand.New(rand.NewPCG(1, 1))
+	mix := mixes["kelani"]
+	for range 10000 {
+		drawn[draw(mix, random).Name]++
+	}
+	for _, kind := range mix {
+		if part := float64(drawn[kind.Name]) / 10000; part < kind.Weight-0.02 || part > kind.Weight+0.02 {
+			t.Errorf("%s: %g, want %g", kind.Name, part, kind.Weight)
+		}
+	}
+}
