--- a/cmd/mfbackend/main.go
+++ b/cmd/mfbackend/main.go
@@ -34,7 +34,7 @@
 	slots                 int64         // requests that run at once; others wait
 	warmup                time.Duration // how long its state is warming
 	warmupRateTime        time.Duration // how long it only bears its service's warm-up rate
-	healthPath            string        // where it is asked for its health; "": it is asked for its identity
+	checkPath            string        // where it is asked for its health; "": it is asked for its identity
 	uniqueName            bool          // its name is this start's alone, and its reports go by it
 	requestLog            string        // file, "": none
 }
@@ -51,7 +51,7 @@
 	app.Flag("work", "how long an exchange takes").Default("10ms").DurationVar(&o.work)
 	app.Flag("bears", "how many exchanges it works on at once; others wait").Default("64").Int64Var(&o.slots)
 	app.Flag("warm", "how long it says that it is warming up").Default("0s").DurationVar(&o.warmup)
-	app.Flag("health", "path where it tells its health; then it takes the identity that is expected with each exchange, and turns away what it has no room for").StringVar(&o.healthPath)
+	app.Flag("health", "path where it tells its health; then it takes the identity that is expected with each exchange, and turns away what it has no room for").StringVar(&o.checkPath)
 	app.Flag("named", "take a name of its own for this start, and send words of targets by name").BoolVar(&o.uniqueName)
 	app.Flag("cold", "how long after its start it bears only its service's cold rate").Default("0s").DurationVar(&o.warmupRateTime)
 	app.Flag("ledger", "file to append the ledger to").StringVar(&o.requestLog)
--- a/cmd/mfbackend/registration.go
+++ b/cmd/mfbackend/registration.go
@@ -30,7 +30,7 @@
 		State:       b.targetState(),
 		Demand:      &demand,
 	}
-	if b.healthPath != "" {
+	if b.checkPath != "" {
 		report.Slots, report.WarmupLeftMs = b.slots, b.warmupLeftMs()
 	}
 	if b.uniqueName {
--- a/cmd/mfbackend/server.go
+++ b/cmd/mfbackend/server.go
@@ -79,8 +79,8 @@
 func (b *backend) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+config.IdentityPath, b.serveIdentity)
-	if b.healthPath != "" {
-		mux.HandleFunc("GET "+b.healthPath, b.serveHealth)
+	if b.checkPath != "" {
+		mux.HandleFunc("GET "+b.checkPath, b.serveHealth)
 	}
 	mux.HandleFunc("POST "+testbackend.FaultPath, b.setFault)
 	mux.HandleFunc("/", b.serveRequest)
@@ -95,7 +95,7 @@
 
 // setLoad puts the present load in a response's headers.
 func (b *backend) setLoad(header http.Header) {
-	if b.healthPath != "" {
+	if b.checkPath != "" {
 		header.Set(headers.Load, fmt.Sprintf("%d,%d,%d", len(b.occupiedSlots), b.waiting.Load(), b.slots))
 	}
 }
@@ -158,7 +158,7 @@
 	if err != nil {
 		return
 	}
-	if b.healthPath != "" && b.rejected(w, r) {
+	if b.checkPath != "" && b.rejected(w, r) {
 		return
 	}
 	inFlight := b.inFlight.Add(1)
@@ -259,7 +259,7 @@
 // logEntry is the request log's entry for a request.
 func (b *backend) logEntry(r *http.Request, inFlight int64) requestlog.Entry {
 	entry := requestlog.Entry{
-		At:               time.Now().UnixNano(),
+		StartedAt:        time.Now().UnixNano(),
 		ID:               r.Header.Get(testbackend.RequestIDHeader),
 		Service:          b.service,
 		Name:             b.name,
@@ -274,7 +274,7 @@
 		entry.IntendedService = intended
 	}
 	if leftAt := b.leftAt.Load(); leftAt > 0 {
-		entry.LeavingForMs = (entry.At - leftAt) / int64(time.Millisecond)
+		entry.LeavingForMs = (entry.StartedAt - leftAt) / int64(time.Millisecond)
 	}
 	return entry
 }
--- a/cmd/mfbackend/server_test.go
+++ b/cmd/mfbackend/server_test.go
@@ -82,7 +82,7 @@
 // What does not run says so: a request for another target, one without a slot in its time, and one that is asked to
 // fail.
 func TestRequestsThatDoNotRun(t *testing.T) {
-	b, url := startBackend(t, options{healthPath: "/health"})
+	b, url := startBackend(t, options{checkPath: "/health"})
 	expectOther := http.Header{}
 	expectOther.Set(headers.ExpectTarget, "c")
 	if response, _ := send(t, http.MethodGet, url, expectOther, nil); response.StatusCode != http.StatusMisdirectedRequest || response.Header.Get(headers.NotRun) == "" {
@@ -123,7 +123,7 @@
 
 // The health check tells whether the back end is ready, and its identity and load.
 func TestHealth(t *testing.T) {
-	b, url := startBackend(t, options{healthPath: "/health", warmupRateTime: time.Hour})
+	b, url := startBackend(t, options{checkPath: "/health", warmupRateTime: time.Hour})
 	response, body := send(t, http.MethodGet, url+"/health", nil, nil)
 	if response.StatusCode != http.StatusOK || string(bytes.TrimSpace(body)) != `{"state":"ready"}` || response.Header.Get(headers.Identity) != "b" ||
 		response.Header.Get(headers.Load) != "0,0,1" || response.Header.Get(headers.WarmupLeft) == "" {
--- a/cmd/mfcontrol/main.go
+++ b/cmd/mfcontrol/main.go
@@ -1,4 +1,5 @@
-// Command mfcontrol is described by its --help.
+// Command mfcontrol is the control daemon: it keeps the configuration, the proxy membership and the health of targets.
+// Its --help has the settings; package daemon runs it.
 package main
 
 import (
--- a/cmd/mfctl/main.go
+++ b/cmd/mfctl/main.go
@@ -1,4 +1,4 @@
-// Command mfctl is described by its --help.
+// Command mfctl is the operators' command. Its --help has the commands; package mfctl carries them out.
 package main
 
 import (
--- a/cmd/mfproxy/main.go
+++ b/cmd/mfproxy/main.go
@@ -1,4 +1,5 @@
-// Command mfproxy is described by its --help.
+// Command mfproxy is the proxy daemon: it forwards callers' requests to back ends. Its --help has the settings; package
+// daemon runs it.
 package main
 
 import (
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -134,7 +134,7 @@
 }
 
 // A disk that can't be read completely counts as lost: it is recreated under another number, once, and says why.
-// Damage is of a record, of a file, or of what a sound record says.
+// Damage is of a record, of a file, or of what a valid record says.
 func TestDamagedDiskCountsAsLost(t *testing.T) {
 	for name, damage := range map[string]func(t *testing.T, dir string){
 		"a flipped bit": func(t *testing.T, dir string) {
--- a/internal/daemon/healthcheck.go
+++ b/internal/daemon/healthcheck.go
@@ -97,7 +97,7 @@
 
 // checkResult is what a response says of its target.
 type checkResult struct {
-	report     *config.TargetReport // nil: no sound response, or one that says it is unhealthy
+	report     *config.TargetReport // nil: no valid response, or one that says it is unhealthy
 	warmupLeft time.Duration        // how much longer it is warming up
 }
 
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -114,6 +114,9 @@
 	}
 }
 
+// Wait waits until Run has returned.
+func (l *Loop) Wait() { <-l.done }
+
 // take does what an item asks of the loop itself, and returns its event, nil: it has none.
 func (l *Loop) take(item loopItem) statemachine.Event {
 	switch {
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -34,7 +34,7 @@
 		t.Fatal("not inspected")
 	}
 	cancel()
-	<-loop.done
+	loop.Wait()
 	if command := loop.Call(t.Context(), 8, statemachine.Call{ID: 8}, nil); command != nil {
 		t.Fatalf("%+v", command)
 	}
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -31,17 +31,15 @@
 	}
 }
 
-// startControlDaemon starts a control daemon's process, whose signals end with the test.
+// startControlDaemon starts a control daemon's process. It goes on to catch SIGHUP after the test, since one may still be
+// on its way and would end the tests.
 func startControlDaemon(t *testing.T, settings string) *Process {
 	t.Helper()
 	p, code := Start(wire.ControlDaemon, []string{"-s", settings}, DefaultPlatform())
 	if p == nil {
 		t.Fatalf("exit code %d", code)
 	}
-	t.Cleanup(func() {
-		signal.Stop(p.stops)
-		signal.Stop(p.hangups)
-	})
+	t.Cleanup(func() { signal.Stop(p.stops) })
 	return p
 }
 
--- a/internal/daemon/proxy.go
+++ b/internal/daemon/proxy.go
@@ -57,6 +57,9 @@
 	}
 	d.logStopped(code)
 	callers.Close()
+	cancel()
+	d.Loop.Wait()
+	d.pool.Close()
 	return code
 }
 
--- a/internal/verification/requestlog/requestlog.go
+++ b/internal/verification/requestlog/requestlog.go
@@ -24,7 +24,7 @@
 
 // Entry is one request that a back end ran.
 type Entry struct {
-	At               int64            `json:"at_ns"` // when it began, in ns since 1970
+	StartedAt        int64            `json:"at_ns"` // when it began, in ns since 1970
 	ID               string           `json:"id"`    // the caller's
 	Service          string           `json:"service"`
 	Name             string           `json:"name"` // the back end's
@@ -63,6 +63,7 @@
 // discard is the output of a log without a file.
 type discard struct{ io.Writer }
 
+// Close does nothing.
 func (discard) Close() error { return nil }
 
 func (w *Writer) run() {
--- a/internal/verification/requestlog/requestlog_test.go
+++ b/internal/verification/requestlog/requestlog_test.go
@@ -14,9 +14,9 @@
 func TestEntriesAreReadAsWritten(t *testing.T) {
 	dir := t.TempDir()
 	entries := []Entry{
-		{At: 5, ID: "a-1", Service: "s", Name: "b1", Incarnation: 7, Domain: "d", Method: "GET", State: wire.TargetReady, RequestsInFlight: 2},
-		{At: 6, ID: "a-2", Service: "s", Name: "b1", Incarnation: 7, Method: "POST", IntendedService: "t", State: wire.TargetLeaving, LeavingForMs: 40, RequestsInFlight: 1, WarmingUp: true},
-		{At: 4, ID: "a-3", Service: "t", Name: "b2", Method: "GET", State: wire.TargetReady},
+		{StartedAt: 5, ID: "a-1", Service: "s", Name: "b1", Incarnation: 7, Domain: "d", Method: "GET", State: wire.TargetReady, RequestsInFlight: 2},
+		{StartedAt: 6, ID: "a-2", Service: "s", Name: "b1", Incarnation: 7, Method: "POST", IntendedService: "t", State: wire.TargetLeaving, LeavingForMs: 40, RequestsInFlight: 1, WarmingUp: true},
+		{StartedAt: 4, ID: "a-3", Service: "t", Name: "b2", Method: "GET", State: wire.TargetReady},
 	}
 	for i, file := range []string{"1.ledger", "1.ledger", "2.ledger"} {
 		writer, err := Create(filepath.Join(dir, file))
