--- /dev/null
+++ b/internal/shared/config/json_test.go
@@ -0,0 +1,55 @@
+package config
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/errors"
+)
+
+func TestJSONParser(t *testing.T) {
+	for doc, want := range map[string]string{
+		`{"a":1,"a":2}`:                   "a is given twice",
+		`{"a":{"b":[0,{"c":1,"c":1}]}}`:   "a.b[1].c is given twice",
+		`{"a":[[],[{"x":1,"\u0078":1}]]}`: "a[1][0].x is given twice",
+		`{"a":[1e999]}`:                   "a[0] is too large a number",
+		`[]`:                              "must start with {",
+		``:                                "must start with {",
+		`{"a":1} {}`:                      "after top-level value",
+		`{"a":01}`:                        "invalid character",
+		`{"a":`:                           "unexpected end",
+		`{"a":"\x01"}`:                    "invalid character",
+	} {
+		if _, _, err := Parse([]byte(doc), nil); err == nil || !errors.Is(err, ErrNotJSON) || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v", doc, err)
+		}
+	}
+	for _, doc := range []string{`{}`, ` { "a" : [ ] , "b":[1, -2.5e3 ,"x\"\\\u00e9é\ud83d", true,false,null,{}],"":{"x":{}}}` + "\n"} {
+		got, err := parseObject([]byte(doc))
+		var want map[string]any
+		if e := json.Unmarshal([]byte(doc), &want); e != nil || err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %v, want %v (%v, %v)", doc, got, want, err, e)
+		}
+	}
+	same := func(a, b string) bool {
+		x, err := Canonical([]byte(a))
+		y, err2 := Canonical([]byte(b))
+		if err != nil || err2 != nil {
+			t.Fatal(err, err2)
+		}
+		return string(x) == string(y)
+	}
+	if !same(`{"a":[1,"\u0041"],"b":{}}`, ` {"b" : { }, "a":[1, "A"]}`) {
+		t.Error("the same, and not seen as such")
+	}
+	for _, o := range []string{`{"a":[1]}`, `{"a":["1"]}`, `{"a":[1.5]}`, `{"a":9007199254740993}`, `{"a":9007199254740992}`, `{"a":null}`, `{"a":[[1]]}`, `{"a":{"1":1}}`} {
+		if same(`{"a":[1,2]}`, o) {
+			t.Error(o)
+		}
+	}
+	if same(`{"a":9007199254740993}`, `{"a":9007199254740992}`) {
+		t.Error("numbers are taken as they are written")
+	}
+}
--- /dev/null
+++ b/internal/shared/config/limits.go
@@ -0,0 +1,37 @@
+package config
+
+import "myrtlefold/internal/shared/tuning"
+
+// Limits bound what callers may send, to all services.
+type Limits struct {
+	// HeaderBytes is the largest header, in bytes. Default: 0, tuning.HeaderMax.
+	HeaderBytes int `json:"header_bytes,omitempty"`
+	// BodyBytes is the largest body, in bytes. Default: 0, the service's BodyMax, and at least
+	// tuning.CallerBody for a service with a health path.
+	BodyBytes int `json:"body_bytes,omitempty"`
+	// HeaderMs is how long a header may take to arrive, in ms. Default: 0, tuning.CallerHeader.
+	HeaderMs int `json:"header_ms,omitempty"`
+	// IdleMs is how long an unused connection is kept, in ms. Default: 0, tuning.CallerIdle.
+	IdleMs int `json:"idle_ms,omitempty"`
+}
+
+var limitFields = fields[Limits]{
+	"header_bytes": intField(func(l *Limits) *int { return &l.HeaderBytes }),
+	"body_bytes":   intField(func(l *Limits) *int { return &l.BodyBytes }),
+	"header_ms":    intField(func(l *Limits) *int { return &l.HeaderMs }),
+	"idle_ms":      intField(func(l *Limits) *int { return &l.IdleMs }),
+}
+
+func (c *checker) readLimits(cfg *Config, v any) {
+	cfg.Limits = &Limits{}
+	readFields(c, "limits", v, limitFields, cfg.Limits)
+}
+
+func (c *checker) checkLimits(cfg *Config) {
+	if l := cfg.Limits; l != nil {
+		c.checkRange("limits", "header_bytes", l.HeaderBytes, 0, tuning.LimitsHeaderMax)
+		c.checkRange("limits", "body_bytes", l.BodyBytes, 0, tuning.LimitsBodyMax)
+		c.checkRange("limits", "header_ms", l.HeaderMs, 0, tuning.TimeoutMaxMs)
+		c.checkRange("limits", "idle_ms", l.IdleMs, 0, tuning.TimeoutMaxMs)
+	}
+}
--- /dev/null
+++ b/internal/shared/config/objective.go
@@ -0,0 +1,45 @@
+package config
+
+import (
+	"maps"
+	"slices"
+
+	"myrtlefold/internal/shared/tuning"
+)
+
+// Objective is a service-level objective: which ratio of a service's requests in a window of time is to
+// succeed. A request succeeds if its response is complete, below 500 and in time; rejected requests do not.
+type Objective struct {
+	// Service is the name of the service.
+	Service string `koanf:"service" json:"service"`
+	// SuccessRatio is the ratio of requests that are to succeed, between 0 and 1, both excluded.
+	SuccessRatio float64 `koanf:"part" json:"part"`
+	// LatencyTargetMs is the response time in ms within which a request succeeds. Default: 0, any time.
+	LatencyTargetMs int `koanf:"under_ms" json:"under_ms,omitempty"`
+	// WindowMinutes is the length of the window, in minutes. Default: 60, the longest.
+	WindowMinutes int `koanf:"window_min" json:"window_min"`
+}
+
+func (c *checker) readObjectives(cfg *Config, v any) {
+	c.items("aims", v, func(at, name string, item any) {
+		o := Objective{WindowMinutes: tuning.ObjectiveMinutes}
+		c.decode(at, item, &o)
+		c.checkName(at, name)
+		cfg.Objectives[name] = o
+	})
+}
+
+// checkObjectives checks the objectives. Services must have been read.
+func (c *checker) checkObjectives(cfg *Config) {
+	for _, name := range slices.Sorted(maps.Keys(cfg.Objectives)) {
+		o, at := cfg.Objectives[name], joinPath("aims", name)
+		if _, ok := cfg.Services[o.Service]; !ok {
+			c.add(at+".service", "no service %q", o.Service)
+		}
+		if !(o.SuccessRatio > 0 && o.SuccessRatio < 1) {
+			c.add(at+".part", "%v is not between 0 and 1", o.SuccessRatio)
+		}
+		c.checkRange(at, "under_ms", o.LatencyTargetMs, 0, tuning.TimeoutMaxMs)
+		c.checkRange(at, "window_min", o.WindowMinutes, 1, tuning.ObjectiveMinutes)
+	}
+}
--- /dev/null
+++ b/internal/shared/config/revision.go
@@ -0,0 +1,38 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"github.com/cockroachdb/errors"
+)
+
+// WithoutRevision returns a document without its own revision, as the base of another one. Its errors are
+// marked ErrNotJSON.
+func WithoutRevision(doc []byte) ([]byte, error) {
+	return editRevision(doc, func(document map[string]json.RawMessage) { delete(document, "revision") })
+}
+
+// WithRevision returns a document with its own revision, or else with the given one. Its errors are
+// marked ErrNotJSON.
+func WithRevision(doc []byte, revision uint64) ([]byte, error) {
+	return editRevision(doc, func(document map[string]json.RawMessage) {
+		if document["revision"] == nil {
+			document["revision"] = json.RawMessage(fmt.Sprint(revision))
+		}
+	})
+}
+
+// editRevision returns what edit makes of doc; doc itself, with its spacing and order, if that is the same.
+func editRevision(doc []byte, edit func(map[string]json.RawMessage)) ([]byte, error) {
+	document := map[string]json.RawMessage{}
+	if err := json.Unmarshal(doc, &document); err != nil {
+		return nil, errors.Mark(err, ErrNotJSON)
+	}
+	keys, revision := len(document), document["revision"]
+	edit(document)
+	if len(document) == keys && string(revision) == string(document["revision"]) {
+		return doc, nil
+	}
+	return json.Marshal(document)
+}
--- a/internal/shared/config/route.go
+++ b/internal/shared/config/route.go
@@ -1,14 +1,14 @@
-// This file is routes: requests chosen by host and longest prefix, each with what
-// holds for it (whether it may be repeated, tries, times, priority) and one service
-// or a weighted split over several. An index by host and prefix makes a lookup cost
-// the path's depth, however many routes there are.
-
 package config
 
 import (
+	"fmt"
+	"maps"
+	"math"
 	"slices"
 	"strings"
 	"time"
+
+	"myrtlefold/internal/shared/tuning"
 )
 
 // RouteKind says whether a route's requests are idempotent. The texts stand in configurations.
@@ -16,110 +16,202 @@
 
 // The kinds of routes.
 const (
-	KindRepeatable RouteKind = "repeatable" // may run more than once
-	KindOnce       RouteKind = "once"       // may run at most once for each call
-	KindDownload   RouteKind = "download"   // as repeatable, with large answers
+	KindRepeatable RouteKind = "repeatable" // idempotent: a request may run more than once
+	KindOnce       RouteKind = "once"       // not idempotent: a request runs at most once for each call
+	KindDownload   RouteKind = "download"   // idempotent, with large responses
 )
 
-// Share is a service's part in a split.
-type Share struct {
-	Service string  `json:"service"`
-	Weight  float64 `json:"weight"`
-}
-
-// Route is what holds for requests under a host and prefix. Times are in ms.
+// Route is what holds for requests to a host and prefix. They go to one service, or are split over
+// several by weight.
 type Route struct {
-	Host            string    `json:"host"`
-	Prefix          string    `json:"prefix"`
-	Kind            RouteKind `json:"kind"`
-	TimeoutMs       int       `json:"timeout_ms"`
-	LatencyTargetMs int       `json:"aim_ms,omitempty"`   // an answer within it is worth most to the caller; 0: none
-	Priority        int       `json:"priority,omitempty"` // 0 is the highest
-	Attempts        int       `json:"attempts"`           // targets that one request may be sent to
-	Service         string    `json:"service,omitempty"`
-	Split           []Share   `json:"split,omitempty"`
+	// Host is the host, in lower case and without port. Default: "", any.
+	Host string `json:"host"`
+	// Prefix is the path's prefix, which begins and ends with a slash.
+	Prefix string `json:"prefix"`
+	// Kind says whether requests are idempotent.
+	Kind RouteKind `json:"kind"`
+	// TimeoutMs is a request's deadline, counted from when it came, in ms. No default: it must be set.
+	TimeoutMs int `json:"timeout_ms"`
+	// LatencyTargetMs is the response time in ms within which a response is worth most to the caller;
+	// queueing and Retry-After go by it. Default: 0, none.
+	LatencyTargetMs int `json:"aim_ms,omitempty"`
+	// Priority is the priority of requests when there is not enough capacity; 0 is the highest.
+	// Default: 0.
+	Priority int `json:"priority,omitempty"`
+	// Attempts is how many targets one request may be sent to. No default: it must be set.
+	Attempts int `json:"attempts"`
+	// Service is the name of the route's service. Default: "", Split is set.
+	Service string `json:"service,omitempty"`
+	// Split are the services that the requests are split over. Default: none, Service is set.
+	Split []Share `json:"split,omitempty"`
 }
 
-// Limits bound what callers may send. Bytes and ms; 0: the program's own bound.
-type Limits struct {
-	HeaderBytes int `json:"header_bytes,omitempty"`
-	BodyBytes   int `json:"body_bytes,omitempty"`
-	HeaderMs    int `json:"header_ms,omitempty"`
-	IdleMs      int `json:"idle_ms,omitempty"`
+// Share is a service's share of a split.
+type Share struct {
+	Service string  `json:"service"`
+	Weight  float64 `json:"weight"` // in proportion to the split's other weights; 0: no requests
 }
 
-// Repeats reports whether a request of the route may run more than once.
+// Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool { return r.Kind != KindOnce }
 
-// Timeout is a request's deadline from when it came.
+// Timeout returns a request's deadline, counted from when it came.
 func (r *Route) Timeout() time.Duration { return time.Duration(r.TimeoutMs) * time.Millisecond }
 
-// LatencyTarget is the time within which an answer is worth most, 0: none is set.
+// LatencyTarget returns the response time within which a response is worth most, 0: none is set.
 func (r *Route) LatencyTarget() time.Duration {
 	return time.Duration(r.LatencyTargetMs) * time.Millisecond
 }
 
-// Shares returns the services that the route may go to, each with a weight over 0.
+// Shares returns the services that the route may choose, each with a weight over 0.
 func (r *Route) Shares() []Share {
 	if r.Service != "" {
-		return []Share{{r.Service, 1}}
+		return []Share{{Service: r.Service, Weight: 1}}
 	}
 	return slices.DeleteFunc(slices.Clone(r.Split), func(s Share) bool { return s.Weight <= 0 })
 }
 
-// Warmup is how long after its start a target of the service counts as cold.
-func (s *Service) Warmup() time.Duration {
-	return time.Duration(s.WarmupSeconds * float64(time.Second))
-}
+// routeIndex has the names of routes by host and prefix. With it a lookup takes as many steps as the
+// request's path has segments, however many routes there are.
+type routeIndex map[string]map[string]string
 
-// HasHealthCheck reports whether the service's targets are asked for their health, and take with each request
-// the identity that is expected of them; other targets are asked for their identity on each new
-// connection.
-func (s *Service) HasHealthCheck() bool { return s.HealthPath != "" }
+func (c *Config) indexRoutes() {
+	c.routeIndex = routeIndex{}
+	for name, r := range c.Routes {
+		if c.routeIndex[r.Host] == nil {
+			c.routeIndex[r.Host] = map[string]string{}
+		}
+		c.routeIndex[r.Host][r.Prefix] = name
+	}
+}
 
-// hosts is the index of a configuration's routes: names by host and prefix.
-type hosts map[string]map[string]string
+// FindRoute returns the route for a request: the longest prefix of path among the routes of its host, and
+// if none matches, among those for any host.
+func (c *Config) FindRoute(host, path string) (name string, r Route, ok bool) {
+	for _, h := range []string{normalizeHost(host), ""} {
+		if name, ok := longestPrefix(c.routeIndex[h], path); ok {
+			return name, c.Routes[name], true
+		}
+	}
+	return "", Route{}, false
+}
 
-// index makes the index of routes.
-func (c *Config) index() {
-	c.byHost = hosts{}
-	for n, r := range c.Routes {
-		if c.byHost[r.Host] == nil {
-			c.byHost[r.Host] = map[string]string{}
+// longestPrefix returns the name at the longest prefix of path that ends with a slash.
+func longestPrefix(names map[string]string, path string) (name string, ok bool) {
+	if names == nil {
+		return "", false
+	}
+	for {
+		slash := strings.LastIndexByte(path, '/')
+		if slash < 0 {
+			return "", false
+		}
+		if name, ok = names[path[:slash+1]]; ok {
+			return name, true
 		}
-		c.byHost[r.Host][r.Prefix] = n
+		path = path[:slash]
 	}
 }
 
-// FindRoute finds the route for a request: the longest prefix of path among the routes of its host, and
-// without one among those for any host.
-func (c *Config) FindRoute(host, path string) (name string, r Route, ok bool) {
-	host = bare(host)
-	for _, h := range []string{host, ""} {
-		ps := c.byHost[h]
-		if ps == nil {
-			continue
+var routeFields = fields[Route]{
+	"host":       textField(func(r *Route) *string { return &r.Host }),
+	"prefix":     textField(func(r *Route) *string { return &r.Prefix }),
+	"kind":       textField(func(r *Route) *RouteKind { return &r.Kind }),
+	"timeout_ms": intField(func(r *Route) *int { return &r.TimeoutMs }),
+	"aim_ms":     intField(func(r *Route) *int { return &r.LatencyTargetMs }),
+	"priority":   intField(func(r *Route) *int { return &r.Priority }),
+	"attempts":   intField(func(r *Route) *int { return &r.Attempts }),
+	"service":    textField(func(r *Route) *string { return &r.Service }),
+	"split":      readSplit,
+}
+
+var shareFields = fields[Share]{
+	"service": textField(func(s *Share) *string { return &s.Service }),
+	"weight":  numberField(func(s *Share) *float64 { return &s.Weight }),
+}
+
+// readSplit is the field of a route's split.
+func readSplit(c *checker, at, key string, value any, to *Route) {
+	path := joinPath(at, key)
+	list, ok := value.([]any)
+	if !ok {
+		c.add(path, "is a %s, wants array", typeName(value))
+	}
+	for i, item := range list {
+		var s Share
+		readFields(c, fmt.Sprintf("%s[%d]", path, i), item, shareFields, &s)
+		to.Split = append(to.Split, s)
+	}
+}
+
+// readRoutes reads all routes; those with faults are left out.
+func (c *checker) readRoutes(cfg *Config, v any) {
+	c.items("routes", v, func(at, name string, item any) {
+		var r Route
+		before := len(c.faults)
+		readFields(c, at, item, routeFields, &r)
+		c.checkName(at, name)
+		if len(c.faults) == before {
+			cfg.Routes[name] = r
 		}
-		for p := path; p != ""; {
-			if i := strings.LastIndexByte(p, '/'); i >= 0 {
-				p = p[:i+1]
-			} else {
-				break
-			}
-			if n, found := ps[p]; found {
-				return n, c.Routes[n], true
-			}
-			p = p[:len(p)-1]
+	})
+}
+
+// checkRoutes checks each route, and that no two have the same host and prefix. Services must have been read.
+func (c *checker) checkRoutes(cfg *Config) {
+	type key struct{ host, prefix string }
+	names := make(map[key]string, len(cfg.Routes))
+	for _, name := range slices.Sorted(maps.Keys(cfg.Routes)) {
+		r := cfg.Routes[name]
+		c.checkRoute(joinPath("routes", name), &r, cfg)
+		k := key{r.Host, r.Prefix}
+		if earlier, ok := names[k]; ok {
+			c.add(joinPath("routes", name), "same host and prefix as routes.%s", earlier)
 		}
+		names[k] = name
 	}
-	return "", Route{}, false
 }
 
-// bare returns a host in lower case and without its port.
-func bare(host string) string {
-	host = strings.ToLower(host)
-	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
-		host = host[:i]
+func (c *checker) checkRoute(path string, route *Route, cfg *Config) {
+	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
+		c.add(path+".prefix", "must begin and end with /")
+	}
+	if !isPlainPath(route.Prefix) {
+		c.add(path+".prefix", notPlainPath)
+	}
+	if !isHost(route.Host) {
+		c.add(path+".host", notHost)
+	}
+	if !slices.Contains([]RouteKind{KindRepeatable, KindOnce, KindDownload}, route.Kind) {
+		c.add(path+".kind", "%s, %s or %s, not %q", KindRepeatable, KindOnce, KindDownload, route.Kind)
+	}
+	c.checkRange(path, "timeout_ms", route.TimeoutMs, 1, tuning.TimeoutMaxMs)
+	c.checkRange(path, "aim_ms", route.LatencyTargetMs, 0, tuning.TimeoutMaxMs)
+	c.checkRange(path, "attempts", route.Attempts, 1, tuning.RouteAttemptsMax)
+	c.checkRange(path, "priority", route.Priority, 0, tuning.PriorityMax)
+	if (route.Service == "") == (len(route.Split) == 0) {
+		c.add(path, "wants either service or split")
+	}
+	if route.Service != "" {
+		if _, ok := cfg.Services[route.Service]; !ok {
+			c.add(path+".service", "no service %q", route.Service)
+		}
+	}
+	c.checkSplit(path, route.Split, cfg)
+}
+
+func (c *checker) checkSplit(at string, split []Share, cfg *Config) {
+	sum := 0.0
+	for i, s := range split {
+		if _, ok := cfg.Services[s.Service]; !ok {
+			c.add(fmt.Sprintf("%s.split[%d].service", at, i), "no service %q", s.Service)
+		}
+		if s.Weight < 0 || math.IsNaN(s.Weight) || math.IsInf(s.Weight, 0) {
+			c.add(fmt.Sprintf("%s.split[%d].weight", at, i), "%v is below 0", s.Weight)
+		}
+		sum += s.Weight
+	}
+	if len(split) > 0 && sum <= 0 {
+		c.add(at+".split", "the weights add up to 0")
 	}
-	return host
 }
--- /dev/null
+++ b/internal/shared/config/service.go
@@ -0,0 +1,106 @@
+package config
+
+import (
+	"strings"
+	"time"
+
+	"myrtlefold/internal/shared/tuning"
+)
+
+// Service is what holds for a group of interchangeable targets. A route has deadline, attempts and queue of its own
+// in place of TimeoutMs, Attempts, QueueTimeoutMs and QueueLength.
+type Service struct {
+	// Cap is how many requests may be in flight to one target from all proxies together. Default: 64.
+	Cap int `koanf:"cap" json:"cap"`
+	// WarmCap is the same for a target that is warming up; slow start raises it to Cap afterwards.
+	// Default: 4.
+	WarmCap int `koanf:"warm_cap" json:"warm_cap"`
+	// MaxInFlight is how many requests may be in flight to the service, split over the proxies.
+	// Default: 0, no limit.
+	MaxInFlight int `koanf:"in_flight" json:"in_flight,omitempty"`
+	// TimeoutMs is a request's deadline, counted from when it came, in ms. Default: 5000.
+	TimeoutMs int `koanf:"timeout_ms" json:"timeout_ms"`
+	// QueueTimeoutMs is how long a request may wait for a target, in ms. It goes together with
+	// QueueLength. Default: 0, no request waits.
+	QueueTimeoutMs int `koanf:"wait_ms" json:"wait_ms,omitempty"`
+	// QueueLength is how many requests may wait for a target, split over the proxies. Default: 0, none.
+	QueueLength int `koanf:"wait_len" json:"wait_len,omitempty"`
+	// BodyMax is the largest body of a request, in bytes. Default: 1 MiB.
+	BodyMax int `koanf:"body_max" json:"body_max"`
+	// Attempts is how many times an idempotent request is sent in all, the first time included. Default: 3.
+	Attempts int `koanf:"tries" json:"tries"`
+	// SlowMs is the response time in ms over which policies count a request as slow. Default: 0, none
+	// is slow.
+	SlowMs int `koanf:"slow_ms" json:"slow_ms,omitempty"`
+	// HealthPath is the path of the targets' health check. Default: "", the identity request instead.
+	HealthPath string `koanf:"health_path" json:"health_path,omitempty"`
+	// ConnCap is how many connections a target takes from all its callers together. Default: 0, not known.
+	ConnCap int `koanf:"conn_cap" json:"conn_cap,omitempty"`
+	// WarmupSeconds is how long after its start a target warms up, in seconds. Default: 0, not at all.
+	WarmupSeconds float64 `koanf:"cold_s" json:"cold_s,omitempty"`
+	// WarmupRate is how many requests a second all proxies together send to a target that is warming up.
+	// Default: 0, no limit.
+	WarmupRate float64 `koanf:"cold_per_s" json:"cold_per_s,omitempty"`
+	// Proto is the protocol of the targets: h1 only. Default: "", h1.
+	Proto string `koanf:"proto" json:"proto,omitempty"`
+	// TLS says whether targets are reached by TLS: false only. Default: false.
+	TLS bool `koanf:"tls" json:"tls,omitempty"`
+}
+
+// Warmup returns how long after its start a target of the service warms up.
+func (s *Service) Warmup() time.Duration {
+	return time.Duration(s.WarmupSeconds * float64(time.Second))
+}
+
+// HasHealthCheck reports whether the service's targets have a health check of their own and take the
+// identity that is expected of them with each request; other targets are asked for their identity on
+// each new connection.
+func (s *Service) HasHealthCheck() bool { return s.HealthPath != "" }
+
+func (c *checker) readServices(cfg *Config, v any) {
+	c.items("services", v, func(at, name string, item any) {
+		s := Service{
+			Cap:       tuning.CapDefault,
+			WarmCap:   tuning.WarmCapDefault,
+			TimeoutMs: tuning.TimeoutDefaultMs,
+			BodyMax:   tuning.BodyMaxDefault,
+			Attempts:  tuning.AttemptsDefault,
+		}
+		c.decode(at, item, &s)
+		c.checkName(at, name)
+		c.checkService(at, &s)
+		cfg.Services[name] = s
+	})
+}
+
+// checkService checks a service by itself.
+func (c *checker) checkService(path string, service *Service) {
+	c.checkRange(path, "cap", service.Cap, 1, tuning.CapMax)
+	c.checkRange(path, "warm_cap", service.WarmCap, 1, tuning.CapMax)
+	c.checkRange(path, "in_flight", service.MaxInFlight, 0, tuning.InFlightMax)
+	c.checkRange(path, "timeout_ms", service.TimeoutMs, tuning.TimeoutMinMs, tuning.TimeoutMaxMs)
+	c.checkRange(path, "wait_ms", service.QueueTimeoutMs, 0, tuning.QueueTimeoutMaxMs)
+	c.checkRange(path, "wait_len", service.QueueLength, 0, tuning.QueueLengthMax)
+	c.checkRange(path, "body_max", service.BodyMax, 0, tuning.ServiceBodyMax)
+	c.checkRange(path, "tries", service.Attempts, 1, tuning.ServiceAttemptsMax)
+	c.checkRange(path, "slow_ms", service.SlowMs, 0, tuning.TimeoutMaxMs)
+	if service.WarmCap > service.Cap {
+		c.add(path+".warm_cap", "%d is over cap %d", service.WarmCap, service.Cap)
+	}
+	if service.HealthPath != "" && (!strings.HasPrefix(service.HealthPath, "/") || strings.ContainsAny(service.HealthPath, "?#* ")) {
+		c.add(path+".health_path", notPlainPath)
+	}
+	c.checkRange(path, "conn_cap", service.ConnCap, 0, tuning.ConnCapMax)
+	if !(service.WarmupSeconds >= 0 && service.WarmupSeconds <= tuning.WarmupMax.Seconds()) {
+		c.add(path+".cold_s", "%v is not between 0 and %v", service.WarmupSeconds, tuning.WarmupMax.Seconds())
+	}
+	if !(service.WarmupRate >= 0 && service.WarmupRate <= tuning.WarmupRateMax) {
+		c.add(path+".cold_per_s", "%v is not between 0 and %d", service.WarmupRate, int(tuning.WarmupRateMax))
+	}
+	if service.Proto != "" && service.Proto != "h1" || service.TLS {
+		c.add(path+".proto", "targets are spoken to by h1 without TLS")
+	}
+	if (service.QueueTimeoutMs > 0) != (service.QueueLength > 0) {
+		c.add(path+".wait_ms", "wait_ms and wait_len go together")
+	}
+}
