--- a/cmd/mfbackend/main.go
+++ b/cmd/mfbackend/main.go
@@ -34,7 +34,7 @@
 	slots                 int64         // requests that run at once; others wait
 	warmup                time.Duration // how long its state is warming
 	warmupRateTime        time.Duration // how long it only bears its service's warm-up rate
-	checkPath            string        // where it is asked for its health; "": it is asked for its identity
+	checkPath             string        // where it is asked for its health; "": it is asked for its identity
 	uniqueName            bool          // its name is this start's alone, and its reports go by it
 	requestLog            string        // file, "": none
 }
