--- a/internal/controlplane/counts.go
+++ b/internal/controlplane/counts.go
@@ -1,9 +1,8 @@
 package controlplane
 
 import (
-	"net/http"
-
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/statemachine"
 )
 
 // Counts are the counters of a control daemon since its start. On /metrics each is mf_core_NAME_total, where NAME is the
@@ -68,17 +67,17 @@
 // countAnswer counts the answer to a call by its status, and that to a target's report by whether it was acknowledged.
 func (c *Controller) countAnswer(call *pendingCall, status int) {
 	switch {
-	case call.targetReport && status == http.StatusServiceUnavailable:
+	case call.targetReport && status == statemachine.StatusServiceUnavailable:
 		c.counts.LeavingsUnacknowledged++
 	case call.targetReport:
-	case status == http.StatusPreconditionFailed:
+	case status == statemachine.StatusPreconditionFailed:
 		c.counts.RejectedVersion++
-	case status == http.StatusServiceUnavailable:
+	case status == statemachine.StatusServiceUnavailable:
 		c.counts.AnsweredUnavailable++
-	case status == http.StatusGatewayTimeout:
+	case status == statemachine.StatusGatewayTimeout:
 		c.counts.AnsweredUnknown++
-	case status == http.StatusBadRequest, status == http.StatusRequestEntityTooLarge,
-		status == http.StatusUnprocessableEntity, status == http.StatusPreconditionRequired:
+	case status == statemachine.StatusBadRequest, status == statemachine.StatusRequestEntityTooLarge,
+		status == statemachine.StatusUnprocessableEntity, status == statemachine.StatusPreconditionRequired:
 		c.counts.RejectedInvalid++
 	}
 }
--- a/internal/dataplane/quota.go
+++ b/internal/dataplane/quota.go
@@ -39,7 +39,7 @@
 		p.prepareService(now, service, p.configuration.Services[name], liveDomains)
 	}
 	for name, service := range p.services {
-		service.retryCredit.slack = p.retrySlackOf(name)
+		service.retryCredit.slack = p.retryBudgetSlack(name)
 	}
 }
 
--- a/internal/dataplane/rejection.go
+++ b/internal/dataplane/rejection.go
@@ -1,7 +1,6 @@
 package dataplane
 
 import (
-	"net/http"
 	"time"
 
 	"myrtlefold/internal/shared/statemachine"
@@ -17,25 +16,25 @@
 
 // The rejections.
 var (
-	rejectedNoRule      = rejection{http.StatusNotFound, "no_rule", "no rule for this host and path"}
-	rejectedNotServing  = rejection{http.StatusServiceUnavailable, "not_serving", "this proxy has no fresh table"}
-	rejectedStopping    = rejection{http.StatusServiceUnavailable, "stopping", "this proxy is stopping and takes no more such requests"}
-	rejectedDeadline    = rejection{http.StatusServiceUnavailable, "late", "it could not be answered in time"}
-	rejectedBusy        = rejection{http.StatusServiceUnavailable, "busy", "every target of the service is busy"}
-	rejectedNoTarget    = rejection{http.StatusServiceUnavailable, "no_target", "no target of the service may be used"}
-	rejectedNoAttempt   = rejection{http.StatusServiceUnavailable, "tries", "no try is left"}
-	rejectedRetryBudget = rejection{http.StatusServiceUnavailable, "retry_budget", "the service's retry budget is used up"}
-	rejectedMayHaveRun  = rejection{http.StatusBadGateway, "may_have_run", "it may have run and must not run again"}
+	rejectedNoRule      = rejection{statemachine.StatusNotFound, "no_rule", "no rule for this host and path"}
+	rejectedNotServing  = rejection{statemachine.StatusServiceUnavailable, "not_serving", "this proxy has no fresh table"}
+	rejectedStopping    = rejection{statemachine.StatusServiceUnavailable, "stopping", "this proxy is stopping and takes no more such requests"}
+	rejectedDeadline    = rejection{statemachine.StatusServiceUnavailable, "late", "it could not be answered in time"}
+	rejectedBusy        = rejection{statemachine.StatusServiceUnavailable, "busy", "every target of the service is busy"}
+	rejectedNoTarget    = rejection{statemachine.StatusServiceUnavailable, "no_target", "no target of the service may be used"}
+	rejectedNoAttempt   = rejection{statemachine.StatusServiceUnavailable, "tries", "no try is left"}
+	rejectedRetryBudget = rejection{statemachine.StatusServiceUnavailable, "retry_budget", "the service's retry budget is used up"}
+	rejectedMayHaveRun  = rejection{statemachine.StatusBadGateway, "may_have_run", "it may have run and must not run again"}
 )
 
 // reject gives a request its final response.
 func (p *Proxy) reject(now time.Duration, req *request, reason rejection) {
 	command := statemachine.Reject{ID: req.id, Status: reason.status, Code: reason.code, Message: reason.message}
-	if reason.status == http.StatusServiceUnavailable {
+	if reason.status == statemachine.StatusServiceUnavailable {
 		command.RetryAfter = req.retryAfter(now)
 	}
 	p.emit(command)
-	if reason.status >= http.StatusInternalServerError && req.serviceName != "" {
+	if reason.status >= statemachine.StatusInternalServerError && req.serviceName != "" {
 		p.countObjectives(now, req, false)
 	}
 	p.removeRequest(req)
--- a/internal/dataplane/request.go
+++ b/internal/dataplane/request.go
@@ -65,7 +65,7 @@
 	if service == nil {
 		service = &serviceState{}
 		if p.table != nil {
-			service.retryCredit.slack = p.retrySlackOf(name)
+			service.retryCredit.slack = p.retryBudgetSlack(name)
 		}
 		p.services[name] = service
 	}
--- a/internal/dataplane/retrybudget.go
+++ b/internal/dataplane/retrybudget.go
@@ -48,8 +48,8 @@
 	return smallest
 }
 
-// retrySlackOf is this proxy's share of the slack of a service's retry budget.
-func (p *Proxy) retrySlackOf(serviceName string) float64 {
+// retryBudgetSlack is this proxy's share of the slack of a service's retry budget.
+func (p *Proxy) retryBudgetSlack(serviceName string) float64 {
 	return p.settings.Retry.slackOf(hashOf(serviceName), p.settings.Self.Name, p.memberProxies, p.table.PreviousProxies)
 }
 
--- a/internal/dataplane/routing.go
+++ b/internal/dataplane/routing.go
@@ -4,7 +4,6 @@
 package dataplane
 
 import (
-	"net/http"
 	"time"
 
 	"myrtlefold/internal/shared/config"
@@ -98,7 +97,7 @@
 	switch {
 	case !ok && len(allowed) > 0:
 		p.Counts.Unmatched++
-		p.emit(statemachine.Reject{ID: event.ID, Status: http.StatusMethodNotAllowed, Code: "method", Message: "the rule for this path takes other methods", Allowed: allowed})
+		p.emit(statemachine.Reject{ID: event.ID, Status: statemachine.StatusMethodNotAllowed, Code: "method", Message: "the rule for this path takes other methods", Allowed: allowed})
 		return false
 	case !ok:
 		p.Counts.Unmatched++
@@ -117,5 +116,5 @@
 
 // isIdempotent reports whether requests of a rule may run more than once.
 func isIdempotent(method string) bool {
-	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
+	return method == "GET" || method == "HEAD" || method == "OPTIONS"
 }
