--- a/internal/controlplane/wal/powercut_test.go
+++ b/internal/controlplane/wal/powercut_test.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	sector   = 64 // bytes that a cut of power leaves old or new, in this stand-in
-	itemKept = 8  // items in a whole record
+	sector    = 64 // bytes that a power cut leaves old or new as one, in these tests
+	itemsKept = 8  // items in a checkpoint
 )
 
-// folder is what the ring's files hold; a file that is not there has none.
-type folder map[string][]byte
+// contents are what the segments' files hold, by name; a missing file has none.
+type contents map[string][]byte
 
-func readFolder(t *testing.T, dir string) folder {
+func readFiles(t *testing.T, dir string) contents {
 	t.Helper()
-	out := folder{}
+	found := contents{}
 	for i := range 3 {
-		name := fmt.Sprintf("ring-%d", i)
+		name := fmt.Sprintf(segmentFile, i)
 		b, err := os.ReadFile(filepath.Join(dir, name))
 		if err == nil {
-			out[name] = b
+			found[name] = b
 		} else if !os.IsNotExist(err) {
 			t.Fatal(err)
 		}
 	}
-	return out
+	return found
 }
 
-func (f folder) write(t *testing.T, dir string) {
+func (c contents) write(t *testing.T, dir string) {
 	t.Helper()
-	for name, b := range f {
+	for name, b := range c {
 		if err := os.WriteFile(filepath.Join(dir, name), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -47,15 +47,15 @@
 
 // cutPower is what a power cut leaves of a change that was not synced yet: each sector of
 // what was written is old or new by itself, or only the first ones are new.
-func cutPower(rnd *rand.Rand, before, after folder) folder {
-	out := folder{}
-	for name, b := range after {
+func cutPower(rnd *rand.Rand, before, after contents) contents {
+	result := contents{}
+	for name, written := range after {
 		old := before[name]
-		left := slices.Clone(b)
-		firstOnly, newUpTo := rnd.IntN(2) == 0, rnd.IntN(len(b)/sector+1)
-		for i := 0; i < len(b); i += sector {
-			end := min(i+sector, len(b))
-			if end <= len(old) && bytes.Equal(old[i:end], b[i:end]) {
+		left := slices.Clone(written)
+		firstOnly, newUpTo := rnd.IntN(2) == 0, rnd.IntN(len(written)/sector+1)
+		for i := 0; i < len(written); i += sector {
+			end := min(i+sector, len(written))
+			if end <= len(old) && bytes.Equal(old[i:end], written[i:end]) {
 				continue
 			}
 			if firstOnly && i/sector < newUpTo || !firstOnly && rnd.IntN(2) == 0 {
@@ -64,47 +64,50 @@
 			clear(left[i:end])
 			copy(left[i:end], old[min(i, len(old)):min(end, len(old))])
 		}
-		out[name] = left
+		result[name] = left
 	}
-	return out
+	return result
 }
 
-// ledger is what was written: items, of which a whole record holds the last.
-type ledger struct{ items []string }
+// model is what was written: items, of which a checkpoint holds the last itemsKept.
+type model struct{ items []string }
 
-func (l *ledger) whole() []byte { return []byte(strings.Join(l.items, "|")) }
+func (m *model) checkpoint() []byte { return []byte(strings.Join(m.items, "|")) }
 
-func (l *ledger) add(items ...string) {
-	l.items = append(slices.Clone(l.items), items...)
-	l.items = l.items[max(0, len(l.items)-itemKept):]
+func (m *model) add(items ...string) {
+	m.items = append(slices.Clone(m.items), items...)
+	m.items = m.items[max(0, len(m.items)-itemsKept):]
 }
 
-func fold(recs [][]byte) string {
-	l := ledger{}
-	for i, rec := range recs {
+// stateOf returns the checkpoint of the state that records lead to.
+func stateOf(records [][]byte) string {
+	m := model{}
+	for i, record := range records {
 		if i == 0 {
-			l.items = strings.Split(string(rec), "|")
+			m.items = strings.Split(string(record), "|")
 		} else {
-			l.add(string(rec))
+			m.add(string(record))
 		}
 	}
-	return string(l.whole())
+	return string(m.checkpoint())
 }
 
-// write does as a member's disk does: what has no room begins the next file with all.
-func (l *ledger) write(r *Log, items ...string) error {
-	var recs [][]byte
+// write appends items to the model and the log, as a member's disk does: if there is no room, the log goes on with a
+// checkpoint.
+func (m *model) write(log *Log, items ...string) error {
+	var records [][]byte
 	for _, item := range items {
-		recs = append(recs, []byte(item))
+		records = append(records, []byte(item))
 	}
-	l.add(items...)
-	room, err := r.Append(recs...)
+	m.add(items...)
+	room, err := log.Append(records...)
 	if err == nil && !room {
-		err = r.Rotate(l.whole())
+		err = log.Rotate(m.checkpoint())
 	}
 	return err
 }
 
+// someItems are one to four items of different lengths.
 func someItems(rnd *rand.Rand, at int) (items []string) {
 	for k := range 1 + rnd.IntN(4) {
 		items = append(items, fmt.Sprintf("%d.%d-%s", at, k, strings.Repeat("x", rnd.IntN(150))))
@@ -112,153 +115,152 @@
 	return items
 }
 
-// startLedger is a new ring in a folder of its own that holds a ledger's first item.
-func startLedger(t *testing.T) (dir string, r *Log, l *ledger) {
+// startModel returns a new log in a directory of its own, with a checkpoint of a model's first item.
+func startModel(t *testing.T) (dir string, log *Log, m *model) {
 	t.Helper()
 	dir = t.TempDir()
-	r, _, err := Open(dir, 3, size)
+	log, _, err := Open(dir, 3, segmentSize)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l = &ledger{items: []string{"start"}}
-	if err := r.Rotate(l.whole()); err != nil {
+	m = &model{items: []string{"start"}}
+	if err := log.Rotate(m.checkpoint()); err != nil {
 		t.Fatal(err)
 	}
-	return dir, r, l
+	return dir, log, m
 }
 
-// A cut of power in the middle of any write leaves what was synced before it, and of what
-// was being written all or nothing; never an error, and never anything older.
-func TestPowerCut(t *testing.T) {
+// A power cut in the middle of any write leaves what was synced before it, and of the write all or nothing; never an error, and
+// never anything older.
+func TestPowerCutKeepsSyncedWrites(t *testing.T) {
 	for seed := range uint64(60) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		dir, r, l := startLedger(t)
+		dir, log, m := startModel(t)
 		for step := range 12 {
 			for range rnd.IntN(6) {
-				if err := l.write(r, someItems(rnd, step)...); err != nil {
+				if err := m.write(log, someItems(rnd, step)...); err != nil {
 					t.Fatal(err)
 				}
 			}
-			synced, before := string(l.whole()), readFolder(t, dir)
-			if err := l.write(r, someItems(rnd, step)...); err != nil {
+			synced, before := string(m.checkpoint()), readFiles(t, dir)
+			if err := m.write(log, someItems(rnd, step)...); err != nil {
 				t.Fatal(err)
 			}
-			attempted, left := string(l.whole()), cutPower(rnd, before, readFolder(t, dir))
-			r.Close()
+			attempted, left := string(m.checkpoint()), cutPower(rnd, before, readFiles(t, dir))
+			log.Close()
 			left.write(t, dir)
-			var recs [][]byte
+			var records [][]byte
 			var err error
-			if r, recs, err = Open(dir, 3, size); err != nil {
+			if log, records, err = Open(dir, 3, segmentSize); err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
 			}
-			got := fold(recs)
+			got := stateOf(records)
 			if got != synced && got != attempted {
 				t.Fatalf("seed %d, step %d: %q is neither %q nor %q", seed, step, got, synced, attempted)
 			}
-			l.items = strings.Split(got, "|")
+			m.items = strings.Split(got, "|")
 		}
-		r.Close()
+		log.Close()
 	}
 }
 
-// A write that failed in part, by a full disk or an error, is done again at the same place,
-// also with more behind it, and then counts; a restart in between finds what was synced.
-func TestFailedWriteIsRepeated(t *testing.T) {
+// A write that failed in part, by a full disk or an error, is retried at the same offset, also with more behind it, and then
+// counts.
+func TestFailedWriteIsRetried(t *testing.T) {
 	for seed := range uint64(40) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		dir, r, l := startLedger(t)
+		dir, log, m := startModel(t)
 		for step := range 10 {
-			synced, state := readFolder(t, dir), *r
-			kept := slices.Clone(l.items)
+			synced, state := readFiles(t, dir), *log
+			kept := slices.Clone(m.items)
 			first := someItems(rnd, step)
-			if err := l.write(r, first...); err != nil {
+			if err := m.write(log, first...); err != nil {
 				t.Fatal(err)
 			}
-			cutPower(rnd, synced, readFolder(t, dir)).write(t, dir) // what the failed write left
-			r.current, r.generation, r.records, r.offset = state.current, state.generation, state.records, state.offset
-			l.items = kept
-			if err := l.write(r, append(first, someItems(rnd, step+100)...)...); err != nil {
+			cutPower(rnd, synced, readFiles(t, dir)).write(t, dir) // what the failed write left
+			log.current, log.generation, log.nextNumber, log.offset = state.current, state.generation, state.nextNumber, state.offset
+			m.items = kept
+			if err := m.write(log, append(first, someItems(rnd, step+100)...)...); err != nil {
 				t.Fatal(err)
 			}
-			other, recs, err := Open(dir, 3, size)
-			if err != nil || fold(recs) != string(l.whole()) {
-				t.Fatalf("seed %d, step %d: %v, %q instead of %q", seed, step, err, fold(recs), l.whole())
+			other, records, err := Open(dir, 3, segmentSize)
+			if err != nil || stateOf(records) != string(m.checkpoint()) {
+				t.Fatalf("seed %d, step %d: %v, %q instead of %q", seed, step, err, stateOf(records), m.checkpoint())
 			}
 			other.Close()
 		}
-		r.Close()
+		log.Close()
 	}
 }
 
-// Whatever of the files' first making a cut of power keeps, the ring begins from nothing.
-func TestPowerCutInTheFirstMaking(t *testing.T) {
+// Whatever a power cut leaves of the first allocation, the log begins empty.
+func TestPowerCutWhileAllocating(t *testing.T) {
 	for seed := range uint64(25) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		dir := t.TempDir()
 		for i := range 3 {
 			if rnd.IntN(3) > 0 {
-				folder{fmt.Sprintf("ring-%d", i): make([]byte, rnd.IntN(size+1))}.write(t, dir)
+				contents{fmt.Sprintf(segmentFile, i): make([]byte, rnd.IntN(segmentSize+1))}.write(t, dir)
 			}
 		}
-		r, recs, err := Open(dir, 3, size)
-		if err != nil || len(recs) != 0 {
-			t.Fatalf("seed %d: %v, %d records", seed, err, len(recs))
+		log, records, err := Open(dir, 3, segmentSize)
+		if err != nil || len(records) != 0 {
+			t.Fatalf("seed %d: %v, %d records", seed, err, len(records))
 		}
-		if err := r.Rotate([]byte("whole")); err != nil {
+		if err := log.Rotate([]byte("checkpoint")); err != nil {
 			t.Fatal(err)
 		}
-		r.Close()
-		if got, err := read(t, dir); err != nil || fmt.Sprint(got) != "[whole]" {
+		log.Close()
+		if got, err := readRecords(t, dir); err != nil || fmt.Sprint(got) != "[checkpoint]" {
 			t.Fatalf("seed %d: %v %v", seed, got, err)
 		}
 	}
 }
 
-// A file that is gone or short beside records may have held the newest of them: older ones
-// never pass for all there was. A new beginning is made in their place, also if the power
-// is cut meanwhile.
-func TestMissingFile(t *testing.T) {
+// A segment that is missing or short beside records may have held the newest of them: older ones never pass for all there was.
+// The log is recreated in their place, also if the power is cut meanwhile.
+func TestMissingSegmentIsDamage(t *testing.T) {
 	for seed := range uint64(25) {
 		rnd := rand.New(rand.NewPCG(seed, 4))
 		dir := t.TempDir()
-		r, _, err := Open(dir, 3, size)
+		log, _, err := Open(dir, 3, segmentSize)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &ledger{items: []string{"start"}}
+		m := &model{items: []string{"start"}}
 		for step := range 20 {
-			if err := l.write(r, someItems(rnd, step)...); err != nil {
+			if err := m.write(log, someItems(rnd, step)...); err != nil {
 				t.Fatal(err)
 			}
 		}
-		gone := r.files[(r.current+rnd.IntN(3))%3].Name()
-		r.Close()
+		missing := log.segments[(log.current+rnd.IntN(3))%3].file.Name()
+		log.Close()
 		if rnd.IntN(2) == 0 {
-			err = os.Remove(gone)
+			err = os.Remove(missing)
 		} else {
-			err = os.Truncate(gone, int64(rnd.IntN(size)))
+			err = os.Truncate(missing, int64(rnd.IntN(segmentSize)))
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		for range 2 { // looking at it does not make it sound
-			if _, err := read(t, dir); !errors.Is(err, ErrDamaged) {
+		for range 2 { // reading it doesn't make it sound
+			if _, err := readRecords(t, dir); !errors.Is(err, ErrDamaged) {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
-		before := readFolder(t, dir)
-		if r, err = Recreate(dir, 3, size, []byte("new")); err != nil {
+		before := readFiles(t, dir)
+		if log, err = Recreate(dir, 3, segmentSize, []byte("new")); err != nil {
 			t.Fatal(err)
 		}
-		r.Close()
-		if got, err := read(t, dir); err != nil || fmt.Sprint(got) != "[new]" {
+		log.Close()
+		if got, err := readRecords(t, dir); err != nil || fmt.Sprint(got) != "[new]" {
 			t.Fatalf("seed %d: %v %v", seed, got, err)
 		}
-		rotated, after := folder{}, readFolder(t, dir)
-		for name, b := range after { // the whole record is synced before files get their size
+		rotated, after := contents{}, readFiles(t, dir)
+		for name, b := range after { // the checkpoint is synced before files get their size
 			rotated[name] = before[name]
-			if bytes.Contains(b[:head+3], []byte("new")) {
-				rotated[name] = b[:max(len(before[name]), 2*(head+3))]
+			if bytes.Contains(b[:headerSize+3], []byte("new")) {
+				rotated[name] = b[:max(len(before[name]), 2*(headerSize+3))]
 			}
 		}
 		again := t.TempDir()
@@ -267,8 +269,8 @@
 		} else {
 			cutPower(rnd, rotated, after).write(t, again)
 		}
-		if got, err := read(t, again); !errors.Is(err, ErrDamaged) && (err != nil || fmt.Sprint(got) != "[new]") {
-			t.Fatalf("seed %d: after a cut of power %v %v", seed, got, err)
+		if got, err := readRecords(t, again); !errors.Is(err, ErrDamaged) && (err != nil || fmt.Sprint(got) != "[new]") {
+			t.Fatalf("seed %d: after a power cut %v %v", seed, got, err)
 		}
 	}
 }
--- a/internal/controlplane/wal/recorded_test.go
+++ b/internal/controlplane/wal/recorded_test.go
@@ -9,68 +9,70 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "record the rings in testdata anew, which only an intended change of the form may need")
+var update = flag.Bool("update", false, "record the logs in testdata anew, which only an intended change of the form may need")
 
-const recordedFiles = 3
+const recordedSegments = 3
 
-// recordedRings are the rings in testdata, by the steps that wrote them.
-var recordedRings = []struct {
+// recordedLogs are the logs in testdata, by the steps that wrote them.
+var recordedLogs = []struct {
 	name  string
-	write func(t *testing.T, r *Log)
+	write func(t *testing.T, log *Log)
 	read  []string
 }{
-	{"fresh", func(t *testing.T, r *Log) { rotate(t, r, "whole state 1") }, []string{"whole state 1"}},
-	{"records", func(t *testing.T, r *Log) {
-		rotate(t, r, "whole state 1")
-		add(t, r, "one")
-		add(t, r, "two", "three", "four") // synced as one piece
-		add(t, r, "five")
+	{"fresh", func(t *testing.T, log *Log) { rotate(t, log, "whole state 1") }, []string{"whole state 1"}},
+	{"records", func(t *testing.T, log *Log) {
+		rotate(t, log, "whole state 1")
+		add(t, log, "one")
+		add(t, log, "two", "three", "four") // as a group
+		add(t, log, "five")
 	}, []string{"whole state 1", "one", "two", "three", "four", "five"}},
-	{"rotated", func(t *testing.T, r *Log) {
-		for generation := range 5 { // past the last file and on from the first
-			rotate(t, r, fmt.Sprint("whole state ", generation))
-			add(t, r, fmt.Sprint("record of ", generation))
+	{"rotated", func(t *testing.T, log *Log) {
+		for rotation := range 5 { // past the last segment and on from the first
+			rotate(t, log, fmt.Sprint("whole state ", rotation))
+			add(t, log, fmt.Sprint("record of ", rotation))
 		}
 	}, []string{"whole state 4", "record of 4"}},
 }
 
-func rotate(t *testing.T, r *Log, whole string) {
+// rotate begins a segment.
+func rotate(t *testing.T, log *Log, checkpoint string) {
 	t.Helper()
-	if err := r.Rotate([]byte(whole)); err != nil {
+	if err := log.Rotate([]byte(checkpoint)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func add(t *testing.T, r *Log, records ...string) {
+// add appends records at once.
+func add(t *testing.T, log *Log, records ...string) {
 	t.Helper()
 	var all [][]byte
-	for _, s := range records {
-		all = append(all, []byte(s))
+	for _, record := range records {
+		all = append(all, []byte(record))
 	}
-	if room, err := r.Append(all...); err != nil || !room {
+	if room, err := log.Append(all...); err != nil || !room {
 		t.Fatal(room, err)
 	}
 }
 
-// Rings that earlier code wrote are read, and the same steps write them again byte for byte.
-func TestRecordedRings(t *testing.T) {
-	for _, c := range recordedRings {
-		t.Run(c.name, func(t *testing.T) {
+// Logs that earlier code wrote are read, and the same steps write them again byte for byte.
+func TestRecordedLogs(t *testing.T) {
+	for _, test := range recordedLogs {
+		t.Run(test.name, func(t *testing.T) {
 			written := t.TempDir()
-			r, _, err := Open(written, recordedFiles, size)
+			log, _, err := Open(written, recordedSegments, segmentSize)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.write(t, r)
-			r.Close()
+			test.write(t, log)
+			log.Close()
 			copied := t.TempDir()
-			for i := range recordedFiles {
-				file := fmt.Sprintf("ring-%d", i)
+			for i := range recordedSegments {
+				file := fmt.Sprintf(segmentFile, i)
 				got, err := os.ReadFile(filepath.Join(written, file))
 				if err != nil {
 					t.Fatal(err)
 				}
-				kept := filepath.Join("testdata", c.name, file)
+				kept := filepath.Join("testdata", test.name, file)
 				if *update {
 					must(t, os.MkdirAll(filepath.Dir(kept), 0o700))
 					must(t, os.WriteFile(kept, got, 0o600))
@@ -80,11 +82,11 @@
 					t.Fatal(err)
 				}
 				if !bytes.Equal(got, want) {
-					t.Errorf("%s is written otherwise than recorded", file)
+					t.Errorf("%s differs from the recorded one", file)
 				}
 				must(t, os.WriteFile(filepath.Join(copied, file), want, 0o600))
 			}
-			if got, err := read(t, copied); err != nil || fmt.Sprint(got) != fmt.Sprint(c.read) {
+			if got, err := readRecords(t, copied); err != nil || fmt.Sprint(got) != fmt.Sprint(test.read) {
 				t.Fatalf("%v: %q", err, got)
 			}
 		})
--- /dev/null
+++ b/internal/controlplane/wal/write.go
@@ -0,0 +1,60 @@
+// This file writes records and checkpoints.
+
+package wal
+
+import (
+	"github.com/cockroachdb/errors"
+
+	"myrtlefold/internal/shared/tuning"
+)
+
+// Append writes records behind the last one, all or none of which a crash leaves, and syncs them. It returns room false,
+// with nothing written, if they don't fit into the segment: Rotate is due then. After an error of the file system the same
+// records, also with others behind them, are to be appended again before anything else.
+func (l *Log) Append(records ...[]byte) (room bool, err error) {
+	kind, data := singleRecord, records[0]
+	if len(records) > 1 {
+		kind, data = recordGroup, joinGroup(records)
+	}
+	size := headerSize + int64(len(data))
+	if l.current == noSegment || l.offset+2*size > l.segmentSize {
+		return false, nil
+	}
+	header := newHeader(kind, l.generation, l.nextNumber, data)
+	if err := l.write(l.segments[l.current], l.offset, header, data); err != nil {
+		return true, err
+	}
+	l.offset += size
+	l.nextNumber += uint32(len(records))
+	return true, nil
+}
+
+// Rotate begins the next segment with a checkpoint, a record that holds the whole state. It returns an error marked
+// ErrTooLarge if the checkpoint and its mirror don't fit into a segment. After an error of the file system it is to
+// be called again before anything else.
+func (l *Log) Rotate(checkpoint []byte) error {
+	size := headerSize + int64(len(checkpoint))
+	if size > l.segmentSize/2 {
+		return errors.Wrapf(ErrTooLarge, "%d bytes, half a segment is %d", len(checkpoint), l.segmentSize/2)
+	}
+	next := (l.current + 1) % len(l.segments)
+	header := newHeader(singleRecord, l.generation+1, 0, checkpoint)
+	if err := l.write(l.segments[next], 0, header, checkpoint); err != nil {
+		return err
+	}
+	l.current, l.generation, l.nextNumber, l.offset = next, l.generation+1, 1, size
+	return nil
+}
+
+// write writes and syncs data and its mirror at once. The mirror is overwritten by the next write: only the last write
+// may have been cut short, so only it needs one.
+func (l *Log) write(s *segment, offset int64, header recordHeader, data []byte) error {
+	mirror := newHeader(header.kind.mirror(), header.generation, header.number, data)
+	l.buffer = append(header.appendTo(l.buffer[:0]), data...)
+	l.buffer = append(mirror.appendTo(l.buffer), data...)
+	err := s.write(l.buffer, offset)
+	if cap(l.buffer) > tuning.WALReadBuffer {
+		l.buffer = nil
+	}
+	return err
+}
