--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -11,8 +11,6 @@
 	"encoding/json"
 	"flag"
 	"fmt"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
 	"net/http/httptest"
 	"os"
 	"path/filepath"
@@ -29,6 +27,8 @@
 	"myrtlefold/internal/dataplane/reverseproxy"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
+	"myrtlefold/internal/shared/state"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/wire"
 )
 
--- a/internal/verification/fuzzing/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -5,12 +5,12 @@
 import (
 	"encoding/binary"
 	"math"
-	"myrtlefold/internal/shared/statemachine"
 	"reflect"
 	"testing"
 	"time"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/wire"
 )
 
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/dataplane"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
--- a/internal/verification/simulator/attempt.go
+++ b/internal/verification/simulator/attempt.go
@@ -17,7 +17,7 @@
 	command    statemachine.Forward
 	connection *connection
 	reused     bool // the connection has carried a request before
-	ended      bool // its response was read or lost
+	done       bool // its response was read or lost
 }
 
 // failure is how an attempt failed.
@@ -28,21 +28,21 @@
 }
 
 // forward carries out a proxy's command to send a request to a target.
-func (w *World) forward(p *Process, c statemachine.Forward) {
-	r := w.callers.open[c.ID]
-	if r == nil || !r.isAt(p) {
+func (w *World) forward(process *Process, command statemachine.Forward) {
+	request := w.callers.open[command.ID]
+	if request == nil || !request.isAt(process) {
 		return
 	}
-	a := &attempt{world: w, process: p, request: r, command: c}
+	a := &attempt{world: w, process: process, request: request, command: command}
 	w.checkChoice(a)
 	maxIdle := tuning.ConnIdle
-	if r.nonIdempotent && w.Plan.ConnectionLimit > 0 {
+	if request.nonIdempotent && w.Plan.ConnectionLimit > 0 {
 		maxIdle = tuning.NonIdempotentIdleMax
 	}
-	a.connection = w.takeConnection(p, c.Target.ID(), maxIdle)
+	a.connection = w.takeConnection(process, command.Target.ID(), maxIdle)
 	a.reused = a.connection != nil
 	if !a.reused {
-		a.connection = &connection{target: w.targets.listening[c.Target.Addr]}
+		a.connection = &connection{target: w.targets.listening[command.Target.Addr]}
 		w.Stats.OpenedConnections++
 	}
 	a.connect()
@@ -72,51 +72,51 @@
 // write is the moment at which a request's first byte goes out; a process that
 // is frozen then goes on with it when it thaws.
 func (a *attempt) write() {
-	w, p, r := a.world, a.process, a.request
-	if !p.alive || p.incarnation != r.incarnation {
+	world, process, request := a.world, a.process, a.request
+	if !process.alive || process.incarnation != request.incarnation {
 		return
 	}
-	if p.frozen {
-		p.afterThaw = append(p.afterThaw, a.write)
+	if process.frozen {
+		process.afterThaw = append(process.afterThaw, a.write)
 		return
 	}
-	if p.localTime() > a.command.WriteBy {
+	if process.localTime() > a.command.WriteBy {
 		a.fail(0, failure{outcome: statemachine.ChoiceExpired})
 		return
 	}
-	w.checkWrite(a)
-	if r.nextIsRetry {
-		w.Stats.Retries++
+	world.checkWrite(a)
+	if request.nextIsRetry {
+		world.Stats.Retries++
 	}
-	w.callers.attempts[r.service] = append(w.callers.attempts[r.service], attemptRecord{w.now, r.nextIsRetry})
-	r.nextIsRetry = false
-	w.schedule(0, a.arrive)
+	world.callers.attempts[request.service] = append(world.callers.attempts[request.service], attemptRecord{world.now, request.nextIsRetry})
+	request.nextIsRetry = false
+	world.schedule(0, a.arrive)
 }
 
 // arrive is the moment at which a request reaches its target, which may reject it or run it.
 func (a *attempt) arrive() {
-	w, r, t := a.world, a.request, a.connection.target
-	if t.service != r.service {
-		w.violated(ruleRightService, "exchange %d for %s reached %s", r.id, r.service, t.fullName())
+	world, request, target := a.world, a.request, a.connection.target
+	if target.service != request.service {
+		world.violated(ruleRightService, "exchange %d for %s reached %s", request.id, request.service, target.fullName())
 	}
 	lost := failure{outcome: statemachine.ResponseLost, sent: true}
 	switch {
-	case !t.alive:
+	case !target.alive:
 		a.fail(0, lost)
 		return
 	case !a.targetAnswers():
-		r.sent = true
+		request.sent = true
 		a.fail(a.command.TimeLeft, failure{outcome: statemachine.ResponseLost, sent: true, timedOut: true})
 		return
 	}
-	w.checkWarmupRate(t)
-	if !a.reused && w.overConnectionLimit(t, a.command.Target.ID()) {
-		r.sent = true
+	world.checkWarmupRate(target)
+	if !a.reused && world.overConnectionLimit(target, a.command.Target.ID()) {
+		request.sent = true
 		a.fail(0, lost)
 		return
 	}
-	if w.targetRejects(t) {
-		if t.resetsWhenFull {
+	if world.targetRejects(target) {
+		if target.resetsWhenFull {
 			a.fail(0, lost)
 		} else {
 			a.fail(0, failure{outcome: statemachine.TargetRejected, sent: true})
@@ -154,23 +154,23 @@
 
 // respond is the moment at which the target has run the request.
 func (a *attempt) respond() {
-	w, r, t := a.world, a.request, a.connection.target
-	if !t.alive || t.losesResponses {
-		w.Stats.LostResponses++
-		if r.nonIdempotent {
-			w.Stats.LostNonIdempotent++
+	world, request, target := a.world, a.request, a.connection.target
+	if !target.alive || target.losesResponses {
+		world.Stats.LostResponses++
+		if request.nonIdempotent {
+			world.Stats.LostNonIdempotent++
 		}
 		a.fail(0, failure{outcome: statemachine.ResponseLost, sent: true})
 		return
 	}
 	outcome := statemachine.Served
-	if t.fails {
+	if target.fails {
 		outcome = statemachine.ServerError
 	}
 	a.whileOpen(0, func() {
-		w.returnConnection(a.process, a.command.Target.ID(), a.connection, a.command.MaxIdle)
-		w.deliver(a.process, statemachine.AttemptDone{ID: r.id, Outcome: outcome, Milliseconds: milliseconds(t.serviceTime), Last: true})
-		w.finishRequest(r, outcomeServed)
+		world.returnConnection(a.process, a.command.Target.ID(), a.connection, a.command.MaxIdle)
+		world.deliver(a.process, statemachine.AttemptDone{ID: request.id, Outcome: outcome, Milliseconds: milliseconds(target.serviceTime), Last: true})
+		world.finishRequest(request, outcomeServed)
 	})
 }
 
@@ -182,10 +182,10 @@
 
 // end notes that the response was read or lost; it says whether the attempt had not ended before.
 func (a *attempt) end() bool {
-	if a.ended {
+	if a.done {
 		return false
 	}
-	a.ended = true
+	a.done = true
 	a.process.attempts = slices.DeleteFunc(a.process.attempts, func(other *attempt) bool { return other == a })
 	return true
 }
@@ -217,25 +217,25 @@
 	})
 }
 
-func (a *attempt) retryOrGiveUp(f failure) {
-	w, p, r := a.world, a.process, a.request
-	budgeted := w.disabledGuard != guardRetryBudget
-	if f.outcome == statemachine.TargetRejected {
-		r.nextIsRetry = true
-		w.deliver(p, statemachine.Retry{ID: r.id, Sent: budgeted})
+func (a *attempt) retryOrGiveUp(failed failure) {
+	world, process, request := a.world, a.process, a.request
+	budgeted := world.disabledGuard != guardRetryBudget
+	if failed.outcome == statemachine.TargetRejected {
+		request.nextIsRetry = true
+		world.deliver(process, statemachine.Retry{ID: request.id, Sent: budgeted})
 		return
 	}
-	r.sent = r.sent || f.sent
-	mayRunTwice := f.sent && r.nonIdempotent && w.disabledGuard != guardAtMostOnce
+	request.sent = request.sent || failed.sent
+	mayRunTwice := failed.sent && request.nonIdempotent && world.disabledGuard != guardAtMostOnce
 	switch {
-	case !f.timedOut && !mayRunTwice:
-		r.nextIsRetry = f.sent
-		w.deliver(p, statemachine.Retry{ID: r.id, Sent: f.sent && budgeted})
-	case r.sent:
-		w.deliver(p, statemachine.Cancel{ID: r.id})
-		w.finishRequest(r, outcomeUnknown)
+	case !failed.timedOut && !mayRunTwice:
+		request.nextIsRetry = failed.sent
+		world.deliver(process, statemachine.Retry{ID: request.id, Sent: failed.sent && budgeted})
+	case request.sent:
+		world.deliver(process, statemachine.Cancel{ID: request.id})
+		world.finishRequest(request, outcomeUnknown)
 	default:
-		w.deliver(p, statemachine.Cancel{ID: r.id})
-		w.finishRequest(r, outcomeRejected)
+		world.deliver(process, statemachine.Cancel{ID: request.id})
+		world.finishRequest(request, outcomeRejected)
 	}
 }
--- a/internal/verification/simulator/availability.go
+++ b/internal/verification/simulator/availability.go
@@ -58,27 +58,27 @@
 	for _, f := range faults {
 		result.Faults = append(result.Faults, f.Name)
 	}
-	w := Start(seed, plan)
-	w.Run(w.now + 3*time.Second)
-	before, begin := w.Stats, w.now
-	w.Stats.LongestGap = 0
+	world := Start(seed, plan)
+	world.Run(world.now + 3*time.Second)
+	before, begin := world.Stats, world.now
+	world.Stats.LongestGap = 0
 	for _, f := range faults {
-		w.inject(f)
+		world.inject(f)
 	}
-	w.schedule(changeDelay, func() { w.insistOnChange(begin+changeDelay, 0, &result) })
-	for w.now < begin+measuredTime && w.Failure == "" {
-		w.Run(w.now + 100*time.Millisecond)
-		if w.missingTarget() != "" || !w.Serving() {
-			result.Recovery = w.now - begin
+	world.schedule(changeDelay, func() { world.insistOnChange(begin+changeDelay, 0, &result) })
+	for world.now < begin+measuredTime && world.Failure == "" {
+		world.Run(world.now + 100*time.Millisecond)
+		if world.missingTarget() != "" || !world.Serving() {
+			result.Recovery = world.now - begin
 		}
 	}
-	result.Requests, result.Rejected = w.Stats.Requests-before.Requests, w.Stats.Rejected-before.Rejected
-	result.Failed, result.Abandoned = w.Stats.Unknown-before.Unknown, w.Stats.Abandoned-before.Abandoned
-	result.LongestGap = w.Stats.LongestGap
-	for _, at := range w.callers.lastServed {
-		result.LongestGap = max(result.LongestGap, w.now-at)
+	result.Requests, result.Rejected = world.Stats.Requests-before.Requests, world.Stats.Rejected-before.Rejected
+	result.Failed, result.Abandoned = world.Stats.Unknown-before.Unknown, world.Stats.Abandoned-before.Abandoned
+	result.LongestGap = world.Stats.LongestGap
+	for _, at := range world.callers.lastServed {
+		result.LongestGap = max(result.LongestGap, world.now-at)
 	}
-	result.Failure = w.Failure
+	result.Failure = world.Failure
 	return result
 }
 
@@ -86,21 +86,21 @@
 // it is rejected. The number of attempts before says whose turn it is.
 func (w *World) insistOnChange(from time.Duration, attempts int, result *Availability) {
 	daemons, services := w.daemons(wire.ControlDaemon), w.services()
-	p := daemons[attempts%len(daemons)]
+	process := daemons[attempts%len(daemons)]
 	rejected := func() {
 		result.Outcome = OutcomeRejected
 		if w.now-from < insistTime {
 			w.schedule(insistInterval, func() { w.insistOnChange(from, attempts+1, result) })
 		}
 	}
-	if !p.alive || p.frozen {
+	if !process.alive || process.frozen {
 		rejected()
 		return
 	}
 	done := false
 	finish := func(outcome ChangeOutcome) { result.ChangeLatency, result.Outcome = w.now-from, outcome }
 	patch := fmt.Appendf(nil, `{"services":{"%s":{"timeout_ms":1777}}}`, services[len(services)-1])
-	w.call(p, "PATCH", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), patch, "insisted", func(r statemachine.Reply) {
+	w.call(process, "PATCH", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), patch, "insisted", func(r statemachine.Reply) {
 		if done {
 			return
 		}
--- a/internal/verification/simulator/bulk_changes_test.go
+++ b/internal/verification/simulator/bulk_changes_test.go
@@ -1,23 +1,17 @@
 package simulator
 
 import (
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
+
+	"myrtlefold/internal/shared/statemachine"
 )
 
 // Days of orders in bulk hold: their history is one that a register could have, the faults
 // happen, and the number of orders stays within the bound that keeps the check fast.
 func TestDaysOfBulkOrders(t *testing.T) {
 	t.Parallel()
-	var kinds []Fault
-	for _, name := range []string{"storm of changes", "answers to changes lost", "eight orders at once", "leader killed", "leader frozen"} {
-		f, found := FaultByName(name)
-		if !found {
-			t.Fatalf("no fault %q", name)
-		}
-		kinds = append(kinds, f)
-	}
+	kinds := faultsNamed(t, "storm of changes", "answers to changes lost", "eight orders at once", "leader killed", "leader frozen")
 	lost := 0
 	for seed := range uint64(6) {
 		w := Day(500+seed, Small, kinds, 12, 25*time.Second)
--- a/internal/verification/simulator/callers.go
+++ b/internal/verification/simulator/callers.go
@@ -139,26 +139,26 @@
 }
 
 // finishRequest gives a request its outcome. Some callers send an unserved request again at once.
-func (w *World) finishRequest(r *request, outcome requestOutcome) {
-	r.outcome = outcome
-	delete(w.callers.open, r.id)
-	w.closeAfterResponse(r)
+func (w *World) finishRequest(request *request, outcome requestOutcome) {
+	request.outcome = outcome
+	delete(w.callers.open, request.id)
+	w.closeAfterResponse(request)
 	switch outcome {
 	case outcomeServed:
-		w.countServed(r.service)
+		w.countServed(request.service)
 	case outcomeRejected:
 		w.Stats.Rejected++
-		if r.executions > 0 {
-			w.violated(ruleRejectedRequest, "exchange %d had run %d times", r.id, r.executions)
+		if request.executions > 0 {
+			w.violated(ruleRejectedRequest, "exchange %d had run %d times", request.id, request.executions)
 		}
 	case outcomeUnknown:
 		w.Stats.Unknown++
 		if w.checks.plannedOnly {
-			w.violated(ruleGracefulStop, "exchange %d at %s was lost during planned work", r.id, r.proxy.name)
+			w.violated(ruleGracefulStop, "exchange %d at %s was lost during planned work", request.id, request.proxy.name)
 		}
 	}
-	if outcome != outcomeServed && r.resubmissions < maxResubmissions && w.random.Float64() < w.Plan.Resubmitted {
-		w.schedule(w.randomMilliseconds(0, 5), func() { w.sendRequest(r.service, r.nonIdempotent, r.resubmissions+1) })
+	if outcome != outcomeServed && request.resubmissions < maxResubmissions && w.random.Float64() < w.Plan.Resubmitted {
+		w.schedule(w.randomMilliseconds(0, 5), func() { w.sendRequest(request.service, request.nonIdempotent, request.resubmissions+1) })
 	}
 }
 
--- a/internal/verification/simulator/commands.go
+++ b/internal/verification/simulator/commands.go
@@ -6,6 +6,9 @@
 	"slices"
 	"time"
 
+	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/dataplane"
+	"myrtlefold/internal/shared/outlier"
 	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/wire"
 )
@@ -24,29 +27,29 @@
 func (w *World) step(p *Process, event statemachine.Event) { w.stepAt(p, event, p.localTime()) }
 
 // stepAt is the same by a time of the process's own clock.
-func (w *World) stepAt(p *Process, event statemachine.Event, now time.Duration) {
-	if !p.alive {
+func (w *World) stepAt(process *Process, event statemachine.Event, now time.Duration) {
+	if !process.alive {
 		return
 	}
-	if p.frozen {
-		p.heldEvents = append(p.heldEvents, event)
+	if process.frozen {
+		process.heldEvents = append(process.heldEvents, event)
 		return
 	}
-	commands := p.stateMachine().Step(now, event)
+	commands := process.stateMachine().Step(now, event)
 	if w.digest != nil {
-		w.digest.step(p.name, now, event, commands)
+		w.digest.step(process.name, now, event, commands)
 	}
-	if p.pauseAfterStep > 0 && slices.ContainsFunc(commands, revealsState) {
-		w.pauseBeforeCommands(p, commands)
+	if process.pauseAfterStep > 0 && slices.ContainsFunc(commands, revealsState) {
+		w.pauseBeforeCommands(process, commands)
 		return
 	}
 	for _, c := range commands {
-		w.execute(p, c)
+		w.execute(process, c)
 	}
-	if p.controller != nil {
-		w.checkSingleLeader(p)
+	if process.controller != nil {
+		w.checkSingleLeader(process)
 	} else {
-		w.checkRevisionNeverDecreases(p)
+		w.checkRevisionNeverDecreases(process)
 	}
 }
 
@@ -89,33 +92,33 @@
 }
 
 // execute carries out a command, as the daemon's shell does.
-func (w *World) execute(p *Process, command statemachine.Command) {
+func (w *World) execute(process *Process, command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Send:
-		w.send(p, c)
+		w.send(process, c)
 	case statemachine.Sync:
-		w.write(p, c)
+		w.write(process, c)
 	case statemachine.Probe:
-		w.startHealthCheck(p, c)
+		w.startHealthCheck(process, c)
 	case statemachine.Reply:
 		w.reply(c)
 	case statemachine.StateChange:
-		w.noteStateChange(p, c)
+		w.noteStateChange(process, c)
 	case statemachine.Publish:
-		if c.Decision != nil && c.Decision.Kind != "lapse" {
-			w.logf("%s %s %s %s/%s", p.name, c.Decision.Policy, c.Decision.Kind, c.Decision.Service, c.Decision.Name)
+		if c.Decision != nil && c.Decision.Kind != outlier.KindLapse {
+			w.logf("%s %s %s %s/%s", process.name, c.Decision.Policy, c.Decision.Kind, c.Decision.Service, c.Decision.Name)
 		}
 	case statemachine.Exit:
-		w.exit(p)
+		w.exit(process)
 	case statemachine.TargetsChanged:
-		p.targets = c.Addresses
-		maps.DeleteFunc(p.idle, func(id wire.TargetID, _ []*connection) bool { _, listed := c.Addresses[id]; return !listed })
+		process.targets = c.Addresses
+		maps.DeleteFunc(process.idle, func(id wire.TargetID, _ []*connection) bool { _, listed := c.Addresses[id]; return !listed })
 	case statemachine.UnreachableTargets: // requests here wait for their deadlines
 	case statemachine.CloseAfterResponse: // persistent connections are closed by the process's state, see closeAfterResponse
 	case statemachine.StopAccepting:
-		p.rejectsConnections = true
+		process.rejectsConnections = true
 	case statemachine.Forward:
-		w.forward(p, c)
+		w.forward(process, c)
 	case statemachine.Reject:
 		w.rejectRequest(c)
 	default:
@@ -126,13 +129,14 @@
 // noteStateChange logs a change of a daemon's state and keeps what the checks need to know of it.
 func (w *World) noteStateChange(p *Process, c statemachine.StateChange) {
 	w.logf("%s %s %s -> %s (%s)", p.name, c.Subject, c.From, c.To, c.Reason)
-	if w.disabledGuard == guardReplyInForce && c.Subject == "revision" && p.controller != nil {
+	if w.disabledGuard == guardReplyInForce && c.Subject == statemachine.SubjectRevision && p.controller != nil {
 		w.checks.acknowledged = max(w.checks.acknowledged, p.controller.Revision())
 	}
-	if c.Subject == "lead" && c.To == "idle" || c.To == "cut" || c.To == "orphan" {
+	leaseLost := c.Subject == statemachine.SubjectLeadership && c.To == controlplane.NotLeading.String()
+	if leaseLost || c.To == dataplane.Isolated.String() || c.To == dataplane.PeerServing.String() {
 		w.checks.leadershipLostAt = w.now
 	}
-	if c.To == "orphan" {
+	if c.To == dataplane.PeerServing.String() {
 		w.Stats.PeerServing++
 	}
 }
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -27,14 +27,14 @@
 
 // takeConnection returns the idle connection of a proxy to a target that was used last, less than maxIdle ago,
 // nil if none can be used: the reverse proxy closes those that are closed or on which something came.
-func (w *World) takeConnection(p *Process, id wire.TargetID, maxIdle time.Duration) *connection {
-	for len(p.idle[id]) > 0 {
-		last := len(p.idle[id]) - 1
-		c := p.idle[id][last]
+func (w *World) takeConnection(process *Process, id wire.TargetID, maxIdle time.Duration) *connection {
+	for len(process.idle[id]) > 0 {
+		last := len(process.idle[id]) - 1
+		c := process.idle[id][last]
 		if w.now-c.idleSince >= maxIdle {
 			return nil
 		}
-		p.idle[id] = p.idle[id][:last]
+		process.idle[id] = process.idle[id][:last]
 		if !c.target.alive {
 			continue
 		}
@@ -48,23 +48,23 @@
 }
 
 // returnConnection keeps a connection idle after a complete response; of all, as many as were used last are kept.
-func (w *World) returnConnection(p *Process, id wire.TargetID, c *connection, most int) {
-	if c.target.sendsSurplus && w.random.Float64() < surplusShare {
-		c.surplusAt = w.now + w.randomMilliseconds(0, maxSurplusDelay)
+func (w *World) returnConnection(process *Process, id wire.TargetID, returned *connection, most int) {
+	if returned.target.sendsSurplus && w.random.Float64() < surplusShare {
+		returned.surplusAt = w.now + w.randomMilliseconds(0, maxSurplusDelay)
 	}
-	c.idleSince = w.now
-	if _, listed := p.targets[id]; !listed {
+	returned.idleSince = w.now
+	if _, listed := process.targets[id]; !listed {
 		return
 	}
 	if w.disabledGuard == guardIdleConnections { // a fixed part of the limit for each proxy, the oldest first
-		p.idle[id] = slices.DeleteFunc(p.idle[id], func(o *connection) bool { return w.now-o.idleSince >= tuning.ConnIdle })
-		if len(p.idle[id]) < max(1, w.Plan.ConnectionLimit/idleLimitShares) {
-			p.idle[id] = append(p.idle[id], c)
+		process.idle[id] = slices.DeleteFunc(process.idle[id], func(o *connection) bool { return w.now-o.idleSince >= tuning.ConnIdle })
+		if len(process.idle[id]) < max(1, w.Plan.ConnectionLimit/idleLimitShares) {
+			process.idle[id] = append(process.idle[id], returned)
 		}
 		return
 	}
-	idle := append(p.idle[id], c)
-	p.idle[id] = idle[max(0, len(idle)-most):]
+	idle := append(process.idle[id], returned)
+	process.idle[id] = idle[max(0, len(idle)-most):]
 }
 
 // overConnectionLimit says whether a target has as many connections as it takes, in use or not; it resets the next.
--- a/internal/verification/simulator/corestatus_test.go
+++ b/internal/verification/simulator/corestatus_test.go
@@ -2,15 +2,15 @@
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
-	"myrtlefold/internal/shared/wire"
 	"slices"
 	"strconv"
 	"testing"
 	"time"
 
 	"myrtlefold/internal/controlplane"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
 // memberNamed is a member in the leader's view, empty if it is not there.
--- a/internal/verification/simulator/cutoff_test.go
+++ b/internal/verification/simulator/cutoff_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
 
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/day.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/wire"
 	"slices"
 	"strings"
 	"time"
+
+	"myrtlefold/internal/shared/wire"
 )
 
 const (
@@ -29,24 +30,24 @@
 
 // Start bootstraps the fleet, puts a first configuration in force and starts the callers.
 func Start(seed uint64, plan Plan) *World {
-	w := New(seed, plan)
-	if !w.Run(bootstrapTime) {
-		return w
+	world := New(seed, plan)
+	if !world.Run(bootstrapTime) {
+		return world
 	}
-	for w.Leader() == nil && w.now < maxBootstrapTime && w.Failure == "" {
-		w.Run(w.now + 100*time.Millisecond)
+	for world.Leader() == nil && world.now < maxBootstrapTime && world.Failure == "" {
+		world.Run(world.now + 100*time.Millisecond)
 	}
-	leader := w.Leader()
+	leader := world.Leader()
 	if leader == nil {
-		w.violated(ruleBootstrap, "no leader after 10 s")
-		return w
+		world.violated(ruleBootstrap, "no leader after 10 s")
+		return world
 	}
-	w.PutConfig(leader, 0, 1)
-	if !w.AwaitServing(firstConfigurationTime) && w.Failure == "" {
-		w.violated(ruleBootstrap, "not serving 3 s after the first configuration")
+	world.PutConfig(leader, 0, 1)
+	if !world.AwaitServing(firstConfigurationTime) && world.Failure == "" {
+		world.violated(ruleBootstrap, "not serving 3 s after the first configuration")
 	}
-	w.StartCallers()
-	return w
+	world.StartCallers()
+	return world
 }
 
 // Day runs a seed: so many faults drawn from kinds (all if none is named) that begin over
@@ -57,30 +58,30 @@
 
 // day is a Day that is prepared by a function once the fleet serves. With as many kinds as faults each comes once.
 func day(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration, prepare func(*World)) *World {
-	w := Start(seed, plan)
-	if w.Failure != "" {
-		return w
+	world := Start(seed, plan)
+	if world.Failure != "" {
+		return world
 	}
-	prepare(w)
+	prepare(world)
 	if len(kinds) == 0 {
 		kinds = Faults
 	}
-	begin := w.now
+	begin := world.now
 	for i := range faults {
-		fault := kinds[w.random.IntN(len(kinds))]
+		fault := kinds[world.random.IntN(len(kinds))]
 		if len(kinds) == faults {
 			fault = kinds[i]
 		}
-		w.schedule(time.Duration(w.random.Int64N(int64(span))), func() { w.inject(fault) })
+		world.schedule(time.Duration(world.random.Int64N(int64(span))), func() { world.inject(fault) })
 	}
-	w.StartReaders(readInterval)
-	if !w.Run(begin + span + afterFaults) {
-		return w
+	world.StartReaders(readInterval)
+	if !world.Run(begin + span + afterFaults) {
+		return world
 	}
-	w.Heal()
-	w.AwaitRecovery(recoveryBound)
-	w.Finish()
-	return w
+	world.Heal()
+	world.AwaitRecovery(recoveryBound)
+	world.Finish()
+	return world
 }
 
 // inject starts a fault.
--- a/internal/verification/simulator/digest.go
+++ b/internal/verification/simulator/digest.go
@@ -13,10 +13,10 @@
 	"hash/fnv"
 	"maps"
 	"math"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/wire"
 )
 
@@ -41,6 +41,7 @@
 	}
 }
 
+// event takes in an event with all its fields.
 func (d *digest) event(event statemachine.Event) {
 	switch e := event.(type) {
 	case statemachine.Receive:
@@ -68,6 +69,14 @@
 		d.bytes(e.Body)
 	case statemachine.Stop:
 		d.text("stop")
+	default:
+		d.proxyEvent(event)
+	}
+}
+
+// proxyEvent takes in an event that only proxies have.
+func (d *digest) proxyEvent(event statemachine.Event) {
+	switch e := event.(type) {
 	case statemachine.Admit:
 		d.text("admit")
 		d.number(e.ID)
@@ -99,6 +108,7 @@
 	}
 }
 
+// command takes in a command with all its fields.
 func (d *digest) command(command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Send:
@@ -133,6 +143,7 @@
 	}
 }
 
+// proxyCommand takes in a command that only proxies give.
 func (d *digest) proxyCommand(command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Forward:
--- a/internal/verification/simulator/disk.go
+++ b/internal/verification/simulator/disk.go
@@ -122,26 +122,26 @@
 }
 
 // syncDiskSlowly syncs what is there now, and then what has come meanwhile.
-func (w *World) syncDiskSlowly(p *Process, incarnation int, d *disk) {
-	if d.syncing {
+func (w *World) syncDiskSlowly(process *Process, incarnation int, slow *disk) {
+	if slow.syncing {
 		return
 	}
-	d.syncing = true
-	started := len(d.unsynced)
-	w.schedule(w.randomMilliseconds(0, syncTime*max(1, d.slowdown)), func() {
-		d.syncing = false
-		if !d.canFlush(p, incarnation) {
+	slow.syncing = true
+	started := len(slow.unsynced)
+	w.schedule(w.randomMilliseconds(0, syncTime*max(1, slow.slowdown)), func() {
+		slow.syncing = false
+		if !slow.canFlush(process, incarnation) {
 			return
 		}
-		if d.full {
-			w.rejectWrite(p, incarnation, d)
+		if slow.full {
+			w.rejectWrite(process, incarnation, slow)
 			return
 		}
-		rest := d.unsynced[min(started, len(d.unsynced)):]
-		d.unsynced = d.unsynced[:min(started, len(d.unsynced))]
-		w.flushDisk(p, incarnation, d)
-		if d.unsynced = append(rest, d.unsynced...); len(d.unsynced) > 0 && p.incarnation == incarnation {
-			w.syncDiskSlowly(p, incarnation, d)
+		rest := slow.unsynced[min(started, len(slow.unsynced)):]
+		slow.unsynced = slow.unsynced[:min(started, len(slow.unsynced))]
+		w.flushDisk(process, incarnation, slow)
+		if slow.unsynced = append(rest, slow.unsynced...); len(slow.unsynced) > 0 && process.incarnation == incarnation {
+			w.syncDiskSlowly(process, incarnation, slow)
 		}
 	})
 }
--- a/internal/verification/simulator/faults_control.go
+++ b/internal/verification/simulator/faults_control.go
@@ -214,26 +214,26 @@
 }
 
 // injectRandomFault injects one fault into a control daemon, of any kind that ends by itself.
-func (w *World) injectRandomFault(p *Process) {
-	if !p.alive {
+func (w *World) injectRandomFault(process *Process) {
+	if !process.alive {
 		return
 	}
 	span := w.randomMilliseconds(500, 8000)
 	switch w.random.IntN(7) {
 	case 0:
-		w.Freeze(p, span)
+		w.Freeze(process, span)
 	case 1:
-		w.StallDisk(p, span)
+		w.StallDisk(process, span)
 	case 2:
-		w.slowDisk(p, slowDiskTimes, span)
+		w.slowDisk(process, slowDiskTimes, span)
 	case 3:
-		w.slowProcess(p, slowMachine, span)
+		w.slowProcess(process, slowMachine, span)
 	case 4:
-		w.resetDaemonConnections(p)
+		w.resetDaemonConnections(process)
 	case 5:
-		w.isolate([]string{p.name}, span, true, w.random.IntN(2) == 0)
+		w.isolate([]string{process.name}, span, true, w.random.IntN(2) == 0)
 	default:
-		w.Kill(p)
-		w.restartLater(p, span/2)
+		w.Kill(process)
+		w.restartLater(process, span/2)
 	}
 }
--- a/internal/verification/simulator/faults_network.go
+++ b/internal/verification/simulator/faults_network.go
@@ -15,7 +15,7 @@
 		w.logf("domain %s cut off", domain)
 		w.isolateDomain(domain, w.randomMilliseconds(3000, 30000))
 	}},
-	{"late words", (*World).sendLateReports},
+	{"late words", (*World).sendStaleReports},
 	{"target moves", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.usableTargets(t.service) > 1 {
 			w.CrashTarget(t)
@@ -33,8 +33,8 @@
 	}},
 }
 
-// sendLateReports has daemons receive reports of targets that have ended.
-func (w *World) sendLateReports() {
+// sendStaleReports has daemons receive reports of targets that have ended.
+func (w *World) sendStaleReports() {
 	kinds := []wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon}
 	states := []wire.TargetState{wire.TargetReady, wire.TargetWarming}
 	for range 6 {
--- a/internal/verification/simulator/fleet_test.go
+++ b/internal/verification/simulator/fleet_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"testing"
 	"time"
 
 	"myrtlefold/internal/dataplane"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -307,17 +307,15 @@
 // Herds of proxies die and standbys come in numbers, during cuts.
 func TestHerdsAndSpares(t *testing.T) {
 	t.Parallel()
-	f := func(name string) Fault { x, _ := FaultByName(name); return x }
-	kinds := []Fault{f("gate herd killed"), f("gate isolated"), f("domain cut off"), f("leader killed"), f("config"), f("core cut off from proxies"),
-		{"spares come", func(w *World) {
+	kinds := append(faultsNamed(t, "gate herd killed", "gate isolated", "domain cut off", "leader killed", "config", "core cut off from proxies"),
+		Fault{"standby proxies come", func(w *World) {
 			if len(w.daemonNames(wire.ProxyDaemon)) > w.Plan.Proxies+8 {
 				return
 			}
 			for range 4 {
-				name := fmt.Sprintf("g%d", 100+len(w.processes.names))
-				w.addAndStart(wire.ProxyDaemon, name, w.random.IntN(w.Plan.Domains))
+				w.addAndStart(wire.ProxyDaemon, fmt.Sprintf("g%d", 100+len(w.processes.names)), w.random.IntN(w.Plan.Domains))
 			}
-		}}}
+		}})
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
--- a/internal/verification/simulator/found_test.go
+++ b/internal/verification/simulator/found_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/wire"
 	"strings"
 	"testing"
 	"time"
+
+	"myrtlefold/internal/shared/wire"
 )
 
 // What becomes of one core machine in a total loss.
--- a/internal/verification/simulator/guards.go
+++ b/internal/verification/simulator/guards.go
@@ -94,9 +94,9 @@
 	return m
 }
 
-// mutateLateMessage does the same to a leader's message that comes late: it brings all of the table
+// mutateReorderedMessage does the same to a leader's message that comes late: it brings all of the table
 // of its time as if that were the latest.
-func (w *World) mutateLateMessage(from *Process, m *wire.Message) *wire.Message {
+func (w *World) mutateReorderedMessage(from *Process, m *wire.Message) *wire.Message {
 	if w.disabledGuard != guardTableVersions || m.Push == nil || from.controller == nil || from.controller.Table() == nil {
 		return m
 	}
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -1,11 +1,11 @@
 package simulator
 
 import (
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
 	"myrtlefold/internal/dataplane"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -389,12 +389,12 @@
 // meanwhile holds for them too: on the thaw they go elsewhere or back.
 func TestFrozenWithWorkInHand(t *testing.T) {
 	t.Parallel()
-	f, _ := FaultByName("gate frozen with work in hand")
+	freeze := faultNamed(t, "gate frozen with work in hand")
 	stale := uint64(0)
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
 		w.Run(w.now + time.Second)
-		f.Inject(w)
+		freeze.Inject(w)
 		w.SendChange(w.Leader(), "POST", "/v1/domains/d1/empty", "", nil, emptyChange("d1"))
 		w.Run(w.now + 9*time.Second)
 		requireNoFailure(t, w)
--- a/internal/verification/simulator/heartbeat.go
+++ b/internal/verification/simulator/heartbeat.go
@@ -20,7 +20,7 @@
 		if !t.alive {
 			return
 		}
-		if !t.hanging && !t.silent {
+		if !t.hanging && !t.withoutHeartbeats {
 			w.reportNow(t)
 		}
 		w.schedule(w.heartbeatEvery(), next)
@@ -50,7 +50,7 @@
 	if w.Plan.ReportToControlOnly {
 		names = w.daemonNames(wire.ControlDaemon)
 	}
-	p := w.process(names[w.random.IntN(len(names))])
+	daemon := w.process(names[w.random.IntN(len(names))])
 	state, warmingUntil := t.state, t.warmingUntil
 	done := false
 	retry := func() {
@@ -59,18 +59,18 @@
 			w.sendHeartbeat(t, retries+1)
 		}
 	}
-	if !p.alive || !w.connected(t.name, p.name) {
+	if !daemon.alive || !w.connected(t.name, daemon.name) {
 		w.schedule(w.randomMilliseconds(0, 3), retry)
 		return
 	}
 	method, path, body := w.heartbeatCall(t, w.reportedState(state))
-	w.call(p, method, path, "", body, "", func(r statemachine.Reply) {
+	w.call(daemon, method, path, "", body, "", func(r statemachine.Reply) {
 		if r.Status >= 300 {
 			retry()
 			return
 		}
 		done = true
-		w.heartbeatAcknowledged(t, p, state, warmingUntil)
+		w.heartbeatAcknowledged(t, daemon, state, warmingUntil)
 	})
 	w.schedule(w.heartbeatEvery()/3, retry)
 }
--- a/internal/verification/simulator/history.go
+++ b/internal/verification/simulator/history.go
@@ -87,17 +87,17 @@
 	read.Return(w.now, body.Revision, value)
 }
 
-func (w *World) recordWrite(write *linearizability.Operation, r statemachine.Reply) {
-	switch r.Status {
+func (w *World) recordWrite(write *linearizability.Operation, reply statemachine.Reply) {
+	switch reply.Status {
 	case http.StatusOK:
-		write.Acknowledge(w.now, revisionOf(r))
+		write.Acknowledge(w.now, revisionOf(reply))
 	case http.StatusPreconditionFailed:
 		var body struct {
 			Error struct {
 				Revision uint64 `json:"revision"`
 			} `json:"error"`
 		}
-		if json.Unmarshal(r.Body, &body) != nil {
+		if json.Unmarshal(reply.Body, &body) != nil {
 			body.Error.Revision = 0 // fits any revision
 		}
 		write.Reject(w.now, body.Error.Revision)
--- a/internal/verification/simulator/history_test.go
+++ b/internal/verification/simulator/history_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/wire"
 	"testing"
 	"time"
+
+	"myrtlefold/internal/shared/wire"
 )
 
 // operators sends pairs of changes on one base to two members, each order again some time
--- a/internal/verification/simulator/kept_test.go
+++ b/internal/verification/simulator/kept_test.go
@@ -1,10 +1,11 @@
 package simulator
 
 import (
-	"myrtlefold/internal/shared/statemachine"
-	"myrtlefold/internal/shared/wire"
 	"testing"
 	"time"
+
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/wire"
 )
 
 // persistentConnectionPlan is a fleet whose callers rest for seconds on their connections, and whose targets take as long
--- a/internal/verification/simulator/limited_resources.go
+++ b/internal/verification/simulator/limited_resources.go
@@ -124,28 +124,28 @@
 }
 
 // sendOverLimitedLinks sends a message where that takes processor time and bandwidth; delay is what it takes besides.
-func (w *World) sendOverLimitedLinks(m *message, delay time.Duration) {
-	bytes := messageSize(m.Message)
-	arrival := w.useProcessor(m.from, sendTask(m.Message), messageCost(bytes))
-	if m.from.kind == wire.ProxyDaemon {
-		if w.linkIsFull(m.from.usage.outboundUntil) {
+func (w *World) sendOverLimitedLinks(message *message, delay time.Duration) {
+	bytes := messageSize(message.Message)
+	arrival := w.useProcessor(message.sender, sendTask(message.Message), messageCost(bytes))
+	if message.sender.kind == wire.ProxyDaemon {
+		if w.linkIsFull(message.sender.usage.outboundUntil) {
 			return
 		}
-		arrival = w.transmit(arrival, &m.from.usage.outboundUntil, bytes)
+		arrival = w.transmit(arrival, &message.sender.usage.outboundUntil, bytes)
 	}
 	arrival += delay
-	if m.to.kind == wire.ProxyDaemon {
-		if w.linkIsFull(m.to.usage.inboundUntil) {
+	if message.receiver.kind == wire.ProxyDaemon {
+		if w.linkIsFull(message.receiver.usage.inboundUntil) {
 			return
 		}
-		arrival = w.transmit(arrival, &m.to.usage.inboundUntil, bytes)
+		arrival = w.transmit(arrival, &message.receiver.usage.inboundUntil, bytes)
 	}
-	arrival = max(arrival, w.network.resets[m.link()].until)
+	arrival = max(arrival, w.network.resets[message.link()].until)
 	w.schedule(arrival-w.now, func() {
-		if m.to.incarnation != m.incarnation || !m.to.alive {
+		if message.receiver.incarnation != message.incarnation || !message.receiver.alive {
 			return
 		}
-		handled := w.useProcessor(m.to, receiveTask(m.Message), messageCost(bytes))
-		w.schedule(handled-w.now, func() { w.receive(m) })
+		handled := w.useProcessor(message.receiver, receiveTask(message.Message), messageCost(bytes))
+		w.schedule(handled-w.now, func() { w.receive(message) })
 	})
 }
--- a/internal/verification/simulator/network.go
+++ b/internal/verification/simulator/network.go
@@ -11,9 +11,9 @@
 
 // network is the state of all links between machines.
 type network struct {
-	loss      float64       // part of messages that are lost
-	delay     time.Duration // most of what a message takes, beyond a fifth of it that each takes
-	lateShare float64       // part of messages that come seconds late and out of order
+	loss           float64       // part of messages that are lost
+	delay          time.Duration // most of what a message takes, beyond a fifth of it that each takes
+	reorderedShare float64       // part of messages that come seconds late and out of order
 
 	blocked map[link]bool // links over which nothing goes
 	// controlPartitionedUntil is until when control daemons are cut off from each other.
@@ -31,7 +31,7 @@
 }
 
 // link is the way from one machine to another, by their names.
-type link struct{ from, to string }
+type link struct{ source, destination string }
 
 // bothDirections are the links between two machines.
 func bothDirections(a, b string) []link { return []link{{a, b}, {b, a}} }
@@ -43,50 +43,50 @@
 // message is a message on its way to a daemon.
 type message struct {
 	*wire.Message
-	from, to    *Process
-	incarnation int // of the receiver: a message to an earlier start is lost
-	sentAt      time.Duration
+	sender, receiver *Process
+	incarnation      int // of the receiver: a message to an earlier start is lost
+	sentAt           time.Duration
 }
 
-func (m *message) link() link { return link{m.from.name, m.to.name} }
+func (m *message) link() link { return link{m.sender.name, m.receiver.name} }
 
 // send carries out a daemon's command to send a message.
-func (w *World) send(from *Process, c statemachine.Send) {
-	to := w.processes.byAddress[c.Addr]
-	if to == nil || !w.reachable(from.name, to.name) || w.random.Float64() < w.network.loss {
+func (w *World) send(from *Process, command statemachine.Send) {
+	receiver := w.processes.byAddress[command.Addr]
+	if receiver == nil || !w.reachable(from.name, receiver.name) || w.random.Float64() < w.network.loss {
 		return
 	}
 	delay := w.network.delay/5 + time.Duration(w.random.Int64N(int64(w.network.delay)))
-	m := &message{Message: w.mutateMessage(from, to, c.Message), from: from, to: to, incarnation: to.incarnation, sentAt: w.now}
-	if m.Message == nil {
+	sent := &message{Message: w.mutateMessage(from, receiver, command.Message), sender: from, receiver: receiver, incarnation: receiver.incarnation, sentAt: w.now}
+	if sent.Message == nil {
 		return
 	}
-	if limited := w.network.limited[to.name]; limited != nil {
-		transmission, ok := limited.transmit(w.now, messageSize(m.Message))
+	if limited := w.network.limited[receiver.name]; limited != nil {
+		transmission, ok := limited.transmit(w.now, messageSize(sent.Message))
 		if !ok {
 			return
 		}
 		delay += transmission
 	}
 	if w.Plan.Resources != nil {
-		w.sendOverLimitedLinks(m, delay)
+		w.sendOverLimitedLinks(sent, delay)
 		return
 	}
-	arrival := max(w.now+delay, w.network.lastArrival[m.link()]+1, w.network.resets[m.link()].until) // a connection keeps its order
-	if w.random.Float64() < w.network.lateShare {
+	arrival := max(w.now+delay, w.network.lastArrival[sent.link()]+1, w.network.resets[sent.link()].until) // a connection keeps its order
+	if w.random.Float64() < w.network.reorderedShare {
 		arrival = w.now + w.randomMilliseconds(200, 4000) // left over in an earlier connection
-		w.Stats.LateMessages++
-		m.Message = w.mutateLateMessage(from, m.Message)
+		w.Stats.ReorderedMessages++
+		sent.Message = w.mutateReorderedMessage(from, sent.Message)
 	} else {
-		w.network.lastArrival[m.link()] = arrival
+		w.network.lastArrival[sent.link()] = arrival
 	}
-	w.schedule(arrival-w.now, func() { w.receive(m) })
+	w.schedule(arrival-w.now, func() { w.receive(sent) })
 }
 
 // receive delivers a message that has arrived, unless its connection or its receiver's process has ended.
 func (w *World) receive(m *message) {
-	if m.to.incarnation == m.incarnation && w.reachable(m.from.name, m.to.name) && m.sentAt >= w.network.resets[m.link()].at {
-		w.deliver(m.to, statemachine.Receive{Message: m.Message})
+	if m.receiver.incarnation == m.incarnation && w.reachable(m.sender.name, m.receiver.name) && m.sentAt >= w.network.resets[m.link()].at {
+		w.deliver(m.receiver, statemachine.Receive{Message: m.Message})
 	}
 }
 
@@ -98,7 +98,7 @@
 
 // disturbNetwork has all links between daemons lose, delay and hold up messages.
 func (w *World) disturbNetwork(loss float64, delay time.Duration, lateShare float64) {
-	w.network.loss, w.network.delay, w.network.lateShare = loss, delay, lateShare
+	w.network.loss, w.network.delay, w.network.reorderedShare = loss, delay, lateShare
 }
 
 // calmNetwork ends what disturbNetwork began.
@@ -108,7 +108,7 @@
 func (w *World) partition(links []link, span time.Duration) {
 	for _, l := range links {
 		w.network.blocked[l] = true
-		if w.isControlDaemon(l.from) && w.isControlDaemon(l.to) {
+		if w.isControlDaemon(l.source) && w.isControlDaemon(l.destination) {
 			w.network.controlPartitionedUntil = max(w.network.controlPartitionedUntil, w.now+span)
 		}
 	}
--- a/internal/verification/simulator/operator.go
+++ b/internal/verification/simulator/operator.go
@@ -91,7 +91,7 @@
 )
 
 // call sends a call to a daemon; the reply goes to onReply.
-func (w *World) call(p *Process, method, path, query string, body []byte, token string, onReply func(statemachine.Reply)) *pendingCall {
+func (w *World) call(process *Process, method, path, query string, body []byte, token string, onReply func(statemachine.Reply)) *pendingCall {
 	w.operators.calls++
 	id := w.operators.calls
 	recorded := w.record(method, path, query, body, token)
@@ -108,36 +108,36 @@
 		longest = slowCallTime
 	}
 	w.schedule(w.randomMilliseconds(0, longest), func() {
-		if w.disabledGuard == guardBaseRevision && p.controller != nil && strings.HasPrefix(query, "base=") {
-			query = fmt.Sprintf("base=%d", p.controller.Revision())
+		if w.disabledGuard == guardBaseRevision && process.controller != nil && strings.HasPrefix(query, "base=") {
+			query = fmt.Sprintf("base=%d", process.controller.Revision())
 		}
-		w.callArrives(p, pending, statemachine.Call{ID: id, Token: token, Method: method, Path: path, Query: query, Body: body})
+		w.callArrives(process, pending, statemachine.Call{ID: id, Token: token, Method: method, Path: path, Query: query, Body: body})
 	})
 	return pending
 }
 
 // callArrives has a daemon handle a call, once its processor is free where that is limited.
-func (w *World) callArrives(p *Process, pending *pendingCall, call statemachine.Call) {
-	if reply, replaced := w.replyWithoutGuard(p, call); replaced {
-		w.execute(p, reply)
+func (w *World) callArrives(process *Process, pending *pendingCall, call statemachine.Call) {
+	if reply, replaced := w.replyWithoutGuard(process, call); replaced {
+		w.execute(process, reply)
 		return
 	}
 	if w.Plan.Resources == nil {
-		pending.markRead(p)
-		w.deliver(p, call)
+		pending.setReader(process)
+		w.deliver(process, call)
 		return
 	}
-	incarnation := p.incarnation
-	w.schedule(w.useProcessor(p, taskCall, callCost)-w.now, func() {
-		if p.incarnation == incarnation {
-			pending.markRead(p)
-			w.deliver(p, call)
+	incarnation := process.incarnation
+	w.schedule(w.useProcessor(process, taskCall, callCost)-w.now, func() {
+		if process.incarnation == incarnation {
+			pending.setReader(process)
+			w.deliver(process, call)
 		}
 	})
 }
 
-// markRead notes that a process has read the call, if it runs.
-func (c *pendingCall) markRead(p *Process) {
+// setReader notes that a process has read the call, if it runs.
+func (c *pendingCall) setReader(p *Process) {
 	if p.alive && !p.frozen {
 		c.reader, c.readerIncarnation = p, p.incarnation
 	}
@@ -164,50 +164,50 @@
 }
 
 // SendChange sends an operator's change to a control daemon and follows its fate.
-func (w *World) SendChange(p *Process, method, path, query string, body []byte, c *change) {
-	if !p.alive {
+func (w *World) SendChange(process *Process, method, path, query string, body []byte, sent *change) {
+	if !process.alive {
 		return
 	}
-	c.token = fmt.Sprintf("op%d", len(w.operators.changes))
-	c.sentAt, c.state, c.document = w.now, changeOpen, string(body)
-	w.operators.changes = append(w.operators.changes, c)
+	sent.token = fmt.Sprintf("op%d", len(w.operators.changes))
+	sent.sentAt, sent.state, sent.document = w.now, changeOpen, string(body)
+	w.operators.changes = append(w.operators.changes, sent)
 	w.Stats.Changes++
-	if c.kind == changeRestore {
-		delete(w.checks.emptiedAt, c.domain) // from the call on, requests may go there again
+	if sent.kind == changeRestore {
+		delete(w.checks.emptiedAt, sent.domain) // from the call on, requests may go there again
 	}
-	order := &operatorChange{method: method, path: path, query: query, body: body, token: c.token}
-	w.sendRepeatedly(p, order, func(r statemachine.Reply) {
+	order := &operatorChange{method: method, path: path, query: query, body: body, token: sent.token}
+	w.sendRepeatedly(process, order, func(r statemachine.Reply) {
 		switch {
 		case r.Status == http.StatusOK:
-			w.accepted(c, revisionOf(r))
+			w.accepted(sent, revisionOf(r))
 		case r.Status == http.StatusGatewayTimeout || order.leavesOpen(r):
-			c.state = changeUnknown
+			sent.state = changeUnknown
 			w.Stats.UnknownChanges++
 		default:
-			c.state = changeRejected
+			sent.state = changeRejected
 			w.Stats.RejectedChanges++
-			w.logf("%s refused with %d", c, r.Status)
+			w.logf("%s refused with %d", sent, r.Status)
 		}
 	})
 }
 
 // accepted notes that a change was acknowledged as a revision, and checks what follows from that.
-func (w *World) accepted(c *change, revision uint64) {
-	c.state, c.revision = changeAccepted, revision
+func (w *World) accepted(accepted *change, revision uint64) {
+	accepted.state, accepted.revision = changeAccepted, revision
 	w.Stats.AcceptedChanges++
-	w.Stats.ChangeLatencies = append(w.Stats.ChangeLatencies, w.now-c.sentAt)
-	w.Stats.SlowestChange = max(w.Stats.SlowestChange, w.now-c.sentAt)
-	w.logf("%s accepted as revision %d", c, revision)
+	w.Stats.ChangeLatencies = append(w.Stats.ChangeLatencies, w.now-accepted.sentAt)
+	w.Stats.SlowestChange = max(w.Stats.SlowestChange, w.now-accepted.sentAt)
+	w.logf("%s accepted as revision %d", accepted, revision)
 	w.acknowledge(revision)
-	switch c.kind {
+	switch accepted.kind {
 	case changeConfig:
-		w.checkOneChangePerBase(c)
+		w.checkOneChangePerBase(accepted)
 	case changeEmpty:
 		restoredSince := func(o *change) bool {
-			return o.kind == changeRestore && o.domain == c.domain && o.sentAt > c.sentAt
+			return o.kind == changeRestore && o.domain == accepted.domain && o.sentAt > accepted.sentAt
 		}
 		if !slices.ContainsFunc(w.operators.changes, restoredSince) {
-			w.checks.emptiedAt[c.domain] = w.now
+			w.checks.emptiedAt[accepted.domain] = w.now
 			w.Stats.EmptiedDomains++
 		}
 	}
@@ -244,13 +244,13 @@
 
 // restoreDomain sends the restoring of an emptied domain again and again until it is accepted.
 func (w *World) restoreDomain(domain string) {
-	p := w.pickProcess(wire.ControlDaemon, true)
-	if p == nil {
+	process := w.pickProcess(wire.ControlDaemon, true)
+	if process == nil {
 		w.schedule(time.Second, func() { w.restoreDomain(domain) })
 		return
 	}
 	c := restoreChange(domain)
-	w.SendChange(p, "POST", "/v1/domains/"+domain+"/restore", "", nil, c)
+	w.SendChange(process, "POST", "/v1/domains/"+domain+"/restore", "", nil, c)
 	for _, t := range w.targets.all { // they had no requests meanwhile
 		if t.alive && t.domain == domain && w.Plan.WarmupRate > 0 && t.warmingUntil <= w.now {
 			w.warmUpAgain(t)
--- a/internal/verification/simulator/operators_bounds_test.go
+++ b/internal/verification/simulator/operators_bounds_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/wire"
 )
 
--- a/internal/verification/simulator/orders_test.go
+++ b/internal/verification/simulator/orders_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
-	"myrtlefold/internal/shared/wire"
 	"slices"
 	"testing"
 	"time"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
 )
 
 // testChange is an operator's change of the configuration, which is sent as often as need be.
--- a/internal/verification/simulator/plan.go
+++ b/internal/verification/simulator/plan.go
@@ -9,9 +9,9 @@
 	Domains        int // failure domains, over which daemons and targets are spread in turn
 	// Seeds is how many control daemons bootstrap the control plane; the others learn of them. 0: all do, and
 	// the number of members is given.
-	Seeds        int
-	Services     map[string]int // targets of each service
-	KnownDomains []string       // domains that the control daemons' settings name
+	Seeds             int
+	Services          map[string]int // targets of each service
+	ConfiguredDomains []string       // domains that the control daemons' settings name
 
 	Rate          float64 // requests a second
 	NonIdempotent float64 // part of the requests that must not run twice
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -130,7 +130,7 @@
 	p.disk.unsynced = nil
 	image := p.disk.image
 	image.Log = slices.Clone(image.Log)
-	settings := controlplane.Settings{Self: self, Seeds: seeds, Domains: w.Plan.KnownDomains,
+	settings := controlplane.Settings{Self: self, Seeds: seeds, Domains: w.Plan.ConfiguredDomains,
 		BootstrapSize: w.Plan.ControlDaemons, CatchUpTime: w.Plan.CatchUp, MachineLosses: w.Plan.Losses, StopGrace: controlStopGrace}
 	if w.Plan.Seeds > 0 {
 		settings.BootstrapSize, settings.Bootstrap = 0, w.now < bootstrapWindow
@@ -139,19 +139,19 @@
 }
 
 // startTicks gives a process a tick each tuning.TickEvery until it ends.
-func (w *World) startTicks(p *Process) {
-	incarnation := p.incarnation
+func (w *World) startTicks(process *Process) {
+	incarnation := process.incarnation
 	var tick func()
 	tick = func() {
-		if p.incarnation != incarnation || !p.alive {
+		if process.incarnation != incarnation || !process.alive {
 			return
 		}
 		switch {
-		case p.frozen:
+		case process.frozen:
 		case w.Plan.Resources != nil:
-			w.tickOnLimitedProcessor(p)
+			w.tickOnLimitedProcessor(process)
 		default:
-			w.deliver(p, statemachine.Tick{})
+			w.deliver(process, statemachine.Tick{})
 		}
 		w.schedule(tuning.TickEvery, tick)
 	}
@@ -159,19 +159,19 @@
 }
 
 // Kill ends a process at once; what its disk had not synced may be there in part.
-func (w *World) Kill(p *Process) {
-	if !p.alive {
+func (w *World) Kill(process *Process) {
+	if !process.alive {
 		return
 	}
-	w.logf("kill %s", p.name)
-	p.alive, p.startedOrKilledAt = false, w.now
-	w.tearDisk(p.disk)
+	w.logf("kill %s", process.name)
+	process.alive, process.startedOrKilledAt = false, w.now
+	w.tearDisk(process.disk)
 	for _, id := range slices.Sorted(maps.Keys(w.callers.open)) {
-		if r := w.callers.open[id]; r.isAt(p) {
+		if r := w.callers.open[id]; r.isAt(process) {
 			delete(w.callers.open, id)
 			w.Stats.Abandoned++
 			if w.checks.plannedOnly {
-				w.violated(ruleGracefulStop, "exchange %d was left behind by %s", r.id, p.name)
+				w.violated(ruleGracefulStop, "exchange %d was left behind by %s", r.id, process.name)
 			}
 		}
 	}
@@ -229,24 +229,24 @@
 }
 
 // Thaw has a frozen process go on with all that came meanwhile.
-func (w *World) Thaw(p *Process) {
-	if !p.frozen {
+func (w *World) Thaw(process *Process) {
+	if !process.frozen {
 		return
 	}
-	w.logf("thaw %s", p.name)
-	p.frozen = false
-	held := p.heldEvents
-	p.heldEvents = nil
-	for _, resume := range p.afterThaw { // the shell's threads go on at once, before the state machine has any event
+	w.logf("thaw %s", process.name)
+	process.frozen = false
+	held := process.heldEvents
+	process.heldEvents = nil
+	for _, resume := range process.afterThaw { // the shell's threads go on at once, before the state machine has any event
 		resume()
 	}
-	p.afterThaw = nil
+	process.afterThaw = nil
 	for _, event := range held {
 		if w.disabledGuard == guardFreshClock {
-			w.stepAt(p, event, p.frozenAt)
+			w.stepAt(process, event, process.frozenAt)
 			continue
 		}
-		w.deliver(p, event)
+		w.deliver(process, event)
 	}
 }
 
--- a/internal/verification/simulator/registry_test.go
+++ b/internal/verification/simulator/registry_test.go
@@ -27,7 +27,7 @@
 		w := Start(seed, Small)
 		w.Run(w.now + time.Second)
 		for _, x := range w.targets.all {
-			x.silent = true
+			x.withoutHeartbeats = true
 		}
 		dead := w.targets.all[2]
 		w.restartAllAfterPowerLoss()
@@ -61,7 +61,7 @@
 		w := Start(seed, Small)
 		w.Run(w.now + time.Second)
 		x := w.targets.all[1]
-		x.silent = true
+		x.withoutHeartbeats = true
 		word := wire.Target{Service: x.service, Name: x.name, Incarnation: x.incarnation, Addr: x.address, Domain: x.domain, State: wire.TargetLeaving}
 		method, path, query := "POST", "/v1/targets", ""
 		if seed%2 == 1 {
--- a/internal/verification/simulator/replacement_test.go
+++ b/internal/verification/simulator/replacement_test.go
@@ -233,16 +233,9 @@
 // which several are machines gone for good.
 func TestDaysOfReplacements(t *testing.T) {
 	t.Parallel()
-	f := func(name string) Fault {
-		x, ok := FaultByName(name)
-		if !ok {
-			t.Fatal(name)
-		}
-		return x
-	}
-	kinds := []Fault{f("core machine replaced for good"), f("core machine replaced by plan"), f("core machine replaced for good"), f("core killed"),
-		f("leader killed"), f("leader stopped"), f("core loses disk"), f("leader frozen"), f("leader isolated"), f("core herd killed"),
-		f("power fails everywhere"), f("net loses and delays"), f("config burst"), f("domain loses power"), f("machines restarted in turn")}
+	kinds := faultsNamed(t, "core machine replaced for good", "core machine replaced by plan", "core machine replaced for good", "core killed",
+		"leader killed", "leader stopped", "core loses disk", "leader frozen", "leader isolated", "core herd killed",
+		"power fails everywhere", "net loses and delays", "config burst", "domain loses power", "machines restarted in turn")
 	replaced := 0
 	for seed := uint64(1); seed <= 40; seed++ {
 		p := replacementPlan([]int{3, 4, 5, 7, 11}[seed%5], 3+int(seed/5%2))
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -153,8 +153,8 @@
 }
 
 // checkTarget checks that the target has not been leaving or dead for too long.
-func (w *World) checkTarget(a *attempt) {
-	id := a.command.Target.ID()
+func (w *World) checkTarget(attempt *attempt) {
+	id := attempt.command.Target.ID()
 	for _, t := range w.targets.all {
 		if t.id() != id {
 			continue
@@ -163,7 +163,7 @@
 			elapsed := w.now - t.drainAcknowledgedAt
 			w.Stats.LatestToDraining = max(w.Stats.LatestToDraining, elapsed)
 			if elapsed > drainingBound {
-				w.violated(ruleDrainingTarget, "%s (%s) gives an exchange to %s, leaving for %v", a.process.name, a.process.proxy.State(), t.fullName(), elapsed)
+				w.violated(ruleDrainingTarget, "%s (%s) gives an exchange to %s, leaving for %v", attempt.process.name, attempt.process.proxy.State(), t.fullName(), elapsed)
 			}
 		}
 		if !t.alive && t.crashedAt > 0 {
@@ -174,7 +174,7 @@
 				bound = crashedAfterLeaderLossBound
 			}
 			if elapsed > bound {
-				w.violated(ruleCrashedTarget, "%s (%s) gives an exchange to %s, gone for %v", a.process.name, a.process.proxy.State(), t.fullName(), elapsed)
+				w.violated(ruleCrashedTarget, "%s (%s) gives an exchange to %s, gone for %v", attempt.process.name, attempt.process.proxy.State(), t.fullName(), elapsed)
 			}
 		}
 	}
--- a/internal/verification/simulator/same_change_test.go
+++ b/internal/verification/simulator/same_change_test.go
@@ -1,9 +1,10 @@
 package simulator
 
 import (
-	"myrtlefold/internal/shared/wire"
 	"testing"
 	"time"
+
+	"myrtlefold/internal/shared/wire"
 )
 
 // Two operators who send the very same configuration on one base ask for one change: both
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -57,7 +57,7 @@
 		Occurrences: func(s *Stats) int { return s.AcceptedChanges }, DisabledGuard: guardReplyInForce},
 	{Name: "slip", Rules: []Rule{ruleRevisionOrder}, Threat: "messages of earlier tables and leaders come late",
 		Faults: []string{"net loses and delays", "config", "leader killed"}, Repeats: 3,
-		Occurrences: func(s *Stats) int { return min(s.AcceptedChanges, s.LateMessages) }, DisabledGuard: guardTableVersions},
+		Occurrences: func(s *Stats) int { return min(s.AcceptedChanges, s.ReorderedMessages) }, DisabledGuard: guardTableVersions},
 	{Name: "one-base", Rules: []Rule{ruleOneChangePerBase}, Threat: "two changes are built on one revision; invalid ones come between",
 		Faults: []string{"config pair", "config pair", "config invalid", "config rolled back"}, Repeats: 3,
 		Occurrences: func(s *Stats) int { return s.RejectedChanges }, DisabledGuard: guardBaseRevision},
--- a/internal/verification/simulator/stats.go
+++ b/internal/verification/simulator/stats.go
@@ -40,11 +40,11 @@
 	SlowestChange                                             time.Duration   // the longest of these
 
 	// Daemons.
-	GracefulStops    int           // stop signals
-	ReplacedMachines int           // control machines that were removed for good and have a successor
-	PeerServing      int           // times that a proxy began to serve on its peers' leases
-	DelayedSteps     int           // steps whose commands were carried out after a pause
-	LateMessages     int           // messages that came seconds late and out of order
-	RejectedWrites   int           // writes that a full disk rejected
-	RecoveryTime     time.Duration // from healing to full capacity
+	GracefulStops     int           // stop signals
+	ReplacedMachines  int           // control machines that were removed for good and have a successor
+	PeerServing       int           // times that a proxy began to serve on its peers' leases
+	DelayedSteps      int           // steps whose commands were carried out after a pause
+	ReorderedMessages int           // messages that came seconds late and out of order
+	RejectedWrites    int           // writes that a full disk rejected
+	RecoveryTime      time.Duration // from healing to full capacity
 }
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"flag"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"path/filepath"
 	"testing"
@@ -14,6 +12,8 @@
 	"myrtlefold/internal/controlplane"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/controlplane/wal"
+	"myrtlefold/internal/shared/state"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
--- a/internal/verification/simulator/target.go
+++ b/internal/verification/simulator/target.go
@@ -31,9 +31,9 @@
 	crashedAt                      time.Duration
 
 	// What it reports.
-	numbered   bool   // its reports go by PUT and are numbered
-	lastNumber uint64 // of its last report
-	silent     bool   // it sends no heartbeats, but serves and answers health checks
+	numbered          bool   // its reports go by PUT and are numbered
+	lastNumber        uint64 // of its last report
+	withoutHeartbeats bool   // it sends no heartbeats, but serves and answers health checks
 
 	// How it serves.
 	serviceTime, usualServiceTime time.Duration
@@ -197,20 +197,20 @@
 }
 
 // checkHealth lets a health check end with what the target at its address answers, if there is one.
-func (w *World) checkHealth(p *Process, c statemachine.Probe) {
-	incarnation, sentAt := p.incarnation, p.localTime()
+func (w *World) checkHealth(process *Process, command statemachine.Probe) {
+	incarnation, sentAt := process.incarnation, process.localTime()
 	finish := func(delay time.Duration, report *config.TargetReport) {
 		w.schedule(delay, func() {
-			if p.incarnation == incarnation {
-				w.deliver(p, statemachine.ProbeResult{ID: c.ID, SentAt: sentAt, Milliseconds: milliseconds(delay), Report: report})
+			if process.incarnation == incarnation {
+				w.deliver(process, statemachine.ProbeResult{ID: command.ID, SentAt: sentAt, Milliseconds: milliseconds(delay), Report: report})
 			}
 		})
 	}
-	t := w.targets.listening[c.Addr]
+	t := w.targets.listening[command.Addr]
 	switch {
 	case w.disabledGuard == guardHealthChecks:
-		finish(w.randomMilliseconds(1, 5), &config.TargetReport{Service: c.ID.Service, Name: c.ID.Name, Incarnation: c.ID.Incarnation, State: wire.TargetReady})
-	case t != nil && (t.hanging || t.ignoresHealthChecks || !w.connected(p.name, t.name)):
+		finish(w.randomMilliseconds(1, 5), &config.TargetReport{Service: command.ID.Service, Name: command.ID.Name, Incarnation: command.ID.Incarnation, State: wire.TargetReady})
+	case t != nil && (t.hanging || t.ignoresHealthChecks || !w.connected(process.name, t.name)):
 		finish(tuning.ProbeTimeout, nil)
 	case t == nil:
 		if w.random.IntN(2) == 0 { // the port is closed, or the machine is off
--- a/internal/verification/simulator/targets_test.go
+++ b/internal/verification/simulator/targets_test.go
@@ -162,7 +162,7 @@
 // core finds it whole when it is back.
 func TestRollWithoutCore(t *testing.T) {
 	t.Parallel()
-	roll, _ := FaultByName("service rolled")
+	roll := faultNamed(t, "service rolled")
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
 		for _, p := range w.daemons(wire.ControlDaemon) {
--- a/internal/verification/simulator/words_test.go
+++ b/internal/verification/simulator/words_test.go
@@ -3,11 +3,11 @@
 import (
 	"encoding/json"
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -83,7 +83,7 @@
 	for seed := range uint64(8) {
 		w := Start(seed, Small)
 		a := w.targets.all[int(seed)%len(w.targets.all)]
-		a.silent = true
+		a.withoutHeartbeats = true
 		w.Run(w.now + 600*time.Millisecond)
 		at := w.Leader()
 		if seed%2 == 0 {
@@ -128,7 +128,7 @@
 	t.Parallel()
 	w := Start(25, Small)
 	a := w.targets.all[0]
-	a.silent = true
+	a.withoutHeartbeats = true
 	w.isolate([]string{"g1", "g2"}, 3*time.Second, true, true)
 	from := w.now
 	r, _ := w.callAndWait(t, w.followers()[0], "PUT", "/v1/targets/"+a.name, "", reportJSON(a, wire.TargetLeaving, 1000, ""), "")
@@ -143,7 +143,7 @@
 	t.Parallel()
 	w := Start(22, Small)
 	a := w.targets.all[0]
-	a.silent = true
+	a.withoutHeartbeats = true
 	for _, n := range []string{"g1", "g2", "g3"} {
 		w.Kill(w.process(n))
 	}
@@ -177,7 +177,7 @@
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
 		a := w.targets.all[int(seed)%len(w.targets.all)]
-		a.silent = true
+		a.withoutHeartbeats = true
 		w.Run(w.now + 600*time.Millisecond)
 		status := 0
 		word, path, method := reportJSON(a, wire.TargetLeaving, 1000, ""), "/v1/targets/"+a.name, "PUT"
@@ -214,7 +214,7 @@
 			t.Fatalf("%s", r.Body)
 		}
 		a := w.targets.all[0]
-		a.silent = true
+		a.withoutHeartbeats = true
 		w.Run(w.now + 600*time.Millisecond)
 		left := func() time.Duration {
 			return time.Duration(tableEntry(w.Leader().controller.Table(), a.name).WarmupLeft)
@@ -271,7 +271,7 @@
 func TestOwnRevisions(t *testing.T) {
 	t.Parallel()
 	p := Small
-	p.KnownDomains = []string{"d9"}
+	p.ConfiguredDomains = []string{"d9"}
 	w := Start(23, p)
 	doc := func(rev, n int) string {
 		b, _ := config.WithRevision(w.Document(n), uint64(rev))
--- a/internal/verification/simulator/world_test.go
+++ b/internal/verification/simulator/world_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math"
-	"myrtlefold/internal/shared/wire"
 	"testing"
 	"time"
+
+	"myrtlefold/internal/shared/wire"
 )
 
 func TestCalm(t *testing.T) {
