--- a/internal/controlplane/answer_test.go
+++ b/internal/controlplane/answer_test.go
@@ -9,6 +9,7 @@
 func TestAnswersKeepTheOrderOfTheirKeys(t *testing.T) {
 	for _, answer := range []any{
 		acceptedAnswer{}, configAnswer{}, historyAnswer{}, daemonsAnswer{}, targetsAnswer{}, policiesAnswer{}, domainsAnswer{}, diffAnswer{},
+		recoveryAnswer{}, emptyRecoveryAnswer{},
 	} {
 		text, err := json.Marshal(answer)
 		if err != nil {
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -1,131 +1,141 @@
-// This file is the durable state that the members agree on, and the one function
-// that changes it by an agreed log entry.
+// This file proposes commands and applies committed log entries: to the state, which all members do alike,
+// and to what this member does because of them.
 
 package controlplane
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/state"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/wire"
 )
 
-// survived is the state that a disk leads to when nobody can say any more what
-// of its log was agreed: all of it, since any of it may have been acknowledged. With
-// an error it is what comes before the damage.
-func stateFromDisk(im *consensus.PersistentState) (s state.State, term uint64, err error) {
-	if s, err = state.Decode(im.Snapshot.Data); err != nil {
-		return s, 0, errors.Wrapf(err, "snapshot %d", im.Snapshot.Index)
-	}
-	term = im.Snapshot.Term
-	for _, e := range im.Log {
-		if e.Kind == consensus.EntryData {
-			o, err := state.DecodeCommand(e.Data)
-			if err != nil {
-				return s, term, errors.Wrapf(err, "entry %d", e.Index)
-			}
-			adopted := s.Recovered
-			if s.Apply(e.Index, o); o.Operation == state.OpRecover && !adopted && !s.Recovered {
-				return s, term, errors.Mark(errors.Newf("entry %d: the epoch's first state does not decode", e.Index), state.ErrDamaged)
-			}
-		}
-		term = e.Term
-	}
-	return s, term, nil
-}
-
-func (c *Controller) propose(now time.Duration, o state.Command) uint64 {
-	return c.node.Propose(now, state.EncodeCommand(o))
+// propose appends a command to the log of a leader and returns its index.
+func (c *Controller) propose(now time.Duration, command state.Command) (index uint64) {
+	return c.node.Propose(now, state.EncodeCommand(command))
 }
 
-func (c *Controller) apply(now time.Duration, e wire.Entry) {
+// apply applies a committed entry. After one that could not be decoded none is applied: the state before
+// it is no base for what comes after.
+func (c *Controller) apply(now time.Duration, entry wire.Entry) {
 	if c.undecodable != nil {
-		return // the state before the damage is no base for what comes after it
+		return
 	}
-	if e.Kind != consensus.EntryData {
-		c.state.Index = e.Index
+	if entry.Kind != consensus.EntryData {
+		c.state.Index = entry.Index
 		return
 	}
-	o, err := state.DecodeCommand(e.Data)
+	command, err := state.DecodeCommand(entry.Data)
 	if err != nil {
-		c.cannotDecode(fmt.Sprintf("entry %d", e.Index), err)
+		c.cannotDecode(fmt.Sprintf("entry %d", entry.Index), err)
 		return
 	}
-	was, emptied := c.state.Revision, slices.Contains(c.state.EmptiedDomains, o.Name)
-	c.state.Apply(e.Index, o)
-	if o.Operation == state.OpRegisterTargets {
+	revision := c.state.Revision
+	wasEmptied := slices.Contains(c.state.EmptiedDomains, command.Name)
+	c.state.Apply(entry.Index, command)
+	switch {
+	case command.Operation == state.OpRegisterTargets:
 		return
-	}
-	if o.Operation == state.OpRecover && !c.state.Recovered {
-		c.reportDamage("state offered for this epoch", errors.Newf("entry %d does not decode", e.Index))
-		c.initialStateProposed, c.recoveredState, c.unreadableRecoveredState = false, state.RecoveredState{}, true
+	case command.Operation == state.OpRecover && !c.state.Recovered:
+		c.discardInitialState(entry.Index)
 		return
 	}
-	if c.state.Revision != was {
-		c.emit(statemachine.StateChange{Subject: statemachine.SubjectRevision, From: fmt.Sprint(was), To: fmt.Sprint(c.state.Revision), Reason: o.Description})
+	if c.state.Revision != revision {
+		c.emit(statemachine.StateChange{Subject: statemachine.SubjectRevision, From: fmt.Sprint(revision), To: fmt.Sprint(c.state.Revision), Reason: command.Description})
+	}
+	restoresDomain := command.Operation == state.OpRestoreDomain && wasEmptied
+	c.recordForNextLeader(now, command, restoresDomain)
+	if c.hasLeadershipState() {
+		c.applyAsLeader(now, command, restoresDomain)
 	}
-	switch o.Operation { // whoever leads next goes on with it
+}
+
+// discardInitialState goes on without a first state that did not decode: another one is proposed, or none
+// while an operator has not allowed that.
+func (c *Controller) discardInitialState(index uint64) {
+	c.ReportDamage("state offered for this epoch", errors.Newf("entry %d does not decode", index))
+	c.initialStateProposed, c.recoveredState, c.unreadableRecoveredState = false, state.RecoveredState{}, true
+}
+
+// recordForNextLeader keeps what an operator's change asks of the leader beyond the state. Each member keeps
+// it, since any of them may lead next.
+func (c *Controller) recordForNextLeader(now time.Duration, command state.Command, restoresDomain bool) {
+	switch command.Operation {
 	case state.OpAddMember:
-		c.requestedMembers[o.Name] = true
+		c.requestedMembers[command.Name] = true
 	case state.OpRemoveMember:
-		delete(c.requestedMembers, o.Name)
+		delete(c.requestedMembers, command.Name)
 	case state.OpRestoreDomain:
-		if emptied {
-			c.domainRestoredAt[o.Name] = now
+		if restoresDomain {
+			c.domainRestoredAt[command.Name] = now
 		}
 	}
-	if c.leadership == Recovering || c.leadership == NotLeading && c.lostLeadership.term == 0 {
-		return
-	}
+}
+
+// hasLeadershipState says that this member has targets and tables to which a change matters: it leads or will
+// in a moment, or has led and may resume.
+func (c *Controller) hasLeadershipState() bool {
+	switch c.leadership {
+	case Recovering:
+		return false
+	case NotLeading:
+		return c.lostLeadership.term != 0
+	}
+	return true
+}
+
+// applyAsLeader puts a committed change into the next table, and answers its caller: at once if it was not
+// accepted, else once that table is in force.
+func (c *Controller) applyAsLeader(now time.Duration, command state.Command, restoresDomain bool) {
 	c.activateConfig()
 	if c.undecodable != nil {
-		return // no table is made of it
+		return // no table may be made from a configuration that does not decode
 	}
-	if o.Operation == state.OpRestoreDomain && emptied {
-		for _, t := range c.targets {
-			c.warmUpAfterRestore(t)
+	if restoresDomain {
+		for _, target := range c.targets {
+			c.warmUpAfterRestore(target)
 		}
 	}
-	p := c.pendingChanges[o.Token]
-	delete(c.pendingChanges, o.Token)
-	rev := c.state.Revision
-	r := c.state.FindRecord(o.Token)
-	if r != nil {
-		rev = r.Revision
+	call := c.pendingChanges[command.Token]
+	delete(c.pendingChanges, command.Token)
+	revision, record := c.state.Revision, c.state.FindRecord(command.Token)
+	if record != nil {
+		revision = record.Revision
 	}
-	if r != nil && r.Outcome != state.OutcomeAccepted {
+	if record != nil && record.Outcome != state.OutcomeAccepted {
 		c.counts.Rejected++
-		if p != nil {
-			c.answerNotAccepted(p, r)
+		if call != nil {
+			c.answerNotAccepted(call, record)
 		}
 		return
 	}
 	c.rebuildTable(now, true)
-	c.awaitInForce(now, o, p, rev)
+	c.awaitInForce(now, command, call, revision)
 }
 
-// awaitInForce has who asked for a change that is agreed wait until it is in force, and a change of the
-// roster until it is, whoever asked.
-func (c *Controller) awaitInForce(now time.Duration, o state.Command, p *pendingCall, revision uint64) {
-	version := c.tableVersion
+// awaitInForce has the caller of a committed change, if there is one, wait until it is in force. A change of
+// the proxy membership is waited for in any case, since the membership before counts until then.
+func (c *Controller) awaitInForce(now time.Duration, command state.Command, call *pendingCall, revision uint64) {
+	changesProxies := command.Operation == state.OpChangeProxies || command.Operation == state.OpForgetProxy
+	if call == nil && !changesProxies {
+		return
+	}
+	waiter := &inForceWaiter{version: c.tableVersion, waitingSince: now, proxyChange: changesProxies}
 	if c.leadership != Leading {
-		version++ // the first table of a lead that goes on has it
+		waiter.version++ // a leadership that is resumed has the change in its first table
 	}
-	f := &inForceWaiter{version: version, waitingSince: now, proxyChange: o.Operation == state.OpChangeProxies || o.Operation == state.OpForgetProxy}
-	if o.Operation == state.OpAddMember || o.Operation == state.OpRemoveMember {
-		f.member, f.joining = o.Name, o.Operation == state.OpAddMember
+	if command.Operation == state.OpAddMember || command.Operation == state.OpRemoveMember {
+		waiter.member, waiter.joining = command.Name, command.Operation == state.OpAddMember
 	}
-	if p != nil {
+	if call != nil {
 		c.counts.ChangesCommitted++
-		f.call, f.reply = p, acceptedReply(p.token, revision)
-	}
-	if f.proxyChange || p != nil {
-		c.waiters = append(c.waiters, f)
+		waiter.call, waiter.reply = call, acceptedReply(call.token, revision)
 	}
+	c.waiters = append(c.waiters, waiter)
 }
--- a/internal/controlplane/damage.go
+++ b/internal/controlplane/damage.go
@@ -1,65 +1,40 @@
-// This file reports what was found damaged, in the log and in the status, and keeps an
-// epoch from beginning with nothing while something is remembered that can't be read.
+// This file reports stored or received data that could not be decoded, and a disk that rejects writes, in the
+// log and in the status.
 
 package controlplane
 
 import (
-	"fmt"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
+	"slices"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Damage is something that this member holds, or was offered, and could not read.
+// Damage is something that this member stored or was sent and could not decode.
 type Damage struct {
-	Subject string `json:"what"`
-	Reason  string `json:"why"`
+	Subject string `json:"what"` // which data, for people
+	Reason  string `json:"why"`  // the error
 }
 
-// reportDamage says it once each, aloud, and keeps the last for the status.
-func (c *Controller) reportDamage(what string, err error) {
-	d := Damage{what, err.Error()}
-	for _, known := range c.damage {
-		if known == d {
-			return
-		}
+// ReportDamage reports data that could not be decoded: each case once, of which the status shows the latest.
+func (c *Controller) ReportDamage(subject string, err error) {
+	damage := Damage{Subject: subject, Reason: err.Error()}
+	if slices.Contains(c.damage, damage) {
+		return
 	}
-	c.damage = append(c.damage, d)
+	c.damage = append(c.damage, damage)
 	c.damage = c.damage[max(0, len(c.damage)-tuning.DamageReportsKept):]
 	c.counts.DamageReports++
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: d.Subject, To: "", Reason: d.Reason})
-}
-
-// ReportDamage is for the shell, which reads the disk.
-func (c *Controller) ReportDamage(what string, err error) { c.reportDamage(what, err) }
-
-// addRecovered takes what somebody remembers of an earlier epoch as the state to begin this
-// one with, if it is the latest so far that can be read whole.
-func (c *Controller) addRecovered(l state.RecoveredState) {
-	if c.node == nil || c.state.Recovered || l.Epoch >= c.node.Epoch() || len(l.State) == 0 || !c.recoveredState.IsBefore(l) {
-		return
-	}
-	if _, err := state.DecodeRecovered(l); err != nil {
-		c.unreadableRecoveredState = true
-		c.reportDamage(fmt.Sprintf("memory of epoch %d, entry %d", l.Epoch, l.Index), err)
-		return
-	}
-	c.recoveredState = l
-}
-
-// canRecover says that an epoch may begin with what has been recovered: never with nothing
-// while somebody remembers something unreadable, unless an operator says so.
-func (c *Controller) canRecover() bool {
-	return len(c.recoveredState.State) > 0 || !c.unreadableRecoveredState || c.emptyStateAllowed
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: damage.Subject, To: "", Reason: damage.Reason})
 }
 
-// recordDiskHealth notes that the disk takes no writes, or does again. What follows from that is
-// the node's: a leader whose sync hangs steps down, and nothing is acknowledged.
+// recordDiskHealth records why the disk rejects writes, nil if it takes them again. Nothing else follows from
+// it here: without a synced batch the node neither acknowledges nor, after a while, leads.
 func (c *Controller) recordDiskHealth(err error) {
-	was := c.diskError
-	if c.diskError = ""; err != nil {
+	before := c.diskError
+	c.diskError = ""
+	if err != nil {
 		c.diskError = err.Error()
 	}
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDisk, From: was, To: c.diskError, Reason: "writes refused"})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDisk, From: before, To: c.diskError, Reason: "the disk rejects writes, or takes them again"})
 }
