--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -29,7 +29,7 @@
 	if c.recoveryConsent.Granted && now-c.recoveryConsent.GrantedAt > tuning.ConsentTTL {
 		c.recoveryConsent = discovery.RecoveryConsent{}
 	}
-	visible := c.controlDaemons(now, true)
+	visible := c.visibleControlDaemons(now)
 	if c.syncedLockEpoch() > c.persistentState.Epoch && c.completeBootstrap(now, visible) {
 		return
 	}
--- a/internal/controlplane/daemonview.go
+++ b/internal/controlplane/daemonview.go
@@ -24,7 +24,7 @@
 func (c *Controller) daemonViews(now time.Duration) []DaemonView {
 	views := []DaemonView{}
 	members := c.node.Members()
-	for _, daemon := range append(c.controlDaemons(now, false), c.proxyDaemons()...) {
+	for _, daemon := range append(c.controlDaemons(), c.proxyDaemons()...) {
 		view := DaemonView{Daemon: daemon, ProxyMember: c.isProxyMember(daemon.Name)}
 		view.Member = slices.ContainsFunc(members, func(m wire.Member) bool { return m.Name == daemon.Name })
 		if peer := c.directory[daemon.Name]; peer != nil {
--- /dev/null
+++ b/internal/controlplane/hello.go
@@ -0,0 +1,133 @@
+// This file sends and takes hellos, by which daemons find one another and learn who leads.
+
+package controlplane
+
+import (
+	"fmt"
+	"hash/fnv"
+	"io"
+	"maps"
+	"slices"
+	"time"
+
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
+)
+
+// sendHellos sends a hello to each control daemon that is known and to each seed address that none of them has.
+func (c *Controller) sendHellos(now time.Duration) {
+	maps.DeleteFunc(c.sentDirectories, func(name string, _ sentDirectory) bool { return name != "" && c.directory[name] == nil })
+	reached := map[string]bool{c.settings.Self.Addr: true}
+	for _, name := range slices.Sorted(maps.Keys(c.directory)) {
+		peer := c.directory[name]
+		if peer.Kind == wire.ControlDaemon && !reached[peer.Addr] {
+			reached[peer.Addr] = true
+			c.emit(statemachine.Send{Addr: peer.Addr, Message: c.helloTo(now, name, false)})
+		}
+	}
+	for _, addr := range c.settings.Seeds {
+		if !reached[addr] {
+			reached[addr] = true
+			delete(c.sentDirectories, "") // what one unknown daemon was sent says nothing of another
+			c.emit(statemachine.Send{Addr: addr, Message: c.helloTo(now, "", false)})
+		}
+	}
+}
+
+// helloTo is a hello to a daemon, "" if only its address is known. One to a proxy says nothing that only
+// control daemons need.
+func (c *Controller) helloTo(now time.Duration, to string, isReply bool) *wire.Message {
+	hello := &wire.Hello{
+		Self:           c.self(),
+		Reply:          isReply,
+		Daemons:        c.directoryFor(now, to),
+		Leader:         c.activeLeader(now),
+		BootstrapEpoch: c.syncedLockEpoch(),
+	}
+	if c.node != nil {
+		hello.Term = c.node.Term()
+	}
+	if c.needsMembership(to) {
+		c.addMembership(hello)
+	}
+	return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: hello.Self.Epoch, Hello: hello}
+}
+
+// needsMembership says that a daemon is a control daemon, or may be one.
+func (c *Controller) needsMembership(name string) bool {
+	peer := c.directory[name]
+	return peer == nil || peer.Kind == wire.ControlDaemon
+}
+
+// addMembership adds to a hello what a bootstrap or a recovery needs.
+func (c *Controller) addMembership(hello *wire.Hello) {
+	latest := c.latestMembership()
+	hello.Members, hello.MembersEpoch, hello.MembersIndex = latest.Members, latest.Epoch, latest.Index
+	hello.RecoveryConsent, hello.LostMembers = c.recoveryConsent.Granted, c.recoveryConsent.LostMembers
+	if c.node != nil && !c.state.Recovered {
+		hello.RecoveredState = c.persistentState.RecoveredState
+	}
+}
+
+// sentDirectory is when a daemon was last sent the directory, and a digest of it.
+type sentDirectory struct {
+	sentAt time.Duration
+	digest uint64
+}
+
+// directoryFor are the daemons that a hello lists to another daemon: for proxies control daemons only. It is empty
+// if the same list was sent lately.
+func (c *Controller) directoryFor(now time.Duration, to string) []wire.Daemon {
+	var listed []wire.Daemon
+	receiver := c.directory[to]
+	listsAll := receiver == nil || receiver.Kind == wire.ControlDaemon
+	digest := fnv.New64a()
+	if receiver != nil {
+		fmt.Fprint(digest, receiver.Incarnation) // another process of its name has not got the list
+	}
+	for _, name := range c.orderedDaemonNames() {
+		peer := c.directory[name]
+		if !listsAll && peer.Kind != wire.ControlDaemon {
+			continue
+		}
+		io.WriteString(digest, name+" "+peer.Addr+" ")
+		listed = append(listed, peer.Daemon)
+	}
+	sent, ok := c.sentDirectories[to]
+	if ok && sent.digest == digest.Sum64() && now-sent.sentAt < tuning.ListEvery {
+		return nil
+	}
+	c.sentDirectories[to] = sentDirectory{sentAt: now, digest: digest.Sum64()}
+	return listed
+}
+
+// recvHello takes what a daemon reports of itself and of others, and replies to a hello that is no reply.
+func (c *Controller) recvHello(now time.Duration, message *wire.Message) {
+	hello := message.Hello
+	if hello == nil {
+		return
+	}
+	c.directory.Merge(now, c.settings.Self.Name, hello)
+	if sender := &hello.Self; sender.Kind == wire.ControlDaemon && sender.Name != c.settings.Self.Name {
+		c.recordContact(now, sender, hello.Reply)
+	}
+	c.recvRecoveredState(message)
+	if !hello.Reply {
+		c.send(message.From, c.helloTo(now, message.From, true))
+	}
+}
+
+// recordContact notes a hello of another control daemon.
+func (c *Controller) recordContact(now time.Duration, sender *wire.Daemon, isReply bool) {
+	latest := contact{
+		lastAt:    now,
+		domain:    sender.Domain,
+		stopping:  sender.State == stoppingState,
+		repliedAt: c.peerContacts[sender.Name].repliedAt,
+	}
+	if isReply {
+		latest.repliedAt = now
+	}
+	c.peerContacts[sender.Name] = latest
+}
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -49,7 +49,7 @@
 		return
 	}
 	members := c.node.Members()
-	all := c.controlDaemons(now, true)
+	all := c.visibleControlDaemons(now)
 	if c.replaceLostDisk(now, members, all) || c.admitRequested(now, members, all) {
 		return
 	}
--- a/internal/controlplane/memberview.go
+++ b/internal/controlplane/memberview.go
@@ -103,7 +103,7 @@
 			list(c.learnerView(now, p))
 		}
 	}
-	for _, daemon := range c.controlDaemons(now, true) {
+	for _, daemon := range c.visibleControlDaemons(now) {
 		if !listed[daemon.Name] && daemon.Disk != 0 && daemon.State != stoppingState && c.state.RemovedMembers[daemon.Name] == 0 {
 			noContact := c.sinceLastContact(now, daemon.Name)
 			views = append(views, MemberView{Name: daemon.Name, Domain: daemon.Domain, State: MemberStandby, NoContactMs: noContact.Milliseconds()})
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -57,7 +57,7 @@
 		return statemachine.Reply{Status: 202, Body: reply.Body(emptyRecoveryAnswer{BeginsEmpty: true})}
 	}
 	lostMembers := strings.FieldsFunc(lost, func(r rune) bool { return r == ',' })
-	visible := c.controlDaemons(now, true)
+	visible := c.visibleControlDaemons(now)
 	if rejection := c.checkConsent(now, visible, lostMembers); rejection != nil {
 		return *rejection
 	}
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -72,7 +72,7 @@
 // hasStandby says that a core daemon is there that could take this member's place.
 func (c *Controller) hasStandby(now time.Duration) bool {
 	members := c.node.Members()
-	for _, d := range c.controlDaemons(now, true) {
+	for _, d := range c.visibleControlDaemons(now) {
 		if d.Name != c.settings.Self.Name && d.Disk != 0 && d.State != stoppingState && c.state.RemovedMembers[d.Name] == 0 &&
 			!slices.Contains(namesOf(members), d.Name) {
 			return true
