--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -1,9 +1,9 @@
 // Package compatibility holds the forms that others read, as recorded from the code that first wrote
 // them: messages between daemons, JSON that operators, targets and callers get, settings files.
-// The code of today must read each recorded form and write it again byte for byte. Stored data
-// has its tests beside its writers, in packages ring and sim.
+// The present code must read each recorded form and write it again byte for byte. Stored data
+// has its tests beside its writers, in packages wal and simulator.
 //
-// `go test ./compat -update` records anew, which only an intended change of a form may need.
+// `go test ./internal/verification/compatibility -update` records anew, which only an intended change of a form may need.
 package compatibility
 
 import (
@@ -135,9 +135,9 @@
 	})
 }
 
-func TestJSONForms(t *testing.T) {
+func TestJSONKeepsItsForm(t *testing.T) {
 	const readBack, writtenOnly = true, false
-	// What members, their disks and proxies' memories hold.
+	// What members, their disks and proxies hold.
 	jsonForm[state.State](t, "state", readBack)
 	jsonForm[state.RecoveredState](t, "recovered-state", readBack)
 	jsonForm[state.Record](t, "record", readBack)
@@ -177,7 +177,7 @@
 	return all
 }
 
-func TestMessages(t *testing.T) {
+func TestMessagesKeepTheirForm(t *testing.T) {
 	for name, m := range messages(t) {
 		t.Run(name, func(t *testing.T) {
 			got, err := wire.Encode(m)
@@ -203,7 +203,7 @@
 }
 
 // Frames are messages as they stand on a connection, packed and with their lengths.
-func TestFrames(t *testing.T) {
+func TestFramesKeepTheirForm(t *testing.T) {
 	var b bytes.Buffer
 	w := wire.NewWriter(&b)
 	all := messages(t)
@@ -232,7 +232,7 @@
 	}
 }
 
-func TestBatch(t *testing.T) {
+func TestBatchKeepsItsForm(t *testing.T) {
 	batch := filled[wire.Batch](t)
 	got, err := wire.EncodeBatch(batch)
 	if err != nil {
@@ -248,8 +248,8 @@
 	}
 }
 
-// A refusal's status, headers and body, as a caller or an operator gets them.
-func TestRefusals(t *testing.T) {
+// A rejection's status, headers and body, as a caller or an operator gets them.
+func TestRejectionsKeepTheirForm(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -277,8 +277,8 @@
 	}
 }
 
-// Settings files with every key are read whole, and come back as recorded.
-func TestSettingsFiles(t *testing.T) {
+// Settings files with every key are read completely, and come back as recorded.
+func TestSettingsFilesKeepTheirForm(t *testing.T) {
 	for _, kind := range []wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon} {
 		t.Run(string(kind), func(t *testing.T) {
 			file := filepath.Join("testdata", "mf"+string(kind)+".json")
@@ -305,7 +305,7 @@
 }
 
 // The flags of each daemon keep their names.
-func TestFlags(t *testing.T) {
+func TestFlagsKeepTheirNames(t *testing.T) {
 	for _, kind := range []wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon} {
 		t.Run(string(kind), func(t *testing.T) {
 			var flags daemon.Flags
--- a/internal/verification/fuzzing/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -1,5 +1,6 @@
-// Package fuzzing feeds the owners of both daemons with messages, calls and probe answers whose
-// fields are fuzzed: none may end the process.
+// Package fuzzing feeds the state machines of both daemons with messages, calls and results of health checks whose
+// fields are fuzzed: none may end the process. It does not check what they answer; package simulator's rules do.
+// Begin with step_test.go; source_test.go turns fuzzed bytes into events.
 package fuzzing
 
 import (
@@ -14,12 +15,13 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// fuzzNames are drawn for texts more often than others, so that messages concern what there is.
-var fuzzNames = []string{"", "c1", "c2", "g1", "g2", "s0", "s1", "t0", "t1", string(wire.ControlDaemon), string(wire.ProxyDaemon), "d0", string(wire.TargetReady), string(wire.TargetWarming), string(wire.TargetLeaving), string(wire.TargetGone), "10.0.0.1:1", "x"}
+// commonTexts are drawn for texts more often than others, so that messages concern what there is.
+var commonTexts = []string{"", "c1", "c2", "g1", "g2", "s0", "s1", "t0", "t1", string(wire.ControlDaemon), string(wire.ProxyDaemon), "d0", string(wire.TargetReady), string(wire.TargetWarming), string(wire.TargetLeaving), string(wire.TargetGone), "10.0.0.1:1", "x"}
 
 // fuzzSource turns fuzzed bytes into values; at their end all are zero.
 type fuzzSource struct{ data []byte }
 
+// byte is the next byte.
 func (s *fuzzSource) byte() byte {
 	if len(s.data) == 0 {
 		return 0
@@ -43,9 +45,10 @@
 	}
 }
 
+// text is a common text as a rule, and else any bytes.
 func (s *fuzzSource) text() string {
 	if b := s.byte(); b < 250 {
-		return fuzzNames[int(b)%len(fuzzNames)]
+		return commonTexts[int(b)%len(commonTexts)]
 	}
 	n := min(int(s.byte()), len(s.data))
 	text := string(s.data[:n])
@@ -104,34 +107,36 @@
 	return got
 }
 
-// fuzzPaths are drawn for calls more often than others.
-var fuzzPaths = []string{"/v1/config", "/v1/config/history", "/v1/config/diff", "/v1/config/rollback", "/v1/changes", "/v1/roster", "/v1/targets", "/v1/targets/s0/t0",
+// commonPaths are drawn for calls more often than others.
+var commonPaths = []string{"/v1/config", "/v1/config/history", "/v1/config/diff", "/v1/config/rollback", "/v1/changes", "/v1/roster", "/v1/targets", "/v1/targets/s0/t0",
 	"/v1/targets/s0/t0/leaving", "/v1/policies", "/v1/policies/p", "/v1/domains/d0/empty", "/v1/domains/d0/restore", "/v1/gates/g1/forget", "/v1/core/add", "/v1/core/c2/add",
 	"/v1/core/c1/remove", "/v1/core/refound", "/v1/status", "/v1/domains", "/", ""}
 
+// call is a call of the API, of a common path as a rule.
 func (s *fuzzSource) call(id uint64) statemachine.Call {
-	a := statemachine.Call{ID: id, Token: s.text(), Method: []string{"GET", "PUT", "PATCH", "POST", "DELETE", ""}[s.byte()%6]}
+	call := statemachine.Call{ID: id, Token: s.text(), Method: []string{"GET", "PUT", "PATCH", "POST", "DELETE", ""}[s.byte()%6]}
 	if b := int(s.byte()); b < 250 {
-		a.Path = fuzzPaths[b%len(fuzzPaths)]
+		call.Path = commonPaths[b%len(commonPaths)]
 	} else {
-		a.Path = s.text()
+		call.Path = s.text()
 	}
-	a.Query = []string{"", "plain", "base=0", "to=1", "from=0&to=1", "gone=c2,c3", "id=7", "revision=1", "%zz", s.text()}[s.byte()%10]
-	a.Body = []byte([]string{"", "{}", "[]", "null", `{"services":{"s0":{}}}`, `{"policies":{"p":null}}`, `{"service":"s0","name":"t0","incarnation":9,"address":"10.0.0.1:1","state":"leaving"}`,
+	call.Query = []string{"", "plain", "base=0", "to=1", "from=0&to=1", "gone=c2,c3", "id=7", "revision=1", "%zz", s.text()}[s.byte()%10]
+	call.Body = []byte([]string{"", "{}", "[]", "null", `{"services":{"s0":{}}}`, `{"policies":{"p":null}}`, `{"service":"s0","name":"t0","incarnation":9,"address":"10.0.0.1:1","state":"leaving"}`,
 		`{"when":"errors > 0.5","do":"eject"}`, s.text()}[s.byte()%9])
-	return a
+	return call
 }
 
+// event is a call, the result of a health check or, most often, a message.
 func (s *fuzzSource) event(t *testing.T, id uint64) statemachine.Event {
 	switch s.byte() % 5 {
 	case 0:
 		return s.call(id)
 	case 1:
-		p := statemachine.ProbeResult{ID: wire.TargetID{Service: s.text(), Name: s.text(), Incarnation: s.number()}, SentAt: time.Duration(s.number()), Milliseconds: 1}
+		result := statemachine.ProbeResult{ID: wire.TargetID{Service: s.text(), Name: s.text(), Incarnation: s.number()}, SentAt: time.Duration(s.number()), Milliseconds: 1}
 		if s.byte()%2 == 1 {
-			p.Report = &config.TargetReport{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: wire.TargetState(s.text())}
+			result.Report = &config.TargetReport{Service: s.text(), Name: s.text(), Incarnation: s.number(), Address: s.text(), State: wire.TargetState(s.text())}
 		}
-		return p
+		return result
 	default:
 		return statemachine.Receive{Message: s.message(t)}
 	}
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -13,11 +13,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// mostEvents are given to an owner in one run.
-const mostEvents = 20
+// maxEvents are given to an owner in one run.
+const maxEvents = 20
 
-// addSeeds adds bytes of every kind of event, and each call with each method.
-func addSeeds(f *testing.F) {
+// addSeedInputs adds bytes of every kind of event, and each call with each method.
+func addSeedInputs(f *testing.F) {
 	f.Add([]byte{})
 	for kind := range byte(8) {
 		var seed []byte
@@ -26,75 +26,80 @@
 		}
 		f.Add(seed)
 	}
-	for path := range byte(len(fuzzPaths)) {
+	for path := range byte(len(commonPaths)) {
 		for method := range byte(6) {
 			f.Add([]byte{0, 1, method, path, path % 10, (path + method) % 9, 0, 2, method, path, method, 4 + path%5})
 		}
 	}
 }
 
-// leader is a lone member of the core with one proxy, founded and deciding.
+// leader is the only member of a control plane with one proxy, bootstrapped and leading.
 type leader struct {
-	core *controlplane.Controller
-	now  time.Duration
+	controller *controlplane.Controller
+	now        time.Duration
 }
 
-func (l *leader) step(ev statemachine.Event) {
-	for _, cmd := range l.core.Step(l.now, ev) {
-		if sync, ok := cmd.(statemachine.Sync); ok {
+// step handles an event; what it writes is synced at once.
+func (l *leader) step(event statemachine.Event) {
+	for _, command := range l.controller.Step(l.now, event) {
+		if sync, ok := command.(statemachine.Sync); ok {
 			l.step(statemachine.Synced{Seq: sync.Batch.Seq})
 		}
 	}
 }
 
-func (l *leader) second() {
-	gate := wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Incarnation: 1, Domain: "d0"}
-	beat := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: wire.TargetReady}
-	l.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: "g1", Hello: &wire.Hello{Self: gate}}})
+// runSecond lets a second pass, in which the proxy pulls and a target sends heartbeats.
+func (l *leader) runSecond() {
+	proxy := wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Incarnation: 1, Domain: "d0"}
+	heartbeat := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: wire.TargetReady}
+	l.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: "g1", Hello: &wire.Hello{Self: proxy}}})
 	for range int(time.Second / tuning.PullEvery) {
 		for range int(tuning.PullEvery / tuning.TickEvery) {
 			l.now += tuning.TickEvery
 			l.step(statemachine.Tick{})
 		}
-		pull := &wire.Pull{Self: gate}
-		if table := l.core.Table(); table != nil {
+		pull := &wire.Pull{Self: proxy}
+		if table := l.controller.Table(); table != nil {
 			pull.Key, pull.Revision, pull.StateIndex = table.Key, table.Revision, table.StateIndex
 		}
 		l.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPull, From: "g1", Timestamp: int64(l.now), Pull: pull}})
-		l.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &beat}})
+		l.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &heartbeat}})
 	}
 }
 
+// newLeader runs a control daemon until it leads.
 func newLeader(t *testing.T) *leader {
+	t.Helper()
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
 	l := &leader{now: time.Second}
-	l.core = controlplane.New(l.now, controlplane.Settings{Self: self, BootstrapSize: 1}, consensus.PersistentState{Disk: 7})
+	l.controller = controlplane.New(l.now, controlplane.Settings{Self: self, BootstrapSize: 1}, consensus.PersistentState{Disk: 7})
 	for range 12 {
-		l.second()
+		l.runSecond()
 	}
-	if !l.core.Leading() {
+	if !l.controller.Leading() {
 		t.Fatal("does not lead")
 	}
 	return l
 }
 
-// FuzzCoreStep gives a deciding leader events from outside, with time between them.
-func FuzzCoreStep(f *testing.F) {
-	addSeeds(f)
+// FuzzControllerStep gives a leader events from outside, with time between them.
+func FuzzControllerStep(f *testing.F) {
+	addSeedInputs(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		l := newLeader(t)
 		s := &fuzzSource{data}
-		for id := uint64(1); len(s.data) > 0 && id <= mostEvents; id++ {
+		for id := uint64(1); len(s.data) > 0 && id <= maxEvents; id++ {
 			l.step(s.event(t, id))
 			l.now += tuning.TickEvery
 			l.step(statemachine.Tick{})
 		}
-		l.second()
+		l.runSecond()
 	})
 }
 
 // newProxy is a proxy that serves two targets under a lease.
 func newProxy(t *testing.T, now time.Duration) *dataplane.Proxy {
+	t.Helper()
 	p := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Incarnation: 9, Domain: "d0"}})
 	table := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: 1}, Revision: 1,
 		Document: []byte(`{"services":{"s0":{"cap":8,"warm_cap":3},"s1":{"cap":4,"warm_cap":2}},"rules":[{"path":"/s","service":"s0"}]}`),
@@ -112,12 +117,12 @@
 
 // FuzzProxyStep gives a serving proxy events from outside, with requests and time between them.
 func FuzzProxyStep(f *testing.F) {
-	addSeeds(f)
+	addSeedInputs(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		now := time.Second
 		p := newProxy(t, now)
 		s := &fuzzSource{data}
-		for id := uint64(1); len(s.data) > 0 && id <= mostEvents; id++ {
+		for id := uint64(1); len(s.data) > 0 && id <= maxEvents; id++ {
 			p.Step(now, s.event(t, id))
 			p.Step(now, statemachine.Admit{ID: id, Path: "/s", Method: "GET"})
 			now += tuning.TickEvery << (s.byte() % 8)
--- a/internal/verification/linearizability/history_test.go
+++ b/internal/verification/linearizability/history_test.go
@@ -11,7 +11,7 @@
 func order(base uint64, key string) Change { return Change{Base: base, Key: key, Value: key} }
 
 // What a register may answer, and what not.
-func TestCheck(t *testing.T) {
+func TestCheckAcceptsOnlyLinearizableHistories(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		holds bool
@@ -87,16 +87,18 @@
 			l.Read(30*ms).Return(31*ms, 1, "a")
 		}},
 	} {
-		var l Log
-		c.calls(&l)
-		if err := l.Check(); (err == nil) != c.holds {
-			t.Errorf("%s: %v", c.name, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var l Log
+			c.calls(&l)
+			if err := l.Check(); (err == nil) != c.holds {
+				t.Errorf("linearizable: %v, want %v: %v", err == nil, c.holds, err)
+			}
+		})
 	}
 }
 
 // Hundreds of orders, eight at once, most answers lost and sent again: the check ends.
-func TestCheckOfStorm(t *testing.T) {
+func TestCheckOfManyOpenCallsEnds(t *testing.T) {
 	var l Log
 	const changes = 400
 	for i := range uint64(changes) {
@@ -115,7 +117,7 @@
 
 // Orders that wait for a leader together and are all refused within a few milliseconds: the check ends,
 // though some of them last longer than those that were sent before them, and it still finds one that was taken.
-func TestCheckOfRefusalsTogether(t *testing.T) {
+func TestCheckOfManyRejectionsEnds(t *testing.T) {
 	for _, wrong := range []bool{false, true} {
 		var l Log
 		l.Write(0, order(0, "first")).Acknowledge(ms, 1)
