--- a/internal/shared/config/decode.go
+++ b/internal/shared/config/decode.go
@@ -1,8 +1,8 @@
 package config
 
 // Values are read into structs in two ways. Services, rules, policies and objectives are few: their fields
-// are found by reflection (mapstructure). Routes may be thousands, and reflection took most of the
-// time of a change: they and the limits are read by tables of their fields (fields.go).
+// are found by reflection (mapstructure). Routes may be thousands: they and the limits are read by tables
+// of their fields (fields.go), without reflection.
 
 import (
 	"maps"
--- /dev/null
+++ b/internal/shared/outlier/compare_test.go
@@ -0,0 +1,96 @@
+package outlier
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/wire"
+)
+
+// recording makes a recording of four targets that serve requests and are health-checked. The first has the fault
+// in the middle third.
+func recording(fault string) []Event {
+	var l []Event
+	for at := time.Second; at < 90*time.Second; at += 500 * time.Millisecond {
+		for i, n := range []string{"a", "b", "c", "d"} {
+			faulty := i == 0 && at > 30*time.Second && at < 60*time.Second
+			e := Event{At: at, Service: "s", Name: n, Incarnation: 1}
+			probe, request, heartbeat, demand := e, e, e, e
+			probe.Slice, probe.Success, probe.Milliseconds = "probe", true, 2
+			request.Slice, request.Count, request.Milliseconds = "exchange", 10, 200
+			heartbeat.Slice, heartbeat.Success, heartbeat.State = "beat", true, wire.TargetReady
+			demand.Slice, demand.Demand = "demand", 0.3
+			sendsHeartbeats := true
+			if faulty {
+				switch fault {
+				case "crash":
+					probe.Success, request.Errors, sendsHeartbeats = false, 10, false
+				case "failing":
+					request.Errors = 8
+				case "slow":
+					request.Slow, request.Milliseconds = 9, 9000
+				case "pressed":
+					demand.Demand, request.Slow, request.Milliseconds = 0.97, 6, 4000
+				case "flapping":
+					probe.Success = at/(time.Second)%2 == 0
+					if !probe.Success {
+						request.Errors = 9
+					}
+				case "halting":
+					sendsHeartbeats = at/(2*time.Second)%2 == 0
+					if !sendsHeartbeats {
+						request.Errors = 5
+					}
+				}
+			}
+			l = append(l, probe)
+			if sendsHeartbeats {
+				l = append(l, heartbeat, demand)
+			} else {
+				heartbeat.Success, heartbeat.Milliseconds = false, 1600
+				l = append(l, heartbeat)
+			}
+			l = append(l, request)
+		}
+	}
+	return l
+}
+
+// Each shipped policy beats the default on the fault that it is for, and decides nothing on a recording without faults.
+func TestShippedPoliciesBeatTheDefault(t *testing.T) {
+	files, _ := filepath.Glob("../../../sample/policies/*.json")
+	if len(files) < 4 {
+		t.Fatal(files)
+	}
+	for _, f := range files {
+		name := strings.TrimSuffix(filepath.Base(f), ".json")
+		b, err := os.ReadFile(f)
+		p := config.Policy{Mode: "live"}
+		faults, derr := config.Decode(b, &p)
+		if err != nil || derr != nil || len(append(faults, Check(p)...)) > 0 {
+			t.Fatal(f, err, derr, faults)
+		}
+		ps := map[string]config.Policy{"default": config.DefaultPolicy(), name: p}
+		for _, s := range Compare(recording("none"), ps) {
+			if s.Ejections+s.WrongEjections+s.Transitions > 0 {
+				t.Errorf("without faults: %+v", s)
+			}
+		}
+		l := Compare(recording(name), ps)
+		def, own := l[0], l[1]
+		if def.Policy != "default" {
+			def, own = own, def
+		}
+		t.Logf("%+v\n%+v", def, own)
+		if own.Ejections == 0 || own.WrongEjections > 0 || own.MissedErrors+own.MissedSlow >= (def.MissedErrors+def.MissedSlow)*8/10 {
+			t.Errorf("%s does not beat the default: %+v against %+v", name, own, def)
+		}
+	}
+	if s := Compare(recording("crash"), map[string]config.Policy{"default": config.DefaultPolicy()})[0]; s.Ejections != 1 || s.TimeToEjectMs != 500 || s.WrongEjections != 0 {
+		t.Errorf("%+v", s)
+	}
+}
--- a/internal/shared/outlier/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -1,5 +1,3 @@
-// This file compiles and checks policies and their conditions.
-
 package outlier
 
 import (
@@ -18,68 +16,81 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// allowed are the functions of the library that a condition may call. They take the same time
-// whatever they are given.
-var allowed = []string{"abs", "max", "min"}
+// allowedFunctions are the functions of the library that a condition may call. They take the same time
+// for any arguments.
+var allowedFunctions = []string{"abs", "max", "min"}
+
+// costlyOperators are the operators whose time is not bounded by the condition's size.
+var costlyOperators = []string{"..", "matches", "**", "^"}
 
-// costly finds operators and functions in a condition whose time is not bounded by its size.
-type costly struct{ found string }
+// costVisitor finds a costly operator, or a function, in a condition.
+type costVisitor struct{ found string }
 
 // Visit looks at one node of the condition's tree.
-func (l *costly) Visit(n *ast.Node) {
-	switch b := (*n).(type) {
+func (v *costVisitor) Visit(node *ast.Node) {
+	switch n := (*node).(type) {
 	case *ast.BinaryNode:
-		if b.Operator == ".." || b.Operator == "matches" || b.Operator == "**" || b.Operator == "^" {
-			l.found = b.Operator
+		if slices.Contains(costlyOperators, n.Operator) {
+			v.found = n.Operator
 		}
 	case *ast.BuiltinNode:
-		l.found = b.Name
+		v.found = n.Name
 	}
 }
 
-// compile checks a condition on a slice and compiles it.
+// compile checks a condition on a slice and compiles it. Its errors are the library's, with line and
+// column, or name what is too costly.
 func compile(slice config.Slice, condition string) (*vm.Program, error) {
-	l := &costly{}
-	options := []expr.Option{expr.Env(facts[slice]), expr.AsBool(), expr.MaxNodes(tuning.PolicyNodes), expr.DisableAllBuiltins(), expr.Patch(l)}
-	for _, name := range allowed {
+	visitor := &costVisitor{}
+	options := []expr.Option{
+		expr.Env(environments[slice]),
+		expr.AsBool(),
+		expr.MaxNodes(tuning.PolicyNodes),
+		expr.DisableAllBuiltins(),
+		expr.Patch(visitor),
+	}
+	for _, name := range allowedFunctions {
 		options = append(options, expr.EnableBuiltin(name))
 	}
-	p, err := expr.Compile(condition, options...)
-	if err == nil && l.found != "" && !slices.Contains(allowed, l.found) {
-		err = errors.Newf("%q costs too much to be used here", l.found)
+	program, err := expr.Compile(condition, options...)
+	if err == nil && visitor.found != "" && !slices.Contains(allowedFunctions, visitor.found) {
+		err = errors.Newf("%q costs too much to be used here", visitor.found)
 	}
-	return p, err
+	return program, err
 }
 
+// ParseConfig is config.Parse with Check for its policies, and returns the same.
+func ParseConfig(doc []byte) (*config.Config, []config.Fault, error) { return config.Parse(doc, Check) }
+
 // Check returns a policy's faults by the names of its fields.
-func Check(p config.Policy) []config.Fault {
+func Check(policy config.Policy) []config.Fault {
 	var faults []config.Fault
-	add := func(path, f string, a ...any) {
-		faults = append(faults, config.Fault{Path: path, Text: fmt.Sprintf(f, a...)})
+	add := func(path, format string, args ...any) {
+		faults = append(faults, config.Fault{Path: path, Text: fmt.Sprintf(format, args...)})
 	}
-	if _, ok := facts[p.Slice]; !ok {
-		add("slice", unknownSlice, p.Slice)
+	if _, ok := environments[policy.Slice]; !ok {
+		add("slice", unknownSlice, policy.Slice)
 	} else {
-		faults = append(faults, checkCondition(p.Slice, "when", p.When)...)
-		if p.Clear != "" {
-			faults = append(faults, checkCondition(p.Slice, "clear", p.Clear)...)
+		faults = append(faults, checkCondition(policy.Slice, "when", policy.When)...)
+		if policy.Clear != "" {
+			faults = append(faults, checkCondition(policy.Slice, "clear", policy.Clear)...)
 		}
 	}
-	ttl := time.Duration(p.TTLMs) * time.Millisecond
-	switch p.Decide {
+	ttl := time.Duration(policy.TTLMs) * time.Millisecond
+	switch policy.Decide {
 	case config.DecideEject:
 		if ttl <= 0 || ttl > tuning.EjectionMaxTTL {
 			add("ttl_ms", "a bar needs a ttl_ms between 1 and %d", tuning.EjectionMaxTTL.Milliseconds())
 		}
 	case config.DecideDrain:
-		if p.TTLMs != 0 {
+		if policy.TTLMs != 0 {
 			add("ttl_ms", "a hold has none: it ends with its condition")
 		}
 	default:
-		add("decide", "bar or hold, not %q", p.Decide)
+		add("decide", "bar or hold, not %q", policy.Decide)
 	}
-	if !slices.Contains([]config.PolicyMode{config.ModeLive, config.ModeShadow, config.ModeOff}, p.Mode) {
-		add("mode", "live, shadow or off, not %q", p.Mode)
+	if !slices.Contains([]config.PolicyMode{config.ModeLive, config.ModeShadow, config.ModeOff}, policy.Mode) {
+		add("mode", "live, shadow or off, not %q", policy.Mode)
 	}
 	return faults
 }
@@ -91,12 +102,9 @@
 		return nil
 	}
 	text := err.Error()
-	var at *file.Error
-	if errors.As(err, &at) {
-		text = fmt.Sprintf("line %d, column %d: %s", at.Line, at.Column+1, at.Message)
+	var located *file.Error
+	if errors.As(err, &located) {
+		text = fmt.Sprintf("line %d, column %d: %s", located.Line, located.Column+1, located.Message)
 	}
 	return []config.Fault{{Path: field, Text: text}}
 }
-
-// ParseConfig is config.Parse with the check of policies, and returns the same.
-func ParseConfig(doc []byte) (*config.Config, []config.Fault, error) { return config.Parse(doc, Check) }
--- /dev/null
+++ b/internal/shared/outlier/detector_test.go
@@ -0,0 +1,111 @@
+package outlier
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/tuning"
+	"myrtlefold/internal/shared/wire"
+)
+
+func probeEvent(at time.Duration, name string, ok bool) Event {
+	return Event{At: at, Slice: "probe", Service: "s", Name: name, Incarnation: 1, Success: ok, Milliseconds: 1}
+}
+
+func decisionKinds(ds []Decision) string {
+	var l []string
+	for _, d := range ds {
+		l = append(l, d.Policy+" "+string(d.Kind))
+	}
+	return strings.Join(l, ",")
+}
+
+func detectorWith(ps map[string]config.Policy) *Detector {
+	j := New()
+	j.Replace(&config.Config{Policies: ps})
+	return j
+}
+
+// One missed health check has no effect, two in a row eject the target; an answered one ends the ejection,
+// which lapses by itself if no more events come.
+func TestDefaultPolicyEjectsAfterTwoMisses(t *testing.T) {
+	j := detectorWith(nil)
+	id := wire.TargetID{Service: "s", Name: "a", Incarnation: 1}
+	s := time.Second
+	for i, c := range []struct {
+		at      time.Duration
+		ok      bool
+		want    string
+		ejected bool
+	}{
+		{1 * s, true, "", false}, {2 * s, false, "", false}, {3 * s, true, "", false}, {4 * s, false, "", false},
+		{5 * s, false, "default bar", true}, {6 * s, false, "", true}, {7 * s, true, "default clear", false},
+		{8 * s, false, "", false}, {9 * s, false, "default bar", true},
+	} {
+		got := decisionKinds(j.Step(probeEvent(c.at, "a", c.ok)))
+		until, _ := j.Ejected(c.at, id)
+		if got != c.want || until > c.at != c.ejected {
+			t.Fatalf("step %d: %q, ejected until %v", i, got, until)
+		}
+	}
+	if got := decisionKinds(j.Tick(9*s + tuning.EjectionTTL - 1)); got != "" {
+		t.Fatal(got)
+	}
+	if got := decisionKinds(j.Tick(9*s + tuning.EjectionTTL)); got != "default lapse" {
+		t.Fatal(got)
+	}
+	if until, _ := j.Ejected(9*s+tuning.EjectionTTL, id); until != 0 {
+		t.Fatal(until)
+	}
+}
+
+// A policy whose evaluation fails decides nothing, the failure is counted, and its earlier decision lapses.
+func TestFailedEvaluationDecidesNothing(t *testing.T) {
+	j := detectorWith(map[string]config.Policy{"odd": {Slice: "exchange", When: "count % errors == 0", Decide: "bar", TTLMs: 1000, Mode: "live"}})
+	e := Event{At: time.Second, Slice: "exchange", Service: "s", Name: "a", Incarnation: 1, Count: 4, Errors: 2}
+	if got := decisionKinds(j.Step(e)); got != "odd bar" {
+		t.Fatal(got)
+	}
+	e.At, e.Errors = 12*time.Second, 0 // out of the window's reach
+	if got := decisionKinds(j.Step(e)); got != "" {
+		t.Fatal(got)
+	}
+	if s := j.Stats()["odd"]; s.Failed != 1 || s.Error == "" {
+		t.Fatalf("%+v", s)
+	}
+	if got := decisionKinds(j.Tick(12 * time.Second)); got != "odd lapse" {
+		t.Fatal(got)
+	}
+}
+
+// A changed policy keeps its ejections, those of a removed one end, and a shadow policy decides without effect.
+func TestReplaceKeepsDecisions(t *testing.T) {
+	p := config.Policy{Slice: "probe", When: "missed >= 1", Decide: "bar", TTLMs: 60000, Mode: "live"}
+	shadow := p
+	shadow.Mode = "shadow"
+	id := wire.TargetID{Service: "s", Name: "a", Incarnation: 1}
+	j := detectorWith(map[string]config.Policy{"p": p, "q": shadow})
+	ds := j.Step(probeEvent(1, "a", false))
+	if decisionKinds(ds) != "p bar,q bar" || ds[0].Shadow || !ds[1].Shadow {
+		t.Fatal(ds)
+	}
+	if _, why := j.Ejected(2, id); why != "p" {
+		t.Fatal(why)
+	}
+	p.When = "missed >= 5"
+	j.Replace(&config.Config{Policies: map[string]config.Policy{"p": p, "q": shadow}})
+	if _, why := j.Ejected(3, id); why != "p" {
+		t.Fatalf("a changed policy's ejection ended: %q", why)
+	}
+	j.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
+	if _, why := j.Ejected(4, id); why != "" {
+		t.Fatalf("a removed policy's ejection stayed: %q", why)
+	}
+	shadow.Mode = "live"
+	j.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
+	if _, why := j.Ejected(5, id); why != "" {
+		t.Fatal("what a policy decided as a shadow took effect")
+	}
+}
--- /dev/null
+++ b/internal/shared/outlier/environment.go
@@ -0,0 +1,164 @@
+package outlier
+
+import (
+	"time"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/wire"
+)
+
+// An environment is what a condition on one slice may name: the expr tags of its struct, which
+// docs/policy.md explains. Samples are the events of the target's window.
+
+// probeEnvironment is for conditions on health checks.
+type probeEnvironment struct {
+	MissesInRow int     `expr:"misses_in_row"` // missed ones, up to the latest
+	OKInRow     int     `expr:"ok_in_row"`     // answered ones, up to the latest
+	Missed      int     `expr:"missed"`        // missed ones among the samples
+	Samples     int     `expr:"samples"`
+	LastMs      float64 `expr:"last_ms"` // response time of the latest, in ms
+	MeanMs      float64 `expr:"mean_ms"` // mean response time of the samples, in ms
+	Flaps       int     `expr:"flaps"`   // changes between answered and missed among the samples
+}
+
+// heartbeatEnvironment is for conditions on heartbeats.
+type heartbeatEnvironment struct {
+	State    string  `expr:"state"`      // of the latest event
+	SilentMs float64 `expr:"silent_ms"`  // time since the last heartbeat if one is missing, in ms, else 0
+	GapMs    float64 `expr:"gap_ms"`     // between the last two heartbeats, in ms
+	MaxGapMs float64 `expr:"max_gap_ms"` // longest gap among the samples, in ms
+	Changes  int     `expr:"changes"`    // changes of state among the samples
+	Samples  int     `expr:"samples"`    // heartbeats among the samples
+}
+
+// requestEnvironment is for conditions on requests: those of the target in the last requestWindow, and with
+// Service before the name those of the service's other targets.
+type requestEnvironment struct {
+	Count             int     `expr:"count"`
+	Errors            int     `expr:"errors"`
+	ErrorRatio        float64 `expr:"error_ratio"`
+	ServiceCount      int     `expr:"service_count"`
+	ServiceErrorRatio float64 `expr:"service_error_ratio"`
+	MeanMs            float64 `expr:"mean_ms"`         // mean response time, in ms
+	ServiceMeanMs     float64 `expr:"service_mean_ms"` // the same of the service's other targets
+	Slow              int     `expr:"slow"`
+	ErrorsInRow       int     `expr:"errors_in_row"` // events with errors, up to the latest
+}
+
+// demandEnvironment is for conditions on demand.
+type demandEnvironment struct {
+	Demand      float64 `expr:"demand"`       // latest
+	Mean        float64 `expr:"mean"`         // of the samples
+	ServiceMean float64 `expr:"service_mean"` // of the latest ones of the service's other targets
+	Samples     int     `expr:"samples"`
+}
+
+// environments has the type that conditions on a slice are compiled for.
+var environments = map[config.Slice]any{
+	config.SliceProbe:     probeEnvironment{},
+	config.SliceHeartbeat: heartbeatEnvironment{},
+	config.SliceRequest:   requestEnvironment{},
+	config.SliceDemand:    demandEnvironment{},
+}
+
+// unknownSlice is the text of the fault for a slice that has no environment.
+const unknownSlice = "no slice %q: probe, beat, exchange or demand"
+
+// environment returns the environment of the event's slice, right after w has taken the event.
+func (d *Detector) environment(id wire.TargetID, event Event, w *window) any {
+	switch event.Slice {
+	case config.SliceProbe:
+		return w.probeEnvironment(event)
+	case config.SliceHeartbeat:
+		return w.heartbeatEnvironment(event)
+	case config.SliceRequest:
+		return d.requestEnvironment(id, event.At, w)
+	}
+	return d.demandEnvironment(id, event, w)
+}
+
+func (w *window) probeEnvironment(latest Event) probeEnvironment {
+	env := probeEnvironment{Samples: len(w.events), LastMs: latest.Milliseconds}
+	if latest.Success {
+		env.OKInRow = w.streak
+	} else {
+		env.MissesInRow = w.streak
+	}
+	for i, e := range w.events {
+		if !e.Success {
+			env.Missed++
+		}
+		env.MeanMs += e.Milliseconds / float64(len(w.events))
+		if i > 0 && w.events[i-1].Success != e.Success {
+			env.Flaps++
+		}
+	}
+	return env
+}
+
+func (w *window) heartbeatEnvironment(latest Event) heartbeatEnvironment {
+	env := heartbeatEnvironment{State: string(latest.State)}
+	if !latest.Success {
+		env.SilentMs = latest.Milliseconds
+	}
+	var previous *Event
+	for i, e := range w.events {
+		if !e.Success {
+			continue // no heartbeat, but a missing one
+		}
+		if previous != nil {
+			env.GapMs = milliseconds(e.At - previous.At)
+			env.MaxGapMs = max(env.MaxGapMs, env.GapMs)
+			if previous.State != e.State {
+				env.Changes++
+			}
+		}
+		previous = &w.events[i]
+		env.Samples++
+	}
+	return env
+}
+
+func (d *Detector) requestEnvironment(id wire.TargetID, now time.Duration, w *window) requestEnvironment {
+	env := requestEnvironment{}
+	if !w.success {
+		env.ErrorsInRow = w.streak
+	}
+	own := w.totals(now)
+	env.Count, env.Errors, env.Slow = own.Count, own.Errors, own.Slow
+	if own.Count > 0 {
+		env.ErrorRatio = float64(own.Errors) / float64(own.Count)
+		env.MeanMs = own.Milliseconds / float64(own.Count)
+	}
+	service := Event{}
+	for other := range d.otherWindows(id, config.SliceRequest) {
+		total := other.totals(now)
+		service.Count += total.Count
+		service.Errors += total.Errors
+		service.Milliseconds += total.Milliseconds
+	}
+	env.ServiceCount = service.Count
+	if service.Count > 0 {
+		env.ServiceErrorRatio = float64(service.Errors) / float64(service.Count)
+		env.ServiceMeanMs = service.Milliseconds / float64(service.Count)
+	}
+	return env
+}
+
+func (d *Detector) demandEnvironment(id wire.TargetID, latest Event, w *window) demandEnvironment {
+	env := demandEnvironment{Demand: latest.Demand, Samples: len(w.events)}
+	for _, e := range w.events {
+		env.Mean += e.Demand / float64(len(w.events))
+	}
+	others := 0.0
+	for other := range d.otherWindows(id, config.SliceDemand) {
+		if e := other.events[len(other.events)-1]; latest.At-e.At < requestWindow {
+			env.ServiceMean += e.Demand
+			others++
+		}
+	}
+	if others > 0 {
+		env.ServiceMean /= others
+	}
+	return env
+}
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -1,7 +1,3 @@
-// This file evaluates policies over a stream: lines with target events go in, lines with
-// decisions come out, and a line may replace policies in between. A line that can't be
-// taken is answered with an error and changes nothing.
-
 package outlier
 
 import (
@@ -17,122 +13,141 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// bareEvent lets a line be an event itself.
-type bareEvent Event
+// Session evaluates policies on one stream of lines: events go in and decisions come out, and a line
+// may replace policies in between. A line that is rejected gets an error and changes nothing. A
+// session has no effect on the fleet. It is for one goroutine.
+type Session struct {
+	Lines    uint64 // lines evaluated so far
+	detector *Detector
+	config   config.Config // with the policies in force
+	lastAt   time.Duration // time of the latest event
+	targets  map[wire.TargetID]bool
+}
 
-// inLine is a line of a stream.
-type inLine struct {
+// inputLine is a line of a stream: an event, bare or in a field, or policies to replace.
+type inputLine struct {
 	Event    *Event                     `json:"event"`
 	Policies map[string]json.RawMessage `json:"policies"`
 	bareEvent
 }
 
-func parseLine(b []byte) (l inLine, err error) {
-	if err := json.Unmarshal(b, &l); err != nil {
-		return l, err
+// bareEvent lets a line be an event itself.
+type bareEvent Event
+
+func parseLine(text []byte) (line inputLine, err error) {
+	if err := json.Unmarshal(text, &line); err != nil {
+		return line, err
 	}
-	if l.Event == nil && l.Slice != "" {
-		x := Event(l.bareEvent)
-		l.Event = &x
+	if line.Event == nil && line.Slice != "" {
+		event := Event(line.bareEvent)
+		line.Event = &event
 	}
-	return l, nil
+	return line, nil
 }
 
-// Result is an answer to a line: one decision, the policies that it replaced, or why it was not taken.
+// Result is what came of a line: one decision, the policies that it replaced, or why it was rejected.
 type Result struct {
-	Line     uint64         `json:"line"` // the number of the line that it answers, from 1
+	Line     uint64         `json:"line"` // number of the line, from 1
 	Decision *Decision      `json:"decision,omitempty"`
-	Replaced []string       `json:"replaced,omitempty"`
-	Error    string         `json:"error,omitempty"`
-	Faults   []config.Fault `json:"faults,omitempty"`
-}
-
-// Session evaluates policies over one stream. It takes no part in what the fleet does.
-type Session struct {
-	Lines   uint64 // lines taken so far
-	judge   *Detector
-	cfg     config.Config
-	last    time.Duration
-	targets map[wire.TargetID]bool
+	Replaced []string       `json:"replaced,omitempty"` // names of policies, in no order
+	Error    string         `json:"error,omitempty"`    // for people
+	Faults   []config.Fault `json:"faults,omitempty"`   // of the line's policies
 }
 
 // NewSession returns a Session that begins with the policies of a configuration.
 func NewSession(c *config.Config) *Session {
-	s := &Session{judge: New(), cfg: *c, targets: map[wire.TargetID]bool{}}
-	s.judge.Replace(&s.cfg)
+	s := &Session{detector: New(), config: *c, targets: map[wire.TargetID]bool{}}
+	s.detector.Replace(&s.config)
 	return s
 }
 
-// Evaluate evaluates one line and returns the answers to it, in order.
-func (s *Session) Evaluate(b []byte) (out []Result) {
+// Evaluate evaluates one line and returns its results, in order.
+func (s *Session) Evaluate(text []byte) []Result {
 	s.Lines++
-	no := func(f string, a ...any) []Result {
-		return []Result{{Line: s.Lines, Error: fmt.Sprintf(f, a...)}}
-	}
-	l, err := parseLine(b)
+	line, err := parseLine(text)
 	if err != nil {
-		return no("not a JSON object: %v", err)
+		return s.rejected(fmt.Sprintf("not a JSON object: %v", err))
 	}
-	if l.Policies != nil {
-		return s.replace(l.Policies)
+	if line.Policies != nil {
+		return s.replacePolicies(line.Policies)
 	}
-	e := l.Event
-	if e == nil {
-		return nil // a stream's line without an event: a decision, or what was missed
+	if line.Event == nil {
+		return nil // a stream's line without an event: a decision, or how many lines a reader missed
 	}
-	switch _, known := facts[e.Slice]; {
+	event := *line.Event
+	if why := s.checkEvent(&event); why != "" {
+		return s.rejected(why)
+	}
+	s.lastAt = event.At
+	s.targets[event.ID()] = true
+	var results []Result
+	for _, decision := range append(s.detector.Tick(event.At), s.detector.Step(event)...) {
+		results = append(results, Result{Line: s.Lines, Decision: &decision})
+	}
+	return results
+}
+
+// rejected returns the result of a line that is rejected.
+func (s *Session) rejected(why string) []Result {
+	return []Result{{Line: s.Lines, Error: why}}
+}
+
+// checkEvent returns why an event is rejected, "": it is not.
+func (s *Session) checkEvent(e *Event) string {
+	switch _, known := environments[e.Slice]; {
 	case !known:
-		return no(unknownSlice, e.Slice)
+		return fmt.Sprintf(unknownSlice, e.Slice)
 	case e.Service == "" || e.Name == "" || e.Incarnation == 0:
-		return no("an event needs service, name and incarnation")
-	case e.At < s.last:
-		return no("at_ns goes back: %d after %d", e.At, s.last)
+		return "an event needs service, name and incarnation"
+	case e.At < s.lastAt:
+		return fmt.Sprintf("at_ns goes back: %d after %d", e.At, s.lastAt)
 	case e.Count < 0 || e.Errors < 0 || e.Slow < 0 || e.Errors > e.Count || e.Slow > e.Count:
-		return no("count, errors and slow don't fit together")
+		return "count, errors and slow don't fit together"
 	case !s.targets[e.ID()] && len(s.targets) >= tuning.SessionTargets:
-		return no("more than %d targets in one stream", tuning.SessionTargets)
+		return fmt.Sprintf("more than %d targets in one stream", tuning.SessionTargets)
 	}
-	s.last = e.At
-	s.targets[e.ID()] = true
-	for _, x := range append(s.judge.Tick(e.At), s.judge.Step(*e)...) {
-		out = append(out, Result{Line: s.Lines, Decision: &x})
-	}
-	return out
+	return ""
 }
 
-// replace puts policies in the place of those of their names; null removes one.
-func (s *Session) replace(ps map[string]json.RawMessage) []Result {
-	next := s.cfg
-	next.Policies = maps.Clone(s.cfg.Policies)
+// replacePolicies replaces policies by their names; null removes one. If one has a fault, all stay.
+func (s *Session) replacePolicies(changed map[string]json.RawMessage) []Result {
+	next := s.config
+	next.Policies = maps.Clone(s.config.Policies)
 	if next.Policies == nil {
 		next.Policies = map[string]config.Policy{}
 	}
-	out := Result{Line: s.Lines}
-	for name, raw := range ps {
+	result := Result{Line: s.Lines}
+	for name, raw := range changed {
+		result.Replaced = append(result.Replaced, name)
 		if string(raw) == "null" {
 			delete(next.Policies, name)
-		} else {
-			p := config.Policy{Mode: config.ModeLive}
-			faults, err := config.Decode(raw, &p)
-			if err != nil {
-				faults = append(faults, config.Fault{Text: errors.UnwrapAll(err).Error()})
-			}
-			for _, f := range append(faults, Check(p)...) {
-				f.Path = "policies." + name + "." + f.Path
-				out.Faults = append(out.Faults, f)
-			}
-			next.Policies[name] = p
+			continue
+		}
+		p, faults := parsePolicy(raw)
+		for _, f := range faults {
+			f.Path = "policies." + name + "." + f.Path
+			result.Faults = append(result.Faults, f)
 		}
-		out.Replaced = append(out.Replaced, name)
+		next.Policies[name] = p
 	}
 	if len(next.Policies) > tuning.PoliciesMax {
-		out.Faults = append(out.Faults, config.Fault{Path: "policies", Text: fmt.Sprintf("at most %d", tuning.PoliciesMax)})
+		result.Faults = append(result.Faults, config.Fault{Path: "policies", Text: fmt.Sprintf("at most %d", tuning.PoliciesMax)})
+	}
+	if len(result.Faults) > 0 {
+		result.Replaced, result.Error = nil, "unsound policies; those before stay"
+		return []Result{result}
 	}
-	if len(out.Faults) > 0 {
-		out.Replaced, out.Error = nil, "unsound policies; those before stay"
-		return []Result{out}
+	s.config = next
+	s.detector.Replace(&s.config)
+	return []Result{result}
+}
+
+// parsePolicy reads and checks one policy; faults are by the names of its fields.
+func parsePolicy(raw []byte) (config.Policy, []config.Fault) {
+	p := config.Policy{Mode: config.ModeLive}
+	faults, err := config.Decode(raw, &p)
+	if err != nil {
+		faults = append(faults, config.Fault{Text: errors.UnwrapAll(err).Error()})
 	}
-	s.cfg = next
-	s.judge.Replace(&s.cfg)
-	return []Result{out}
+	return p, append(faults, Check(p)...)
 }
