--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -1,46 +1,30 @@
-// This file decides who is a member of the core: who learns, who joins, who is
-// replaced and who is removed, one change at a time. Why it is done in this way
-// stands in docs/control/membership.md.
+// This file changes the membership of the control plane, one member at a time: what operators ask for, a
+// membership of a set size, and members that come back with another disk. replacement.go does what nobody asks
+// for. docs/control/membership.md says why it is done in this way.
 
 package controlplane
 
 import (
 	"cmp"
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// learnerProgress is a learner's progress.
-type learnerProgress struct {
-	since      time.Duration // when it began to learn
-	matchIndex uint64
-	advancedAt time.Duration // when it last came on
-}
-
-// memberReplaceAfter is how long a member is silent before a standby takes its place.
-func (c *Controller) memberReplaceAfter() time.Duration {
-	repair := cmp.Or(c.settings.CatchUpTime, tuning.CatchUpDefault)
-	return max(repair/tuning.ReplaceParts, tuning.ReplaceAfterMin)
-}
-
-// handoverWait is how long a member that stops waits for its successor.
-func (c *Controller) handoverWait() time.Duration {
-	if c.settings.StopGrace > 0 {
-		return min(tuning.HandoverWait, c.settings.StopGrace/2)
-	}
-	return tuning.HandoverWait
-}
+// What a log line says that becomes of a member.
+const (
+	memberAdded   = "in"
+	memberRemoved = "out"
+)
 
-// maintainMembers looks after the list of members, if this member may change it: also
-// while a new leader still gathers tables, and while the only member hands over.
+// maintainMembers takes the next step of the membership, if this member may change it: as a leader, also while
+// it gathers tables, and as the only member while it stops and hands over.
 func (c *Controller) maintainMembers(now time.Duration) {
-	may := c.leadership >= Gathering || c.stopping && c.state.Recovered && c.node != nil && c.node.HasLease(now)
-	if !may || now-c.membersReviewedAt < tuning.MembersEvery && !c.memberChangePending {
+	if !c.mayChangeMembers(now) || now-c.membersReviewedAt < tuning.MembersEvery && !c.memberChangePending {
 		return
 	}
 	c.membersReviewedAt = now
@@ -49,162 +33,160 @@
 		return
 	}
 	members := c.node.Members()
-	all := c.visibleControlDaemons(now)
-	if c.replaceLostDisk(now, members, all) || c.admitRequested(now, members, all) {
+	visible := c.visibleControlDaemons(now)
+	if c.replaceLostDisk(now, members, visible) || c.admitRequested(now, members, visible) {
 		return
 	}
 	if c.settings.BootstrapSize == 0 {
-		c.reconcileMembers(now, members, all)
+		c.reconcileMembers(now, members, visible)
 	}
 }
 
-// proposeMembers proposes a list that differs by one from the present one.
-func (c *Controller) proposeMembers(now time.Duration, list []wire.Member, name, change, why string) {
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectMember, From: name, To: change, Reason: why})
+func (c *Controller) mayChangeMembers(now time.Duration) bool {
+	return c.leadership >= Gathering || c.stopping && c.state.Recovered && c.node != nil && c.node.HasLease(now)
+}
+
+// proposeMembers proposes a membership that differs by one member from the present one, so that majorities of the
+// two share a member.
+func (c *Controller) proposeMembers(now time.Duration, members []wire.Member, name, change, reason string) {
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectMember, From: name, To: change, Reason: reason})
 	c.memberChangePending = true
-	c.node.ProposeMembers(now, list)
+	c.node.ProposeMembers(now, members)
 }
 
-// replaceLostDisk removes a member that came back with another disk. It is another
-// member now, and learns first.
-func (c *Controller) replaceLostDisk(now time.Duration, members []wire.Member, all []wire.Daemon) bool {
-	for _, d := range all {
-		i := slices.IndexFunc(members, func(m wire.Member) bool { return m.Name == d.Name })
-		if d.Name == c.settings.Self.Name || d.Disk == 0 || i < 0 || members[i].Disk == d.Disk || d.Epoch != 0 && d.Epoch != c.node.Epoch() {
+// replaceLostDisk removes a member that came back with another disk. It is another member now, and has to learn
+// the log first.
+func (c *Controller) replaceLostDisk(now time.Duration, members []wire.Member, visible []wire.Daemon) (proposed bool) {
+	for _, daemon := range visible {
+		if daemon.Name == c.settings.Self.Name || daemon.Disk == 0 {
+			continue
+		}
+		if daemon.Epoch != 0 && daemon.Epoch != c.node.Epoch() {
+			continue
+		}
+		i := slices.IndexFunc(members, func(m wire.Member) bool { return m.Name == daemon.Name })
+		if i < 0 || members[i].Disk == daemon.Disk {
 			continue
 		}
 		if c.settings.BootstrapSize > 0 {
-			c.requestedMembers[d.Name] = true
+			c.requestedMembers[daemon.Name] = true
 		}
-		c.proposeMembers(now, slices.Delete(slices.Clone(members), i, i+1), d.Name, "out", "it lost its disk")
+		c.proposeMembers(now, slices.Delete(slices.Clone(members), i, i+1), daemon.Name, memberRemoved, "its disk was lost")
 		return true
 	}
 	return false
 }
 
-// admitRequested admits those that an operator asked for and, in a core whose size is
-// given, those that it lacks.
-func (c *Controller) admitRequested(now time.Duration, members []wire.Member, all []wire.Daemon) bool {
-	ghost := slices.IndexFunc(members, func(m wire.Member) bool { return m.Disk == 0 })
-	for _, d := range all {
-		if d.Name == c.settings.Self.Name || d.Disk == 0 || slices.Contains(namesOf(members), d.Name) {
+// admitRequested admits control daemons that an operator asked for and, in a membership of a set size, those that
+// it lacks. These first take the slots of machines that were absent at the bootstrap.
+func (c *Controller) admitRequested(now time.Duration, members []wire.Member, visible []wire.Daemon) (proposed bool) {
+	absent := slices.IndexFunc(members, func(m wire.Member) bool { return m.Disk == 0 })
+	hasSize := c.settings.BootstrapSize > 0
+	for _, daemon := range visible {
+		if daemon.Name == c.settings.Self.Name || daemon.Disk == 0 || slices.Contains(namesOf(members), daemon.Name) {
 			continue
 		}
-		switch {
-		case c.settings.BootstrapSize > 0 && c.state.RemovedMembers[d.Name] == 0 && ghost >= 0:
-			c.requestedMembers[d.Name] = true
-			c.proposeMembers(now, slices.Delete(slices.Clone(members), ghost, ghost+1), members[ghost].Name, "out",
-				"its place was kept for who was not there at the founding")
+		wasRemoved := c.state.RemovedMembers[daemon.Name] != 0
+		if hasSize && !wasRemoved && absent >= 0 {
+			c.requestedMembers[daemon.Name] = true
+			c.proposeMembers(now, slices.Delete(slices.Clone(members), absent, absent+1), members[absent].Name, memberRemoved,
+				"it stands for a machine that was absent at the bootstrap")
+			return true
+		}
+		isLacking := len(members) < c.settings.BootstrapSize && !wasRemoved
+		if (c.requestedMembers[daemon.Name] || isLacking) && c.admit(now, members, daemon) {
 			return true
-		case c.requestedMembers[d.Name] || len(members) < c.settings.BootstrapSize && c.state.RemovedMembers[d.Name] == 0:
-			if c.admit(now, members, d) {
-				return true
-			}
 		}
 	}
 	return false
 }
 
-// admit has a daemon learn, and makes it a member once it has caught up.
-func (c *Controller) admit(now time.Duration, members []wire.Member, d wire.Daemon) bool {
-	m := wire.Member{Name: d.Name, Disk: d.Disk}
-	c.node.AddLearner(m)
-	list := append(slices.Clone(members), m)
-	if !c.node.CaughtUp(now, m) || !c.hasResponsiveMajority(now, list) {
+// admit has a daemon learn the log, and proposes it as a member once it has caught up. Until then it must not count
+// for a majority, as it could acknowledge nothing.
+func (c *Controller) admit(now time.Duration, members []wire.Member, daemon wire.Daemon) (proposed bool) {
+	learner := memberOf(daemon)
+	c.node.AddLearner(learner)
+	enlarged := append(slices.Clone(members), learner)
+	if !c.node.CaughtUp(now, learner) || !c.hasResponsiveMajority(now, enlarged) {
+		return false
+	}
+	delete(c.requestedMembers, daemon.Name)
+	c.proposeMembers(now, enlarged, daemon.Name, memberAdded, "caught up")
+	return true
+}
+
+// removeMember proposes to remove a member, if both the membership before and the one after have a majority that
+// responds: the change is committed by the one and must not block the other.
+func (c *Controller) removeMember(now time.Duration, members []wire.Member, member wire.Member, reason string) (proposed bool) {
+	remaining := without(members, member)
+	if !c.hasResponsiveMajority(now, members) || !c.hasResponsiveMajority(now, remaining) {
 		return false
 	}
-	delete(c.requestedMembers, d.Name)
-	c.proposeMembers(now, list, d.Name, "in", "caught up")
+	c.proposeMembers(now, remaining, member.Name, memberRemoved, reason)
 	return true
 }
 
-// sinceLastContact is how long a member has not been heard. What was not heard before this
-// member led counts too, once it has led for long enough to hear everybody.
+// memberReplaceAfter is how long a member has no contact before a standby replaces it.
+func (c *Controller) memberReplaceAfter() time.Duration {
+	catchUpTime := cmp.Or(c.settings.CatchUpTime, tuning.CatchUpDefault)
+	return max(catchUpTime/tuning.ReplaceParts, tuning.ReplaceAfterMin)
+}
+
+// sinceLastContact is how long this member has had no contact with another, 0 for itself. Time before it led counts
+// too, once it has led for long enough to have contact with all.
 func (c *Controller) sinceLastContact(now time.Duration, name string) time.Duration {
 	if name == c.settings.Self.Name || now-c.node.RoleSince() < tuning.NewLeaderGrace {
 		return 0
 	}
-	h, ok := c.peerContacts[name]
+	last, ok := c.peerContacts[name]
 	if !ok {
 		return now - c.node.RoleSince()
 	}
-	return now - h.lastAt
-}
-
-// hasResponsiveMajority says that a list of members has a majority that answers now.
-func (c *Controller) hasResponsiveMajority(now time.Duration, list []wire.Member) bool {
-	n := 0
-	for _, m := range list {
-		if c.node.RecentlyActive(now, m) {
-			n++
-		}
-	}
-	return 2*n > len(list)
+	return now - last.lastAt
 }
 
-func (c *Controller) domainOf(name string) string {
-	if name == c.settings.Self.Name {
-		return c.settings.Self.Domain
-	}
-	if h, ok := c.peerContacts[name]; ok {
-		return h.domain
-	}
-	return "? " + name
+// isStopping says that a member said that it stops. It may come back.
+func (c *Controller) isStopping(name string) bool {
+	return name == c.settings.Self.Name && c.stopping || c.peerContacts[name].stopping
 }
 
-// resilience compares sets of members by what they outlive: any one domain, then as many
-// machines as can be, with no more members than that takes; but two keep more than one.
-func (c *Controller) resilience(names []string) (w [3]int) {
-	per, most := map[string]int{}, 0
-	for _, n := range names {
-		d := c.domainOf(n)
-		per[d]++
-		most = max(most, per[d])
-	}
-	if 2*most < len(names) {
-		w[0] = 1
-	}
-	w[1], w[2] = (min(len(names), tuning.VotersMax)-1)/2, -len(names)
-	if len(names) == 2 {
-		w[2] = 0
+// lossReason says for people why a member counts as lost.
+func (c *Controller) lossReason(now time.Duration, member wire.Member) string {
+	switch {
+	case member.Disk == 0:
+		return "it stands for a machine that never came"
+	case c.isStopping(member.Name):
+		return "it is stopping"
 	}
-	return w
+	return fmt.Sprintf("no contact for %v", c.sinceLastContact(now, member.Name).Truncate(time.Second/10))
 }
 
-func namesOf(members []wire.Member) (l []string) {
-	for _, m := range members {
-		l = append(l, m.Name)
+// hasResponsiveMajority says that a majority of some members has responded lately.
+func (c *Controller) hasResponsiveMajority(now time.Duration, members []wire.Member) bool {
+	responsive := 0
+	for _, member := range members {
+		if c.node.RecentlyActive(now, member) {
+			responsive++
+		}
 	}
-	return l
+	return 2*responsive > len(members)
 }
 
-// without is a list of members less one.
-func without(list []wire.Member, m wire.Member) []wire.Member {
-	return slices.DeleteFunc(slices.Clone(list), func(o wire.Member) bool { return o == m })
+// memberOf is a daemon as a member: its name and its disk.
+func memberOf(daemon wire.Daemon) wire.Member {
+	return wire.Member{Name: daemon.Name, Disk: daemon.Disk}
 }
 
-// removeMember removes a member, if the list before and the one after both have a
-// majority that answers.
-func (c *Controller) removeMember(now time.Duration, members []wire.Member, m wire.Member, why string) bool {
-	left := without(members, m)
-	if !c.hasResponsiveMajority(now, members) || !c.hasResponsiveMajority(now, left) {
-		return false
+// namesOf are the names of members, in their order.
+func namesOf(members []wire.Member) []string {
+	var names []string
+	for _, member := range members {
+		names = append(names, member.Name)
 	}
-	c.proposeMembers(now, left, m.Name, "out", why)
-	return true
+	return names
 }
 
-// lostReason says why a member that is lost goes.
-func (c *Controller) lostReason(now time.Duration, m wire.Member) string {
-	switch {
-	case m.Disk == 0:
-		return "nobody took its place"
-	case c.isStopping(m.Name):
-		return "it stops"
-	}
-	return fmt.Sprintf("silent for %v", c.sinceLastContact(now, m.Name).Truncate(time.Second/10))
-}
-
-func (c *Controller) isStopping(name string) bool {
-	return name == c.settings.Self.Name && c.stopping || c.peerContacts[name].stopping
+// without is a list of members without one.
+func without(members []wire.Member, removed wire.Member) []wire.Member {
+	return slices.DeleteFunc(slices.Clone(members), func(m wire.Member) bool { return m == removed })
 }
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -1,20 +1,20 @@
-// This file is how a control daemon stops: it hands leadership over, and its place to
-// a standby if there is one, before it goes.
+// This file is how a control daemon stops: it transfers leadership, and waits until a standby has replaced it, before
+// its process ends.
 
 package controlplane
 
 import (
 	"maps"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// stop begins the end: everybody is told, and leadership goes to another member.
+// stop begins the shutdown: all daemons learn of it, and another member gets leadership.
 func (c *Controller) stop(now time.Duration) {
 	if c.stopping {
 		return
@@ -24,8 +24,8 @@
 	c.transferLeadership(now)
 }
 
-// transferLeadership gives leadership to the best of the other members that do not stop too, if
-// there is one: two that stop would hand it to each other until both are gone.
+// transferLeadership gives leadership to the best other member that does not stop too, if there is one: two that stop
+// would transfer it to each other until both are gone.
 func (c *Controller) transferLeadership(now time.Duration) {
 	stays := func(m wire.Member) bool { return !c.isStopping(m.Name) }
 	if c.node != nil && c.node.TransferLeadershipTo(now, tuning.LeaderLease, stays) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// tickShutdown goes on with the end, and ends the process once nothing is left to hand over.
+// tickShutdown goes on with the shutdown, and ends the process once nothing is left to transfer.
 func (c *Controller) tickShutdown(now time.Duration) {
 	if c.node != nil && c.node.Role() == consensus.Leader && c.node.CanChangeMembers() {
 		c.transferLeadership(now)
@@ -45,7 +45,7 @@
 	}
 }
 
-// abandonCalls answers everybody who still waits here that it can't be told: the process ends.
+// abandonCalls answers all calls that wait here as unknown, since the process ends.
 func (c *Controller) abandonCalls() {
 	c.abandonWaiters()
 	for _, id := range slices.Sorted(maps.Keys(c.relayedCalls)) {
@@ -54,29 +54,36 @@
 	clear(c.relayedCalls)
 }
 
+// mayExit says that the process may end.
 func (c *Controller) mayExit(now time.Duration) bool {
 	waited := now - c.stoppingSince
 	switch {
 	case c.node == nil || waited > c.handoverWait():
 		return true
 	case waited <= tuning.LeaderLease:
-		return false // whoever leads next may be told first
+		return false // the next leader may still have to learn of the shutdown
 	case c.node.Removed() || c.isNonVoter() && !c.node.HasLeader(now):
 		return true
 	case !c.isNonVoter() && (c.hasStandby(now) || len(c.node.Members())%2 == 0):
-		return false // its successor is to come, or is in and it is to be removed: its vote may be needed for that
+		// Its successor is to join, or has joined and this member is to be removed: its vote may be needed for either.
+		return false
 	}
 	return waited > tuning.ElectionTimeoutMin || c.node.Role() != consensus.Leader
 }
 
-// hasStandby says that a core daemon is there that could take this member's place.
-func (c *Controller) hasStandby(now time.Duration) bool {
-	members := c.node.Members()
-	for _, d := range c.visibleControlDaemons(now) {
-		if d.Name != c.settings.Self.Name && d.Disk != 0 && d.State != stoppingState && c.state.RemovedMembers[d.Name] == 0 &&
-			!slices.Contains(namesOf(members), d.Name) {
-			return true
-		}
+// handoverWait is how long a member that stops waits for its successor at most.
+func (c *Controller) handoverWait() time.Duration {
+	if c.settings.StopGrace > 0 {
+		return min(tuning.HandoverWait, c.settings.StopGrace/2)
 	}
-	return false
+	return tuning.HandoverWait
+}
+
+// hasStandby says that a control daemon is there that could replace this member.
+func (c *Controller) hasStandby(now time.Duration) bool {
+	members := namesOf(c.node.Members())
+	return slices.ContainsFunc(c.visibleControlDaemons(now), func(d wire.Daemon) bool {
+		return d.Name != c.settings.Self.Name && d.Disk != 0 && d.State != stoppingState &&
+			c.state.RemovedMembers[d.Name] == 0 && !slices.Contains(members, d.Name)
+	})
 }
