--- a/internal/controlplane/api_routes.go
+++ b/internal/controlplane/api_routes.go
@@ -89,32 +89,42 @@
 	c.reject(call, 404, config.ErrorBody{Code: "not_found", Message: "no such call: " + request.Method + " " + request.Path})
 }
 
-// The bodies of answers. Their keys stand in alphabetical order, as they always have in answers.
-type (
-	configAnswer struct {
-		Config   json.RawMessage `json:"config"`
-		Revision uint64          `json:"revision"`
-	}
-	historyAnswer struct {
-		Changes []state.Record `json:"changes"`
-	}
-	daemonsAnswer struct {
-		Daemons []DaemonView `json:"daemons"`
-	}
-	targetsAnswer struct {
-		Revision uint64       `json:"revision"`
-		Targets  []TargetView `json:"targets"`
-	}
-	policiesAnswer struct {
-		Policies     map[string]outlier.PolicyStats `json:"policies"`
-		Revision     uint64                         `json:"revision"`
-		Milliseconds int64                          `json:"since_ms"` // for which this member has led
-	}
-	domainsAnswer struct {
-		Domains []string `json:"domains"`
-		Emptied []string `json:"emptied"`
-	}
-)
+// The types below are bodies of answers. Their keys stand in alphabetical order, as clients have always got them.
+
+// configAnswer is the configuration and its revision.
+type configAnswer struct {
+	Config   json.RawMessage `json:"config"`
+	Revision uint64          `json:"revision"`
+}
+
+// historyAnswer has the latest changes, the oldest first.
+type historyAnswer struct {
+	Changes []state.Record `json:"changes"`
+}
+
+// daemonsAnswer has all daemons that the leader knows of.
+type daemonsAnswer struct {
+	Daemons []DaemonView `json:"daemons"`
+}
+
+// targetsAnswer has the targets as the leader sees them.
+type targetsAnswer struct {
+	Revision uint64       `json:"revision"`
+	Targets  []TargetView `json:"targets"`
+}
+
+// policiesAnswer has what each outlier policy decided since this member began to lead.
+type policiesAnswer struct {
+	Policies            map[string]outlier.PolicyStats `json:"policies"`
+	Revision            uint64                         `json:"revision"`
+	LeadingMilliseconds int64                          `json:"since_ms"`
+}
+
+// domainsAnswer has the failure domains and those of them that get no new requests.
+type domainsAnswer struct {
+	Domains []string `json:"domains"`
+	Emptied []string `json:"emptied"`
+}
 
 // answerConfig answers with the configuration: beside its revision, or, plain, with its revision in it.
 func (c *Controller) answerConfig(request *apiRequest) {
@@ -152,9 +162,9 @@
 
 func (c *Controller) answerPolicies(request *apiRequest) {
 	c.answerBody(request.call, policiesAnswer{
-		Policies:     c.policyStats(request.now),
-		Revision:     c.state.Revision,
-		Milliseconds: (request.now - c.leadershipSince).Milliseconds(),
+		Policies:            c.policyStats(request.now),
+		Revision:            c.state.Revision,
+		LeadingMilliseconds: (request.now - c.leadershipSince).Milliseconds(),
 	})
 }
 
--- a/internal/controlplane/hello.go
+++ b/internal/controlplane/hello.go
@@ -78,27 +78,27 @@
 
 // directoryFor are the daemons that a hello lists to another daemon: for proxies control daemons only. It is empty
 // if the same list was sent lately.
-func (c *Controller) directoryFor(now time.Duration, to string) []wire.Daemon {
+func (c *Controller) directoryFor(now time.Duration, name string) []wire.Daemon {
 	var listed []wire.Daemon
-	receiver := c.directory[to]
+	receiver := c.directory[name]
 	listsAll := receiver == nil || receiver.Kind == wire.ControlDaemon
 	digest := fnv.New64a()
 	if receiver != nil {
 		fmt.Fprint(digest, receiver.Incarnation) // another process of its name has not got the list
 	}
-	for _, name := range c.orderedDaemonNames() {
-		peer := c.directory[name]
+	for _, peerName := range c.orderedDaemonNames() {
+		peer := c.directory[peerName]
 		if !listsAll && peer.Kind != wire.ControlDaemon {
 			continue
 		}
-		io.WriteString(digest, name+" "+peer.Addr+" ")
+		io.WriteString(digest, peerName+" "+peer.Addr+" ")
 		listed = append(listed, peer.Daemon)
 	}
-	sent, ok := c.sentDirectories[to]
+	sent, ok := c.sentDirectories[name]
 	if ok && sent.digest == digest.Sum64() && now-sent.sentAt < tuning.ListEvery {
 		return nil
 	}
-	c.sentDirectories[to] = sentDirectory{sentAt: now, digest: digest.Sum64()}
+	c.sentDirectories[name] = sentDirectory{sentAt: now, digest: digest.Sum64()}
 	return listed
 }
 
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -17,18 +17,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Bodies of answers. Their keys stand in alphabetical order, as they always have in answers.
-type (
-	recoveryAnswer struct {
-		LostDisks   int  `json:"lost"`
-		Unreachable int  `json:"not_seen"`
-		Recovering  bool `json:"refounding"`
-		Visible     int  `json:"seen"`
-	}
-	emptyRecoveryAnswer struct {
-		BeginsEmpty bool `json:"begins_empty"`
-	}
-)
+// recoveryAnswer is the body of the answer to a consent, with the survey that it was taken on. Its keys stand in
+// alphabetical order, as clients have always got them.
+type recoveryAnswer struct {
+	LostDisks   int  `json:"lost"`
+	Unreachable int  `json:"not_seen"`
+	Recovering  bool `json:"refounding"`
+	Visible     int  `json:"seen"` // founders
+}
+
+// emptyRecoveryAnswer is the body of the answer to a consent to begin with nothing.
+type emptyRecoveryAnswer struct {
+	BeginsEmpty bool `json:"begins_empty"`
+}
 
 // operatorsConsent is what operators have told any of the visible daemons: the union, so that all members act on
 // the same.
