--- a/internal/controlplane/wal/segment.go
+++ b/internal/controlplane/wal/segment.go
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// eachHeaderIn visits the plausible headers that begin in b, which was read at an offset.
+// eachHeaderIn visits the plausible headers that begin in content, which was read from the offset start on.
 func (s *segment) eachHeaderIn(content []byte, start int64, visit func(offset int64, header recordHeader) error) error {
 	for i := 0; ; i++ {
 		next := bytes.Index(content[i:], kindPrefix)
--- a/internal/verification/modelcheck/canonical.go
+++ b/internal/verification/modelcheck/canonical.go
@@ -1,205 +1,200 @@
-// This file makes the key of a state: states with the same key go on alike but for
-// the length of timeouts drawn later, and one of them is enough.
+// This file makes the key of a state from its canonical form. States with the same key go on alike, but for the length of
+// time-outs drawn later, so one of them is enough.
 
 package modelcheck
 
 import (
 	"bytes"
+	"cmp"
 	"crypto/sha256"
 	"slices"
-	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/internal/shared/wire"
 )
 
-// key is a sum over the canonical form of a state.
+// key is a checksum over the canonical form of a state.
 type key [16]byte
 
-// noMachine stands for a name that no machine has.
-const noMachine = 255
-
-// keeper makes keys; it keeps its buffers, so each worker has one.
-type keeper struct {
-	canon  consensus.CanonicalEncoder
-	place  [32]byte // the new place of each machine
-	best   []byte
-	chunks [][]byte
-	signs  []signature
-	order  []int
-	fixed  bool // machines differ by their clocks or names, and are not renamed
+const (
+	// noServer stands for the empty name.
+	noServer = 255
+	// maxServers bounds the servers of a scenario, and is the distance from a server's number to that of the vacant
+	// member of its name.
+	maxServers = 32
+)
+
+// canonicalizer makes keys. It reuses its buffers, so each worker has its own.
+type canonicalizer struct {
+	encoder    consensus.CanonicalEncoder
+	rank       [maxServers]byte // what each server is renumbered to
+	least      []byte           // the least form so far
+	messages   [][]byte
+	signatures []signature
+	order      []int
+	// distinct servers differ by their clocks or names, and are not renumbered.
+	distinct bool
 }
 
-// signature is what can be told of a machine without names; machines with unlike
-// signatures need not be tried in each other's place.
+// signature is what can be told of a server without names. Servers with different signatures need not be tried at each
+// other's rank.
 type signature [12]uint64
 
-func newKeeper(s *Scenario) *keeper {
-	k := &keeper{fixed: len(s.ClockRates) > 1 || s.VacantMembers > 0}
-	if len(s.TimeSteps) == 1 && s.TimeSteps[0] == timeout && len(s.ClockRates) == 0 {
-		k.canon.DeadlineStep = timeout // whenever a deadline is within the next step, it has passed after it
+// The last two numbers of a signature count a server's messages in flight.
+const (
+	messagesTo   = 10
+	messagesFrom = 11
+)
+
+func newCanonicalizer(scenario *Scenario) *canonicalizer {
+	c := &canonicalizer{distinct: len(scenario.ClockRates) > 1 || scenario.VacantMembers > 0}
+	if len(scenario.TimeSteps) == 1 && scenario.TimeSteps[0] == longestTimeout && len(scenario.ClockRates) == 0 {
+		c.encoder.DeadlineStep = longestTimeout // whenever a deadline is within the next step, it has passed after it
 	}
-	k.canon.NodeIndex = func(name string) byte {
-		if name == "" {
-			return noMachine
-		}
-		p := k.place[(name[0]-'a')%32]
-		if len(name) > 1 {
-			p += 32 // a place that is kept and nobody has
-		}
-		return p
+	c.encoder.NodeIndex = c.nodeIndex
+	c.encoder.DiskNumber = c.diskNumber
+	return c
+}
+
+func (c *canonicalizer) nodeIndex(name string) byte {
+	if name == "" {
+		return noServer
 	}
-	k.canon.DiskNumber = func(disk uint64) uint64 {
-		if disk == 0 {
-			return 0
-		}
-		return uint64(k.place[(disk-1)/diskStride%32])*diskStride + (disk-1)%diskStride + 1
+	rank := c.rank[(name[0]-'a')%maxServers]
+	if len(name) > 1 {
+		rank += maxServers // a vacant entry of the member list
+	}
+	return rank
+}
+
+func (c *canonicalizer) diskNumber(disk uint64) uint64 {
+	if disk == 0 {
+		return 0
 	}
-	return k
+	server := (disk - 1) / disksPerServer % maxServers
+	return diskNumber(int(c.rank[server]), (disk-1)%disksPerServer)
 }
 
-// key is the least of the state's forms over all orders of the machines that their
-// signatures leave open.
-func (k *keeper) key(w *State) key {
-	k.best = k.best[:0]
-	k.sign(w)
-	k.eachOrder(0, func() {
-		k.write(w, k.order)
-		if len(k.best) == 0 || bytes.Compare(k.canon.Bytes, k.best) < 0 {
-			k.best = append(k.best[:0], k.canon.Bytes...)
+// key is that of the least of the state's forms over all orders of the servers that their signatures leave open.
+func (c *canonicalizer) key(s *State) key {
+	c.least = c.least[:0]
+	c.orderServers(s)
+	c.eachPermutation(0, func() {
+		c.write(s, c.order)
+		if len(c.least) == 0 || bytes.Compare(c.encoder.Bytes, c.least) < 0 {
+			c.least = append(c.least[:0], c.encoder.Bytes...)
 		}
 	})
-	sum := sha256.Sum256(k.best)
+	sum := sha256.Sum256(c.least)
 	return key(sum[:16])
 }
 
-// sign fills in the machines' signatures and orders the machines by them.
-func (k *keeper) sign(w *State) {
-	k.signs, k.order = k.signs[:0], k.order[:0]
-	for i, m := range w.machines {
-		n := m.node
-		s := signature{uint64(n.Role()), n.Term(), n.Commit(), n.LastIndex(), n.Snapshot().Index, m.disks, uint64(len(m.pending)),
-			m.disk.Term, m.applied.index, uint64(len(n.Members()))}
-		if k.fixed {
-			s = signature{uint64(i)}
+// orderServers fills in the servers' signatures, and orders the servers by them.
+func (c *canonicalizer) orderServers(s *State) {
+	c.signatures, c.order = c.signatures[:0], c.order[:0]
+	for i := range s.servers {
+		c.signatures, c.order = append(c.signatures, c.signatureOf(s, i)), append(c.order, i)
+	}
+	slices.SortStableFunc(c.order, func(a, b int) int { return slices.Compare(c.signatures[a][:], c.signatures[b][:]) })
+}
+
+func (c *canonicalizer) signatureOf(state *State, i int) signature {
+	server := state.servers[i]
+	node := server.node
+	result := signature{uint64(node.Role()), node.Term(), node.Commit(), node.LastIndex(), node.Snapshot().Index, server.disks,
+		uint64(len(server.pending)), server.disk.Term, server.applied.index, uint64(len(node.Members()))}
+	if c.distinct {
+		result = signature{uint64(i)}
+	}
+	for _, inFlight := range state.network {
+		if inFlight.message.To == server.name {
+			result[messagesTo]++
 		}
-		for _, p := range w.network {
-			if p.m.To == m.name {
-				s[10]++
-			}
-			if p.m.From == m.name {
-				s[11]++
-			}
+		if inFlight.message.From == server.name {
+			result[messagesFrom]++
 		}
-		k.signs, k.order = append(k.signs, s), append(k.order, i)
 	}
-	slices.SortStableFunc(k.order, func(a, b int) int { return slices.Compare(k.signs[a][:], k.signs[b][:]) })
+	return result
 }
 
-// eachOrder calls visit with every order that permutes machines of equal signature,
-// from the given place on.
-func (k *keeper) eachOrder(from int, visit func()) {
-	if from == len(k.order) {
+// eachPermutation calls visit with every order that permutes servers of equal signature, from the given rank on.
+func (c *canonicalizer) eachPermutation(from int, visit func()) {
+	if from == len(c.order) {
 		visit()
 		return
 	}
-	for i := from; i < len(k.order) && (i == from || k.signs[k.order[i]] == k.signs[k.order[from]]); i++ {
-		k.order[from], k.order[i] = k.order[i], k.order[from]
-		k.eachOrder(from+1, visit)
-		k.order[from], k.order[i] = k.order[i], k.order[from]
+	for i := from; i < len(c.order) && (i == from || c.signatures[c.order[i]] == c.signatures[c.order[from]]); i++ {
+		c.order[from], c.order[i] = c.order[i], c.order[from]
+		c.eachPermutation(from+1, visit)
+		c.order[from], c.order[i] = c.order[i], c.order[from]
 	}
 }
 
-// machineForm is the form of one machine alone.
-func (k *keeper) machineForm(w *State, i int) []byte {
-	for j := range w.machines {
-		k.place[j] = byte(j)
+// serverForm returns the form of one server alone, with the numbers that all have.
+func (c *canonicalizer) serverForm(s *State, i int) []byte {
+	for j := range s.servers {
+		c.rank[j] = byte(j)
 	}
-	k.canon.Bytes = k.canon.Bytes[:0]
-	k.writeMachine(w, i)
-	return bytes.Clone(k.canon.Bytes)
+	c.encoder.Bytes = c.encoder.Bytes[:0]
+	c.writeServer(s, i)
+	return bytes.Clone(c.encoder.Bytes)
 }
 
-// write writes the state down with the machine order[i] at place i.
-func (k *keeper) write(w *State, order []int) {
-	c := &k.canon
-	c.Bytes = c.Bytes[:0]
-	for place, i := range order {
-		k.place[i] = byte(place)
+// write writes the state down with the servers in an order.
+func (c *canonicalizer) write(s *State, order []int) {
+	c.encoder.Bytes = c.encoder.Bytes[:0]
+	for rank, i := range order {
+		c.rank[i] = byte(rank)
 	}
 	for _, i := range order {
-		k.writeMachine(w, i)
+		c.writeServer(s, i)
 	}
-	c.Bytes = append(c.Bytes, w.used[:]...)
-	k.writeNetwork(w)
-	k.writeHistory(w)
+	c.encoder.Bytes = append(c.encoder.Bytes, s.spent[:]...)
+	c.writeNetwork(s)
+	c.writeHistory(s)
 }
 
-func (k *keeper) writeMachine(w *State, i int) {
-	c, m := &k.canon, w.machines[i]
-	c.Node(m.node, m.clock(w.now))
-	c.PersistentState(&m.disk)
-	c.Uint(m.applied.index)
-	c.Uint(m.disks)
-	c.Uint(uint64(len(m.pending)))
-	for _, b := range m.pending {
-		c.Batch(b)
+func (c *canonicalizer) writeServer(s *State, i int) {
+	server := s.servers[i]
+	c.encoder.Node(server.node, server.clock(s.now))
+	c.encoder.PersistentState(&server.disk)
+	c.encoder.Uints(server.applied.index, server.disks, uint64(len(server.pending)))
+	for _, batch := range server.pending {
+		c.encoder.Batch(batch)
 	}
 }
 
-// writeNetwork appends the messages under way as a set.
-func (k *keeper) writeNetwork(w *State) {
-	c := &k.canon
-	start := len(c.Bytes)
-	k.chunks = k.chunks[:0]
-	ends := make([]int, 0, len(w.network))
-	for _, p := range w.network {
-		c.Message(p.m, w.stampClock(p.m))
-		ends = append(ends, len(c.Bytes))
-	}
-	at := start
-	for _, end := range ends {
-		k.chunks = append(k.chunks, bytes.Clone(c.Bytes[at:end]))
-		at = end
-	}
-	slices.SortFunc(k.chunks, bytes.Compare)
-	c.Bytes = c.Bytes[:start]
-	c.Uint(uint64(len(k.chunks)))
-	for _, b := range k.chunks {
-		c.Bytes = append(c.Bytes, b...)
+// writeNetwork appends the messages in flight as a set.
+func (c *canonicalizer) writeNetwork(s *State) {
+	start := len(c.encoder.Bytes)
+	c.messages = c.messages[:0]
+	for _, inFlight := range s.network {
+		at := len(c.encoder.Bytes)
+		c.encoder.Message(inFlight.message, s.timestampClock(inFlight.message))
+		c.messages = append(c.messages, bytes.Clone(c.encoder.Bytes[at:]))
+	}
+	slices.SortFunc(c.messages, bytes.Compare)
+	c.encoder.Bytes = c.encoder.Bytes[:start]
+	c.encoder.Uint(uint64(len(c.messages)))
+	for _, message := range c.messages {
+		c.encoder.Bytes = append(c.encoder.Bytes, message...)
 	}
 }
 
-// stampClock is the present by the clock that a message's stamp is of: the
-// leader's, who sends appends and gets their replies.
-func (w *State) stampClock(m *wire.Message) time.Duration {
-	if m.Append == nil {
-		return 0
+// writeHistory appends what the invariants remember, in an order that doesn't depend on names.
+func (c *canonicalizer) writeHistory(state *State) {
+	for _, leader := range state.history.leaders {
+		c.encoder.Uint(leader.term)
+		c.encoder.NodeName(leader.server)
 	}
-	name := m.From
-	if m.Append.Reply {
-		name = m.To
-	}
-	return w.machines[w.place(name)].clock(w.now)
-}
-
-// writeHistory appends what the invariants remember, in an order of its own.
-func (k *keeper) writeHistory(w *State) {
-	c := &k.canon
-	for _, l := range w.history.leaders {
-		c.Uint(l.term)
-		c.NodeName(l.machine)
-	}
-	votes := slices.SortedFunc(slices.Values(w.history.votes), func(a, b voteRecord) int {
-		return int(a.term)*1024 + int(c.DiskNumber(a.voter.Disk)) - int(b.term)*1024 - int(c.DiskNumber(b.voter.Disk))
+	votes := slices.SortedFunc(slices.Values(state.history.votes), func(a, b voteRecord) int {
+		return cmp.Or(cmp.Compare(a.term, b.term), cmp.Compare(c.diskNumber(a.voter.Disk), c.diskNumber(b.voter.Disk)))
 	})
-	for _, v := range votes {
-		c.Uint(v.term)
-		c.Member(v.voter)
-		c.NodeName(v.candidate)
-	}
-	for _, e := range w.history.committed {
-		c.Uint(e.entryTerm)
-		c.Uint(e.byTerm)
+	for _, vote := range votes {
+		c.encoder.Uint(vote.term)
+		c.encoder.Member(vote.voter)
+		c.encoder.NodeName(vote.candidate)
+	}
+	for _, entry := range state.history.committed {
+		c.encoder.Uints(entry.entryTerm, entry.byTerm)
 	}
 }
--- a/internal/verification/modelcheck/invariant.go
+++ b/internal/verification/modelcheck/invariant.go
@@ -1,4 +1,4 @@
-// This file is what must hold in every state, and the history that it needs.
+// This file is the invariants, which must hold in every state, and the history that they need.
 
 package modelcheck
 
@@ -11,7 +11,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Names of the invariants, with which a violation begins.
+// The names of the invariants, with which a violation begins. ElectionSafety, LogMatching, LeaderCompleteness and
+// StateMachineSafety are properties in figure 3 of the Raft paper.
 const (
 	ElectionSafety       = "one leader per term"
 	CommittedEntriesKept = "committed entries are kept"
@@ -28,25 +29,26 @@
 )
 
 type (
+	// leaderRecord is the leader that a term had.
 	leaderRecord struct {
-		term    uint64
-		machine string
+		term   uint64
+		server string
 	}
+	// voteRecord is the candidate that a member voted for.
 	voteRecord struct {
 		term      uint64
 		voter     wire.Member
 		candidate string
 	}
-	// commitRecord is an entry that some node held for committed, and the latest
-	// term of a node that did so first.
+	// commitRecord is the state after a committed entry, and the term of the node that first held it for committed.
 	commitRecord struct {
-		progress
+		stateMachine
 		entryTerm uint64
 		byTerm    uint64
 	}
 )
 
-// history is what has happened and no node may go back on.
+// history is what has happened, and no node may go back on.
 type history struct {
 	leaders   []leaderRecord
 	votes     []voteRecord
@@ -58,222 +60,231 @@
 	return history{slices.Clip(h.leaders), slices.Clip(h.votes), slices.Clip(h.committed)}
 }
 
-func (w *State) fail(invariant, format string, args ...any) {
-	if w.broken == "" && !slices.Contains(w.scenario.Faults.Ignore, invariant) {
-		w.broken = invariant + ": " + fmt.Sprintf(format, args...)
+// fail notes a violation. Only the first counts.
+func (s *State) fail(invariant, format string, args ...any) {
+	if s.violation == "" && !slices.Contains(s.scenario.Faults.Ignore, invariant) {
+		s.violation = invariant + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
-// check looks at the machine that acted last, against all others.
-func (w *State) check(i int) {
-	m := w.machines[i]
-	w.checkLeader(m)
-	w.checkCommitted(m)
-	w.checkLists(m)
-	for j, other := range w.machines {
+// check checks the server that took the last step, against all others.
+func (s *State) check(i int) {
+	server := s.servers[i]
+	s.checkLeader(server)
+	s.checkCommitted(server)
+	s.checkMemberLists(server)
+	for j, other := range s.servers {
 		if j != i {
-			w.checkLogs(m, other)
+			s.checkLogMatching(server, other)
 		}
 	}
-	w.checkLeases()
+	s.checkLeases()
 }
 
-// checkLeader records who leads a term, and that a majority of members voted for it.
-func (w *State) checkLeader(m *machine) {
-	if m.node.Role() != consensus.Leader {
+// checkLeader checks that a term has one leader, which a majority of the members voted for, and which holds all that was
+// committed before.
+func (s *State) checkLeader(server *server) {
+	if server.node.Role() != consensus.Leader {
 		return
 	}
-	term := m.node.Term()
-	k := slices.IndexFunc(w.history.leaders, func(l leaderRecord) bool { return l.term == term })
+	term := server.node.Term()
+	known := slices.IndexFunc(s.history.leaders, func(leader leaderRecord) bool { return leader.term == term })
 	switch {
-	case k < 0:
-		w.history.leaders = append(w.history.leaders, leaderRecord{term, m.name})
-		w.checkElection(m, term)
-	case w.history.leaders[k].machine != m.name:
-		w.fail(ElectionSafety, "%s and %s in term %d", w.history.leaders[k].machine, m.name, term)
+	case known < 0:
+		s.history.leaders = append(s.history.leaders, leaderRecord{term, server.name})
+		s.checkElectionVotes(server, term)
+	case s.history.leaders[known].server != server.name:
+		s.fail(ElectionSafety, "%s and %s in term %d", s.history.leaders[known].server, server.name, term)
 	}
-	w.checkComplete(m, term)
+	s.checkLeaderCompleteness(server, term)
 }
 
-func (w *State) checkElection(m *machine, term uint64) {
-	members := m.node.Members()
-	self := wire.Member{Name: m.name, Disk: m.disk.Disk}
+func (s *State) checkElectionVotes(leader *server, term uint64) {
+	members := leader.node.Members()
+	self := wire.Member{Name: leader.name, Disk: leader.disk.Disk}
 	if !slices.Contains(members, self) {
-		w.fail(VotersAreMembers, "%s leads term %d and is no member of %v", m.name, term, members)
+		s.fail(VotersAreMembers, "%s leads term %d and is no member of %v", leader.name, term, members)
 	}
 	votes := 1
-	for _, v := range w.history.votes {
-		if v.term == term && v.candidate == m.name && v.voter != self && slices.Contains(members, v.voter) {
+	for _, vote := range s.history.votes {
+		if vote.term == term && vote.candidate == leader.name && vote.voter != self && slices.Contains(members, vote.voter) {
 			votes++
 		}
 	}
 	if 2*votes <= len(members) {
-		w.fail(VotersAreMembers, "%s leads term %d by %d votes of the members %v", m.name, term, votes, members)
+		s.fail(VotersAreMembers, "%s leads term %d by %d votes of the members %v", leader.name, term, votes, members)
 	}
 }
 
-// checkComplete wants a leader to hold all that was committed in earlier terms.
-func (w *State) checkComplete(m *machine, term uint64) {
-	log, snap := m.node.Log(), m.node.Snapshot()
-	for _, c := range w.history.committed {
-		if c.byTerm >= term || c.index <= snap.Index {
+// checkLeaderCompleteness checks that a leader holds all that was committed in earlier terms.
+func (s *State) checkLeaderCompleteness(leader *server, term uint64) {
+	log, snapshot := leader.node.Log(), leader.node.Snapshot()
+	for _, entry := range s.history.committed {
+		if entry.byTerm >= term || entry.index <= snapshot.Index {
 			continue
 		}
-		k := c.index - snap.Index - 1
-		if k >= uint64(len(log)) || log[k].Term != c.entryTerm {
-			w.fail(LeaderCompleteness, "%s leads term %d without entry %d of term %d, committed in term %d", m.name, term, c.index, c.entryTerm, c.byTerm)
+		offset := entry.index - snapshot.Index - 1
+		if offset >= uint64(len(log)) || log[offset].Term != entry.entryTerm {
+			s.fail(LeaderCompleteness, "%s leads term %d without entry %d of term %d, committed in term %d",
+				leader.name, term, entry.index, entry.entryTerm, entry.byTerm)
 		}
 	}
 }
 
-// checkCommitted follows what the node holds for committed and compares it with
-// what any node ever did.
-func (w *State) checkCommitted(m *machine) {
-	snap, log, commit := m.node.Snapshot(), m.node.Log(), min(m.node.Commit(), m.node.LastIndex())
-	if snap.Index < firstIndex {
+// checkCommitted checks that what a node holds for committed is what any node ever did, and that its state machine has
+// applied just that.
+func (s *State) checkCommitted(server *server) {
+	node := server.node
+	snapshot, commit := node.Snapshot(), min(node.Commit(), node.LastIndex())
+	if snapshot.Index < firstIndex {
 		return
 	}
-	at := decodeProgress(snap.Data)
-	w.compareCommitted(m, at, snap.Term)
-	for _, e := range log {
-		if e.Index > commit {
+	state := decodeStateMachine(snapshot.Data)
+	s.compareCommitted(server, state, snapshot.Term)
+	for _, entry := range node.Log() {
+		if entry.Index > commit {
 			break
 		}
-		at = at.then(e)
-		w.compareCommitted(m, at, e.Term)
+		state = state.apply(entry)
+		s.compareCommitted(server, state, entry.Term)
 	}
-	if m.applied != at {
-		w.fail(StateMachineSafety, "%s has applied %+v and committed %+v", m.name, m.applied, at)
+	if server.applied != state {
+		s.fail(StateMachineSafety, "%s has applied %+v and committed %+v", server.name, server.applied, state)
 	}
 }
 
-func (w *State) compareCommitted(m *machine, at progress, term uint64) {
-	k := int(at.index) - firstIndex
-	known := w.history.committed
+// compareCommitted compares the state after a committed entry with that after the entry which was committed first, or
+// notes it.
+func (s *State) compareCommitted(server *server, state stateMachine, entryTerm uint64) {
+	known := s.history.committed
+	offset := int(state.index) - firstIndex
 	switch {
-	case k < len(known) && known[k].progress != at:
-		w.fail(CommittedEntriesKept, "%s holds another entry %d than was committed", m.name, at.index)
-	case k == len(known):
-		w.history.committed = append(known, commitRecord{at, term, m.node.Term()})
-	case k > len(known):
-		w.fail(CommittedEntriesKept, "%s has a snapshot at %d beyond what was committed", m.name, at.index)
+	case offset < len(known) && known[offset].stateMachine != state:
+		s.fail(CommittedEntriesKept, "%s holds another entry %d than was committed", server.name, state.index)
+	case offset == len(known):
+		s.history.committed = append(known, commitRecord{state, entryTerm, server.node.Term()})
+	case offset > len(known):
+		s.fail(CommittedEntriesKept, "%s has a snapshot at %d beyond what was committed", server.name, state.index)
 	}
 }
 
-// checkLogs wants two logs that agree on the term of an entry to agree on all before it.
-func (w *State) checkLogs(a, b *machine) {
-	from := max(a.node.Snapshot().Index, b.node.Snapshot().Index) + 1
+// checkLogMatching checks that two logs which agree on the term of an entry agree on all before it.
+func (s *State) checkLogMatching(a, b *server) {
+	first := max(a.node.Snapshot().Index, b.node.Snapshot().Index) + 1
 	last := min(a.node.LastIndex(), b.node.LastIndex())
 	matched := false
-	for i := last; i >= from; i-- {
-		x, y := entryAt(a.node, i), entryAt(b.node, i)
+	for index := last; index >= first; index-- {
+		x, y := entryAt(a.node, index), entryAt(b.node, index)
 		same := x.Term == y.Term
 		if matched && !same || same && (x.Kind != y.Kind || string(x.Data) != string(y.Data)) {
-			w.fail(LogMatching, "entry %d of %s and %s", i, a.name, b.name)
+			s.fail(LogMatching, "entry %d of %s and %s", index, a.name, b.name)
 			return
 		}
 		matched = matched || same
 	}
 }
 
-func entryAt(n *consensus.Node, i uint64) wire.Entry { return n.Log()[i-n.Snapshot().Index-1] }
+func entryAt(node *consensus.Node, index uint64) wire.Entry {
+	return node.Log()[index-node.Snapshot().Index-1]
+}
 
-// checkLists wants each list of members in a log to share a member between any
-// majority of it and any majority of the list before.
-func (w *State) checkLists(m *machine) {
-	list := m.node.Snapshot().Members
-	for _, e := range m.node.Log() {
-		if e.Kind != consensus.EntryMembers {
+// checkMemberLists checks that any majority of a member list in a log shares a member with any majority of the list before.
+func (s *State) checkMemberLists(server *server) {
+	members := server.node.Snapshot().Members
+	for _, entry := range server.node.Log() {
+		if entry.Kind != consensus.EntryMembers {
 			continue
 		}
 		var after []wire.Member
-		if err := json.Unmarshal(e.Data, &after); err != nil {
-			w.fail(QuorumsIntersect, "entry %d of %s: %v", e.Index, m.name, err)
+		if err := json.Unmarshal(entry.Data, &after); err != nil {
+			s.fail(QuorumsIntersect, "entry %d of %s: %v", entry.Index, server.name, err)
 			return
 		}
-		if !majoritiesMeet(list, after) {
-			w.fail(QuorumsIntersect, "entry %d of %s: %v after %v", e.Index, m.name, after, list)
+		if !quorumsIntersect(members, after) {
+			s.fail(QuorumsIntersect, "entry %d of %s: %v after %v", entry.Index, server.name, after, members)
 		}
-		list = after
+		members = after
 	}
 }
 
-func majoritiesMeet(a, b []wire.Member) bool {
+func quorumsIntersect(a, b []wire.Member) bool {
 	union := len(a)
-	for _, m := range b {
-		if !slices.Contains(a, m) {
+	for _, member := range b {
+		if !slices.Contains(a, member) {
 			union++
 		}
 	}
 	return len(a)/2+1+len(b)/2+1 > union
 }
 
-// checkLeases wants at most one machine to hold a lease at one true time, and
-// that one to know of every commit.
-func (w *State) checkLeases() {
-	holder := -1
-	for i, m := range w.machines {
-		if !m.node.HasLease(m.clock(w.now)) {
+// checkLeases checks that at most one server holds a lease at one true time, and that it knows of every commit.
+func (s *State) checkLeases() {
+	var holder *server
+	for _, server := range s.servers {
+		if !server.node.HasLease(server.clock(s.now)) {
 			continue
 		}
-		if holder >= 0 {
-			w.fail(SingleLeaseHolder, "%s in term %d and %s in term %d", w.machines[holder].name, w.machines[holder].node.Term(), m.name, m.node.Term())
+		if holder != nil {
+			s.fail(SingleLeaseHolder, "%s in term %d and %s in term %d", holder.name, holder.node.Term(), server.name, server.node.Term())
 		}
-		holder = i
-		latest := w.history.committed[len(w.history.committed)-1]
-		if latest.byTerm > m.node.Term() {
-			w.fail(LeaseHolderIsCurrent, "%s holds a lease in term %d, entry %d was committed in term %d", m.name, m.node.Term(), latest.index, latest.byTerm)
+		holder = server
+		latest := s.history.committed[len(s.history.committed)-1]
+		if latest.byTerm > server.node.Term() {
+			s.fail(LeaseHolderIsCurrent, "%s holds a lease in term %d, entry %d was committed in term %d",
+				server.name, server.node.Term(), latest.index, latest.byTerm)
 		}
 	}
 }
 
-// checkPromise looks at a message that leaves: votes and confirmations must be on
-// disk, unless the disk is in a later term already, when they count as sent late.
-func (w *State) checkPromise(m *machine, msg *wire.Message) {
-	v, a := msg.Vote, msg.Append
+// checkSent checks a message that is sent: votes and acknowledgements must be on disk, unless the disk is in a later term
+// already, when they count as sent before.
+func (s *State) checkSent(sender *server, message *wire.Message) {
+	vote, appended := message.Vote, message.Append
+	diskTerm := sender.disk.Term
 	switch {
-	case v != nil && !v.PreVote && !v.Reply:
-		w.recordVote(m, msg.Term, m.name)
-		w.wantSyncedVote(m, msg, m.name)
-	case v != nil && !v.PreVote && v.Granted:
-		w.recordVote(m, msg.Term, msg.To)
-		w.wantSyncedVote(m, msg, msg.To)
-	case v != nil && !v.PreVote && v.NoLeader && m.disk.Term < msg.Term:
-		w.fail(SyncedBeforeSent, "%s gave its consent to term %d and has term %d on disk", m.name, msg.Term, m.disk.Term)
-	case a != nil && !a.Reply && m.disk.Term < msg.Term:
-		w.fail(SyncedBeforeSent, "%s leads in term %d and has term %d on disk", m.name, msg.Term, m.disk.Term)
-	case a != nil && a.Reply && a.Success:
-		w.wantSyncedLog(m, msg)
+	case vote != nil && !vote.PreVote && !vote.Reply:
+		s.recordVote(sender, message.Term, sender.name)
+		s.checkVoteSynced(sender, message.Term, sender.name)
+	case vote != nil && !vote.PreVote && vote.Granted:
+		s.recordVote(sender, message.Term, message.To)
+		s.checkVoteSynced(sender, message.Term, message.To)
+	case vote != nil && !vote.PreVote && vote.NoLeader && diskTerm < message.Term:
+		s.fail(SyncedBeforeSent, "%s gave its consent to term %d and has term %d on disk", sender.name, message.Term, diskTerm)
+	case appended != nil && !appended.Reply && diskTerm < message.Term:
+		s.fail(SyncedBeforeSent, "%s leads in term %d and has term %d on disk", sender.name, message.Term, diskTerm)
+	case appended != nil && appended.Reply && appended.Success:
+		s.checkLogSynced(sender, message)
 	}
 }
 
-func (w *State) wantSyncedVote(m *machine, msg *wire.Message, candidate string) {
-	if m.disk.Term < msg.Term || m.disk.Term == msg.Term && m.disk.Vote != candidate {
-		w.fail(SyncedBeforeSent, "%s voted for %s in term %d and has term %d, vote %q on disk", m.name, candidate, msg.Term, m.disk.Term, m.disk.Vote)
+func (s *State) checkVoteSynced(voter *server, term uint64, candidate string) {
+	disk := &voter.disk
+	if disk.Term < term || disk.Term == term && disk.Vote != candidate {
+		s.fail(SyncedBeforeSent, "%s voted for %s in term %d and has term %d, vote %q on disk", voter.name, candidate, term, disk.Term, disk.Vote)
 	}
 }
 
-func (w *State) wantSyncedLog(m *machine, msg *wire.Message) {
-	match := msg.Append.MatchIndex
-	last := m.disk.Snapshot.Index + uint64(len(m.disk.Log))
-	if m.disk.Term > msg.Term {
+func (s *State) checkLogSynced(sender *server, message *wire.Message) {
+	disk, match := &sender.disk, message.Append.MatchIndex
+	if disk.Term > message.Term {
 		return
 	}
-	if m.disk.Term < msg.Term || last < match {
-		w.fail(SyncedBeforeSent, "%s confirmed entry %d in term %d and has entry %d, term %d on disk", m.name, match, msg.Term, last, m.disk.Term)
+	last := disk.Snapshot.Index + uint64(len(disk.Log))
+	if disk.Term < message.Term || last < match {
+		s.fail(SyncedBeforeSent, "%s confirmed entry %d in term %d and has entry %d, term %d on disk", sender.name, match, message.Term, last, disk.Term)
 	}
 }
 
-// recordVote keeps who voted for whom, over restarts.
-func (w *State) recordVote(m *machine, term uint64, candidate string) {
-	voter := wire.Member{Name: m.name, Disk: m.disk.Disk}
-	for _, v := range w.history.votes {
-		if v.term == term && v.voter == voter {
-			if v.candidate != candidate {
-				w.fail(OneVotePerTerm, "%s voted for %s and %s in term %d", m.name, v.candidate, candidate, term)
+// recordVote notes who voted for whom, over restarts.
+func (s *State) recordVote(server *server, term uint64, candidate string) {
+	voter := wire.Member{Name: server.name, Disk: server.disk.Disk}
+	for _, vote := range s.history.votes {
+		if vote.term == term && vote.voter == voter {
+			if vote.candidate != candidate {
+				s.fail(OneVotePerTerm, "%s voted for %s and %s in term %d", server.name, vote.candidate, candidate, term)
 			}
 			return
 		}
 	}
-	w.history.votes = append(w.history.votes, voteRecord{term, voter, candidate})
+	s.history.votes = append(s.history.votes, voteRecord{term, voter, candidate})
 }
--- a/internal/verification/modelcheck/search.go
+++ b/internal/verification/modelcheck/search.go
@@ -1,206 +1,143 @@
-// This file is the bounded search, breadth first, so that the first violation found
-// is one with the fewest actions.
+// This file is the bounded search, breadth first, so that the first violation that it finds has the shortest counterexample.
 
 package modelcheck
 
-import (
-	"bytes"
-	"fmt"
-	"strings"
-)
+import "bytes"
 
-// Report is what a search or a walk has seen.
-type Report struct {
-	Scenario       string
-	States         int // distinct ones
-	Transitions    int // actions carried out
-	Depth          int // the most actions from the start
-	Complete       bool
-	Leaders        int // the most terms that had a leader on one way
-	Committed      int // the most entries committed on one way, beyond the start
-	Violation      string
-	Counterexample []Transition
+// Limits bound a search.
+type Limits struct {
+	States  int // distinct states
+	Depth   int // transitions from the first state
+	Workers int // goroutines
 }
 
-func (r *Report) String() string {
-	s := fmt.Sprintf("%s: %d states, %d transitions, depth %d", r.Scenario, r.States, r.Transitions, r.Depth)
-	if r.Complete {
-		s += " (all there are)"
-	}
-	s += fmt.Sprintf(", up to %d leaders and %d commits on a way", r.Leaders, r.Committed)
-	if r.Violation != "" {
-		var b strings.Builder
-		fmt.Fprintf(&b, "%s\nBROKEN: %s\n", s, r.Violation)
-		for i, a := range r.Counterexample {
-			fmt.Fprintf(&b, "%3d %v\n", i+1, a)
-		}
-		return b.String()
-	}
-	return s
+// origin is how a state was first reached.
+type origin struct {
+	parent     int32  // the state's id, -1 for the first state
+	transition uint16 // its index among those enabled in the parent
 }
 
-func (r *Report) see(w *State) {
-	r.Leaders = max(r.Leaders, len(w.history.leaders))
-	r.Committed = max(r.Committed, len(w.history.committed)-1)
+// frontierState is a state whose successors are to be found. Its id is its index among the origins.
+type frontierState struct {
+	id    int32
+	state *State
 }
 
-// Limits bound a search.
-type Limits struct {
-	States  int
-	Depth   int
-	Workers int
+// successor is a state after a transition.
+type successor struct {
+	origin
+	key   key
+	state *State
 }
 
-// step is how a state was first reached.
-type step struct {
-	parent int32
-	action uint16 // its place among the parent's actions
+// search is a search that is under way.
+type search struct {
+	scenario *Scenario
+	limits   Limits
+	report   *Report
+	first    *State
+	origins  []origin // of all states, by id
+	seen     map[key]bool
 }
 
-// reached is a state that is to be expanded.
-type reached struct {
-	id int32
-	w  *State
+// Search explores a scenario breadth first until a state violates an invariant, all states have been reached or a limit is
+// met. The report doesn't depend on the number of workers.
+func Search(scenario *Scenario, limits Limits) *Report {
+	first := newState(scenario)
+	report := &Report{Scenario: scenario.Name}
+	if first.violation != "" {
+		report.Violation = first.violation
+		return report
+	}
+	report.observe(first)
+	running := &search{
+		scenario: scenario,
+		limits:   limits,
+		report:   report,
+		first:    first,
+		origins:  []origin{{parent: -1}},
+		seen:     map[key]bool{newCanonicalizer(scenario).key(first): true},
+	}
+	frontier := []frontierState{{0, first}}
+	for len(frontier) > 0 && report.Depth < limits.Depth {
+		report.Depth++
+		frontier = running.nextFrontier(frontier)
+		if running.isOver() {
+			break
+		}
+	}
+	report.States = len(running.origins)
+	report.Complete = !running.isOver() && len(frontier) == 0
+	return report
 }
 
-// successor is what a worker made of a state.
-type successor struct {
-	parent int32
-	action uint16
-	key    key
-	w      *State
+// isOver says whether there is a violation, or enough states.
+func (s *search) isOver() bool {
+	return s.report.Violation != "" || len(s.origins) >= s.limits.States
 }
 
-// batchSize is how many states a worker expands at a time.
-const batchSize = 64
-
-// Search explores a scenario breadth first until a state breaks an invariant, all
-// states are seen or a limit is met. The result does not depend on the workers.
-func Search(s *Scenario, limits Limits) *Report {
-	r := &Report{Scenario: s.Name}
-	first := newWorld(s)
-	if first.broken != "" {
-		r.Violation = first.broken
-		return r
-	}
-	steps := []step{{parent: -1}}
-	seen := map[key]bool{newKeeper(s).key(first): true}
-	layer := []reached{{0, first}}
-	r.see(first)
-	for len(layer) > 0 && r.Depth < limits.Depth {
-		r.Depth++
-		var next []reached
-		for successors := range expand(s, layer, limits.Workers) {
-			for _, c := range successors {
-				r.Transitions++
-				if seen[c.key] {
-					continue
-				}
-				seen[c.key] = true
-				steps = append(steps, step{c.parent, c.action})
-				id := int32(len(steps) - 1)
-				r.see(c.w)
-				if c.w.broken != "" && r.Violation == "" {
-					r.Violation, r.Counterexample = c.w.broken, trace(first, steps, id)
-				}
-				next = append(next, reached{id, c.w})
+// nextFrontier returns the states that are reached first by one more transition.
+func (s *search) nextFrontier(frontier []frontierState) (next []frontierState) {
+	for successors := range expand(s.scenario, frontier, s.limits.Workers) {
+		for _, found := range successors {
+			s.report.Transitions++
+			if s.seen[found.key] {
+				continue
 			}
-			if r.Violation != "" || len(steps) >= limits.States {
-				break
+			s.seen[found.key] = true
+			s.origins = append(s.origins, found.origin)
+			id := int32(len(s.origins) - 1)
+			s.report.observe(found.state)
+			if found.state.violation != "" && s.report.Violation == "" {
+				s.report.Violation, s.report.Counterexample = found.state.violation, s.counterexample(id)
 			}
+			next = append(next, frontierState{id, found.state})
 		}
-		layer = next
-		if r.Violation != "" || len(steps) >= limits.States {
-			r.States = len(steps)
-			return r
+		if s.isOver() {
+			break
 		}
 	}
-	r.States, r.Complete = len(steps), len(layer) == 0
-	return r
+	return next
 }
 
-// expand yields the successors of a layer's states in order, a batch at a time.
-func expand(s *Scenario, layer []reached, workers int) func(func([]successor) bool) {
-	return func(yield func([]successor) bool) {
-		type job struct {
-			states []reached
-			done   chan []successor
-		}
-		jobs := make(chan job)
-		order := make(chan job, 4*workers)
-		stop := make(chan struct{})
-		defer close(stop)
-		for range workers {
-			go func() {
-				k := newKeeper(s)
-				for j := range jobs {
-					j.done <- successorsOf(j.states, k)
-				}
-			}()
-		}
-		go func() {
-			defer close(jobs)
-			defer close(order)
-			for at := 0; at < len(layer); at += batchSize {
-				j := job{layer[at:min(at+batchSize, len(layer))], make(chan []successor, 1)}
-				select {
-				case order <- j:
-				case <-stop:
-					return
-				}
-				select {
-				case jobs <- j:
-				case <-stop:
-					return
-				}
-			}
-		}()
-		for j := range order {
-			if !yield(<-j.done) {
-				return
-			}
-		}
+// counterexample returns the transitions to a state, by taking them again.
+func (s *search) counterexample(id int32) (transitions []Transition) {
+	var path []uint16 // from the state back to the first
+	for ; s.origins[id].parent >= 0; id = s.origins[id].parent {
+		path = append(path, s.origins[id].transition)
+	}
+	state := s.first
+	for i := len(path) - 1; i >= 0; i-- {
+		transition := state.enabled()[path[i]]
+		transitions = append(transitions, transition)
+		state = state.after(transition)
 	}
+	return transitions
 }
 
-func successorsOf(states []reached, k *keeper) []successor {
-	var out []successor
-	for _, st := range states {
-		own := k.key(st.w)
-		for i, a := range st.w.actions() {
-			w := st.w.next(a)
-			if w == nil || a.Kind == Deliver && k.unmoved(st.w, w, st.w.place(a.packet.m.To)) {
+// successorsOf returns the states after each transition, without those that change nothing.
+func successorsOf(states []frontierState, encoder *canonicalizer) (successors []successor) {
+	for _, from := range states {
+		ownKey := encoder.key(from.state)
+		for i, transition := range from.state.enabled() {
+			state := from.state.after(transition)
+			if state == nil || transition.Kind == Deliver && encoder.isNoOp(from.state, state, transition) {
 				continue
 			}
-			key := k.key(w)
-			if key == own && w.broken == "" {
+			key := encoder.key(state)
+			if key == ownKey && state.violation == "" {
 				continue
 			}
-			out = append(out, successor{st.id, uint16(i), key, w})
+			successors = append(successors, successor{origin{from.id, uint16(i)}, key, state})
 		}
 	}
-	return out
-}
-
-// unmoved says that a delivery changed nothing but that the message is gone, after
-// which nothing can happen that could not happen before.
-func (k *keeper) unmoved(before, after *State, i int) bool {
-	return after.broken == "" && len(after.network) == len(before.network)-1 &&
-		bytes.Equal(k.machineForm(before, i), k.machineForm(after, i))
+	return successors
 }
 
-// trace plays the way to a state again and names its actions.
-func trace(first *State, steps []step, id int32) []Transition {
-	var way []uint16
-	for ; steps[id].parent >= 0; id = steps[id].parent {
-		way = append(way, steps[id].action)
-	}
-	var as []Transition
-	w := first
-	for i := len(way) - 1; i >= 0; i-- {
-		a := w.actions()[way[i]]
-		as = append(as, a)
-		w = w.next(a)
-	}
-	return as
+// isNoOp says whether a delivery changed nothing but that the message is gone, after which nothing can happen that couldn't
+// happen before.
+func (c *canonicalizer) isNoOp(before, after *State, delivery Transition) bool {
+	receiver := before.serverIndex(delivery.message.message.To)
+	return after.violation == "" && len(after.network) == len(before.network)-1 &&
+		bytes.Equal(c.serverForm(before, receiver), c.serverForm(after, receiver))
 }
--- a/internal/verification/modelcheck/walk.go
+++ b/internal/verification/modelcheck/walk.go
@@ -7,112 +7,125 @@
 	"slices"
 )
 
-// walkWeights say how often a walk picks each kind of action that is possible.
-var walkWeights = [kinds]int{
+// walkWeights say how often a walk picks each kind of transition that is enabled.
+var walkWeights = weights{
 	Deliver: 60, Duplicate: 3, Tick: 25, Sync: 25, Advance: 10, Restart: 2, Wipe: 1, Propose: 10,
 	AddLearner: 4, AddMember: 6, DropMember: 2, Compact: 2, TransferLeadership: 1,
 }
 
-// Walk takes walks of so many actions each from the start of a scenario, without a
-// budget, and shortens the first that breaks an invariant.
-func Walk(s *Scenario, seed uint64, walks, length int) *Report {
-	unbounded := *s
-	for k := range unbounded.Budget {
-		unbounded.Budget[k] = 255
+// weights say how often each kind of transition is picked.
+type weights [kindCount]int
+
+// Walk takes walks of length transitions each from a scenario's first state, without a budget, and minimizes the first that
+// violates an invariant.
+func Walk(scenario *Scenario, seed uint64, walks, length int) *Report {
+	unbounded := *scenario
+	for kind := range unbounded.Budget {
+		unbounded.Budget[kind] = 255
 	}
-	r := &Report{Scenario: s.Name + ", walks"}
+	report := &Report{Scenario: scenario.Name + ", walks"}
 	for i := range walks {
 		rnd := rand.New(rand.NewPCG(seed, uint64(i)))
-		first := newWorld(&unbounded)
-		w, weights := first, swarm(rnd)
-		var way []Transition
-		for len(way) < length && w.broken == "" {
-			a := pick(rnd, weights, w.actions())
-			w = w.next(a)
-			w.used = Budget{}
-			way = append(way, a)
-		}
-		r.Transitions += len(way)
-		r.Depth = max(r.Depth, len(way))
-		r.see(w)
-		if w.broken != "" {
-			r.Counterexample, r.Violation = shorten(first, way, w.broken)
-			return r
+		first := newState(&unbounded)
+		last, path := randomPath(first, rnd, length)
+		report.Transitions += len(path)
+		report.Depth = max(report.Depth, len(path))
+		report.observe(last)
+		if last.violation != "" {
+			report.Counterexample, report.Violation = minimize(first, path, last.violation)
+			return report
 		}
 	}
-	return r
+	return report
 }
 
-// swarm leaves about half of the kinds that need not happen out of a walk: what
-// hides a fault in some walks is missing in others.
-func swarm(rnd *rand.Rand) [kinds]int {
-	weights := walkWeights
-	for k := range weights {
-		if TransitionKind(k) != Deliver && TransitionKind(k) != Tick && TransitionKind(k) != Sync && TransitionKind(k) != Advance && rnd.IntN(2) == 0 {
-			weights[k] = 0
+// randomPath takes random transitions from a state, up to a violation.
+func randomPath(first *State, rnd *rand.Rand, length int) (last *State, path []Transition) {
+	last = first
+	kindWeights := randomWeights(rnd)
+	for len(path) < length && last.violation == "" {
+		transition := pick(rnd, kindWeights, last.enabled())
+		last = last.after(transition)
+		last.spent = Budget{}
+		path = append(path, transition)
+	}
+	return last, path
+}
+
+// randomWeights leave about half of the kinds that need not happen out of a walk: what hides a fault in some walks is
+// missing in others (swarm testing).
+func randomWeights(rnd *rand.Rand) weights {
+	chosen := walkWeights
+	for kind := range chosen {
+		switch TransitionKind(kind) {
+		case Deliver, Tick, Sync, Advance:
+			continue
+		}
+		if rnd.IntN(2) == 0 {
+			chosen[kind] = 0
 		}
 	}
-	return weights
+	return chosen
 }
 
-// pick draws a kind by weight and then one action of it.
-func pick(rnd *rand.Rand, weights [kinds]int, as []Transition) Transition {
-	var of [kinds][]Transition
-	for _, a := range as {
-		of[a.Kind] = append(of[a.Kind], a)
+// pick draws a kind by weight, and then one transition of it.
+func pick(rnd *rand.Rand, kindWeights weights, transitions []Transition) Transition {
+	var byKind [kindCount][]Transition
+	for _, transition := range transitions {
+		byKind[transition.Kind] = append(byKind[transition.Kind], transition)
 	}
 	total := 0
-	for k, l := range of {
-		if len(l) > 0 {
-			total += weights[k]
+	for kind, candidates := range byKind {
+		if len(candidates) > 0 {
+			total += kindWeights[kind]
 		}
 	}
-	at := rnd.IntN(total)
-	for k, l := range of {
-		if len(l) == 0 {
+	drawn := rnd.IntN(total)
+	for kind, candidates := range byKind {
+		if len(candidates) == 0 {
 			continue
 		}
-		if at < weights[k] {
-			return l[rnd.IntN(len(l))]
+		if drawn < kindWeights[kind] {
+			return candidates[rnd.IntN(len(candidates))]
 		}
-		at -= weights[k]
+		drawn -= kindWeights[kind]
 	}
-	panic("no action drawn")
+	panic("no transition drawn")
 }
 
-// shorten leaves actions out as long as what is left breaks an invariant.
-func shorten(first *State, way []Transition, broken string) ([]Transition, string) {
-	for size := len(way) / 2; size > 0; {
-		shorter := false
-		for at := 0; at+size <= len(way); {
-			tried := slices.Delete(slices.Clone(way), at, at+size)
-			if kept, b := replay(first, tried); b != "" {
-				way, broken, shorter = kept, b, true
+// minimize leaves transitions out as long as what is left violates an invariant.
+func minimize(first *State, path []Transition, violation string) ([]Transition, string) {
+	for size := len(path) / 2; size > 0; {
+		shortened := false
+		for at := 0; at+size <= len(path); {
+			attempt := slices.Delete(slices.Clone(path), at, at+size)
+			if taken, found := replay(first, attempt); found != "" {
+				path, violation, shortened = taken, found, true
 			} else {
 				at += size
 			}
 		}
-		if !shorter || size > 1 {
+		if !shortened || size > 1 {
 			size /= 2
 		}
 	}
-	return way, broken
+	return path, violation
 }
 
-// replay carries out those actions that are possible, up to a violation.
-func replay(first *State, way []Transition) (done []Transition, broken string) {
-	w := first
-	for _, a := range way {
-		next := w.next(a)
+// replay takes those transitions that are enabled, up to a violation.
+func replay(first *State, path []Transition) (taken []Transition, violation string) {
+	state := first
+	for _, transition := range path {
+		next := state.after(transition)
 		if next == nil {
 			continue
 		}
-		w = next
-		w.used = Budget{}
-		done = append(done, a)
-		if w.broken != "" {
-			return done, w.broken
+		state = next
+		state.spent = Budget{}
+		taken = append(taken, transition)
+		if state.violation != "" {
+			return taken, state.violation
 		}
 	}
-	return done, ""
+	return taken, ""
 }
