--- a/internal/dataplane/retrybudget_test.go
+++ b/internal/dataplane/retrybudget_test.go
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	if retried > 600/tuning.RetryShare+tuning.RetryFree || retried < 600/tuning.RetryCost {
+	if retried > 600/tuning.RetryShare+tuning.RetryFree || float64(retried) < 600*tuning.RetryEarn/tuning.RetryShare {
 		t.Fatalf("%d retries for 600 requests", retried)
 	}
 }
