--- a/internal/shared/changeid/changeid.go
+++ b/internal/shared/changeid/changeid.go
@@ -1,6 +1,5 @@
-// Package changeid makes the ids by which operators' changes are known. mfctl names each change
-// before it sends it, so that a change that is sent again is recognised; daemons name those that
-// come without an id.
+// Package changeid makes the ids of operators' changes. mfctl gives each change its id before it sends it,
+// so that daemons recognise a change that is sent again; a change without an id gets one from the daemon.
 package changeid
 
 import (
@@ -9,7 +8,7 @@
 	"time"
 )
 
-// New returns an id that no other change has: the wall-clock time in UTC, for people, and 32 random bits.
+// New returns a new id: the wall-clock time in UTC, for people, and 32 random bits.
 func New() string {
 	return fmt.Sprintf("%s-%08x", time.Now().UTC().Format("20060102T150405Z"), rand.Uint32())
 }
--- a/internal/shared/statemachine/command.go
+++ b/internal/shared/statemachine/command.go
@@ -7,43 +7,44 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Command is what a state machine wants done. The types of this package are all there are.
+// Command is a result of a step, to be carried out by who runs the state machine. It is a sealed type: this
+// package has all commands.
 type Command interface{ isCommand() }
 
 // Commands of both daemons.
 type (
-	// Send asks for a message to be sent to a daemon.
+	// Send sends a message to a daemon. It may get lost.
 	Send struct {
-		Addr    string
+		Addr    string // IP:port
 		Message *wire.Message
 	}
-	// Probe asks a target for its health or identity, which ProbeResult answers.
+	// Probe sends a health check or identity request to a target. A ProbeResult follows.
 	Probe struct {
 		ID   wire.TargetID
-		Addr string
+		Addr string // IP:port
 		Path string // of the service's health check, "": the identity request
 	}
-	// Reply is the answer to the Call of the same ID.
+	// Reply is the response to the Call of the same ID.
 	Reply struct {
 		ID         uint64
-		Status     int
-		RetryAfter time.Duration // when to ask again, 0: not said
+		Status     int           // HTTP status
+		RetryAfter time.Duration // when to retry, 0: not set
 		Body       []byte
 	}
-	// StateChange is a change of state worth a line in the log.
+	// StateChange writes a line to the log.
 	StateChange struct {
-		Subject          Subject
-		From, To, Reason string
+		Subject          Subject // whose state changed
+		From, To, Reason string  // for people; any may be ""
 	}
-	// Exit says that the process may end.
+	// Exit ends the process.
 	Exit struct{}
 )
 
 // Commands of a control daemon.
 type (
-	// Sync asks for a batch to be written and synced, which Synced answers.
+	// Sync writes a batch to the disk and syncs it. A Synced follows.
 	Sync struct{ Batch *wire.Batch }
-	// Publish is a target event or a decision for those who read the stream.
+	// Publish writes a target event or a decision to the stream. One of the two is set.
 	Publish struct {
 		Event    *outlier.Event    `json:"event,omitempty"`
 		Decision *outlier.Decision `json:"decision,omitempty"`
--- a/internal/shared/statemachine/event.go
+++ b/internal/shared/statemachine/event.go
@@ -1,8 +1,9 @@
-// Package statemachine holds the typed messages between the daemons' state machines and whoever
-// runs them: the events that Step takes and the commands that it returns. It holds no logic. The
-// daemons' processes (package daemon) turn I/O into events and carry commands out; the simulator
-// does the same in virtual time. Begin with Event and Command; requests.go has those that only a
-// proxy knows.
+// Package statemachine holds the typed messages between the daemons' state machines and who runs them:
+// the events that Step takes and the commands that it returns. It holds no logic. The daemons'
+// processes (package daemon) turn I/O into events and carry commands out; the simulator does the same
+// in virtual time. Times are since the process's start, by its monotonic clock.
+//
+// Begin with Event and Command; requests.go has those that only a proxy knows.
 package statemachine
 
 import (
@@ -12,39 +13,39 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Event is what a state machine is stepped with. The types of this package are all there are.
+// Event is the input of a step. It is a sealed type: this package has all events.
 type Event interface{ isEvent() }
 
-// Events that both daemons know.
+// Events of both daemons.
 type (
-	// Receive is a message from another daemon.
+	// Receive is a message that has come from another daemon.
 	Receive struct{ Message *wire.Message }
-	// Tick says that time has moved on.
+	// Tick says that time has passed; it comes every tuning.TickEvery.
 	Tick struct{}
 	// ProbeResult is the outcome of a Probe.
 	ProbeResult struct {
-		ID           wire.TargetID
+		ID           wire.TargetID // that was asked for
 		SentAt       time.Duration
-		Milliseconds float64              // until the answer
-		Report       *config.TargetReport // nil: no sound answer; its state may be "": alive, and nothing said of it
-		WarmupLeft   time.Duration        // how much longer it says that it is warming up
+		Milliseconds float64              // response time
+		Report       *config.TargetReport // of who responded; nil: missed. Its state may be "": alive, state not reported
+		WarmupLeft   time.Duration        // for how much longer the target says that it is warming up
 	}
-	// Call is an operator's or a target's call of the HTTP API. Token names a change for good.
+	// Call is an operator's or a target's call of the HTTP API. A Reply of the same ID follows.
 	Call struct {
 		ID                  uint64
-		Token               string
+		Token               string // identifies a change, so that it is made once however often it is sent
 		Method, Path, Query string
 		Body                []byte
 	}
-	// Stop asks the process to hand over what it has and to end.
+	// Stop begins a graceful shutdown, which ends with Exit.
 	Stop struct{}
 )
 
-// Events that only a control daemon knows.
+// Events of a control daemon.
 type (
-	// Synced says that the batch of that number is on disk.
+	// Synced says that the batch of that number, and all before it, are on disk.
 	Synced struct{ Seq uint64 }
-	// DiskHealth says that the disk takes no writes now, and why; nil: it does again.
+	// DiskHealth says that the disk fails, and why; nil: it works again.
 	DiskHealth struct{ Err error }
 )
 
--- a/internal/shared/statemachine/subject.go
+++ b/internal/shared/statemachine/subject.go
@@ -1,20 +1,20 @@
 package statemachine
 
-// Subject is what a StateChange is of. The texts stand in log lines.
+// Subject is whose state a StateChange is about. The texts are in log lines.
 type Subject string
 
 // Subjects of state changes.
 const (
-	SubjectLeadership    Subject = "lead"       // whether this member leads, and how far it has come
-	SubjectTransfer      Subject = "leadership" // leadership is handed over
-	SubjectMember        Subject = "member"     // the list of members
-	SubjectEpoch         Subject = "epoch"
-	SubjectDamage        Subject = "damage"   // something stored or received can't be read
-	SubjectDisk          Subject = "disk"     // whether the disk takes writes
-	SubjectMessage       Subject = "message"  // a message was rejected
-	SubjectRevision      Subject = "revision" // of the configuration
-	SubjectConfiguration Subject = "in force" // an acknowledged configuration that is not in force yet
-	SubjectProxy         Subject = "gate"     // by what right a proxy serves
-	SubjectTarget        Subject = "target"
-	SubjectShutdown      Subject = "stop"
+	SubjectLeadership    Subject = "lead"       // whether this member is the leader, and the phase of its leadership
+	SubjectTransfer      Subject = "leadership" // a transfer of leadership
+	SubjectMember        Subject = "member"     // the member list
+	SubjectEpoch         Subject = "epoch"      // the bootstrap epoch
+	SubjectDamage        Subject = "damage"     // unreadable stored or received data
+	SubjectDisk          Subject = "disk"       // whether the disk works
+	SubjectMessage       Subject = "message"    // a rejected message
+	SubjectRevision      Subject = "revision"   // the configuration's revision
+	SubjectConfiguration Subject = "in force"   // a committed configuration that is not in force yet
+	SubjectProxy         Subject = "gate"       // the state of a proxy: leased, on peer leases, isolated
+	SubjectTarget        Subject = "target"     // a target's state or decisions on it
+	SubjectShutdown      Subject = "stop"       // a graceful shutdown
 )
--- a/internal/shared/version/version.go
+++ b/internal/shared/version/version.go
@@ -1,5 +1,5 @@
-// Package version holds the version that all programs answer to --version.
+// Package version holds the version that all programs print for --version.
 package version
 
-// Version is that of the last release.
+// Version is the version of the last release.
 const Version = "0.1.0"
