--- a/internal/controlplane/recoveredstate_test.go
+++ b/internal/controlplane/recoveredstate_test.go
@@ -2,55 +2,175 @@
 
 import (
 	"encoding/json"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/state"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// remembering is the hello of a proxy that tells what it remembers of an epoch.
-func remembering(t *testing.T, proxy string, epoch uint64) statemachine.Receive {
+// mustEncode is a value in JSON.
+func mustEncode(t *testing.T, value any) []byte {
 	t.Helper()
-	agreed, err := json.Marshal(state.State{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}})
+	text, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := json.Marshal(state.RecoveredState{Epoch: epoch, Term: 1, Index: 5, State: agreed})
-	if err != nil {
-		t.Fatal(err)
+	return text
+}
+
+// helloWithState is the hello of a proxy that has a state of an epoch.
+func helloWithState(t *testing.T, proxy string, epoch uint64) statemachine.Receive {
+	t.Helper()
+	stored := mustEncode(t, state.State{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}})
+	recovered := mustEncode(t, state.RecoveredState{Epoch: epoch, Term: 1, Index: 5, State: stored})
+	return statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: proxy, Hello: &wire.Hello{
+		Self:           wire.Daemon{Name: proxy, Kind: wire.ProxyDaemon, Addr: proxy, Incarnation: 1},
+		RecoveredState: wire.Compress(recovered),
+	}}}
+}
+
+// A leader does not decode the states that proxies send, which all of them do at once when they lose their leases.
+func TestLeaderDecodesNoProxyStates(t *testing.T) {
+	fleet := newIdleFleet(3, 3)
+	fleet.step(helloWithState(t, "g1", 1))
+	fleet.runSecond()
+	c := fleet.controller
+	if len(c.proxyRecoveredStates) != 0 || len(c.unreadRecoveredStates) != 1 {
+		t.Errorf("%d states decoded, %d not", len(c.proxyRecoveredStates), len(c.unreadRecoveredStates))
+	}
+}
+
+// A control daemon without a leader decodes the states that proxies send, before it bootstraps or recovers.
+func TestProxyStatesAreDecodedWithoutALeader(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		self string
+		disk consensus.PersistentState
+		wait time.Duration // after the hello
+	}{
+		{"empty", "c9", consensus.PersistentState{Disk: 9}, 0},
+		{"member of two", "c1", consensus.PersistentState{Disk: 7, Epoch: 1,
+			Snapshot: wire.Snapshot{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}}}, 3 * tuning.HelloEvery},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			now := time.Second
+			self := wire.Daemon{Name: c.self, Kind: wire.ControlDaemon, Addr: c.self, Incarnation: 1}
+			controller := New(now, Settings{Self: self}, c.disk)
+			controller.Step(now, helloWithState(t, "g1", 1))
+			for range c.wait / tuning.TickEvery {
+				now += tuning.TickEvery
+				controller.Step(now, statemachine.Tick{})
+			}
+			if n := len(controller.proxyRecoveredStates); n != 1 {
+				t.Errorf("%d states decoded", n)
+			}
+		})
+	}
+}
+
+// recoveringMember is a lone member at the beginning of epoch 2, to which proxies send states of epoch 1.
+type recoveringMember struct {
+	idleFleet
+	proxyStates []state.RecoveredState
+}
+
+func newRecoveringMember(proxyStates ...state.RecoveredState) *recoveringMember {
+	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
+	disk := consensus.PersistentState{Disk: 7, Epoch: 2, Snapshot: wire.Snapshot{Index: 1, Members: []wire.Member{{Name: "c1", Disk: 7}}}}
+	controller := New(time.Second, Settings{Self: self, BootstrapSize: 1}, disk)
+	return &recoveringMember{idleFleet{now: time.Second, controller: controller}, proxyStates}
+}
+
+// runSeconds lets seconds pass, in each of which every proxy sends its state.
+func (m *recoveringMember) runSeconds(t *testing.T, seconds int) {
+	t.Helper()
+	for range seconds {
+		for _, recovered := range m.proxyStates {
+			proxy := wire.Daemon{Name: "g" + string(recovered.State[:1]), Kind: wire.ProxyDaemon, Addr: "g"}
+			m.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: proxy.Name,
+				Hello: &wire.Hello{Self: proxy, RecoveredState: mustEncode(t, recovered)}}})
+		}
+		m.runSecond()
 	}
-	return statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: proxy, Hello: &wire.Hello{Self: wire.Daemon{Name: proxy, Kind: wire.ProxyDaemon, Addr: proxy, Incarnation: 1}, RecoveredState: wire.Compress(b)}}}
 }
 
-// Where a leader is heard nobody reads what proxies remember, which all of them tell at once when
-// they lose their leases; one who has no leader to hear reads it before a core is founded.
-func TestMemoriesAreReadOnlyWithoutALeader(t *testing.T) {
-	r := newIdleFleet(3, 3)
-	r.step(remembering(t, "g1", 1))
-	r.runSecond()
-	if len(r.controller.proxyRecoveredStates) != 0 || len(r.controller.unreadRecoveredStates) != 1 {
-		t.Errorf("a leader has read %d memories, %d lie unread", len(r.controller.proxyRecoveredStates), len(r.controller.unreadRecoveredStates))
+// recoveredAt is a state of epoch 1 at an entry and with a revision.
+func recoveredAt(t *testing.T, index, revision uint64) state.RecoveredState {
+	t.Helper()
+	stored := state.New()
+	stored.Recovered, stored.Revision, stored.Index = true, revision, index
+	return state.RecoveredState{Epoch: 1, Term: 3, Index: index, State: mustEncode(t, stored)}
+}
+
+// unreadableStates are JSON but no state, or a state that can't be put in force.
+var unreadableStates = []struct{ name, text string }{
+	{"no state", `{"seq":"ninety"}`},
+	{"not an object", `[1,2]`},
+	{"a text that is cut off", `"{\"seq\":9"`},
+	{"an invalid configuration", `{"adopted":true,"seq":90,"revision":7,"doc":[]}`},
+}
+
+// unreadableAt is an unreadable state of epoch 1 that claims to be the latest.
+func unreadableAt(text string) state.RecoveredState {
+	return state.RecoveredState{Epoch: 1, Term: 3, Index: 90, State: json.RawMessage(text)}
+}
+
+// The latest state that can be decoded completely is the epoch's first one, and what could not be decoded is reported.
+func TestLatestReadableStateIsRecovered(t *testing.T) {
+	for _, unreadable := range unreadableStates {
+		t.Run(unreadable.name, func(t *testing.T) {
+			member := newRecoveringMember(recoveredAt(t, 40, 4), unreadableAt(unreadable.text), recoveredAt(t, 50, 5))
+			member.runSeconds(t, 6)
+			c := member.controller
+			if !c.Leading() || c.state.Revision != 5 {
+				t.Errorf("leads %v with revision %d", c.Leading(), c.state.Revision)
+			}
+			if damage := c.Status(member.now).Damage; len(damage) == 0 || len(damage) > tuning.DamageReportsKept {
+				t.Errorf("%d reports of damage", len(damage))
+			}
+		})
 	}
+}
 
-	now := time.Second
-	empty := New(now, Settings{Self: wire.Daemon{Name: "c9", Kind: wire.ControlDaemon, Addr: "c9", Incarnation: 1}}, consensus.PersistentState{Disk: 9})
-	empty.Step(now, remembering(t, "g1", 1))
-	if len(empty.proxyRecoveredStates) != 1 {
-		t.Error("an empty member has not read what a proxy remembers")
+// An epoch does not begin with nothing while there is a state that can't be decoded, until an operator allows it.
+func TestEpochDoesNotBeginEmptyWhileAStateIsUnreadable(t *testing.T) {
+	for _, unreadable := range unreadableStates {
+		t.Run(unreadable.name, func(t *testing.T) {
+			member := newRecoveringMember(unreadableAt(unreadable.text))
+			member.runSeconds(t, 20)
+			c := member.controller
+			if c.Leading() || c.state.Recovered || len(c.Status(member.now).Damage) == 0 {
+				t.Errorf("leads %v, recovered %v, damage %v", c.Leading(), c.state.Recovered, c.damage)
+			}
+			member.step(statemachine.Call{ID: 1, Method: "POST", Path: recoveryPath})
+			member.runSeconds(t, 3)
+			if !c.Leading() || c.state.Revision != 0 {
+				t.Errorf("after an operator's consent: leads %v with revision %d", c.Leading(), c.state.Revision)
+			}
+		})
 	}
+}
 
-	member := New(now, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}}, consensus.PersistentState{Disk: 7, Epoch: 1,
-		Snapshot: wire.Snapshot{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}}})
-	member.Step(now, remembering(t, "g1", 1))
-	for range 3 * tuning.HelloEvery / tuning.TickEvery {
-		now += tuning.TickEvery
-		member.Step(now, statemachine.Tick{})
+// A committed first state that does not decode is discarded, and another is proposed.
+func TestUndecodableInitialStateIsDiscarded(t *testing.T) {
+	undecodable := state.Command{Operation: state.OpRecover, State: json.RawMessage(`{"seq":"ninety"}`)}
+	applied := state.New()
+	applied.Apply(9, undecodable)
+	if applied.Recovered {
+		t.Error("an undecodable state was recovered")
+	}
+	member := newRecoveringMember(recoveredAt(t, 50, 5))
+	c := member.controller
+	for c.leadership != Recovering {
+		member.runSeconds(t, 1)
 	}
-	if len(member.proxyRecoveredStates) != 1 {
-		t.Error("a member that hears no leader has not read what a proxy remembers")
+	c.propose(member.now, undecodable)
+	member.runSeconds(t, 6)
+	if !c.Leading() || c.state.Revision != 5 || len(c.damage) == 0 {
+		t.Errorf("leads %v with revision %d, damage %v", c.Leading(), c.state.Revision, c.damage)
 	}
 }
--- a/internal/controlplane/rejection_test.go
+++ b/internal/controlplane/rejection_test.go
@@ -20,9 +20,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// refusals are all errors that the operators' interface answers with: the kind of
-// each code. A new code has to be entered here, with the kind that its readers see.
-var refusals = map[string][]config.Rejection{
+// rejections are all errors that the HTTP API answers with: the kinds of each code. A new code has to be entered
+// here, with the kind that its readers see.
+var rejections = map[string][]config.Rejection{
 	"stale":        {config.RejectedVersion},
 	"invalid":      {config.RejectedInvalid},
 	"not_json":     {config.RejectedInvalid},
@@ -77,7 +77,7 @@
 				if b, ok := a.(*ast.BasicLit); ok && b.Kind == token.INT && status == 0 {
 					status, _ = strconv.Atoi(b.Value)
 				}
-				if c, ok := troubleCode(a); ok {
+				if c, ok := errorCode(a); ok {
 					l = append(l, replyPath{files.Position(a.Pos()), status, c})
 				}
 			}
@@ -87,8 +87,8 @@
 	return l
 }
 
-// troubleCode is the code of an ErrorBody literal, "" if that is computed.
-func troubleCode(x ast.Expr) (code string, ok bool) {
+// errorCode is the code of an ErrorBody literal, "" if that is computed.
+func errorCode(x ast.Expr) (code string, ok bool) {
 	lit, ok := x.(*ast.CompositeLit)
 	if !ok {
 		return "", false
@@ -108,8 +108,8 @@
 	return code, true
 }
 
-// Every way to refuse a call says of which kind the refusal is, and always the same for a code.
-func TestEveryRefusalSaysItsKind(t *testing.T) {
+// Every way to reject a call says of which kind the rejection is, and always the same for a code.
+func TestEveryRejectionSaysItsKind(t *testing.T) {
 	seen := map[string]bool{}
 	for _, dir := range []string{".", "../shared/targetreport", "../daemon"} {
 		paths := replyPaths(t, dir)
@@ -118,14 +118,20 @@
 		}
 		for _, p := range paths {
 			if p.code == "" {
-				continue // its codes are named where they are computed
+				if dir != "../daemon" {
+					t.Errorf("%v: the code is no literal, so it is not checked", p.at)
+				}
+				continue // the daemon's codes are named where they are computed
 			}
 			seen[p.code] = true
-			kinds, known := refusals[p.code]
+			kinds, known := rejections[p.code]
 			if !known {
 				t.Errorf("%v: code %q has no kind", p.at, p.code)
 			}
 			if p.status == 0 {
+				if dir != "../daemon" {
+					t.Errorf("%v: the status of code %q is no literal, so it is not checked", p.at, p.code)
+				}
 				continue
 			}
 			kind, fits := config.RejectionOf(p.status), false
@@ -144,61 +150,65 @@
 	}
 }
 
-// refusal is what a refused call is answered with.
-type refusal struct {
+// rejection is what a rejected call is answered with.
+type rejection struct {
 	status int
 	code   string
 	kind   config.Rejection
 }
 
-// ask makes a call of a core and reads the refusal.
-func ask(t *testing.T, c *Controller, now time.Duration, method, path, query, body string) refusal {
+// rejectedChange asks a control daemon for a change of the configuration and returns the rejection.
+func rejectedChange(t *testing.T, c *Controller, now time.Duration, query, body string) rejection {
 	t.Helper()
-	for _, cmd := range c.Step(now, statemachine.Call{ID: 1, Token: "t-" + query + body, Method: method, Path: path, Query: query, Body: []byte(body)}) {
-		r, ok := cmd.(statemachine.Reply)
+	call := statemachine.Call{ID: 1, Token: "t-" + query + body, Method: "PUT", Path: "/v1/config", Query: query, Body: []byte(body)}
+	for _, command := range c.Step(now, call) {
+		answer, ok := command.(statemachine.Reply)
 		if !ok {
 			continue
 		}
-		var v struct{ Error config.ErrorBody }
-		if err := json.Unmarshal(r.Body, &v); err != nil {
-			t.Fatalf("%d %s: %v", r.Status, r.Body, err)
+		var content struct{ Error config.ErrorBody }
+		if err := json.Unmarshal(answer.Body, &content); err != nil {
+			t.Fatalf("%d %s: %v", answer.Status, answer.Body, err)
 		}
-		return refusal{r.Status, v.Error.Code, v.Error.Rejection}
+		return rejection{answer.Status, content.Error.Code, content.Error.Rejection}
 	}
-	t.Fatalf("%s %s?%s: not answered", method, path, query)
-	return refusal{}
+	t.Fatalf("PUT /v1/config?%s: not answered", query)
+	return rejection{}
 }
 
-// The three kinds that a change may meet, as a caller reads them.
-func TestRefusalsOfChanges(t *testing.T) {
-	r := newIdleFleet(1, 1)
-	alone := New(time.Second, Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}, BootstrapSize: 3}, consensus.PersistentState{Disk: 7})
-	for _, x := range []struct {
+// A change is rejected with a status, a code and a kind by which its caller can tell what to do.
+func TestRejectionsOfChanges(t *testing.T) {
+	leader := newIdleFleet(1, 1)
+	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
+	leaderless := New(time.Second, Settings{Self: self, BootstrapSize: 3}, consensus.PersistentState{Disk: 7})
+	for _, c := range []struct {
 		name        string
-		c           *Controller
+		controller  *Controller
 		query, body string
-		want        refusal
+		want        rejection
 	}{
-		{"built on another version", r.controller, "base=9", `{"services":{}}`, refusal{412, "stale", config.RejectedVersion}},
-		{"invalid", r.controller, "base=0", `{"services":{"a":{"cap":-1}}}`, refusal{422, "invalid", config.RejectedInvalid}},
-		{"not JSON", r.controller, "base=0", `{`, refusal{400, "not_json", config.RejectedInvalid}},
-		{"no base", r.controller, "", `{}`, refusal{428, "base_missing", config.RejectedInvalid}},
-		{"no leader", alone, "base=0", `{}`, refusal{503, "no_leader", config.RejectedUndecided}},
+		{"built on another revision", leader.controller, "base=9", `{"services":{}}`, rejection{412, "stale", config.RejectedVersion}},
+		{"invalid", leader.controller, "base=0", `{"services":{"a":{"cap":-1}}}`, rejection{422, "invalid", config.RejectedInvalid}},
+		{"not JSON", leader.controller, "base=0", `{`, rejection{400, "not_json", config.RejectedInvalid}},
+		{"no base", leader.controller, "", `{}`, rejection{428, "base_missing", config.RejectedInvalid}},
+		{"no leader", leaderless, "base=0", `{}`, rejection{503, "no_leader", config.RejectedUndecided}},
 	} {
-		if got := ask(t, x.c, r.now, "PUT", "/v1/config", x.query, x.body); got != x.want {
-			t.Errorf("%s: %+v, want %+v", x.name, got, x.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := rejectedChange(t, c.controller, leader.now, c.query, c.body); got != c.want {
+				t.Errorf("%+v, want %+v", got, c.want)
+			}
+		})
 	}
 }
 
-// The operators' page names every refusal and every counter of the core.
+// The operators' page names every rejection and every counter of a control daemon.
 func TestOperatorsPageNamesAll(t *testing.T) {
 	b, err := os.ReadFile("../../docs/operate.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	page := string(b)
-	for code, kinds := range refusals {
+	for code, kinds := range rejections {
 		for _, k := range kinds {
 			if !strings.Contains(page, "`"+code+"`") || !strings.Contains(page, "`"+string(k)+"`") {
 				t.Errorf("docs/operate.md does not name %s, %s", code, k)
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -3,104 +3,143 @@
 import (
 	"encoding/json"
 	"fmt"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
 	"testing"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/controlplane/consensus"
+	"myrtlefold/internal/shared/state"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// undecodableCases are agreed data that this member can't decode.
-var undecodableCases = map[string]func(r *idleFleet){
-	"entry no JSON":    func(r *idleFleet) { r.controller.node.Propose(r.now, []byte("{")) },
-	"entry wrong type": func(r *idleFleet) { r.controller.node.Propose(r.now, []byte(`{"op":7}`)) },
-	"entry compressed": func(r *idleFleet) { r.controller.node.Propose(r.now, []byte("\x28\xb5\x2f\xfd broken off")) },
-	"snapshot": func(r *idleFleet) {
-		r.controller.restoreSnapshot(&wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)})
-	},
-	"configuration": func(r *idleFleet) {
-		r.controller.propose(r.now, state.Command{Operation: state.OpConfigure, Base: r.controller.state.Revision, Document: json.RawMessage(`[]`)})
-	},
+// undecodableSnapshot is a snapshot that is no state.
+var undecodableSnapshot = &wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)}
+
+// undecodableCases have the leader of a fleet commit data that it can't decode.
+var undecodableCases = []struct {
+	name   string
+	commit func(*idleFleet)
+}{
+	{"entry that is no JSON", func(f *idleFleet) { f.controller.node.Propose(f.now, []byte("{")) }},
+	{"entry of a wrong type", func(f *idleFleet) { f.controller.node.Propose(f.now, []byte(`{"op":7}`)) }},
+	{"compressed entry", func(f *idleFleet) { f.controller.node.Propose(f.now, []byte("\x28\xb5\x2f\xfd broken off")) }},
+	{"snapshot", func(f *idleFleet) { f.controller.restoreSnapshot(undecodableSnapshot) }},
+	{"configuration", func(f *idleFleet) {
+		f.controller.propose(f.now, state.Command{Operation: state.OpConfigure, Base: f.controller.state.Revision, Document: json.RawMessage(`[]`)})
+	}},
 }
 
-// A leader that can't decode what was agreed reports damage and neither decides nor leads
-// again in this epoch; it doesn't end, and its state remains the one before.
-func TestUndecodableEndsLeading(t *testing.T) {
-	for name, inject := range undecodableCases {
-		t.Run(name, func(t *testing.T) {
-			r := newIdleFleet(1, 1)
-			table := r.controller.Table().Revision
-			inject(r)
+// A leader that can't decode committed data reports damage and neither leads again nor decides in this epoch. It
+// doesn't end, and its state remains the one before.
+func TestUndecodableDataEndsLeadership(t *testing.T) {
+	for _, undecodable := range undecodableCases {
+		t.Run(undecodable.name, func(t *testing.T) {
+			fleet := newIdleFleet(1, 1)
+			c := fleet.controller
+			revision := c.Table().Revision
+			undecodable.commit(fleet)
 			for range 30 {
-				r.runSecond()
-			}
-			status := r.controller.Status(r.now)
-			if r.controller.Leading() || r.controller.HoldsLease(r.now) || status.Current || len(status.Damage) != 1 || r.controller.counts.DamageReports != 1 {
-				t.Fatalf("leads %v, damage %v", r.controller.Leading(), status.Damage)
+				fleet.runSecond()
 			}
-			if !errors.Is(r.controller.undecodable, state.ErrDamaged) {
-				t.Errorf("cause %v", r.controller.undecodable)
+			status := c.Status(fleet.now)
+			if c.Leading() || c.HoldsLease(fleet.now) || status.Current || len(status.Damage) != 1 || c.counts.DamageReports != 1 {
+				t.Fatalf("leads %v, damage %v", c.Leading(), status.Damage)
 			}
-			for i, a := range []statemachine.Call{{Method: "GET", Path: "/v1/config"}, {Method: "PUT", Path: "/v1/config", Body: []byte(`{}`)}} {
-				a.ID, a.Token = uint64(i+1), fmt.Sprint("t", i)
-				for _, cmd := range r.controller.Step(r.now, a) {
-					if reply, ok := cmd.(statemachine.Reply); ok && reply.Status != 503 {
-						t.Errorf("%s %s: %d %s", a.Method, a.Path, reply.Status, reply.Body)
-					}
-				}
+			if !errors.Is(c.undecodable, state.ErrDamaged) {
+				t.Errorf("cause %v", c.undecodable)
 			}
-			if got := r.controller.Table().Revision; got != table {
+			checkCallsAreUnavailable(t, fleet)
+			if got := c.Table().Revision; got != revision {
 				t.Errorf("a table of revision %d was made", got)
 			}
-			snap := r.controller.node.Snapshot().Index
-			for i := range 10 {
-				r.controller.apply(r.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d"})})
-			}
-			if len(r.controller.state.EmptiedDomains) > 0 || r.controller.node.Snapshot().Index != snap {
-				t.Error("entries after the one that did not decode are applied")
-			}
+			checkNothingIsApplied(t, fleet)
 		})
 	}
 }
 
+// checkCallsAreUnavailable checks that reads and changes are answered with a 503.
+func checkCallsAreUnavailable(t *testing.T, fleet *idleFleet) {
+	t.Helper()
+	for i, call := range []statemachine.Call{
+		{Method: "GET", Path: "/v1/config"},
+		{Method: "PUT", Path: "/v1/config", Body: []byte(`{}`)},
+	} {
+		call.ID, call.Token = uint64(i+1), fmt.Sprint("t", i)
+		for _, command := range fleet.controller.Step(fleet.now, call) {
+			if answer, ok := command.(statemachine.Reply); ok && answer.Status != 503 {
+				t.Errorf("%s %s: %d %s", call.Method, call.Path, answer.Status, answer.Body)
+			}
+		}
+	}
+}
+
+// checkNothingIsApplied checks that committed entries neither change the state nor lead to a snapshot of it.
+func checkNothingIsApplied(t *testing.T, fleet *idleFleet) {
+	t.Helper()
+	c := fleet.controller
+	snapshot := c.node.Snapshot().Index
+	for i := range 10 {
+		command := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d"})
+		c.apply(fleet.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: command})
+	}
+	if len(c.state.EmptiedDomains) > 0 || c.node.Snapshot().Index != snapshot {
+		t.Error("entries after the one that did not decode are applied")
+	}
+}
+
 // In a later epoch the member takes part again.
-func TestUndecodableEndsWithItsEpoch(t *testing.T) {
-	r := newIdleFleet(1, 1)
-	undecodableCases["snapshot"](r)
-	r.controller.joinEpoch(r.now, r.controller.node.Epoch()+1)
-	if r.controller.undecodable != nil || r.controller.abstains() {
-		t.Errorf("still refuses: %v", r.controller.undecodable)
+func TestAbstentionEndsWithTheEpoch(t *testing.T) {
+	fleet := newIdleFleet(1, 1)
+	c := fleet.controller
+	c.restoreSnapshot(undecodableSnapshot)
+	if !c.abstains() {
+		t.Fatal("a member that can't decode its snapshot does not abstain")
+	}
+	c.joinEpoch(fleet.now, c.node.Epoch()+1)
+	if c.undecodable != nil || c.abstains() {
+		t.Errorf("still abstains: %v", c.undecodable)
 	}
 }
 
-// cluster is a core of three members whose messages arrive at once.
+// cluster is three members whose messages arrive at once.
 type cluster struct {
 	now     time.Duration
 	members map[string]*Controller
 	names   []string
-	down    string // the member that is neither ticked nor reached
+	down    string // the member that gets no ticks and no messages
 }
 
 func newCluster() *cluster {
 	k := &cluster{now: time.Second, members: map[string]*Controller{}, names: []string{"c1", "c2", "c3"}}
-	for i, n := range k.names {
-		self := wire.Daemon{Name: n, Kind: wire.ControlDaemon, Addr: n, Incarnation: 1}
-		k.members[n] = New(k.now, Settings{Self: self, BootstrapSize: 3, Seeds: k.names}, consensus.PersistentState{Disk: uint64(i + 7)})
+	for i, name := range k.names {
+		self := wire.Daemon{Name: name, Kind: wire.ControlDaemon, Addr: name, Incarnation: 1}
+		k.members[name] = New(k.now, Settings{Self: self, BootstrapSize: 3, Seeds: k.names}, consensus.PersistentState{Disk: uint64(i + 7)})
 	}
 	return k
 }
 
-func (k *cluster) step(name string, ev statemachine.Event) {
+// newClusterWithLeader is a cluster that has run for long enough to have a leader, and the leader's name.
+func newClusterWithLeader(t *testing.T) (*cluster, string) {
+	t.Helper()
+	k := newCluster()
+	k.runSeconds(15)
+	leader := k.leader()
+	if leader == "" {
+		t.Fatal("no leader")
+	}
+	return k, leader
+}
+
+// step gives a member an event, and does at once what its commands ask for.
+func (k *cluster) step(name string, event statemachine.Event) {
 	if name == k.down {
 		return
 	}
-	for _, cmd := range k.members[name].Step(k.now, ev) {
-		switch c := cmd.(type) {
+	for _, command := range k.members[name].Step(k.now, event) {
+		switch c := command.(type) {
 		case statemachine.Sync:
 			k.step(name, statemachine.Synced{Seq: c.Batch.Seq})
 		case statemachine.Send:
@@ -111,67 +150,71 @@
 	}
 }
 
-func (k *cluster) seconds(n int) {
-	for range n * int(time.Second/tuning.TickEvery) {
+func (k *cluster) runSeconds(seconds int) {
+	for range seconds * int(time.Second/tuning.TickEvery) {
 		k.now += tuning.TickEvery
-		for _, n := range k.names {
-			k.step(n, statemachine.Tick{})
+		for _, name := range k.names {
+			k.step(name, statemachine.Tick{})
 		}
 	}
 }
 
+// leader is the member that holds a lease, "" if none does.
 func (k *cluster) leader() string {
-	for _, n := range k.names {
-		if n != k.down && k.members[n].HoldsLease(k.now) {
-			return n
+	for _, name := range k.names {
+		if name != k.down && k.members[name].HoldsLease(k.now) {
+			return name
 		}
 	}
 	return ""
 }
 
-// A leader that alone can't decode an entry hands over to a member that can, also when the
-// third is down and its vote is needed.
-func TestUndecodableLeaderHandsOver(t *testing.T) {
-	for _, down := range []bool{false, true} {
-		k := newCluster()
-		k.seconds(15)
-		was := k.leader()
-		if was == "" {
-			t.Fatal("no leader")
-		}
-		if down {
-			k.down = k.names[0]
-			if was == k.down {
-				k.down = k.names[1]
+// A leader that alone can't decode an entry transfers leadership to a member that can, also when the third is down and
+// its own vote is needed.
+func TestUndecodableLeaderTransfersLeadership(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		oneDown bool
+	}{{"all there", false}, {"one down", true}} {
+		t.Run(c.name, func(t *testing.T) {
+			k, before := newClusterWithLeader(t)
+			if c.oneDown {
+				k.down = k.names[0]
+				if before == k.down {
+					k.down = k.names[1]
+				}
+				k.runSeconds(1)
 			}
-			k.seconds(1)
-		}
-		k.members[was].cannotDecode("entry 9", errors.New("damaged in memory"))
-		k.seconds(10)
-		if l := k.leader(); l == "" || l == was {
-			t.Errorf("one down %v: %q leads after %s", down, l, was)
-		}
+			k.members[before].cannotDecode("entry 9", errors.New("damaged in memory"))
+			k.runSeconds(10)
+			if after := k.leader(); after == "" || after == before {
+				t.Errorf("%q leads after %s", after, before)
+			}
+		})
 	}
 }
 
-// Members none of which can decode an entry all go on running, without a leader that decides
-// and without passing leadership around.
-func TestUndecodableByAll(t *testing.T) {
-	for name, data := range map[string][]byte{
-		"entry":         []byte("{"),
-		"configuration": state.EncodeCommand(state.Command{Operation: state.OpConfigure, RequestedRevision: 9, Document: json.RawMessage(`[]`)}),
+// Members none of which can decode an entry all go on running, without a leader and without passing leadership around.
+func TestMembersThatCannotDecodeStayUp(t *testing.T) {
+	for _, undecodable := range []struct {
+		name string
+		data []byte
+	}{
+		{"entry", []byte("{")},
+		{"configuration", state.EncodeCommand(state.Command{Operation: state.OpConfigure, RequestedRevision: 9, Document: json.RawMessage(`[]`)})},
 	} {
-		k := newCluster()
-		k.seconds(15)
-		k.members[k.leader()].node.Propose(k.now, data)
-		k.seconds(10)
-		term := k.members["c1"].Term()
-		k.seconds(20)
-		for _, n := range k.names {
-			c := k.members[n]
-			if c.Leading() || len(c.damage) != 1 || c.Term() != term {
-				t.Errorf("%s: %s leads %v, damage %v, term %d after %d", name, n, c.Leading(), c.damage, c.Term(), term)
+		t.Run(undecodable.name, func(t *testing.T) {
+			k, leader := newClusterWithLeader(t)
+			k.members[leader].node.Propose(k.now, undecodable.data)
+			k.runSeconds(10)
+			term := k.members["c1"].Term()
+			k.runSeconds(20)
+			for _, name := range k.names {
+				c := k.members[name]
+				if c.Leading() || len(c.damage) != 1 || c.Term() != term {
+					t.Errorf("%s leads %v, damage %v, term %d after %d", name, c.Leading(), c.damage, c.Term(), term)
+				}
 			}
-		}
+		})
 	}
 }
