--- a/internal/controlplane/consensus/append.go
+++ b/internal/controlplane/consensus/append.go
@@ -32,7 +32,7 @@
 		response.Append.Success, response.Append.MatchIndex = true, n.snapshot.Index
 		n.send(response, true)
 	case !n.matchesTerm(request.PrevIndex, request.PrevTerm):
-		// Nothing is known of what stands here before PrevIndex, so nothing after it may be taken.
+		// This log differs from the leader's at PrevIndex or before, so entries after it can't be accepted.
 		if term, ok := n.termAt(request.PrevIndex); ok {
 			response.Append.MatchIndex = n.lastIndexBeforeTerm(request.PrevIndex, term)
 		}
@@ -42,7 +42,7 @@
 		match := request.PrevIndex + uint64(len(entries))
 		isHeartbeat := len(entries) == 0 && !installed
 		n.acknowledgeUpTo(match, isHeartbeat, response)
-		// Up to match this log equals the leader's; what stands here beyond may not be what was committed.
+		// Up to match this log equals the leader's; entries after match may differ from those committed.
 		if commit := min(request.Commit, match); commit > n.commit {
 			n.commit = commit
 			n.advanceCommit(now)
--- a/internal/controlplane/consensus/canonical.go
+++ b/internal/controlplane/consensus/canonical.go
@@ -23,9 +23,9 @@
 type CanonicalEncoder struct {
 	// Bytes is what has been written.
 	Bytes []byte
-	// NodeIndex returns the number that stands for a node's name, "" included.
+	// NodeIndex returns the number to write for a node's name, also for "".
 	NodeIndex func(name string) byte
-	// DiskNumber returns the number that stands for a disk's number, 0 included.
+	// DiskNumber returns the number to write for a disk's number, also for 0.
 	DiskNumber func(disk uint64) uint64
 	// DeadlineStep, if not 0, is the only span by which time passes: deadlines within the same step are equal then.
 	DeadlineStep time.Duration
--- a/internal/controlplane/consensus/chunk.go
+++ b/internal/controlplane/consensus/chunk.go
@@ -13,7 +13,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// chunkSender is a snapshot or an entry on its way to a member. It keeps what it began with: a newer snapshot doesn't
+// chunkSender is a snapshot or an entry that is being sent to a member. It keeps what it began with: a newer snapshot doesn't
 // restart it.
 type chunkSender struct {
 	content      wire.Chunk    // what is sent; its Data is all of it
@@ -40,7 +40,7 @@
 		Size: uint64(len(e.Data)), Checksum: checksum(e.Data), Data: e.Data}}
 }
 
-// prevEntry returns the entry that the receiver's log must hold: the one before an entry that is still on its way, else the
+// prevEntry returns the entry that the receiver's log must hold: the one before an entry that is still being sent, else the
 // last one that the content brings.
 func (s *chunkSender) prevEntry() (index, term uint64) {
 	if s.content.IsEntry && s.acknowledged < s.content.Size {
--- a/internal/controlplane/consensus/lease.go
+++ b/internal/controlplane/consensus/lease.go
@@ -48,8 +48,8 @@
 }
 
 // NoOtherLeaderSince says, of a leader, whether nobody else has decided since a term in which this node led. A leader
-// decides only after it has committed its term's first entry, and later leaders hold all committed entries: that entry
-// would stand in the log right before the one that began this leader's term, or before entries of other terms still.
+// decides only after it has committed its term's first entry, and later leaders hold all committed entries. So if
+// another has, the entry before the one that began this leader's term is of a later term than the given one.
 func (n *Node) NoOtherLeaderSince(term uint64) bool {
 	if n.role != Leader || term == n.term {
 		return n.role == Leader
--- a/internal/controlplane/consensus/log.go
+++ b/internal/controlplane/consensus/log.go
@@ -89,7 +89,7 @@
 	return entry.Index
 }
 
-// storeEntries adds those of a leader's entries that this follower lacks, in place of any that conflict with them. What
+// storeEntries adds those of a leader's entries that this follower lacks, and removes those that conflict with them. What
 // the log holds beyond a leader's entries stays, as long as nothing conflicts: the message may be late, and later ones
 // may have been acknowledged.
 func (n *Node) storeEntries(now time.Duration, entries []wire.Entry) {
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -27,7 +27,7 @@
 		n.ready.CommittedEntries = append(n.ready.CommittedEntries, n.entry(n.applied))
 	}
 	if n.CanChangeMembers() && !n.isSelfVoter() {
-		n.stepDown(now) // its removal is committed, and it was to lead until then
+		n.stepDown(now) // its removal is committed; a leader leads until then
 	}
 }
 
--- a/internal/controlplane/consensus/role.go
+++ b/internal/controlplane/consensus/role.go
@@ -71,8 +71,8 @@
 	n.persistHardState(now)
 }
 
-// becomeLeader begins the leader's term with a no-op entry: only an entry of its own term tells a leader what is
-// committed (section 5.4.2 of the paper), and HasLease waits for it.
+// becomeLeader begins the leader's term with a no-op entry: a leader learns what is
+// committed only by committing an entry of its own term (section 5.4.2 of the paper), and HasLease waits for that.
 func (n *Node) becomeLeader(now time.Duration) {
 	n.reset(now, Leader)
 	n.leader = n.self.Name
--- a/internal/controlplane/wal/format.go
+++ b/internal/controlplane/wal/format.go
@@ -7,7 +7,7 @@
 	"hash/crc32"
 )
 
-// recordKind begins a header; on disk it also tells a header from other bytes.
+// recordKind begins a header; on disk it also distinguishes a header from other bytes.
 type recordKind uint32
 
 // The kinds of records. On disk their low two bytes, which come first, are the same.
@@ -33,7 +33,7 @@
 	// headerSize is the length of a header on disk, in bytes: kind (4), generation (8), number (4), length (4) and
 	// checksum (4), all little-endian. The data follows.
 	headerSize = 24
-	// checksumOffset is where the checksum stands in a header: it covers what comes before it, and the data.
+	// checksumOffset is the checksum's offset in a header, in bytes: it covers what comes before it, and the data.
 	checksumOffset = headerSize - 4
 	// lengthSize is the size of the length before each record of a group, in bytes.
 	lengthSize = 4
@@ -41,7 +41,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// recordHeader stands before the data of a record or a group, and of their mirrors.
+// recordHeader precedes the data of a record or a group, and of their mirrors.
 type recordHeader struct {
 	kind       recordKind
 	generation uint64 // of the segment: how many checkpoints there were before, and this one
@@ -88,7 +88,7 @@
 
 func (h recordHeader) isMirror() bool { return h.kind == singleMirror || h.kind == groupMirror }
 
-// isPlausible says whether the header may be one that stands at an offset of a segment: its kind is known and its data
+// isPlausible says whether there may be such a header at an offset of a segment: its kind is known and its data
 // would fit. Only the checksum shows whether it is one.
 func (h recordHeader) isPlausible(offset, segmentSize int64) bool {
 	return (h.isRecord() || h.isMirror()) && offset+h.size() <= segmentSize
--- a/internal/controlplane/wal/recovery.go
+++ b/internal/controlplane/wal/recovery.go
@@ -61,8 +61,8 @@
 	return records, next, nil
 }
 
-// readRecords reads the records of a generation from the segment's beginning up to the first place where the next one
-// doesn't stand, or isn't sound. It returns the offset of that place too.
+// readRecords reads the records of a generation from the segment's beginning up to the first offset at which the next
+// one is missing, or isn't sound. It returns that offset too.
 func (s *segment) readRecords(generation uint64) (records [][]byte, end int64, err error) {
 	for {
 		header, ok, err := s.readHeader(end)
--- a/internal/controlplane/wal/segment.go
+++ b/internal/controlplane/wal/segment.go
@@ -63,7 +63,7 @@
 	return errors.Wrap(s.file.Sync(), "sync segment")
 }
 
-// readHeader reads a header; ok is false if none can stand at the offset.
+// readHeader reads a header; ok is false if there can't be one at the offset.
 func (s *segment) readHeader(offset int64) (header recordHeader, ok bool, err error) {
 	if offset+headerSize > s.readable {
 		return recordHeader{}, false, nil
--- a/internal/controlplane/wal/wal.go
+++ b/internal/controlplane/wal/wal.go
@@ -8,9 +8,9 @@
 // counts.
 //
 // What is written at once, one record or a group of several, has one header with the segment's generation, the first
-// record's number and a checksum, so that a power cut leaves all of it or nothing. It is written twice: its mirror stands
-// right behind it until the next write takes that place. By the mirror a write that a crash cut short, and that was
-// never acknowledged, is told from damage to the write that was synced last: the one has no mirror and is dropped, the
+// record's number and a checksum, so that a power cut leaves all of it or nothing. It is written twice: its mirror follows
+// right behind it until the next write overwrites that. By the mirror a write that a crash cut short, and that was
+// never acknowledged, is distinguished from damage to the write that was synced last: the one has no mirror and is dropped, the
 // other is read from it. Damage that sound records follow is an error: acknowledged records are lost then.
 //
 // Begin reading at Open in this file and Log.Append in write.go; format.go is the form on disk, recovery.go reads it.
@@ -22,7 +22,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// ErrDamaged marks the error for a log whose acknowledged records can't all be read. Recreate begins it anew.
+// ErrDamaged marks the error for a log whose acknowledged records can't all be read. Recreate begins it anew. A member's
+// status shows the text of such an error, so its wording stays.
 var ErrDamaged = errors.New("ring damaged")
 
 // ErrTooLarge marks the error for a checkpoint that doesn't fit into a segment. The state has to shrink first.
--- a/internal/verification/modelcheck/canonical.go
+++ b/internal/verification/modelcheck/canonical.go
@@ -16,7 +16,7 @@
 type key [16]byte
 
 const (
-	// noServer stands for the empty name.
+	// noServer is written for the empty name.
 	noServer = 255
 	// maxServers bounds the servers of a scenario, and is the distance from a server's number to that of the vacant
 	// member of its name.
@@ -35,7 +35,7 @@
 	distinct bool
 }
 
-// signature is what can be told of a server without names. Servers with different signatures need not be tried at each
+// signature is what is known of a server without names. Servers with different signatures need not be tried at each
 // other's rank.
 type signature [12]uint64
 
--- a/internal/verification/modelcheck/search.go
+++ b/internal/verification/modelcheck/search.go
@@ -30,7 +30,7 @@
 	state *State
 }
 
-// search is a search that is under way.
+// search is a search in progress.
 type search struct {
 	scenario *Scenario
 	limits   Limits
--- a/internal/verification/modelcheck/server.go
+++ b/internal/verification/modelcheck/server.go
@@ -85,7 +85,7 @@
 	s.node.Advance(now, seq)
 }
 
-// stateMachine stands for the state that entries lead to: a checksum over all that were applied, so that different
+// stateMachine represents the state that entries lead to by a checksum over all that were applied, so that different
 // histories differ.
 type stateMachine struct {
 	index    uint64 // of the last entry applied
--- a/internal/verification/modelcheck/state.go
+++ b/internal/verification/modelcheck/state.go
@@ -1,6 +1,6 @@
 // Package modelcheck checks the real consensus.Node systematically: it runs a small cluster through the orders of events that a
 // scenario allows, and checks invariants in every state that it reaches. Messages arrive in any order, late, twice or
-// never; syncs are late; servers restart with all, none or a part of what they had written; servers stand still while time
+// never; syncs are late; servers restart with all, none or a part of what they had written; servers pause while time
 // passes; there are membership changes, snapshots and leadership transfers.
 //
 // Search explores breadth first within the scenario's bounds, and treats states of the same canonical form as one; Walk goes
@@ -87,7 +87,7 @@
 	return &c
 }
 
-// cloneServer puts a copy of a server in its place, which may be changed then.
+// cloneServer replaces a server by a copy, which may be changed then.
 func (s *State) cloneServer(i int) *server {
 	s.servers[i] = s.servers[i].clone()
 	return s.servers[i]
