--- a/internal/controlplane/answer.go
+++ b/internal/controlplane/answer.go
@@ -87,7 +87,7 @@
 		c.answer(call, notPropagatedReply())
 		return
 	}
-	c.reject(call, 504, config.ErrorBody{Code: "unknown", Ran: "unknown", ID: call.token,
+	c.reject(call, 504, config.ErrorBody{Code: "unknown", Ran: config.RanUnknown, ID: call.token,
 		Message: "it cannot be told whether the change was agreed or is in force everywhere; ask for it by its id"})
 }
 
--- a/internal/controlplane/api_routes.go
+++ b/internal/controlplane/api_routes.go
@@ -144,7 +144,7 @@
 func (c *Controller) answerChange(request *apiRequest) {
 	record := c.state.FindRecord(request.path.name)
 	if record == nil {
-		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Ran: "unknown", Message: "no such change has been agreed so far"})
+		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Ran: config.RanUnknown, Message: "no such change has been agreed so far"})
 		return
 	}
 	withoutDocument := *record
--- a/internal/dataplane/reverseproxy/errors.go
+++ b/internal/dataplane/reverseproxy/errors.go
@@ -13,12 +13,6 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Whether a request ran at a target, as errors say it.
-const (
-	ranNo      = "no"
-	ranUnknown = "unknown"
-)
-
 // requestError is an error that ends a request.
 type requestError struct {
 	status     int
@@ -99,13 +93,13 @@
 // writeError is WriteError with a name for the header that says whether the request ran.
 func writeError(w http.ResponseWriter, ranHeader string, status int, retryAfter time.Duration, body config.ErrorBody) {
 	if body.Ran == "" {
-		body.Ran = ranNo
+		body.Ran = config.RanNo
 	}
 	header := w.Header()
 	if retryAfter > 0 {
 		header.Set("Retry-After", RetryAfter(retryAfter))
 	}
-	header.Set(ranHeader, body.Ran)
+	header.Set(ranHeader, string(body.Ran))
 	header.Set("Content-Type", "application/json")
 	header.Set("Cache-Control", "no-store")
 	text := body.JSON()
--- a/internal/dataplane/reverseproxy/retries.go
+++ b/internal/dataplane/reverseproxy/retries.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
@@ -63,7 +64,7 @@
 	q.service = target.Service
 	if !q.limitBody(target) {
 		q.returnTarget()
-		q.fail(errBodyTooLarge, ranNo)
+		q.fail(errBodyTooLarge, config.RanNo)
 		return false, true
 	}
 	idempotent := isIdempotent(target, q.incoming.Method)
@@ -109,10 +110,10 @@
 		}
 		q.abort()
 	case q.body.tooLarge:
-		q.fail(errBodyTooLarge, ranUnknown)
+		q.fail(errBodyTooLarge, config.RanUnknown)
 		return true
 	case q.body.aborted:
-		q.fail(errBodyIncomplete, ranUnknown)
+		q.fail(errBodyIncomplete, config.RanUnknown)
 		return true
 	}
 	q.noteFailure(result)
@@ -140,7 +141,7 @@
 func (q *request) noteFailure(result *attemptResult) {
 	q.lastError = result.err
 	if result.ran {
-		q.ran = ranUnknown
+		q.ran = config.RanUnknown
 		q.errorStatus = http.StatusBadGateway
 		if result.deadlineExceeded {
 			q.errorStatus = http.StatusGatewayTimeout
--- a/internal/dataplane/reverseproxy/reverseproxy.go
+++ b/internal/dataplane/reverseproxy/reverseproxy.go
@@ -115,7 +115,7 @@
 	status  int
 
 	// What the attempts so far have come to.
-	ran         string        // whether it may have run: ranNo or ranUnknown
+	ran         config.Ran    // whether it may have run: config.RanNo or config.RanUnknown
 	lastError   *attemptError // nil: no attempt has failed
 	errorStatus int           // 502 or 504 once it may have run, else 0
 	fallback    *response     // a target's own failure, passed on if no other target does better
@@ -124,7 +124,7 @@
 // serve forwards a request, on the goroutine of the server or of a pipelined request.
 func (f *Forwarder) serve(w http.ResponseWriter, r *http.Request) {
 	f.Counts.Requests.Add(1)
-	q := &request{forwarder: f, writer: w, incoming: r, start: time.Now(), ran: ranNo}
+	q := &request{forwarder: f, writer: w, incoming: r, start: time.Now(), ran: config.RanNo}
 	q.pipelined, _ = w.(*pipelinedRequest)
 	defer q.observe()
 	timeout, accepted := q.accept()
@@ -162,7 +162,7 @@
 		failed = q.receiveBody(timeout)
 	}
 	if failed != nil {
-		q.fail(failed, ranNo)
+		q.fail(failed, config.RanNo)
 		return 0, false
 	}
 	if timeout > 0 {
@@ -194,9 +194,9 @@
 }
 
 // fail answers the caller with an error; ran says whether the request may have run.
-func (q *request) fail(failed *requestError, ran string) {
+func (q *request) fail(failed *requestError, ran config.Ran) {
 	q.status = failed.status
-	if ran == ranUnknown {
+	if ran == config.RanUnknown {
 		q.forwarder.Counts.RunUnknown.Add(1)
 	} else {
 		q.forwarder.Counts.NotRun.Add(1)
--- a/internal/dataplane/reverseproxy/reverseproxy_test.go
+++ b/internal/dataplane/reverseproxy/reverseproxy_test.go
@@ -40,7 +40,7 @@
 		method, path, body string
 		head               []string
 		status             int
-		ran                string
+		ran                config.Ran
 	}{
 		{"GET", "/a/../b", "", nil, 400, "no"},
 		{"GET", "/a%2fb", "", nil, 400, "no"},
@@ -50,7 +50,7 @@
 	} {
 		status, header, b := proxy.request(t, tc.method, tc.path, tc.body, tc.head...)
 		var e struct{ Error config.ErrorBody }
-		if json.Unmarshal([]byte(b), &e) != nil || status != tc.status || e.Error.Ran != tc.ran || header.Get(RanHeader) != tc.ran || e.Error.Code == "" {
+		if json.Unmarshal([]byte(b), &e) != nil || status != tc.status || e.Error.Ran != tc.ran || header.Get(RanHeader) != string(tc.ran) || e.Error.Code == "" {
 			t.Errorf("%s %s: %d %s", tc.method, tc.path, status, b)
 		}
 	}
--- a/internal/mfctl/client.go
+++ b/internal/mfctl/client.go
@@ -97,7 +97,7 @@
 	return response{status: http.StatusGatewayTimeout, body: config.ErrorBody{
 		Code:      "unknown",
 		Rejection: config.RejectedUndecided,
-		Ran:       "unknown",
+		Ran:       config.RanUnknown,
 		ID:        id,
 		Message:   "a member's answer was lost; the change may have been agreed: ask for it by its id",
 	}.JSON()}
--- a/internal/shared/config/errorbody.go
+++ b/internal/shared/config/errorbody.go
@@ -2,6 +2,15 @@
 
 import "encoding/json"
 
+// Ran says whether the request of an error response ran at a target, or the change was made.
+type Ran string
+
+// What an error response says of its request.
+const (
+	RanNo      Ran = "no"      // it did not run
+	RanUnknown Ran = "unknown" // it may have run
+)
+
 // ErrorBody is the body of every error response of a daemon.
 type ErrorBody struct {
 	// Code names the cause for programs, such as no_leader.
@@ -10,8 +19,8 @@
 	Rejection Rejection `json:"refusal,omitempty"`
 	// Message is for people.
 	Message string `json:"message"`
-	// Ran says whether the request ran at a target, or the change was made: no, or unknown. Default: no.
-	Ran string `json:"ran"`
+	// Ran says whether the request ran. Default: RanNo.
+	Ran Ran `json:"ran"`
 	// Faults are those of the document that was sent.
 	Faults []Fault `json:"faults,omitempty"`
 	// Revision is that of the configuration in force.
@@ -23,7 +32,7 @@
 // JSON returns the body as it is sent: an object with the one field error, and a newline.
 func (b ErrorBody) JSON() []byte {
 	if b.Ran == "" {
-		b.Ran = "no"
+		b.Ran = RanNo
 	}
 	body, _ := json.Marshal(struct {
 		Error ErrorBody `json:"error"`
