--- a/cmd/mfbackend/surplus.go
+++ b/cmd/mfbackend/surplus.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -35,7 +36,7 @@
 	next := make([]byte, 1)
 	if response.delay > 0 {
 		conn.SetReadDeadline(time.Now().Add(response.delay))
-		if _, err := conn.Read(next); err == io.EOF {
+		if _, err := conn.Read(next); errors.Is(err, io.EOF) {
 			return
 		}
 	}
--- a/cmd/mfchaos/history.go
+++ b/cmd/mfchaos/history.go
@@ -23,7 +23,7 @@
 type configCall struct {
 	output  string
 	code    int
-	endedAt time.Duration
+	finishedAt time.Duration
 }
 
 // putConfig puts a configuration on a base and records the call.
@@ -60,11 +60,11 @@
 	}
 	switch call.code {
 	case ctlDone:
-		write.Acknowledge(call.endedAt, v.Revision)
+		write.Acknowledge(call.finishedAt, v.Revision)
 	case ctlStale:
-		write.Reject(call.endedAt, v.Error.Revision)
+		write.Reject(call.finishedAt, v.Error.Revision)
 	case ctlInvalid, ctlNoLeader:
-		write.Void(call.endedAt)
+		write.Void(call.finishedAt)
 	}
 }
 
--- a/cmd/mfchaos/soak_callers.go
+++ b/cmd/mfchaos/soak_callers.go
@@ -50,7 +50,7 @@
 	proxy      string
 	pipelined  bool      // it was sent behind another on its connection
 	sentAt     time.Time // when its last byte was written
-	endedAt    time.Time
+	finishedAt    time.Time
 	status     int           // 0: there was no complete response
 	notWritten bool          // it was not written completely
 	wrong      string        // what is wrong with the answer
@@ -235,7 +235,7 @@
 			open = k.read(&batch[i])
 		}
 		if batch[i].status == 0 {
-			batch[i].endedAt = time.Now()
+			batch[i].finishedAt = time.Now()
 		}
 	}
 	return batch, open
@@ -265,7 +265,7 @@
 	if _, err = io.Copy(io.Discard, response.Body); err != nil {
 		return false
 	}
-	outcome.endedAt, outcome.status = time.Now(), response.StatusCode
+	outcome.finishedAt, outcome.status = time.Now(), response.StatusCode
 	names := reverseproxy.DefaultHeaders()
 	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
 		outcome.retryAfter = min(soakRestMost, time.Duration(seconds*float64(time.Second)))
--- a/cmd/mfchaos/soak_script.go
+++ b/cmd/mfchaos/soak_script.go
@@ -178,14 +178,14 @@
 	for {
 		select {
 		case end := <-c.ends:
-			c.processEnded(now, end)
+			c.processExited(now, end)
 		default:
 			return
 		}
 	}
 }
 
-func (c *script) processEnded(now time.Time, end processEnd) {
+func (c *script) processExited(now time.Time, end processEnd) {
 	a := end.actor
 	if a.cmd != end.cmd {
 		return
