--- a/internal/controlplane/rejection_test.go
+++ b/internal/controlplane/rejection_test.go
@@ -5,7 +5,6 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"myrtlefold/internal/shared/statemachine"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -17,6 +16,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/wire"
 )
 
