--- a/internal/verification/simulator/bootstrap_test.go
+++ b/internal/verification/simulator/bootstrap_test.go
@@ -8,11 +8,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Here the core's size is not given: seeds found it, and the leader grows and mends it.
-
-// Whatever the number of seeds and daemons, one core is founded and grows to what
-// outlives a machine and a domain; a seed may be restarted in between, and is then not
-// told any more that this is the first start.
+// Whatever the number of seeds and daemons, one control plane is bootstrapped and grows until it
+// outlives a machine and a domain; a seed may be restarted in between, and does not start with the
+// bootstrap setting any more.
 func TestSeedsBootstrapOneControlPlane(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ cores, seeds, want int }{{1, 1, 1}, {3, 1, 3}, {5, 1, 5}, {2, 2, 2}, {3, 3, 3}, {4, 3, 3}, {5, 3, 5}, {6, 3, 5}, {7, 3, 7}, {11, 3, 7}} {
@@ -20,7 +18,7 @@
 			t.Run(fmt.Sprintf("%d of %d", c.seeds, c.cores), func(t *testing.T) {
 				t.Parallel()
 				w := New(seed, bootstrapPlan(c.cores, c.seeds))
-				if seed%3 > 0 { // its disk keeps what it was told
+				if seed%3 > 0 { // its disk keeps the bootstrap setting
 					w.schedule(w.randomMilliseconds(100, 2500), func() {
 						p := w.process(w.processes.names[w.random.IntN(c.seeds)])
 						w.Kill(p)
@@ -40,7 +38,7 @@
 				w.PutConfig(w.Leader(), 0, 1)
 				w.AwaitRecovery(10 * time.Second)
 				requireNoFailure(t, w)
-				for _, n := range w.daemonNames(wire.ControlDaemon) { // a spare passes calls on too
+				for _, n := range w.daemonNames(wire.ControlDaemon) { // a standby forwards calls too
 					if !w.process(n).controller.Ready() {
 						t.Errorf("%s is not ready", n)
 					}
@@ -50,7 +48,7 @@
 	}
 }
 
-// A daemon that is no seed, or that is not told of a first start, founds nothing.
+// A daemon that is no seed, or that starts without the bootstrap setting, bootstraps nothing.
 func TestNobodyBootstrapsAfterTheFirstStart(t *testing.T) {
 	t.Parallel()
 	w := New(1, bootstrapPlan(5, 3))
--- a/internal/verification/simulator/bulk_changes_test.go
+++ b/internal/verification/simulator/bulk_changes_test.go
@@ -7,8 +7,8 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// Days of orders in bulk hold: their history is one that a register could have, the faults
-// happen, and the number of orders stays within the bound that keeps the check fast.
+// Days of changes in bulk hold: their history is linearizable, the faults
+// come about, and the number of changes stays within the bound that keeps the check fast.
 func TestDaysOfBulkChanges(t *testing.T) {
 	t.Parallel()
 	kinds := faultsNamed(t, "storm of changes", "answers to changes lost", "eight orders at once", "leader killed", "leader frozen")
@@ -31,7 +31,7 @@
 	}
 }
 
-// An order whose answers are lost is acknowledged once one gets through, as one change.
+// A change whose replies are lost is acknowledged once one gets through, as one change.
 func TestChangesWithLostRepliesAreSentAgain(t *testing.T) {
 	t.Parallel()
 	w := Start(41, Small)
@@ -54,7 +54,7 @@
 	requireNoFailure(t, w)
 }
 
-// Lost answers show a core that refuses an order which it has taken when it is sent again.
+// Lost replies show a control plane that rejects a change which it has accepted when it is sent again.
 func TestLostRepliesShowRejectedRepetition(t *testing.T) {
 	t.Parallel()
 	w := Start(42, Small)
@@ -68,7 +68,7 @@
 	t.Log(w.Failure)
 }
 
-// A refusal is clear, but for 'not now' in answer to a repetition.
+// A rejection is final, but for 503 in reply to a repetition.
 func TestRejectionLeavesARepeatedChangeOpen(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/verification/simulator/calm_fleet_test.go
+++ b/internal/verification/simulator/calm_fleet_test.go
@@ -13,11 +13,11 @@
 // Bounds of the users' platform on operators' work in calm times.
 const (
 	calmEvacuation = time.Second            // an emptying or restoring is acknowledged within it
-	readyEighths   = 7                      // of eight looks, at which a proxy in touch says that it is ready
-	lookEvery      = 100 * time.Millisecond // between two looks
+	readyEighths   = 7                      // of eight samples, at which a connected proxy reports that it is ready
+	sampleInterval = 100 * time.Millisecond // between two samples
 )
 
-// calmSizes are fleets at rest, the small one and one of many proxies.
+// calmSizes are fleets without faults, the small one and one of many proxies.
 func calmSizes() map[string]Plan {
 	many := Small
 	many.Proxies, many.Rate = 69, 20
@@ -26,7 +26,7 @@
 	return map[string]Plan{"small": Small, "69 proxies": many, "11 core machines": spares}
 }
 
-// In a calm fleet an emptied domain is acknowledged within a second by any core member,
+// In a calm fleet an emptied domain is acknowledged within a second by any control daemon,
 // and so is one that is restored, also while another is already empty.
 func TestDomainIsEmptiedWithinASecond(t *testing.T) {
 	t.Parallel()
@@ -56,7 +56,7 @@
 	}
 }
 
-// In calm times proxies say that they are ready, whatever is configured meanwhile.
+// In calm times proxies report that they are ready, whatever is configured meanwhile.
 func TestProxiesAreReadyDuringChanges(t *testing.T) {
 	t.Parallel()
 	for name, plan := range calmSizes() {
@@ -69,7 +69,7 @@
 				if looks%40 == 0 {
 					w.PutConfig(w.Leader(), w.Revision(), 3+looks/40)
 				}
-				w.Run(w.now + lookEvery)
+				w.Run(w.now + sampleInterval)
 				for _, g := range w.daemonNames(wire.ProxyDaemon) {
 					if w.process(g).proxy.Ready() {
 						ready[g]++
@@ -86,8 +86,7 @@
 	}
 }
 
-// What was added later is served as what was there from the beginning: a service that a later
-// configuration adds gets as large a part of its requests served.
+// A service that a later configuration adds is served as one that was there from the beginning.
 func TestLaterServicesAreServedAlike(t *testing.T) {
 	t.Parallel()
 	w := Start(8, Small)
--- a/internal/verification/simulator/clocks_test.go
+++ b/internal/verification/simulator/clocks_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Clocks that jump change nothing: owners are told the time and read no clock, draw
-// no chance and do no I/O; and the shells look at wall time only to name things.
+// Clocks that jump change nothing: state machines are given the time and read no clock, draw
+// no random number and do no I/O; and the shells use wall time only to name things.
 func TestStateMachinesReadNoClock(t *testing.T) {
 	t.Parallel()
 	owners := []string{"controlplane", "dataplane", "shared/outlier", "controlplane/consensus",
--- a/internal/verification/simulator/connection_test.go
+++ b/internal/verification/simulator/connection_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// connectionLimitedFleet is a fleet with more proxies than connections that a target takes, at work on long requests of
-// which most may not run twice, so that connections soon grow too old for them.
+// connectionLimitedFleet is a fleet with more proxies than connections that a target takes, with long requests of
+// which most must not run twice, so that connections soon grow too old for them.
 func connectionLimitedFleet() Plan {
 	p := largeControlPlane()
 	p.Resources = nil
@@ -16,8 +16,8 @@
 	return p
 }
 
-// releaseUnderConnectionLimit has a fleet release a third of its targets, and tells which part of the connections opened
-// meanwhile were over their target's cap, and how many there were for each request.
+// releaseUnderConnectionLimit has a fleet release a third of its targets. It returns the part of the connections opened
+// meanwhile that were over their target's limit, and how many were opened for each request.
 func releaseUnderConnectionLimit(seed uint64, disabled Guard) (over, opened float64, w *World) {
 	w = Start(seed, connectionLimitedFleet())
 	w.disabledGuard = disabled
@@ -33,8 +33,8 @@
 	return float64(w.Stats.OverConnectionLimit-before.OverConnectionLimit) / n, n / float64(w.Stats.Requests-before.Requests), w
 }
 
-// Targets that take fewer connections than there are proxies are never sent more, also while a release
-// has slots change hands all the time: what each proxy keeps unused follows from what all may keep.
+// Targets that take fewer connections than there are proxies never get more, also while a release
+// moves slots between proxies all the time: what each proxy keeps idle follows from what all may keep.
 func TestConnectionsStayUnderTheirLimit(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// The check can fail: with a part of each target's connections for every proxy, whatever their number.
+// The check can fail: with a fixed part of each target's connections for every proxy.
 func TestCheckOfConnectionLimitCanFail(t *testing.T) {
 	t.Parallel()
 	over, opened, w := releaseUnderConnectionLimit(0, "idle connections")
--- a/internal/verification/simulator/day_test.go
+++ b/internal/verification/simulator/day_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Random days over cores that seeds found.
+// Random days hold for control planes that seeds bootstrapped.
 func TestDaysOfBootstrappedControlPlanes(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 32; seed++ {
@@ -21,7 +21,7 @@
 	}
 }
 
-// A bounded sweep of random days; mfsim runs more.
+// A bounded sweep of random days holds; mfsim runs more.
 func TestDaysOfRandomFaults(t *testing.T) {
 	t.Parallel()
 	n := uint64(64)
@@ -36,7 +36,7 @@
 	}
 }
 
-// Random days hold at any size of the core, also where it bears no loss.
+// Random days hold at any size of the control plane, also where it bears no loss.
 func TestDaysOfAnyControlPlaneSize(t *testing.T) {
 	t.Parallel()
 	for _, cores := range []int{1, 2, 4, 8, 11} {
--- a/internal/verification/simulator/disk_test.go
+++ b/internal/verification/simulator/disk_test.go
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A member whose disk is full does not end and tries its writes again until there is room;
+// A member whose disk is full does not end, and retries its writes until there is space;
 // changes are acknowledged meanwhile, nothing is written there, and it has them soon after.
 func TestMemberWithAFullDiskRetries(t *testing.T) {
 	t.Parallel()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Changes are acknowledged too while all disks of the core are thirty times slower.
+// Changes are acknowledged also while all disks of the control plane are thirty times slower.
 func TestChangesAreAcknowledgedOnSlowDisks(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -9,8 +9,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Each test here is aimed at one guard that random days seldom hit; docs/rules.md
-// says which guard was taken out to see it fail.
+// Each test here is aimed at one guard that random days seldom meet; docs/rules.md
+// says which guard was disabled to see it fail.
 
 // A change is acknowledged only when a majority has it on disk: with two of three
 // disks stalled it must survive a power cut and the loss of the third disk, or not
@@ -74,7 +74,7 @@
 	}
 }
 
-// A proxy that was cut off just after a lease goes on for that lease's time, so an
+// A proxy that is isolated just after its lease was granted goes on for that lease's time, so an
 // acknowledgement waits for its end, be it this leader's lease or an earlier one's.
 func TestAcknowledgementWaitsForLeases(t *testing.T) {
 	t.Parallel()
@@ -130,9 +130,9 @@
 	}
 }
 
-// The given design on the ordinary path: two missed probes take a target out of
-// every proxy's table at once, though its beats go on; the regular refresh keeps
-// it out; an answer clears the ejection and what runs well stays where it is.
+// The design on the ordinary path: two missed health checks take a target out of
+// every proxy's table at once, though its heartbeats go on; the regular refresh keeps
+// it out; a response clears the ejection, and what runs well stays where it is.
 func TestEjectionLastsUntilAHealthCheckSucceeds(t *testing.T) {
 	t.Parallel()
 	w := Start(5, Small)
@@ -148,7 +148,7 @@
 		}
 		return n
 	}
-	delete(w.targets.listening, tg.address) // its port is shut, connections included, while its process beats on
+	delete(w.targets.listening, tg.address) // its port is closed, connections included, while its heartbeats go on
 	for _, p := range w.processes.byName {
 		delete(p.idle, wire.TargetID{Service: tg.service, Name: tg.name, Incarnation: tg.incarnation})
 	}
@@ -175,7 +175,7 @@
 	if s := w.Leader().controller.Status(0); s.Counts.TablesUnchanged-same < 50 || s.Table.Version > ver+1 {
 		t.Fatalf("%d idempotent rebuilds, version %d -> %d", s.Counts.TablesUnchanged-same, ver, s.Table.Version)
 	}
-	// A leaving target answers probes and even says that it is ready: it stays held.
+	// A leaving target answers health checks and even reports that it is ready: it remains draining.
 	l := w.targets.all[1]
 	l.state = wire.TargetLeaving
 	w.Run(w.now + time.Second)
@@ -189,8 +189,8 @@
 	}
 }
 
-// When every target of a service is ejected, those that still beat are used; held
-// and gone ones never are.
+// When every target of a service is ejected, those that still send heartbeats are used; draining
+// and crashed ones never are.
 func TestEjectedTargetsServeIfAllAreEjected(t *testing.T) {
 	t.Parallel()
 	w := Start(6, Small)
@@ -198,7 +198,7 @@
 	var fares []*Target
 	for _, tg := range w.targets.all {
 		if tg.service == "fares" {
-			tg.ignoresHealthChecks = true // probes fail, requests are served
+			tg.ignoresHealthChecks = true // health checks fail, requests are served
 			fares = append(fares, tg)
 		}
 	}
@@ -217,8 +217,8 @@
 	}
 }
 
-// A leader that is cut off from healthy targets does not ejection them: proxies have
-// answers from them. What no proxy can vouch for is ejected all the same.
+// A leader that is cut off from healthy targets does not eject them: proxies have
+// responses from them. What no proxy can vouch for is ejected all the same.
 func TestIsolatedLeaderEjectsNoHealthyTarget(t *testing.T) {
 	t.Parallel()
 	p := Small
@@ -237,8 +237,8 @@
 	}
 }
 
-// Where next to nothing is sent, proxies asked to probe in the leader's place vouch for
-// healthy targets, and for none that died meanwhile.
+// Where next to nothing is sent, proxies that check targets' health in the leader's place vouch for
+// healthy targets, and for none that crashed meanwhile.
 func TestProxiesVouchForIdleTargets(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
@@ -265,8 +265,8 @@
 	}
 }
 
-// A leader that was frozen must not, on its first event after the thaw, lease
-// anything: another may have led and acknowledged meanwhile.
+// A leader that was frozen must not, on its first event after the thaw, grant
+// a lease: another may have led and acknowledged meanwhile.
 func TestThawedLeaderGrantsNoLease(t *testing.T) {
 	t.Parallel()
 	p := Small
@@ -292,7 +292,7 @@
 }
 
 // A proxy that could reach nothing for a while serves again as soon as the leader
-// leases it: what it held against targets then was its own trouble.
+// leases it: the faults that it saw in targets then were its own.
 func TestReturningProxyServesAtOnce(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -313,12 +313,12 @@
 	}
 }
 
-// latestAfterDeath runs a world and says how long after its death a
+// latestAfterDeath runs a world and returns how long after its crash a
 // target was last chosen.
 func latestAfterDeath(t *testing.T, seed uint64, do func(w *World, tg *Target)) time.Duration {
 	t.Helper()
 	p := Small
-	p.Rate = 60 // few enough that connections which do not open do not tell it first
+	p.Rate = 60 // few enough that connections which do not open do not show it first
 	w := Start(seed, p)
 	w.Run(w.now + time.Second)
 	do(w, w.targets.all[int(seed)%len(w.targets.all)])
@@ -327,7 +327,7 @@
 	return w.Stats.LatestToCrashed
 }
 
-// A leader and a target die together: a new leader probes while it gathers tables,
+// A leader and a target crash together: a new leader checks targets' health while it gathers tables,
 // and serves nothing that only old tables vouch for.
 func TestNewLeaderTrustsNoDeadTarget(t *testing.T) {
 	t.Parallel()
@@ -345,7 +345,7 @@
 	}
 }
 
-// A leader is cut off just before its ejection: proxies judge by probes of their own.
+// A leader is isolated just before it ejects a target: proxies decide by health checks of their own.
 func TestProxiesNoticeDeadTargetsWithoutLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
@@ -359,8 +359,8 @@
 	}
 }
 
-// A proxy freezes with requests in hand, chosen and not yet written. What happens
-// meanwhile holds for them too: on the thaw they go elsewhere or back.
+// A proxy freezes with requests whose targets are chosen and that are not yet written. What happens
+// meanwhile holds for them too: on the thaw they go elsewhere or are rejected.
 func TestThawedProxyDropsExpiredChoices(t *testing.T) {
 	t.Parallel()
 	freeze := faultNamed(t, "gate frozen with work in hand")
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -10,7 +10,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// threeMembers is a core of three in three domains, one each, after its first change.
+// threeMembers is a control plane of three members in three domains, after its first change.
 func threeMembers(t *testing.T, seed uint64) *World {
 	t.Helper()
 	w := Start(seed, replacementPlan(3, 3))
@@ -20,7 +20,7 @@
 	return w
 }
 
-// A silent member goes before its successor is in: a successor that dies as soon as it
+// An unreachable member is removed before its successor is added: a successor that dies as soon as it
 // is a member takes no majority with it.
 func TestSuccessorThatDiesTakesNoMajorityAlong(t *testing.T) {
 	t.Parallel()
@@ -37,8 +37,8 @@
 	}
 }
 
-// A member that answers goes after its successor is in: a member that dies at the
-// first change of the list takes no majority with it.
+// A reachable member is removed after its successor is added: a member that dies at the
+// first change of the members takes no majority with it.
 func TestMemberDiesDuringPlannedReplacement(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// Who is told to stop as its successor starts is a member until the successor is one,
-// over a network that is slow and loses messages too.
+// A member that is stopped as its successor starts remains a member until the successor is one,
+// also over a network that is slow and loses messages.
 func TestPlannedSuccessorIsAMemberBeforeTheOldEnds(t *testing.T) {
 	t.Parallel()
 	for _, cores := range []int{1, 3, 4, 5, 7, 11} {
@@ -80,8 +80,8 @@
 	}
 }
 
-// A lost leader is replaced in the same time as another member, an election aside: what
-// its followers did not hear before they led counts.
+// A lost leader is replaced in the same time as another member, an election aside: the time for which
+// its followers did not reach it before one of them led counts.
 func TestLostLeaderIsReplacedInTime(t *testing.T) {
 	t.Parallel()
 	const bound = 6 * time.Second
@@ -104,7 +104,7 @@
 	}
 }
 
-// A standby has all that is agreed before anybody is lost.
+// A standby has all that is agreed before any member is lost.
 func TestStandbyFollowsTheLog(t *testing.T) {
 	t.Parallel()
 	w := threeMembers(t, 1)
@@ -117,7 +117,7 @@
 	}
 }
 
-// A standby that can't learn, its disk hangs, is not waited for: another comes instead,
+// A standby that can't learn, since its disk stalls, is not waited for: another comes instead,
 // though it is of the wrong domain.
 func TestStandbyThatCannotLearnIsPassedOver(t *testing.T) {
 	t.Parallel()
@@ -156,8 +156,8 @@
 	}
 }
 
-// Two members that stop at once do not hand leadership to each other until both are
-// gone: the others lead, and both are replaced before they end.
+// Two members that stop at once do not hand leadership to each other until both have
+// ended: the others lead, and both are replaced before they end.
 func TestTwoStoppingMembersAreReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
--- a/internal/verification/simulator/history_test.go
+++ b/internal/verification/simulator/history_test.go
@@ -8,8 +8,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// operators sends pairs of changes on one base to two members, each order again some time
-// later, while leaders die and are cut off, and reads all the while.
+// changeWhileLeadersFail has operators send pairs of changes on one base to two members, each change again some time
+// later, while leaders crash and are isolated, and read all the while.
 func (w *World) changeWhileLeadersFail(pairs int) {
 	w.StartReaders(40 * time.Millisecond)
 	for i := range pairs {
@@ -36,7 +36,7 @@
 					w.Kill(l)
 					w.schedule(1500*time.Millisecond, func() { w.Restart(l) })
 				case i%12 == 7:
-					w.isolate([]string{l.name}, 3*time.Second, true, true) // from the next leader's word too
+					w.isolate([]string{l.name}, 3*time.Second, true, true) // from the next leader's messages too
 					w.Freeze(l, 2*time.Second)
 				default:
 					w.isolate([]string{l.name}, 2*time.Second, true, true)
@@ -47,7 +47,7 @@
 	w.Run(w.now + time.Duration(pairs)*700*time.Millisecond + 8*time.Second)
 }
 
-// Orders and reads while leaders come and go fit one order of events.
+// Changes and reads while leaders come and go are linearizable.
 func TestRepliesAreLinearizable(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -61,10 +61,10 @@
 	}
 }
 
-// A process that stands still between a step and the telling of what was decided, for
-// longer than any lease, tells an operator the truth late and binds no proxy: what was
+// A process that stands still between a step and its commands, for
+// longer than any lease, gives an operator a late but true reply and binds no proxy: what was
 // decided held at a moment after the call had come, and leases count from the proxy's own
-// stamp.
+// timestamp.
 func TestLateRepliesAreTrueAndLateLeasesBindNobody(t *testing.T) {
 	t.Parallel()
 	late := 0
@@ -98,7 +98,7 @@
 	}
 }
 
-// With a guard of the core taken out the history is not linearizable any more: a check
+// With a guard of the control plane disabled the history is not linearizable any more: a check
 // that can't fail is none.
 func TestDisabledGuardsBreakLinearizability(t *testing.T) {
 	t.Parallel()
--- a/internal/verification/simulator/isolation_test.go
+++ b/internal/verification/simulator/isolation_test.go
@@ -9,35 +9,34 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// cutOffSpan is for how long a member is cut off.
-const cutOffSpan = 20 * time.Second
+// faultSpan is for how long a member has its fault.
+const faultSpan = 20 * time.Second
 
-// A core member that is cut off for twenty seconds, either way or one way, stands still, is
-// slow or has a disk that stalls, leader or not: whoever asks it meanwhile is told neither an old
-// configuration nor that anything was agreed or refused, only that it can't tell. When it
+// A control daemon is isolated for twenty seconds, either way or one way, stands still, is
+// slow or has a disk that stalls, leader or not: callers get from it meanwhile neither an old
+// configuration nor a reply that anything was agreed or rejected, only that it can't tell. When it
 // is back, it takes part again and the leader of the time goes on leading.
 func TestFaultyMemberClaimsNothingItCannotKnow(t *testing.T) {
 	t.Parallel()
-	troubles := []struct {
-		name string
-		do   func(w *World, p *Process)
+	for _, fault := range []struct {
+		name   string
+		inject func(w *World, p *Process)
+		may    allowance
 	}{
-		{"cut off", func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, true, true) }},
-		{"not heard", func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, true, false) }},
-		{"deaf", func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, false, true) }},
-		{"frozen", func(w *World, p *Process) { w.Freeze(p, cutOffSpan) }},
-		{"disk stalls", func(w *World, p *Process) { w.StallDisk(p, cutOffSpan) }},
-		{"slow", func(w *World, p *Process) { w.slowProcess(p, 5, cutOffSpan) }},
-	}
-	may := map[string]allowance{"disk stalls": {passOn: true}, "slow": {passOn: true, lead: true}}
-	for _, trouble := range troubles {
+		{"isolated", func(w *World, p *Process) { w.isolate([]string{p.name}, faultSpan, true, true) }, allowance{}},
+		{"sends nothing", func(w *World, p *Process) { w.isolate([]string{p.name}, faultSpan, true, false) }, allowance{}},
+		{"receives nothing", func(w *World, p *Process) { w.isolate([]string{p.name}, faultSpan, false, true) }, allowance{}},
+		{"frozen", func(w *World, p *Process) { w.Freeze(p, faultSpan) }, allowance{}},
+		{"disk stalls", func(w *World, p *Process) { w.StallDisk(p, faultSpan) }, allowance{forward: true}},
+		{"slow", func(w *World, p *Process) { w.slowProcess(p, slowMachine, faultSpan) }, allowance{forward: true, lead: true}},
+	} {
 		for _, leads := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, leads %v", trouble.name, leads), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, leads %v", fault.name, leads), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(3) {
 					w := Start(seed, Small)
-					for _, fault := range w.isolateOnce(t, leads, trouble.do, may[trouble.name]) {
-						t.Errorf("seed %d: %s", seed, fault)
+					for _, wrong := range w.injectOnce(t, leads, fault.inject, fault.may) {
+						t.Errorf("seed %d: %s", seed, wrong)
 					}
 					requireNoFailure(t, w)
 				}
@@ -46,25 +45,25 @@
 	}
 }
 
-// The same sees a member that answers reads from its own state.
+// The same check fails for a member that answers reads from its own state.
 func TestCheckOfFaultyMemberCanFail(t *testing.T) {
 	t.Parallel()
 	w := Start(1, Small)
 	w.disabledGuard = guardReadsAtLeader
-	faults := w.isolateOnce(t, false, func(w *World, p *Process) { w.isolate([]string{p.name}, cutOffSpan, true, true) }, allowance{})
+	faults := w.injectOnce(t, false, func(w *World, p *Process) { w.isolate([]string{p.name}, faultSpan, true, true) }, allowance{})
 	if len(faults) == 0 {
 		t.Error("a member that is cut off answered reads, and nothing was seen")
 	}
 }
 
-// allowance is what a member in trouble may go on with, since it still hears the others.
+// allowance is what a faulty member may go on with, since it still receives messages.
 type allowance struct {
-	passOn bool // calls to the leader
-	lead   bool
+	forward bool // calls to the leader
+	lead    bool
 }
 
-// isolateOnce brings a trouble about once and lists what was wrong.
-func (w *World) isolateOnce(t *testing.T, leads bool, trouble func(*World, *Process), may allowance) (faults []string) {
+// injectOnce injects a fault into a member once and lists what was wrong.
+func (w *World) injectOnce(t *testing.T, leads bool, inject func(*World, *Process), may allowance) (faults []string) {
 	wrong := func(f string, a ...any) { faults = append(faults, fmt.Sprintf(f, a...)) }
 	w.StartReaders(100 * time.Millisecond)
 	p := w.Leader()
@@ -72,20 +71,20 @@
 		p = w.followers()[w.Seed%2]
 	}
 	begin := w.now
-	trouble(w, p)
-	told := map[int]int{}
+	inject(w, p)
+	replies := map[int]int{}
 	ask := func(method, path, query string, body []byte) {
 		asked := w.now
 		w.call(p, method, path, query, body, "", func(r statemachine.Reply) {
-			// What was asked before the loss can be known, and while the lease of the time may run.
-			if asked-begin > time.Second && w.now-begin < cutOffSpan {
-				told[r.Status]++
+			// Calls before the loss can be noticed, and while the lease of the time may run, do not count.
+			if asked-begin > time.Second && w.now-begin < faultSpan {
+				replies[r.Status]++
 			}
 		})
 	}
 	base := w.Revision()
 	for i := range 60 {
-		w.schedule(time.Duration(i)*cutOffSpan/60, func() {
+		w.schedule(time.Duration(i)*faultSpan/60, func() {
 			ask("GET", "/v1/config", "", nil)
 			ask("PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(1000+i))
 			if l := w.Leader(); l != nil && l != p {
@@ -93,21 +92,21 @@
 			}
 		})
 	}
-	w.Run(begin + cutOffSpan - time.Millisecond)
+	w.Run(begin + faultSpan - time.Millisecond)
 	l := w.Leader()
 	if l == nil || l == p && leads && !may.lead {
 		return append(faults, "no other leader")
 	}
 	term := l.controller.Term()
-	for status, n := range told {
-		if status != 503 && status != 504 && !may.passOn {
+	for status, n := range replies {
+		if status != 503 && status != 504 && !may.forward {
 			wrong("it answered %d %d times", status, n)
 		}
 	}
-	if len(told) == 0 && !p.frozen {
+	if len(replies) == 0 && !p.frozen {
 		wrong("it answered nothing")
 	}
-	w.Run(begin + cutOffSpan + 8*time.Second)
+	w.Run(begin + faultSpan + 8*time.Second)
 	if now := w.Leader(); now != l || now.controller.Term() != term {
 		wrong("%s was unseated", l.name)
 	}
@@ -121,7 +120,7 @@
 	return faults
 }
 
-// A target's word to a member that the leader does not hear is not acknowledged: its
+// A target's report to a member that does not reach the leader is not acknowledged: its
 // caller goes on to another member.
 func TestReportToIsolatedMemberIsNotAcknowledged(t *testing.T) {
 	t.Parallel()
@@ -132,12 +131,12 @@
 		if r, _ := w.callAndWait(t, p, "POST", "/v1/targets", "", word, ""); r.Status != 202 {
 			t.Errorf("seed %d: before: %d", seed, r.Status)
 		}
-		w.isolate([]string{p.name}, cutOffSpan, true, false)
+		w.isolate([]string{p.name}, faultSpan, true, false)
 		w.Run(w.now + 5*tuning.HelloEvery)
 		if r, _ := w.callAndWait(t, p, "POST", "/v1/targets", "", word, ""); r.Status != 503 {
 			t.Errorf("seed %d: unheard: %d", seed, r.Status)
 		}
-		w.Run(w.now + cutOffSpan)
+		w.Run(w.now + faultSpan)
 		if r, _ := w.callAndWait(t, p, "POST", "/v1/targets", "", word, ""); r.Status != 202 {
 			t.Errorf("seed %d: after: %d", seed, r.Status)
 		}
@@ -145,7 +144,7 @@
 	}
 }
 
-// A call that was passed to a leader whose process ended is passed on again when the next
+// A call that was forwarded to a leader whose process ended is forwarded again when the next
 // one leads, also if that is a later process of the same name.
 func TestCallOutlivesLeadersProcess(t *testing.T) {
 	t.Parallel()
--- a/internal/verification/simulator/large_fleet_test.go
+++ b/internal/verification/simulator/large_fleet_test.go
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// largeFleet is a fleet of many proxies on little: a sixth of a processor and a thin link each.
+// largeFleet is a fleet of many proxies on limited resources: a sixth of a processor and a limited link each.
 func largeFleet() Plan {
 	p := Small
 	p.Proxies, p.Services, p.Rate = 69, map[string]int{"fares": 243, "pay": 51}, 20
@@ -16,8 +16,8 @@
 	return p
 }
 
-// Where processors and links are scarce a large fleet still comes to its feet, takes changes,
-// and comes back after its leader has gone and after all of its proxies have.
+// Where processors and links are limited a large fleet still starts, accepts changes,
+// and recovers after its leader has ended and after all of its proxies have.
 func TestLargeFleetServesOnLimitedResources(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// A configuration with very many routes is in force in good time on thin links, and what
+// A configuration with very many routes is in force in good time over limited links, and what
 // follows it too, while no proxy loses its lease.
 func TestManyRoutesAreInForceOverLimitedLinks(t *testing.T) {
 	t.Parallel()
@@ -85,8 +85,8 @@
 	}
 }
 
-// largeControlPlane is a fleet with more core machines than members, each on a quarter of a processor, that
-// all targets speak to; proxies have a sixth.
+// largeControlPlane is a fleet with more control machines than members, each on a quarter of a processor, which
+// receive all targets' reports; proxies have a sixth.
 func largeControlPlane() Plan {
 	p := Small
 	p.ControlDaemons, p.Seeds, p.Proxies, p.Domains, p.Rate = 11, 3, 64, 4, 20
@@ -96,8 +96,8 @@
 	return p
 }
 
-// Members that come from standbys, leave for good or lose their disks, herds of proxies and the loss
-// of everything at once: changes are acknowledged within 4 s, and nothing acknowledged is forgotten.
+// Standbys become members, members leave for good or lose their disks, many proxies crash, and everything
+// is lost at once: changes are acknowledged within 4 s, and nothing acknowledged is lost.
 func TestLargeControlPlaneRecoversOnLimitedResources(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
--- a/internal/verification/simulator/leadership_test.go
+++ b/internal/verification/simulator/leadership_test.go
@@ -9,7 +9,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// countTargets is how many targets a leader knows, and hearsay how many of them have to prove themselves
+// countTargets counts the targets that a leader knows, and how many of them have to be verified
 // before they are served.
 func (w *World) countTargets(p *Process) (n, hearsay int) {
 	all := p.controller.Targets(w.now)
@@ -21,7 +21,7 @@
 	return len(all), hearsay
 }
 
-// isolateFromControlDaemons cuts a core member from the other core daemons, both ways, for a time.
+// isolateFromControlDaemons cuts a control daemon off from all others, both ways, for a time.
 func (w *World) isolateFromControlDaemons(p *Process, d time.Duration) {
 	var ks []link
 	for _, n := range w.daemonNames(wire.ControlDaemon) {
@@ -32,8 +32,8 @@
 	w.partition(ks, d)
 }
 
-// A leader that loses its lease for a moment, and nobody else leads meanwhile, goes on with all
-// that it knew, in the same term or in another: no target has to prove itself anew.
+// A leader that loses its lease for a moment, while nobody else leads, goes on with all
+// that it knew, in the same term or in another: no target has to be verified anew.
 func TestResumedLeaderKeepsItsTargets(t *testing.T) {
 	t.Parallel()
 	same, later := 0, 0
@@ -74,8 +74,8 @@
 	}
 }
 
-// Where another led meanwhile, or it can't be told, a leader begins from what is agreed and what
-// the proxies tell.
+// Where another led meanwhile, or that can't be excluded, a leader begins from what is agreed and what
+// the proxies report.
 func TestLeaderStartsAnewAfterAnother(t *testing.T) {
 	t.Parallel()
 	forgot := 0
@@ -105,8 +105,8 @@
 	t.Logf("%d leaders led again after another", forgot)
 }
 
-// Where nobody led for longer than it takes to notice a target's death, what a leader knew of its targets
-// before is hearsay: one that died meanwhile gets no request, though no proxy remembers that it was ejected.
+// Where nobody led for longer than it takes to notice a target's crash, what a leader knew of its targets
+// before is unverified: one that crashed meanwhile gets no request, though no proxy remembers that it was ejected.
 func TestLeaderAfterLongLossTrustsNoTarget(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(24) {
--- a/internal/verification/simulator/limited_link_test.go
+++ b/internal/verification/simulator/limited_link_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// A member that lost its disk, on a link of 128 KiB a second, learns all and votes again while
+// A member that lost its disk, on a link of 128 KiB a second, receives the whole state and votes again while
 // ten changes a second of some 30 KB go on, whether the state began small or large; and a
-// restarted one catches up. Nobody's lead ends by it, and what was acknowledged is in force.
+// restarted one catches up. No leader changes by it, and what was acknowledged is in force.
 func TestMemberCatchesUpOverALimitedLink(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
--- a/internal/verification/simulator/load_test.go
+++ b/internal/verification/simulator/load_test.go
@@ -13,14 +13,14 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// busyLargeControlPlane is the ferry fleet under so much traffic that every target is heard of all the time.
+// busyLargeControlPlane is the same fleet under so much traffic that requests show the health of every target.
 func busyLargeControlPlane() Plan {
 	p := largeControlPlane()
 	p.Rate = 1200
 	return p
 }
 
-// startLeased starts a ferry fleet and waits until its core has all members and each proxy a lease.
+// startLeased starts such a fleet and waits until its control plane has all members and each proxy a lease.
 func startLeased(t *testing.T, seed uint64, p Plan) *World {
 	t.Helper()
 	w := Start(seed, p)
@@ -53,8 +53,8 @@
 // busyInRelease is the most of its processor that a leader may use while targets are released.
 const busyInRelease = 0.85
 
-// A release of three fifths of a large fleet's targets, six at a time, costs the leader no lead: what
-// it has to tell the proxies grows with time and not with how much there is to tell.
+// A release of three fifths of a large fleet's targets, six at a time, costs the leader no lease: what
+// it has to send the proxies grows with time and not with the number of changes.
 func TestReleaseKeepsTheLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -109,8 +109,8 @@
 	}
 }
 
-// Without a leader a fleet gets quieter: its proxies together probe each target nine times a second at the
-// most, whatever their number, and fewer times where requests tell of it; and they go on serving.
+// Without a leader a fleet gets quieter: its proxies together check each target's health nine times a second at the
+// most, whatever their number, and less often where requests show it; and they go on serving.
 func TestProxiesWithoutLeaderShareHealthChecks(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -136,8 +136,8 @@
 	}
 }
 
-// Proxies that are cut off from the core while a release has its leader make ever new tables don't fill their thin
-// links with their peers' tables: requests go over the same links.
+// Proxies that are cut off from the control plane while a release has its leader make ever new tables don't fill their
+// limited links with their peers' tables: requests go over the same links.
 func TestIsolatedProxiesKeepTheirLinksFree(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
--- a/internal/verification/simulator/membership_test.go
+++ b/internal/verification/simulator/membership_test.go
@@ -10,7 +10,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Members go for good, again and again, leaders among them and while leaders die, and
+// Members are lost for good, again and again, leaders among them and while leaders crash, and
 // an empty daemon at another address comes for each; seeds change with them.
 func TestLostMembersAreReplaced(t *testing.T) {
 	t.Parallel()
@@ -68,8 +68,8 @@
 	}
 }
 
-// Who stops politely hands its place to a standby before it goes, and keeps it over a
-// machine's restart if there is none; who just falls silent is replaced by a standby. On
+// A member that stops gracefully is replaced by a standby before it ends, and remains a member over a
+// restart of its machine if there is none; one that crashes is replaced by a standby. On
 // its return it is a member again, or a standby.
 func TestStoppingMemberIsReplacedByAStandby(t *testing.T) {
 	t.Parallel()
@@ -108,8 +108,8 @@
 	}
 }
 
-// A domain is lost: the others are a majority. For a while it keeps its places; if it
-// stays away nobody is taken out unless fewer then make a majority.
+// A domain is lost: the others are a majority. For a while its members remain members; if it
+// stays away nobody is removed unless fewer then make a majority.
 func TestControlPlaneSurvivesLossOfADomain(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -137,8 +137,8 @@
 	}
 }
 
-// Two of five go, one after the other, and nobody comes for them: later a majority of
-// three is enough, and a third may go.
+// Two of five members are lost, one after the other, and nobody comes for them: later a majority of
+// three is enough, and a third may be lost.
 func TestMembershipShrinksWithoutStandbys(t *testing.T) {
 	t.Parallel()
 	w := Start(3, bootstrapPlan(5, 3))
@@ -158,7 +158,7 @@
 	}
 }
 
-// The core's members are swapped one by one until none of the first is left.
+// The members are swapped one by one until none of the first is left.
 func TestOperatorsSwapAllMembers(t *testing.T) {
 	t.Parallel()
 	w := Start(3, Small)
--- a/internal/verification/simulator/operator_test.go
+++ b/internal/verification/simulator/operator_test.go
@@ -11,11 +11,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// What an operator is told, and that only 200 has changed anything.
+// Each call has its status and error code, and only 200 has changed anything.
 func TestRepliesToOperatorsCalls(t *testing.T) {
 	t.Parallel()
 	w := Start(9, Small)
-	f := w.followers()[0] // passes on to the leader
+	f := w.followers()[0] // forwards to the leader
 	doc := string(w.Document(5))
 	for i, c := range []struct {
 		method, path, query, body, token string
@@ -29,7 +29,7 @@
 		{"PUT", "/v1/config", "base=1", `{"services":{"x":{"cap":0}}}`, "", 422, "invalid"},
 		{"PUT", "/v1/config", "base=1", doc + strings.Repeat(" ", tuning.DocumentMax), "", 413, "too_large"},
 		{"PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cap":41}}}`, "mine", 200, ""},
-		{"PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cap":41}}}`, "mine", 200, ""}, // asked again after a lost answer
+		{"PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cap":41}}}`, "mine", 200, ""}, // sent again after a lost reply
 		{"PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cap":42}}}`, "", 412, "stale"},
 		{"PUT", "/v1/policies/odd", "base=2", `{"slice":"probe","when":"nonsense","decide":"bar","ttl_ms":5}`, "", 422, "invalid"},
 		{"PUT", "/v1/policies/odd", "base=2", `{"slice":"probe","when":"missed > 9","decide":"bar","ttl_ms":5}`, "", 200, ""},
@@ -67,8 +67,8 @@
 	requireNoFailure(t, w)
 }
 
-// Without a leader nothing is changed and the answer says so; when the proxies
-// can't be made to follow, it is 'unknown', and the id tells later what became of it.
+// Without a leader nothing is changed and the reply says so; when the proxies
+// can't be made to follow, it is 'unknown', and the id shows later what became of it.
 func TestUnclearChangeIsReportedAsUnknown(t *testing.T) {
 	t.Parallel()
 	w := Start(10, Small)
@@ -99,12 +99,12 @@
 }
 
 // An address that another target has registered for is served for the new one
-// only once the old entry is out of every table, and the old one is refused.
+// only once the old entry is out of every table, and the old one is rejected.
 func TestNewTargetWaitsForItsAddress(t *testing.T) {
 	t.Parallel()
 	w := Start(11, Small)
 	old := w.targets.all[0]
-	w.isolate([]string{"g1"}, 3*time.Second, true, true) // has the old entry, and a grant
+	w.isolate([]string{"g1"}, 3*time.Second, true, true) // has the old entry, and a lease
 	w.CrashTarget(old)
 	n := w.AddTarget("pay", "heir", old.domain, old.address, 0)
 	seen := time.Duration(0)
@@ -136,7 +136,7 @@
 }
 
 // Large configurations in quick succession, with followers that can't keep up,
-// never grow a member's state past what its ring holds.
+// never grow a member's state past what a file of its write-ahead log holds.
 func TestStateFitsTheWAL(t *testing.T) {
 	t.Parallel()
 	w := Start(12, Small)
@@ -174,7 +174,7 @@
 }
 
 // Policies are compared on the traffic of the day: the live one and a shadow one that
-// ejections at the first miss see the same, and each has its own score.
+// ejects at the first miss see the same, and each has its own score.
 func TestPoliciesAreScoredOnTraffic(t *testing.T) {
 	t.Parallel()
 	w := Start(11, Small)
@@ -182,7 +182,7 @@
 	if r.Status != 200 {
 		t.Fatalf("%s", r.Body)
 	}
-	for i := range 4 { // pauses that only the hasty one takes for deaths, and a death
+	for i := range 4 { // pauses that only the hasty one takes for crashes, and a crash
 		w.targets.all[i].hanging = true
 		w.Run(w.now + 430*time.Millisecond)
 		w.targets.all[i].hanging = false
@@ -205,8 +205,8 @@
 }
 
 // What policies decided outlives leaders and replacements: an ejection by the default
-// policy and a hold by an operator's stand under the next leader from its first table
-// on, and under a changed policy of the same name.
+// policy and a drain by an operator's are in the next leader's tables from the first
+// on, and remain under a changed policy of the same name.
 func TestDecisionsOutliveLeaders(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -216,8 +216,8 @@
 			t.Fatalf("%s", r.Body)
 		}
 		shut, mute := w.targets.all[0], w.targets.all[1]
-		delete(w.targets.listening, shut.address) // its port is shut, its process beats on
-		mute.state = "mute"                       // no daemon takes such a word, but it answers probes
+		delete(w.targets.listening, shut.address) // its port is closed, its heartbeats go on
+		mute.state = "mute"                       // no daemon accepts such a report, but it answers health checks
 		w.Run(w.now + 4*time.Second)
 		out := func() (a, b bool) {
 			a, b = true, true
@@ -247,8 +247,8 @@
 	}
 }
 
-// A change passed to a leader that is lost is passed to the next; what the first may
-// have had agreed is never called refused, and in the end it is told what became of it.
+// A change forwarded to a leader that is lost is forwarded to the next; what the first may
+// have had agreed is never reported as rejected, and in the end its fate is reported.
 func TestChangeOutlivesItsLeader(t *testing.T) {
 	t.Parallel()
 	told := 0
--- a/internal/verification/simulator/overload_test.go
+++ b/internal/verification/simulator/overload_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// lossless is what a fleet serves at most whose proxies have so many places each for a
-// service and never let a caller wait: Erlang's formula for each proxy, with callers of
+// servedWithoutQueue is what a fleet serves at most whose proxies may have so many requests at once each for a
+// service and never queue one: Erlang's formula for each proxy, with callers of
 // whom a part comes again at once, to any proxy, up to three times. One that comes to the
 // proxy that it comes from finds that still full.
 func servedWithoutQueue(rate, again float64, took time.Duration, proxies, places int) float64 {
@@ -27,8 +27,8 @@
 	return all * (1 - loss)
 }
 
-// Asked for twice what its caps let through, a service still does all that proxies can who
-// share its caps out and let nobody wait, refuses the rest at once, and is as before when
+// At twice the load that its caps let through, a service still serves all that proxies can that
+// divide its caps and never queue, rejects the rest at once, and is as before when
 // the demand falls.
 func TestOverloadedServiceKeepsItsThroughput(t *testing.T) {
 	t.Parallel()
@@ -74,7 +74,7 @@
 		if served[i] < c.lo || served[i] > c.hi {
 			t.Errorf("asked %v/s: served %v/s, wanted %v to %v", c.rate, served[i], c.lo, c.hi)
 		}
-		// The lower bound at the knee is this one alone. A request holds its place for its work and 1 ms on the way.
+		// The lower bound at the knee is this one alone. A request is in flight for its service time and 1 ms on the way.
 		best := servedWithoutQueue(c.rate, 0.3, 101*time.Millisecond, Small.Proxies, bears/10/Small.Proxies)
 		err := math.Sqrt((squares[i] - served[i]*served[i]) / (seeds - 1))
 		t.Logf("asked %v/s: served %.1f/s, error %.1f, %.1f by Erlang's formula", c.rate, served[i], err, best)
--- a/internal/verification/simulator/pending_change_test.go
+++ b/internal/verification/simulator/pending_change_test.go
@@ -9,8 +9,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// An order that is under way when its leader loses the lead for a moment is answered with what became of
-// it, in the same term or after an election that the same member wins, and not that it can't be told.
+// A change that is pending when its leader loses the lease for a moment is answered with what became of
+// it, in the same term or after an election that the same member wins, and not that it is unknown.
 func TestPendingChangeOutlivesALeaseLostForAMoment(t *testing.T) {
 	t.Parallel()
 	kept, resumed := 0, 0
@@ -27,7 +27,7 @@
 		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Document(5), "", func(r statemachine.Reply) { status = r.Status })
 		w.runUntil(4*time.Second, func() bool { return status >= 0 })
 		if w.runUntil(2*time.Second, w.hasLeader); w.Leader() != l || w.lostLeases() == before {
-			continue // another leads, or the lead was not lost
+			continue // another leads, or the lease was not lost
 		}
 		kept++
 		if l.controller.Status(w.now).Term > term {
@@ -45,7 +45,7 @@
 	t.Logf("%d leads were lost for a moment, %d of them went on in a later term", kept, resumed)
 }
 
-// An order whose leader is cut off for good is told in time that its fate can't be told.
+// A change whose leader is isolated for good is answered in time that its fate is unknown.
 func TestPendingChangeEndsUnknownWithoutLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
--- a/internal/verification/simulator/persistent_connection_test.go
+++ b/internal/verification/simulator/persistent_connection_test.go
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// persistentConnectionPlan is a fleet whose callers rest for seconds on their connections, and whose targets take as long
+// persistentConnectionPlan is a fleet whose callers pause for seconds on their connections, and whose targets take as long
 // for a request as the platforms' do.
 func persistentConnectionPlan() Plan {
 	p := Small
@@ -18,7 +18,7 @@
 	return p
 }
 
-// Callers use their open connections until a proxy is gone. Proxies that are stopped by plan, one
+// Callers use their open connections until a proxy is gone. Proxies that are stopped gracefully, one
 // after the other and with overlaps, take no request that they can't finish.
 func TestStoppingProxiesServePersistentConnections(t *testing.T) {
 	t.Parallel()
@@ -40,8 +40,8 @@
 	}
 }
 
-// Operators use any member until its process is gone. One that ends by plan answers what it has read, if only to say
-// that it can't tell; the world looks for calls that are left (checkNoCallIsLeft).
+// Operators use any member until its process is gone. One that ends gracefully replies to what it has read, if only
+// that it can't tell; the world looks for calls without a reply (checkNoCallPending).
 func TestStoppingMemberRepliesToItsCalls(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(24) {
@@ -63,7 +63,7 @@
 		}
 		w.schedule(0, ask)
 		w.Run(w.now + 50*time.Millisecond)
-		w.isolate([]string{p.name}, controlStopGrace, true, true) // what it has passed on has no answer
+		w.isolate([]string{p.name}, controlStopGrace, true, true) // what it has forwarded has no reply
 		w.Run(w.now + 100*time.Millisecond)
 		w.stopProcess(p)
 		w.Run(w.now + controlStopGrace)
--- a/internal/verification/simulator/proxy_membership_test.go
+++ b/internal/verification/simulator/proxy_membership_test.go
@@ -8,9 +8,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A majority of the old proxies is cut off from the core, but not from their callers,
+// A majority of the old proxies is cut off from the control plane, but not from their callers,
 // while many new ones come: the new majority alone must not put a change in force that
-// the old one, standing together as proxies that serve on their peers, can't know of.
+// the old one, serving on peer leases, can't know of.
 func TestChangeNeedsOldAndNewMajorityOfProxies(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Herds of proxies die and standbys come in numbers, during cuts.
+// Days hold in which many proxies crash and standbys come in numbers, during partitions.
 func TestDaysOfProxyCrashesAndStandbys(t *testing.T) {
 	t.Parallel()
 	kinds := append(faultsNamed(t, "gate herd killed", "gate isolated", "domain cut off", "leader killed", "config", "core cut off from proxies"),
@@ -78,7 +78,7 @@
 	}
 }
 
-// A large fleet's proxies come up in a few seconds, not one after the other.
+// A large fleet's proxies serve within a few seconds, not one after the other.
 func TestManyProxiesServeWithinSeconds(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/verification/simulator/registration_test.go
+++ b/internal/verification/simulator/registration_test.go
@@ -9,7 +9,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// restartAllAfterPowerLoss ends all daemons, some of them with what their disks had only, and starts them again.
+// restartAllAfterPowerLoss ends all daemons, without what their disks had not synced, and starts them again.
 func (w *World) restartAllAfterPowerLoss() {
 	for _, p := range w.daemons(wire.ControlDaemon) {
 		p.disk.unsynced = nil
@@ -19,8 +19,8 @@
 	w.restartAll()
 }
 
-// After a loss of all processes the targets are known before any of them has said a
-// word, and who ended meanwhile is offered to nobody.
+// After a loss of all processes the targets are known before any of them has sent a
+// report, and one that ended meanwhile is offered to nobody.
 func TestTargetsSurviveLossOfAllProcesses(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -53,8 +53,8 @@
 	}
 }
 
-// What was acknowledged of a leaving or a sign-off outlives the loss of all processes,
-// whatever late words say.
+// An acknowledged drain or sign-off outlives the loss of all processes,
+// whatever stale reports say.
 func TestDrainSurvivesLossOfAllProcesses(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
--- a/internal/verification/simulator/repeated_change_test.go
+++ b/internal/verification/simulator/repeated_change_test.go
@@ -29,10 +29,10 @@
 	return r, uint64(revision)
 }
 
-// An order that was taken is acknowledged when it is sent again, by any member, over
+// A change that was accepted is acknowledged when it is sent again, by any member, over
 // hundreds of changes on top, another leader, restarts and snapshots, and the one that
-// lost against it is refused. After a loss of all disks it is acknowledged or left
-// without a clear answer.
+// lost against it is rejected. After a loss of all disks it is acknowledged or left
+// without a clear reply.
 func TestRepeatedChangeIsAcknowledgedAgain(t *testing.T) {
 	t.Parallel()
 	const changes = 300 // over one snapshot each tuning.LogMax entries
@@ -94,9 +94,9 @@
 	requireNoFailure(t, w)
 }
 
-// Orders under one id and without one, the same at several members at once, and other
+// Changes under one id and without one, the same at several members at once, and other
 // documents under the same number: one wins, its copies are all acknowledged as one
-// change, the others lose. Nobody is told that a change is under way.
+// change, the others lose. No reply says that a change is under way.
 func TestOneOfConcurrentChangesWins(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// An order for a domain that is sent again under its id, long after it was taken and
+// A change of a domain that is sent again under its id, long after it was accepted and
 // undone, is acknowledged and changes nothing.
 func TestRepeatedDomainChangeTakesNoEffect(t *testing.T) {
 	t.Parallel()
@@ -153,8 +153,8 @@
 	requireNoFailure(t, w)
 }
 
-// Two operators who send the very same configuration on one base ask for one change: both
-// are told that it is in force, as one revision. Two different ones are never both.
+// Two operators who send the very same configuration on one base make one change: both
+// learn that it is in force, as one revision. Two different ones are never both.
 func TestSameConfigurationFromTwoOperatorsIsOneChange(t *testing.T) {
 	t.Parallel()
 	for _, second := range []int{7, 8} {
@@ -219,7 +219,7 @@
 	}
 }
 
-// Orders that are repeated push no configuration out of what is kept.
+// Changes that are repeated push no configuration out of what is kept.
 func TestRepeatedChangesKeepEarlierRecords(t *testing.T) {
 	t.Parallel()
 	w := Start(24, Small)
--- a/internal/verification/simulator/replacement_test.go
+++ b/internal/verification/simulator/replacement_test.go
@@ -10,7 +10,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// loss is a kind of loss of a core machine; it reports when the next may follow.
+// loss is a kind of loss of a control machine; it reports when the next may follow.
 type loss struct {
 	name string
 	do   func(w *World, p *Process, over func(at time.Duration))
@@ -48,7 +48,7 @@
 	}},
 }
 
-// victims are the machines that are lost next: the leader, other members, standbys.
+// victims draws the machines that are lost next: the leader, other members, standbys.
 func (w *World) victims(t *testing.T, machines int) (l []*Process) {
 	t.Helper()
 	if w.Leader() == nil {
@@ -71,7 +71,7 @@
 }
 
 // loseMachines loses so many machines at once and waits until the next loss is allowed. A
-// leader must decide again within the receipt.
+// leader must decide again within failoverBound.
 func (w *World) loseMachines(t *testing.T, round int, kinds []loss, machines int) {
 	t.Helper()
 	until, open := time.Duration(0), machines
@@ -94,8 +94,8 @@
 	return p
 }
 
-// A loss follows the other as soon as the platform allows, on cores of every size: the
-// core leads again each time, takes changes, and forgets none.
+// A loss follows the other as soon as the platform allows, on control planes of every size: there is a
+// leader again each time, which accepts changes, and none is lost.
 func TestLossRightAfterRepairIsBorne(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ cores, domains, atOnce, want int }{
@@ -136,8 +136,8 @@
 	}
 }
 
-// A core of one machine is replaced by plan, again and again: the old one hands over
-// all that it acknowledged before it goes.
+// A control plane of one machine is replaced by plan, again and again: the old one hands over
+// all that it acknowledged before it ends.
 func TestOnlyMemberHandsOverBeforeItEnds(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// The day of the second incident: a storm of changes, a planned replacement meanwhile,
-// later a leader that is cut off, and a second replacement.
+// The second incident's day: changes ten times a second, a planned replacement meanwhile,
+// later a leader that is isolated, and a second replacement.
 func TestReplacementsDuringChangesAndIsolation(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(16) {
@@ -229,8 +229,8 @@
 	}
 }
 
-// Days of core losses only, at the pace that the platform allows, with many faults of
-// which several are machines gone for good.
+// Days of control machines' losses only, at the pace that the platform allows, with many faults of
+// which several are machines lost for good.
 func TestDaysOfReplacements(t *testing.T) {
 	t.Parallel()
 	kinds := faultsNamed(t, "core machine replaced for good", "core machine replaced by plan", "core machine replaced for good", "core killed",
@@ -250,7 +250,7 @@
 }
 
 // A machine that is replaced for good takes its disk along: to the history, two of three
-// within wipeSpan are a majority's disks lost, and one is not.
+// within diskLossWindow are a majority's disks lost, and one is not.
 func TestReplacedMachineCountsAsLostDisk(t *testing.T) {
 	t.Parallel()
 	w := Start(31, bootstrapPlan(3, 3))
--- a/internal/verification/simulator/scenes_test.go
+++ b/internal/verification/simulator/scenes_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Each rule's scene brings its failure about and holds.
+// Each rule's scene brings its fault about and holds.
 func TestScenesHold(t *testing.T) {
 	t.Parallel()
 	for _, s := range Scenes {
@@ -25,7 +25,7 @@
 	}
 }
 
-// Each rule's check fails when the guard is out: a check that can't fail is none.
+// Each rule's check fails when the guard is disabled: a check that can't fail is none.
 func TestDisabledGuardsBreakTheirRules(t *testing.T) {
 	t.Parallel()
 	for _, s := range Scenes {
@@ -47,9 +47,9 @@
 	}
 }
 
-// What each kind of fault may cost: a system that refuses everything breaks no rule.
+// What each kind of fault may cost: a system that rejects everything breaks no rule.
 // Bounds are a third or so over the worst of 6 seeds (docs/measured.md), of requests
-// not served, of the longest time without an answer from some service, and, where a
+// not served, of the longest time without a response from some service, and, where a
 // change can be made at all, of the time until it is in force.
 func TestFaultsLeaveTheServiceAvailable(t *testing.T) {
 	t.Parallel()
@@ -59,10 +59,10 @@
 	gap := map[string]time.Duration{"service removed, its addresses handed over": 10 * time.Second, "service loses answers": 10 * time.Second,
 		"power fails everywhere": 4 * time.Second, "service comes back cold": 1500 * time.Millisecond, "all proxies forget": 1200 * time.Millisecond}
 	// No leader, no majority of proxies, or a leader that nobody can tell from a sound
-	// one before its lease is over: the answer may be late, or 'unknown'.
+	// one before its lease runs out: the reply may be late, or 'unknown'.
 	slow := []string{"power fails everywhere", "core herd killed", "gate herd killed", "core gone for long, service rolled", "core cut off from proxies",
 		"a majority's disks stall", "net loses and delays", "leader isolated", "core split", "domain cut off"}
-	// Most of the core stands still for up to 20 s, or is killed, cut off and stalled at once:
+	// Most of the control plane stands still for up to 20 s, or is killed, cut off and stalled at once:
 	// nothing can be agreed meanwhile. Proxies serve on, so the bounds of the service stay.
 	slow = append(slow, "core frozen by twos and threes", "core hurt by twos and threes")
 	for _, f := range Faults {
--- a/internal/verification/simulator/status_test.go
+++ b/internal/verification/simulator/status_test.go
@@ -23,8 +23,8 @@
 	return controlplane.MemberView{}
 }
 
-// The leader says by which majority it leads, who is silent and for how long, that the next
-// loss can't be borne and until when, and that it can again once a standby has come in.
+// The leader shows by which majority it leads, which member is unreachable and for how long, that the next
+// loss can't be borne and until when, and that it can again once a standby is a member.
 func TestStatusShowsALossAndItsRepair(t *testing.T) {
 	t.Parallel()
 	w := Start(7, bootstrapPlan(4, 3))
@@ -70,7 +70,7 @@
 	requireNoFailure(t, w)
 }
 
-// A follower says that it can't tell, and how long ago it heard its leader.
+// A follower shows that it can't tell, and how long ago it last heard from its leader.
 func TestFollowersStatusCannotTellLosses(t *testing.T) {
 	t.Parallel()
 	w := Start(3, bootstrapPlan(3, 3))
@@ -94,7 +94,7 @@
 	}
 }
 
-// A leader that is left alone counts its silence from when it led last.
+// A leader that is left alone counts the time without a leader from the end of its own lease.
 func TestStatusOfLeaderLeftAloneCountsFromItsLease(t *testing.T) {
 	t.Parallel()
 	w := Start(3, bootstrapPlan(3, 3))
@@ -112,7 +112,7 @@
 	}
 }
 
-// One machine alone decides, and says that it is too few.
+// One machine alone leads, and shows that it is too few.
 func TestStatusOfOnlyMemberBearsNoLoss(t *testing.T) {
 	t.Parallel()
 	w := Start(5, bootstrapPlan(1, 1))
@@ -123,7 +123,7 @@
 	}
 }
 
-// A member that stops politely is told from one that fell silent.
+// A member that stops gracefully is told from one that crashed.
 func TestStatusShowsAStoppingMember(t *testing.T) {
 	t.Parallel()
 	w := Start(9, bootstrapPlan(3, 3))
@@ -145,7 +145,7 @@
 }
 
 // Each counter grows when what it counts happens: a lost lease, a snapshot, a repeated
-// order, an answer that can't be told, another version, a wrong document.
+// change, a reply that can't be given, another version, a wrong document.
 func TestControlPlaneCountsItsEvents(t *testing.T) {
 	t.Parallel()
 	w := Start(11, Small)
@@ -209,22 +209,22 @@
 }
 
 // failoverWithin is how soon somebody decides after a loss that was said to be bearable: an
-// election after the longest promise, a second try, and the wait for proxies' tables.
+// election after the longest lease, a second one, and the wait for proxies' tables.
 const failoverWithin = 5 * time.Second
 
 // noticedWithin is how soon the status shows a loss: it counts a voter until that has not
 // answered for a lease.
 const noticedWithin = tuning.LeaderLease + 2*tuning.HeartbeatEvery
 
-// lossSize is a core of so many machines.
-type lossSize struct{ cores, seeds int }
+// controlPlaneSize is a control plane of so many machines.
+type controlPlaneSize struct{ cores, seeds int }
 
-// What the status says can be borne is borne: whichever voter goes, and however many as are
-// said, somebody decides again; and so with each domain that is not at risk.
+// What the status says can be borne is borne: whichever voter is lost, and however many as
+// it says, there is a leader again; and so with each domain that is not at risk.
 func TestBearableLossesAreBorne(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		size := []lossSize{{3, 3}, {4, 3}, {5, 3}, {7, 3}, {11, 3}}[seed%5]
+		size := []controlPlaneSize{{3, 3}, {4, 3}, {5, 3}, {7, 3}, {11, 3}}[seed%5]
 		t.Run(fmt.Sprintf("%d machines, seed %d", size.cores, seed), func(t *testing.T) {
 			t.Parallel()
 			w := Start(seed, bootstrapPlan(size.cores, size.seeds))
@@ -253,8 +253,8 @@
 	}
 }
 
-// chooseLoss draws as many voters as may go, or a whole domain that is not at risk; the
-// leader goes in every other round.
+// chooseLoss draws as many voters as may be lost, or a whole domain that is not at risk; the
+// leader is among them in every other round.
 func (w *World) chooseLoss(v controlplane.ControlPlaneView, round int) (names []string) {
 	var voters []string
 	for _, m := range v.Members {
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// rewriteThroughWAL takes a record through a ring of the daemons' size.
+// rewriteThroughWAL takes a record through a write-ahead log of the daemons' size.
 func rewriteThroughWAL(t *testing.T, record []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -114,7 +114,7 @@
 	r.Close()
 }
 
-// What a proxy remembers for a core that has lost all is read, and written again byte for byte.
+// What a proxy remembers for a control plane that has lost everything is read, and written again byte for byte.
 func TestProxysRecoveredStateKeepsItsForm(t *testing.T) {
 	w := Start(11, Small)
 	for _, p := range w.daemons(wire.ControlDaemon) {
--- a/internal/verification/simulator/table_test.go
+++ b/internal/verification/simulator/table_test.go
@@ -9,8 +9,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A table without document and state is taken only by a proxy that holds those very
-// ones; another asks again and is sent all.
+// A table without document and state is taken only by a proxy that has those very
+// ones; another pulls again and is sent everything.
 func TestPartialTableNeedsTheSameDocument(t *testing.T) {
 	t.Parallel()
 	whole := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: 1}, StateIndex: 5, Revision: 2, Document: []byte(`{}`), State: []byte(`{"seq":5}`), Proxies: []wire.Proxy{{Name: "g1", Addr: "g1"}}}
@@ -45,7 +45,7 @@
 	}
 }
 
-// What each proxy holds is what its leader's table says, however many changes made it.
+// What each proxy has is the leader's table, however many incremental changes made it.
 func TestTableChangesAddUpToTheLeadersTable(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -96,7 +96,7 @@
 }
 
 // A proxy that has just started and has a table from one peer only does not
-// stand surety for others: it may have forgotten what it once confirmed.
+// grant others leases: it may have forgotten what it once confirmed.
 func TestUnconfirmedProxyGrantsNoLease(t *testing.T) {
 	t.Parallel()
 	tab := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: 1}, Document: []byte(`{}`)}
--- a/internal/verification/simulator/target_report_test.go
+++ b/internal/verification/simulator/target_report_test.go
@@ -27,8 +27,8 @@
 	return fmt.Sprintf(`{"service":%q,"incarnation":%d,"address":%q,"domain":%q,"state":%q,"number":%d,"mood":["any"]%s}`, t.service, t.incarnation, t.address, t.domain, state, number, more)
 }
 
-// Words by name: what is wrong is named by its place, slots reach the tables, and an old
-// word changes nothing.
+// Reports by name: a wrong field is named by its path, slots reach the tables, and an old
+// report changes nothing.
 func TestNumberedReports(t *testing.T) {
 	t.Parallel()
 	w := Start(21, Small)
@@ -74,8 +74,8 @@
 	requireNoFailure(t, w)
 }
 
-// A word that says leaving or gone is acknowledged once a majority of the proxies knows,
-// and not before; the same word again waits with it, and later ones are at once.
+// A report of a target that is leaving or gone is acknowledged once a majority of the proxies has it,
+// and not before; the same report again waits with it, and later ones are acknowledged at once.
 func TestDrainIsAcknowledgedOnceAMajorityHasIt(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// A majority is enough: proxies that are lost hold no word up, as their leases lapse.
+// A majority is enough: lost proxies delay no acknowledgement, as their leases run out.
 func TestDrainWaitsForNoLostProxy(t *testing.T) {
 	t.Parallel()
 	w := Start(25, Small)
@@ -136,7 +136,7 @@
 	requireNoFailure(t, w)
 }
 
-// What can't be made known is not promised, in time for the caller to go elsewhere.
+// What can't reach a majority is not acknowledged, in time for the caller to go elsewhere.
 func TestDrainWithoutMajorityIsNotAcknowledged(t *testing.T) {
 	t.Parallel()
 	w := Start(22, Small)
@@ -168,8 +168,8 @@
 	requireNoFailure(t, w)
 }
 
-// What was acknowledged outlives the leader, though the target never speaks again but
-// answers its probes as one that serves.
+// What was acknowledged outlives the leader, though the target never reports again and
+// answers its health checks as one that serves.
 func TestDrainOutlivesLeaders(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -202,8 +202,8 @@
 	}
 }
 
-// Coldness: the later of what is told holds, a later word that tells 0 ends it, and a
-// restored domain's targets are cold whatever they said, also under the next leader.
+// Warm-up: the later end that was reported holds, a later report of 0 ends it, and a
+// restored domain's targets warm up whatever they reported, also under the next leader.
 func TestWarmUpEndsWithTheTargetsOwnReport(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/verification/simulator/target_test.go
+++ b/internal/verification/simulator/target_test.go
@@ -7,7 +7,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Silence alone refuses nobody: a domain cut off for longer than a silent target's
+// A lack of heartbeats alone removes nobody for good: a domain isolated for longer than an unreachable target's
 // entry lasts is back at full capacity within seconds of healing.
 func TestHealedTargetsServeWithinSeconds(t *testing.T) {
 	t.Parallel()
@@ -26,8 +26,8 @@
 	}
 }
 
-// A late word of an earlier start neither evicts the present one nor comes back
-// itself, whether or not the leader that knew better is still there.
+// A stale report of an earlier start neither evicts the present one nor brings the earlier one
+// back, whether or not the leader that knew better is still there.
 func TestStaleReportEvictsNoTarget(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -36,7 +36,7 @@
 		w.CrashTarget(old)
 		w.Run(w.now + 300*time.Millisecond)
 		n := w.AddTarget(old.service, old.name, old.domain, old.address, 0)
-		n.incarnation = old.incarnation - 1 // a clock that went back, or plain chance: numbers have no order
+		n.incarnation = old.incarnation - 1 // a clock that went back, or chance: incarnations have no order
 		if seed%3 == 1 {                    // under another address
 			delete(w.targets.listening, n.address)
 			n.address = "10.9.9.9:80"
@@ -51,7 +51,7 @@
 			for w.Leader() == nil && w.now < 30*time.Second {
 				w.Run(w.now + 5*time.Millisecond)
 			}
-			w.reportTarget(w.Leader(), old, wire.TargetReady) // before anything else is heard
+			w.reportTarget(w.Leader(), old, wire.TargetReady) // before any other message
 		}
 		for range 20 {
 			w.reportTarget(w.pickProcess(wire.ProxyDaemon, true), old, wire.TargetReady)
@@ -70,7 +70,7 @@
 }
 
 // Two live targets under one name, or at one address: one of them stays, and no
-// word of the other moves anything back and forth.
+// report of the other moves anything back and forth.
 func TestTwoTargetsWithOneNameDoNotAlternate(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// A target that has left does not come back by a late word, also when the leader
+// A target that has left does not come back by a stale report, also when the leader
 // that saw it leave is gone.
 func TestDrainedTargetStaysAway(t *testing.T) {
 	t.Parallel()
@@ -135,7 +135,7 @@
 	}
 }
 
-// When every target of a service is out, a late word of a dead one does not make it
+// When every target of a service is unavailable, a stale report of a crashed one does not make it
 // the last resort.
 func TestStaleReportOfDeadTargetIsNoLastResort(t *testing.T) {
 	t.Parallel()
@@ -158,8 +158,8 @@
 	}
 }
 
-// The core is gone for a minute while a whole service is rolled: it goes on, and the
-// core finds it whole when it is back.
+// The control plane is gone for a minute while a service is rolled: it goes on, and the
+// control plane finds it complete when it is back.
 func TestServiceIsRolledWithoutControlPlane(t *testing.T) {
 	t.Parallel()
 	roll := faultNamed(t, "service rolled")
@@ -184,8 +184,8 @@
 	}
 }
 
-// What short pauses of targets cost: one that is shorter than the watchdog's
-// interval ejections nobody, a long one always does.
+// What short pauses of targets cost: one that is shorter than the interval of
+// health checks ejects nobody, a long one always does.
 func TestTargetsAreEjectedForLongPausesOnly(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -214,8 +214,8 @@
 	}
 }
 
-// A target that dies while no configuration names its service gets nothing once one does
-// again, however long it has been dead by then.
+// A target that crashes while no configuration names its service gets nothing once one does
+// again, however long ago it crashed.
 func TestTargetThatDiedUnconfiguredGetsNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(24) {
--- a/internal/verification/simulator/total_loss_test.go
+++ b/internal/verification/simulator/total_loss_test.go
@@ -9,7 +9,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// What becomes of one core machine in a total loss.
+// The fates of one control machine in a total loss.
 const (
 	diskKept        = 'w' // its disk survives
 	diskLost        = 'l' // it comes back with an empty disk
@@ -17,8 +17,8 @@
 	machineIsolated = 'c' // it runs on with its disk, reached by nobody, and is back later
 )
 
-// strike lets fates befall the core machines at once; the proxies live on, or
-// forget too.
+// loseMachinesByFate has all control machines meet their fates at once; the proxies live on, or
+// restart too.
 func (w *World) loseMachinesByFate(fates string, forget bool) {
 	w.logf("fates %s, proxies forget %v", fates, forget)
 	var cut []string
@@ -49,8 +49,8 @@
 	}
 }
 
-// An operator has a survivor found again just when the member comes back with which
-// it is a majority of the old core: one of the two cores goes on, never both.
+// An operator recovers a survivor just when the member comes back with which
+// it is a majority of the old control plane: one of the two control planes goes on, never both.
 func TestOperatorRecoveryMeetsReturningMember(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -77,12 +77,12 @@
 	}
 }
 
-// Every mix of disks lost, machines gone, members cut off and members whole, for 3
+// Every mix of disks lost, machines gone, members isolated and members intact, for 3
 // and 5 members, with proxies that remember and that forget. There are never two
-// cores (checked at each step). If the last core can't decide whatever those out of
-// reach hold, and a majority of machines is there, a new one leads within 15 s; where
-// it might, nobody founds until an operator vouches for who is gone, and not even
-// then while a majority may be cut off. Those out of reach join when they are back.
+// control planes (checked at each step). If the last one can't decide whatever the unreachable
+// members have, and a majority of machines is there, a new one leads within 15 s; where
+// it might, nobody bootstraps until an operator consents for those who are gone, and not even
+// then while a majority may be isolated. Unreachable members join when they are back.
 func TestTotalLossLeavesOneControlPlane(t *testing.T) {
 	t.Parallel()
 	mixes := map[string]bool{}
@@ -123,7 +123,7 @@
 					if l := w.Leader(); l != nil && !w.network.blocked[link{l.name, "g1"}] {
 						return l
 					}
-					return nil // nobody, or among the cut off only
+					return nil // nobody, or among the isolated only
 				}
 				l := leader()
 				if (l != nil) != (elects || founds) {
@@ -153,8 +153,7 @@
 					}
 				}
 				if l != nil && l.controller.Revision() == 0 {
-					w.checks.acknowledged, w.operators.changes = 0, nil // all that knew is lost
-					clear(w.checks.acknowledgedAt)
+					w.forgetAcknowledgements() // all who knew of them are lost
 					w.PutConfig(l, 0, 3)
 				}
 				clear(w.network.blocked)
@@ -179,8 +178,8 @@
 	}
 }
 
-// Every core disk is lost at once while the proxies live: the core founds a new
-// epoch and takes configuration and emptied domains back from the proxies.
+// Every disk of the control plane is lost at once while the proxies live: it begins a new
+// epoch and recovers configuration and emptied domains from the proxies.
 func TestControlPlaneRecoversStateFromProxies(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
@@ -206,7 +205,7 @@
 	}
 }
 
-// Two of three disks are lost: the survivor's state is what the new epoch starts from,
+// Two of three disks are lost: the new epoch starts from the survivor's state,
 // even when no proxy remembers.
 func TestNewEpochStartsFromSurvivingDisk(t *testing.T) {
 	t.Parallel()
@@ -234,7 +233,7 @@
 	}
 }
 
-// Everything is wiped: an empty core founds itself and takes a configuration anew.
+// Everything is wiped: an empty control plane bootstraps and takes a configuration anew.
 func TestEmptyControlPlaneBootstrapsAnew(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
@@ -252,7 +251,7 @@
 		for _, p := range w.fleet() {
 			w.Restart(p)
 		}
-		w.network.loss, w.network.delay = 0.2, 100*time.Millisecond // founders hear of one another at unlike times
+		w.network.loss, w.network.delay = 0.2, 100*time.Millisecond // seeds learn of one another at different times
 		w.schedule(5*time.Second, func() { w.network.loss, w.network.delay = 0, time.Millisecond })
 		end := w.now + 15*time.Second
 		for w.Leader() == nil && w.now < end {
--- a/internal/verification/simulator/world_test.go
+++ b/internal/verification/simulator/world_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// Without faults every request is served.
 func TestCalmFleetServesAllRequests(t *testing.T) {
 	t.Parallel()
 	w := Start(1, Small)
