--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -1,6 +1,6 @@
 // This file takes calls of the HTTP API: from clients of this daemon, which it answers itself, executes as
 // leader or relays to the leader; and from the daemons that relayed them here. What each call does stands in
-// api_routes.go, configapi.go and targetapi.go.
+// apiroutes.go, configapi.go and targetapi.go.
 
 package controlplane
 
--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -21,9 +21,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// bootstrap takes the next step of a bootstrap, if one is needed. The visible founders found an epoch if none
+// bootstrap takes the next step of a bootstrap, if one is needed. The visible founders begin an epoch if none
 // of them has a leader, if they are a majority of the last members, and if these can't elect a leader once the
-// founders have locked. Each offers what it would found; only when all offer the same does each lock it on disk,
+// founders have locked. Each offers the epoch that it would begin; only when all offer the same does each lock it on disk,
 // and only when all have locked it does any act on it.
 func (c *Controller) bootstrap(now time.Duration) {
 	if c.recoveryConsent.Granted && now-c.recoveryConsent.GrantedAt > tuning.ConsentTTL {
@@ -70,8 +70,8 @@
 	}
 }
 
-// mayFound says that this member is one of the founders, and that they may found: they are a majority, so that
-// no others can found beside them, and the last control plane can't go on by itself.
+// mayFound says that this member is one of the founders, and that they may begin an epoch: they are a majority, so
+// that no others can begin one beside them, and the last control plane can't go on by itself.
 func (c *Controller) mayFound(survey *membershipSurvey, founders []wire.Daemon) bool {
 	return len(founders) <= survey.size &&
 		2*len(founders) > survey.size &&
@@ -79,9 +79,9 @@
 		indexOfDaemon(founders, c.settings.Self.Name) >= 0
 }
 
-// mayFoundIncomplete says that founders that are not all may found without an operator's consent: those missing
+// mayFoundIncomplete says that founders that are not all may begin an epoch without an operator's consent: those missing
 // had time to come, and even with them the last control plane has no majority; or another founder offers
-// the same, which has found so.
+// the same, which has found that to be so.
 func (c *Controller) mayFoundIncomplete(now time.Duration, survey *membershipSurvey, founders []wire.Daemon, offer uint64) bool {
 	if now-c.visibleFoundersSince >= tuning.BootstrapWait && survey.canNeverElect() {
 		return true
@@ -101,7 +101,7 @@
 	members []wire.Member
 }
 
-// planBootstrap is what founders would found: the epoch after all that they know of, or the one that some of them
+// planBootstrap is the epoch that founders would begin: the epoch after all that they know of, or the one that some of them
 // have locked already with the same members.
 func (c *Controller) planBootstrap(founders []wire.Daemon, size int) bootstrapPlan {
 	latest := uint64(0)
@@ -216,7 +216,7 @@
 // provisionalLock is a lock of no epoch.
 const provisionalLock = 1
 
-// recordBootstrapIntent keeps on disk that this process may found the first control plane, and with how many
+// recordBootstrapIntent keeps on disk that this process may bootstrap the first control plane, and with how many
 // members, so that a restart while it does changes nothing: as a lock of no epoch.
 func (c *Controller) recordBootstrapIntent() {
 	if c.settings.BootstrapSize > 0 || c.bootstrapSize == 0 || c.node != nil || c.persistentState.BootstrapLock != 0 {
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -27,7 +27,7 @@
 
 // States that a control daemon reports in place of its role in consensus.
 const (
-	emptyState    = "empty"    // it may found the first control plane
+	emptyState    = "empty"    // it may bootstrap the first control plane
 	waitingState  = "waiting"  // it may not, and waits to become a learner
 	stoppingState = "stopping" // it stops, and is to come back
 )
--- a/internal/controlplane/epoch.go
+++ b/internal/controlplane/epoch.go
@@ -32,7 +32,7 @@
 		BootstrapLock:  locked.BootstrapLock,
 		Founders:       locked.Founders,
 		BootstrapEpoch: locked.BootstrapEpoch,
-		// The members are a snapshot at entry 1, so that a member that did not found gets them from the leader.
+		// The members are a snapshot at entry 1, so that a member that is no founder gets them from the leader.
 		Snapshot:       wire.Snapshot{Index: 1, Members: locked.Founders},
 		RecoveredState: c.recoveredStateOfDisk(),
 	}
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -31,7 +31,7 @@
 	BeginsEmpty bool `json:"begins_empty"`
 }
 
-// operatorsConsent is what operators have told any of the visible daemons: the union, so that all members act on
+// operatorsConsent is the consent that operators gave to any of the visible daemons: the union, so that all members act on
 // the same.
 func (c *Controller) operatorsConsent(visible []wire.Daemon) discovery.RecoveryConsent {
 	var union discovery.RecoveryConsent
@@ -48,7 +48,7 @@
 	return union
 }
 
-// recoverByOperator takes an operator's consent that the visible members found a new epoch without waiting for the
+// recoverByOperator takes an operator's consent that the visible members begin a new epoch without waiting for the
 // others. Lost names those, separated by commas, whose machines are lost for good. It is rejected while a majority
 // of the last members may still be running. In an epoch that waits because a state can't be decoded, it allows to
 // begin with nothing.
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -157,7 +157,7 @@
 type replacement struct {
 	resilience resilience // of the membership with it, as if all others were back
 	sameDomain bool       // the standby is of the lost member's failure domain
-	caughtUp   bool       // the standby has the whole log
+	caughtUp   bool       // the standby has the complete log
 }
 
 func (r replacement) compare(other replacement) int {
@@ -184,7 +184,7 @@
 	return lost, standby, found
 }
 
-// caughtUp says that a learner has the whole log.
+// caughtUp says that a learner has the complete log.
 func (c *Controller) caughtUp(now time.Duration, daemon wire.Daemon) bool {
 	return c.node.CaughtUp(now, memberOf(daemon))
 }
--- a/internal/controlplane/survey.go
+++ b/internal/controlplane/survey.go
@@ -36,7 +36,7 @@
 type membershipSurvey struct {
 	last      discovery.Membership // empty if none is known
 	size      int                  // how many members the next epoch has, those that are absent included
-	fixedSize bool                 // its size is set, so any control daemon may found the first one
+	fixedSize bool                 // its size is set, so any control daemon may be a founder of the first one
 
 	lostDisk    int // members whose disks are lost: they are here with another one, or an operator says so
 	withDisk    int // members that are here with their disks, and have not locked a later epoch
@@ -67,7 +67,7 @@
 	return survey
 }
 
-// countLost counts the machines that an operator says are lost and that would have a place in the next epoch.
+// countLost counts the machines that an operator says are lost and that would be members of the next epoch.
 func (s *membershipSurvey) countLost(visible []wire.Daemon, lost []string) int {
 	count := 0
 	for _, name := range lost {
@@ -79,8 +79,8 @@
 	return count
 }
 
-// eligibleFounders are the visible daemons that may found the next epoch: the last members, by name; or, if
-// none are known, those that say that they may found the first one.
+// eligibleFounders are the visible daemons that may begin the next epoch: the last members, by name; or, if
+// none are known, those that report that they may begin the first one.
 func (s *membershipSurvey) eligibleFounders(visible []wire.Daemon) []wire.Daemon {
 	return slices.DeleteFunc(slices.Clone(visible), func(d wire.Daemon) bool {
 		if len(s.last.Members) == 0 {
--- a/internal/shared/discovery/discovery.go
+++ b/internal/shared/discovery/discovery.go
@@ -19,7 +19,7 @@
 	// LastContact is when its last hello arrived. For one that is known from others' hellos only, it
 	// is set back by half of tuning.DaemonExpiry.
 	LastContact time.Duration
-	// Leader names the leader that it hears, "" if it hears none.
+	// Leader names the leader that it has contact with, "" if it has none.
 	Leader string
 	// Term is its term, 0 if it is no member.
 	Term uint64
