--- a/cmd/mfsim/availability.go
+++ b/cmd/mfsim/availability.go
@@ -15,10 +15,10 @@
 
 // measureAvailability prints a row for each kind of fault, or pair of kinds: figures over all seeds, worst first.
 // It returns the exit status.
-func measureAvailability(o options) int {
+func measureAvailability(chosen options) int {
 	var rows []row
 	status := 0
-	for _, measured := range measure(o, faultSets(o.pairs)) {
+	for _, measured := range measure(chosen, faultSets(chosen.pairs)) {
 		for _, m := range measured {
 			if m.Failure != "" {
 				fmt.Printf("%v: %s\n", m.Faults, m.Failure)
@@ -30,7 +30,7 @@
 	slices.SortStableFunc(rows, func(a, b row) int { return cmp.Compare(b.unserved, a.unserved) })
 	fmt.Println("| kind | refused % | failed % | no answer % | longest gap s | whole again s | change in force s | other outcomes |\n|---|---|---|---|---|---|---|---|")
 	for i, r := range rows {
-		if !o.pairs || i < pairsShown {
+		if !chosen.pairs || i < pairsShown {
 			fmt.Println(r.text)
 		}
 	}
--- a/cmd/mfsim/days.go
+++ b/cmd/mfsim/days.go
@@ -24,17 +24,17 @@
 }
 
 // runDays runs days by seed, prints those that broke a rule and a summary, and returns the exit status.
-func runDays(o options) int {
+func runDays(chosen options) int {
 	jobs := make(chan job)
-	go o.sendJobs(jobs, o.onlyFaults())
+	go chosen.sendJobs(jobs, chosen.onlyFaults())
 	results := make(chan result)
-	plan := o.fleet()
+	plan := chosen.fleet()
 	start := time.Now()
 	workers := runtime.GOMAXPROCS(0)
 	for range workers {
 		go func() {
 			for j := range jobs {
-				results <- result{j, simulator.Day(j.seed, plan, j.kinds, o.faultsPerDay(), o.span)}
+				results <- result{j, simulator.Day(j.seed, plan, j.kinds, chosen.faultsPerDay(), chosen.span)}
 			}
 			results <- result{} // the worker is done
 		}()
@@ -46,9 +46,9 @@
 			workers--
 			continue
 		}
-		sum.add(o, r)
+		sum.add(chosen, r)
 	}
-	sum.print(o, time.Since(start))
+	sum.print(chosen, time.Since(start))
 	if sum.failed > 0 {
 		return statusFailed
 	}
@@ -85,24 +85,24 @@
 }
 
 // add takes in a day, and prints it if it broke a rule.
-func (s *summary) add(o options, r result) {
-	stats := &r.world.Stats
+func (s *summary) add(chosen options, day result) {
+	stats := &day.world.Stats
 	s.ran++
 	s.steps += stats.Steps
 	s.latestToDraining = max(s.latestToDraining, stats.LatestToDraining)
 	s.latestToCrashed = max(s.latestToCrashed, stats.LatestToCrashed)
 	s.served, s.requests = s.served+stats.Served, s.requests+stats.Requests
-	if o.digest {
-		s.digests[r.seed] = r.world.Digest()
+	if chosen.digest {
+		s.digests[day.seed] = day.world.Digest()
 	}
-	if r.world.Failure == "" {
+	if day.world.Failure == "" {
 		return
 	}
 	s.failed++
-	rule, _, _ := strings.Cut(r.world.Failure, ":")
+	rule, _, _ := strings.Cut(day.world.Failure, ":")
 	s.rules[rule]++
 	if s.rules[rule] <= shownPerRule {
-		printFailure(o, r)
+		printFailure(chosen, day)
 	}
 }
 
--- a/cmd/mfsim/main.go
+++ b/cmd/mfsim/main.go
@@ -14,22 +14,22 @@
 
 func main() {
 	debug.SetGCPercent(simulator.GCPercent)
-	o := parse(os.Args[1:])
+	chosen := parse(os.Args[1:])
 	switch {
-	case o.check != nil:
-		os.Exit(o.check.run())
-	case o.listKinds:
+	case chosen.check != nil:
+		os.Exit(chosen.check.run())
+	case chosen.listKinds:
 		listFaults()
-	case o.listRules && o.digest:
-		os.Exit(runAllScenes(o))
-	case o.listRules:
+	case chosen.listRules && chosen.digest:
+		os.Exit(runAllScenes(chosen))
+	case chosen.listRules:
 		listScenes()
-	case o.rule != "":
-		os.Exit(runScene(findScene(o.rule), o))
-	case o.availability:
-		os.Exit(measureAvailability(o))
+	case chosen.rule != "":
+		os.Exit(runScene(findScene(chosen.rule), chosen))
+	case chosen.availability:
+		os.Exit(measureAvailability(chosen))
 	default:
-		os.Exit(runDays(o))
+		os.Exit(runDays(chosen))
 	}
 }
 
--- a/cmd/mfsim/scenes.go
+++ b/cmd/mfsim/scenes.go
@@ -29,29 +29,29 @@
 
 // runScene runs one scene with all seeds and returns the exit status. With its guard no seed may break a rule; without
 // it, some seed must break one of the scene's.
-func runScene(s *simulator.Scene, o options) int {
+func runScene(scene *simulator.Scene, chosen options) int {
 	held, shown, occurrences := 0, 0, 0
-	for seed := o.from; seed < o.from+o.seeds; seed++ {
-		w := s.Run(seed, o.fleet(), o.withoutGuard)
-		if o.digest {
-			fmt.Println(sceneDigest(s, seed, w))
+	for seed := chosen.from; seed < chosen.from+chosen.seeds; seed++ {
+		world := scene.Run(seed, chosen.fleet(), chosen.withoutGuard)
+		if chosen.digest {
+			fmt.Println(sceneDigest(scene, seed, world))
 		}
-		occurrences += s.Occurrences(&w.Stats)
+		occurrences += scene.Occurrences(&world.Stats)
 		switch {
-		case w.Failure == "":
+		case world.Failure == "":
 			held++
-		case s.ShownBy(w):
+		case scene.ShownBy(world):
 			shown++
 		}
-		if w.Failure != "" && held+shown <= shownPerScene {
-			fmt.Printf("seed %d: %s\n", seed, w.Failure)
-			if !o.withoutGuard {
-				fmt.Println(w.Trace(o.trace))
+		if world.Failure != "" && held+shown <= shownPerScene {
+			fmt.Printf("seed %d: %s\n", seed, world.Failure)
+			if !chosen.withoutGuard {
+				fmt.Println(world.Trace(chosen.trace))
 			}
 		}
 	}
-	fmt.Printf("%s: %s\ncaused %d times in %d seeds; held in %d, broke %q in %d\n", s.Name, s.Threat, occurrences, o.seeds, held, s.RuleNames(), shown)
-	if !o.withoutGuard && held < int(o.seeds) || o.withoutGuard && shown == 0 || occurrences == 0 {
+	fmt.Printf("%s: %s\ncaused %d times in %d seeds; held in %d, broke %q in %d\n", scene.Name, scene.Threat, occurrences, chosen.seeds, held, scene.RuleNames(), shown)
+	if !chosen.withoutGuard && held < int(chosen.seeds) || chosen.withoutGuard && shown == 0 || occurrences == 0 {
 		return statusFailed
 	}
 	return 0
@@ -63,13 +63,13 @@
 }
 
 // runAllScenes runs all scenes, as many at once as there are processors, prints their digests and returns the exit status.
-func runAllScenes(o options) int {
+func runAllScenes(chosen options) int {
 	lines := make([][]string, len(simulator.Scenes))
 	failed := make([]bool, len(simulator.Scenes))
 	forEach(len(simulator.Scenes), func(i int) {
 		scene := &simulator.Scenes[i]
-		for seed := o.from; seed < o.from+o.seeds; seed++ {
-			w := scene.Run(seed, o.fleet(), false)
+		for seed := chosen.from; seed < chosen.from+chosen.seeds; seed++ {
+			w := scene.Run(seed, chosen.fleet(), false)
 			lines[i] = append(lines[i], sceneDigest(scene, seed, w))
 			if w.Failure != "" {
 				lines[i] = append(lines[i], w.Failure)
--- a/internal/verification/linearizability/model.go
+++ b/internal/verification/linearizability/model.go
@@ -60,26 +60,26 @@
 }
 
 // step says whether a call may have its outcome in a state, and which state it leads to.
-func (v *version) step(o *Operation) (possible bool, next *version) {
+func (v *version) step(call *Operation) (possible bool, next *version) {
 	switch {
-	case o.outcome == closing:
+	case call.outcome == closing:
 		return !v.closed, v.close()
 	case v.closed:
-		return o.outcome == open, v
-	case o.read:
-		return v.revision == o.revision && (o.value == "" || v.change.Value == "" || v.change.Value == o.value), v
+		return call.outcome == open, v
+	case call.read:
+		return v.revision == call.revision && (call.value == "" || v.change.Value == "" || v.change.Value == call.value), v
 	}
-	accepted := v.accepted(o.change)
+	accepted := v.accepted(call.change)
 	switch {
-	case o.outcome == stale:
-		return accepted == nil && v.revision != o.change.Base && (o.revision == 0 || o.revision == v.revision), v
-	case o.outcome == acknowledged && accepted != nil:
-		return accepted.revision == o.revision, v
+	case call.outcome == stale:
+		return accepted == nil && v.revision != call.change.Base && (call.revision == 0 || call.revision == v.revision), v
+	case call.outcome == acknowledged && accepted != nil:
+		return accepted.revision == call.revision, v
 	}
-	next = v.next(o.change)
-	possible = accepted == nil && v.fits(o.change)
-	if o.outcome == acknowledged {
-		possible = possible && next.revision == o.revision
+	next = v.next(call.change)
+	possible = accepted == nil && v.fits(call.change)
+	if call.outcome == acknowledged {
+		possible = possible && next.revision == call.revision
 	}
 	return possible, next
 }
--- a/internal/verification/simulator/replacement.go
+++ b/internal/verification/simulator/replacement.go
@@ -14,7 +14,7 @@
 // ReplaceControlDaemon takes a control machine away for good: its process and disk never come back. Its successor
 // is an empty daemon in the same domain under another name and address. Unplanned, the old one is killed now and the
 // successor starts after the pause. Planned, the successor starts now and the old one
-// is told to stop after the pause. Then is called once both have happened, with the
+// gets the stop signal after the pause. Then is called once both have happened, with the
 // time of the successor's start.
 func (w *World) ReplaceControlDaemon(old *Process, planned bool, pause time.Duration, then func(started time.Duration)) {
 	w.processes.replaced++
@@ -81,7 +81,7 @@
 	w.ReplaceControlDaemon(p, planned, w.randomMilliseconds(0, 1500), func(time.Duration) {})
 }
 
-// removeOnceStopped waits for a process that was told to stop, kills it at the deadline, and
+// removeOnceStopped waits for a process that has the stop signal, kills it at the deadline, and
 // then removes its machine.
 func (w *World) removeOnceStopped(old *Process, deadline time.Duration, then func()) {
 	if old.alive && w.now < deadline {
--- a/internal/verification/simulator/status_test.go
+++ b/internal/verification/simulator/status_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// A member that stops gracefully is told from one that crashed.
+// A member that stops gracefully is distinguished from one that crashed.
 func TestStatusShowsAStoppingMember(t *testing.T) {
 	t.Parallel()
 	w := Start(9, bootstrapPlan(3, 3))
--- a/internal/verification/simulator/world.go
+++ b/internal/verification/simulator/world.go
@@ -24,7 +24,7 @@
 // collections, in percent: each world holds a few MiB and makes much that is soon garbage.
 const GCPercent = 400
 
-// bootstrapWindow is for how long after the beginning a process is told that the fleet starts for the first time.
+// bootstrapWindow is for how long after the beginning processes start with the setting that the fleet starts for the first time.
 const bootstrapWindow = 1050 * time.Millisecond
 
 // World is one run: the machines, what they do to each other, and what was seen of it.
