--- a/cmd/mfchaos/history.go
+++ b/cmd/mfchaos/history.go
@@ -21,8 +21,8 @@
 
 // configCall is one run of 'mfctl config put'.
 type configCall struct {
-	output  string
-	code    int
+	output     string
+	code       int
 	finishedAt time.Duration
 }
 
--- a/cmd/mfchaos/soak_callers.go
+++ b/cmd/mfchaos/soak_callers.go
@@ -50,7 +50,7 @@
 	proxy      string
 	pipelined  bool      // it was sent behind another on its connection
 	sentAt     time.Time // when its last byte was written
-	finishedAt    time.Time
+	finishedAt time.Time
 	status     int           // 0: there was no complete response
 	notWritten bool          // it was not written completely
 	wrong      string        // what is wrong with the answer
