--- a/cmd/mfchaos/main.go
+++ b/cmd/mfchaos/main.go
@@ -2,6 +2,9 @@
 // processes, breaks it by a seeded script while mfload sends a deployment's mix,
 // and prints a verdict per rule. It is the only program that starts processes,
 // and it ends only those, by their numbers.
+//
+// Begin with fleet, in fleet.go, and fleet.perform here, which carries out a command; faults.go has the faults,
+// checks.go the rules that a script's run is held to, soak.go the soak, upgrade.go the roll between versions.
 package main
 
 import (
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -7,11 +7,12 @@
 // than a lease ago. PeerServing: it has no lease, but a majority of the member proxies, itself included, answered
 // within a peer lease, and it has applied the latest table among them. The leader calls a change in force only
 // once a majority has confirmed it and all other leases have lapsed, so a proxy that serves on peer leases can't
-// miss it. Otherwise the proxy is Isolated and rejects requests.
+// miss it. Otherwise the proxy is Isolated, or has NoTable yet, and rejects requests. Proxy.updateState decides which.
 //
 // Begin reading with Proxy and Step in proxy.go. A request goes through admission.go, routing.go, selection.go or
-// slotselection.go, queue.go and attempts.go; lease.go, peers.go and table.go bring the table and the right to
-// serve; quota.go and warmup.go share out what holds for all proxies together.
+// slotselection.go, queue.go and attempts.go, and rejection.go has the reasons to reject it; lease.go, peers.go and
+// table.go bring the table and the right to serve; quota.go and warmup.go share out what holds for all proxies
+// together.
 package dataplane
 
 import (
