--- a/internal/controlplane/admission.go
+++ b/internal/controlplane/admission.go
@@ -1,4 +1,4 @@
-// This file admits targets. A name within a service and an address have one target each: a newcomer for one that is
+// This file admits targets. A name within a service and an address have one target each: a claimant for one that is
 // taken only has a claim until it displaces the target that has it.
 
 package controlplane
@@ -13,7 +13,7 @@
 )
 
 // registerTarget admits a new target and returns it, or keeps a claim and returns nil: then another target has its name
-// or address, and the newcomer's answer to a probe decides.
+// or address, and the claimant's answer to a probe decides.
 func (c *Controller) registerTarget(now time.Duration, report wire.Target) *target {
 	id := report.ID()
 	t := c.claims[id]
@@ -35,13 +35,13 @@
 	return t
 }
 
-// conflictingTargets returns the targets under the name or at the address of a newcomer, in order.
-func (c *Controller) conflictingTargets(newcomer wire.Target) (conflicting []*target) {
+// conflictingTargets returns the targets under the name or at the address of a claimant, in order.
+func (c *Controller) conflictingTargets(claimant wire.Target) (conflicting []*target) {
 	for id, t := range c.targets {
-		if id == newcomer.ID() {
+		if id == claimant.ID() {
 			continue
 		}
-		if id.Service == newcomer.Service && id.Name == newcomer.Name || t.Addr == newcomer.Addr {
+		if id.Service == claimant.Service && id.Name == claimant.Name || t.Addr == claimant.Addr {
 			conflicting = append(conflicting, t)
 		}
 	}
@@ -49,12 +49,12 @@
 	return conflicting
 }
 
-// displaceConflicting removes the targets whose name or address a newcomer claims, and says whether it did: all or none.
-// answered says that the newcomer has answered a probe by itself.
-func (c *Controller) displaceConflicting(now time.Duration, newcomer *target, answered bool) bool {
-	conflicting := c.conflictingTargets(newcomer.Target)
+// displaceConflicting removes the targets whose name or address a claimant claims, and says whether it did: all or none.
+// answered says that the claimant has answered a probe by itself.
+func (c *Controller) displaceConflicting(now time.Duration, claimant *target, answered bool) bool {
+	conflicting := c.conflictingTargets(claimant.Target)
 	for _, incumbent := range conflicting {
-		if !mayDisplace(now, incumbent, newcomer, answered) {
+		if !mayDisplace(now, incumbent, claimant, answered) {
 			return false
 		}
 	}
@@ -62,25 +62,25 @@
 		id := incumbent.ID()
 		c.removeTarget(now, id, "superseded by another start, or at its address by another target")
 		c.tombstones[id] = now
-		sameTarget := id.Service == newcomer.Service && id.Name == newcomer.Name
-		newcomer.addressReused = newcomer.addressReused || incumbent.Addr == newcomer.Addr && !sameTarget
+		sameTarget := id.Service == claimant.Service && id.Name == claimant.Name
+		claimant.addressReused = claimant.addressReused || incumbent.Addr == claimant.Addr && !sameTarget
 	}
-	delete(c.claims, newcomer.ID())
+	delete(c.claims, claimant.ID())
 	return true
 }
 
-// mayDisplace says that an incumbent doesn't keep its name and address against a newcomer. An answer at the very address
+// mayDisplace says that an incumbent doesn't keep its name and address against a claimant. An answer at the very address
 // shows whose that is. An incumbent elsewhere keeps its name while it is alive, until it leaves or misses its probes:
 // two processes under one name are a mistake, and the first one is in use. Without an answer, as where the leader's
 // probes don't get through, steady heartbeats are enough against an incumbent of which nothing at all comes.
-func mayDisplace(now time.Duration, incumbent, newcomer *target, answered bool) bool {
+func mayDisplace(now time.Duration, incumbent, claimant *target, answered bool) bool {
 	missing := incumbent.consecutiveMisses >= tuning.ProbeMisses
 	if answered {
 		alive := !incumbent.unconfirmed && !incumbent.Draining && !missing
-		return incumbent.Addr == newcomer.Addr || !alive
+		return incumbent.Addr == claimant.Addr || !alive
 	}
 	unresponsive := missing && now-incumbent.lastHeartbeatAt > tuning.TargetHeartbeatTimeout
-	return unresponsive && !newcomer.unconfirmed
+	return unresponsive && !claimant.unconfirmed
 }
 
 // admitTarget adds a target that no other conflicts with.
