--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -128,8 +128,8 @@
 
 // memberReplaceAfter is how long a member has no contact before a standby replaces it.
 func (c *Controller) memberReplaceAfter() time.Duration {
-	catchUpTime := cmp.Or(c.settings.CatchUpTime, tuning.CatchUpDefault)
-	return max(catchUpTime/tuning.ReplaceParts, tuning.ReplaceAfterMin)
+	repairTime := cmp.Or(c.settings.CatchUpTime, tuning.CatchUpDefault)
+	return max(repairTime/tuning.ReplaceParts, tuning.ReplaceAfterMin)
 }
 
 // sinceLastContact is how long this member has had no contact with another, 0 for itself. Time before it led counts
