--- a/cmd/mfchaos/checks.go
+++ b/cmd/mfchaos/checks.go
@@ -24,8 +24,8 @@
 // checkEmptied looks for requests that began in an emptied domain.
 func (f *fleet) checkEmptied(domain string, from, until time.Time) {
 	late := 0
-	for _, entry := range f.ledgerEntries() {
-		if entry.Domain == domain && entry.At > from.Add(emptiedSlack).UnixNano() && entry.At < until.UnixNano() {
+	for _, entry := range f.requestLog() {
+		if entry.Domain == domain && entry.StartedAt > from.Add(emptiedSlack).UnixNano() && entry.StartedAt < until.UnixNano() {
 			late++
 		}
 	}
@@ -48,14 +48,14 @@
 	}
 	ran, most := 0, 0
 	arrivals := map[string][]int64{} // of the last second, by back end
-	for _, entry := range f.ledgerEntries() {
-		if !entry.Cold {
+	for _, entry := range f.requestLog() {
+		if !entry.WarmingUp {
 			continue
 		}
 		ran++
-		second := append(arrivals[entry.Name], entry.At)
+		second := append(arrivals[entry.Name], entry.StartedAt)
 		slices.Sort(second)
-		second = slices.DeleteFunc(second, func(at int64) bool { return at <= entry.At-int64(time.Second) })
+		second = slices.DeleteFunc(second, func(at int64) bool { return at <= entry.StartedAt-int64(time.Second) })
 		arrivals[entry.Name] = second
 		most = max(most, len(second))
 		if rate := configuration.Services[entry.Service].Rate; rate > 0 && float64(len(second)) > 1.5*rate {
--- a/cmd/mfchaos/measure.go
+++ b/cmd/mfchaos/measure.go
@@ -165,10 +165,10 @@
 	}()
 	load(f.deployment.Rate)
 	<-restarted
-	most := 0
-	for _, entry := range f.ledgerEntries() {
+	most := int64(0)
+	for _, entry := range f.requestLog() {
 		if entry.State == wire.TargetWarming {
-			most = max(most, entry.InWork)
+			most = max(most, entry.RequestsInFlight)
 		}
 	}
 	f.logf("most exchanges at once at a warming target: %d", most)
--- a/cmd/mfchaos/soak_verdict.go
+++ b/cmd/mfchaos/soak_verdict.go
@@ -19,10 +19,10 @@
 // countRuns is how often each request ran, by its id.
 func (s *soak) countRuns() map[string]int {
 	ran := map[string]int{}
-	for _, entry := range s.ledgerEntries() {
+	for _, entry := range s.requestLog() {
 		ran[entry.ID]++
-		if entry.MeantFor != "" {
-			s.violation("wrong service", "%s was meant for %s", entry.ID, entry.MeantFor)
+		if entry.IntendedService != "" {
+			s.violation("wrong service", "%s was meant for %s", entry.ID, entry.IntendedService)
 		}
 	}
 	return ran
