--- a/cmd/mfstub/main.go
+++ b/cmd/mfstub/main.go
@@ -30,7 +30,7 @@
 	"myrtlefold/forward"
 	"myrtlefold/host"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // Entry is a ledger's line.
@@ -289,7 +289,7 @@
 	host.WriteJSON(w, http.StatusOK, s.beat())
 }
 
-var client = &http.Client{Timeout: limit.BeatEvery}
+var client = &http.Client{Timeout: tuning.BeatEvery}
 
 // tell sends a heartbeat to a daemon and reports whether it was taken.
 func (s *stub) tell(addr string) bool {
@@ -321,7 +321,7 @@
 				i++
 			}
 		}
-		time.Sleep(limit.BeatEvery)
+		time.Sleep(tuning.BeatEvery)
 	}
 }
 
@@ -335,7 +335,7 @@
 		s.tell(d)
 	}
 	for end := time.Now().Add(leaveFor); time.Now().Before(end) || s.inWork.Load() > 0; {
-		time.Sleep(limit.TickEvery)
+		time.Sleep(tuning.TickEvery)
 	}
 	for _, d := range s.daemons {
 		path := fmt.Sprintf("%s/%s?incarnation=%d", s.service, s.name, s.inc)
--- a/core/configcall.go
+++ b/core/configcall.go
@@ -14,7 +14,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -37,7 +37,7 @@
 // its base, and whether the very same call has been taken already. sum stands for the
 // call: its kind, its base and what its body says.
 func (c *Core) precheckChange(now time.Duration, p *pending, a *wire.Ask, text []byte, what string) (sum *orderDigest, ok bool) {
-	if len(text) > limit.DocMax {
+	if len(text) > tuning.DocMax {
 		c.answer(p, tooLarge())
 		return nil, false
 	}
@@ -100,7 +100,7 @@
 
 // config proposes a whole configuration on the present revision.
 func (c *Core) config(now time.Duration, p *pending, doc []byte, what string, sum *orderDigest) {
-	if len(doc) > limit.DocMax {
+	if len(doc) > tuning.DocMax {
 		c.answer(p, tooLarge())
 		return
 	}
--- a/core/core.go
+++ b/core/core.go
@@ -18,7 +18,7 @@
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -160,16 +160,16 @@
 	handedOverAt           time.Duration   // when it was last given to another member for that, 0: never
 	tableVersion           uint64
 	table                  *wire.Table
-	leadTerms              []uint64                        // the terms of this lead: it may have been lost and won back
-	latestMergedKey        wire.Key                        // latest proxies' table merged while warming
-	changes                map[change]*wire.Table          // the same as changes to earlier ones of this lead
-	madeAt                 [limit.TablesKept]time.Duration // when each of the last tables was made
-	withdrawnTargets       []withdrawnTarget               // targets that are in no table any more, and since which one
-	rosterTableVersion     uint64                          // the table that first said the proxies as now
-	oldestDeltaBase        uint64                          // the earliest table of this lead that changes can still be told from
-	sortedIDs              []wire.ID                       // the targets' identities, as last sorted
-	nextProbe              wire.ID                         // whose turn to be probed is next, if due
-	decisions              uint64                          // how many there were, and how many when a table was last thought about
+	leadTerms              []uint64                         // the terms of this lead: it may have been lost and won back
+	latestMergedKey        wire.Key                         // latest proxies' table merged while warming
+	changes                map[change]*wire.Table           // the same as changes to earlier ones of this lead
+	madeAt                 [tuning.TablesKept]time.Duration // when each of the last tables was made
+	withdrawnTargets       []withdrawnTarget                // targets that are in no table any more, and since which one
+	rosterTableVersion     uint64                           // the table that first said the proxies as now
+	oldestDeltaBase        uint64                           // the earliest table of this lead that changes can still be told from
+	sortedIDs              []wire.ID                        // the targets' identities, as last sorted
+	nextProbe              wire.ID                          // whose turn to be probed is next, if due
+	decisions              uint64                           // how many there were, and how many when a table was last thought about
 	decidedAt              uint64
 	rebuilt                time.Duration
 	demandAt               time.Duration
@@ -340,16 +340,16 @@
 }
 
 func (c *Core) tick(now time.Duration) {
-	every := limit.HelloEvery
-	if now-c.bootAt < limit.HelloHaste && c.heardLeader(now) == "" {
-		every = limit.ElectAsk // members that start together know no one's address yet
+	every := tuning.HelloEvery
+	if now-c.bootAt < tuning.HelloHaste && c.heardLeader(now) == "" {
+		every = tuning.ElectAsk // members that start together know no one's address yet
 	}
 	if now-c.helloAt >= every {
 		c.helloAt = now
 		c.hello(now)
 		c.recordBootstrapIntent()
 		for n, k := range c.directory {
-			if now-k.At > limit.DaemonGone {
+			if now-k.At > tuning.DaemonGone {
 				delete(c.directory, n)
 			}
 		}
@@ -364,7 +364,7 @@
 		c.node.Tick(now)
 	}
 	for _, t := range slices.Sorted(maps.Keys(c.pendingChanges)) {
-		if p := c.pendingChanges[t]; now-p.at > limit.CallWait {
+		if p := c.pendingChanges[t]; now-p.at > tuning.CallWait {
 			delete(c.pendingChanges, t)
 			c.answerUnknown(p)
 		}
@@ -372,14 +372,14 @@
 	for _, id := range slices.Sorted(maps.Keys(c.relayedCalls)) {
 		p := c.relayedCalls[id]
 		switch l := c.relayTo(now); {
-		case now-p.at > limit.CallWait+limit.LeaderLease, p.targetReport && now-p.at > limit.TargetReportWait:
+		case now-p.at > tuning.CallWait+tuning.LeaderLease, p.targetReport && now-p.at > tuning.TargetReportWait:
 			delete(c.relayedCalls, id)
 			c.answerUnknown(p)
 		case c.lead == Deciding:
 			delete(c.relayedCalls, id)
 			p.relayCount++
 			c.operate(now, p, p.call)
-		case l != "" && l != c.settings.Self.Name && (l != p.relayedTo || c.Term() != p.relayedTerm || p.targetReport && now-p.relayedAt > limit.TargetReportRetry):
+		case l != "" && l != c.settings.Self.Name && (l != p.relayedTo || c.Term() != p.relayedTerm || p.targetReport && now-p.relayedAt > tuning.TargetReportRetry):
 			c.relay(now, id, p, l) // under its id a change is made once, whoever hears it how often
 		}
 	}
--- a/core/corestatus.go
+++ b/core/corestatus.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // MemberState is what a core daemon is to the core, as the leader sees it.
@@ -236,7 +236,7 @@
 	}
 	left := time.Duration(0)
 	if m.State == MemberSilent {
-		listening := limit.LeadGrace - (now - c.node.Since())
+		listening := tuning.LeadGrace - (now - c.node.Since())
 		left = max(0, listening, c.memberReplaceAfter()-time.Duration(m.SilentMs)*time.Millisecond)
 	}
 	ms := left.Milliseconds()
--- a/core/damage.go
+++ b/core/damage.go
@@ -6,7 +6,7 @@
 import (
 	"fmt"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // Damage is something that this member holds, or was offered, and could not read.
@@ -24,7 +24,7 @@
 		}
 	}
 	c.damage = append(c.damage, d)
-	c.damage = c.damage[max(0, len(c.damage)-limit.DamageKept):]
+	c.damage = c.damage[max(0, len(c.damage)-tuning.DamageKept):]
 	c.counts.Damaged++
 	c.emit(Change{"damage", d.What, "", d.Why})
 }
--- a/core/discovery.go
+++ b/core/discovery.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -56,7 +56,7 @@
 		members: membership{h.MembersEpoch, h.MembersIndex, h.Members}, consent: consent{h.Refound, h.Gone, now}}
 	for _, d := range h.Known {
 		if b[d.Name] == nil && d.Name != self && d.Name != "" {
-			b[d.Name] = &Known{Daemon: d, At: now - limit.DaemonGone/2}
+			b[d.Name] = &Known{Daemon: d, At: now - tuning.DaemonGone/2}
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	var best *Known
 	for _, n := range slices.Sorted(maps.Keys(b)) {
 		k := b[n]
-		if k.Kind == "core" && k.Leader != "" && now-k.At < limit.DaemonGone &&
+		if k.Kind == "core" && k.Leader != "" && now-k.At < tuning.DaemonGone &&
 			(best == nil || cmp.Or(cmp.Compare(k.Epoch, best.Epoch), cmp.Compare(k.Term, best.Term)) > 0) {
 			best = k
 		}
@@ -185,7 +185,7 @@
 			io.WriteString(h, " ")
 		}
 	}
-	if was, ok := c.toldLists[to]; ok && was.sum == h.Sum64() && now-was.at < limit.ListEvery {
+	if was, ok := c.toldLists[to]; ok && was.sum == h.Sum64() && now-was.at < tuning.ListEvery {
 		return nil
 	}
 	for _, n := range names {
@@ -248,10 +248,10 @@
 // answers tell: one that is heard need not hear. A process that has just started gives
 // the others the time of an answer.
 func (c *Core) reaches(now time.Duration, name string) bool {
-	return name == c.settings.Self.Name || now-max(c.heard[name].repliedAt, c.bootAt) < 4*limit.HelloEvery
+	return name == c.settings.Self.Name || now-max(c.heard[name].repliedAt, c.bootAt) < 4*tuning.HelloEvery
 }
 
 func (c *Core) heardLately(now time.Duration, name string) bool {
 	k := c.directory[name]
-	return name == c.settings.Self.Name || k != nil && now-k.At < 4*limit.HelloEvery
+	return name == c.settings.Self.Name || k != nil && now-k.At < 4*tuning.HelloEvery
 }
--- a/core/inforce.go
+++ b/core/inforce.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -95,7 +95,7 @@
 	if g == nil || c.hasConfirmed(name, f.version) {
 		return false
 	}
-	return now-g.grantAt <= limit.ProxyLease+limit.LeaseMargin || now-f.majorityAt <= limit.PeerLease+limit.LeaseMargin
+	return now-g.grantAt <= tuning.ProxyLease+tuning.LeaseMargin || now-f.majorityAt <= tuning.PeerLease+tuning.LeaseMargin
 }
 
 // answerWaiters answers for what has come into force. It is called after each event, so what it does for
@@ -126,7 +126,7 @@
 
 // reportLongWait logs once what a change waits for that is not in force when it should be.
 func (c *Core) reportLongWait(now time.Duration, f *commitWaiter) {
-	if f.p == nil || f.reported || now-f.since <= limit.InForceUsual {
+	if f.p == nil || f.reported || now-f.since <= tuning.InForceUsual {
 		return
 	}
 	f.reported = true
@@ -155,7 +155,7 @@
 
 // waitedTooLong answers who has waited long enough, and says whether nothing waits any more.
 func (c *Core) waitedTooLong(now time.Duration, f *commitWaiter) bool {
-	if f.p == nil || now-f.since <= limit.CallWait && !(f.p.targetReport && now-f.p.at > limit.TargetReportWait) {
+	if f.p == nil || now-f.since <= tuning.CallWait && !(f.p.targetReport && now-f.p.at > tuning.TargetReportWait) {
 		return false
 	}
 	c.answerUnknown(f.p)
@@ -179,7 +179,7 @@
 // an election takes, and no other leader has been heard since.
 func (c *Core) mayLeadAgain(now time.Duration) bool {
 	l := c.node.Leader()
-	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < limit.WaitersKept && (l == "" || l == c.settings.Self.Name) &&
+	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < tuning.WaitersKept && (l == "" || l == c.settings.Self.Name) &&
 		!c.abstains()
 }
 
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -14,7 +14,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -99,7 +99,7 @@
 func (c *Core) announce(now time.Duration) {
 	for _, r := range c.state.Roster {
 		if c.directory[r.Name] == nil {
-			c.directory[r.Name] = &Known{Daemon: wire.Daemon{Name: r.Name, Kind: "gate", Addr: r.Addr, Domain: r.Domain}, At: now - limit.DaemonGone/2}
+			c.directory[r.Name] = &Known{Daemon: wire.Daemon{Name: r.Name, Kind: "gate", Addr: r.Addr, Domain: r.Domain}, At: now - tuning.DaemonGone/2}
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.directory)) {
@@ -144,7 +144,7 @@
 	case Adopting:
 		if c.state.Adopted {
 			c.setLead(now, Warming, "epoch's first state agreed")
-		} else if now-c.leadAt > limit.RecoveryWait && !c.proposed && c.canAdopt() {
+		} else if now-c.leadAt > tuning.RecoveryWait && !c.proposed && c.canAdopt() {
 			c.proposed = true
 			c.propose(now, command{Op: "adopt", State: c.recovered.State})
 		}
@@ -156,8 +156,8 @@
 				told++
 			}
 		}
-		if told == need && (need > 0 || now-c.leadAt > limit.FirstRoster) || now-c.leadAt > limit.WarmLeader ||
-			2*told > need && now-c.leadAt > limit.WarmLeader/3 {
+		if told == need && (need > 0 || now-c.leadAt > tuning.FirstRoster) || now-c.leadAt > tuning.WarmLeader ||
+			2*told > need && now-c.leadAt > tuning.WarmLeader/3 {
 			c.decide(now, fmt.Sprintf("heard %d of %d proxies", told, need), true)
 		}
 	}
--- a/core/lease.go
+++ b/core/lease.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -112,7 +112,7 @@
 	}
 	// One that asks but does not take what it is sent hears nothing: it must not hold up
 	// what is to be in force, so it is granted nothing more.
-	c.push(m.From, g, c.inRoster(m.From) && now-g.movedAt < limit.ProxyDeaf && !c.isLagging(now, g.key))
+	c.push(m.From, g, c.inRoster(m.From) && now-g.movedAt < tuning.ProxyDeaf && !c.isLagging(now, g.key))
 }
 
 // lags says that a proxy stands on a table of this lead that has not been the latest for too long.
@@ -120,7 +120,7 @@
 	if !c.isOwnTable(k) || k.Ver >= c.tableVersion {
 		return false
 	}
-	return c.tableVersion-k.Ver >= limit.TablesKept || now-c.madeAt[(k.Ver+1)%limit.TablesKept] >= limit.ProxyDeaf
+	return c.tableVersion-k.Ver >= tuning.TablesKept || now-c.madeAt[(k.Ver+1)%tuning.TablesKept] >= tuning.ProxyDeaf
 }
 
 // isOwnTable says that a key is one of this lead's tables, of its present term or of an earlier one.
@@ -130,12 +130,12 @@
 
 // flight is how long tables of so many bytes may be under way.
 func flightTime(bytes int) time.Duration {
-	return limit.PullEvery + time.Duration(bytes)*time.Second/limit.SlowLink
+	return tuning.PullEvery + time.Duration(bytes)*time.Second/tuning.SlowLink
 }
 
 // weight is about how many bytes a table takes on its way.
 func tableBytes(t *wire.Table) int {
-	return len(t.Doc) + len(t.State) + limit.RowBytes*(len(t.Targets)+len(t.Gates)+len(t.Gone)+1)
+	return len(t.Doc) + len(t.State) + tuning.RowBytes*(len(t.Targets)+len(t.Gates)+len(t.Gone)+1)
 }
 
 // push sends a proxy what it lacks, unless enough is under way to it: it asks again when it
@@ -147,7 +147,7 @@
 		p.Key = c.table.Key
 		if g.key != c.table.Key {
 			p.Table = c.tableFor(g)
-			if n := tableBytes(p.Table); g.bytesInFlight == 0 || g.bytesInFlight+n <= limit.FlightBytes {
+			if n := tableBytes(p.Table); g.bytesInFlight == 0 || g.bytesInFlight+n <= tuning.FlightBytes {
 				g.sentKey, g.sentAt = p.Key, g.pullAt
 				g.bytesInFlight += n
 			} else {
@@ -226,5 +226,5 @@
 
 func (c *Core) live(now time.Duration, name string) bool {
 	g := c.proxies[name]
-	return g != nil && g.pullAt != 0 && now-g.pullAt < limit.ProxyLive
+	return g != nil && g.pullAt != 0 && now-g.pullAt < tuning.ProxyLive
 }
--- a/core/membership.go
+++ b/core/membership.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -23,23 +23,23 @@
 
 // memberReplaceAfter is how long a member is silent before a standby takes its place.
 func (c *Core) memberReplaceAfter() time.Duration {
-	repair := cmp.Or(c.settings.CatchUp, limit.CatchUpDefault)
-	return max(repair/limit.ReplaceParts, limit.ReplaceAfterMin)
+	repair := cmp.Or(c.settings.CatchUp, tuning.CatchUpDefault)
+	return max(repair/tuning.ReplaceParts, tuning.ReplaceAfterMin)
 }
 
 // handoverWait is how long a member that stops waits for its successor.
 func (c *Core) handoverWait() time.Duration {
 	if c.settings.Grace > 0 {
-		return min(limit.HandoverWait, c.settings.Grace/2)
+		return min(tuning.HandoverWait, c.settings.Grace/2)
 	}
-	return limit.HandoverWait
+	return tuning.HandoverWait
 }
 
 // maintainMembers looks after the list of members, if this member may change it: also
 // while a new leader still gathers tables, and while the only member hands over.
 func (c *Core) maintainMembers(now time.Duration) {
 	may := c.lead >= Warming || c.stopping && c.state.Adopted && c.node != nil && c.node.HasLease(now)
-	if !may || now-c.membersAt < limit.MembersEvery && !c.membersChanging {
+	if !may || now-c.membersAt < tuning.MembersEvery && !c.membersChanging {
 		return
 	}
 	c.membersAt = now
@@ -120,7 +120,7 @@
 // silentFor is how long a member has not been heard. What was not heard before this
 // member led counts too, once it has led for long enough to hear everybody.
 func (c *Core) silentFor(now time.Duration, name string) time.Duration {
-	if name == c.settings.Self.Name || now-c.node.Since() < limit.LeadGrace {
+	if name == c.settings.Self.Name || now-c.node.Since() < tuning.LeadGrace {
 		return 0
 	}
 	h, ok := c.heard[name]
@@ -163,7 +163,7 @@
 	if 2*most < len(names) {
 		w[0] = 1
 	}
-	w[1], w[2] = (min(len(names), limit.VotersMax)-1)/2, -len(names)
+	w[1], w[2] = (min(len(names), tuning.VotersMax)-1)/2, -len(names)
 	if len(names) == 2 {
 		w[2] = 0
 	}
--- a/core/operator.go
+++ b/core/operator.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -158,7 +158,7 @@
 		to, ok := number(a.Query, "to")
 		doc := c.docAt(to)
 		if !ok || doc == nil {
-			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, limit.ChangesKept)}))
+			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: fmt.Sprintf("revision %d is not kept; the last %d changes are", to, tuning.ChangesKept)}))
 			return
 		}
 		what := fmt.Sprintf("rollback to %d", to)
@@ -196,7 +196,7 @@
 			c.answer(p, problem(404, config.Trouble{Code: "not_found", Message: "no such proxy in the roster"}))
 			return
 		}
-		if g := c.proxies[seg[2]]; g != nil && now-g.pullAt < limit.ProxyLive {
+		if g := c.proxies[seg[2]]; g != nil && now-g.pullAt < tuning.ProxyLive {
 			c.answer(p, problem(409, config.Trouble{Code: "alive", Message: "that proxy is still asking for its table"}))
 			return
 		}
@@ -210,7 +210,7 @@
 
 func (c *Core) change(now time.Duration, p *pending, o command) bool {
 	o.Token = p.token
-	if c.node.UncommittedBytes() > limit.OpenBytes {
+	if c.node.UncommittedBytes() > tuning.OpenBytes {
 		c.answer(p, problem(503, config.Trouble{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"}))
 		return false
 	}
--- a/core/orders.go
+++ b/core/orders.go
@@ -13,7 +13,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // orderDigest stands for an order: the same order has the same digest.
@@ -124,13 +124,13 @@
 // addConfiguration remembers an accepted change of the configuration.
 func (m *orderMemory) addConfiguration(d orderDigest, revision uint64) {
 	m.Configurations = m.Configurations.with(takenOrder{d, revision})
-	*m = m.latest(limit.OrdersRemembered)
+	*m = m.latest(tuning.OrdersRemembered)
 }
 
 // addToken remembers any other accepted order.
 func (m *orderMemory) addToken(token string, revision uint64) {
 	m.Tokens = m.Tokens.with(takenOrder{tokenDigest(token), revision})
-	*m = m.latest(limit.OrdersRemembered)
+	*m = m.latest(tuning.OrdersRemembered)
 }
 
 // latest is the memory cut to its newest orders.
--- a/core/recovery.go
+++ b/core/recovery.go
@@ -24,7 +24,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -207,7 +207,7 @@
 // must be over whatever those not seen still hold, or an operator must say so. All
 // must offer the same founding, and have locked it on disk, before any acts on it.
 func (c *Core) bootstrap(now time.Duration) {
-	if c.consent.refound && now-c.consent.at > limit.ConsentLife {
+	if c.consent.refound && now-c.consent.at > tuning.ConsentLife {
 		c.consent = consent{}
 	}
 	all := c.coreDaemons(now, true)
@@ -235,7 +235,7 @@
 	}
 	offer, epoch, ms := c.bootstrapOffer(all, o.places)
 	if len(all) < o.places {
-		waited := now-c.seenFoundersAt >= limit.BootstrapWait && o.canNeverElect()
+		waited := now-c.seenFoundersAt >= tuning.BootstrapWait && o.canNeverElect()
 		if !waited && !refound && !slices.ContainsFunc(all, func(d wire.Daemon) bool { return d.Name != c.settings.Self.Name && d.Offer == offer }) {
 			return
 		}
@@ -382,8 +382,8 @@
 		return no("living", "%s hears a leader", n)
 	}
 	for _, n := range gone {
-		if k := c.directory[n]; n == c.settings.Self.Name || k != nil && now-k.At < limit.DaemonGone {
-			return no("alive", "%s was heard less than %v ago", n, limit.DaemonGone)
+		if k := c.directory[n]; n == c.settings.Self.Name || k != nil && now-k.At < tuning.DaemonGone {
+			return no("alive", "%s was heard less than %v ago", n, tuning.DaemonGone)
 		}
 	}
 	o := c.surveySurvivors(all, gone)
--- a/core/registry.go
+++ b/core/registry.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -99,8 +99,8 @@
 	for _, p := range c.state.Registrations {
 		c.persistedRegistrations[p.ID()] = p
 		t := &target{Target: wire.Target{Service: p.Service, Name: p.Name, Inc: p.Inc, Addr: p.Addr, Domain: p.Domain, State: config.Warming, Slots: p.Slots, Turn: p.Turn},
-			unconfirmed: true, beatAt: now - limit.BeatLapse/2, aliveAt: now, seenAt: now,
-			probeAt: now - limit.ProbeEvery}
+			unconfirmed: true, beatAt: now - tuning.BeatLapse/2, aliveAt: now, seenAt: now,
+			probeAt: now - tuning.ProbeEvery}
 		if p.Leaving {
 			t.Held, t.State = true, config.Leaving
 		}
@@ -118,7 +118,7 @@
 // persistRegistrations writes what has changed since, if the last write is long enough ago. Who
 // is known by hearsay is written only when it leaves.
 func (c *Core) persistRegistrations(now, every time.Duration) {
-	if now-c.persistedAt < every && !(c.persistNow && now-c.persistedAt >= limit.TickEvery) || c.node.UncommittedBytes() > limit.OpenBytes/4 {
+	if now-c.persistedAt < every && !(c.persistNow && now-c.persistedAt >= tuning.TickEvery) || c.node.UncommittedBytes() > tuning.OpenBytes/4 {
 		return
 	}
 	r := registry{}
@@ -137,13 +137,13 @@
 	for id, t := range c.targets {
 		p := Registration{id.Service, id.Name, id.Inc, t.Addr, t.Domain, t.Slots, t.Turn, t.coldLeft(now) > 0, t.Held}
 		was, ok := c.persistedRegistrations[id]
-		if ok && was == p || !ok && (t.unconfirmed && !t.Held || len(c.persistedRegistrations) >= limit.RegistryMax) {
+		if ok && was == p || !ok && (t.unconfirmed && !t.Held || len(c.persistedRegistrations) >= tuning.RegistryMax) {
 			continue
 		}
 		r.Put = append(r.Put, p)
 	}
 	slices.SortFunc(r.Put, func(a, b Registration) int { return a.ID().Compare(b.ID()) })
-	r.Put = r.Put[:min(len(r.Put), limit.RegistryBatch, max(1, limit.RegistryMax-len(c.persistedRegistrations)))]
+	r.Put = r.Put[:min(len(r.Put), tuning.RegistryBatch, max(1, tuning.RegistryMax-len(c.persistedRegistrations)))]
 	for id := range c.persistedRegistrations {
 		if c.targets[id] == nil {
 			r.Drop = append(r.Drop, Registration{Service: id.Service, Name: id.Name, Inc: id.Inc})
@@ -162,7 +162,7 @@
 func (c *Core) changedTombstones(r *registry) {
 	changed := func(id wire.ID, gone bool) {
 		was, ok := c.persistedTombstones[id]
-		if (!ok || was != gone) && (ok || len(c.persistedTombstones) < limit.RegistryMax) {
+		if (!ok || was != gone) && (ok || len(c.persistedTombstones) < tuning.RegistryMax) {
 			r.Mark = append(r.Mark, Tombstone{id.Service, id.Name, id.Inc, gone})
 		}
 	}
@@ -175,7 +175,7 @@
 		changed(id, true)
 	}
 	slices.SortFunc(r.Mark, func(a, b Tombstone) int { return a.ID().Compare(b.ID()) })
-	r.Mark = r.Mark[:min(len(r.Mark), limit.RegistryBatch, max(1, limit.RegistryMax-len(c.persistedTombstones)))]
+	r.Mark = r.Mark[:min(len(r.Mark), tuning.RegistryBatch, max(1, tuning.RegistryMax-len(c.persistedTombstones)))]
 	for id := range c.persistedTombstones {
 		_, leaves := c.leaving[id]
 		if _, gone := c.tombstones[id]; !leaves && !gone {
@@ -195,7 +195,7 @@
 // registry that is full takes no more: then the proxies' tables alone vouch for it.
 func (c *Core) agreed(id wire.ID) bool {
 	mark, marked := found(c.state.Tombstones, id, Tombstone.ID)
-	full := len(c.state.Tombstones) >= limit.RegistryMax || len(c.state.Registrations) >= limit.RegistryMax
+	full := len(c.state.Tombstones) >= tuning.RegistryMax || len(c.state.Registrations) >= tuning.RegistryMax
 	t := c.targets[id]
 	switch {
 	case full:
--- a/core/replacement.go
+++ b/core/replacement.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -87,7 +87,7 @@
 		c.learning[d.Name] = learning{l.since, match, now}
 		return false
 	}
-	return now-l.at > limit.LearnWait
+	return now-l.at > tuning.LearnWait
 }
 
 // reconcileMembers takes the next step, if there is one: a lost member that the others
@@ -173,7 +173,7 @@
 	case !c.caughtUp(now, standby):
 	case len(v.members) > 2 && !c.node.RecentlyActive(now, old):
 		if c.removeMember(now, v.members, old, c.lostReason(now, old)) {
-			c.standbySince[standby.Name] = now - limit.GrowAfter // the place that is free now is its own
+			c.standbySince[standby.Name] = now - tuning.GrowAfter // the place that is free now is its own
 		}
 	default:
 		c.admit(now, v.members, standby)
@@ -191,9 +191,9 @@
 	list, free := namesOf(v.healthy), slices.Clone(v.standbys)
 	best, first := c.resilience(list), wire.Daemon{}
 	if best[0] == 1 && best[1] >= c.losses() {
-		free = slices.DeleteFunc(free, func(d wire.Daemon) bool { return now-c.standbySince[d.Name] < limit.GrowAfter })
+		free = slices.DeleteFunc(free, func(d wire.Daemon) bool { return now-c.standbySince[d.Name] < tuning.GrowAfter })
 	}
-	for len(list) < limit.VotersMax && len(free) > 0 {
+	for len(list) < tuning.VotersMax && len(free) > 0 {
 		per := map[string]int{}
 		for _, n := range list {
 			per[c.domainOf(n)]++
@@ -243,14 +243,14 @@
 	}
 	late := 0
 	for _, m := range v.lost() {
-		if c.silentFor(now, m.Name) > limit.MemberForget {
+		if c.silentFor(now, m.Name) > tuning.MemberForget {
 			late++
 		}
 	}
 	for _, m := range v.silent {
 		with, left := c.resilience(append(namesOf(v.healthy), m.Name)), c.resilience(namesOf(v.healthy))
 		spent := slices.Compare(with[:], left[:]) <= 0
-		fewer := c.silentFor(now, m.Name) > limit.MemberForget && (len(v.members)-late)/2 < len(v.members)/2
+		fewer := c.silentFor(now, m.Name) > tuning.MemberForget && (len(v.members)-late)/2 < len(v.members)/2
 		if (spent || fewer) && c.removeMember(now, v.members, m, c.lostReason(now, m)) {
 			return
 		}
--- a/core/reply.go
+++ b/core/reply.go
@@ -7,7 +7,7 @@
 	"fmt"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -24,7 +24,7 @@
 	t.Refusal = config.RefusalOf(status)
 	r := Reply{Status: status, Body: t.JSON()}
 	if status == 503 {
-		r.Retry = limit.RetryAfterMin
+		r.Retry = tuning.RetryAfterMin
 	}
 	return r
 }
@@ -91,7 +91,7 @@
 }
 
 func tooLarge() Reply {
-	return problem(413, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", limit.DocMax)})
+	return problem(413, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
 }
 
 func (c *Core) refuseInvalid(p *pending, faults []config.Fault, err error) {
--- a/core/resume.go
+++ b/core/resume.go
@@ -10,7 +10,7 @@
 
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -32,14 +32,14 @@
 // a machine that can't keep it is slow or carries too much, and while it tries proxies get no leases. At most once
 // in a while, so that members which are all late don't pass it around.
 func (c *Core) handOverIfLate(now time.Duration) {
-	recent := func(at time.Duration) bool { return now-at < limit.LateLeadSpan }
+	recent := func(at time.Duration) bool { return now-at < tuning.LateLeadSpan }
 	c.leadsLostAt = slices.DeleteFunc(c.leadsLostAt, func(at time.Duration) bool { return !recent(at) })
-	if c.lead != Idle || c.stopping || len(c.leadsLostAt) < limit.LateLeads || c.node == nil || c.node.Role() != consensus.Leader ||
-		c.handedOverAt > 0 && now-c.handedOverAt < limit.HandOverEvery {
+	if c.lead != Idle || c.stopping || len(c.leadsLostAt) < tuning.LateLeads || c.node == nil || c.node.Role() != consensus.Leader ||
+		c.handedOverAt > 0 && now-c.handedOverAt < tuning.HandOverEvery {
 		return
 	}
 	// A late leader hears late, so that one which answered a while ago may well be there.
-	if c.node.TransferLeadershipTo(now, limit.LeaderLease+limit.ElectMin, func(m wire.Member) bool { return !c.isStopping(m.Name) }) {
+	if c.node.TransferLeadershipTo(now, tuning.LeaderLease+tuning.ElectMin, func(m wire.Member) bool { return !c.isStopping(m.Name) }) {
 		c.handedOverAt = now
 		c.emit(Change{"leadership", c.settings.Self.Name, "", "the lease was lost again and again"})
 	}
@@ -49,14 +49,14 @@
 // nobody else has decided since. Another leader would have had to agree on the entry that begins
 // its term, which then stood in the log between this member's last lead and this one.
 func (c *Core) keepsLead(now time.Duration) bool {
-	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < limit.LeadKept &&
+	return c.kept.term != 0 && c.kept.epoch == c.node.Epoch() && now-c.kept.lostAt < tuning.LeadKept &&
 		c.node.NobodyLedSince(c.kept.term)
 }
 
 // resumesAtOnce says that this member goes on deciding where it stopped: nobody else led, and no proxy's
 // lease has lapsed for want of a leader, so none has anything to tell that this member does not know.
 func (c *Core) resumesAtOnce(now time.Duration) bool {
-	return c.keepsLead(now) && c.table != nil && (c.kept.term == c.node.Term() || now-c.kept.lostAt < limit.ResumeAtOnce)
+	return c.keepsLead(now) && c.table != nil && (c.kept.term == c.node.Term() || now-c.kept.lostAt < tuning.ResumeAtOnce)
 }
 
 // resumeAtOnce goes on with a lead that was lost for a moment, in the same term or in a later one. It costs
@@ -70,7 +70,7 @@
 	}
 	c.beginTerm()
 	for _, g := range c.proxies {
-		if now-g.grantAt > limit.ProxyLease {
+		if now-g.grantAt > tuning.ProxyLease {
 			g.tableMerged = false // it may have served on its peers
 		}
 	}
@@ -98,15 +98,15 @@
 // silence. Each is probed anew, at the usual pace, unless the lead was lost for so short a time that
 // its probe may still be out: a lead that is lost again and again must not probe the more for it.
 func (c *Core) recheck(now time.Duration) {
-	probeAnew := now-c.kept.lostAt >= limit.ProbeEvery
+	probeAnew := now-c.kept.lostAt >= tuning.ProbeEvery
 	for _, t := range c.targets {
-		t.heardAtLeast(now - limit.BeatLapse/2)
+		t.heardAtLeast(now - tuning.BeatLapse/2)
 		if probeAnew {
-			t.probeAt, t.sentAt = now-limit.ProbeEvery, 0
+			t.probeAt, t.sentAt = now-tuning.ProbeEvery, 0
 		}
 	}
 	for _, t := range c.claims {
-		t.heardAtLeast(now - limit.BeatLapse/2)
+		t.heardAtLeast(now - tuning.BeatLapse/2)
 	}
 }
 
--- a/core/roster.go
+++ b/core/roster.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // roster admits and drops proxies, all that wait in one step. The roster before counts
@@ -19,7 +19,7 @@
 	o := command{Op: "roster"}
 	for n, g := range c.proxies {
 		k := c.directory[n]
-		if k == nil || now-g.pullAt > limit.ProxyLive || g.pullAt == 0 {
+		if k == nil || now-g.pullAt > tuning.ProxyLive || g.pullAt == 0 {
 			continue
 		}
 		i, ok := slices.BinarySearchFunc(c.state.Roster, n, func(r RosterEntry, n string) int { return cmp.Compare(r.Name, n) })
@@ -28,11 +28,11 @@
 		}
 	}
 	slices.SortFunc(o.Gates, func(a, b RosterEntry) int { return cmp.Compare(a.Name, b.Name) })
-	if len(o.Gates) > 0 && len(c.state.Roster) == 0 && now-c.leadAt < limit.FirstRoster {
+	if len(o.Gates) > 0 && len(c.state.Roster) == 0 && now-c.leadAt < tuning.FirstRoster {
 		return
 	}
 	for _, r := range c.state.Roster {
-		if g := c.proxies[r.Name]; now-c.leadAt > limit.ProxyForget && (g == nil || now-g.pullAt > limit.ProxyForget) {
+		if g := c.proxies[r.Name]; now-c.leadAt > tuning.ProxyForget && (g == nil || now-g.pullAt > tuning.ProxyForget) {
 			o.Gone = append(o.Gone, r.Name)
 		}
 	}
--- a/core/shutdown.go
+++ b/core/shutdown.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -27,7 +27,7 @@
 // there is one: two that stop would hand it to each other until both are gone.
 func (c *Core) handOver(now time.Duration) {
 	stays := func(m wire.Member) bool { return !c.isStopping(m.Name) }
-	if c.node != nil && c.node.TransferLeadershipTo(now, limit.LeaderLease, stays) {
+	if c.node != nil && c.node.TransferLeadershipTo(now, tuning.LeaderLease, stays) {
 		c.emit(Change{"leadership", c.settings.Self.Name, "", "stopping"})
 	}
 }
@@ -58,14 +58,14 @@
 	switch {
 	case c.node == nil || waited > c.handoverWait():
 		return true
-	case waited <= limit.LeaderLease:
+	case waited <= tuning.LeaderLease:
 		return false // whoever leads next may be told first
 	case c.node.Removed() || c.isNonVoter() && !c.node.HearsLeader(now):
 		return true
 	case !c.isNonVoter() && (c.hasStandby(now) || len(c.node.Members())%2 == 0):
 		return false // its successor is to come, or is in and it is to be removed: its vote may be needed for that
 	}
-	return waited > limit.ElectMin || c.node.Role() != consensus.Leader
+	return waited > tuning.ElectMin || c.node.Role() != consensus.Leader
 }
 
 // hasStandby says that a core daemon is there that could take this member's place.
--- a/core/state.go
+++ b/core/state.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/controlplane/consensus"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -84,7 +84,7 @@
 func (s *State) forProxies(ms []wire.Member) []byte {
 	t := *s
 	t.Doc, t.Members, t.Registrations, t.Tombstones = nil, ms, nil, nil
-	t.Orders = s.Orders.latest(limit.OrdersInTables)
+	t.Orders = s.Orders.latest(tuning.OrdersInTables)
 	t.Records = slices.Clone(s.Records)
 	for i := range t.Records {
 		t.Records[i].Doc = nil
@@ -104,10 +104,10 @@
 			}
 		}
 	}
-	if same > limit.ChangesKept {
+	if same > tuning.ChangesKept {
 		s.Records = slices.Delete(slices.Clone(s.Records), first, first+1)
 	}
-	left := limit.HistoryBytes
+	left := tuning.HistoryBytes
 	for i := len(s.Records) - 1; i >= 0; i-- {
 		if left -= len(s.Records[i].Doc); left < 0 {
 			s.Records = slices.Clone(s.Records)
--- a/core/table.go
+++ b/core/table.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -27,7 +27,7 @@
 		return
 	}
 	if !refresh {
-		age := now - c.madeAt[c.tableVersion%limit.TablesKept]
+		age := now - c.madeAt[c.tableVersion%tuning.TablesKept]
 		if age < c.tableSpacing(urgent) {
 			return // the next tick sees whatever it is
 		}
@@ -42,7 +42,7 @@
 	}
 	t := &wire.Table{Was: c.state.PreviousRoster, Seq: c.state.Seq, Revision: c.state.Revision, Doc: c.compressedDocument(), State: c.state.forProxies(c.node.Members()), Emptied: c.state.Emptied}
 	c.tableVersion++
-	c.madeAt[c.tableVersion%limit.TablesKept] = now
+	c.madeAt[c.tableVersion%tuning.TablesKept] = now
 	for _, r := range c.state.Roster {
 		t.Gates = append(t.Gates, wire.Gate{Name: r.Name, Addr: r.Addr, Domain: r.Domain, Live: c.live(now, r.Name)})
 	}
@@ -52,8 +52,8 @@
 	t.Targets = make([]wire.Target, 0, len(c.targets))
 	for _, id := range c.sorted() {
 		w, o := c.tableRow(now, c.targets[id]), c.targets[id]
-		moved := func(was, left int64) bool { return left > 0 && max(was-left, left-was) > int64(limit.LeftStep) }
-		if f := routingFactsOf(&w); f != o.publishedFacts || math.Abs(w.Demand-o.publishedDemand) >= limit.DemandStep/4 ||
+		moved := func(was, left int64) bool { return left > 0 && max(was-left, left-was) > int64(tuning.LeftStep) }
+		if f := routingFactsOf(&w); f != o.publishedFacts || math.Abs(w.Demand-o.publishedDemand) >= tuning.DemandStep/4 ||
 			moved(int64(o.publishedBar-now), w.BarLeft) || moved(int64(o.publishedCold-now), w.ColdLeft) {
 			o.publishedFacts, o.publishedDemand, o.changedInVersion = f, w.Demand, c.tableVersion
 			o.publishedBar, o.publishedCold = now+time.Duration(w.BarLeft), now+time.Duration(w.ColdLeft)
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	for len(c.withdrawnTargets) > limit.GonesKept {
+	for len(c.withdrawnTargets) > tuning.GonesKept {
 		c.oldestDeltaBase = max(c.oldestDeltaBase, c.withdrawnTargets[0].ver)
 		c.withdrawnTargets = c.withdrawnTargets[1:]
 	}
@@ -79,12 +79,12 @@
 	t.Key = wire.Key{Epoch: c.node.Epoch(), Term: c.node.Term(), Ver: c.tableVersion}
 	c.table, c.changes = t, nil
 	for _, n := range slices.Sorted(maps.Keys(c.proxies)) {
-		if g := c.proxies[n]; c.inRoster(n) && now-g.pullAt < limit.ProxyLive {
+		if g := c.proxies[n]; c.inRoster(n) && now-g.pullAt < tuning.ProxyLive {
 			if now-g.sentAt > flightTime(g.bytesInFlight) {
 				g.sentKey, g.bytesInFlight = wire.Key{}, 0
 			}
-			if g.bytesInFlight == 0 || g.bytesInFlight < limit.FlightBytes {
-				c.push(n, g, now-g.movedAt < limit.ProxyDeaf && !c.isLagging(now, g.key))
+			if g.bytesInFlight == 0 || g.bytesInFlight < tuning.FlightBytes {
+				c.push(n, g, now-g.movedAt < tuning.ProxyDeaf && !c.isLagging(now, g.key))
 				g.sentAt = max(g.sentAt, now)
 			}
 		}
@@ -97,9 +97,9 @@
 func (c *Core) tableSpacing(news urgency) time.Duration {
 	proxies := len(c.state.Roster)
 	if news == urgent {
-		return min(time.Duration(proxies)*limit.UrgentTableRow, limit.UrgentTableMost)
+		return min(time.Duration(proxies)*tuning.UrgentTableRow, tuning.UrgentTableMost)
 	}
-	return limit.TableEvery + time.Duration(len(c.targets)*proxies)*limit.TableRow
+	return tuning.TableEvery + time.Duration(len(c.targets)*proxies)*tuning.TableRow
 }
 
 // compressed is the document as tables carry it.
@@ -124,7 +124,7 @@
 // colder says that a target is cold for longer than the last table said; each word's
 // own way here moves the end a little, which is none.
 func (t *target) coldLonger(now time.Duration) bool {
-	return t.coldTill > now && t.coldTill > t.publishedCold+limit.LeftStep
+	return t.coldTill > now && t.coldTill > t.publishedCold+tuning.LeftStep
 }
 
 // tabled is a target as a table made now says it.
@@ -161,7 +161,7 @@
 			r = deferrable
 		}
 	}
-	due := now-c.demandAt >= limit.DemandEvery
+	due := now-c.demandAt >= tuning.DemandEvery
 	for _, t := range c.targets {
 		w := c.tableRow(now, t)
 		if f := routingFactsOf(&w); f != t.publishedFacts {
@@ -173,7 +173,7 @@
 			}
 		} else if t.coldLonger(now) {
 			return urgent
-		} else if due && math.Abs(w.Demand-t.publishedDemand) >= limit.DemandStep {
+		} else if due && math.Abs(w.Demand-t.publishedDemand) >= tuning.DemandStep {
 			r = deferrable
 		}
 	}
--- a/core/target.go
+++ b/core/target.go
@@ -11,7 +11,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -23,7 +23,7 @@
 
 // Hear counts a heartbeat; one that comes after a gap begins a new streak.
 func (v *HeartbeatStreak) Hear(now time.Duration) {
-	if v.beats == 0 || now-v.last > limit.BeatLapse {
+	if v.beats == 0 || now-v.last > tuning.BeatLapse {
 		v.beats, v.first = 0, now
 	}
 	v.beats++
@@ -32,7 +32,7 @@
 
 // Speaks says that they come as a living one's do, not as one late word.
 func (v *HeartbeatStreak) Speaks(now time.Duration) bool {
-	return v.beats >= limit.ProofWords && v.last-v.first >= limit.ProofSpan && now-v.last < limit.BeatLapse
+	return v.beats >= tuning.ProofWords && v.last-v.first >= tuning.ProofSpan && now-v.last < tuning.BeatLapse
 }
 
 type target struct {
@@ -81,7 +81,7 @@
 				c.markDisplaced(w)
 				continue
 			}
-			t := &target{Target: w, unconfirmed: true, beatAt: now - limit.BeatLapse/2, aliveAt: now, probeAt: now - limit.ProbeEvery, seenAt: now}
+			t := &target{Target: w, unconfirmed: true, beatAt: now - tuning.BeatLapse/2, aliveAt: now, probeAt: now - tuning.ProbeEvery, seenAt: now}
 			t.BarLeft, t.BarWhy, t.Held, t.ColdLeft = 0, "", false, 0
 			c.targets[w.ID()] = t
 			if c.leaving[w.ID()] != 0 {
@@ -242,7 +242,7 @@
 
 // beats is what the table says of it: one that misses its probes has to speak on.
 func (t *target) isBeating(now time.Duration) bool {
-	return now-t.beatAt < limit.BeatLapse && (t.misses < limit.ProbeMisses || t.streak.Speaks(now))
+	return now-t.beatAt < tuning.BeatLapse && (t.misses < tuning.ProbeMisses || t.streak.Speaks(now))
 }
 
 // rivals are the known targets under w's name or at its address.
@@ -262,7 +262,7 @@
 	t := c.claims[w.ID()]
 	if t == nil {
 		t = &target{Target: wire.Target{Service: w.Service, Name: w.Name, Inc: w.Inc, Addr: w.Addr, Domain: w.Domain, State: config.Warming},
-			beatAt: now, aliveAt: now, probeAt: now - limit.ProbeEvery, seenAt: now, unconfirmed: true}
+			beatAt: now, aliveAt: now, probeAt: now - tuning.ProbeEvery, seenAt: now, unconfirmed: true}
 	}
 	if len(c.conflictingTargets(w)) > 0 {
 		t.Addr = w.Addr
@@ -283,8 +283,8 @@
 func (c *Core) takeOver(now time.Duration, t *target, proved bool) bool {
 	rs := c.conflictingTargets(t.Target)
 	for _, o := range rs {
-		lives := !o.unconfirmed && !o.Held && o.misses < limit.ProbeMisses
-		silent := now-o.beatAt > limit.BeatLapse && o.misses >= limit.ProbeMisses
+		lives := !o.unconfirmed && !o.Held && o.misses < tuning.ProbeMisses
+		silent := now-o.beatAt > tuning.BeatLapse && o.misses >= tuning.ProbeMisses
 		if proved && o.Addr != t.Addr && lives || !proved && (t.unconfirmed || !silent) {
 			return false
 		}
--- a/core/targetcall.go
+++ b/core/targetcall.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -47,7 +47,7 @@
 
 // heard acknowledges a word: 200 if it is safe that it says leaving or gone, else 202.
 func reportAccepted(w wire.Target) Reply {
-	r := Reply{Status: 202, Body: body(map[string]any{"beat_ms": limit.BeatEvery.Milliseconds()})}
+	r := Reply{Status: 202, Body: body(map[string]any{"beat_ms": tuning.BeatEvery.Milliseconds()})}
 	if isLeaving(w) {
 		r.Status = 200
 	}
@@ -85,7 +85,7 @@
 		return
 	}
 	c.persistNow = true
-	c.persistRegistrations(now, limit.RegistryEvery)
+	c.persistRegistrations(now, tuning.RegistryEvery)
 	ver := uint64(0)
 	for _, id := range ids {
 		out := c.withdrawnAt[id]
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -12,7 +12,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -21,7 +21,7 @@
 	c.probeTargets(now)
 	for _, id := range c.sorted() {
 		t := c.targets[id]
-		if now-t.seenAt >= limit.SeenEvery {
+		if now-t.seenAt >= tuning.SeenEvery {
 			t.seenAt = now
 			if s := t.seen; s.Ok+s.Errors > 0 {
 				t.seen = wire.Seen{}
@@ -29,25 +29,25 @@
 					Count: int(s.Ok + s.Errors), Errors: int(s.Errors), Slow: int(s.Slow), Ms: s.SumMs})
 			}
 		}
-		if silent := now - t.beatAt; silent > limit.BeatLapse && now-t.silentAt >= limit.SeenEvery {
+		if silent := now - t.beatAt; silent > tuning.BeatLapse && now-t.silentAt >= tuning.SeenEvery {
 			t.silentAt = now
 			c.judgeEvent(outlier.Event{At: now, Slice: "beat", Service: t.Service, Name: t.Name, Inc: t.Inc, State: t.State, Ms: float64(silent) / 1e6})
 		}
-		if now-t.aliveAt > limit.TargetGone {
+		if now-t.aliveAt > tuning.TargetGone {
 			c.drop(now, id, "silent and unreachable")
 		}
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(c.claims), wire.ID.Compare) {
 		t := c.claims[id]
-		if now-t.beatAt > limit.BeatLapse {
+		if now-t.beatAt > tuning.BeatLapse {
 			delete(c.claims, id)
 		}
 	}
-	if now-c.cleanAt > limit.ReconcileEvery {
+	if now-c.cleanAt > tuning.ReconcileEvery {
 		c.cleanAt = now
-		old := func(_ wire.ID, at time.Duration) bool { return now-at > limit.TombstoneKeep }
+		old := func(_ wire.ID, at time.Duration) bool { return now-at > tuning.TombstoneKeep }
 		maps.DeleteFunc(c.tombstones, old)
-		if len(c.turnByName) > 2*len(c.targets)+limit.NamesKept {
+		if len(c.turnByName) > 2*len(c.targets)+tuning.NamesKept {
 			c.turnByName = map[[2]string]uint32{} // names that never come back; a new place costs little
 		}
 		maps.DeleteFunc(c.leaving, old)
@@ -59,16 +59,16 @@
 	if c.lead != Deciding {
 		return
 	}
-	c.rebuild(now, now-c.rebuilt >= limit.ReconcileEvery)
+	c.rebuild(now, now-c.rebuilt >= tuning.ReconcileEvery)
 	c.roster(now)
-	c.persistRegistrations(now, limit.RegistryEvery)
+	c.persistRegistrations(now, tuning.RegistryEvery)
 }
 
 // probesPerTick is how many probes may begin in a tick: a little over what keeps each target to
 // its interval. So those that are due at once, as when a lead begins or after a pause, are probed
 // at that pace, and a leader whose ticks come late probes less.
 func probesPerTick(targets int) int {
-	return max(limit.ProbesLeast, int(limit.ProbePace*float64(targets)*float64(limit.TickEvery)/float64(limit.ProbeEvery)))
+	return max(tuning.ProbesLeast, int(tuning.ProbePace*float64(targets)*float64(tuning.TickEvery)/float64(tuning.ProbeEvery)))
 }
 
 // probeTargets begins the probes that are due: first of those that missed the last one, for which
@@ -107,17 +107,17 @@
 // checkProbe looks after a target's probe: one that the shell never answered is over, and where
 // one that follows a miss takes long some proxies probe too.
 func (c *Core) checkProbe(now time.Duration, id wire.ID, t *target) {
-	if t.sentAt != 0 && now-t.sentAt > 2*limit.ProbeCap {
+	if t.sentAt != 0 && now-t.sentAt > 2*tuning.ProbeCap {
 		t.sentAt = 0
 	}
 	if _, named := c.cfg.Services[id.Service]; !named {
 		// Nothing is sent there; once it is, probes are spread, and who beat and fell silent must answer one.
-		t.probeAt = now - limit.ProbeEvery + time.Duration(t.Turn)*limit.TickEvery%limit.NamedSpread
-		t.unconfirmed = t.unconfirmed || t.streak.beats >= limit.ProofWords && now-t.beatAt > limit.NamedSilent
+		t.probeAt = now - tuning.ProbeEvery + time.Duration(t.Turn)*tuning.TickEvery%tuning.NamedSpread
+		t.unconfirmed = t.unconfirmed || t.streak.beats >= tuning.ProofWords && now-t.beatAt > tuning.NamedSilent
 		return
 	}
-	if t.missed && t.misses < limit.ProbeMisses && t.sentAt != 0 && t.askedFor != t.sentAt && now-t.sentAt >= limit.IndirectAfter &&
-		t.okAt < t.sentAt+limit.IndirectAfter && !t.Held && t.State != config.Leaving {
+	if t.missed && t.misses < tuning.ProbeMisses && t.sentAt != 0 && t.askedFor != t.sentAt && now-t.sentAt >= tuning.IndirectAfter &&
+		t.okAt < t.sentAt+tuning.IndirectAfter && !t.Held && t.State != config.Leaving {
 		t.askedFor = t.sentAt
 		c.indirect(now, id)
 	}
@@ -125,17 +125,17 @@
 
 func (c *Core) probeDue(now time.Duration, id wire.ID, t *target) bool {
 	_, named := c.cfg.Services[id.Service]
-	return named && t.sentAt == 0 && now-t.probeAt >= limit.ProbeEvery && !c.spared(now, t)
+	return named && t.sentAt == 0 && now-t.probeAt >= tuning.ProbeEvery && !c.spared(now, t)
 }
 
 // spared says that a target needs no probe yet, since requests show that it lives: a proxy had an answer
 // from it later than a probe that is due now would have gone out before. So its death is noticed as
 // early as with probes alone. Only health answers tell of coldness, so each is probed now and then.
 func (c *Core) spared(now time.Duration, t *target) bool {
-	if len(c.targets) <= limit.WatchMost || t.missed || t.unconfirmed || t.coldTill > now {
+	if len(c.targets) <= tuning.WatchMost || t.missed || t.unconfirmed || t.coldTill > now {
 		return false
 	}
-	return now-(t.okAt-limit.PullEvery) < limit.ProbeEvery && now-t.probeAt < limit.SparedProbes*limit.ProbeEvery
+	return now-(t.okAt-tuning.PullEvery) < tuning.ProbeEvery && now-t.probeAt < tuning.SparedProbes*tuning.ProbeEvery
 }
 
 func (c *Core) probe(now time.Duration, id wire.ID, t *target) {
@@ -173,7 +173,7 @@
 		met[all[i].domain]++
 	}
 	slices.SortStableFunc(all, func(a, b choice) int { return cmp.Or(cmp.Compare(a.nth, b.nth), cmp.Compare(a.close, b.close)) })
-	for _, k := range all[:min(len(all), limit.IndirectProbes)] {
+	for _, k := range all[:min(len(all), tuning.IndirectProbes)] {
 		g := c.proxies[k.name]
 		p := &wire.Push{Key: g.key, Probe: []wire.ID{id}}
 		c.send(k.name, &wire.Msg{Kind: uint16(wire.KPush), Epoch: c.node.Epoch(), Term: c.node.Term(), Stamp: g.stamp, Disk: g.incarnation, Push: p})
@@ -203,7 +203,7 @@
 	t.missed = !e.Ok
 	if !e.Ok {
 		c.counts.Misses++
-		if t.okAt-limit.PullEvery >= p.SentAt {
+		if t.okAt-tuning.PullEvery >= p.SentAt {
 			// A proxy has had an answer from it since this probe went out: the miss is the leader's own.
 			c.counts.Overruled++
 			return
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/proxy"
 )
 
@@ -91,7 +91,7 @@
 	notRun := resp.Header.Get(h.NotRun) != ""
 	a := &answer{resp: resp}
 	if resp.ContentLength >= 0 || asked || notRun || repeats && resp.StatusCode >= 500 {
-		a.held, a.done, err = whole(resp, limit.AnswerHeld)
+		a.held, a.done, err = whole(resp, tuning.AnswerHeld)
 	} else if resp.Body == http.NoBody {
 		a.done = true
 	}
@@ -114,7 +114,7 @@
 	}
 	if a.done {
 		done(!resp.Close)
-		if t.outcome == proxy.Broken && repeats && g.Route.Kind != "" && resp.StatusCode != http.StatusGatewayTimeout && time.Until(till) > limit.TryLeast {
+		if t.outcome == proxy.Broken && repeats && g.Route.Kind != "" && resp.StatusCode != http.StatusGatewayTimeout && time.Until(till) > tuning.TryLeast {
 			t.sent, t.ran, t.spare, t.code, t.msg = true, true, a, "failed", "the target failed"
 			return t
 		}
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -24,7 +24,7 @@
 	"golang.org/x/sys/unix"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -51,12 +51,12 @@
 	}
 }
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: limit.AliveIdle, Interval: limit.AliveEvery, Count: limit.AliveCount}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: tuning.AliveIdle, Interval: tuning.AliveEvery, Count: tuning.AliveCount}
 
 // Dialer opens connections whose other side is gone when it acknowledges nothing for
 // limit.Unacked; from is where they leave from, nil for the system's choice.
 func Dialer(from net.Addr, timeout time.Duration) *net.Dialer {
-	return &net.Dialer{LocalAddr: from, Timeout: timeout, Control: unacked(limit.Unacked), KeepAliveConfig: keepAlive}
+	return &net.Dialer{LocalAddr: from, Timeout: timeout, Control: unacked(tuning.Unacked), KeepAliveConfig: keepAlive}
 }
 
 // Listen listens; who connects is gone when it acknowledges nothing for unack.
@@ -80,7 +80,7 @@
 
 // Open opens a connection by ctx's end.
 func Open(ctx context.Context, addr string, from net.Addr) (*Conn, error) {
-	c, err := Dialer(from, limit.DialCap).DialContext(ctx, "tcp", addr)
+	c, err := Dialer(from, tuning.DialCap).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -135,8 +135,8 @@
 // await waits until something comes, until the deadline or as long as the target is
 // not given up; it returns false in that last case.
 func (p *Conn) await(ctx context.Context, till time.Time, dark func() bool) bool {
-	p.room = 4 * limit.HeaderMax
-	for wait := limit.DarkAfter; ; wait = limit.DarkEvery {
+	p.room = 4 * tuning.HeaderMax
+	for wait := tuning.DarkAfter; ; wait = tuning.DarkEvery {
 		at := time.Now().Add(wait)
 		if !at.Before(till) {
 			break
@@ -168,8 +168,8 @@
 // head reads an answer's status and header.
 func (p *Conn) head(method string) (*http.Response, error) {
 	req := &http.Request{Method: method}
-	for range limit.InterimMax {
-		p.room = 4 * limit.HeaderMax
+	for range tuning.InterimMax {
+		p.room = 4 * tuning.HeaderMax
 		resp, err := http.ReadResponse(p.r, req)
 		if err != nil {
 			return nil, err
@@ -192,7 +192,7 @@
 	for f := range strings.SplitSeq(resp.Header.Get("Keep-Alive"), ",") {
 		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		if n, err := strconv.Atoi(v); err == nil && strings.EqualFold(k, "timeout") {
-			p.till = time.Now().Add(time.Duration(n)*time.Second - limit.AliveMargin)
+			p.till = time.Now().Add(time.Duration(n)*time.Second - tuning.AliveMargin)
 		}
 	}
 }
@@ -260,7 +260,7 @@
 		return nil, nil, false, err
 	}
 	var done bool
-	body, done, err = whole(resp, limit.ProbeBody)
+	body, done, err = whole(resp, tuning.ProbeBody)
 	return resp, body, done && !resp.Close && p.r.Buffered() == 0, err
 }
 
@@ -280,7 +280,7 @@
 
 // shelf holds a target's idle connections.
 type shelf struct {
-	slots [limit.IdleConnsMax]atomic.Pointer[Conn]
+	slots [tuning.IdleConnsMax]atomic.Pointer[Conn]
 	gone  atomic.Bool
 	dark  atomic.Bool // nothing reaches the target
 }
@@ -362,7 +362,7 @@
 
 // stale says whether a connection that is the asker's own is too old to be used.
 func (p *Conn) stale(now time.Time) bool {
-	return p.idle(now) >= limit.ConnIdle || !p.till.IsZero() && now.After(p.till)
+	return p.idle(now) >= tuning.ConnIdle || !p.till.IsZero() && now.After(p.till)
 }
 
 func (s *shelf) close() {
@@ -395,7 +395,7 @@
 	p := &Pool{stop: make(chan struct{})}
 	p.shelves.Store(&map[wire.ID]*shelf{})
 	go func() {
-		sweep := time.NewTicker(limit.ConnIdle / 4)
+		sweep := time.NewTicker(tuning.ConnIdle / 4)
 		defer sweep.Stop()
 		for {
 			select {
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 func (c *Forwarder) limits() config.Limits {
@@ -24,7 +24,7 @@
 	if n := c.limits().HeaderBytes; n > 0 {
 		return n
 	}
-	return limit.HeaderMax
+	return tuning.HeaderMax
 }
 
 // bodyMost is how large a caller's body for a service may be. One whose targets are asked
@@ -35,7 +35,7 @@
 	case s.Asked() && all > 0:
 		return all
 	case s.Asked():
-		return max(own, limit.CallerBody)
+		return max(own, tuning.CallerBody)
 	case all > 0:
 		return min(own, all)
 	}
@@ -48,10 +48,10 @@
 	if left := time.Until(t); !p.busy && !t.IsZero() && left > 0 {
 		l := p.c.limits()
 		switch {
-		case left <= limit.CallerHeader && l.HeaderMs > 0:
-			t = t.Add(time.Duration(l.HeaderMs)*time.Millisecond - limit.CallerHeader)
-		case left > limit.CallerHeader && l.IdleMs > 0:
-			t = t.Add(time.Duration(l.IdleMs)*time.Millisecond + limit.IdleSlack - limit.CallerIdle)
+		case left <= tuning.CallerHeader && l.HeaderMs > 0:
+			t = t.Add(time.Duration(l.HeaderMs)*time.Millisecond - tuning.CallerHeader)
+		case left > tuning.CallerHeader && l.IdleMs > 0:
+			t = t.Add(time.Duration(l.IdleMs)*time.Millisecond + tuning.IdleSlack - tuning.CallerIdle)
 		}
 	}
 	return p.Conn.SetReadDeadline(t)
--- a/forward/upload.go
+++ b/forward/upload.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // upload is a caller's body: what was read of it before a target was asked for, and
@@ -42,7 +42,7 @@
 		u.size = 0
 		return u, nil
 	}
-	if u.size > limit.ReplayMax {
+	if u.size > tuning.ReplayMax {
 		u.rest = r.Body
 		return u, nil
 	}
@@ -51,7 +51,7 @@
 		_, err := io.ReadFull(r.Body, u.kept)
 		return u, err
 	}
-	b, done, err := upTo(r.Body, limit.ReplayMax)
+	b, done, err := upTo(r.Body, tuning.ReplayMax)
 	if err != nil {
 		return nil, err
 	}
--- a/host/ctl.go
+++ b/host/ctl.go
@@ -21,7 +21,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // Exit codes of mfctl.
@@ -74,7 +74,7 @@
 	return handlers[name]()
 }
 
-var ctlClient = &http.Client{Timeout: limit.CtlCall}
+var ctlClient = &http.Client{Timeout: tuning.CtlCall}
 
 // call asks one member after another until one answers with more than 'no leader', and gives
 // the last answer that it got, or an error if it got none. Going on is safe: a change carries
@@ -103,7 +103,7 @@
 		case time.Now().After(end):
 			return status, out, err
 		}
-		time.Sleep(limit.CtlRetry)
+		time.Sleep(tuning.CtlRetry)
 	}
 }
 
--- a/host/ctl_policy.go
+++ b/host/ctl_policy.go
@@ -19,7 +19,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // compare prints each policy's score on a recording; policies are files named for the policy.
@@ -96,7 +96,7 @@
 	enc := json.NewEncoder(os.Stdout)
 	code := exitOK
 	sc := bufio.NewScanner(os.Stdin)
-	sc.Buffer(nil, limit.LineMax)
+	sc.Buffer(nil, tuning.LineMax)
 	for sc.Scan() {
 		for _, l := range session.Take(sc.Bytes()) {
 			if l.Error != "" {
--- a/host/disk.go
+++ b/host/disk.go
@@ -15,7 +15,7 @@
 	"myrtlefold/core"
 	"myrtlefold/internal/controlplane/consensus"
 	"myrtlefold/internal/controlplane/wal"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -38,7 +38,7 @@
 // OpenDisk reads what the folder holds; an empty one gets a number of its own. An error that
 // is marked ring.ErrDamaged or core.ErrDamaged says that it can't be read whole.
 func (h *Host) OpenDisk() (*Disk, consensus.Image, error) {
-	r, recs, err := wal.Open(h.Settings.Data, limit.RingFiles, limit.RingFileSize)
+	r, recs, err := wal.Open(h.Settings.Data, tuning.RingFiles, tuning.RingFileSize)
 	if err != nil {
 		return nil, consensus.Image{}, err
 	}
@@ -51,7 +51,7 @@
 }
 
 func (h *Host) newDisk(s store) *Disk {
-	return &Disk{h: h, ring: s, queue: make(chan *wire.Batch, limit.EventQueue), retry: limit.DiskRetry}
+	return &Disk{h: h, ring: s, queue: make(chan *wire.Batch, tuning.EventQueue), retry: tuning.DiskRetry}
 }
 
 func (d *Disk) load(recs [][]byte) error {
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, img, err
 	}
-	r, err := wal.Recreate(h.Settings.Data, limit.RingFiles, limit.RingFileSize, whole)
+	r, err := wal.Recreate(h.Settings.Data, tuning.RingFiles, tuning.RingFileSize, whole)
 	if err != nil {
 		return nil, img, err
 	}
@@ -118,7 +118,7 @@
 			h.Log.WithError(err).Error("disk can't be opened; tried again")
 		}
 		select {
-		case <-time.After(limit.DiskRetry):
+		case <-time.After(tuning.DiskRetry):
 		case <-h.stops:
 			h.Log.Info("stopped; its disk was never opened")
 			os.Exit(0)
@@ -138,7 +138,7 @@
 func (d *Disk) Run() {
 	for b := range d.queue {
 		batches := []*wire.Batch{b}
-		for len(d.queue) > 0 && len(batches) < limit.SyncBatches {
+		for len(d.queue) > 0 && len(batches) < tuning.SyncBatches {
 			batches = append(batches, <-d.queue)
 		}
 		d.sync(batches)
--- a/host/gate.go
+++ b/host/gate.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"myrtlefold/forward"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/proxy"
 )
 
@@ -105,7 +105,7 @@
 	case proxy.Leave:
 		d.forwarder.Leaving.Store(true)
 	case proxy.CloseIntake:
-		d.endBy.Store(int64(d.Now() + c.Left + limit.StopLast))
+		d.endBy.Store(int64(d.Now() + c.Left + tuning.StopLast))
 		d.forwarder.Intake.Close()
 	default:
 		d.Do(cmd)
@@ -158,7 +158,7 @@
 // awaitAnswers waits, once the owner has ended, for what callers' connections still have under way: answers
 // that are being written and bodies that are being read. It returns false if some are left at the end.
 func (d *gateDaemon) awaitAnswers() bool {
-	look := time.NewTicker(limit.StopLook)
+	look := time.NewTicker(tuning.StopLook)
 	defer look.Stop()
 	for till := d.endBy.Load(); d.forwarder.Intake.Busy() > 0; <-look.C {
 		if int64(d.Now()) > till {
--- a/host/host.go
+++ b/host/host.go
@@ -25,7 +25,7 @@
 	"myrtlefold/core"
 	"myrtlefold/forward"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -114,7 +114,7 @@
 	h := &Host{Kind: kind, Settings: set, Log: log, Metrics: prometheus.NewRegistry(), Incarnation: rand.Uint64() | 1, Traffic: &Traffic{},
 		start: time.Now(), queues: map[string]chan queued{}, Quit: make(chan int, 1)}
 	h.Metrics.MustRegister(h.Traffic)
-	h.Loop = &Loop{queue: make(chan item, limit.EventQueue), host: h, waiting: map[uint64]chan any{}}
+	h.Loop = &Loop{queue: make(chan item, tuning.EventQueue), host: h, waiting: map[uint64]chan any{}}
 	return h
 }
 
@@ -122,8 +122,8 @@
 // to what the runtime does not count.
 func (h *Host) bound(s Settings) {
 	if s.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(float64(s.MemoryMb<<20) * limit.MemoryShare))
-		debug.SetGCPercent(limit.GcPercent)
+		debug.SetMemoryLimit(int64(float64(s.MemoryMb<<20) * tuning.MemoryShare))
+		debug.SetGCPercent(tuning.GcPercent)
 	}
 }
 
@@ -183,7 +183,7 @@
 
 // closeAPI ends the HTTP API: it takes no more calls, and the answers that the owner has given are written.
 func (h *Host) closeAPI(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit.StopLast)
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.StopLast)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		h.Log.WithError(err).Warn("calls are left without an answer")
--- a/host/http.go
+++ b/host/http.go
@@ -17,7 +17,7 @@
 	"myrtlefold/core"
 	"myrtlefold/forward"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // liveAnswer and readyAnswer are the bodies of /live and /ready.
@@ -78,11 +78,11 @@
 }
 
 func (h *Host) serve(addr string, hd http.Handler, c *forward.Forwarder) (*http.Server, error) {
-	ln, err := forward.Listen(addr, limit.CallerUnacked)
+	ln, err := forward.Listen(addr, tuning.CallerUnacked)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for HTTP")
 	}
-	s := &http.Server{Handler: hd, ReadHeaderTimeout: limit.CallerHeader, IdleTimeout: limit.CallerIdle, MaxHeaderBytes: limit.ServerHeaderMax}
+	s := &http.Server{Handler: hd, ReadHeaderTimeout: tuning.CallerHeader, IdleTimeout: tuning.CallerIdle, MaxHeaderBytes: tuning.ServerHeaderMax}
 	if c != nil {
 		ln, s.ConnContext, s.ConnState = c.Listener(ln), c.Context, c.Intake.ConnState
 	}
@@ -100,10 +100,10 @@
 // an id of its own.
 func (h *Host) Call(next func() uint64) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit.DocMax+1))
+		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocMax+1))
 		var mb *http.MaxBytesError
 		if errors.As(err, &mb) {
-			refuse(w, http.StatusRequestEntityTooLarge, 0, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", limit.DocMax)})
+			refuse(w, http.StatusRequestEntityTooLarge, 0, config.Trouble{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocMax)})
 			return
 		}
 		if err != nil {
--- a/host/loop.go
+++ b/host/loop.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/core"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // item is what the owner's goroutine takes: an event, a question, its cancellation, or a look.
@@ -63,7 +63,7 @@
 // Run is the owner's goroutine: it steps the state machine for each event and each tick, and passes
 // the commands to exec. It does not return.
 func (l *Loop) Run(step func(time.Duration, any) []any, exec func(cmd any)) {
-	tick := time.NewTicker(limit.TickEvery)
+	tick := time.NewTicker(tuning.TickEvery)
 	defer tick.Stop()
 	do := func(ev any) {
 		for _, c := range step(l.host.Now(), ev) {
--- a/host/probe.go
+++ b/host/probe.go
@@ -14,7 +14,7 @@
 	"myrtlefold/core"
 	"myrtlefold/forward"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -64,12 +64,12 @@
 
 // closeIdleProbes closes, now and then, the connections to targets that are probed no more.
 func (h *Host) closeIdleProbes(now time.Duration) {
-	if now-h.probesAt <= limit.ProbeConnIdle/4 {
+	if now-h.probesAt <= tuning.ProbeConnIdle/4 {
 		return
 	}
 	h.probesAt = now
 	for id, s := range h.probes {
-		if now-s.at > limit.ProbeConnIdle {
+		if now-s.at > tuning.ProbeConnIdle {
 			delete(h.probes, id)
 			s.gone.Store(true)
 			s.put(nil)
@@ -79,7 +79,7 @@
 
 // ask probes a target on the kept connection, and once more on a new one if that fails.
 func ask(s *probed, p core.Probe, names *forward.Headers, h *Host) (*config.Beat, time.Duration) {
-	deadline := time.Now().Add(limit.ProbeCap)
+	deadline := time.Now().Add(tuning.ProbeCap)
 	conn := s.conn.Swap(nil)
 	for conn != nil && conn.Addr() != p.Addr {
 		conn.Close()
@@ -118,7 +118,7 @@
 		}
 		return b, 0, again, err
 	}
-	left := strconv.FormatInt(max(1, (time.Until(deadline)-limit.NetHop).Milliseconds()), 10)
+	left := strconv.FormatInt(max(1, (time.Until(deadline)-tuning.NetHop).Milliseconds()), 10)
 	resp, _, again, err := conn.Get(deadline, p.Addr, p.Path, names.Deadline, left)
 	if err != nil {
 		return nil, 0, false, err
@@ -135,7 +135,7 @@
 	default:
 		return nil, 0, again, nil
 	}
-	if ms, err := strconv.ParseFloat(resp.Header.Get(names.Cold), 64); err == nil && ms > 0 && ms <= limit.TimeoutMaxMs {
+	if ms, err := strconv.ParseFloat(resp.Header.Get(names.Cold), 64); err == nil && ms > 0 && ms <= tuning.TimeoutMaxMs {
 		cold = time.Duration(ms * float64(time.Millisecond))
 	}
 	if l := forward.ReadLoad(resp.Header.Get(names.Load)); l != nil && l.Slots > 0 {
--- a/host/session.go
+++ b/host/session.go
@@ -14,7 +14,7 @@
 
 	"myrtlefold/internal/shared/config"
 	"myrtlefold/internal/shared/outlier"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // session is a policy session with its client's state.
@@ -53,7 +53,7 @@
 	kept := map[string]*session{}
 	for r := range u.requests {
 		for id, s := range kept {
-			if !s.left.IsZero() && time.Since(s.left) > limit.SessionKept {
+			if !s.left.IsZero() && time.Since(s.left) > tuning.SessionKept {
 				delete(kept, id)
 			}
 		}
@@ -75,8 +75,8 @@
 		return sessionReply{status: http.StatusConflict, why: "that stream has its reader"}
 	case id != "":
 		s.left = time.Time{}
-	case len(kept) >= limit.Sessions:
-		return sessionReply{status: http.StatusServiceUnavailable, why: fmt.Sprintf("%d streams are open", limit.Sessions)}
+	case len(kept) >= tuning.Sessions:
+		return sessionReply{status: http.StatusServiceUnavailable, why: fmt.Sprintf("%d streams are open", tuning.Sessions)}
 	default:
 		s = &session{Session: outlier.NewSession(&config.Config{}), id: fmt.Sprintf("%016x", rand.Uint64())}
 		kept[s.id] = s
@@ -102,7 +102,7 @@
 	if got.session == nil {
 		retry := time.Duration(0)
 		if got.status == http.StatusServiceUnavailable {
-			retry = limit.RetryAfterMin
+			retry = tuning.RetryAfterMin
 		}
 		w.Header().Set("Connection", "close")
 		refuse(w, got.status, retry, config.Trouble{Code: "stream", Message: got.why})
@@ -116,7 +116,7 @@
 		return
 	}
 	sc := bufio.NewScanner(r.Body)
-	sc.Buffer(nil, limit.LineMax)
+	sc.Buffer(nil, tuning.LineMax)
 	for sc.Scan() {
 		for _, l := range got.session.Take(sc.Bytes()) {
 			if enc.Encode(l) != nil {
--- a/host/settings.go
+++ b/host/settings.go
@@ -17,7 +17,7 @@
 
 	"myrtlefold/forward"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // Settings are a daemon's own: its place in the fleet, not what the fleet serves.
@@ -83,8 +83,8 @@
 // Check returns the faults of settings for a kind of daemon, by the settings' names.
 func (s *Settings) Check(kind string) []config.Fault {
 	c := &settingsCheck{}
-	if s.Name == "" || len(s.Name) > limit.ItemNameMax || strings.ContainsAny(s.Name, " /\"") {
-		c.add("name", "must be 1 to %d characters without spaces, quotes or /", limit.ItemNameMax)
+	if s.Name == "" || len(s.Name) > tuning.ItemNameMax || strings.ContainsAny(s.Name, " /\"") {
+		c.add("name", "must be 1 to %d characters without spaces, quotes or /", tuning.ItemNameMax)
 	}
 	if s.Domain == "" {
 		c.add("domain", "is missing")
--- a/host/stream.go
+++ b/host/stream.go
@@ -11,7 +11,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // line is one line of the stream.
@@ -46,7 +46,7 @@
 
 // NewHub starts the goroutine that owns the stream, which runs as long as the process.
 func NewHub() *Hub {
-	u := &Hub{make(chan line, limit.EventQueue), make(chan join)}
+	u := &Hub{make(chan line, tuning.EventQueue), make(chan join)}
 	go u.run()
 	return u
 }
@@ -80,8 +80,8 @@
 			seq++
 			l.Seq = seq
 			kept = append(kept, l)
-			if len(kept) > 2*limit.EventsKept {
-				kept = append([]line(nil), kept[limit.EventsKept:]...)
+			if len(kept) > 2*tuning.EventsKept {
+				kept = append([]line(nil), kept[tuning.EventsKept:]...)
 			}
 			for r := range readers {
 				r.give(l)
@@ -121,13 +121,13 @@
 func (u *Hub) Serve(w http.ResponseWriter, r *http.Request, leads bool, leader string) {
 	if !leads {
 		if leader == "" {
-			refuse(w, http.StatusServiceUnavailable, limit.RetryAfterMin, config.Trouble{Code: "no_leader", Message: "no leader is known"})
+			refuse(w, http.StatusServiceUnavailable, tuning.RetryAfterMin, config.Trouble{Code: "no_leader", Message: "no leader is known"})
 			return
 		}
 		http.Redirect(w, r, "http://"+leader+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 		return
 	}
-	j := join{r: &reader{lines: make(chan line, 2*limit.EventsKept+limit.StreamBuffer)}}
+	j := join{r: &reader{lines: make(chan line, 2*tuning.EventsKept+tuning.StreamBuffer)}}
 	if f := r.URL.Query().Get("from"); f != "" {
 		if _, err := fmt.Sscanf(f, "%d.%d", &j.term, &j.seq); err != nil {
 			refuse(w, http.StatusBadRequest, 0, config.Trouble{Code: "bad_request", Message: "from is term.seq of the last line read"})
--- a/host/transport.go
+++ b/host/transport.go
@@ -12,13 +12,13 @@
 
 	"myrtlefold/core"
 	"myrtlefold/forward"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
 // Listen opens the daemon's address and passes the messages of other daemons to the owner.
 func (h *Host) Listen() error {
-	ln, err := forward.Listen(cmp.Or(h.Settings.Bind, h.Settings.Addr), limit.Unacked)
+	ln, err := forward.Listen(cmp.Or(h.Settings.Bind, h.Settings.Addr), tuning.Unacked)
 	if err != nil {
 		return errors.Wrap(err, "listen for daemons")
 	}
@@ -30,7 +30,7 @@
 	for {
 		c, err := ln.Accept()
 		if passes(err) {
-			time.Sleep(limit.Redial)
+			time.Sleep(tuning.Redial)
 			continue
 		}
 		if err != nil {
@@ -73,8 +73,8 @@
 // packedTables are the tables last sent. An owner never changes a table that it has handed out, so
 // the pointer tells which it is.
 type packedTables struct {
-	tables [limit.PackedTables]*wire.Table
-	packed [limit.PackedTables]*wire.PackedTable
+	tables [tuning.PackedTables]*wire.Table
+	packed [tuning.PackedTables]*wire.PackedTable
 	next   int // which is replaced next
 }
 
@@ -102,7 +102,7 @@
 func (h *Host) Send(addr string, m *wire.Msg) {
 	ch := h.queues[addr]
 	if ch == nil {
-		ch = make(chan queued, limit.SendQueue)
+		ch = make(chan queued, tuning.SendQueue)
 		h.queues[addr] = ch
 		go h.sender(addr, ch)
 	}
@@ -121,14 +121,14 @@
 	var c net.Conn
 	var w *wire.Writer
 	for q := range ch {
-		if h.Now()-q.at > limit.SendLate { // it would only keep later ones waiting
+		if h.Now()-q.at > tuning.SendLate { // it would only keep later ones waiting
 			continue
 		}
 		var err error
 		if c == nil {
 			if c, err = h.dial(addr); err != nil {
 				c = nil
-				time.Sleep(limit.Redial)
+				time.Sleep(tuning.Redial)
 				for len(ch) > 0 {
 					<-ch // stale by now
 				}
@@ -136,7 +136,7 @@
 			}
 			w = wire.NewWriter(c)
 		}
-		c.SetWriteDeadline(time.Now().Add(limit.ProxyLease))
+		c.SetWriteDeadline(time.Now().Add(tuning.ProxyLease))
 		size := 0
 		if size, err = w.PutPacked(q.m, q.table); err == nil {
 			h.Traffic.add(true, q.m.Kind, size)
@@ -154,7 +154,7 @@
 
 // dial opens a connection for sending. The other side never sends: only its close is read.
 func (h *Host) dial(addr string) (net.Conn, error) {
-	d := forward.Dialer(h.From(), limit.ProbeCap)
+	d := forward.Dialer(h.From(), tuning.ProbeCap)
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
--- a/host/watch.go
+++ b/host/watch.go
@@ -9,7 +9,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // watch is the settings as they were last read and as they are in effect.
@@ -24,7 +24,7 @@
 // level, seeds and memory take effect; others wait for the next start; unsound ones are logged once
 // and the old ones kept.
 func (h *Host) Watch(seeds func([]string)) {
-	tick := time.NewTicker(limit.SettingsEvery)
+	tick := time.NewTicker(tuning.SettingsEvery)
 	w := &watch{Host: h, seeds: seeds, seen: string(h.rawSettings), current: h.Settings}
 	go func() {
 		for {
--- a/internal/controlplane/consensus/disk.go
+++ b/internal/controlplane/consensus/disk.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -52,13 +52,13 @@
 
 // DiskStalled says that the disk has kept a sync waiting for too long.
 func (n *Node) DiskStalled(now time.Duration) bool {
-	return len(n.unsyncedBatches) > 0 && now-n.unsyncedBatches[0].at > limit.SyncStall
+	return len(n.unsyncedBatches) > 0 && now-n.unsyncedBatches[0].at > tuning.SyncStall
 }
 
 func (n *Node) send(m *wire.Msg, afterSync bool) {
 	m.From, m.Disk, m.Epoch, m.Term = n.self.Name, n.self.Disk, n.epoch, n.term
 	if afterSync && len(n.unsyncedBatches) > 0 {
-		if len(n.heldMessages) >= limit.SendQueue {
+		if len(n.heldMessages) >= tuning.SendQueue {
 			return // as if lost: it is asked again
 		}
 		n.heldMessages = append(n.heldMessages, heldMessage{n.seq, m})
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
 // hearsNone says that this node leads nobody and that no leader has spoken to it lately.
 func (n *Node) hearsNoLeader(now time.Duration) bool {
-	return n.role != Leader && now-n.leaderSpokeAt >= limit.LeaderQuiet
+	return n.role != Leader && now-n.leaderSpokeAt >= tuning.LeaderQuiet
 }
 
 // stand asks for votes; all says that every member is asked whether it may be at once.
@@ -74,7 +74,7 @@
 
 // TransferLeadership gives leadership up and asks the best peer to stand at once.
 func (n *Node) TransferLeadership(now time.Duration) bool {
-	return n.TransferLeadershipTo(now, limit.LeaderLease, func(wire.Member) bool { return true })
+	return n.TransferLeadershipTo(now, tuning.LeaderLease, func(wire.Member) bool { return true })
 }
 
 // TransferLeadershipTo is the same among those peers that may lead and acknowledged something that was sent
@@ -91,7 +91,7 @@
 	}
 	n.become(now, Follower)
 	n.leader = ""
-	n.deadline = now + 4*limit.ElectMin
+	n.deadline = now + 4*tuning.ElectMin
 	n.leaderSpokeAt = n.deadline
 	n.send(&wire.Msg{Kind: uint16(wire.KVote), To: best.member.Name, Vote: &wire.Vote{Transfer: true, Reply: true}}, false)
 	return true
@@ -106,7 +106,7 @@
 	}
 	lt, _ := n.termAt(n.last())
 	upToDate := v.LastTerm > lt || v.LastTerm == lt && v.LastIndex >= n.last()
-	quiet := v.Transfer || now-n.leaderHeardAt >= limit.ElectMin && n.role != Leader || v.All && n.hearsNoLeader(now)
+	quiet := v.Transfer || now-n.leaderHeardAt >= tuning.ElectMin && n.role != Leader || v.All && n.hearsNoLeader(now)
 	r := &wire.Msg{Kind: uint16(wire.KVote), To: m.From, Vote: &wire.Vote{Pre: v.Pre, Reply: true, All: v.All, LastIndex: n.last(), LastTerm: lt}}
 	if v.Pre {
 		r.Vote.Alone = v.All && n.hearsNoLeader(now) && len(n.unsyncedBatches) == 0
@@ -130,7 +130,7 @@
 			n.syncHardState(now)
 		}
 		r.Vote.Granted = true
-		n.deadline = now + limit.ElectMin + limit.ElectSpread
+		n.deadline = now + tuning.ElectMin + tuning.ElectSpread
 	}
 	r.Vote.Alone = n.role == Follower // in a later term than any in which it led
 	n.send(r, true)
--- a/internal/controlplane/consensus/member.go
+++ b/internal/controlplane/consensus/member.go
@@ -10,7 +10,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -79,7 +79,7 @@
 // RecentlyActive says that a member, or one that learns, has answered lately.
 func (n *Node) RecentlyActive(now time.Duration, m wire.Member) bool {
 	p := n.peers[m.Name]
-	return m == n.self || p != nil && p.member == m && now-p.acked < limit.LeaderLease
+	return m == n.self || p != nil && p.member == m && now-p.acked < tuning.LeaderLease
 }
 
 func (n *Node) isVoterName(name string) bool {
@@ -90,7 +90,7 @@
 // growing log always has on its way.
 func (n *Node) CaughtUp(now time.Duration, m wire.Member) bool {
 	match, ok := n.Match(m)
-	return ok && match > 0 && match+limit.LearnerLag >= n.commit && n.RecentlyActive(now, m)
+	return ok && match > 0 && match+tuning.LearnerLag >= n.commit && n.RecentlyActive(now, m)
 }
 
 // Match is the last entry that a peer is known to hold, if it is kept up to date.
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -33,7 +33,7 @@
 	l := []Progress{{Member: n.self, Voter: n.isVoter(n.self.Name, n.self.Disk), Match: n.stable, AckedAt: now, Recent: true}}
 	for _, p := range n.sorted() {
 		l = append(l, Progress{Member: p.member, Voter: p.voter, Match: p.match, AckedAt: max(0, p.acked),
-			Recent: now-p.acked < limit.LeaderLease, NeedsSnapshot: n.needsSnapshot(p)})
+			Recent: now-p.acked < tuning.LeaderLease, NeedsSnapshot: n.needsSnapshot(p)})
 	}
 	return l
 }
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -21,7 +21,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -164,7 +164,7 @@
 	h := fnv.New64a()
 	h.Write([]byte(n.self.Name))
 	h.Write([]byte{byte(n.term), byte(n.term >> 8), byte(now >> 20), byte(now >> 28)})
-	n.deadline = now + limit.ElectMin + time.Duration(h.Sum64()%uint64(limit.ElectSpread))
+	n.deadline = now + tuning.ElectMin + time.Duration(h.Sum64()%uint64(tuning.ElectSpread))
 	if r == Leader {
 		n.leader = n.self.Name
 		n.syncPartners()
@@ -178,12 +178,12 @@
 
 // HearsLeader says whether a leader is heard, or is this node.
 func (n *Node) HearsLeader(now time.Duration) bool {
-	return n.role == Leader || n.leader != "" && now-n.leaderHeardAt < 3*limit.ElectMin
+	return n.role == Leader || n.leader != "" && now-n.leaderHeardAt < 3*tuning.ElectMin
 }
 
 // HasLease says whether this node may decide now.
 func (n *Node) HasLease(now time.Duration) bool {
-	return n.role == Leader && n.commit >= n.termStart && !n.DiskStalled(now) && n.majorityAckedAt(now) > now-limit.LeaderLease
+	return n.role == Leader && n.commit >= n.termStart && !n.DiskStalled(now) && n.majorityAckedAt(now) > now-tuning.LeaderLease
 }
 
 func (n *Node) majorityAckedAt(now time.Duration) time.Duration {
@@ -208,12 +208,12 @@
 func (n *Node) Tick(now time.Duration) {
 	switch n.role {
 	case Leader:
-		if n.DiskStalled(now) || now-max(n.majorityAckedAt(now), n.since) > limit.ElectMin {
+		if n.DiskStalled(now) || now-max(n.majorityAckedAt(now), n.since) > tuning.ElectMin {
 			n.become(now, Follower)
 			n.leader = ""
 			return
 		}
-		if now-n.beatAt >= limit.HeartbeatEvery {
+		if now-n.beatAt >= tuning.HeartbeatEvery {
 			n.beatAt = now
 			n.replicate(now, true)
 		}
@@ -221,15 +221,15 @@
 		if n.DiskStalled(now) || !n.isVoter(n.self.Name, n.self.Disk) {
 			return
 		}
-		if n.role == Candidate && n.unanimous && 2*len(n.votes) > len(n.members) && now-n.votedAt >= limit.ElectMin {
+		if n.role == Candidate && n.unanimous && 2*len(n.votes) > len(n.members) && now-n.votedAt >= tuning.ElectMin {
 			n.become(now, Leader) // whatever its voters had promised before is over now
 			n.replicate(now, true)
 			return
 		}
-		if now >= n.deadline && now-n.leaderHeardAt >= limit.ElectMin {
+		if now >= n.deadline && now-n.leaderHeardAt >= tuning.ElectMin {
 			n.leader = ""
 			n.campaign(now, true, false, false)
-		} else if n.hearsNoLeader(now) && now-n.askedAt >= limit.ElectAsk && (n.role == Follower || n.unanimous && n.role == PreCandidate) {
+		} else if n.hearsNoLeader(now) && now-n.askedAt >= tuning.ElectAsk && (n.role == Follower || n.unanimous && n.role == PreCandidate) {
 			at := n.deadline
 			n.campaign(now, true, false, true)
 			n.deadline = at
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -167,7 +167,7 @@
 		p.transfer = snapshotTransfer(n.snap)
 		p.next = n.snap.Index + 1
 		p.inFlight = nil
-	case len(e.Data) > limit.AppendMax && len(p.inFlight) == 0:
+	case len(e.Data) > tuning.AppendMax && len(p.inFlight) == 0:
 		p.transfer = entryTransfer(e, prevTerm)
 	}
 }
@@ -201,10 +201,10 @@
 
 // takeEntries are the next entries for a peer: no more are under way than AppendMax.
 func (n *Node) takeEntries(p *peer) (entries []wire.Entry) {
-	size, room := 0, limit.AppendMax-p.inFlightBytes()
+	size, room := 0, tuning.AppendMax-p.inFlightBytes()
 	for {
 		e, _, ok := n.retained(p.next)
-		if !ok || size+len(e.Data) > room && (size > 0 || len(p.inFlight) > 0) || len(e.Data) > limit.AppendMax {
+		if !ok || size+len(e.Data) > room && (size > 0 || len(p.inFlight) > 0) || len(e.Data) > tuning.AppendMax {
 			break
 		}
 		size += len(e.Data) + entryOverhead
@@ -229,7 +229,7 @@
 	n.follow(now, m.Term)
 	n.leader = m.From
 	n.leaderHeardAt = now
-	n.deadline = now + limit.ElectMin + n.deadline%limit.ElectSpread
+	n.deadline = now + tuning.ElectMin + n.deadline%tuning.ElectSpread
 	entries, installed := a.Entries, false
 	if a.Piece != nil {
 		if whole, complete := n.receivePiece(a.Piece); complete && whole.Entry {
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -15,7 +15,7 @@
 
 // SnapshotDue says that a snapshot is due.
 func (n *Node) SnapshotDue() bool {
-	return n.applied > n.snap.Index && (len(n.log) > limit.LogMax || n.entryBytes(n.snap.Index, n.applied) > limit.LogBytes)
+	return n.applied > n.snap.Index && (len(n.log) > tuning.LogMax || n.entryBytes(n.snap.Index, n.applied) > tuning.LogBytes)
 }
 
 // Compact replaces the applied log by the state that it led to.
@@ -45,7 +45,7 @@
 	size, from := 0, len(n.tail)
 	for from > 0 {
 		size += len(n.tail[from-1].Data) + entryOverhead
-		if size > limit.TailBytes {
+		if size > tuning.TailBytes {
 			break
 		}
 		from--
--- a/internal/controlplane/consensus/transfer.go
+++ b/internal/controlplane/consensus/transfer.go
@@ -10,7 +10,7 @@
 	"hash/fnv"
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -56,7 +56,7 @@
 	}
 	p := t.whole
 	p.Offset = t.held
-	p.Data = t.whole.Data[t.held:min(t.held+limit.AppendMax, t.whole.Size)]
+	p.Data = t.whole.Data[t.held:min(t.held+tuning.AppendMax, t.whole.Size)]
 	t.underWay, t.sentAt = true, now
 	return &p
 }
@@ -101,7 +101,7 @@
 
 // receivePiece takes a piece and says whether with it all has arrived whole.
 func (n *Node) receivePiece(p *wire.Piece) (whole wire.Piece, complete bool) {
-	if p.Size > limit.WireMax {
+	if p.Size > tuning.WireMax {
 		return wire.Piece{}, false
 	}
 	if n.incoming == nil || !sameWhole(&n.incoming.whole, p) {
--- a/internal/controlplane/wal/ring.go
+++ b/internal/controlplane/wal/ring.go
@@ -20,7 +20,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 const (
@@ -110,7 +110,7 @@
 			opened.Close()
 		}
 	}()
-	piece := make([]byte, min(size, limit.RingPiece))
+	piece := make([]byte, min(size, tuning.RingPiece))
 	for i := range files {
 		f, err := os.OpenFile(filepath.Join(dir, fmt.Sprintf("ring-%d", i)), os.O_RDWR|os.O_CREATE, 0o600)
 		if err != nil {
@@ -145,7 +145,7 @@
 	if short != "" {
 		return nil, errors.Wrapf(ErrDamaged, "%s is missing or short beside generation %d", short, r.generation)
 	}
-	piece := make([]byte, min(r.size, limit.RingPiece))
+	piece := make([]byte, min(r.size, tuning.RingPiece))
 	if recs, r.offset, err = scan(r.files[r.current], r.size, r.generation, piece); err != nil {
 		return nil, errors.Wrapf(err, "%s", r.files[r.current].Name())
 	}
@@ -176,7 +176,7 @@
 // allocate fills the files with zeros up to their size and makes their places in the
 // folder lasting.
 func (r *Ring) allocate() error {
-	zeros := make([]byte, min(r.size, limit.RingPiece))
+	zeros := make([]byte, min(r.size, tuning.RingPiece))
 	for _, f := range r.files {
 		if err := extend(f, r.size, zeros); err != nil {
 			return err
@@ -424,7 +424,7 @@
 // is to be written again at the same place before anything else.
 func (r *Ring) put(f *os.File, off int64) error {
 	defer func() {
-		if cap(r.buffer) > limit.RingPiece {
+		if cap(r.buffer) > tuning.RingPiece {
 			r.buffer = nil
 		}
 	}()
--- a/internal/shared/config/check.go
+++ b/internal/shared/config/check.go
@@ -16,7 +16,7 @@
 	"github.com/knadh/koanf/providers/rawbytes"
 	"github.com/knadh/koanf/v2"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // checker collects the faults of a document.
@@ -34,7 +34,7 @@
 
 // wholeNumbers is a hook that refuses fractions where the field is an int.
 func wholeNumbers(_, to reflect.Type, v any) (any, error) {
-	if f, ok := v.(float64); ok && to.Kind() == reflect.Int && (f != math.Trunc(f) || math.Abs(f) > limit.ExactMax) {
+	if f, ok := v.(float64); ok && to.Kind() == reflect.Int && (f != math.Trunc(f) || math.Abs(f) > tuning.ExactMax) {
 		return nil, errors.Newf("%v is not a whole number", f)
 	}
 	return v, nil
@@ -112,10 +112,10 @@
 
 // name checks the name of an item.
 func (c *checker) name(path, n string) {
-	if n == "" || len(n) > limit.ItemNameMax || strings.ContainsFunc(n, func(r rune) bool {
+	if n == "" || len(n) > tuning.ItemNameMax || strings.ContainsFunc(n, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= '0' && r <= '9' || r == '-' || r == '_')
 	}) {
-		c.add(path, "a name is 1 to %d of a-z, 0-9, - and _", limit.ItemNameMax)
+		c.add(path, "a name is 1 to %d of a-z, 0-9, - and _", tuning.ItemNameMax)
 	}
 }
 
@@ -129,27 +129,27 @@
 // service checks a service by itself.
 func (c *checker) service(path, n string, s Service) {
 	c.name(path, n)
-	c.within(path+".cap", s.Cap, 1, limit.CapMax)
-	c.within(path+".warm_cap", s.WarmCap, 1, limit.CapMax)
-	c.within(path+".in_flight", s.InFlight, 0, limit.InFlightMax)
-	c.within(path+".timeout_ms", s.TimeoutMs, limit.TimeoutMinMs, limit.TimeoutMaxMs)
-	c.within(path+".wait_ms", s.WaitMs, 0, limit.WaitMaxMs)
-	c.within(path+".wait_len", s.WaitLen, 0, limit.WaitLenMax)
-	c.within(path+".body_max", s.BodyMax, 0, limit.ServiceBodyMax)
-	c.within(path+".tries", s.Tries, 1, limit.ServiceTriesMax)
-	c.within(path+".slow_ms", s.SlowMs, 0, limit.TimeoutMaxMs)
+	c.within(path+".cap", s.Cap, 1, tuning.CapMax)
+	c.within(path+".warm_cap", s.WarmCap, 1, tuning.CapMax)
+	c.within(path+".in_flight", s.InFlight, 0, tuning.InFlightMax)
+	c.within(path+".timeout_ms", s.TimeoutMs, tuning.TimeoutMinMs, tuning.TimeoutMaxMs)
+	c.within(path+".wait_ms", s.WaitMs, 0, tuning.WaitMaxMs)
+	c.within(path+".wait_len", s.WaitLen, 0, tuning.WaitLenMax)
+	c.within(path+".body_max", s.BodyMax, 0, tuning.ServiceBodyMax)
+	c.within(path+".tries", s.Tries, 1, tuning.ServiceTriesMax)
+	c.within(path+".slow_ms", s.SlowMs, 0, tuning.TimeoutMaxMs)
 	if s.WarmCap > s.Cap {
 		c.add(path+".warm_cap", "%d is over cap %d", s.WarmCap, s.Cap)
 	}
 	if s.HealthPath != "" && (!strings.HasPrefix(s.HealthPath, "/") || strings.ContainsAny(s.HealthPath, "?#* ")) {
 		c.add(path+".health_path", "must be a plain path")
 	}
-	c.within(path+".conn_cap", s.ConnCap, 0, limit.ConnCapMax)
-	if !(s.ColdS >= 0 && s.ColdS <= limit.ColdMax.Seconds()) {
-		c.add(path+".cold_s", "%v is not between 0 and %v", s.ColdS, limit.ColdMax.Seconds())
+	c.within(path+".conn_cap", s.ConnCap, 0, tuning.ConnCapMax)
+	if !(s.ColdS >= 0 && s.ColdS <= tuning.ColdMax.Seconds()) {
+		c.add(path+".cold_s", "%v is not between 0 and %v", s.ColdS, tuning.ColdMax.Seconds())
 	}
-	if !(s.ColdPerS >= 0 && s.ColdPerS <= limit.ColdRateMax) {
-		c.add(path+".cold_per_s", "%v is not between 0 and %d", s.ColdPerS, int(limit.ColdRateMax))
+	if !(s.ColdPerS >= 0 && s.ColdPerS <= tuning.ColdRateMax) {
+		c.add(path+".cold_per_s", "%v is not between 0 and %d", s.ColdPerS, int(tuning.ColdRateMax))
 	}
 	if s.Proto != "" && s.Proto != "h1" || s.TLS {
 		c.add(path+".proto", "targets are spoken to by h1 without TLS")
--- a/internal/shared/config/heartbeat.go
+++ b/internal/shared/config/heartbeat.go
@@ -11,7 +11,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -61,13 +61,13 @@
 	if !slices.Contains([]string{Warming, Ready, Leaving, Gone}, b.State) {
 		c.add("state", "warming, ready, leaving or gone, not %q", b.State)
 	}
-	if len(b.Domain) > limit.NameMax {
-		c.add("domain", "at most %d bytes", limit.NameMax)
+	if len(b.Domain) > tuning.NameMax {
+		c.add("domain", "at most %d bytes", tuning.NameMax)
 	}
-	if b.Slots < 0 || b.Slots > limit.SlotsMax {
-		c.add("slots", "%d is not between 0 and %d", b.Slots, limit.SlotsMax)
+	if b.Slots < 0 || b.Slots > tuning.SlotsMax {
+		c.add("slots", "%d is not between 0 and %d", b.Slots, tuning.SlotsMax)
 	}
-	if most := limit.ColdMax.Milliseconds(); b.ColdLeftMs < 0 || b.ColdLeftMs > most {
+	if most := tuning.ColdMax.Milliseconds(); b.ColdLeftMs < 0 || b.ColdLeftMs > most {
 		c.add("cold_left_ms", "%d is not between 0 and %d", b.ColdLeftMs, most)
 	}
 	t := wire.Target{Service: b.Service, Name: b.Name, Inc: b.Incarnation, Addr: b.Address, Domain: b.Domain, State: b.State,
--- a/internal/shared/config/parse.go
+++ b/internal/shared/config/parse.go
@@ -9,7 +9,7 @@
 	"math"
 	"slices"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // sections are the keys of a configuration, each with what reads its value.
@@ -61,7 +61,7 @@
 
 func (c *checker) readRevision(cfg *Config, v any) {
 	f, ok := v.(float64)
-	if !ok || f < 1 || f != math.Trunc(f) || f > limit.ExactMax {
+	if !ok || f < 1 || f != math.Trunc(f) || f > tuning.ExactMax {
 		c.add("revision", "must be a whole number over 0")
 		return
 	}
@@ -70,7 +70,7 @@
 
 func (c *checker) readServices(cfg *Config, v any) {
 	c.items("services", v, func(at, name string, item any) {
-		s := Service{Cap: limit.CapDefault, WarmCap: limit.WarmDefault, TimeoutMs: limit.TimeoutMs, BodyMax: limit.BodyMax, Tries: limit.TriesMax}
+		s := Service{Cap: tuning.CapDefault, WarmCap: tuning.WarmDefault, TimeoutMs: tuning.TimeoutMs, BodyMax: tuning.BodyMax, Tries: tuning.TriesMax}
 		c.decode(at, item, &s)
 		c.service(at, name, s)
 		cfg.Services[name] = s
@@ -97,8 +97,8 @@
 }
 
 func (c *checker) readPolicies(cfg *Config, v any) {
-	if m, ok := v.(map[string]any); ok && len(m) > limit.PolicyMax {
-		c.add("policies", "%d policies, at most %d", len(m), limit.PolicyMax)
+	if m, ok := v.(map[string]any); ok && len(m) > tuning.PolicyMax {
+		c.add("policies", "%d policies, at most %d", len(m), tuning.PolicyMax)
 	}
 	c.items("policies", v, func(at, name string, item any) {
 		p := Policy{Mode: ModeLive}
@@ -116,7 +116,7 @@
 
 func (c *checker) readAims(cfg *Config, v any) {
 	c.items("aims", v, func(at, name string, item any) {
-		a := Aim{WindowMin: limit.AimMinutes}
+		a := Aim{WindowMin: tuning.AimMinutes}
 		c.decode(at, item, &a)
 		c.name(at, name)
 		cfg.Aims[name] = a
@@ -133,8 +133,8 @@
 		if !(a.Part > 0 && a.Part < 1) {
 			c.add(at+".part", "%v is not between 0 and 1", a.Part)
 		}
-		c.within(at+".under_ms", a.UnderMs, 0, limit.TimeoutMaxMs)
-		c.within(at+".window_min", a.WindowMin, 1, limit.AimMinutes)
+		c.within(at+".under_ms", a.UnderMs, 0, tuning.TimeoutMaxMs)
+		c.within(at+".window_min", a.WindowMin, 1, tuning.AimMinutes)
 	}
 }
 
--- a/internal/shared/config/routeread.go
+++ b/internal/shared/config/routeread.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // kindOf names a parsed value's kind.
@@ -51,7 +51,7 @@
 	switch {
 	case !ok:
 		c.add(join(path, field), "is a %s, wants int", kindOf(v))
-	case f != math.Trunc(f) || math.Abs(f) > limit.ExactMax:
+	case f != math.Trunc(f) || math.Abs(f) > tuning.ExactMax:
 		c.add(join(path, field), "%v is not a whole number", f)
 	default:
 		*to = int(f)
@@ -189,10 +189,10 @@
 	if !slices.Contains([]string{Repeatable, Once, Download}, r.Kind) {
 		c.add(at+".kind", "%s, %s or %s, not %q", Repeatable, Once, Download, r.Kind)
 	}
-	c.bound(at, "timeout_ms", r.TimeoutMs, 1, limit.TimeoutMaxMs)
-	c.bound(at, "aim_ms", r.AimMs, 0, limit.TimeoutMaxMs)
-	c.bound(at, "attempts", r.Attempts, 1, limit.AttemptsMax)
-	c.bound(at, "priority", r.Priority, 0, limit.PriorityMax)
+	c.bound(at, "timeout_ms", r.TimeoutMs, 1, tuning.TimeoutMaxMs)
+	c.bound(at, "aim_ms", r.AimMs, 0, tuning.TimeoutMaxMs)
+	c.bound(at, "attempts", r.Attempts, 1, tuning.AttemptsMax)
+	c.bound(at, "priority", r.Priority, 0, tuning.PriorityMax)
 	if (r.Service == "") == (len(r.Split) == 0) {
 		c.add(at, "wants either service or split")
 	}
@@ -230,9 +230,9 @@
 		at[p] = n
 	}
 	if l := cfg.Limits; l != nil {
-		c.within("limits.header_bytes", l.HeaderBytes, 0, limit.LimitsHeaderMax)
-		c.within("limits.body_bytes", l.BodyBytes, 0, limit.LimitsBodyMax)
-		c.within("limits.header_ms", l.HeaderMs, 0, limit.TimeoutMaxMs)
-		c.within("limits.idle_ms", l.IdleMs, 0, limit.TimeoutMaxMs)
+		c.within("limits.header_bytes", l.HeaderBytes, 0, tuning.LimitsHeaderMax)
+		c.within("limits.body_bytes", l.BodyBytes, 0, tuning.LimitsBodyMax)
+		c.within("limits.header_ms", l.HeaderMs, 0, tuning.TimeoutMaxMs)
+		c.within("limits.idle_ms", l.IdleMs, 0, tuning.TimeoutMaxMs)
 	}
 }
--- a/internal/shared/outlier/compare.go
+++ b/internal/shared/outlier/compare.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -246,7 +246,7 @@
 // which only those with an event count. It returns the first error, with the line's number.
 func ReadEvents(r io.Reader, each func(Event) error) error {
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, limit.LineMax)
+	sc.Buffer(nil, tuning.LineMax)
 	for n := 1; sc.Scan(); n++ {
 		l, err := parseLine(sc.Bytes())
 		if err != nil {
--- a/internal/shared/outlier/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // allowed are the functions of the library that a condition may call. They take the same time
@@ -40,7 +40,7 @@
 // compile checks a condition on a slice and compiles it.
 func compile(slice, condition string) (*vm.Program, error) {
 	l := &costly{}
-	options := []expr.Option{expr.Env(facts[slice]), expr.AsBool(), expr.MaxNodes(limit.PolicyNodes), expr.DisableAllBuiltins(), expr.Patch(l)}
+	options := []expr.Option{expr.Env(facts[slice]), expr.AsBool(), expr.MaxNodes(tuning.PolicyNodes), expr.DisableAllBuiltins(), expr.Patch(l)}
 	for _, name := range allowed {
 		options = append(options, expr.EnableBuiltin(name))
 	}
@@ -68,8 +68,8 @@
 	ttl := time.Duration(p.TTLMs) * time.Millisecond
 	switch p.Decide {
 	case config.DecideBar:
-		if ttl <= 0 || ttl > limit.EjectionMaxTTL {
-			add("ttl_ms", "a bar needs a ttl_ms between 1 and %d", limit.EjectionMaxTTL.Milliseconds())
+		if ttl <= 0 || ttl > tuning.EjectionMaxTTL {
+			add("ttl_ms", "a bar needs a ttl_ms between 1 and %d", tuning.EjectionMaxTTL.Milliseconds())
 		}
 	case config.DecideHold:
 		if p.TTLMs != 0 {
--- a/internal/shared/outlier/policy.go
+++ b/internal/shared/outlier/policy.go
@@ -19,7 +19,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -164,7 +164,7 @@
 // Adopt takes over a decision of an earlier leader, which has left to run.
 func (j *Judge) Adopt(now time.Duration, id wire.ID, policy string, left time.Duration) {
 	if p := j.policies[policy]; p != nil && p.spec.Mode == config.ModeLive && left > 0 {
-		j.mark(id, policy, mark{until: now + min(left, limit.EjectionMaxTTL), hold: p.spec.Decide == config.DecideHold})
+		j.mark(id, policy, mark{until: now + min(left, tuning.EjectionMaxTTL), hold: p.spec.Decide == config.DecideHold})
 	}
 }
 
@@ -237,7 +237,7 @@
 	m, marked := j.marks[id][p.name]
 	switch {
 	case hit && p.spec.Decide == config.DecideHold:
-		j.mark(id, p.name, mark{until: now + limit.EjectionTTL, hold: true})
+		j.mark(id, p.name, mark{until: now + tuning.EjectionTTL, hold: true})
 		if !marked {
 			return []Decision{p.decision(now, config.DecideHold, id, p.spec.When)}
 		}
@@ -256,7 +256,7 @@
 // evaluate runs a condition; a failure is counted.
 func (p *policy) evaluate(condition *vm.Program, known any) (bool, error) {
 	p.evaluated++
-	p.machine.MemoryBudget = limit.PolicyMemory
+	p.machine.MemoryBudget = tuning.PolicyMemory
 	v, err := p.machine.Run(condition, known)
 	b, ok := v.(bool)
 	if err == nil && !ok {
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -89,8 +89,8 @@
 		return no("at_ns goes back: %d after %d", e.At, s.last)
 	case e.Count < 0 || e.Errors < 0 || e.Slow < 0 || e.Errors > e.Count || e.Slow > e.Count:
 		return no("count, errors and slow don't fit together")
-	case !s.targets[e.ID()] && len(s.targets) >= limit.SessionTargets:
-		return no("more than %d targets in one stream", limit.SessionTargets)
+	case !s.targets[e.ID()] && len(s.targets) >= tuning.SessionTargets:
+		return no("more than %d targets in one stream", tuning.SessionTargets)
 	}
 	s.last = e.At
 	s.targets[e.ID()] = true
@@ -125,8 +125,8 @@
 		}
 		out.Replaced = append(out.Replaced, name)
 	}
-	if len(next.Policies) > limit.PolicyMax {
-		out.Faults = append(out.Faults, config.Fault{Path: "policies", Text: fmt.Sprintf("at most %d", limit.PolicyMax)})
+	if len(next.Policies) > tuning.PolicyMax {
+		out.Faults = append(out.Faults, config.Fault{Path: "policies", Text: fmt.Sprintf("at most %d", tuning.PolicyMax)})
 	}
 	if len(out.Faults) > 0 {
 		out.Replaced, out.Error = nil, "unsound policies; those before stay"
--- a/internal/shared/outlier/slice.go
+++ b/internal/shared/outlier/slice.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -68,7 +68,7 @@
 const unknownSlice = "no slice %q: probe, beat, exchange or demand"
 
 // exchangeWindow is how far the request and demand slices look back.
-const exchangeWindow = limit.RetryWindow
+const exchangeWindow = tuning.RetryWindow
 
 // window is the latest events of one slice of one target, limit.Window at most.
 type window struct {
@@ -89,7 +89,7 @@
 	w.ok = good
 	w.run++
 	w.events = append(w.events, e)
-	if n := len(w.events) - limit.Window; n > 0 {
+	if n := len(w.events) - tuning.Window; n > 0 {
 		w.events = w.events[n:]
 	}
 }
--- a/limit/config.go
+++ b/internal/shared/tuning/config.go
@@ -1,4 +1,4 @@
-package limit
+package tuning
 
 // Bounds of the values that a configuration may hold. They are far over any real one, and refuse
 // what can only be a slip.
--- a/limit/lease.go
+++ b/internal/shared/tuning/lease.go
@@ -1,4 +1,4 @@
-package limit
+package tuning
 
 import "time"
 
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -9,7 +9,7 @@
 import (
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 type budget struct {
@@ -17,7 +17,7 @@
 	part   float64       // of the slack, set with each table
 	at     time.Duration // up to when that is in credit
 	begun  bool
-	counts [limit.CountSlices]struct{ slice, n int64 }
+	counts [tuning.CountSlices]struct{ slice, n int64 }
 }
 
 // holders is how many of the listed proxies share a slack: as many as get enough to
@@ -47,9 +47,9 @@
 // earn takes a request in.
 func (b *budget) earn(now time.Duration, r Retry) {
 	b.grow(now, r)
-	b.credit += r.Ratio * limit.RetryEarn
-	s := int64(now / (r.Window / limit.CountSlices))
-	c := &b.counts[s%limit.CountSlices]
+	b.credit += r.Ratio * tuning.RetryEarn
+	s := int64(now / (r.Window / tuning.CountSlices))
+	c := &b.counts[s%tuning.CountSlices]
 	if c.slice != s {
 		c.slice, c.n = s, 0
 	}
@@ -68,13 +68,13 @@
 }
 
 func (b *budget) clip(now time.Duration, r Retry) {
-	s, recent := int64(now/(r.Window/limit.CountSlices)), int64(0)
+	s, recent := int64(now/(r.Window/tuning.CountSlices)), int64(0)
 	for _, c := range b.counts {
-		if c.slice > s-limit.CountSlices {
+		if c.slice > s-tuning.CountSlices {
 			recent += c.n
 		}
 	}
-	b.credit = min(b.credit, b.part/2+r.Ratio*limit.RetrySave*float64(recent))
+	b.credit = min(b.credit, b.part/2+r.Ratio*tuning.RetrySave*float64(recent))
 }
 
 // has says whether one may be spent.
--- a/proxy/choice.go
+++ b/proxy/choice.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // standing of a target before a request.
@@ -112,7 +112,7 @@
 		return -1
 	}
 	b := float64(t.inflight)/float64(room) + t.Demand
-	if t.backAt > 0 && now-t.backAt < limit.ReconcileEvery {
+	if t.backAt > 0 && now-t.backAt < tuning.ReconcileEvery {
 		b++
 	}
 	if t.avoidUntil > now {
@@ -197,11 +197,11 @@
 	}
 	higher := 0
 	for _, at := range s.ranks[:r] {
-		if at > 0 && now-at < limit.PressLife {
+		if at > 0 && now-at < tuning.PressLife {
 			higher++
 		}
 	}
-	if higher == 0 || float64(s.inflight+1) <= s.window*(1-limit.RankRoom*float64(higher)) {
+	if higher == 0 || float64(s.inflight+1) <= s.window*(1-tuning.RankRoom*float64(higher)) {
 		return true
 	}
 	g.Counts.LowRank++
@@ -209,7 +209,7 @@
 }
 
 func (s *service) pressed(now time.Duration) bool {
-	return s.pressAt > 0 && now-s.pressAt < limit.PressLife
+	return s.pressAt > 0 && now-s.pressAt < tuning.PressLife
 }
 
 func (g *Proxy) tier(now time.Duration, t *target, x *request, s *service) tier {
--- a/proxy/connections.go
+++ b/proxy/connections.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // idleConns is how many unused connections to a target this proxy may keep. A target that bounds its
@@ -16,15 +16,15 @@
 // than half, or than the target has slots, also when there are more proxies than connections.
 func (g *Proxy) idleConns(t *target, set config.Service) int {
 	if set.ConnCap <= 0 {
-		return limit.IdleConnsMax
+		return tuning.IdleConnsMax
 	}
-	room := set.ConnCap / limit.IdleConnParts
+	room := set.ConnCap / tuning.IdleConnParts
 	spare := max(0, room-t.slots) / max(1, len(g.alive))
-	return min(limit.IdleConnsMax, room, t.part+spare)
+	return min(tuning.IdleConnsMax, room, t.part+spare)
 }
 
 // connectTime is how long a connection for a request of a route may take to open: a target that is full
 // takes it up once one of its requests ends, which is soon by the measure of the route's own aim.
 func connectTime(route *config.Route) time.Duration {
-	return min(max(limit.ConnectCap, route.Aim()/limit.ConnectParts), limit.DialCap)
+	return min(max(tuning.ConnectCap, route.Aim()/tuning.ConnectParts), tuning.DialCap)
 }
--- a/proxy/deal.go
+++ b/proxy/deal.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -166,8 +166,8 @@
 	}
 }
 
-func (s *service) least() float64 { return limit.BorrowParts*s.even + limit.BorrowMore }
-func (s *service) most() float64  { return limit.BorrowMost*s.even + limit.BorrowMore }
+func (s *service) least() float64 { return tuning.BorrowParts*s.even + tuning.BorrowMore }
+func (s *service) most() float64  { return tuning.BorrowMost*s.even + tuning.BorrowMore }
 
 // lot is a target whose slots are dealt.
 type lot struct {
@@ -280,8 +280,8 @@
 		return n
 	}
 	c := set.Cap
-	if since := now - t.warmAt; t.warmAt > 0 && since < limit.RampUp && set.WarmCap < c {
-		c = set.WarmCap + int(float64(c-set.WarmCap)*float64(since)/float64(limit.RampUp))
+	if since := now - t.warmAt; t.warmAt > 0 && since < tuning.RampUp && set.WarmCap < c {
+		c = set.WarmCap + int(float64(c-set.WarmCap)*float64(since)/float64(tuning.RampUp))
 	}
 	return part(c, g.alive)
 }
@@ -311,7 +311,7 @@
 	case n == t.warmNext:
 		t.riseAt = at
 	default:
-		t.warmNext, t.riseAt = n, now+g.longest(t.Service)+limit.ChoiceLife
+		t.warmNext, t.riseAt = n, now+g.longest(t.Service)+tuning.ChoiceLife
 	}
 	if g.coldEnd == 0 || t.riseAt < g.coldEnd {
 		g.coldEnd = t.riseAt
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -56,7 +56,7 @@
 // see takes a request's time in and returns the usual one.
 func (w *routeState) see(ms float64) float64 {
 	w.seen++
-	w.mean += max(limit.MeanWeight, 1/float64(w.seen)) * (ms - w.mean)
+	w.mean += max(tuning.MeanWeight, 1/float64(w.seen)) * (ms - w.mean)
 	return w.mean
 }
 
@@ -206,7 +206,7 @@
 	t.usedAt = now
 	s.inflight++
 	g.Counts.Admitted++
-	g.emit(Give{ID: x.id, Service: x.svc, Set: x.set, Name: x.name, Route: x.route, Target: t.Target, Left: x.deadline - now, Work: g.targetTime(now, x), Till: now + limit.ChoiceLife, More: x.tries < x.route.Attempts, Connect: connectTime(&x.route), Idle: g.idleConns(t, x.set)})
+	g.emit(Give{ID: x.id, Service: x.svc, Set: x.set, Name: x.name, Route: x.route, Target: t.Target, Left: x.deadline - now, Work: g.targetTime(now, x), Till: now + tuning.ChoiceLife, More: x.tries < x.route.Attempts, Connect: connectTime(&x.route), Idle: g.idleConns(t, x.set)})
 }
 
 // tooLate says that a service under pressure better spends its time on others.
@@ -231,12 +231,12 @@
 		}
 		room = g.share(x.set.WaitLen, x.svc)
 	} else {
-		most = wantedTime(&x.route) / limit.WaitPart
+		most = wantedTime(&x.route) / tuning.WaitPart
 		most = min(x.start+most-now, x.deadline-now-x.way.usual())
 		if most <= 0 {
 			return false
 		}
-		room = limit.QueueMin
+		room = tuning.QueueMin
 		if s.mean > 0 {
 			room += int(max(s.window, 1) * float64(most.Milliseconds()) / s.mean)
 		}
@@ -273,14 +273,14 @@
 	r := Refuse{ID: x.id, Status: status, Code: code, Message: msg}
 	if status == 503 {
 		spread := x.id * 2654435761 >> 8
-		r.Retry = limit.RetryAfterMin + time.Duration(spread%uint64(limit.RetryAfterSpan))
+		r.Retry = tuning.RetryAfterMin + time.Duration(spread%uint64(tuning.RetryAfterSpan))
 		if !x.unknown {
 			base := x.route.Aim()
 			if base == 0 {
 				base = x.deadline - x.start
 			}
 			base = max(base/8, 1)
-			r.Retry = max(limit.RefuseMin, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/limit.RefuseLeft))
+			r.Retry = max(tuning.RefuseMin, min(base+time.Duration(spread%uint64(base)), (x.deadline-now)/tuning.RefuseLeft))
 		}
 	}
 	g.emit(r)
@@ -300,7 +300,7 @@
 			g.aims[n] = &aimCounts{}
 		}
 		min := int(now / time.Minute)
-		m := &g.aims[n].minutes[min%limit.AimMinutes]
+		m := &g.aims[n].minutes[min%tuning.AimMinutes]
 		if m.minute != min {
 			m.minute, m.good, m.all = min, 0, 0
 		}
@@ -338,7 +338,7 @@
 		g.refuse(now, x, 502, "may_have_run", "it may have run and must not run again")
 	case !g.Serving():
 		g.refuse(now, x, 503, "not_serving", "this proxy has no fresh table")
-	case x.tries >= x.route.Attempts || x.opens >= limit.OpensMax || now >= x.deadline:
+	case x.tries >= x.route.Attempts || x.opens >= tuning.OpensMax || now >= x.deadline:
 		g.refuse(now, x, 503, "tries", "no try is left")
 	case x.repeat && !g.service(x.svc).budget.has(now, g.settings.Retry):
 		g.Counts.RetriesDenied++
@@ -382,10 +382,10 @@
 			g.Counts.StaleChoices++
 		case Closed, Foreign:
 			t.seen.Errors++
-			t.avoidUntil = now + limit.AvoidFor
+			t.avoidUntil = now + tuning.AvoidFor
 			g.Counts.Shunned++
-			if t.closed++; t.closed >= limit.ProbeMisses {
-				t.ownEjection = max(t.ownEjection, now+limit.ClosedEjection)
+			if t.closed++; t.closed >= tuning.ProbeMisses {
+				t.ownEjection = max(t.ownEjection, now+tuning.ClosedEjection)
 				g.Counts.OwnBars++
 			}
 		}
@@ -465,7 +465,7 @@
 func (g *Proxy) darken(now time.Duration) {
 	n, same := 0, true
 	is := func(t *target) bool {
-		return t.ejectedUntil > now && t.unheard || t.ownEjection > now && t.misses >= limit.ProbeMisses
+		return t.ejectedUntil > now && t.unheard || t.ownEjection > now && t.misses >= tuning.ProbeMisses
 	}
 	for id, t := range g.targets {
 		if is(t) {
--- a/proxy/fairness.go
+++ b/proxy/fairness.go
@@ -7,12 +7,12 @@
 import (
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // rankCounts are requests by priority: how many came, and how many were given a target.
 type rankCounts struct {
-	asked, given [limit.Ranks]float64
+	asked, given [tuning.Ranks]float64
 }
 
 // fairness counts a service's requests over the present span of limit.FairSpan and the one before.
@@ -23,7 +23,7 @@
 
 // turn moves on to the span that now lies in.
 func (f *fairness) turn(now time.Duration) {
-	span := int64(now / limit.FairSpan)
+	span := int64(now / tuning.FairSpan)
 	switch span - f.span {
 	case 0:
 		return
@@ -49,20 +49,20 @@
 // on average. Without a whole span before this one nothing is said.
 func (f *fairness) starved(now time.Duration, rank int) bool {
 	f.turn(now)
-	if f.past.asked[rank] < limit.FairLeast {
+	if f.past.asked[rank] < tuning.FairLeast {
 		return false
 	}
 	asked, given := 0.0, 0.0
-	for r := range limit.Ranks {
+	for r := range tuning.Ranks {
 		asked += f.past.asked[r] + f.current.asked[r]
 		given += f.past.given[r] + f.current.given[r]
 	}
 	own := (f.past.given[rank] + f.current.given[rank]) / (f.past.asked[rank] + f.current.asked[rank])
-	return own < limit.FairPart*given/asked
+	return own < tuning.FairPart*given/asked
 }
 
 // rankOf is a priority's place among those that are told apart.
-func rankOf(priority int) int { return min(priority, limit.Ranks-1) }
+func rankOf(priority int) int { return min(priority, tuning.Ranks-1) }
 
 // enroll counts a request that came and sets what it goes by: its route's priority, or
 // the most urgent if that starves.
--- a/proxy/lease.go
+++ b/proxy/lease.go
@@ -13,7 +13,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -27,7 +27,7 @@
 				if g.settled {
 					k++
 				}
-			} else if at, ok := g.peerAnswers[name(i)]; ok && now < at+limit.PeerLease {
+			} else if at, ok := g.peerAnswers[name(i)]; ok && now < at+tuning.PeerLease {
 				k++
 			}
 		}
@@ -48,13 +48,13 @@
 	sent := map[string]bool{}
 	for _, n := range slices.Sorted(maps.Keys(g.directory)) {
 		k := g.directory[n]
-		if now-k.At > limit.DaemonGone {
+		if now-k.At > tuning.DaemonGone {
 			delete(g.directory, n)
 		} else if k.Kind == "core" {
 			sent[k.Addr] = true
 			h := &wire.Hello{Self: self}
 			who := fmt.Sprint(n, " ", k.Inc)
-			if at, ok := g.memoryToldAt[who]; g.state != Granted && now-k.At < 4*limit.HelloEvery && (!ok || now-at >= limit.MemoryEvery) {
+			if at, ok := g.memoryToldAt[who]; g.state != Granted && now-k.At < 4*tuning.HelloEvery && (!ok || now-at >= tuning.MemoryEvery) {
 				if memory == nil {
 					memory = g.rememberedState()
 				}
@@ -65,7 +65,7 @@
 			g.emit(core.Send{Addr: k.Addr, M: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: h}})
 		}
 	}
-	maps.DeleteFunc(g.memoryToldAt, func(_ string, at time.Duration) bool { return now-at >= limit.MemoryEvery })
+	maps.DeleteFunc(g.memoryToldAt, func(_ string, at time.Duration) bool { return now-at >= tuning.MemoryEvery })
 	for _, a := range g.settings.Seeds {
 		if !sent[a] && a != g.settings.Self.Addr {
 			g.emit(core.Send{Addr: a, M: &wire.Msg{Kind: uint16(wire.KHello), From: g.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
@@ -93,7 +93,7 @@
 		who = append(who[k:], who[:k]...)
 	}
 	slices.SortStableFunc(who, func(a, b *wire.Gate) int { return cmp.Compare(g.asked[a.Name], g.asked[b.Name]) })
-	n := max(limit.TouchMost, (len(who)+limit.TouchTurns-1)/limit.TouchTurns)
+	n := max(tuning.TouchMost, (len(who)+tuning.TouchTurns-1)/tuning.TouchTurns)
 	self := g.self()
 	for i, r := range who[:min(n, len(who))] {
 		if k := g.directory[r.Name]; k == nil {
@@ -101,7 +101,7 @@
 		}
 		g.asked[r.Name] = now
 		// Back from a freeze or a cut, what peers hold against targets is wanted too.
-		m := wire.Pull{Self: self, Key: g.table.Key, Want: !g.Serving() && (len(who) <= limit.TouchMost || i < limit.TouchWant)}
+		m := wire.Pull{Self: self, Key: g.table.Key, Want: !g.Serving() && (len(who) <= tuning.TouchMost || i < tuning.TouchWant)}
 		g.send(r.Name, &wire.Msg{Kind: uint16(wire.KPull), Stamp: int64(now), Disk: g.settings.Self.Inc, Pull: &m})
 	}
 }
@@ -109,7 +109,7 @@
 // alone says that the leader is out of reach, for one that has ever been part of the fleet;
 // another waits for the leader while that speaks to it.
 func (g *Proxy) hasNoLeader(now time.Duration) bool {
-	return g.doubts(now) && (g.settled || g.wordAt == 0 || now-g.wordAt > limit.ProxyLive)
+	return g.doubts(now) && (g.settled || g.wordAt == 0 || now-g.wordAt > tuning.ProxyLive)
 }
 
 // memory is what this proxy tells a core that has lost its own.
@@ -128,11 +128,11 @@
 // doubts says that the leader has been silent for over two pulls: peers are
 // touched and targets probed from then on, so that both are known when the lease lapses.
 func (g *Proxy) doubts(now time.Duration) bool {
-	after := limit.DoubtAfter
-	if g.table != nil && len(g.table.Gates) > limit.TouchMost {
-		after = limit.DoubtAfterMany
+	after := tuning.DoubtAfter
+	if g.table != nil && len(g.table.Gates) > tuning.TouchMost {
+		after = tuning.DoubtAfterMany
 	}
-	return now > g.leaseUntil-limit.ProxyLease+after
+	return now > g.leaseUntil-tuning.ProxyLease+after
 }
 
 func (g *Proxy) pull(now time.Duration) {
@@ -223,7 +223,7 @@
 	// The lease is for the table that it names, and so for any later one of that leader too.
 	if p.Grant && mine && g.table != nil && g.table.Key.Epoch == p.Key.Epoch && g.table.Key.Term == p.Key.Term && g.table.Key.Ver >= p.Key.Ver {
 		g.settled = true
-		g.leaseUntil = max(g.leaseUntil, time.Duration(m.Stamp)+limit.ProxyLease)
+		g.leaseUntil = max(g.leaseUntil, time.Duration(m.Stamp)+tuning.ProxyLease)
 	}
 }
 
@@ -231,8 +231,8 @@
 // seldom that, whatever the fleet's size, tables take no more than a part of a slow link. A proxy that is cut off
 // from a leader which makes ever new tables would else fill its link, and its peers' links, with them.
 func (g *Proxy) peerTableEvery() time.Duration {
-	bytes := limit.RowBytes * (len(g.table.Targets) + len(g.table.Gates))
-	return max(2*limit.PullEvery, time.Duration(bytes)*time.Second*limit.PeerTableParts/limit.SlowLink)
+	bytes := tuning.RowBytes * (len(g.table.Targets) + len(g.table.Gates))
+	return max(2*tuning.PullEvery, time.Duration(bytes)*time.Second*tuning.PeerTableParts/tuning.SlowLink)
 }
 
 // peerAnswer answers another proxy's question.
--- a/proxy/load.go
+++ b/proxy/load.go
@@ -5,19 +5,19 @@
 import (
 	"time"
 
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // offers says that a target told lately of a free slot.
 func (t *target) offers(now time.Duration) bool {
-	return t.loadAt > 0 && now-t.loadAt < limit.LoadLife && t.used(now)+1/float64(t.slots) <= 1
+	return t.loadAt > 0 && now-t.loadAt < tuning.LoadLife && t.used(now)+1/float64(t.slots) <= 1
 }
 
 // used is what part of a target's slots is taken, as far as is known here.
 func (t *target) used(now time.Duration) float64 {
 	n := float64(t.inflight)
-	if age := now - t.loadAt; t.loadAt > 0 && age < limit.LoadLife {
-		n += t.others * (1 - float64(age)/float64(limit.LoadLife))
+	if age := now - t.loadAt; t.loadAt > 0 && age < tuning.LoadLife {
+		n += t.others * (1 - float64(age)/float64(tuning.LoadLife))
 	}
 	return n / float64(max(1, t.slots))
 }
@@ -25,18 +25,18 @@
 // slowness is how a target's times compare with others', forgotten with time so that
 // it is tried again.
 func (t *target) slowness(now time.Duration) float64 {
-	if age := now - t.paceAt; t.paceAt > 0 && age < limit.PaceLife {
-		return (t.pace - 1) * (1 - float64(age)/float64(limit.PaceLife))
+	if age := now - t.paceAt; t.paceAt > 0 && age < tuning.PaceLife {
+		return (t.pace - 1) * (1 - float64(age)/float64(tuning.PaceLife))
 	}
 	return 0
 }
 
 func (t *target) load(now time.Duration) float64 {
-	l := t.used(now) + t.Demand + min(limit.PaceUrge*t.slowness(now), limit.PaceMost)
-	if t.usedAt > 0 && now-t.usedAt < limit.ConnIdle {
-		l -= limit.ConnUrge
+	l := t.used(now) + t.Demand + min(tuning.PaceUrge*t.slowness(now), tuning.PaceMost)
+	if t.usedAt > 0 && now-t.usedAt < tuning.ConnIdle {
+		l -= tuning.ConnUrge
 	}
-	if t.backAt > 0 && now-t.backAt < limit.ReconcileEvery {
+	if t.backAt > 0 && now-t.backAt < tuning.ReconcileEvery {
 		l++
 	}
 	return l
@@ -49,8 +49,8 @@
 	}
 	switch e.Outcome {
 	case NotRun:
-		t.fullTill = now + limit.FullPause
-		s.window = max(s.least(), s.window*limit.WindowCut)
+		t.fullTill = now + tuning.FullPause
+		s.window = max(s.least(), s.window*tuning.WindowCut)
 		s.pressAt = now
 		g.Counts.Full++
 	case Served:
@@ -64,13 +64,13 @@
 		if s.mean == 0 {
 			s.mean = e.Ms
 		}
-		s.mean += limit.MeanWeight * (e.Ms - s.mean)
+		s.mean += tuning.MeanWeight * (e.Ms - s.mean)
 		t.pace = 1 + t.slowness(now)
 		if t.pace == 1 {
 			t.paces = 0
 		}
 		t.paces++
-		t.pace += max(limit.PaceWeight, 1/float64(t.paces+1)) * (e.Ms/usual - t.pace)
+		t.pace += max(tuning.PaceWeight, 1/float64(t.paces+1)) * (e.Ms/usual - t.pace)
 		t.paceAt = now
 	}
 }
--- a/proxy/probe.go
+++ b/proxy/probe.go
@@ -11,7 +11,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -83,7 +83,7 @@
 			continue
 		}
 		h.sentAt = 0
-		gone := t.held || t.Held || t.misses >= limit.ProbeMisses || t.Addr == h.Addr
+		gone := t.held || t.Held || t.misses >= tuning.ProbeMisses || t.Addr == h.Addr
 		if g.state != PeerServing || !gone || p.Beat == nil || p.Beat.ID() != p.ID || p.Beat.State == config.Leaving {
 			return
 		}
@@ -99,7 +99,7 @@
 // watch is the watchdog of a proxy without a leader. A cut one keeps it up, so that
 // it does not come back with an old opinion.
 func (g *Proxy) watch(now time.Duration) {
-	few := len(g.targets) <= limit.WatchMost
+	few := len(g.targets) <= tuning.WatchMost
 	for _, id := range slices.SortedFunc(maps.Keys(g.targets), wire.ID.Compare) {
 		t := g.targets[id]
 		if few || g.watches(id) {
@@ -116,15 +116,15 @@
 // drawn; the others see for themselves what connections to it tell.
 func (g *Proxy) watches(id wire.ID) bool {
 	parts := uint64(max(1, len(g.table.Gates)))
-	return hash(id.Service+" "+id.Name+" "+g.settings.Self.Name)%parts < limit.Watchers
+	return hash(id.Service+" "+id.Name+" "+g.settings.Self.Name)%parts < tuning.Watchers
 }
 
 // probe probes a target that is due: of few targets each soon, of many at the leader's own interval and
 // only those of which no answer to a request has told.
 func (g *Proxy) probe(now time.Duration, t *target, few bool) {
-	every, heard := limit.DoubtEvery, time.Duration(0)
+	every, heard := tuning.DoubtEvery, time.Duration(0)
 	if !few {
-		every, heard = limit.ProbeEvery, t.answeredAt
+		every, heard = tuning.ProbeEvery, t.answeredAt
 	}
 	if last := max(t.probeAt, heard); last == 0 || now-last >= every {
 		g.ping(now, t)
@@ -132,7 +132,7 @@
 }
 
 func (g *Proxy) ping(now time.Duration, t *target) {
-	if t.sentAt == 0 || now-t.sentAt > 2*limit.ProbeCap {
+	if t.sentAt == 0 || now-t.sentAt > 2*tuning.ProbeCap {
 		t.probeAt, t.sentAt = now, now
 		g.emit(core.Probe{ID: t.ID(), Addr: t.Addr, Path: g.cfg.Services[t.Service].HealthPath})
 	}
@@ -152,11 +152,11 @@
 		if asked && !g.doubts(now) {
 			return // the leader's to judge
 		}
-		if t.misses++; t.misses >= limit.ProbeMisses && g.doubts(now) {
+		if t.misses++; t.misses >= tuning.ProbeMisses && g.doubts(now) {
 			if t.ownEjection <= now {
 				g.Counts.OwnBars++
 			}
-			t.ownEjection = now + limit.EjectionTTL
+			t.ownEjection = now + tuning.EjectionTTL
 		}
 		return
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -16,7 +16,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -216,7 +216,7 @@
 
 // tally counts an aim's requests by the minute.
 type aimCounts struct {
-	minutes [limit.AimMinutes]struct{ minute, good, all int }
+	minutes [tuning.AimMinutes]struct{ minute, good, all int }
 }
 
 type service struct {
@@ -229,8 +229,8 @@
 	even     float64   // this proxy's even part of all slots
 	window   float64   // how many of its requests may be at targets now
 	pressAt  time.Duration
-	ranks    [limit.Ranks]time.Duration // when requests of each priority last came
-	mean     float64                    // ms that its requests take
+	ranks    [tuning.Ranks]time.Duration // when requests of each priority last came
+	mean     float64                     // ms that its requests take
 	fair     fairness
 }
 
@@ -289,8 +289,8 @@
 
 // New returns a proxy that has just started and knows no table.
 func New(set Settings) *Proxy {
-	if set.Retry.Window < limit.CountSlices {
-		set.Retry = Retry{1 / float64(limit.RetryShare), limit.RetryWindow, limit.RetryFree}
+	if set.Retry.Window < tuning.CountSlices {
+		set.Retry = Retry{1 / float64(tuning.RetryShare), tuning.RetryWindow, tuning.RetryFree}
 	}
 	return &Proxy{settings: set, routeStates: map[string]*routeState{}, salt: hash(set.Self.Name), directory: core.Directory{}, peerAnswers: map[string]time.Duration{}, asked: map[string]time.Duration{}, memoryToldAt: map[string]time.Duration{}, cfg: &config.Config{},
 		targets: map[wire.ID]*target{}, leaving: map[wire.ID]time.Duration{}, services: map[string]*service{}, requests: map[uint64]*request{}, aims: map[string]*aimCounts{}, leaseUntil: -1}
@@ -421,13 +421,13 @@
 }
 
 func (g *Proxy) tick(now time.Duration) {
-	if now-g.helloAt >= limit.HelloCalm || now-g.helloAt >= limit.HelloEvery && g.doubts(now) {
+	if now-g.helloAt >= tuning.HelloCalm || now-g.helloAt >= tuning.HelloEvery && g.doubts(now) {
 		g.hello(now)
 	}
-	if now-g.pullAt >= limit.PullEvery || g.telling {
+	if now-g.pullAt >= tuning.PullEvery || g.telling {
 		g.pull(now)
 	}
-	if g.table != nil && g.hasNoLeader(now) && now-g.touchAt >= limit.PullEvery {
+	if g.table != nil && g.hasNoLeader(now) && now-g.touchAt >= tuning.PullEvery {
 		g.touchAt = now
 		g.askPeers(now)
 	}
--- a/proxy/shutdown.go
+++ b/proxy/shutdown.go
@@ -11,15 +11,15 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 )
 
 // stop is how long a stopping proxy serves on in any case, and at most.
 func (s Settings) stop() (linger, most time.Duration) {
 	if s.Grace <= 0 {
-		return limit.StopLinger, limit.StopWait
+		return tuning.StopLinger, tuning.StopWait
 	}
-	return min(limit.StopLingerMost, s.Grace/2), max(s.Grace-limit.StopMargin, s.Grace/2)
+	return min(tuning.StopLingerMost, s.Grace/2), max(s.Grace-tuning.StopMargin, s.Grace/2)
 }
 
 // beginStop goes unready.
@@ -35,7 +35,7 @@
 
 // tail is what a stopping proxy keeps of its time, for targets' last answers and for its own.
 func tail(most time.Duration) time.Duration {
-	return min(limit.StopTail, most/limit.StopTailParts)
+	return min(tuning.StopTail, most/tuning.StopTailParts)
 }
 
 // boundByStop ends a request that comes to a stopping proxy with the process, and says whether it may be taken: its
@@ -72,7 +72,7 @@
 	if aim := r.Aim(); aim > 0 {
 		return aim
 	}
-	return r.Timeout() / limit.WaitAim
+	return r.Timeout() / tuning.WaitAim
 }
 
 // refuseStopping sends a request to another proxy. It is to come back as after any refusal, not at once: where many
--- a/proxy/table.go
+++ b/proxy/table.go
@@ -10,7 +10,7 @@
 
 	"myrtlefold/core"
 	"myrtlefold/internal/shared/config"
-	"myrtlefold/limit"
+	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/wire"
 )
 
@@ -161,7 +161,7 @@
 		next[id] = n
 	}
 	g.targets = next
-	maps.DeleteFunc(g.leaving, func(id wire.ID, at time.Duration) bool { return next[id] == nil && now-at > limit.TombstoneKeep })
+	maps.DeleteFunc(g.leaving, func(id wire.ID, at time.Duration) bool { return next[id] == nil && now-at > tuning.TombstoneKeep })
 	g.retarget(now)
 	g.queues(now)
 	return true
