--- a/internal/dataplane/fairness.go
+++ b/internal/dataplane/fairness.go
@@ -1,6 +1,6 @@
-// This file keeps the least urgent requests of a service from starving: urgent ones go
-// first, but a priority that has been given targets far less often than the service's
-// requests together takes part as the most urgent does until it has caught up.
+// This file keeps the requests of lower priority of a service from starving. Higher ones go first, but a priority whose
+// requests have been forwarded far less often than the service's on average takes part as the highest one does until
+// it has caught up.
 
 package dataplane
 
@@ -10,14 +10,14 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// priorityCounts are requests by priority: how many came, and how many were given a target.
+// priorityCounts are requests by priority.
 type priorityCounts struct {
 	arrived, forwarded [tuning.PriorityLevels]float64
 }
 
 // fairness counts a service's requests over the present span of tuning.FairSpan and the one before.
 type fairness struct {
-	span              int64
+	span              int64 // its index
 	current, previous priorityCounts
 }
 
@@ -35,43 +35,42 @@
 	f.current, f.span = priorityCounts{}, span
 }
 
-func (f *fairness) countArrival(now time.Duration, rank int) {
+func (f *fairness) countArrival(now time.Duration, level int) {
 	f.advance(now)
-	f.current.arrived[rank]++
+	f.current.arrived[level]++
 }
 
-func (f *fairness) countForward(now time.Duration, rank int) {
+func (f *fairness) countForward(now time.Duration, level int) {
 	f.advance(now)
-	f.current.forwarded[rank]++
+	f.current.forwarded[level]++
 }
 
-// starved says that a priority got less than tuning.FairPart of what the service's requests got
-// on average. Without a whole span before this one nothing is said.
-func (f *fairness) starved(now time.Duration, rank int) bool {
+// starved reports that of a priority's requests less than tuning.FairPart of the service's average were
+// forwarded. Without a whole span before this one nothing is known.
+func (f *fairness) starved(now time.Duration, level int) bool {
 	f.advance(now)
-	if f.previous.arrived[rank] < tuning.FairLeast {
+	if f.previous.arrived[level] < tuning.FairLeast {
 		return false
 	}
-	asked, given := 0.0, 0.0
-	for r := range tuning.PriorityLevels {
-		asked += f.previous.arrived[r] + f.current.arrived[r]
-		given += f.previous.forwarded[r] + f.current.forwarded[r]
+	arrived, forwarded := 0.0, 0.0
+	for each := range tuning.PriorityLevels {
+		arrived += f.previous.arrived[each] + f.current.arrived[each]
+		forwarded += f.previous.forwarded[each] + f.current.forwarded[each]
 	}
-	own := (f.previous.forwarded[rank] + f.current.forwarded[rank]) / (f.previous.arrived[rank] + f.current.arrived[rank])
-	return own < tuning.FairPart*given/asked
+	own := (f.previous.forwarded[level] + f.current.forwarded[level]) / (f.previous.arrived[level] + f.current.arrived[level])
+	return own < tuning.FairPart*forwarded/arrived
 }
 
-// priorityLevel is a priority's place among those that are told apart.
+// priorityLevel maps a priority to one of the tuning.PriorityLevels that are told apart; 0 is the highest.
 func priorityLevel(priority int) int { return min(priority, tuning.PriorityLevels-1) }
 
-// countArrival counts a request that came and sets what it goes by: its route's priority, or
-// the most urgent if that starves.
-func (s *serviceState) countArrival(now time.Duration, x *request) {
-	x.priority, x.arrivedAt = x.route.Priority, s
-	rank := priorityLevel(x.priority)
-	s.lastArrivals[rank] = now
-	if s.fairness.starved(now, rank) {
-		x.priority = 0
+// countArrival counts a request that came and sets its priority: its route's, or the highest if that starves.
+func (s *serviceState) countArrival(now time.Duration, req *request) {
+	req.priority, req.arrivedAt = req.route.Priority, s
+	level := priorityLevel(req.priority)
+	s.lastArrivals[level] = now
+	if s.fairness.starved(now, level) {
+		req.priority = 0
 	}
-	s.fairness.countArrival(now, rank)
+	s.fairness.countArrival(now, level)
 }
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -1,152 +1,133 @@
-// This file asks the leader for the table and a lease, and without one the other
-// proxies.
+// This file is what a proxy has to do with the control plane: hellos to its daemons, and pulls that bring the
+// leader's table and lease.
 
 package dataplane
 
 import (
-	"cmp"
 	"encoding/json"
 	"fmt"
 	"maps"
-	"myrtlefold/internal/shared/discovery"
-	"myrtlefold/internal/shared/state"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
-	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/discovery"
+	"myrtlefold/internal/shared/state"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// hasPeerMajority says that a majority of the roster, and of the one before while that still
-// counts, answers.
-func (p *Proxy) hasPeerMajority(now time.Duration) bool {
-	most := func(n int, name func(int) string) bool {
-		k := 0
-		for i := range n {
-			if name(i) == p.settings.Self.Name {
-				if p.joined {
-					k++
-				}
-			} else if at, ok := p.peerConfirmedAt[name(i)]; ok && now < at+tuning.PeerLease {
-				k++
-			}
-		}
-		return 2*k > n
+// leader is the member that the control daemons last named as their leader, "": none is known.
+func (p *Proxy) leader(now time.Duration) string { return p.directory.Leader(now) }
+
+// doubtsLeader reports that the leader has not answered for over two pulls. From then on peers are polled and targets
+// are probed, so that both are known when the lease runs out.
+func (p *Proxy) doubtsLeader(now time.Duration) bool {
+	after := tuning.LeaderSuspectAfter
+	if p.table != nil && len(p.table.Proxies) > tuning.PeerLeaseFanout {
+		after = tuning.LeaderSuspectAfterLarge
 	}
-	return most(len(p.table.Proxies), func(i int) string { return p.table.Proxies[i].Name }) &&
-		(len(p.table.PreviousProxies) == 0 || most(len(p.table.PreviousProxies), func(i int) string { return p.table.PreviousProxies[i] }))
+	leaseBegan := p.leaseUntil - tuning.ProxyLease
+	return now > leaseBegan+after
 }
 
-// leader is the one that the core members last heard name in the latest epoch and term.
-func (p *Proxy) leader(now time.Duration) string { return p.directory.Leader(now) }
+// hasNoLeader reports that the leader is out of reach. A proxy that has never had the right to serve waits
+// for the leader as long as that sends anything.
+func (p *Proxy) hasNoLeader(now time.Duration) bool {
+	return p.doubtsLeader(now) && (p.joined || p.leaderHeardAt == 0 || now-p.leaderHeardAt > tuning.ProxyLive)
+}
+
+func (p *Proxy) handleHello(now time.Duration, from string, hello *wire.Hello) {
+	before := p.leader(now)
+	p.directory.Merge(now, p.settings.Self.Name, hello)
+	if leader := p.leader(now); leader != before && leader == from && now > p.lastPullAt {
+		p.pullTable(now) // a new leader waits for the proxies' tables, and they for its lease
+	}
+	if !hello.Reply {
+		reply := &wire.Hello{Self: p.selfReport(), Reply: true, Daemons: p.directory.Daemons()}
+		p.send(from, &wire.Message{Kind: wire.KindHello, Hello: reply})
+	}
+}
 
-// sendHellos tells the core daemons of this proxy. What it remembers is long: it is told to those
-// that were heard lately, once to each process and then now and again.
+// sendHellos describes this proxy to all control daemons and to the seeds, and drops daemons that have been silent
+// for long.
 func (p *Proxy) sendHellos(now time.Duration) {
 	p.lastHelloAt = now
-	self, memory := p.selfReport(), []byte(nil)
+	self := p.selfReport()
+	var recovered []byte // made for the first daemon that is to get it
 	sent := map[string]bool{}
-	for _, n := range slices.Sorted(maps.Keys(p.directory)) {
-		k := p.directory[n]
-		if now-k.LastContact > tuning.DaemonExpiry {
-			delete(p.directory, n)
-		} else if k.Kind == wire.ControlDaemon {
-			sent[k.Addr] = true
-			h := &wire.Hello{Self: self}
-			who := fmt.Sprint(n, " ", k.Incarnation)
-			if at, ok := p.recoveredStateSentAt[who]; p.state != Leased && now-k.LastContact < 4*tuning.HelloEvery && (!ok || now-at >= tuning.RecoveredStateEvery) {
-				if memory == nil {
-					memory = p.recoveredState()
-				}
-				if h.RecoveredState = memory; len(memory) > 0 {
-					p.recoveredStateSentAt[who] = now
-				}
+	for _, name := range slices.Sorted(maps.Keys(p.directory)) {
+		peer := p.directory[name]
+		if now-peer.LastContact > tuning.DaemonExpiry {
+			delete(p.directory, name)
+			continue
+		}
+		if peer.Kind != wire.ControlDaemon {
+			continue
+		}
+		hello := &wire.Hello{Self: self}
+		if process := processOf(peer); p.recoveredStateDue(now, peer, process) {
+			if recovered == nil {
+				recovered = p.recoveredState()
+			}
+			hello.RecoveredState = recovered
+			if len(recovered) > 0 {
+				p.recoveredStateSentAt[process] = now
 			}
-			p.emit(statemachine.Send{Addr: k.Addr, Message: &wire.Message{Kind: wire.KindHello, From: p.settings.Self.Name, Hello: h}})
 		}
+		sent[peer.Addr] = true
+		p.sendHello(peer.Addr, hello)
 	}
 	maps.DeleteFunc(p.recoveredStateSentAt, func(_ string, at time.Duration) bool { return now-at >= tuning.RecoveredStateEvery })
-	for _, a := range p.settings.Seeds {
-		if !sent[a] && a != p.settings.Self.Addr {
-			p.emit(statemachine.Send{Addr: a, Message: &wire.Message{Kind: wire.KindHello, From: p.settings.Self.Name, Hello: &wire.Hello{Self: self}}})
+	for _, addr := range p.settings.Seeds {
+		if !sent[addr] && addr != p.settings.Self.Addr {
+			p.sendHello(addr, &wire.Hello{Self: self})
 		}
 	}
 }
 
-// touch asks peers whether they still stand on no later table: a part of the roster at
-// each turn, those first who were asked longest ago, so that all are within a touch lease
-// and no proxy's work grows with more than the roster.
-func (p *Proxy) pollPeers(now time.Duration) {
-	for n := range p.peerAskedAt {
-		if !slices.ContainsFunc(p.table.Proxies, func(r wire.Proxy) bool { return r.Name == n }) {
-			delete(p.peerAskedAt, n)
-		}
-	}
-	var who []*wire.Proxy
-	for i := range p.table.Proxies {
-		if r := &p.table.Proxies[i]; r.Name != p.settings.Self.Name {
-			who = append(who, r)
-		}
-	}
-	if len(who) > 0 { // each begins elsewhere, so that not all ask the same ones at once
-		k := int(p.nameHash % uint64(len(who)))
-		who = append(who[k:], who[:k]...)
-	}
-	slices.SortStableFunc(who, func(a, b *wire.Proxy) int { return cmp.Compare(p.peerAskedAt[a.Name], p.peerAskedAt[b.Name]) })
-	n := max(tuning.PeerLeaseFanout, (len(who)+tuning.PeerLeaseTurns-1)/tuning.PeerLeaseTurns)
-	self := p.selfReport()
-	for i, r := range who[:min(n, len(who))] {
-		if k := p.directory[r.Name]; k == nil {
-			p.directory[r.Name] = &discovery.Peer{Daemon: wire.Daemon{Name: r.Name, Kind: wire.ProxyDaemon, Addr: r.Addr, Domain: r.Domain}, LastContact: now}
-		}
-		p.peerAskedAt[r.Name] = now
-		// Back from a freeze or a cut, what peers hold against targets is wanted too.
-		m := wire.Pull{Self: self, Key: p.table.Key, WantTable: !p.Serving() && (len(who) <= tuning.PeerLeaseFanout || i < tuning.PeerTableFanout)}
-		p.send(r.Name, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: p.settings.Self.Incarnation, Pull: &m})
-	}
+func (p *Proxy) sendHello(addr string, hello *wire.Hello) {
+	message := &wire.Message{Kind: wire.KindHello, From: p.settings.Self.Name, Hello: hello}
+	p.emit(statemachine.Send{Addr: addr, Message: message})
 }
 
-// alone says that the leader is out of reach, for one that has ever been part of the fleet;
-// another waits for the leader while that speaks to it.
-func (p *Proxy) hasNoLeader(now time.Duration) bool {
-	return p.doubtsLeader(now) && (p.joined || p.leaderHeardAt == 0 || now-p.leaderHeardAt > tuning.ProxyLive)
+// processOf names a daemon's present process.
+func processOf(peer *discovery.Peer) string { return fmt.Sprint(peer.Name, " ", peer.Incarnation) }
+
+// recoveredStateDue reports whether a control daemon is to get the recovered state with the next hello. It is long, so
+// it goes only to those that were heard a short while ago, once to each process and then at a bounded rate.
+func (p *Proxy) recoveredStateDue(now time.Duration, peer *discovery.Peer, process string) bool {
+	if p.state == Leased || now-peer.LastContact >= 4*tuning.HelloEvery {
+		return false
+	}
+	sentAt, ok := p.recoveredStateSentAt[process]
+	return !ok || now-sentAt >= tuning.RecoveredStateEvery
 }
 
-// memory is what this proxy tells a core that has lost its own.
+// recoveredState is the durable state in this proxy's table, for a control plane that has lost its own.
 func (p *Proxy) recoveredState() []byte {
 	if p.table == nil || p.state == Leased {
 		return nil
 	}
-	l, ok := state.RecoveredFrom(p.table)
+	recovered, ok := state.RecoveredFrom(p.table)
 	if !ok {
 		return nil
 	}
-	b, _ := json.Marshal(l)
-	return wire.Compress(b)
-}
-
-// doubts says that the leader has been silent for over two pulls: peers are
-// touched and targets probed from then on, so that both are known when the lease lapses.
-func (p *Proxy) doubtsLeader(now time.Duration) bool {
-	after := tuning.LeaderSuspectAfter
-	if p.table != nil && len(p.table.Proxies) > tuning.PeerLeaseFanout {
-		after = tuning.LeaderSuspectAfterLarge
-	}
-	return now > p.leaseUntil-tuning.ProxyLease+after
+	encoded, _ := json.Marshal(recovered)
+	return wire.Compress(encoded)
 }
 
+// pullTable asks the leader for the table and the lease, and reports what was seen of targets since the last pull.
 func (p *Proxy) pullTable(now time.Duration) {
 	p.lastPullAt, p.pullAtNextTick = now, false
-	l := p.leader(now)
-	if l == "" {
+	leader := p.leader(now)
+	if leader == "" {
 		return
 	}
-	// The leader that leases knows this proxy; another is told all of it.
 	pull := &wire.Pull{}
-	if d := p.selfReport(); d != p.reportedSelf || l != p.reportedTo || p.state != Leased || p.doubtsLeader(now) {
-		pull.Self, p.reportedSelf, p.reportedTo = d, d, l
+	// The leader that leases knows this proxy; another one needs its full description.
+	if self := p.selfReport(); self != p.reportedSelf || leader != p.reportedTo || p.state != Leased || p.doubtsLeader(now) {
+		pull.Self, p.reportedSelf, p.reportedTo = self, self, leader
 	}
 	if p.table != nil {
 		pull.Key, pull.Revision, pull.StateIndex = p.table.Key, p.table.Revision, p.table.StateIndex
@@ -154,176 +135,75 @@
 			pull.Table = p.exportTable(now)
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(p.targets), wire.TargetID.Compare) {
-		if t := p.targets[id]; t.statistics.Successes+t.statistics.Errors > 0 || t.statistics.ProbeAnswered {
-			s := t.statistics
-			s.Service, s.Name, s.Incarnation = id.Service, id.Name, id.Incarnation
-			pull.Stats = append(pull.Stats, s)
-			t.statistics = wire.TargetStats{}
-		}
-	}
-	p.send(l, &wire.Message{Kind: wire.KindPull, Epoch: pull.Key.Epoch, Timestamp: int64(now), Disk: p.settings.Self.Incarnation, Pull: pull})
+	pull.Stats = p.takeStatistics()
+	p.send(leader, &wire.Message{Kind: wire.KindPull, Epoch: pull.Key.Epoch, Timestamp: int64(now), Disk: p.settings.Self.Incarnation, Pull: pull})
 }
 
-// exportTable is the table as it stands here now, with ejections' time left and holds
-// that were heard here.
-func (p *Proxy) exportTable(now time.Duration) *wire.Table {
-	t := *p.table
-	t.Targets = nil
+// takeStatistics returns the targets' statistics since the last call.
+func (p *Proxy) takeStatistics() (all []wire.TargetStats) {
 	for _, id := range slices.SortedFunc(maps.Keys(p.targets), wire.TargetID.Compare) {
-		l := p.targets[id]
-		w := l.Target
-		if w.EjectionLeft = max(0, int64(l.ejectedUntil-now)); l.ownEjectionUntil > now && w.EjectionLeft == 0 {
-			w.EjectionLeft, w.EjectedBy = int64(l.ownEjectionUntil-now), config.DefaultPolicyName
+		target := p.targets[id]
+		statistics := target.statistics
+		if statistics.Successes+statistics.Errors == 0 && !statistics.ProbeAnswered {
+			continue
 		}
-		w.Draining = w.Draining || l.leaving
-		w.WarmupLeft = max(0, int64(l.warmupUntil-now))
-		t.Targets = append(t.Targets, w)
+		statistics.Service, statistics.Name, statistics.Incarnation = id.Service, id.Name, id.Incarnation
+		all = append(all, statistics)
+		target.statistics = wire.TargetStats{}
 	}
-	return &t
+	return all
 }
 
-// handlePush takes a leader's word, or a peer's answer to a touch.
-func (p *Proxy) handlePush(now time.Duration, m *wire.Message) {
-	push := m.Push
-	mine := m.Disk == p.settings.Self.Incarnation && m.Timestamp > 0 && time.Duration(m.Timestamp) <= now
-	if k := p.directory[m.From]; k != nil && k.Kind == wire.ProxyDaemon {
-		if push.Table != nil && !p.applyTable(now, push.Table) && p.table != nil && p.table.Key == push.Table.Key && !p.Serving() {
-			p.adoptPeerEjections(now, push.Table)
-		}
-		if push.LeaseGranted && mine && p.table != nil && !p.table.Key.Less(push.Key) {
-			p.peerConfirmedAt[m.From] = max(p.peerConfirmedAt[m.From], time.Duration(m.Timestamp))
-		}
-		if push.LeaseGranted && p.table != nil && p.table.Key.Less(push.Key) && now-p.peerTableAskedAt >= p.peerTableInterval() {
-			p.peerTableAskedAt = now // one at a time sends its table, without what this proxy has
-			p.send(m.From, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: p.settings.Self.Incarnation,
-				Pull: &wire.Pull{Self: p.selfReport(), Revision: p.table.Revision, StateIndex: p.table.StateIndex}})
-		}
+// handlePush takes in a push, which a leader sends, or a peer in answer to a poll.
+func (p *Proxy) handlePush(now time.Duration, message *wire.Message) {
+	// Only an answer to this very process says anything of when it was asked for.
+	isAnswer := message.Disk == p.settings.Self.Incarnation && message.Timestamp > 0 && time.Duration(message.Timestamp) <= now
+	if peer := p.directory[message.From]; peer != nil && peer.Kind == wire.ProxyDaemon {
+		p.handlePeerPush(now, message, isAnswer)
 		return
 	}
-	if m.Epoch < p.leaderEpoch || m.Epoch == p.leaderEpoch && m.Term < p.leaderTerm {
+	if message.Epoch < p.leaderEpoch || message.Epoch == p.leaderEpoch && message.Term < p.leaderTerm {
 		return
 	}
-	p.leaderEpoch, p.leaderTerm, p.leaderHeardAt = m.Epoch, m.Term, now
+	p.leaderEpoch, p.leaderTerm, p.leaderHeardAt = message.Epoch, message.Term, now
+	p.handleLeaderPush(now, message, isAnswer)
+}
+
+func (p *Proxy) handleLeaderPush(now time.Duration, message *wire.Message, isAnswer bool) {
+	push := message.Push
 	if push.WantTable && p.table != nil && !p.leaderWantsTable {
 		p.leaderWantsTable = true
 		p.pullTable(now)
 	}
 	p.leaderWantsTable = push.WantTable
 	for _, id := range push.ProbeTargets {
-		if t := p.targets[id]; t != nil && mine {
-			t.indirectProbe = true
-			p.sendProbe(now, t)
+		if target := p.targets[id]; target != nil && isAnswer {
+			target.indirectProbe = true
+			p.sendProbe(now, target)
 		}
 	}
-	if push.Table != nil {
-		fresh := p.applyTable(now, push.Table)
-		if fresh {
-			p.pullTable(now) // confirms at once
-		}
+	if push.Table != nil && p.applyTable(now, push.Table) {
+		p.pullTable(now) // confirms the table at once
 	}
-	// The lease is for the table that it names, and so for any later one of that leader too.
-	if push.LeaseGranted && mine && p.table != nil && p.table.Key.Epoch == push.Key.Epoch && p.table.Key.Term == push.Key.Term && p.table.Key.Version >= push.Key.Version {
+	if push.LeaseGranted && isAnswer && p.table != nil && leaseCovers(push.Key, p.table.Key) {
 		p.joined = true
-		p.leaseUntil = max(p.leaseUntil, time.Duration(m.Timestamp)+tuning.ProxyLease)
+		p.leaseUntil = max(p.leaseUntil, time.Duration(message.Timestamp)+tuning.ProxyLease)
 	}
 }
 
-// peerTableInterval is how often a proxy fetches a later table from a peer, which sends all of its rows: so
-// seldom that, whatever the fleet's size, tables take no more than a part of a slow link. A proxy that is cut off
-// from a leader which makes ever new tables would else fill its link, and its peers' links, with them.
-func (p *Proxy) peerTableInterval() time.Duration {
-	bytes := tuning.TableRowBytes * (len(p.table.Targets) + len(p.table.Proxies))
-	return max(2*tuning.PullEvery, time.Duration(bytes)*time.Second*tuning.PeerTableParts/tuning.SlowLink)
+// leaseCovers reports whether a lease that was given for a table holds for the one in force here: for the same
+// one, and for any later one of the same leader.
+func leaseCovers(leased, inForce wire.TableKey) bool {
+	return inForce.Epoch == leased.Epoch && inForce.Term == leased.Term && inForce.Version >= leased.Version
 }
 
-// answerPeer answers another proxy's question.
-func (p *Proxy) answerPeer(now time.Duration, m *wire.Message) {
-	if m.Pull == nil {
-		return
-	}
-	if m.Pull.Self.Kind == wire.ProxyDaemon {
-		p.directory[m.From] = &discovery.Peer{Daemon: m.Pull.Self, LastContact: now}
-	}
-	push := &wire.Push{LeaseGranted: p.joined && p.table != nil}
-	if p.table != nil {
-		push.Key = p.table.Key
-		switch {
-		case !push.LeaseGranted:
-		case m.Pull.Key == wire.TableKey{}:
-			push.Table = p.exportTable(now)
-			if m.Pull.Revision == push.Table.Revision && m.Pull.StateIndex != 0 {
-				push.Table.Document = nil
-				if m.Pull.StateIndex == push.Table.StateIndex {
-					push.Table.State = nil
-				}
-			}
-		case m.Pull.WantTable && m.Pull.Key == push.Key:
-			push.Table = p.ejectionsAndDrains(now)
-		}
-	}
-	p.send(m.From, &wire.Message{Kind: wire.KindPush, Timestamp: m.Timestamp, Disk: m.Disk, Push: push})
-}
-
-// holds is what stands here against targets beside the table, as a change to it.
-func (p *Proxy) ejectionsAndDrains(now time.Duration) *wire.Table {
-	all, t := p.exportTable(now), &wire.Table{Key: p.table.Key, DeltaBase: p.table.Key, StateIndex: p.table.StateIndex, Revision: p.table.Revision}
-	listed := map[wire.TargetID]bool{}
-	for i := range p.table.Targets {
-		id := p.table.Targets[i].ID()
-		listed[id] = true
-		if p.targets[id] == nil {
-			t.RemovedTargets = append(t.RemovedTargets, id)
-		}
-	}
-	for _, w := range all.Targets {
-		if w.Draining || w.EjectionLeft > 0 || w.WarmupLeft > 0 || !listed[w.ID()] {
-			t.Targets = append(t.Targets, w)
-		}
-	}
-	return t
-}
-
-// heed takes over what a peer holds against the targets of the same table, and
-// the later starts that it has put in the place of some; a probe of this proxy's own
-// soon says more.
-func (p *Proxy) adoptPeerEjections(now time.Duration, b *wire.Table) {
-	out := map[wire.TargetID]bool{}
-	if b.DeltaBase == (wire.TableKey{}) {
-		for id := range p.targets {
-			out[id] = !slices.ContainsFunc(b.Targets, func(w wire.Target) bool { return w.ID() == id })
-		}
-	}
-	for _, id := range b.RemovedTargets {
-		out[id] = true
-	}
-	for _, w := range b.Targets {
-		t := p.targets[w.ID()]
-		if t == nil {
-			for id := range p.targets {
-				if id.Service == w.Service && id.Name == w.Name && out[id] && p.leavingSince[w.ID()] == 0 {
-					t = &targetState{Target: w}
-					p.replaceTarget(now, id, t)
-					break
-				}
-			}
-		}
-		if t != nil {
-			t.leaving = t.leaving || w.Draining
-			t.extendWarmup(now, w.WarmupLeft)
-			if w.EjectionLeft > 0 {
-				t.ownEjectionUntil = max(t.ownEjectionUntil, now+time.Duration(w.EjectionLeft))
-			}
-		}
+// exportTable is the table as it is in force here now, with the time that is left of ejections and warm-ups, and with
+// drains and ejections of this proxy's own.
+func (p *Proxy) exportTable(now time.Duration) *wire.Table {
+	table := *p.table
+	table.Targets = nil
+	for _, id := range slices.SortedFunc(maps.Keys(p.targets), wire.TargetID.Compare) {
+		table.Targets = append(table.Targets, p.targets[id].export(now))
 	}
-}
-
-// succeed puts a later start in a target's place.
-func (p *Proxy) replaceTarget(now time.Duration, id wire.TargetID, h *targetState) {
-	delete(p.targets, id)
-	p.leavingSince[id] = now
-	h.newToFleet = true
-	p.targets[h.ID()] = h
-	h.extendWarmup(now, max(h.WarmupLeft, int64(p.warmupTime(h.Service))))
-	p.publishTargets(now)
+	return &table
 }
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -1,23 +1,26 @@
-// Package dataplane is the owner of a proxy daemon: its table and lease, the choice
-// of a target for each request, waiting, retries and their budget, and what it
-// does when the leader is out of reach, as one pure Step(now, event) -> commands.
+// Package dataplane is the state machine of a proxy daemon: its table and lease, the choice of a target for each
+// request, queues, retries and their budget, and what it does while the leader is out of reach. It is one pure
+// Step(now, event) -> commands, without I/O, clock, randomness or locks: package daemon runs it in a process,
+// the simulator in virtual time. It forwards no bytes itself, which is the task of package reverseproxy.
 //
-// A proxy serves only on a table that is known to be fresh. Granted: the leader
-// answered a pull that was sent less than a lease ago. Orphan: no lease, but a
-// majority of the roster's proxies, itself included, answered within a touch
-// lease, and it has taken the highest table among them; since the leader calls a
-// change in force only when a majority has confirmed it and all other leases
-// have lapsed, a proxy that serves on its peers can't miss it. Otherwise it is cut and refuses.
+// A proxy serves only by a table that is known to be fresh. Leased: the leader answered a pull that was sent less
+// than a lease ago. PeerServing: it has no lease, but a majority of the member proxies, itself included, answered
+// within a peer lease, and it has applied the latest table among them. The leader calls a change in force only
+// once a majority has confirmed it and all other leases have lapsed, so a proxy that serves on peer leases can't
+// miss it. Otherwise the proxy is Isolated and rejects requests.
+//
+// Begin reading with Proxy and Step in proxy.go. A request goes through admission.go, routing.go, selection.go or
+// slotselection.go, queue.go and attempts.go; lease.go, peers.go and table.go bring the table and the right to
+// serve; quota.go and warmup.go share out what holds for all proxies together.
 package dataplane
 
 import (
-	"myrtlefold/internal/shared/discovery"
-	"myrtlefold/internal/shared/statemachine"
-	"myrtlefold/internal/shared/targetreport"
 	"slices"
 	"time"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/discovery"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
@@ -27,235 +30,129 @@
 
 // The states.
 const (
-	NoTable State = iota // no table yet
-	Leased
-	PeerServing
-	Isolated
+	NoTable     State = iota // there is no table yet
+	Leased                   // the leader's lease runs
+	PeerServing              // no lease, but peer leases of a majority
+	Isolated                 // neither: requests are rejected
 )
 
+// String is the state's name on the wire, in /v1/status and in the log.
 func (s State) String() string { return [...]string{"cold", "granted", "orphan", "cut"}[s] }
 
-// Settings are what a proxy is told at its start.
+// Settings are what a proxy is started with.
 type Settings struct {
-	Self  wire.Daemon
+	// Self describes this daemon to the others.
+	Self wire.Daemon
+	// Seeds are addresses of control daemons.
 	Seeds []string
-	Retry RetryBudget // of the whole fleet; without a window: limit's
-	// GracePeriod is how long after being asked to stop the process is ended by force, 0: not
-	// known, and tuning.StopWait is what a stop takes at most.
+	// Retry is the retry budget of the whole fleet; without a window that of package tuning holds.
+	Retry RetryBudget
+	// GracePeriod is how long after it was asked to stop the process is ended by force. 0: not
+	// known; a shutdown then takes tuning.ShutdownTimeout at most.
 	GracePeriod time.Duration
-	// ReadyWhenEmptied has an emptied domain's proxy go on asking for callers.
+	// ReadyWhenEmptied keeps the proxy of an emptied domain ready for callers.
 	ReadyWhenEmptied bool
 }
 
-// RetryBudget bounds what a service's targets get beyond the first target of each request:
-// over all proxies, in any window, a ratio of the requests and a little slack.
-type RetryBudget struct {
-	Ratio  float64
-	Window time.Duration
-	Slack  float64
-}
+// Proxy is the state machine of a proxy daemon. One goroutine owns it.
+type Proxy struct {
+	settings Settings
+	state    State
+	commands []statemachine.Command // of the present step
+	nameHash uint64                 // has proxies of different names begin at different targets and peers
 
-type targetState struct {
-	wire.Target
-	ejectedUntil         time.Duration       // the table's ejection
-	ownEjectionUntil     time.Duration       // a proxy that serves on its peers's ejection, from its own probes
-	ejectedAsUnreachable bool                // the table's ejection is for missed probes
-	leaving              bool                // heard here that it leaves
-	heartbeats           targetreport.Streak // what was heard here of its beats
-	successor            *targetState        // a later start of it that claims its place while no leader can say
-	avoidedUntil         time.Duration
-	reinstatedAt         time.Duration // when an ejection was lifted
-	readyAt              time.Duration // when it ended its warming
-	newToFleet           bool          // it came to the table of a proxy with a lease: nothing older runs there
-	warmingShare         int           // this proxy's part of its warming cap, and, until riseAt, the most that it may use
-	nextWarmingShare     int           // the greater part that holds from then on
-	warmingShareRisesAt  time.Duration
-	inFlight             int
-	failedConnects       int // connections in a row that could not be opened
-	missedProbes         int
-	probedAt             time.Duration
-	probePendingSince    time.Duration
-	lastServedAt         time.Duration // when it last answered a request of this proxy
-	indirectProbe        bool          // the leader has asked for a probe and not heard of an answer
-	statistics           wire.TargetStats
-
-	slots             int  // requests at once, as told
-	quota             int  // those of them that are dealt to this proxy
-	capped            bool // they are the operator's cap: nothing is borrowed
-	local             bool
-	warmupUntil       time.Duration
-	warmupInterval    time.Duration // between this proxy's requests while it is cold, 0: none
-	nextWarmupAt      time.Duration
-	fullUntil         time.Duration // it said that it is full
-	otherLoad         float64       // what it told of its load besides this proxy's
-	loadReportedAt    time.Duration
-	latencyRatio      float64 // how its times compare with its routes', 1: as usual
-	latencySamples    int     // how many requests told of it
-	latencyObservedAt time.Duration
-	lastUsedAt        time.Duration
-}
+	// Daemons, and what was said to the control plane and when.
+	directory            discovery.Directory
+	lastHelloAt          time.Duration
+	lastPullAt           time.Duration
+	pullAtNextTick       bool                     // the leader waits for the result of an indirect probe
+	reportedSelf         wire.Daemon              // as of the last pull that described this proxy
+	reportedTo           string                   // the leader that got that pull
+	recoveredStateSentAt map[string]time.Duration // by control daemon's name and process
 
-type request struct {
-	id             uint64
-	serviceName    string
-	routeName      string
-	route          config.Route
-	priority       int           // what it goes by: its route's, unless that starves
-	arrivedAt      *serviceState // where it was counted when it came
-	routeState     *routeState
-	startedAt      time.Duration
-	deadline       time.Duration
-	timeoutUnknown bool // how long the caller waits was not said
-	queuedUntil    time.Duration
-	queued         bool
-	target         *targetState
-	attempts       int // choices that may have been sent to their targets
-	failedConnects int // choices that ended before anything was sent
-	triedTargets   []wire.TargetID
-	lastOutcome    statemachine.Outcome // of the latest try
-	forwarded      bool                 // it has been given to a target and has earned its service credit
-	isRetry        bool                 // something of it has reached a target: a further one draws on the budget
-	serviceConfig  config.Service
-}
+	// The leader and its lease.
+	leaderEpoch      uint64        // the highest that a leader spoke with
+	leaderTerm       uint64        // the highest of that epoch
+	leaderHeardAt    time.Duration // when a leader last sent anything
+	leaderWantsTable bool          // it recovers, and collects the proxies' tables
+	leaseUntil       time.Duration
+	joined           bool // this process has had the right to serve: its own vote counts in a majority
 
-// tally counts an aim's requests by the minute.
-type objectiveCounts struct {
-	minutes [tuning.ObjectiveMinutes]struct{ minute, good, all int }
-}
+	// Peer leases.
+	lastPeerPollAt   time.Duration
+	peerAskedAt      map[string]time.Duration // by peer
+	peerConfirmedAt  map[string]time.Duration // by peer: when the poll was sent that it last confirmed
+	peerTableAskedAt time.Duration            // when a peer was last asked for its table
 
-type serviceState struct {
-	inFlight     int
-	queue        []uint64
-	retryCredit  retryCredit
-	targets      []*targetState // sorted
-	quotaTargets []*targetState // those of them with slots that are dealt to this proxy
-	reportsSlots bool           // its targets tell their slots
-	evenQuota    float64        // this proxy's even part of all slots
-	window       float64        // how many of its requests may be at targets now
-	pressureAt   time.Duration
-	lastArrivals [tuning.PriorityLevels]time.Duration // when requests of each priority last came
-	meanMs       float64                              // ms that its requests take
-	fairness     fairness
-}
+	// The table and the configuration in it.
+	table           *wire.Table
+	configuration   *config.Config
+	revision        uint64          // of the configuration
+	reportedInvalid invalidDocument // the last one that was reported
+	memberProxies   []string        // all proxies of the table
+	liveProxies     []string        // those that share quotas now
 
-// Counts are a proxy's counters since its start. Their names on /metrics and in /v1/status are those of the
-// tags, or the Go names where there are none.
-type Counts struct {
-	// Forwarded: attempts that were forwarded to a target, first ones and retries.
-	Forwarded uint64 `json:"Admitted" metric:"admitted"`
-	// Unmatched: requests that no route and no rule takes.
-	Unmatched uint64 `json:"Refused" metric:"refused"`
-	// Busy: rejections because all targets, or the queue, were full.
-	Busy uint64
-	// NoTarget: rejections because no target of the service may be used.
-	NoTarget uint64
-	// NotServing: rejections by a proxy that has no right to serve.
-	NotServing uint64
-	// Stopping: rejections by a proxy that is shutting down.
-	Stopping uint64
-	// Retries: attempts that drew on the retry budget.
-	Retries uint64
-	// RetriesDenied: rejections because the retry budget was used up.
-	RetriesDenied uint64
-	// Queued: requests that were queued.
-	Queued uint64 `json:"Waited" metric:"waited"`
-	// Tables: tables that were put in force.
-	Tables uint64
-	// StaleTables: tables that were older than the one in force.
-	StaleTables uint64
-	// ExpiredChoices: attempts that were given up because the choice of their target had grown too old.
-	ExpiredChoices uint64 `json:"StaleChoices" metric:"stale_choices"`
-	// OwnEjections: ejections that this proxy decided on by itself.
-	OwnEjections uint64 `json:"OwnBars" metric:"own_bars"`
-	// AvoidedTargets: failed connections, after each of which a target is avoided for tuning.AvoidFor.
-	AvoidedTargets uint64 `json:"Shunned" metric:"shunned"`
-	// InvalidTables: tables that were rejected because their configuration could not be read.
-	InvalidTables uint64 `json:"UnsoundTables" metric:"unsound_tables"`
-	// NoRoute: those of Unmatched for whose host and path there is nothing at all.
-	NoRoute uint64
-	// WithinQuota: attempts within this proxy's own quota of the target's slots.
-	WithinQuota uint64 `json:"Dealt" metric:"dealt"`
-	// Borrowed: attempts beyond it, or in a slot of it that others use.
-	Borrowed uint64
-	// ToWarmingUp: attempts at targets that are warming up.
-	ToWarmingUp uint64 `json:"ToCold" metric:"to_cold"`
-	// WarmupWaits is 0: nothing counts here any more, and the metric keeps its name.
-	WarmupWaits uint64 `json:"ColdWaits" metric:"cold_waits"`
-	// TargetRejections: attempts that their target rejected.
-	TargetRejections uint64 `json:"Full" metric:"full"`
-	// DeadlineTooClose: rejections because too little was left until the deadline.
-	DeadlineTooClose uint64 `json:"TooLate" metric:"too_late"`
-	// Preempted: queued requests that were rejected in favour of one of higher priority.
-	Preempted uint64 `json:"Overtaken" metric:"overtaken"`
-	// LowPriority: choices that were restricted because requests of higher priority come.
-	LowPriority uint64 `json:"LowRank" metric:"low_rank"`
-	// NotRepeatable: requests that may run only once and were not retried because they may have run.
-	NotRepeatable uint64 `json:"OnceKept" metric:"once_kept"`
-	// SplitFallbacks: requests that went to another service of their route's split.
-	SplitFallbacks uint64 `json:"OtherShare" metric:"other_share"`
-}
+	// Targets.
+	targets      map[wire.TargetID]*targetState
+	leavingSince map[wire.TargetID]time.Duration // targets that left or were replaced by a successor
+	unreachable  map[wire.TargetID]bool          // as last reported
+	reindexAt    time.Duration                   // when a warm-up ends or a warming share rises next, 0: never
 
-// Proxy is the state machine of a proxy daemon.
-type Proxy struct {
-	settings             Settings
-	directory            discovery.Directory
-	lastHelloAt          time.Duration
-	lastPullAt           time.Duration
-	lastPeerPollAt       time.Duration
-	state                State
-	table                *wire.Table
-	leaderEpoch          uint64
-	leaderTerm           uint64 // highest leader heard, with epoch
-	leaseUntil           time.Duration
-	joined               bool
-	leaderWantsTable     bool
-	pullAtNextTick       bool // the next tick pulls: the leader waits for what is to be told
-	peerConfirmedAt      map[string]time.Duration
-	peerAskedAt          map[string]time.Duration // when peers were last asked
-	peerTableAskedAt     time.Duration            // when a peer was last asked for its table
-	leaderHeardAt        time.Duration            // when a leader last said anything
-	reportedSelf         wire.Daemon              // what it was last told of this one, and which leader that was
-	reportedTo           string
-	recoveredStateSentAt map[string]time.Duration // when core daemons were last told what is remembered here, by name and process
-	configuration        *config.Config
-	revision             uint64
-	reportedInvalid      invalidDocument // the one reported last
-	targets              map[wire.TargetID]*targetState
-	liveProxies          []string // proxies that share caps, and all of the roster
-	memberProxies        []string
-	eligibleBuffer       []*targetState // room for choices
-	lastResortBuffer     []*targetState
-	leavingSince         map[wire.TargetID]time.Duration
-	services             map[string]*serviceState
-	requests             map[uint64]*request
-	objectives           map[string]*objectiveCounts
-	routes               map[string]*routeState // what is kept by route
-	nameHash             uint64
-	reindexAt            time.Duration // when the next target ends being cold, or a part of a warming one grows, 0: never
-	rotation             uint64
-	stopping             bool
-	acceptingStopped     bool // it stops and takes no more requests
-	stopRequestedAt      time.Duration
-	commands             []statemachine.Command
-	unreachable          map[wire.TargetID]bool
-	Counts               Counts
+	// Requests.
+	requests   map[uint64]*request
+	services   map[string]*serviceState
+	routes     map[string]*routeState
+	objectives map[string]*objectiveCounts
+	rotation   uint64 // advances with each choice, so that ties don't always go to the same target
+
+	// Buffers of chooseLeastLoaded, kept to save allocations.
+	eligibleBuffer   []*targetState
+	lastResortBuffer []*targetState
+
+	// Shutdown.
+	stopping         bool
+	stopRequestedAt  time.Duration
+	acceptingStopped bool // no more requests are taken
+
+	// Counts are the proxy's counters.
+	Counts Counts
 }
 
 // New returns a proxy that has just started and knows no table.
-func New(set Settings) *Proxy {
-	if set.Retry.Window < tuning.WindowBuckets {
-		set.Retry = RetryBudget{1 / float64(tuning.RetryShare), tuning.RetryWindow, tuning.RetryFree}
+func New(settings Settings) *Proxy {
+	if settings.Retry.Window < tuning.WindowBuckets {
+		settings.Retry = RetryBudget{Ratio: 1 / float64(tuning.RetryShare), Window: tuning.RetryWindow, Slack: tuning.RetryFree}
+	}
+	return &Proxy{
+		settings:             settings,
+		nameHash:             hashOf(settings.Self.Name),
+		directory:            discovery.Directory{},
+		recoveredStateSentAt: map[string]time.Duration{},
+		leaseUntil:           -1,
+		peerAskedAt:          map[string]time.Duration{},
+		peerConfirmedAt:      map[string]time.Duration{},
+		configuration:        &config.Config{},
+		targets:              map[wire.TargetID]*targetState{},
+		leavingSince:         map[wire.TargetID]time.Duration{},
+		requests:             map[uint64]*request{},
+		services:             map[string]*serviceState{},
+		routes:               map[string]*routeState{},
+		objectives:           map[string]*objectiveCounts{},
 	}
-	return &Proxy{settings: set, routes: map[string]*routeState{}, nameHash: hashOf(set.Self.Name), directory: discovery.Directory{}, peerConfirmedAt: map[string]time.Duration{}, peerAskedAt: map[string]time.Duration{}, recoveredStateSentAt: map[string]time.Duration{}, configuration: &config.Config{},
-		targets: map[wire.TargetID]*targetState{}, leavingSince: map[wire.TargetID]time.Duration{}, services: map[string]*serviceState{}, requests: map[uint64]*request{}, objectives: map[string]*objectiveCounts{}, leaseUntil: -1}
 }
 
-func (p *Proxy) emit(cmd statemachine.Command) { p.commands = append(p.commands, cmd) }
-
-// Step is the owner: one event in, commands out.
-func (p *Proxy) Step(now time.Duration, ev statemachine.Event) []statemachine.Command {
+// Step takes one event in and returns the commands that follow from it, in order.
+func (p *Proxy) Step(now time.Duration, event statemachine.Event) []statemachine.Command {
 	p.updateState(now) // time may have passed since the last step, and with it a lease
-	switch e := ev.(type) {
+	p.handle(now, event)
+	p.updateState(now)
+	commands := p.commands
+	p.commands = nil
+	return commands
+}
+
+func (p *Proxy) handle(now time.Duration, event statemachine.Event) {
+	switch e := event.(type) {
 	case statemachine.Receive:
 		p.receive(now, e.Message)
 	case statemachine.Tick:
@@ -275,13 +172,11 @@
 	case statemachine.Cancel:
 		p.cancel(now, e)
 	}
-	p.updateState(now)
-	o := p.commands
-	p.commands = nil
-	return o
 }
 
-// judge sets the state from what is known at this moment.
+func (p *Proxy) emit(command statemachine.Command) { p.commands = append(p.commands, command) }
+
+// updateState sets the state from what is known at this moment.
 func (p *Proxy) updateState(now time.Duration) {
 	switch {
 	case p.table == nil:
@@ -296,80 +191,81 @@
 	}
 }
 
-func (p *Proxy) setState(now time.Duration, s State, why string) {
-	if s == p.state {
+func (p *Proxy) setState(now time.Duration, state State, reason string) {
+	if state == p.state {
 		return
 	}
-	p.emit(statemachine.StateChange{Subject: statemachine.SubjectProxy, From: p.state.String(), To: s.String(), Reason: why})
-	p.state = s
+	p.emit(statemachine.StateChange{Subject: statemachine.SubjectProxy, From: p.state.String(), To: state.String(), Reason: reason})
+	p.state = state
 	p.reindex(now)
-	if s == Leased {
-		// The leader judges again, and has taken in what was seen here meanwhile.
-		for _, t := range p.targets {
-			t.missedProbes, t.probePendingSince, t.probedAt, t.ownEjectionUntil = 0, 0, 0, 0
+	if state == Leased {
+		// The leader decides on ejections again, and has had the reports of what was seen here meanwhile.
+		for _, target := range p.targets {
+			target.missedProbes, target.probePendingSince, target.probedAt, target.ownEjectionUntil = 0, 0, 0, 0
 		}
 	}
 }
 
-// Serving says whether requests may be admitted now.
+// Serving reports whether requests may be admitted now.
 func (p *Proxy) Serving() bool { return p.state == Leased || p.state == PeerServing }
 
-// Ready is what the platform is told: an emptied domain's proxy serves on but
-// asks for no more callers.
+// Ready is what the platform's readiness check gets: the proxy of an emptied domain goes on serving
+// but asks for no more callers.
 func (p *Proxy) Ready() bool {
 	return p.Serving() && !p.stopping && (p.settings.ReadyWhenEmptied || !slices.Contains(p.table.EmptiedDomains, p.settings.Self.Domain))
 }
 
-// State returns by what right it serves.
+// State returns by what right the proxy serves.
 func (p *Proxy) State() State { return p.state }
 
-// Table returns the table that it stands on, nil: none yet.
+// Table returns the table in force here, nil: none yet.
 func (p *Proxy) Table() *wire.Table { return p.table }
 
-// InFlight returns how many requests are under way.
+// Revision returns the revision of the configuration in force here.
+func (p *Proxy) Revision() uint64 { return p.revision }
+
+// InFlight returns how many requests are under way or queued.
 func (p *Proxy) InFlight() int { return len(p.requests) }
 
-func (p *Proxy) send(name string, m *wire.Message) {
-	if k := p.directory[name]; k != nil && name != p.settings.Self.Name {
-		m.To, m.From = name, p.settings.Self.Name
-		p.emit(statemachine.Send{Addr: k.Addr, Message: m})
+// SetSeeds replaces the seed addresses.
+func (p *Proxy) SetSeeds(seeds []string) { p.settings.Seeds = seeds }
+
+// send sends a message to a daemon of the directory; to another, or to this one itself, nothing is sent.
+func (p *Proxy) send(name string, message *wire.Message) {
+	if peer := p.directory[name]; peer != nil && name != p.settings.Self.Name {
+		message.To, message.From = name, p.settings.Self.Name
+		p.emit(statemachine.Send{Addr: peer.Addr, Message: message})
 	}
 }
 
+// selfReport describes this daemon as it is now.
 func (p *Proxy) selfReport() wire.Daemon {
-	d := p.settings.Self
-	d.State, d.Ready = p.state.String(), p.table != nil && p.Ready()
+	self := p.settings.Self
+	self.State, self.Ready = p.state.String(), p.table != nil && p.Ready()
 	if p.table != nil {
-		d.Epoch = p.table.Key.Epoch
+		self.Epoch = p.table.Key.Epoch
 	}
-	return d
+	return self
 }
 
-func (p *Proxy) receive(now time.Duration, m *wire.Message) {
-	wire.DiscardNonFinite(m)
-	switch m.Kind {
+func (p *Proxy) receive(now time.Duration, message *wire.Message) {
+	wire.DiscardNonFinite(message)
+	switch message.Kind {
 	case wire.KindHello:
-		if m.Hello == nil {
-			return
-		}
-		led := p.leader(now)
-		p.directory.Merge(now, p.settings.Self.Name, m.Hello)
-		if l := p.leader(now); l != led && l == m.From && now > p.lastPullAt {
-			p.pullTable(now) // the leader waits for what proxies hold, and they for its lease
-		}
-		if !m.Hello.Reply {
-			h := &wire.Hello{Self: p.selfReport(), Reply: true, Daemons: p.directory.Daemons()}
-			p.send(m.From, &wire.Message{Kind: wire.KindHello, Hello: h})
+		if message.Hello != nil {
+			p.handleHello(now, message.From, message.Hello)
 		}
 	case wire.KindPush:
-		if m.Push != nil {
-			p.handlePush(now, m)
+		if message.Push != nil {
+			p.handlePush(now, message)
 		}
 	case wire.KindPull:
-		p.answerPeer(now, m)
+		if message.Pull != nil {
+			p.answerPeer(now, message)
+		}
 	case wire.KindHeartbeat:
-		if m.Heartbeat != nil {
-			p.handleHeartbeat(now, *m.Heartbeat)
+		if message.Heartbeat != nil {
+			p.handleHeartbeat(now, *message.Heartbeat)
 		}
 	}
 }
@@ -395,9 +291,3 @@
 	p.reportUnreachable(now)
 	p.tickShutdown(now)
 }
-
-// Seeds replaces the seed addresses.
-func (p *Proxy) SetSeeds(s []string) { p.settings.Seeds = s }
-
-// Revision is the configuration's that this proxy serves by.
-func (p *Proxy) Revision() uint64 { return p.revision }
--- /dev/null
+++ b/internal/dataplane/rejection.go
@@ -0,0 +1,58 @@
+package dataplane
+
+import (
+	"net/http"
+	"time"
+
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/tuning"
+)
+
+// rejection is a reason for which requests are rejected, as callers get it.
+type rejection struct {
+	status  int // HTTP
+	code    string
+	message string
+}
+
+// The rejections.
+var (
+	rejectedNoRule      = rejection{http.StatusNotFound, "no_rule", "no rule for this host and path"}
+	rejectedNotServing  = rejection{http.StatusServiceUnavailable, "not_serving", "this proxy has no fresh table"}
+	rejectedStopping    = rejection{http.StatusServiceUnavailable, "stopping", "this proxy is stopping and takes no more such requests"}
+	rejectedLate        = rejection{http.StatusServiceUnavailable, "late", "it could not be answered in time"}
+	rejectedBusy        = rejection{http.StatusServiceUnavailable, "busy", "every target of the service is busy"}
+	rejectedNoTarget    = rejection{http.StatusServiceUnavailable, "no_target", "no target of the service may be used"}
+	rejectedNoAttempt   = rejection{http.StatusServiceUnavailable, "tries", "no try is left"}
+	rejectedRetryBudget = rejection{http.StatusServiceUnavailable, "retry_budget", "the service's retry budget is used up"}
+	rejectedMayHaveRun  = rejection{http.StatusBadGateway, "may_have_run", "it may have run and must not run again"}
+)
+
+// reject gives a request its final response.
+func (p *Proxy) reject(now time.Duration, req *request, reason rejection) {
+	command := statemachine.Reject{ID: req.id, Status: reason.status, Code: reason.code, Message: reason.message}
+	if reason.status == http.StatusServiceUnavailable {
+		command.RetryAfter = req.retryAfter(now)
+	}
+	p.emit(command)
+	if reason.status >= http.StatusInternalServerError && req.serviceName != "" {
+		p.countObjectives(now, req, false)
+	}
+	p.removeRequest(req)
+}
+
+// retryAfter is when a caller is to come back. One whose timeout is known comes while it still has
+// some time left. The request's id spreads the callers, so that they don't come back together.
+func (r *request) retryAfter(now time.Duration) time.Duration {
+	spread := r.id * 2654435761 >> 8
+	if r.timeoutUnknown {
+		return tuning.RetryAfterMin + time.Duration(spread%uint64(tuning.RetryAfterSpan))
+	}
+	base := r.route.LatencyTarget()
+	if base == 0 {
+		base = r.deadline - r.startedAt
+	}
+	base = max(base/8, 1)
+	wait := base + time.Duration(spread%uint64(base))
+	return max(tuning.RetryAfterFloor, min(wait, (r.deadline-now)/tuning.RetryAfterTimeParts))
+}
--- /dev/null
+++ b/internal/dataplane/routing.go
@@ -0,0 +1,121 @@
+// This file finds a request's route and service, shares a route's requests out over its split, and keeps the
+// usual response time of each route.
+
+package dataplane
+
+import (
+	"net/http"
+	"time"
+
+	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
+	"myrtlefold/internal/shared/tuning"
+)
+
+// routeState is what a proxy keeps of a route: a smooth weighted round robin over its split, and the mean
+// response time.
+type routeState struct {
+	split          []config.Share // nil: not set up under the present configuration
+	currentWeights []float64      // by share: it grows by the weight each time, and falls by totalWeight when chosen
+	totalWeight    float64
+	meanMs         float64
+	samples        int
+}
+
+// route returns the state of a route, with its split set up if the configuration has changed.
+func (p *Proxy) route(name string, route *config.Route) *routeState {
+	state := p.routes[name]
+	if state == nil {
+		state = &routeState{}
+		p.routes[name] = state
+	}
+	if state.split == nil {
+		state.setSplit(route.Shares())
+	}
+	return state
+}
+
+func (r *routeState) setSplit(split []config.Share) {
+	r.split, r.currentWeights, r.totalWeight = split, make([]float64, len(split)), 0
+	for _, share := range split {
+		r.totalWeight += share.Weight
+	}
+}
+
+// resetRoutes has splits begin anew under another configuration and drops the routes that it lacks.
+func (p *Proxy) resetRoutes() {
+	for name, state := range p.routes {
+		if _, ok := p.configuration.Routes[name]; !ok && name != "" {
+			delete(p.routes, name)
+		}
+		state.split = nil
+	}
+}
+
+// nextService is the service whose turn in the split it is: the one with the greatest current weight.
+func (r *routeState) nextService() string {
+	best := 0
+	for i, share := range r.split {
+		r.currentWeights[i] += share.Weight
+		if r.currentWeights[i] > r.currentWeights[best] {
+			best = i
+		}
+	}
+	r.currentWeights[best] -= r.totalWeight
+	return r.split[best].Service
+}
+
+// observe takes a response time into the mean and returns that, in ms.
+func (r *routeState) observe(ms float64) float64 {
+	r.samples++
+	r.meanMs += max(tuning.ResponseTimeWeight, 1/float64(r.samples)) * (ms - r.meanMs)
+	return r.meanMs
+}
+
+func (r *routeState) meanTime() time.Duration {
+	return time.Duration(r.meanMs * float64(time.Millisecond))
+}
+
+// findRoute sets a request's route and service, or rejects it if there are none. It returns whether
+// the request goes on.
+func (p *Proxy) findRoute(now time.Duration, req *request, event *statemachine.Admit) bool {
+	name, route, ok := p.configuration.FindRoute(event.Host, event.Path)
+	if !ok {
+		return p.findRule(now, req, event)
+	}
+	if event.Pipelined && !route.Idempotent() {
+		p.emit(statemachine.Reject{ID: event.ID, Code: statemachine.CodeNotPipelined})
+		return false
+	}
+	req.routeName, req.route, req.routeState = name, route, p.route(name, &route)
+	req.serviceName = req.routeState.nextService()
+	return true
+}
+
+// findRule does the same by the configuration's rules, where no route takes the request.
+func (p *Proxy) findRule(now time.Duration, req *request, event *statemachine.Admit) bool {
+	serviceName, allowed, ok := p.configuration.FindRule(event.Host, event.Path, event.Method)
+	switch {
+	case !ok && len(allowed) > 0:
+		p.Counts.Unmatched++
+		p.emit(statemachine.Reject{ID: event.ID, Status: http.StatusMethodNotAllowed, Code: "method", Message: "the rule for this path takes other methods", Allowed: allowed})
+		return false
+	case !ok:
+		p.Counts.Unmatched++
+		p.Counts.NoRoute++
+		p.reject(now, req, rejectedNoRule)
+		return false
+	}
+	service := p.configuration.Services[serviceName]
+	req.serviceName = serviceName
+	req.route = config.Route{Kind: config.KindOnce, TimeoutMs: service.TimeoutMs, Attempts: service.Attempts, Service: serviceName}
+	if isIdempotent(event.Method) {
+		req.route.Kind = config.KindRepeatable
+	}
+	return true
+}
+
+// isIdempotent reports whether requests of a rule may run more than once.
+func isIdempotent(method string) bool {
+	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
+}
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -1,25 +1,27 @@
-// This file is how a proxy stops. It goes unready at once and serves on while callers move away; its answers end
-// their connections. After that linger it takes only requests whose deadline comes before the process ends, since
-// callers may use open connections until then. At the first moment without a request under way, or when its time
-// is up, the intake closes, so that nothing more is taken on any connection, and the process ends.
+// This file is a proxy's graceful shutdown. It goes unready at once and serves on while callers move away; its responses
+// end their connections. After that linger it takes only requests whose deadline comes before the process ends, since
+// callers may use open connections until then. At the first moment without a request in flight, or when its time
+// is up, it stops accepting requests on all connections, and the process ends.
 
 package dataplane
 
 import (
 	"fmt"
-	"myrtlefold/internal/shared/statemachine"
 	"time"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 )
 
-// stop is how long a stopping proxy serves on in any case, and at most.
-func (s Settings) shutdownTimes() (linger, most time.Duration) {
+// shutdownTimes is how long a stopping proxy serves on in any case, and at most.
+func (s *Settings) shutdownTimes() (linger, longest time.Duration) {
 	if s.GracePeriod <= 0 {
 		return tuning.ShutdownLinger, tuning.ShutdownTimeout
 	}
-	return min(tuning.ShutdownLingerMax, s.GracePeriod/2), max(s.GracePeriod-tuning.ShutdownMargin, s.GracePeriod/2)
+	linger = min(tuning.ShutdownLingerMax, s.GracePeriod/2)
+	longest = max(s.GracePeriod-tuning.ShutdownMargin, s.GracePeriod/2)
+	return linger, longest
 }
 
 // beginShutdown goes unready.
@@ -29,78 +31,78 @@
 	}
 	p.stopping, p.stopRequestedAt = true, now
 	p.emit(statemachine.CloseAfterResponse{})
-	why := fmt.Sprintf("asked to, with %d requests under way", len(p.requests))
-	p.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "serving", To: "stopping", Reason: why})
+	reason := fmt.Sprintf("asked to, with %d requests under way", len(p.requests))
+	p.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "serving", To: "stopping", Reason: reason})
 }
 
-// responseReserve is what a stopping proxy keeps of its time, for targets' last answers and for its own.
-func responseReserve(most time.Duration) time.Duration {
-	return min(tuning.ShutdownReserve, most/tuning.ShutdownReserveParts)
+// responseReserve is what a stopping proxy keeps of its time, for targets' last responses and for its own.
+func responseReserve(longest time.Duration) time.Duration {
+	return min(tuning.ShutdownReserve, longest/tuning.ShutdownReserveParts)
 }
 
-// fitsShutdown ends a request that comes to a stopping proxy with the process, and says whether it may be taken: its
-// own deadline comes before, or its target has the time that the route aims at. In the linger all are taken:
-// callers have had no time to hear of the stop.
-func (p *Proxy) fitsShutdown(now time.Duration, x *request) bool {
+// fitsShutdown bounds the deadline of a request that comes to a stopping proxy by the end of the process, and returns
+// whether the request may be taken: its own deadline comes before that, or its target has the time that the route
+// expects. During the linger all are taken, since callers have had no time to learn of the shutdown.
+func (p *Proxy) fitsShutdown(now time.Duration, req *request) bool {
 	if !p.stopping {
 		return true
 	}
-	linger, most := p.settings.shutdownTimes()
-	answerBy := p.stopRequestedAt + most - responseReserve(most)/2
-	fits := x.deadline <= answerBy
-	x.deadline = min(x.deadline, answerBy)
+	linger, longest := p.settings.shutdownTimes()
+	respondBy := p.stopRequestedAt + longest - responseReserve(longest)/2
+	fits := req.deadline <= respondBy
+	req.deadline = min(req.deadline, respondBy)
 	if fits || now-p.stopRequestedAt <= linger {
 		return true
 	}
-	return x.routeState != nil && p.workTime(now, x) >= expectedTime(&x.route)
+	return req.routeState != nil && p.workTime(now, req) >= expectedTime(&req.route)
 }
 
-// workTime is how long a target that gets the request now may work on it: until its deadline, or, if this
-// process stops, until so long before its end that the target's own answer can still be passed on.
-func (p *Proxy) workTime(now time.Duration, x *request) time.Duration {
-	until := x.deadline
+// workTime is how long a target that gets the request now may work on it: until its deadline, or, if this proxy
+// stops, until so long before the end of the process that the target's own response can still be passed on.
+func (p *Proxy) workTime(now time.Duration, req *request) time.Duration {
+	until := req.deadline
 	if p.stopping {
-		_, most := p.settings.shutdownTimes()
-		until = min(until, p.stopRequestedAt+most-responseReserve(most))
+		_, longest := p.settings.shutdownTimes()
+		until = min(until, p.stopRequestedAt+longest-responseReserve(longest))
 	}
 	return max(time.Millisecond, until-now)
 }
 
-// expectedTime is how long a request of a route is meant to take at most: its aim, or without one the part of its
-// timeout that stands for it.
-func expectedTime(r *config.Route) time.Duration {
-	if aim := r.LatencyTarget(); aim > 0 {
-		return aim
+// expectedTime is how long a request of a route is expected to take at most: its latency target, or without one a
+// part of its timeout.
+func expectedTime(route *config.Route) time.Duration {
+	if target := route.LatencyTarget(); target > 0 {
+		return target
 	}
-	return r.Timeout() / tuning.WaitTimeoutParts
+	return route.Timeout() / tuning.WaitTimeoutParts
 }
 
-// rejectStopping sends a request to another proxy. It is to come back as after any refusal, not at once: where many
-// proxies stop together it would only meet the next of them.
-func (p *Proxy) rejectStopping(now time.Duration, x *request) {
+// rejectStopping sends a request to another proxy. The caller is to come back as after any rejection, not at once: where
+// many proxies stop together it would only meet the next of them.
+func (p *Proxy) rejectStopping(now time.Duration, req *request) {
 	p.Counts.Stopping++
-	p.reject(now, x, 503, "stopping", "this proxy is stopping and takes no more such requests")
+	p.reject(now, req, rejectedStopping)
 }
 
-// tickShutdown ends the process when nothing is under way after the linger, or the time is up.
+// tickShutdown ends the process when no request is in flight after the linger, or when the time is up.
 func (p *Proxy) tickShutdown(now time.Duration) {
 	if !p.stopping || p.acceptingStopped {
 		return
 	}
-	linger, most := p.settings.shutdownTimes()
+	linger, longest := p.settings.shutdownTimes()
 	waited := now - p.stopRequestedAt
 	switch {
-	case waited > most && len(p.requests) > 0:
-		p.finishShutdown(most-waited, fmt.Sprintf("out of time, with %d requests under way", len(p.requests)))
+	case waited > longest && len(p.requests) > 0:
+		p.finishShutdown(longest-waited, fmt.Sprintf("out of time, with %d requests under way", len(p.requests)))
 	case waited > linger && len(p.requests) == 0:
-		p.finishShutdown(most-waited, "no request is under way")
+		p.finishShutdown(longest-waited, "no request is under way")
 	}
 }
 
-// finishShutdown closes the intake and ends the process, which has so long for answers that are still being written.
-func (p *Proxy) finishShutdown(left time.Duration, why string) {
+// finishShutdown stops accepting requests and ends the process. Responses that are still being written have timeLeft.
+func (p *Proxy) finishShutdown(timeLeft time.Duration, reason string) {
 	p.acceptingStopped = true
-	p.emit(statemachine.StopAccepting{TimeLeft: left})
-	p.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "stopping", To: "stopped", Reason: why})
+	p.emit(statemachine.StopAccepting{TimeLeft: timeLeft})
+	p.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "stopping", To: "stopped", Reason: reason})
 	p.emit(statemachine.Exit{})
 }
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -1,168 +1,229 @@
-// This file takes tables from the leader, whole or as changes.
+// This file puts tables in force, which come complete or as changes to an earlier one.
 
 package dataplane
 
 import (
 	"fmt"
 	"maps"
-	"myrtlefold/internal/shared/statemachine"
 	"slices"
 	"time"
 
 	"myrtlefold/internal/shared/config"
+	"myrtlefold/internal/shared/statemachine"
 	"myrtlefold/internal/shared/tuning"
 	"myrtlefold/internal/shared/wire"
 )
 
-// publishTargets follows a change of the targets: choices go by the new ones, and connections to
-// others go.
-func (p *Proxy) publishTargets(now time.Duration) {
-	p.reindex(now)
-	live := map[wire.TargetID]string{}
-	for id, t := range p.targets {
-		live[id] = t.Addr
+// applyTable puts a table in force, if it is later than the one that is, and returns whether it did.
+func (p *Proxy) applyTable(now time.Duration, received *wire.Table) bool {
+	if p.table != nil && !p.table.Key.Less(received.Key) {
+		if received.Key.Less(p.table.Key) {
+			p.Counts.StaleTables++
+		}
+		return false
 	}
-	p.emit(statemachine.TargetsChanged{Addresses: live, Limits: p.configuration.Limits})
+	table := p.fullTable(received)
+	if table == nil {
+		return false // meant for an earlier process of this name, or sent long ago: the next pull asks for all
+	}
+	if !p.applyConfiguration(table) {
+		return false
+	}
+	p.Counts.Tables++
+	if p.isLoadUpdate(received) {
+		p.table = table
+		for _, row := range received.Targets {
+			p.targets[row.ID()].Target = row
+		}
+		p.processQueues(now)
+		return true
+	}
+	p.table = table
+	p.targets = p.targetsOf(now, table, received)
+	maps.DeleteFunc(p.leavingSince, func(id wire.TargetID, since time.Duration) bool {
+		return p.targets[id] == nil && now-since > tuning.TombstoneKeep
+	})
+	p.publishTargets(now)
+	p.processQueues(now)
+	return true
 }
 
-// fullTable is a table with all that it leaves out because this proxy has it, nil if it has not.
-func (p *Proxy) fullTable(t *wire.Table) *wire.Table {
-	old, w := p.table, *t
-	if len(t.Document) == 0 {
-		if old == nil || old.Key.Epoch != t.Key.Epoch || old.Revision != t.Revision || len(t.State) == 0 && old.StateIndex != t.StateIndex {
+// fullTable completes a received table by what it leaves out because this proxy has it, nil if it does not.
+func (p *Proxy) fullTable(received *wire.Table) *wire.Table {
+	inForce, full := p.table, *received
+	if len(received.Document) == 0 {
+		sameState := inForce != nil && (len(received.State) > 0 || inForce.StateIndex == received.StateIndex)
+		if !sameState || inForce.Key.Epoch != received.Key.Epoch || inForce.Revision != received.Revision {
 			return nil
 		}
-		if w.Document = old.Document; len(t.State) == 0 {
-			w.State = old.State
+		full.Document = inForce.Document
+		if len(received.State) == 0 {
+			full.State = inForce.State
 		}
 	}
-	if t.DeltaBase == (wire.TableKey{}) {
-		return &w
+	if received.DeltaBase == (wire.TableKey{}) {
+		return &full
 	}
-	// A leader that won its lead back goes on numbering, so what it says changed since a table of its
-	// earlier term also changed since a later table of this one.
-	if old == nil || old.Key.Epoch != t.DeltaBase.Epoch || old.Key.Version < t.DeltaBase.Version || old.Key.Term != t.DeltaBase.Term && old.Key.Term != t.Key.Term {
+	if inForce == nil || !deltaFits(received, inForce.Key) {
 		return nil
 	}
-	w.DeltaBase, w.RemovedTargets = wire.TableKey{}, nil
-	if len(t.Proxies) == 0 {
-		w.Proxies = old.Proxies
+	full.DeltaBase, full.RemovedTargets = wire.TableKey{}, nil
+	if len(received.Proxies) == 0 {
+		full.Proxies = inForce.Proxies
 	}
-	out := map[wire.TargetID]bool{}
-	for _, id := range t.RemovedTargets {
-		out[id] = true
+	full.Targets = mergeTargets(inForce.Targets, received)
+	return &full
+}
+
+// deltaFits reports whether a change may be applied to the table in force: one no earlier than its base. A leader that won
+// leadership back goes on numbering, so what changed since a table of its earlier term also changed since a later
+// table of this one.
+func deltaFits(delta *wire.Table, inForce wire.TableKey) bool {
+	base := delta.DeltaBase
+	return inForce.Epoch == base.Epoch && inForce.Version >= base.Version && (inForce.Term == base.Term || inForce.Term == delta.Key.Term)
+}
+
+// mergeTargets applies a change to the targets of the table in force.
+func mergeTargets(inForce []wire.Target, delta *wire.Table) []wire.Target {
+	replaced := map[wire.TargetID]bool{}
+	for _, id := range delta.RemovedTargets {
+		replaced[id] = true
 	}
-	for i := range t.Targets {
-		out[t.Targets[i].ID()] = true
+	for i := range delta.Targets {
+		replaced[delta.Targets[i].ID()] = true
 	}
-	w.Targets = make([]wire.Target, 0, len(old.Targets)+len(t.Targets))
-	for i := range old.Targets {
-		if !out[old.Targets[i].ID()] {
-			w.Targets = append(w.Targets, old.Targets[i])
+	merged := make([]wire.Target, 0, len(inForce)+len(delta.Targets))
+	for i := range inForce {
+		if !replaced[inForce[i].ID()] {
+			merged = append(merged, inForce[i])
 		}
 	}
-	w.Targets = append(w.Targets, t.Targets...)
-	slices.SortFunc(w.Targets, func(a, b wire.Target) int { return a.ID().Compare(b.ID()) })
-	return &w
+	merged = append(merged, delta.Targets...)
+	slices.SortFunc(merged, func(a, b wire.Target) int { return a.ID().Compare(b.ID()) })
+	return merged
 }
 
-// isLoadUpdate says that a change to the table tells only what nothing is dealt by, such as demand.
-func (p *Proxy) isLoadUpdate(now time.Duration, t *wire.Table) bool {
-	if t.DeltaBase == (wire.TableKey{}) || len(t.Document)+len(t.State)+len(t.Proxies)+len(t.RemovedTargets) > 0 || !slices.Equal(t.EmptiedDomains, p.table.EmptiedDomains) || !slices.Equal(t.PreviousProxies, p.table.PreviousProxies) ||
-		len(p.targets) != len(p.table.Targets) {
-		return false
+// applyConfiguration reads the table's configuration, if it may be another one, and puts it in force. It returns false
+// if the configuration can't be read: then the table is rejected.
+func (p *Proxy) applyConfiguration(table *wire.Table) bool {
+	if p.table != nil && p.table.Key.Epoch == table.Key.Epoch && table.Revision == p.revision && len(p.configuration.Services) > 0 {
+		return true
 	}
-	for i := range t.Targets {
-		w := t.Targets[i]
-		o := p.targets[w.ID()]
-		if o == nil {
-			return false
-		}
-		w.Demand, w.HasDemand, w.Heartbeating, w.Number = o.Demand, o.HasDemand, o.Heartbeating, o.Number
-		if w != o.Target || w.EjectionLeft > 0 || w.WarmupLeft > 0 || o.ejectedUntil > 0 {
-			return false
-		}
+	configuration, err := readConfiguration(table)
+	if err != nil {
+		p.rejectTable(table, err)
+		return false
 	}
-	for i := range p.table.Targets { // and no later start stands here in the place of one
-		if p.targets[p.table.Targets[i].ID()] == nil {
-			return false
-		}
+	if table.Revision != p.revision {
+		p.emit(statemachine.StateChange{
+			Subject: statemachine.SubjectRevision,
+			From:    fmt.Sprint(p.revision),
+			To:      fmt.Sprint(table.Revision),
+			Reason:  fmt.Sprintf("table %v", table.Key),
+		})
 	}
+	p.configuration, p.revision = configuration, table.Revision
+	p.resetRoutes()
 	return true
 }
 
-// applyTable puts a later table in force; an earlier one never replaces a later.
-func (p *Proxy) applyTable(now time.Duration, t *wire.Table) bool {
-	if p.table != nil && !p.table.Key.Less(t.Key) {
-		if t.Key.Less(p.table.Key) {
-			p.Counts.StaleTables++
-		}
+// isLoadUpdate reports that a change to the table brings only what no quota depends on, such as demand.
+func (p *Proxy) isLoadUpdate(delta *wire.Table) bool {
+	if delta.DeltaBase == (wire.TableKey{}) || len(delta.Document)+len(delta.State)+len(delta.Proxies)+len(delta.RemovedTargets) > 0 {
 		return false
 	}
-	var changed map[wire.TargetID]bool
-	if t.DeltaBase != (wire.TableKey{}) {
-		changed = map[wire.TargetID]bool{}
-		for i := range t.Targets {
-			changed[t.Targets[i].ID()] = true
-		}
-	}
-	said := t
-	if t = p.fullTable(t); t == nil {
-		return false // said to an earlier process of this name, or long ago: the next pull asks for all
+	if !slices.Equal(delta.EmptiedDomains, p.table.EmptiedDomains) || !slices.Equal(delta.PreviousProxies, p.table.PreviousProxies) {
+		return false
 	}
-	if p.table == nil || p.table.Key.Epoch != t.Key.Epoch || t.Revision != p.revision || len(p.configuration.Services) == 0 {
-		cfg, err := readConfiguration(t)
-		if err != nil {
-			p.rejectTable(t, err)
+	for i := range delta.Targets {
+		if target := p.targets[delta.Targets[i].ID()]; target == nil || !target.differsInLoadOnly(delta.Targets[i]) {
 			return false
 		}
-		if t.Revision != p.revision {
-			p.emit(statemachine.StateChange{Subject: statemachine.SubjectRevision, From: fmt.Sprint(p.revision), To: fmt.Sprint(t.Revision), Reason: fmt.Sprintf("table %v", t.Key)})
-		}
-		p.configuration, p.revision = cfg, t.Revision
-		p.resetRoutes()
 	}
-	p.Counts.Tables++
-	if p.isLoadUpdate(now, said) {
-		p.table = t
-		for _, w := range said.Targets {
-			p.targets[w.ID()].Target = w
+	return p.hasTableTargets()
+}
+
+// differsInLoadOnly reports that a row of a table says nothing new of the target but its load and heartbeats.
+func (t *targetState) differsInLoadOnly(row wire.Target) bool {
+	row.Demand, row.HasDemand, row.Heartbeating, row.Number = t.Demand, t.HasDemand, t.Heartbeating, t.Number
+	return row == t.Target && row.EjectionLeft <= 0 && row.WarmupLeft <= 0 && t.ejectedUntil <= 0
+}
+
+// hasTableTargets reports that the targets here are those of the table in force: none was replaced by a successor.
+func (p *Proxy) hasTableTargets() bool {
+	if len(p.targets) != len(p.table.Targets) {
+		return false
+	}
+	for i := range p.table.Targets {
+		if p.targets[p.table.Targets[i].ID()] == nil {
+			return false
 		}
-		p.processQueues(now)
-		return true
 	}
-	p.table = t
-	next := map[wire.TargetID]*targetState{}
-	for _, w := range t.Targets {
-		id := w.ID()
-		n := p.targets[id]
-		if n != nil && changed != nil && !changed[id] {
-			next[id] = n // nothing new is said of it
+	return true
+}
+
+// targetsOf are the targets of a table, with what this proxy knows of them beside it. Those stay as they are of which a
+// change says nothing.
+func (p *Proxy) targetsOf(now time.Duration, table, received *wire.Table) map[wire.TargetID]*targetState {
+	isDelta, changed := received.DeltaBase != wire.TableKey{}, map[wire.TargetID]bool{}
+	if isDelta {
+		for i := range received.Targets {
+			changed[received.Targets[i].ID()] = true
+		}
+	}
+	targets := map[wire.TargetID]*targetState{}
+	for _, row := range table.Targets {
+		id := row.ID()
+		target := p.targets[id]
+		if target == nil {
+			target = &targetState{newToFleet: p.state == Leased}
+		} else if isDelta && !changed[id] {
+			targets[id] = target
 			continue
 		}
-		if n == nil {
-			n = &targetState{newToFleet: p.state == Leased}
-		}
-		was := n.ejectedUntil > now
-		if n.State == wire.TargetWarming && w.State == wire.TargetReady {
-			n.readyAt = now
-		}
-		n.Target = w
-		n.extendWarmup(now, w.WarmupLeft)
-		n.ejectedUntil, n.ejectedAsUnreachable = 0, w.EjectedBy == config.DefaultPolicyName
-		if w.EjectionLeft > 0 {
-			n.ejectedUntil = now + time.Duration(w.EjectionLeft)
-		} else if was {
-			n.reinstatedAt = now
+		target.update(now, row)
+		if p.leavingSince[id] != 0 || row.Draining {
+			target.leaving = true
 		}
-		if p.leavingSince[id] != 0 || w.Draining {
-			n.leaving = true
-		}
-		next[id] = n
+		targets[id] = target
 	}
-	p.targets = next
-	maps.DeleteFunc(p.leavingSince, func(id wire.TargetID, at time.Duration) bool { return next[id] == nil && now-at > tuning.TombstoneKeep })
-	p.publishTargets(now)
-	p.processQueues(now)
-	return true
+	return targets
+}
+
+// update takes in a row of a table.
+func (t *targetState) update(now time.Duration, row wire.Target) {
+	wasEjected := t.ejectedUntil > now
+	if t.State == wire.TargetWarming && row.State == wire.TargetReady {
+		t.readyAt = now
+	}
+	t.Target = row
+	t.extendWarmup(now, row.WarmupLeft)
+	t.ejectedUntil, t.ejectedAsUnreachable = 0, row.EjectedBy == config.DefaultPolicyName
+	if row.EjectionLeft > 0 {
+		t.ejectedUntil = now + time.Duration(row.EjectionLeft)
+	} else if wasEjected {
+		t.reinstatedAt = now
+	}
+}
+
+// export is the target as a row of a table, with what this proxy knows beside its own table.
+func (t *targetState) export(now time.Duration) wire.Target {
+	row := t.Target
+	row.EjectionLeft = max(0, int64(t.ejectedUntil-now))
+	if t.ownEjectionUntil > now && row.EjectionLeft == 0 {
+		row.EjectionLeft, row.EjectedBy = int64(t.ownEjectionUntil-now), config.DefaultPolicyName
+	}
+	row.Draining = row.Draining || t.leaving
+	row.WarmupLeft = max(0, int64(t.warmupUntil-now))
+	return row
+}
+
+// publishTargets follows a change of the targets: choices go by the new ones, and connections to others are closed.
+func (p *Proxy) publishTargets(now time.Duration) {
+	p.reindex(now)
+	addresses := map[wire.TargetID]string{}
+	for id, target := range p.targets {
+		addresses[id] = target.Addr
+	}
+	p.emit(statemachine.TargetsChanged{Addresses: addresses, Limits: p.configuration.Limits})
 }
--- a/internal/dataplane/view.go
+++ b/internal/dataplane/view.go
@@ -1,4 +1,4 @@
-// This file is what operators may read of a proxy.
+// This file is what operators may read of a proxy: /v1/status.
 
 package dataplane
 
@@ -11,64 +11,81 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// View is what the daemon shows of itself.
+// View is a proxy's state as operators may read it.
 type View struct {
 	Name       string          `json:"name"`
 	State      string          `json:"state"`
 	Ready      bool            `json:"ready"`
 	Leader     string          `json:"leader"`
 	Table      wire.TableKey   `json:"table"`
-	Revision   uint64          `json:"revision"`
+	Revision   uint64          `json:"revision"` // of the configuration
 	InFlight   int             `json:"in_flight"`
 	Targets    []TargetView    `json:"targets"`
 	Counts     Counts          `json:"counts"`
 	Objectives []ObjectiveView `json:"aims,omitempty"`
 }
 
-// ObjectiveView is this proxy's part in an aim over its window.
+// ObjectiveView is a service-level objective, and what this proxy counted for it within its window.
 type ObjectiveView struct {
 	Name string `json:"name"`
 	config.Objective
-	Good  int `json:"good"`
+	Good  int `json:"good"` // requests that met it
 	Total int `json:"all"`
 }
 
-// TargetView is a target as operators may read it.
+// TargetView is a target as operators may read it. Times are in ms.
 type TargetView struct {
 	wire.Target
-	InFlight          int   `json:"in_flight"`
-	EjectionLeftMs    int64 `json:"bar_left_ms"`
-	OwnEjectionLeftMs int64 `json:"own_bar_left_ms"`
-	Capacity          int   `json:"room"`
+	InFlight          int   `json:"in_flight"`       // this proxy's requests
+	EjectionLeftMs    int64 `json:"bar_left_ms"`     // of the table's ejection
+	OwnEjectionLeftMs int64 `json:"own_bar_left_ms"` // of this proxy's own
+	Capacity          int   `json:"room"`            // how many requests this proxy may have there
 }
 
 // View returns the proxy's state as operators may read it.
 func (p *Proxy) View(now time.Duration) View {
-	v := View{Name: p.settings.Self.Name, State: p.state.String(), Ready: p.table != nil && p.Ready(), Leader: p.leader(now),
-		Revision: p.revision, InFlight: len(p.requests), Counts: p.Counts, Targets: []TargetView{}}
-	for _, n := range slices.Sorted(maps.Keys(p.configuration.Objectives)) {
-		a := ObjectiveView{Name: n, Objective: p.configuration.Objectives[n]}
-		if t := p.objectives[n]; t != nil {
-			for _, m := range t.minutes {
-				if int(now/time.Minute)-m.minute < a.WindowMinutes {
-					a.Good, a.Total = a.Good+m.good, a.Total+m.all
-				}
-			}
-		}
-		v.Objectives = append(v.Objectives, a)
+	view := View{
+		Name:       p.settings.Self.Name,
+		State:      p.state.String(),
+		Ready:      p.table != nil && p.Ready(),
+		Leader:     p.leader(now),
+		Revision:   p.revision,
+		InFlight:   len(p.requests),
+		Targets:    []TargetView{},
+		Counts:     p.Counts,
+		Objectives: p.objectiveViews(now),
 	}
 	if p.table != nil {
-		v.Table = p.table.Key
+		view.Table = p.table.Key
 		for _, id := range slices.SortedFunc(maps.Keys(p.targets), wire.TargetID.Compare) {
-			t := p.targets[id]
-			tv := TargetView{Target: t.Target, InFlight: t.inFlight, Capacity: p.capacity(now, t, p.configuration.Services[t.Service])}
-			if s := p.services[t.Service]; s != nil && s.reportsSlots {
-				tv.Capacity = t.quota
-			}
-			tv.Draining = t.Draining || t.leaving
-			tv.EjectionLeftMs, tv.OwnEjectionLeftMs = max(0, (t.ejectedUntil-now).Milliseconds()), max(0, (t.ownEjectionUntil-now).Milliseconds())
-			v.Targets = append(v.Targets, tv)
+			view.Targets = append(view.Targets, p.targetView(now, p.targets[id]))
+		}
+	}
+	return view
+}
+
+func (p *Proxy) objectiveViews(now time.Duration) (views []ObjectiveView) {
+	for _, name := range slices.Sorted(maps.Keys(p.configuration.Objectives)) {
+		view := ObjectiveView{Name: name, Objective: p.configuration.Objectives[name]}
+		if counts := p.objectives[name]; counts != nil {
+			view.Good, view.Total = counts.sum(now, view.WindowMinutes)
 		}
+		views = append(views, view)
+	}
+	return views
+}
+
+func (p *Proxy) targetView(now time.Duration, target *targetState) TargetView {
+	view := TargetView{
+		Target:            target.Target,
+		InFlight:          target.inFlight,
+		EjectionLeftMs:    max(0, (target.ejectedUntil - now).Milliseconds()),
+		OwnEjectionLeftMs: max(0, (target.ownEjectionUntil - now).Milliseconds()),
+		Capacity:          p.capacity(now, target, p.configuration.Services[target.Service]),
+	}
+	if service := p.services[target.Service]; service != nil && service.reportsSlots {
+		view.Capacity = target.quota
 	}
-	return v
+	view.Draining = target.Draining || target.leaving
+	return view
 }
