--- a/internal/controlplane/activeconfig.go
+++ b/internal/controlplane/activeconfig.go
@@ -8,14 +8,16 @@
 	"myrtlefold/internal/shared/outlier"
 )
 
-// checkedConfig is the configuration that was last found valid, so that it need not be parsed again once it is committed.
+// checkedConfig caches the last configuration document that passed validation together with its parsed form, so that it
+// is not parsed again when it is committed.
 type checkedConfig struct {
 	document []byte
 	config   *config.Config
 }
 
-// activateConfig applies the committed configuration, with its outlier policies, if it isn't active yet. One that does
-// not parse is damage, since only valid ones are proposed: this member then abstains.
+// activateConfig applies the committed configuration, with its outlier policies, unless it is already active. Only valid
+// configurations are proposed, so one that does not parse is corrupt: this member reports it and abstains (see
+// undecodable.go).
 func (c *Controller) activateConfig() {
 	if c.activeRevision == c.state.Revision && c.activeRevision != 0 {
 		return
@@ -26,7 +28,7 @@
 		if parsed, _, err = outlier.ParseConfig(c.state.Document); err != nil {
 			c.cannotDecode(fmt.Sprintf("configuration %d", c.state.Revision), err)
 			if c.activeConfig == nil {
-				c.activeConfig = &config.Config{} // for the rest of this step, at whose end leadership is revoked
+				c.activeConfig = &config.Config{} // placeholder until the end of this step, when leadership is revoked
 			}
 			return
 		}
--- a/internal/controlplane/admission.go
+++ b/internal/controlplane/admission.go
@@ -1,5 +1,5 @@
-// This file admits targets. A name within a service and an address have one target each: a claimant for one that is
-// taken only has a claim until it displaces the target that has it.
+// This file admits targets to the registry. A name within a service, and an address, belong to at most one target at a
+// time. A target that reports a name or address already in use is kept as a claim until it displaces the incumbent.
 
 package controlplane
 
@@ -12,8 +12,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// registerTarget admits a new target and returns it, or keeps a claim and returns nil: then another target has its name
-// or address, and the claimant's answer to a probe decides.
+// registerTarget admits a newly reported target and returns it. If another target already has its name or address and
+// can't be displaced yet, it records a claim and returns nil; the claim is decided by whether the claimant answers a
+// probe.
 func (c *Controller) registerTarget(now time.Duration, report wire.Target) *target {
 	id := report.ID()
 	t := c.claims[id]
@@ -35,7 +36,7 @@
 	return t
 }
 
-// conflictingTargets returns the targets under the name or at the address of a claimant, in order.
+// conflictingTargets returns the targets that have the claimant's name or address, sorted by identity.
 func (c *Controller) conflictingTargets(claimant wire.Target) (conflicting []*target) {
 	for id, t := range c.targets {
 		if id == claimant.ID() {
@@ -49,8 +50,8 @@
 	return conflicting
 }
 
-// displaceConflicting removes the targets whose name or address a claimant claims, and says whether it did: all or none.
-// answered says that the claimant has answered a probe by itself.
+// displaceConflicting removes all targets that have the claimant's name or address, or none of them if any may not be
+// displaced, and reports whether it removed them. answered reports whether the claimant itself has answered a probe.
 func (c *Controller) displaceConflicting(now time.Duration, claimant *target, answered bool) bool {
 	conflicting := c.conflictingTargets(claimant.Target)
 	for _, incumbent := range conflicting {
@@ -69,10 +70,13 @@
 	return true
 }
 
-// mayDisplace says that an incumbent doesn't keep its name and address against a claimant. An answer at the very address
-// shows whose that is. An incumbent elsewhere keeps its name while it is alive, until it leaves or misses its probes:
-// two processes under one name are a mistake, and the first one is in use. Without an answer, as where the leader's
-// probes don't get through, steady heartbeats are enough against an incumbent of which nothing at all comes.
+// mayDisplace reports whether a claimant may take over the name and address of an incumbent.
+//
+//   - If the claimant answered a probe at the incumbent's own address, the address is the claimant's.
+//   - If it answered at another address, the incumbent keeps its name unless it is unconfirmed, draining or missing its
+//     probes. Two processes with one name are a deployment mistake, and the first one is already in use.
+//   - If it did not answer, for example because the leader's probes don't get through, its steady heartbeats suffice
+//     only against an incumbent that misses its probes and sends no heartbeats either.
 func mayDisplace(now time.Duration, incumbent, claimant *target, answered bool) bool {
 	missing := incumbent.consecutiveMisses >= tuning.ProbeMisses
 	if answered {
@@ -83,7 +87,7 @@
 	return unresponsive && !claimant.unconfirmed
 }
 
-// admitTarget adds a target that no other conflicts with.
+// admitTarget adds a target that conflicts with no other target.
 func (c *Controller) admitTarget(now time.Duration, t *target, reportedState wire.TargetState) {
 	id := t.ID()
 	if reportedState == wire.TargetReady {
@@ -94,8 +98,8 @@
 	if c.leavingTargets[id] != 0 {
 		c.drainTarget(now, t, "it was leaving when it fell silent")
 	}
-	// A proxy on an earlier table would send it the requests of the target that was at its address. So it waits until
-	// no such table is in force.
+	// A proxy that still uses an earlier table would send this target the requests meant for the previous target at its
+	// address. The target gets no requests until every such table is out of use.
 	t.Pending = t.addressReused
 	if t.Pending && c.leadership == Leading {
 		c.rebuildTable(now, true)
@@ -103,8 +107,8 @@
 	}
 }
 
-// shareOffset returns the offset by which a target's capacity is divided among the proxies. A restart keeps it, since
-// proxies that serve on peer leases may have divided by it already.
+// shareOffset returns the offset that determines how a target's capacity is divided among the proxies. A restarted
+// target keeps its offset, since proxies that serve on peer leases may already have divided its capacity by it.
 func (c *Controller) shareOffset(id wire.TargetID) uint32 {
 	name := serviceTarget{id.Service, id.Name}
 	if c.shareOffsetByName[name] == 0 {
@@ -114,23 +118,23 @@
 	return c.shareOffsetByName[name]
 }
 
-// recordShareOffset takes over an offset that was given earlier.
+// recordShareOffset records an offset that was assigned earlier, as found in the log or in a proxy's table.
 func (c *Controller) recordShareOffset(service, name string, offset uint32) {
 	c.lastShareOffset[service] = max(c.lastShareOffset[service], offset)
 	c.shareOffsetByName[serviceTarget{service, name}] = offset
 }
 
-// claimIDs returns the identities of those that have claims, in order.
+// claimIDs returns the identities of the claimants, sorted.
 func (c *Controller) claimIDs() []wire.TargetID {
 	return slices.SortedFunc(maps.Keys(c.claims), wire.TargetID.Compare)
 }
 
-// expireClaims removes the claims of those that don't heartbeat any more.
+// expireClaims removes the claims of claimants that have stopped sending heartbeats.
 func (c *Controller) expireClaims(now time.Duration) {
 	maps.DeleteFunc(c.claims, func(_ wire.TargetID, t *target) bool { return now-t.lastHeartbeatAt > tuning.TargetHeartbeatTimeout })
 }
 
-// cleanUpTargets removes, now and then, what is kept of targets that are no more.
+// cleanUpTargets removes expired records of targets that no longer exist. It runs once per tuning.ReconcileEvery.
 func (c *Controller) cleanUpTargets(now time.Duration) {
 	if now-c.lastCleanupAt <= tuning.ReconcileEvery {
 		return
@@ -142,7 +146,7 @@
 	maps.DeleteFunc(c.withdrawnInVersion, func(id wire.TargetID, _ uint64) bool {
 		return c.targets[id] == nil && c.claims[id] == nil && c.tombstones[id] == 0
 	})
-	// Most of these names never come back, and for one that does another offset costs little.
+	// Most of these names never come back, and assigning a new offset to one that does costs little.
 	if len(c.shareOffsetByName) > 2*len(c.targets)+tuning.ShareOffsetsKept {
 		c.shareOffsetByName = map[serviceTarget]uint32{}
 	}
--- a/internal/controlplane/answer.go
+++ b/internal/controlplane/answer.go
@@ -1,5 +1,5 @@
-// This file answers the API's calls. What an answer promises is true: it says that nothing was changed only
-// where that is certain, and else that the outcome is unknown.
+// This file sends the responses to API calls. A response claims that nothing was changed only if that is certain;
+// otherwise it reports the outcome as unknown.
 
 package controlplane
 
@@ -15,10 +15,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// statusUnavailable is the HTTP status of an answer that promises nothing.
+// statusUnavailable is the HTTP status of a call that was not executed or whose effect can't be confirmed.
 const statusUnavailable = 503
 
-// answer answers a call and its duplicates.
+// answer sends the response to a call and to its duplicates.
 func (c *Controller) answer(call *pendingCall, response statemachine.Reply) {
 	duplicates := call.duplicates
 	call.duplicates = nil
@@ -26,14 +26,14 @@
 		c.answer(duplicate, response)
 	}
 	if response.Status == statusUnavailable && call.relayCount > 1 && !call.targetReport {
-		c.answerUnknown(call) // an earlier leader had it too and may have proposed it
+		c.answerUnknown(call) // an earlier leader received it too and may have proposed it
 		return
 	}
 	c.countAnswer(call, response.Status)
 	c.deliver(call, response)
 }
 
-// deliver sends an answer to the client here or to the daemon that relayed the call.
+// deliver sends a response to the client of this daemon or to the daemon that relayed the call.
 func (c *Controller) deliver(call *pendingCall, response statemachine.Reply) {
 	if call.relayedFrom == "" {
 		response.ID = call.callID
@@ -49,17 +49,17 @@
 	}})
 }
 
-// recvCallReply delivers a leader's reply to a call that was relayed to it.
+// recvCallReply handles a leader's reply to a call that this daemon relayed to it.
 func (c *Controller) recvCallReply(from string, response *wire.Call) {
 	call := c.relayedCalls[response.ID]
 	if call == nil || call.relayedTo != from {
 		return
 	}
 	if response.Status == statusUnavailable && call.targetReport {
-		return // it is relayed again until its time is over
+		return // tickRelayedCalls relays it again until it expires
 	}
 	if response.Status == statusUnavailable && call.relayCount > 1 {
-		call.relayedTo = "" // an earlier leader may have committed it, which the next one that leads will know
+		call.relayedTo = "" // an earlier leader may have committed it; relay it again, since the next leader will know
 		return
 	}
 	delete(c.relayedCalls, response.ID)
@@ -71,7 +71,7 @@
 	})
 }
 
-// answerNotAccepted answers a change that was committed without taking effect.
+// answerNotAccepted answers a change that was committed but not accepted.
 func (c *Controller) answerNotAccepted(call *pendingCall, record *state.Record) {
 	if record.Outcome == state.OutcomeUnknown {
 		c.answerUnknown(call)
@@ -80,8 +80,8 @@
 	c.answer(call, c.staleBaseReply(call.token))
 }
 
-// answerUnknown answers a change that may take effect or not. A target's report is never in doubt: it is
-// reported again, to any daemon, until one acknowledges it.
+// answerUnknown answers a change that may or may not take effect. A target's report is answered as unavailable
+// instead: repeating a report is harmless, so the target sends it again, to any daemon, until it is acknowledged.
 func (c *Controller) answerUnknown(call *pendingCall) {
 	if call.targetReport {
 		c.answer(call, notPropagatedReply())
@@ -91,7 +91,7 @@
 		Message: "it cannot be told whether the change was agreed or is in force everywhere; ask for it by its id"})
 }
 
-// rejectInvalid answers a change whose text is no JSON, if err is set, or has faults.
+// rejectInvalid rejects a change that is not JSON (err is set) or whose content has faults.
 func (c *Controller) rejectInvalid(call *pendingCall, faults []config.Fault, err error) {
 	c.counts.Rejected++
 	if err != nil {
@@ -101,41 +101,41 @@
 	c.reject(call, 422, config.ErrorBody{Code: "invalid", Message: fmt.Sprintf("%d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision})
 }
 
-// acceptedAnswer is the body of an answer; its keys stand in alphabetical order.
+// acceptedAnswer is a response body. Its keys are in alphabetical order.
 type acceptedAnswer struct {
 	ID       string `json:"id"`
 	InForce  bool   `json:"in_force"`
 	Revision uint64 `json:"revision"`
 }
 
-// acceptedReply says that a change is in force, and the revision that it led to.
+// acceptedReply reports that a change is in force, with the revision that it produced.
 func acceptedReply(token string, revision uint64) statemachine.Reply {
 	return statemachine.Reply{Status: 200, Body: reply.Body(acceptedAnswer{ID: token, InForce: true, Revision: revision})}
 }
 
-// staleBaseReply rejects a change that was built on another revision than the present one.
+// staleBaseReply rejects a change that is based on a revision other than the current one.
 func (c *Controller) staleBaseReply(token string) statemachine.Reply {
 	return reply.Problem(412, config.ErrorBody{Code: "stale", Revision: c.state.Revision, ID: token,
 		Message: fmt.Sprintf("built on another revision than the present %d; nothing was changed", c.state.Revision)})
 }
 
-// noLeaderReply rejects a call that no leader can take now.
+// noLeaderReply rejects a call while no leader can execute it.
 func noLeaderReply() statemachine.Reply {
 	return reply.Problem(503, config.ErrorBody{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
 }
 
-// notPropagatedReply promises nothing to a target whose report has not reached the proxies: it is to
-// report to another daemon.
+// notPropagatedReply answers a target's report that has not reached a majority of the proxies in time, and asks the
+// target to send it again, to any daemon.
 func notPropagatedReply() statemachine.Reply {
 	return reply.Problem(503, config.ErrorBody{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
 }
 
-// busyReply rejects a change while too much is proposed and not committed.
+// busyReply rejects a change while too many proposed bytes are not committed yet (see tuning.ProposedBytesMax).
 func busyReply() statemachine.Reply {
 	return reply.Problem(503, config.ErrorBody{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"})
 }
 
-// tooLargeReply rejects a configuration of more than tuning.DocumentMax bytes.
+// tooLargeReply rejects a configuration larger than tuning.DocumentMax bytes.
 func tooLargeReply() statemachine.Reply {
 	return reply.Problem(413, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
 }
--- a/internal/controlplane/answer_test.go
+++ b/internal/controlplane/answer_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The keys of answers stand in alphabetical order, as clients have always got them.
-func TestAnswersKeepTheOrderOfTheirKeys(t *testing.T) {
+// The keys of response bodies must be in alphabetical order. Clients have always received them so.
+func TestResponseKeysAreSorted(t *testing.T) {
 	for _, answer := range []any{
 		acceptedAnswer{}, configAnswer{}, historyAnswer{}, daemonsAnswer{}, targetsAnswer{}, policiesAnswer{}, domainsAnswer{}, diffAnswer{},
 		recoveryAnswer{}, emptyRecoveryAnswer{},
@@ -19,12 +19,12 @@
 		if err := json.Unmarshal(text, &fields); err != nil {
 			t.Fatal(err)
 		}
-		sorted, err := json.Marshal(fields) // a map's keys are sorted
+		sorted, err := json.Marshal(fields) // json.Marshal sorts the keys of a map
 		if err != nil {
 			t.Fatal(err)
 		}
 		if string(text) != string(sorted) {
-			t.Errorf("%T: %s, want %s", answer, text, sorted)
+			t.Errorf("JSON of %T is %s, want its keys sorted: %s", answer, text, sorted)
 		}
 	}
 }
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -1,6 +1,6 @@
-// This file takes calls of the HTTP API: from clients of this daemon, which it answers itself, executes as
-// leader or relays to the leader; and from the daemons that relayed them here. What each call does stands in
-// apiroutes.go, configapi.go and targetapi.go.
+// This file dispatches calls of the HTTP API. Calls come from clients of this daemon or are relayed by other daemons.
+// This daemon answers them itself, executes them as the leader, or relays them to the leader. The calls are implemented
+// in apiroutes.go, configapi.go and targetapi.go.
 
 package controlplane
 
@@ -18,23 +18,24 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Calls that each member answers itself, whether it leads or not.
+// Paths of calls that every member answers itself, whether it is the leader or not.
 const (
 	statusPath   = "/v1/status"
 	recoveryPath = "/v1/core/refound"
 )
 
+// targetsPath is the path prefix of the calls about targets.
 const targetsPath = "/v1/targets"
 
-// methodGet is the method of calls that change nothing.
+// methodGet is the HTTP method of calls that change nothing.
 const methodGet = "GET"
 
-// isTargetReport says that a call is a target's own: a heartbeat, a leaving or a sign-off.
+// isTargetReport reports whether a call comes from a target itself: a heartbeat, a leave notice or a sign-off.
 func isTargetReport(method, path string) bool {
 	return strings.HasPrefix(path, targetsPath) && method != methodGet
 }
 
-// handleCall takes a client's call at this daemon.
+// handleCall handles a call from a client of this daemon.
 func (c *Controller) handleCall(now time.Duration, event statemachine.Call) {
 	call := &pendingCall{token: event.Token, callID: event.ID, receivedAt: now}
 	if c.exited {
@@ -69,7 +70,7 @@
 	c.forwardCall(now, call, request, report)
 }
 
-// forwardCall has the leader execute a call at a member that doesn't lead.
+// forwardCall relays a call from this member, which is not the leader, to the leader.
 func (c *Controller) forwardCall(now time.Duration, call *pendingCall, request *wire.Call, report wire.Target) {
 	leader := ""
 	if !c.stopping {
@@ -79,9 +80,9 @@
 		c.forwardHeartbeat(now, call, report, leader)
 		return
 	}
-	// A member that gathers tables will lead in a moment; a target that leaves can wait for that.
-	executesSoon := call.targetReport && c.leadership == Gathering
-	if !executesSoon && (leader == "" || leader == c.settings.Self.Name || c.directory[leader] == nil) {
+	// A member that is Gathering becomes the leader shortly, so a target that leaves waits here instead of being relayed.
+	leadsSoon := call.targetReport && c.leadership == Gathering
+	if !leadsSoon && (leader == "" || leader == c.settings.Self.Name || c.directory[leader] == nil) {
 		c.answer(call, noLeaderReply())
 		return
 	}
@@ -89,7 +90,7 @@
 	request.ID = c.lastRelayID
 	call.call = request
 	c.relayedCalls[request.ID] = call
-	if executesSoon {
+	if leadsSoon {
 		call.relayedTo = c.settings.Self.Name
 		c.handleHeartbeat(now, report, false)
 		return
@@ -97,9 +98,9 @@
 	c.relay(now, call, leader)
 }
 
-// forwardHeartbeat passes a target's heartbeat on to the leader and answers at once, since the next one
-// makes up for one that is lost. A leader that this member has contact from but that gets nothing from it
-// would miss them all: then the target is asked to report to another daemon.
+// forwardHeartbeat relays a target's heartbeat to the leader and answers at once, since a lost heartbeat is made up for
+// by the next one. If messages from this member don't reach the leader, although the leader's messages arrive here,
+// every heartbeat would be lost: then the target is asked to report to another daemon.
 func (c *Controller) forwardHeartbeat(now time.Duration, call *pendingCall, report wire.Target, leader string) {
 	c.handleHeartbeat(now, report, true)
 	if !c.reaches(now, leader) {
@@ -109,14 +110,14 @@
 	c.answer(call, targetreport.Acknowledgement(report))
 }
 
-// relay sends a call to a leader, whose reply names the id that the call has here.
+// relay sends a call to a leader. The leader's reply carries the call's relay ID of this daemon.
 func (c *Controller) relay(now time.Duration, call *pendingCall, leader string) {
 	call.relayedTo, call.relayedAt, call.relayedTerm = leader, now, c.Term()
 	call.relayCount++
 	c.send(leader, &wire.Message{Kind: wire.KindCall, Call: call.call})
 }
 
-// executeCall executes a call as leader. A change is answered once it is in force, all else at once.
+// executeCall executes a call as the leader. A change is answered once it is in force, any other call immediately.
 func (c *Controller) executeCall(now time.Duration, call *pendingCall, request *wire.Call) {
 	if c.leadership != Leading {
 		c.answer(call, noLeaderReply())
@@ -138,8 +139,8 @@
 	c.executeRoute(now, call, request)
 }
 
-// answerRepeated answers a change whose token was used before as it answered the first, so that a retry
-// changes nothing twice. False: the token is new.
+// answerRepeated answers a change whose token was used before in the same way as the first one, so that a retry is not
+// applied twice. It returns false if the token is new.
 func (c *Controller) answerRepeated(now time.Duration, call *pendingCall) bool {
 	if record := c.state.FindRecord(call.token); record != nil {
 		if record.Outcome != state.OutcomeAccepted {
@@ -160,8 +161,8 @@
 	return false
 }
 
-// proposeChange proposes an operator's change under its token, or rejects it if too much is proposed
-// already.
+// proposeChange proposes an operator's change under its token and reports whether it did. It rejects the change if more
+// than tuning.ProposedBytesMax bytes are proposed and not committed yet.
 func (c *Controller) proposeChange(now time.Duration, call *pendingCall, command state.Command) (proposed bool) {
 	if c.node.UncommittedBytes() > tuning.ProposedBytesMax {
 		c.answer(call, busyReply())
@@ -173,19 +174,19 @@
 	return true
 }
 
-// queryValue is the first value of a key in a query, "" if it has none.
+// queryValue returns the first value of a key in a query string, "" if the key is absent.
 func queryValue(query, key string) string {
 	values, _ := url.ParseQuery(query)
 	return values.Get(key)
 }
 
-// queryNumber is the first value of a key in a query as a number.
+// queryNumber returns the first value of a key in a query string as a number. ok is false if there is no valid one.
 func queryNumber(query, key string) (number uint64, ok bool) {
 	number, err := strconv.ParseUint(queryValue(query, key), 10, 64)
 	return number, err == nil
 }
 
-// queryHas says that a query has a key, if only without a value.
+// queryHas reports whether a query string has a key, with or without a value.
 func queryHas(query, key string) bool {
 	values, _ := url.ParseQuery(query)
 	return values.Has(key)
--- a/internal/controlplane/apiroutes.go
+++ b/internal/controlplane/apiroutes.go
@@ -1,5 +1,5 @@
-// This file has the API's calls that the leader executes, but for those that change the configuration
-// (configapi.go) and those of targets (targetapi.go).
+// This file implements the API calls that the leader executes, except for those that change the configuration
+// (configapi.go) and the reports of targets (targetapi.go).
 
 package controlplane
 
@@ -19,17 +19,17 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// apiRequest is a call at the leader.
+// apiRequest is a call that the leader executes.
 type apiRequest struct {
 	now    time.Duration
-	call   *pendingCall // where its answer goes
+	call   *pendingCall // receives the response
 	method string
 	query  string
 	body   []byte
 	path   apiPath
 }
 
-// apiPath is a path of the API: /v1/RESOURCE/NAME/ACTION. What lacks is "".
+// apiPath is a parsed API path, /v1/RESOURCE/NAME/ACTION. Missing segments are "".
 type apiPath struct{ resource, name, action string }
 
 func parsePath(path string) apiPath {
@@ -40,44 +40,44 @@
 	return apiPath{resource: segments[1], name: segments[2], action: segments[3]}
 }
 
-// anything stands in a route's path for any name or action, also none.
-const anything = "*"
+// wildcard matches any name or action in a route, including an absent one.
+const wildcard = "*"
 
-// route is a kind of call and what executes it.
+// route maps a method and a path pattern to the function that executes the call.
 type route struct {
 	method, resource, name, action string
 	execute                        func(*Controller, *apiRequest)
 }
 
-// routes are all calls that the leader executes, but for targets' reports.
+// routes lists all calls that the leader executes, except for the reports of targets.
 var routes = []route{
-	{"GET", "config", "", anything, (*Controller).answerConfig},
-	{"PUT", "config", "", anything, (*Controller).replaceConfig},
-	{"PATCH", "config", "", anything, (*Controller).patchConfig},
-	{"GET", "config", "history", anything, (*Controller).answerHistory},
-	{"GET", "config", "diff", anything, (*Controller).answerDiff},
-	{"POST", "config", "rollback", anything, (*Controller).rollBackConfig},
-	{"GET", "changes", anything, anything, (*Controller).answerChange},
-	{"GET", "policies", anything, anything, (*Controller).answerPolicies},
-	{"PUT", "policies", anything, anything, (*Controller).replacePolicy},
-	{"DELETE", "policies", anything, anything, (*Controller).removePolicy},
-	{"GET", "roster", anything, anything, (*Controller).answerDaemons},
-	{"GET", "targets", anything, anything, (*Controller).answerTargets},
-	{"GET", "domains", anything, anything, (*Controller).answerDomains},
-	{"POST", "domains", anything, "empty", (*Controller).changeDomain},
-	{"POST", "domains", anything, "restore", (*Controller).changeDomain},
-	{"POST", "gates", anything, "forget", (*Controller).forgetProxy},
-	{"POST", "core", anything, "add", (*Controller).addMember},
-	{"POST", "core", anything, "remove", (*Controller).removeMemberByOperator},
+	{"GET", "config", "", wildcard, (*Controller).answerConfig},
+	{"PUT", "config", "", wildcard, (*Controller).replaceConfig},
+	{"PATCH", "config", "", wildcard, (*Controller).patchConfig},
+	{"GET", "config", "history", wildcard, (*Controller).answerHistory},
+	{"GET", "config", "diff", wildcard, (*Controller).answerDiff},
+	{"POST", "config", "rollback", wildcard, (*Controller).rollBackConfig},
+	{"GET", "changes", wildcard, wildcard, (*Controller).answerChange},
+	{"GET", "policies", wildcard, wildcard, (*Controller).answerPolicies},
+	{"PUT", "policies", wildcard, wildcard, (*Controller).replacePolicy},
+	{"DELETE", "policies", wildcard, wildcard, (*Controller).removePolicy},
+	{"GET", "roster", wildcard, wildcard, (*Controller).answerDaemons},
+	{"GET", "targets", wildcard, wildcard, (*Controller).answerTargets},
+	{"GET", "domains", wildcard, wildcard, (*Controller).answerDomains},
+	{"POST", "domains", wildcard, "empty", (*Controller).changeDomain},
+	{"POST", "domains", wildcard, "restore", (*Controller).changeDomain},
+	{"POST", "gates", wildcard, "forget", (*Controller).forgetProxy},
+	{"POST", "core", wildcard, "add", (*Controller).addMember},
+	{"POST", "core", wildcard, "remove", (*Controller).removeMemberByOperator},
 }
 
 func (r *route) matches(method string, path apiPath) bool {
 	return r.method == method && r.resource == path.resource &&
-		(r.name == anything || r.name == path.name) &&
-		(r.action == anything || r.action == path.action)
+		(r.name == wildcard || r.name == path.name) &&
+		(r.action == wildcard || r.action == path.action)
 }
 
-// executeRoute executes a call by its method and path.
+// executeRoute executes a call by the first route that matches its method and path, or rejects it with 404.
 func (c *Controller) executeRoute(now time.Duration, call *pendingCall, request *wire.Call) {
 	path := parsePath(request.Path)
 	for i := range routes {
@@ -89,44 +89,46 @@
 	c.reject(call, 404, config.ErrorBody{Code: "not_found", Message: "no such call: " + request.Method + " " + request.Path})
 }
 
-// The types below are bodies of answers. Their keys stand in alphabetical order, as clients have always got them.
+// The types below are response bodies. Their keys are in alphabetical order; clients have always received them so.
 
-// configAnswer is the configuration and its revision.
+// configAnswer holds the configuration and its revision.
 type configAnswer struct {
 	Config   json.RawMessage `json:"config"`
 	Revision uint64          `json:"revision"`
 }
 
-// historyAnswer has the latest changes, the oldest first.
+// historyAnswer holds the latest changes, oldest first.
 type historyAnswer struct {
 	Changes []state.Record `json:"changes"`
 }
 
-// daemonsAnswer has all daemons that the leader knows of.
+// daemonsAnswer holds all daemons in the leader's directory.
 type daemonsAnswer struct {
 	Daemons []DaemonView `json:"daemons"`
 }
 
-// targetsAnswer has the targets as the leader sees them.
+// targetsAnswer holds the targets as the leader sees them.
 type targetsAnswer struct {
 	Revision uint64       `json:"revision"`
 	Targets  []TargetView `json:"targets"`
 }
 
-// policiesAnswer has what each outlier policy decided since this member began to lead.
+// policiesAnswer holds the statistics of each outlier policy since this member became the leader. LeadingMilliseconds is
+// how long it has been the leader.
 type policiesAnswer struct {
 	Policies            map[string]outlier.PolicyStats `json:"policies"`
 	Revision            uint64                         `json:"revision"`
 	LeadingMilliseconds int64                          `json:"since_ms"`
 }
 
-// domainsAnswer has the failure domains and those of them that get no new requests.
+// domainsAnswer holds the failure domains, and those of them that are emptied and get no new requests.
 type domainsAnswer struct {
 	Domains []string `json:"domains"`
 	Emptied []string `json:"emptied"`
 }
 
-// answerConfig answers with the configuration: beside its revision, or, plain, with its revision in it.
+// answerConfig returns the configuration and its revision as separate keys or, with the query key "plain", the bare
+// document with the revision inside it.
 func (c *Controller) answerConfig(request *apiRequest) {
 	if queryHas(request.query, "plain") {
 		document := mustRewrite(config.WithRevision(c.state.Document, c.state.Revision))
@@ -140,7 +142,7 @@
 	c.answerBody(request.call, historyAnswer{Changes: c.state.Records})
 }
 
-// answerChange answers with the record of a change, by its token.
+// answerChange returns the record of a change by its token, without the document.
 func (c *Controller) answerChange(request *apiRequest) {
 	record := c.state.FindRecord(request.path.name)
 	if record == nil {
@@ -175,7 +177,7 @@
 	})
 }
 
-// changeDomain empties a failure domain or restores it, as its action says.
+// changeDomain empties or restores a failure domain, according to the action in the path.
 func (c *Controller) changeDomain(request *apiRequest) {
 	domain := request.path.name
 	if !slices.Contains(c.failureDomains(), domain) && !slices.Contains(c.state.EmptiedDomains, domain) {
@@ -185,8 +187,8 @@
 	c.proposeChange(request.now, request.call, state.Command{Operation: state.Operation(request.path.action), Name: domain})
 }
 
-// forgetProxy removes a proxy from the membership, if it has stopped asking for its table: one that still
-// serves must count, since what is in force binds all proxies.
+// forgetProxy removes a proxy from the proxy membership if it has stopped pulling its table. A proxy that still serves
+// must stay a member, since a table is in force only once no proxy serves by an earlier one.
 func (c *Controller) forgetProxy(request *apiRequest) {
 	name := request.path.name
 	if !c.isProxyMember(name) {
@@ -200,7 +202,7 @@
 	c.proposeChange(request.now, request.call, state.Command{Operation: state.OpForgetProxy, Name: name})
 }
 
-// addMember asks for a control daemon to become a member. It learns the log first.
+// addMember requests that a control daemon become a member. The daemon is a learner of the log until it has caught up.
 func (c *Controller) addMember(request *apiRequest) {
 	name := request.path.name
 	if slices.Contains(namesOf(c.node.Members()), name) {
@@ -214,8 +216,8 @@
 	c.proposeChange(request.now, request.call, state.Command{Operation: state.OpAddMember, Name: name})
 }
 
-// removeMemberByOperator removes a member. A leader that is to go hands leadership over first, and the
-// operator asks its successor.
+// removeMemberByOperator removes a member on an operator's request. If the member is the leader itself, it rejects the
+// call and transfers leadership; the operator repeats the call, which the new leader executes.
 func (c *Controller) removeMemberByOperator(request *apiRequest) {
 	name, members := request.path.name, c.node.Members()
 	i := slices.IndexFunc(members, func(m wire.Member) bool { return m.Name == name })
@@ -235,12 +237,12 @@
 	}
 }
 
-// answerBody answers a call with a value in JSON.
+// answerBody answers a call with a value encoded as JSON.
 func (c *Controller) answerBody(call *pendingCall, value any) {
 	c.answer(call, statemachine.Reply{Status: 200, Body: reply.Body(value)})
 }
 
-// reject answers a call that is rejected with an HTTP status and a reason.
+// reject answers a call with an HTTP error status and a reason.
 func (c *Controller) reject(call *pendingCall, status int, reason config.ErrorBody) {
 	c.answer(call, reply.Problem(status, reason))
 }
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -1,5 +1,5 @@
-// This file proposes commands and applies committed log entries: to the state, which all members do alike,
-// and to what this member does because of them.
+// This file proposes commands and applies committed log entries. All members apply an entry to the replicated state in
+// the same way; afterwards each member acts on the change according to its role.
 
 package controlplane
 
@@ -16,13 +16,13 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// propose appends a command to the log of a leader and returns its index.
+// propose appends a command to the log of this leader and returns the index of the entry.
 func (c *Controller) propose(now time.Duration, command state.Command) (index uint64) {
 	return c.node.Propose(now, state.EncodeCommand(command))
 }
 
-// apply applies a committed entry. After one that could not be decoded none is applied: the state before
-// it is no base for what comes after.
+// apply applies a committed entry. Once an entry could not be decoded, no later one is applied, since later entries
+// assume the state that the undecodable one would have produced.
 func (c *Controller) apply(now time.Duration, entry wire.Entry) {
 	if c.undecodable != nil {
 		return
@@ -56,15 +56,15 @@
 	}
 }
 
-// discardInitialState goes on without a first state that did not decode: another one is proposed, or none
-// while an operator has not allowed that.
+// discardInitialState drops a committed initial state of the epoch that could not be decoded. The leader then proposes
+// another recovered state; it proposes an empty one only if an operator allows that.
 func (c *Controller) discardInitialState(index uint64) {
 	c.ReportDamage("state offered for this epoch", errors.Newf("entry %d does not decode", index))
 	c.initialStateProposed, c.recoveredState, c.unreadableRecoveredState = false, state.RecoveredState{}, true
 }
 
-// recordForNextLeader keeps what an operator's change asks of the leader beyond the state. Each member keeps
-// it, since any of them may lead next.
+// recordForNextLeader records what an operator's change requires of the leader and the replicated state does not hold.
+// Every member records it, since any member may be the next leader.
 func (c *Controller) recordForNextLeader(now time.Duration, command state.Command, restoresDomain bool) {
 	switch command.Operation {
 	case state.OpAddMember:
@@ -78,8 +78,8 @@
 	}
 }
 
-// hasLeadershipState says that this member has targets and tables to which a change matters: it leads or will
-// in a moment, or has led and may resume.
+// hasLeadershipState reports whether this member holds targets and tables that a change must be applied to: it is
+// Gathering or Leading, or has been the leader and may resume.
 func (c *Controller) hasLeadershipState() bool {
 	switch c.leadership {
 	case Recovering:
@@ -90,12 +90,12 @@
 	return true
 }
 
-// applyAsLeader puts a committed change into the next table, and answers its caller: at once if it was not
-// accepted, else once that table is in force.
+// applyAsLeader applies a committed change to the next table and answers its caller: immediately if the change was not
+// accepted, otherwise once that table is in force.
 func (c *Controller) applyAsLeader(now time.Duration, command state.Command, restoresDomain bool) {
 	c.activateConfig()
 	if c.undecodable != nil {
-		return // no table may be made from a configuration that does not decode
+		return // a table must not be built from a configuration that could not be decoded
 	}
 	if restoresDomain {
 		for _, target := range c.targets {
@@ -119,8 +119,9 @@
 	c.awaitInForce(now, command, call, revision)
 }
 
-// awaitInForce has the caller of a committed change, if there is one, wait until it is in force. A change of
-// the proxy membership is waited for in any case, since the membership before counts until then.
+// awaitInForce registers a waiter that answers the caller of a committed change once the change is in force. A change
+// of the proxy membership gets a waiter even without a caller, since the previous membership counts until the new one
+// is in force.
 func (c *Controller) awaitInForce(now time.Duration, command state.Command, call *pendingCall, revision uint64) {
 	changesProxies := command.Operation == state.OpChangeProxies || command.Operation == state.OpForgetProxy
 	if call == nil && !changesProxies {
@@ -128,7 +129,7 @@
 	}
 	waiter := &inForceWaiter{version: c.tableVersion, waitingSince: now, proxyChange: changesProxies}
 	if c.leadership != Leading {
-		waiter.version++ // a leadership that is resumed has the change in its first table
+		waiter.version++ // if leadership is resumed, its first table includes the change
 	}
 	if command.Operation == state.OpAddMember || command.Operation == state.OpRemoveMember {
 		waiter.member, waiter.joining = command.Name, command.Operation == state.OpAddMember
--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -1,10 +1,10 @@
-// This file is how a control plane comes to be: the first time, and again after a loss that left no majority.
+// This file bootstraps the control plane: at its first start, and again after a failure that left no majority.
 //
-// Each bootstrap begins an epoch, with its members. The founders are a majority of the last members by name,
-// and a founder that has locked a bootstrap on disk takes part in no earlier epoch any more. So once all
-// founders have locked it, those of the last control plane that have not are no majority, and can elect no
-// leader. Members whose machines are not there are kept by names without a disk, so that the founders of any two
-// bootstraps share a machine, which locked one after the other. docs/design.md goes through the cases.
+// Each bootstrap begins an epoch with a set of members. The founders are a majority of the last members by name. A
+// founder that has locked a bootstrap on disk no longer takes part in any earlier epoch. Once all founders have locked
+// it, the remaining members of the last control plane are not a majority and can't elect a leader. A member whose
+// machine is absent is kept as a placeholder: a name without a disk. Therefore the founders of any two bootstraps have
+// a machine in common, which locked one after the other. docs/design.md describes the cases.
 
 package controlplane
 
@@ -21,10 +21,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// bootstrap takes the next step of a bootstrap, if one is needed. The visible founders begin an epoch if none
-// of them has a leader, if they are a majority of the last members, and if these can't elect a leader once the
-// founders have locked. Each offers the epoch that it would begin; only when all offer the same does each lock it on disk,
-// and only when all have locked it does any act on it.
+// bootstrap takes the next step of a bootstrap, if one is needed. The visible founders begin an epoch if none of them
+// has a leader, if they are a majority of the last members, and if the last members can't elect a leader once the
+// founders have locked. Each founder offers the epoch that it would begin. A founder locks its offer on disk only when
+// all founders offer the same, and begins the epoch only when all have locked it.
 func (c *Controller) bootstrap(now time.Duration) {
 	if c.recoveryConsent.Granted && now-c.recoveryConsent.GrantedAt > tuning.ConsentTTL {
 		c.recoveryConsent = discovery.RecoveryConsent{}
@@ -43,15 +43,15 @@
 	survey := c.surveyMembers(visible, consent.LostMembers)
 	founders := survey.eligibleFounders(visible)
 	c.trackFounders(now, founders)
-	if !c.mayFound(&survey, founders) {
+	if !c.mayBootstrap(&survey, founders) {
 		return
 	}
 	plan := c.planBootstrap(founders, survey.size)
-	if len(founders) < survey.size && !consent.Granted && !c.mayFoundIncomplete(now, &survey, founders, plan.offer) {
+	if len(founders) < survey.size && !consent.Granted && !c.mayBootstrapIncomplete(now, &survey, founders, plan.offer) {
 		return
 	}
 	c.currentOffer = plan.offer
-	if !c.allOffer(founders, plan.offer) {
+	if !c.allFoundersOffer(founders, plan.offer) {
 		return
 	}
 	if c.persistentState.BootstrapLock != plan.offer {
@@ -59,7 +59,7 @@
 	}
 }
 
-// trackFounders keeps since when the visible founders are the same.
+// trackFounders updates since when the set of visible founders, with their disks, has been the same.
 func (c *Controller) trackFounders(now time.Duration, founders []wire.Daemon) {
 	var names strings.Builder
 	for _, founder := range founders {
@@ -70,39 +70,39 @@
 	}
 }
 
-// mayFound says that this member is one of the founders, and that they may begin an epoch: they are a majority, so
-// that no others can begin one beside them, and the last control plane can't go on by itself.
-func (c *Controller) mayFound(survey *membershipSurvey, founders []wire.Daemon) bool {
+// mayBootstrap reports whether this member is one of the founders and they may begin an epoch: they are a majority, so
+// no other group can begin one at the same time, and the last control plane can't elect a leader by itself.
+func (c *Controller) mayBootstrap(survey *membershipSurvey, founders []wire.Daemon) bool {
 	return len(founders) <= survey.size &&
 		2*len(founders) > survey.size &&
 		!survey.canElect() &&
 		indexOfDaemon(founders, c.settings.Self.Name) >= 0
 }
 
-// mayFoundIncomplete says that founders that are not all may begin an epoch without an operator's consent: those missing
-// had time to come, and even with them the last control plane has no majority; or another founder offers
-// the same, which has found that to be so.
-func (c *Controller) mayFoundIncomplete(now time.Duration, survey *membershipSurvey, founders []wire.Daemon, offer uint64) bool {
+// mayBootstrapIncomplete reports whether the founders may begin an epoch without an operator's consent although some are
+// missing. They may if the missing ones had tuning.BootstrapWait to appear and the last control plane would have no
+// majority even with them, or if another founder makes the same offer, since it has already established this.
+func (c *Controller) mayBootstrapIncomplete(now time.Duration, survey *membershipSurvey, founders []wire.Daemon, offer uint64) bool {
 	if now-c.visibleFoundersSince >= tuning.BootstrapWait && survey.canNeverElect() {
 		return true
 	}
 	return slices.ContainsFunc(founders, func(d wire.Daemon) bool { return d.Name != c.settings.Self.Name && d.BootstrapOffer == offer })
 }
 
-// allOffer says that all other founders make the same offer.
-func (c *Controller) allOffer(founders []wire.Daemon, offer uint64) bool {
+// allFoundersOffer reports whether all other founders make the given offer.
+func (c *Controller) allFoundersOffer(founders []wire.Daemon, offer uint64) bool {
 	return !slices.ContainsFunc(founders, func(d wire.Daemon) bool { return d.Name != c.settings.Self.Name && d.BootstrapOffer != offer })
 }
 
-// bootstrapPlan is an epoch that founders would begin.
+// bootstrapPlan describes the epoch that the founders would begin.
 type bootstrapPlan struct {
-	offer   uint64 // digest of epoch and members, by which founders compare their plans; also names the lock
+	offer   uint64 // digest of epoch and members, by which founders compare their plans; also identifies the lock
 	epoch   uint64
 	members []wire.Member
 }
 
-// planBootstrap is the epoch that founders would begin: the epoch after all that they know of, or the one that some of them
-// have locked already with the same members.
+// planBootstrap returns the plan of the founders for an epoch with size members. It is the epoch that some of them have
+// already locked with the same members or, if there is none, the one after the latest epoch that they know of.
 func (c *Controller) planBootstrap(founders []wire.Daemon, size int) bootstrapPlan {
 	latest := uint64(0)
 	members := make([]wire.Member, 0, size)
@@ -116,24 +116,24 @@
 	for len(members) < size {
 		members = append(members, absentMember(len(members)+1))
 	}
-	lockedOffer := offerOf(latest, members)
+	lockedOffer := offerDigest(latest, members)
 	isLocked := latest > 0 && slices.ContainsFunc(founders, func(d wire.Daemon) bool {
 		return d.Epoch < latest && d.BootstrapLock == lockedOffer
 	})
 	if isLocked {
 		return bootstrapPlan{offer: lockedOffer, epoch: latest, members: members}
 	}
-	return bootstrapPlan{offer: offerOf(latest+1, members), epoch: latest + 1, members: members}
+	return bootstrapPlan{offer: offerDigest(latest+1, members), epoch: latest + 1, members: members}
 }
 
-// absentMember stands for a member whose machine is not there, by its number from 1. It has no disk, so it never
-// votes and counts against every majority.
+// absentMember returns a placeholder for a member whose machine is absent. Numbers start at 1. A placeholder has no
+// disk and never votes, but is counted in the size of every majority.
 func absentMember(number int) wire.Member {
 	return wire.Member{Name: fmt.Sprintf("absent-%d", number)}
 }
 
-// offerOf is the digest of an epoch and its members.
-func offerOf(epoch uint64, members []wire.Member) uint64 {
+// offerDigest returns the digest of an epoch and its members.
+func offerDigest(epoch uint64, members []wire.Member) uint64 {
 	var numbers [16]byte
 	digest := fnv.New64a()
 	for _, member := range members {
@@ -145,7 +145,7 @@
 	return digest.Sum64()
 }
 
-// lockBootstrap writes a lock to disk. It counts, and others learn of it, once that is synced.
+// lockBootstrap writes a lock for the plan to disk. The lock takes effect, and is announced to others, once it is synced.
 func (c *Controller) lockBootstrap(now time.Duration, plan bootstrapPlan) {
 	lock := &wire.Batch{BootstrapLock: plan.offer, Founders: plan.members, BootstrapEpoch: plan.epoch}
 	c.persistentState.ApplyBatch(lock)
@@ -157,7 +157,7 @@
 	c.bootstrapLockSeq = c.batchOffset + c.node.Persist(now, lock)
 }
 
-// syncedLockEpoch is the epoch of the lock that is synced to disk, 0 if there is none or it is not synced yet.
+// syncedLockEpoch returns the epoch of the lock on disk, 0 if there is none or it is not synced yet.
 func (c *Controller) syncedLockEpoch() uint64 {
 	if c.syncedSeq < c.bootstrapLockSeq {
 		return 0
@@ -165,22 +165,23 @@
 	return c.persistentState.BootstrapEpoch
 }
 
-// superseded says that this member has locked a later epoch than that of its node, and takes no part in that.
+// superseded reports whether this member has locked a later epoch than the one its node is in. It then no longer takes
+// part in the node's epoch.
 func (c *Controller) superseded() bool {
 	return c.node != nil && c.persistentState.BootstrapEpoch > c.node.Epoch()
 }
 
-// completeBootstrap begins the epoch that this member has locked, if all founders have locked it; or if one
-// has begun it, since then all had.
+// completeBootstrap begins the epoch that this member has locked and reports whether it did. All founders must have
+// locked it, which is also certain if one of them has already begun it.
 func (c *Controller) completeBootstrap(now time.Duration, visible []wire.Daemon) (begun bool) {
-	if !c.allLocked(visible) && !c.anyFounderBegan(visible) {
+	if !c.allLocked(visible) && !c.anyFounderInEpoch(visible) {
 		return false
 	}
 	c.beginEpoch(now)
 	return true
 }
 
-// allLocked says that all founders that have a disk are visible and have the lock that this member has.
+// allLocked reports whether all founders with a disk are visible and hold the same lock as this member.
 func (c *Controller) allLocked(visible []wire.Daemon) bool {
 	for _, member := range c.persistentState.Founders {
 		if member.Disk == 0 {
@@ -193,8 +194,8 @@
 	return true
 }
 
-// anyFounderBegan says that a founder with the same lock is in its epoch.
-func (c *Controller) anyFounderBegan(visible []wire.Daemon) bool {
+// anyFounderInEpoch reports whether a visible founder with the same lock has already begun the locked epoch.
+func (c *Controller) anyFounderInEpoch(visible []wire.Daemon) bool {
 	for _, member := range c.persistentState.Founders {
 		founder := findMember(visible, member)
 		if founder != nil && founder.BootstrapLock == c.persistentState.BootstrapLock && founder.Epoch == c.persistentState.BootstrapEpoch {
@@ -204,7 +205,7 @@
 	return false
 }
 
-// findMember is the daemon that has a member's name and disk, nil if it is not in the list.
+// findMember returns the daemon in the list that has the member's name and disk, nil if there is none.
 func findMember(daemons []wire.Daemon, member wire.Member) *wire.Daemon {
 	i := indexOfDaemon(daemons, member.Name)
 	if i < 0 || daemons[i].Disk != member.Disk {
@@ -213,11 +214,12 @@
 	return &daemons[i]
 }
 
-// provisionalLock is a lock of no epoch.
+// provisionalLock is the value of a lock that belongs to no epoch. See recordBootstrapIntent.
 const provisionalLock = 1
 
-// recordBootstrapIntent keeps on disk that this process may bootstrap the first control plane, and with how many
-// members, so that a restart while it does changes nothing: as a lock of no epoch.
+// recordBootstrapIntent records on disk that this process may bootstrap the first control plane, and with how many
+// members, so that a restart during the bootstrap does not change either. The record is a provisional lock with one
+// placeholder for each member.
 func (c *Controller) recordBootstrapIntent() {
 	if c.settings.BootstrapSize > 0 || c.bootstrapSize == 0 || c.node != nil || c.persistentState.BootstrapLock != 0 {
 		return
--- a/internal/controlplane/configapi.go
+++ b/internal/controlplane/configapi.go
@@ -1,5 +1,5 @@
-// This file takes operators' changes of the configuration. Each names the revision that it was built on and
-// is proposed only while that is the present one, so that no change undoes another unseen.
+// This file handles operators' changes to the configuration. Each change names the revision that it is based on and is
+// proposed only if that is the current revision, so that no change silently overwrites another.
 
 package controlplane
 
@@ -20,27 +20,27 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Descriptions of changes, which stand in their records and in their digests.
+// Descriptions of changes. They are stored in the change records and are part of the change digests.
 const (
 	replaceDescription = "whole"
 	patchDescription   = "partial"
 )
 
-// configChange is a change of the configuration that may be proposed.
+// configChange is a change to the configuration that has passed checkBase and may be proposed.
 type configChange struct {
 	call        *pendingCall
 	description string
-	digest      *state.ChangeDigest // of its description, its base and what its text says
+	digest      *state.ChangeDigest // of its description, its base and its canonical text
 }
 
-// replaceConfig replaces the configuration by the call's body.
+// replaceConfig replaces the whole configuration with the request body.
 func (c *Controller) replaceConfig(request *apiRequest) {
 	if change := c.checkBase(request, request.body, replaceDescription); change != nil {
 		c.proposeConfig(request.now, change, request.body)
 	}
 }
 
-// patchConfig changes parts of the configuration: by a named change, or by a JSON merge patch.
+// patchConfig changes parts of the configuration. The request body is a named change or a JSON merge patch.
 func (c *Controller) patchConfig(request *apiRequest) {
 	change := c.checkBase(request, request.body, patchDescription)
 	if change == nil {
@@ -53,7 +53,7 @@
 	c.mergePatch(request.now, change, request.body)
 }
 
-// replacePolicy replaces one policy by the call's body.
+// replacePolicy replaces one outlier policy with the request body.
 func (c *Controller) replacePolicy(request *apiRequest) {
 	patch := policyPatch(request.path.name, request.body)
 	if change := c.checkBase(request, patch, "policy "+request.path.name); change != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// removePolicy removes one policy.
+// removePolicy removes one outlier policy.
 func (c *Controller) removePolicy(request *apiRequest) {
 	patch := policyPatch(request.path.name, []byte("null"))
 	if change := c.checkBase(request, patch, "policy "+request.path.name+" removed"); change != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// rollBackConfig replaces the configuration by that of an earlier revision.
+// rollBackConfig replaces the configuration with that of an earlier revision.
 func (c *Controller) rollBackConfig(request *apiRequest) {
 	revision, ok := queryNumber(request.query, "to")
 	document := c.documentAt(revision)
@@ -83,7 +83,8 @@
 	}
 }
 
-// policyPatch is the merge patch that sets a policy. What is no JSON stays as it is, to be rejected as such.
+// policyPatch returns the merge patch that sets a policy. A policy that is not valid JSON is returned unchanged, so that
+// checkBase rejects it.
 func policyPatch(name string, policy []byte) []byte {
 	if !json.Valid(policy) {
 		return policy
@@ -91,8 +92,8 @@
 	return reply.Body(map[string]map[string]json.RawMessage{"policies": {name: policy}})
 }
 
-// checkBase checks a change of the configuration before its document is made: its size, its base, and
-// whether the same change was accepted before. Nil: it has been answered.
+// checkBase checks a change to the configuration before the new document is built: its size, its syntax, its base
+// revision, and whether the same change was accepted before. It returns nil if it has answered the call.
 func (c *Controller) checkBase(request *apiRequest, text []byte, description string) *configChange {
 	call := request.call
 	if len(text) > tuning.DocumentMax {
@@ -117,8 +118,9 @@
 	return &configChange{call: call, description: description, digest: &digest}
 }
 
-// answerOtherBase answers a change that is not built on the present revision. It may be a retry of one that
-// was accepted: then it is answered as that was, and as unknown if its base is before all that is kept.
+// answerOtherBase answers a change whose base is not the current revision. If it is a retry of an accepted change, it is
+// answered like that change. If its base is older than all kept records, it may be such a retry, and is answered as
+// unknown. Otherwise it is rejected as stale.
 func (c *Controller) answerOtherBase(now time.Duration, call *pendingCall, digest state.ChangeDigest, base uint64) {
 	status, revision := c.state.FindChange(digest, base)
 	switch status {
@@ -132,8 +134,8 @@
 	}
 }
 
-// answerWhenInForce acknowledges a change that was accepted before, once the present table is in force:
-// no earlier one need be waited for, since it has the change.
+// answerWhenInForce acknowledges a change that was accepted earlier once the current table is in force. The current
+// table includes the change, so there is no need to determine which earlier table did so first.
 func (c *Controller) answerWhenInForce(now time.Duration, call *pendingCall, revision uint64) {
 	c.counts.RepeatsAnswered++
 	c.waiters = append(c.waiters, &inForceWaiter{version: c.tableVersion, waitingSince: now, call: call, reply: acceptedReply(call.token, revision)})
@@ -161,7 +163,7 @@
 	c.proposeConfig(now, change, document)
 }
 
-// proposeConfig proposes a complete configuration on the present revision, if it is valid.
+// proposeConfig validates a complete configuration and proposes it on top of the current revision.
 func (c *Controller) proposeConfig(now time.Duration, change *configChange, document []byte) {
 	if len(document) > tuning.DocumentMax {
 		c.answer(change.call, tooLargeReply())
@@ -177,7 +179,7 @@
 	}
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, document); err != nil {
-		panic(errors.Wrap(err, "a configuration that was parsed"))
+		panic(errors.Wrap(err, "compact a configuration that passed validation"))
 	}
 	proposed := c.proposeChange(now, change.call, state.Command{
 		Operation:         state.OpConfigure,
@@ -192,7 +194,7 @@
 	}
 }
 
-// documentAt is the configuration at a revision, nil if it is not kept.
+// documentAt returns the configuration document of a revision, nil if it is no longer kept.
 func (c *Controller) documentAt(revision uint64) json.RawMessage {
 	for i := range c.state.Records {
 		if record := &c.state.Records[i]; record.Revision == revision && record.Document != nil {
@@ -202,14 +204,14 @@
 	return nil
 }
 
-// diffAnswer is the body of an answer; its keys stand in alphabetical order.
+// diffAnswer is a response body. Its keys are in alphabetical order.
 type diffAnswer struct {
 	From       uint64          `json:"from"`
 	MergePatch json.RawMessage `json:"merge_patch"`
 	To         uint64          `json:"to"`
 }
 
-// answerDiff answers with what changed between two revisions, as a JSON merge patch.
+// answerDiff returns the difference between two revisions as a JSON merge patch. Revision 0 is the empty configuration.
 func (c *Controller) answerDiff(request *apiRequest) {
 	from, _ := queryNumber(request.query, "from")
 	to, _ := queryNumber(request.query, "to")
@@ -223,19 +225,19 @@
 	}
 	patch, err := jsonpatch.CreateMergePatch(earlier, later)
 	if err != nil {
-		panic(errors.Wrapf(err, "difference of revisions %d and %d", from, to))
+		panic(errors.Wrapf(err, "create merge patch from revision %d to %d", from, to))
 	}
 	c.answerBody(request.call, diffAnswer{From: from, MergePatch: patch, To: to})
 }
 
-// withoutRevision is a committed configuration without a revision in it.
+// withoutRevision returns a committed configuration document without its revision key.
 func withoutRevision(document []byte) []byte { return mustRewrite(config.WithoutRevision(document)) }
 
-// mustRewrite returns a committed configuration as it was rewritten. It was valid when it was proposed, so
-// an error is a fault of this program.
+// mustRewrite returns the result of rewriting a committed configuration document. The document was valid when it was
+// proposed, so an error is a bug in this program and panics.
 func mustRewrite(document []byte, err error) []byte {
 	if err != nil {
-		panic(errors.Wrap(err, "a committed configuration"))
+		panic(errors.Wrap(err, "rewrite the revision of a committed configuration"))
 	}
 	return document
 }
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -1,15 +1,18 @@
-// Package controlplane is the state machine of a control daemon, which is a member of the control plane or
-// a standby: discovery, bootstrap and recovery, membership, the registry of targets and their health checks,
-// outlier ejection, leases to proxies, and operators' changes. It is one pure function, Controller.Step: an event
-// in, commands out. It has no clock, no I/O, no locks and no goroutines: the caller carries out the commands and
-// owns the Controller. Consensus on the log is in the subpackage consensus, the write-ahead log on disk in wal.
+// Package controlplane implements the state machine of a control daemon, which is a member of the control plane or a
+// standby. It covers discovery, bootstrap and recovery, membership, the registry of targets and their health checks,
+// outlier ejection, leases for proxies, and operators' changes.
 //
-// The leader keeps everything that isn't in the log in memory: targets, ejections, drains, health checks, and which
-// proxy has which lease. A member that leads again soon, with no other leader in between, goes on with it. Any other
-// begins with the registrations in the log, and recovers drains and ejections from proxies' tables and heartbeats.
+// All of it is driven by Controller.Step, which takes an event and returns commands. The package has no clock, I/O,
+// locks or goroutines: the caller owns the Controller, passes the time and carries out the commands. Consensus on the
+// log is in the subpackage consensus, the write-ahead log on disk in wal.
 //
-// Begin reading with Controller.Step here, then leadership.go (becoming leader), table.go and proxylease.go (what
-// the leader sends to proxies), and api.go (calls).
+// The leader keeps everything that is not in the log in memory: targets, ejections, drains, health checks and the leases
+// of proxies. A member that becomes leader again soon, with no other leader in between, continues with that state. Any
+// other new leader starts from the registrations in the log and recovers drains and ejections from proxies' tables and
+// heartbeats.
+//
+// Start reading with Controller.Step in this file, then leadership.go (becoming leader), table.go and proxylease.go
+// (what the leader sends to proxies), and api.go (calls).
 package controlplane
 
 import (
@@ -27,140 +30,147 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Controller is the state of a control daemon. Only the goroutine that calls Step may use it.
+// Controller holds the state of a control daemon. It may be used only by the goroutine that calls Step.
 type Controller struct {
 	settings  Settings
 	startedAt time.Duration
-	commands  []statemachine.Command // of the step under way
+	commands  []statemachine.Command // emitted so far by the current step
 	counts    Counts
 
-	// Consensus and the state that it agrees on.
+	// Consensus and the replicated state.
 
-	persistentState consensus.PersistentState // what is on disk once all batches are synced
-	node            *consensus.Node           // nil before this daemon takes part in an epoch
-	state           state.State               // as far as the log is applied
-	batchOffset     uint64                    // number of the last batch that replaced the image; the node's batches count on from it
-	syncedSeq       uint64                    // the last batch known to be on disk
+	persistentState consensus.PersistentState // the contents of the disk once all emitted batches are synced
+	node            *consensus.Node           // nil while this daemon takes part in no epoch
+	state           state.State               // replicated state, up to the last applied entry
+	batchOffset     uint64                    // number of the last batch that replaced the image, added to the node's batch numbers
+	syncedSeq       uint64                    // number of the last batch known to be on disk
 
 	// Discovery of other daemons.
 
 	directory         discovery.Directory
-	lastHelloAt       time.Duration
-	sortedDaemonNames []string                 // names in the directory, as last sorted
-	sentDirectories   map[string]sentDirectory // the directory that each daemon was last sent
-	peerContacts      map[string]contact       // last contact with other control daemons, kept after they expire from the directory
-	leaderHint        string                   // the leader as last learnt, "" if none
+	lastHelloAt       time.Duration // when hellos were last sent
+	sortedDaemonNames []string      // cached by orderedDaemonNames
+	// sentDirectories holds, by daemon, the directory that it was last sent. The key "" is a daemon known only by its address.
+	sentDirectories map[string]sentDirectory
+	peerContacts    map[string]contact // last contact with control daemons, kept after they expire from the directory
+	leaderHint      string             // the leader as of the last discovery tick, "" if none is known
 
 	// Bootstrap, and recovery after the loss of a majority.
 
-	bootstrapSize         int    // members of the first control plane, 0 if this process may not bootstrap it
-	currentOffer          uint64 // the bootstrap offered to others now, 0: none
-	bootstrapLockSeq      uint64 // the batch with the lock; announced to others only once that is synced
-	visibleFounders       string // who could bootstrap when last looked, and since when these
-	visibleFoundersSince  time.Duration
-	recoveryConsent       discovery.RecoveryConsent
-	proxyRecoveredStates  map[string]proxyRecoveredState // by proxy, what it remembers of an earlier epoch
-	unreadRecoveredStates map[string][]byte              // the same as received, not decoded yet
+	bootstrapSize         int                            // number of members of the first control plane, 0: may not bootstrap it
+	currentOffer          uint64                         // digest of the bootstrap that is offered to other founders, 0: none
+	bootstrapLockSeq      uint64                         // number of the batch with the lock; announced only once that is synced
+	visibleFounders       string                         // names and disks of the visible founders, "": none or a leader exists
+	visibleFoundersSince  time.Duration                  // since when visibleFounders has been the same
+	recoveryConsent       discovery.RecoveryConsent      // given by an operator to this daemon
+	proxyRecoveredStates  map[string]proxyRecoveredState // by proxy, its decoded state of an earlier epoch
+	unreadRecoveredStates map[string][]byte              // by proxy, the same as received and not decoded yet
 
-	// The first state of an epoch, while this member is Recovering.
+	// The initial state of an epoch, while this member is Recovering.
 
-	recoveredState           state.RecoveredState // the latest of an earlier epoch that could be decoded
-	unreadableRecoveredState bool                 // another one could not be decoded
-	emptyStateAllowed        bool                 // an operator said that the epoch may begin empty nevertheless
-	initialStateProposed     bool
+	recoveredState           state.RecoveredState // the latest decodable state of an earlier epoch
+	unreadableRecoveredState bool                 // some state of an earlier epoch could not be decoded
+	emptyStateAllowed        bool                 // an operator allowed the epoch to begin empty nevertheless
+	initialStateProposed     bool                 // by this member in this leadership
 
 	// Membership of the control plane.
 
-	membersReviewedAt   time.Duration
-	memberChangePending bool
-	requestedMembers    map[string]bool            // members that an operator asked to add
-	learners            map[string]learnerProgress // progress of learners
-	standbySince        map[string]time.Duration   // when each standby was first there
+	membersReviewedAt   time.Duration              // when maintainMembers last checked the membership
+	memberChangePending bool                       // a proposed change may not be committed yet
+	requestedMembers    map[string]bool            // control daemons to be added as members, by name
+	learners            map[string]learnerProgress // by name of the learner
+	standbySince        map[string]time.Duration   // by name, since when a standby has been available
 
 	// Shutdown.
 
 	stopping      bool
-	stoppingSince time.Duration
-	exited        bool // Exit has been emitted: no more calls are taken
+	stoppingSince time.Duration // when the stop signal arrived
+	exited        bool          // Exit has been emitted, and no more calls are accepted
 
 	// Faults of this member.
 
-	damage      []Damage // the latest that could not be decoded, for the status
-	undecodable error    // why agreed data of this epoch could not be decoded; nil: it could
-	diskError   string   // why the disk rejects writes now; "" if it takes them
+	damage      []Damage // the latest undecodable data, for the status
+	undecodable error    // why committed data of this epoch could not be decoded, nil if it could
+	diskError   string   // why the disk rejects writes, "" if it accepts them
 
 	// Leadership. See leadership.go and resume.go.
 
 	leadership              Leadership
-	leadershipSince         time.Duration // when leadership last changed
-	leadershipTerm          uint64
-	leadershipTerms         []uint64        // terms of this leadership, which may have been lost and resumed
-	lostLeadership          lostLeadership  // the one lost last
-	leadershipLosses        []time.Duration // when leadership was lost lately
-	leadershipTransferredAt time.Duration   // when it was last transferred because of such losses, 0: never
+	leadershipSince         time.Duration   // when leadership last changed
+	leadershipTerm          uint64          // term of the current or last leadership
+	leadershipTerms         []uint64        // terms of this leadership, several if it was lost and resumed
+	lostLeadership          lostLeadership  // the last one that was lost
+	leadershipLosses        []time.Duration // times of recent losses, within tuning.LeaseLossWindow
+	leadershipTransferredAt time.Duration   // when it was last transferred because of repeated losses, 0: never
 
 	// The leader's configuration.
 
 	lastCheckedConfig checkedConfig
-	activeConfig      *config.Config
-	activeRevision    uint64 // of activeConfig, 0 if none has been applied
-
-	// The leader's targets. Maps of these are made anew by resetLeadershipState.
-
-	targets            map[wire.TargetID]*target
-	sortedTargetIDs    []wire.TargetID                 // keys of targets, as last sorted
-	claims             map[wire.TargetID]*target       // targets whose name or address another target has
-	tombstones         map[wire.TargetID]time.Duration // signed off or superseded, and when it last sent a report: those are rejected
-	leavingTargets     map[wire.TargetID]time.Duration // was draining when its contact was lost: drains again if it comes back
-	withdrawnInVersion map[wire.TargetID]uint64        // first table in which the target is draining or absent, for reports that say so again
-	domainRestoredAt   map[string]time.Duration        // when emptied domains were last restored
-	lastShareOffset    map[string]uint32               // by service, the last share offset given
-	shareOffsetByName  map[serviceTarget]uint32        // the offset of each name, which a restart keeps
-	nextProbeTarget    wire.TargetID                   // where the next tick goes on with the health checks
-	lastCleanupAt      time.Duration                   // when expired entries of these maps were last removed
-
-	// The part of the targets that is in the log, including writes in flight. See targetregistry.go.
+	activeConfig      *config.Config // nil before the first one is applied
+	activeRevision    uint64         // revision of activeConfig, 0 if none has been applied
+
+	// The leader's targets. resetLeadershipState replaces most of these maps by empty ones.
+
+	targets         map[wire.TargetID]*target
+	sortedTargetIDs []wire.TargetID           // cached by targetIDs
+	claims          map[wire.TargetID]*target // targets whose name or address belongs to another target
+	// tombstones holds when a target that signed off or was superseded last sent a report. Its reports are ignored.
+	tombstones map[wire.TargetID]time.Duration
+	// leavingTargets holds when a leaving target was removed or, while not admitted, reported that it leaves. It drains
+	// again if it comes back.
+	leavingTargets map[wire.TargetID]time.Duration
+	// withdrawnInVersion holds the first table in which a leaving target is draining or absent, so that a repeated report
+	// need not wait for a later one.
+	withdrawnInVersion map[wire.TargetID]uint64
+	domainRestoredAt   map[string]time.Duration // by domain, when it was last restored after being emptied
+	lastShareOffset    map[string]uint32        // by service, the last share offset assigned
+	shareOffsetByName  map[serviceTarget]uint32 // share offset of each target name, kept across restarts of the target
+	nextProbeTarget    wire.TargetID            // the target with which the next tick continues the health checks
+	lastCleanupAt      time.Duration            // when cleanUpTargets last removed expired entries
+
+	// The target registrations in the log, including proposals not committed yet. See targetregistry.go.
 
 	persistedRegistrations map[wire.TargetID]state.Registration
-	persistedTombstones    map[wire.TargetID]bool // true: signed off, false: leaving
-	registryPersistedAt    time.Duration
-	persistSoon            bool // a target waits for the next write
+	persistedTombstones    map[wire.TargetID]bool // true: signed off or superseded, false: leaving
+	registryPersistedAt    time.Duration          // when a write was last proposed
+	persistSoon            bool                   // a target's report waits for the next write
 
 	// Outlier detection.
 
 	detector             *outlier.Detector
 	scorer               *outlier.Scorer
-	decisionCount        uint64 // decisions so far
-	decisionCountAtTable uint64 // and at the last look whether a table is due
+	decisionCount        uint64 // decisions that took effect so far
+	decisionCountAtTable uint64 // decisionCount when a table was last checked to be due
 
 	// Tables. See table.go and tabledelta.go.
 
-	table                   *wire.Table // the latest of this leadership, nil: none
-	tableVersion            uint64
-	tableMadeAt             [tuning.TablesKept]time.Duration // by version modulo the length
-	tableRefreshedAt        time.Duration                    // when one was last made without a change
-	demandPublishedAt       time.Duration
-	compressedDocument      compressedDocument
-	deltas                  map[deltaKey]*wire.Table // forms of the latest table that proxies were sent
-	removedTargets          []removedTarget          // the latest targets removed from tables
-	proxiesChangedInVersion uint64                   // the table that first had the present list of proxies
-	oldestDeltaBase         uint64                   // the earliest table that a delta can be made from
-	latestMergedKey         wire.TableKey            // the latest proxy's table merged while Gathering
+	table                   *wire.Table                      // the latest of this leadership, nil if there is none
+	tableVersion            uint64                           // version of the latest table
+	tableMadeAt             [tuning.TablesKept]time.Duration // when each of the latest tables was built, by version modulo the length
+	tableRefreshedAt        time.Duration                    // when a table was last built as a regular refresh, without a change
+	demandPublishedAt       time.Duration                    // when a table last published the demand of targets
+	compressedDocument      compressedDocument               // cached by documentForTables
+	deltas                  map[deltaKey]*wire.Table         // forms of the latest table that were sent to proxies
+	removedTargets          []removedTarget                  // the latest targets removed from tables
+	proxiesChangedInVersion uint64                           // the first table with the current list of proxies
+	oldestDeltaBase         uint64                           // the earliest table that a delta can be based on
+	latestMergedKey         wire.TableKey                    // key of the latest table that was merged while Gathering
 
 	// Proxies.
 
-	proxies          map[string]*proxyState
-	proxyChangeIndex uint64 // log entry of the last change of the proxy membership that was proposed
+	proxies          map[string]*proxyState // by name
+	proxyChangeIndex uint64                 // log index of the last proposed change of the proxy membership
 
 	// Calls.
 
-	pendingChanges map[string]*pendingCall // by token, changes that are proposed and not committed
-	relayedCalls   map[uint64]*pendingCall // by relay ID, calls that are sent to the leader
-	lastRelayID    uint64
-	waiters        []*inForceWaiter // what waits until a table is in force
+	pendingChanges map[string]*pendingCall // by token, changes that are proposed and not committed yet
+	relayedCalls   map[uint64]*pendingCall // by relay ID, calls that were relayed to the leader and not answered yet
+	lastRelayID    uint64                  // relay ID of the last call that was relayed
+	waiters        []*inForceWaiter        // callers and state changes that wait until a table is in force
 }
 
-// New starts a control daemon from what its disk holds. A disk without a number yet is given the caller's.
+// New returns the state machine of a control daemon that starts from the given disk image. The caller must have set
+// image.Disk, also for a new disk.
 func New(now time.Duration, settings Settings, image consensus.PersistentState) *Controller {
 	c := &Controller{
 		settings:              settings,
@@ -188,10 +198,11 @@
 	return c
 }
 
-// relayIDBits is how many relay IDs, as a power of two, one process may use before those of its next incarnation begin.
+// relayIDBits is the number of bits of a relay ID that count the calls of one process. The bits above hold the process's
+// incarnation.
 const relayIDBits = 20
 
-// bootstrapSize returns how many members bootstrap the first control plane, 0 if this process may not.
+// bootstrapSize returns the number of members that bootstrap the first control plane, 0 if this process may not.
 func bootstrapSize(settings Settings, image consensus.PersistentState) int {
 	switch {
 	case settings.BootstrapSize > 0:
@@ -204,7 +215,7 @@
 	return 0
 }
 
-// startNode begins to take part in the epoch of the image.
+// startNode starts the consensus node in the epoch of the disk image and restores the state of its snapshot.
 func (c *Controller) startNode(now time.Duration) {
 	c.node = consensus.New(now, c.settings.Self.Name, c.persistentState)
 	c.undecodable = nil
@@ -220,10 +231,10 @@
 	c.state = restored
 }
 
-// Step applies one event at the time now, which must not decrease, and returns the commands to carry out in order.
-// A call is answered by a statemachine.Reply among the commands of this step or of a later one.
+// Step applies one event at the time now, which must not decrease between calls, and returns the commands to carry out in
+// order. A call is answered by a statemachine.Reply among the commands of this step or of a later one.
 func (c *Controller) Step(now time.Duration, event statemachine.Event) []statemachine.Command {
-	// The lease may have run out since the last step. Nothing may be decided on it then, whatever the event.
+	// The lease may have expired since the last step. Then no event may be handled as the leader.
 	c.updateLeadership(now)
 	switch e := event.(type) {
 	case statemachine.Receive:
@@ -252,9 +263,9 @@
 	return commands
 }
 
-// applyNodeOutput carries out what the consensus node asks for, until it asks for nothing more: to apply an entry may
-// make it propose another. Batches go before messages: a message may promise what only a synced batch makes true, and
-// the node releases such a message only after Synced.
+// applyNodeOutput processes the output of the consensus node until there is none left, since applying an entry may cause
+// further proposals. Batches are emitted before messages. A message that depends on a synced batch is released by the
+// node only after Synced.
 func (c *Controller) applyNodeOutput(now time.Duration) {
 	for c.node != nil {
 		output := c.node.Ready()
@@ -279,14 +290,15 @@
 		for _, entry := range output.CommittedEntries {
 			c.apply(now, entry)
 		}
-		// A state with an entry missing must not become a snapshot: it would replace the log that has the entry.
+		// A state that lacks an undecodable entry must not become a snapshot, which would replace the log with that entry.
 		if c.undecodable == nil && c.node.SnapshotDue() {
 			c.node.Compact(now, state.Encode(&c.state))
 		}
 	}
 }
 
-// handleSynced notes that all batches up to seq are on disk. Those before batchOffset were an earlier node's.
+// handleSynced records that all batches up to seq are on disk. Those up to batchOffset were written before the current
+// node started.
 func (c *Controller) handleSynced(now time.Duration, seq uint64) {
 	c.syncedSeq = max(c.syncedSeq, seq)
 	if c.node != nil && seq > c.batchOffset {
@@ -294,11 +306,11 @@
 	}
 }
 
-// syncImage writes an image that replaces all that was written before. There must be no node, whose batches would
-// count on from another image.
+// syncImage writes a complete image that replaces everything written before. No node may be running, since the numbers
+// of its batches are relative to the earlier image.
 func (c *Controller) syncImage() {
 	if c.node != nil {
-		panic("an image is replaced under a running node")
+		panic("syncImage called while a consensus node is running")
 	}
 	c.batchOffset++
 	batch := c.persistentState.Checkpoint()
@@ -306,7 +318,7 @@
 	c.emit(statemachine.Sync{Batch: batch})
 }
 
-// tick does what recurs. Each part looks at the time by itself.
+// tick runs all periodic work. Each part checks by itself whether it is due.
 func (c *Controller) tick(now time.Duration) {
 	c.tickDiscovery(now)
 	c.tickNode(now)
@@ -322,11 +334,12 @@
 	}
 }
 
-// tickDiscovery introduces this daemon to the others, and bootstraps if that is due.
+// tickDiscovery sends hellos to the other daemons, removes expired ones from the directory, and takes the next step of a
+// bootstrap if one is needed.
 func (c *Controller) tickDiscovery(now time.Duration) {
 	every := tuning.HelloEvery
 	if now-c.startedAt < tuning.HelloStartup && c.activeLeader(now) == "" {
-		every = tuning.PreVoteInterval // members that start together have no addresses of one another yet
+		every = tuning.PreVoteInterval // members that start together don't know one another's addresses yet
 	}
 	if now-c.lastHelloAt < every {
 		return
@@ -346,7 +359,7 @@
 func (c *Controller) tickNode(now time.Duration) {
 	switch {
 	case c.node == nil:
-	case c.superseded(): // its lock on a later epoch binds it to take no part in this one
+	case c.superseded(): // this member has locked a later epoch and must not take part in the node's
 	case c.undecodable != nil:
 		c.resign(now)
 	default:
@@ -354,7 +367,7 @@
 	}
 }
 
-// tickLeader does what recurs while this member is Gathering or Leading.
+// tickLeader runs the periodic work of a member that is Gathering or Leading.
 func (c *Controller) tickLeader(now time.Duration) {
 	c.probeTargets(now)
 	c.judgeTargets(now)
--- a/internal/controlplane/counts.go
+++ b/internal/controlplane/counts.go
@@ -5,52 +5,54 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// Counts are the counters of a control daemon since its start. On /metrics each is mf_core_NAME_total, where NAME is the
-// tag metric or else the field's name in snake case. In a status the key is the tag json or else the field's name.
+// Counts holds the counters of a control daemon since its start. On /metrics each one is exported as mf_core_NAME_total,
+// where NAME is the metric tag or, without one, the field name in snake case. In a status the key is the json tag or,
+// without one, the field name.
 type Counts struct {
-	// TablesMade counts tables made, TablesUnchanged the times that one was due and had nothing new to say.
+	// TablesMade counts tables built, TablesUnchanged the times that a rebuild was due and found nothing changed.
 	TablesMade      uint64 `json:"Rewrites" metric:"rewrites"`
 	TablesUnchanged uint64 `json:"Same" metric:"same"`
-	// Ejections counts targets ejected by outlier policies, EjectionsCleared ejections that a policy ended, and
-	// EjectionsLapsed those whose time to live was over.
+	// Ejections counts targets ejected by outlier policies, EjectionsCleared the ejections ended by a policy, and
+	// EjectionsLapsed those whose time to live expired.
 	Ejections        uint64 `json:"Bars" metric:"bars"`
 	EjectionsCleared uint64 `json:"Clears" metric:"clears"`
 	EjectionsLapsed  uint64 `json:"Lapses" metric:"lapses"`
-	// Drains counts targets that began to drain because they leave.
+	// Drains counts targets that began to drain because they are leaving.
 	Drains uint64 `json:"Holds" metric:"holds"`
-	// MissesOverruled counts missed probes that didn't count, since a proxy had a response meanwhile.
+	// MissesOverruled counts missed probes that were ignored because a proxy had a response from the target meanwhile.
 	MissesOverruled uint64 `json:"Overruled" metric:"overruled"`
 	// ChangesCommitted counts operators' changes that were committed.
 	ChangesCommitted uint64 `json:"Changes" metric:"changes"`
-	// Rejected counts operators' changes rejected, before or after they were committed, and targets' reports rejected.
+	// Rejected counts rejected reports of targets and operators' changes that were rejected, before or after commit.
 	Rejected uint64 `json:"Refused" metric:"refused"`
-	// Elections counts the terms that this member led.
+	// Elections counts the terms in which this member was the leader.
 	Elections uint64
-	// Probes counts health checks, ProbeMisses those without an answer of the target's own.
+	// Probes counts health checks sent, ProbeMisses those that the target itself did not answer.
 	Probes      uint64
 	ProbeMisses uint64 `json:"Misses" metric:"misses"`
-	// LeasesLost counts leaderships that ended: the lease ran out, the term passed, or leadership was transferred.
+	// LeasesLost counts leaderships that ended: the lease expired, a new term began, or leadership was transferred.
 	LeasesLost uint64
-	// MemberChanges counts changes of the member list that were committed, as this member applied them.
+	// MemberChanges counts committed changes of the member list that this member applied.
 	MemberChanges uint64
-	// SnapshotsSent counts snapshots sent to members that the log no longer reaches.
+	// SnapshotsSent counts snapshots sent to members that need entries already removed from the log.
 	SnapshotsSent uint64
-	// RepeatsAnswered counts changes that had been accepted before and were acknowledged again.
+	// RepeatsAnswered counts repeated changes that had already been accepted and were acknowledged again.
 	RepeatsAnswered uint64
-	// RejectedVersion counts changes rejected as built on another revision, RejectedInvalid those invalid in themselves.
+	// RejectedVersion counts changes rejected because their base is not the current revision, RejectedInvalid those with
+	// invalid content.
 	RejectedVersion uint64 `json:"RefusedVersion" metric:"refused_version"`
 	RejectedInvalid uint64 `json:"RefusedInvalid" metric:"refused_invalid"`
-	// AnsweredUnavailable counts calls answered 503: there is no leader, or it can't take them now.
+	// AnsweredUnavailable counts calls answered with 503: there is no leader, or it can't accept them now.
 	AnsweredUnavailable uint64 `json:"CannotTell" metric:"cannot_tell"`
-	// AnsweredUnknown counts calls of which it can't be known whether they took effect.
+	// AnsweredUnknown counts calls answered with 504: it is unknown whether they took effect.
 	AnsweredUnknown uint64
-	// DamageReports counts stored or offered data that could not be decoded.
+	// DamageReports counts stored or received data that could not be decoded.
 	DamageReports uint64 `json:"Damaged" metric:"damaged"`
-	// LeavingsUnacknowledged counts targets' leavings and sign-offs that were not acknowledged in time.
+	// LeavingsUnacknowledged counts leave notices and sign-offs of targets that were not acknowledged in time.
 	LeavingsUnacknowledged uint64
 }
 
-// countOutput counts what operators look for in the consensus node's output.
+// countOutput updates the counters of snapshots sent and member changes from the consensus node's output.
 func (c *Controller) countOutput(output *consensus.Ready) {
 	for _, m := range output.Messages {
 		if m.Append != nil && !m.Append.Reply && m.Append.Chunk.BeginsSnapshot() {
@@ -64,7 +66,8 @@
 	}
 }
 
-// countAnswer counts the answer to a call by its status, and that to a target's report by whether it was acknowledged.
+// countAnswer counts a response to an operator's call by its status. Of responses to targets' reports it counts only the
+// unacknowledged ones.
 func (c *Controller) countAnswer(call *pendingCall, status int) {
 	switch {
 	case call.targetReport && status == statemachine.StatusServiceUnavailable:
--- a/internal/controlplane/daemonview.go
+++ b/internal/controlplane/daemonview.go
@@ -8,19 +8,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// DaemonView is what operators read of a daemon.
+// DaemonView is a daemon as operators see it in the API.
 type DaemonView struct {
 	wire.Daemon
-	// ProxyMember says that it is in the proxy membership, Member that it is a member of the control plane.
+	// ProxyMember reports whether the daemon is in the proxy membership, Member whether it is a member of the control plane.
 	ProxyMember bool `json:"in_roster"`
 	Member      bool `json:"member"`
-	// LastContactMs is how long ago it was last in contact with this member.
+	// LastContactMs is the time since this member last had contact with the daemon, in milliseconds.
 	LastContactMs float64 `json:"last_heard_ms"`
-	// TableVersion is that of the table that a proxy has confirmed.
+	// TableVersion is the version of the table that a proxy has confirmed, 0 if none is known.
 	TableVersion uint64 `json:"table,omitempty"`
 }
 
-// daemonViews returns the control daemons and then the proxies that are in the directory.
+// daemonViews returns the known control daemons, this one included, followed by the proxies in the directory.
 func (c *Controller) daemonViews(now time.Duration) []DaemonView {
 	views := []DaemonView{}
 	members := c.node.Members()
@@ -38,7 +38,7 @@
 	return views
 }
 
-// proxyDaemons returns the proxies in the directory, in order of their names.
+// proxyDaemons returns the proxies in the directory, sorted by name.
 func (c *Controller) proxyDaemons() []wire.Daemon {
 	var proxies []wire.Daemon
 	for _, name := range slices.Sorted(maps.Keys(c.directory)) {
@@ -49,7 +49,7 @@
 	return proxies
 }
 
-// failureDomains returns the failure domains of targets and proxies and those that the settings name, in order.
+// failureDomains returns the failure domains of targets and proxies and those named in the settings, sorted.
 func (c *Controller) failureDomains() []string {
 	domains := map[string]bool{}
 	for _, t := range c.targets {
--- a/internal/controlplane/damage.go
+++ b/internal/controlplane/damage.go
@@ -1,5 +1,4 @@
-// This file reports stored or received data that could not be decoded, and a disk that rejects writes, in the
-// log and in the status.
+// This file reports undecodable data and disk failures in the log and in the status.
 
 package controlplane
 
@@ -10,13 +9,14 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Damage is something that this member stored or was sent and could not decode.
+// Damage describes data that this member stored or received and could not decode.
 type Damage struct {
-	Subject string `json:"what"` // which data, for people
-	Reason  string `json:"why"`  // the error
+	Subject string `json:"what"` // the data concerned, in human-readable form
+	Reason  string `json:"why"`  // the error text
 }
 
-// ReportDamage reports data that could not be decoded: each case once, of which the status shows the latest.
+// ReportDamage reports data that could not be decoded. A case that is among the latest tuning.DamageReportsKept, which
+// the status shows, is not reported again.
 func (c *Controller) ReportDamage(subject string, err error) {
 	damage := Damage{Subject: subject, Reason: err.Error()}
 	if slices.Contains(c.damage, damage) {
@@ -28,13 +28,13 @@
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDamage, From: damage.Subject, To: "", Reason: damage.Reason})
 }
 
-// recordDiskHealth records why the disk rejects writes, nil if it takes them again. Nothing else follows from
-// it here: without a synced batch the node neither acknowledges nor, after a while, leads.
+// recordDiskHealth records the error with which the disk rejects writes, or nil if it accepts them again. No further
+// action is needed: while no batch is synced, the node acknowledges nothing and eventually loses leadership.
 func (c *Controller) recordDiskHealth(err error) {
 	before := c.diskError
 	c.diskError = ""
 	if err != nil {
 		c.diskError = err.Error()
 	}
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDisk, From: before, To: c.diskError, Reason: "the disk rejects writes, or takes them again"})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectDisk, From: before, To: c.diskError, Reason: "write errors on the disk began, changed or ended"})
 }
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -1,5 +1,5 @@
-// This file is what a control daemon knows of the others: which are there, which it has contact with, and
-// who leads. Hellos bring it (hello.go).
+// This file keeps track of the other daemons: which exist, which this daemon has contact with, and which is the leader.
+// The information comes from hello messages (hello.go).
 
 package controlplane
 
@@ -13,26 +13,27 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// contactTimeout is how long after its last hello a daemon still counts as visible: as long as three are lost.
+// contactTimeout is how long after its last hello a daemon counts as visible. It tolerates the loss of three hellos.
 const contactTimeout = 4 * tuning.HelloEvery
 
-// contact is what is kept of a control daemon, also after it has left the directory.
+// contact is the last contact with a control daemon. It is kept after the daemon has expired from the directory.
 type contact struct {
 	lastAt   time.Duration // when its last hello arrived
 	domain   string        // its failure domain
-	stopping bool          // it said that it stops, so it is to come back
-	// repliedAt is when it last replied to a hello: then messages arrive there, and not only from there.
+	stopping bool          // it announced that it is stopping, and is expected to come back
+	// repliedAt is when it last replied to a hello, which shows that messages from this daemon arrive there.
 	repliedAt time.Duration
 }
 
 // States that a control daemon reports in place of its role in consensus.
 const (
-	emptyState    = "empty"    // it may bootstrap the first control plane
-	waitingState  = "waiting"  // it may not, and waits to become a learner
-	stoppingState = "stopping" // it stops, and is to come back
+	emptyState    = "empty"    // has no epoch and may bootstrap the first control plane
+	waitingState  = "waiting"  // has no epoch, may not bootstrap, and waits to become a learner
+	stoppingState = "stopping" // is stopping and expected to come back
 )
 
-// self is what this daemon reports of itself. It reports no lock that could still be lost with a crash.
+// self returns this daemon as it introduces itself to others. A bootstrap lock is included only once it is synced to
+// disk, since until then a crash could lose it.
 func (c *Controller) self() wire.Daemon {
 	self := c.settings.Self
 	self.Disk, self.BootstrapOffer = c.persistentState.Disk, c.currentOffer
@@ -56,7 +57,7 @@
 	return self
 }
 
-// activeLeader is the leader that this member has contact with or is, "" if there is none.
+// activeLeader returns the leader that this member is or has contact with, "" if there is none.
 func (c *Controller) activeLeader(now time.Duration) string {
 	if c.node == nil || c.abstains() || !c.node.HasLeader(now) {
 		return ""
@@ -64,8 +65,9 @@
 	return c.node.Leader()
 }
 
-// leader is where calls and reports are forwarded to, "" if no leader is known. A voting member goes by its own
-// log, as it may be the only one that knows; any other by what the members' hellos say.
+// leader returns the daemon to forward calls and reports to, "" if no leader is known. A voting member uses the leader
+// that its consensus node knows, as it may be the only one that knows it. Any other daemon uses the leader that members
+// announce in their hellos.
 func (c *Controller) leader(now time.Duration) string {
 	if leader := c.activeLeader(now); leader != "" {
 		return leader
@@ -76,8 +78,8 @@
 	return c.directory.Leader(now)
 }
 
-// relayTo is where a call that waits may be relayed to again: from a voting member only to a leader that it has
-// contact with.
+// relayTo returns the leader to which a waiting call may be relayed again, "" if there is none. A voting member relays
+// again only to a leader that it has contact with.
 func (c *Controller) relayTo(now time.Duration) string {
 	if !c.isNonVoter() {
 		return c.activeLeader(now)
@@ -85,7 +87,7 @@
 	return c.leader(now)
 }
 
-// daemonWithLeader is one of the visible daemons that has contact with a leader, "" if none does.
+// daemonWithLeader returns the name of a visible daemon that has contact with a leader, "" if none has.
 func (c *Controller) daemonWithLeader(now time.Duration, visible []wire.Daemon) string {
 	if c.activeLeader(now) != "" {
 		return c.settings.Self.Name
@@ -98,8 +100,8 @@
 	return ""
 }
 
-// orderedDaemonNames are the names in the directory, sorted. They are sorted again only when a daemon came or went,
-// since each hello needs them.
+// orderedDaemonNames returns the names in the directory, sorted. The list is cached until a daemon is added or removed,
+// since every hello needs it.
 func (c *Controller) orderedDaemonNames() []string {
 	isCurrent := len(c.sortedDaemonNames) == len(c.directory)
 	for i := 0; isCurrent && i < len(c.sortedDaemonNames); i++ {
@@ -111,12 +113,12 @@
 	return c.sortedDaemonNames
 }
 
-// visibleControlDaemons are the control daemons that this one has contact with, itself included, sorted by name.
+// visibleControlDaemons returns the control daemons that this one has contact with, itself included, sorted by name.
 func (c *Controller) visibleControlDaemons(now time.Duration) []wire.Daemon {
 	return slices.DeleteFunc(c.controlDaemons(), func(d wire.Daemon) bool { return !c.isVisible(now, d.Name) })
 }
 
-// controlDaemons are all control daemons that are known, this one included, sorted by name.
+// controlDaemons returns all control daemons in the directory and this one, sorted by name.
 func (c *Controller) controlDaemons() []wire.Daemon {
 	daemons := []wire.Daemon{c.self()}
 	for _, peer := range c.directory {
@@ -128,7 +130,7 @@
 	return daemons
 }
 
-// isVisible says that hellos of a daemon arrive here.
+// isVisible reports whether hellos of a daemon arrive here.
 func (c *Controller) isVisible(now time.Duration, name string) bool {
 	if name == c.settings.Self.Name {
 		return true
@@ -137,8 +139,9 @@
 	return peer != nil && now-peer.LastContact < contactTimeout
 }
 
-// reaches says that messages to another control daemon arrive there, as far as its replies show: that its own
-// arrive here does not mean so. A process that has just started gives the others the time for a reply.
+// reaches reports whether messages from this daemon arrive at another control daemon, as shown by its replies to hellos.
+// Messages that arrive from it do not prove that, since a network fault may affect one direction only. After this
+// process starts, every daemon counts as reachable until it has had time to reply.
 func (c *Controller) reaches(now time.Duration, name string) bool {
 	if name == c.settings.Self.Name {
 		return true
--- a/internal/controlplane/epoch.go
+++ b/internal/controlplane/epoch.go
@@ -1,4 +1,4 @@
-// This file takes a member from one epoch into a later one.
+// This file moves a member from one epoch to a later one.
 
 package controlplane
 
@@ -15,15 +15,15 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// batchesPerNode is how many batches a node may write before the numbers of the next node's begin.
+// batchesPerNode is the size of the range of batch numbers that is reserved for each consensus node of this process.
 const batchesPerNode = 1 << 32
 
-// isNonVoter says that this process is no voting member of its epoch: it is empty, or only learns.
+// isNonVoter reports whether this process is not a voting member of an epoch: it has no epoch or is only a learner.
 func (c *Controller) isNonVoter() bool {
 	return c.node == nil || !slices.Contains(c.node.Members(), wire.Member{Name: c.settings.Self.Name, Disk: c.persistentState.Disk})
 }
 
-// beginEpoch begins the epoch that this member has locked, as one of its founders.
+// beginEpoch starts the epoch that this member has locked as one of its founders.
 func (c *Controller) beginEpoch(now time.Duration) {
 	locked := &c.persistentState
 	image := consensus.PersistentState{
@@ -32,7 +32,7 @@
 		BootstrapLock:  locked.BootstrapLock,
 		Founders:       locked.Founders,
 		BootstrapEpoch: locked.BootstrapEpoch,
-		// The members are a snapshot at entry 1, so that a member that is no founder gets them from the leader.
+		// The member list is stored as a snapshot at entry 1, so that a member that is not a founder gets it from the leader.
 		Snapshot:       wire.Snapshot{Index: 1, Members: locked.Founders},
 		RecoveredState: c.recoveredStateOfDisk(),
 	}
@@ -48,10 +48,10 @@
 		Reason: fmt.Sprintf("%d of %d members agreed to bootstrap", present, len(image.Founders))})
 }
 
-// recoveredStateOfDisk is the state that this member takes from its epoch into the next one, as an encoded
-// state.RecoveredState: what its disk leads to, or, if it was no voting member of an epoch that had a state,
-// what it had taken from an earlier one. Of a damaged disk it is what comes before the damage, which says
-// of itself how old it is.
+// recoveredStateOfDisk returns the state that this member carries from its epoch into the next one, as an encoded
+// state.RecoveredState. It is the state built from the snapshot and log on its disk or, if this member was not a voting
+// member of an epoch with a committed state, the one that it carried over from an earlier epoch. Of a damaged disk it is
+// the state before the damage; its epoch, term and index show how old it is.
 func (c *Controller) recoveredStateOfDisk() []byte {
 	stored, term, err := stateFromDisk(&c.persistentState)
 	if err != nil {
@@ -65,13 +65,13 @@
 	return recovered
 }
 
-// joinEpoch enters an epoch with nothing, to learn its state from the leader.
+// joinEpoch enters an epoch with an empty log, to receive the state from the leader.
 func (c *Controller) joinEpoch(now time.Duration, epoch uint64) {
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: fmt.Sprint(c.persistentState.Epoch), To: fmt.Sprint(epoch), Reason: "joined"})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: fmt.Sprint(c.persistentState.Epoch), To: fmt.Sprint(epoch), Reason: "joined with an empty log"})
 	c.startEpoch(now, consensus.PersistentState{Epoch: epoch, Disk: c.persistentState.Disk})
 }
 
-// startEpoch replaces what is on disk, and the node, by those of another epoch.
+// startEpoch replaces the disk image and the consensus node by those of another epoch.
 func (c *Controller) startEpoch(now time.Duration, image consensus.PersistentState) {
 	c.node, c.currentOffer = nil, 0
 	c.persistentState = image
--- a/internal/controlplane/failuretolerance.go
+++ b/internal/controlplane/failuretolerance.go
@@ -1,5 +1,5 @@
-// This file says whether the control plane tolerates the next failure of a machine or of a failure domain, and if not
-// what blocks that.
+// This file determines whether the control plane tolerates the next failure of a machine or of a failure domain, and
+// what prevents it if not.
 
 package controlplane
 
@@ -12,17 +12,17 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// FailureToleranceView says whether the control plane tolerates its next failure.
+// FailureToleranceView shows whether the control plane tolerates its next failure.
 type FailureToleranceView struct {
-	// Evaluated is false at a member that does not lead, which can't know.
+	// Evaluated is false on a member that is not the leader, which lacks the information. The other fields are then zero.
 	Evaluated bool `json:"known"`
-	// Machines is how many of the machines that answer now may fail, whichever they are.
+	// Machines is how many of the machines that respond now may fail, whichever they are, without loss of the majority.
 	Machines int `json:"machines"`
-	// Tolerable says that Machines is at least 1.
+	// Tolerable reports whether Machines is at least 1.
 	Tolerable bool `json:"bearable"`
-	// DomainsAtRisk are the failure domains that may not fail as a whole now.
+	// DomainsAtRisk lists the failure domains whose failure as a whole would now cost the majority.
 	DomainsAtRisk []string `json:"domains_at_risk,omitempty"`
-	// Blockers say why the next failure is not tolerated, and until when.
+	// Blockers lists the reasons why the next failure is not tolerated. It is empty if Tolerable is true.
 	Blockers []Blocker `json:"obstacles,omitempty"`
 }
 
@@ -30,26 +30,27 @@
 type Blocker struct {
 	Kind   BlockerKind `json:"kind"`
 	Member string      `json:"member,omitempty"`
-	// ReplaceableInMs is in how long the member may be replaced at the earliest, 0 if it may now. It is absent where
-	// nobody is there to replace it or an operator gave the number of members.
+	// ReplaceableInMs is the time in milliseconds until the member may be replaced at the earliest, 0 if it may be
+	// replaced now. It is nil if the member only has to catch up, if there is no successor, or if an operator has set the
+	// number of members.
 	ReplaceableInMs *int64 `json:"replaceable_in_ms,omitempty"`
-	// Successor is who would replace it: the learner that is furthest, else a standby.
+	// Successor is the daemon that would replace it: the most advanced learner or, without learners, a standby.
 	Successor string `json:"by,omitempty"`
 }
 
-// BlockerKind is why a member can't be counted on when another one fails.
+// BlockerKind is the reason why a member can't be counted on when another one fails.
 type BlockerKind string
 
 // The kinds of blockers.
 const (
-	BlockerUnresponsive  BlockerKind = "silent"
-	BlockerStopping      BlockerKind = "stopping"
-	BlockerCatchingUp    BlockerKind = "catching_up"
-	BlockerPlaceholder   BlockerKind = "place"
-	BlockerTooFewMembers BlockerKind = "too_few_members" // all answer, and they are one or two
+	BlockerUnresponsive  BlockerKind = "silent"          // see MemberUnresponsive
+	BlockerStopping      BlockerKind = "stopping"        // see MemberStopping
+	BlockerCatchingUp    BlockerKind = "catching_up"     // see MemberCatchingUp
+	BlockerPlaceholder   BlockerKind = "place"           // see MemberPlaceholder
+	BlockerTooFewMembers BlockerKind = "too_few_members" // all members respond, but there are only one or two
 )
 
-// blockerKinds are the kinds of blockers that members in these states are.
+// blockerKinds maps member states to the kind of blocker that they cause.
 var blockerKinds = map[MemberState]BlockerKind{
 	MemberUnresponsive: BlockerUnresponsive,
 	MemberStopping:     BlockerStopping,
@@ -57,13 +58,13 @@
 	MemberPlaceholder:  BlockerPlaceholder,
 }
 
-// countsTowardsMajority says that a voter would be part of the next majority: it answers, does not stop, and needs no
-// snapshot first.
+// countsTowardsMajority reports whether a member is a voter that could be part of the next majority: it responds, is not
+// stopping, and does not need a snapshot first.
 func (m MemberView) countsTowardsMajority() bool {
 	return m.Voter && (m.State == MemberLeader || m.State == MemberFollower)
 }
 
-// failureToleranceView returns the leader's view of what may fail now.
+// failureToleranceView returns the leader's view of which failures are tolerated now.
 func (c *Controller) failureToleranceView(now time.Duration, controlPlane ControlPlaneView) FailureToleranceView {
 	available, byDomain := 0, map[string]int{}
 	for _, member := range controlPlane.Members {
@@ -85,7 +86,7 @@
 	return view
 }
 
-// blockers returns what has to change for the next failure to be tolerated.
+// blockers returns the reasons why the next failure is not tolerated.
 func (c *Controller) blockers(now time.Duration, members []MemberView) (blockers []Blocker) {
 	for _, member := range members {
 		if member.Voter && !member.countsTowardsMajority() {
@@ -98,7 +99,7 @@
 	return blockers
 }
 
-// blockerFor says why a voter can't be counted on, and when it may be replaced and by whom.
+// blockerFor returns why a voter can't be counted on, when it may be replaced and by which daemon.
 func (c *Controller) blockerFor(now time.Duration, member MemberView, members []MemberView) Blocker {
 	blocker := Blocker{Kind: blockerKinds[member.State], Member: member.Name, Successor: successor(members)}
 	if blocker.Successor == "" || c.settings.BootstrapSize != 0 || blocker.Kind == BlockerCatchingUp {
@@ -106,7 +107,7 @@
 	}
 	wait := time.Duration(0)
 	if member.State == MemberUnresponsive {
-		// A new leader replaces nobody before it has had the time to be in contact with all.
+		// A new leader replaces no member until it has had time to get in contact with all of them.
 		graceLeft := tuning.NewLeaderGrace - (now - c.node.RoleSince())
 		noContact := time.Duration(member.NoContactMs) * time.Millisecond
 		wait = max(0, graceLeft, c.memberReplaceAfter()-noContact)
@@ -116,14 +117,14 @@
 	return blocker
 }
 
-// successor returns who becomes a member next: the learner that is furthest, else the first standby; "" if there is
-// neither.
+// successor returns the name of the daemon that becomes a member next: the most advanced learner, otherwise the first
+// standby by name, "" if there is neither.
 func successor(members []MemberView) string {
 	candidates := slices.DeleteFunc(slices.Clone(members), func(m MemberView) bool { return m.State != MemberLearner && m.State != MemberStandby })
 	if len(candidates) == 0 {
 		return ""
 	}
-	// A standby has no progress, so that learners come first.
+	// A standby has no replication progress, so learners come first.
 	return slices.MinFunc(candidates, func(a, b MemberView) int {
 		return cmp.Or(-cmp.Compare(a.Match, b.Match), cmp.Compare(a.Name, b.Name))
 	}).Name
--- a/internal/controlplane/gather.go
+++ b/internal/controlplane/gather.go
@@ -1,5 +1,5 @@
-// This file merges the tables that proxies have from before this leadership: targets, drains and ejections that are not
-// in the log come back from them.
+// This file merges the tables that proxies hold from before this leadership. A new leader recovers from them the targets,
+// drains and ejections that are not in the log.
 
 package controlplane
 
@@ -10,7 +10,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// mergeTable merges a proxy's table: drains, warm-ups and ejections of any, and targets only of the latest.
+// mergeTable merges a proxy's table. Drains, warm-ups and ejections are merged from every table, but targets only from a
+// table later than all merged so far, while Gathering. Ejections, too, are merged only while Gathering.
 func (c *Controller) mergeTable(now time.Duration, table *wire.Table) {
 	if c.leadership == Gathering && c.latestMergedKey.Less(table.Key) {
 		c.latestMergedKey = table.Key
@@ -29,15 +30,15 @@
 		}
 		t.warmupEnd = max(t.warmupEnd, now+time.Duration(row.WarmupLeft))
 		c.warmUpAfterRestore(t)
-		// Once this member leads its own detector decides, and the proxy's ejection may be one that it has ended.
+		// Once this member is Leading, its own detector decides, and may already have ended the ejection in the proxy's table.
 		if row.EjectionLeft > 0 && c.leadership == Gathering {
 			c.detector.Restore(now, row.ID(), row.EjectedBy, time.Duration(row.EjectionLeft))
 		}
 	}
 }
 
-// removeUnconfirmedTargets removes the targets that are known only from an earlier table or the log. The later table
-// has those that are still there.
+// removeUnconfirmedTargets removes the targets that are known only from an earlier table or the log, before a later table
+// is merged, which lists those that still exist.
 func (c *Controller) removeUnconfirmedTargets(now time.Duration) {
 	for id, t := range c.targets {
 		if !t.unconfirmed {
@@ -50,14 +51,15 @@
 	}
 }
 
-// addGatheredTarget adds a target of a proxy's table, unless this member knows of it, or of one that came after it.
+// addGatheredTarget adds a target from a proxy's table, unless this member already knows it, knows that it is gone, or
+// knows another target with its name or address.
 func (c *Controller) addGatheredTarget(now time.Duration, row wire.Target) {
 	id := row.ID()
 	if c.targets[id] != nil || c.tombstones[id] != 0 {
 		return
 	}
 	if len(c.conflictingTargets(row)) > 0 {
-		c.holdBackSuccessors(row)
+		c.markSuccessorsPending(row)
 		return
 	}
 	t := newTarget(now, now-tuning.TargetHeartbeatTimeout/2, row)
@@ -69,9 +71,9 @@
 	c.recordShareOffset(row.Service, row.Name, row.ShareOffset)
 }
 
-// holdBackSuccessors has other targets at the address of a target get no requests until that is out of every table: a
-// proxy that has this table would send them requests meant for it.
-func (c *Controller) holdBackSuccessors(earlier wire.Target) {
+// markSuccessorsPending gives no requests to other targets at the address of an earlier target until no table with the
+// earlier one is in use: a proxy with such a table would send them requests meant for the earlier target.
+func (c *Controller) markSuccessorsPending(earlier wire.Target) {
 	for _, t := range c.targets {
 		if t.Addr == earlier.Addr && t.Name != earlier.Name {
 			t.Pending = true
--- a/internal/controlplane/healthcheck.go
+++ b/internal/controlplane/healthcheck.go
@@ -1,5 +1,5 @@
-// This file is the targets' active health checks: probes by the leader, and indirect ones by proxies where the leader's
-// own miss. What they find goes to the outlier policies.
+// This file runs the active health checks of targets: probes by the leader, and indirect probes by proxies when the
+// leader's own probes fail. The results are passed to the outlier policies.
 
 package controlplane
 
@@ -13,18 +13,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// probesPerTick is how many probes may begin in a tick: a little more than it takes to keep each target's interval.
-// Targets that are due all at once, as when leadership begins, are probed at that pace, and a leader whose ticks come late
-// probes less.
+// probesPerTick returns how many probes may begin in a tick: slightly more than is needed to probe each target once per
+// interval. It limits the rate when all targets are due at once, for example when leadership begins. A leader whose
+// ticks are delayed sends fewer probes.
 func probesPerTick(targets int) int {
 	return max(tuning.ProbesPerTickMin, int(tuning.ProbePace*float64(targets)*float64(tuning.TickEvery)/float64(tuning.ProbeEvery)))
 }
 
-// probeTargets begins the probes that are due: first of targets that missed their last one, since a fault has to be
-// found within a time, then of all in turn from where the last tick stopped, then of claims.
+// probeTargets begins the probes that are due, up to the limit of probesPerTick. Targets that missed their last probe come
+// first, since a fault has to be detected within a time limit. Then come all targets in turn, starting where the
+// previous tick stopped, and finally claimants.
 func (c *Controller) probeTargets(now time.Duration) {
 	remaining := probesPerTick(len(c.targets) + len(c.claims))
-	begin := func(id wire.TargetID, t *target) {
+	probeIfDue := func(id wire.TargetID, t *target) {
 		if remaining > 0 && c.isProbeDue(now, id, t) {
 			remaining--
 			c.sendProbe(now, id, t)
@@ -35,13 +36,13 @@
 		t := c.targets[id]
 		c.checkOutstandingProbe(now, id, t)
 		if t.lastProbeMissed {
-			begin(id, t)
+			probeIfDue(id, t)
 		}
 	}
 	start, _ := slices.BinarySearchFunc(ids, c.nextProbeTarget, wire.TargetID.Compare)
 	for i := range ids {
 		id := ids[(start+i)%len(ids)]
-		begin(id, c.targets[id])
+		probeIfDue(id, c.targets[id])
 		if remaining == 0 {
 			c.nextProbeTarget = id
 			break
@@ -49,11 +50,12 @@
 	}
 	for _, id := range c.claimIDs() {
 		c.checkOutstandingProbe(now, id, c.claims[id])
-		begin(id, c.claims[id])
+		probeIfDue(id, c.claims[id])
 	}
 }
 
-// checkOutstandingProbe gives up a probe that got no result, and asks proxies to probe too if that helps to find whose fault it is.
+// checkOutstandingProbe gives up a probe whose result never came. If the outstanding probe may lead to an ejection, it
+// requests indirect probes, which show whether the fault is at the target or between the leader and the target.
 func (c *Controller) checkOutstandingProbe(now time.Duration, id wire.TargetID, t *target) {
 	if t.probeSentAt != 0 && now-t.probeSentAt > 2*tuning.ProbeTimeout {
 		t.probeSentAt = 0
@@ -68,9 +70,9 @@
 	}
 }
 
-// deferProbe looks after a target of a service that the configuration doesn't name, which gets no requests and no
-// probes. Once it is named the first probes of its targets are spread over some time, and a target that was heartbeating
-// and stopped has to answer one before it gets requests.
+// deferProbe handles a target of a service that the configuration doesn't name. Such a target gets no requests and no
+// probes. Once the service is named, the first probes of its targets are spread over tuning.NewServiceProbeSpread, and a
+// target whose heartbeats had stopped must answer a probe before it gets requests.
 func (c *Controller) deferProbe(now time.Duration, t *target) {
 	spread := time.Duration(t.ShareOffset) * tuning.TickEvery % tuning.NewServiceProbeSpread
 	t.lastProbeAt = now - tuning.ProbeEvery + spread
@@ -78,8 +80,8 @@
 	t.unconfirmed = t.unconfirmed || stopped
 }
 
-// needsIndirectProbe says that a probe which follows a miss takes long, so that it may become the miss by which the
-// target is ejected, and that no proxy has had a response meanwhile.
+// needsIndirectProbe reports whether proxies should probe the target too: its previous probe was missed, the outstanding
+// one takes so long that it may become the miss that ejects the target, and no proxy has had a response meanwhile.
 func needsIndirectProbe(now time.Duration, t *target) bool {
 	if t.probeSentAt == 0 || t.indirectProbeFor == t.probeSentAt || now-t.probeSentAt < tuning.IndirectAfter {
 		return false
@@ -90,19 +92,20 @@
 	return t.lastProbeMissed && t.consecutiveMisses < tuning.ProbeMisses && t.lastSuccessAt < t.probeSentAt+tuning.IndirectAfter
 }
 
+// isProbeDue reports whether a target's service is configured, no probe of it is outstanding, and its interval is over.
 func (c *Controller) isProbeDue(now time.Duration, id wire.TargetID, t *target) bool {
 	_, named := c.activeConfig.Services[id.Service]
 	return named && t.probeSentAt == 0 && now-t.lastProbeAt >= tuning.ProbeEvery && !c.canSkipProbe(now, t)
 }
 
-// canSkipProbe says that requests show that a target is alive: a proxy had a response from it later than the probe before
-// the one due now would have gone out, so that a fault is found as early as by probes alone. Only probes report a
-// warm-up, so each target is still probed now and then.
+// canSkipProbe reports whether a probe that is due may be skipped because a proxy had a response from the target within
+// the last probe interval: a fault is then found as early as by probes alone. Since only probes report a warm-up, each
+// target is still probed at least once in tuning.ServingProbeIntervals.
 func (c *Controller) canSkipProbe(now time.Duration, t *target) bool {
 	if len(c.targets) <= tuning.ProbeAllMax || t.lastProbeMissed || t.unconfirmed || t.warmupEnd > now {
 		return false
 	}
-	lastSuccessSince := t.lastSuccessAt - tuning.PullEvery // a proxy reports with its next pull
+	lastSuccessSince := t.lastSuccessAt - tuning.PullEvery // a proxy reports a response only with its next pull
 	return now-lastSuccessSince < tuning.ProbeEvery && now-t.lastProbeAt < tuning.ServingProbeIntervals*tuning.ProbeEvery
 }
 
@@ -112,7 +115,7 @@
 	c.emit(statemachine.Probe{ID: id, Addr: t.Addr, Path: c.activeConfig.Services[id.Service].HealthPath})
 }
 
-// handleProbeResult takes the result of a probe of a target or of one that has a claim.
+// handleProbeResult handles the result of a probe of a target or a claimant.
 func (c *Controller) handleProbeResult(now time.Duration, result statemachine.ProbeResult) {
 	if c.leadership < Gathering {
 		return
@@ -136,12 +139,13 @@
 	event.Success, event.Milliseconds = answered, result.Milliseconds
 	c.judgeEvent(event)
 	if wasUnconfirmed && !t.unconfirmed {
-		return // many are confirmed at once when leadership begins: the next tick makes one table for all
+		return // many targets are confirmed at once when leadership begins; the next tick builds one table for all
 	}
 	c.targetChanged(now, t)
 }
 
-// admitClaimant returns the claimant that a probe was of, as a target from now on, or nil if it becomes none.
+// admitClaimant admits the claimant that a probe was sent to, if it answered and displaces the conflicting targets. It
+// returns nil if it doesn't.
 func (c *Controller) admitClaimant(now time.Duration, result statemachine.ProbeResult, answered bool) *target {
 	claimant := c.claims[result.ID]
 	if claimant == nil {
@@ -155,19 +159,19 @@
 	return claimant
 }
 
-// recordProbeAnswer takes over what a target says in answer to a probe.
+// recordProbeAnswer updates a target from its answer to a probe.
 func (c *Controller) recordProbeAnswer(now time.Duration, t *target, result statemachine.ProbeResult) {
 	t.lastAliveAt, t.unconfirmed, t.consecutiveMisses = now, false, 0
 	c.advanceState(now, t, result.Report.State)
 	if result.Report.Demand != nil {
 		t.Demand, t.HasDemand = *result.Report.Demand, true
 	}
-	// An answer can only extend a warm-up: not every health check reports it, so that none ends it.
+	// An answer can only extend a warm-up, never end it, since not every health check reports the warm-up.
 	t.warmupEnd = max(t.warmupEnd, now+result.WarmupLeft)
 }
 
-// recordProbeMiss counts a missed probe, and says whether it counts against the target. It does not if a proxy had a
-// response since the probe was sent: then the fault is between the leader and the target.
+// recordProbeMiss counts a missed probe and reports whether it counts against the target. It does not if a proxy had a
+// response since the probe was sent, which shows that the fault is between the leader and the target.
 func (c *Controller) recordProbeMiss(t *target, result statemachine.ProbeResult) bool {
 	c.counts.ProbeMisses++
 	if t.lastSuccessAt-tuning.PullEvery >= result.SentAt {
--- a/internal/controlplane/healthcheck_test.go
+++ b/internal/controlplane/healthcheck_test.go
@@ -9,7 +9,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// configureServices puts a configuration in force that names all of the fleet's services.
+// configureServices commits a configuration that names all services of the fleet.
 func (f *idleFleet) configureServices(t *testing.T) {
 	t.Helper()
 	services, rules := map[string]any{}, []any{}
@@ -30,7 +30,7 @@
 	}
 }
 
-// newProbedFleet returns a large fleet whose targets are probed.
+// newProbedFleet returns a large fleet whose services are configured, so that its targets are probed.
 func newProbedFleet(t *testing.T) *idleFleet {
 	t.Helper()
 	fleet := newIdleFleet(largeProxies, largeTargets)
@@ -41,15 +41,15 @@
 	return fleet
 }
 
-// makeAllProbesDue has every target wait for a probe at once.
+// makeAllProbesDue makes the probes of all targets due at once.
 func (f *idleFleet) makeAllProbesDue() {
 	for _, target := range f.controller.targets {
 		target.lastProbeAt = 0
 	}
 }
 
-// Many targets that are due at once, as when a configuration first names their services, are probed at little more than
-// the usual pace, and all of them within an interval.
+// When a configuration first names the services of many targets, the probes of all of them are due at once. At most half
+// as many again as usual may begin in a tick, and all targets must be probed within one interval.
 func TestProbesArePaced(t *testing.T) {
 	fleet := newIdleFleet(largeProxies, largeTargets)
 	fleet.configureServices(t)
@@ -62,14 +62,14 @@
 		mostPerTick = max(mostPerTick, fleet.controller.counts.Probes-probesBeforeTick)
 	}
 	if usual := uint64(largeTargets * tuning.TickEvery / tuning.ProbeEvery); mostPerTick > usual+usual/2 {
-		t.Errorf("%d probes began in a tick, %d usually do", mostPerTick, usual)
+		t.Errorf("%d probes began in one tick, want at most half as many again as the usual %d", mostPerTick, usual)
 	}
 	if probes := fleet.controller.counts.Probes - probesBefore; probes < largeTargets {
-		t.Errorf("%d of %d targets were probed in %v", probes, largeTargets, tuning.ProbeEvery)
+		t.Errorf("%d probes of %d targets began within %v, want all", probes, largeTargets, tuning.ProbeEvery)
 	}
 }
 
-// Targets that missed a probe are probed in time, however many others are due.
+// A target that missed a probe must be probed in the next tick, however many other targets are due.
 func TestMissedTargetsAreProbedFirst(t *testing.T) {
 	fleet := newProbedFleet(t)
 	fleet.makeAllProbesDue()
@@ -77,11 +77,11 @@
 	missed.lastProbeMissed, missed.consecutiveMisses = true, 1
 	fleet.runTick()
 	if missed.lastProbeAt != fleet.now {
-		t.Error("a target that missed a probe waits behind others")
+		t.Error("a target that missed its last probe was not probed in the next tick")
 	}
 }
 
-// While nothing happens each target is probed at its interval, within a tick or two.
+// In an idle fleet each target must be probed once per interval, at most two ticks late.
 func TestProbesKeepTheirInterval(t *testing.T) {
 	fleet := newProbedFleet(t)
 	longest := time.Duration(0)
@@ -92,6 +92,6 @@
 		}
 	}
 	if longest > tuning.ProbeEvery+2*tuning.TickEvery {
-		t.Errorf("a target was not probed for %v", longest)
+		t.Errorf("a target was not probed for %v, want at most %v", longest, tuning.ProbeEvery+2*tuning.TickEvery)
 	}
 }
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -1,4 +1,4 @@
-// This file takes targets' heartbeats, which also say that a target leaves or signs off.
+// This file handles the heartbeats of targets. A heartbeat also announces that a target is leaving or signs off.
 
 package controlplane
 
@@ -11,8 +11,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// handleHeartbeat takes a heartbeat, from the target itself or relayed by another daemon. A member that isn't the leader
-// relays it if mayRelay is set, and so at most once.
+// handleHeartbeat handles a heartbeat that comes from the target itself or was relayed by another daemon. A member that is
+// neither Gathering nor Leading relays it to the leader if mayRelay is set. A relayed heartbeat is not relayed again.
 func (c *Controller) handleHeartbeat(now time.Duration, report wire.Target, mayRelay bool) {
 	if c.leadership != Leading && c.leadership != Gathering {
 		if mayRelay {
@@ -22,7 +22,7 @@
 	}
 	id := report.ID()
 	if c.tombstones[id] != 0 {
-		c.tombstones[id] = now // kept for as long as it still sends
+		c.tombstones[id] = now // a tombstone is kept as long as the target still sends
 		return
 	}
 	if report.State == wire.TargetGone {
@@ -30,17 +30,18 @@
 		return
 	}
 	t := c.targets[id]
-	// A number that isn't above the highest so far is of an old heartbeat that came late.
+	// A number not above the highest one so far belongs to an old heartbeat that arrived late.
 	if known := cmp.Or(t, c.claims[id]); known != nil && report.Number != 0 && report.Number <= known.Number {
 		return
 	}
-	// An incarnation doesn't move. One that leaves is drained wherever it is.
+	// An incarnation never changes its address, so a heartbeat from another one is rejected. A leave notice is accepted
+	// from any address.
 	if t != nil && t.Addr != report.Addr && report.State != wire.TargetLeaving {
 		c.counts.Rejected++
 		return
 	}
 	if t == nil {
-		if t = c.registerReported(now, report); t == nil {
+		if t = c.registerFromHeartbeat(now, report); t == nil {
 			return
 		}
 	}
@@ -50,7 +51,7 @@
 	c.targetChanged(now, t)
 }
 
-// signOff removes a target that says that it is gone, for good.
+// signOff permanently removes a target that reported that it is gone.
 func (c *Controller) signOff(now time.Duration, id wire.TargetID) {
 	c.removeTarget(now, id, "signed off")
 	delete(c.claims, id)
@@ -58,15 +59,16 @@
 	c.rebuildTable(now, false)
 }
 
-// registerReported registers the target of a heartbeat. That it leaves is kept also if it only gets a claim so far.
-func (c *Controller) registerReported(now time.Duration, report wire.Target) *target {
+// registerFromHeartbeat registers the target of a heartbeat, see registerTarget. A leave notice is recorded even if the
+// target only gets a claim for now.
+func (c *Controller) registerFromHeartbeat(now time.Duration, report wire.Target) *target {
 	if report.State == wire.TargetLeaving {
 		c.leavingTargets[report.ID()] = now
 	}
 	return c.registerTarget(now, report)
 }
 
-// updateFromReport takes over all that a heartbeat says but the state.
+// updateFromReport updates a target from a heartbeat, except for its state (see advanceState).
 func (c *Controller) updateFromReport(now time.Duration, t *target, report wire.Target) {
 	t.recordHeartbeat(now)
 	if report.HasDemand {
@@ -83,15 +85,15 @@
 	}
 }
 
-// recordHeartbeat counts a heartbeat. One alone confirms nothing, since it may be a late one of an incarnation that is
-// over. Steady ones do, even if no probe gets through.
+// recordHeartbeat records the arrival of a heartbeat. A single one does not confirm the target, since it may be a late one
+// of an incarnation that has ended. Steady heartbeats confirm it even if no probe gets through.
 func (t *target) recordHeartbeat(now time.Duration) {
 	t.lastHeartbeatAt, t.lastAliveAt = now, now
 	t.heartbeatStreak.RecordHeartbeat(now)
 	t.unconfirmed = t.unconfirmed && !t.heartbeatStreak.IsSteady(now)
 }
 
-// judgeHeartbeat gives the outlier policies a heartbeat, and the demand if the target reports one.
+// judgeHeartbeat passes a heartbeat to the outlier policies, and the demand if the target has reported one.
 func (c *Controller) judgeHeartbeat(now time.Duration, t *target) {
 	heartbeat := t.outlierEvent(now, config.SliceHeartbeat)
 	heartbeat.Success, heartbeat.State = true, t.State
@@ -103,7 +105,7 @@
 	}
 }
 
-// judgeHeartbeatGap gives the outlier policies an event of heartbeats that don't come.
+// judgeHeartbeatGap passes an event to the outlier policies that reports for how long no heartbeat has arrived.
 func (c *Controller) judgeHeartbeatGap(now time.Duration, t *target) {
 	gap := t.outlierEvent(now, config.SliceHeartbeat)
 	gap.State = t.State
@@ -111,7 +113,7 @@
 	c.judgeEvent(gap)
 }
 
-// outlierEvent returns an event of a target, without what its slice adds.
+// outlierEvent returns an outlier event of a target without the fields that are specific to the slice.
 func (t *target) outlierEvent(now time.Duration, slice config.Slice) outlier.Event {
 	return outlier.Event{At: now, Slice: slice, Service: t.Service, Name: t.Name, Incarnation: t.Incarnation}
 }
--- a/internal/controlplane/hello.go
+++ b/internal/controlplane/hello.go
@@ -1,4 +1,4 @@
-// This file sends and takes hellos, by which daemons find one another and learn who leads.
+// This file sends and receives hello messages, by which daemons discover one another and learn who the leader is.
 
 package controlplane
 
@@ -15,7 +15,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// sendHellos sends a hello to each control daemon that is known and to each seed address that none of them has.
+// sendHellos sends a hello to each control daemon in the directory and to each seed address that belongs to none of them.
 func (c *Controller) sendHellos(now time.Duration) {
 	maps.DeleteFunc(c.sentDirectories, func(name string, _ sentDirectory) bool { return name != "" && c.directory[name] == nil })
 	reached := map[string]bool{c.settings.Self.Addr: true}
@@ -29,14 +29,14 @@
 	for _, addr := range c.settings.Seeds {
 		if !reached[addr] {
 			reached[addr] = true
-			delete(c.sentDirectories, "") // what one unknown daemon was sent says nothing of another
+			delete(c.sentDirectories, "") // what one unknown daemon was sent does not apply to the next one
 			c.emit(statemachine.Send{Addr: addr, Message: c.helloTo(now, "", false)})
 		}
 	}
 }
 
-// helloTo is a hello to a daemon, "" if only its address is known. One to a proxy says nothing that only
-// control daemons need.
+// helloTo returns a hello to the named daemon, or to one of which only the address is known if the name is "". A hello to
+// a proxy leaves out what only control daemons need.
 func (c *Controller) helloTo(now time.Duration, to string, isReply bool) *wire.Message {
 	hello := &wire.Hello{
 		Self:           c.self(),
@@ -54,13 +54,13 @@
 	return &wire.Message{Kind: wire.KindHello, From: c.settings.Self.Name, Epoch: hello.Self.Epoch, Hello: hello}
 }
 
-// needsMembership says that a daemon is a control daemon, or may be one.
+// needsMembership reports whether hellos to a daemon carry the membership: it is a control daemon or of unknown kind.
 func (c *Controller) needsMembership(name string) bool {
 	peer := c.directory[name]
 	return peer == nil || peer.Kind == wire.ControlDaemon
 }
 
-// addMembership adds to a hello what a bootstrap or a recovery needs.
+// addMembership adds the data to a hello that a bootstrap or a recovery needs.
 func (c *Controller) addMembership(hello *wire.Hello) {
 	latest := c.latestMembership()
 	hello.Members, hello.MembersEpoch, hello.MembersIndex = latest.Members, latest.Epoch, latest.Index
@@ -70,21 +70,21 @@
 	}
 }
 
-// sentDirectory is when a daemon was last sent the directory, and a digest of it.
+// sentDirectory records when a daemon was last sent the directory, and a digest of what it was sent.
 type sentDirectory struct {
 	sentAt time.Duration
 	digest uint64
 }
 
-// directoryFor are the daemons that a hello lists to another daemon: for proxies control daemons only. It is empty
-// if the same list was sent lately.
+// directoryFor returns the daemons that a hello to another daemon lists: all for a control daemon, only control daemons
+// for a proxy. It returns nil if the same list was sent within tuning.ListEvery.
 func (c *Controller) directoryFor(now time.Duration, name string) []wire.Daemon {
 	var listed []wire.Daemon
 	receiver := c.directory[name]
 	listsAll := receiver == nil || receiver.Kind == wire.ControlDaemon
 	digest := fnv.New64a()
 	if receiver != nil {
-		fmt.Fprint(digest, receiver.Incarnation) // another process of its name has not got the list
+		fmt.Fprint(digest, receiver.Incarnation) // a new process under this name has not received the list
 	}
 	for _, peerName := range c.orderedDaemonNames() {
 		peer := c.directory[peerName]
@@ -102,7 +102,7 @@
 	return listed
 }
 
-// recvHello takes what a daemon reports of itself and of others, and replies to a hello that is no reply.
+// recvHello merges what a daemon reports about itself and others, and replies unless the hello is itself a reply.
 func (c *Controller) recvHello(now time.Duration, message *wire.Message) {
 	hello := message.Hello
 	if hello == nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// recordContact notes a hello of another control daemon.
+// recordContact records a hello from another control daemon.
 func (c *Controller) recordContact(now time.Duration, sender *wire.Daemon, isReply bool) {
 	latest := contact{
 		lastAt:    now,
--- a/internal/controlplane/idlefleet_test.go
+++ b/internal/controlplane/idlefleet_test.go
@@ -12,22 +12,23 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// The sizes of idle fleets.
+// Numbers of proxies and targets of the idle fleets.
 const (
 	smallProxies, smallTargets = 12, 36
 	largeProxies, largeTargets = 69, 294
 )
 
-// idleFleet is a lone member that leads, with proxies and targets that all work and have nothing to do.
+// idleFleet is the leader of a control plane with one member, together with healthy proxies and targets that have no
+// requests.
 type idleFleet struct {
 	controller *Controller
 	now        time.Duration
 	proxies    []wire.Daemon
-	tables     []*wire.Table // the latest that each proxy was sent
+	tables     []*wire.Table // by proxy, the latest table that it was sent
 	targets    []wire.Target
 }
 
-// newIdleFleet returns a fleet whose member has led for long enough that all is settled.
+// newIdleFleet returns a fleet after 12 seconds, when the member is Leading and has published all proxies and targets.
 func newIdleFleet(proxies, targets int) *idleFleet {
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
 	fleet := &idleFleet{
@@ -48,7 +49,7 @@
 	return fleet
 }
 
-// step gives the member an event, and does at once what its commands ask for.
+// step applies an event to the member and carries out the resulting commands at once, without delays.
 func (f *idleFleet) step(event statemachine.Event) {
 	for _, command := range f.controller.Step(f.now, event) {
 		switch c := command.(type) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// receiveTable keeps the table of a push for the proxy that it is sent to.
+// receiveTable stores the table of a push as the latest one of the proxy that it is addressed to.
 func (f *idleFleet) receiveTable(m *wire.Message) {
 	if m.Push == nil || m.Push.Table == nil {
 		return
@@ -75,13 +76,14 @@
 	}
 }
 
-// runTick lets a tick pass, in which nobody sends anything.
+// runTick advances the clock by one tick, in which proxies and targets send nothing.
 func (f *idleFleet) runTick() {
 	f.now += tuning.TickEvery
 	f.step(statemachine.Tick{})
 }
 
-// runSecond lets a second pass, in which proxies and targets send what they do at their intervals.
+// runSecond advances the clock by one second, in which proxies and targets send pulls, hellos and heartbeats at their
+// usual intervals.
 func (f *idleFleet) runSecond() {
 	for tick := range int(time.Second / tuning.TickEvery) {
 		f.runTick()
@@ -104,11 +106,12 @@
 	}
 }
 
+// pull applies a pull of the proxy with the given index.
 func (f *idleFleet) pull(proxy int) {
 	f.step(statemachine.Receive{Message: f.pullMessage(proxy)})
 }
 
-// pullMessage returns a pull of a proxy that has all it was sent.
+// pullMessage returns a pull in which a proxy confirms the latest table that it was sent.
 func (f *idleFleet) pullMessage(proxy int) *wire.Message {
 	pull := &wire.Pull{Self: f.proxies[proxy]}
 	if table := f.tables[proxy]; table != nil {
@@ -117,23 +120,23 @@
 	return &wire.Message{Kind: wire.KindPull, From: f.proxies[proxy].Name, Timestamp: int64(f.now), Pull: pull}
 }
 
-// While nothing happens every proxy stays on one table but for the regular refresh.
-func TestIdleFleetKeepsItsTable(t *testing.T) {
+// In an idle fleet the leader must build no new tables except for the regular refresh, at most once in five seconds.
+func TestIdleFleetDoesNotRebuildTable(t *testing.T) {
 	fleet := newIdleFleet(smallProxies, smallTargets)
 	if !fleet.controller.Leading() || len(fleet.controller.Table().Targets) != smallTargets || len(fleet.controller.Table().Proxies) != smallProxies {
-		t.Fatalf("leading %v, table %+v", fleet.controller.Leading(), fleet.controller.Table())
+		t.Fatalf("the fleet has not settled: leading is %v, table is %+v", fleet.controller.Leading(), fleet.controller.Table())
 	}
 	before := fleet.controller.Table().Key
 	for range 5 {
 		fleet.runSecond()
 	}
 	if after := fleet.controller.Table().Key; after.Version > before.Version+1 {
-		t.Fatalf("table %v became %v", before, after)
+		t.Fatalf("the table changed from %v to %v, want at most one new version", before, after)
 	}
 }
 
-// Targets whose heartbeats are too rare, and which answer probes, make no new tables.
-func TestRareHeartbeatsMakeNoTables(t *testing.T) {
+// Targets that answer probes but send heartbeats only in every third second must cause no new tables.
+func TestInfrequentHeartbeatsDoNotRebuildTable(t *testing.T) {
 	fleet := newIdleFleet(smallProxies, smallTargets)
 	before := fleet.controller.Table().Key
 	heartbeating := fleet.targets
@@ -145,24 +148,25 @@
 		fleet.runSecond()
 	}
 	if after := fleet.controller.Table().Key; after.Version > before.Version+2 {
-		t.Fatalf("table %v became %v", before, after)
+		t.Fatalf("the table changed from %v to %v, want at most two new versions", before, after)
 	}
 }
 
-// A table says of an ejected target whether it heartbeats.
-func TestEjectedTargetsHeartbeatsArePublished(t *testing.T) {
+// Proxies that find all usable targets ejected choose by heartbeats, so a change of an ejected target's heartbeats must
+// lead to a new table.
+func TestHeartbeatChangeOfEjectedTargetIsPublished(t *testing.T) {
 	fleet := newIdleFleet(smallProxies, smallTargets)
 	row := fleet.controller.tableRow(fleet.now, fleet.controller.targets[fleet.targets[0].ID()])
 	row.EjectionLeft, row.EjectedBy = 1, "default"
 	missing := row
 	row.Heartbeating, missing.Heartbeating = true, false
 	if routingFactsOf(&row) == routingFactsOf(&missing) {
-		t.Fatal("a change of the heartbeats of an ejected target makes no table")
+		t.Fatal("the routing facts of an ejected target are the same with and without heartbeats, want them to differ")
 	}
 }
 
-// allocationsPerTick returns the mean number of allocations of a tick of a leader with nothing to do. They stand for its
-// time, which no test can check: most of it went into lists made anew at each tick.
+// allocationsPerTick returns the mean number of allocations in a tick of an idle leader. It stands in for the time of a
+// tick, which a test can't check reliably; most of that time was once spent on lists that were rebuilt at every tick.
 func (f *idleFleet) allocationsPerTick() float64 {
 	return testing.AllocsPerRun(200, func() {
 		f.now += tuning.TickEvery
@@ -170,41 +174,41 @@
 	})
 }
 
-// allocationsPerPull returns the mean number of allocations of the push to a proxy that lacks nothing.
+// allocationsPerPull returns the mean number of allocations for a pull of a proxy that is up to date.
 func (f *idleFleet) allocationsPerPull() float64 {
 	m := f.pullMessage(0)
 	return testing.AllocsPerRun(200, func() { f.controller.Step(f.now, statemachine.Receive{Message: m}) })
 }
 
-// addWaiters has so many wait for a table that is not made yet, as in a release.
+// addWaiters adds waiters for a table that is not built yet, as there are many during a release of a service.
 func (f *idleFleet) addWaiters(count int) {
 	for range count {
 		f.controller.waiters = append(f.controller.waiters, &inForceWaiter{version: f.controller.tableVersion + 1, waitingSince: f.now, majorityOnly: true})
 	}
 }
 
-// A tick with nothing to do makes no list of the targets, of which there may be many.
+// An idle tick must not allocate lists of the targets, of which there may be many.
 func TestIdleTickAllocatesLittle(t *testing.T) {
 	fleet := newIdleFleet(largeProxies, largeTargets)
 	if n := fleet.allocationsPerTick(); n > 100 {
-		t.Errorf("%v allocations per tick", n)
+		t.Errorf("%v allocations per tick, want at most 100", n)
 	}
 }
 
-// An event makes no list for what waits for a table to be in force, which may be much.
+// An event must not allocate lists for the waiters for a table, of which there may be many.
 func TestManyWaitersAllocateLittle(t *testing.T) {
 	fleet := newIdleFleet(largeProxies, largeTargets)
 	without := fleet.allocationsPerPull()
 	fleet.addWaiters(40)
 	if n := fleet.allocationsPerPull(); n > without+5 {
-		t.Errorf("%v allocations per pull, %v without waiters", n, without)
+		t.Errorf("%v allocations per pull with 40 waiters, %v without, want at most 5 more", n, without)
 	}
 	if n := fleet.allocationsPerTick(); n > 100 {
-		t.Errorf("%v allocations per tick", n)
+		t.Errorf("%v allocations per tick with 40 waiters, want at most 100", n)
 	}
 }
 
-// One virtual second of an idle leader.
+// BenchmarkIdleFleet measures one virtual second of an idle leader.
 func BenchmarkIdleFleet(b *testing.B) {
 	for _, size := range []struct{ proxies, targets int }{{smallProxies, smallTargets}, {largeProxies, largeTargets}} {
 		b.Run(fmt.Sprintf("%d-gates-%d-targets", size.proxies, size.targets), func(b *testing.B) {
@@ -217,7 +221,7 @@
 	}
 }
 
-// One virtual second of an idle leader for whose tables many wait.
+// BenchmarkManyWaiters measures one virtual second of an idle leader with many waiters for its next table.
 func BenchmarkManyWaiters(b *testing.B) {
 	fleet := newIdleFleet(largeProxies, largeTargets)
 	fleet.addWaiters(40)
--- a/internal/controlplane/indirectprobe.go
+++ b/internal/controlplane/indirectprobe.go
@@ -11,17 +11,17 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// indirectProber is a proxy that may probe for the leader.
+// indirectProber is a proxy that may probe a target on behalf of the leader.
 type indirectProber struct {
 	name, domain   string
-	random         uint32 // differs for each probe, and is the same for the same one
-	nthInDomain    int    // its number among the probers of its domain, in order of random
-	inLeaderDomain bool
+	random         uint32 // sort key: a deterministic hash of proxy, target and time, so that the order differs between probes
+	rankInDomain   int    // position from 0 among the probers of its domain, in the order of random
+	inLeaderDomain bool   // whether it is in the leader's failure domain
 }
 
-// requestIndirectProbes has some proxies probe a target whose probe by the leader takes long, so that a fault of the
-// leader's own network ejects nobody. They are from as many failure domains as can be, and from the leader's own last: a
-// fault there may be theirs too.
+// requestIndirectProbes asks tuning.IndirectProbes proxies to probe a target whose probe by the leader takes long, so that
+// a fault in the leader's own network ejects no target. The proxies are from as many failure domains as possible. Within
+// the same rank, the leader's own domain comes last, since its proxies may be affected by the same fault.
 func (c *Controller) requestIndirectProbes(now time.Duration, id wire.TargetID) {
 	probers := c.indirectProbers(now, id)
 	for _, prober := range probers[:min(len(probers), tuning.IndirectProbes)] {
@@ -30,7 +30,7 @@
 	}
 }
 
-// indirectProbers returns the proxies that may probe a target, the best first.
+// indirectProbers returns the proxies that may probe a target, in order of preference.
 func (c *Controller) indirectProbers(now time.Duration, id wire.TargetID) []indirectProber {
 	var probers []indirectProber
 	for i := range c.state.Proxies {
@@ -49,11 +49,11 @@
 	})
 	perDomain := map[string]int{}
 	for i := range probers {
-		probers[i].nthInDomain = perDomain[probers[i].domain]
+		probers[i].rankInDomain = perDomain[probers[i].domain]
 		perDomain[probers[i].domain]++
 	}
 	slices.SortStableFunc(probers, func(a, b indirectProber) int {
-		return cmp.Or(cmp.Compare(a.nthInDomain, b.nthInDomain), compareFalseFirst(a.inLeaderDomain, b.inLeaderDomain))
+		return cmp.Or(cmp.Compare(a.rankInDomain, b.rankInDomain), compareFalseFirst(a.inLeaderDomain, b.inLeaderDomain))
 	})
 	return probers
 }
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -1,5 +1,5 @@
-// This file decides when a table is in force, which is when no proxy serves by an earlier one, and answers what waits
-// for that.
+// This file determines when a table is in force, which means that no proxy serves by an earlier table any more, and
+// answers the calls that wait for that.
 
 package controlplane
 
@@ -14,32 +14,35 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// inForceWaiter is something that waits until a table is in force, and for further conditions if they are set.
+// inForceWaiter holds what to do once a table is in force and the further conditions, if any are set, are met.
 type inForceWaiter struct {
 	version             uint64        // of the table
-	waitingSince        time.Duration // when it was made
+	waitingSince        time.Duration // when the waiter was created
 	majorityConfirmedAt time.Duration // when a majority of the proxies had confirmed the table, 0: not yet
-	longWaitReported    bool          // a line in the log has said that it takes long
+	longWaitReported    bool          // reportLongWait has logged the delay
 
-	// What is done once it is in force.
+	// What to do once the table is in force.
 
-	call          *pendingCall // is answered with reply, nil: nobody waits for an answer
+	call          *pendingCall // to be answered with reply; nil if no caller waits
 	reply         statemachine.Reply
-	pendingTarget wire.TargetID // may be given requests from then on
-	proxyChange   bool          // the proxy membership before counts no more from then on
+	pendingTarget wire.TargetID // may get requests from then on
+	proxyChange   bool          // the previous proxy membership no longer counts from then on
 
 	// Further conditions.
 
-	member       string          // this member of the control plane has joined, or left
-	joining      bool            // whether it has to join
-	departures   []wire.TargetID // the leaving or sign-off of these targets is committed
-	majorityOnly bool            // weaker: a majority of the proxies is enough, the others' leases may still run
+	member       string          // this member of the control plane has joined or left, "": no condition
+	joining      bool            // true: member has to join, false: it has to leave
+	departures   []wire.TargetID // the leave notices or sign-offs of these targets are committed
+	majorityOnly bool            // weaker: a majority of the proxies is enough, even if leases of the others have not expired
 }
 
-// isInForce says whether what a waiter waits for is reached. A table is in force once a majority of the proxies has confirmed
-// it, of the membership and of the one before while that counts, and each other proxy's lease has run out, be it from
-// the leader or from a peer that had not confirmed it yet. Majorities of two tables share a proxy, and that proxy
-// reports the later table to a new leader.
+// isInForce reports whether a waiter's table is in force and its further conditions are met. A table is in force once
+// both of these hold:
+//
+//   - A majority of the proxies has confirmed it, in the current membership and in the previous one while that counts.
+//     Any two majorities have a proxy in common, and that proxy reports the later table to a new leader.
+//   - The lease of each proxy that has not confirmed it has expired, whether it was granted by the leader or by a peer
+//     that had not confirmed the table either.
 func (c *Controller) isInForce(now time.Duration, waiter *inForceWaiter) bool {
 	if !c.memberChangeDone(waiter) {
 		return false
@@ -70,7 +73,7 @@
 	return true
 }
 
-// memberChangeDone says that the member that w waits for has joined or left, and that this is committed.
+// memberChangeDone reports whether the membership change that w waits for, if any, is committed.
 func (c *Controller) memberChangeDone(w *inForceWaiter) bool {
 	if w.member == "" {
 		return true
@@ -79,14 +82,15 @@
 	return c.node.CanChangeMembers() && w.joining == isMember
 }
 
-// hasConfirmed says that a proxy has this table of the present term, or a later one.
+// hasConfirmed reports whether a proxy has confirmed this table, or a later one, of the current term.
 func (c *Controller) hasConfirmed(name string, version uint64) bool {
 	proxy := c.proxies[name]
 	return proxy != nil && proxy.tableKey.Epoch == c.node.Epoch() && proxy.tableKey.Term == c.node.Term() && proxy.tableKey.Version >= version
 }
 
-// majorityConfirmed says that a majority of the proxies has confirmed a table, and of the membership before while that
-// counts. Without proxies it is true. It makes no lists, since it is asked after each event for each waiter.
+// majorityConfirmed reports whether a table is confirmed by a majority of the proxies, and by a majority of the previous
+// membership while that counts. It is true without proxies. It allocates no lists, since it runs after every event for
+// every waiter.
 func (c *Controller) majorityConfirmed(version uint64) bool {
 	confirmed := 0
 	for i := range c.state.Proxies {
@@ -107,9 +111,9 @@
 	return total == 0 || 2*confirmed > total
 }
 
-// mayServeEarlierTable says that a proxy may still serve by a table before that of w: on a lease of this leader, or on
-// leases of peers that had not confirmed the table either. Since those must be a majority, none is granted any more once a
-// majority has confirmed it.
+// mayServeEarlierTable reports whether a proxy may still serve by an earlier table than that of w, on a lease from this
+// leader or on leases from peers that had not confirmed the table either. A proxy needs such leases from a majority of
+// the proxies, so it can't get them any more once a majority has confirmed the table.
 func (c *Controller) mayServeEarlierTable(now time.Duration, name string, w *inForceWaiter) bool {
 	proxy := c.proxies[name]
 	if proxy == nil || c.hasConfirmed(name, w.version) {
@@ -118,8 +122,8 @@
 	return now-proxy.leaseGrantedAt <= tuning.ProxyLease+tuning.LeaseMargin || now-w.majorityConfirmedAt <= tuning.PeerLease+tuning.LeaseMargin
 }
 
-// answerWaiters does what waits for tables that are in force now. It runs after each event, so it has to do little for
-// what goes on waiting.
+// answerWaiters completes the waiters whose tables are in force now. It runs after every event, so it must be cheap for
+// waiters that continue to wait.
 func (c *Controller) answerWaiters(now time.Duration) {
 	var done []*inForceWaiter
 	c.waiters = slices.DeleteFunc(c.waiters, func(w *inForceWaiter) bool {
@@ -144,7 +148,7 @@
 	}
 }
 
-// reportLongWait logs once why a change is not in force by the time that it usually takes.
+// reportLongWait logs, once per waiter, why a change is not in force after tuning.InForceUsual.
 func (c *Controller) reportLongWait(now time.Duration, w *inForceWaiter) {
 	if w.call == nil || w.longWaitReported || now-w.waitingSince <= tuning.InForceUsual {
 		return
@@ -153,10 +157,10 @@
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectConfiguration, From: "proposed", To: "waiting", Reason: c.describeWait(now, w)})
 }
 
-// describeWait says what a waiter waits for, in words for the log.
+// describeWait returns a log text that describes what a waiter waits for.
 func (c *Controller) describeWait(now time.Duration, waiter *inForceWaiter) string {
 	if !c.majorityConfirmed(waiter.version) {
-		return fmt.Sprintf("table %d is not confirmed by a majority of %d proxies, and of %d in the membership before",
+		return fmt.Sprintf("table %d is not confirmed by a majority of the %d proxies and of the %d in the previous membership",
 			waiter.version, len(c.state.Proxies), len(c.state.PreviousProxies))
 	}
 	var lagging []string
@@ -166,16 +170,16 @@
 			continue
 		}
 		proxy := c.proxies[name]
-		leasedFor := (now - proxy.leaseGrantedAt).Round(time.Millisecond)
-		lagging = append(lagging, fmt.Sprintf("%s on table %d of term %d, leased %v ago", name, proxy.tableKey.Version, proxy.tableKey.Term, leasedFor))
+		leaseAge := (now - proxy.leaseGrantedAt).Round(time.Millisecond)
+		lagging = append(lagging, fmt.Sprintf("%s with table %d of term %d, last lease granted %v ago", name, proxy.tableKey.Version, proxy.tableKey.Term, leaseAge))
 	}
 	if len(lagging) == 0 {
-		return fmt.Sprintf("table %d waits for members, targets or proxies of the membership before", waiter.version)
+		return fmt.Sprintf("table %d waits for control plane members, targets or proxies of the previous membership", waiter.version)
 	}
-	return fmt.Sprintf("table %d waits for %d proxies, such as %s", waiter.version, len(lagging), lagging[0])
+	return fmt.Sprintf("table %d waits for %d proxies whose leases have not expired, for example %s", waiter.version, len(lagging), lagging[0])
 }
 
-// expireWaiter answers a caller that has waited for long enough, and says whether nothing is left to wait for.
+// expireWaiter answers a caller that has waited too long, and reports whether the waiter is no longer needed.
 func (c *Controller) expireWaiter(now time.Duration, w *inForceWaiter) bool {
 	if w.call == nil {
 		return false
@@ -189,8 +193,8 @@
 	return !w.proxyChange
 }
 
-// retainWaiters lets callers go on waiting when leadership is lost, if it may be resumed: mostly that takes a moment,
-// and they get an answer then. Which proxies have confirmed is counted anew, since another term may begin.
+// retainWaiters keeps the waiters when leadership is lost but may be resumed, which usually happens soon, so that callers
+// still get a definite answer. Confirmations by proxies are counted anew, since a new term may begin.
 func (c *Controller) retainWaiters(now time.Duration) {
 	if c.stopping || !c.mayResumeLeadership(now) {
 		c.abandonWaiters()
@@ -201,8 +205,8 @@
 	}
 }
 
-// mayResumeLeadership says that this member may soon resume the leadership that it lost: that is not longer ago than an
-// election takes, and it knows of no other leader.
+// mayResumeLeadership reports whether this member may still resume the leadership that it lost: the loss is less than
+// tuning.PendingCallsKept ago, the time that an election takes, and it knows of no other leader.
 func (c *Controller) mayResumeLeadership(now time.Duration) bool {
 	lost := c.lostLeadership
 	if lost.term == 0 || lost.epoch != c.node.Epoch() || now-lost.lostAt >= tuning.PendingCallsKept || c.abstains() {
@@ -212,7 +216,7 @@
 	return leader == "" || leader == c.settings.Self.Name
 }
 
-// abandonWaiters answers all callers whose change is proposed or waits for a table that its outcome is unknown.
+// abandonWaiters removes all waiters and pending changes, and answers their callers that the outcome is unknown.
 func (c *Controller) abandonWaiters() {
 	for _, token := range slices.Sorted(maps.Keys(c.pendingChanges)) {
 		c.answerUnknown(c.pendingChanges[token])
@@ -226,7 +230,7 @@
 	clear(c.pendingChanges)
 }
 
-// tickWaiters expires waiters while this member does not lead. A leader does so in answerWaiters.
+// tickWaiters expires waiters while this member is not Leading. A leader does so in answerWaiters.
 func (c *Controller) tickWaiters(now time.Duration) {
 	if c.leadership == Leading || len(c.waiters)+len(c.pendingChanges) == 0 {
 		return
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -1,5 +1,5 @@
-// This file decides whether this member leads, and takes it through the states of Leadership. Leadership begins with
-// a lease of a majority and ends with it; establishLeadership and revokeLeadership undo one another.
+// This file decides whether this member is the leader and drives it through the states of Leadership. Leadership begins
+// when a majority grants the lease and ends with the lease. revokeLeadership reverses establishLeadership.
 
 package controlplane
 
@@ -18,33 +18,33 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Leadership is how far a member with a lease has come as the leader.
+// Leadership is the phase of leadership that a member is in.
 type Leadership int
 
-// The states of leadership, in the order in which a member goes through them. Each but the first needs the lease.
+// The states of leadership, in the order in which a member passes through them. All but NotLeading require the lease.
 const (
 	// NotLeading is a member without a lease.
 	NotLeading Leadership = iota
-	// Recovering is the leader of a new epoch that collects what others remember of earlier epochs, to begin with the latest.
+	// Recovering is the leader of a new epoch that collects recovered states of earlier epochs, to begin with the latest.
 	Recovering
-	// Gathering is a new leader that collects the proxies' tables. It knows targets and grants no leases yet.
+	// Gathering is a new leader that collects the proxies' tables. It tracks targets but grants no leases yet.
 	Gathering
-	// Leading is a leader that makes tables, grants leases and accepts changes.
+	// Leading is a leader that builds tables, grants leases and accepts changes.
 	Leading
 )
 
-// String returns the state's name in a member's status.
+// String returns the name of the state in a member's status.
 func (l Leadership) String() string { return [...]string{"idle", "adopting", "warming", "deciding"}[l] }
 
-// updateLeadership begins, continues or revokes leadership. It runs before and after each event, so that nothing is
-// decided on a lease that has run out.
+// updateLeadership begins, continues or revokes leadership. It runs before and after each event, so that no decision is
+// based on an expired lease.
 func (c *Controller) updateLeadership(now time.Duration) {
 	if !c.canBeLeader(now) {
-		c.revokeLeadership(now, "no lease of a majority")
+		c.revokeLeadership(now, "the lease was lost, or this member stops or abstains")
 		c.transferUnstableLeadership(now)
 		return
 	}
-	// In a new term the lease was lost in between, if only within one event: another member may have led.
+	// A new term means that the lease was lost in between, even if only within one event: another member may have led.
 	if c.leadershipTerm != c.node.Term() {
 		c.revokeLeadership(now, "new term")
 		c.leadershipTerm = c.node.Term()
@@ -60,18 +60,19 @@
 	}
 }
 
+// canBeLeader reports whether this member has the lease and neither stops nor abstains.
 func (c *Controller) canBeLeader(now time.Duration) bool {
 	return c.node != nil && !c.stopping && !c.abstains() && c.node.HasLease(now)
 }
 
-// setLeadership enters a state. Its callers do what goes with that.
+// setLeadership enters a state and logs it. Its callers carry out the actions that belong to the transition.
 func (c *Controller) setLeadership(now time.Duration, next Leadership, reason string) {
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectLeadership, From: c.leadership.String(), To: next.String(), Reason: reason})
 	c.leadership, c.leadershipSince = next, now
 }
 
-// revokeLeadership ends leadership, if this member has any. What the leader keeps in memory stays as it is, since a
-// member that leads again soon may go on with it.
+// revokeLeadership ends leadership, if this member has any. The leader's state in memory is kept, since a member that
+// becomes leader again soon may continue with it.
 func (c *Controller) revokeLeadership(now time.Duration, reason string) {
 	if c.leadership == NotLeading {
 		return
@@ -85,7 +86,7 @@
 	c.retainWaiters(now)
 }
 
-// beginLeadership takes a member that got a lease into its first state.
+// beginLeadership enters the first state of leadership after this member got the lease.
 func (c *Controller) beginLeadership(now time.Duration) {
 	switch {
 	case !c.state.Recovered:
@@ -97,8 +98,8 @@
 	}
 }
 
-// beginRecovering collects what is remembered of earlier epochs: here on disk, and by proxies so far. More may come
-// until RecoveryWait is over.
+// beginRecovering starts to collect recovered states of earlier epochs, with those on this member's disk and those
+// received from proxies so far. More may arrive until tuning.RecoveryWait is over.
 func (c *Controller) beginRecovering(now time.Duration) {
 	c.recoveredState, c.unreadableRecoveredState = state.RecoveredState{}, false
 	c.addRecoveredFromImage()
@@ -110,7 +111,7 @@
 	c.initialStateProposed = false
 }
 
-// addRecoveredFromImage adds what this member's disk holds of an earlier epoch.
+// addRecoveredFromImage adds the recovered state of an earlier epoch on this member's disk, if there is one.
 func (c *Controller) addRecoveredFromImage() {
 	if len(c.persistentState.RecoveredState) == 0 {
 		return
@@ -124,11 +125,11 @@
 	c.addRecovered(recovered)
 }
 
-// tickRecovering proposes the first state of the epoch once everybody had the time to send one, and goes on once one
-// is committed, which may be another leader's.
+// tickRecovering proposes the initial state of the epoch once all daemons have had time to send theirs. Once an initial
+// state is committed, which may be one that an earlier leader proposed, it begins Gathering.
 func (c *Controller) tickRecovering(now time.Duration) {
 	if c.state.Recovered {
-		c.beginGathering(now, "the epoch's first state is committed")
+		c.beginGathering(now, "the initial state of the epoch is committed")
 		return
 	}
 	if now-c.leadershipSince > tuning.RecoveryWait && !c.initialStateProposed && c.canRecover() {
@@ -137,8 +138,8 @@
 	}
 }
 
-// beginGathering begins a leadership from what this member remembers of its last one, if nobody led in between, or
-// else from the log alone, and asks the proxies for their tables.
+// beginGathering begins a leadership and asks the proxies for their tables. It starts from this member's own state in
+// memory if no other member led since its last leadership, otherwise from the log alone.
 func (c *Controller) beginGathering(now time.Duration, reason string) {
 	c.setLeadership(now, Gathering, reason)
 	resumed := c.canResumeLeadership(now) && c.table != nil
@@ -148,8 +149,8 @@
 		c.resetLeadershipState(now)
 	}
 	c.beginTerm()
-	// An earlier leader may have granted any proxy a lease until just now. A table is in force only after such leases
-	// have run out, so each proxy counts as leased now: those met already, and those that only the log names.
+	// An earlier leader may have granted a lease to any proxy until just now, and a table is in force only after such
+	// leases have expired. So every proxy, known in memory or only from the log, counts as granted a lease now.
 	for _, proxy := range c.proxies {
 		proxy.leaseGrantedAt, proxy.tableMerged = now, false
 		if !resumed {
@@ -165,7 +166,7 @@
 	c.announceLeadership(now)
 }
 
-// tickGathering begins to lead once the proxies' tables are merged.
+// tickGathering enters Leading once enough of the proxies' tables are merged.
 func (c *Controller) tickGathering(now time.Duration) {
 	merged, total := 0, len(c.state.Proxies)
 	for i := range c.state.Proxies {
@@ -178,9 +179,9 @@
 	}
 }
 
-// hasGathered says that enough proxies' tables are merged, of all in the membership. A majority of the
-// proxies has any table that was in force, so a majority is enough to know of all that was. The wait beyond that is for ejections and
-// drains that only the other proxies know of, and with no proxy in the membership for the first ones to come.
+// hasGathered reports whether the tables of enough proxies are merged, out of total in the membership. Any table that was
+// in force is held by a majority of the proxies, so a majority suffices to know all of them. It waits longer for
+// ejections and drains that only the remaining proxies know or, if the membership is empty, for the first proxies.
 func hasGathered(merged, total int, waited time.Duration) bool {
 	switch {
 	case waited > tuning.GatherTablesWait:
@@ -193,16 +194,16 @@
 	return 2*merged > total && waited > tuning.GatherTablesWait/3
 }
 
-// establishLeadership begins to lead, with a first table: a new one, or the present one again if refresh is false and
-// nothing has changed.
+// establishLeadership enters Leading and publishes the first table. With refresh set it always builds a new one, otherwise
+// it keeps the current table if nothing has changed.
 func (c *Controller) establishLeadership(now time.Duration, reason string, refresh bool) {
 	c.setLeadership(now, Leading, reason)
 	c.rebuildTable(now, refresh)
 	c.restartWaiters(now)
 }
 
-// restartWaiters has all that waits for a table without a caller wait for the present one: tables of an earlier term are
-// confirmed by nobody any more.
+// restartWaiters replaces the waiters that have no caller by ones for the current table, since tables of an earlier term
+// are no longer confirmed.
 func (c *Controller) restartWaiters(now time.Duration) {
 	c.waiters = slices.DeleteFunc(c.waiters, func(w *inForceWaiter) bool { return w.call == nil && w.member == "" })
 	if len(c.state.PreviousProxies) > 0 {
@@ -215,7 +216,7 @@
 	}
 }
 
-// announceLeadership sends every daemon a hello with the new leader, also proxies that only the log names.
+// announceLeadership sends a hello with the new leader to every daemon, including proxies known only from the log.
 func (c *Controller) announceLeadership(now time.Duration) {
 	for _, proxy := range c.state.Proxies {
 		if c.directory[proxy.Name] == nil {
@@ -228,8 +229,8 @@
 	}
 }
 
-// resetLeadershipState begins a leadership with the targets registered in the log and nothing else. The table's
-// version goes on, since a version must not come twice in a term.
+// resetLeadershipState resets the leader's state in memory to the target registrations in the log. The table version is
+// not reset, since a version must not be used twice in a term.
 func (c *Controller) resetLeadershipState(now time.Duration) {
 	c.abandonWaiters()
 	c.targets, c.claims = map[wire.TargetID]*target{}, map[wire.TargetID]*target{}
