--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -110,7 +110,7 @@
 	c.answer(call, targetreport.Acknowledgement(report))
 }
 
-// relay sends a call to a leader. The leader's reply carries the call's relay ID of this daemon.
+// relay sends a call to a leader. The call carries this daemon's relay ID, which the leader repeats in its reply.
 func (c *Controller) relay(now time.Duration, call *pendingCall, leader string) {
 	call.relayedTo, call.relayedAt, call.relayedTerm = leader, now, c.Term()
 	call.relayCount++
--- a/internal/controlplane/apiroutes.go
+++ b/internal/controlplane/apiroutes.go
@@ -187,8 +187,8 @@
 	c.proposeChange(request.now, request.call, state.Command{Operation: state.Operation(request.path.action), Name: domain})
 }
 
-// forgetProxy removes a proxy from the proxy membership if it has stopped pulling its table. A proxy that still serves
-// must stay a member, since a table is in force only once no proxy serves by an earlier one.
+// forgetProxy removes a proxy from the proxy membership if it has stopped pulling its table. A proxy that still routes
+// requests must stay a member, since a table is in force only once no proxy routes by an earlier one.
 func (c *Controller) forgetProxy(request *apiRequest) {
 	name := request.path.name
 	if !c.isProxyMember(name) {
--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -42,7 +42,7 @@
 	consent := c.operatorsConsent(visible)
 	survey := c.surveyMembers(visible, consent.LostMembers)
 	founders := survey.eligibleFounders(visible)
-	c.trackFounders(now, founders)
+	c.updateVisibleFounders(now, founders)
 	if !c.mayBootstrap(&survey, founders) {
 		return
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// trackFounders updates since when the set of visible founders, with their disks, has been the same.
-func (c *Controller) trackFounders(now time.Duration, founders []wire.Daemon) {
+// updateVisibleFounders records the visible founders, with their disks, and since when they have been the same.
+func (c *Controller) updateVisibleFounders(now time.Duration, founders []wire.Daemon) {
 	var names strings.Builder
 	for _, founder := range founders {
 		fmt.Fprintf(&names, "%s %d ", founder.Name, founder.Disk)
@@ -114,7 +114,7 @@
 		latest = max(latest, peer.Epoch, peer.BootstrapEpoch)
 	}
 	for len(members) < size {
-		members = append(members, absentMember(len(members)+1))
+		members = append(members, placeholderMember(len(members)+1))
 	}
 	lockedOffer := offerDigest(latest, members)
 	isLocked := latest > 0 && slices.ContainsFunc(founders, func(d wire.Daemon) bool {
@@ -126,9 +126,9 @@
 	return bootstrapPlan{offer: offerDigest(latest+1, members), epoch: latest + 1, members: members}
 }
 
-// absentMember returns a placeholder for a member whose machine is absent. Numbers start at 1. A placeholder has no
-// disk and never votes, but is counted in the size of every majority.
-func absentMember(number int) wire.Member {
+// placeholderMember returns a placeholder for a member whose machine is absent. Numbers start at 1. A placeholder has no
+// disk and never votes, but counts as a member when a majority is determined.
+func placeholderMember(number int) wire.Member {
 	return wire.Member{Name: fmt.Sprintf("absent-%d", number)}
 }
 
@@ -174,15 +174,15 @@
 // completeBootstrap begins the epoch that this member has locked and reports whether it did. All founders must have
 // locked it, which is also certain if one of them has already begun it.
 func (c *Controller) completeBootstrap(now time.Duration, visible []wire.Daemon) (begun bool) {
-	if !c.allLocked(visible) && !c.anyFounderInEpoch(visible) {
+	if !c.allFoundersLocked(visible) && !c.anyFounderInEpoch(visible) {
 		return false
 	}
 	c.beginEpoch(now)
 	return true
 }
 
-// allLocked reports whether all founders with a disk are visible and hold the same lock as this member.
-func (c *Controller) allLocked(visible []wire.Daemon) bool {
+// allFoundersLocked reports whether all founders with a disk are visible and hold the same lock as this member.
+func (c *Controller) allFoundersLocked(visible []wire.Daemon) bool {
 	for _, member := range c.persistentState.Founders {
 		if member.Disk == 0 {
 			continue
@@ -226,7 +226,7 @@
 	}
 	intent := &wire.Batch{BootstrapLock: provisionalLock}
 	for i := range c.bootstrapSize {
-		intent.Founders = append(intent.Founders, absentMember(i+1))
+		intent.Founders = append(intent.Founders, placeholderMember(i+1))
 	}
 	c.persistentState.ApplyBatch(intent)
 	c.syncImage()
--- a/internal/controlplane/configapi.go
+++ b/internal/controlplane/configapi.go
@@ -26,7 +26,7 @@
 	patchDescription   = "partial"
 )
 
-// configChange is a change to the configuration that has passed checkBase and may be proposed.
+// configChange is a change to the configuration that has passed prepareConfigChange and may be proposed.
 type configChange struct {
 	call        *pendingCall
 	description string
@@ -35,14 +35,14 @@
 
 // replaceConfig replaces the whole configuration with the request body.
 func (c *Controller) replaceConfig(request *apiRequest) {
-	if change := c.checkBase(request, request.body, replaceDescription); change != nil {
+	if change := c.prepareConfigChange(request, request.body, replaceDescription); change != nil {
 		c.proposeConfig(request.now, change, request.body)
 	}
 }
 
 // patchConfig changes parts of the configuration. The request body is a named change or a JSON merge patch.
 func (c *Controller) patchConfig(request *apiRequest) {
-	change := c.checkBase(request, request.body, patchDescription)
+	change := c.prepareConfigChange(request, request.body, patchDescription)
 	if change == nil {
 		return
 	}
@@ -56,7 +56,7 @@
 // replacePolicy replaces one outlier policy with the request body.
 func (c *Controller) replacePolicy(request *apiRequest) {
 	patch := policyPatch(request.path.name, request.body)
-	if change := c.checkBase(request, patch, "policy "+request.path.name); change != nil {
+	if change := c.prepareConfigChange(request, patch, "policy "+request.path.name); change != nil {
 		c.mergePatch(request.now, change, patch)
 	}
 }
@@ -64,7 +64,7 @@
 // removePolicy removes one outlier policy.
 func (c *Controller) removePolicy(request *apiRequest) {
 	patch := policyPatch(request.path.name, []byte("null"))
-	if change := c.checkBase(request, patch, "policy "+request.path.name+" removed"); change != nil {
+	if change := c.prepareConfigChange(request, patch, "policy "+request.path.name+" removed"); change != nil {
 		c.mergePatch(request.now, change, patch)
 	}
 }
@@ -78,13 +78,13 @@
 		return
 	}
 	description := fmt.Sprintf("rollback to %d", revision)
-	if change := c.checkBase(request, []byte(state.EmptyDocument), description); change != nil {
+	if change := c.prepareConfigChange(request, []byte(state.EmptyDocument), description); change != nil {
 		c.proposeConfig(request.now, change, withoutRevision(document))
 	}
 }
 
 // policyPatch returns the merge patch that sets a policy. A policy that is not valid JSON is returned unchanged, so that
-// checkBase rejects it.
+// prepareConfigChange rejects it.
 func policyPatch(name string, policy []byte) []byte {
 	if !json.Valid(policy) {
 		return policy
@@ -92,9 +92,9 @@
 	return reply.Body(map[string]map[string]json.RawMessage{"policies": {name: policy}})
 }
 
-// checkBase checks a change to the configuration before the new document is built: its size, its syntax, its base
-// revision, and whether the same change was accepted before. It returns nil if it has answered the call.
-func (c *Controller) checkBase(request *apiRequest, text []byte, description string) *configChange {
+// prepareConfigChange checks a change to the configuration before the new document is built: its size, its base revision,
+// its syntax, and whether the same change was accepted before. It returns nil if it has answered the call.
+func (c *Controller) prepareConfigChange(request *apiRequest, text []byte, description string) *configChange {
 	call := request.call
 	if len(text) > tuning.DocumentMax {
 		c.answer(call, tooLargeReply())
@@ -112,16 +112,16 @@
 	}
 	digest := state.DigestOf([]byte(description), strconv.AppendUint(nil, base, 10), canonical)
 	if base != c.state.Revision {
-		c.answerOtherBase(request.now, call, digest, base)
+		c.answerBaseMismatch(request.now, call, digest, base)
 		return nil
 	}
 	return &configChange{call: call, description: description, digest: &digest}
 }
 
-// answerOtherBase answers a change whose base is not the current revision. If it is a retry of an accepted change, it is
+// answerBaseMismatch answers a change whose base is not the current revision. If it is a retry of an accepted change, it is
 // answered like that change. If its base is older than all kept records, it may be such a retry, and is answered as
 // unknown. Otherwise it is rejected as stale.
-func (c *Controller) answerOtherBase(now time.Duration, call *pendingCall, digest state.ChangeDigest, base uint64) {
+func (c *Controller) answerBaseMismatch(now time.Duration, call *pendingCall, digest state.ChangeDigest, base uint64) {
 	status, revision := c.state.FindChange(digest, base)
 	switch status {
 	case state.AlreadyAccepted:
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -57,7 +57,7 @@
 
 	// Bootstrap, and recovery after the loss of a majority.
 
-	bootstrapSize         int                            // number of members of the first control plane, 0: may not bootstrap it
+	bootstrapSize         int                            // members of the first control plane, 0: this process may not bootstrap it
 	currentOffer          uint64                         // digest of the bootstrap that is offered to other founders, 0: none
 	bootstrapLockSeq      uint64                         // number of the batch with the lock; announced only once that is synced
 	visibleFounders       string                         // names and disks of the visible founders, "": none or a leader exists
--- a/internal/controlplane/hello.go
+++ b/internal/controlplane/hello.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// helloTo returns a hello to the named daemon, or to one of which only the address is known if the name is "". A hello to
-// a proxy leaves out what only control daemons need.
+// helloTo returns a hello to the named daemon. An empty name stands for a daemon of which only the address is known. A
+// hello to a proxy leaves out what only control daemons need.
 func (c *Controller) helloTo(now time.Duration, to string, isReply bool) *wire.Message {
 	hello := &wire.Hello{
 		Self:           c.self(),
@@ -60,7 +60,7 @@
 	return peer == nil || peer.Kind == wire.ControlDaemon
 }
 
-// addMembership adds the data to a hello that a bootstrap or a recovery needs.
+// addMembership adds to a hello the data that a bootstrap or a recovery needs.
 func (c *Controller) addMembership(hello *wire.Hello) {
 	latest := c.latestMembership()
 	hello.Members, hello.MembersEpoch, hello.MembersIndex = latest.Members, latest.Epoch, latest.Index
--- a/internal/controlplane/indirectprobe.go
+++ b/internal/controlplane/indirectprobe.go
@@ -20,8 +20,9 @@
 }
 
 // requestIndirectProbes asks tuning.IndirectProbes proxies to probe a target whose probe by the leader takes long, so that
-// a fault in the leader's own network ejects no target. The proxies are from as many failure domains as possible. Within
-// the same rank, the leader's own domain comes last, since its proxies may be affected by the same fault.
+// a fault in the leader's own network ejects no target. The proxies are from as many failure domains as possible, one of
+// each domain before a second one of any. Among these, the one in the leader's own domain comes last, since the same fault
+// may affect it.
 func (c *Controller) requestIndirectProbes(now time.Duration, id wire.TargetID) {
 	probers := c.indirectProbers(now, id)
 	for _, prober := range probers[:min(len(probers), tuning.IndirectProbes)] {
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -1,5 +1,5 @@
-// This file determines when a table is in force, which means that no proxy serves by an earlier table any more, and
-// answers the calls that wait for that.
+// This file determines when a table is in force, which means that no proxy routes requests by an earlier table any more,
+// and answers the calls that wait for that.
 
 package controlplane
 
@@ -111,8 +111,8 @@
 	return total == 0 || 2*confirmed > total
 }
 
-// mayServeEarlierTable reports whether a proxy may still serve by an earlier table than that of w, on a lease from this
-// leader or on leases from peers that had not confirmed the table either. A proxy needs such leases from a majority of
+// mayServeEarlierTable reports whether a proxy may still route requests by an earlier table than that of w, on a lease from
+// this leader or on leases from peers that had not confirmed the table either. A proxy needs such leases from a majority of
 // the proxies, so it can't get them any more once a majority has confirmed the table.
 func (c *Controller) mayServeEarlierTable(now time.Duration, name string, w *inForceWaiter) bool {
 	proxy := c.proxies[name]
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -174,15 +174,15 @@
 			merged++
 		}
 	}
-	if hasGathered(merged, total, now-c.leadershipSince) {
+	if hasGatheredEnough(merged, total, now-c.leadershipSince) {
 		c.establishLeadership(now, fmt.Sprintf("merged the tables of %d of %d proxies", merged, total), true)
 	}
 }
 
-// hasGathered reports whether the tables of enough proxies are merged, out of total in the membership. Any table that was
-// in force is held by a majority of the proxies, so a majority suffices to know all of them. It waits longer for
-// ejections and drains that only the remaining proxies know or, if the membership is empty, for the first proxies.
-func hasGathered(merged, total int, waited time.Duration) bool {
+// hasGatheredEnough reports whether the tables of enough proxies are merged, out of total in the membership. Any table
+// that was in force is held by a majority of the proxies, so a majority suffices to know all of them. It waits longer
+// for ejections and drains that only the remaining proxies know or, if the membership is empty, for the first proxies.
+func hasGatheredEnough(merged, total int, waited time.Duration) bool {
 	switch {
 	case waited > tuning.GatherTablesWait:
 		return true
