--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -1,6 +1,6 @@
-// This file changes the membership of the control plane, one member at a time: what operators ask for, a
-// membership of a set size, and members that come back with another disk. replacement.go does what nobody asks
-// for. docs/control/membership.md says why it is done in this way.
+// This file changes the control plane's membership by one member at a time: it carries out operators' requests, fills a
+// membership of fixed size, and removes members that return with a different disk. replacement.go repairs a membership
+// without a fixed size by itself. docs/control/membership.md explains the design.
 
 package controlplane
 
@@ -15,14 +15,14 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// What a log line says that becomes of a member.
+// Values of StateChange.To for membership changes.
 const (
 	memberAdded   = "in"
 	memberRemoved = "out"
 )
 
-// maintainMembers takes the next step of the membership, if this member may change it: as a leader, also while
-// it gathers tables, and as the only member while it stops and hands over.
+// maintainMembers proposes the next membership change, if one is needed and this member may change the membership. It
+// reviews the membership every tuning.MembersEvery, and at once after a change has been committed.
 func (c *Controller) maintainMembers(now time.Duration) {
 	if !c.mayChangeMembers(now) || now-c.membersReviewedAt < tuning.MembersEvery && !c.memberChangePending {
 		return
@@ -34,7 +34,7 @@
 	}
 	members := c.node.Members()
 	visible := c.visibleControlDaemons(now)
-	if c.replaceLostDisk(now, members, visible) || c.admitRequested(now, members, visible) {
+	if c.removeMemberWithNewDisk(now, members, visible) || c.admitRequested(now, members, visible) {
 		return
 	}
 	if c.settings.BootstrapSize == 0 {
@@ -42,21 +42,23 @@
 	}
 }
 
+// mayChangeMembers reports whether this member may propose membership changes: it leads or gathers tables, or it is
+// stopping and still holds the lease, as the only member does until its successor has joined.
 func (c *Controller) mayChangeMembers(now time.Duration) bool {
 	return c.leadership >= Gathering || c.stopping && c.state.Recovered && c.node != nil && c.node.HasLease(now)
 }
 
-// proposeMembers proposes a membership that differs by one member from the present one, so that majorities of the
-// two share a member.
+// proposeMembers proposes a membership that differs from the current one by one member, so that every majority of one
+// shares a member with every majority of the other.
 func (c *Controller) proposeMembers(now time.Duration, members []wire.Member, name, change, reason string) {
 	c.emit(statemachine.StateChange{Subject: statemachine.SubjectMember, From: name, To: change, Reason: reason})
 	c.memberChangePending = true
 	c.node.ProposeMembers(now, members)
 }
 
-// replaceLostDisk removes a member that came back with another disk. It is another member now, and has to learn
-// the log first.
-func (c *Controller) replaceLostDisk(now time.Duration, members []wire.Member, visible []wire.Daemon) (proposed bool) {
+// removeMemberWithNewDisk proposes to remove a member that returned with a different disk. Consensus treats it as
+// another member, which has to replicate the log before it may vote.
+func (c *Controller) removeMemberWithNewDisk(now time.Duration, members []wire.Member, visible []wire.Daemon) (proposed bool) {
 	for _, daemon := range visible {
 		if daemon.Name == c.settings.Self.Name || daemon.Disk == 0 {
 			continue
@@ -71,38 +73,39 @@
 		if c.settings.BootstrapSize > 0 {
 			c.requestedMembers[daemon.Name] = true
 		}
-		c.proposeMembers(now, slices.Delete(slices.Clone(members), i, i+1), daemon.Name, memberRemoved, "its disk was lost")
+		c.proposeMembers(now, slices.Delete(slices.Clone(members), i, i+1), daemon.Name, memberRemoved, "returned with a different disk")
 		return true
 	}
 	return false
 }
 
-// admitRequested admits control daemons that an operator asked for and, in a membership of a set size, those that
-// it lacks. These first take the slots of machines that were absent at the bootstrap.
+// admitRequested admits control daemons that an operator requested and, if the membership has a fixed size, visible
+// daemons until that size is reached. Placeholders for machines that were absent at the bootstrap are removed first, to
+// make room for these daemons.
 func (c *Controller) admitRequested(now time.Duration, members []wire.Member, visible []wire.Daemon) (proposed bool) {
 	absent := slices.IndexFunc(members, func(m wire.Member) bool { return m.Disk == 0 })
-	hasSize := c.settings.BootstrapSize > 0
+	hasFixedSize := c.settings.BootstrapSize > 0
 	for _, daemon := range visible {
 		if daemon.Name == c.settings.Self.Name || daemon.Disk == 0 || slices.Contains(namesOf(members), daemon.Name) {
 			continue
 		}
 		wasRemoved := c.state.RemovedMembers[daemon.Name] != 0
-		if hasSize && !wasRemoved && absent >= 0 {
+		if hasFixedSize && !wasRemoved && absent >= 0 {
 			c.requestedMembers[daemon.Name] = true
 			c.proposeMembers(now, slices.Delete(slices.Clone(members), absent, absent+1), members[absent].Name, memberRemoved,
-				"it stands for a machine that was absent at the bootstrap")
+				"placeholder for a machine that was absent at the bootstrap")
 			return true
 		}
-		isLacking := len(members) < c.settings.BootstrapSize && !wasRemoved
-		if (c.requestedMembers[daemon.Name] || isLacking) && c.admit(now, members, daemon) {
+		belowTargetSize := len(members) < c.settings.BootstrapSize && !wasRemoved
+		if (c.requestedMembers[daemon.Name] || belowTargetSize) && c.admit(now, members, daemon) {
 			return true
 		}
 	}
 	return false
 }
 
-// admit has a daemon learn the log, and proposes it as a member once it has caught up. Until then it must not count
-// for a majority, as it could acknowledge nothing.
+// admit makes a daemon a learner, and proposes it as a member once it has caught up with the log. A member that lacks
+// earlier entries can't acknowledge new ones, but would count towards the size of a majority.
 func (c *Controller) admit(now time.Duration, members []wire.Member, daemon wire.Daemon) (proposed bool) {
 	learner := memberOf(daemon)
 	c.node.AddLearner(learner)
@@ -111,14 +114,14 @@
 		return false
 	}
 	delete(c.requestedMembers, daemon.Name)
-	c.proposeMembers(now, enlarged, daemon.Name, memberAdded, "caught up")
+	c.proposeMembers(now, enlarged, daemon.Name, memberAdded, "caught up with the log")
 	return true
 }
 
-// removeMember proposes to remove a member, if both the membership before and the one after have a majority that
-// responds: the change is committed by the one and must not block the other.
+// removeMember proposes to remove a member if majorities of both the current members and the remaining ones respond:
+// the current members have to commit the change, and the remaining ones all later entries.
 func (c *Controller) removeMember(now time.Duration, members []wire.Member, member wire.Member, reason string) (proposed bool) {
-	remaining := without(members, member)
+	remaining := withoutMember(members, member)
 	if !c.hasResponsiveMajority(now, members) || !c.hasResponsiveMajority(now, remaining) {
 		return false
 	}
@@ -126,14 +129,15 @@
 	return true
 }
 
-// memberReplaceAfter is how long a member has no contact before a standby replaces it.
+// memberReplaceAfter returns how long a member has to be without contact before a standby replaces it.
 func (c *Controller) memberReplaceAfter() time.Duration {
 	repairTime := cmp.Or(c.settings.CatchUpTime, tuning.CatchUpDefault)
 	return max(repairTime/tuning.ReplaceParts, tuning.ReplaceAfterMin)
 }
 
-// sinceLastContact is how long this member has had no contact with another, 0 for itself. Time before it led counts
-// too, once it has led for long enough to have contact with all.
+// sinceLastContact returns the time since this member last had contact with the named one. It is 0 for this member
+// itself, and for all until this member has led for tuning.NewLeaderGrace, in which every running member makes contact.
+// After that, time before it led counts too.
 func (c *Controller) sinceLastContact(now time.Duration, name string) time.Duration {
 	if name == c.settings.Self.Name || now-c.node.RoleSince() < tuning.NewLeaderGrace {
 		return 0
@@ -145,23 +149,23 @@
 	return now - last.lastAt
 }
 
-// isStopping says that a member said that it stops. It may come back.
+// isStopping reports whether a member has announced that it is stopping. It may come back.
 func (c *Controller) isStopping(name string) bool {
 	return name == c.settings.Self.Name && c.stopping || c.peerContacts[name].stopping
 }
 
-// lossReason says for people why a member counts as lost.
+// lossReason returns the log text for why a member counts as lost.
 func (c *Controller) lossReason(now time.Duration, member wire.Member) string {
 	switch {
 	case member.Disk == 0:
-		return "it stands for a machine that never came"
+		return "placeholder for a machine that never joined"
 	case c.isStopping(member.Name):
-		return "it is stopping"
+		return "stopping"
 	}
 	return fmt.Sprintf("no contact for %v", c.sinceLastContact(now, member.Name).Truncate(time.Second/10))
 }
 
-// hasResponsiveMajority says that a majority of some members has responded lately.
+// hasResponsiveMajority reports whether a majority of the given members has responded recently.
 func (c *Controller) hasResponsiveMajority(now time.Duration, members []wire.Member) bool {
 	responsive := 0
 	for _, member := range members {
@@ -172,12 +176,12 @@
 	return 2*responsive > len(members)
 }
 
-// memberOf is a daemon as a member: its name and its disk.
+// memberOf returns the member that a daemon is to consensus, which identifies it by name and disk.
 func memberOf(daemon wire.Daemon) wire.Member {
 	return wire.Member{Name: daemon.Name, Disk: daemon.Disk}
 }
 
-// namesOf are the names of members, in their order.
+// namesOf returns the names of members, in the given order.
 func namesOf(members []wire.Member) []string {
 	var names []string
 	for _, member := range members {
@@ -186,7 +190,7 @@
 	return names
 }
 
-// without is a list of members without one.
-func without(members []wire.Member, removed wire.Member) []wire.Member {
+// withoutMember returns a copy of members without the removed one.
+func withoutMember(members []wire.Member, removed wire.Member) []wire.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m wire.Member) bool { return m == removed })
 }
--- a/internal/controlplane/memberview.go
+++ b/internal/controlplane/memberview.go
@@ -1,5 +1,5 @@
-// This file is what operators read of the control plane itself: who leads and by which majority, which members are
-// unresponsive, and how far learners are. Whether the next failure is tolerated is in failuretolerance.go.
+// This file builds the operators' view of the control plane itself: the leader and the voters that its lease rests on,
+// unresponsive members, and the progress of learners. failuretolerance.go adds whether the next failure is tolerated.
 
 package controlplane
 
@@ -11,51 +11,52 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// MemberState is what a control daemon is to the control plane, as the leader sees it.
+// MemberState is the state of a control daemon in the control plane, as the leader sees it.
 type MemberState string
 
 // The states of a control daemon.
 const (
 	MemberLeader       MemberState = "leader"
-	MemberFollower     MemberState = "follower"    // a voter that answers and needs no entry that the leader's log lacks
-	MemberCatchingUp   MemberState = "catching_up" // a voter that answers and needs a snapshot first
-	MemberUnresponsive MemberState = "silent"      // a voter that has not answered within the lease
-	MemberStopping     MemberState = "stopping"    // said that it stops; it is to come back
-	MemberPlaceholder  MemberState = "place"       // a vote kept for a machine that was not there at the bootstrap
-	MemberLearner      MemberState = "learning"    // receives the log and has no vote yet
-	MemberStandby      MemberState = "standby"     // is there and may become a member
+	MemberFollower     MemberState = "follower"    // a voter that responds, and whose next entry is still in the leader's log
+	MemberCatchingUp   MemberState = "catching_up" // a voter that responds and needs a snapshot before further entries
+	MemberUnresponsive MemberState = "silent"      // a voter that has not responded within the lease time
+	MemberStopping     MemberState = "stopping"    // has announced that it is stopping; it is expected back
+	MemberPlaceholder  MemberState = "place"       // a voter that stands for a machine absent at the bootstrap
+	MemberLearner      MemberState = "learning"    // receives the log, and has no vote yet
+	MemberStandby      MemberState = "standby"     // visible, and may become a member
 )
 
-// MemberView is one control daemon.
+// MemberView describes one control daemon to operators.
 type MemberView struct {
 	Name   string      `json:"name"`
 	Domain string      `json:"domain,omitempty"`
 	State  MemberState `json:"state"`
 	Voter  bool        `json:"voter"`
-	// NoContactMs is how long nothing has come from it, as far as this leader can know.
+	// NoContactMs is the time since the last contact with it in milliseconds, as far back as this leader can know.
 	NoContactMs int64 `json:"silent_ms"`
-	// Match is the index of the last log entry that it is known to have, up to ControlPlaneView.Commit and beyond.
+	// Match is the index of the last log entry that it is known to have, which may be after ControlPlaneView.Commit.
 	Match uint64 `json:"match"`
-	// LearningMs is how long it has been a learner, 0 if it is none.
+	// LearningMs is how long it has been a learner, in milliseconds, 0 if it isn't one.
 	LearningMs int64 `json:"learning_ms,omitempty"`
 }
 
-// ControlPlaneView is the control plane as one member sees it. Only the leader's has the other members.
+// ControlPlaneView is the control plane as one member sees it. Only the leader's view includes the other members.
 type ControlPlaneView struct {
 	Leader string `json:"leader,omitempty"`
-	// HoldsLease says that this member leads and has the lease at this moment.
+	// HoldsLease is set if this member leads and holds the lease at this moment.
 	HoldsLease bool `json:"decides"`
-	// LeadingMs is for how long this member has led.
+	// LeadingMs is how long this member has led, in milliseconds, 0 if it doesn't lead.
 	LeadingMs int64 `json:"leads_ms,omitempty"`
-	// LeaderLastContactMs is how long ago a member that doesn't lead last had contact with a leader, or was the leader.
+	// LeaderLastContactMs is the time in milliseconds since this member last had contact with a leader or led itself.
+	// It is 0 at the leader.
 	LeaderLastContactMs int64 `json:"leader_heard_ms,omitempty"`
-	// Commit is the index of the last entry known to be committed, Last that of the last one in this member's log.
+	// Commit is the index of the last entry known to be committed, Last that of the last entry in this member's log.
 	Commit uint64 `json:"commit"`
 	Last   uint64 `json:"last"`
-	// Voters is the number of members, Majority how many of them commit an entry.
+	// Voters is the number of members, Majority how many of them have to have an entry to commit it.
 	Voters   int `json:"voters"`
 	Majority int `json:"majority"`
-	// LeaseVoters are the voters by whose answers the leader has its lease now.
+	// LeaseVoters are the voters whose recent responses the leader's lease rests on.
 	LeaseVoters      []string             `json:"lease,omitempty"`
 	Members          []MemberView         `json:"members,omitempty"`
 	FailureTolerance FailureToleranceView `json:"next_loss"`
@@ -69,7 +70,7 @@
 	voters := len(c.node.Members())
 	view := ControlPlaneView{Leader: c.leader(now), Commit: c.node.Commit(), Last: c.node.LastIndex(), Voters: voters, Majority: voters/2 + 1}
 	if c.node.Role() != consensus.Leader {
-		// If this member led last, it stopped to at leadershipSince.
+		// If this member was the last leader that it knows of, it stopped leading at leadershipSince.
 		view.LeaderLastContactMs = (now - max(c.node.LastLeaderContact(), c.leadershipSince)).Milliseconds()
 		return view
 	}
@@ -87,20 +88,20 @@
 	return view
 }
 
-// memberViews returns the members, the learners and the standbys, in this order.
+// memberViews returns the views of the members, then of the learners, then of the standbys.
 func (c *Controller) memberViews(now time.Duration, progress []consensus.ReplicaProgress) []MemberView {
 	var views []MemberView
 	listed := map[string]bool{}
-	list := func(view MemberView) {
+	add := func(view MemberView) {
 		views = append(views, view)
 		listed[view.Name] = true
 	}
 	for _, member := range c.node.Members() {
-		list(c.voterView(now, progressOf(member, progress)))
+		add(c.voterView(now, progressOf(member, progress)))
 	}
 	for _, p := range progress {
 		if !p.Voter && !listed[p.Member.Name] {
-			list(c.learnerView(now, p))
+			add(c.learnerView(now, p))
 		}
 	}
 	for _, daemon := range c.visibleControlDaemons(now) {
@@ -112,7 +113,7 @@
 	return views
 }
 
-// progressOf returns the progress of a member, which is empty for one that the leader does not replicate to.
+// progressOf returns the replication progress of a member, which is empty if the leader does not replicate to it.
 func progressOf(member wire.Member, progress []consensus.ReplicaProgress) consensus.ReplicaProgress {
 	if i := slices.IndexFunc(progress, func(p consensus.ReplicaProgress) bool { return p.Member == member }); i >= 0 {
 		return progress[i]
@@ -158,8 +159,8 @@
 	return view
 }
 
-// noContactFor is how long a daemon has neither acknowledged entries nor sent a hello, as far back as this process and
-// this leadership go.
+// noContactFor returns the time since a daemon last acknowledged entries or sent a hello. It counts at most from the
+// start of this process, and acknowledgements only from this leadership.
 func (c *Controller) noContactFor(now time.Duration, progress consensus.ReplicaProgress) time.Duration {
 	return now - max(c.peerContacts[progress.Member.Name].lastAt, progress.AckedAt, c.startedAt)
 }
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -1,4 +1,4 @@
-// This file takes messages from other daemons and hands each to the file that it concerns.
+// This file sends messages to other daemons, and dispatches those received to their handlers.
 
 package controlplane
 
@@ -9,11 +9,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// emit adds a command to those that the present step returns.
+// emit adds a command to those that the current step returns.
 func (c *Controller) emit(command statemachine.Command) { c.commands = append(c.commands, command) }
 
-// send sends a message to a daemon by its name; one that is unknown gets nothing, as from a network that
-// lost it.
+// send sends a message to the named daemon. A message to a daemon that is not in the directory is dropped, which the
+// protocols treat like loss on the network.
 func (c *Controller) send(name string, message *wire.Message) {
 	peer := c.directory[name]
 	if peer == nil || name == c.settings.Self.Name {
@@ -23,7 +23,7 @@
 	c.emit(statemachine.Send{Addr: peer.Addr, Message: message})
 }
 
-// recv takes a message. One without the part that its kind has does nothing.
+// recv handles a received message. It ignores one that lacks the field required by its kind.
 func (c *Controller) recv(now time.Duration, message *wire.Message) {
 	wire.DiscardNonFinite(message)
 	switch message.Kind {
@@ -42,15 +42,15 @@
 	}
 }
 
-// recvConsensus hands a message to consensus, in the epoch that it belongs to.
+// recvConsensus passes a message to the consensus node, after entering the message's epoch if that is a later one.
 func (c *Controller) recvConsensus(now time.Duration, message *wire.Message) {
 	if message.Epoch < c.persistentState.BootstrapEpoch {
-		// Who has locked a bootstrap takes part in no earlier epoch: only so do all locks together
-		// show that the epoch before has no majority any more.
+		// A member that has locked a bootstrap must not take part in an earlier epoch. Otherwise the locks would
+		// not prove that the earlier epoch can't have a majority any more.
 		return
 	}
-	isLeadersAppend := message.Append != nil && !message.Append.Reply
-	if isLeadersAppend && (c.node == nil || message.Epoch > c.node.Epoch()) {
+	isAppendRequest := message.Append != nil && !message.Append.Reply
+	if isAppendRequest && (c.node == nil || message.Epoch > c.node.Epoch()) {
 		c.enterEpoch(now, message.Epoch)
 	}
 	if c.node != nil && !c.declinesTransfer(message) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// enterEpoch enters a later epoch, which has a leader. A founder that had not seen all the locks enters it
-// as one, so that what its disk has can be recovered; any other learns the state from the leader.
+// enterEpoch enters a later epoch that already has a leader. A founder that had not yet received all the locks enters it
+// as a founder, so that the state on its disk can be recovered. Any other daemon gets the state from the leader.
 func (c *Controller) enterEpoch(now time.Duration, epoch uint64) {
 	if epoch == c.syncedLockEpoch() {
 		c.beginEpoch(now)
@@ -68,7 +68,7 @@
 	c.joinEpoch(now, epoch)
 }
 
-// recvCall takes a call that another daemon relayed, or the reply to one that this one relayed.
+// recvCall handles a call that another daemon relayed, or the reply to a call that this daemon relayed.
 func (c *Controller) recvCall(now time.Duration, message *wire.Message) {
 	switch request := message.Call; {
 	case request == nil:
--- a/internal/controlplane/outlierdetection.go
+++ b/internal/controlplane/outlierdetection.go
@@ -1,4 +1,4 @@
-// This file gives the outlier policies their events and publishes what they decide.
+// This file feeds the outlier policies with events and publishes their decisions.
 
 package controlplane
 
@@ -12,16 +12,17 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// judgeTargets gives the outlier policies what has come in of each target, and removes those of which nothing comes.
+// judgeTargets feeds the outlier policies with each target's request statistics and missing heartbeats, and removes
+// targets that have shown no sign of life for tuning.TargetExpiry.
 func (c *Controller) judgeTargets(now time.Duration) {
 	for _, id := range c.targetIDs() {
 		t := c.targets[id]
-		if now-t.statsJudgedAt >= tuning.StatsEvery {
-			t.statsJudgedAt = now
-			c.judgeStats(now, t)
+		if now-t.statsEvaluatedAt >= tuning.StatsEvery {
+			t.statsEvaluatedAt = now
+			c.evaluateStats(now, t)
 		}
-		if now-t.lastHeartbeatAt > tuning.TargetHeartbeatTimeout && now-t.heartbeatGapJudgedAt >= tuning.StatsEvery {
-			t.heartbeatGapJudgedAt = now
+		if now-t.lastHeartbeatAt > tuning.TargetHeartbeatTimeout && now-t.heartbeatGapEvaluatedAt >= tuning.StatsEvery {
+			t.heartbeatGapEvaluatedAt = now
 			c.judgeHeartbeatGap(now, t)
 		}
 		if now-t.lastAliveAt > tuning.TargetExpiry {
@@ -30,8 +31,9 @@
 	}
 }
 
-// judgeStats gives the outlier policies the statistics of a target's requests, if it had any.
-func (c *Controller) judgeStats(now time.Duration, t *target) {
+// evaluateStats feeds the outlier policies with the statistics of a target's requests since the last call, if there were
+// any.
+func (c *Controller) evaluateStats(now time.Duration, t *target) {
 	stats := t.stats
 	if stats.Successes+stats.Errors == 0 {
 		return
@@ -43,7 +45,8 @@
 	c.judgeEvent(requests)
 }
 
-// addTargetStats adds what a proxy reports of the targets that it uses. A success there shows that the target is alive.
+// addTargetStats adds the statistics that a proxy reports on its targets. A success among them confirms that the target
+// is alive.
 func (c *Controller) addTargetStats(now time.Duration, reported []wire.TargetStats) {
 	for i := range reported {
 		stats := &reported[i]
@@ -64,13 +67,14 @@
 	}
 }
 
-// judgeEvent publishes an event of a target and gives it to the outlier policies.
+// judgeEvent publishes an event of a target and feeds it to the outlier policies.
 func (c *Controller) judgeEvent(event outlier.Event) {
 	c.emit(statemachine.Publish{Event: &event})
 	c.publishDecisions(c.scorer.Step(event))
 }
 
-// publishDecisions publishes decisions of the outlier policies and counts those that take effect.
+// publishDecisions publishes the outlier policies' decisions and counts those that take effect, which shadow decisions
+// don't.
 func (c *Controller) publishDecisions(decisions []outlier.Decision) {
 	for i := range decisions {
 		if !decisions[i].Shadow {
@@ -92,7 +96,8 @@
 	}
 }
 
-// policyStats returns the policies in force with their scores since this member became the leader.
+// policyStats returns the statistics of the active policies by name, with their scores since this member became the
+// leader.
 func (c *Controller) policyStats(now time.Duration) map[string]outlier.PolicyStats {
 	stats := c.detector.Stats()
 	for name, score := range c.scorer.Scores(now) {
--- a/internal/controlplane/pendingcall.go
+++ b/internal/controlplane/pendingcall.go
@@ -9,31 +9,33 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// pendingCall is a call that is not answered yet.
+// pendingCall is a call that has not been answered yet.
 type pendingCall struct {
 	token      string
-	callID     uint64 // of the caller at this daemon, 0 if another daemon relayed it
+	callID     uint64 // ID of the caller's request to this daemon, 0 if another daemon relayed the call
 	receivedAt time.Duration
 
-	// relayedFrom is the daemon that relayed the call to this one, "" if the caller is here, and relayedFromID its ID there.
+	// relayedFrom is the daemon that relayed the call to this one, "" if this daemon received it from the caller, and
+	// relayedFromID the call's ID at that daemon.
 	relayedFrom   string
 	relayedFromID uint64
 
-	// call is what is relayed to the leader, nil if nothing was.
+	// call is the message relayed to the leader, nil if the call was not relayed.
 	call        *wire.Call
-	relayedTo   string // the leader that it was last relayed to
-	relayCount  int    // how many times it was relayed
-	relayedAt   time.Duration
-	relayedTerm uint64
+	relayedTo   string        // the leader that it was last relayed to
+	relayCount  int           // how often it was relayed, or executed here after a relay
+	relayedAt   time.Duration // when it was last relayed
+	relayedTerm uint64        // the term in which it was last relayed
 
-	// duplicates are calls with the same token that came while this one is pending. They get its answer.
+	// duplicates are calls with the same token that arrived while this one was pending. They get the same answer.
 	duplicates []*pendingCall
-	// targetReport says that it is a target's report. It is acknowledged in time or not at all: the target sends it
-	// again, which is harmless, where an operator's change could take effect twice.
+	// targetReport is set if the call is a target's report. It expires sooner than other calls: a target repeats an
+	// unacknowledged report, which is harmless, while a repeated operator's change could take effect twice.
 	targetReport bool
 }
 
-// expirePendingChanges answers changes that were not committed in time. They may still be.
+// expirePendingChanges answers changes that were not committed within tuning.CallWait. The outcome is unknown: they may
+// still be committed.
 func (c *Controller) expirePendingChanges(now time.Duration) {
 	for _, token := range slices.Sorted(maps.Keys(c.pendingChanges)) {
 		if call := c.pendingChanges[token]; now-call.receivedAt > tuning.CallWait {
@@ -43,8 +45,8 @@
 	}
 }
 
-// tickRelayedCalls looks after calls that wait for the leader: they expire, are carried out here if this member leads
-// by now, or are relayed again to another leader or in another term.
+// tickRelayedCalls processes the calls that wait for the leader's reply: it expires them, executes them here if this
+// member now leads, or relays them again if the leader or the term has changed.
 func (c *Controller) tickRelayedCalls(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.relayedCalls)) {
 		call := c.relayedCalls[id]
@@ -59,14 +61,14 @@
 			c.executeCall(now, call, call.call)
 		case leader == "" || leader == c.settings.Self.Name:
 		case leader != call.relayedTo || c.Term() != call.relayedTerm || call.targetReport && now-call.relayedAt > tuning.TargetReportRetry:
-			// The token is the same, so that a change is made once, however many leaders receive it.
+			// The token stays the same, so that a change is made only once even if several leaders receive it.
 			c.relay(now, call, leader)
 		}
 	}
 }
 
-// relayExpired says that a relayed call is answered without waiting for the leader any longer. The leader answers a
-// change itself within CallWait; a lease is the time for that answer to come.
+// relayExpired reports whether a relayed call has waited too long for the leader's reply. The leader answers a change
+// within tuning.CallWait; tuning.LeaderLease is added for the reply to arrive.
 func (p *pendingCall) relayExpired(now time.Duration) bool {
 	waited := now - p.receivedAt
 	return waited > tuning.CallWait+tuning.LeaderLease || p.targetReport && waited > tuning.TargetReportWait
--- a/internal/controlplane/proxylease.go
+++ b/internal/controlplane/proxylease.go
@@ -1,4 +1,5 @@
-// This file answers the pulls of proxies: the leader grants each a lease and sends it what it lacks of the table.
+// This file answers proxies' pulls: the leader grants each proxy a lease and sends it the parts of the table that it
+// lacks.
 
 package controlplane
 
@@ -11,27 +12,27 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// proxyState is what the leader keeps of a proxy.
+// proxyState is what the leader keeps about a proxy.
 type proxyState struct {
 	incarnation      uint64
-	pastIncarnations []uint64      // those that the present one replaced
-	lastPullAt       time.Duration // 0: it has not pulled
-	pullTimestamp    int64         // the latest by the proxy's own clock, which a lease is counted from
+	pastIncarnations []uint64      // incarnations that the current one replaced
+	lastPullAt       time.Duration // 0: it has not pulled yet
+	pullTimestamp    int64         // of the latest pull, by the proxy's own clock; its lease runs from this time
 	leaseGrantedAt   time.Duration // when its latest lease began, or may have begun under an earlier leader
 
-	tableKey             wire.TableKey // the table that it has confirmed
-	revision, stateIndex uint64        // of the configuration and state that it has
-	progressAt           time.Duration // when it last had the latest table, or another one than before
-	tableMerged          bool          // its table from before this leadership is merged, or it has none
+	tableKey             wire.TableKey // the latest table that it has confirmed
+	revision, stateIndex uint64        // of the configuration and of the state that it has
+	progressAt           time.Duration // when a pull last confirmed the latest table, or another one than the pull before
+	tableMerged          bool          // its table from before this leadership has been merged, or it has none
 
-	// Tables sent and not confirmed yet.
+	// Tables sent and not confirmed yet, see inFlightTimeout.
 
-	sentKey       wire.TableKey // the latest
-	sentAt        time.Duration
-	bytesInFlight int // estimated, see tableBytes
+	sentKey       wire.TableKey // the latest of them
+	sentAt        time.Duration // when it was sent
+	bytesInFlight int           // of all of them, as estimated by tableBytes
 }
 
-// handlePull takes a proxy's pull. It is also how a proxy confirms a table and reports the statistics of targets.
+// handlePull handles a proxy's pull, with which the proxy also confirms a table and reports targets' statistics.
 func (c *Controller) handlePull(now time.Duration, message *wire.Message) {
 	pull := message.Pull
 	if pull == nil {
@@ -54,7 +55,7 @@
 		proxy = &proxyState{}
 		c.proxies[message.From] = proxy
 	}
-	if !proxy.enterIncarnation(incarnation) {
+	if !proxy.acceptIncarnation(incarnation) {
 		return
 	}
 	c.confirmTable(now, proxy, message)
@@ -65,15 +66,15 @@
 	}
 	proxy.revision, proxy.stateIndex = pull.Revision, pull.StateIndex
 	if pull.Key == (wire.TableKey{}) {
-		proxy.tableMerged = true // it has none
+		proxy.tableMerged = true // the proxy has no table
 	}
 	c.addTargetStats(now, pull.Stats)
 	c.sendPush(message.From, proxy, c.leadership == Leading && c.mayGrantLease(now, message.From, proxy))
 }
 
-// discoverProxy notes in the directory that a proxy is there, and returns its incarnation. One that leaves itself out
-// of a pull must be there already, under the incarnation that the message names; otherwise it gets no push, and
-// introduces itself in its next pull.
+// discoverProxy records contact with a proxy in the directory, and returns the proxy's incarnation. A pull may omit the
+// proxy's description if the directory has it under the incarnation that the message names. If it does not, found is
+// false and the proxy gets no push, so that it sends its description with its next pull.
 func (c *Controller) discoverProxy(now time.Duration, m *wire.Message) (incarnation uint64, found bool) {
 	peer, self := c.directory[m.From], m.Pull.Self
 	switch {
@@ -91,9 +92,10 @@
 	return self.Incarnation, true
 }
 
-// enterIncarnation says whether a message is from the present incarnation of a proxy, or from a new one, which begins
-// with nothing then. A late message of one that was replaced must not bring it back.
-func (p *proxyState) enterIncarnation(incarnation uint64) bool {
+// acceptIncarnation reports whether a message is from the proxy's current incarnation or from a new one, which it makes
+// the current one and for which it resets the proxy's state. It rejects replaced incarnations: a delayed message must not
+// bring one back.
+func (p *proxyState) acceptIncarnation(incarnation uint64) bool {
 	if incarnation == p.incarnation {
 		return true
 	}
@@ -107,8 +109,8 @@
 	return true
 }
 
-// confirmTable notes a pull and the table that the proxy has by now. With that, what was sent up to this table is in
-// flight no more.
+// confirmTable records a pull and the table that the proxy confirms with it. If that is the latest table sent, or a later
+// one, nothing is in flight any more.
 func (c *Controller) confirmTable(now time.Duration, proxy *proxyState, m *wire.Message) {
 	proxy.lastPullAt = now
 	proxy.pullTimestamp = max(proxy.pullTimestamp, m.Timestamp)
@@ -117,42 +119,43 @@
 		proxy.progressAt = now
 	}
 	proxy.tableKey = confirmed
-	if !confirmed.Less(proxy.sentKey) || now-proxy.sentAt > flightTime(proxy.bytesInFlight) {
+	if !confirmed.Less(proxy.sentKey) || now-proxy.sentAt > inFlightTimeout(proxy.bytesInFlight) {
 		proxy.sentKey, proxy.bytesInFlight = wire.TableKey{}, 0
 	}
 }
 
-// mayGrantLease says that a proxy gets a lease with its push. One that pulls but does not take the tables that it is
-// sent gets none: a change waits for its lease to run out before it is in force.
+// mayGrantLease reports whether a proxy gets a lease with its push. A proxy that pulls but does not confirm the tables
+// that it is sent gets none: a change is in force only once the leases of all proxies without it have run out.
 func (c *Controller) mayGrantLease(now time.Duration, name string, proxy *proxyState) bool {
 	return c.isProxyMember(name) && now-proxy.progressAt < tuning.TableAckTimeout && !c.isLagging(now, proxy.tableKey)
 }
 
-// isLagging says that a table of this leadership has not been the latest for longer than a proxy may take to confirm
-// the next one.
+// isLagging reports whether a table of this leadership was superseded tuning.TableAckTimeout ago or earlier, which is the
+// time that a proxy has to confirm the next one.
 func (c *Controller) isLagging(now time.Duration, key wire.TableKey) bool {
 	if !c.isOwnTable(key) || key.Version >= c.tableVersion {
 		return false
 	}
 	if c.tableVersion-key.Version >= tuning.TablesKept {
-		return true // so old that it isn't known any more when the next one was made
+		return true // older than tableMadeAt goes back
 	}
 	return now-c.tableMadeAt[(key.Version+1)%tuning.TablesKept] >= tuning.TableAckTimeout
 }
 
-// isOwnTable says that a key is of a table of this leadership, in its present term or an earlier one.
+// isOwnTable reports whether a key is of a table of this leadership, in its current term or an earlier one.
 func (c *Controller) isOwnTable(key wire.TableKey) bool {
 	return c.table != nil && key.Epoch == c.table.Key.Epoch && key.Version != 0 && slices.Contains(c.leadershipTerms, key.Term)
 }
 
-// isProxyLive says that a proxy has pulled lately. Only live ones get a share of targets' capacities.
+// isProxyLive reports whether a proxy has pulled recently. Only live proxies get a share of the targets' capacities.
 func (c *Controller) isProxyLive(now time.Duration, name string) bool {
 	proxy := c.proxies[name]
 	return proxy != nil && proxy.lastPullAt != 0 && now-proxy.lastPullAt < tuning.ProxyLive
 }
 
-// sendPush sends a proxy the table if it lacks that, and a lease if grant is set. The lease runs from the proxy's own
-// timestamp of its pull, which is before it was granted here, and is for the table that the push names.
+// sendPush sends a proxy the table if it lacks that, and a lease if grant is set. The lease is valid for the table that
+// the push names. It runs from the timestamp that the proxy put into its pull, so it can't end later at the proxy than
+// this leader assumes.
 func (c *Controller) sendPush(name string, proxy *proxyState, grant bool) {
 	push := &wire.Push{LeaseGranted: grant, WantTable: !proxy.tableMerged}
 	if c.leadership == Leading && c.table != nil {
@@ -164,8 +167,8 @@
 	c.send(name, c.pushMessage(proxy, push))
 }
 
-// addTable adds the latest table to a push if the proxy lacks it. With too much in flight the push names the table that
-// the proxy has, if that is of this leadership, and the table goes with a later push.
+// addTable adds the latest table to a push if the proxy lacks it. If too many bytes are in flight to the proxy, a later
+// push carries the table, and this one names the table that the proxy has, if that is of this leadership.
 func (c *Controller) addTable(push *wire.Push, proxy *proxyState) {
 	push.Key = c.table.Key
 	if proxy.tableKey == c.table.Key {
@@ -184,7 +187,8 @@
 	proxy.bytesInFlight += size
 }
 
-// pushMessage returns a push to the present incarnation of a proxy: the timestamp is of that one's clock.
+// pushMessage returns the message that carries a push to the current incarnation of a proxy. Its timestamp is by that
+// incarnation's clock.
 func (c *Controller) pushMessage(proxy *proxyState, push *wire.Push) *wire.Message {
 	return &wire.Message{Kind: wire.KindPush, Epoch: c.node.Epoch(), Term: c.node.Term(), Timestamp: proxy.pullTimestamp, Disk: proxy.incarnation, Push: push}
 }
--- a/internal/controlplane/proxymembership.go
+++ b/internal/controlplane/proxymembership.go
@@ -1,5 +1,5 @@
-// This file keeps the proxy membership, which is the list of proxies that the log holds. Tables are in force by the
-// confirmations of its majority.
+// This file maintains the proxy membership, the list of proxies in the replicated log. A table is in force only once a
+// majority of these proxies has confirmed it.
 
 package controlplane
 
@@ -12,20 +12,20 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// isProxyMember says that a proxy is in the membership.
+// isProxyMember reports whether a proxy is in the membership.
 func (c *Controller) isProxyMember(name string) bool {
 	return slices.ContainsFunc(c.state.Proxies, func(p state.ProxyEntry) bool { return p.Name == name })
 }
 
-// updateProxyMembership proposes to admit the proxies that are there and to remove those that are gone, all in one
-// change. The membership before counts too until the change is in force: every majority of the one meets every
-// majority of the other then. So there is one change at a time.
+// updateProxyMembership proposes a single change that admits all live proxies and removes all expired ones. Until it is
+// in force a table needs majorities of both the previous and the new membership, so that any two majorities share a
+// proxy. Therefore only one change is made at a time.
 func (c *Controller) updateProxyMembership(now time.Duration) {
 	if c.proxyChangePending() || !c.node.CanChangeMembers() {
 		return
 	}
-	command := state.Command{Operation: state.OpChangeProxies, Proxies: c.newProxyEntries(now)}
-	// The first proxies mostly start together: they are admitted together too.
+	command := state.Command{Operation: state.OpChangeProxies, Proxies: c.changedProxyEntries(now)}
+	// The first proxies usually start together. Waiting admits them in one change.
 	if len(command.Proxies) > 0 && len(c.state.Proxies) == 0 && now-c.leadershipSince < tuning.FirstProxiesWait {
 		return
 	}
@@ -35,13 +35,14 @@
 	}
 }
 
-// proxyChangePending says that a change of the membership is not committed or not in force yet.
+// proxyChangePending reports whether a change of the membership is not yet committed or not yet in force.
 func (c *Controller) proxyChangePending() bool {
 	return c.proxyChangeIndex > c.state.Index || slices.ContainsFunc(c.waiters, func(w *inForceWaiter) bool { return w.proxyChange })
 }
 
-// newProxyEntries returns the proxies that pull and are not in the membership as they are now, in order of their names.
-func (c *Controller) newProxyEntries(now time.Duration) (entries []state.ProxyEntry) {
+// changedProxyEntries returns the entries of live proxies that the membership lacks or has with another address or
+// failure domain, sorted by name.
+func (c *Controller) changedProxyEntries(now time.Duration) (entries []state.ProxyEntry) {
 	for name, proxy := range c.proxies {
 		peer := c.directory[name]
 		if peer == nil || proxy.lastPullAt == 0 || now-proxy.lastPullAt > tuning.ProxyLive {
@@ -57,8 +58,8 @@
 	return entries
 }
 
-// expiredProxies returns the names of those members that have not pulled for too long. A leader has to
-// lead for as long before it can say so.
+// expiredProxies returns the names of the members that have not pulled for tuning.ProxyExpiry. A leader can't tell before
+// it has led for that long itself.
 func (c *Controller) expiredProxies(now time.Duration) (names []string) {
 	if now-c.leadershipSince <= tuning.ProxyExpiry {
 		return nil
@@ -72,7 +73,8 @@
 	return names
 }
 
-// endPreviousProxies proposes that the membership before counts no more, unless a further change of it is not in force.
+// endPreviousProxies proposes that majorities of the previous membership are no longer required, unless a further change
+// is not in force yet.
 func (c *Controller) endPreviousProxies(now time.Duration) {
 	if len(c.state.PreviousProxies) == 0 || slices.ContainsFunc(c.waiters, func(w *inForceWaiter) bool { return w.proxyChange }) {
 		return
--- a/internal/controlplane/recoveredstate.go
+++ b/internal/controlplane/recoveredstate.go
@@ -1,5 +1,5 @@
-// This file collects what disks and proxies have of an earlier epoch's state, from which a new epoch begins
-// after the loss of a majority.
+// This file collects the copies of an earlier epoch's state that disks and proxies hold. After the loss of a majority a
+// new epoch begins with the latest of them.
 
 package controlplane
 
@@ -15,15 +15,15 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// proxyRecoveredState is what a proxy has of an earlier epoch, and the members that it names.
+// proxyRecoveredState is the state of an earlier epoch that a proxy holds, and the membership recorded in it.
 type proxyRecoveredState struct {
 	state.RecoveredState
 	members discovery.Membership
 }
 
-// recvRecoveredState takes the state that a hello carries. A proxy's is long, and all proxies send theirs as
-// soon as they have no leader, so a member decodes none before it has no leader either: only a bootstrap or a
-// recovery needs them.
+// recvRecoveredState takes the recovered state that a hello carries. Proxies' states are large, and all proxies send
+// theirs as soon as they have no leader. Only a bootstrap or a recovery needs them, so a member decodes them only if it
+// has no node or is recovering; until then it keeps the latest from each proxy.
 func (c *Controller) recvRecoveredState(message *wire.Message) {
 	encoded := message.Hello.RecoveredState
 	if len(encoded) == 0 {
@@ -41,7 +41,7 @@
 	}
 }
 
-// decodeProxyStates decodes what proxies have sent since the last time.
+// decodeProxyStates decodes the states that proxies have sent since the last call.
 func (c *Controller) decodeProxyStates() {
 	for _, proxy := range slices.Sorted(maps.Keys(c.unreadRecoveredStates)) {
 		if recovered, ok := decodeRecoveredState(c.unreadRecoveredStates[proxy]); ok {
@@ -52,13 +52,13 @@
 	clear(c.unreadRecoveredStates)
 }
 
-// decodeRecoveredState reads the form in hellos: JSON, compressed if it is long.
+// decodeRecoveredState decodes a state as hellos carry it: JSON, compressed if it is long.
 func decodeRecoveredState(encoded []byte) (recovered state.RecoveredState, ok bool) {
 	text, err := wire.Decompress(encoded)
 	return recovered, err == nil && json.Unmarshal(text, &recovered) == nil
 }
 
-// recordProxyState keeps what a proxy has. It sends that again and again while it has no leader, so it is
+// recordProxyState records the state that a proxy holds. The proxy sends it repeatedly while it has no leader, so it is
 // decoded only if it has changed.
 func (c *Controller) recordProxyState(proxy string, recovered state.RecoveredState) {
 	known := c.proxyRecoveredStates[proxy]
@@ -74,8 +74,8 @@
 	c.proxyRecoveredStates[proxy] = latest
 }
 
-// addRecovered takes a state of an earlier epoch as the one to begin this epoch with, if it is the latest so
-// far that can be put in force.
+// addRecovered keeps a state of an earlier epoch as the one to begin this epoch with, if it is later than the one kept so
+// far and can be decoded completely. It reports a later one that can't be decoded as damage.
 func (c *Controller) addRecovered(recovered state.RecoveredState) {
 	if c.node == nil || c.state.Recovered || recovered.Epoch >= c.node.Epoch() {
 		return
@@ -91,9 +91,8 @@
 	c.recoveredState = recovered
 }
 
-// canRecover says that the epoch may begin with what has been collected. It may not begin with nothing while
-// there is a state that can't be decoded, unless an operator allows that: to lose an acknowledged
-// configuration must be a decision of people.
+// canRecover reports whether the epoch may begin with what has been collected. If the only states found can't be decoded,
+// it may begin empty only with an operator's consent, since an acknowledged configuration may be lost by that.
 func (c *Controller) canRecover() bool {
 	return len(c.recoveredState.State) > 0 || !c.unreadableRecoveredState || c.emptyStateAllowed
 }
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -1,5 +1,5 @@
-// This file is an operator's recovery of a control plane that lost its majority, where the members that are left
-// can't know by themselves that the others won't come back.
+// This file implements the recovery by an operator of a control plane that lost its majority. The remaining members can't
+// know by themselves that the others won't come back.
 
 package controlplane
 
@@ -17,22 +17,22 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// recoveryAnswer is the body of the answer to a consent, with the survey that it was taken on. Its keys stand in
-// alphabetical order, as clients have always got them.
+// recoveryAnswer is the body of the answer to an operator's consent, with the numbers that it was accepted on. The fields
+// are in the alphabetical order of their keys, in which clients have always received them.
 type recoveryAnswer struct {
-	LostDisks   int  `json:"lost"`
-	Unreachable int  `json:"not_seen"`
-	Recovering  bool `json:"refounding"`
-	Visible     int  `json:"seen"` // founders
+	LostDisks   int  `json:"lost"`       // members whose disks are lost
+	Unreachable int  `json:"not_seen"`   // members that are not visible and not declared lost
+	Recovering  bool `json:"refounding"` // always set
+	Visible     int  `json:"seen"`       // visible daemons that may begin the new epoch
 }
 
-// emptyRecoveryAnswer is the body of the answer to a consent to begin with nothing.
+// emptyRecoveryAnswer is the body of the answer to an operator's consent to begin the epoch with an empty state.
 type emptyRecoveryAnswer struct {
 	BeginsEmpty bool `json:"begins_empty"`
 }
 
-// operatorsConsent is the consent that operators gave to any of the visible daemons: the union, so that all members act on
-// the same.
+// operatorsConsent returns the union of the consents that operators gave to any visible daemon, so that all members act
+// on the same consent.
 func (c *Controller) operatorsConsent(visible []wire.Daemon) discovery.RecoveryConsent {
 	var union discovery.RecoveryConsent
 	for _, daemon := range visible {
@@ -48,10 +48,10 @@
 	return union
 }
 
-// recoverByOperator takes an operator's consent that the visible members begin a new epoch without waiting for the
-// others. Lost names those, separated by commas, whose machines are lost for good. It is rejected while a majority
-// of the last members may still be running. In an epoch that waits because a state can't be decoded, it allows to
-// begin with nothing.
+// recoverByOperator handles an operator's consent that the visible members begin a new epoch without waiting for the
+// others. The comma-separated list lost names the members whose machines are lost for good. The consent is rejected
+// while a majority of the last membership may still be running. In an epoch that can't begin because no state found can
+// be decoded, it allows the epoch to begin with an empty state.
 func (c *Controller) recoverByOperator(now time.Duration, lost string) statemachine.Reply {
 	if c.leadership == Recovering && !c.canRecover() {
 		c.emptyStateAllowed = true
@@ -75,8 +75,9 @@
 	return statemachine.Reply{Status: 202, Body: reply.Body(answer)}
 }
 
-// checkConsent rejects a consent that is wrong whatever the survey says: there is a leader, or a daemon was there
-// lately that is called lost. It returns nil if there is nothing of that kind.
+// checkConsent returns the rejection of a consent that is invalid regardless of the survey: a visible daemon has a
+// leader, or there was contact with a supposedly lost daemon less than tuning.DaemonExpiry ago. It returns nil if
+// neither is so.
 func (c *Controller) checkConsent(now time.Duration, visible []wire.Daemon, lostMembers []string) *statemachine.Reply {
 	if name := c.daemonWithLeader(now, visible); name != "" {
 		rejection := reply.Problem(409, config.ErrorBody{Code: "living", Message: name + " hears a leader; nothing was changed"})
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -169,7 +169,7 @@
 func (c *Controller) bestReplacement(now time.Duration, review *membershipReview) (lost wire.Member, standby wire.Daemon, found bool) {
 	var best replacement
 	for _, member := range review.lost() {
-		remaining := namesOf(without(review.members, member))
+		remaining := namesOf(withoutMember(review.members, member))
 		for _, candidate := range review.standbys {
 			option := replacement{
 				resilience: c.resilienceOf(append(slices.Clone(remaining), candidate.Name)),
@@ -212,7 +212,7 @@
 func (c *Controller) nextMember(now time.Duration, review *membershipReview) (next wire.Daemon, found bool) {
 	names, candidates := namesOf(review.healthy), slices.Clone(review.standbys)
 	best := c.resilienceOf(names)
-	if best.anyDomain && best.machines >= c.toleratedLosses() {
+	if best.survivesDomainLoss && best.machineLosses >= c.toleratedLosses() {
 		candidates = slices.DeleteFunc(candidates, func(d wire.Daemon) bool { return now-c.standbySince[d.Name] < tuning.GrowAfter })
 	}
 	var first wire.Daemon
@@ -254,7 +254,7 @@
 	best := c.resilienceOf(namesOf(review.members))
 	for _, standby := range review.standbys {
 		for _, member := range review.members {
-			exchanged := c.resilienceOf(append(namesOf(without(review.members, member)), standby.Name))
+			exchanged := c.resilienceOf(append(namesOf(withoutMember(review.members, member)), standby.Name))
 			if member.Name != c.settings.Self.Name && exchanged.compare(best) > 0 {
 				next, best, found = standby, exchanged, true
 			}
@@ -304,7 +304,7 @@
 func (c *Controller) surplusMember(members []wire.Member) (surplus wire.Member, found bool) {
 	best := c.resilienceOf(namesOf(members))
 	for _, member := range members {
-		remaining := c.resilienceOf(namesOf(without(members, member)))
+		remaining := c.resilienceOf(namesOf(withoutMember(members, member)))
 		if member.Name != c.settings.Self.Name && remaining.compare(best) > 0 {
 			surplus, best, found = member, remaining, true
 		}
--- a/internal/controlplane/resilience.go
+++ b/internal/controlplane/resilience.go
@@ -1,4 +1,4 @@
-// This file compares sets of members by the failures that they withstand.
+// This file compares sets of members by the failures that they tolerate.
 
 package controlplane
 
@@ -8,15 +8,16 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// resilience is what failures a set of members withstands. Its fields count in their order.
+// resilience describes the failures that a set of members tolerates. The fields are compared in their order.
 type resilience struct {
-	anyDomain bool // a majority is left when any one failure domain is lost
-	machines  int  // how many machines may be lost with a majority left
-	cost      int  // how many members that takes: the fewer the better
+	survivesDomainLoss bool // a majority remains after the loss of any one failure domain
+	machineLosses      int  // how many machines may be lost with a majority remaining
+	cost               int  // the number of members, 0 if there are two; lower is better
 }
 
-// resilienceOf is the resilience of a set of members. Members beyond tuning.VotersMax add nothing to it. Two members
-// cost nothing: they withstand no more than one does, but their data is on a second disk.
+// resilienceOf returns the resilience of a set of members. Members beyond tuning.VotersMax do not add to it. Two members
+// tolerate no more failures than one does, but keep a second copy of the data. Their cost is 0 so that they are
+// preferred to one.
 func (c *Controller) resilienceOf(names []string) resilience {
 	perDomain, mostInDomain := map[string]int{}, 0
 	for _, name := range names {
@@ -25,9 +26,9 @@
 		mostInDomain = max(mostInDomain, perDomain[domain])
 	}
 	set := resilience{
-		anyDomain: 2*mostInDomain < len(names),
-		machines:  (min(len(names), tuning.VotersMax) - 1) / 2,
-		cost:      len(names),
+		survivesDomainLoss: 2*mostInDomain < len(names),
+		machineLosses:      (min(len(names), tuning.VotersMax) - 1) / 2,
+		cost:               len(names),
 	}
 	if len(names) == 2 {
 		set.cost = 0
@@ -35,12 +36,12 @@
 	return set
 }
 
-// compare is over 0 if r is better than other, and below 0 if it is worse.
+// compare returns a positive number if r is better than other, a negative one if it is worse, and 0 if they are equal.
 func (r resilience) compare(other resilience) int {
-	return cmp.Or(compareBool(r.anyDomain, other.anyDomain), cmp.Compare(r.machines, other.machines), cmp.Compare(other.cost, r.cost))
+	return cmp.Or(compareBool(r.survivesDomainLoss, other.survivesDomainLoss), cmp.Compare(r.machineLosses, other.machineLosses), cmp.Compare(other.cost, r.cost))
 }
 
-// compareBool compares two conditions; one that holds is greater.
+// compareBool compares two booleans like cmp.Compare, with false less than true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -51,7 +52,7 @@
 	return -1
 }
 
-// domainOf is the failure domain of a control daemon. One that is unknown counts as a domain of its own.
+// domainOf returns the failure domain of a control daemon. An unknown daemon counts as a domain of its own.
 func (c *Controller) domainOf(name string) string {
 	if name == c.settings.Self.Name {
 		return c.settings.Self.Domain
@@ -62,5 +63,5 @@
 	return "? " + name
 }
 
-// toleratedLosses is how many machines of the control plane may be lost at once.
+// toleratedLosses returns how many machines of the control plane have to be able to fail at once without loss of service.
 func (c *Controller) toleratedLosses() int { return max(c.settings.MachineLosses, 1) }
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -1,9 +1,10 @@
-// This file lets a member that lost its lease for a moment, and leads again with no other leader in between, go on with
-// the targets, ejections and drains that it had. To learn them anew would make it late, and cost it the next lease too.
+// This file lets a member that lost its lease briefly, and leads again with no other leader in between, keep the targets,
+// ejections and drains that it had. Learning them again would delay it so much that it could lose the next lease too.
 
 package controlplane
 
 import (
+	"fmt"
 	"slices"
 	"time"
 
@@ -13,21 +14,22 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// lostLeadership is the leadership that this member had last and may resume. The zero value is none.
+// lostLeadership is the leadership that this member lost last and may resume. The zero value means none.
 type lostLeadership struct {
 	epoch, term uint64
 	lostAt      time.Duration
 }
 
-// recordLostLeadership keeps by what it can be decided later whether to resume the leadership lost now.
+// recordLostLeadership records the leadership that is being lost, for the later decision whether to resume it.
 func (c *Controller) recordLostLeadership(now time.Duration) {
 	c.lostLeadership = lostLeadership{c.table.Key.Epoch, c.leadershipTerm, now}
 	c.leadershipLosses = append(c.leadershipLosses, now)
 }
 
-// transferUnstableLeadership transfers leadership of the log to another member after the lease was lost several times
-// in a short while: a machine that can't keep it is slow or overloaded, and meanwhile proxies get no leases. It does so
-// at most once in LeadershipTransferEvery, so that members that are all slow don't pass leadership around.
+// transferUnstableLeadership transfers leadership of the log to another member after the lease was lost
+// tuning.LeaseLossesMax times within tuning.LeaseLossWindow. A machine that can't keep the lease is slow or overloaded,
+// and proxies get no leases while it doesn't hold one. It does so at most once per tuning.LeadershipTransferEvery, so
+// that members that are all slow don't keep passing leadership on.
 func (c *Controller) transferUnstableLeadership(now time.Duration) {
 	c.leadershipLosses = slices.DeleteFunc(c.leadershipLosses, func(at time.Duration) bool { return now-at >= tuning.LeaseLossWindow })
 	if len(c.leadershipLosses) < tuning.LeaseLossesMax || c.leadership != NotLeading || c.stopping {
@@ -39,25 +41,26 @@
 	if c.leadershipTransferredAt > 0 && now-c.leadershipTransferredAt < tuning.LeadershipTransferEvery {
 		return
 	}
-	// A slow leader processes messages late, so a member whose last acknowledgement is older than a lease may be well.
-	lastContact := tuning.LeaderLease + tuning.ElectionTimeoutMin
-	if c.node.TransferLeadershipTo(now, lastContact, func(m wire.Member) bool { return !c.isStopping(m.Name) }) {
+	// A slow leader processes messages late, so a member whose last acknowledgement is older than a lease may be healthy.
+	maxAckAge := tuning.LeaderLease + tuning.ElectionTimeoutMin
+	if c.node.TransferLeadershipTo(now, maxAckAge, func(m wire.Member) bool { return !c.isStopping(m.Name) }) {
 		c.leadershipTransferredAt = now
-		reason := "the lease was lost several times in a short while"
+		reason := fmt.Sprintf("the lease was lost %d times within %v", len(c.leadershipLosses), tuning.LeaseLossWindow)
 		c.emit(statemachine.StateChange{Subject: statemachine.SubjectTransfer, From: c.settings.Self.Name, Reason: reason})
 	}
 }
 
-// canResumeLeadership says that what this member had in memory when it lost its leadership still holds: that is not
-// long ago, and no other member has led since. Another leader would have had to commit the entry that begins its term,
-// which would then stand in this member's log between its two terms.
+// canResumeLeadership reports whether the state that this member had in memory when it lost its leadership is still
+// valid: the loss was less than tuning.LeadershipResumeWindow ago, and no other member has led since. Another leader
+// would have had to commit the entry that begins its term, and this member's log would have that entry between its own
+// two terms.
 func (c *Controller) canResumeLeadership(now time.Duration) bool {
 	lost := c.lostLeadership
 	return lost.term != 0 && lost.epoch == c.node.Epoch() && now-lost.lostAt < tuning.LeadershipResumeWindow && c.node.NoOtherLeaderSince(lost.term)
 }
 
-// canResumeAtOnce says that this member can lead again without gathering tables: no other member led, and no proxy's
-// lease ran out meanwhile, so no proxy has decided anything by itself that this member would have to learn.
+// canResumeAtOnce reports whether this member can lead again without gathering tables: no other member led and no proxy's
+// lease ran out in between, so no proxy has made decisions of its own that this member would have to learn.
 func (c *Controller) canResumeAtOnce(now time.Duration) bool {
 	if !c.canResumeLeadership(now) || c.table == nil {
 		return false
@@ -65,8 +68,8 @@
 	return c.lostLeadership.term == c.node.Term() || now-c.lostLeadership.lostAt < tuning.ResumeAtOnce
 }
 
-// resumeLeadershipAtOnce goes on leading where the leadership was lost. It does as little as it can, since what takes
-// the leader long costs it the next lease as well.
+// resumeLeadershipAtOnce continues the lost leadership. It does as little as possible, since work that delays the leader
+// may cost it the next lease as well.
 func (c *Controller) resumeLeadershipAtOnce(now time.Duration) {
 	c.activateConfig()
 	c.resumeTargets(now)
@@ -77,37 +80,38 @@
 	c.beginTerm()
 	for _, proxy := range c.proxies {
 		if now-proxy.leaseGrantedAt > tuning.ProxyLease {
-			proxy.tableMerged = false // it may have served on peer leases, and decided by itself
+			proxy.tableMerged = false // it may have served on peer leases and made decisions of its own
 		}
 	}
 	c.announceLeadership(now)
 	c.establishLeadership(now, "elected again, and no other member led in between", true)
 }
 
-// restoreLeadershipState begins a leadership with what this member had in memory in its last one. It still gathers the
-// proxies' tables, for what they decided by themselves meanwhile.
+// restoreLeadershipState begins a leadership with the state that this member had in memory in its last one. The member
+// still gathers the proxies' tables, for decisions that proxies made by themselves in between.
 func (c *Controller) restoreLeadershipState(now time.Duration) {
-	c.latestMergedKey = c.table.Key // no proxy has a later one: whoever made it would have led
+	c.latestMergedKey = c.table.Key // no proxy has a later one, since no other member led
 	c.activateConfig()
 	c.resumeTargets(now)
 }
 
-// beginTerm notes the term of a leadership. One that is resumed in a later term goes on numbering its tables, so that
-// deltas can be made from the tables of its earlier terms, which proxies have.
+// beginTerm records the current term as one of this leadership. A leadership that is resumed in a later term continues
+// its table versions, so that deltas can be based on tables of its earlier terms, which proxies have.
 func (c *Controller) beginTerm() {
 	c.lostLeadership.epoch, c.lostLeadership.term = c.node.Epoch(), c.node.Term()
 	c.leadershipTerms = append(c.leadershipTerms, c.node.Term())
 	c.counts.Elections++
 }
 
-// resumeTargets makes up for the time in which this member did not lead. Heartbeats that it missed then are no sign of
-// a fault of the targets. Each target is probed anew at the usual pace, unless the leadership was lost for so short a time
-// that its last probe may still be out: a leadership lost again and again must not cause more probes.
+// resumeTargets adjusts the targets' times for the period in which this member did not lead. Heartbeats missed in it
+// are no sign of a fault. All targets become due for a probe, unless the leadership was lost for less than
+// tuning.ProbeEvery and their last probes may still be running: repeated losses of leadership must not cause more
+// probes.
 func (c *Controller) resumeTargets(now time.Duration) {
-	probeAnew := now-c.lostLeadership.lostAt >= tuning.ProbeEvery
+	restartProbes := now-c.lostLeadership.lostAt >= tuning.ProbeEvery
 	for _, t := range c.targets {
 		t.assumeContact(now - tuning.TargetHeartbeatTimeout/2)
-		if probeAnew {
+		if restartProbes {
 			t.lastProbeAt, t.probeSentAt = now-tuning.ProbeEvery, 0
 		}
 	}
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -6,22 +6,25 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Settings are what a control daemon is given at its start. A zero duration or number means that it isn't given.
+// Settings configure a control daemon. A duration or number of zero means that it is not set.
 type Settings struct {
-	// Self is this daemon as it introduces itself to others.
+	// Self describes this daemon as it does to other daemons.
 	Self wire.Daemon
-	// BootstrapSize is how many members bootstrap the first control plane, 0: as many as there are seeds.
+	// BootstrapSize fixes the number of members. If it is 0, there are as many members at the bootstrap as seeds, and the
+	// leader changes the number by itself.
 	BootstrapSize int
-	// Seeds are the addresses of daemons to introduce itself to. At the first start all members are given the same.
+	// Seeds are the addresses of the daemons that this one contacts first. They must be the same on all members at the
+	// bootstrap.
 	Seeds []string
-	// Bootstrap says that this is the control plane's first start.
+	// Bootstrap is set at the control plane's first start.
 	Bootstrap bool
-	// Domains are failure domains that operators may name before any target or proxy stands in them.
+	// Domains are failure domains that operators may name while they have no targets or proxies yet.
 	Domains []string
-	// CatchUpTime is how long after a replacement's start the control plane has to tolerate the next failure.
+	// CatchUpTime is how long after a replacement's start the control plane has to tolerate the next failure, 0 for
+	// tuning.CatchUpDefault.
 	CatchUpTime time.Duration
-	// MachineLosses is how many machines of the control plane may be lost at once.
+	// MachineLosses is how many machines of the control plane may be lost at once, 0 for one.
 	MachineLosses int
-	// StopGrace is how long after Stop the process is killed.
+	// StopGrace is the time from Stop until the process is killed.
 	StopGrace time.Duration
 }
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -125,7 +125,7 @@
 		if !c.isProxyMember(name) || now-proxy.lastPullAt >= tuning.ProxyLive {
 			continue
 		}
-		if now-proxy.sentAt > flightTime(proxy.bytesInFlight) {
+		if now-proxy.sentAt > inFlightTimeout(proxy.bytesInFlight) {
 			proxy.sentKey, proxy.bytesInFlight = wire.TableKey{}, 0
 		}
 		if proxy.bytesInFlight == 0 || proxy.bytesInFlight < tuning.TableBytesInFlight {
--- a/internal/controlplane/tabledelta.go
+++ b/internal/controlplane/tabledelta.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// flightTime is how long tables of so many bytes may be on their way to a proxy.
-func flightTime(bytes int) time.Duration {
+// inFlightTimeout is how long tables of so many bytes may be on their way to a proxy.
+func inFlightTimeout(bytes int) time.Duration {
 	return tuning.PullEvery + time.Duration(bytes)*time.Second/tuning.SlowLink
 }
 
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -29,9 +29,9 @@
 
 	// Heartbeats.
 
-	lastHeartbeatAt      time.Duration
-	heartbeatStreak      targetreport.Streak
-	heartbeatGapJudgedAt time.Duration // when the outlier policies last got an event of its missing heartbeats
+	lastHeartbeatAt         time.Duration
+	heartbeatStreak         targetreport.Streak
+	heartbeatGapEvaluatedAt time.Duration // when the outlier policies last got an event of its missing heartbeats
 
 	// Health checks. See healthcheck.go.
 
@@ -43,9 +43,9 @@
 
 	// What proxies report of requests.
 
-	lastSuccessAt time.Duration // of the last report with a success
-	stats         wire.TargetStats
-	statsJudgedAt time.Duration // when the outlier policies last got stats
+	lastSuccessAt    time.Duration // of the last report with a success
+	stats            wire.TargetStats
+	statsEvaluatedAt time.Duration // when the outlier policies last got stats
 
 	// Warm-up.
 
@@ -68,12 +68,12 @@
 // newTarget returns a target that nothing has confirmed yet and that is to be probed at once.
 func newTarget(now, lastHeartbeatAt time.Duration, row wire.Target) *target {
 	return &target{
-		Target:          row,
-		unconfirmed:     true,
-		lastHeartbeatAt: lastHeartbeatAt,
-		lastAliveAt:     now,
-		lastProbeAt:     now - tuning.ProbeEvery,
-		statsJudgedAt:   now,
+		Target:           row,
+		unconfirmed:      true,
+		lastHeartbeatAt:  lastHeartbeatAt,
+		lastAliveAt:      now,
+		lastProbeAt:      now - tuning.ProbeEvery,
+		statsEvaluatedAt: now,
 	}
 }
 
