--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -83,16 +83,16 @@
 // daemons until that size is reached. Placeholders for machines that were absent at the bootstrap are removed first, to
 // make room for these daemons.
 func (c *Controller) admitRequested(now time.Duration, members []wire.Member, visible []wire.Daemon) (proposed bool) {
-	absent := slices.IndexFunc(members, func(m wire.Member) bool { return m.Disk == 0 })
+	placeholder := slices.IndexFunc(members, func(m wire.Member) bool { return m.Disk == 0 })
 	hasFixedSize := c.settings.BootstrapSize > 0
 	for _, daemon := range visible {
 		if daemon.Name == c.settings.Self.Name || daemon.Disk == 0 || slices.Contains(namesOf(members), daemon.Name) {
 			continue
 		}
 		wasRemoved := c.state.RemovedMembers[daemon.Name] != 0
-		if hasFixedSize && !wasRemoved && absent >= 0 {
+		if hasFixedSize && !wasRemoved && placeholder >= 0 {
 			c.requestedMembers[daemon.Name] = true
-			c.proposeMembers(now, slices.Delete(slices.Clone(members), absent, absent+1), members[absent].Name, memberRemoved,
+			c.proposeMembers(now, slices.Delete(slices.Clone(members), placeholder, placeholder+1), members[placeholder].Name, memberRemoved,
 				"placeholder for a machine that was absent at the bootstrap")
 			return true
 		}
--- a/internal/controlplane/nonfinite_test.go
+++ b/internal/controlplane/nonfinite_test.go
@@ -9,7 +9,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A demand that is no finite number does not end a leader, and operators don't read it.
+// A message with an infinite or NaN demand must neither crash the leader nor make the list of targets impossible to
+// encode as JSON.
 func TestNonFiniteDemandIsDiscarded(t *testing.T) {
 	for _, demand := range []float64{math.Inf(1), math.Inf(-1), math.NaN()} {
 		target := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: wire.TargetReady, Demand: demand, HasDemand: true}
@@ -23,7 +24,7 @@
 			fleet.step(statemachine.Receive{Message: &m})
 			fleet.step(statemachine.Call{ID: 1, Method: "GET", Path: "/v1/targets"})
 			if _, err := json.Marshal(fleet.controller.Targets(fleet.now)); err != nil {
-				t.Errorf("%s with %v: %v", name, demand, err)
+				t.Errorf("%s with demand %v: targets can't be encoded: %v", name, demand, err)
 			}
 		}
 	}
--- a/internal/controlplane/recoveredstate_test.go
+++ b/internal/controlplane/recoveredstate_test.go
@@ -12,7 +12,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// mustEncode is a value in JSON.
+// mustEncode returns a value encoded as JSON.
 func mustEncode(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.Marshal(value)
@@ -22,7 +22,7 @@
 	return text
 }
 
-// helloWithState is the hello of a proxy that has a state of an epoch.
+// helloWithState returns the hello of a proxy that holds a state of the given epoch.
 func helloWithState(t *testing.T, proxy string, epoch uint64) statemachine.Receive {
 	t.Helper()
 	stored := mustEncode(t, state.State{Members: []wire.Member{{Name: "c1", Disk: 7}, {Name: "c2", Disk: 8}}})
@@ -33,24 +33,26 @@
 	}}}
 }
 
-// A leader does not decode the states that proxies send, which all of them do at once when they lose their leases.
+// A leader must not decode the states in proxies' hellos: all proxies send theirs at the same time when they lose their
+// leases, and decoding all of them would delay the leader.
 func TestLeaderDecodesNoProxyStates(t *testing.T) {
 	fleet := newIdleFleet(3, 3)
 	fleet.step(helloWithState(t, "g1", 1))
 	fleet.runSecond()
 	c := fleet.controller
 	if len(c.proxyRecoveredStates) != 0 || len(c.unreadRecoveredStates) != 1 {
-		t.Errorf("%d states decoded, %d not", len(c.proxyRecoveredStates), len(c.unreadRecoveredStates))
+		t.Errorf("%d states decoded and %d kept undecoded, want 0 and 1", len(c.proxyRecoveredStates), len(c.unreadRecoveredStates))
 	}
 }
 
-// A control daemon without a leader decodes the states that proxies send, before it bootstraps or recovers.
+// A control daemon without a leader decodes the states in proxies' hellos, since it needs them for a bootstrap or
+// recovery.
 func TestProxyStatesAreDecodedWithoutALeader(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		self string
 		disk consensus.PersistentState
-		wait time.Duration // after the hello
+		wait time.Duration // time between the hello and the check
 	}{
 		{"empty", "c9", consensus.PersistentState{Disk: 9}, 0},
 		{"member of two", "c1", consensus.PersistentState{Disk: 7, Epoch: 1,
@@ -66,13 +68,13 @@
 				controller.Step(now, statemachine.Tick{})
 			}
 			if n := len(controller.proxyRecoveredStates); n != 1 {
-				t.Errorf("%d states decoded", n)
+				t.Errorf("%d states decoded, want 1", n)
 			}
 		})
 	}
 }
 
-// recoveringMember is a lone member at the beginning of epoch 2, to which proxies send states of epoch 1.
+// recoveringMember is the only member of a control plane at the beginning of epoch 2. Proxies send it states of epoch 1.
 type recoveringMember struct {
 	idleFleet
 	proxyStates []state.RecoveredState
@@ -85,7 +87,7 @@
 	return &recoveringMember{idleFleet{now: time.Second, controller: controller}, proxyStates}
 }
 
-// runSeconds lets seconds pass, in each of which every proxy sends its state.
+// runSeconds runs the member for some seconds, in each of which every proxy sends its state once.
 func (m *recoveringMember) runSeconds(t *testing.T, seconds int) {
 	t.Helper()
 	for range seconds {
@@ -98,7 +100,7 @@
 	}
 }
 
-// recoveredAt is a state of epoch 1 at an entry and with a revision.
+// recoveredAt returns a state of epoch 1 with the given log index and configuration revision.
 func recoveredAt(t *testing.T, index, revision uint64) state.RecoveredState {
 	t.Helper()
 	stored := state.New()
@@ -106,20 +108,21 @@
 	return state.RecoveredState{Epoch: 1, Term: 3, Index: index, State: mustEncode(t, stored)}
 }
 
-// unreadableStates are JSON but no state, or a state that can't be put in force.
+// unreadableStates are valid JSON, but not valid states or with a configuration that can't be activated.
 var unreadableStates = []struct{ name, text string }{
-	{"no state", `{"seq":"ninety"}`},
+	{"field of a wrong type", `{"seq":"ninety"}`},
 	{"not an object", `[1,2]`},
-	{"a text that is cut off", `"{\"seq\":9"`},
-	{"an invalid configuration", `{"adopted":true,"seq":90,"revision":7,"doc":[]}`},
+	{"truncated state in a string", `"{\"seq\":9"`},
+	{"invalid configuration", `{"adopted":true,"seq":90,"revision":7,"doc":[]}`},
 }
 
-// unreadableAt is an unreadable state of epoch 1 that claims to be the latest.
+// unreadableAt returns a recovered state of epoch 1 with an unreadable text and a later index than all readable ones.
 func unreadableAt(text string) state.RecoveredState {
 	return state.RecoveredState{Epoch: 1, Term: 3, Index: 90, State: json.RawMessage(text)}
 }
 
-// The latest state that can be decoded completely is the epoch's first one, and what could not be decoded is reported.
+// The epoch begins with the latest state that can be decoded completely, and later states that can't be are reported as
+// damage.
 func TestLatestReadableStateIsRecovered(t *testing.T) {
 	for _, unreadable := range unreadableStates {
 		t.Run(unreadable.name, func(t *testing.T) {
@@ -127,16 +130,17 @@
 			member.runSeconds(t, 6)
 			c := member.controller
 			if !c.Leading() || c.state.Revision != 5 {
-				t.Errorf("leads %v with revision %d", c.Leading(), c.state.Revision)
+				t.Errorf("leading: %v, revision %d; want the leader with revision 5", c.Leading(), c.state.Revision)
 			}
 			if damage := c.Status(member.now).Damage; len(damage) == 0 || len(damage) > tuning.DamageReportsKept {
-				t.Errorf("%d reports of damage", len(damage))
+				t.Errorf("%d damage reports, want 1 to %d", len(damage), tuning.DamageReportsKept)
 			}
 		})
 	}
 }
 
-// An epoch does not begin with nothing while there is a state that can't be decoded, until an operator allows it.
+// If the only recovered state can't be decoded, the epoch must not begin empty until an operator allows it: an
+// acknowledged configuration could be lost.
 func TestEpochDoesNotBeginEmptyWhileAStateIsUnreadable(t *testing.T) {
 	for _, unreadable := range unreadableStates {
 		t.Run(unreadable.name, func(t *testing.T) {
@@ -144,24 +148,24 @@
 			member.runSeconds(t, 20)
 			c := member.controller
 			if c.Leading() || c.state.Recovered || len(c.Status(member.now).Damage) == 0 {
-				t.Errorf("leads %v, recovered %v, damage %v", c.Leading(), c.state.Recovered, c.damage)
+				t.Errorf("before an operator's consent: leading: %v, recovered: %v, damage %v", c.Leading(), c.state.Recovered, c.damage)
 			}
 			member.step(statemachine.Call{ID: 1, Method: "POST", Path: recoveryPath})
 			member.runSeconds(t, 3)
 			if !c.Leading() || c.state.Revision != 0 {
-				t.Errorf("after an operator's consent: leads %v with revision %d", c.Leading(), c.state.Revision)
+				t.Errorf("after an operator's consent: leading: %v, revision %d; want the leader with revision 0", c.Leading(), c.state.Revision)
 			}
 		})
 	}
 }
 
-// A committed first state that does not decode is discarded, and another is proposed.
+// If the committed entry with the epoch's first state can't be decoded, the leader discards it and proposes another.
 func TestUndecodableInitialStateIsDiscarded(t *testing.T) {
 	undecodable := state.Command{Operation: state.OpRecover, State: json.RawMessage(`{"seq":"ninety"}`)}
 	applied := state.New()
 	applied.Apply(9, undecodable)
 	if applied.Recovered {
-		t.Error("an undecodable state was recovered")
+		t.Error("a state was recovered from an undecodable entry")
 	}
 	member := newRecoveringMember(recoveredAt(t, 50, 5))
 	c := member.controller
@@ -171,6 +175,6 @@
 	c.propose(member.now, undecodable)
 	member.runSeconds(t, 6)
 	if !c.Leading() || c.state.Revision != 5 || len(c.damage) == 0 {
-		t.Errorf("leads %v with revision %d, damage %v", c.Leading(), c.state.Revision, c.damage)
+		t.Errorf("leading: %v, revision %d, damage %v; want the leader with revision 5 and a damage report", c.Leading(), c.state.Revision, c.damage)
 	}
 }
--- a/internal/controlplane/rejection_test.go
+++ b/internal/controlplane/rejection_test.go
@@ -20,9 +20,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// rejections are all errors that the HTTP API answers with: the kinds of each code. A new code has to be entered
-// here, with the kind that its readers see.
-var rejections = map[string][]config.Rejection{
+// rejectionKinds has the error codes of the HTTP API, with the rejection kinds that clients may get with each. A new code
+// has to be added here.
+var rejectionKinds = map[string][]config.Rejection{
 	"stale":        {config.RejectedVersion},
 	"invalid":      {config.RejectedInvalid},
 	"not_json":     {config.RejectedInvalid},
@@ -43,16 +43,16 @@
 	"not_found":    {config.RejectedNotFound},
 }
 
-// replyPath is one place in the source that answers with an error.
-type replyPath struct {
+// errorReply is a place in the source that answers with an error.
+type errorReply struct {
 	at     token.Position
-	status int // 0: not a literal
-	code   string
+	status int    // HTTP status, 0 if it is not a literal
+	code   string // error code, "" if it is not a literal
 }
 
-// replyPaths finds every ErrorBody literal of a package, and the status of the call that it
-// is an argument of.
-func replyPaths(t *testing.T, dir string) (l []replyPath) {
+// errorReplies returns every ErrorBody literal that is a call's argument in a package's non-test files, with the status
+// that is passed to the same call.
+func errorReplies(t *testing.T, dir string) (replies []errorReply) {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
@@ -78,16 +78,16 @@
 					status, _ = strconv.Atoi(b.Value)
 				}
 				if c, ok := errorCode(a); ok {
-					l = append(l, replyPath{files.Position(a.Pos()), status, c})
+					replies = append(replies, errorReply{files.Position(a.Pos()), status, c})
 				}
 			}
 			return true
 		})
 	}
-	return l
+	return replies
 }
 
-// errorCode is the code of an ErrorBody literal, "" if that is computed.
+// errorCode returns the code of an ErrorBody literal, "" if the code is not a literal. ok is false for other expressions.
 func errorCode(x ast.Expr) (code string, ok bool) {
 	lit, ok := x.(*ast.CompositeLit)
 	if !ok {
@@ -108,29 +108,30 @@
 	return code, true
 }
 
-// Every way to reject a call says of which kind the rejection is, and always the same for a code.
-func TestEveryRejectionSaysItsKind(t *testing.T) {
+// Every error reply has a known code, and a status that implies one of the rejection kinds of that code. Clients decide
+// by the kind whether to retry, so a new code must not get a wrong one.
+func TestErrorRepliesHaveKnownKinds(t *testing.T) {
 	seen := map[string]bool{}
 	for _, dir := range []string{".", "../shared/targetreport", "../daemon"} {
-		paths := replyPaths(t, dir)
-		if len(paths) < 3 {
-			t.Fatalf("%s: only %d reply paths found", dir, len(paths))
+		replies := errorReplies(t, dir)
+		if len(replies) < 3 {
+			t.Fatalf("%s: only %d error replies found, want at least 3", dir, len(replies))
 		}
-		for _, p := range paths {
+		for _, p := range replies {
 			if p.code == "" {
 				if dir != "../daemon" {
-					t.Errorf("%v: the code is no literal, so it is not checked", p.at)
+					t.Errorf("%v: the error code is not a literal, so it can't be checked", p.at)
 				}
-				continue // the daemon's codes are named where they are computed
+				continue // the daemon computes some of its codes
 			}
 			seen[p.code] = true
-			kinds, known := rejections[p.code]
+			kinds, known := rejectionKinds[p.code]
 			if !known {
-				t.Errorf("%v: code %q has no kind", p.at, p.code)
+				t.Errorf("%v: code %q is missing from rejectionKinds", p.at, p.code)
 			}
 			if p.status == 0 {
 				if dir != "../daemon" {
-					t.Errorf("%v: the status of code %q is no literal, so it is not checked", p.at, p.code)
+					t.Errorf("%v: the status for code %q is not a literal, so it can't be checked", p.at, p.code)
 				}
 				continue
 			}
@@ -139,25 +140,25 @@
 				fits = fits || k == kind
 			}
 			if !fits {
-				t.Errorf("%v: status %d of code %q is of kind %q, not of %v", p.at, p.status, p.code, kind, kinds)
+				t.Errorf("%v: status %d for code %q implies kind %q, want one of %v", p.at, p.status, p.code, kind, kinds)
 			}
 		}
 	}
 	for _, code := range []string{"stale", "invalid", "no_leader", "unknown", "not_found"} {
 		if !seen[code] {
-			t.Errorf("no reply path with code %q was found", code)
+			t.Errorf("no error reply with code %q found", code)
 		}
 	}
 }
 
-// rejection is what a rejected call is answered with.
+// rejection is the answer to a rejected call.
 type rejection struct {
 	status int
 	code   string
 	kind   config.Rejection
 }
 
-// rejectedChange asks a control daemon for a change of the configuration and returns the rejection.
+// rejectedChange requests a change of the configuration from a control daemon, and returns the rejection.
 func rejectedChange(t *testing.T, c *Controller, now time.Duration, query, body string) rejection {
 	t.Helper()
 	call := statemachine.Call{ID: 1, Token: "t-" + query + body, Method: "PUT", Path: "/v1/config", Query: query, Body: []byte(body)}
@@ -168,15 +169,15 @@
 		}
 		var content struct{ Error config.ErrorBody }
 		if err := json.Unmarshal(answer.Body, &content); err != nil {
-			t.Fatalf("%d %s: %v", answer.Status, answer.Body, err)
+			t.Fatalf("answer %d %s can't be decoded: %v", answer.Status, answer.Body, err)
 		}
 		return rejection{answer.Status, content.Error.Code, content.Error.Rejection}
 	}
-	t.Fatalf("PUT /v1/config?%s: not answered", query)
+	t.Fatalf("PUT /v1/config?%s got no answer", query)
 	return rejection{}
 }
 
-// A change is rejected with a status, a code and a kind by which its caller can tell what to do.
+// A rejected change is answered with the status, code and kind from which its caller can tell what to do next.
 func TestRejectionsOfChanges(t *testing.T) {
 	leader := newIdleFleet(1, 1)
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
@@ -187,7 +188,7 @@
 		query, body string
 		want        rejection
 	}{
-		{"built on another revision", leader.controller, "base=9", `{"services":{}}`, rejection{412, "stale", config.RejectedVersion}},
+		{"based on another revision", leader.controller, "base=9", `{"services":{}}`, rejection{412, "stale", config.RejectedVersion}},
 		{"invalid", leader.controller, "base=0", `{"services":{"a":{"cap":-1}}}`, rejection{422, "invalid", config.RejectedInvalid}},
 		{"not JSON", leader.controller, "base=0", `{`, rejection{400, "not_json", config.RejectedInvalid}},
 		{"no base", leader.controller, "", `{}`, rejection{428, "base_missing", config.RejectedInvalid}},
@@ -195,23 +196,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := rejectedChange(t, c.controller, leader.now, c.query, c.body); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
 	}
 }
 
-// The operators' page names every rejection and every counter of a control daemon.
-func TestOperatorsPageNamesAll(t *testing.T) {
+// docs/operate.md lists every rejection code and kind, and every counter of a control daemon.
+func TestOperatorDocsListRejectionsAndCounters(t *testing.T) {
 	b, err := os.ReadFile("../../docs/operate.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	page := string(b)
-	for code, kinds := range rejections {
+	for code, kinds := range rejectionKinds {
 		for _, k := range kinds {
 			if !strings.Contains(page, "`"+code+"`") || !strings.Contains(page, "`"+string(k)+"`") {
-				t.Errorf("docs/operate.md does not name %s, %s", code, k)
+				t.Errorf("docs/operate.md does not list code %s or kind %s", code, k)
 			}
 		}
 	}
@@ -223,7 +224,7 @@
 			shown = strings.ToLower(regexp.MustCompile("(.)([A-Z])").ReplaceAllString(field.Name, "${1}_${2}"))
 		}
 		if !strings.Contains(page, "`"+shown+"`") {
-			t.Errorf("docs/operate.md does not name the counter %s", shown)
+			t.Errorf("docs/operate.md does not list the counter %s", shown)
 		}
 	}
 }
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -1,5 +1,5 @@
-// This file grows and repairs a control plane whose size is not set: each review takes at most one step towards the
-// members that withstand most failures, and keeps learners ready for the next loss.
+// This file grows and repairs a control plane without a fixed size. Each review makes at most one change towards the
+// membership that tolerates the most failures, and keeps learners ready to replace the next lost members.
 
 package controlplane
 
@@ -12,29 +12,30 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// learnerProgress is how a learner gets on with the log.
+// learnerProgress is a learner's replication progress.
 type learnerProgress struct {
-	since      time.Duration // when it began to learn
-	matchIndex uint64        // the last entry that it has, as last seen
-	advancedAt time.Duration // when that last rose
+	since      time.Duration // when it became a learner
+	matchIndex uint64        // index of the last entry that it was known to have at the latest review
+	advancedAt time.Duration // when matchIndex last changed, or it had caught up
 }
 
-// membershipReview is what the leader knows of the control plane's machines at one time.
+// membershipReview classifies the members and the other visible control daemons at one time, as the leader sees them.
 type membershipReview struct {
 	members     []wire.Member
-	healthy     []wire.Member // has contact, and is not stopping
-	unreachable []wire.Member // no contact for too long, or no machine at all
-	stopping    []wire.Member // said that they stop
-	standbys    []wire.Daemon // has contact, is no member, and can become one
-	stalled     []wire.Daemon // the same, but its learning makes no progress
-	removed     []wire.Daemon // is in an earlier membership, and has to learn that it is removed
+	healthy     []wire.Member // in contact, and not stopping
+	unreachable []wire.Member // without contact for too long, or placeholders without a machine
+	stopping    []wire.Member // in contact, and have announced that they are stopping
+	standbys    []wire.Daemon // visible daemons that can become members
+	stalled     []wire.Daemon // the same, but they are learners without progress
+	removed     []wire.Daemon // former members that have to learn of their removal
 }
 
-// lost are the members to be replaced; those that can't respond come first.
+// lost returns the members to be replaced, unreachable ones first.
 func (r *membershipReview) lost() []wire.Member {
 	return append(slices.Clone(r.unreachable), r.stopping...)
 }
 
+// reviewMembers classifies the members and the visible daemons that are no members.
 func (c *Controller) reviewMembers(now time.Duration, members []wire.Member, visible []wire.Daemon) *membershipReview {
 	review := &membershipReview{members: members}
 	for _, member := range members {
@@ -69,7 +70,7 @@
 	}
 }
 
-// trackStandbys keeps since when each standby is there.
+// trackStandbys records since when each standby has been available, and forgets those that no longer are.
 func (c *Controller) trackStandbys(now time.Duration, standbys []wire.Daemon) {
 	since := map[string]time.Duration{}
 	for _, standby := range standbys {
@@ -82,8 +83,8 @@
 	c.standbySince = since
 }
 
-// isStalled says that a learner has made no progress for tuning.LearnerTimeout. It goes on learning, but nothing waits
-// for it.
+// isStalled reports whether a learner has made no progress for tuning.LearnerTimeout. It may remain a learner, but is not
+// considered for a place in the membership.
 func (c *Controller) isStalled(now time.Duration, daemon wire.Daemon) bool {
 	learner := memberOf(daemon)
 	matchIndex, isLearner := c.node.Match(learner)
@@ -102,9 +103,9 @@
 	return now-progress.advancedAt > tuning.LearnerTimeout
 }
 
-// reconcileMembers takes the next step, if there is one: a lost member without which the others need fewer for a
-// majority is removed, a standby replaces a lost one, the membership grows, or it is spread over failure domains
-// again.
+// reconcileMembers makes the first of these changes that applies: it removes a lost member if that makes the majority
+// smaller, replaces a lost member by a standby, adds a member, rebalances the membership over failure domains, or removes
+// a member that adds nothing.
 func (c *Controller) reconcileMembers(now time.Duration, members []wire.Member, visible []wire.Daemon) {
 	review := c.reviewMembers(now, members, visible)
 	if c.shrinkQuorum(now, review) {
@@ -133,13 +134,15 @@
 	}
 }
 
-// faultMargin is how many more members may be lost with a majority left, of so many of which some are lost.
+// faultMargin returns how many more of the members may be lost with a majority remaining, if lost of them already are. It
+// is negative if there is no majority.
 func faultMargin(members, lost int) int {
 	majority := members/2 + 1
 	return members - lost - majority
 }
 
-// shrinkQuorum removes a lost member if a majority of the others is smaller, so that one more may be lost.
+// shrinkQuorum removes a lost member if the remaining members then need a smaller majority, so that one more of them
+// may be lost.
 func (c *Controller) shrinkQuorum(now time.Duration, review *membershipReview) (proposed bool) {
 	members, lost := len(review.members), review.lost()
 	if faultMargin(members-1, len(lost)-1) <= faultMargin(members, len(lost)) {
@@ -153,19 +156,20 @@
 	return false
 }
 
-// replacement is a standby in the place of a lost member. Its fields count in their order.
+// replacement rates the exchange of a lost member for a standby. The fields are compared in their order.
 type replacement struct {
-	resilience resilience // of the membership with it, as if all others were back
-	sameDomain bool       // the standby is of the lost member's failure domain
-	caughtUp   bool       // the standby has the complete log
+	resilience resilience // of the resulting membership, if all its members are healthy
+	sameDomain bool       // the standby is in the lost member's failure domain
+	caughtUp   bool       // the standby has caught up with the log
 }
 
+// compare returns a positive number if r is better than other, and a negative one if it is worse.
 func (r replacement) compare(other replacement) int {
 	return cmp.Or(r.resilience.compare(other.resilience), compareBool(r.sameDomain, other.sameDomain), compareBool(r.caughtUp, other.caughtUp))
 }
 
-// bestReplacement is the lost member and the standby whose exchange makes the best membership; of equal ones the
-// first.
+// bestReplacement returns the lost member and the standby whose exchange is the best replacement, the first of equally
+// good ones.
 func (c *Controller) bestReplacement(now time.Duration, review *membershipReview) (lost wire.Member, standby wire.Daemon, found bool) {
 	var best replacement
 	for _, member := range review.lost() {
@@ -184,31 +188,32 @@
 	return lost, standby, found
 }
 
-// caughtUp says that a learner has the complete log.
+// caughtUp reports whether a daemon responds as a learner and has caught up with the log.
 func (c *Controller) caughtUp(now time.Duration, daemon wire.Daemon) bool {
 	return c.node.CaughtUp(now, memberOf(daemon))
 }
 
-// replaceMember lets a standby that has caught up replace a lost member. A member that responds is removed after the
-// standby is in, so that no step leaves fewer replicas. One that does not is removed before, so that no step needs a
-// response of the standby's for a majority.
+// replaceMember replaces a lost member by a standby once the standby has caught up. If the member still responds, the
+// standby is added first, so that the number of replicas never drops. If it does not respond and there are more than two
+// members, it is removed first, so that no majority depends on the standby.
 func (c *Controller) replaceMember(now time.Duration, review *membershipReview, lost wire.Member, standby wire.Daemon) {
 	if !c.caughtUp(now, standby) {
 		return
 	}
-	removesFirst := len(review.members) > 2 && !c.node.RecentlyActive(now, lost)
-	if !removesFirst {
+	removeFirst := len(review.members) > 2 && !c.node.RecentlyActive(now, lost)
+	if !removeFirst {
 		c.admit(now, review.members, standby)
 		return
 	}
 	if c.removeMember(now, review.members, lost, c.lossReason(now, lost)) {
-		c.standbySince[standby.Name] = now - tuning.GrowAfter // it need not wait to take the free slot
+		c.standbySince[standby.Name] = now - tuning.GrowAfter // lets it fill the vacancy without a further wait
 	}
 }
 
-// nextMember is the standby that should become a member next, beside the healthy members: the first one of those that
-// together make the best membership. One that is good enough already grows only by standbys that have been there for
-// tuning.GrowAfter: while machines are replaced as planned, old and new ones are all there for some seconds.
+// nextMember returns the standby that should be added next to the healthy members: the first of the standbys that
+// together with them make the best membership. A membership that already tolerates enough failures only grows by
+// standbys that have been available for tuning.GrowAfter, since during a planned replacement the old and new machines
+// run side by side for some seconds.
 func (c *Controller) nextMember(now time.Duration, review *membershipReview) (next wire.Daemon, found bool) {
 	names, candidates := namesOf(review.healthy), slices.Clone(review.standbys)
 	best := c.resilienceOf(names)
@@ -217,7 +222,7 @@
 	}
 	var first wire.Daemon
 	for len(names) < tuning.VotersMax && len(candidates) > 0 {
-		candidate := c.spreadingStandby(now, names, candidates)
+		candidate := c.standbyForSmallestDomain(now, names, candidates)
 		candidates = withoutDaemon(candidates, candidate.Name)
 		names = append(names, candidate.Name)
 		if first.Name == "" {
@@ -230,9 +235,9 @@
 	return next, found
 }
 
-// spreadingStandby is the standby of the failure domain that has the fewest of some members; of equal ones one that has
-// caught up, and else the first by name.
-func (c *Controller) spreadingStandby(now time.Duration, members []string, standbys []wire.Daemon) wire.Daemon {
+// standbyForSmallestDomain returns the standby whose failure domain has the fewest of the given members. Among equals it
+// prefers one that has caught up, then the first by name.
+func (c *Controller) standbyForSmallestDomain(now time.Duration, members []string, standbys []wire.Daemon) wire.Daemon {
 	perDomain := map[string]int{}
 	for _, name := range members {
 		perDomain[c.domainOf(name)]++
@@ -245,8 +250,8 @@
 	})
 }
 
-// rebalanceCandidate is the standby that would make the membership better in the place of a member, while all members
-// are healthy.
+// rebalanceCandidate returns the standby whose exchange for a member would improve the membership most. It finds one only
+// while all members are healthy.
 func (c *Controller) rebalanceCandidate(review *membershipReview) (next wire.Daemon, found bool) {
 	if len(review.healthy) < len(review.members) {
 		return next, false
@@ -263,12 +268,12 @@
 	return next, found
 }
 
-// removeSurplus removes a member without which the membership is better, if all are healthy; else a lost one for which
-// there is no standby, if it is of no use.
+// removeSurplus removes a member that makes the membership worse, if all members are healthy, and otherwise an
+// unreachable member that is expendable.
 func (c *Controller) removeSurplus(now time.Duration, review *membershipReview) {
 	if len(review.healthy) == len(review.members) {
 		if member, ok := c.surplusMember(review.members); ok {
-			c.removeMember(now, review.members, member, "the others withstand as much without it")
+			c.removeMember(now, review.members, member, "the other members tolerate as many failures without it")
 		}
 		return
 	}
@@ -279,8 +284,9 @@
 	}
 }
 
-// isExpendable says that the healthy members withstand as much without an unreachable one if it came back; or that it
-// has been away for tuning.MemberExpiry, and that without all such members fewer make a majority.
+// isExpendable reports whether an unreachable member can be removed without a replacement: its return would not improve
+// the healthy members' resilience, or it has been without contact for tuning.MemberExpiry and removing all such members
+// makes the majority smaller.
 func (c *Controller) isExpendable(now time.Duration, review *membershipReview, member wire.Member) bool {
 	healthy := namesOf(review.healthy)
 	without, with := c.resilienceOf(healthy), c.resilienceOf(append(slices.Clone(healthy), member.Name))
@@ -300,7 +306,7 @@
 	return (len(review.members)-expired)/2 < len(review.members)/2
 }
 
-// surplusMember is the member without which the membership is best, if that is better than with it.
+// surplusMember returns the member whose removal improves the membership most, if there is one.
 func (c *Controller) surplusMember(members []wire.Member) (surplus wire.Member, found bool) {
 	best := c.resilienceOf(namesOf(members))
 	for _, member := range members {
@@ -312,8 +318,8 @@
 	return surplus, found
 }
 
-// readyLearners are the standbys that are kept up to date before any member is lost: as many as may be lost at once,
-// spread over failure domains.
+// readyLearners returns the standbys that are kept up to date as learners before any member is lost: as many as members
+// may be lost at once, spread over failure domains.
 func (c *Controller) readyLearners(review *membershipReview) []wire.Daemon {
 	var ready []wire.Daemon
 	candidates := append(slices.Clone(review.standbys), review.stalled...)
@@ -329,8 +335,8 @@
 	return ready
 }
 
-// retainLearners has some daemons learn, and the removed ones until they know that they are removed. All others stop
-// learning, but for those that an operator asked for.
+// retainLearners replicates the log to the given learners, and to removed members until they know of their removal. It
+// ends replication to all other learners, except those that an operator requested as members.
 func (c *Controller) retainLearners(learners, removed []wire.Daemon) {
 	retained := map[string]bool{}
 	for _, daemon := range append(learners, removed...) {
@@ -340,7 +346,7 @@
 	c.node.RetainLearners(func(m wire.Member) bool { return retained[m.Name] || c.requestedMembers[m.Name] })
 }
 
-// withoutDaemon removes a daemon from a list in place.
+// withoutDaemon removes the named daemon from a list in place.
 func withoutDaemon(daemons []wire.Daemon, name string) []wire.Daemon {
 	return slices.DeleteFunc(daemons, func(d wire.Daemon) bool { return d.Name == name })
 }
--- a/internal/controlplane/resume_test.go
+++ b/internal/controlplane/resume_test.go
@@ -8,7 +8,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A leadership that is lost for a moment again and again has no target probed more often.
+// A leader that loses and resumes leadership repeatedly must not probe any target more often than tuning.ProbeEvery: the
+// extra probes would make an overloaded leader even slower.
 func TestBriefLeadershipLossesCauseNoMoreProbes(t *testing.T) {
 	fleet := newProbedFleet(t)
 	previous := map[wire.TargetID]time.Duration{}
@@ -19,11 +20,11 @@
 		fleet.controller.revokeLeadership(fleet.now, "late")
 		fleet.runTick()
 		if !fleet.controller.Leading() {
-			t.Fatal("it does not lead again")
+			t.Fatal("the member did not resume leadership")
 		}
 		for id, target := range fleet.controller.targets {
 			if interval := target.lastProbeAt - previous[id]; interval != 0 && interval < tuning.ProbeEvery {
-				t.Fatalf("%v was probed again after %v", id, interval)
+				t.Fatalf("%v was probed again after %v, want at least %v", id, interval, tuning.ProbeEvery)
 			}
 		}
 	}
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -1,5 +1,5 @@
-// This file is how a control daemon stops: it transfers leadership, and waits until a standby has replaced it, before
-// its process ends.
+// This file implements the graceful shutdown of a control daemon: it transfers leadership and waits until a standby has
+// replaced it before the process exits.
 
 package controlplane
 
@@ -14,7 +14,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// stop begins the shutdown: all daemons learn of it, and another member gets leadership.
+// stop begins the shutdown: it announces it to all daemons and transfers leadership.
 func (c *Controller) stop(now time.Duration) {
 	if c.stopping {
 		return
@@ -24,16 +24,16 @@
 	c.transferLeadership(now)
 }
 
-// transferLeadership gives leadership to the best other member that does not stop too, if there is one: two that stop
-// would transfer it to each other until both are gone.
+// transferLeadership transfers leadership to another member that is not stopping, if there is one. Two stopping members
+// would otherwise transfer it back and forth until both have exited.
 func (c *Controller) transferLeadership(now time.Duration) {
-	stays := func(m wire.Member) bool { return !c.isStopping(m.Name) }
-	if c.node != nil && c.node.TransferLeadershipTo(now, tuning.LeaderLease, stays) {
+	notStopping := func(m wire.Member) bool { return !c.isStopping(m.Name) }
+	if c.node != nil && c.node.TransferLeadershipTo(now, tuning.LeaderLease, notStopping) {
 		c.emit(statemachine.StateChange{Subject: statemachine.SubjectTransfer, From: c.settings.Self.Name, To: "", Reason: "stopping"})
 	}
 }
 
-// tickShutdown goes on with the shutdown, and ends the process once nothing is left to transfer.
+// tickShutdown retries the transfer of leadership, and ends the process once mayExit allows it.
 func (c *Controller) tickShutdown(now time.Duration) {
 	if c.node != nil && c.node.Role() == consensus.Leader && c.node.CanChangeMembers() {
 		c.transferLeadership(now)
@@ -45,7 +45,7 @@
 	}
 }
 
-// abandonCalls answers all calls that wait here as unknown, since the process ends.
+// abandonCalls answers all calls that wait here before the process ends: their outcome is unknown.
 func (c *Controller) abandonCalls() {
 	c.abandonWaiters()
 	for _, id := range slices.Sorted(maps.Keys(c.relayedCalls)) {
@@ -54,24 +54,25 @@
 	clear(c.relayedCalls)
 }
 
-// mayExit says that the process may end.
+// mayExit reports whether the process may exit.
 func (c *Controller) mayExit(now time.Duration) bool {
 	waited := now - c.stoppingSince
 	switch {
 	case c.node == nil || waited > c.handoverWait():
 		return true
 	case waited <= tuning.LeaderLease:
-		return false // the next leader may still have to learn of the shutdown
+		return false // the next leader may not have received the announcement yet
 	case c.node.Removed() || c.isNonVoter() && !c.node.HasLeader(now):
 		return true
 	case !c.isNonVoter() && (c.hasStandby(now) || len(c.node.Members())%2 == 0):
-		// Its successor is to join, or has joined and this member is to be removed: its vote may be needed for either.
+		// A standby still has to join as the successor, or it has joined, which the even number of members shows, and
+		// this member has to be removed. This member's vote may be needed for either change.
 		return false
 	}
 	return waited > tuning.ElectionTimeoutMin || c.node.Role() != consensus.Leader
 }
 
-// handoverWait is how long a member that stops waits for its successor at most.
+// handoverWait returns how long a stopping member waits for its successor at most.
 func (c *Controller) handoverWait() time.Duration {
 	if c.settings.StopGrace > 0 {
 		return min(tuning.HandoverWait, c.settings.StopGrace/2)
@@ -79,7 +80,7 @@
 	return tuning.HandoverWait
 }
 
-// hasStandby says that a control daemon is there that could replace this member.
+// hasStandby reports whether a visible control daemon could replace this member.
 func (c *Controller) hasStandby(now time.Duration) bool {
 	members := namesOf(c.node.Members())
 	return slices.ContainsFunc(c.visibleControlDaemons(now), func(d wire.Daemon) bool {
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -1,4 +1,4 @@
-// This file is a member's own status, and what its process asks of it between steps.
+// This file implements the status of a control daemon, and the queries that its process makes between steps.
 
 package controlplane
 
@@ -9,37 +9,38 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// StatusView is what operators read of a control daemon and of the control plane as that daemon sees it.
+// StatusView is the operators' view of a control daemon, and of the control plane as that daemon sees it.
 type StatusView struct {
-	// Current says that this member leads and has the lease at this moment, so that the committed part of the view is the
-	// latest there is. Any other member's view may be stale.
+	// Current is set if this member leads and holds the lease at this moment, so that the committed part of the view is
+	// up to date. Any other member's view may be stale.
 	Current bool   `json:"current"`
 	Name    string `json:"name"`
-	// Role is the member's role in consensus, "empty" if it takes no part.
+	// Role is the member's role in consensus, "empty" if it has no node.
 	Role string `json:"role"`
-	// Leadership is the name of a Leadership state.
+	// Leadership is the text of the Leadership state.
 	Leadership string `json:"lead"`
 	Leader     string `json:"leader"`
 	Epoch      uint64 `json:"epoch"`
 	Term       uint64 `json:"term"`
-	// Revision is that of the configuration, StateIndex the index of the last log entry applied.
+	// Revision is the revision of the applied configuration, StateIndex the index of the last log entry applied.
 	Revision   uint64        `json:"revision"`
 	StateIndex uint64        `json:"seq"`
 	Members    []wire.Member `json:"members"`
-	Emptied    []string      `json:"emptied"`
-	// Table is the latest table that this member made as the leader.
+	// Emptied are the failure domains that operators have emptied.
+	Emptied []string `json:"emptied"`
+	// Table is the key of the latest table that this member made as the leader.
 	Table        wire.TableKey    `json:"table"`
-	Targets      int              `json:"targets"`
-	Proxies      int              `json:"proxies"`
+	Targets      int              `json:"targets"` // known to this member as the leader
+	Proxies      int              `json:"proxies"` // in the proxy membership
 	ControlPlane ControlPlaneView `json:"core"`
-	// Damage is the latest that could not be decoded since the start.
+	// Damage lists the latest data since the start that could not be decoded.
 	Damage []Damage `json:"damage,omitempty"`
-	// DiskError is why this member's disk takes no writes now, "" if it does.
+	// DiskError is why this member's disk currently rejects writes, "" if it accepts them.
 	DiskError string `json:"disk_refuses,omitempty"`
 	Counts    Counts `json:"counts"`
 }
 
-// Status returns this member's own view.
+// Status returns this member's status.
 func (c *Controller) Status(now time.Duration) StatusView {
 	view := StatusView{
 		Current:      c.HoldsLease(now),
@@ -69,20 +70,20 @@
 // Table returns the latest table that this member made as the leader, nil if there is none.
 func (c *Controller) Table() *wire.Table { return c.table }
 
-// Leading says whether this member was the leader after the last step. Its lease may have run out since.
+// Leading reports whether this member was the leader after the last step. Its lease may have run out since.
 func (c *Controller) Leading() bool { return c.leadership == Leading }
 
-// HoldsLease says whether this member is the leader and has the lease at this very moment.
+// HoldsLease reports whether this member is the leader and holds the lease at the time now.
 func (c *Controller) HoldsLease(now time.Duration) bool {
 	return c.leadership == Leading && c.node.HasLease(now)
 }
 
-// Ready says whether this daemon can relay calls to a leader or is the leader itself.
+// Ready reports whether this daemon is not stopping and knows a leader, which may be itself.
 func (c *Controller) Ready() bool {
 	return !c.stopping && (c.leaderHint != "" || c.node != nil && c.node.Leader() != "")
 }
 
-// Term returns the present term, 0 before the bootstrap.
+// Term returns the current term, 0 before the bootstrap.
 func (c *Controller) Term() uint64 {
 	if c.node == nil {
 		return 0
@@ -90,7 +91,7 @@
 	return c.node.Term()
 }
 
-// HTTPAddr returns where a daemon has its HTTP API, "" if it is not in the directory.
+// HTTPAddr returns the address of a daemon's HTTP API, "" if the daemon is not in the directory.
 func (c *Controller) HTTPAddr(name string) string {
 	if peer := c.directory[name]; peer != nil {
 		return peer.HTTP
@@ -101,5 +102,5 @@
 // Revision returns the revision of the configuration that this member has applied.
 func (c *Controller) Revision() uint64 { return c.state.Revision }
 
-// ChangeRecords returns the operators' changes that this member keeps, the oldest first.
+// ChangeRecords returns the records of operators' changes that this member keeps, oldest first.
 func (c *Controller) ChangeRecords() []state.Record { return c.state.Records }
--- a/internal/controlplane/storedstate.go
+++ b/internal/controlplane/storedstate.go
@@ -1,4 +1,4 @@
-// This file reads the state of the control plane from what a member has on disk.
+// This file restores the control plane's state from a member's disk.
 
 package controlplane
 
@@ -10,8 +10,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// CheckImage checks what a member has on disk. An error, which is marked state.ErrDamaged, says what of it
-// can't be used; then the member must not take part with it, but as one that lost its disk.
+// CheckImage checks whether a member's disk image can be used completely. The error, marked state.ErrDamaged, names the
+// first part that can't be. In that case the member must not use the image, but start as one that lost its disk.
 func CheckImage(image *consensus.PersistentState) error {
 	if err := image.Validate(); err != nil {
 		return errors.Mark(err, state.ErrDamaged)
@@ -20,9 +20,9 @@
 	return err
 }
 
-// stateFromDisk is the state after all entries on a disk, and the term of the last one. Where no majority
-// is left, nobody can say which entries were committed; any of them may have been acknowledged, so all
-// count. With an error it is the state before the damage.
+// stateFromDisk returns the state after all entries in a disk image, and the term of the last one. Without a majority it
+// is unknown which entries were committed. Any of them may have been acknowledged, so all of them are applied. With an
+// error it returns the state before the damaged part.
 func stateFromDisk(image *consensus.PersistentState) (stored state.State, term uint64, err error) {
 	stored, err = state.Decode(image.Snapshot.Data)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return stored, term, nil
 }
 
-// applyStored applies an entry of a stored log. An error is marked state.ErrDamaged.
+// applyStored applies an entry of a stored log to a state. The error is marked state.ErrDamaged.
 func applyStored(stored *state.State, entry *wire.Entry) error {
 	if entry.Kind != consensus.EntryData {
 		return nil
--- a/internal/controlplane/storedstate_test.go
+++ b/internal/controlplane/storedstate_test.go
@@ -13,17 +13,17 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// dataEntry is a log entry of term 1.
-func dataEntry(index uint64, kind uint16, data []byte) wire.Entry {
+// logEntry returns a log entry of term 1.
+func logEntry(index uint64, kind uint16, data []byte) wire.Entry {
 	return wire.Entry{Index: index, Term: 1, Kind: kind, Data: data}
 }
 
-// imageOf is a disk with a snapshot at entry 1 and a log.
+// imageOf returns a disk image with a snapshot at entry 1 and a log.
 func imageOf(snapshot []byte, log ...wire.Entry) *consensus.PersistentState {
 	return &consensus.PersistentState{Epoch: 1, Disk: 7, Snapshot: wire.Snapshot{Index: 1, Data: snapshot}, Log: log}
 }
 
-// What a disk holds is used completely or not at all.
+// CheckImage accepts a disk image only if all of it can be used: a member must not start from a part of what it stored.
 func TestCheckImage(t *testing.T) {
 	initial := state.New()
 	initial.Recovered = true
@@ -38,49 +38,49 @@
 	}{
 		{"empty", &consensus.PersistentState{Disk: 7}, false},
 		{"bootstrapped", imageOf(nil), false},
-		{"complete", imageOf(snapshot, dataEntry(2, consensus.EntryNoop, nil), dataEntry(3, consensus.EntryMembers, []byte("[]")),
-			dataEntry(4, consensus.EntryData, change), dataEntry(5, consensus.EntryData, long)), false},
+		{"complete", imageOf(snapshot, logEntry(2, consensus.EntryNoop, nil), logEntry(3, consensus.EntryMembers, []byte("[]")),
+			logEntry(4, consensus.EntryData, change), logEntry(5, consensus.EntryData, long)), false},
 		{"snapshot", imageOf(snapshot[:len(snapshot)-1]), true},
-		{"entry", imageOf(snapshot, dataEntry(2, consensus.EntryData, change[:len(change)-1])), true},
-		{"compressed entry", imageOf(snapshot, dataEntry(2, consensus.EntryData, long[:len(long)-1])), true},
-		{"members", imageOf(snapshot, dataEntry(2, consensus.EntryMembers, []byte("["))), true},
-		{"gap after the snapshot", imageOf(snapshot, dataEntry(3, consensus.EntryData, change)), true},
-		{"gap in the log", imageOf(snapshot, dataEntry(2, consensus.EntryNoop, nil), dataEntry(4, consensus.EntryNoop, nil)), true},
-		{"first state of the epoch", imageOf(nil, dataEntry(2, consensus.EntryData, undecodableEpoch)), true},
+		{"entry", imageOf(snapshot, logEntry(2, consensus.EntryData, change[:len(change)-1])), true},
+		{"compressed entry", imageOf(snapshot, logEntry(2, consensus.EntryData, long[:len(long)-1])), true},
+		{"members", imageOf(snapshot, logEntry(2, consensus.EntryMembers, []byte("["))), true},
+		{"gap after the snapshot", imageOf(snapshot, logEntry(3, consensus.EntryData, change)), true},
+		{"gap in the log", imageOf(snapshot, logEntry(2, consensus.EntryNoop, nil), logEntry(4, consensus.EntryNoop, nil)), true},
+		{"first state of the epoch", imageOf(nil, logEntry(2, consensus.EntryData, undecodableEpoch)), true},
 		{"snapshot that is no state", imageOf([]byte(`{"seq":"x"}`)), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := CheckImage(c.image)
 			if c.isDamaged && !errors.Is(err, state.ErrDamaged) || !c.isDamaged && err != nil {
-				t.Errorf("damaged %v, error %v", c.isDamaged, err)
+				t.Errorf("error %v; want damage: %v", err, c.isDamaged)
 			}
 		})
 	}
 }
 
-// A damaged disk leads to the state before the damage.
-func TestStateBeforeTheDamage(t *testing.T) {
+// If a log entry is damaged, stateFromDisk returns the state before it along with the error.
+func TestStateFromDiskStopsBeforeDamage(t *testing.T) {
 	initial := state.New()
 	initial.Recovered = true
 	change := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d1", Token: "x"})
-	image := imageOf(state.Encode(&initial), dataEntry(2, consensus.EntryData, change), dataEntry(3, consensus.EntryData, []byte("{")))
+	image := imageOf(state.Encode(&initial), logEntry(2, consensus.EntryData, change), logEntry(3, consensus.EntryData, []byte("{")))
 	stored, _, err := stateFromDisk(image)
 	if err == nil || stored.Index != 2 || len(stored.EmptiedDomains) != 1 {
-		t.Errorf("before the damage there is %+v, %v", stored, err)
+		t.Errorf("state %+v, error %v; want the state after entry 2 and an error", stored, err)
 	}
 }
 
-// Long entries and states take a fraction in the log, and are decoded as they were.
+// Long entries and snapshots are stored in at most a fifth of their size, and decode to what was encoded.
 func TestLongEntriesAreCompressed(t *testing.T) {
 	document := json.RawMessage(`{"services":{` + strings.Repeat(`"fares":{"attempts":3},`, 2000) + `"x":{}}}`)
 	entry := state.EncodeCommand(state.Command{Operation: state.OpConfigure, Document: document})
 	if command, err := state.DecodeCommand(entry); err != nil || string(command.Document) != string(document) || 5*len(entry) > len(document) {
-		t.Errorf("%v: %d bytes for %d", err, len(entry), len(document))
+		t.Errorf("entry: error %v, or another document, or too long: %d bytes for a document of %d", err, len(entry), len(document))
 	}
 	configured := state.New()
 	configured.Document = document
 	snapshot := state.Encode(&configured)
 	if decoded, err := state.Decode(snapshot); err != nil || string(decoded.Document) != string(document) || 5*len(snapshot) > len(document) {
-		t.Errorf("%v: %d bytes for %d", err, len(snapshot), len(document))
+		t.Errorf("snapshot: error %v, or another document, or too long: %d bytes for a document of %d", err, len(snapshot), len(document))
 	}
 }
--- a/internal/controlplane/survey.go
+++ b/internal/controlplane/survey.go
@@ -1,5 +1,5 @@
-// This file finds out what is left of the last control plane that is known: which of its members are there,
-// which have lost their disks, and whether they can still elect a leader.
+// This file surveys the latest known membership of the control plane: which members are visible, which have lost their
+// disks, and whether they can still elect a leader.
 
 package controlplane
 
@@ -12,8 +12,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// latestMembership is the latest membership that is known here: from this member's log, from other members,
-// or from what proxies have of an earlier epoch.
+// latestMembership returns the latest membership known to this daemon: from its own log, from other control daemons, or
+// from states of an earlier epoch that proxies hold.
 func (c *Controller) latestMembership() discovery.Membership {
 	var latest discovery.Membership
 	if c.node != nil && len(c.node.Members()) > 0 {
@@ -32,25 +32,25 @@
 	return latest
 }
 
-// membershipSurvey is what is known of the members of the last control plane.
+// membershipSurvey is the result of surveying the latest membership.
 type membershipSurvey struct {
-	last      discovery.Membership // empty if none is known
-	size      int                  // how many members the next epoch has, those that are absent included
-	fixedSize bool                 // its size is set, so any control daemon may be a founder of the first one
+	last      discovery.Membership // the latest membership, empty if none is known
+	size      int                  // number of members of the next epoch, including absent ones
+	fixedSize bool                 // Settings.BootstrapSize is set, so any control daemon may be a founder of the first epoch
 
-	lostDisk    int // members whose disks are lost: they are here with another one, or an operator says so
-	withDisk    int // members that are here with their disks, and have not locked a later epoch
-	unreachable int // members that are not here and may come back with their disks
+	lostDisk    int // members that are visible with a different disk, or that an operator declared lost
+	withDisk    int // members that are visible with their disks and have not locked a later epoch
+	unreachable int // members that are not visible and may come back with their disks
 }
 
-// surveyMembers surveys the last membership, given the control daemons that are visible and the members whose
-// machines an operator says are lost for good.
+// surveyMembers surveys the latest membership, given the visible control daemons and the names of members whose machines
+// an operator declared permanently lost.
 func (c *Controller) surveyMembers(visible []wire.Daemon, lost []string) membershipSurvey {
 	survey := membershipSurvey{last: c.latestMembership(), fixedSize: c.settings.BootstrapSize > 0}
 	survey.size = cmp.Or(len(survey.last.Members), c.bootstrapSize) - survey.countLost(visible, lost)
 	for _, member := range survey.last.Members {
 		if member.Disk == 0 {
-			continue // a name that stands for an absent machine
+			continue // a placeholder for an absent machine
 		}
 		i := indexOfDaemon(visible, member.Name)
 		switch {
@@ -67,7 +67,7 @@
 	return survey
 }
 
-// countLost counts the machines that an operator says are lost and that would be members of the next epoch.
+// countLost counts the machines that an operator declared lost and that would otherwise be members of the next epoch.
 func (s *membershipSurvey) countLost(visible []wire.Daemon, lost []string) int {
 	count := 0
 	for _, name := range lost {
@@ -79,8 +79,8 @@
 	return count
 }
 
-// eligibleFounders are the visible daemons that may begin the next epoch: the last members, by name; or, if
-// none are known, those that report that they may begin the first one.
+// eligibleFounders returns the visible daemons that may begin the next epoch: those named in the latest membership or, if
+// none is known, those that report that they may begin the first epoch. With a fixed size those are all.
 func (s *membershipSurvey) eligibleFounders(visible []wire.Daemon) []wire.Daemon {
 	return slices.DeleteFunc(slices.Clone(visible), func(d wire.Daemon) bool {
 		if len(s.last.Members) == 0 {
@@ -90,16 +90,17 @@
 	})
 }
 
-// canElect says that the visible members of the last control plane are a majority of it, and can go on.
+// canElect reports whether the visible members with their disks are a majority of the latest membership and can elect a
+// leader.
 func (s *membershipSurvey) canElect() bool { return 2*s.withDisk > len(s.last.Members) }
 
-// canNeverElect says that the last control plane has no majority any more, even if all members come back that
-// are not visible.
+// canNeverElect reports whether the latest membership could not reach a majority even if all unreachable members came
+// back with their disks.
 func (s *membershipSurvey) canNeverElect() bool {
 	return 2*(s.withDisk+s.unreachable) <= len(s.last.Members)
 }
 
-// bootstrapEpochOf is the latest epoch that a visible daemon has locked, 0: none.
+// bootstrapEpochOf returns the latest epoch that a visible daemon has locked, 0 if none.
 func (c *Controller) bootstrapEpochOf(name string) uint64 {
 	if name == c.settings.Self.Name {
 		return c.persistentState.BootstrapEpoch
@@ -107,7 +108,7 @@
 	return c.directory[name].BootstrapEpoch
 }
 
-// indexOfDaemon is the index of a daemon in a list by its name, -1 if it is not in it.
+// indexOfDaemon returns the index of the named daemon in a list, -1 if it is not in it.
 func indexOfDaemon(daemons []wire.Daemon, name string) int {
 	return slices.IndexFunc(daemons, func(d wire.Daemon) bool { return d.Name == name })
 }
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -1,4 +1,4 @@
-// This file makes the table that all proxies choose targets from, whenever there is something new to publish.
+// This file builds the table from which all proxies choose targets, and decides when a new one is due.
 
 package controlplane
 
@@ -13,7 +13,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// rebuildTable makes a table and sends it to the proxies, if that is due or refresh is set. Only the leader does.
+// rebuildTable makes a table and sends it to the proxies, if one is due or refresh is set. It does nothing unless this
+// member is the leader.
 func (c *Controller) rebuildTable(now time.Duration, refresh bool) {
 	if c.leadership != Leading || !refresh && !c.isTableDue(now) {
 		return
@@ -29,8 +30,8 @@
 	c.sendTable(now)
 }
 
-// isTableDue says that the present table is out of date, and old enough to be replaced for that. If it is not old
-// enough yet a later tick makes the table.
+// isTableDue reports whether the current table is out of date and old enough to be replaced. If it is out of date but not
+// old enough yet, a later tick makes the next table.
 func (c *Controller) isTableDue(now time.Duration) bool {
 	age := now - c.tableMadeAt[c.tableVersion%tuning.TablesKept]
 	if age < c.tableSpacing(urgent) {
@@ -44,9 +45,9 @@
 	return age >= c.tableSpacing(update)
 }
 
-// tableSpacing is the least time between two tables. An urgent update after a pause has one at once. Where updates come
-// one after the other, as in a release, one table has all that came meanwhile: each costs the leader messages to and
-// from every proxy, and those must not take a greater part of its time the more updates there are.
+// tableSpacing returns the minimum time between two tables. An urgent update is published at once if the last table is
+// older than that. Updates in quick succession, as during a rollout, are combined into one table: each table costs the
+// leader messages to and from every proxy, and its load must not grow with the number of updates.
 func (c *Controller) tableSpacing(update urgency) time.Duration {
 	proxies := len(c.state.Proxies)
 	if update == urgent {
@@ -55,7 +56,8 @@
 	return tuning.TableEvery + time.Duration(len(c.targets)*proxies)*tuning.TableDelayPerRow
 }
 
-// makeTable returns the next version of the table, and notes for each part of it when it last changed.
+// makeTable returns the next version of the table. It records in which version each target and the list of proxies last
+// changed.
 func (c *Controller) makeTable(now time.Duration) *wire.Table {
 	c.tableVersion++
 	c.tableMadeAt[c.tableVersion%tuning.TablesKept] = now
@@ -85,8 +87,9 @@
 	return table
 }
 
-// recordPublished notes what a table says of a target, if that differs from the table before. A time left counts as
-// different only if the end that it stands for has moved, and not as it passes.
+// recordPublished records a target's row in a new table, if it differs from the row in the previous table. A remaining
+// time counts as changed only if the end that it implies has moved by more than tuning.TimeLeftStep, not because time
+// passes.
 func (t *target) recordPublished(now time.Duration, row *wire.Target, version uint64) {
 	moved := func(published time.Duration, left int64) bool {
 		return left > 0 && (published-now-time.Duration(left)).Abs() > tuning.TimeLeftStep
@@ -101,8 +104,9 @@
 	t.publishedEjectionEnd, t.publishedWarmupEnd = now+time.Duration(row.EjectionLeft), now+time.Duration(row.WarmupLeft)
 }
 
-// recordRemovedTargets notes which targets of the present table the one just made lacks. Where too many are noted the
-// oldest are given up, and with them the deltas that would have to name them.
+// recordRemovedTargets records the targets of the previous table that no longer exist. It keeps at most
+// tuning.RemovedTargetsKept of them: the oldest are dropped, and deltas that would have to name them can't be made any
+// more.
 func (c *Controller) recordRemovedTargets() {
 	if c.table != nil {
 		for i := range c.table.Targets {
@@ -117,8 +121,8 @@
 	}
 }
 
-// sendTable sends the latest table to the live proxies of the membership, but for those with too much in flight, which
-// get it once they pull.
+// sendTable sends the latest table to the live proxies of the membership. Proxies with too many bytes in flight get it
+// with the answer to a later pull instead.
 func (c *Controller) sendTable(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(c.proxies)) {
 		proxy := c.proxies[name]
@@ -138,7 +142,7 @@
 // compressedDocument is a configuration document and its compressed form.
 type compressedDocument struct{ plain, compressed []byte }
 
-// documentForTables returns the document in the form that tables carry.
+// documentForTables returns the configuration document as tables carry it, compressed.
 func (c *Controller) documentForTables() []byte {
 	if !bytes.Equal(c.compressedDocument.plain, c.state.Document) {
 		c.compressedDocument = compressedDocument{c.state.Document, wire.Compress(c.state.Document)}
@@ -146,33 +150,35 @@
 	return c.compressedDocument.compressed
 }
 
-// tableRow returns what a table made now says of a target.
+// tableRow returns a target's row in a table made now.
 func (c *Controller) tableRow(now time.Duration, t *target) wire.Target {
 	row := t.Target
-	// Targets of a service that the configuration doesn't name get no requests and no probes. So one that is unconfirmed
-	// is pending only once its service is named.
-	if _, named := c.activeConfig.Services[t.Service]; named {
+	// Targets of a service that is not in the configuration get neither requests nor probes, so an unconfirmed target
+	// only becomes pending once its service is configured.
+	if _, configured := c.activeConfig.Services[t.Service]; configured {
 		row.Pending = row.Pending || t.unconfirmed
 	}
 	until, policy := c.detector.Ejected(now, t.ID())
 	row.EjectionLeft, row.EjectedBy = max(0, int64(until-now)), policy
-	// Proxies look at heartbeats only where all targets that they could use are ejected. So heartbeats are published of
-	// ejected targets only: else each late heartbeat would make a table.
+	// Proxies use Heartbeating only if all eligible targets are ejected. It is therefore published only for ejected
+	// targets; otherwise every late heartbeat would cause a new table.
 	row.Heartbeating = policy == "" || t.isHeartbeating(now)
 	row.WarmupLeft = t.warmupLeft(now)
 	return row
 }
 
-// routingFacts are the parts of a table's row that a proxy decides by. A change of any of them makes a table.
+// routingFacts are the parts of a target's row that affect proxies' routing. A change of any of them requires a new
+// table.
 type routingFacts struct {
 	addr, domain, ejectedBy      string
 	state                        wire.TargetState
 	draining, pending, warmingUp bool
 	heartbeatingWhileEjected     bool
 	slots                        uint32
-	published                    bool // the zero value are those of a target that no table has yet
+	published                    bool // false in the zero value, which stands for a target that is in no table yet
 }
 
+// routingFactsOf returns the routing facts of a row.
 func routingFactsOf(row *wire.Target) routingFacts {
 	return routingFacts{
 		addr: row.Addr, domain: row.Domain, state: row.State, ejectedBy: row.EjectedBy,
@@ -183,7 +189,7 @@
 	}
 }
 
-// urgentlyChangedTo says that requests that were right by these facts may be wrong by the later ones.
+// urgentlyChangedTo reports whether requests that are routed correctly by f may be misrouted given the later facts.
 func (f routingFacts) urgentlyChangedTo(later routingFacts) bool {
 	if !f.published {
 		return false
@@ -196,18 +202,18 @@
 		f.heartbeatingWhileEjected && !later.heartbeatingWhileEjected
 }
 
-// urgency is how soon a table has to replace the present one.
+// urgency is how soon a new table has to replace the current one.
 type urgency int
 
 const (
-	unchanged  urgency = iota // it need not
-	deferrable                // it may wait a moment, so that one table has several updates
-	urgent                    // at once: requests go where they should not, or what is committed waits
+	unchanged  urgency = iota // no new table is needed
+	deferrable                // it may wait briefly, so that one table combines several updates
+	urgent                    // as soon as possible: requests are misrouted, or committed changes are not published
 )
 
-// pendingUpdate says how soon a table has to be made for what it would say and the present one does not.
+// pendingUpdate returns how soon a table has to be made for the changes since the current one.
 func (c *Controller) pendingUpdate(now time.Duration) urgency {
-	// All that is committed changes the index, so that it need not be compared.
+	// Every committed change advances the state index, so the contents of the state need not be compared.
 	if c.table == nil || c.table.StateIndex != c.state.Index || c.table.Revision != c.state.Revision || len(c.table.Proxies) != len(c.state.Proxies) {
 		return urgent
 	}
@@ -229,11 +235,13 @@
 		}
 	}
 	if len(c.table.Targets)+unpublished != len(c.targets) {
-		return urgent // a target of the table is no more
+		return urgent // a target in the table has been removed
 	}
 	return result
 }
 
+// pendingTargetUpdate returns how soon a table has to be made for the changes of one target. demandDue is set if
+// changes of demand may be published again.
 func (c *Controller) pendingTargetUpdate(now time.Duration, t *target, demandDue bool) urgency {
 	row := c.tableRow(now, t)
 	facts := routingFactsOf(&row)
@@ -250,8 +258,9 @@
 	return unchanged
 }
 
-// targetChanged is rebuildTable after an event of one target. Without a decision in between only this target's own
-// facts can have changed, so the others are not compared. What changes with time is found by the next tick.
+// targetChanged rebuilds the table, if one is due, after an event of one target. Unless the outlier policies have made
+// a decision since all targets were last compared, only this target's routing facts can have changed, so the other
+// targets are not compared. Changes that come with the passing of time are found by the next tick.
 func (c *Controller) targetChanged(now time.Duration, t *target) {
 	if c.leadership != Leading {
 		return
--- a/internal/controlplane/tabledelta.go
+++ b/internal/controlplane/tabledelta.go
@@ -1,4 +1,5 @@
-// This file makes the form of the table that a proxy is sent: as a delta to the table that it has, or complete.
+// This file makes the form of the table that is sent to a proxy: a delta to a table that the proxy has, or a complete
+// table.
 
 package controlplane
 
@@ -9,21 +10,22 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// deltaKey is a form of the latest table: a delta to the table of baseTerm and baseVersion, or, with no base, complete
-// but for the state and the document that a proxy may have already. All that lack the same share one form.
+// deltaKey identifies a form of the latest table: a delta to the table of baseTerm and baseVersion or, if these are 0,
+// all proxies and targets. The state and the document are included only if set. Proxies that lack the same parts share
+// a form.
 type deltaKey struct {
 	baseTerm, baseVersion   uint64
 	withState, withDocument bool
 }
 
-// removedTarget is a target that a table lacks and the one before had.
+// removedTarget is a target that the previous table had and a table no longer has.
 type removedTarget struct {
-	version uint64 // of that table
+	version uint64 // of the first table without the target
 	id      wire.TargetID
 }
 
-// tableFor returns the form of the table that a proxy needs: a delta if it has a table of this leadership and the
-// changes since are still known; otherwise the complete table, without the document if it has that.
+// tableFor returns the form of the table that a proxy needs: a delta, if the proxy has a table of this leadership and the
+// removals since then are still known; otherwise all proxies and targets, without the document if the proxy has it.
 func (c *Controller) tableFor(proxy *proxyState) *wire.Table {
 	needsDocument, needsState := proxy.revision != c.table.Revision, proxy.stateIndex != c.table.StateIndex
 	if proxy.stateIndex == 0 {
@@ -38,7 +40,7 @@
 	return c.table
 }
 
-// delta returns a form of the latest table, which it makes once.
+// delta returns a form of the latest table. It makes each form once per table.
 func (c *Controller) delta(key deltaKey) *wire.Table {
 	if made := c.deltas[key]; made != nil {
 		return made
@@ -59,13 +61,14 @@
 		delta.State = nil
 	}
 	if key.baseVersion != 0 {
-		c.leaveOutUnchanged(&delta, key)
+		c.omitUnchanged(&delta, key)
 	}
 	return &delta
 }
 
-// leaveOutUnchanged makes a delta of a complete table: without the proxies and targets that are as in its base.
-func (c *Controller) leaveOutUnchanged(delta *wire.Table, key deltaKey) {
+// omitUnchanged turns a complete table into a delta: it omits proxies and targets that are the same as in the base, and
+// adds the targets removed since.
+func (c *Controller) omitUnchanged(delta *wire.Table, key deltaKey) {
 	delta.DeltaBase = wire.TableKey{Epoch: delta.Key.Epoch, Term: key.baseTerm, Version: key.baseVersion}
 	delta.Targets, delta.RemovedTargets = nil, nil
 	if c.proxiesChangedInVersion <= key.baseVersion {
@@ -73,7 +76,7 @@
 	}
 	for i := range c.table.Targets {
 		row := &c.table.Targets[i]
-		// One that isn't a target any more since the table was made goes along: its version of change is gone with it.
+		// A target removed after the table was made is included: the version of its last change is no longer known.
 		if t := c.targets[row.ID()]; t == nil || t.changedInVersion > key.baseVersion {
 			delta.Targets = append(delta.Targets, *row)
 		}
@@ -85,12 +88,13 @@
 	}
 }
 
-// inFlightTimeout is how long tables of so many bytes may be on their way to a proxy.
+// inFlightTimeout returns how long unconfirmed tables of a total size count as in flight to a proxy, after which they are
+// considered lost. It allows for the transfer over a link of tuning.SlowLink.
 func inFlightTimeout(bytes int) time.Duration {
 	return tuning.PullEvery + time.Duration(bytes)*time.Second/tuning.SlowLink
 }
 
-// tableBytes estimates how many bytes a table takes in a message.
+// tableBytes estimates the size of a table in a message, in bytes.
 func tableBytes(table *wire.Table) int {
 	rows := len(table.Targets) + len(table.Proxies) + len(table.RemovedTargets) + 1
 	return len(table.Document) + len(table.State) + tuning.TableRowBytes*rows
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -1,4 +1,4 @@
-// This file is a target as the leader keeps it.
+// This file defines the leader's record of a target, and the target's transitions between states.
 
 package controlplane
 
@@ -15,45 +15,46 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// target is what the leader keeps of a target, or of one that only claims its name or address. Times are of this
-// member's clock, 0 for never.
+// target is the leader's record of a target, or of a claimant to the name or address of another target. Times are by this
+// member's clock; 0 means never.
 type target struct {
 	wire.Target
 
-	// unconfirmed says that it is known only by one heartbeat, a proxy's table or the log, any of which may be of an
-	// incarnation that is over. It gets no requests until a probe, a request or steady heartbeats have shown it.
+	// unconfirmed is set while the target is known only from a single heartbeat, a proxy's table or the log, any of
+	// which may be of an incarnation that no longer runs. It gets no requests until a probe, a request or steady
+	// heartbeats have shown that it is alive.
 	unconfirmed bool
-	// addressReused says that it was admitted at an address that another target had in earlier tables.
+	// addressReused is set if it was admitted at an address that another target had in earlier tables.
 	addressReused bool
-	lastAliveAt   time.Duration // of the last heartbeat or answered probe
+	lastAliveAt   time.Duration // time of the last heartbeat or answered probe
 
 	// Heartbeats.
 
 	lastHeartbeatAt         time.Duration
 	heartbeatStreak         targetreport.Streak
-	heartbeatGapEvaluatedAt time.Duration // when the outlier policies last got an event of its missing heartbeats
+	heartbeatGapEvaluatedAt time.Duration // when the outlier policies last got an event for its missing heartbeats
 
 	// Health checks. See healthcheck.go.
 
 	lastProbeAt       time.Duration
-	probeSentAt       time.Duration // of the probe that has no result yet, 0: none
-	indirectProbeFor  time.Duration // probeSentAt of the last probe for which proxies were asked to probe too
-	lastProbeMissed   bool          // whether or not that counted
-	consecutiveMisses int           // probes missed since it last answered
+	probeSentAt       time.Duration // of the probe that is still running, 0 if none is
+	indirectProbeFor  time.Duration // probeSentAt of the last probe for which proxies were asked to probe as well
+	lastProbeMissed   bool          // whether the last probe was missed, even if the miss was not counted
+	consecutiveMisses int           // counted misses since the last answered probe or reported success
 
-	// What proxies report of requests.
+	// Requests, as reported by proxies.
 
-	lastSuccessAt    time.Duration // of the last report with a success
-	stats            wire.TargetStats
-	statsEvaluatedAt time.Duration // when the outlier policies last got stats
+	lastSuccessAt    time.Duration    // time of the last report with a success
+	stats            wire.TargetStats // reported since statsEvaluatedAt
+	statsEvaluatedAt time.Duration    // when the outlier policies last got stats
 
 	// Warm-up.
 
 	warmupEnd time.Duration
-	// warmupEndNumber is the lowest number of a heartbeat that may end the warm-up by saying that there is none.
+	// warmupEndNumber is the lowest number of a heartbeat that may end the warm-up by reporting that there is none.
 	warmupEndNumber uint64
 
-	// What the latest table says of it, and the version that last changed that.
+	// The target's row in the latest table, and the table version in which that row last changed.
 
 	publishedFacts       routingFacts
 	publishedDemand      float64
@@ -62,10 +63,10 @@
 	changedInVersion     uint64
 }
 
-// serviceTarget is a target's name within its service, which a restart keeps.
+// serviceTarget identifies a target by service and name, which stay the same across restarts.
 type serviceTarget struct{ service, name string }
 
-// newTarget returns a target that nothing has confirmed yet and that is to be probed at once.
+// newTarget returns an unconfirmed target that is due for a probe.
 func newTarget(now, lastHeartbeatAt time.Duration, row wire.Target) *target {
 	return &target{
 		Target:           row,
@@ -77,8 +78,8 @@
 	}
 }
 
-// targetIDs returns the identities of the targets in order. They are sorted again only when a target came or went,
-// since each tick asks for them.
+// targetIDs returns the sorted IDs of the targets. Every tick needs them, so they are sorted again only after a target
+// was added or removed.
 func (c *Controller) targetIDs() []wire.TargetID {
 	current := len(c.sortedTargetIDs) == len(c.targets)
 	for i := 0; current && i < len(c.sortedTargetIDs); i++ {
@@ -90,13 +91,13 @@
 	return c.sortedTargetIDs
 }
 
-// assumeContact counts a target as heartbeating and alive at a time.
+// assumeContact treats a target as if a heartbeat had arrived at the given time.
 func (t *target) assumeContact(at time.Duration) {
 	t.lastHeartbeatAt, t.lastAliveAt = max(t.lastHeartbeatAt, at), max(t.lastAliveAt, at)
 }
 
-// isHeartbeating says that its heartbeats come. One that misses its probes has to be steady: a single heartbeat may be a
-// late one of a process that is gone.
+// isHeartbeating reports whether heartbeats arrive. If the target misses its probes the heartbeats have to be steady,
+// since a single one may be a delayed heartbeat of a process that has ended.
 func (t *target) isHeartbeating(now time.Duration) bool {
 	if now-t.lastHeartbeatAt >= tuning.TargetHeartbeatTimeout {
 		return false
@@ -104,18 +105,18 @@
 	return t.consecutiveMisses < tuning.ProbeMisses || t.heartbeatStreak.IsSteady(now)
 }
 
-// warmupLeft is for how much longer it warms up, in nanoseconds as a table has it.
+// warmupLeft returns the remaining warm-up time in nanoseconds, as in tables.
 func (t *target) warmupLeft(now time.Duration) int64 { return max(0, int64(t.warmupEnd-now)) }
 
-// warmupExtended says that it warms up for longer than the latest table says. The end moves a little with each
-// heartbeat, by the time that that took to come, which does not count.
+// warmupExtended reports whether the warm-up ends later than the latest table implies. The end varies a little from one
+// heartbeat to the next with their transit times; differences of up to tuning.TimeLeftStep don't count.
 func (t *target) warmupExtended(now time.Duration) bool {
 	return t.warmupEnd > now && t.warmupEnd > t.publishedWarmupEnd+tuning.TimeLeftStep
 }
 
-// warmUpAfterRestore lets a target of a restored domain warm up for its service's time: it may have gone cold while the
-// domain got no requests. A heartbeat that was on its way by then knows nothing of that, so that only the one after the
-// next may end the warm-up.
+// warmUpAfterRestore starts a warm-up of the service's configured duration for a target of a restored domain, since it
+// may have gone cold while the domain got no requests. The next heartbeat may already have been sent before the
+// restoration, so only the one after it may end the warm-up.
 func (c *Controller) warmUpAfterRestore(t *target) {
 	restoredAt, restored := c.domainRestoredAt[t.Domain]
 	service := c.activeConfig.Services[t.Service]
@@ -124,8 +125,8 @@
 	}
 }
 
-// advanceState takes over the state that a target reports, but only forward: a target that is leaving drains until it
-// signs off, since an older report may come late.
+// advanceState applies the state that a target reports, but never reverts leaving: an older report may arrive late, so a
+// target that is leaving keeps draining until it signs off.
 func (c *Controller) advanceState(now time.Duration, t *target, reported wire.TargetState) {
 	switch {
 	case reported == wire.TargetLeaving:
@@ -135,7 +136,7 @@
 	}
 }
 
-// drainTarget gives a target no more new requests, for as long as it is there.
+// drainTarget stops new requests to a target for as long as the target is registered.
 func (c *Controller) drainTarget(now time.Duration, t *target, reason string) {
 	if t.Draining {
 		return
@@ -145,8 +146,8 @@
 	c.publishRegistryDecision(now, leavingPolicy, config.DecideDrain, t.ID(), reason)
 }
 
-// removeTarget forgets a target. It may come back, unless the caller makes a tombstone; if it was draining it does so
-// again then.
+// removeTarget removes a target. It may register again unless the caller adds a tombstone, and then drains again if it
+// was draining before.
 func (c *Controller) removeTarget(now time.Duration, id wire.TargetID, reason string) {
 	t := c.targets[id]
 	if t == nil {
@@ -160,12 +161,12 @@
 	c.publishRegistryDecision(now, registryPolicy, kindGone, id, reason)
 }
 
-// Decisions on a target that are not an outlier policy's are published under the name of one, as who reads the stream
-// expects of each.
+// Policy names under which decisions are published that no outlier policy has made. Readers of the stream expect a policy
+// name with every decision.
 const (
-	leavingPolicy                      = "leaving"  // drains a target that leaves
-	registryPolicy                     = "registry" // removes a target
-	kindGone       config.DecisionKind = "gone"     // the kind of the latter's decisions
+	leavingPolicy                      = "leaving"  // drains targets that are leaving
+	registryPolicy                     = "registry" // removes targets
+	kindGone       config.DecisionKind = "gone"     // the kind of registryPolicy's decisions
 )
 
 func (c *Controller) publishRegistryDecision(now time.Duration, policy string, kind config.DecisionKind, id wire.TargetID, reason string) {
--- a/internal/controlplane/targetapi.go
+++ b/internal/controlplane/targetapi.go
@@ -1,4 +1,4 @@
-// This file takes targets' reports at the leader: heartbeats, leavings and sign-offs.
+// This file handles targets' reports at the leader: heartbeats, leavings and sign-offs.
 
 package controlplane
 
@@ -12,12 +12,13 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// reportTarget takes a report and answers it: a heartbeat at once, and a leaving or sign-off when a majority
-// of the proxies has confirmed a table that says so. The leases of the others lapse by themselves.
+// reportTarget handles a report and answers it: a heartbeat at once, and a leaving or sign-off once it is committed and a
+// majority of the proxies has confirmed a table that contains it. The leases of the other proxies run out by
+// themselves.
 func (c *Controller) reportTarget(now time.Duration, call *pendingCall, report wire.Target) {
 	ids := []wire.TargetID{report.ID()}
 	if report.Service == "" {
-		ids = c.identitiesNamed(report.Name)
+		ids = c.targetIDsNamed(report.Name)
 	}
 	for _, id := range ids {
 		identified := report
@@ -31,7 +32,7 @@
 	c.persistSoon = true
 	c.persistRegistrations(now, tuning.RegistryEvery)
 	c.waiters = append(c.waiters, &inForceWaiter{
-		version:      c.withdraw(ids),
+		version:      c.recordWithdrawal(ids),
 		waitingSince: now,
 		call:         call,
 		reply:        targetreport.Acknowledgement(report),
@@ -40,9 +41,10 @@
 	})
 }
 
-// withdraw notes the first table without some targets, or with them draining, and returns its version: of
-// the earliest that has all. A late report, which has changed nothing, notes nothing.
-func (c *Controller) withdraw(ids []wire.TargetID) (version uint64) {
+// recordWithdrawal records for each of some targets the first table version in which it is draining or absent, and
+// returns the version from which on all of them are. It records nothing for a target that still gets requests, because
+// the report came too late to change anything.
+func (c *Controller) recordWithdrawal(ids []wire.TargetID) (version uint64) {
 	for _, id := range ids {
 		withdrawnIn := c.withdrawnInVersion[id]
 		if withdrawnIn == 0 {
@@ -56,8 +58,8 @@
 	return version
 }
 
-// identitiesNamed are the targets of a name, those that signed off lately included, sorted.
-func (c *Controller) identitiesNamed(name string) []wire.TargetID {
+// targetIDsNamed returns the sorted IDs of all targets of a name, including claimants and those that recently signed off.
+func (c *Controller) targetIDsNamed(name string) []wire.TargetID {
 	ids := map[wire.TargetID]bool{}
 	add := func(id wire.TargetID) {
 		if id.Name == name {
--- a/internal/controlplane/targetregistry.go
+++ b/internal/controlplane/targetregistry.go
@@ -1,7 +1,8 @@
-// This file is the registry, which is what the log holds of the targets: which there are and where, which are leaving, and
-// which have signed off. It is written in batches and has nothing of ejections, health checks or heartbeats. A leader that
-// finds no proxy with a table, as after the loss of all processes, begins from it. What it says is unconfirmed until a
-// target has answered this leader. A leaving or a sign-off is acknowledged to the target only once it is committed here.
+// This file maintains the registry, the part of the targets that is in the replicated log: which targets exist and at
+// which addresses, which are leaving, and which have signed off. It is written in batches, and does not contain
+// ejections, health checks or heartbeats. A leader that finds no proxy with a table, as after the loss of all
+// processes, begins from the registry. Targets loaded from it are unconfirmed until they have answered this leader. A
+// leaving or sign-off is acknowledged to the target only once it is committed to the registry.
 
 package controlplane
 
@@ -14,7 +15,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// loadRegistrations begins a leadership with the targets and tombstones of the registry.
+// loadRegistrations loads the targets and tombstones of the registry at the beginning of a leadership.
 func (c *Controller) loadRegistrations(now time.Duration) {
 	c.persistedRegistrations, c.persistedTombstones = map[wire.TargetID]state.Registration{}, map[wire.TargetID]bool{}
 	for _, tombstone := range c.state.Tombstones {
@@ -31,6 +32,8 @@
 	}
 }
 
+// loadRegistration adds a target from the registry. It is unconfirmed, and has half of tuning.TargetHeartbeatTimeout
+// left to send a heartbeat.
 func (c *Controller) loadRegistration(now time.Duration, registration state.Registration) {
 	t := newTarget(now, now-tuning.TargetHeartbeatTimeout/2, wire.Target{
 		Service: registration.Service, Name: registration.Name, Incarnation: registration.Incarnation,
@@ -49,9 +52,9 @@
 	c.recordShareOffset(registration.Service, registration.Name, registration.ShareOffset)
 }
 
-// persistRegistrations proposes a write of what has changed since the last one, if that is every ago. A target that waits
-// for its acknowledgement has it written by the next tick. With much uncommitted already the write waits, since operators'
-// changes matter more.
+// persistRegistrations proposes a registry write with the changes since the last one, if that was at least the duration
+// every ago. If a target waits for an acknowledgement, tuning.TickEvery is enough. The write waits while more than a
+// quarter of tuning.ProposedBytesMax is uncommitted, since operators' changes take priority.
 func (c *Controller) persistRegistrations(now, every time.Duration) {
 	sinceLast := now - c.registryPersistedAt
 	due := sinceLast >= every || c.persistSoon && sinceLast >= tuning.TickEvery
@@ -68,8 +71,8 @@
 	c.propose(now, state.Command{Operation: state.OpRegisterTargets, Targets: &change})
 }
 
-// addChangedRegistrations adds to a write the targets that are not in the registry as they are now. It is called at each
-// tick, so it sorts only what has changed.
+// addChangedRegistrations adds to a write the targets whose registration is missing, outdated or to be dropped. It may be
+// called at each tick, so it sorts only the changes.
 func (c *Controller) addChangedRegistrations(now time.Duration, change *state.RegistryChange) {
 	for _, t := range c.targets {
 		if registration := t.registration(now); c.needsRegistration(t, registration) {
@@ -92,7 +95,7 @@
 	}
 }
 
-// registration returns what the registry has to hold of a target.
+// registration returns a target's registry entry.
 func (t *target) registration(now time.Duration) state.Registration {
 	return state.Registration{
 		Service: t.Service, Name: t.Name, Incarnation: t.Incarnation, Addr: t.Addr, Domain: t.Domain,
@@ -100,8 +103,8 @@
 	}
 }
 
-// needsRegistration says that the registry doesn't hold a target as it is now and has capacity for it. An unconfirmed one
-// is registered only when it leaves: it may be of an incarnation that is over.
+// needsRegistration reports whether the registry lacks the target's entry or has an outdated one, and has room for it. An
+// unconfirmed target is registered only when it leaves, since it may be of an incarnation that no longer runs.
 func (c *Controller) needsRegistration(t *target, registration state.Registration) bool {
 	if persisted, found := c.persistedRegistrations[t.ID()]; found {
 		return persisted != registration
@@ -109,14 +112,14 @@
 	return (!t.unconfirmed || t.Draining) && len(c.persistedRegistrations) < tuning.RegistryMax
 }
 
-// batchSize is how many of so many new or changed entries one write takes. At least one goes even into a full registry,
-// as it may replace an entry that is there.
+// batchSize returns how many of the changed entries go into one write, given the number of persisted entries. It allows
+// at least one even if the registry is full, since that one may replace an existing entry.
 func batchSize(changed, persisted int) int {
 	return min(changed, tuning.RegistryBatch, max(1, tuning.RegistryMax-persisted))
 }
 
-// addChangedTombstones does the same for tombstones: of targets that were leaving when they were removed, and of those
-// that signed off or were superseded.
+// addChangedTombstones adds to a write the tombstones that are missing, outdated or to be dropped. There is one for each
+// target that was leaving when it was removed, that signed off or that was superseded.
 func (c *Controller) addChangedTombstones(change *state.RegistryChange) {
 	addIfChanged := func(id wire.TargetID, signedOff bool) {
 		persisted, found := c.persistedTombstones[id]
@@ -150,8 +153,9 @@
 	}
 }
 
-// departureCommitted says that the log holds what this member knows of a target's leaving or sign-off. A full registry
-// takes no more: then only the proxies' tables can bring it back.
+// departureCommitted reports whether a target's leaving or sign-off is committed to the registry, as far as this member
+// knows of one. A full registry takes no more entries, so it returns true then: a later leader can then learn of the
+// departure only from the proxies' tables.
 func (c *Controller) departureCommitted(id wire.TargetID) bool {
 	if len(c.state.Tombstones) >= tuning.RegistryMax || len(c.state.Registrations) >= tuning.RegistryMax {
 		return true
--- a/internal/controlplane/targetview.go
+++ b/internal/controlplane/targetview.go
@@ -8,19 +8,21 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// TargetView is what operators read of a target.
+// TargetView is the operators' view of a target.
 type TargetView struct {
 	wire.Target
-	// Ejection is the outlier policy that ejected it, "" if it is not ejected, and EjectionLeftMs for how much longer.
+	// Ejection is the outlier policy that ejected it, "" if it is not ejected, and EjectionLeftMs the remaining time of
+	// the ejection in milliseconds.
 	Ejection       string `json:"bar,omitempty"`
 	EjectionLeftMs int64  `json:"bar_left_ms,omitempty"`
-	// Why says, for people, whether it gets requests and why not.
+	// Why is a text for operators: whether the target gets requests, and if not, why.
 	Why string `json:"why"`
-	// LastHeartbeatMs is how long ago its last heartbeat came.
+	// LastHeartbeatMs is the time since its last heartbeat, in milliseconds.
 	LastHeartbeatMs float64 `json:"last_beat_ms"`
 }
 
-// Targets returns the leader's targets in order. At any other member they are those of its last leadership.
+// Targets returns the views of the leader's targets, sorted by ID. On any other member they are the targets of its last
+// leadership.
 func (c *Controller) Targets(now time.Duration) []TargetView {
 	views := []TargetView{}
 	for _, id := range c.targetIDs() {
@@ -36,7 +38,8 @@
 	return views
 }
 
-// explainTarget says the first reason that keeps requests from a target. The texts are part of the API.
+// explainTarget returns the first reason for which requests are withheld from a target, or "serving". The texts are
+// part of the API.
 func (c *Controller) explainTarget(t *target, view TargetView) string {
 	switch {
 	case t.Draining:
@@ -57,5 +60,5 @@
 	return "serving"
 }
 
-// milliseconds returns a time with its fraction, as views have it.
+// milliseconds returns a duration in milliseconds with its fraction.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -15,25 +15,25 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// undecodableSnapshot is a snapshot that is no state.
+// undecodableSnapshot is valid JSON, but its data is not a state.
 var undecodableSnapshot = &wire.Snapshot{Index: 900, Data: []byte(`{"seq":"x"}`)}
 
-// undecodableCases have the leader of a fleet commit data that it can't decode.
+// undecodableCases are ways to have the leader of a fleet commit data that it can't decode.
 var undecodableCases = []struct {
 	name   string
 	commit func(*idleFleet)
 }{
-	{"entry that is no JSON", func(f *idleFleet) { f.controller.node.Propose(f.now, []byte("{")) }},
+	{"entry that is not JSON", func(f *idleFleet) { f.controller.node.Propose(f.now, []byte("{")) }},
 	{"entry of a wrong type", func(f *idleFleet) { f.controller.node.Propose(f.now, []byte(`{"op":7}`)) }},
-	{"compressed entry", func(f *idleFleet) { f.controller.node.Propose(f.now, []byte("\x28\xb5\x2f\xfd broken off")) }},
+	{"corrupt compressed entry", func(f *idleFleet) { f.controller.node.Propose(f.now, []byte("\x28\xb5\x2f\xfd broken off")) }},
 	{"snapshot", func(f *idleFleet) { f.controller.restoreSnapshot(undecodableSnapshot) }},
 	{"configuration", func(f *idleFleet) {
 		f.controller.propose(f.now, state.Command{Operation: state.OpConfigure, Base: f.controller.state.Revision, Document: json.RawMessage(`[]`)})
 	}},
 }
 
-// A leader that can't decode committed data reports damage and neither leads again nor decides in this epoch. It
-// doesn't end, and its state remains the one before.
+// A leader that can't decode committed data reports the damage, and neither leads again nor makes decisions in the
+// epoch. Its process doesn't exit, and its state stays what it was before.
 func TestUndecodableDataEndsLeadership(t *testing.T) {
 	for _, undecodable := range undecodableCases {
 		t.Run(undecodable.name, func(t *testing.T) {
@@ -46,21 +46,21 @@
 			}
 			status := c.Status(fleet.now)
 			if c.Leading() || c.HoldsLease(fleet.now) || status.Current || len(status.Damage) != 1 || c.counts.DamageReports != 1 {
-				t.Fatalf("leads %v, damage %v", c.Leading(), status.Damage)
+				t.Fatalf("leading: %v, damage %v; want no leader and one damage report", c.Leading(), status.Damage)
 			}
 			if !errors.Is(c.undecodable, state.ErrDamaged) {
-				t.Errorf("cause %v", c.undecodable)
+				t.Errorf("undecodable is %v, want an error marked ErrDamaged", c.undecodable)
 			}
 			checkCallsAreUnavailable(t, fleet)
 			if got := c.Table().Revision; got != revision {
-				t.Errorf("a table of revision %d was made", got)
+				t.Errorf("a table of revision %d was made, want none after revision %d", got, revision)
 			}
 			checkNothingIsApplied(t, fleet)
 		})
 	}
 }
 
-// checkCallsAreUnavailable checks that reads and changes are answered with a 503.
+// checkCallsAreUnavailable checks that reads and changes, if answered at once, are answered with 503.
 func checkCallsAreUnavailable(t *testing.T, fleet *idleFleet) {
 	t.Helper()
 	for i, call := range []statemachine.Call{
@@ -70,13 +70,13 @@
 		call.ID, call.Token = uint64(i+1), fmt.Sprint("t", i)
 		for _, command := range fleet.controller.Step(fleet.now, call) {
 			if answer, ok := command.(statemachine.Reply); ok && answer.Status != 503 {
-				t.Errorf("%s %s: %d %s", call.Method, call.Path, answer.Status, answer.Body)
+				t.Errorf("%s %s: answered %d %s, want 503", call.Method, call.Path, answer.Status, answer.Body)
 			}
 		}
 	}
 }
 
-// checkNothingIsApplied checks that committed entries neither change the state nor lead to a snapshot of it.
+// checkNothingIsApplied checks that further committed entries neither change the state nor cause a snapshot of it.
 func checkNothingIsApplied(t *testing.T, fleet *idleFleet) {
 	t.Helper()
 	c := fleet.controller
@@ -86,11 +86,11 @@
 		c.apply(fleet.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: command})
 	}
 	if len(c.state.EmptiedDomains) > 0 || c.node.Snapshot().Index != snapshot {
-		t.Error("entries after the one that did not decode are applied")
+		t.Error("entries after the undecodable one were applied")
 	}
 }
 
-// In a later epoch the member takes part again.
+// A member that abstains because of undecodable data takes part again in the next epoch.
 func TestAbstentionEndsWithTheEpoch(t *testing.T) {
 	fleet := newIdleFleet(1, 1)
 	c := fleet.controller
@@ -100,16 +100,16 @@
 	}
 	c.joinEpoch(fleet.now, c.node.Epoch()+1)
 	if c.undecodable != nil || c.abstains() {
-		t.Errorf("still abstains: %v", c.undecodable)
+		t.Errorf("the member still abstains in the next epoch: %v", c.undecodable)
 	}
 }
 
-// cluster is three members whose messages arrive at once.
+// cluster is a control plane of three members whose messages are delivered at once.
 type cluster struct {
 	now     time.Duration
 	members map[string]*Controller
 	names   []string
-	down    string // the member that gets no ticks and no messages
+	down    string // name of the member that gets neither ticks nor messages, "" if all run
 }
 
 func newCluster() *cluster {
@@ -121,19 +121,19 @@
 	return k
 }
 
-// newClusterWithLeader is a cluster that has run for long enough to have a leader, and the leader's name.
+// newClusterWithLeader returns a cluster that has elected a leader, and the leader's name.
 func newClusterWithLeader(t *testing.T) (*cluster, string) {
 	t.Helper()
 	k := newCluster()
 	k.runSeconds(15)
 	leader := k.leader()
 	if leader == "" {
-		t.Fatal("no leader")
+		t.Fatal("no leader was elected")
 	}
 	return k, leader
 }
 
-// step gives a member an event, and does at once what its commands ask for.
+// step gives a member an event and carries out the commands that it returns.
 func (k *cluster) step(name string, event statemachine.Event) {
 	if name == k.down {
 		return
@@ -159,7 +159,7 @@
 	}
 }
 
-// leader is the member that holds a lease, "" if none does.
+// leader returns the name of the member that holds the lease, "" if none does.
 func (k *cluster) leader() string {
 	for _, name := range k.names {
 		if name != k.down && k.members[name].HoldsLease(k.now) {
@@ -169,13 +169,13 @@
 	return ""
 }
 
-// A leader that alone can't decode an entry transfers leadership to a member that can, also when the third is down and
-// its own vote is needed.
+// If only the leader can't decode an entry, it transfers leadership to a member that can. That also works while the third
+// member is down, so that the old leader's vote is needed.
 func TestUndecodableLeaderTransfersLeadership(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		oneDown bool
-	}{{"all there", false}, {"one down", true}} {
+	}{{"all members up", false}, {"one member down", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			k, before := newClusterWithLeader(t)
 			if c.oneDown {
@@ -188,13 +188,14 @@
 			k.members[before].cannotDecode("entry 9", errors.New("damaged in memory"))
 			k.runSeconds(10)
 			if after := k.leader(); after == "" || after == before {
-				t.Errorf("%q leads after %s", after, before)
+				t.Errorf("leader %q after %s could not decode an entry, want another member", after, before)
 			}
 		})
 	}
 }
 
-// Members none of which can decode an entry all go on running, without a leader and without passing leadership around.
+// If no member can decode an entry, all members keep running without a leader. They must not transfer leadership among
+// themselves, which the unchanged term shows.
 func TestMembersThatCannotDecodeStayUp(t *testing.T) {
 	for _, undecodable := range []struct {
 		name string
@@ -212,7 +213,7 @@
 			for _, name := range k.names {
 				c := k.members[name]
 				if c.Leading() || len(c.damage) != 1 || c.Term() != term {
-					t.Errorf("%s leads %v, damage %v, term %d after %d", name, c.Leading(), c.damage, c.Term(), term)
+					t.Errorf("%s: leading: %v, damage %v, term %d; want no leader, one damage report and term %d", name, c.Leading(), c.damage, c.Term(), term)
 				}
 			}
 		})
