--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -136,8 +136,8 @@
 }
 
 // sinceLastContact returns the time since this member last had contact with the named one. It is 0 for this member
-// itself, and for all until this member has led for tuning.NewLeaderGrace, in which every running member makes contact.
-// After that, time before it led counts too.
+// itself, and for all members until this one has led for tuning.NewLeaderGrace, which gives every running member time
+// to make contact. After that, time before this member led counts too.
 func (c *Controller) sinceLastContact(now time.Duration, name string) time.Duration {
 	if name == c.settings.Self.Name || now-c.node.RoleSince() < tuning.NewLeaderGrace {
 		return 0
@@ -176,7 +176,7 @@
 	return 2*responsive > len(members)
 }
 
-// memberOf returns the member that a daemon is to consensus, which identifies it by name and disk.
+// memberOf returns a daemon's identity as a member: its name and disk number.
 func memberOf(daemon wire.Daemon) wire.Member {
 	return wire.Member{Name: daemon.Name, Disk: daemon.Disk}
 }
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -35,7 +35,7 @@
 	return append(slices.Clone(r.unreachable), r.stopping...)
 }
 
-// reviewMembers classifies the members and the visible daemons that are no members.
+// reviewMembers classifies the members and the visible daemons that are not members.
 func (c *Controller) reviewMembers(now time.Duration, members []wire.Member, visible []wire.Daemon) *membershipReview {
 	review := &membershipReview{members: members}
 	for _, member := range members {
--- a/internal/controlplane/resilience.go
+++ b/internal/controlplane/resilience.go
@@ -63,5 +63,5 @@
 	return "? " + name
 }
 
-// toleratedLosses returns how many machines of the control plane have to be able to fail at once without loss of service.
+// toleratedLosses returns how many machines of the control plane may fail at once without loss of service: at least one.
 func (c *Controller) toleratedLosses() int { return max(c.settings.MachineLosses, 1) }
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -23,7 +23,8 @@
 	// CatchUpTime is how long after a replacement's start the control plane has to tolerate the next failure, 0 for
 	// tuning.CatchUpDefault.
 	CatchUpTime time.Duration
-	// MachineLosses is how many machines of the control plane may be lost at once, 0 for one.
+	// MachineLosses is how many machines the control plane must be able to lose at once without loss of service, 0 for
+	// one.
 	MachineLosses int
 	// StopGrace is the time from Stop until the process is killed.
 	StopGrace time.Duration
