--- a/internal/shared/outlier/compare.go
+++ b/internal/shared/outlier/compare.go
@@ -13,8 +13,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Compare scores each of the policies by itself on the same recorded events, and returns the scores in
-// order of the policies' names. The same recording always gives the same scores.
+// Compare scores each policy independently on the same recorded events and returns the scores sorted by
+// policy name. The same recording always gives the same scores.
 func Compare(events []Event, policies map[string]config.Policy) []Score {
 	cfg := &config.Config{Policies: map[string]config.Policy{}}
 	for name, p := range policies {
@@ -38,9 +38,10 @@
 	return scores
 }
 
-// ReadEvents reads JSON lines and passes each event to each: bare events, or a stream's lines, of
-// which only those with an event count. It returns the first error, with the line's number.
-func ReadEvents(input io.Reader, each func(Event) error) error {
+// ReadEvents reads JSON lines and calls handle for each event. A line is either an event or an object
+// with the event in its field "event", as in a stream; other lines of a stream are skipped. ReadEvents stops
+// at the first error; a syntax error is returned with its line number.
+func ReadEvents(input io.Reader, handle func(Event) error) error {
 	lines := bufio.NewScanner(input)
 	lines.Buffer(nil, tuning.SessionLineMax)
 	for n := 1; lines.Scan(); n++ {
@@ -51,7 +52,7 @@
 		if line.Event == nil {
 			continue
 		}
-		if err := each(*line.Event); err != nil {
+		if err := handle(*line.Event); err != nil {
 			return err
 		}
 	}
--- a/internal/shared/outlier/compare_test.go
+++ b/internal/shared/outlier/compare_test.go
@@ -11,8 +11,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// recording makes a recording of four targets that serve requests and are health-checked. The first has the fault
-// in the middle third.
+// recording returns 90 s of events of four targets that serve requests and are health-checked. The first target
+// has the given fault in the middle third.
 func recording(fault string) []Event {
 	var l []Event
 	for at := time.Second; at < 90*time.Second; at += 500 * time.Millisecond {
@@ -60,7 +60,8 @@
 	return l
 }
 
-// Each shipped policy beats the default on the fault that it is for, and decides nothing on a recording without faults.
+// Each sample policy misses less than 80 % of what the default policy misses on the fault it is named after, without
+// wrong ejections, and makes no decision on a recording without faults.
 func TestShippedPoliciesBeatTheDefault(t *testing.T) {
 	files, _ := filepath.Glob("../../../sample/policies/*.json")
 	if len(files) < 4 {
@@ -77,7 +78,7 @@
 		ps := map[string]config.Policy{"default": config.DefaultPolicy(), name: p}
 		for _, s := range Compare(recording("none"), ps) {
 			if s.Ejections+s.WrongEjections+s.Transitions > 0 {
-				t.Errorf("without faults: %+v", s)
+				t.Errorf("decisions on a recording without faults: %+v", s)
 			}
 		}
 		l := Compare(recording(name), ps)
@@ -91,6 +92,6 @@
 		}
 	}
 	if s := Compare(recording("crash"), map[string]config.Policy{"default": config.DefaultPolicy()})[0]; s.Ejections != 1 || s.TimeToEjectMs != 500 || s.WrongEjections != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("default policy on a crash: %+v", s)
 	}
 }
--- a/internal/shared/outlier/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -16,17 +16,17 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// allowedFunctions are the functions of the library that a condition may call. They take the same time
-// for any arguments.
+// allowedFunctions are the built-in functions of package expr that a condition may call. They take constant
+// time.
 var allowedFunctions = []string{"abs", "max", "min"}
 
-// costlyOperators are the operators whose time is not bounded by the condition's size.
+// costlyOperators are the operators whose run time is not bounded by the size of the condition.
 var costlyOperators = []string{"..", "matches", "**", "^"}
 
-// costVisitor finds a costly operator, or a function, in a condition.
-type costVisitor struct{ found string }
+// costVisitor is a syntax tree visitor that finds costly operators and function calls in a condition.
+type costVisitor struct{ found string } // the latest one found, "" if there is none
 
-// Visit looks at one node of the condition's tree.
+// Visit implements ast.Visitor.
 func (v *costVisitor) Visit(node *ast.Node) {
 	switch n := (*node).(type) {
 	case *ast.BinaryNode:
@@ -38,8 +38,8 @@
 	}
 }
 
-// compile checks a condition on a slice and compiles it. Its errors are the library's, with line and
-// column, or name what is too costly.
+// compile checks and compiles a condition on a slice. Its error comes from package expr, with line and column,
+// or names an operator that is too costly.
 func compile(slice config.Slice, condition string) (*vm.Program, error) {
 	visitor := &costVisitor{}
 	options := []expr.Option{
@@ -59,10 +59,10 @@
 	return program, err
 }
 
-// ParseConfig is config.Parse with Check for its policies, and returns the same.
+// ParseConfig calls config.Parse with Check as the check for policies.
 func ParseConfig(doc []byte) (*config.Config, []config.Fault, error) { return config.Parse(doc, Check) }
 
-// Check returns a policy's faults by the names of its fields.
+// Check validates a policy and returns its faults. Their paths are field names.
 func Check(policy config.Policy) []config.Fault {
 	var faults []config.Fault
 	add := func(path, format string, args ...any) {
@@ -95,7 +95,7 @@
 	return faults
 }
 
-// checkCondition returns the fault of the condition in a field, if it has one.
+// checkCondition returns the fault of the condition in the named field, nil if the condition compiles.
 func checkCondition(slice config.Slice, field, condition string) []config.Fault {
 	_, err := compile(slice, condition)
 	if err == nil {
--- a/internal/shared/outlier/condition_test.go
+++ b/internal/shared/outlier/condition_test.go
@@ -40,12 +40,12 @@
 		c.change(&p)
 		fs := Check(p)
 		if len(fs) == 0 || fs[0].Path != c.path || !strings.Contains(fs[0].Text, c.text) {
-			t.Errorf("%+v: %v", p, fs)
+			t.Errorf("%+v: faults %v, want one at %s with %q", p, fs, c.path, c.text)
 		}
 	}
 }
 
-// The policies of docs/policy.md are valid, and comparing policies twice gives the same scores.
+// The example policies in docs/policy.md are valid, and two comparisons on the same events give equal scores.
 func TestDocumentedPoliciesAreValid(t *testing.T) {
 	b, err := os.ReadFile("../../../docs/policy.md")
 	if err != nil {
@@ -61,11 +61,11 @@
 		n++
 	}
 	if n < 3 {
-		t.Fatalf("%d examples", n)
+		t.Fatalf("docs/policy.md has %d examples, want at least 3", n)
 	}
 	x, _ := json.Marshal(Compare(recording("flapping"), map[string]config.Policy{"default": config.DefaultPolicy()}))
 	y, _ := json.Marshal(Compare(recording("flapping"), map[string]config.Policy{"default": config.DefaultPolicy()}))
 	if string(x) != string(y) {
-		t.Fatal("two comparisons differ")
+		t.Fatal("two comparisons on the same events give different scores")
 	}
 }
--- a/internal/shared/outlier/detector.go
+++ b/internal/shared/outlier/detector.go
@@ -1,16 +1,16 @@
-// Package outlier is the outlier detector: it turns events of targets into decisions on them. A policy
-// is one condition on one slice of what is known of a target (health checks, heartbeats, requests,
-// demand) and one decision: ejection, which lapses by itself, or draining, which lasts until its clear
-// condition is met, or as long as its condition is if it has none, and lapses tuning.EjectionTTL after its
-// condition was last met.
+// Package outlier implements outlier detection: it evaluates policies on events about targets and decides
+// which targets to eject or drain. A policy has one condition on one kind of observation (health checks,
+// heartbeats, requests or demand) and one decision. An ejection expires after the policy's time to live.
+// Draining lasts until the clear condition is met or, without a clear condition, until the condition no
+// longer holds; it also expires tuning.EjectionTTL after the condition last held.
 //
-// A Detector evaluates policies and is pure: events go in with their time, decisions come out, and
-// the same events always give the same decisions. Shadow policies and comparisons rely on that. A policy
-// whose evaluation fails decides nothing, the failure is counted, and what it decided before lapses.
-// The package gathers no events and acts on no decision: the control plane does both.
+// A Detector is deterministic: it has no clock of its own and does no I/O, so the same timestamped events
+// always give the same decisions. Shadow policies and comparisons rely on that. If the evaluation of a
+// policy fails, the policy decides nothing, the failure is counted, and its earlier decisions expire.
+// The package neither collects events nor carries out decisions: the control plane does both.
 //
-// Begin with Event, Decision and Detector.Step. environment.go has the names that conditions see,
-// score.go how well each policy does, compare.go and session.go the same for recordings and streams.
+// Start with Event, Decision and Detector.Step. environment.go defines the variables that conditions may
+// use, score.go scores policies, and compare.go and session.go evaluate policies on recordings and streams.
 package outlier
 
 import (
@@ -28,44 +28,44 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Detector evaluates the policies in force on events of any number of targets. It is not safe for
+// Detector evaluates the policies in force on the events of any number of targets. It is not safe for
 // concurrent use.
 type Detector struct {
 	policies    map[string]*policy // by name
-	policyNames []string           // sorted
+	policyNames []string           // the keys of policies, sorted
 	windows     map[wire.TargetID]map[config.Slice]*window
-	decided     map[wire.TargetID]map[string]activeDecision // by policy
+	decided     map[wire.TargetID]map[string]activeDecision // by target and policy name
 }
 
-// policy is a policy in force.
+// policy is a policy in force with its compiled conditions.
 type policy struct {
 	name      string
 	settings  config.Policy
 	when      *vm.Program
-	clear     *vm.Program // nil: none
+	clear     *vm.Program // nil if the policy has no clear condition
 	machine   vm.VM
-	evaluated uint64 // evaluations of conditions
-	failed    uint64 // evaluations that failed
-	lastError string
+	evaluated uint64 // number of evaluated conditions
+	failed    uint64 // number of evaluations that failed
+	lastError string // error of the latest failed evaluation, "" if none failed
 }
 
-// activeDecision is a decision of one policy that a target is under.
+// activeDecision is a policy's decision that applies to a target now.
 type activeDecision struct {
-	until time.Duration // when it lapses
-	drain bool          // draining, else an ejection
+	until time.Duration // when it expires
+	drain bool          // true: draining, false: ejection
 }
 
-// PolicyStats describes a policy in force and what it has done since it came into force.
+// PolicyStats describes a policy in force and its evaluations since it came into force.
 type PolicyStats struct {
 	Policy     config.Policy `json:"policy"`
-	Evaluated  uint64        `json:"evaluated"`            // evaluations of its conditions
-	Failed     uint64        `json:"failed"`               // evaluations that failed
-	Error      string        `json:"last_error,omitempty"` // of the last failed one
-	TargetsOut int           `json:"targets_out"`          // targets that it keeps requests from now
-	Score      *Score        `json:"score,omitempty"`      // nil: not scored
+	Evaluated  uint64        `json:"evaluated"`            // number of evaluated conditions
+	Failed     uint64        `json:"failed"`               // number of evaluations that failed
+	Error      string        `json:"last_error,omitempty"` // error of the latest failed evaluation, "" if none failed
+	TargetsOut int           `json:"targets_out"`          // number of targets that the policy ejects or drains now
+	Score      *Score        `json:"score,omitempty"`      // nil if the policy is not scored
 }
 
-// New returns a Detector without policies; Replace puts them in force.
+// New returns a Detector without policies. Call Replace to set them.
 func New() *Detector {
 	return &Detector{
 		policies: map[string]*policy{},
@@ -74,17 +74,17 @@
 	}
 }
 
-// Replace puts the policies of a configuration, which must have passed Check, in force. A policy that
-// stays, or that changes neither its mode nor its kind of decision, keeps its decisions until they
-// lapse or are cleared; those of other policies end at once.
+// Replace puts the policies of a configuration in force; each must have passed Check. A policy whose mode
+// and kind of decision stay the same keeps its active decisions until they expire or are cleared. Decisions
+// of all other policies end at once.
 func (d *Detector) Replace(cfg *config.Config) {
 	next := map[string]*policy{}
 	for name, settings := range cfg.PoliciesInForce() {
 		if settings.Mode == config.ModeOff {
 			continue
 		}
-		if present := d.policies[name]; present != nil && present.settings == settings {
-			next[name] = present
+		if current := d.policies[name]; current != nil && current.settings == settings {
+			next[name] = current
 			continue
 		}
 		next[name] = newPolicy(name, settings)
@@ -106,25 +106,25 @@
 		p.clear, err = compile(settings.Slice, settings.Clear)
 	}
 	if err != nil {
-		panic(errors.Wrapf(err, "policy %s was accepted", name))
+		panic(errors.Wrapf(err, "policy %s passed Check but does not compile", name))
 	}
 	return p
 }
 
-// keepsDecisionsOf reports whether decisions of the previous policy of that name stay under this one.
-// Either may be nil.
+// keepsDecisionsOf reports whether active decisions of previous, the earlier policy of the same name, remain
+// valid under p. Either may be nil.
 func (p *policy) keepsDecisionsOf(previous *policy) bool {
 	return p != nil && previous != nil && p.settings.Mode == previous.settings.Mode && p.settings.Decide == previous.settings.Decide
 }
 
-// Forget drops a target that is gone for good.
+// Forget removes all data of a target that will not return.
 func (d *Detector) Forget(id wire.TargetID) {
 	delete(d.windows, id)
 	delete(d.decided, id)
 }
 
-// Ejected returns until when live policies keep requests from a target, and the policy whose decision
-// lapses last; 0 and "" if there is none.
+// Ejected returns when the last active decision of a live policy on a target expires, ejection or draining,
+// and that policy's name; 0 and "" if no such decision is active.
 func (d *Detector) Ejected(now time.Duration, id wire.TargetID) (until time.Duration, policy string) {
 	if len(d.decided[id]) == 0 {
 		return 0, ""
@@ -138,8 +138,8 @@
 	return until, policy
 }
 
-// Restore takes over a decision of an earlier leader, with the time that it has left. A policy that is
-// not in force or not live has none.
+// Restore adds a decision that was made under an earlier leader and is valid for another left. It does
+// nothing if the policy is not in force or not live.
 func (d *Detector) Restore(now time.Duration, id wire.TargetID, policy string, left time.Duration) {
 	if p := d.policies[policy]; p != nil && p.settings.Mode == config.ModeLive && left > 0 {
 		d.setDecision(id, policy, activeDecision{
@@ -156,7 +156,8 @@
 	d.decided[id][policy] = decision
 }
 
-// Tick ends the decisions that have lapsed, and returns that, in order of targets and policies.
+// Tick removes the decisions that have expired by now. It returns a KindLapse decision for each, sorted by
+// target and policy.
 func (d *Detector) Tick(now time.Duration) []Decision {
 	var lapsed []Decision
 	for _, id := range slices.SortedFunc(maps.Keys(d.decided), wire.TargetID.Compare) {
@@ -173,7 +174,7 @@
 	return lapsed
 }
 
-// Step takes one event and returns the decisions that it led to, in order of policies.
+// Step processes one event and returns the resulting decisions, sorted by policy.
 func (d *Detector) Step(event Event) []Decision {
 	id := event.ID()
 	if d.windows[id] == nil {
@@ -195,8 +196,8 @@
 	return decisions
 }
 
-// evaluate evaluates one policy on a target and updates its decision; it returns the change, if there
-// is one.
+// evaluate evaluates one policy for a target and updates the policy's active decision. It returns a decision
+// if one began or was cleared, else nil.
 func (d *Detector) evaluate(policy *policy, now time.Duration, id wire.TargetID, environment any) []Decision {
 	met, err := policy.run(policy.when, environment)
 	cleared := false
@@ -206,7 +207,7 @@
 	if err != nil {
 		return nil
 	}
-	present, decided := d.decided[id][policy.name]
+	active, decided := d.decided[id][policy.name]
 	switch {
 	case met && policy.settings.Decide == config.DecideDrain:
 		d.setDecision(id, policy.name, activeDecision{until: now + tuning.EjectionTTL, drain: true})
@@ -215,17 +216,17 @@
 		}
 	case met:
 		d.setDecision(id, policy.name, activeDecision{until: now + time.Duration(policy.settings.TTLMs)*time.Millisecond})
-		if !decided || present.until <= now {
+		if !decided || active.until <= now {
 			return []Decision{policy.decision(now, config.DecideEject, id, policy.settings.When)}
 		}
-	case decided && (cleared || present.drain && policy.clear == nil):
+	case decided && (cleared || active.drain && policy.clear == nil):
 		delete(d.decided[id], policy.name)
 		return []Decision{policy.decision(now, KindClear, id, cmp.Or(policy.settings.Clear, "condition is over"))}
 	}
 	return nil
 }
 
-// run evaluates a condition. Its error is counted; the policy decides nothing then.
+// run evaluates a condition of the policy and counts the evaluation and its failure.
 func (p *policy) run(condition *vm.Program, environment any) (bool, error) {
 	p.evaluated++
 	p.machine.MemoryBudget = tuning.PolicyMemory
@@ -258,7 +259,7 @@
 	return decision
 }
 
-// Stats returns the statistics of each policy in force, by name, without scores.
+// Stats returns the statistics of the policies in force by name, without scores.
 func (d *Detector) Stats() map[string]PolicyStats {
 	stats := map[string]PolicyStats{}
 	for name, p := range d.policies {
--- a/internal/shared/outlier/detector_test.go
+++ b/internal/shared/outlier/detector_test.go
@@ -23,15 +23,15 @@
 }
 
 func detectorWith(ps map[string]config.Policy) *Detector {
-	j := New()
-	j.Replace(&config.Config{Policies: ps})
-	return j
+	detector := New()
+	detector.Replace(&config.Config{Policies: ps})
+	return detector
 }
 
-// One missed health check has no effect, two in a row eject the target; an answered one ends the ejection,
-// which lapses by itself if no more events come.
+// One missed health check has no effect and two in a row eject the target. An answered check ends the ejection;
+// without further events it expires after tuning.EjectionTTL.
 func TestDefaultPolicyEjectsAfterTwoMisses(t *testing.T) {
-	j := detectorWith(nil)
+	detector := detectorWith(nil)
 	id := wire.TargetID{Service: "s", Name: "a", Incarnation: 1}
 	s := time.Second
 	for i, c := range []struct {
@@ -44,68 +44,69 @@
 		{5 * s, false, "default bar", true}, {6 * s, false, "", true}, {7 * s, true, "default clear", false},
 		{8 * s, false, "", false}, {9 * s, false, "default bar", true},
 	} {
-		got := decisionKinds(j.Step(probeEvent(c.at, "a", c.ok)))
-		until, _ := j.Ejected(c.at, id)
+		got := decisionKinds(detector.Step(probeEvent(c.at, "a", c.ok)))
+		until, _ := detector.Ejected(c.at, id)
 		if got != c.want || until > c.at != c.ejected {
 			t.Fatalf("step %d: %q, ejected until %v", i, got, until)
 		}
 	}
-	if got := decisionKinds(j.Tick(9*s + tuning.EjectionTTL - 1)); got != "" {
+	if got := decisionKinds(detector.Tick(9*s + tuning.EjectionTTL - 1)); got != "" {
 		t.Fatal(got)
 	}
-	if got := decisionKinds(j.Tick(9*s + tuning.EjectionTTL)); got != "default lapse" {
+	if got := decisionKinds(detector.Tick(9*s + tuning.EjectionTTL)); got != "default lapse" {
 		t.Fatal(got)
 	}
-	if until, _ := j.Ejected(9*s+tuning.EjectionTTL, id); until != 0 {
+	if until, _ := detector.Ejected(9*s+tuning.EjectionTTL, id); until != 0 {
 		t.Fatal(until)
 	}
 }
 
-// A policy whose evaluation fails decides nothing, the failure is counted, and its earlier decision lapses.
+// A policy whose evaluation fails decides nothing, the failure is counted, and its earlier decision expires.
 func TestFailedEvaluationDecidesNothing(t *testing.T) {
-	j := detectorWith(map[string]config.Policy{"odd": {Slice: "exchange", When: "count % errors == 0", Decide: "bar", TTLMs: 1000, Mode: "live"}})
+	detector := detectorWith(map[string]config.Policy{"odd": {Slice: "exchange", When: "count % errors == 0", Decide: "bar", TTLMs: 1000, Mode: "live"}})
 	e := Event{At: time.Second, Slice: "exchange", Service: "s", Name: "a", Incarnation: 1, Count: 4, Errors: 2}
-	if got := decisionKinds(j.Step(e)); got != "odd bar" {
+	if got := decisionKinds(detector.Step(e)); got != "odd bar" {
 		t.Fatal(got)
 	}
-	e.At, e.Errors = 12*time.Second, 0 // out of the window's reach
-	if got := decisionKinds(j.Step(e)); got != "" {
+	e.At, e.Errors = 12*time.Second, 0 // the first event is older than requestWindow: modulo by zero
+	if got := decisionKinds(detector.Step(e)); got != "" {
 		t.Fatal(got)
 	}
-	if s := j.Stats()["odd"]; s.Failed != 1 || s.Error == "" {
+	if s := detector.Stats()["odd"]; s.Failed != 1 || s.Error == "" {
 		t.Fatalf("%+v", s)
 	}
-	if got := decisionKinds(j.Tick(12 * time.Second)); got != "odd lapse" {
+	if got := decisionKinds(detector.Tick(12 * time.Second)); got != "odd lapse" {
 		t.Fatal(got)
 	}
 }
 
-// A changed policy keeps its ejections, those of a removed one end, and a shadow policy decides without effect.
+// A changed policy keeps its ejections, a removed policy loses them, and decisions of a shadow policy have no
+// effect, also after the policy becomes live.
 func TestReplaceKeepsDecisions(t *testing.T) {
 	p := config.Policy{Slice: "probe", When: "missed >= 1", Decide: "bar", TTLMs: 60000, Mode: "live"}
 	shadow := p
 	shadow.Mode = "shadow"
 	id := wire.TargetID{Service: "s", Name: "a", Incarnation: 1}
-	j := detectorWith(map[string]config.Policy{"p": p, "q": shadow})
-	ds := j.Step(probeEvent(1, "a", false))
+	detector := detectorWith(map[string]config.Policy{"p": p, "q": shadow})
+	ds := detector.Step(probeEvent(1, "a", false))
 	if decisionKinds(ds) != "p bar,q bar" || ds[0].Shadow || !ds[1].Shadow {
 		t.Fatal(ds)
 	}
-	if _, why := j.Ejected(2, id); why != "p" {
+	if _, why := detector.Ejected(2, id); why != "p" {
 		t.Fatal(why)
 	}
 	p.When = "missed >= 5"
-	j.Replace(&config.Config{Policies: map[string]config.Policy{"p": p, "q": shadow}})
-	if _, why := j.Ejected(3, id); why != "p" {
+	detector.Replace(&config.Config{Policies: map[string]config.Policy{"p": p, "q": shadow}})
+	if _, why := detector.Ejected(3, id); why != "p" {
 		t.Fatalf("a changed policy's ejection ended: %q", why)
 	}
-	j.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
-	if _, why := j.Ejected(4, id); why != "" {
+	detector.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
+	if _, why := detector.Ejected(4, id); why != "" {
 		t.Fatalf("a removed policy's ejection stayed: %q", why)
 	}
 	shadow.Mode = "live"
-	j.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
-	if _, why := j.Ejected(5, id); why != "" {
-		t.Fatal("what a policy decided as a shadow took effect")
+	detector.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
+	if _, why := detector.Ejected(5, id); why != "" {
+		t.Fatal("a decision made in shadow mode took effect when the policy became live")
 	}
 }
--- a/internal/shared/outlier/environment.go
+++ b/internal/shared/outlier/environment.go
@@ -7,53 +7,53 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// An environment is what a condition on one slice may name: the expr tags of its struct, which
-// docs/policy.md explains. Samples are the events of the target's window.
+// An environment struct holds the variables that a condition on one slice may use. The expr tags are the
+// variables' names, which docs/policy.md explains. Samples are the events in the target's window.
 
-// probeEnvironment is for conditions on health checks.
+// probeEnvironment holds the variables of conditions on health checks.
 type probeEnvironment struct {
-	MissesInRow int     `expr:"misses_in_row"` // missed ones, up to the latest
-	OKInRow     int     `expr:"ok_in_row"`     // answered ones, up to the latest
-	Missed      int     `expr:"missed"`        // missed ones among the samples
-	Samples     int     `expr:"samples"`
-	LastMs      float64 `expr:"last_ms"` // response time of the latest, in ms
-	MeanMs      float64 `expr:"mean_ms"` // mean response time of the samples, in ms
-	Flaps       int     `expr:"flaps"`   // changes between answered and missed among the samples
+	MissesInRow int     `expr:"misses_in_row"` // consecutive missed checks up to the latest, 0 if that was answered
+	OKInRow     int     `expr:"ok_in_row"`     // consecutive answered checks up to the latest, 0 if that was missed
+	Missed      int     `expr:"missed"`        // missed checks among the samples
+	Samples     int     `expr:"samples"`       // number of samples
+	LastMs      float64 `expr:"last_ms"`       // response time of the latest check, in ms
+	MeanMs      float64 `expr:"mean_ms"`       // mean response time of the samples, in ms
+	Flaps       int     `expr:"flaps"`         // changes between answered and missed among the samples
 }
 
-// heartbeatEnvironment is for conditions on heartbeats.
+// heartbeatEnvironment holds the variables of conditions on heartbeats.
 type heartbeatEnvironment struct {
-	State    string  `expr:"state"`      // of the latest event
+	State    string  `expr:"state"`      // target state in the latest event
 	SilentMs float64 `expr:"silent_ms"`  // time since the last heartbeat if one is missing, in ms, else 0
-	GapMs    float64 `expr:"gap_ms"`     // between the last two heartbeats, in ms
-	MaxGapMs float64 `expr:"max_gap_ms"` // longest gap among the samples, in ms
+	GapMs    float64 `expr:"gap_ms"`     // time between the last two heartbeats, in ms, 0 if there are fewer
+	MaxGapMs float64 `expr:"max_gap_ms"` // longest time between heartbeats among the samples, in ms
 	Changes  int     `expr:"changes"`    // changes of state among the samples
-	Samples  int     `expr:"samples"`    // heartbeats among the samples
+	Samples  int     `expr:"samples"`    // number of heartbeats among the samples
 }
 
-// requestEnvironment is for conditions on requests: those of the target in the last requestWindow, and with
-// Service before the name those of the service's other targets.
+// requestEnvironment holds the variables of conditions on requests: the target's requests in the last
+// requestWindow and, with the prefix Service, those of the service's other targets.
 type requestEnvironment struct {
 	Count             int     `expr:"count"`
 	Errors            int     `expr:"errors"`
-	ErrorRatio        float64 `expr:"error_ratio"`
+	ErrorRatio        float64 `expr:"error_ratio"` // Errors / Count, 0 without requests
 	ServiceCount      int     `expr:"service_count"`
 	ServiceErrorRatio float64 `expr:"service_error_ratio"`
-	MeanMs            float64 `expr:"mean_ms"`         // mean response time, in ms
-	ServiceMeanMs     float64 `expr:"service_mean_ms"` // the same of the service's other targets
-	Slow              int     `expr:"slow"`
-	ErrorsInRow       int     `expr:"errors_in_row"` // events with errors, up to the latest
+	MeanMs            float64 `expr:"mean_ms"`         // mean response time, in ms, 0 without requests
+	ServiceMeanMs     float64 `expr:"service_mean_ms"` // mean response time of the service's other targets, in ms
+	Slow              int     `expr:"slow"`            // slow requests: see config.Service.SlowMs
+	ErrorsInRow       int     `expr:"errors_in_row"`   // consecutive events with errors up to the latest
 }
 
-// demandEnvironment is for conditions on demand.
+// demandEnvironment holds the variables of conditions on demand.
 type demandEnvironment struct {
-	Demand      float64 `expr:"demand"`       // latest
-	Mean        float64 `expr:"mean"`         // of the samples
-	ServiceMean float64 `expr:"service_mean"` // of the latest ones of the service's other targets
-	Samples     int     `expr:"samples"`
+	Demand      float64 `expr:"demand"`       // latest reported demand of the target
+	Mean        float64 `expr:"mean"`         // mean of the samples
+	ServiceMean float64 `expr:"service_mean"` // mean of the latest demand of the service's other targets, 0 if unknown
+	Samples     int     `expr:"samples"`      // number of samples
 }
 
-// environments has the type that conditions on a slice are compiled for.
+// environments maps each slice to the type that conditions on it are compiled against.
 var environments = map[config.Slice]any{
 	config.SliceProbe:     probeEnvironment{},
 	config.SliceHeartbeat: heartbeatEnvironment{},
@@ -61,10 +61,10 @@
 	config.SliceDemand:    demandEnvironment{},
 }
 
-// unknownSlice is the text of the fault for a slice that has no environment.
+// unknownSlice is the format of the fault for an unknown slice.
 const unknownSlice = "no slice %q: probe, beat, exchange or demand"
 
-// environment returns the environment of the event's slice, right after w has taken the event.
+// environment returns the environment for the event's slice. The event must be the latest one in w.
 func (d *Detector) environment(id wire.TargetID, event Event, w *window) any {
 	switch event.Slice {
 	case config.SliceProbe:
@@ -104,7 +104,7 @@
 	var previous *Event
 	for i, e := range w.events {
 		if !e.Success {
-			continue // no heartbeat, but a missing one
+			continue // the event reports a missing heartbeat
 		}
 		if previous != nil {
 			env.GapMs = milliseconds(e.At - previous.At)
--- a/internal/shared/outlier/event.go
+++ b/internal/shared/outlier/event.go
@@ -7,23 +7,24 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Event is one observation of a target. Only the fields of its slice are set, after those of its identity.
+// Event is one observation of a target. Apart from time and identity, only the fields of its slice are set.
 type Event struct {
-	At          time.Duration `json:"at_ns"` // by the clock of whoever recorded it
+	At          time.Duration `json:"at_ns"` // on the recorder's clock, in ns
 	Slice       config.Slice  `json:"slice"`
 	Service     string        `json:"service"`
 	Name        string        `json:"name"`
 	Incarnation uint64        `json:"incarnation"`
-	// Success: a health check was answered; a heartbeat arrived, else none did for a while.
+	// Success is true if a health check was answered or a heartbeat arrived, false if the check was missed
+	// or the heartbeat is overdue.
 	Success bool `json:"ok,omitempty"`
-	// Milliseconds: of a health check its response time; of a missing heartbeat the time since the last
-	// one; of requests the response times of all Count together.
+	// Milliseconds is the response time of a health check, the time since the last heartbeat if one is
+	// overdue, or the sum of the response times of all Count requests, in ms.
 	Milliseconds float64          `json:"ms,omitempty"`
-	State        wire.TargetState `json:"state,omitempty"`  // of a heartbeat
-	Count        int              `json:"count,omitempty"`  // requests that ended
-	Errors       int              `json:"errors,omitempty"` // requests of Count that failed
-	Slow         int              `json:"slow,omitempty"`   // requests of Count that were slow
-	Demand       float64          `json:"demand,omitempty"` // reported load, 0 and more; 1: as much as the target bears
+	State        wire.TargetState `json:"state,omitempty"`  // target state in a heartbeat
+	Count        int              `json:"count,omitempty"`  // completed requests
+	Errors       int              `json:"errors,omitempty"` // failed requests among Count
+	Slow         int              `json:"slow,omitempty"`   // slow requests among Count
+	Demand       float64          `json:"demand,omitempty"` // reported load, 0 or more; 1 is the target's full capacity
 }
 
 // ID returns the identity of the target.
@@ -31,24 +32,25 @@
 	return wire.TargetID{Service: e.Service, Name: e.Name, Incarnation: e.Incarnation}
 }
 
-// Kinds of decisions that end one. Those that begin one are config.DecideEject and config.DecideDrain.
+// Kinds of a Decision that ends an earlier one. config.DecideEject and config.DecideDrain are the kinds that
+// begin one.
 const (
-	KindClear config.DecisionKind = "clear" // the clear condition is met
-	KindLapse config.DecisionKind = "lapse" // the time to live is over
+	KindClear config.DecisionKind = "clear" // the clear condition was met
+	KindLapse config.DecisionKind = "lapse" // the time to live expired
 )
 
-// Decision is the begin or end of a policy's decision on a target.
+// Decision is the beginning or the end of an ejection or of draining of a target by a policy.
 type Decision struct {
-	At          time.Duration       `json:"at_ns"` // of the event or tick that led to it
+	At          time.Duration       `json:"at_ns"` // time of the event or tick that caused it, in ns
 	Policy      string              `json:"policy"`
 	Kind        config.DecisionKind `json:"kind"` // config.DecideEject, config.DecideDrain, KindClear or KindLapse
 	Service     string              `json:"service"`
 	Name        string              `json:"name"`
 	Incarnation uint64              `json:"incarnation"`
-	TTLMs       int64               `json:"ttl_ms,omitempty"` // of an ejection, in ms
-	Shadow      bool                `json:"shadow,omitempty"` // of a shadow policy: it has no effect
-	Reason      string              `json:"why,omitempty"`    // for people: the condition that was met
+	TTLMs       int64               `json:"ttl_ms,omitempty"` // time to live of an ejection, in ms, else 0
+	Shadow      bool                `json:"shadow,omitempty"` // made by a shadow policy and without effect
+	Reason      string              `json:"why,omitempty"`    // human-readable: the condition that was met or why it ended
 }
 
-// milliseconds returns d in the unit of conditions and scores.
+// milliseconds converts d to milliseconds, the unit of conditions and scores.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/shared/outlier/score.go
+++ b/internal/shared/outlier/score.go
@@ -8,66 +8,67 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Score says how well one policy did on the events so far. A target is out while it is under a
-// decision of the policy.
+// Score rates the decisions of one policy on the events so far. A target is out while a decision of the
+// policy, an ejection or draining, applies to it.
 type Score struct {
 	Policy            string  `json:"policy"`
-	Events            int     `json:"events"`
+	Events            int     `json:"events"`             // events since the score began
 	Ejections         int     `json:"bars"`               // ejections and drains begun
-	WrongEjections    int     `json:"wrong_bars"`         // of Ejections: the target was serving well
+	WrongEjections    int     `json:"wrong_bars"`         // part of Ejections that hit a healthy target
 	Errors            int     `json:"errors"`             // failed requests
-	MissedErrors      int     `json:"missed"`             // of Errors: at targets that were not out
+	MissedErrors      int     `json:"missed"`             // part of Errors at targets that were not out
 	Slow              int     `json:"slow"`               // slow requests
-	MissedSlow        int     `json:"missed_slow"`        // of Slow: at targets that were not out
-	TimeToEjectMs     float64 `json:"to_bar_ms"`          // median time from a fault's first sign to the decision, in ms
-	EjectedMs         float64 `json:"barred_ms"`          // time that targets were out, of all together, in ms
-	Transitions       int     `json:"moves"`              // times that a target went out or came back
-	FailedEvaluations uint64  `json:"failed_evaluations"` // of its conditions
+	MissedSlow        int     `json:"missed_slow"`        // part of Slow at targets that were not out
+	TimeToEjectMs     float64 `json:"to_bar_ms"`          // median time from the first sign of a fault to the decision, in ms
+	EjectedMs         float64 `json:"barred_ms"`          // total time that targets were out, in ms
+	Transitions       int     `json:"moves"`              // number of times a target went out or came back
+	FailedEvaluations uint64  `json:"failed_evaluations"` // number of evaluations that failed
 }
 
 const (
-	historyMax = 64              // events kept of each target
-	delaysMax  = 256             // delays kept of each policy, of which TimeToEjectMs is the median
-	servingFor = 2 * time.Second // how far back events say whether a target is serving well
+	historyMax    = 64              // events kept per target
+	delaysMax     = 256             // delays kept per policy, whose median is TimeToEjectMs
+	healthyWindow = 2 * time.Second // age up to which events count for history.isHealthy
 )
 
-// Scorer scores the policies of a Detector, live and shadow ones. Each is scored by its own decisions,
-// whatever the others decide.
+// Scorer scores the live and shadow policies of a Detector. Each policy is scored by its own decisions
+// alone.
 type Scorer struct {
 	detector  *Detector
 	histories map[wire.TargetID]*history
-	scores    map[string]*policyScore // by policy
+	scores    map[string]*policyScore // by policy name
 }
 
-// history is what the latest events show of a target.
+// history holds the latest events of a target.
 type history struct {
-	events     []Event
-	faultSince time.Duration // first sign of the present fault, 0: there is none
+	events     []Event       // at most historyMax, the oldest first
+	faultSince time.Duration // time of the first sign of the current fault, 0 if there is none
 }
 
-// policyScore is the score of a policy, and what it is computed from.
+// policyScore is the score of a policy with the state that is needed to update it.
 type policyScore struct {
 	Score
 	settings config.Policy
-	outSince map[wire.TargetID]time.Duration // of targets that are out
-	delaysMs []float64                       // the latest, from a fault's first sign to the decision
+	outSince map[wire.TargetID]time.Duration // when each target that is out went out
+	delaysMs []float64                       // latest times from the first sign of a fault to the decision, in ms
 }
 
-// NewScorer returns a Scorer of a Detector, whose events and ticks must all go through it.
+// NewScorer returns a Scorer for a Detector. From then on call Step, Tick and Forget of the Scorer in place
+// of the Detector's.
 func NewScorer(d *Detector) *Scorer {
 	return &Scorer{detector: d, histories: map[wire.TargetID]*history{}, scores: map[string]*policyScore{}}
 }
 
-// Step is Detector.Step, scored.
+// Step calls Detector.Step and updates the scores.
 func (s *Scorer) Step(event Event) []Decision {
 	id := event.ID()
-	past := s.histories[id]
-	if past == nil {
-		past = &history{}
-		s.histories[id] = past
+	targetHistory := s.histories[id]
+	if targetHistory == nil {
+		targetHistory = &history{}
+		s.histories[id] = targetHistory
 	}
 	s.countEvent(id, event)
-	past.add(event)
+	targetHistory.add(event)
 	decisions := s.detector.Step(event)
 	for name, score := range s.scores {
 		if s.detector.policies[name] == nil {
@@ -79,7 +80,7 @@
 	return decisions
 }
 
-// Tick is Detector.Tick, scored.
+// Tick calls Detector.Tick and updates the scores.
 func (s *Scorer) Tick(now time.Duration) []Decision {
 	decisions := s.detector.Tick(now)
 	for _, d := range decisions {
@@ -90,8 +91,9 @@
 	return decisions
 }
 
-// countEvent counts an event for each policy, as of before its decision on it. A policy that is new or has changed
-// begins with a new score.
+// countEvent adds an event to each policy's score. It must be called before the policies are evaluated on the
+// event, so that the event's errors count as missed if the event itself leads to the ejection. A policy that is
+// new or has changed gets a new score.
 func (s *Scorer) countEvent(id wire.TargetID, event Event) {
 	for _, name := range s.detector.policyNames {
 		settings := s.detector.policies[name].settings
@@ -113,13 +115,14 @@
 	}
 }
 
-// recordTransition scores that a target went out under a policy, or came back.
+// recordTransition updates the score if the target has gone out or come back under the policy since the last
+// call.
 func (s *Scorer) recordTransition(now time.Duration, score *policyScore, policy string, id wire.TargetID) {
 	decision, decided := s.detector.decided[id][policy]
 	out := decided && decision.until > now
 	since, wasOut := score.outSince[id]
-	past := s.histories[id]
-	if out == wasOut || past == nil {
+	targetHistory := s.histories[id]
+	if out == wasOut || targetHistory == nil {
 		return
 	}
 	score.Transitions++
@@ -130,18 +133,18 @@
 	}
 	score.outSince[id] = now
 	score.Ejections++
-	if past.isServing(now) {
+	if targetHistory.isHealthy(now) {
 		score.WrongEjections++
 	}
-	if past.faultSince > 0 {
-		score.delaysMs = append(score.delaysMs, milliseconds(now-past.faultSince))
+	if targetHistory.faultSince > 0 {
+		score.delaysMs = append(score.delaysMs, milliseconds(now-targetHistory.faultSince))
 		if len(score.delaysMs) > delaysMax {
 			score.delaysMs = score.delaysMs[1:]
 		}
 	}
 }
 
-// Forget drops a target that is gone for good.
+// Forget calls Detector.Forget and ends the target's time out in all scores.
 func (s *Scorer) Forget(now time.Duration, id wire.TargetID) {
 	for _, score := range s.scores {
 		if since, out := score.outSince[id]; out {
@@ -153,7 +156,7 @@
 	s.detector.Forget(id)
 }
 
-// Scores returns the policies' scores as of now, by name.
+// Scores returns the scores as of now by policy name.
 func (s *Scorer) Scores(now time.Duration) map[string]Score {
 	scores := map[string]Score{}
 	for name, score := range s.scores {
@@ -172,7 +175,7 @@
 	return scores
 }
 
-// add keeps an event and whether it begins or ends a fault.
+// add appends an event and updates faultSince.
 func (h *history) add(e Event) {
 	if e.isFault() && h.faultSince == 0 {
 		h.faultSince = e.At
@@ -185,8 +188,8 @@
 	}
 }
 
-// isFault reports whether an event is a sign of a fault: a missed health check or heartbeat, or more than half
-// of the requests failed or slow.
+// isFault reports whether an event is a sign of a fault: a missed health check or heartbeat, or requests of
+// which more than half failed or were slow.
 func (e *Event) isFault() bool {
 	switch e.Slice {
 	case config.SliceProbe, config.SliceHeartbeat:
@@ -197,8 +200,8 @@
 	return false
 }
 
-// endsFault reports whether an event shows that a fault is over: an answered health check after a missed one, or
-// requests of which less than a tenth failed or were slow, unless health checks showed the fault last.
+// endsFault reports whether an event shows that a fault is over. If the latest sign was a missed health check,
+// that is an answered health check, else requests of which less than a tenth failed or were slow.
 func (h *history) endsFault(e Event) bool {
 	switch e.Slice {
 	case config.SliceProbe:
@@ -209,7 +212,8 @@
 	return false
 }
 
-// lastFaultySlice returns the slice of the latest missed health check, failed or slow request; "" if there is none.
+// lastFaultySlice returns the slice of the latest event with a missed health check or a failed or slow request,
+// "" if there is none.
 func (h *history) lastFaultySlice() config.Slice {
 	for _, e := range slices.Backward(h.events) {
 		if e.Slice == config.SliceProbe && !e.Success || e.Slice == config.SliceRequest && e.Errors+e.Slow > 0 {
@@ -219,12 +223,12 @@
 	return ""
 }
 
-// isServing reports whether the target has served well of late: no missed health check or heartbeat, and less
-// than a tenth of its requests failed or slow.
-func (h *history) isServing(now time.Duration) bool {
+// isHealthy reports whether the target served requests within healthyWindow, less than a tenth of them failed
+// or slow, and missed no health check or heartbeat.
+func (h *history) isHealthy(now time.Duration) bool {
 	requests, bad := 0, 0
 	for _, e := range h.events {
-		if now-e.At > servingFor {
+		if now-e.At > healthyWindow {
 			continue
 		}
 		switch e.Slice {
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -13,27 +13,29 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Session evaluates policies on one stream of lines: events go in and decisions come out, and a line
-// may replace policies in between. A line that is rejected gets an error and changes nothing. A
-// session has no effect on the fleet. It is for one goroutine.
+// Session evaluates policies on a caller's stream of JSON lines. A line is an event, whose decisions are
+// returned, or replaces policies. A rejected line gets an error and changes nothing. A session has no effect
+// on the fleet. It is not safe for concurrent use.
 type Session struct {
-	Lines    uint64 // lines evaluated so far
+	Lines    uint64 // number of lines evaluated so far
 	detector *Detector
-	config   config.Config // with the policies in force
-	lastAt   time.Duration // time of the latest event
-	targets  map[wire.TargetID]bool
+	config   config.Config          // only its policies are used
+	lastAt   time.Duration          // time of the latest event
+	targets  map[wire.TargetID]bool // targets seen so far
 }
 
-// inputLine is a line of a stream: an event, bare or in a field, or policies to replace.
+// inputLine is a line of a stream: an event, either as the line itself or in its field, or policies to
+// replace.
 type inputLine struct {
 	Event    *Event                     `json:"event"`
 	Policies map[string]json.RawMessage `json:"policies"`
 	bareEvent
 }
 
-// bareEvent lets a line be an event itself.
+// bareEvent is embedded in inputLine so that the fields of an event may be those of the line itself.
 type bareEvent Event
 
+// parseLine decodes a line and sets Event if the line itself is an event.
 func parseLine(text []byte) (line inputLine, err error) {
 	if err := json.Unmarshal(text, &line); err != nil {
 		return line, err
@@ -45,23 +47,23 @@
 	return line, nil
 }
 
-// Result is what came of a line: one decision, the policies that it replaced, or why it was rejected.
+// Result is one result of a line: a decision, the names of the replaced policies, or an error.
 type Result struct {
-	Line     uint64         `json:"line"` // number of the line, from 1
-	Decision *Decision      `json:"decision,omitempty"`
-	Replaced []string       `json:"replaced,omitempty"` // names of policies, in no order
-	Error    string         `json:"error,omitempty"`    // for people
-	Faults   []config.Fault `json:"faults,omitempty"`   // of the line's policies
+	Line     uint64         `json:"line"`               // number of the line, starting at 1
+	Decision *Decision      `json:"decision,omitempty"` // nil if the result is not a decision
+	Replaced []string       `json:"replaced,omitempty"` // names of the replaced policies, unsorted
+	Error    string         `json:"error,omitempty"`    // human-readable, "" if the line was accepted
+	Faults   []config.Fault `json:"faults,omitempty"`   // faults of the policies in the line
 }
 
-// NewSession returns a Session that begins with the policies of a configuration.
+// NewSession returns a Session that starts with the policies of a configuration.
 func NewSession(c *config.Config) *Session {
 	s := &Session{detector: New(), config: *c, targets: map[wire.TargetID]bool{}}
 	s.detector.Replace(&s.config)
 	return s
 }
 
-// Evaluate evaluates one line and returns its results, in order.
+// Evaluate evaluates one line and returns its results in the order in which they occurred.
 func (s *Session) Evaluate(text []byte) []Result {
 	s.Lines++
 	line, err := parseLine(text)
@@ -72,7 +74,7 @@
 		return s.replacePolicies(line.Policies)
 	}
 	if line.Event == nil {
-		return nil // a stream's line without an event: a decision, or how many lines a reader missed
+		return nil // another line of a recorded stream: a decision, or the number of lines that the reader missed
 	}
 	event := *line.Event
 	if why := s.checkEvent(&event); why != "" {
@@ -87,12 +89,12 @@
 	return results
 }
 
-// rejected returns the result of a line that is rejected.
+// rejected returns the result for a rejected line.
 func (s *Session) rejected(why string) []Result {
 	return []Result{{Line: s.Lines, Error: why}}
 }
 
-// checkEvent returns why an event is rejected, "": it is not.
+// checkEvent returns why an event is rejected, "" if it is valid.
 func (s *Session) checkEvent(e *Event) string {
 	switch _, known := environments[e.Slice]; {
 	case !known:
@@ -109,7 +111,7 @@
 	return ""
 }
 
-// replacePolicies replaces policies by their names; null removes one. If one has a fault, all stay.
+// replacePolicies replaces policies by name; null removes a policy. If any policy has a fault, nothing changes.
 func (s *Session) replacePolicies(changed map[string]json.RawMessage) []Result {
 	next := s.config
 	next.Policies = maps.Clone(s.config.Policies)
@@ -142,7 +144,7 @@
 	return []Result{result}
 }
 
-// parsePolicy reads and checks one policy; faults are by the names of its fields.
+// parsePolicy decodes and checks one policy. The paths of its faults are field names.
 func parsePolicy(raw []byte) (config.Policy, []config.Fault) {
 	p := config.Policy{Mode: config.ModeLive}
 	faults, err := config.Decode(raw, &p)
--- a/internal/shared/outlier/session_test.go
+++ b/internal/shared/outlier/session_test.go
@@ -9,9 +9,9 @@
 	"myrtlefold/internal/shared/config"
 )
 
-// Events give decisions, a line may replace policies in between, and lines that are rejected get an error each.
+// A session returns decisions for events, replaces policies in between, and returns an error for each rejected line.
 func TestSessionEvaluatesLines(t *testing.T) {
-	d := NewSession(&config.Config{})
+	session := NewSession(&config.Config{})
 	ev := func(ms int, ok bool) string {
 		b, _ := json.Marshal(Event{At: time.Duration(ms) * time.Millisecond, Slice: "probe", Service: "s", Name: "a", Incarnation: 1, Success: ok})
 		return string(b)
@@ -22,23 +22,23 @@
 		{"not JSON", "error"},
 		{`{"slice":"weather","service":"s","name":"a","incarnation":1}`, "error"},
 		{`{"slice":"probe","service":"s","name":"a"}`, "error"},
-		{ev(100, false), "error"}, // back in time: not counted as a miss
+		{ev(100, false), "error"}, // earlier than the latest event: not counted as a miss
 		{ev(1000, false), "bar"},
 		{`{"event":` + ev(1500, true) + `}`, "clear"},
 		{`{"decision":{"kind":"bar"}}`, ""},
 		{`{"policies":{"default":{"slice":"probe","when":"nonsense","decide":"bar","ttl_ms":9}}}`, "error"},
 		{ev(2000, false), ""},
 		{`{"policies":{"default":{"slice":"probe","when":"missed >= 4","decide":"bar","ttl_ms":1000}}}`, "replaced"},
-		{ev(2500, false), "bar"}, // windows stay: 4 missed in all
+		{ev(2500, false), "bar"}, // samples are kept when policies change: 4 missed in all
 		{ev(4000, true), "lapse bar"},
 		{`{"policies":{"default":null}}`, "replaced"},
 		{ev(4100, false), ""},
-		{ev(5100, false), "lapse bar"}, // not named any more, the default policy is the shipped one again
+		{ev(5100, false), "lapse bar"}, // without an override the built-in default policy is in force again
 	} {
 		var got []string
-		for _, l := range d.Evaluate([]byte(c.in)) {
+		for _, l := range session.Evaluate([]byte(c.in)) {
 			if l.Line != uint64(i+1) {
-				t.Errorf("line %d is called %d", i+1, l.Line)
+				t.Errorf("the result of line %d has line number %d", i+1, l.Line)
 			}
 			switch {
 			case l.Error != "":
--- a/internal/shared/outlier/window.go
+++ b/internal/shared/outlier/window.go
@@ -11,14 +11,14 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// requestWindow is how far back conditions on requests and demand see.
+// requestWindow is the age up to which requests, and the demand of a service's other targets, count in conditions.
 const requestWindow = tuning.RetryWindow
 
-// window is the latest events of one slice of one target, at most tuning.PolicyWindow.
+// window holds the latest events of one slice of one target.
 type window struct {
-	events  []Event
-	streak  int  // how many of the latest events in a row have the same outcome
-	success bool // that outcome
+	events  []Event // at most tuning.PolicyWindow, the oldest first
+	streak  int     // number of consecutive events up to the latest with the outcome success
+	success bool    // outcome of the latest event
 }
 
 func (w *window) add(e Event) {
@@ -37,7 +37,8 @@
 	}
 }
 
-// totals adds up the requests of the last requestWindow. Only the counts and the time are set.
+// totals returns the sums over the events of the last requestWindow: Count, Errors, Slow and Milliseconds. The
+// other fields are not set.
 func (w *window) totals(now time.Duration) (total Event) {
 	for _, e := range w.events {
 		if now-e.At <= requestWindow {
@@ -50,8 +51,8 @@
 	return total
 }
 
-// otherWindows yields the windows that the other targets of a target's service have of a slice. They come in
-// order, so that sums of floats are the same in every run.
+// otherWindows yields the windows of a slice for all other targets of the same service. They are sorted by
+// target, since sums of floats depend on their order and must be the same in every run.
 func (d *Detector) otherWindows(id wire.TargetID, slice config.Slice) iter.Seq[*window] {
 	return func(yield func(*window) bool) {
 		for _, other := range slices.SortedFunc(maps.Keys(d.windows), wire.TargetID.Compare) {
