--- a/internal/shared/state/apply.go
+++ b/internal/shared/state/apply.go
@@ -1,4 +1,4 @@
-// This file changes the state by committed log entries.
+// This file applies committed log entries to the state.
 
 package state
 
@@ -8,11 +8,11 @@
 	"slices"
 )
 
-// Apply changes the state by the committed entry at a log index. It is the one place that does, and
-// depends on nothing else, so all members that applied the same entries have the same state.
+// Apply applies the committed command at a log index. Nothing else changes the state, and the result depends
+// only on the state and the command, so all members that applied the same entries have the same state.
 func (s *State) Apply(index uint64, command Command) {
 	if command.Operation == OpRegisterTargets {
-		s.changeRegistry(command.Targets) // no table depends on it, so Index stays
+		s.changeRegistry(command.Targets) // no table depends on the registry, so Index does not change
 		return
 	}
 	s.Index = index
@@ -31,7 +31,7 @@
 	}
 }
 
-// isApplied says that a command with this token is in the log already, of which Apply keeps the first.
+// isApplied reports whether a command with this token was applied before. Repeated commands have no effect.
 func (s *State) isApplied(token string) bool {
 	if s.FindRecord(token) != nil {
 		return true
@@ -40,7 +40,7 @@
 	return accepted
 }
 
-// applyOperatorChange applies a change that an operator asked for and records it under its token.
+// applyOperatorChange applies a change that an operator requested and records it under its token.
 func (s *State) applyOperatorChange(index uint64, command Command) {
 	record := Record{
 		ID:          command.Token,
@@ -79,13 +79,15 @@
 	}
 }
 
-// isNextConfiguration says that a configuration was built on the present revision and has a number above it.
+// isNextConfiguration reports whether a configuration is based on the current revision and, if the operator
+// numbered it, has a higher number.
 func (s *State) isNextConfiguration(command Command) bool {
 	return command.Base == s.Revision && (command.RequestedRevision == 0 || command.RequestedRevision > s.Revision)
 }
 
-// outcomeOfStaleBase is what becomes of a configuration that is not the next one: of two commands for
-// the same change the second finds it accepted.
+// outcomeOfStaleBase returns the outcome of a configuration that is not the next one, and the revision to
+// record with it. If the same change was already accepted by an earlier command, the outcome is
+// OutcomeAccepted with the revision of that time.
 func (s *State) outcomeOfStaleBase(command Command) (outcome Outcome, revision uint64) {
 	if command.Digest == nil {
 		return OutcomeStale, s.Revision
@@ -100,6 +102,7 @@
 	return OutcomeStale, s.Revision
 }
 
+// replaceConfiguration makes the command's document the configuration and remembers the change by its digest.
 func (s *State) replaceConfiguration(command Command) {
 	s.Revision = cmp.Or(command.RequestedRevision, s.Revision+1)
 	s.Document = command.Document
@@ -120,9 +123,9 @@
 	s.EmptiedDomains = slices.DeleteFunc(slices.Clone(s.EmptiedDomains), func(d string) bool { return d == domain })
 }
 
-// changeProxies changes the proxy membership. The one before counts beside it until the new one is in
-// force everywhere; while that is so, further changes keep the first, so that any two majorities that
-// decide share a proxy.
+// changeProxies changes the proxy membership. Until the new membership is in force everywhere, decisions need a
+// majority of the previous membership too. Further changes in that time keep PreviousProxies as set by the first
+// of them, so that any two deciding majorities have a proxy in common.
 func (s *State) changeProxies(index uint64, added []ProxyEntry, removed []string) {
 	isReplaced := func(proxy ProxyEntry) bool {
 		return slices.Contains(removed, proxy.Name) ||
@@ -136,16 +139,17 @@
 	s.Proxies, s.ProxiesIndex = proxies, index
 }
 
-// confirmProxies ends the time of the previous proxy membership, unless Proxies has changed again since
-// the change at this log index.
+// confirmProxies drops the previous proxy membership, unless Proxies has changed again since the change at
+// this log index.
 func (s *State) confirmProxies(changeIndex uint64) {
 	if changeIndex == s.ProxiesIndex {
 		s.PreviousProxies = nil
 	}
 }
 
-// recover begins an epoch with a state from an earlier one. Only the first such entry counts. One that
-// does not decode leaves the epoch without its first state: the leader goes on to another.
+// recover sets the first state of an epoch to a state recovered from an earlier epoch. Only the first valid
+// entry has an effect. If the state does not decode, the epoch stays without a first state and the leader tries
+// another one.
 func (s *State) recover(index uint64, encoded json.RawMessage) {
 	if s.Recovered {
 		return
--- a/internal/shared/state/changes.go
+++ b/internal/shared/state/changes.go
@@ -1,5 +1,5 @@
-// This file keeps which changes were accepted, apart from their texts, so that a change that is
-// repeated long after it was accepted is recognized.
+// This file keeps the digests of accepted changes, so that a change that is sent again long after it was
+// accepted is recognized when its document is no longer kept.
 
 package state
 
@@ -16,13 +16,13 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// ChangeDigest stands for a change: the first bytes of a SHA-256 of what was asked for.
+// ChangeDigest identifies a change by its content: the first 16 bytes of a SHA-256 hash of the request.
 type ChangeDigest [16]byte
 
-// MarshalText is the form in the log: hexadecimal.
+// MarshalText encodes the digest in hexadecimal, as stored in the log.
 func (d ChangeDigest) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, d[:]), nil }
 
-// UnmarshalText reads the form that MarshalText writes, and rejects any other length.
+// UnmarshalText decodes the output of MarshalText. It rejects text of any other length.
 func (d *ChangeDigest) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(d)) {
 		return errors.Newf("an order's digest has %d characters", len(text))
@@ -31,8 +31,8 @@
 	return errors.Wrap(err, "an order's digest")
 }
 
-// DigestOf is the digest of a change's parts. Each counts with its length, so that other parts with
-// the same concatenation have another digest.
+// DigestOf returns the digest of the parts of a change. Each part is prefixed with its length, so that
+// different parts with the same concatenation have different digests.
 func DigestOf(parts ...[]byte) (digest ChangeDigest) {
 	sum := sha256.New()
 	for _, part := range parts {
@@ -47,7 +47,7 @@
 
 func digestOfToken(token string) ChangeDigest { return DigestOf([]byte(token)) }
 
-// acceptedChange is a change that was accepted, and the revision that it led to.
+// acceptedChange is the digest of an accepted change and the revision that it led to.
 type acceptedChange struct {
 	digest   ChangeDigest
 	revision uint64
@@ -56,11 +56,11 @@
 // Sizes of an acceptedChange in the encoded state, in bytes.
 const (
 	digestBytes         = len(ChangeDigest{})
-	acceptedChangeBytes = digestBytes + 8 // with the revision
+	acceptedChangeBytes = digestBytes + 8 // digest and revision
 )
 
-// acceptedChanges are the latest accepted changes, the oldest first. The list is never changed in
-// place, since a state is copied by value.
+// acceptedChanges is a list of the latest accepted changes, the oldest first. It is never modified in place,
+// since copies of a State share it.
 type acceptedChanges []acceptedChange
 
 func (l acceptedChanges) find(digest ChangeDigest) (revision uint64, found bool) {
@@ -72,22 +72,22 @@
 	return 0, false
 }
 
-// with is the list with one more change.
+// with returns the list with one more change. The receiver is not modified.
 func (l acceptedChanges) with(change acceptedChange) acceptedChanges {
 	return append(slices.Clip(l), change)
 }
 
-// latest is the list without its oldest changes, at most so many, and the revision of the last one
-// left out, 0 if none is.
-func (l acceptedChanges) latest(most int) (kept acceptedChanges, leftOut uint64) {
-	n := len(l) - most
+// latest returns the latest limit changes, and the revision of the latest change that it omits, 0 if it omits
+// none.
+func (l acceptedChanges) latest(limit int) (kept acceptedChanges, omitted uint64) {
+	n := len(l) - limit
 	if n <= 0 {
 		return l, 0
 	}
 	return l[n:], l[n-1].revision
 }
 
-// MarshalText is the form in snapshots: fixed-size records in base64.
+// MarshalText encodes the list as fixed-size records in base64, as stored in snapshots.
 func (l acceptedChanges) MarshalText() ([]byte, error) {
 	raw := make([]byte, 0, len(l)*acceptedChangeBytes)
 	for _, change := range l {
@@ -97,7 +97,7 @@
 	return base64.StdEncoding.AppendEncode(nil, raw), nil
 }
 
-// UnmarshalText reads the form that MarshalText writes, and rejects any other length.
+// UnmarshalText decodes the output of MarshalText. It rejects data that is not a whole number of records.
 func (l *acceptedChanges) UnmarshalText(text []byte) error {
 	raw, err := base64.StdEncoding.AppendDecode(nil, bytes.TrimSpace(text))
 	if err != nil {
@@ -115,40 +115,40 @@
 	return nil
 }
 
-// AcceptedChanges says which changes were accepted, of each kind the latest tuning.AcceptedChangesKept.
+// AcceptedChanges holds the latest accepted changes, at most tuning.AcceptedChangesKept of each kind.
 type AcceptedChanges struct {
-	// Configurations are the changes of the configuration, by kind, base and text.
+	// Configurations are changes of the configuration. Their digests cover kind, base and text of the change.
 	Configurations acceptedChanges `json:"configurations,omitempty"`
-	// Tokens are all other changes, by the operator's token.
+	// Tokens are all other changes. Their digests cover the operator's token.
 	Tokens acceptedChanges `json:"tokens,omitempty"`
-	// CompleteSince is the earliest revision from which on every accepted change is among
-	// Configurations. Whether a change that was built on an earlier one was accepted is unknown.
+	// CompleteSince is the earliest base revision for which Configurations is complete: every accepted change
+	// with this base or a later one is in it. Whether a change with an earlier base was accepted is unknown.
 	CompleteSince uint64 `json:"since,omitempty"`
 }
 
-// addConfiguration adds an accepted change of the configuration.
+// addConfiguration records an accepted change of the configuration.
 func (a *AcceptedChanges) addConfiguration(digest ChangeDigest, revision uint64) {
 	a.Configurations = a.Configurations.with(acceptedChange{digest, revision})
 	*a = a.latest(tuning.AcceptedChangesKept)
 }
 
-// addToken adds any other accepted change.
+// addToken records any other accepted change by its token.
 func (a *AcceptedChanges) addToken(token string, revision uint64) {
 	a.Tokens = a.Tokens.with(acceptedChange{digestOfToken(token), revision})
 	*a = a.latest(tuning.AcceptedChangesKept)
 }
 
-// latest leaves out the oldest changes, so that of each kind there are at most so many.
-func (a AcceptedChanges) latest(most int) AcceptedChanges {
-	var leftOut uint64
-	a.Configurations, leftOut = a.Configurations.latest(most)
-	a.CompleteSince = max(a.CompleteSince, leftOut)
-	a.Tokens, _ = a.Tokens.latest(most)
+// latest returns the latest limit changes of each kind, with CompleteSince raised to match.
+func (a AcceptedChanges) latest(limit int) AcceptedChanges {
+	var omitted uint64
+	a.Configurations, omitted = a.Configurations.latest(limit)
+	a.CompleteSince = max(a.CompleteSince, omitted)
+	a.Tokens, _ = a.Tokens.latest(limit)
 	return a
 }
 
-// FindToken says whether a change other than one of the configuration was accepted under a token, and
-// at which revision.
+// FindToken reports whether a change of another kind than OpConfigure was accepted under this token, and at
+// which revision.
 func (s *State) FindToken(token string) (revision uint64, accepted bool) {
 	if token == "" {
 		return 0, false
@@ -156,18 +156,18 @@
 	return s.Changes.Tokens.find(digestOfToken(token))
 }
 
-// ChangeStatus says whether a change that is not built on the present revision was accepted.
+// ChangeStatus is what is known of a configuration change whose base is not the current revision.
 type ChangeStatus int
 
-// What can be known of a change.
+// Statuses of a configuration change.
 const (
-	NeverAccepted   ChangeStatus = iota // and never will be: its base is not the present revision
-	AlreadyAccepted                     // it led to a revision
-	Forgotten                           // its base is before all that is kept, so it may have been accepted
+	NeverAccepted   ChangeStatus = iota // not accepted, and never will be, since its base is outdated
+	AlreadyAccepted                     // accepted earlier
+	Forgotten                           // unknown: its base is older than AcceptedChanges.CompleteSince
 )
 
-// FindChange says what became of a change of the configuration that was built on an earlier revision,
-// and the revision that it led to if it was accepted.
+// FindChange returns the status of a configuration change with an earlier base and, if it was accepted, the
+// revision that it led to.
 func (s *State) FindChange(digest ChangeDigest, base uint64) (ChangeStatus, uint64) {
 	if revision, found := s.Changes.Configurations.find(digest); found {
 		return AlreadyAccepted, revision
@@ -178,9 +178,9 @@
 	return NeverAccepted, 0
 }
 
-// completeChanges sets the bound in a state that was written before accepted changes were kept: nothing
-// is known of the changes that led to its revision.
-func (s *State) completeChanges() {
+// initCompleteSince sets Changes.CompleteSince in a state that was stored by a version that did not keep accepted
+// changes: nothing is known of the changes that led to its revision.
+func (s *State) initCompleteSince() {
 	if len(s.Changes.Configurations) == 0 && s.Changes.CompleteSince < s.Revision {
 		s.Changes.CompleteSince = s.Revision
 	}
--- a/internal/shared/state/changes_test.go
+++ b/internal/shared/state/changes_test.go
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// stateAfter is a state after so many accepted changes, each built on the one before.
+// stateAfter returns a state after a number of accepted changes, each based on the one before.
 func stateAfter(changes int) State {
 	s := New()
 	s.Recovered = true
@@ -19,11 +19,11 @@
 	return s
 }
 
-// digestOfChange is the digest of a change of stateAfter.
+// digestOfChange returns the digest of the i-th change in stateAfter.
 func digestOfChange(i int) ChangeDigest { return DigestOf(fmt.Append(nil, i)) }
 
-// checkFindChange checks what a state says of each of so many changes, of which it keeps the latest, and
-// of other changes on the same bases.
+// checkFindChange checks the status of each of the changes in stateAfter, of which the state keeps the latest kept,
+// and of a change that was never accepted on each of the same bases.
 func checkFindChange(t *testing.T, s *State, changes, kept int) {
 	t.Helper()
 	other := DigestOf([]byte("other"))
@@ -38,13 +38,13 @@
 			want = NeverAccepted
 		}
 		if status, _ := s.FindChange(other, base); status != want {
-			t.Fatalf("another change on base %d: status %d, want %d", base, status, want)
+			t.Fatalf("change that was never accepted, on base %d: status %d, want %d", base, status, want)
 		}
 	}
 }
 
-// Accepted changes are recognized far beyond the records, and a change that was built on a revision
-// before all that is kept is not called rejected: also in a state that was encoded and in proxies' copies.
+// Accepted changes are recognized long after their records are dropped, and a change whose base is older than all
+// kept changes is reported as unknown, not as rejected. Both hold in a decoded state and in proxies' copies too.
 func TestAcceptedChangesOutliveRecords(t *testing.T) {
 	const changes = tuning.AcceptedChangesKept + 100
 	s := stateAfter(changes)
@@ -56,7 +56,7 @@
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	decoded.completeChanges()
+	decoded.initCompleteSince()
 	var atProxies State
 	if err := json.Unmarshal(s.EncodeForProxies(nil), &atProxies); err != nil {
 		t.Fatal(err)
@@ -73,14 +73,15 @@
 		t.Run(c.name, func(t *testing.T) { checkFindChange(t, &c.state, changes, c.kept) })
 	}
 	if most := tuning.AcceptedChangesKept*acceptedChangeBytes*4/3 + 16<<10; len(text) > most {
-		t.Errorf("a state of %d bytes", len(text))
+		t.Errorf("the encoded state has %d bytes, want at most %d", len(text), most)
 	}
 	if n := len(s.EncodeForProxies(nil)); n > 12<<10 {
-		t.Errorf("proxies' copy has %d bytes", n)
+		t.Errorf("the copy for proxies has %d bytes, want at most %d", n, 12<<10)
 	}
 }
 
-// A repeated change that reaches the log is accepted as the first was, stale or unknown, and changes nothing.
+// A configuration with an outdated base that reaches the log changes nothing. Its outcome is accepted if it repeats an
+// accepted change, unknown if its base is older than all kept changes, else stale.
 func TestRepeatedChangesInTheLog(t *testing.T) {
 	const changes = tuning.AcceptedChangesKept + 100
 	s := stateAfter(changes)
@@ -97,16 +98,17 @@
 		before := s.Revision
 		s.Apply(s.Index+1, Command{Operation: OpConfigure, Token: c.token, Base: c.base, Document: json.RawMessage(`{"x":1}`), Digest: &c.digest})
 		if r := s.FindRecord(c.token); r == nil || r.Outcome != c.outcome || s.Revision != before {
-			t.Errorf("%+v: %+v, revision %d", c, r, s.Revision)
+			t.Errorf("%+v: record %+v, revision %d, want %d", c, r, s.Revision, before)
 		}
 	}
 }
 
-// A state that was written before accepted changes were kept rejects none that it can't know.
+// In a state stored by a version that did not keep accepted changes, the status of an earlier change is unknown, not
+// rejected.
 func TestStateWithoutAcceptedChanges(t *testing.T) {
 	s := State{Revision: 7}
-	s.completeChanges()
+	s.initCompleteSince()
 	if status, _ := s.FindChange(ChangeDigest{1}, 6); status != Forgotten {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want %d", status, Forgotten)
 	}
 }
--- a/internal/shared/state/command.go
+++ b/internal/shared/state/command.go
@@ -1,52 +1,52 @@
-// This file has the commands that the log's entries hold.
+// This file defines the commands stored in log entries.
 
 package state
 
 import "encoding/json"
 
-// Operation is what a Command does. The texts stand in the log.
+// Operation is the kind of a Command. Its values are stored in the log.
 type Operation string
 
-// The operations.
+// Operations of commands.
 const (
 	OpConfigure       Operation = "config"   // replaces the configuration
-	OpEmptyDomain     Operation = "empty"    // a failure domain gets no new requests
-	OpRestoreDomain   Operation = "restore"  // a failure domain gets new requests again
-	OpChangeProxies   Operation = "roster"   // the leader adds and removes proxies
-	OpProxiesInForce  Operation = "enrolled" // the last change of proxies is in force everywhere
-	OpForgetProxy     Operation = "forget"   // an operator removes a proxy
-	OpRemoveMember    Operation = "out"      // an operator removes a member of the control plane
-	OpAddMember       Operation = "in"       // an operator adds a member, also one that was removed
-	OpRecover         Operation = "adopt"    // an epoch's first state, recovered from an earlier epoch
-	OpRegisterTargets Operation = "targets"  // a batch of changes of the registry of targets
+	OpEmptyDomain     Operation = "empty"    // stops new requests to a failure domain
+	OpRestoreDomain   Operation = "restore"  // allows new requests to a failure domain again
+	OpChangeProxies   Operation = "roster"   // adds and removes proxies, decided by the leader
+	OpProxiesInForce  Operation = "enrolled" // confirms that the last change of proxies is in force everywhere
+	OpForgetProxy     Operation = "forget"   // removes a proxy, requested by an operator
+	OpRemoveMember    Operation = "out"      // removes a member of the control plane, requested by an operator
+	OpAddMember       Operation = "in"       // adds a member or readmits a removed one, requested by an operator
+	OpRecover         Operation = "adopt"    // sets an epoch's first state, recovered from an earlier epoch
+	OpRegisterTargets Operation = "targets"  // applies a batch of changes to the target registry
 )
 
-// Command is the content of a log entry: an operation with its arguments. A field that no operation
-// is named for belongs to all changes that operators ask for.
+// Command is the content of a log entry: an operation and its arguments. Fields whose comment names no
+// operation are set for every change that an operator requested.
 type Command struct {
-	// Operation says which of the other fields count.
+	// Operation determines which of the other fields are used.
 	Operation Operation `json:"op"`
-	// Token is the operator's id of the change, "" for the leader's own commands. A command whose
-	// token has been applied before does nothing.
+	// Token is the operator's id of the change, "" for the leader's own commands. A command whose token was
+	// applied before has no effect.
 	Token string `json:"token,omitempty"`
-	// Base is the revision that a configuration was built on, or, with OpProxiesInForce, the log
-	// index of the change of proxies.
+	// Base is the revision on which a configuration is based or, with OpProxiesInForce, the log index of the
+	// change of proxies.
 	Base uint64 `json:"base,omitempty"`
-	// Document is the configuration of an OpConfigure.
+	// Document is the new configuration of an OpConfigure.
 	Document json.RawMessage `json:"doc,omitempty"`
-	// Description says to people what the change does; "" stands for the operation and its name.
+	// Description describes the change in human-readable form. Default: "", operation and name.
 	Description string `json:"what,omitempty"`
-	// Name is the failure domain, proxy or member that the operation is about.
+	// Name is the name of the failure domain, proxy or member to which the operation applies.
 	Name string `json:"name,omitempty"`
-	// Proxies are the proxies that an OpChangeProxies adds or replaces, by name.
+	// Proxies are the proxies that an OpChangeProxies adds, or replaces by name.
 	Proxies []ProxyEntry `json:"gates,omitempty"`
-	// RemovedProxies are the names of those that it removes.
+	// RemovedProxies are the names of the proxies that an OpChangeProxies removes.
 	RemovedProxies []string `json:"gone,omitempty"`
-	// State is the encoded first state of an OpRecover.
+	// State is the encoded state of an OpRecover.
 	State json.RawMessage `json:"state,omitempty"`
-	// RequestedRevision is the operator's own number for a configuration, 0: the next one.
+	// RequestedRevision is the operator's number for the configuration of an OpConfigure, 0 for the next one.
 	RequestedRevision uint64 `json:"rev,omitempty"`
-	// Digest stands for a change of the configuration as it was asked for.
+	// Digest identifies the change of an OpConfigure as the operator requested it, nil if it has no digest.
 	Digest *ChangeDigest `json:"sum,omitempty"`
 	// Targets is the batch of an OpRegisterTargets.
 	Targets *RegistryChange `json:"reg,omitempty"`
--- a/internal/shared/state/encoding.go
+++ b/internal/shared/state/encoding.go
@@ -1,5 +1,5 @@
-// This file is the form that the state and its log entries have in the log, in snapshots and on disk:
-// JSON, compressed where it is long, so that disks, links and memory hold a fraction.
+// This file encodes the state and its commands for the log, snapshots and the disk: as JSON, which is compressed
+// if it is long to save disk space, bandwidth and memory.
 
 package state
 
@@ -12,19 +12,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// ErrDamaged marks a state, or an entry that leads to it, that can't be decoded completely.
+// ErrDamaged marks the error for a state or command that can't be decoded completely.
 var ErrDamaged = errors.New("agreed state damaged")
 
-// EncodeCommand is the form of a command in a log entry.
+// EncodeCommand encodes a command for a log entry.
 func EncodeCommand(command Command) []byte {
 	text, err := json.Marshal(command)
 	if err != nil {
-		panic(errors.Wrap(err, "log entry"))
+		panic(errors.Wrap(err, "encode command"))
 	}
 	return wire.Compress(text)
 }
 
-// DecodeCommand reads what EncodeCommand writes. Its errors are marked ErrDamaged.
+// DecodeCommand decodes the output of EncodeCommand. Its errors are marked ErrDamaged.
 func DecodeCommand(data []byte) (command Command, err error) {
 	text, err := wire.Decompress(data)
 	if err == nil {
@@ -33,17 +33,17 @@
 	return command, errors.Mark(err, ErrDamaged)
 }
 
-// Encode is the form of a state in a snapshot.
+// Encode encodes a state for a snapshot.
 func Encode(s *State) []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
-		panic(errors.Wrap(err, "state"))
+		panic(errors.Wrap(err, "encode state"))
 	}
 	return wire.Compress(text)
 }
 
-// Decode reads what Encode writes; no data is the state before the first entry. Its errors are marked
-// ErrDamaged, and come with that state.
+// Decode decodes the output of Encode. Empty data gives the state before the first log entry. On an error,
+// which is marked ErrDamaged, Decode returns that state too.
 func Decode(data []byte) (State, error) {
 	s := New()
 	if len(data) == 0 {
@@ -56,12 +56,12 @@
 	if err != nil {
 		return New(), errors.Mark(err, ErrDamaged)
 	}
-	s.completeChanges()
+	s.initCompleteSince()
 	return s, nil
 }
 
-// DecodeRecovered reads a state of an earlier epoch. Since an epoch begins with it, its configuration
-// too must be one that can be put in force. Its errors are marked ErrDamaged.
+// DecodeRecovered decodes a state of an earlier epoch. A new epoch begins with this state, so its configuration
+// must parse too. Its errors are marked ErrDamaged.
 func DecodeRecovered(recovered RecoveredState) (State, error) {
 	s, err := Decode(recovered.State)
 	if err == nil && len(s.Document) > 0 {
--- a/internal/shared/state/record.go
+++ b/internal/shared/state/record.go
@@ -1,4 +1,4 @@
-// This file has the records of operators' changes, which the API's history shows.
+// This file keeps records of operators' changes for the history in the API.
 
 package state
 
@@ -9,29 +9,29 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Record is one change as it was committed.
+// Record describes one committed change.
 type Record struct {
 	ID          string          `json:"id"`             // the operator's token
-	Description string          `json:"what"`           // for people
-	Outcome     Outcome         `json:"outcome"`        // what became of it
-	Base        uint64          `json:"base,omitempty"` // revision that it was built on
-	Revision    uint64          `json:"revision"`       // revision that it led to
-	Index       uint64          `json:"seq"`            // its log index
-	Document    json.RawMessage `json:"doc,omitempty"`  // the configuration that it led to, nil if that is not kept
-	Digest      *ChangeDigest   `json:"sum,omitempty"`  // of a change of the configuration as it was asked for
+	Description string          `json:"what"`           // human-readable
+	Outcome     Outcome         `json:"outcome"`        // result of the change
+	Base        uint64          `json:"base,omitempty"` // revision on which the change is based
+	Revision    uint64          `json:"revision"`       // revision after the change
+	Index       uint64          `json:"seq"`            // log index of the change
+	Document    json.RawMessage `json:"doc,omitempty"`  // configuration after the change, nil if it is not kept
+	Digest      *ChangeDigest   `json:"sum,omitempty"`  // digest of an accepted configuration change, else nil
 }
 
-// Outcome is what became of a committed change. The texts stand in the log and in answers.
+// Outcome is the result of a committed change. Its values are stored in the log and sent in API responses.
 type Outcome string
 
 // Outcomes of a change.
 const (
-	OutcomeAccepted Outcome = "accepted"
-	OutcomeStale    Outcome = "stale"   // built on another revision than the present one
-	OutcomeUnknown  Outcome = "unknown" // built on a revision so old that it may have been accepted long ago
+	OutcomeAccepted Outcome = "accepted" // the change took effect
+	OutcomeStale    Outcome = "stale"    // rejected: not based on the current revision, or not numbered above it
+	OutcomeUnknown  Outcome = "unknown"  // based on a revision so old that it may have been accepted before
 )
 
-// FindRecord returns the record of an operator's token, nil if there is none or the token is "".
+// FindRecord returns the record with an operator's token, nil if there is none or the token is "".
 func (s *State) FindRecord(token string) *Record {
 	for i := range s.Records {
 		if s.Records[i].ID == token && token != "" {
@@ -41,19 +41,19 @@
 	return nil
 }
 
-// addRecord adds a record and drops what is beyond the bounds: tuning.ChangesKept records of a kind, and
-// tuning.HistoryBytes of configurations.
+// addRecord appends a record and drops the oldest data beyond the limits: tuning.ChangesKept records of each kind
+// and tuning.HistoryBytes of configurations.
 func (s *State) addRecord(record Record) {
 	s.Records = append(s.Records, record)
 	s.dropOldestRecord(record.hasConfiguration())
 	s.dropOldDocuments()
 }
 
-// hasConfiguration says that the record is of a configuration that was accepted.
+// hasConfiguration reports whether the record is that of an accepted configuration change.
 func (r *Record) hasConfiguration() bool { return r.Digest != nil }
 
-// dropOldestRecord drops the oldest record of a kind if there are too many of it. Accepted
-// configurations count apart from all else, so that a flood of other changes drops none of them.
+// dropOldestRecord drops the oldest record of a kind if there are more than tuning.ChangesKept. Accepted
+// configurations are counted separately from all other records, so that many other changes do not displace them.
 func (s *State) dropOldestRecord(configuration bool) {
 	count, oldest := 0, -1
 	for i := range s.Records {
@@ -70,7 +70,7 @@
 	}
 }
 
-// dropOldDocuments drops the configurations of the oldest records that don't fit into tuning.HistoryBytes.
+// dropOldDocuments removes the configurations of the oldest records until the others fit into tuning.HistoryBytes.
 func (s *State) dropOldDocuments() {
 	left := tuning.HistoryBytes
 	for i := len(s.Records) - 1; i >= 0; i-- {
--- a/internal/shared/state/recovered.go
+++ b/internal/shared/state/recovered.go
@@ -1,4 +1,4 @@
-// This file is what disks and proxies still have of an earlier epoch's state.
+// This file reads the state of an earlier epoch from the copies that disks and proxies keep.
 
 package state
 
@@ -9,15 +9,15 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// RecoveredState is a state of an earlier epoch as a disk or a proxy has it.
+// RecoveredState is a state of an earlier epoch as a disk or a proxy stores it.
 type RecoveredState struct {
-	Epoch uint64          `json:"epoch"` // the epoch that it is of
-	Term  uint64          `json:"term"`  // term of its last entry
-	Index uint64          `json:"seq"`   // log index of its last entry
-	State json.RawMessage `json:"state"` // encoded: see Decode
+	Epoch uint64          `json:"epoch"` // epoch of the state
+	Term  uint64          `json:"term"`  // term of the last applied entry
+	Index uint64          `json:"seq"`   // log index of the last applied entry
+	State json.RawMessage `json:"state"` // the encoded state: see Decode
 }
 
-// RecoveredFrom is the state that a proxy's table has of its epoch; false if it does not decode.
+// RecoveredFrom returns the state stored in a proxy's table, false if it does not decode.
 func RecoveredFrom(table *wire.Table) (RecoveredState, bool) {
 	var stored State
 	document, err := wire.Decompress(table.Document)
@@ -29,7 +29,7 @@
 	return RecoveredState{Epoch: table.Key.Epoch, Term: table.Key.Term, Index: table.StateIndex, State: text}, true
 }
 
-// IsBefore says that other is later: of a later epoch, else of a later entry, else of a later term.
+// IsBefore reports whether r is older than other: by epoch, then by log index, then by term.
 func (r RecoveredState) IsBefore(other RecoveredState) bool {
 	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Index, other.Index), cmp.Compare(r.Term, other.Term)) < 0
 }
--- a/internal/shared/state/state.go
+++ b/internal/shared/state/state.go
@@ -1,9 +1,9 @@
-// Package state is the durable state that the members of the control plane agree on: its types, the
-// one function that changes it by a committed log entry (State.Apply), and its form in the log, in
-// snapshots, on disk and in what proxies store. It knows nothing of consensus, time or I/O.
+// Package state defines the replicated state of the control plane: its types, State.Apply, which applies committed
+// log entries to it, and its encodings for the log, snapshots, disks and the copies that proxies store. The package
+// does no I/O, has no clock and does not depend on consensus.
 //
-// Begin with State in this file and State.Apply in apply.go. The names of JSON keys stand in stored
-// data and on the wire, so they keep the form that they have.
+// Start with State in this file and State.Apply in apply.go. The JSON keys are part of stored data and of the wire
+// protocol and must not change.
 package state
 
 import (
@@ -14,58 +14,59 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// EmptyDocument is the configuration at revision 0.
+// EmptyDocument is the configuration document at revision 0.
 const EmptyDocument = `{}`
 
-// State is what the members agree on. A copy by value is a snapshot: Apply replaces slices and does
-// not write into them. RemovedMembers alone is changed in place.
+// State is the replicated state. A copy by value serves as a snapshot, since Apply replaces slices and does not
+// modify their elements; only the map RemovedMembers is modified in place and shared by copies.
 type State struct {
-	// Recovered says that the epoch has its first state; until then the leader decides nothing.
+	// Recovered is true once the epoch has its first state. Until then the leader makes no decisions.
 	Recovered bool `json:"adopted"`
-	// Index is the log index of the last entry that tables depend on.
+	// Index is the log index of the last entry on which tables depend.
 	Index uint64 `json:"seq"`
-	// Revision numbers the configuration: 0 is the empty one before any change.
+	// Revision is the number of the configuration; 0 is the empty one before any change.
 	Revision uint64 `json:"revision"`
 	// Document is the configuration at Revision.
 	Document json.RawMessage `json:"doc"`
 	// Records are the latest changes, the oldest first.
 	Records []Record `json:"records,omitempty"`
-	// Changes says which changes were accepted, far beyond what Records holds.
+	// Changes are the digests of accepted changes, which reach back much further than Records.
 	Changes AcceptedChanges `json:"orders,omitzero"`
 	// Proxies is the proxy membership, sorted by name.
 	Proxies []ProxyEntry `json:"roster,omitempty"`
-	// PreviousProxies names the proxy membership before the last change, while that change is not
-	// in force everywhere: until then a majority of both is needed.
+	// PreviousProxies are the names in the proxy membership before the last change, until that change is in force
+	// everywhere; until then decisions need a majority of both memberships. Empty otherwise.
 	PreviousProxies []string `json:"was,omitempty"`
 	// ProxiesIndex is the log index of the last change of Proxies.
 	ProxiesIndex uint64 `json:"roster_at,omitempty"`
-	// EmptiedDomains are the failure domains that get no new requests, sorted.
+	// EmptiedDomains are the names of the failure domains that get no new requests, sorted.
 	EmptiedDomains []string `json:"emptied,omitempty"`
-	// RemovedMembers has the members that an operator removed, with the log index of the removal.
+	// RemovedMembers maps the members that an operator removed to the log index of the removal.
 	RemovedMembers map[string]uint64 `json:"out,omitempty"`
-	// Members is set in proxies' copies only: the members that a control plane could be recovered with.
+	// Members are the members with which the control plane could be recovered. They are set in proxies' copies only.
 	Members []wire.Member `json:"members,omitempty"`
-	// Registrations are the registered targets, sorted by identity. Proxies' copies lack them, since
-	// their tables have the targets.
+	// Registrations are the registered targets, sorted by identity. They are not in proxies' copies, since
+	// proxies have the targets in their tables.
 	Registrations []Registration `json:"places,omitempty"`
-	// Tombstones are the targets that were leaving or have left, sorted by identity.
+	// Tombstones are the targets that were leaving or have left, sorted by identity. They are not in proxies' copies.
 	Tombstones []Tombstone `json:"marks,omitempty"`
 }
 
 // ProxyEntry is a proxy in the proxy membership.
 type ProxyEntry struct {
 	Name   string `json:"name"`
-	Addr   string `json:"addr"`   // host:port of the daemons' transport
+	Addr   string `json:"addr"`   // host:port for connections from other daemons
 	Domain string `json:"domain"` // failure domain
 }
 
-// New is the state before the first log entry.
+// New returns the state before the first log entry.
 func New() State {
 	return State{Document: json.RawMessage(EmptyDocument), RemovedMembers: map[string]uint64{}}
 }
 
-// EncodeForProxies is the state as proxies store it, in JSON: with the members of the time, and
-// without the configuration and the targets, which travel beside it, and the texts of past changes.
+// EncodeForProxies encodes, in JSON, the copy of the state that proxies store for disaster recovery. It includes the
+// current members. It lacks the configuration and the targets, which tables carry separately, and the documents of
+// past changes.
 func (s *State) EncodeForProxies(members []wire.Member) []byte {
 	stored := *s
 	stored.Document, stored.Members, stored.Registrations, stored.Tombstones = nil, members, nil, nil
@@ -78,7 +79,7 @@
 	return text
 }
 
-// ProxyNames are the names in the proxy membership, in its order.
+// ProxyNames returns the names in the proxy membership, sorted.
 func (s *State) ProxyNames() []string {
 	var names []string
 	for _, proxy := range s.Proxies {
