--- a/internal/shared/statemachine/command.go
+++ b/internal/shared/statemachine/command.go
@@ -7,13 +7,13 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Command is a result of a step, to be carried out by who runs the state machine. It is a sealed type: this
-// package has all commands.
+// Command is an output of a step, to be executed by the process or simulator that runs the state machine. The
+// interface is sealed: all commands are defined in this package.
 type Command interface{ isCommand() }
 
 // Commands of both daemons.
 type (
-	// Send sends a message to a daemon. It may get lost.
+	// Send sends a message to a daemon. Delivery is not guaranteed.
 	Send struct {
 		Addr    string // IP:port
 		Message *wire.Message
@@ -22,19 +22,19 @@
 	Probe struct {
 		ID   wire.TargetID
 		Addr string // IP:port
-		Path string // of the service's health check, "": the identity request
+		Path string // path of the service's health check, "" for the identity request
 	}
-	// Reply is the response to the Call of the same ID.
+	// Reply is the response to the Call with the same ID.
 	Reply struct {
 		ID         uint64
 		Status     int           // HTTP status
-		RetryAfter time.Duration // when to retry, 0: not set
+		RetryAfter time.Duration // value of Retry-After, 0 for none
 		Body       []byte
 	}
-	// StateChange writes a line to the log.
+	// StateChange logs a change of state.
 	StateChange struct {
-		Subject          Subject // whose state changed
-		From, To, Reason string  // for people; any may be ""
+		Subject          Subject // what changed its state
+		From, To, Reason string  // human-readable; each may be ""
 	}
 	// Exit ends the process.
 	Exit struct{}
@@ -42,9 +42,9 @@
 
 // Commands of a control daemon.
 type (
-	// Sync writes a batch to the disk and syncs it. A Synced follows.
+	// Sync writes a batch to the disk and syncs it. A Synced event follows.
 	Sync struct{ Batch *wire.Batch }
-	// Publish writes a target event or a decision to the stream. One of the two is set.
+	// Publish writes a target event or a decision to the event stream. Exactly one field is set.
 	Publish struct {
 		Event    *outlier.Event    `json:"event,omitempty"`
 		Decision *outlier.Decision `json:"decision,omitempty"`
--- a/internal/shared/statemachine/event.go
+++ b/internal/shared/statemachine/event.go
@@ -1,9 +1,9 @@
-// Package statemachine holds the typed messages between the daemons' state machines and who runs them:
-// the events that Step takes and the commands that it returns. It holds no logic. The daemons'
-// processes (package daemon) turn I/O into events and carry commands out; the simulator does the same
-// in virtual time. Times are since the process's start, by its monotonic clock.
+// Package statemachine defines the inputs and outputs of the daemons' state machines: the events that Step takes
+// and the commands that it returns. It contains no logic. The daemon processes (package daemon) turn I/O into
+// events and execute commands; the simulator does the same in virtual time. Times are measured from the process's
+// start on its monotonic clock.
 //
-// Begin with Event and Command; requests.go has those that only a proxy knows.
+// Start with Event and Command. requests.go has the events and commands that only proxies use.
 package statemachine
 
 import (
@@ -13,27 +13,27 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Event is the input of a step. It is a sealed type: this package has all events.
+// Event is the input of a step. The interface is sealed: all events are defined in this package.
 type Event interface{ isEvent() }
 
 // Events of both daemons.
 type (
-	// Receive is a message that has come from another daemon.
+	// Receive is a message received from another daemon.
 	Receive struct{ Message *wire.Message }
-	// Tick says that time has passed; it comes every tuning.TickEvery.
+	// Tick signals that time has passed. It occurs every tuning.TickEvery.
 	Tick struct{}
 	// ProbeResult is the outcome of a Probe.
 	ProbeResult struct {
-		ID           wire.TargetID // that was asked for
+		ID           wire.TargetID // the probed target, as in the Probe
 		SentAt       time.Duration
-		Milliseconds float64              // response time
-		Report       *config.TargetReport // of who responded; nil: missed. Its state may be "": alive, state not reported
-		WarmupLeft   time.Duration        // for how much longer the target says that it is warming up
+		Milliseconds float64              // response time, in ms
+		Report       *config.TargetReport // report of the responder, nil if the probe was missed; State "" means alive
+		WarmupLeft   time.Duration        // remaining warm-up time that the target reports
 	}
-	// Call is an operator's or a target's call of the HTTP API. A Reply of the same ID follows.
+	// Call is an operator's or a target's call of the HTTP API. A Reply with the same ID follows.
 	Call struct {
 		ID                  uint64
-		Token               string // identifies a change, so that it is made once however often it is sent
+		Token               string // identifies a change, so that repeated calls make it only once
 		Method, Path, Query string
 		Body                []byte
 	}
@@ -43,9 +43,9 @@
 
 // Events of a control daemon.
 type (
-	// Synced says that the batch of that number, and all before it, are on disk.
+	// Synced confirms that the batch with this number and all earlier ones are on disk.
 	Synced struct{ Seq uint64 }
-	// DiskHealth says that the disk fails, and why; nil: it works again.
+	// DiskHealth reports a disk failure or, with a nil Err, that the disk works again.
 	DiskHealth struct{ Err error }
 )
 
--- a/internal/shared/statemachine/status.go
+++ b/internal/shared/statemachine/status.go
@@ -1,7 +1,7 @@
 package statemachine
 
-// HTTP status codes (RFC 9110) that state machines answer with or look at. They stand here since a state machine
-// imports nothing that does I/O, and so not package net/http.
+// HTTP status codes (RFC 9110) that state machines return or check. They are defined here since state machines import
+// no package that does I/O, such as net/http.
 const (
 	StatusBadRequest            = 400
 	StatusNotFound              = 404
