--- a/internal/shared/tuning/change.go
+++ b/internal/shared/tuning/change.go
@@ -4,28 +4,30 @@
 
 // Operators' changes.
 const (
-	// CallWait is how long a change may take: after it the response is that its outcome is unknown.
+	// CallWait is the time limit for a change. After it the response reports that the outcome is unknown.
 	CallWait = 6 * time.Second
-	// InForceUsual is within what time a change is usually in force, also with a proxy that sends but receives
-	// nothing: what a change waits for after it is logged.
+	// InForceUsual is the time within which a committed change is usually in force, even with a proxy that can send
+	// but not receive. If it takes longer, the reason for the wait is logged.
 	InForceUsual = 1600 * time.Millisecond
-	// PendingCallsKept is for how long after a leader lost its leadership calls go on waiting for it to resume: an
-	// election with one lost vote message. After it they get the response that the outcome is unknown.
+	// PendingCallsKept is how long calls stay pending after the leader lost its leadership, in case it resumes: the
+	// duration of an election with one lost vote message. After it they get the response that the outcome is
+	// unknown.
 	PendingCallsKept = ElectionTimeoutMin + ElectionTimeoutSpread + 2*HeartbeatEvery
-	// ChangesKept is how many past changes can be asked about, and rolled back to while their documents fit
-	// HistoryBytes.
+	// ChangesKept is how many past changes can be queried. They can be rolled back to as long as their documents
+	// fit into HistoryBytes.
 	ChangesKept = 16
-	// HistoryBytes bounds the documents of past changes that are kept, in bytes.
+	// HistoryBytes bounds the total size of the documents of past changes, in bytes.
 	HistoryBytes = 512 << 10
-	// AcceptedChangesKept is how many accepted changes are kept by their digests, to recognise one that is sent
-	// again: several days of hundreds of changes. At 32 bytes each they add 128 KiB to a snapshot.
+	// AcceptedChangesKept is how many digests of accepted changes are kept to recognise a change that is sent again:
+	// enough for several days with hundreds of changes a day. At 32 bytes each they add 128 KiB to a snapshot.
 	AcceptedChangesKept = 4096
-	// AcceptedChangesInTables is the same in the state that tables carry to proxies for disaster recovery: 2 KiB
-	// of TableBytesInFlight. It is more than are under way at any loss.
+	// AcceptedChangesInTables is the number of these digests in the copy of the state that tables carry to proxies
+	// for disaster recovery. They take 2 KiB of TableBytesInFlight. It exceeds the number of changes that can be in
+	// progress when the control plane is lost.
 	AcceptedChangesInTables = 64
-	// CtlCall is how long mfctl waits for one response: longer than CallWait, so that a change ends with the
-	// member's own response.
+	// CtlCall is how long mfctl waits for one response. It exceeds CallWait, so that the member's own response
+	// ends a change.
 	CtlCall = 10 * time.Second
-	// CtlRetry is after what time mfctl asks the next member if none leads.
+	// CtlRetry is how long mfctl waits before it asks the next member if there is no leader.
 	CtlRetry = 200 * time.Millisecond
 )
--- a/internal/shared/tuning/connection.go
+++ b/internal/shared/tuning/connection.go
@@ -4,77 +4,79 @@
 
 // Connections to targets.
 const (
-	// ConnIdle is how long an unused connection is kept: under the 5 s after which common servers close
-	// theirs, so that a request seldom meets a connection that is being closed.
+	// ConnIdle is how long an idle connection is kept. Common servers close theirs after 5 s; a shorter time makes it
+	// rare that a request is sent on a connection that is being closed.
 	ConnIdle = 4 * time.Second
-	// IdleTimeoutMargin is how much sooner than a target's announced idle time-out a connection is closed: a
-	// network hop each way, and clocks and queues in between.
+	// IdleTimeoutMargin is how much earlier than the idle timeout announced by a target a connection is closed. It
+	// covers a network hop each way, and the clocks and queues in between.
 	IdleTimeoutMargin = 500 * time.Millisecond
-	// NonIdempotentIdleMax is how long a connection may have been unused for a request that is not idempotent. A
-	// target that closes it meanwhile, or is unreachable by now, leaves it unknown whether the request ran;
-	// a new connection shows that before anything is sent.
+	// NonIdempotentIdleMax is how long a connection may have been idle to be used for a request that is not
+	// idempotent. If the target closes the connection in the meantime or has become unreachable, it is unknown
+	// whether the request ran; opening a new connection shows this before anything is sent.
 	NonIdempotentIdleMax = 200 * time.Millisecond
-	// IdleConnsMax is how many unused connections a proxy keeps to a target: targets limit the connections
-	// from all proxies together, and some use a slot for each.
+	// IdleConnsMax is how many idle connections a proxy keeps to a target. Targets limit the connections from all
+	// proxies together, and some use a slot for each.
 	IdleConnsMax = 8
-	// IdleConnParts is the divisor of a target's connections that gives how many unused ones all proxies keep
-	// together, so that there are some left for requests and probes.
+	// IdleConnParts is the divisor of a target's connection limit that gives how many idle connections all proxies
+	// keep together. The rest is left for requests and probes.
 	IdleConnParts = 2
-	// AckTimeout is how long data sent to a target or daemon may be unacknowledged by TCP before the connection is
+	// AckTimeout is how long data sent to a target or daemon may stay unacknowledged by TCP before the connection is
 	// closed. Source: the 2 s rule.
 	AckTimeout = 2 * time.Second
-	// KeepAliveIdle is after what time without data TCP keep-alive probes are sent, KeepAliveInterval how
-	// often, and KeepAliveCount after how many without an answer the connection is closed.
+	// KeepAliveIdle is the time without data after which TCP keep-alive probes are sent, KeepAliveInterval their
+	// interval, and KeepAliveCount the number of unanswered probes after which the connection is closed.
 	KeepAliveIdle     = 2 * time.Second
 	KeepAliveInterval = time.Second
 	KeepAliveCount    = 3
-	// InterimMax is how many interim responses (1xx) may come before the response.
+	// InterimMax is the maximum number of interim responses (1xx) before the final response.
 	InterimMax = 5
-	// ResponseBufferMax is the largest response that is read completely before its caller gets any of it, in
-	// bytes, so that one that breaks off can be retried: most responses of APIs are smaller.
+	// ResponseBufferMax is the size up to which a response is buffered completely before any of it is forwarded to
+	// the caller, in bytes, so that a request whose response is cut off can be retried. Most API responses are
+	// smaller.
 	ResponseBufferMax = 64 << 10
 )
 
 // Callers' connections.
 const (
-	// CallerIdle is how long an unused connection is kept.
+	// CallerIdle is how long an idle connection is kept.
 	CallerIdle = 60 * time.Second
-	// IdleSlack is how much longer than announced an unused connection is kept: a caller that respects the
-	// limit never writes on one that is being closed.
+	// IdleSlack is how much longer than announced an idle connection is kept, so that a caller that respects the
+	// announced limit never writes to a connection that is being closed.
 	IdleSlack = time.Second
-	// CallerHeader is how long a header may take to arrive.
+	// CallerHeader is the time limit for receiving a request header.
 	CallerHeader = 3 * TargetHeartbeatTimeout
-	// CallerAckTimeout is AckTimeout for callers: longer than the pauses of one that reads slowly.
+	// CallerAckTimeout is AckTimeout for callers. It exceeds the pauses of a caller that reads slowly.
 	CallerAckTimeout = 10 * time.Second
-	// HeaderMax is the largest header, in bytes.
+	// HeaderMax is the largest accepted header, in bytes.
 	HeaderMax = 32 << 10
-	// ServerHeaderMax is up to where a header is read, in bytes: over HeaderMax, so that a header that is too
-	// large still gets its response.
+	// ServerHeaderMax is the number of bytes up to which a header is read. It exceeds HeaderMax, so that a header
+	// that is too large still gets a response.
 	ServerHeaderMax = 4 * HeaderMax
-	// CallerBody is the largest body to a service with a health path, in bytes.
+	// CallerBody is the largest request body for a service with a health path, in bytes.
 	CallerBody = 64 << 20
-	// PipelineMax is how many pipelined requests of one connection are begun before the responses ahead of them.
+	// PipelineMax is how many pipelined requests of one connection are started before the responses to earlier ones
+	// are written.
 	PipelineMax = 8
-	// PipelineReadAhead is how much of a connection is read ahead for that, in bytes: some usual headers.
+	// PipelineReadAhead is how much of a connection is read ahead for pipelining, in bytes: a few typical headers.
 	PipelineReadAhead = 2 << 10
 )
 
 // Connections between daemons.
 const (
-	// WireBuffer is the size of a connection's buffers for reading and for writing, in bytes: some small
-	// messages, since a member has a connection to each proxy.
+	// WireBuffer is the size of a connection's read buffer and of its write buffer, in bytes. It holds a few small
+	// messages and is not larger, since a member has a connection to each proxy.
 	WireBuffer = 4 << 10
-	// WireMax bounds one message, in bytes: a snapshot with all kept documents.
+	// WireMax bounds one message, in bytes. The largest one is a snapshot with all kept documents.
 	WireMax = 8 << 20
-	// CompressFrom is the least size of a document or state that is compressed, in bytes: smaller ones fit a
-	// few packets.
+	// CompressFrom is the size from which a document or state is compressed, in bytes. Smaller ones fit into a few
+	// packets.
 	CompressFrom = 2 << 10
-	// SendQueue is how many messages may wait for one connection.
+	// SendQueue is the maximum number of messages queued for one connection.
 	SendQueue = 64
-	// SendQueueTTL is how long a message may wait: a lease that comes later is of no use, and old messages delay
-	// new ones.
+	// SendQueueTTL is how long a message may stay in the queue. A lease that arrives later is useless, and old
+	// messages delay new ones.
 	SendQueueTTL = 500 * time.Millisecond
-	// Redial is how long after a failure to open a connection the next attempt is made: daemons that start
-	// together find each other within it, and nothing is sent but what is repeated anyway.
+	// Redial is how long after a failed attempt to open a connection the next one is made. Daemons that start at the
+	// same time find each other within this time, and only messages that are repeated anyway are sent until then.
 	Redial = 20 * time.Millisecond
 )
--- a/internal/shared/tuning/load.go
+++ b/internal/shared/tuning/load.go
@@ -2,72 +2,75 @@
 
 import "time"
 
-// How much is sent to targets, and to which.
+// Load balancing among targets.
 const (
-	// SlowStart is over what time a target's cap grows from that of warming up to the full one.
+	// SlowStart is the time over which a target's cap grows from its warm-up cap to the full one.
 	SlowStart = 3 * time.Second
-	// TargetFullBackoff is how long a target that rejected a request as full gets none: less than a usual
-	// request takes, one of which ends meanwhile.
+	// TargetFullBackoff is how long a target that rejected a request as full gets no requests. A typical request takes
+	// longer, so one usually ends in the meantime.
 	TargetFullBackoff = 70 * time.Millisecond
-	// LoadTTL is for how long the load that a target reported counts, less and less.
+	// LoadTTL is the time over which the influence of a load reported by a target decays to nothing.
 	LoadTTL = time.Second
-	// SpeedTTL is for how long a target's observed speed counts, less and less, so that a slow target is tried again.
+	// SpeedTTL is the time over which the influence of a target's observed speed decays to nothing, so that a slow
+	// target is tried again.
 	SpeedTTL = 20 * time.Second
-	// SpeedWeight is the weight of one response in a target's speed; that of the first ones is more. Response
-	// times vary as much as speeds.
+	// SpeedWeight is the weight of one response in the average speed of a target; the first responses weigh more. It
+	// is small since response times vary as much as speeds do.
 	SpeedWeight = 0.1
-	// SpeedPenalty is the weight of a target's slowness beside its load, and SpeedPenaltyMax the most that it
-	// adds: a target with a free slot is as fast as an empty one.
+	// SpeedPenalty is the weight of a target's slowness relative to its load, and SpeedPenaltyMax the maximum that it
+	// adds. A target with a free slot processes a request as fast as an idle one.
 	SpeedPenalty    = 1.0
 	SpeedPenaltyMax = 1.5
-	// OpenConnBonus is how much less load a target counts as having if a connection to it is likely to be open.
+	// OpenConnBonus is subtracted from the load of a target to which an open connection is likely to exist.
 	OpenConnBonus = 0.1
-	// ResponseTimeWeight is the weight of one response in the mean response time of its route or service, once
-	// there were a few.
+	// ResponseTimeWeight is the weight of one response in the mean response time of its route or service, once there
+	// have been a few.
 	ResponseTimeWeight = 0.05
-	// QuotaOvercommit and QuotaExtra bound a proxy's requests at a service's targets in any case, so that queues
-	// there stay short: so many times its even quota of the slots, and so many requests more.
+	// QuotaOvercommit and QuotaExtra give the minimum of the window that bounds a proxy's requests in flight to a
+	// service, so that queues at its targets stay short: QuotaOvercommit times the proxy's even quota of the slots,
+	// plus QuotaExtra requests.
 	QuotaOvercommit = 1.5
 	QuotaExtra      = 1
-	// QuotaOvercommitMax is what the first of them grows to while no target says that it is full.
+	// QuotaOvercommitMax takes the place of QuotaOvercommit in the maximum of the window, to which it grows while no
+	// target reports that it is full.
 	QuotaOvercommitMax = 3
-	// QuotaBackoffFactor is what that window is multiplied by when a target says that it is full.
+	// QuotaBackoffFactor is the factor by which the window shrinks when a target reports that it is full.
 	QuotaBackoffFactor = 0.8
 )
 
 // Queues, and load shedding by priority.
 const (
-	// QueueMin is how many requests may be queued for a service in any case.
+	// QueueMin is the number of requests that may always be queued for a service.
 	QueueMin = 2
-	// WaitTargetParts is the divisor of a route's latency target that gives how long a request may be queued:
-	// later, a rejection is late. Of a route without one, WaitTimeoutParts is the divisor of the deadline that
-	// takes the latency target's place.
+	// WaitTargetParts is the divisor of a route's latency target that gives the time limit in the queue. A rejection
+	// after a longer wait would come too late. For a route without a latency target, the deadline divided by
+	// WaitTimeoutParts is used as the latency target.
 	WaitTargetParts  = 4
 	WaitTimeoutParts = 4
-	// PressureTTL is for how long after a sign of it a service is under pressure.
+	// PressureTTL is how long a service counts as under pressure after a sign of overload.
 	PressureTTL = time.Second
-	// PriorityLevels is how many levels of priority are distinguished.
+	// PriorityLevels is the number of distinct priority levels.
 	PriorityLevels = 4
-	// PriorityReserve is the part of the window that each level leaves to the levels above it while the service is
-	// under pressure.
+	// PriorityReserve is the part of the window that each level leaves to each higher level with requests while the
+	// service is under pressure.
 	PriorityReserve = 0.1
-	// FairSpan is the span in which a service's requests are counted by priority: long beside a burst.
+	// FairSpan is the period in which a service's requests are counted by priority. It is long compared to a burst.
 	FairSpan = 5 * time.Second
-	// FairPart is the part of the service's average rate of forwarded requests that each level is kept at: over a
-	// quarter, under which it would count as starved.
+	// FairPart times the service's ratio of forwarded to arrived requests is the ratio that is guaranteed to each
+	// level. It is above a quarter, below which a level would count as starved.
 	FairPart = 0.4
-	// FairLeast is how many requests of a level must have come for that.
+	// FairLeast is how many requests of a level must have arrived in a FairSpan for this guarantee.
 	FairLeast = 4
 )
 
 // Retry-After of rejections.
 const (
-	// RetryAfterMin and RetryAfterSpan are the range of Retry-After, spread by request, where nothing better
-	// is known.
+	// RetryAfterMin and RetryAfterSpan are the minimum and the range of Retry-After where no better estimate exists.
+	// The values are spread by request.
 	RetryAfterMin  = time.Second
 	RetryAfterSpan = 3 * time.Second
-	// RetryAfterFloor is the least Retry-After.
+	// RetryAfterFloor is the smallest Retry-After.
 	RetryAfterFloor = 20 * time.Millisecond
-	// RetryAfterTimeParts is the divisor of the caller's time left that gives the longest one.
+	// RetryAfterTimeParts is the divisor of the caller's remaining time that gives the largest Retry-After.
 	RetryAfterTimeParts = 3
 )
--- a/internal/shared/tuning/policy.go
+++ b/internal/shared/tuning/policy.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// Policies of the outlier detector, and what is recorded for them.
+// Policies of the outlier detector, and the events that they evaluate.
 const (
-	// PoliciesMax is how many policies may be in force.
+	// PoliciesMax is the maximum number of policies in force.
 	PoliciesMax = 16
-	// PolicyWindow is how many samples a policy's condition sees at most.
+	// PolicyWindow is the maximum number of samples that a condition evaluates.
 	PolicyWindow = 32
 	// PolicyNodes bounds the size of a condition, in nodes of its syntax tree.
 	PolicyNodes = 200
-	// PolicyMemory bounds what one evaluation of a condition may allocate, in units of package expr's virtual
-	// machine.
+	// PolicyMemory is the memory budget of one evaluation of a condition, in units of package expr's virtual machine.
 	PolicyMemory = 10000
-	// EjectionMaxTTL is the longest ejection that a policy may make.
+	// EjectionMaxTTL is the longest time to live that a policy may give an ejection.
 	EjectionMaxTTL = 10 * time.Minute
-	// StatsEvery is how often what proxies observed of a target becomes one event: PolicyWindow of them reach
-	// back over RetryWindow.
+	// StatsEvery is how often the proxies' observations of a target are combined into one event. PolicyWindow of these
+	// events cover RetryWindow.
 	StatsEvery = 500 * time.Millisecond
-	// EventsKept is how many events a leader keeps for readers of the stream that resume.
+	// EventsKept is how many events a leader keeps for readers that resume the event stream.
 	EventsKept = 4096
-	// StreamBuffer is how many lines wait for a slow reader of the stream before it misses some.
+	// StreamBuffer is how many lines are buffered for a slow reader of the stream before it misses some.
 	StreamBuffer = 512
 )
 
@@ -28,10 +27,10 @@
 const (
 	// SessionLineMax bounds a line, in bytes.
 	SessionLineMax = 256 << 10
-	// SessionTargets bounds the targets of one session.
+	// SessionTargets is the maximum number of targets in one session.
 	SessionTargets = 4096
-	// Sessions is how many sessions a daemon has at once.
+	// Sessions is the maximum number of concurrent sessions in a daemon.
 	Sessions = 16
-	// SessionKept is for how long a session whose connection ended can be resumed.
+	// SessionKept is how long a session can be resumed after its connection ended.
 	SessionKept = 2 * time.Minute
 )
--- a/internal/shared/tuning/retry.go
+++ b/internal/shared/tuning/retry.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// The retry budget: at most a fifth of the requests of any 10 s are retries. Source: docs/rules.md.
+// The retry budget: at most a fifth of the requests in any 10 s may be retries. Source: docs/rules.md.
 const (
 	// RetryWindow is the window of the retry budget.
 	RetryWindow = 10 * time.Second
-	// RetryShare is the divisor of a window's requests that gives the retries of the budget.
+	// RetryShare is the divisor of a window's number of requests that gives the number of allowed retries.
 	RetryShare = 5
-	// RetryFree is how many retries a service has besides, in a window, shared by the proxies.
+	// RetryFree is the number of retries per window that a service has in addition, shared by the proxies.
 	RetryFree = 10
-	// RetryEarn is the part of the budget's ratio that each request earns at once, and RetrySave the part that may be
-	// saved up from the window before. With rounding they stay under the ratio.
+	// RetryEarn is the part of the budget's ratio that each request earns immediately, and RetrySave the part that may
+	// be carried over from the previous window. Rounding included, their sum stays below the ratio.
 	RetryEarn = 0.85
 	RetrySave = 0.1
-	// WindowBuckets is in how many buckets a window's requests are counted.
+	// WindowBuckets is the number of buckets in which a window's requests are counted.
 	WindowBuckets = 20
-	// RetryTimeMin is how much time a retry after a target's own error needs: a few network hops and a short response.
+	// RetryTimeMin is the time that must be left for a retry after an error of the target: a few network hops and a
+	// short response.
 	RetryTimeMin = 25 * time.Millisecond
 	// ReplayMax is the largest body of an idempotent request that is kept for a retry, in bytes.
 	ReplayMax = 64 << 10
@@ -24,27 +25,28 @@
 
 // Attempts of a request.
 const (
-	// ChoiceTTL is how long after a target was chosen a request may begin to be written to it: the time to open
-	// a connection and a little. A process that is frozen in between sends nothing on an old choice.
+	// ChoiceTTL is how long after a target was chosen the request may begin to be written to it: slightly more than
+	// it takes to open a connection. A process that was frozen in between sends nothing based on an outdated choice.
 	ChoiceTTL = DialTimeout + 100*time.Millisecond
-	// DialTimeout is how long it may take to open a connection and check the target's identity.
+	// DialTimeout is the time limit for opening a connection and checking the target's identity.
 	DialTimeout = 500 * time.Millisecond
-	// ConnectTimeoutMin is how long it may take to open a connection, if there is another target: over any round
-	// trip between domains, and under what a lost first packet costs.
+	// ConnectTimeoutMin is the time limit for opening a connection if there is another target. It exceeds any round
+	// trip time between domains, and is below the delay that a lost first packet causes.
 	ConnectTimeoutMin = 100 * time.Millisecond
-	// ConnectParts is the divisor of a route's latency target that gives a longer such time, up to DialTimeout:
-	// a target whose slots are all taken accepts a connection when a request ends, and requests take longer
-	// where latency targets are long.
+	// ConnectParts is the divisor of a route's latency target that gives a longer limit, up to DialTimeout. A target
+	// whose slots are all taken accepts a connection only when a request ends, and requests take longer where latency
+	// targets are long.
 	ConnectParts = 4
-	// ConnectAttemptsMax is how many choices of one request may end before anything is sent. They are no
-	// attempts: those are targets that the request was sent to.
+	// ConnectAttemptsMax is how many times a request may fail before anything of it is sent. Such failures do not count
+	// as attempts, which are counted by the targets that the request was sent to.
 	ConnectAttemptsMax = 4
-	// AvoidFor is how long a proxy chooses a target last after it could not open a connection to it.
+	// AvoidFor is how long a proxy uses a target only as a last resort after it could not open a connection to it.
 	AvoidFor = time.Second
-	// UnreachableCheckAfter is after what time without a response it is checked whether the target is known to be
-	// unreachable, and UnreachableCheckEvery how often from then on: two missed probes take longer.
+	// UnreachableCheckAfter is the time without a response after which the proxy checks whether the target is known
+	// to be unreachable, and UnreachableCheckEvery the interval of later checks. Two missed probes take longer.
 	UnreachableCheckAfter = 300 * time.Millisecond
 	UnreachableCheckEvery = 60 * time.Millisecond
-	// NetHop is how much less time than is left a target is given: its last response has to travel.
+	// NetHop is subtracted from the remaining time that is passed to a target, since its response must still travel
+	// back.
 	NetHop = 5 * time.Millisecond
 )
--- a/internal/shared/tuning/shutdown.go
+++ b/internal/shared/tuning/shutdown.go
@@ -4,25 +4,24 @@
 
 // Shutdown of a proxy. Its grace period is the configured time until the process is killed.
 const (
-	// ShutdownLinger is how long a stopping proxy goes on taking requests after it is unready, so that callers
-	// move away.
+	// ShutdownLinger is how long a proxy that shuts down still accepts requests after it reports that it is not ready,
+	// so that callers can move to other proxies.
 	ShutdownLinger = 1500 * time.Millisecond
-	// ShutdownLingerMax is the same where a grace period is configured and long enough: two missed checks at
-	// 1 s, and a little.
+	// ShutdownLingerMax is the same if a grace period is configured and long enough: two missed checks at 1 s, and a
+	// little more.
 	ShutdownLingerMax = 2500 * time.Millisecond
-	// ShutdownTimeout is how long a stopping proxy finishes its requests if no grace period is configured.
+	// ShutdownTimeout is how long a proxy that shuts down completes its requests if no grace period is configured.
 	ShutdownTimeout = 20 * time.Second
-	// ShutdownMargin is how much of the grace period it leaves unused.
+	// ShutdownMargin is the part of the grace period that is left unused.
 	ShutdownMargin = 300 * time.Millisecond
-	// ShutdownReserve is how long before the end of its time targets must respond to a stopping proxy: their last
-	// responses must still be forwarded, by a machine that may be busy. After half of it the proxy responds
-	// by itself.
+	// ShutdownReserve is how long before the end of the shutdown targets must have responded, since a machine that may
+	// be busy must still forward their last responses. After half of it the proxy responds itself.
 	ShutdownReserve = 500 * time.Millisecond
-	// ShutdownReserveParts is the divisor of a short time that gives a shorter reserve.
+	// ShutdownReserveParts is the divisor that gives a shorter reserve if the time for the shutdown is short.
 	ShutdownReserveParts = 8
-	// ShutdownWriteTimeout is how much longer a stopping proxy waits for responses to be written: within
+	// ShutdownWriteTimeout is how much longer a proxy that shuts down waits for responses to be written. It is below
 	// ShutdownMargin.
 	ShutdownWriteTimeout = 200 * time.Millisecond
-	// ShutdownPoll is how often it checks that they are.
+	// ShutdownPoll is how often it checks whether they are written.
 	ShutdownPoll = 5 * time.Millisecond
 )
