--- a/internal/shared/changeid/changeid.go
+++ b/internal/shared/changeid/changeid.go
@@ -1,5 +1,5 @@
-// Package changeid makes the ids of operators' changes. mfctl gives each change its id before it sends it,
-// so that daemons recognise a change that is sent again; a change without an id gets one from the daemon.
+// Package changeid generates ids of operators' changes. mfctl assigns an id to each change before it sends it, so that
+// daemons recognise a change that is sent again. A change without an id gets one from the daemon that receives it.
 package changeid
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// New returns a new id: the wall-clock time in UTC, for people, and 32 random bits.
+// New returns a new id. It consists of the wall-clock time in UTC, for readability, and 32 random bits.
 func New() string {
 	return fmt.Sprintf("%s-%08x", time.Now().UTC().Format("20060102T150405Z"), rand.Uint32())
 }
--- a/internal/shared/config/bench_test.go
+++ b/internal/shared/config/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// documentWithRoutes is a document with n routes over a few services.
+// documentWithRoutes returns a document with n routes to 40 services.
 func documentWithRoutes(n int) []byte {
 	svcs, routes := map[string]any{}, map[string]any{}
 	for i := range 40 {
--- a/internal/shared/config/canonical.go
+++ b/internal/shared/config/canonical.go
@@ -7,9 +7,8 @@
 	"strconv"
 )
 
-// Canonical returns a form that is the same for all documents of the same content, whatever their
-// spacing and the order of their keys. Numbers are the same only if they are written alike. Its errors
-// are marked ErrNotJSON.
+// Canonical returns a canonical form of a document, which does not depend on white space, key order or escapes in
+// strings. Numbers keep their spelling, so that 1 and 1.0 differ. Its errors are marked ErrNotJSON.
 func Canonical(doc []byte) ([]byte, error) {
 	object, err := parse(doc, true)
 	if err != nil {
--- a/internal/shared/config/config.go
+++ b/internal/shared/config/config.go
@@ -1,13 +1,13 @@
-// Package config is the operator's configuration: services, rules, routes, limits, policies and
-// objectives, read from JSON and checked as a whole. A check lists every fault by its path, unknown
-// fields included, so that nothing that was not understood ever takes effect.
+// Package config parses and validates the operator's configuration: services, rules, routes, limits, policies and
+// objectives. A JSON document is checked as a whole. Every fault, unknown fields included, is reported with its path,
+// so that a document that is not fully understood never takes effect.
 //
-// It also has what else daemons exchange with their users as JSON: the reports of targets
-// (targetreport.go) and the body of an error response (errorbody.go). It puts nothing into force, and
-// does not know the language of policies' conditions: package outlier checks those.
+// The package also defines the other JSON bodies that daemons exchange with their users: the reports of targets
+// (targetreport.go) and the body of error responses (errorbody.go). It does not apply configurations, and does not
+// parse the conditions of policies, which package outlier checks.
 //
-// Begin with Config and Parse. Each kind of item has its file (service.go, rule.go, route.go, limits.go,
-// policy.go, objective.go) with its fields, how it is read and what is checked.
+// Start with Config and Parse. Each kind of item has a file (service.go, rule.go, route.go, limits.go, policy.go,
+// objective.go) with its fields, decoding and checks.
 package config
 
 import (
@@ -19,20 +19,20 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// Config is a configuration that Parse has read. It is not changed afterwards.
+// Config is a parsed configuration. It is not modified after Parse.
 type Config struct {
-	// Revision is the operator's own number for the document. Default: 0, the present revision plus one.
+	// Revision is the operator's number for the document. Default: 0, the current revision plus one.
 	Revision uint64 `json:"revision,omitempty"`
 	// Services are the services by name. Default: none.
 	Services map[string]Service `json:"services"`
-	// Rules send the requests that no route matches to services. Default: none.
+	// Rules assign requests that no route matches to services. Default: none.
 	Rules []Rule `json:"rules"`
 	// Routes are the routes by name. Default: none.
 	Routes map[string]Route `json:"routes,omitempty"`
-	// Limits bound what callers may send. Default: nil, the bounds of package tuning.
+	// Limits bound the requests and connections of callers. Default: nil, the limits of package tuning.
 	Limits *Limits `json:"limits,omitempty"`
-	// Policies are the outlier detector's policies by name, without the default one if the document does
-	// not name it: see PoliciesInForce. Default: none.
+	// Policies are the outlier detector's policies by name. The default policy is among them only if the document
+	// defines it: see PoliciesInForce. Default: none.
 	Policies map[string]Policy `json:"policies,omitempty"`
 	// Objectives are the service-level objectives by name. Default: none.
 	Objectives map[string]Objective `json:"aims,omitempty"`
@@ -40,18 +40,17 @@
 	routeIndex routeIndex
 }
 
-// ErrNotJSON marks the error for a document that is not exactly one JSON object. Such a document has no
-// faults by path; the message says where reading ended.
+// ErrNotJSON marks the error for a document that is not exactly one JSON object. No faults are reported for such a
+// document; the error message says where parsing failed.
 var ErrNotJSON = errors.New("not a JSON object")
 
-// Fault is one fault of a document.
+// Fault is a validation error in a document.
 type Fault struct {
-	Path string `json:"path"` // of the faulty value in the document, such as services.records.cap
-	Text string `json:"text"` // for people
+	Path string `json:"path"` // path of the invalid value in the document, such as services.records.cap
+	Text string `json:"text"` // human-readable description
 }
 
-// PoliciesInForce yields the policies by name, in order of their names. The default policy is among
-// them in any case.
+// PoliciesInForce yields the names and policies, sorted by name. They always include the default policy.
 func (c *Config) PoliciesInForce() iter.Seq2[string, Policy] {
 	policies := maps.Clone(c.Policies)
 	if policies == nil {
@@ -69,7 +68,7 @@
 	}
 }
 
-// MergePatch returns the document that an RFC 7396 merge patch makes of doc, unchecked. Its errors are
+// MergePatch applies an RFC 7396 merge patch to doc and returns the result without validating it. Its errors are
 // marked ErrNotJSON.
 func MergePatch(doc, patch []byte) ([]byte, error) {
 	if _, err := parseObject(patch); err != nil {
--- a/internal/shared/config/decode.go
+++ b/internal/shared/config/decode.go
@@ -1,8 +1,8 @@
 package config
 
-// Values are read into structs in two ways. Services, rules, policies and objectives are few: their fields
-// are found by reflection (mapstructure). Routes may be thousands: they and the limits are read by tables
-// of their fields (fields.go), without reflection.
+// Parsed values are decoded into structs in two ways. Services, rules, policies and objectives, of which there are few,
+// are decoded by reflection (mapstructure). Routes, of which there may be thousands, and limits are decoded by tables of
+// their fields (fields.go), without reflection.
 
 import (
 	"maps"
@@ -19,8 +19,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// parseWithKoanf returns the values of a document that is exactly one JSON object; its errors are marked
-// ErrNotJSON.
+// parseWithKoanf parses a document that must be exactly one JSON object. Its errors are marked ErrNotJSON.
 func parseWithKoanf(doc []byte) (map[string]any, error) {
 	if _, err := parseObject(doc); err != nil {
 		return nil, err
@@ -32,7 +31,7 @@
 	return k.Raw(), nil
 }
 
-// decode reads a parsed value into the struct at out by its koanf tags, and adds a fault for each
+// decode decodes a parsed value into the struct that out points to, by its koanf tags, and adds a fault for each
 // unknown field.
 func (c *checker) decode(path string, value, out any) {
 	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
@@ -61,8 +60,8 @@
 	}
 }
 
-// rejectFractions is a hook that fails for a fraction, or a number too large for a float64 to be exact,
-// where the field is an int.
+// rejectFractions is a decode hook that returns an error for an int field whose value is a fraction or exceeds
+// tuning.ExactMax.
 func rejectFractions(_, to reflect.Type, v any) (any, error) {
 	if f, ok := v.(float64); ok && to.Kind() == reflect.Int && (f != math.Trunc(f) || math.Abs(f) > tuning.ExactMax) {
 		return nil, errors.Newf("%v is not a whole number", f)
@@ -70,7 +69,7 @@
 	return v, nil
 }
 
-// addDecodeErrors adds a fault for each of the errors that the decoder has joined.
+// addDecodeErrors adds a fault for each of the errors that are joined in err.
 func (c *checker) addDecodeErrors(path string, err error) {
 	if err == nil {
 		return
--- a/internal/shared/config/errorbody.go
+++ b/internal/shared/config/errorbody.go
@@ -2,34 +2,35 @@
 
 import "encoding/json"
 
-// Ran says whether the request of an error response ran at a target, or the change was made.
+// Ran is whether a request that got an error response ran at a target, or a change took effect.
 type Ran string
 
-// What an error response says of its request.
+// Values of Ran.
 const (
-	RanNo      Ran = "no"      // it did not run
-	RanUnknown Ran = "unknown" // it may have run
+	RanNo      Ran = "no"      // it did not run or take effect
+	RanUnknown Ran = "unknown" // it may have run or taken effect
 )
 
 // ErrorBody is the body of every error response of a daemon.
 type ErrorBody struct {
-	// Code names the cause for programs, such as no_leader.
+	// Code is the machine-readable cause, such as no_leader.
 	Code string `json:"code"`
-	// Rejection says what the call needs before it can succeed. Set on the operators' interface only.
+	// Rejection is the kind of rejection: what must change before the call can succeed. It is set on the operators'
+	// interface only.
 	Rejection Rejection `json:"refusal,omitempty"`
-	// Message is for people.
+	// Message is the human-readable cause.
 	Message string `json:"message"`
-	// Ran says whether the request ran. Default: RanNo.
+	// Ran is whether the request ran. Default: RanNo.
 	Ran Ran `json:"ran"`
-	// Faults are those of the document that was sent.
+	// Faults are the faults of the document in the request, if it has any.
 	Faults []Fault `json:"faults,omitempty"`
-	// Revision is that of the configuration in force.
+	// Revision is the revision of the configuration in force, 0 if it is not reported.
 	Revision uint64 `json:"revision,omitempty"`
-	// ID is the id of the change.
+	// ID is the id of the change, "" if the call is not a change.
 	ID string `json:"id,omitempty"`
 }
 
-// JSON returns the body as it is sent: an object with the one field error, and a newline.
+// JSON returns the body as it is sent: an object with the single field "error", followed by a newline.
 func (b ErrorBody) JSON() []byte {
 	if b.Ran == "" {
 		b.Ran = RanNo
--- a/internal/shared/config/fields.go
+++ b/internal/shared/config/fields.go
@@ -8,15 +8,15 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// field reads one field's value into a T. It adds a fault at the field's path, at and key together, if the
-// value is of another type.
+// field decodes the value of one field into a T. If the value has the wrong type, it adds a fault at the field's path,
+// which is at joined with key.
 type field[T any] func(c *checker, at, key string, value any, to *T)
 
-// fields are the fields of a T by their JSON keys.
+// fields maps the JSON keys of a T to its fields.
 type fields[T any] map[string]field[T]
 
-// readFields reads an object into to. Fields that are not in the table are unknown. The faults are in order
-// of their paths.
+// readFields decodes an object into to. It adds a fault for each key that is not in the table. The faults are sorted by
+// path.
 func readFields[T any](c *checker, at string, v any, table fields[T], to *T) {
 	object, ok := v.(map[string]any)
 	if !ok {
@@ -34,7 +34,7 @@
 	slices.SortStableFunc(c.faults[before:], func(a, b Fault) int { return strings.Compare(a.Path, b.Path) })
 }
 
-// textField is a field for a string.
+// textField returns a field that holds a string.
 func textField[T any, S ~string](member func(*T) *S) field[T] {
 	return func(c *checker, at, key string, value any, to *T) {
 		s, ok := value.(string)
@@ -45,7 +45,7 @@
 	}
 }
 
-// numberField is a field for any number.
+// numberField returns a field that holds any number.
 func numberField[T any](member func(*T) *float64) field[T] {
 	return func(c *checker, at, key string, value any, to *T) {
 		f, ok := value.(float64)
@@ -56,7 +56,7 @@
 	}
 }
 
-// intField is a field for a whole number.
+// intField returns a field that holds a whole number.
 func intField[T any](member func(*T) *int) field[T] {
 	return func(c *checker, at, key string, value any, to *T) {
 		f, ok := value.(float64)
@@ -71,7 +71,7 @@
 	}
 }
 
-// typeName names a parsed value's JSON type.
+// typeName returns the name of the JSON type of a parsed value.
 func typeName(v any) string {
 	switch v.(type) {
 	case nil:
--- a/internal/shared/config/fuzz_test.go
+++ b/internal/shared/config/fuzz_test.go
@@ -18,39 +18,39 @@
 	`{"services":{"a":{}},"aims":{"x":{"service":"a"}},"policies":{"p":{"when":"true"}}}`, "{\"services\":{\"\\u0000\":{}}}", `{"services":{"` + "\xff" + `":{}}}`,
 }
 
-// checkLocated wants each fault to have a text and a place.
-func checkLocated(t *testing.T, fs []Fault) {
+// checkFaults checks that each fault has a text and a path.
+func checkFaults(t *testing.T, fs []Fault) {
 	t.Helper()
 	for _, f := range fs {
 		if f.Text == "" || f.Path == "" {
-			t.Fatalf("a fault without a text or a place: %+v", f)
+			t.Fatalf("a fault without a text or a path: %+v", f)
 		}
 	}
 }
 
-// A configuration is sound, has faults with their places, or is none at all; what is
-// sound is so again when it is written anew.
+// Parse returns a valid configuration, faults with their paths, or an error, and does not modify the document. A valid
+// document stays valid when WithRevision numbers it.
 func FuzzParse(f *testing.F) {
 	for _, c := range fuzzDocuments {
 		f.Add([]byte(c))
 	}
 	f.Fuzz(func(t *testing.T, doc []byte) {
-		kept := bytes.Clone(doc)
+		original := bytes.Clone(doc)
 		cfg, faults, err := Parse(doc, acceptPolicy)
-		if !bytes.Equal(doc, kept) {
-			t.Fatal("it changed what it read")
+		if !bytes.Equal(doc, original) {
+			t.Fatal("Parse modified the document")
 		}
-		checkLocated(t, faults)
+		checkFaults(t, faults)
 		switch {
 		case err != nil && cfg != nil:
-			t.Fatal("an error and a configuration")
+			t.Fatal("Parse returned both an error and a configuration")
 		case err == nil && cfg == nil && len(faults) == 0:
-			t.Fatal("neither a configuration nor a fault")
+			t.Fatal("Parse returned neither a configuration nor a fault nor an error")
 		case err == nil && len(faults) == 0:
 			for _, r := range cfg.Routes {
 				for _, s := range r.Shares() {
 					if _, ok := cfg.Services[s.Service]; !ok {
-						t.Fatalf("a sound route goes to %q, which there is not", s.Service)
+						t.Fatalf("a valid route refers to the unknown service %q", s.Service)
 					}
 				}
 			}
@@ -59,14 +59,14 @@
 				t.Fatal(err)
 			}
 			if _, faults, err = Parse(n, acceptPolicy); err != nil || len(faults) > 0 {
-				t.Fatalf("numbered it is unsound: %v %v\n%s", err, faults, n)
+				t.Fatalf("with a revision the document is no longer valid: %v %v\n%s", err, faults, n)
 			}
 		}
 	})
 }
 
-// A partial change by names is one, or is at fault and changes nothing; applied it has
-// what it sets and lacks what it drops, and a second time it does the same.
+// A named change parses, or has faults or an error. Applied to a document it returns a JSON object without the dropped
+// items, does not modify the document, and is idempotent.
 func FuzzNamedChange(f *testing.F) {
 	for i, p := range []string{
 		`{"set":{"services":{"a":{"cap":3}}}}`, `{"drop":{"services":["a"],"routes":["r"]}}`, `{"revision":7,"set":{"routes":{}},"drop":{}}`,
@@ -76,21 +76,21 @@
 		f.Add([]byte(fuzzDocuments[(i+6)%len(fuzzDocuments)]), []byte(p))
 	}
 	f.Fuzz(func(t *testing.T, doc, patch []byte) {
-		was := bytes.Clone(doc)
+		original := bytes.Clone(doc)
 		IsNamedChange(patch)
 		n, faults, err := ParseNamedChange(patch)
-		checkLocated(t, faults)
+		checkFaults(t, faults)
 		if err != nil || len(faults) > 0 {
 			return
 		}
 		out, faults, err := n.Apply(doc)
-		checkLocated(t, faults)
-		if !bytes.Equal(doc, was) {
-			t.Fatal("it changed what it was applied to")
+		checkFaults(t, faults)
+		if !bytes.Equal(doc, original) {
+			t.Fatal("Apply modified the document")
 		}
 		if err != nil {
 			if len(out) > 0 {
-				t.Fatal("an error and a document")
+				t.Fatal("Apply returned both an error and a document")
 			}
 			return
 		}
@@ -99,18 +99,18 @@
 		}
 		var parts map[string]json.RawMessage
 		if json.Unmarshal(out, &parts) != nil {
-			t.Fatalf("not a document: %s", out)
+			t.Fatalf("the changed document is not a JSON object: %s", out)
 		}
 		again, faults, err := n.Apply(out)
 		if err != nil || len(faults) > 0 || !bytes.Equal(out, again) {
-			t.Fatalf("applied twice: %v %v\n%s\n%s", err, faults, out, again)
+			t.Fatalf("applied twice, the change gives another document: %v %v\n%s\n%s", err, faults, out, again)
 		}
 		for k, names := range n.Drop {
 			var items map[string]json.RawMessage
 			json.Unmarshal(parts[k], &items)
 			for _, name := range names {
 				if _, set := n.Set[k][name]; !set && items[name] != nil {
-					t.Fatalf("%s/%s is still there", k, name)
+					t.Fatalf("%s/%s was dropped and is still in the document", k, name)
 				}
 			}
 		}
@@ -118,15 +118,15 @@
 	})
 }
 
-// A target's word gives a sound target or faults, by either form.
+// A target's report, with the name in the body or in the path, gives a valid target or faults.
 func FuzzTargetReport(f *testing.F) {
-	for _, w := range []string{
+	for _, report := range []string{
 		`{"service":"s","name":"a","incarnation":7,"address":"10.0.0.1:80","state":"ready"}`,
 		`{"service":"s","address":"[::1]:80","state":"warming","slots":4,"cold_left_ms":900,"number":3,"domain":"d","demand":0.5}`,
 		`{"service":"","address":":0","state":"no","slots":-1,"cold_left_ms":-1,"demand":-3}`, `{"demand":1e999}`, `{"slots":1e30}`, `{"cold_left_ms":9223372036854775807}`,
 		``, `null`, `[]`, `"x"`, `{"incarnation":"7"}`, `{"state":["ready"]}`, `{"service":"` + "\x00" + `"}`,
 	} {
-		f.Add("a", []byte(w))
+		f.Add("a", []byte(report))
 	}
 	f.Add("", []byte(`{"service":"s","address":"10.0.0.1:80","state":"ready"}`))
 	f.Fuzz(func(t *testing.T, name string, body []byte) {
@@ -135,19 +135,19 @@
 			if named {
 				parse = func(b []byte) (wire.Target, []Fault) { return ParseNamedTargetReport(name, b) }
 			}
-			w, faults := parse(body)
-			if json.Valid(body) && bytes.HasPrefix(bytes.TrimSpace(body), []byte("{")) { // else it is the whole that is at fault
-				checkLocated(t, faults)
+			target, faults := parse(body)
+			if json.Valid(body) && bytes.HasPrefix(bytes.TrimSpace(body), []byte("{")) { // else the fault has no path
+				checkFaults(t, faults)
 			}
 			if len(faults) > 0 {
 				continue
 			}
-			if w.Service == "" || w.Name == "" || w.Incarnation == 0 || w.Addr == "" || w.State == "" || w.Demand < 0 ||
-				w.Slots > tuning.SlotsMax || w.WarmupLeft < 0 || w.WarmupLeft > int64(tuning.WarmupMax) {
-				t.Fatalf("%+v without a fault", w)
+			if target.Service == "" || target.Name == "" || target.Incarnation == 0 || target.Addr == "" || target.State == "" || target.Demand < 0 ||
+				target.Slots > tuning.SlotsMax || target.WarmupLeft < 0 || target.WarmupLeft > int64(tuning.WarmupMax) {
+				t.Fatalf("the invalid target %+v has no faults", target)
 			}
-			if named && w.Name != name {
-				t.Fatalf("the word of %q is %q's", name, w.Name)
+			if named && target.Name != name {
+				t.Fatalf("the report of %q gives target %q", name, target.Name)
 			}
 		}
 	})
--- a/internal/shared/config/json.go
+++ b/internal/shared/config/json.go
@@ -10,11 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// parseObject reads a document that must be exactly one JSON object; its errors are marked ErrNotJSON. A key
-// that is given twice, of which common parsers silently keep the last, is an error with its path.
+// parseObject parses a document that must be exactly one JSON object. Its errors are marked ErrNotJSON. A duplicate key,
+// of which common parsers silently keep the last, is an error with its path.
 func parseObject(doc []byte) (map[string]any, error) { return parse(doc, false) }
 
-// parse is parseObject; with exact numbers they stay as they are written, as json.Number.
+// parse implements parseObject. If exactNumbers is set, numbers are returned as json.Number in their original spelling,
+// else as float64.
 func parse(doc []byte, exactNumbers bool) (map[string]any, error) {
 	p := parser{text: string(doc), exactNumbers: exactNumbers}
 	if p.skipSpace(); p.offset == len(p.text) || p.text[p.offset] != '{' {
@@ -22,7 +23,7 @@
 	}
 	if !json.Valid(doc) {
 		var v any
-		return nil, errors.Mark(json.Unmarshal(doc, &v), ErrNotJSON) // its error says where
+		return nil, errors.Mark(json.Unmarshal(doc, &v), ErrNotJSON) // returns an error with the position
 	}
 	object, err := p.object()
 	if err != nil {
@@ -31,21 +32,21 @@
 	return object, nil
 }
 
-// parser reads text that is known to be valid JSON, in one pass. Paths are made only for errors.
+// parser parses text that is known to be valid JSON, in one pass. It builds paths only for errors.
 type parser struct {
 	text         string
-	offset       int // of the next byte
-	exactNumbers bool
+	offset       int  // offset of the next byte in text
+	exactNumbers bool // see parse
 }
 
-// parseError is an error at a path, which grows on the way out of nested values.
+// parseError is an error at a path. Each enclosing value adds its key or index to the path.
 type parseError struct{ path, text string }
 
-// Error returns the path and what is wrong there.
+// Error implements error.
 func (e *parseError) Error() string { return e.path + " " + e.text }
 
-// in puts the path of the enclosing value before the error's own.
-func (e *parseError) in(path string) *parseError {
+// within prepends the key or index of the enclosing value to the error's path.
+func (e *parseError) within(path string) *parseError {
 	if e.path != "" && e.path[0] != '[' {
 		path += "."
 	}
@@ -107,7 +108,7 @@
 		p.skipSpace()
 		v, err := p.value()
 		if err != nil {
-			return nil, err.in(key)
+			return nil, err.within(key)
 		}
 		before := len(object)
 		if object[key] = v; len(object) == before {
@@ -125,7 +126,7 @@
 		p.skipComma()
 		v, err := p.value()
 		if err != nil {
-			return nil, err.in(fmt.Sprintf("[%d]", len(array)))
+			return nil, err.within(fmt.Sprintf("[%d]", len(array)))
 		}
 		array = append(array, v)
 	}
@@ -140,7 +141,7 @@
 	}
 }
 
-// string reads a string. One that has escapes or is not ASCII is left to the library, which replaces
+// string parses a string. Strings with escapes or non-ASCII characters are decoded by package json, which replaces
 // invalid UTF-8.
 func (p *parser) string() string {
 	start, plain := p.offset, true
@@ -159,7 +160,7 @@
 	}
 	var s string
 	if err := json.Unmarshal([]byte(p.text[start:p.offset]), &s); err != nil {
-		panic(errors.Wrap(err, "a string of a valid document"))
+		panic(errors.Wrap(err, "decode a string in valid JSON"))
 	}
 	return s
 }
--- a/internal/shared/config/json_test.go
+++ b/internal/shared/config/json_test.go
@@ -42,14 +42,14 @@
 		return string(x) == string(y)
 	}
 	if !same(`{"a":[1,"\u0041"],"b":{}}`, ` {"b" : { }, "a":[1, "A"]}`) {
-		t.Error("the same, and not seen as such")
+		t.Error("two spellings of the same document have different canonical forms")
 	}
 	for _, o := range []string{`{"a":[1]}`, `{"a":["1"]}`, `{"a":[1.5]}`, `{"a":9007199254740993}`, `{"a":9007199254740992}`, `{"a":null}`, `{"a":[[1]]}`, `{"a":{"1":1}}`} {
 		if same(`{"a":[1,2]}`, o) {
-			t.Error(o)
+			t.Errorf("%s has the canonical form of another document", o)
 		}
 	}
 	if same(`{"a":9007199254740993}`, `{"a":9007199254740992}`) {
-		t.Error("numbers are taken as they are written")
+		t.Error("numbers that are equal as float64 but written differently have the same canonical form")
 	}
 }
--- a/internal/shared/config/limits.go
+++ b/internal/shared/config/limits.go
@@ -2,16 +2,16 @@
 
 import "myrtlefold/internal/shared/tuning"
 
-// Limits bound what callers may send, to all services.
+// Limits bound the requests and connections of callers, for all services.
 type Limits struct {
-	// HeaderBytes is the largest header, in bytes. Default: 0, tuning.HeaderMax.
+	// HeaderBytes is the largest request header, in bytes. Default: 0, tuning.HeaderMax.
 	HeaderBytes int `json:"header_bytes,omitempty"`
-	// BodyBytes is the largest body, in bytes. Default: 0, the service's BodyMax, and at least
-	// tuning.CallerBody for a service with a health path.
+	// BodyBytes is the largest request body, in bytes. Default: 0, which means the service's BodyMax and, for a
+	// service with a health path, at least tuning.CallerBody.
 	BodyBytes int `json:"body_bytes,omitempty"`
-	// HeaderMs is how long a header may take to arrive, in ms. Default: 0, tuning.CallerHeader.
+	// HeaderMs is the time limit for receiving a request header, in ms. Default: 0, tuning.CallerHeader.
 	HeaderMs int `json:"header_ms,omitempty"`
-	// IdleMs is how long an unused connection is kept, in ms. Default: 0, tuning.CallerIdle.
+	// IdleMs is how long an idle connection is kept, in ms. Default: 0, tuning.CallerIdle.
 	IdleMs int `json:"idle_ms,omitempty"`
 }
 
--- a/internal/shared/config/namedchange.go
+++ b/internal/shared/config/namedchange.go
@@ -9,26 +9,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// NamedChange is a partial change of a configuration by the names of items, such as one route of many.
-// Its maps are by the kind of the items, which is their section: services, routes, policies or aims.
+// NamedChange is a partial change of a configuration that adds, replaces and removes single items by name, such as one
+// route among many. The kind of an item is its section of the document: services, routes, policies or aims.
 type NamedChange struct {
-	// Revision is the operator's own number for the changed document. Default: 0, the present revision
-	// plus one.
+	// Revision is the operator's number for the changed document. Default: 0, the current revision plus one.
 	Revision uint64 `json:"revision,omitempty"`
-	// Set are items to add or to replace, by kind and name. Default: none.
+	// Set holds items to add or to replace, by kind and name. Default: none.
 	Set map[string]map[string]json.RawMessage `json:"set,omitempty"`
-	// Drop are names of items to remove, by kind. Default: none.
+	// Drop holds the names of items to remove, by kind. Default: none.
 	Drop map[string][]string `json:"drop,omitempty"`
 }
 
-// IsNamedChange reports whether a partial change is a named one; others are merge patches.
+// IsNamedChange reports whether a partial change is a named change. Other partial changes are merge patches.
 func IsNamedChange(patch []byte) bool {
 	var probe struct{ Set, Drop json.RawMessage }
 	return json.Unmarshal(patch, &probe) == nil && (probe.Set != nil || probe.Drop != nil)
 }
 
-// ParseNamedChange reads a named change. What is not part of one is a fault; an error, marked ErrNotJSON,
-// says that it can't be read at all.
+// ParseNamedChange parses a named change and returns its faults, unknown fields included. Its error, marked ErrNotJSON,
+// means that patch is not exactly one JSON object.
 func ParseNamedChange(patch []byte) (*NamedChange, []Fault, error) {
 	if _, err := parseObject(patch); err != nil {
 		return nil, nil, err
@@ -56,14 +55,14 @@
 	return change, check.faults, nil
 }
 
-// unmarshal reads raw into out, and adds a fault that describes what is wanted if that fails.
+// unmarshal decodes raw into out. If raw is null or has the wrong type, it adds a fault that names the wanted type.
 func (c *checker) unmarshal(path string, raw []byte, out any, wanted string) {
 	if err := json.Unmarshal(raw, out); err != nil || string(raw) == "null" {
 		c.add(path, "must be %s", wanted)
 	}
 }
 
-// unmarshalByKind reads an object with a T for each kind of items.
+// unmarshalByKind decodes an object that maps kinds of items to values of type T.
 func unmarshalByKind[T any](c *checker, path string, raw []byte, wanted string) map[string]T {
 	var kinds map[string]json.RawMessage
 	c.unmarshal(path, raw, &kinds, "an object of kinds")
@@ -76,9 +75,9 @@
 	return values
 }
 
-// Apply returns the document that the change makes of doc, unchecked. Removing a name that is not there is
-// no fault: the change can be applied again. The faults are sections of doc that hold no named items; an
-// error, marked ErrNotJSON, says that doc can't be read.
+// Apply applies the change to doc and returns the result without validating it. Removing an item that does not exist is
+// not a fault, so that a change can be applied again. Faults are reported for sections of doc that do not hold named
+// items. An error marked ErrNotJSON means that doc is not a JSON object.
 func (n *NamedChange) Apply(doc []byte) ([]byte, []Fault, error) {
 	document := map[string]json.RawMessage{}
 	if err := json.Unmarshal(doc, &document); err != nil {
@@ -96,7 +95,7 @@
 	if err := editor.store(); err != nil {
 		return nil, nil, err
 	}
-	delete(document, "revision") // the earlier document's own
+	delete(document, "revision") // it is that of the document before the change
 	if n.Revision != 0 {
 		document["revision"] = json.RawMessage(fmt.Sprint(n.Revision))
 	}
@@ -107,12 +106,12 @@
 // sectionEditor edits the sections of a document that hold named items.
 type sectionEditor struct {
 	document map[string]json.RawMessage
-	items    map[string]map[string]json.RawMessage // of the sections that were asked for
+	items    map[string]map[string]json.RawMessage // items of the sections that are edited, by section and name
 	faults   []Fault
 }
 
-// section returns the items of a section, to be edited in place; a section that is missing or holds no
-// named items is empty.
+// section returns the items of a section, to be edited in place. It returns an empty map if the section does not exist
+// and, with a fault, if the section does not hold named items.
 func (s *sectionEditor) section(kind string) map[string]json.RawMessage {
 	if s.items[kind] != nil {
 		return s.items[kind]
@@ -126,7 +125,7 @@
 	return items
 }
 
-// store puts the edited sections into the document.
+// store writes the edited sections back into the document.
 func (s *sectionEditor) store() error {
 	for kind, items := range s.items {
 		raw, err := json.Marshal(items)
--- a/internal/shared/config/namedchange_test.go
+++ b/internal/shared/config/namedchange_test.go
@@ -24,14 +24,15 @@
 	}
 }
 
-// What can't be read at all is told apart from what has faults.
+// For input that is not exactly one JSON object, Parse and ParseNamedChange return an error marked ErrNotJSON, not
+// faults.
 func TestNamedChangeThatIsNotOneObject(t *testing.T) {
 	for _, doc := range []string{``, `null`, `[]`, `{`, `{}{}`} {
 		if _, _, err := Parse([]byte(doc), acceptPolicy); !errors.Is(err, ErrNotJSON) {
 			t.Errorf("%q: %v", doc, err)
 		}
 		if _, _, err := ParseNamedChange([]byte(doc)); !errors.Is(err, ErrNotJSON) {
-			t.Errorf("%q by names: %v", doc, err)
+			t.Errorf("%q as a named change: %v", doc, err)
 		}
 	}
 }
--- a/internal/shared/config/objective.go
+++ b/internal/shared/config/objective.go
@@ -7,14 +7,15 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Objective is a service-level objective: which ratio of a service's requests in a window of time is to
-// succeed. A request succeeds if its response is complete, below 500 and in time; rejected requests do not.
+// Objective is a service-level objective: the ratio of a service's requests that should succeed within a time window. A
+// request succeeds if its response is complete, has a status below 500 and arrives in time. Rejected requests count as
+// failed.
 type Objective struct {
 	// Service is the name of the service.
 	Service string `koanf:"service" json:"service"`
-	// SuccessRatio is the ratio of requests that are to succeed, between 0 and 1, both excluded.
+	// SuccessRatio is the ratio of requests that should succeed, between 0 and 1, exclusive.
 	SuccessRatio float64 `koanf:"part" json:"part"`
-	// LatencyTargetMs is the response time in ms within which a request succeeds. Default: 0, any time.
+	// LatencyTargetMs is the longest response time of a successful request, in ms. Default: 0, no limit.
 	LatencyTargetMs int `koanf:"under_ms" json:"under_ms,omitempty"`
 	// WindowMinutes is the length of the window, in minutes. Default: 60, the longest.
 	WindowMinutes int `koanf:"window_min" json:"window_min"`
@@ -29,7 +30,7 @@
 	})
 }
 
-// checkObjectives checks the objectives. Services must have been read.
+// checkObjectives checks the objectives. Services must have been decoded before.
 func (c *checker) checkObjectives(cfg *Config) {
 	for _, name := range slices.Sorted(maps.Keys(cfg.Objectives)) {
 		o, at := cfg.Objectives[name], joinPath("aims", name)
--- a/internal/shared/config/parse.go
+++ b/internal/shared/config/parse.go
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// sections are the keys of a configuration, each with what reads its value.
+// sections maps the top-level keys of a configuration to the functions that decode their values.
 var sections = map[string]func(*checker, *Config, any){
 	"revision": (*checker).readRevision,
 	"services": (*checker).readServices,
@@ -19,10 +19,10 @@
 	"aims":     (*checker).readObjectives,
 }
 
-// Parse reads and checks a document: each section by itself, then what sections refer to in each other.
-// The faults are returned beside the configuration, which must not be used if there are any. An error,
-// marked ErrNotJSON, says that the document can't be read at all. checkPolicy returns the faults of one
-// policy, with paths inside it: see outlier.ParseConfig.
+// Parse parses and validates a configuration document: each section on its own, then the references between sections.
+// It returns the configuration together with the faults; if there are any, the configuration must not be used. An
+// error, marked ErrNotJSON, means that the document is not exactly one JSON object. checkPolicy returns the faults of a
+// policy, with paths relative to the policy: see outlier.ParseConfig.
 func Parse(doc []byte, checkPolicy func(Policy) []Fault) (*Config, []Fault, error) {
 	raw, err := parseObject(doc)
 	if err != nil {
@@ -51,9 +51,9 @@
 	return cfg, check.faults, nil
 }
 
-// Decode reads a JSON object into the struct at out by its koanf tags; fields that the object does
-// not have keep their values. It returns every fault by its path, unknown fields included. An error,
-// marked ErrNotJSON, says that the document can't be read at all.
+// Decode decodes a JSON object into the struct that out points to, by its koanf tags. Fields that are missing in the
+// object keep their values. It returns every fault, unknown fields included. An error, marked ErrNotJSON, means that the
+// document is not exactly one JSON object.
 func Decode(doc []byte, out any) ([]Fault, error) {
 	raw, err := parseWithKoanf(doc)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return c.faults, nil
 }
 
-// items passes the items of a section to read, in order of their names.
+// items calls read for each item of a section, sorted by name.
 func (c *checker) items(section string, v any, read func(at, name string, item any)) {
 	m, ok := v.(map[string]any)
 	if !ok {
--- a/internal/shared/config/parse_test.go
+++ b/internal/shared/config/parse_test.go
@@ -12,7 +12,7 @@
 
 func acceptPolicy(Policy) []Fault { return nil }
 
-// Every fault is listed by its path, unknown fields included.
+// Parse reports every fault of a document with its path, unknown fields included.
 func TestEveryFaultIsListedByItsPath(t *testing.T) {
 	_, fs, err := Parse([]byte(`{
 		"services": {"a": {"cap": 3.5}, "B!": {}, "c": {"tries": "x", "warm_cap": 90, "odd": 1}, "d": null, "e": {"wait_ms": 5}},
@@ -47,9 +47,10 @@
 	want := "limits.idle_ms limits.odd routes.a.attempts routes.a.odd routes.a.timeout_ms routes.b.split[1].weight routes.c" +
 		" routes.d.timeout_ms routes.d.split[0].service routes.d.split"
 	if err != nil || strings.Join(got, " ") != want {
-		t.Errorf("%v\n%s\n%s", err, strings.Join(got, " "), want)
+		t.Errorf("%v\ngot  %s\nwant %s", err, strings.Join(got, " "), want)
 	}
 }
+
 func TestDocumentThatIsNotOneObject(t *testing.T) {
 	for _, doc := range []string{``, `[]`, `{"services":`, `{} {}`, `{"a":1,"a":2}`, `{"services":{"x":{"cap":1,"cap":2}}}`, `null`, "{\"a\":\x00}"} {
 		if _, _, err := Parse([]byte(doc), acceptPolicy); !errors.Is(err, ErrNotJSON) {
@@ -58,7 +59,7 @@
 	}
 }
 
-// What the repository ships is sound.
+// The sample configurations in the repository are valid.
 func TestShippedSamplesAreValid(t *testing.T) {
 	for _, n := range []string{"kelani.json", "kiyihat.json"} {
 		b, err := os.ReadFile(filepath.Join("../../../sample", n))
--- a/internal/shared/config/policy.go
+++ b/internal/shared/config/policy.go
@@ -6,11 +6,11 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Slice is a part of what is known of a target, of which a policy's condition sees one. The texts stand
-// in configurations, recordings and streams of events.
+// Slice is a kind of observations of a target. The conditions of a policy evaluate the observations of one slice. The
+// values appear in configurations, recordings and event streams.
 type Slice string
 
-// The slices.
+// Slices of observations.
 const (
 	SliceProbe     Slice = "probe"    // results of health checks
 	SliceHeartbeat Slice = "beat"     // the target's heartbeats
@@ -18,51 +18,52 @@
 	SliceDemand    Slice = "demand"   // the load that the target reports
 )
 
-// DecisionKind is what a decision of a policy does. The texts stand in configurations and streams.
+// DecisionKind is the kind of a policy's decision. The values appear in configurations and event streams.
 type DecisionKind string
 
 // Decisions that a policy may make.
 const (
-	DecideEject DecisionKind = "bar"  // ejection: no requests, until a time to live is over
-	DecideDrain DecisionKind = "hold" // draining: no new requests, until a condition clears it
+	DecideEject DecisionKind = "bar"  // ejection: no requests until the time to live expires
+	DecideDrain DecisionKind = "hold" // draining: no new requests until the decision is cleared
 )
 
-// PolicyMode says whether a policy is evaluated and its decisions take effect. The texts stand in configurations.
+// PolicyMode determines whether a policy is evaluated and whether its decisions take effect. The values appear in
+// configurations.
 type PolicyMode string
 
 // Modes of a policy.
 const (
-	ModeLive   PolicyMode = "live"   // its decisions take effect
-	ModeShadow PolicyMode = "shadow" // it decides and is scored, without effect
-	ModeOff    PolicyMode = "off"    // it is not evaluated
+	ModeLive   PolicyMode = "live"   // decisions take effect
+	ModeShadow PolicyMode = "shadow" // decisions are made and scored but have no effect
+	ModeOff    PolicyMode = "off"    // the policy is not evaluated
 )
 
-// Policy is a policy of the outlier detector: a condition on one slice of what is known of a target,
-// and a decision. Conditions are in the language of package expr; docs/policy.md has their names.
+// Policy is a policy of the outlier detector: a condition on one slice of observations of a target, and a decision.
+// Conditions are expressions of package expr. docs/policy.md lists the variables that they may use.
 type Policy struct {
-	// Slice is what the conditions see.
+	// Slice is the slice of observations that the conditions evaluate.
 	Slice Slice `koanf:"slice" json:"slice"`
 	// When is the condition under which the decision is made.
 	When string `koanf:"when" json:"when"`
-	// Clear is the condition that ends the decision early. Default: "", none: an ejection ends with its
-	// time to live, draining when the condition When is over.
+	// Clear is the condition that ends the decision early. Default: "", none. Then an ejection ends when its time to
+	// live expires, and draining when the condition When no longer holds.
 	Clear string `koanf:"clear" json:"clear,omitempty"`
-	// Decide is the decision.
+	// Decide is the kind of decision, DecideEject or DecideDrain.
 	Decide DecisionKind `koanf:"decide" json:"decide"`
-	// TTLMs is an ejection's time to live, in ms, at most tuning.EjectionMaxTTL. Draining has none.
+	// TTLMs is the time to live of an ejection, in ms, at most tuning.EjectionMaxTTL. It must be 0 for draining.
 	TTLMs int `koanf:"ttl_ms" json:"ttl_ms,omitempty"`
-	// Mode says whether the policy is in force. Default: live.
+	// Mode determines whether the policy is evaluated and takes effect. Default: live.
 	Mode PolicyMode `koanf:"mode" json:"mode,omitempty"`
-	// Note is for people. Default: "".
+	// Note is a human-readable comment. Default: "".
 	Note string `koanf:"note" json:"note,omitempty"`
 }
 
-// DefaultPolicyName is the name of the default policy. It is in force in any case, as DefaultPolicy if the
-// configuration has none of this name.
+// DefaultPolicyName is the name of the default policy. A policy of this name is always in force: the one in the
+// configuration or else DefaultPolicy.
 const DefaultPolicyName = "default"
 
-// DefaultPolicy returns the default policy: two missed health checks in a row eject a target for
-// tuning.EjectionTTL, an answered one ends the ejection.
+// DefaultPolicy returns the built-in default policy: two consecutive missed health checks eject a target for
+// tuning.EjectionTTL, and an answered one ends the ejection.
 func DefaultPolicy() Policy {
 	return Policy{
 		Slice:  SliceProbe,
--- a/internal/shared/config/revision.go
+++ b/internal/shared/config/revision.go
@@ -7,14 +7,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// WithoutRevision returns a document without its own revision, as the base of another one. Its errors are
-// marked ErrNotJSON.
+// WithoutRevision returns a document without its field "revision", for use as the base of another document. Its errors
+// are marked ErrNotJSON.
 func WithoutRevision(doc []byte) ([]byte, error) {
 	return editRevision(doc, func(document map[string]json.RawMessage) { delete(document, "revision") })
 }
 
-// WithRevision returns a document with its own revision, or else with the given one. Its errors are
-// marked ErrNotJSON.
+// WithRevision returns a document with the field "revision", which is set to the given one if it is missing. Its errors
+// are marked ErrNotJSON.
 func WithRevision(doc []byte, revision uint64) ([]byte, error) {
 	return editRevision(doc, func(document map[string]json.RawMessage) {
 		if document["revision"] == nil {
@@ -23,7 +23,8 @@
 	})
 }
 
-// editRevision returns what edit makes of doc; doc itself, with its spacing and order, if that is the same.
+// editRevision applies edit to the parsed document and encodes it again. If edit changed nothing, it returns doc itself,
+// which keeps white space and key order.
 func editRevision(doc []byte, edit func(map[string]json.RawMessage)) ([]byte, error) {
 	document := map[string]json.RawMessage{}
 	if err := json.Unmarshal(doc, &document); err != nil {
--- a/internal/shared/config/route.go
+++ b/internal/shared/config/route.go
@@ -11,59 +11,58 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// RouteKind says whether a route's requests are idempotent. The texts stand in configurations.
+// RouteKind is whether the requests of a route are idempotent. The values appear in configurations.
 type RouteKind string
 
-// The kinds of routes.
+// Kinds of routes.
 const (
 	KindRepeatable RouteKind = "repeatable" // idempotent: a request may run more than once
 	KindOnce       RouteKind = "once"       // not idempotent: a request runs at most once for each call
 	KindDownload   RouteKind = "download"   // idempotent, with large responses
 )
 
-// Route is what holds for requests to a host and prefix. They go to one service, or are split over
-// several by weight.
+// Route defines how requests to a host and path prefix are handled. They are sent to one service or split over several
+// by weight.
 type Route struct {
-	// Host is the host, in lower case and without port. Default: "", any.
+	// Host is the host, in lower case and without port. Default: "", any host.
 	Host string `json:"host"`
-	// Prefix is the path's prefix, which begins and ends with a slash.
+	// Prefix is the prefix of the path. It begins and ends with a slash.
 	Prefix string `json:"prefix"`
-	// Kind says whether requests are idempotent.
+	// Kind is whether requests are idempotent.
 	Kind RouteKind `json:"kind"`
-	// TimeoutMs is a request's deadline, counted from when it came, in ms. No default: it must be set.
+	// TimeoutMs is the deadline of a request, counted from its arrival, in ms. No default: it must be set.
 	TimeoutMs int `json:"timeout_ms"`
-	// LatencyTargetMs is the response time in ms within which a response is worth most to the caller;
-	// queueing and Retry-After go by it. Default: 0, none.
+	// LatencyTargetMs is the response time in ms within which a response has the most value for the caller. Queueing
+	// and Retry-After depend on it. Default: 0, none.
 	LatencyTargetMs int `json:"aim_ms,omitempty"`
-	// Priority is the priority of requests when there is not enough capacity; 0 is the highest.
-	// Default: 0.
+	// Priority is the priority of requests when capacity is insufficient; 0 is the highest. Default: 0.
 	Priority int `json:"priority,omitempty"`
-	// Attempts is how many targets one request may be sent to. No default: it must be set.
+	// Attempts is the maximum number of targets that one request is sent to. No default: it must be set.
 	Attempts int `json:"attempts"`
-	// Service is the name of the route's service. Default: "", Split is set.
+	// Service is the name of the route's service. Default: "", in which case Split must be set.
 	Service string `json:"service,omitempty"`
-	// Split are the services that the requests are split over. Default: none, Service is set.
+	// Split holds the services over which requests are split. Default: none, in which case Service must be set.
 	Split []Share `json:"split,omitempty"`
 }
 
 // Share is a service's share of a split.
 type Share struct {
 	Service string  `json:"service"`
-	Weight  float64 `json:"weight"` // in proportion to the split's other weights; 0: no requests
+	Weight  float64 `json:"weight"` // relative to the other weights of the split; 0 for no requests
 }
 
 // Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool { return r.Kind != KindOnce }
 
-// Timeout returns a request's deadline, counted from when it came.
+// Timeout returns the deadline of a request, counted from its arrival.
 func (r *Route) Timeout() time.Duration { return time.Duration(r.TimeoutMs) * time.Millisecond }
 
-// LatencyTarget returns the response time within which a response is worth most, 0: none is set.
+// LatencyTarget returns the response time within which a response has the most value, 0 if none is set.
 func (r *Route) LatencyTarget() time.Duration {
 	return time.Duration(r.LatencyTargetMs) * time.Millisecond
 }
 
-// Shares returns the services that the route may choose, each with a weight over 0.
+// Shares returns the services to which the route may send requests, each with a positive weight.
 func (r *Route) Shares() []Share {
 	if r.Service != "" {
 		return []Share{{Service: r.Service, Weight: 1}}
@@ -71,8 +70,8 @@
 	return slices.DeleteFunc(slices.Clone(r.Split), func(s Share) bool { return s.Weight <= 0 })
 }
 
-// routeIndex has the names of routes by host and prefix. With it a lookup takes as many steps as the
-// request's path has segments, however many routes there are.
+// routeIndex maps host and prefix to the name of the route. The number of steps of a lookup depends on the number of
+// segments in the request's path, not on the number of routes.
 type routeIndex map[string]map[string]string
 
 func (c *Config) indexRoutes() {
@@ -85,8 +84,8 @@
 	}
 }
 
-// FindRoute returns the route for a request: the longest prefix of path among the routes of its host, and
-// if none matches, among those for any host.
+// FindRoute returns the route for a request: the one with the longest matching prefix among the routes for its host or,
+// if none matches, among the routes for any host.
 func (c *Config) FindRoute(host, path string) (name string, r Route, ok bool) {
 	for _, h := range []string{normalizeHost(host), ""} {
 		if name, ok := longestPrefix(c.routeIndex[h], path); ok {
@@ -96,7 +95,7 @@
 	return "", Route{}, false
 }
 
-// longestPrefix returns the name at the longest prefix of path that ends with a slash.
+// longestPrefix returns the name in names whose key is the longest prefix of path. All keys end with a slash.
 func longestPrefix(names map[string]string, path string) (name string, ok bool) {
 	if names == nil {
 		return "", false
@@ -130,7 +129,7 @@
 	"weight":  numberField(func(s *Share) *float64 { return &s.Weight }),
 }
 
-// readSplit is the field of a route's split.
+// readSplit decodes the field split of a route.
 func readSplit(c *checker, at, key string, value any, to *Route) {
 	path := joinPath(at, key)
 	list, ok := value.([]any)
@@ -144,7 +143,7 @@
 	}
 }
 
-// readRoutes reads all routes; those with faults are left out.
+// readRoutes decodes all routes. Routes with faults are not added to the configuration.
 func (c *checker) readRoutes(cfg *Config, v any) {
 	c.items("routes", v, func(at, name string, item any) {
 		var r Route
@@ -157,7 +156,7 @@
 	})
 }
 
-// checkRoutes checks each route, and that no two have the same host and prefix. Services must have been read.
+// checkRoutes checks each route, and that no two have the same host and prefix. Services must have been decoded before.
 func (c *checker) checkRoutes(cfg *Config) {
 	type key struct{ host, prefix string }
 	names := make(map[key]string, len(cfg.Routes))
--- a/internal/shared/config/rule.go
+++ b/internal/shared/config/rule.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// Rule sends requests by host, path and method to one service. Requests that a route matches do not
-// come to the rules.
+// Rule assigns requests to a service by host, path and method. Rules apply only to requests that no route matches.
 type Rule struct {
-	// Host is the host, in lower case and without port. Default: "", any.
+	// Host is the host, in lower case and without port. Default: "", any host.
 	Host string `koanf:"host" json:"host,omitempty"`
-	// Path is the path; all paths below it match too.
+	// Path is the path. It also matches all paths below it.
 	Path string `koanf:"path" json:"path"`
-	// Methods are the HTTP methods. Default: none, any method.
+	// Methods are the HTTP methods that match. Default: none, any method.
 	Methods []string `koanf:"methods" json:"methods,omitempty"`
 	// Service is the name of the service.
 	Service string `koanf:"service" json:"service"`
 }
 
-// ruleMethods are the methods that a rule may name.
+// ruleMethods are the HTTP methods that are valid in Rule.Methods.
 var ruleMethods = []string{"GET", "HEAD", "OPTIONS", "POST", "PUT", "PATCH", "DELETE"}
 
-// hostRank ranks a rule with a host before any rule without one, whatever their paths: no path is longer.
+// hostRank is added to the rank of a rule with a host. It is longer than any path, so that such a rule takes precedence
+// over all rules without a host.
 const hostRank = 1 << 20
 
-// FindRule returns the service that the rules choose for a request: those with its host go before those for
-// any host, then the longest path, whose end must be at a segment's end. If only the method does not match,
-// ok is false and allowed lists the methods of the best path, for the response's Allow header.
+// FindRule returns the service for a request. Rules for its host take precedence over rules for any host, then the rule
+// with the longest path that is equal to the request's path or a parent of it. If only the method does not match, ok is
+// false and allowed lists the methods of the best rules, for the Allow header of the response.
 func (c *Config) FindRule(host, path, method string) (service string, allowed []string, ok bool) {
 	host = normalizeHost(host)
 	bestRank := -1
@@ -53,7 +53,7 @@
 	return service, allowed, ok
 }
 
-// isAtOrBelow reports whether path is a rule's path or lies below it.
+// isAtOrBelow reports whether path is equal to a rule's path or below it.
 func isAtOrBelow(rulePath, path string) bool {
 	if !strings.HasPrefix(path, rulePath) {
 		return false
@@ -70,7 +70,7 @@
 	return host
 }
 
-// rulePath returns the path of a rule in the document.
+// rulePath returns the path of the i-th rule in the document, for faults.
 func rulePath(i int) string { return fmt.Sprintf("rules[%d]", i) }
 
 func (c *checker) readRules(cfg *Config, v any) {
@@ -85,7 +85,8 @@
 	}
 }
 
-// checkRules checks each rule, and that no two match the same requests. Services must have been read.
+// checkRules checks each rule, and that no two rules have host, path and a method in common. Services must have been
+// decoded before.
 func (c *checker) checkRules(cfg *Config) {
 	for i, r := range cfg.Rules {
 		c.checkRule(rulePath(i), r, cfg)
@@ -119,7 +120,7 @@
 	}
 }
 
-// overlaps reports whether the rules have host, path and at least one method in common.
+// overlaps reports whether two rules have the same host and path and at least one method in common.
 func (r Rule) overlaps(other Rule) bool {
 	if r.Host != other.Host || r.Path != other.Path {
 		return false
--- a/internal/shared/config/rule_test.go
+++ b/internal/shared/config/rule_test.go
@@ -21,7 +21,7 @@
 			t.Errorf("%+v: %q %v %v", x, svc, allowed, ok)
 		}
 		if x.method == "DELETE" && x.svc == "" && strings.Join(allowed, ",") != "GET,POST" {
-			t.Errorf("allowed %v", allowed)
+			t.Errorf("%+v: allowed %v, want GET and POST", x, allowed)
 		}
 	}
 }
--- a/internal/shared/config/service.go
+++ b/internal/shared/config/service.go
@@ -7,54 +7,51 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Service is what holds for a group of interchangeable targets. A route has deadline, attempts and queue of its own
-// in place of TimeoutMs, Attempts, QueueTimeoutMs and QueueLength.
+// Service is a group of interchangeable targets with common settings. For requests of a route, the route's own deadline,
+// attempts and queue replace TimeoutMs, Attempts, QueueTimeoutMs and QueueLength.
 type Service struct {
-	// Cap is how many requests may be in flight to one target from all proxies together. Default: 64.
+	// Cap is the limit of requests in flight to one target from all proxies together. Default: 64.
 	Cap int `koanf:"cap" json:"cap"`
-	// WarmCap is the same for a target that is warming up; slow start raises it to Cap afterwards.
-	// Default: 4.
+	// WarmCap is the same limit for a target that is warming up. Slow start raises it to Cap afterwards. Default: 4.
 	WarmCap int `koanf:"warm_cap" json:"warm_cap"`
-	// MaxInFlight is how many requests may be in flight to the service, split over the proxies.
-	// Default: 0, no limit.
+	// MaxInFlight is the limit of requests in flight to the service, divided among the proxies. Default: 0, no limit.
 	MaxInFlight int `koanf:"in_flight" json:"in_flight,omitempty"`
-	// TimeoutMs is a request's deadline, counted from when it came, in ms. Default: 5000.
+	// TimeoutMs is the deadline of a request, counted from its arrival, in ms. Default: 5000.
 	TimeoutMs int `koanf:"timeout_ms" json:"timeout_ms"`
-	// QueueTimeoutMs is how long a request may wait for a target, in ms. It goes together with
-	// QueueLength. Default: 0, no request waits.
+	// QueueTimeoutMs is how long a request may be queued for a target, in ms. It must be set if and only if QueueLength
+	// is. Default: 0, requests are not queued.
 	QueueTimeoutMs int `koanf:"wait_ms" json:"wait_ms,omitempty"`
-	// QueueLength is how many requests may wait for a target, split over the proxies. Default: 0, none.
+	// QueueLength is the maximum number of queued requests, divided among the proxies. Default: 0, requests are not
+	// queued.
 	QueueLength int `koanf:"wait_len" json:"wait_len,omitempty"`
-	// BodyMax is the largest body of a request, in bytes. Default: 1 MiB.
+	// BodyMax is the largest request body, in bytes. Default: 1 MiB.
 	BodyMax int `koanf:"body_max" json:"body_max"`
-	// Attempts is how many times an idempotent request is sent in all, the first time included. Default: 3.
+	// Attempts is the maximum number of times an idempotent request is sent, the first attempt included. Default: 3.
 	Attempts int `koanf:"tries" json:"tries"`
-	// SlowMs is the response time in ms over which policies count a request as slow. Default: 0, none
-	// is slow.
+	// SlowMs is the response time above which policies count a request as slow, in ms. Default: 0, no request is slow.
 	SlowMs int `koanf:"slow_ms" json:"slow_ms,omitempty"`
-	// HealthPath is the path of the targets' health check. Default: "", the identity request instead.
+	// HealthPath is the path of the targets' health check. Default: "", the identity request is used instead.
 	HealthPath string `koanf:"health_path" json:"health_path,omitempty"`
-	// ConnCap is how many connections a target takes from all its callers together. Default: 0, not known.
+	// ConnCap is how many connections a target accepts from all its callers together. Default: 0, unknown.
 	ConnCap int `koanf:"conn_cap" json:"conn_cap,omitempty"`
-	// WarmupSeconds is how long after its start a target warms up, in seconds. Default: 0, not at all.
+	// WarmupSeconds is the duration of a target's warm-up after its start, in seconds. Default: 0, no warm-up.
 	WarmupSeconds float64 `koanf:"cold_s" json:"cold_s,omitempty"`
-	// WarmupRate is how many requests a second all proxies together send to a target that is warming up.
+	// WarmupRate is the rate limit of all proxies together for a target that is warming up, in requests a second.
 	// Default: 0, no limit.
 	WarmupRate float64 `koanf:"cold_per_s" json:"cold_per_s,omitempty"`
-	// Proto is the protocol of the targets: h1 only. Default: "", h1.
+	// Proto is the protocol of the targets. Only h1 (HTTP/1.1) is supported. Default: "", h1.
 	Proto string `koanf:"proto" json:"proto,omitempty"`
-	// TLS says whether targets are reached by TLS: false only. Default: false.
+	// TLS is whether connections to targets use TLS. Only false is supported. Default: false.
 	TLS bool `koanf:"tls" json:"tls,omitempty"`
 }
 
-// Warmup returns how long after its start a target of the service warms up.
+// Warmup returns the duration of a target's warm-up after its start.
 func (s *Service) Warmup() time.Duration {
 	return time.Duration(s.WarmupSeconds * float64(time.Second))
 }
 
-// HasHealthCheck reports whether the service's targets have a health check of their own and take the
-// identity that is expected of them with each request; other targets are asked for their identity on
-// each new connection.
+// HasHealthCheck reports whether the service's targets have a health check of their own. Such targets get the expected
+// identity with each request; other targets are asked for their identity on each new connection.
 func (s *Service) HasHealthCheck() bool { return s.HealthPath != "" }
 
 func (c *checker) readServices(cfg *Config, v any) {
@@ -73,7 +70,7 @@
 	})
 }
 
-// checkService checks a service by itself.
+// checkService checks the fields of a service.
 func (c *checker) checkService(path string, service *Service) {
 	c.checkRange(path, "cap", service.Cap, 1, tuning.CapMax)
 	c.checkRange(path, "warm_cap", service.WarmCap, 1, tuning.CapMax)
--- a/internal/shared/config/targetreport.go
+++ b/internal/shared/config/targetreport.go
@@ -13,28 +13,29 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// IdentityPath is the HTTP path at which a target responds to an identity request with its TargetReport.
+// IdentityPath is the HTTP path of the identity request, to which a target responds with its TargetReport.
 const IdentityPath = "/.myrtlefold/identity"
 
-// TargetReport is what a target reports of itself, in heartbeats and at IdentityPath.
+// TargetReport is a target's report about itself, in heartbeats and at IdentityPath.
 type TargetReport struct {
-	// Service and Name identify the target; Incarnation rises with each of its starts.
+	// Service and Name identify the target. Incarnation increases with each start of the target.
 	Service     string `json:"service"`
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
-	// Address is the IP:port at which the target takes requests.
+	// Address is the IP:port at which the target accepts requests.
 	Address string `json:"address,omitempty"`
-	// Domain is its failure domain. Default: "", not known.
+	// Domain is the target's failure domain. Default: "", unknown.
 	Domain string `json:"domain,omitempty"`
-	// State is its state; "" at IdentityPath: not reported.
+	// State is the target's state. It may be "", not reported, at IdentityPath only.
 	State wire.TargetState `json:"state"`
-	// Demand is its load, 0 and more; 1 is as much as it bears. Default: nil, not reported.
+	// Demand is the target's load, 0 or more; 1 is its full capacity. Default: nil, not reported.
 	Demand *float64 `json:"demand,omitempty"`
-	// Slots is how many requests it runs at once. Default: 0, not reported.
+	// Slots is the number of requests that the target processes concurrently. Default: 0, not reported.
 	Slots int64 `json:"slots,omitempty"`
-	// WarmupLeftMs is for how much longer it takes only its service's warm-up rate, in ms. Default: 0.
+	// WarmupLeftMs is the remaining time in ms during which the target accepts requests only at the warm-up rate of
+	// its service. Default: 0, no such time.
 	WarmupLeftMs int64 `json:"cold_left_ms,omitempty"`
-	// Number rises with each heartbeat. Default: 0, not numbered.
+	// Number increases with each heartbeat. Default: 0, not numbered.
 	Number uint64 `json:"number,omitempty"`
 }
 
@@ -43,8 +44,8 @@
 	return wire.TargetID{Service: r.Service, Name: r.Name, Incarnation: r.Incarnation}
 }
 
-// ParseTargetReport reads the body of a heartbeat and checks it; unknown fields are ignored. It returns
-// the target as daemons exchange it, or the report's faults by its fields.
+// ParseTargetReport parses and validates the body of a heartbeat. Unknown fields are ignored. It returns the target in
+// the form that daemons exchange, or the faults of the report.
 func ParseTargetReport(body []byte) (wire.Target, []Fault) {
 	r, faults := unmarshalReport(body, TargetReport{})
 	if len(faults) > 0 {
@@ -53,8 +54,8 @@
 	return r.Target()
 }
 
-// ParseNamedTargetReport reads the body of a heartbeat whose name is in the path of its call. Such a name
-// is used for one start only, so no incarnation is needed.
+// ParseNamedTargetReport parses and validates the body of a heartbeat with the target's name in the path of the call.
+// Such a name is used for one start only, so the incarnation may be missing.
 func ParseNamedTargetReport(name string, body []byte) (wire.Target, []Fault) {
 	r, faults := unmarshalReport(body, TargetReport{Incarnation: 1})
 	if len(faults) > 0 {
@@ -64,7 +65,7 @@
 	return r.Target()
 }
 
-// unmarshalReport reads a report over the values that it has by default.
+// unmarshalReport decodes a report into r, which holds the defaults, and returns it.
 func unmarshalReport(body []byte, r TargetReport) (TargetReport, []Fault) {
 	err := json.Unmarshal(body, &r)
 	if err == nil {
@@ -78,7 +79,7 @@
 	return r, []Fault{{Path: path, Text: err.Error()}}
 }
 
-// Target checks the report and returns it as daemons exchange it, or its faults by its fields.
+// Target validates the report and returns the target in the form that daemons exchange, and the report's faults.
 func (r *TargetReport) Target() (wire.Target, []Fault) {
 	check := &checker{}
 	check.checkTargetReport(r)
--- a/internal/shared/discovery/discovery.go
+++ b/internal/shared/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery is what a daemon knows of the other daemons from their hellos: which there are, at
-// which addresses, and who leads. It sends nothing, and has no clock: times are those of the daemon that
-// asks, since its start. Begin with Directory.
+// Package discovery keeps what a daemon learns about other daemons from their hellos: their names, addresses and kinds,
+// and who is the leader. It does no I/O and has no clock: times are passed in and measured from the start of the calling
+// daemon. Start with Directory.
 package discovery
 
 import (
@@ -13,51 +13,49 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Peer is what a daemon knows of another one.
+// Peer is what a daemon knows about another daemon.
 type Peer struct {
 	wire.Daemon
-	// LastContact is when its last hello arrived. For one that is known from others' hellos only, it
-	// is set back by half of tuning.DaemonExpiry.
+	// LastContact is when the daemon's last hello arrived. For a daemon that is known only from the lists in others'
+	// hellos, it is half of tuning.DaemonExpiry before the time at which it was first listed.
 	LastContact time.Duration
-	// Leader names the leader that it has contact with, "" if it has none.
+	// Leader is the name of the leader with which the daemon has contact, "" if there is none.
 	Leader string
-	// Term is its term, 0 if it is no member.
+	// Term is the daemon's term, 0 if it is not a member of the control plane.
 	Term uint64
-	// Members is the latest membership that it knows.
+	// Members is the latest membership that the daemon knows.
 	Members Membership
-	// BootstrapEpoch is the latest epoch that it has locked for a bootstrap, 0: none.
+	// BootstrapEpoch is the latest epoch that the daemon has locked for a bootstrap, 0 if there is none.
 	BootstrapEpoch uint64
-	// Consent is the operator's consent to a recovery that it was given.
+	// Consent is the operator's consent to a recovery that the daemon has received.
 	Consent RecoveryConsent
 }
 
-// Membership is the control plane's members as of an epoch and an index of its log.
+// Membership is the list of the control plane's members as of an epoch and a log index.
 type Membership struct {
 	Epoch, Index uint64
 	Members      []wire.Member
 }
 
-// IsBefore says that other is later: of a later epoch, else of a later entry.
+// IsBefore reports whether m is older than other: by epoch, then by log index.
 func (m Membership) IsBefore(other Membership) bool {
 	return cmp.Or(cmp.Compare(m.Epoch, other.Epoch), cmp.Compare(m.Index, other.Index)) < 0
 }
 
-// RecoveryConsent is an operator's consent to recover a control plane without waiting for the members
-// that are missing.
+// RecoveryConsent is an operator's consent to recover a control plane without waiting for missing members.
 type RecoveryConsent struct {
 	Granted bool
-	// LostMembers names the members whose disks the operator knows to be lost for good.
+	// LostMembers are the names of the members whose disks are permanently lost, according to the operator.
 	LostMembers []string
-	// GrantedAt is when this daemon learnt of it.
+	// GrantedAt is when this daemon learned of the consent.
 	GrantedAt time.Duration
 }
 
-// Directory is a daemon's list of the others, by name.
+// Directory holds the other daemons that a daemon knows, by name.
 type Directory map[string]*Peer
 
-// Merge adds what a hello says of daemons. What its sender says of itself replaces what was known of
-// it; the daemons that it lists are only added if they were unknown. Self is the name of the receiver,
-// which is never in its own directory.
+// Merge adds the contents of a hello. The sender's data about itself replace its entry; the daemons that it lists are
+// added only if they were unknown. self is the name of the receiver, which is never in its own directory.
 func (d Directory) Merge(now time.Duration, self string, hello *wire.Hello) {
 	sender := hello.Self
 	if sender.Name == "" || sender.Name == self {
@@ -79,7 +77,7 @@
 	}
 }
 
-// Daemons are the daemons of the directory, sorted by name.
+// Daemons returns the daemons in the directory, sorted by name.
 func (d Directory) Daemons() []wire.Daemon {
 	var daemons []wire.Daemon
 	for _, name := range slices.Sorted(maps.Keys(d)) {
@@ -88,8 +86,8 @@
 	return daemons
 }
 
-// Leader is the leader that a control daemon named in the latest epoch and term, "" if none did within
-// tuning.DaemonExpiry.
+// Leader returns the name of the leader reported by the control daemon with the latest epoch and term, among those heard
+// within tuning.DaemonExpiry; "" if none of them reports a leader.
 func (d Directory) Leader(now time.Duration) string {
 	var latest *Peer
 	for _, name := range slices.Sorted(maps.Keys(d)) {
--- a/internal/shared/reply/reply.go
+++ b/internal/shared/reply/reply.go
@@ -1,5 +1,4 @@
-// Package reply builds the answers of the HTTP API that control daemons and proxies give alike. It decides
-// nothing about a call. Begin with Problem.
+// Package reply builds HTTP API responses that control daemons and proxies have in common. Start with Problem.
 package reply
 
 import (
@@ -12,20 +11,20 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// statusUnavailable is the HTTP status of an answer that promises nothing.
+// statusUnavailable is the HTTP status of a response that leaves the outcome of a call open.
 const statusUnavailable = 503
 
-// Body is a value in JSON with a line end. It panics for a value that JSON can't express.
+// Body encodes a value as JSON, followed by a newline. It panics if the value can't be encoded.
 func Body(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(errors.Wrap(err, "answer of the API"))
+		panic(errors.Wrap(err, "encode API response"))
 	}
 	return append(text, '\n')
 }
 
-// Problem is the answer to a call that is rejected, or that promises nothing. The kind of rejection follows
-// from the HTTP status; a 503 says after which time to ask again.
+// Problem returns the response to a call that is rejected or whose outcome is open. It derives the kind of rejection from
+// the HTTP status and sets Retry-After for a 503.
 func Problem(status int, body config.ErrorBody) statemachine.Reply {
 	body.Rejection = config.RejectionOf(status)
 	problem := statemachine.Reply{Status: status, Body: body.JSON()}
--- a/internal/shared/targetreport/heartbeats.go
+++ b/internal/shared/targetreport/heartbeats.go
@@ -1,4 +1,4 @@
-// This file measures how steadily a target's heartbeats arrive.
+// This file tracks how regularly a target's heartbeats arrive.
 
 package targetreport
 
@@ -8,14 +8,14 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Streak is a target's latest series of heartbeats without a gap. The zero value has none.
+// Streak is the latest series of a target's heartbeats without a gap. The zero value is an empty series.
 type Streak struct {
-	count       int
-	first, last time.Duration // when they arrived
+	count       int           // number of heartbeats in the series
+	first, last time.Duration // arrival times of the first and last heartbeat
 }
 
-// RecordHeartbeat adds a heartbeat; one that comes after a gap of more than tuning.TargetHeartbeatTimeout
-// begins a new series.
+// RecordHeartbeat adds a heartbeat to the series, or begins a new one if more than tuning.TargetHeartbeatTimeout has
+// passed since the last heartbeat.
 func (s *Streak) RecordHeartbeat(now time.Duration) {
 	if s.count == 0 || now-s.last > tuning.TargetHeartbeatTimeout {
 		s.count, s.first = 0, now
@@ -24,11 +24,11 @@
 	s.last = now
 }
 
-// IsSteady says that heartbeats arrive as a running target's do: enough of them, over a long enough time,
-// and the last one lately. One that was delayed on its way is no such series.
+// IsSteady reports whether heartbeats arrive as from a running target: at least tuning.ProofHeartbeats over at least
+// tuning.ProofSpan, the last one within tuning.TargetHeartbeatTimeout. A single delayed heartbeat does not count.
 func (s *Streak) IsSteady(now time.Duration) bool {
 	return s.count >= tuning.ProofHeartbeats && s.last-s.first >= tuning.ProofSpan && now-s.last < tuning.TargetHeartbeatTimeout
 }
 
-// Count is the number of heartbeats in the series.
+// Count returns the number of heartbeats in the series.
 func (s *Streak) Count() int { return s.count }
--- a/internal/shared/targetreport/targetreport.go
+++ b/internal/shared/targetreport/targetreport.go
@@ -1,6 +1,6 @@
-// Package targetreport reads what targets report of themselves: their calls of the HTTP API (heartbeats,
-// leavings and sign-offs) and how steadily their heartbeats arrive. Control daemons and proxies both take
-// such calls; what they do about a report is not decided here. Begin with Parse.
+// Package targetreport parses the calls with which targets report their state to the HTTP API (heartbeats, announcements
+// that they are leaving, and sign-offs) and tracks how regularly their heartbeats arrive. Both control daemons and
+// proxies accept these calls; the package does not decide how they act on a report. Start with Parse.
 package targetreport
 
 import (
@@ -21,15 +21,14 @@
 	namedPath  = reportPath + "/"
 )
 
-// IsLeaving says that a report is of a target that leaves or has left. It has to be in force before it is
-// acknowledged as done, since the target stops after that.
+// IsLeaving reports whether a report announces that its target is leaving or gone. It must be in force before it is
+// acknowledged with status 200, since the target stops after that.
 func IsLeaving(report wire.Target) bool {
 	return report.State == wire.TargetLeaving || report.State == wire.TargetGone
 }
 
-// Parse reads a target's call. The rejection is nil, or the answer to a call that is no valid report. A
-// sign-off by name alone is valid, and its report has neither service nor incarnation: it is of all
-// targets of that name.
+// Parse parses a target's call. If the call is not a valid report, rejection is the response to it, else nil. A sign-off
+// by name alone is valid; its report has neither service nor incarnation and applies to all targets with that name.
 func Parse(call statemachine.Call) (report wire.Target, rejection *statemachine.Reply) {
 	var faults []config.Fault
 	rest, named := strings.CutPrefix(call.Path, namedPath)
@@ -54,9 +53,10 @@
 	return report, nil
 }
 
-// signOffAddress stands in a sign-off, which has no address, for the one that a report must have.
+// signOffAddress is a placeholder for the address that a valid report must have and a sign-off lacks.
 const signOffAddress = "127.0.0.1:1"
 
+// parseSignOff returns the report of a sign-off by service, name and the incarnation in the query.
 func parseSignOff(service, name, query string) (wire.Target, []config.Fault) {
 	values, _ := url.ParseQuery(query)
 	incarnation, _ := strconv.ParseUint(values.Get("incarnation"), 10, 64)
@@ -64,7 +64,8 @@
 	return report.Target()
 }
 
-// parseNamedSignOff checks the name as that of a complete report, and returns one without service and incarnation.
+// parseNamedSignOff returns the report of a sign-off by name, without service and incarnation. To validate the name, it
+// checks a complete report with placeholders.
 func parseNamedSignOff(name string) (wire.Target, []config.Fault) {
 	complete := config.TargetReport{Service: "any", Name: name, Incarnation: 1, Address: signOffAddress, State: wire.TargetGone}
 	report, faults := complete.Target()
@@ -72,8 +73,8 @@
 	return report, faults
 }
 
-// Acknowledgement is the answer to a report that was taken: 200 for one of a target that leaves or has
-// left, which says that this is in force, else 202. It has the interval of heartbeats.
+// Acknowledgement returns the response to an accepted report. Its status is 200 if the target is leaving or gone, which
+// confirms that this is in force, else 202. The body contains the heartbeat interval.
 func Acknowledgement(report wire.Target) statemachine.Reply {
 	status := 202
 	if IsLeaving(report) {
@@ -82,9 +83,9 @@
 	return statemachine.Reply{Status: status, Body: reply.Body(map[string]any{"beat_ms": tuning.TargetHeartbeatEvery.Milliseconds()})}
 }
 
-// AnswerAtProxy answers a target's call at a proxy, which gives each valid report to record. A proxy rejects
-// a sign-off by name alone, since it need not know all targets; and whether a leaving is in force only
-// the leader knows, so every acknowledgement is a 202.
+// AnswerAtProxy returns a proxy's response to a target's call and passes each valid report to record. A proxy rejects a
+// sign-off by name alone, since it may not know all targets. Every acknowledgement is a 202, since only the leader knows
+// whether a report that a target is leaving is in force.
 func AnswerAtProxy(call statemachine.Call, record func(wire.Target)) statemachine.Reply {
 	report, rejection := Parse(call)
 	if rejection != nil {
