--- a/internal/shared/config/checker.go
+++ b/internal/shared/config/checker.go
@@ -31,12 +31,12 @@
 
 // checkName checks the length and the characters of a name.
 func (c *checker) checkName(path, name string) {
-	if name == "" || len(name) > tuning.ItemNameMax || strings.ContainsFunc(name, isNoNameRune) {
+	if name == "" || len(name) > tuning.ItemNameMax || strings.ContainsFunc(name, isInvalidNameRune) {
 		c.add(path, "a name is 1 to %d of a-z, 0-9, - and _", tuning.ItemNameMax)
 	}
 }
 
-func isNoNameRune(r rune) bool {
+func isInvalidNameRune(r rune) bool {
 	return !(r >= 'a' && r <= 'z' || r >= '0' && r <= '9' || r == '-' || r == '_')
 }
 
--- a/internal/shared/config/config.go
+++ b/internal/shared/config/config.go
@@ -1,4 +1,4 @@
-// Package config parses and validates the operator's configuration: services, rules, routes, limits, policies and
+// Package config defines, parses and validates the operator's configuration: services, rules, routes, limits, policies and
 // objectives. A JSON document is checked as a whole. Every fault, unknown fields included, is reported with its path,
 // so that a document that is not fully understood never takes effect.
 //
--- a/internal/shared/config/objective.go
+++ b/internal/shared/config/objective.go
@@ -22,7 +22,7 @@
 }
 
 func (c *checker) readObjectives(cfg *Config, v any) {
-	c.items("aims", v, func(at, name string, item any) {
+	c.readItems("aims", v, func(at, name string, item any) {
 		o := Objective{WindowMinutes: tuning.ObjectiveMinutes}
 		c.decode(at, item, &o)
 		c.checkName(at, name)
--- a/internal/shared/config/parse.go
+++ b/internal/shared/config/parse.go
@@ -64,8 +64,8 @@
 	return c.faults, nil
 }
 
-// items calls read for each item of a section, sorted by name.
-func (c *checker) items(section string, v any, read func(at, name string, item any)) {
+// readItems calls read for each item of a section, sorted by name.
+func (c *checker) readItems(section string, v any, read func(at, name string, item any)) {
 	m, ok := v.(map[string]any)
 	if !ok {
 		c.add(section, "must be an object")
--- a/internal/shared/config/policy.go
+++ b/internal/shared/config/policy.go
@@ -80,7 +80,7 @@
 	if m, ok := value.(map[string]any); ok && len(m) > tuning.PoliciesMax {
 		c.add("policies", "%d policies, at most %d", len(m), tuning.PoliciesMax)
 	}
-	c.items("policies", value, func(at, name string, item any) {
+	c.readItems("policies", value, func(at, name string, item any) {
 		p := Policy{Mode: ModeLive}
 		before := len(c.faults)
 		c.decode(at, item, &p)
--- a/internal/shared/config/route.go
+++ b/internal/shared/config/route.go
@@ -145,7 +145,7 @@
 
 // readRoutes decodes all routes. Routes with faults are not added to the configuration.
 func (c *checker) readRoutes(cfg *Config, v any) {
-	c.items("routes", v, func(at, name string, item any) {
+	c.readItems("routes", v, func(at, name string, item any) {
 		var r Route
 		before := len(c.faults)
 		readFields(c, at, item, routeFields, &r)
--- a/internal/shared/config/service.go
+++ b/internal/shared/config/service.go
@@ -55,7 +55,7 @@
 func (s *Service) HasHealthCheck() bool { return s.HealthPath != "" }
 
 func (c *checker) readServices(cfg *Config, v any) {
-	c.items("services", v, func(at, name string, item any) {
+	c.readItems("services", v, func(at, name string, item any) {
 		s := Service{
 			Cap:       tuning.CapDefault,
 			WarmCap:   tuning.WarmCapDefault,
--- a/internal/shared/discovery/discovery.go
+++ b/internal/shared/discovery/discovery.go
@@ -86,8 +86,8 @@
 	return daemons
 }
 
-// Leader returns the name of the leader reported by the control daemon with the latest epoch and term, among those heard
-// within tuning.DaemonExpiry; "" if none of them reports a leader.
+// Leader returns the leader that was reported in the latest epoch and term by a control daemon heard from within
+// tuning.DaemonExpiry, "" if there is none.
 func (d Directory) Leader(now time.Duration) string {
 	var latest *Peer
 	for _, name := range slices.Sorted(maps.Keys(d)) {
--- a/internal/shared/state/apply.go
+++ b/internal/shared/state/apply.go
@@ -1,5 +1,3 @@
-// This file applies committed log entries to the state.
-
 package state
 
 import (
--- a/internal/shared/state/changes.go
+++ b/internal/shared/state/changes.go
@@ -1,6 +1,3 @@
-// This file keeps the digests of accepted changes, so that a change that is sent again long after it was
-// accepted is recognized when its document is no longer kept.
-
 package state
 
 import (
@@ -115,7 +112,8 @@
 	return nil
 }
 
-// AcceptedChanges holds the latest accepted changes, at most tuning.AcceptedChangesKept of each kind.
+// AcceptedChanges holds the digests of the latest accepted changes, at most tuning.AcceptedChangesKept of each kind. With
+// them a change is recognized that is sent again long after it was accepted, when its record is no longer kept.
 type AcceptedChanges struct {
 	// Configurations are changes of the configuration. Their digests cover kind, base and text of the change.
 	Configurations acceptedChanges `json:"configurations,omitempty"`
--- a/internal/shared/state/command.go
+++ b/internal/shared/state/command.go
@@ -1,5 +1,3 @@
-// This file defines the commands stored in log entries.
-
 package state
 
 import "encoding/json"
--- a/internal/shared/state/encoding.go
+++ b/internal/shared/state/encoding.go
@@ -1,8 +1,8 @@
-// This file encodes the state and its commands for the log, snapshots and the disk: as JSON, which is compressed
-// if it is long to save disk space, bandwidth and memory.
-
 package state
 
+// The state and its commands are encoded as JSON, which is compressed if it is long to save disk space, bandwidth and
+// memory.
+
 import (
 	"encoding/json"
 
--- a/internal/shared/state/record.go
+++ b/internal/shared/state/record.go
@@ -1,5 +1,3 @@
-// This file keeps records of operators' changes for the history in the API.
-
 package state
 
 import (
@@ -9,7 +7,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Record describes one committed change.
+// Record describes one committed change, for the change history in the API.
 type Record struct {
 	ID          string          `json:"id"`             // the operator's token
 	Description string          `json:"what"`           // human-readable
--- a/internal/shared/state/recovered.go
+++ b/internal/shared/state/recovered.go
@@ -1,5 +1,3 @@
-// This file reads the state of an earlier epoch from the copies that disks and proxies keep.
-
 package state
 
 import (
--- a/internal/shared/state/registry.go
+++ b/internal/shared/state/registry.go
@@ -1,8 +1,8 @@
-// This file holds the replicated target registry: the registered targets with their addresses, and which targets
-// are leaving or have left. Ejections, health checks and heartbeats are not part of it.
-
 package state
 
+// The replicated target registry holds the registered targets with their addresses, and which targets are leaving or
+// have left. Ejections, health checks and heartbeats are not part of it.
+
 import (
 	"maps"
 	"slices"
--- a/internal/shared/targetreport/heartbeats.go
+++ b/internal/shared/targetreport/heartbeats.go
@@ -1,5 +1,3 @@
-// This file tracks how regularly a target's heartbeats arrive.
-
 package targetreport
 
 import (
--- a/internal/shared/targetreport/targetreport.go
+++ b/internal/shared/targetreport/targetreport.go
@@ -15,7 +15,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// The paths of targets' calls.
+// Paths of targets' calls.
 const (
 	reportPath = "/v1/targets"
 	namedPath  = reportPath + "/"
