--- a/internal/dataplane/attempts.go
+++ b/internal/dataplane/attempts.go
@@ -1,4 +1,4 @@
-// This file is a request's attempts at targets: forwarding, outcomes, retries and cancellation.
+// A request's attempts at targets: forwarding, outcomes, retries and cancellation.
 
 package dataplane
 
@@ -9,14 +9,15 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// forward sends a request to a target.
+// forward starts an attempt of the request at the target and updates the counters of both.
 func (p *Proxy) forward(now time.Duration, req *request, target *targetState, service *serviceState) {
 	req.queued, req.target = false, target
 	req.attempts++
 	if !req.forwarded {
-		// Only now: a request that is rejected brings its service no traffic and earns no retries.
+		// Counted here rather than at admission: a rejected request adds no traffic to the service, so it
+		// must not earn retries.
 		req.forwarded = true
-		req.arrivedAt.fairness.countForward(now, priorityLevel(req.route.Priority))
+		req.arrivalService.fairness.countForward(now, priorityLevel(req.route.Priority))
 		service.retryCredit.countRequest(now, p.settings.Retry)
 	}
 	if req.isRetry {
@@ -46,7 +47,8 @@
 	})
 }
 
-// retry schedules a request for another attempt, if it may have one.
+// retry schedules the request for another attempt. It rejects the request if its attempts, its deadline or the
+// retry budget don't allow one, or if a request that must not run twice may have run already.
 func (p *Proxy) retry(now time.Duration, event statemachine.Retry) {
 	req := p.requests[event.ID]
 	if req == nil || req.target != nil || req.queued {
@@ -68,10 +70,11 @@
 	}
 }
 
-// classifyAttempt takes in how the latest attempt ended, and whether something of the request had been sent.
+// classifyAttempt updates the attempt counts by how the latest attempt ended. The argument sent is true if any
+// part of the request was written to the target.
 func (r *request) classifyAttempt(sent bool) {
 	if !sent && (r.lastOutcome == statemachine.ConnectFailed || r.lastOutcome == statemachine.ChoiceExpired) {
-		// A route's attempts are targets that the request was sent to.
+		// A route's limit on attempts counts only targets that the request was sent to.
 		r.attempts--
 		r.failedConnects++
 	}
@@ -81,7 +84,8 @@
 	}
 }
 
-// mayHaveRun reports whether the latest attempt may have run at its target.
+// mayHaveRun reports whether the target of the latest attempt may have executed the request. The argument sent
+// is true if any part of the request was written to the target.
 func (r *request) mayHaveRun(sent bool) bool {
 	switch r.lastOutcome {
 	case statemachine.Served, statemachine.ServerError, statemachine.ResponseLost:
@@ -90,7 +94,8 @@
 	return false
 }
 
-// attemptDone takes in an attempt's outcome, after which its target is free for another request.
+// attemptDone records an attempt's outcome, frees its slot at the target and serves the queue. The last attempt
+// also ends the request.
 func (p *Proxy) attemptDone(now time.Duration, event statemachine.AttemptDone) {
 	req := p.requests[event.ID]
 	if req == nil {
@@ -98,7 +103,7 @@
 	}
 	if target := req.target; target != nil {
 		service := p.service(req.serviceName)
-		p.learn(now, target, req, service, &event)
+		p.recordLoad(now, target, req, service, &event)
 		target.inFlight--
 		service.inFlight--
 		req.target, req.lastOutcome = nil, event.Outcome
@@ -116,7 +121,7 @@
 	p.serveQueue(now, p.service(req.serviceName))
 }
 
-// countOutcome counts an attempt's outcome for its target.
+// countOutcome adds an attempt's outcome to the statistics of its target.
 func (p *Proxy) countOutcome(now time.Duration, target *targetState, req *request, event *statemachine.AttemptDone) {
 	statistics := &target.statistics
 	switch event.Outcome {
@@ -143,7 +148,8 @@
 	}
 }
 
-// countFailedConnect avoids a target that a connection could not be opened to, and ejects it after several in a row.
+// countFailedConnect records a failed connection to a target. The target is avoided for tuning.AvoidFor, and
+// ejected after tuning.ProbeMisses failures in a row.
 func (p *Proxy) countFailedConnect(now time.Duration, target *targetState) {
 	target.avoidedUntil = now + tuning.AvoidFor
 	p.Counts.AvoidedTargets++
@@ -154,7 +160,8 @@
 	}
 }
 
-// cancel ends a request whose client has gone, or whose caller got an error meanwhile.
+// cancel ends a request whose client disconnected, or whose caller has received an error response in the
+// meantime (event.Failed).
 func (p *Proxy) cancel(now time.Duration, event statemachine.Cancel) {
 	req := p.requests[event.ID]
 	if req == nil {
--- a/internal/dataplane/attempts_test.go
+++ b/internal/dataplane/attempts_test.go
@@ -52,7 +52,7 @@
 }
 
 // Targets that no connection opens to cost no attempts, but their number is bounded.
-func TestFailedConnectsAreNoAttempts(t *testing.T) {
+func TestFailedConnectsCostNoAttempts(t *testing.T) {
 	proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(2)), readyTarget("b", withSlots(2)), readyTarget("c", withSlots(2)), readyTarget("d", withSlots(2)), readyTarget("e", withSlots(2)), readyTarget("f", withSlots(2)))
 	for _, path := range []string{"/a/", "/once/"} {
 		id, most := uint64(len(path)), 0
--- a/internal/dataplane/connections.go
+++ b/internal/dataplane/connections.go
@@ -1,5 +1,4 @@
-// This file divides the connections that a target takes among the proxies, and says how long one may
-// take to open.
+// Limits on connections to targets: each proxy's share of idle connections, and the connect timeout.
 
 package dataplane
 
@@ -10,10 +9,11 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// maxIdleConnections is how many unused connections to a target this proxy may keep. Of the connections that a target
-// takes, half is left to requests in flight and to probes. Of the others each proxy may keep one for each slot of its
-// quota, and what remains is divided evenly. So all proxies together keep no more than half, or than the
-// target has slots, also when there are more proxies than connections.
+// maxIdleConnections returns how many idle connections this proxy may keep to a target. Half of the target's
+// connection limit is reserved for requests in flight and for probes. Of the other half, each proxy may keep
+// one connection for each slot of its quota; the rest is divided evenly. All proxies together therefore keep at
+// most half of the limit, or one connection per slot if the target has more slots than that, even if there are
+// more proxies than connections.
 func (p *Proxy) maxIdleConnections(target *targetState, serviceConfig config.Service) int {
 	if serviceConfig.ConnCap <= 0 {
 		return tuning.IdleConnsMax
@@ -23,8 +23,9 @@
 	return min(tuning.IdleConnsMax, idle, target.quota+spare)
 }
 
-// connectTimeout is how long a connection for a request of a route may take to open. A target whose connections are
-// all in use accepts one when one of its requests ends, which is soon, measured by the route's latency target.
+// connectTimeout returns how long a connection for a request of the route may take to open. A target whose
+// connections are all in use accepts a new one when one of its requests ends, so the wait is a fraction of the
+// route's latency target.
 func connectTimeout(route *config.Route) time.Duration {
 	return min(max(tuning.ConnectTimeoutMin, route.LatencyTarget()/tuning.ConnectParts), tuning.DialTimeout)
 }
--- a/internal/dataplane/counts.go
+++ b/internal/dataplane/counts.go
@@ -1,58 +1,59 @@
 package dataplane
 
-// Counts are a proxy's counters since its start. Their names on /metrics and in /v1/status are those of the
-// tags, or the Go names where there are none.
+// Counts holds a proxy's counters since its start. On /metrics and in /v1/status each counter has the name
+// given by its tags, or its Go name if it has none.
 type Counts struct {
-	// Forwarded: attempts that were forwarded to a target, first ones and retries.
+	// Forwarded counts attempts that were forwarded to a target, both first attempts and retries.
 	Forwarded uint64 `json:"Admitted" metric:"admitted"`
-	// Unmatched: requests that no route and no rule takes.
+	// Unmatched counts requests that match no route and no rule.
 	Unmatched uint64 `json:"Refused" metric:"refused"`
-	// Busy: rejections because all targets, or the queue, were full.
+	// Busy counts rejections because all targets, or the queue, were full.
 	Busy uint64
-	// NoTarget: rejections because no target of the service may be used.
+	// NoTarget counts rejections because the service has no target that may be used.
 	NoTarget uint64
-	// NotServing: rejections by a proxy that has no right to serve.
+	// NotServing counts rejections because this proxy holds neither the leader's lease nor peer leases.
 	NotServing uint64
-	// Stopping: rejections by a proxy that is shutting down.
+	// Stopping counts rejections because this proxy is shutting down.
 	Stopping uint64
-	// Retries: attempts that drew on the retry budget.
+	// Retries counts attempts that were charged to the retry budget.
 	Retries uint64
-	// RetriesDenied: rejections because the retry budget was used up.
+	// RetriesDenied counts rejections because the retry budget was used up.
 	RetriesDenied uint64
-	// Queued: requests that were queued.
+	// Queued counts requests that were queued.
 	Queued uint64 `json:"Waited" metric:"waited"`
-	// Tables: tables that were put in force.
+	// Tables counts tables that were applied.
 	Tables uint64
-	// StaleTables: tables that were older than the one in force.
+	// StaleTables counts received tables that were older than the current one.
 	StaleTables uint64
-	// ExpiredChoices: attempts that were given up because the choice of their target had grown too old.
+	// ExpiredChoices counts attempts that were abandoned because their target had been chosen more than
+	// tuning.ChoiceTTL ago.
 	ExpiredChoices uint64 `json:"StaleChoices" metric:"stale_choices"`
-	// OwnEjections: ejections that this proxy decided on by itself.
+	// OwnEjections counts ejections that this proxy decided on by itself.
 	OwnEjections uint64 `json:"OwnBars" metric:"own_bars"`
-	// AvoidedTargets: failed connections, after each of which a target is avoided for tuning.AvoidFor.
+	// AvoidedTargets counts failed connections. Each one makes its target avoided for tuning.AvoidFor.
 	AvoidedTargets uint64 `json:"Shunned" metric:"shunned"`
-	// InvalidTables: tables that were rejected because their configuration could not be read.
+	// InvalidTables counts tables that were rejected because their configuration is invalid.
 	InvalidTables uint64 `json:"UnsoundTables" metric:"unsound_tables"`
-	// NoRoute: those of Unmatched for whose host and path there is nothing at all.
+	// NoRoute counts those of Unmatched whose host and path match nothing with any method.
 	NoRoute uint64
-	// WithinQuota: attempts within this proxy's own quota of the target's slots.
+	// WithinQuota counts attempts within this proxy's quota of the target's slots.
 	WithinQuota uint64 `json:"Dealt" metric:"dealt"`
-	// Borrowed: attempts beyond it, or in a slot of it that others use.
+	// Borrowed counts attempts beyond that quota, or within it while other proxies use the slot.
 	Borrowed uint64
-	// ToWarmingUp: attempts at targets that are warming up.
+	// ToWarmingUp counts attempts at targets that are warming up.
 	ToWarmingUp uint64 `json:"ToCold" metric:"to_cold"`
-	// WarmupWaits is 0: nothing counts here any more, and the metric keeps its name.
+	// WarmupWaits is always 0. It is kept so that its metric still exists.
 	WarmupWaits uint64 `json:"ColdWaits" metric:"cold_waits"`
-	// TargetRejections: attempts that their target rejected.
+	// TargetRejections counts attempts that their target rejected.
 	TargetRejections uint64 `json:"Full" metric:"full"`
-	// DeadlineTooClose: rejections because too little was left until the deadline.
+	// DeadlineTooClose counts rejections because too little time was left until the deadline.
 	DeadlineTooClose uint64 `json:"TooLate" metric:"too_late"`
-	// Preempted: queued requests that were rejected in favour of one of higher priority.
+	// Preempted counts queued requests that were rejected in favour of one of higher priority.
 	Preempted uint64 `json:"Overtaken" metric:"overtaken"`
-	// LowPriority: choices that were restricted because requests of higher priority come.
+	// LowPriority counts target choices that were restricted to leave capacity for requests of higher priority.
 	LowPriority uint64 `json:"LowRank" metric:"low_rank"`
-	// NotRepeatable: requests that may run only once and were not retried because they may have run.
+	// NotRepeatable counts non-idempotent requests that were not retried because they may have run.
 	NotRepeatable uint64 `json:"OnceKept" metric:"once_kept"`
-	// SplitFallbacks: requests that went to another service of their route's split.
+	// SplitFallbacks counts requests that went to another service of their route's split.
 	SplitFallbacks uint64 `json:"OtherShare" metric:"other_share"`
 }
--- a/internal/dataplane/fairness.go
+++ b/internal/dataplane/fairness.go
@@ -1,6 +1,6 @@
-// This file keeps the requests of lower priority of a service from starving. Higher ones go first, but a priority whose
-// requests have been forwarded far less often than the service's on average takes part as the highest one does until
-// it has caught up.
+// Protection of low-priority requests from starvation. Requests of higher priority go first, but a priority
+// level whose requests have been forwarded far less often than the service's average is treated as the highest
+// level until it has caught up.
 
 package dataplane
 
@@ -10,18 +10,18 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// priorityCounts are requests by priority.
+// priorityCounts holds the numbers of requests that arrived and were forwarded, by priority level.
 type priorityCounts struct {
 	arrived, forwarded [tuning.PriorityLevels]float64
 }
 
-// fairness counts a service's requests over the present span of tuning.FairSpan and the one before.
+// fairness counts a service's requests in the current time span of tuning.FairSpan and in the one before.
 type fairness struct {
-	span              int64 // its index
+	span              int64 // index of the current time span
 	current, previous priorityCounts
 }
 
-// advance moves on to the span that now lies in.
+// advance moves the counts on to the time span that contains now.
 func (f *fairness) advance(now time.Duration) {
 	span := int64(now / tuning.FairSpan)
 	switch span - f.span {
@@ -45,28 +45,31 @@
 	f.current.forwarded[level]++
 }
 
-// starved reports that of a priority's requests less than tuning.FairPart of the service's average were
-// forwarded. Without a whole span before this one nothing is known.
+// starved reports whether the rate of forwarded requests of a priority level is below tuning.FairPart of the
+// service's average. It returns false if the previous time span is unknown or saw fewer than tuning.FairLeast
+// requests of the level, since the rate is then uncertain.
 func (f *fairness) starved(now time.Duration, level int) bool {
 	f.advance(now)
 	if f.previous.arrived[level] < tuning.FairLeast {
 		return false
 	}
 	arrived, forwarded := 0.0, 0.0
-	for each := range tuning.PriorityLevels {
-		arrived += f.previous.arrived[each] + f.current.arrived[each]
-		forwarded += f.previous.forwarded[each] + f.current.forwarded[each]
+	for l := range tuning.PriorityLevels {
+		arrived += f.previous.arrived[l] + f.current.arrived[l]
+		forwarded += f.previous.forwarded[l] + f.current.forwarded[l]
 	}
 	own := (f.previous.forwarded[level] + f.current.forwarded[level]) / (f.previous.arrived[level] + f.current.arrived[level])
 	return own < tuning.FairPart*forwarded/arrived
 }
 
-// priorityLevel maps a priority to one of the tuning.PriorityLevels that are told apart; 0 is the highest.
+// priorityLevel maps a priority to one of tuning.PriorityLevels levels. Level 0 is the highest; all lower
+// priorities share the last one.
 func priorityLevel(priority int) int { return min(priority, tuning.PriorityLevels-1) }
 
-// countArrival counts a request that came and sets its priority: its route's, or the highest if that starves.
+// countArrival counts an arriving request and sets its priority: that of its route, or the highest if its level
+// is starved.
 func (s *serviceState) countArrival(now time.Duration, req *request) {
-	req.priority, req.arrivedAt = req.route.Priority, s
+	req.priority, req.arrivalService = req.route.Priority, s
 	level := priorityLevel(req.priority)
 	s.lastArrivals[level] = now
 	if s.fairness.starved(now, level) {
--- a/internal/dataplane/hashing.go
+++ b/internal/dataplane/hashing.go
@@ -1,5 +1,6 @@
-// This file draws by rendezvous hashing: each name gets a hash with a key, and the lowest are drawn. So all
-// proxies draw the same without a word, and a name that comes or goes moves few others.
+// Rendezvous hashing: each name is hashed together with a key, and the names with the lowest hashes are
+// selected. All proxies thus make the same selection without communicating, and adding or removing a name
+// changes the selection for few others.
 
 package dataplane
 
@@ -10,20 +11,20 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-func hashOf(text string) uint64 {
+func hashString(text string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(text))
 	return mixHashes(hash.Sum64(), 0)
 }
 
-// hash32 is the hash from which the remainder of an even division is given out.
+// hash32 returns the hash that determines which names receive the remainder of an even division.
 func hash32(text string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(text))
 	return hash.Sum32()
 }
 
-// mixHashes makes one hash of two: the finalizer of SplitMix64 over both.
+// mixHashes combines two hashes into one, using the finalizer of SplitMix64.
 func mixHashes(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -32,17 +33,17 @@
 }
 
 func targetHash(id wire.TargetID) uint64 {
-	return mixHashes(mixHashes(hashOf(id.Service), hashOf(id.Name)), id.Incarnation)
+	return mixHashes(mixHashes(hashString(id.Service), hashString(id.Name)), id.Incarnation)
 }
 
-// isDrawn reports whether a name is among the count names that a draw by key gives.
-func isDrawn(key uint64, name string, names []string, count int) bool {
+// rendezvousSelects reports whether name is among the count names selected by rendezvous hashing for key.
+func rendezvousSelects(key uint64, name string, names []string, count int) bool {
 	if !slices.Contains(names, name) {
 		return false
 	}
-	own, before := mixHashes(key, hashOf(name)), 0
+	own, before := mixHashes(key, hashString(name)), 0
 	for _, other := range names {
-		if hash := mixHashes(key, hashOf(other)); hash < own || hash == own && other < name {
+		if hash := mixHashes(key, hashString(other)); hash < own || hash == own && other < name {
 			before++
 		}
 	}
--- a/internal/dataplane/health.go
+++ b/internal/dataplane/health.go
@@ -1,5 +1,5 @@
-// This file is what a proxy does about targets' health: it takes their reports, probes them while it doubts
-// the leader or is asked to, and ejects those that don't answer.
+// Health of targets as seen by a proxy: it handles their heartbeats, probes them while the leader is suspected
+// or when the leader asks for it, and ejects targets that don't respond.
 
 package dataplane
 
@@ -14,9 +14,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// answerCall answers a target's call of the HTTP API, and passes its report on to the leader, or without a lease to
-// all peers too.
-func (p *Proxy) answerCall(now time.Duration, call statemachine.Call) {
+// handleCall answers a target's call of the HTTP API and forwards its report to the leader. Without a lease the
+// report goes to all peers too.
+func (p *Proxy) handleCall(now time.Duration, call statemachine.Call) {
 	reply := targetreport.AnswerAtProxy(call, func(report wire.Target) {
 		p.handleHeartbeat(now, report)
 		if leader := p.leader(now); leader != "" {
@@ -36,15 +36,15 @@
 	p.send(name, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: report})
 }
 
-// handleHeartbeat acts at once on a target that leaves. All else is up to the leader, or is kept for the time when
-// there is none.
+// handleHeartbeat records a target's heartbeat. Only a report that the target is leaving takes effect at once:
+// it then gets no more requests. Everything else is decided by the leader, or noted for when there is none.
 func (p *Proxy) handleHeartbeat(now time.Duration, report wire.Target) {
 	id := report.ID()
 	target := p.targets[id]
 	if target != nil {
 		target.heartbeats.RecordHeartbeat(now)
 	} else if p.state == PeerServing && report.State != wire.TargetGone {
-		p.noteSuccessor(now, &report)
+		p.recordSuccessor(now, &report)
 	}
 	if !targetreport.IsLeaving(report) {
 		return
@@ -57,8 +57,8 @@
 	}
 }
 
-// checkHealth probes the targets while there is no leader. An isolated proxy does so too, so that its view is fresh when
-// it may serve again.
+// checkHealth probes the targets while there is no leader. An isolated proxy probes too, so that its view is up
+// to date when it may serve again.
 func (p *Proxy) checkHealth(now time.Duration) {
 	probeAll := len(p.targets) <= tuning.ProbeAllMax
 	for _, id := range slices.SortedFunc(maps.Keys(p.targets), wire.TargetID.Compare) {
@@ -72,16 +72,17 @@
 	}
 }
 
-// isProberOf reports whether this proxy is one of those that probe a target. Where there are many targets each is probed by
-// about tuning.ProbersPerTarget proxies, which are drawn: so the probes of all proxies together grow with the
-// number of targets alone. The other proxies go by what connections to it show.
+// isProberOf reports whether this proxy is one of those that probe the target. In a large fleet each target is
+// probed by about tuning.ProbersPerTarget proxies, selected by hashing, so the number of probes from all
+// proxies together depends only on the number of targets. The other proxies rely on the outcomes of their
+// connections to it.
 func (p *Proxy) isProberOf(id wire.TargetID) bool {
 	proxies := uint64(max(1, len(p.table.Proxies)))
-	return hashOf(id.Service+" "+id.Name+" "+p.settings.Self.Name)%proxies < tuning.ProbersPerTarget
+	return hashString(id.Service+" "+id.Name+" "+p.settings.Self.Name)%proxies < tuning.ProbersPerTarget
 }
 
-// probeIfDue probes a target: each often if all are probed, else at the leader's interval and only if
-// no response to a request has shown meanwhile that it works.
+// probeIfDue probes a target if its interval has passed. If all targets are probed, the interval is
+// tuning.SuspectProbeEvery. Otherwise it is the leader's, and a response to a request counts as a probe.
 func (p *Proxy) probeIfDue(now time.Duration, target *targetState, probeAll bool) {
 	interval, last := tuning.SuspectProbeEvery, target.probedAt
 	if !probeAll {
@@ -100,6 +101,8 @@
 	}
 }
 
+// handleProbeResult updates the target's health by the result of a probe. A result for an unknown target may be
+// from a successor, see takeOver.
 func (p *Proxy) handleProbeResult(now time.Duration, result statemachine.ProbeResult) {
 	target := p.targets[result.ID]
 	if target == nil {
@@ -120,7 +123,7 @@
 	if result.Report.State == wire.TargetReady && target.State == wire.TargetWarming && p.state == PeerServing {
 		target.State, target.readyAt = wire.TargetReady, now
 	}
-	if target.ownEjectionUntil > now && (!indirect || p.doubtsLeader(now)) {
+	if target.ownEjectionUntil > now && (!indirect || p.suspectsLeader(now)) {
 		target.ownEjectionUntil, target.reinstatedAt = 0, now
 	}
 	if result.Report.State == wire.TargetLeaving {
@@ -128,15 +131,15 @@
 	}
 }
 
-// countMissedProbe counts a probe that a target did not answer, and ejects the target after several in a row. As long as the
-// leader is not in doubt that is its decision.
+// countMissedProbe counts a probe that a target did not answer, and ejects the target after tuning.ProbeMisses
+// in a row. While the leader is not suspected, the ejection is left to the leader.
 func (p *Proxy) countMissedProbe(now time.Duration, target *targetState, indirect bool) {
-	doubtsLeader := p.doubtsLeader(now)
-	if indirect && !doubtsLeader {
+	suspectsLeader := p.suspectsLeader(now)
+	if indirect && !suspectsLeader {
 		return
 	}
 	target.missedProbes++
-	if target.missedProbes < tuning.ProbeMisses || !doubtsLeader {
+	if target.missedProbes < tuning.ProbeMisses || !suspectsLeader {
 		return
 	}
 	if target.ownEjectionUntil <= now {
@@ -145,7 +148,8 @@
 	target.ownEjectionUntil = now + tuning.EjectionTTL
 }
 
-// reportUnreachable says which targets are ejected because nothing reaches them, when that has changed.
+// reportUnreachable emits the set of targets that are ejected as unreachable if it has changed since the last
+// report.
 func (p *Proxy) reportUnreachable(now time.Duration) {
 	count, same := 0, true
 	for id, target := range p.targets {
@@ -167,7 +171,8 @@
 	p.emit(statemachine.UnreachableTargets{IDs: unreachable})
 }
 
-// isUnreachable reports that the target is ejected because of missed probes, the leader's or this proxy's.
+// isUnreachable reports whether the target is ejected because it missed probes, either the leader's or this
+// proxy's.
 func (t *targetState) isUnreachable(now time.Duration) bool {
 	return t.ejectedUntil > now && t.ejectedAsUnreachable || t.ownEjectionUntil > now && t.missedProbes >= tuning.ProbeMisses
 }
--- a/internal/dataplane/invalidtable.go
+++ b/internal/dataplane/invalidtable.go
@@ -1,5 +1,6 @@
-// This file rejects a table whose configuration can't be read. The proxy goes on with the table that it has: it neither
-// confirms the invalid one nor gets a lease for it, so a leader can't call that configuration in force here.
+// Rejection of tables whose configuration is invalid. The proxy keeps its current table. It neither confirms
+// the invalid one nor accepts a lease for it, so the leader can't count that configuration as in force at this
+// proxy.
 
 package dataplane
 
@@ -14,10 +15,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// invalidDocument identifies a configuration that was rejected.
+// invalidDocument identifies a rejected configuration.
 type invalidDocument struct{ epoch, revision uint64 }
 
-// readConfiguration reads the configuration of a full table. The error says why it can't be put in force.
+// readConfiguration decodes and validates the configuration of a full table.
 func readConfiguration(table *wire.Table) (*config.Config, error) {
 	document, err := wire.Decompress(table.Document)
 	if err != nil {
@@ -33,7 +34,8 @@
 	return configuration, nil
 }
 
-// rejectTable counts an invalid table, and reports its configuration once, however often the leader sends it.
+// rejectTable counts an invalid table. It reports each invalid configuration only once, however often the
+// leader sends it.
 func (p *Proxy) rejectTable(table *wire.Table, err error) {
 	p.Counts.InvalidTables++
 	document := invalidDocument{epoch: table.Key.Epoch, revision: table.Revision}
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -1,5 +1,5 @@
-// This file is what a proxy has to do with the control plane: hellos to its daemons, and pulls that bring the
-// leader's table and lease.
+// Communication with the control plane: hellos to all its daemons, and pulls that bring the leader's table and
+// lease.
 
 package dataplane
 
@@ -17,12 +17,12 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// leader is the member that the control daemons last named as their leader, "": none is known.
+// leader returns the member that the control daemons last named as their leader, or "" if none is known.
 func (p *Proxy) leader(now time.Duration) string { return p.directory.Leader(now) }
 
-// doubtsLeader reports that the leader has not answered for over two pulls. From then on peers are polled and targets
-// are probed, so that both are known when the lease runs out.
-func (p *Proxy) doubtsLeader(now time.Duration) bool {
+// suspectsLeader reports whether the leader has not answered for longer than two pulls. From then on the proxy
+// polls its peers and probes the targets, so that the state of both is known when the lease expires.
+func (p *Proxy) suspectsLeader(now time.Duration) bool {
 	after := tuning.LeaderSuspectAfter
 	if p.table != nil && len(p.table.Proxies) > tuning.PeerLeaseFanout {
 		after = tuning.LeaderSuspectAfterLarge
@@ -31,17 +31,18 @@
 	return now > leaseBegan+after
 }
 
-// hasNoLeader reports that the leader is out of reach. A proxy that has never had the right to serve waits
-// for the leader as long as that sends anything.
-func (p *Proxy) hasNoLeader(now time.Duration) bool {
-	return p.doubtsLeader(now) && (p.joined || p.lastLeaderPushAt == 0 || now-p.lastLeaderPushAt > tuning.ProxyLive)
+// leaderUnreachable reports whether this proxy has to go on without the leader. A proxy that has never had the
+// right to serve waits for the leader as long as it still receives anything from it.
+func (p *Proxy) leaderUnreachable(now time.Duration) bool {
+	return p.suspectsLeader(now) && (p.hasServed || p.lastLeaderPushAt == 0 || now-p.lastLeaderPushAt > tuning.ProxyLive)
 }
 
+// handleHello merges a daemon's hello into the directory and replies to it.
 func (p *Proxy) handleHello(now time.Duration, from string, hello *wire.Hello) {
 	before := p.leader(now)
 	p.directory.Merge(now, p.settings.Self.Name, hello)
 	if leader := p.leader(now); leader != before && leader == from && now > p.lastPullAt {
-		p.pullTable(now) // a new leader waits for the proxies' tables, and they for its lease
+		p.pullTable(now) // a new leader needs the proxies' tables, and they need its lease
 	}
 	if !hello.Reply {
 		reply := &wire.Hello{Self: p.selfReport(), Reply: true, Daemons: p.directory.Daemons()}
@@ -49,12 +50,12 @@
 	}
 }
 
-// sendHellos describes this proxy to all control daemons and to the seeds, and drops daemons that have been silent
-// for long.
+// sendHellos sends a description of this proxy to all control daemons and seeds. It removes daemons from the
+// directory that have been silent for tuning.DaemonExpiry.
 func (p *Proxy) sendHellos(now time.Duration) {
 	p.lastHelloAt = now
 	self := p.selfReport()
-	var recovered []byte // made for the first daemon that is to get it
+	var recovered []byte // encoded for the first daemon that needs it
 	sent := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(p.directory)) {
 		peer := p.directory[name]
@@ -66,7 +67,7 @@
 			continue
 		}
 		hello := &wire.Hello{Self: self}
-		if process := processOf(peer); p.recoveredStateDue(now, peer, process) {
+		if process := processKey(peer); p.recoveredStateDue(now, peer, process) {
 			if recovered == nil {
 				recovered = p.recoveredState()
 			}
@@ -91,11 +92,12 @@
 	p.emit(statemachine.Send{Addr: addr, Message: message})
 }
 
-// processOf names a daemon's present process.
-func processOf(peer *discovery.Peer) string { return fmt.Sprint(peer.Name, " ", peer.Incarnation) }
+// processKey identifies a daemon's current process by its name and incarnation.
+func processKey(peer *discovery.Peer) string { return fmt.Sprint(peer.Name, " ", peer.Incarnation) }
 
-// recoveredStateDue reports whether a control daemon is to get the recovered state with the next hello. It is long, so
-// it goes only to those that were heard a short while ago, once to each process and then at a bounded rate.
+// recoveredStateDue reports whether the next hello to a control daemon should carry the recovered state. The
+// state is large, so it is sent only to daemons that were heard from recently: once to each process, then at
+// most every tuning.RecoveredStateEvery.
 func (p *Proxy) recoveredStateDue(now time.Duration, peer *discovery.Peer, process string) bool {
 	if p.state == Leased || now-peer.LastContact >= 4*tuning.HelloEvery {
 		return false
@@ -104,7 +106,8 @@
 	return !ok || now-sentAt >= tuning.RecoveredStateEvery
 }
 
-// recoveredState is the durable state in this proxy's table, for a control plane that has lost its own.
+// recoveredState returns the encoded durable state of this proxy's table, for a control plane that has lost its
+// own. It returns nil if there is none or if this proxy has a lease.
 func (p *Proxy) recoveredState() []byte {
 	if p.table == nil || p.state == Leased {
 		return nil
@@ -117,7 +120,8 @@
 	return wire.Compress(encoded)
 }
 
-// pullTable asks the leader for the table and the lease, and reports what was seen of targets since the last pull.
+// pullTable asks the leader for the table and the lease. The pull also reports the statistics of the targets
+// since the previous one.
 func (p *Proxy) pullTable(now time.Duration) {
 	p.lastPullAt, p.pullAtNextTick = now, false
 	leader := p.leader(now)
@@ -125,8 +129,8 @@
 		return
 	}
 	pull := &wire.Pull{}
-	// The leader that leases knows this proxy; another one needs its full description.
-	if self := p.selfReport(); self != p.reportedSelf || leader != p.reportedTo || p.state != Leased || p.doubtsLeader(now) {
+	// A leader that has granted the lease knows this proxy; any other needs its full description.
+	if self := p.selfReport(); self != p.reportedSelf || leader != p.reportedTo || p.state != Leased || p.suspectsLeader(now) {
 		pull.Self, p.reportedSelf, p.reportedTo = self, self, leader
 	}
 	if p.table != nil {
@@ -139,7 +143,7 @@
 	p.send(leader, &wire.Message{Kind: wire.KindPull, Epoch: pull.Key.Epoch, Timestamp: int64(now), Disk: p.settings.Self.Incarnation, Pull: pull})
 }
 
-// takeStatistics returns the targets' statistics since the last call.
+// takeStatistics returns the targets' statistics and resets them.
 func (p *Proxy) takeStatistics() (all []wire.TargetStats) {
 	for _, id := range slices.SortedFunc(maps.Keys(p.targets), wire.TargetID.Compare) {
 		target := p.targets[id]
@@ -154,22 +158,24 @@
 	return all
 }
 
-// handlePush takes in a push, which a leader sends, or a peer in answer to a poll.
+// handlePush handles a push from a leader, or from a peer in answer to a poll.
 func (p *Proxy) handlePush(now time.Duration, message *wire.Message) {
-	// Only an answer to this very process says anything of when it was asked for.
-	isAnswer := message.Disk == p.settings.Self.Incarnation && message.Timestamp > 0 && time.Duration(message.Timestamp) <= now
+	// The timestamp is from this process's clock only if the push answers this very process: Disk is the
+	// incarnation that sent the pull.
+	isReply := message.Disk == p.settings.Self.Incarnation && message.Timestamp > 0 && time.Duration(message.Timestamp) <= now
 	if peer := p.directory[message.From]; peer != nil && peer.Kind == wire.ProxyDaemon {
-		p.handlePeerPush(now, message, isAnswer)
+		p.handlePeerPush(now, message, isReply)
 		return
 	}
 	if message.Epoch < p.leaderEpoch || message.Epoch == p.leaderEpoch && message.Term < p.leaderTerm {
 		return
 	}
 	p.leaderEpoch, p.leaderTerm, p.lastLeaderPushAt = message.Epoch, message.Term, now
-	p.handleLeaderPush(now, message, isAnswer)
+	p.handleLeaderPush(now, message, isReply)
 }
 
-func (p *Proxy) handleLeaderPush(now time.Duration, message *wire.Message, isAnswer bool) {
+// handleLeaderPush applies the leader's table, extends the lease and sends the probes that the leader asks for.
+func (p *Proxy) handleLeaderPush(now time.Duration, message *wire.Message, isReply bool) {
 	push := message.Push
 	if push.WantTable && p.table != nil && !p.leaderWantsTable {
 		p.leaderWantsTable = true
@@ -177,28 +183,28 @@
 	}
 	p.leaderWantsTable = push.WantTable
 	for _, id := range push.ProbeTargets {
-		if target := p.targets[id]; target != nil && isAnswer {
+		if target := p.targets[id]; target != nil && isReply {
 			target.indirectProbe = true
 			p.sendProbe(now, target)
 		}
 	}
 	if push.Table != nil && p.applyTable(now, push.Table) {
-		p.pullTable(now) // confirms the table at once
+		p.pullTable(now) // confirms the table without waiting for the next interval
 	}
-	if push.LeaseGranted && isAnswer && p.table != nil && leaseCovers(push.Key, p.table.Key) {
-		p.joined = true
+	if push.LeaseGranted && isReply && p.table != nil && leaseCovers(push.Key, p.table.Key) {
+		p.hasServed = true
 		p.leaseUntil = max(p.leaseUntil, time.Duration(message.Timestamp)+tuning.ProxyLease)
 	}
 }
 
-// leaseCovers reports whether a lease that was given for a table holds for the one in force here: for the same
-// one, and for any later one of the same leader.
-func leaseCovers(leased, inForce wire.TableKey) bool {
-	return inForce.Epoch == leased.Epoch && inForce.Term == leased.Term && inForce.Version >= leased.Version
+// leaseCovers reports whether a lease that was granted for one table is valid for the current one: that table
+// itself or any later one of the same leader.
+func leaseCovers(leased, current wire.TableKey) bool {
+	return current.Epoch == leased.Epoch && current.Term == leased.Term && current.Version >= leased.Version
 }
 
-// exportTable is the table as it is in force here now, with the time that is left of ejections and warm-ups, and with
-// drains and ejections of this proxy's own.
+// exportTable returns the current table with the remaining times of ejections and warm-ups, including the
+// drains and ejections that only this proxy knows of.
 func (p *Proxy) exportTable(now time.Duration) *wire.Table {
 	table := *p.table
 	table.Targets = nil
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -1,4 +1,4 @@
-// This file is what a proxy knows of its targets' load and speed, from their responses.
+// Load and speed of targets, as estimated from their responses.
 
 package dataplane
 
@@ -9,13 +9,14 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// hasFreeSlot reports that by the target's latest report, if that is recent, it has a free slot.
+// hasFreeSlot reports whether the target has a free slot by its latest load report. A report expires after
+// tuning.LoadTTL.
 func (t *targetState) hasFreeSlot(now time.Duration) bool {
 	return t.loadReportedAt > 0 && now-t.loadReportedAt < tuning.LoadTTL && t.utilization(now)+1/float64(t.slots) <= 1
 }
 
-// utilization is the part of the target's slots that is in use, as far as is known here: this proxy's requests,
-// and with less and less weight those of others at the latest report.
+// utilization returns the estimated part of the target's slots that is in use: this proxy's requests, plus
+// those of other proxies by the latest load report, with a weight that decays to 0 over tuning.LoadTTL.
 func (t *targetState) utilization(now time.Duration) float64 {
 	inUse := float64(t.inFlight)
 	if age := now - t.loadReportedAt; t.loadReportedAt > 0 && age < tuning.LoadTTL {
@@ -24,8 +25,8 @@
 	return inUse / float64(max(1, t.slots))
 }
 
-// slowness is how much longer the target takes than others, as a part of the mean time. It is forgotten with
-// time, so that a slow target is tried again.
+// slowness returns by how much the target's response times exceed the mean, as a fraction of the mean. The
+// value decays to 0 over tuning.SpeedTTL, so that a slow target is tried again.
 func (t *targetState) slowness(now time.Duration) float64 {
 	if age := now - t.latencyObservedAt; t.latencyObservedAt > 0 && age < tuning.SpeedTTL {
 		return (t.latencyRatio - 1) * (1 - float64(age)/float64(tuning.SpeedTTL))
@@ -33,8 +34,8 @@
 	return 0
 }
 
-// selectionCost is what targets of the same tier are compared by: load, speed, whether a connection is
-// likely to be open, and whether it was ejected until a short while ago.
+// selectionCost returns the cost by which targets of the same tier are compared. It combines load, slowness,
+// whether a connection is likely to be open, and whether an ejection was lifted recently.
 func (t *targetState) selectionCost(now time.Duration) float64 {
 	cost := t.utilization(now) + t.Demand + min(tuning.SpeedPenalty*t.slowness(now), tuning.SpeedPenaltyMax)
 	if t.lastUsedAt > 0 && now-t.lastUsedAt < tuning.ConnIdle {
@@ -46,8 +47,8 @@
 	return cost
 }
 
-// learn takes in what the end of an attempt tells of its target's load and speed.
-func (p *Proxy) learn(now time.Duration, target *targetState, req *request, service *serviceState, event *statemachine.AttemptDone) {
+// recordLoad updates the load and speed of a target, and the window of its service, by the end of an attempt.
+func (p *Proxy) recordLoad(now time.Duration, target *targetState, req *request, service *serviceState, event *statemachine.AttemptDone) {
 	if load := event.Load; load != nil {
 		target.otherLoad = max(0, float64(load.Running+load.Waiting-target.inFlight))
 		target.loadReportedAt = now
@@ -68,7 +69,7 @@
 	}
 }
 
-// observe takes a response time into the service's mean.
+// observe adds a response time to the service's mean.
 func (s *serviceState) observe(ms float64) {
 	if s.meanMs == 0 {
 		s.meanMs = ms
@@ -76,7 +77,7 @@
 	s.meanMs += tuning.ResponseTimeWeight * (ms - s.meanMs)
 }
 
-// observe takes in a response time, as a ratio to the mean one of its route.
+// observe adds a response time, given as its ratio to the mean of its route, to the target's latency ratio.
 func (t *targetState) observe(now time.Duration, ratio float64) {
 	t.latencyRatio = 1 + t.slowness(now)
 	if t.latencyRatio == 1 {
@@ -87,24 +88,26 @@
 	t.latencyObservedAt = now
 }
 
-// minWindow is how many of this proxy's requests may be at the service's targets in any case.
+// minWindow returns the smallest window: how many of this proxy's requests the service's targets may always
+// have.
 func (s *serviceState) minWindow() float64 {
 	return tuning.QuotaOvercommit*s.evenQuota + tuning.QuotaExtra
 }
 
-// maxWindow is the most that the window grows to.
+// maxWindow returns the largest size that the window may grow to.
 func (s *serviceState) maxWindow() float64 {
 	return tuning.QuotaOvercommitMax*s.evenQuota + tuning.QuotaExtra
 }
 
-// growWindow widens the window by one request for each window of requests that were served, if it is in full use.
+// growWindow widens the window after a served request, by one for each full window of them. It does nothing
+// while the window is not fully used.
 func (s *serviceState) growWindow() {
 	if float64(s.inFlight)+1 >= s.window {
 		s.window = min(s.maxWindow(), s.window+1/max(1, s.window))
 	}
 }
 
-// shrinkWindow narrows the window after a target rejected a request as too many.
+// shrinkWindow narrows the window after a target rejected a request because it was full.
 func (s *serviceState) shrinkWindow() {
 	s.window = max(s.minWindow(), s.window*tuning.QuotaBackoffFactor)
 }
--- a/internal/dataplane/objectives.go
+++ b/internal/dataplane/objectives.go
@@ -6,16 +6,16 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// objectiveCounts counts the requests of a service-level objective by the minute.
+// objectiveCounts counts the requests of a service-level objective by minute.
 type objectiveCounts struct {
-	minutes [tuning.ObjectiveMinutes]minuteCounts // a ring, indexed by the minute
+	minutes [tuning.ObjectiveMinutes]minuteCounts // a ring buffer, indexed by the minute modulo its length
 }
 
-// minuteCounts are the requests that ended within one minute.
+// minuteCounts holds the numbers of all requests, and of good ones, that ended within one minute.
 type minuteCounts struct{ minute, good, total int }
 
-// countObjectives counts a request's end for all objectives of its service. A good one counts as such
-// where it was fast enough.
+// countObjectives counts the end of a request for all objectives of its service. A successful request is good
+// for an objective only if it also met its latency target.
 func (p *Proxy) countObjectives(now time.Duration, req *request, good bool) {
 	for name, objective := range p.configuration.Objectives {
 		if objective.Service != req.serviceName {
@@ -42,7 +42,8 @@
 	}
 }
 
-// sum returns the good and all requests of the last minutes, the present one included.
+// sum returns the numbers of good and of all requests in the last windowMinutes minutes, including the current
+// one.
 func (c *objectiveCounts) sum(now time.Duration, windowMinutes int) (good, total int) {
 	for _, counts := range c.minutes {
 		if int(now/time.Minute)-counts.minute < windowMinutes {
--- a/internal/dataplane/peers.go
+++ b/internal/dataplane/peers.go
@@ -1,5 +1,5 @@
-// This file is how proxies serve without a leader. Each polls the others; as long as a majority confirms within
-// a peer lease that it has no later table, the proxy may go on serving by its own.
+// Serving without a leader. Each proxy polls the others. As long as a majority has confirmed within a peer
+// lease that it has no later table, the proxy may keep serving by its own.
 
 package dataplane
 
@@ -13,8 +13,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// hasPeerMajority reports that a majority of the member proxies has confirmed this proxy's table within a peer
-// lease, and a majority of the members before them as long as those count too.
+// hasPeerMajority reports whether a majority of the member proxies has confirmed this proxy's table within a
+// peer lease. While a membership change is under way, a majority of the previous members is needed too.
 func (p *Proxy) hasPeerMajority(now time.Duration) bool {
 	confirmed := 0
 	for i := range p.table.Proxies {
@@ -37,19 +37,19 @@
 	return 2*confirmed > len(p.table.PreviousProxies)
 }
 
-// confirms reports whether a proxy counts in the majority: a peer that confirmed within the peer lease, or this
-// proxy itself once it has had the right to serve.
+// confirms reports whether a proxy counts towards the majority: a peer that has confirmed within the peer
+// lease, or this proxy itself once it has had the right to serve.
 func (p *Proxy) confirms(now time.Duration, name string) bool {
 	if name == p.settings.Self.Name {
-		return p.joined
+		return p.hasServed
 	}
 	at, ok := p.peerConfirmedAt[name]
 	return ok && now < at+tuning.PeerLease
 }
 
-// pollPeers asks peers to confirm that they have no later table. In a large fleet some are asked at each turn, those
-// first that were asked longest ago: so all are asked within a peer lease, and no proxy's work grows faster than the
-// number of proxies.
+// pollPeers asks peers to confirm that they have no later table. In a large fleet each round asks only some of
+// them, those first that were asked longest ago. All peers are thus asked within a peer lease, and the work of
+// one proxy grows no faster than the number of proxies.
 func (p *Proxy) pollPeers(now time.Duration) {
 	for name := range p.peerAskedAt {
 		if !slices.ContainsFunc(p.table.Proxies, func(proxy wire.Proxy) bool { return proxy.Name == name }) {
@@ -65,13 +65,14 @@
 			p.directory[peer.Name] = &discovery.Peer{Daemon: daemon, LastContact: now}
 		}
 		p.peerAskedAt[peer.Name] = now
-		// After a pause or a network partition this proxy lacks the ejections that peers have decided on meanwhile.
+		// After a pause or a network partition this proxy lacks the ejections that its peers decided on in the
+		// meantime.
 		wantEjections := !p.Serving() && (len(peers) <= tuning.PeerLeaseFanout || i < tuning.PeerTableFanout)
 		p.sendPeerPull(now, peer.Name, &wire.Pull{Self: self, Key: p.table.Key, WantTable: wantEjections})
 	}
 }
 
-// peersInPollOrder are the other member proxies, those first that were asked longest ago.
+// peersInPollOrder returns the other member proxies, those first that were asked longest ago.
 func (p *Proxy) peersInPollOrder() (peers []*wire.Proxy) {
 	for i := range p.table.Proxies {
 		if peer := &p.table.Proxies[i]; peer.Name != p.settings.Self.Name {
@@ -79,7 +80,7 @@
 		}
 	}
 	if len(peers) > 0 {
-		// Each proxy begins elsewhere, so that not all ask the same ones at once.
+		// Each proxy starts at a different peer, so that they don't all ask the same ones at once.
 		first := int(p.nameHash % uint64(len(peers)))
 		peers = append(peers[first:], peers[:first]...)
 	}
@@ -91,8 +92,8 @@
 	p.send(peer, &wire.Message{Kind: wire.KindPull, Timestamp: int64(now), Disk: p.settings.Self.Incarnation, Pull: pull})
 }
 
-// handlePeerPush takes in a peer's answer to a poll.
-func (p *Proxy) handlePeerPush(now time.Duration, message *wire.Message, isAnswer bool) {
+// handlePeerPush handles a peer's answer to a poll or to a request for its table.
+func (p *Proxy) handlePeerPush(now time.Duration, message *wire.Message, isReply bool) {
 	push := message.Push
 	if push.Table != nil && !p.applyTable(now, push.Table) && p.table != nil && p.table.Key == push.Table.Key && !p.Serving() {
 		p.adoptPeerTargets(now, push.Table)
@@ -101,30 +102,31 @@
 		return
 	}
 	peerHasLater := p.table.Key.Less(push.Key)
-	if isAnswer && !peerHasLater {
+	if isReply && !peerHasLater {
 		p.peerConfirmedAt[message.From] = max(p.peerConfirmedAt[message.From], time.Duration(message.Timestamp))
 	}
 	if peerHasLater && now-p.peerTableAskedAt >= p.peerTableInterval() {
-		p.peerTableAskedAt = now // one peer at a time sends its table, without what this proxy has
+		p.peerTableAskedAt = now // ask one peer at a time for its table, without the parts that this proxy has
 		p.sendPeerPull(now, message.From, &wire.Pull{Self: p.selfReport(), Revision: p.table.Revision, StateIndex: p.table.StateIndex})
 	}
 }
 
-// peerTableInterval is how often a proxy fetches a later table from a peer, which sends all of its rows: so rarely that
-// tables take no more than a part of a slow link, however large the fleet is. Otherwise a proxy that is cut off from a
-// leader which makes ever new tables would fill its link and its peers' links with them.
+// peerTableInterval returns the minimum time between two fetches of a later table from a peer. A peer sends all
+// rows, so the interval grows with the table to use at most 1/tuning.PeerTableParts of a slow link, whatever
+// the size of the fleet. Without this limit, a proxy that is cut off from a leader which keeps making new
+// tables would saturate its own link and those of its peers.
 func (p *Proxy) peerTableInterval() time.Duration {
 	bytes := tuning.TableRowBytes * (len(p.table.Targets) + len(p.table.Proxies))
 	return max(2*tuning.PullEvery, time.Duration(bytes)*time.Second*tuning.PeerTableParts/tuning.SlowLink)
 }
 
-// answerPeer answers another proxy's poll, or its request for this proxy's table.
-func (p *Proxy) answerPeer(now time.Duration, message *wire.Message) {
+// handlePeerPull answers another proxy's poll or its request for this proxy's table.
+func (p *Proxy) handlePeerPull(now time.Duration, message *wire.Message) {
 	pull := message.Pull
 	if pull.Self.Kind == wire.ProxyDaemon {
 		p.directory[message.From] = &discovery.Peer{Daemon: pull.Self, LastContact: now}
 	}
-	push := &wire.Push{LeaseGranted: p.joined && p.table != nil}
+	push := &wire.Push{LeaseGranted: p.hasServed && p.table != nil}
 	if p.table != nil {
 		push.Key = p.table.Key
 	}
@@ -134,8 +136,8 @@
 	p.send(message.From, &wire.Message{Kind: wire.KindPush, Timestamp: message.Timestamp, Disk: message.Disk, Push: push})
 }
 
-// tableForPeer is the table that a peer's pull asks for, nil: none. A pull without a key asks for all of it, but for
-// what that peer has.
+// tableForPeer returns the table that a peer's pull asks for, or nil if it asks for none. A pull without a key
+// asks for the full table, from which the parts that the peer already has are omitted.
 func (p *Proxy) tableForPeer(now time.Duration, pull *wire.Pull) *wire.Table {
 	if pull.Key == (wire.TableKey{}) {
 		table := p.exportTable(now)
@@ -153,8 +155,8 @@
 	return nil
 }
 
-// targetChanges is how the targets differ here from the table in force, as a change to it: ejections, drains, warm-ups
-// and successors.
+// targetChanges returns the differences between this proxy's targets and those of its current table, as a delta
+// of that table: ejections, drains, warm-ups and successors.
 func (p *Proxy) targetChanges(now time.Duration) *wire.Table {
 	changes := &wire.Table{Key: p.table.Key, DeltaBase: p.table.Key, StateIndex: p.table.StateIndex, Revision: p.table.Revision}
 	inTable := map[wire.TargetID]bool{}
@@ -173,8 +175,8 @@
 	return changes
 }
 
-// adoptPeerTargets takes over from a peer with the same table its ejections, drains, warm-ups and successors. Soon this
-// proxy's own health checks say more.
+// adoptPeerTargets adopts ejections, drains, warm-ups and successors from a peer with the same table. They
+// bridge the time until this proxy's own health checks have results.
 func (p *Proxy) adoptPeerTargets(now time.Duration, table *wire.Table) {
 	removed := p.removedAtPeer(table)
 	for i := range table.Targets {
@@ -194,7 +196,7 @@
 	}
 }
 
-// removedAtPeer are the targets of this proxy that a peer's table lacks.
+// removedAtPeer returns the targets of this proxy that are missing from a peer's table.
 func (p *Proxy) removedAtPeer(table *wire.Table) map[wire.TargetID]bool {
 	removed := map[wire.TargetID]bool{}
 	if table.DeltaBase == (wire.TableKey{}) {
@@ -208,8 +210,8 @@
 	return removed
 }
 
-// adoptPeerSuccessor puts a later incarnation in the place of a target that the peer has removed, and returns it; nil
-// if there is no such target.
+// adoptPeerSuccessor replaces a target that the peer has removed by its later incarnation, and returns that. It
+// returns nil if there is no such target.
 func (p *Proxy) adoptPeerSuccessor(now time.Duration, row *wire.Target, removed map[wire.TargetID]bool) *targetState {
 	for id := range p.targets {
 		if id.Service == row.Service && id.Name == row.Name && removed[id] && p.leavingSince[row.ID()] == 0 {
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -1,18 +1,20 @@
-// Package dataplane is the state machine of a proxy daemon: its table and lease, the choice of a target for each
-// request, queues, retries and their budget, and what it does while the leader is out of reach. It is one pure
-// Step(now, event) -> commands, without I/O, clock, randomness or locks: package daemon runs it in a process,
-// the simulator in virtual time. It forwards no bytes itself, which is the task of package reverseproxy.
+// Package dataplane implements the state machine of a proxy daemon: its table and lease, the choice of a target
+// for each request, queues, retries and the retry budget, and its behaviour while the leader is unreachable. It
+// is a pure function Step(now, event) -> commands, without I/O, clock, randomness or locks. Package daemon runs
+// it in a process, and the simulator runs it in virtual time. It doesn't forward any bytes; that is the task of
+// package reverseproxy.
 //
-// A proxy serves only by a table that is known to be fresh. Leased: the leader answered a pull that was sent less
-// than a lease ago. PeerServing: it has no lease, but a majority of the member proxies, itself included, answered
-// within a peer lease, and it has applied the latest table among them. The leader calls a change in force only
-// once a majority has confirmed it and all other leases have lapsed, so a proxy that serves on peer leases can't
-// miss it. Otherwise the proxy is Isolated, or has NoTable yet, and rejects requests. Proxy.updateState decides which.
+// A proxy serves only by a table that is known to be up to date. In state Leased, the leader has answered a
+// pull that was sent less than a lease ago. In state PeerServing, the proxy has no lease, but a majority of the
+// member proxies, including itself, answered within a peer lease, and it has applied the latest table among
+// theirs. The leader reports a change as in force only after a majority has confirmed it and all other leases
+// have expired, so a proxy that serves on peer leases can't miss it. In any other case the proxy is Isolated,
+// or has NoTable yet, and rejects requests. Proxy.updateState chooses the state.
 //
-// Begin reading with Proxy and Step in proxy.go. A request goes through admission.go, routing.go, selection.go or
-// slotselection.go, queue.go and attempts.go, and rejection.go has the reasons to reject it; lease.go, peers.go and
-// table.go bring the table and the right to serve; quota.go and warmup.go share out what holds for all proxies
-// together.
+// Begin reading with Proxy and Step in proxy.go. A request passes through admission.go, routing.go,
+// selection.go or slotselection.go, queue.go and attempts.go; rejection.go has the reasons to reject it.
+// lease.go, peers.go and table.go obtain the table and the right to serve. quota.go and warmup.go divide the
+// limits that hold for all proxies together.
 package dataplane
 
 import (
@@ -26,107 +28,108 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// State is by what right a proxy serves, if it does.
+// State tells whether a proxy may serve requests, and on what grounds.
 type State int
 
 // The states.
 const (
-	NoTable     State = iota // there is no table yet
-	Leased                   // the leader's lease runs
+	NoTable     State = iota // no table has been received yet
+	Leased                   // the leader's lease is valid
 	PeerServing              // no lease, but peer leases of a majority
 	Isolated                 // neither: requests are rejected
 )
 
-// String is the state's name on the wire, in /v1/status and in the log.
+// String returns the state's name on the wire, in /v1/status and in the log.
 func (s State) String() string { return [...]string{"cold", "granted", "orphan", "cut"}[s] }
 
-// Settings are what a proxy is started with.
+// Settings configure a proxy when it starts.
 type Settings struct {
 	// Self describes this daemon to the others.
 	Self wire.Daemon
-	// Seeds are addresses of control daemons.
+	// Seeds are addresses of control daemons to contact first.
 	Seeds []string
-	// Retry is the retry budget of the whole fleet; without a window that of package tuning holds.
+	// Retry is the retry budget of the whole fleet. If its Window is not set, the defaults of package tuning
+	// apply.
 	Retry RetryBudget
-	// GracePeriod is how long after it was asked to stop the process is ended by force. 0: not
-	// known; a shutdown then takes tuning.ShutdownTimeout at most.
+	// GracePeriod is the time from the request to stop until the process is killed. 0 means unknown; a shutdown
+	// then takes at most tuning.ShutdownTimeout.
 	GracePeriod time.Duration
-	// ReadyWhenEmptied keeps the proxy of an emptied domain ready for callers.
+	// ReadyWhenEmptied keeps the proxy ready for callers while its domain is emptied.
 	ReadyWhenEmptied bool
 }
 
-// Proxy is the state machine of a proxy daemon. One goroutine owns it.
+// Proxy is the state machine of a proxy daemon. It is owned by one goroutine.
 type Proxy struct {
 	settings Settings
 	state    State
-	commands []statemachine.Command // of the present step
-	nameHash uint64                 // has proxies of different names begin at different targets and peers
+	commands []statemachine.Command // of the current step
+	nameHash uint64                 // makes proxies of different names start at different targets and peers
 
-	// Daemons, and what was said to the control plane and when.
+	// Known daemons, and the messages sent to the control plane.
 	directory            discovery.Directory
 	lastHelloAt          time.Duration
 	lastPullAt           time.Duration
 	pullAtNextTick       bool                     // the leader waits for the result of an indirect probe
-	reportedSelf         wire.Daemon              // as of the last pull that described this proxy
-	reportedTo           string                   // the leader that got that pull
-	recoveredStateSentAt map[string]time.Duration // by control daemon's name and process
+	reportedSelf         wire.Daemon              // as of the last pull with a description of this proxy
+	reportedTo           string                   // the leader that received that pull
+	recoveredStateSentAt map[string]time.Duration // by control daemon's name and incarnation, see processKey
 
 	// The leader and its lease.
-	leaderEpoch      uint64        // the highest that a leader spoke with
-	leaderTerm       uint64        // the highest of that epoch
-	lastLeaderPushAt time.Duration // when a leader last sent anything
-	leaderWantsTable bool          // it recovers, and collects the proxies' tables
-	leaseUntil       time.Duration
-	joined           bool // this process has had the right to serve: its own vote counts in a majority
+	leaderEpoch      uint64        // the highest epoch of any leader push
+	leaderTerm       uint64        // the highest term within that epoch
+	lastLeaderPushAt time.Duration // when the last push of a leader was accepted
+	leaderWantsTable bool          // the leader is recovering and collects the proxies' tables
+	leaseUntil       time.Duration // end of the leader's lease, -1 if there was none
+	hasServed        bool          // this process has had the right to serve, so it counts itself in a majority
 
 	// Peer leases.
 	lastPeerPollAt   time.Duration
-	peerAskedAt      map[string]time.Duration // by peer
-	peerConfirmedAt  map[string]time.Duration // by peer: when the poll was sent that it last confirmed
+	peerAskedAt      map[string]time.Duration // when a peer was last polled
+	peerConfirmedAt  map[string]time.Duration // when the poll was sent that a peer last confirmed
 	peerTableAskedAt time.Duration            // when a peer was last asked for its table
 
-	// The table and the configuration in it.
+	// The current table and its configuration.
 	table           *wire.Table
 	configuration   *config.Config
 	revision        uint64          // of the configuration
-	reportedInvalid invalidDocument // the last one that was reported
-	memberProxies   []string        // all proxies of the table
-	liveProxies     []string        // those that share quotas now
+	reportedInvalid invalidDocument // the last invalid configuration that was reported
+	memberProxies   []string        // all proxies of the table, by name
+	liveProxies     []string        // the proxies among which quotas are divided now
 
 	// Targets.
 	targets      map[wire.TargetID]*targetState
-	leavingSince map[wire.TargetID]time.Duration // targets that left or were replaced by a successor
-	unreachable  map[wire.TargetID]bool          // as last reported
-	reindexAt    time.Duration                   // when a warm-up ends or a warming share rises next, 0: never
+	leavingSince map[wire.TargetID]time.Duration // when targets left or were replaced by a successor
+	unreachable  map[wire.TargetID]bool          // as last reported, see reportUnreachable
+	reindexAt    time.Duration                   // when a warm-up ends or a warming share rises next; 0 if neither is due
 
 	// Requests.
 	requests   map[uint64]*request
 	services   map[string]*serviceState
 	routes     map[string]*routeState
-	objectives map[string]*objectiveCounts
-	rotation   uint64 // advances with each choice, so that ties don't always go to the same target
+	objectives map[string]*objectiveCounts // by the name of the objective
+	rotation   uint64                      // incremented with each choice, so that ties don't always go to the same target
 
-	// Buffers of chooseLeastLoaded, kept to save allocations.
+	// Buffers of candidates, reused to save allocations.
 	eligibleBuffer   []*targetState
 	lastResortBuffer []*targetState
 
 	// Shutdown.
 	stopping         bool
 	stopRequestedAt  time.Duration
-	acceptingStopped bool // no more requests are taken
+	acceptingStopped bool // no more requests are accepted
 
-	// Counts are the proxy's counters.
+	// Counts holds the proxy's counters.
 	Counts Counts
 }
 
-// New returns a proxy that has just started and knows no table.
+// New returns a proxy that has just started and has no table.
 func New(settings Settings) *Proxy {
 	if settings.Retry.Window < tuning.WindowBuckets {
 		settings.Retry = RetryBudget{Ratio: 1 / float64(tuning.RetryShare), Window: tuning.RetryWindow, Slack: tuning.RetryFree}
 	}
 	return &Proxy{
 		settings:             settings,
-		nameHash:             hashOf(settings.Self.Name),
+		nameHash:             hashString(settings.Self.Name),
 		directory:            discovery.Directory{},
 		recoveredStateSentAt: map[string]time.Duration{},
 		leaseUntil:           -1,
@@ -142,9 +145,9 @@
 	}
 }
 
-// Step takes one event in and returns the commands that follow from it, in order.
+// Step processes one event and returns the resulting commands in order.
 func (p *Proxy) Step(now time.Duration, event statemachine.Event) []statemachine.Command {
-	p.updateState(now) // time may have passed since the last step, and with it a lease
+	p.updateState(now) // a lease may have expired since the last step
 	p.handle(now, event)
 	p.updateState(now)
 	commands := p.commands
@@ -161,7 +164,7 @@
 	case statemachine.ProbeResult:
 		p.handleProbeResult(now, e)
 	case statemachine.Call:
-		p.answerCall(now, e)
+		p.handleCall(now, e)
 	case statemachine.Stop:
 		p.beginShutdown(now)
 	case statemachine.Admit:
@@ -177,7 +180,7 @@
 
 func (p *Proxy) emit(command statemachine.Command) { p.commands = append(p.commands, command) }
 
-// updateState sets the state from what is known at this moment.
+// updateState sets the state by the current leases and table.
 func (p *Proxy) updateState(now time.Duration) {
 	switch {
 	case p.table == nil:
@@ -185,7 +188,7 @@
 	case now < p.leaseUntil:
 		p.setState(now, Leased, "the leader answers")
 	case p.hasPeerMajority(now):
-		p.joined = true
+		p.hasServed = true
 		p.setState(now, PeerServing, "a majority of proxies answers")
 	default:
 		p.setState(now, Isolated, "neither the leader nor a majority of proxies answers")
@@ -200,7 +203,7 @@
 	p.state = state
 	p.reindex(now)
 	if state == Leased {
-		// The leader decides on ejections again, and has had the reports of what was seen here meanwhile.
+		// The leader decides on ejections again. It has received the statistics of the time without it.
 		for _, target := range p.targets {
 			target.missedProbes, target.probePendingSince, target.probedAt, target.ownEjectionUntil = 0, 0, 0, 0
 		}
@@ -210,28 +213,29 @@
 // Serving reports whether requests may be admitted now.
 func (p *Proxy) Serving() bool { return p.state == Leased || p.state == PeerServing }
 
-// Ready is what the platform's readiness check gets: the proxy of an emptied domain goes on serving
-// but asks for no more callers.
+// Ready reports whether the proxy is ready for callers, for the platform's readiness check. The proxy of an
+// emptied domain keeps serving but is not ready, so that it gets no more callers.
 func (p *Proxy) Ready() bool {
 	return p.Serving() && !p.stopping && (p.settings.ReadyWhenEmptied || !slices.Contains(p.table.EmptiedDomains, p.settings.Self.Domain))
 }
 
-// State returns by what right the proxy serves.
+// State returns whether the proxy may serve, and on what grounds.
 func (p *Proxy) State() State { return p.state }
 
-// Table returns the table in force here, nil: none yet.
+// Table returns the current table, or nil if there is none yet.
 func (p *Proxy) Table() *wire.Table { return p.table }
 
-// Revision returns the revision of the configuration in force here.
+// Revision returns the revision of the current configuration.
 func (p *Proxy) Revision() uint64 { return p.revision }
 
-// InFlight returns how many requests are under way or queued.
+// InFlight returns the number of requests in flight or queued.
 func (p *Proxy) InFlight() int { return len(p.requests) }
 
 // SetSeeds replaces the seed addresses.
 func (p *Proxy) SetSeeds(seeds []string) { p.settings.Seeds = seeds }
 
-// send sends a message to a daemon of the directory; to another, or to this one itself, nothing is sent.
+// send sends a message to a daemon of the directory. It sends nothing to an unknown daemon or to this one
+// itself.
 func (p *Proxy) send(name string, message *wire.Message) {
 	if peer := p.directory[name]; peer != nil && name != p.settings.Self.Name {
 		message.To, message.From = name, p.settings.Self.Name
@@ -239,7 +243,7 @@
 	}
 }
 
-// selfReport describes this daemon as it is now.
+// selfReport returns the current description of this daemon.
 func (p *Proxy) selfReport() wire.Daemon {
 	self := p.settings.Self
 	self.State, self.Ready = p.state.String(), p.table != nil && p.Ready()
@@ -262,7 +266,7 @@
 		}
 	case wire.KindPull:
 		if message.Pull != nil {
-			p.answerPeer(now, message)
+			p.handlePeerPull(now, message)
 		}
 	case wire.KindHeartbeat:
 		if message.Heartbeat != nil {
@@ -272,17 +276,17 @@
 }
 
 func (p *Proxy) tick(now time.Duration) {
-	if now-p.lastHelloAt >= tuning.HelloLeasedEvery || now-p.lastHelloAt >= tuning.HelloEvery && p.doubtsLeader(now) {
+	if now-p.lastHelloAt >= tuning.HelloLeasedEvery || now-p.lastHelloAt >= tuning.HelloEvery && p.suspectsLeader(now) {
 		p.sendHellos(now)
 	}
 	if now-p.lastPullAt >= tuning.PullEvery || p.pullAtNextTick {
 		p.pullTable(now)
 	}
-	if p.table != nil && p.hasNoLeader(now) && now-p.lastPeerPollAt >= tuning.PullEvery {
+	if p.table != nil && p.leaderUnreachable(now) && now-p.lastPeerPollAt >= tuning.PullEvery {
 		p.lastPeerPollAt = now
 		p.pollPeers(now)
 	}
-	if p.state != NoTable && p.hasNoLeader(now) {
+	if p.state != NoTable && p.leaderUnreachable(now) {
 		p.checkHealth(now)
 	}
 	if p.reindexAt > 0 && now >= p.reindexAt {
--- a/internal/dataplane/queue.go
+++ b/internal/dataplane/queue.go
@@ -1,4 +1,4 @@
-// This file is the queue of a service: requests that wait for one of its targets.
+// The queue of a service, which holds requests that wait for one of its targets.
 
 package dataplane
 
@@ -9,13 +9,13 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// mustQueue reports that requests of the same or a higher priority wait already.
+// mustQueue reports whether requests of the same or a higher priority are already queued.
 func (p *Proxy) mustQueue(service *serviceState, req *request) bool {
 	return len(service.queue) > 0 && p.requests[service.queue[0]].priority <= req.priority
 }
 
-// enqueue queues the request by priority, and within one by arrival. It returns false if the request may not
-// wait: then the caller rejects it.
+// enqueue adds the request to the queue, which is ordered by priority and then by arrival. It returns false if
+// the request may not be queued; the caller then rejects it.
 func (p *Proxy) enqueue(now time.Duration, req *request, service *serviceState) bool {
 	timeout, length := p.queueLimits(now, req, service)
 	if timeout <= 0 || len(service.queue) >= length && !p.preemptQueued(now, req, service) {
@@ -35,9 +35,10 @@
 	return true
 }
 
-// queueLimits returns how long the request may wait, 0 or less: not at all, and in how long a queue. By a rule these
-// are its service's settings. On a route it waits for a part of the latency target, and as many requests do as the
-// service's targets are likely to take within that time.
+// queueLimits returns how long the request may be queued, and the maximum length of the queue. A timeout of 0
+// or less means that it may not be queued. For a rule, both are settings of the service. On a route, a request
+// may be queued for a fraction of the latency target, and the length is the number of requests that the
+// service's targets are expected to take within that time.
 func (p *Proxy) queueLimits(now time.Duration, req *request, service *serviceState) (timeout time.Duration, length int) {
 	if req.routeState == nil {
 		timeout = time.Duration(req.serviceConfig.QueueTimeoutMs) * time.Millisecond
@@ -52,8 +53,8 @@
 	return timeout, length
 }
 
-// preemptQueued rejects the last of the queue in favour of a request of higher priority. It returns false
-// if there is none of a lower one.
+// preemptQueued rejects the last request in the queue to make room for one of higher priority. It returns false
+// if the last one has no lower priority.
 func (p *Proxy) preemptQueued(now time.Duration, req *request, service *serviceState) bool {
 	if len(service.queue) == 0 {
 		return false
@@ -67,7 +68,7 @@
 	return true
 }
 
-// processQueues rejects the requests that have waited long enough and serves the others.
+// processQueues rejects the requests whose queue timeout has expired and serves the others.
 func (p *Proxy) processQueues(now time.Duration) {
 	var waiting []string
 	for name, service := range p.services {
@@ -87,12 +88,12 @@
 	}
 }
 
-// serveQueue forwards the queued requests in their order, until there is no target for one.
+// serveQueue forwards queued requests in order until no target can take the next one.
 func (p *Proxy) serveQueue(now time.Duration, service *serviceState) {
 	for p.Serving() && len(service.queue) > 0 {
 		req := p.requests[service.queue[0]]
-		target, usable := p.chooseTarget(now, req)
-		if p.atMaxInFlight(req, service) || target == nil && usable {
+		target, hasCandidates := p.chooseTarget(now, req)
+		if p.atMaxInFlight(req, service) || target == nil && hasCandidates {
 			break
 		}
 		service.queue = service.queue[1:]
--- a/internal/dataplane/quota.go
+++ b/internal/dataplane/quota.go
@@ -1,6 +1,7 @@
-// This file shares out what holds for all proxies together. Where targets report how many requests they work on at
-// once, those slots are distributed among the live proxies, each slot to one: without any communication no request
-// waits at a target while every proxy keeps to its quota. Where they don't, a configured cap is divided evenly.
+// Division of limits that hold for all proxies together. If targets report how many requests they process
+// concurrently, each of those slots is assigned to one live proxy. As long as every proxy keeps to its quota,
+// no request waits at a target, without any communication among proxies. If targets don't report slots, a
+// configured cap is divided evenly.
 
 package dataplane
 
@@ -13,7 +14,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// reindex prepares what choices go by. It follows each change of the table, the targets or the state.
+// reindex rebuilds the data that target selection depends on: live proxies, the targets of each service, quotas
+// and warm-up intervals. It must be called after each change of the table, the targets or the state.
 func (p *Proxy) reindex(now time.Duration) {
 	p.liveProxies, p.memberProxies, p.reindexAt = nil, nil, 0
 	for _, service := range p.services {
@@ -43,11 +45,12 @@
 	}
 }
 
-// indexProxies lists the table's proxies, and returns the domains of the live ones.
+// indexProxies lists the proxies of the table and returns the domains of the live ones.
 func (p *Proxy) indexProxies() (liveDomains []string) {
 	for _, proxy := range p.table.Proxies {
 		p.memberProxies = append(p.memberProxies, proxy.Name)
-		// Quotas are shared by the proxies that the leader hears, or by all if there is no leader to say which.
+		// Quotas are divided among the proxies that the leader reports as live, or among all proxies if there is
+		// no lease: the report may then be out of date.
 		if proxy.Live || proxy.Name == p.settings.Self.Name || p.state != Leased {
 			p.liveProxies = append(p.liveProxies, proxy.Name)
 			liveDomains = append(liveDomains, proxy.Domain)
@@ -56,8 +59,7 @@
 	return liveDomains
 }
 
-// prepareService prepares a service's targets: which are warming up and what this proxy may send there, and
-// which slots are its own.
+// prepareService computes a service's quotas, the limits of its targets and its window.
 func (p *Proxy) prepareService(now time.Duration, service *serviceState, serviceConfig config.Service, liveDomains []string) {
 	service.reportsSlots, service.quotaTargets = false, nil
 	total := 0
@@ -68,19 +70,19 @@
 		switch {
 		case target.warmupUntil > now || p.takesNoRequests(target):
 		case target.EjectionLeft > 0:
-			ejected = append(ejected, poolOf(target))
+			ejected = append(ejected, newSlotPool(target))
 		case target.State == wire.TargetWarming:
 			total += target.slots
 		default:
 			total += target.slots
-			pools = append(pools, poolOf(target))
+			pools = append(pools, newSlotPool(target))
 		}
 	}
 	if !service.reportsSlots {
 		return
 	}
 	if total == 0 {
-		pools = ejected // those of last resort have quotas too
+		pools = ejected // targets of last resort have quotas too
 		for _, pool := range pools {
 			total += pool.slots
 		}
@@ -90,8 +92,8 @@
 	service.window = min(max(service.window, service.minWindow()), service.maxWindow())
 }
 
-// prepareTarget sets the bounds that hold for a target: its slots, the interval of its warm-up and, in the state
-// warming, this proxy's share of its cap.
+// prepareTarget sets the limits of a target: its slots, its warm-up interval and, in the state warming, this
+// proxy's share of its cap.
 func (p *Proxy) prepareTarget(now time.Duration, target *targetState, serviceConfig config.Service) {
 	target.quota, target.slots, target.local = 0, int(target.Slots), target.Domain == p.settings.Self.Domain
 	target.capped = target.slots == 0 || serviceConfig.Cap < target.slots
@@ -106,14 +108,15 @@
 	}
 }
 
-// reindexBy has the index made anew at a time, unless that happens earlier anyway.
-func (p *Proxy) reindexBy(at time.Duration) {
+// scheduleReindex makes sure that reindex is called at the given time at the latest.
+func (p *Proxy) scheduleReindex(at time.Duration) {
 	if p.reindexAt == 0 || at < p.reindexAt {
 		p.reindexAt = at
 	}
 }
 
-// assignQuotas distributes the slots of a service's targets and sets this proxy's quotas.
+// assignQuotas distributes the slots of a service's targets among the live proxies and stores this proxy's
+// quotas.
 func (p *Proxy) assignQuotas(service *serviceState, pools []slotPool, liveDomains []string) {
 	if self := slices.Index(p.liveProxies, p.settings.Self.Name); self >= 0 {
 		for i, quotas := range distributeSlots(pools, p.liveProxies, liveDomains) {
@@ -127,7 +130,7 @@
 	}
 }
 
-// slotPool is the slots of a target that are distributed.
+// slotPool describes the slots of one target that are to be distributed.
 type slotPool struct {
 	hash   uint64
 	domain string
@@ -135,15 +138,15 @@
 	target *targetState
 }
 
-func poolOf(target *targetState) slotPool {
+func newSlotPool(target *targetState) slotPool {
 	return slotPool{hash: targetHash(target.ID()), domain: target.Domain, slots: target.slots, target: target}
 }
 
-// distributeSlots distributes the slots of all pools among the proxies, and returns by pool how many slots of it each
-// proxy gets. In sum all proxies get the same, or one slot more. A pool's slots go to proxies of its own domain
-// first, as far as those have not had their sum yet, then to any, one at a time by rendezvous hashing. So few
-// slots move when a target or a proxy comes or goes, and each proxy has slots at many targets, among which
-// there are fast ones.
+// distributeSlots distributes the slots of all pools among the proxies. The result has, for each pool, the
+// number of its slots that each proxy gets. The totals of two proxies differ by at most one slot. Slots of a
+// pool go first to proxies of its own domain, up to their totals, then to any proxy. They are assigned one at a
+// time by rendezvous hashing, so few slots move when a target or a proxy is added or removed, and each proxy
+// has slots at many targets, some of which are fast.
 func distributeSlots(pools []slotPool, proxies, domains []string) [][]int {
 	quotas := make([][]int, len(pools))
 	if len(proxies) == 0 {
@@ -157,7 +160,7 @@
 	}
 	hashes := make([]uint64, len(proxies))
 	for i, proxy := range proxies {
-		hashes[i] = hashOf(proxy)
+		hashes[i] = hashString(proxy)
 	}
 	remaining := evenSums(total, proxies, hashes)
 	order := poolOrder(pools)
@@ -179,7 +182,7 @@
 	return quotas
 }
 
-// evenSums divides a number of slots evenly among the proxies. The remainder goes to those with the lowest hashes.
+// evenSums divides a number of slots evenly among the proxies. Those with the lowest hashes get the remainder.
 func evenSums(total int, proxies []string, hashes []uint64) []int {
 	sums, order := make([]int, len(proxies)), make([]int, len(proxies))
 	for i := range proxies {
@@ -194,7 +197,7 @@
 	return sums
 }
 
-// poolOrder is the order in which the pools are distributed, by hash.
+// poolOrder returns the indexes of the pools in the order in which they are distributed, which is by hash.
 func poolOrder(pools []slotPool) []int {
 	order := make([]int, len(pools))
 	for i := range pools {
@@ -204,8 +207,9 @@
 	return order
 }
 
-// nextRecipient is the proxy that gets the next slot of a pool: of those that may get one and have some of their sum
-// remaining, one with the fewest slots of this pool, and among those the one with the highest hash; -1 if there is none.
+// nextRecipient returns the index of the proxy that gets the next slot of a pool, or -1 if there is none. Of
+// the proxies that may get a slot and have part of their total remaining, it is the one with the fewest slots
+// of this pool, and among equals the one with the highest hash.
 func nextRecipient(pool *slotPool, quotas, remaining []int, hashes []uint64, mayGet func(proxy int) bool) int {
 	best, highest := -1, uint64(0)
 	for i := range quotas {
@@ -219,14 +223,14 @@
 	return best
 }
 
-// shareOf is this proxy's share of a number that holds for all proxies together: the shares of the live
-// proxies add up to it, and the remainder goes to other proxies for other keys.
+// shareOf returns this proxy's share of a limit for all proxies together. The shares of all live proxies add up
+// to the limit. Which proxies get the remainder depends on the key.
 func (p *Proxy) shareOf(total int, key string) int {
 	return evenShare(total, int(hash32(key)>>1), p.settings.Self.Name, p.liveProxies)
 }
 
-// evenShare is one name's share of a number that is divided evenly among names. The remainder goes to the names
-// from an offset on; a name that is not among them gets nothing.
+// evenShare returns the share of name when total is divided evenly among names. The remainder goes to the names
+// from index offset on. A name that is not in the list gets 0.
 func evenShare(total, offset int, name string, names []string) int {
 	index := slices.Index(names, name)
 	if index < 0 {
@@ -235,7 +239,7 @@
 	return shareAt(total, offset, index, len(names))
 }
 
-// shareAt is the share of the name at an index, of count names.
+// shareAt returns the share of the name at an index when total is divided evenly among count names.
 func shareAt(total, offset, index, count int) int {
 	share := total / count
 	if (index-offset%count+count)%count < total%count {
@@ -244,7 +248,7 @@
 	return share
 }
 
-// namesWithShare are the names whose even share is not 0.
+// namesWithShare returns the names whose even share is not 0.
 func namesWithShare(total, offset int, names []string) (sharing []string) {
 	for i, name := range names {
 		if shareAt(total, offset, i, len(names)) > 0 {
--- a/internal/dataplane/rejection.go
+++ b/internal/dataplane/rejection.go
@@ -7,14 +7,14 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// rejection is a reason for which requests are rejected, as callers get it.
+// rejection is the response to a rejected request.
 type rejection struct {
-	status  int // HTTP
+	status  int // HTTP status
 	code    string
 	message string
 }
 
-// The rejections.
+// Rejections, by reason.
 var (
 	rejectedNoRule      = rejection{statemachine.StatusNotFound, "no_rule", "no rule for this host and path"}
 	rejectedNotServing  = rejection{statemachine.StatusServiceUnavailable, "not_serving", "this proxy has no fresh table"}
@@ -27,7 +27,7 @@
 	rejectedMayHaveRun  = rejection{statemachine.StatusBadGateway, "may_have_run", "it may have run and must not run again"}
 )
 
-// reject gives a request its final response.
+// reject ends a request with the given response.
 func (p *Proxy) reject(now time.Duration, req *request, reason rejection) {
 	command := statemachine.Reject{ID: req.id, Status: reason.status, Code: reason.code, Message: reason.message}
 	if reason.status == statemachine.StatusServiceUnavailable {
@@ -40,8 +40,9 @@
 	p.removeRequest(req)
 }
 
-// retryAfter is when a caller is to come back. One whose timeout is known comes while it still has
-// some time left. The request's id spreads the callers, so that they don't come back together.
+// retryAfter returns how long the caller should wait before it retries. If the caller's timeout is known, the
+// wait ends while some of that time is left. The request's id spreads the waits, so that callers don't retry
+// all at once.
 func (r *request) retryAfter(now time.Duration) time.Duration {
 	spread := r.id * 2654435761 >> 8
 	if r.timeoutUnknown {
--- a/internal/dataplane/request.go
+++ b/internal/dataplane/request.go
@@ -10,56 +10,56 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// request is a caller's request from its admission to its final response.
+// request holds a caller's request from its admission to its final response.
 type request struct {
 	id             uint64
 	startedAt      time.Duration
 	deadline       time.Duration
-	timeoutUnknown bool // the caller did not say how long it waits
+	timeoutUnknown bool // the caller sent no timeout
 
 	// Route and service.
-	routeName     string       // "" for a rule
-	route         config.Route // for a rule one with its service's numbers
-	routeState    *routeState  // nil for a rule
-	serviceName   string
-	serviceConfig config.Service
-	priority      int           // its route's, or 0 while that is starved
-	arrivedAt     *serviceState // the service that counted its arrival; a split may send it to another one
+	routeName      string       // "" if a rule matched
+	route          config.Route // for a rule, made from its service's settings
+	routeState     *routeState  // nil if a rule matched
+	serviceName    string
+	serviceConfig  config.Service
+	priority       int           // its route's, or 0 if that priority was starved on arrival
+	arrivalService *serviceState // the service that counted its arrival; a split may move it to another one
 
 	// Queue.
 	queued      bool
 	queuedUntil time.Duration
 
 	// Attempts.
-	target         *targetState // where it is now, nil: nowhere
+	target         *targetState // of the current attempt, nil between attempts
 	triedTargets   []wire.TargetID
-	attempts       int                  // those that may have been sent to their targets
-	failedConnects int                  // those that ended before anything was sent
+	attempts       int                  // attempts that may have reached their target
+	failedConnects int                  // attempts that ended before anything was sent
 	lastOutcome    statemachine.Outcome // of the latest attempt
-	forwarded      bool                 // it has been forwarded, and counted for the retry budget
-	isRetry        bool                 // a target may have got some of it: another attempt draws on the retry budget
+	forwarded      bool                 // it has been forwarded at least once, and counted for the retry budget
+	isRetry        bool                 // a target may have received part of it, so the next attempt is charged to the retry budget
 }
 
-// serviceState is what a proxy keeps of a service.
+// serviceState holds a proxy's state of a service.
 type serviceState struct {
 	targets      []*targetState // sorted by id
-	quotaTargets []*targetState // those of them where this proxy has a quota of slots
+	quotaTargets []*targetState // targets where this proxy has a quota of slots
 	reportsSlots bool           // its targets report how many slots they have
-	evenQuota    float64        // the slots of all targets divided evenly among the live proxies
+	evenQuota    float64        // the slots of all targets divided by the number of live proxies
 
 	// Load.
 	inFlight   int           // this proxy's requests at targets
-	window     float64       // how many of them there may be when slots are borrowed
-	pressureAt time.Duration // the latest sign that there are more requests than slots
-	meanMs     float64       // mean response time
-	queue      []uint64      // ids of the requests that wait, in the order in which they are served
+	window     float64       // limit of inFlight for borrowing slots beyond the quota
+	pressureAt time.Duration // time of the latest sign that there are more requests than slots
+	meanMs     float64       // mean response time in ms
+	queue      []uint64      // ids of queued requests in the order in which they are served
 
 	retryCredit  retryCredit
 	fairness     fairness
-	lastArrivals [tuning.PriorityLevels]time.Duration // by priority
+	lastArrivals [tuning.PriorityLevels]time.Duration // when the last request arrived, by priority level
 }
 
-// service returns the state of a service, which is made at its first use.
+// service returns the state of a service and creates it on first use.
 func (p *Proxy) service(name string) *serviceState {
 	service := p.services[name]
 	if service == nil {
@@ -72,11 +72,12 @@
 	return service
 }
 
+// underPressure reports whether requests exceeded the slots within the last tuning.PressureTTL.
 func (s *serviceState) underPressure(now time.Duration) bool {
 	return s.pressureAt > 0 && now-s.pressureAt < tuning.PressureTTL
 }
 
-// removeRequest forgets a request that has its final response.
+// removeRequest removes a request that has its final response, also from its queue.
 func (p *Proxy) removeRequest(req *request) {
 	delete(p.requests, req.id)
 	if req.queued {
--- a/internal/dataplane/retrybudget.go
+++ b/internal/dataplane/retrybudget.go
@@ -1,7 +1,7 @@
-// This file is the retry budget: how many attempts a service's targets may get beyond the first one of each
-// request. A proxy earns a little less than the ratio with each request, and its share of the slack with time. What it
-// may have saved up at the beginning of a window and what it earns within stay, summed over all proxies, under ratio
-// and slack, also if proxies restart: a new process begins with nothing.
+// The retry budget limits how many attempts a service's targets get beyond the first one of each request. With
+// each request a proxy earns a little less than the ratio, and over time it earns its share of the slack. The
+// credit saved up before a window plus the credit earned within it stay, summed over all proxies, within ratio
+// and slack. This holds even if proxies restart, since a new process starts without credit.
 
 package dataplane
 
@@ -11,34 +11,35 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// RetryBudget bounds what a service's targets get beyond the first attempt of each request: over all
-// proxies, in any window, Ratio of the requests and Slack more.
+// RetryBudget limits the attempts that a service's targets get beyond the first of each request. Over all
+// proxies and in any Window, there are at most Ratio times the number of requests plus Slack.
 type RetryBudget struct {
 	Ratio  float64
 	Window time.Duration
-	Slack  float64 // attempts
+	Slack  float64 // number of attempts
 }
 
-// bucket is the index of the part of a window that a time falls into.
+// bucket returns the index of the time bucket that contains now. A window has tuning.WindowBuckets buckets.
 func (r RetryBudget) bucket(now time.Duration) int64 {
 	return int64(now / (r.Window / tuning.WindowBuckets))
 }
 
-// slackSharers is how many of the member proxies share the slack: as many as get enough to save up one
-// whole retry.
+// slackSharers returns how many of the member proxies share the slack: so few that each can save up at least
+// one whole retry.
 func (r RetryBudget) slackSharers(members int) int { return max(1, min(members, int(r.Slack/2))) }
 
-// slackOf is a proxy's share of the slack, by its name and the hash of the service: some proxies of the first membership
-// are drawn to share it. While a change of the membership is under way, only a proxy that both memberships draw has a
-// share, the smaller one, so that no two tables which are in force together give more than the slack.
-func (r RetryBudget) slackOf(serviceHash uint64, self string, memberships ...[]string) float64 {
+// slackShare returns a proxy's share of the slack. Which members have a share is selected by rendezvous hashing
+// with the hash of the service. While a membership change is under way, a proxy has a share only if it is
+// selected from both memberships, and gets the smaller of the two shares. So two tables that are in use at the
+// same time never give out more than the slack.
+func (r RetryBudget) slackShare(serviceHash uint64, self string, memberships ...[]string) float64 {
 	smallest := 0.0
 	for i, names := range memberships {
 		if len(names) == 0 && i > 0 {
 			continue
 		}
 		sharing := r.slackSharers(len(names))
-		if !isDrawn(serviceHash, self, names, sharing) {
+		if !rendezvousSelects(serviceHash, self, names, sharing) {
 			return 0
 		}
 		if share := r.Slack / float64(sharing); i == 0 || share < smallest {
@@ -48,24 +49,24 @@
 	return smallest
 }
 
-// retryBudgetSlack is this proxy's share of the slack of a service's retry budget.
+// retryBudgetSlack returns this proxy's share of the slack of a service's retry budget.
 func (p *Proxy) retryBudgetSlack(serviceName string) float64 {
-	return p.settings.Retry.slackOf(hashOf(serviceName), p.settings.Self.Name, p.memberProxies, p.table.PreviousProxies)
+	return p.settings.Retry.slackShare(hashString(serviceName), p.settings.Self.Name, p.memberProxies, p.table.PreviousProxies)
 }
 
-// retryCredit is what this proxy may spend of a service's retry budget.
+// retryCredit tracks this proxy's part of a service's retry budget.
 type retryCredit struct {
-	credit    float64       // attempts
-	slack     float64       // this proxy's share of the slack, set with each table
-	updatedAt time.Duration // up to when the slack is in the credit
+	credit    float64       // retries that may be spent now
+	slack     float64       // this proxy's share of the slack, updated with each table
+	updatedAt time.Duration // when the slack was last added to the credit
 	started   bool
-	counts    [tuning.WindowBuckets]bucketCount // a ring, indexed by the bucket
+	counts    [tuning.WindowBuckets]bucketCount // a ring buffer, indexed by the bucket modulo its length
 }
 
-// bucketCount is how many requests came within a bucket.
+// bucketCount is the number of requests within one time bucket.
 type bucketCount struct{ bucket, requests int64 }
 
-// countRequest takes a request in.
+// countRequest adds the credit that a request earns.
 func (c *retryCredit) countRequest(now time.Duration, budget RetryBudget) {
 	c.addSlack(now, budget)
 	c.credit += budget.Ratio * tuning.RetryEarn
@@ -78,8 +79,8 @@
 	c.limit(now, budget)
 }
 
-// addSlack adds what the slack gives for the time since the last call. Half of it may be saved up and half comes
-// back over a window, so that a window never sees more than all of it.
+// addSlack adds the slack earned since the last call. Half of the slack may be saved up and the other half is
+// earned over one window, so that no window exceeds the whole slack.
 func (c *retryCredit) addSlack(now time.Duration, budget RetryBudget) {
 	if c.started {
 		c.credit += c.slack / 2 * float64(now-c.updatedAt) / float64(budget.Window)
@@ -88,7 +89,7 @@
 	c.limit(now, budget)
 }
 
-// limit bounds what may be saved up.
+// limit caps the credit that may be saved up.
 func (c *retryCredit) limit(now time.Duration, budget RetryBudget) {
 	bucket, recent := budget.bucket(now), int64(0)
 	for _, count := range c.counts {
@@ -99,11 +100,11 @@
 	c.credit = min(c.credit, c.slack/2+budget.Ratio*tuning.RetrySave*float64(recent))
 }
 
-// available reports whether a retry may be spent.
+// available reports whether there is credit for one retry.
 func (c *retryCredit) available(now time.Duration, budget RetryBudget) bool {
 	c.addSlack(now, budget)
 	return c.credit >= 1
 }
 
-// spend takes one retry off.
+// spend charges one retry.
 func (c *retryCredit) spend() { c.credit-- }
--- a/internal/dataplane/routing.go
+++ b/internal/dataplane/routing.go
@@ -1,5 +1,5 @@
-// This file finds a request's route and service, shares a route's requests out over its split, and keeps the
-// usual response time of each route.
+// Routing: finds the route and service of a request, distributes a route's requests over the services of its
+// split, and tracks the mean response time of each route.
 
 package dataplane
 
@@ -11,17 +11,17 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// routeState is what a proxy keeps of a route: a smooth weighted round robin over its split, and the mean
+// routeState holds a proxy's state of a route: a smooth weighted round robin over its split, and the mean
 // response time.
 type routeState struct {
-	split          []config.Share // nil: not set up under the present configuration
-	currentWeights []float64      // by share: it grows by the weight each time, and falls by totalWeight when chosen
+	split          []config.Share // nil until it is set up for the current configuration
+	currentWeights []float64      // by share: increased by its weight at each choice, reduced by totalWeight when chosen
 	totalWeight    float64
-	meanMs         float64
-	samples        int
+	meanMs         float64 // mean response time in ms
+	samples        int     // number of response times in the mean
 }
 
-// route returns the state of a route, with its split set up if the configuration has changed.
+// route returns the state of a route. It sets up the split if the configuration has changed.
 func (p *Proxy) route(name string, route *config.Route) *routeState {
 	state := p.routes[name]
 	if state == nil {
@@ -41,7 +41,8 @@
 	}
 }
 
-// resetRoutes has splits begin anew under another configuration and drops the routes that it lacks.
+// resetRoutes restarts all splits after a change of the configuration and removes the routes that no longer
+// exist.
 func (p *Proxy) resetRoutes() {
 	for name, state := range p.routes {
 		if _, ok := p.configuration.Routes[name]; !ok && name != "" {
@@ -51,7 +52,7 @@
 	}
 }
 
-// nextService is the service whose turn in the split it is: the one with the greatest current weight.
+// nextService returns the service of the split whose current weight is greatest, and advances the round robin.
 func (r *routeState) nextService() string {
 	best := 0
 	for i, share := range r.split {
@@ -64,7 +65,7 @@
 	return r.split[best].Service
 }
 
-// observe takes a response time into the mean and returns that, in ms.
+// observe adds a response time in ms to the mean and returns the new mean.
 func (r *routeState) observe(ms float64) float64 {
 	r.samples++
 	r.meanMs += max(tuning.ResponseTimeWeight, 1/float64(r.samples)) * (ms - r.meanMs)
@@ -75,8 +76,8 @@
 	return time.Duration(r.meanMs * float64(time.Millisecond))
 }
 
-// findRoute sets a request's route and service, or rejects it if there are none. It returns whether
-// the request goes on.
+// findRoute sets the route and service of a request. If nothing matches, or the request is pipelined and must
+// not be, it rejects the request and returns false.
 func (p *Proxy) findRoute(now time.Duration, req *request, event *statemachine.Admit) bool {
 	name, route, ok := p.configuration.FindRoute(event.Host, event.Path)
 	if !ok {
@@ -91,7 +92,7 @@
 	return true
 }
 
-// findRule does the same by the configuration's rules, where no route takes the request.
+// findRule does the same as findRoute for the rules of the configuration, if no route matches.
 func (p *Proxy) findRule(now time.Duration, req *request, event *statemachine.Admit) bool {
 	serviceName, allowed, ok := p.configuration.FindRule(event.Host, event.Path, event.Method)
 	switch {
@@ -114,7 +115,7 @@
 	return true
 }
 
-// isIdempotent reports whether requests of a rule may run more than once.
+// isIdempotent reports whether a request with this method may run more than once.
 func isIdempotent(method string) bool {
 	return method == "GET" || method == "HEAD" || method == "OPTIONS"
 }
--- a/internal/dataplane/selection.go
+++ b/internal/dataplane/selection.go
@@ -1,5 +1,5 @@
-// This file decides which targets a request may go to, and holds the selection policy for targets that don't
-// report their slots. The policy for those that do is in slotselection.go.
+// Eligibility of targets for a request, and the selection policy for targets that don't report their slots. The
+// policy for those that do is in slotselection.go.
 
 package dataplane
 
@@ -11,19 +11,20 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// eligibility is whether a target may get a request.
+// eligibility tells whether a target may get a request.
 type eligibility int
 
-// The eligibilities, the lowest first.
+// Levels of eligibility, in ascending order.
 const (
-	ineligible eligibility = iota // never
-	lastResort                    // it is ejected, but its heartbeats arrive: only if there is no other
+	ineligible eligibility = iota // may not be chosen
+	lastResort                    // ejected, but its heartbeats arrive: chosen only if no target is eligible
 	eligible
 )
 
-// avoidedPenalty puts an avoided target behind all others.
+// avoidedPenalty is added to the load of avoided targets, so that they come after all others.
 const avoidedPenalty = 100
 
+// eligibility returns whether the target may get the request, regardless of its load.
 func (p *Proxy) eligibility(now time.Duration, target *targetState, req *request) eligibility {
 	if target.leaving || p.takesNoRequests(target) || len(req.triedTargets) > 0 && slices.Contains(req.triedTargets, target.ID()) {
 		return ineligible
@@ -37,13 +38,14 @@
 	return ineligible
 }
 
-// takesNoRequests reports whether the table keeps new requests off a target, other than by an ejection.
+// takesNoRequests reports whether the table excludes a target from new requests for a reason other than an
+// ejection.
 func (p *Proxy) takesNoRequests(target *targetState) bool {
 	return target.Draining || target.Pending || target.State == wire.TargetLeaving || slices.Contains(p.table.EmptiedDomains, target.Domain)
 }
 
-// isHeartbeating reports whether a target's heartbeats arrive: by the table while the leader keeps it fresh, else
-// by those that were heard here, from the target itself or through a peer.
+// isHeartbeating reports whether a target's heartbeats arrive. With a lease it goes by the table, which the
+// leader keeps up to date; otherwise by the heartbeats received here, directly or through a peer.
 func (p *Proxy) isHeartbeating(now time.Duration, target *targetState) bool {
 	if p.state == Leased {
 		return target.Heartbeating
@@ -51,9 +53,9 @@
 	return target.heartbeats.IsSteady(now)
 }
 
-// chooseTarget finds a target that takes the request now, nil: none does. Usable says that there is one
-// that may take it later.
-func (p *Proxy) chooseTarget(now time.Duration, req *request) (target *targetState, usable bool) {
+// chooseTarget returns a target that can take the request now, or nil if there is none. hasCandidates is true
+// if there is a target that may take it later.
+func (p *Proxy) chooseTarget(now time.Duration, req *request) (target *targetState, hasCandidates bool) {
 	service := p.service(req.serviceName)
 	if service.reportsSlots {
 		return p.chooseBySlots(now, req, service)
@@ -61,10 +63,11 @@
 	return p.chooseLeastLoaded(now, req, service)
 }
 
-// chooseLeastLoaded is the policy for targets without slots: of two targets, drawn in a rotation over all of
-// them, the less loaded one, or the least loaded of all if both are full. A target whose ejection was
-// lifted counts as loaded for a while, so that its return moves no requests.
-func (p *Proxy) chooseLeastLoaded(now time.Duration, req *request, service *serviceState) (target *targetState, usable bool) {
+// chooseLeastLoaded is the selection policy for targets that don't report slots. It compares two targets,
+// chosen in rotation, and returns the less loaded one. If both are full or avoided, it returns the least loaded
+// of all. A target whose ejection was lifted recently counts as loaded, so that its return draws no requests
+// away from working targets.
+func (p *Proxy) chooseLeastLoaded(now time.Duration, req *request, service *serviceState) (target *targetState, hasCandidates bool) {
 	candidates := p.candidates(now, req, service)
 	if len(candidates) == 0 {
 		return nil, false
@@ -73,7 +76,7 @@
 	first, second := candidates[0], candidates[0]
 	if n := uint64(len(candidates)); n > 1 {
 		first = candidates[p.rotation%n]
-		second = candidates[(p.rotation+1+p.rotation/n%(n-1))%n] // never the first itself
+		second = candidates[(p.rotation+1+p.rotation/n%(n-1))%n] // never equal to first
 	}
 	best := p.lessLoaded(now, first, second, req)
 	if best != nil && best.avoidedUntil <= now {
@@ -86,8 +89,8 @@
 	return best, true
 }
 
-// candidates are the service's eligible targets, or if there are none those of last resort. The slice is good
-// until the next call.
+// candidates returns the service's eligible targets, or those of last resort if none is eligible. The slice is
+// valid until the next call.
 func (p *Proxy) candidates(now time.Duration, req *request, service *serviceState) []*targetState {
 	p.eligibleBuffer, p.lastResortBuffer = p.eligibleBuffer[:0], p.lastResortBuffer[:0]
 	for _, target := range service.targets {
@@ -107,7 +110,7 @@
 	return p.eligibleBuffer
 }
 
-// lessLoaded returns the less loaded of two targets, a if they are equal, nil if neither has capacity.
+// lessLoaded returns the less loaded of two targets, a if they are equal, or nil if neither has capacity.
 func (p *Proxy) lessLoaded(now time.Duration, a, b *targetState, req *request) *targetState {
 	loadA, hasCapacityA := p.relativeLoad(now, a, req)
 	loadB, hasCapacityB := p.relativeLoad(now, b, req)
@@ -120,7 +123,8 @@
 	return a
 }
 
-// relativeLoad is a target's load as a part of what this proxy may use of it, and whether it has capacity at all.
+// relativeLoad returns a target's load relative to this proxy's capacity at it, and whether any capacity is
+// left.
 func (p *Proxy) relativeLoad(now time.Duration, target *targetState, req *request) (load float64, hasCapacity bool) {
 	if target == nil {
 		return 0, false
@@ -139,7 +143,7 @@
 	return load, true
 }
 
-// wasReinstated reports that an ejection of the target was lifted a short while ago.
+// wasReinstated reports whether an ejection of the target was lifted within the last tuning.ReconcileEvery.
 func (t *targetState) wasReinstated(now time.Duration) bool {
 	return t.reinstatedAt > 0 && now-t.reinstatedAt < tuning.ReconcileEvery
 }
--- a/internal/dataplane/selection_test.go
+++ b/internal/dataplane/selection_test.go
@@ -55,13 +55,13 @@
 	if reject, ok := proxy.admit(2).(statemachine.Reject); !ok || reject.Code != "no_target" {
 		t.Fatalf("%+v", reject)
 	}
-	proxy.hear(readyTarget("b"))
+	proxy.receiveHeartbeat(readyTarget("b"))
 	if reject, ok := proxy.admit(3).(statemachine.Reject); !ok {
 		t.Fatalf("one late heartbeat made %+v the last resort", reject)
 	}
 	for range 3 {
 		proxy.now += tuning.TargetHeartbeatEvery
-		proxy.hear(readyTarget("b"))
+		proxy.receiveHeartbeat(readyTarget("b"))
 	}
 	proxy.confirmByPeers()
 	if forward, ok := proxy.admit(4).(statemachine.Forward); !ok || forward.Target.Name != "b" {
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -1,7 +1,7 @@
-// This file is a proxy's graceful shutdown. It goes unready at once and serves on while callers move away; its responses
-// end their connections. After that linger it takes only requests whose deadline comes before the process ends, since
-// callers may use open connections until then. At the first moment without a request in flight, or when its time
-// is up, it stops accepting requests on all connections, and the process ends.
+// Graceful shutdown of a proxy. The proxy becomes unready at once, but keeps serving while callers move away;
+// its responses close their connections. After this linger time it accepts only requests that can finish before
+// the process ends, because callers may use open connections until then. As soon as no request is in flight, or
+// when the time is up, it stops accepting requests on all connections and the process ends.
 
 package dataplane
 
@@ -14,7 +14,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// shutdownTimes is how long a stopping proxy serves on in any case, and at most.
+// shutdownTimes returns how long a stopping proxy keeps serving at least (linger) and at most (longest).
 func (s *Settings) shutdownTimes() (linger, longest time.Duration) {
 	if s.GracePeriod <= 0 {
 		return tuning.ShutdownLinger, tuning.ShutdownTimeout
@@ -24,7 +24,7 @@
 	return linger, longest
 }
 
-// beginShutdown goes unready.
+// beginShutdown starts the shutdown: the proxy becomes unready.
 func (p *Proxy) beginShutdown(now time.Duration) {
 	if p.stopping {
 		return
@@ -35,15 +35,17 @@
 	p.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "serving", To: "stopping", Reason: reason})
 }
 
-// responseReserve is what a stopping proxy keeps of its time, for targets' last responses and for its own.
+// responseReserve returns the part of the shutdown time that is reserved for the last responses of targets and
+// for passing them on.
 func responseReserve(longest time.Duration) time.Duration {
 	return min(tuning.ShutdownReserve, longest/tuning.ShutdownReserveParts)
 }
 
-// fitsShutdown bounds the deadline of a request that comes to a stopping proxy by the end of the process, and returns
-// whether the request may be taken: its own deadline comes before that, or its target has the time that the route
-// expects. During the linger all are taken, since callers have had no time to learn of the shutdown.
-func (p *Proxy) fitsShutdown(now time.Duration, req *request) bool {
+// admitDuringShutdown limits the request's deadline to the end of the process if this proxy is stopping, and
+// reports whether the request may be accepted. It may be if its deadline already comes before that end, or if
+// its target still has the time that the route is expected to need. During the linger time all requests are
+// accepted, since callers have had no time to notice the shutdown.
+func (p *Proxy) admitDuringShutdown(now time.Duration, req *request) bool {
 	if !p.stopping {
 		return true
 	}
@@ -57,8 +59,9 @@
 	return req.routeState != nil && p.workTime(now, req) >= expectedTime(&req.route)
 }
 
-// workTime is how long a target that gets the request now may work on it: until its deadline, or, if this proxy
-// stops, until so long before the end of the process that the target's own response can still be passed on.
+// workTime returns how long a target that gets the request now may work on it. The limit is the deadline or, if
+// this proxy is stopping, the last moment at which a response of the target can still be passed on before the
+// process ends.
 func (p *Proxy) workTime(now time.Duration, req *request) time.Duration {
 	until := req.deadline
 	if p.stopping {
@@ -68,8 +71,8 @@
 	return max(time.Millisecond, until-now)
 }
 
-// expectedTime is how long a request of a route is expected to take at most: its latency target, or without one a
-// part of its timeout.
+// expectedTime returns how long a request of a route is expected to take at most: its latency target, or a
+// fraction of its timeout if it has none.
 func expectedTime(route *config.Route) time.Duration {
 	if target := route.LatencyTarget(); target > 0 {
 		return target
@@ -77,14 +80,15 @@
 	return route.Timeout() / tuning.WaitTimeoutParts
 }
 
-// rejectStopping sends a request to another proxy. The caller is to come back as after any rejection, not at once: where
-// many proxies stop together it would only meet the next of them.
+// rejectStopping rejects a request so that the caller retries at another proxy. The wait before the retry is
+// the same as for any rejection: if many proxies stop together, an immediate retry would only reach the next
+// stopping one.
 func (p *Proxy) rejectStopping(now time.Duration, req *request) {
 	p.Counts.Stopping++
 	p.reject(now, req, rejectedStopping)
 }
 
-// tickShutdown ends the process when no request is in flight after the linger, or when the time is up.
+// tickShutdown ends the process if no request is in flight after the linger time, or if the time is up.
 func (p *Proxy) tickShutdown(now time.Duration) {
 	if !p.stopping || p.acceptingStopped {
 		return
@@ -99,7 +103,8 @@
 	}
 }
 
-// finishShutdown stops accepting requests and ends the process. Responses that are still being written have timeLeft.
+// finishShutdown stops accepting requests and ends the process. Responses that are still being written have
+// timeLeft to finish.
 func (p *Proxy) finishShutdown(timeLeft time.Duration, reason string) {
 	p.acceptingStopped = true
 	p.emit(statemachine.StopAccepting{TimeLeft: timeLeft})
--- a/internal/dataplane/slotselection.go
+++ b/internal/dataplane/slotselection.go
@@ -1,5 +1,6 @@
-// This file is the selection policy for targets that report how many slots they have. Beyond its own quota of
-// slots a proxy borrows where little load is known of, within a window that shrinks when a target says that it is full.
+// Selection policy for targets that report how many slots they have. Beyond its own quota of slots, a proxy
+// borrows slots at targets whose known load is low. The number of its requests is limited by a window, which
+// shrinks when a target reports that it is full.
 
 package dataplane
 
@@ -10,42 +11,42 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// tier is what a choice goes by first.
+// tier ranks targets in a choice. Cost is compared only between targets of the same tier.
 type tier int
 
-// The tiers, the preferred ones first.
+// Tiers, in order of preference.
 const (
-	ownLocal      tier = iota // a slot of this proxy's quota, at a target in its domain
-	offeredLocal              // a target in its domain reports a free slot
-	ownRemote                 // a slot of its quota, at a target elsewhere
-	offeredRemote             // a target elsewhere reports a free slot
-	warmupTurn                // the target is warming up, and this proxy may send it the next request
-	borrowed                  // a slot of other proxies' quotas
-	avoided                   // connections to the target failed a moment ago
-	noTier                    // the target can't be chosen now
+	quotaLocal  tier = iota // a slot of this proxy's quota, at a target in its domain
+	freeLocal               // a free slot reported by a target in its domain
+	quotaRemote             // a slot of its quota, at a target in another domain
+	freeRemote              // a free slot reported by a target in another domain
+	warmupDue               // the target is warming up, and the next request may be sent to it
+	borrowed                // a slot of other proxies' quotas
+	avoided                 // a connection to the target failed recently
+	noTier                  // the target can't be chosen now
 )
 
-// choice is the best target that was found in a pass over some of them.
+// choice is the best target found among some of them.
 type choice struct {
-	target *targetState // nil: none can be chosen now
-	tier   tier
-	usable bool // there is one that may be chosen later
+	target        *targetState // nil if none can be chosen now
+	tier          tier
+	hasCandidates bool // there is a target that may be chosen later
 }
 
-// chooseBySlots chooses by tier, then by cost. Proxies begin at different targets, and each choice at another one, so
-// that not all requests go to the same target if costs are equal.
-func (p *Proxy) chooseBySlots(now time.Duration, req *request, service *serviceState) (target *targetState, usable bool) {
+// chooseBySlots chooses a target by tier, then by cost. Different proxies, and successive choices of one proxy,
+// start at different targets, so that targets of equal cost share the requests.
+func (p *Proxy) chooseBySlots(now time.Duration, req *request, service *serviceState) (target *targetState, hasCandidates bool) {
 	mayBorrow := p.priorityAllows(now, req, service)
 	p.rotation++
-	// Mostly there is no need to look beyond the own slots in this domain.
+	// In most cases a slot of this proxy's quota in its own domain is free, and no other target is examined.
 	best := p.bestAmong(now, req, service, service.quotaTargets, eligible, mayBorrow)
-	if best.target != nil && best.tier == ownLocal {
+	if best.target != nil && best.tier == quotaLocal {
 		p.countChoice(best.tier)
 		return best.target, true
 	}
 	for _, class := range []eligibility{eligible, lastResort} {
 		best = p.bestAmong(now, req, service, service.targets, class, mayBorrow)
-		if !best.usable {
+		if !best.hasCandidates {
 			continue
 		}
 		if best.target != nil {
@@ -56,8 +57,8 @@
 	return nil, false
 }
 
-// bestAmong finds the best of the targets that have the given eligibility. Without mayBorrow only those are
-// chosen that report a free slot.
+// bestAmong returns the best of the targets with the given eligibility. Without mayBorrow, only targets that
+// report a free slot are chosen.
 func (p *Proxy) bestAmong(now time.Duration, req *request, service *serviceState, targets []*targetState, class eligibility, mayBorrow bool) choice {
 	best := choice{tier: noTier}
 	cost, count := 0.0, len(targets)
@@ -66,7 +67,7 @@
 		if p.eligibility(now, candidate, req) != class || candidate.slots == 0 || candidate.warmingUp(now, req) && candidate.warmupInterval == 0 {
 			continue
 		}
-		best.usable = true
+		best.hasCandidates = true
 		tier := candidate.tier(now, req, service)
 		if tier == noTier || tier > best.tier || !mayBorrow && !candidate.hasFreeSlot(now) {
 			continue
@@ -78,20 +79,21 @@
 	return best
 }
 
+// countChoice counts a choice by its tier.
 func (p *Proxy) countChoice(tier tier) {
 	switch tier {
-	case ownLocal, ownRemote:
+	case quotaLocal, quotaRemote:
 		p.Counts.WithinQuota++
-	case warmupTurn:
+	case warmupDue:
 		p.Counts.ToWarmingUp++
 	default:
 		p.Counts.Borrowed++
 	}
 }
 
-// priorityAllows reports whether a request of its priority may go to any target now. While the service is under
-// pressure each priority leaves a part of the window to each higher one that has requests; a request beyond
-// that goes only where a target reports a free slot.
+// priorityAllows reports whether the request's priority allows any target. While the service is under pressure,
+// each priority level leaves a part of the window to every higher level that has requests. A request beyond
+// that may only go to targets that report a free slot.
 func (p *Proxy) priorityAllows(now time.Duration, req *request, service *serviceState) bool {
 	level := priorityLevel(req.priority)
 	if level == 0 || !service.underPressure(now) {
@@ -110,7 +112,7 @@
 	return false
 }
 
-// tier is the target's tier for a request.
+// tier returns the tier of the target for a request.
 func (t *targetState) tier(now time.Duration, req *request, service *serviceState) tier {
 	withinQuota := t.inFlight < t.quota
 	switch {
@@ -122,35 +124,35 @@
 		if now < t.nextWarmupAt {
 			return noTier
 		}
-		return warmupTurn
+		return warmupDue
 	case t.capped && !withinQuota:
 		return noTier
 	case t.avoidedUntil > now:
 		return avoided
 	case withinQuota:
-		return t.ownTier(now)
+		return t.quotaTier(now)
 	}
-	return t.borrowedTier(now, service)
+	return t.beyondQuotaTier(now, service)
 }
 
-// ownTier is the tier of a target where the proxy's quota has a slot left.
-func (t *targetState) ownTier(now time.Duration) tier {
+// quotaTier returns the tier of a target where a slot of this proxy's quota is left.
+func (t *targetState) quotaTier(now time.Duration) tier {
 	switch {
 	case t.utilization(now) >= 1:
-		return borrowed // other proxies have borrowed the slot meanwhile
+		return borrowed // other proxies have borrowed the slot in the meantime
 	case t.local:
-		return ownLocal
+		return quotaLocal
 	}
-	return ownRemote
+	return quotaRemote
 }
 
-// borrowedTier is the tier of a target where the proxy's quota is used up.
-func (t *targetState) borrowedTier(now time.Duration, service *serviceState) tier {
+// beyondQuotaTier returns the tier of a target where this proxy's quota is used up.
+func (t *targetState) beyondQuotaTier(now time.Duration, service *serviceState) tier {
 	switch {
 	case t.hasFreeSlot(now) && t.local:
-		return offeredLocal
+		return freeLocal
 	case t.hasFreeSlot(now):
-		return offeredRemote
+		return freeRemote
 	case float64(service.inFlight)+1 <= service.window && t.utilization(now) < 1:
 		return borrowed
 	}
--- a/internal/dataplane/slotselection_test.go
+++ b/internal/dataplane/slotselection_test.go
@@ -58,7 +58,7 @@
 }
 
 // A target that says it is full is left out for a moment, and the window shrinks.
-func TestFullTargetIsLeftOut(t *testing.T) {
+func TestFullTargetIsSkipped(t *testing.T) {
 	proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(4)), readyTarget("b", withSlots(4)))
 	forward := proxy.admitOnRoute(1, "/once/", time.Second).(statemachine.Forward)
 	full := forward.Target.Name
@@ -114,7 +114,7 @@
 }
 
 // A fast target's last free slot goes before a slow one's first, and random single response times do not undo it.
-func TestFastTargetBeforeIdleOne(t *testing.T) {
+func TestFastTargetPreferredToIdleSlowTarget(t *testing.T) {
 	proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(4)), readyTarget("b", withSlots(4)), readyTarget("c", withSlots(4)))
 	r := rand.New(rand.NewPCG(1, 2))
 	usual := map[string]float64{"a": 66, "b": 100, "c": 200}
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -1,4 +1,4 @@
-// This file puts tables in force, which come complete or as changes to an earlier one.
+// Application of tables, which are received in full or as deltas of an earlier one.
 
 package dataplane
 
@@ -14,7 +14,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// applyTable puts a table in force, if it is later than the one that is, and returns whether it did.
+// applyTable applies a received table if it is later than the current one and its configuration is valid. It
+// reports whether it did.
 func (p *Proxy) applyTable(now time.Duration, received *wire.Table) bool {
 	if p.table != nil && !p.table.Key.Less(received.Key) {
 		if received.Key.Less(p.table.Key) {
@@ -24,7 +25,7 @@
 	}
 	table := p.fullTable(received)
 	if table == nil {
-		return false // meant for an earlier process of this name, or sent long ago: the next pull asks for all
+		return false // meant for an earlier process of this name, or late; the next pull asks for whatever is missing
 	}
 	if !p.applyConfiguration(table) {
 		return false
@@ -48,43 +49,44 @@
 	return true
 }
 
-// fullTable completes a received table by what it leaves out because this proxy has it, nil if it does not.
+// fullTable returns the received table with the parts that it omits filled in from the current one. It returns
+// nil if the current table doesn't have them.
 func (p *Proxy) fullTable(received *wire.Table) *wire.Table {
-	inForce, full := p.table, *received
+	current, full := p.table, *received
 	if len(received.Document) == 0 {
-		sameState := inForce != nil && (len(received.State) > 0 || inForce.StateIndex == received.StateIndex)
-		if !sameState || inForce.Key.Epoch != received.Key.Epoch || inForce.Revision != received.Revision {
+		sameState := current != nil && (len(received.State) > 0 || current.StateIndex == received.StateIndex)
+		if !sameState || current.Key.Epoch != received.Key.Epoch || current.Revision != received.Revision {
 			return nil
 		}
-		full.Document = inForce.Document
+		full.Document = current.Document
 		if len(received.State) == 0 {
-			full.State = inForce.State
+			full.State = current.State
 		}
 	}
 	if received.DeltaBase == (wire.TableKey{}) {
 		return &full
 	}
-	if inForce == nil || !deltaFits(received, inForce.Key) {
+	if current == nil || !deltaApplies(received, current.Key) {
 		return nil
 	}
 	full.DeltaBase, full.RemovedTargets = wire.TableKey{}, nil
 	if len(received.Proxies) == 0 {
-		full.Proxies = inForce.Proxies
+		full.Proxies = current.Proxies
 	}
-	full.Targets = mergeTargets(inForce.Targets, received)
+	full.Targets = mergeTargets(current.Targets, received)
 	return &full
 }
 
-// deltaFits reports whether a change may be applied to the table in force: one no earlier than its base. A leader that won
-// leadership back goes on numbering, so what changed since a table of its earlier term also changed since a later
-// table of this one.
-func deltaFits(delta *wire.Table, inForce wire.TableKey) bool {
+// deltaApplies reports whether a delta may be applied to the current table, which must be its base or a later
+// one. A leader that regains the leadership continues the numbering of versions. So everything that changed
+// since a base of its earlier term has also changed since any later table of the delta's term.
+func deltaApplies(delta *wire.Table, current wire.TableKey) bool {
 	base := delta.DeltaBase
-	return inForce.Epoch == base.Epoch && inForce.Version >= base.Version && (inForce.Term == base.Term || inForce.Term == delta.Key.Term)
+	return current.Epoch == base.Epoch && current.Version >= base.Version && (current.Term == base.Term || current.Term == delta.Key.Term)
 }
 
-// mergeTargets applies a change to the targets of the table in force.
-func mergeTargets(inForce []wire.Target, delta *wire.Table) []wire.Target {
+// mergeTargets returns the targets of the current table with a delta applied.
+func mergeTargets(current []wire.Target, delta *wire.Table) []wire.Target {
 	replaced := map[wire.TargetID]bool{}
 	for _, id := range delta.RemovedTargets {
 		replaced[id] = true
@@ -92,10 +94,10 @@
 	for i := range delta.Targets {
 		replaced[delta.Targets[i].ID()] = true
 	}
-	merged := make([]wire.Target, 0, len(inForce)+len(delta.Targets))
-	for i := range inForce {
-		if !replaced[inForce[i].ID()] {
-			merged = append(merged, inForce[i])
+	merged := make([]wire.Target, 0, len(current)+len(delta.Targets))
+	for i := range current {
+		if !replaced[current[i].ID()] {
+			merged = append(merged, current[i])
 		}
 	}
 	merged = append(merged, delta.Targets...)
@@ -103,8 +105,8 @@
 	return merged
 }
 
-// applyConfiguration reads the table's configuration, if it may be another one, and puts it in force. It returns false
-// if the configuration can't be read: then the table is rejected.
+// applyConfiguration decodes and applies the configuration of the table, unless it is already the current one.
+// It returns false if the configuration is invalid; the table is then rejected.
 func (p *Proxy) applyConfiguration(table *wire.Table) bool {
 	if p.table != nil && p.table.Key.Epoch == table.Key.Epoch && table.Revision == p.revision && len(p.configuration.Services) > 0 {
 		return true
@@ -127,7 +129,7 @@
 	return true
 }
 
-// isLoadUpdate reports that a change to the table brings only what no quota depends on, such as demand.
+// isLoadUpdate reports whether a delta changes only values that no quota depends on, such as demand.
 func (p *Proxy) isLoadUpdate(delta *wire.Table) bool {
 	if delta.DeltaBase == (wire.TableKey{}) || len(delta.Document)+len(delta.State)+len(delta.Proxies)+len(delta.RemovedTargets) > 0 {
 		return false
@@ -143,13 +145,14 @@
 	return p.hasTableTargets()
 }
 
-// differsInLoadOnly reports that a row of a table says nothing new of the target but its load and heartbeats.
+// differsInLoadOnly reports whether a row of a table differs from the target only in load and heartbeats.
 func (t *targetState) differsInLoadOnly(row wire.Target) bool {
 	row.Demand, row.HasDemand, row.Heartbeating, row.Number = t.Demand, t.HasDemand, t.Heartbeating, t.Number
 	return row == t.Target && row.EjectionLeft <= 0 && row.WarmupLeft <= 0 && t.ejectedUntil <= 0
 }
 
-// hasTableTargets reports that the targets here are those of the table in force: none was replaced by a successor.
+// hasTableTargets reports whether the targets are exactly those of the current table: none was replaced by a
+// successor.
 func (p *Proxy) hasTableTargets() bool {
 	if len(p.targets) != len(p.table.Targets) {
 		return false
@@ -162,8 +165,8 @@
 	return true
 }
 
-// targetsOf are the targets of a table, with what this proxy knows of them beside it. Those stay as they are of which a
-// change says nothing.
+// targetsOf returns the targets of a table together with this proxy's own state of them. Targets that a delta
+// doesn't mention keep their state unchanged.
 func (p *Proxy) targetsOf(now time.Duration, table, received *wire.Table) map[wire.TargetID]*targetState {
 	isDelta, changed := received.DeltaBase != wire.TableKey{}, map[wire.TargetID]bool{}
 	if isDelta {
@@ -190,7 +193,7 @@
 	return targets
 }
 
-// update takes in a row of a table.
+// update applies a row of a table to the target.
 func (t *targetState) update(now time.Duration, row wire.Target) {
 	wasEjected := t.ejectedUntil > now
 	if t.State == wire.TargetWarming && row.State == wire.TargetReady {
@@ -206,7 +209,7 @@
 	}
 }
 
-// export is the target as a row of a table, with what this proxy knows beside its own table.
+// export returns the target as a row of a table, including this proxy's own drain and ejection.
 func (t *targetState) export(now time.Duration) wire.Target {
 	row := t.Target
 	row.EjectionLeft = max(0, int64(t.ejectedUntil-now))
@@ -218,7 +221,8 @@
 	return row
 }
 
-// publishTargets follows a change of the targets: choices go by the new ones, and connections to others are closed.
+// publishTargets must be called after each change of the targets. It rebuilds the index and reports the
+// addresses, so that connections to removed targets are closed.
 func (p *Proxy) publishTargets(now time.Duration) {
 	p.reindex(now)
 	addresses := map[wire.TargetID]string{}
--- a/internal/dataplane/takeover.go
+++ b/internal/dataplane/takeover.go
@@ -1,5 +1,6 @@
-// This file lets a restarted target take over the place of its earlier incarnation while no leader can put it into the
-// table. So a service can be restarted target by target while the control plane is down.
+// Replacement of restarted targets while there is no leader to add them to the table: a new incarnation takes
+// the place of the earlier one. This allows a service to be restarted target by target while the control plane
+// is down.
 
 package dataplane
 
@@ -12,10 +13,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// noteSuccessor notes another incarnation of a target of the table. It takes over once it has answered a probe as
-// itself. Only the same service and name will do, at an address that no other target has; everything else
-// waits for a leader.
-func (p *Proxy) noteSuccessor(now time.Duration, report *wire.Target) {
+// recordSuccessor records the heartbeat of another incarnation of a known target. That successor replaces the
+// target once it has answered a probe with its own identity. It must have the same service and name, and an
+// address that no other target has. Any other new target has to wait for a leader.
+func (p *Proxy) recordSuccessor(now time.Duration, report *wire.Target) {
 	var earlier *targetState
 	for id, target := range p.targets {
 		switch {
@@ -49,8 +50,8 @@
 	successor.heartbeats.RecordHeartbeat(now)
 }
 
-// takeOver puts a successor that has answered a probe as itself in the place of the earlier incarnation, unless that one
-// still answers too.
+// takeOver replaces a target by its successor after that has answered a probe with its own identity, unless the
+// earlier incarnation may still be working.
 func (p *Proxy) takeOver(now time.Duration, result *statemachine.ProbeResult) {
 	for id, earlier := range p.targets {
 		successor := earlier.successor
@@ -60,7 +61,7 @@
 		successor.probePendingSince = 0
 		report := result.Report
 		answered := report != nil && report.ID() == result.ID && report.State != wire.TargetLeaving
-		if p.state != PeerServing || !answered || !earlier.isGoneFor(successor) {
+		if p.state != PeerServing || !answered || !earlier.isSupersededBy(successor) {
 			return
 		}
 		if report.State == wire.TargetReady {
@@ -77,12 +78,12 @@
 	}
 }
 
-// isGoneFor reports that the target does not work any more beside its successor.
-func (t *targetState) isGoneFor(successor *targetState) bool {
+// isSupersededBy reports whether the target has stopped working, so that its successor may replace it.
+func (t *targetState) isSupersededBy(successor *targetState) bool {
 	return t.leaving || t.Draining || t.missedProbes >= tuning.ProbeMisses || t.Addr == successor.Addr
 }
 
-// replaceTarget puts a successor in a target's place.
+// replaceTarget replaces a target by its successor.
 func (p *Proxy) replaceTarget(now time.Duration, id wire.TargetID, successor *targetState) {
 	delete(p.targets, id)
 	p.leavingSince[id] = now
--- a/internal/dataplane/takeover_test.go
+++ b/internal/dataplane/takeover_test.go
@@ -31,12 +31,12 @@
 		proxy := newTestProxy("g1", 3, ruleConfig, readyTarget("a", func(t *wire.Target) { t.ShareOffset = 5 }), away)
 		word := c.heir
 		word.State = wire.TargetReady
-		proxy.hear(word)
+		proxy.receiveHeartbeat(word)
 		proxy.loseLeader()
 		old := readyTarget("a")
 		old.State = wire.TargetGone
-		proxy.hear(old)
-		proxy.hear(word)
+		proxy.receiveHeartbeat(old)
+		proxy.receiveHeartbeat(word)
 		proxy.now += tuning.TickEvery
 		probed := false
 		for _, cmd := range proxy.step(statemachine.Tick{}) {
--- a/internal/dataplane/target.go
+++ b/internal/dataplane/target.go
@@ -7,61 +7,61 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// targetState is a target as the table has it, and what this proxy knows of it beside that.
+// targetState is a target's row of the table, together with this proxy's own state of the target.
 type targetState struct {
 	wire.Target
 
 	// Membership.
-	leaving    bool                // it is draining or leaves, by the table or by what was heard here
-	heartbeats targetreport.Streak // those that were heard here
-	newToFleet bool                // it came to the table of a leased proxy: no requests of earlier tables run there
-	successor  *targetState        // a later incarnation, which no leader can put into the table now
+	leaving    bool                // it is draining or leaving, by the table or by its own heartbeat
+	heartbeats targetreport.Streak // as received by this proxy
+	newToFleet bool                // added while this proxy had a lease, or as a successor: no requests of earlier tables run there
+	successor  *targetState        // a later incarnation that only a leader could add to the table; nil if there is none
 
 	// Ejection.
-	ejectedUntil         time.Duration // by the table
-	ejectedAsUnreachable bool          // the table's ejection is for missed health checks
-	ownEjectionUntil     time.Duration // by this proxy
-	reinstatedAt         time.Duration // when an ejection was lifted
-	avoidedUntil         time.Duration // after a failed connection it comes last
+	ejectedUntil         time.Duration // end of the ejection by the table
+	ejectedAsUnreachable bool          // the table's ejection is due to missed probes
+	ownEjectionUntil     time.Duration // end of the ejection by this proxy
+	reinstatedAt         time.Duration // when an ejection was last lifted
+	avoidedUntil         time.Duration // until then it is chosen last, after a failed connection
 	failedConnects       int           // in a row
 
 	// Health checks by this proxy.
-	probedAt          time.Duration
-	probePendingSince time.Duration    // 0: none is pending
+	probedAt          time.Duration    // when it was last probed
+	probePendingSince time.Duration    // 0 if no probe is pending
 	missedProbes      int              // in a row
-	indirectProbe     bool             // the pending one was asked for by the leader
-	lastServedAt      time.Duration    // when it last answered a request of this proxy
+	indirectProbe     bool             // the pending probe was requested by the leader
+	lastServedAt      time.Duration    // when it last served a request of this proxy
 	statistics        wire.TargetStats // since the last report to the leader
 
-	// Capacity, as far as this proxy may use it.
-	slots  int  // how many requests the target may have at once from all proxies
-	capped bool // slots are the operator's cap: no proxy goes beyond its quota
+	// Capacity.
+	slots  int  // how many requests from all proxies the target may have at once
+	capped bool // slots is limited by the operator's cap, so no proxy exceeds its quota
 	quota  int  // this proxy's quota of the slots
 	local  bool // it is in this proxy's domain
 
-	// Warm-up: for some time after its start the target takes requests at a bounded rate only.
-	warmupUntil    time.Duration
-	warmupInterval time.Duration // between two requests of this proxy meanwhile, 0: it sends none
-	nextWarmupAt   time.Duration // when the next request may go there
+	// Warm-up: for some time after its start the target gets requests at a limited rate only.
+	warmupUntil    time.Duration // end of the warm-up
+	warmupInterval time.Duration // between two requests of this proxy during the warm-up; 0 if it sends none
+	nextWarmupAt   time.Duration // when this proxy may send the next request
 
-	// The state warming: until it is ready the target has a smaller cap, after that a slow start.
+	// State warming: until the target is ready it has a smaller cap, and then a slow start.
 	readyAt             time.Duration // when it became ready
-	warmingShare        int           // this proxy's share of the cap, the most it may use until warmingShareRisesAt
-	nextWarmingShare    int           // the greater share that holds from then on
-	warmingShareRisesAt time.Duration // 0: no change is pending
+	warmingShare        int           // this proxy's share of that cap, valid until warmingShareRisesAt
+	nextWarmingShare    int           // the greater share that is valid from then on
+	warmingShareRisesAt time.Duration // 0 if no change is pending
 
 	// Load and speed.
-	inFlight          int // this proxy's requests
-	lastUsedAt        time.Duration
-	fullUntil         time.Duration // it rejected a request as too many
-	otherLoad         float64       // how many requests of other proxies it had at loadReportedAt
+	inFlight          int           // this proxy's requests at the target
+	lastUsedAt        time.Duration // when a request was last forwarded to it
+	fullUntil         time.Duration // until then it is not chosen, since it rejected a request as full
+	otherLoad         float64       // number of requests from other proxies at loadReportedAt
 	loadReportedAt    time.Duration
-	latencyRatio      float64 // of its response times to its routes' mean ones, 1: as usual
-	latencySamples    int
-	latencyObservedAt time.Duration
+	latencyRatio      float64       // of its response times to the means of their routes; 1 is average
+	latencySamples    int           // response times in latencyRatio, from 0 again once that has decayed to 1
+	latencyObservedAt time.Duration // when latencyRatio was last updated
 }
 
-// leavingReport is the report that the target leaves.
+// leavingReport returns a report that the target is leaving.
 func (t *targetState) leavingReport() wire.Target {
 	report := t.Target
 	report.State = wire.TargetLeaving
--- a/internal/dataplane/testproxy_test.go
+++ b/internal/dataplane/testproxy_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// hear passes a target's heartbeat on to the proxy.
-func (p *testProxy) hear(t wire.Target) {
+// receiveHeartbeat passes a target's heartbeat on to the proxy.
+func (p *testProxy) receiveHeartbeat(t wire.Target) {
 	p.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHeartbeat, From: "g2", Timestamp: 1, Heartbeat: &t}})
 }
 
--- a/internal/dataplane/view.go
+++ b/internal/dataplane/view.go
@@ -1,4 +1,4 @@
-// This file is what operators may read of a proxy: /v1/status.
+// The state of a proxy as shown to operators in /v1/status.
 
 package dataplane
 
@@ -11,38 +11,38 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// View is a proxy's state as operators may read it.
+// View is a proxy's state as shown to operators.
 type View struct {
 	Name       string          `json:"name"`
 	State      string          `json:"state"`
 	Ready      bool            `json:"ready"`
-	Leader     string          `json:"leader"`
-	Table      wire.TableKey   `json:"table"`
-	Revision   uint64          `json:"revision"` // of the configuration
-	InFlight   int             `json:"in_flight"`
+	Leader     string          `json:"leader"`    // "" if none is known
+	Table      wire.TableKey   `json:"table"`     // zero if there is none
+	Revision   uint64          `json:"revision"`  // of the configuration
+	InFlight   int             `json:"in_flight"` // requests in flight or queued
 	Targets    []TargetView    `json:"targets"`
 	Counts     Counts          `json:"counts"`
 	Objectives []ObjectiveView `json:"aims,omitempty"`
 }
 
-// ObjectiveView is a service-level objective, and what this proxy counted for it within its window.
+// ObjectiveView is a service-level objective with the counts of this proxy within its window.
 type ObjectiveView struct {
 	Name string `json:"name"`
 	config.Objective
-	Good  int `json:"good"` // requests that met it
-	Total int `json:"all"`
+	Good  int `json:"good"` // requests that met the objective
+	Total int `json:"all"`  // all requests
 }
 
-// TargetView is a target as operators may read it. Times are in ms.
+// TargetView is a target as shown to operators. Times are in ms.
 type TargetView struct {
 	wire.Target
 	InFlight          int   `json:"in_flight"`       // this proxy's requests
-	EjectionLeftMs    int64 `json:"bar_left_ms"`     // of the table's ejection
-	OwnEjectionLeftMs int64 `json:"own_bar_left_ms"` // of this proxy's own
-	Capacity          int   `json:"room"`            // how many requests this proxy may have there
+	EjectionLeftMs    int64 `json:"bar_left_ms"`     // remaining time of the table's ejection
+	OwnEjectionLeftMs int64 `json:"own_bar_left_ms"` // remaining time of this proxy's own ejection
+	Capacity          int   `json:"room"`            // how many of this proxy's requests the target may have
 }
 
-// View returns the proxy's state as operators may read it.
+// View returns the proxy's state as shown to operators.
 func (p *Proxy) View(now time.Duration) View {
 	view := View{
 		Name:       p.settings.Self.Name,
--- a/internal/dataplane/warmup.go
+++ b/internal/dataplane/warmup.go
@@ -1,7 +1,7 @@
-// This file bounds what targets get that have started a short while ago. Two bounds are independent of each other. In the
-// state warming a target has a smaller cap, which afterwards rises to the usual one (slow start). During its warm-up
-// time it gets requests at a bounded rate only. Both hold for all proxies together, also while the
-// proxy membership changes.
+// Limits for targets that started recently. There are two independent ones. In the state warming, a target has
+// a smaller cap, which rises to the usual one afterwards (slow start). During its warm-up time, it gets
+// requests at a limited rate. Both limits hold for all proxies together, also while the proxy membership
+// changes.
 
 package dataplane
 
@@ -14,9 +14,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// capacity is how many requests this proxy may have at a target that reports no slots: its share of the cap. A target in
-// the state warming must never get more than its cap, whichever tables the proxies have: the cap is divided among
-// all member proxies, and while a change of these is not in force everywhere, the smaller of both shares counts.
+// capacity returns how many requests this proxy may have at a target that reports no slots, which is its share
+// of the cap. A target in the state warming must never get more than its cap, whichever tables the proxies
+// have. Its cap is therefore divided among all member proxies, and while a membership change is not in force
+// everywhere, the smaller of the old and the new share applies.
 func (p *Proxy) capacity(now time.Duration, target *targetState, serviceConfig config.Service) int {
 	share := func(total int, proxies []string) int {
 		return evenShare(total, target.remainderOffset(total, proxies), p.settings.Self.Name, proxies)
@@ -34,7 +35,7 @@
 	return capacity
 }
 
-// slowStartCap is the cap of a ready target: it rises from that of the state warming to the usual one.
+// slowStartCap returns the cap of a ready target, which rises from that of the state warming to the usual one.
 func (t *targetState) slowStartCap(now time.Duration, serviceConfig config.Service) int {
 	since := now - t.readyAt
 	if t.readyAt <= 0 || since >= tuning.SlowStart || serviceConfig.WarmCap >= serviceConfig.Cap {
@@ -44,15 +45,16 @@
 	return serviceConfig.WarmCap + int(rise)
 }
 
-// remainderOffset is from where on among the proxies the remainder of a target's cap is given out: from where that of
-// the service's target before it ended, so that every proxy has a share of some targets.
+// remainderOffset returns the index of the first proxy that gets a part of the remainder of a target's cap. It
+// follows the last proxy that got one for the service's previous target, so that every proxy has a share of
+// some targets.
 func (t *targetState) remainderOffset(total int, proxies []string) int {
 	return int(hash32(t.Service)>>8) + int(t.ShareOffset)*(total%max(1, len(proxies)))
 }
 
-// limitWarmingShare keeps this proxy's share of the cap of a target in the state warming from growing before all
-// requests are over that others sent there within their shares under an earlier membership. The shares by one table
-// add up to the cap; those by two tables that follow one another need not.
+// limitWarmingShare delays an increase of this proxy's share of the cap of a target in the state warming. Until
+// then, the requests that other proxies sent within their shares of an earlier membership may still be running.
+// The shares of one table add up to the cap, but shares of two successive tables may exceed it.
 func (p *Proxy) limitWarmingShare(now time.Duration, target *targetState, serviceConfig config.Service) {
 	if target.State != wire.TargetWarming {
 		target.warmingShare, target.nextWarmingShare, target.warmingShareRisesAt = 0, 0, 0
@@ -71,10 +73,10 @@
 		target.nextWarmingShare = share
 		target.warmingShareRisesAt = now + p.maxRequestTime(target.Service) + tuning.ChoiceTTL
 	}
-	p.reindexBy(target.warmingShareRisesAt)
+	p.scheduleReindex(target.warmingShareRisesAt)
 }
 
-// maxRequestTime is how long a request of a service may take.
+// maxRequestTime returns the longest time that a request of a service may take.
 func (p *Proxy) maxRequestTime(serviceName string) time.Duration {
 	longest := time.Duration(p.configuration.Services[serviceName].TimeoutMs) * time.Millisecond
 	for _, route := range p.configuration.Routes {
@@ -86,7 +88,7 @@
 	return longest
 }
 
-// warmupTime is how long a target of a service warms up from its start.
+// warmupTime returns how long the targets of a service warm up after their start.
 func (p *Proxy) warmupTime(serviceName string) time.Duration {
 	serviceConfig := p.configuration.Services[serviceName]
 	if serviceConfig.WarmupRate <= 0 {
@@ -95,34 +97,35 @@
 	return serviceConfig.Warmup()
 }
 
-// extendWarmup takes in how much longer the target warms up, in ns. Of several reports the latest end counts.
+// extendWarmup extends the warm-up to last for another left nanoseconds, but never shortens it.
 func (t *targetState) extendWarmup(now time.Duration, left int64) {
 	if left > 0 {
 		t.warmupUntil = max(t.warmupUntil, now+time.Duration(left))
 	}
 }
 
-// warmingUp reports that the target takes requests at its service's warm-up rate only.
+// warmingUp reports whether the target gets requests only at its service's warm-up rate.
 func (t *targetState) warmingUp(now time.Duration, req *request) bool {
 	return t.warmupUntil > now && req.serviceConfig.WarmupRate > 0
 }
 
-// setWarmupInterval sets how far apart this proxy's requests at a target are that warms up.
+// setWarmupInterval sets the time between two of this proxy's requests at a target that is warming up.
 func (p *Proxy) setWarmupInterval(now time.Duration, target *targetState, serviceConfig config.Service) {
 	interval := p.warmupIntervalOf(target, serviceConfig)
 	if interval > 0 && target.warmupInterval == 0 {
-		target.nextWarmupAt = now + interval // an earlier process of this proxy may just have sent one
+		target.nextWarmupAt = now + interval // an earlier process of this proxy may have just sent a request
 	}
 	target.warmupInterval = interval
 	if target.warmupUntil > now {
-		p.reindexBy(target.warmupUntil)
+		p.scheduleReindex(target.warmupUntil)
 	}
 }
 
-// warmupIntervalOf is how far apart this proxy's requests at a target are that warms up, 0: it sends none. Some of the
-// member proxies are drawn to share the rate, so few that one request of each beyond it stays within half
-// of it. While a change of the membership is under way, only a proxy that both memberships draw has a share,
-// the smaller one. If the target is in the state warming too, only proxies are drawn that have a share of its cap.
+// warmupIntervalOf returns the time between two of this proxy's requests at a target that is warming up, or 0
+// if it sends none. Only some of the member proxies, selected by hashing, share the rate: so few that one extra
+// request from each exceeds the rate by no more than half. While a membership change is under way, a proxy has
+// a share only if it is selected from both memberships, and gets the smaller of the two shares. If the target
+// is also in the state warming, only proxies with a share of its cap are selected.
 func (p *Proxy) warmupIntervalOf(target *targetState, serviceConfig config.Service) time.Duration {
 	rate := serviceConfig.WarmupRate
 	if rate <= 0 {
@@ -138,7 +141,7 @@
 			proxies = namesWithShare(serviceConfig.WarmCap, target.remainderOffset(serviceConfig.WarmCap, proxies), proxies)
 		}
 		sharing := min(max(1, int(rate/2)), len(proxies))
-		if !isDrawn(hash, p.settings.Self.Name, proxies, sharing) {
+		if !rendezvousSelects(hash, p.settings.Self.Name, proxies, sharing) {
 			return 0
 		}
 		interval = max(interval, time.Duration(float64(sharing)/rate*float64(time.Second)))
--- a/internal/dataplane/warmup_test.go
+++ b/internal/dataplane/warmup_test.go
@@ -294,7 +294,7 @@
 				rateSum += float64(time.Second) / float64(interval)
 				sharing++
 			}
-			slackSum += budget.slackOf(hashOf("s"), name, proxy.memberProxies, proxy.table.PreviousProxies)
+			slackSum += budget.slackShare(hashString("s"), name, proxy.memberProxies, proxy.table.PreviousProxies)
 		}
 		if rateSum > rate*1.000001 || float64(sharing) > max(1, rate/2) || slackSum > budget.Slack*1.000001 {
 			t.Fatalf("rates add up to %v of %v at %d proxies, slacks to %v of %v", rateSum, rate, sharing, slackSum, budget.Slack)
