--- a/internal/dataplane/invalidtable_test.go
+++ b/internal/dataplane/invalidtable_test.go
@@ -8,8 +8,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A table whose configuration can't be read is not put in force: the proxy keeps the one it has, counts each
-// rejection, reports the document once, and neither confirms the table nor takes a lease for it.
+// A table whose configuration is invalid is not applied. The proxy keeps its table, counts each rejection,
+// reports each invalid configuration once, and neither confirms the table nor accepts a lease for it.
 func TestInvalidTableIsNotApplied(t *testing.T) {
 	for name, document := range map[string]string{
 		"no JSON":    `{"services":`,
@@ -27,30 +27,30 @@
 						reports++
 					}
 				}
-				proxy.version-- // the leader sends the same one again
+				proxy.version-- // the leader sends the same table again
 			}
 			if proxy.machine.Table().Key != key || proxy.machine.leaseUntil != leaseUntil {
-				t.Errorf("table %v, lease until %v", proxy.machine.Table().Key, proxy.machine.leaseUntil)
+				t.Errorf("want the table and lease unchanged, got table %v, lease until %v", proxy.machine.Table().Key, proxy.machine.leaseUntil)
 			}
 			if proxy.machine.Counts.InvalidTables != 3 || reports != 1 {
-				t.Errorf("%d counted, %d reported", proxy.machine.Counts.InvalidTables, reports)
+				t.Errorf("%d rejections counted and %d reported, want 3 and 1", proxy.machine.Counts.InvalidTables, reports)
 			}
 			if forwarded, ok := proxy.admit(1).(statemachine.Forward); !ok || forwarded.Target.Name != "a" {
-				t.Errorf("not served by the table before: %v", forwarded)
+				t.Errorf("request not forwarded by the previous table: %v", forwarded)
 			}
 			proxy.version += 2
 			proxy.table(1, ruleConfig, readyTarget("c"))
 			if proxy.machine.Table().Targets[0].Name != "c" || proxy.machine.leaseUntil == leaseUntil {
-				t.Error("a later valid table is not taken")
+				t.Error("a later valid table was not applied")
 			}
 		})
 	}
 }
 
-// A first table that can't be read leaves the proxy without one.
+// A proxy whose first table is invalid still has no table.
 func TestInvalidFirstTable(t *testing.T) {
 	proxy := newTestProxy("g1", 1, `[]`, wire.Target{Service: "s", Name: "a", Incarnation: 1, State: wire.TargetReady})
 	if proxy.machine.State() != NoTable || proxy.machine.Table() != nil || proxy.machine.Counts.InvalidTables != 1 {
-		t.Errorf("%v with %+v", proxy.machine.State(), proxy.machine.Counts)
+		t.Errorf("want state NoTable and 1 invalid table, got %v with %+v", proxy.machine.State(), proxy.machine.Counts)
 	}
 }
--- a/internal/dataplane/lease_test.go
+++ b/internal/dataplane/lease_test.go
@@ -9,17 +9,17 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Once its lease has run out a proxy without peers rejects the very next request, and a push that answers an
-// earlier process of its name gives no lease.
+// A proxy without peers rejects the first request after its lease has expired. A push gives no lease if it
+// answers an earlier process of the same name, has a timestamp in the future, or is from an earlier leader.
 func TestNothingIsServedAfterTheLease(t *testing.T) {
 	proxy := newTestProxy("g1", 3, ruleConfig, readyTarget("a"))
 	proxy.now += tuning.ProxyLease - time.Millisecond
 	if _, ok := proxy.admit(1).(statemachine.Forward); !ok {
-		t.Fatal("rejected within the lease")
+		t.Fatal("request rejected during the lease")
 	}
 	proxy.now += 2 * time.Millisecond
 	if reject, ok := proxy.admit(2).(statemachine.Reject); !ok || reject.Code != "not_serving" {
-		t.Fatalf("%+v", reject)
+		t.Fatalf("got %+v after the lease expired, want a rejection with code not_serving", reject)
 	}
 	for _, m := range []*wire.Message{{Timestamp: int64(proxy.now), Disk: 8}, {Timestamp: int64(proxy.now + time.Hour), Disk: 9}, {Timestamp: int64(proxy.now), Disk: 9, Term: 0}} {
 		m.Kind, m.From, m.Epoch = wire.KindPush, "c1", 1
@@ -31,17 +31,17 @@
 		m.Push = &wire.Push{LeaseGranted: true, Key: proxy.machine.Table().Key}
 		proxy.step(statemachine.Receive{Message: m})
 		if proxy.machine.Serving() {
-			t.Fatalf("serving on %+v", m)
+			t.Fatalf("serving after the push %+v", m)
 		}
 	}
 }
 
-// A proxy that loses its lease again and again sends a control daemon its recovered state no more often than one
-// that is without a lease all the time: it is long, and all proxies lose theirs at once.
+// A proxy that repeatedly loses its lease sends its recovered state to a control daemon no more often than one
+// that has no lease at all. The state is large, and all proxies lose their leases at the same time.
 func TestRecoveredStateIsSentAtABoundedRate(t *testing.T) {
 	proxy := newTestProxy("g1", 3, ruleConfig)
 	hello := &wire.Message{Kind: wire.KindHello, From: "c1", Hello: &wire.Hello{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 5}}}
-	reported, from := 0, proxy.now
+	sent, from := 0, proxy.now
 	const span = 20 * time.Second
 	for proxy.now < from+span {
 		proxy.now += tuning.TickEvery
@@ -51,11 +51,11 @@
 		proxy.step(statemachine.Receive{Message: hello})
 		for _, c := range proxy.step(statemachine.Tick{}) {
 			if s, ok := c.(statemachine.Send); ok && s.Message.Hello != nil && len(s.Message.Hello.RecoveredState) > 0 {
-				reported++
+				sent++
 			}
 		}
 	}
-	if most := int(span/tuning.RecoveredStateEvery) + 1; reported == 0 || reported > most {
-		t.Errorf("sent %d times in %v, at most %d are meant", reported, span, most)
+	if most := int(span/tuning.RecoveredStateEvery) + 1; sent == 0 || sent > most {
+		t.Errorf("recovered state sent %d times in %v, want 1 to %d", sent, span, most)
 	}
 }
--- a/internal/dataplane/peers_test.go
+++ b/internal/dataplane/peers_test.go
@@ -8,8 +8,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A proxy that was paused has peer leases again at once, by the very table it had. What its peers have decided on
-// meanwhile counts before it serves.
+// A proxy that resumes after a pause gets peer leases at once for the table it already has. Before it serves,
+// it must adopt the ejections that its peers decided on during the pause.
 func TestResumedProxyAdoptsPeerEjections(t *testing.T) {
 	proxy := newTestProxy("g1", 3, ruleConfig, readyTarget("a"), readyTarget("b"))
 	proxy.loseLeader()
@@ -24,34 +24,34 @@
 		}
 	}
 	if !asked || proxy.machine.Serving() {
-		t.Fatalf("asked %v serving %v", asked, proxy.machine.Serving())
+		t.Fatalf("asked peer for its ejections: %v, serving: %v, want true and false", asked, proxy.machine.Serving())
 	}
-	word := *proxy.machine.Table()
-	word.Targets = []wire.Target{readyTarget("a", ejected), readyTarget("b")}
-	for _, p := range []string{"g2", "g3"} {
-		proxy.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: p, Timestamp: int64(proxy.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: word.Key, Table: &word}}})
+	peerTable := *proxy.machine.Table()
+	peerTable.Targets = []wire.Target{readyTarget("a", ejected), readyTarget("b")}
+	for _, peer := range []string{"g2", "g3"} {
+		proxy.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: peer, Timestamp: int64(proxy.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: peerTable.Key, Table: &peerTable}}})
 	}
 	for id := range uint64(6) {
 		if forward, ok := proxy.admit(id + 1).(statemachine.Forward); !ok || forward.Target.Name != "b" {
-			t.Fatalf("%+v", forward)
+			t.Fatalf("got %+v, want a forward to b, the only target not ejected by peers", forward)
 		}
 		proxy.step(statemachine.AttemptDone{ID: id + 1, Last: true})
 	}
 }
 
-// The same with a target that restarted meanwhile: peers have its successor in its place, and so has a proxy that
-// resumes with the same table.
+// A proxy that resumes with the same table as its peers adopts a restarted target from them, which they have
+// put in the place of its earlier incarnation.
 func TestResumedProxyAdoptsPeerSuccessors(t *testing.T) {
 	proxy := newTestProxy("g1", 3, ruleConfig, readyTarget("a"))
 	proxy.loseLeader()
 	proxy.now += 5 * time.Second
 	proxy.step(statemachine.Tick{})
-	word := *proxy.machine.Table()
-	word.Targets = []wire.Target{readyTarget("a", func(t *wire.Target) { t.Incarnation = 2 })}
-	for _, p := range []string{"g2", "g3"} {
-		proxy.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: p, Timestamp: int64(proxy.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: word.Key, Table: &word}}})
+	peerTable := *proxy.machine.Table()
+	peerTable.Targets = []wire.Target{readyTarget("a", func(t *wire.Target) { t.Incarnation = 2 })}
+	for _, peer := range []string{"g2", "g3"} {
+		proxy.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: peer, Timestamp: int64(proxy.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: peerTable.Key, Table: &peerTable}}})
 	}
 	if forward, ok := proxy.admit(1).(statemachine.Forward); !ok || forward.Target.Incarnation != 2 {
-		t.Fatalf("%+v", forward)
+		t.Fatalf("got %+v, want a forward to incarnation 2", forward)
 	}
 }
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -9,8 +9,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// BenchmarkRequest is what a request costs the state machine, which is one goroutine: it is admitted and done, with
-// as many targets as fleets have and ten times as many.
+// BenchmarkRequest measures the cost of admitting and ending one request in the state machine, which runs on
+// one goroutine, with as many targets as typical fleets have and with ten times as many.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{9, 36, 360} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -23,7 +23,7 @@
 			for b.Loop() {
 				id++
 				if _, ok := proxy.admit(id).(statemachine.Forward); !ok {
-					b.Fatal("rejected")
+					b.Fatal("request rejected")
 				}
 				proxy.step(statemachine.AttemptDone{ID: id, Last: true})
 			}
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkRequestWithSlots is the same on a route, with targets that report their slots.
+// BenchmarkRequestWithSlots measures the same on a route, with targets that report their slots.
 func BenchmarkRequestWithSlots(b *testing.B) {
 	for _, n := range []int{36, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -44,7 +44,7 @@
 			for b.Loop() {
 				id++
 				if _, ok := proxy.admitOnRoute(id, "/a/", time.Second).(statemachine.Forward); !ok {
-					b.Fatal("rejected")
+					b.Fatal("request rejected")
 				}
 				proxy.step(statemachine.AttemptDone{ID: id, Outcome: statemachine.Served, Milliseconds: 5, Last: true})
 			}
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkTableChange is a change of one target in the table of a large fleet.
+// BenchmarkTableChange measures a change of one target in the table of a large fleet.
 func BenchmarkTableChange(b *testing.B) {
 	var targets []wire.Target
 	for i := range 294 {
@@ -68,24 +68,24 @@
 		proxy.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(proxy.now), Disk: 9,
 			Push: &wire.Push{LeaseGranted: true, Key: t.Key, Table: t}}})
 		if proxy.machine.Table().Key != t.Key {
-			b.Fatal("not taken")
+			b.Fatal("table not applied")
 		}
 	}
 }
 
-// Objectives count what callers got: late, rejected and lost requests miss them, those whose client left do not
-// count, and the window moves on.
+// Objectives count what callers got. Slow, rejected and lost requests miss them, and requests whose client
+// disconnected don't count. Counts older than the window are dropped.
 func TestObjectiveCounts(t *testing.T) {
 	proxy := newTestProxy("g1", 1, `{"services":{"s":{"cap":1,"warm_cap":1}},"rules":[{"path":"/s","service":"s"}],
 		"aims":{"quick":{"service":"s","part":0.9,"under_ms":50,"window_min":2}}}`, readyTarget("a"))
 	id := uint64(0)
-	run := func(took time.Duration, end ...statemachine.Event) {
+	run := func(duration time.Duration, events ...statemachine.Event) {
 		id++
 		proxy.admit(id)
-		proxy.now += took
+		proxy.now += duration
 		proxy.machine.leaseUntil = proxy.now + time.Second
-		for _, e := range end {
-			proxy.step(e)
+		for _, event := range events {
+			proxy.step(event)
 		}
 	}
 	for range 5 {
@@ -98,10 +98,10 @@
 	proxy.admit(90)
 	proxy.admit(91) // rejected: the only slot is in use
 	proxy.step(statemachine.AttemptDone{ID: 90, Outcome: statemachine.ClientGone, Last: true})
-	if a := proxy.machine.View(proxy.now).Objectives[0]; a.Good != 5 || a.Total != 9 {
-		t.Fatalf("%+v", a)
+	if o := proxy.machine.View(proxy.now).Objectives[0]; o.Good != 5 || o.Total != 9 {
+		t.Fatalf("got %+v, want 5 good requests of 9", o)
 	}
-	if a := proxy.machine.View(proxy.now + 2*time.Minute).Objectives[0]; a.Total != 0 {
-		t.Fatalf("%+v", a)
+	if o := proxy.machine.View(proxy.now + 2*time.Minute).Objectives[0]; o.Total != 0 {
+		t.Fatalf("got %+v after the window, want no requests", o)
 	}
 }
--- a/internal/dataplane/quota_test.go
+++ b/internal/dataplane/quota_test.go
@@ -10,63 +10,62 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Shares of a cap add up to it over all proxies, for ready and warming targets alike.
+// The shares of a cap add up to it over all proxies, for ready and for warming targets.
 func TestCapSharesAddUp(t *testing.T) {
 	for count := 1; count <= 12; count++ {
-		cold, ready := 0, 0
+		atWarming, atReady := 0, 0
 		for i := range count {
 			proxy := newTestProxy(fmt.Sprintf("g%d", i+1), count, ruleConfig)
 			proxy.table(count, ruleConfig, readyTarget("a", warming), readyTarget("b"))
-			n := 0
 			for id := uint64(1); ; id++ {
 				forward, ok := proxy.admit(id).(statemachine.Forward)
 				if !ok {
 					break
 				}
-				n++
 				if forward.Target.Name == "a" {
-					cold++
+					atWarming++
 				} else {
-					ready++
+					atReady++
 				}
 			}
 		}
-		if cold != 3 || ready != 8 {
-			t.Errorf("%d proxies: %d of 3 at the warming target, %d of 8 at the ready one", count, cold, ready)
+		if atWarming != 3 || atReady != 8 {
+			t.Errorf("%d proxies: %d requests at the warming target and %d at the ready one, want 3 and 8", count, atWarming, atReady)
 		}
 	}
 }
 
-// Every slot is in the quota of one proxy, sums differ by one at most, own domains come first as far as that is
-// even, and a target that goes moves few other slots.
+// Every slot is in the quota of exactly one proxy, and the totals of two proxies differ by at most one. Proxies
+// get slots of their own domain first as far as the totals allow, each proxy has slots at many targets, and
+// removing a target moves few other slots.
 func TestSlotsAreDistributedEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		count, zones := rapid.IntRange(1, 40).Draw(t, "proxies"), rapid.IntRange(1, 4).Draw(t, "domains")
+		count, domainCount := rapid.IntRange(1, 40).Draw(t, "proxies"), rapid.IntRange(1, 4).Draw(t, "domains")
 		var names, domains []string
 		for i := range count {
-			names, domains = append(names, fmt.Sprintf("g%d", i)), append(domains, fmt.Sprint(i%zones))
+			names, domains = append(names, fmt.Sprintf("g%d", i)), append(domains, fmt.Sprint(i%domainCount))
 		}
 		var pools []slotPool
 		total := 0
 		for i := range rapid.IntRange(1, 60).Draw(t, "targets") {
 			n := rapid.IntRange(1, 8).Draw(t, "slots")
-			pools = append(pools, slotPool{hash: targetHash(wire.TargetID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % zones), slots: n})
+			pools = append(pools, slotPool{hash: targetHash(wire.TargetID{Service: "s", Name: fmt.Sprint(i)}), domain: fmt.Sprint(i % domainCount), slots: n})
 			total += n
 		}
-		parts := distributeSlots(pools, names, domains)
+		quotas := distributeSlots(pools, names, domains)
 		sums := make([]int, count)
-		for i, l := range pools {
+		for i, pool := range pools {
 			n := 0
 			for j := range names {
-				n, sums[j] = n+parts[i][j], sums[j]+parts[i][j]
+				n, sums[j] = n+quotas[i][j], sums[j]+quotas[i][j]
 			}
-			if n != l.slots {
-				t.Fatalf("%d of %d slots distributed", n, l.slots)
+			if n != pool.slots {
+				t.Fatalf("%d slots of a target distributed, want %d", n, pool.slots)
 			}
 		}
 		for j, n := range sums {
 			if n != total/count && n != total/count+1 {
-				t.Fatalf("proxy %d has %d of %d among %d", j, n, total, count)
+				t.Fatalf("proxy %d has %d of %d slots with %d proxies", j, n, total, count)
 			}
 		}
 	})
@@ -85,69 +84,69 @@
 			n += min(before[i][j], 1)
 		}
 		if n < 6 {
-			t.Fatalf("proxy %d has its 7 or 8 slots at %d targets: all of them may be slow ones", j, n)
+			t.Fatalf("proxy %d has its 7 or 8 slots at only %d targets, want 6 or more, so that not all are slow", j, n)
 		}
 	}
-	away, moved := 0, 0
+	remote, moved := 0, 0
 	for i := range 29 {
 		for j := range names {
 			if domains[j] != pools[i].domain {
-				away += before[i][j]
+				remote += before[i][j]
 			}
 			moved += max(0, before[i][j]-after[i][j])
 		}
 	}
-	if away > 6 || moved > 20 {
-		t.Fatalf("%d of 90 slots away from their domain, %d moved with one of 30 targets", away, moved)
+	if remote > 6 || moved > 20 {
+		t.Fatalf("%d of 90 slots assigned outside their domain, want at most 6; %d moved when 1 of 30 targets was removed, want at most 20", remote, moved)
 	}
 }
 
-// Without any communication no request waits at a target while each proxy keeps to its quota.
+// No request waits at a target while each proxy keeps to its quota, without any communication among proxies.
 func TestQuotasDoNotOverlap(t *testing.T) {
 	var targets []wire.Target
 	for i := range 6 {
 		targets = append(targets, readyTarget(fmt.Sprint(i), withSlots(3)))
 	}
-	at := map[string]int{}
+	requests := map[string]int{}
 	for i := range 12 {
 		proxy := newTestProxy(fmt.Sprintf("g%d", i+1), 12, routeConfig, targets...)
 		if forward, ok := proxy.admitOnRoute(1, "/a/", 0).(statemachine.Forward); ok {
-			at[forward.Target.Name]++
+			requests[forward.Target.Name]++
 		}
 	}
-	for n, c := range at {
-		if c > 3 {
-			t.Errorf("%d at %s", c, n)
+	for name, n := range requests {
+		if n > 3 {
+			t.Errorf("%d requests at target %s with 3 slots", n, name)
 		}
 	}
-	if len(at) < 4 {
-		t.Errorf("%v", at)
+	if len(requests) < 4 {
+		t.Errorf("requests by target: %v, want 4 targets or more", requests)
 	}
 }
 
-// A cap that is lower than the slots that targets report holds for all proxies together.
+// A cap that is lower than the number of slots a target reports limits the requests of all proxies together.
 func TestCapBoundsSlots(t *testing.T) {
 	document := `{"services":{"s":{"cap":4}},"routes":{"r":{"host":"h","prefix":"/a/","kind":"repeatable","timeout_ms":2000,"service":"s","attempts":1}}}`
-	at := map[string]int{}
+	requests := map[string]int{}
 	for i := range 5 {
 		proxy := newTestProxy(fmt.Sprintf("g%d", i+1), 5, document, readyTarget("a", withSlots(9)), readyTarget("b", withSlots(9)), readyTarget("c"))
 		for id := uint64(1); id < 40; id++ {
 			if forward, ok := proxy.admitOnRoute(id, "/a/", 0).(statemachine.Forward); ok {
-				at[forward.Target.Name]++
+				requests[forward.Target.Name]++
 			}
 		}
 	}
-	if at["a"] != 4 || at["b"] != 4 || at["c"] != 4 {
-		t.Fatalf("%v with a cap of 4", at)
+	if requests["a"] != 4 || requests["b"] != 4 || requests["c"] != 4 {
+		t.Fatalf("requests by target: %v, want 4 at each, which is the cap", requests)
 	}
 }
 
-// Where all targets are ejected, those whose heartbeats arrive are shared by quotas as others are.
+// If all targets are ejected, those whose heartbeats arrive are divided by quotas like any others.
 func TestEjectedTargetsHaveQuotas(t *testing.T) {
 	proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(9), ejected), readyTarget("b", withSlots(9), ejected))
 	for id := uint64(1); id <= 18; id++ {
 		if _, ok := proxy.admitOnRoute(id, "/a/", 0).(statemachine.Forward); !ok {
-			t.Fatalf("%d of 18", id-1)
+			t.Fatalf("only %d of 18 requests were forwarded", id-1)
 		}
 	}
 }
--- a/internal/dataplane/shutdown_test.go
+++ b/internal/dataplane/shutdown_test.go
@@ -9,17 +9,17 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// shutdownRun is a proxy that was asked to stop, and the requests that it has taken.
+// shutdownRun holds a proxy that was asked to stop, and the requests that it has accepted.
 type shutdownRun struct {
 	*testProxy
-	grace   time.Duration
-	stopAt  time.Duration
-	endsAt  map[uint64]time.Duration // when the requests in flight are over
-	exitAt  time.Duration            // when the process ended, 0: it runs
-	takenAt time.Duration            // when the last request was taken
+	grace      time.Duration
+	stopAt     time.Duration
+	endsAt     map[uint64]time.Duration // when the requests in flight end
+	exitAt     time.Duration            // when the process ended, 0 if it is still running
+	acceptedAt time.Duration            // when the last request was accepted
 }
 
-// passTick moves time on by a tick: requests whose target is done end.
+// passTick ends the requests whose targets are done, and advances the time by one tick.
 func (r *shutdownRun) passTick() {
 	for id, end := range r.endsAt {
 		if end <= r.now {
@@ -34,10 +34,10 @@
 	}
 }
 
-// Clients may use a connection that they hold until the process is gone. Whenever they do, a stopping proxy takes
-// nothing that it may not be able to finish: after the linger a request whose deadline comes later than the process
-// has to end is rejected, unless its target has the time that the route expects; it then ends before the process,
-// whether its target keeps to its time or not. What was taken is over at the end.
+// Clients may send requests on open connections until the process ends. After the linger time, a stopping proxy
+// rejects any request whose deadline is later than the end of the process, unless its target still has the time
+// that the route is expected to need. All accepted requests end before the process does, whether or not targets
+// respect their work time.
 func TestShutdownTakesOnlyWhatItCanFinish(t *testing.T) {
 	rejected := 0
 	for seed := range uint64(200) {
@@ -49,20 +49,20 @@
 		r.stopAt = r.now
 		longest := r.grace / time.Duration(3+random.IntN(9))
 		for id := uint64(1); r.exitAt == 0 && r.now-r.stopAt < r.grace; id++ {
-			switch a := r.admitOnRoute(id, "/a/", longest).(type) {
+			switch response := r.admitOnRoute(id, "/a/", longest).(type) {
 			case statemachine.Forward:
-				r.takenAt = r.now
-				if waited := r.now - r.stopAt; waited > min(r.grace/2, tuning.ShutdownLingerMax) && waited+min(longest, a.WorkTime, a.TimeLeft) > r.grace {
-					t.Fatalf("seed %d: grace %v, took a request of up to %v at %v after it was asked to stop", seed, r.grace, longest, waited)
+				r.acceptedAt = r.now
+				if waited := r.now - r.stopAt; waited > min(r.grace/2, tuning.ShutdownLingerMax) && waited+min(longest, response.WorkTime, response.TimeLeft) > r.grace {
+					t.Fatalf("seed %d: grace period %v, accepted a request of up to %v at %v after the request to stop", seed, r.grace, longest, waited)
 				}
-				works := time.Duration(random.Int64N(int64(longest)))
-				if a.WorkTime > 0 && id%2 == 0 {
-					works = min(works, a.WorkTime) // a target stops its work by then, and says so; others don't
+				workTime := time.Duration(random.Int64N(int64(longest)))
+				if response.WorkTime > 0 && id%2 == 0 {
+					workTime = min(workTime, response.WorkTime) // every other target respects its work time
 				}
-				r.endsAt[id] = r.now + min(works, a.TimeLeft) // then the forwarder answers
+				r.endsAt[id] = r.now + min(workTime, response.TimeLeft) // the proxy responds itself at the deadline
 			case statemachine.Reject:
-				if a.Status != 503 || a.RetryAfter <= 0 {
-					t.Fatalf("seed %d: rejected with %d, to come back in %v", seed, a.Status, a.RetryAfter)
+				if response.Status != 503 || response.RetryAfter <= 0 {
+					t.Fatalf("seed %d: rejected with status %d and retry time %v, want 503 and a retry time", seed, response.Status, response.RetryAfter)
 				}
 				rejected++
 			}
@@ -72,24 +72,25 @@
 		}
 		switch {
 		case r.exitAt == 0 || len(r.endsAt) > 0:
-			t.Fatalf("seed %d: grace %v, ended with %d requests in flight", seed, r.grace, len(r.endsAt))
-		case r.takenAt == 0:
-			t.Fatalf("seed %d: grace %v, took nothing after it was asked to stop", seed, r.grace)
+			t.Fatalf("seed %d: grace period %v, not stopped or stopped with %d requests in flight", seed, r.grace, len(r.endsAt))
+		case r.acceptedAt == 0:
+			t.Fatalf("seed %d: grace period %v, accepted no request after the request to stop", seed, r.grace)
 		}
 	}
 	if rejected == 0 {
-		t.Fatal("no request came too late in any run")
+		t.Fatal("no request was rejected in any run, so rejections were not tested")
 	}
 }
 
-// A shutdown shows in readiness at once, lasts while requests are in flight, and no longer than the grace period.
+// A stopping proxy becomes unready at once and keeps running while a request is in flight, but not beyond the
+// grace period.
 func TestShutdownWithinGracePeriod(t *testing.T) {
 	proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(2)))
 	proxy.machine.settings.GracePeriod = 6 * time.Second
 	proxy.admitOnRoute(1, "/a/", 0)
 	proxy.step(statemachine.Stop{})
 	if proxy.machine.Ready() || !proxy.machine.Serving() {
-		t.Fatal("must serve on, unready")
+		t.Fatal("want the stopping proxy to be unready and still serving")
 	}
 	exits := func(commands []statemachine.Command) bool {
 		for _, c := range commands {
@@ -100,13 +101,13 @@
 		return false
 	}
 	if exits(proxy.advance(tuning.ShutdownLinger + time.Millisecond)) {
-		t.Fatal("left one in flight")
+		t.Fatal("exited after the linger time with a request in flight")
 	}
 	if exits(proxy.advance(6*time.Second - tuning.ShutdownMargin - tuning.ShutdownLinger - 10*time.Millisecond)) {
-		t.Fatal("left one in flight")
+		t.Fatal("exited before the end of the grace period with a request in flight")
 	}
 	if !exits(proxy.advance(20 * time.Millisecond)) {
-		t.Fatal("beyond its grace period")
+		t.Fatal("not exited at the end of the grace period")
 	}
 	proxy.step(statemachine.AttemptDone{ID: 1, Outcome: statemachine.Served, Last: true})
 }
--- a/internal/dataplane/table_test.go
+++ b/internal/dataplane/table_test.go
@@ -8,23 +8,23 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// The configuration's limits for callers are in the command with each table, and no longer when a later
+// TargetsChanged carries the configuration's limits for callers with each table, and nil once a later
 // configuration has none.
 func TestLimitsFollowTheConfiguration(t *testing.T) {
 	reported := func(commands []statemachine.Command) *config.Limits {
 		for _, c := range commands {
-			if x, ok := c.(statemachine.TargetsChanged); ok {
-				return x.Limits
+			if changed, ok := c.(statemachine.TargetsChanged); ok {
+				return changed.Limits
 			}
 		}
-		t.Fatalf("%+v has no targets", commands)
+		t.Fatalf("no TargetsChanged among %+v", commands)
 		return nil
 	}
 	proxy := newTestProxy("g1", 1, ruleConfig, readyTarget("a"))
-	if l := reported(proxy.table(1, strings.Replace(ruleConfig, "{", `{"limits":{"header_bytes":99,"idle_ms":7},`, 1), readyTarget("a"))); l == nil || *l != (config.Limits{HeaderBytes: 99, IdleMs: 7}) {
-		t.Fatal(l)
+	if limits := reported(proxy.table(1, strings.Replace(ruleConfig, "{", `{"limits":{"header_bytes":99,"idle_ms":7},`, 1), readyTarget("a"))); limits == nil || *limits != (config.Limits{HeaderBytes: 99, IdleMs: 7}) {
+		t.Fatalf("got limits %+v, want header_bytes 99 and idle_ms 7", limits)
 	}
-	if l := reported(proxy.table(1, ruleConfig, readyTarget("a"))); l != nil {
-		t.Fatal(*l)
+	if limits := reported(proxy.table(1, ruleConfig, readyTarget("a"))); limits != nil {
+		t.Fatalf("got limits %+v of an earlier configuration, want none", *limits)
 	}
 }
--- a/internal/dataplane/warmup_test.go
+++ b/internal/dataplane/warmup_test.go
@@ -13,83 +13,83 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Whichever tables the proxies have before, during and after a change of the membership, the shares of a warming
-// target's cap never add up to more than it. By one table they add up to it, and over the targets of a service no
-// proxy has two more than another.
+// The shares of a warming target's cap never add up to more than the cap, whichever tables the proxies have
+// before, during and after a membership change. With one table, the totals that proxies get over all targets of
+// a service differ by at most one.
 func TestWarmingCapSharesStayWithinCap(t *testing.T) {
-	names := func(n int) (l []string) {
+	proxyNames := func(n int) (names []string) {
 		for i := range n {
-			l = append(l, fmt.Sprintf("g%02d", i+1))
+			names = append(names, fmt.Sprintf("g%02d", i+1))
 		}
-		return l
+		return names
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		before := names(rapid.IntRange(1, 13).Draw(t, "proxies"))
-		after := names(14)[:len(before)+1]
+		before := proxyNames(rapid.IntRange(1, 13).Draw(t, "proxies"))
+		after := proxyNames(14)[:len(before)+1]
 		if i := rapid.IntRange(-1, len(before)-1).Draw(t, "leaves"); i >= 0 && len(before) > 1 {
 			after = append(append([]string{}, before[:i]...), before[i+1:]...)
 		}
-		set := config.Service{Cap: 64, WarmCap: rapid.IntRange(1, 30).Draw(t, "cap")}
-		fleet := rapid.IntRange(1, 12).Draw(t, "targets")
-		first := rapid.Uint32Range(1, 1000).Draw(t, "turn")
-		part := func(name string, turn uint32, among, was []string) int {
+		serviceConfig := config.Service{Cap: 64, WarmCap: rapid.IntRange(1, 30).Draw(t, "cap")}
+		targetCount := rapid.IntRange(1, 12).Draw(t, "targets")
+		firstOffset := rapid.Uint32Range(1, 1000).Draw(t, "turn")
+		share := func(name string, offset uint32, members, previous []string) int {
 			proxy := New(Settings{Self: wire.Daemon{Name: name}})
-			proxy.table = &wire.Table{PreviousProxies: was}
-			for _, n := range among {
+			proxy.table = &wire.Table{PreviousProxies: previous}
+			for _, n := range members {
 				proxy.table.Proxies = append(proxy.table.Proxies, wire.Proxy{Name: n, Live: true})
 			}
 			proxy.reindex(0)
-			return proxy.capacity(0, &targetState{Target: wire.Target{Service: "s", State: wire.TargetWarming, ShareOffset: turn}}, set)
+			return proxy.capacity(0, &targetState{Target: wire.Target{Service: "s", State: wire.TargetWarming, ShareOffset: offset}}, serviceConfig)
 		}
-		every := append(append([]string{}, before...), after[len(after)-1])
+		all := append(append([]string{}, before...), after[len(after)-1])
 		if len(after) < len(before) {
-			every = before
+			all = before
 		}
-		// The old and the changing table stand together, or the changing and the new one.
+		// Either the old table and that of the change are in use together, or that of the change and the new one.
 		late := rapid.Bool().Draw(t, "late")
-		stands := map[string]int{}
-		for _, n := range every {
-			stands[n] = rapid.IntRange(0, 1).Draw(t, n)
+		hasChange := map[string]int{}
+		for _, n := range all {
+			hasChange[n] = rapid.IntRange(0, 1).Draw(t, n)
 		}
-		for turn := first; turn < first+3; turn++ {
+		for offset := firstOffset; offset < firstOffset+3; offset++ {
 			sum := 0
-			for _, n := range every {
+			for _, n := range all {
 				switch {
-				case !late && stands[n] == 0:
-					sum += part(n, turn, before, nil)
-				case late && stands[n] == 0:
-					sum += part(n, turn, after, nil)
+				case !late && hasChange[n] == 0:
+					sum += share(n, offset, before, nil)
+				case late && hasChange[n] == 0:
+					sum += share(n, offset, after, nil)
 				default:
-					sum += part(n, turn, after, before)
+					sum += share(n, offset, after, before)
 				}
 			}
-			if sum > set.WarmCap {
-				t.Fatalf("shares add up to %d of %d", sum, set.WarmCap)
+			if sum > serviceConfig.WarmCap {
+				t.Fatalf("shares add up to %d, want at most %d", sum, serviceConfig.WarmCap)
 			}
 		}
 		lowest, highest := 1<<30, 0
 		for _, n := range after {
 			sum := 0
-			for turn := first; turn < first+uint32(fleet); turn++ {
-				sum += part(n, turn, after, nil)
+			for offset := firstOffset; offset < firstOffset+uint32(targetCount); offset++ {
+				sum += share(n, offset, after, nil)
 			}
 			lowest, highest = min(lowest, sum), max(highest, sum)
 		}
 		if highest-lowest > 1 {
-			t.Fatalf("a fleet of %d with %d each: proxies have from %d to %d", fleet, set.WarmCap, lowest, highest)
+			t.Fatalf("%d targets with a cap of %d each: totals of the proxies range from %d to %d, want a difference of at most 1", targetCount, serviceConfig.WarmCap, lowest, highest)
 		}
 	})
 }
 
-// The membership grows while a warming target works on requests that take as long as they may: those within the old
-// shares and those within the new ones together stay within its cap, also where a new proxy saw nothing of the
-// change, and in the end the new shares hold.
+// When proxies are added while a warming target is still busy with long requests, the requests within the old
+// shares and those within the new ones together stay within its cap. This includes new proxies, which have not
+// seen the earlier table. Once the old requests have ended, the new shares apply.
 func TestWarmingCapWhileMembershipGrows(t *testing.T) {
-	const doc = `{"services":{"s":{"cap":64,"warm_cap":%d,"timeout_ms":2000}},"rules":[{"path":"/s","service":"s"}]}`
+	const documentFormat = `{"services":{"s":{"cap":64,"warm_cap":%d,"timeout_ms":2000}},"rules":[{"path":"/s","service":"s"}]}`
 	for from := 1; from <= 9; from++ {
-		for more := 1; more <= 4; more++ {
+		for added := 1; added <= 4; added++ {
 			for warmCap := 1; warmCap <= 12; warmCap++ {
-				d, id := fmt.Sprintf(doc, warmCap), uint64(0)
+				document, id := fmt.Sprintf(documentFormat, warmCap), uint64(0)
 				fill := func(proxies []*testProxy) (n int) {
 					for _, proxy := range proxies {
 						for id++; ; id++ {
@@ -102,39 +102,39 @@
 					return n
 				}
 				var old, all []*testProxy
-				for i := range from + more {
-					if proxy := newTestProxy(fmt.Sprintf("g%d", i+1), from, d); i < from {
-						proxy.table(from, d, readyTarget("a", warming))
+				for i := range from + added {
+					if proxy := newTestProxy(fmt.Sprintf("g%d", i+1), from, document); i < from {
+						proxy.table(from, document, readyTarget("a", warming))
 						old = append(old, proxy)
 						all = append(all, proxy)
 					} else {
 						all = append(all, &testProxy{machine: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Incarnation: 9}}), now: time.Second})
 					}
 				}
-				left := fill(old)
+				running := fill(old)
 				for _, proxy := range all {
 					proxy.now += 200 * time.Millisecond
 					proxy.version = 8
-					proxy.table(from+more, d, readyTarget("a", warming))
+					proxy.table(from+added, document, readyTarget("a", warming))
 				}
-				if n := left + fill(all); n > warmCap {
-					t.Fatalf("%d proxies and %d more: %d requests at a target that takes %d", from, more, n, warmCap)
+				if n := running + fill(all); n > warmCap {
+					t.Fatalf("%d proxies and %d added: %d requests at a target with a cap of %d", from, added, n, warmCap)
 				}
-				now := 0
+				shares := 0
 				for _, proxy := range all {
 					proxy.now += 2*time.Second + tuning.ChoiceTTL
 					proxy.step(statemachine.Tick{})
-					now += proxy.machine.View(proxy.now).Targets[0].Capacity
+					shares += proxy.machine.View(proxy.now).Targets[0].Capacity
 				}
-				if now != warmCap {
-					t.Fatalf("%d proxies and %d more: shares are %d of %d in the end", from, more, now, warmCap)
+				if shares != warmCap {
+					t.Fatalf("%d proxies and %d added: shares add up to %d in the end, want %d", from, added, shares, warmCap)
 				}
 			}
 		}
 	}
 }
 
-// After the state warming a target's capacity rises by steps of one.
+// After the state warming, the capacity of a target rises to the full cap in steps of at most one.
 func TestSlowStartAfterWarming(t *testing.T) {
 	proxy := newTestProxy("g1", 1, ruleConfig)
 	proxy.table(1, ruleConfig, readyTarget("a", warming))
@@ -143,20 +143,20 @@
 		if i == 1 {
 			proxy.table(1, ruleConfig, readyTarget("a"))
 		}
-		v := proxy.machine.View(proxy.now).Targets[0].Capacity
-		if v < last || v > last+1 && i > 0 {
-			t.Fatalf("capacity from %d to %d", last, v)
+		capacity := proxy.machine.View(proxy.now).Targets[0].Capacity
+		if capacity < last || capacity > last+1 && i > 0 {
+			t.Fatalf("capacity changed from %d to %d, want steps of 0 or 1", last, capacity)
 		}
-		last = v
+		last = capacity
 		proxy.now += 100 * time.Millisecond
 	}
 	if last != 8 {
-		t.Fatalf("capacity %d in the end", last)
+		t.Fatalf("capacity is %d after the slow start, want 8", last)
 	}
 }
 
-// Targets that warm up get their rate over all proxies, whichever memberships the proxies have and whichever of
-// them restart: in any second no more than half over it.
+// All proxies together send a target that is warming up no more than half above its rate in any second, for any
+// memberships that the proxies have and any restarts of proxies.
 func TestWarmupRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 14).Draw(t, "proxies")
@@ -168,27 +168,27 @@
 		start := func(i int, now time.Duration) {
 			proxies[i] = &testProxy{machine: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Incarnation: 9}}), now: now}
 		}
-		table := func(proxy *testProxy, ver uint64, now time.Duration) {
+		sendTable := func(proxy *testProxy, version uint64, now time.Duration) {
 			proxy.now = now
-			x := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: ver}, Revision: 1, Document: []byte(document), Targets: []wire.Target{readyTarget("a", withSlots(50), inWarmup(10*time.Second))}}
-			names := n
-			if ver > 1 {
-				names = n + 1
+			table := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: version}, Revision: 1, Document: []byte(document), Targets: []wire.Target{readyTarget("a", withSlots(50), inWarmup(10*time.Second))}}
+			members := n
+			if version > 1 {
+				members = n + 1
 			}
-			for i := range names {
-				x.Proxies = append(x.Proxies, wire.Proxy{Name: fmt.Sprintf("g%d", i+1), Live: true})
-				if ver == 2 && i < n {
-					x.PreviousProxies = append(x.PreviousProxies, fmt.Sprintf("g%d", i+1))
+			for i := range members {
+				table.Proxies = append(table.Proxies, wire.Proxy{Name: fmt.Sprintf("g%d", i+1), Live: true})
+				if version == 2 && i < n {
+					table.PreviousProxies = append(table.PreviousProxies, fmt.Sprintf("g%d", i+1))
 				}
 			}
-			proxy.machine.Step(proxy.now, statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(proxy.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: x.Key, Table: x}}})
+			proxy.machine.Step(proxy.now, statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(proxy.now), Disk: 9, Push: &wire.Push{LeaseGranted: true, Key: table.Key, Table: table}}})
 		}
-		ver := make([]uint64, n+1)
+		versions := make([]uint64, n+1)
 		highest := uint64(1)
 		for i := range n {
 			start(i, time.Second)
-			ver[i] = 1
-			table(proxies[i], 1, time.Second)
+			versions[i] = 1
+			sendTable(proxies[i], 1, time.Second)
 		}
 		id, restarts := uint64(0), 0
 		events := rapid.SliceOfN(rapid.IntRange(0, 2*n-1), 0, 15).Draw(t, "events")
@@ -203,22 +203,22 @@
 				case 0:
 					restarts++
 					start(i, now)
-					table(proxies[i], ver[i], now)
+					sendTable(proxies[i], versions[i], now)
 				case 1:
-					// A change is in force everywhere before the next is made.
-					low := ver[0]
+					// All proxies have a change before the next one is made.
+					lowest := versions[0]
 					for j := range n {
-						low = min(low, ver[j])
+						lowest = min(lowest, versions[j])
 					}
-					if low == highest && highest < 3 {
+					if lowest == highest && highest < 3 {
 						highest++
 					}
-					if joins && ver[i] < highest {
-						ver[i]++
-						table(proxies[i], ver[i], now)
-						if ver[i] == 3 && proxies[n] == nil {
+					if joins && versions[i] < highest {
+						versions[i]++
+						sendTable(proxies[i], versions[i], now)
+						if versions[i] == 3 && proxies[n] == nil {
 							start(n, now)
-							table(proxies[n], 3, now)
+							sendTable(proxies[n], 3, now)
 						}
 					}
 				}
@@ -231,9 +231,9 @@
 				proxy.machine.leaseUntil = now + time.Second
 				id++
 				for _, c := range append(proxy.step(statemachine.Tick{}), proxy.step(statemachine.Admit{ID: id, Host: "h", Path: "/a/", Timeout: time.Second})...) {
-					if x, ok := c.(statemachine.Forward); ok {
+					if forward, ok := c.(statemachine.Forward); ok {
 						sent = append(sent, now)
-						proxy.step(statemachine.AttemptDone{ID: x.ID, Outcome: statemachine.Served, Milliseconds: 5, Last: true})
+						proxy.step(statemachine.AttemptDone{ID: forward.ID, Outcome: statemachine.Served, Milliseconds: 5, Last: true})
 					}
 				}
 			}
@@ -243,18 +243,18 @@
 			for at-sent[from] >= time.Second {
 				from++
 			}
-			if c := float64(i - from + 1); c > rate*1.5+2 {
-				t.Fatalf("%v in the second up to %v, rate %v", c, at, rate)
+			if count := float64(i - from + 1); count > rate*1.5+2 {
+				t.Fatalf("%v requests in the second up to %v, rate %v", count, at, rate)
 			}
 		}
 		if restarts == 0 && !joins && rate >= 1 && len(sent) < int(rate*1.5) {
-			t.Fatalf("only %d at rate %v", len(sent), rate)
+			t.Fatalf("only %d requests in 3 s at a rate of %v", len(sent), rate)
 		}
 	})
 }
 
-// Whichever tables are in force together while the membership changes, the old one and the joint one or that and
-// the new one, the shares of a warm-up rate and of the retry slack stay within them.
+// The shares of a warm-up rate and of the retry slack add up to no more than the whole while the membership
+// changes. The proxies have either the old table or the one of the change, or either that or the new table.
 func TestSharesOfWarmupRateAndRetrySlack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var before, after, all []string
@@ -297,45 +297,47 @@
 			slackSum += budget.slackShare(hashString("s"), name, proxy.memberProxies, proxy.table.PreviousProxies)
 		}
 		if rateSum > rate*1.000001 || float64(sharing) > max(1, rate/2) || slackSum > budget.Slack*1.000001 {
-			t.Fatalf("rates add up to %v of %v at %d proxies, slacks to %v of %v", rateSum, rate, sharing, slackSum, budget.Slack)
+			t.Fatalf("warm-up rates add up to %v, want at most %v, at %d proxies; slacks add up to %v, want at most %v", rateSum, rate, sharing, slackSum, budget.Slack)
 		}
 	})
 }
 
-// After its warm-up a target takes what others do.
+// A new proxy process sends no request at once to a target that is warming up. After its warm-up, the target
+// gets requests like any other.
 func TestWarmupEnds(t *testing.T) {
 	proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(4), inWarmup(time.Second)))
 	if _, ok := proxy.admitOnRoute(1, "/a/", time.Second).(statemachine.Forward); ok {
-		t.Fatal("a new process of this proxy sends at once")
+		t.Fatal("a new proxy process forwarded a request at once to a target that is warming up")
 	}
 	proxy.advance(time.Second)
 	proxy.advance(tuning.TickEvery)
 	for id := uint64(10); id < 13; id++ {
 		if forward, ok := proxy.admitOnRoute(id, "/a/", time.Second).(statemachine.Forward); !ok {
-			t.Fatalf("%+v", forward)
+			t.Fatalf("request %d after the warm-up: got %+v, want a forward", id, forward)
 		}
 	}
 }
 
-// A target in the state warming that warms up never has more than its cap at once, over all proxies, nor more than
-// the warm-up rate; and it does get some.
+// A target that is both in the state warming and in its warm-up gets no more concurrent requests than its cap,
+// over all proxies, and no more than its warm-up rate. It does get at least a part of both.
 func TestWarmupRateInStateWarming(t *testing.T) {
-	const doc = `{"services":{"s":{"cap":64,"warm_cap":%d,"health_path":"/h","cold_s":30,"cold_per_s":%d}},"routes":{"r":{"host":"h","prefix":"/a/","kind":"repeatable","timeout_ms":2000,"service":"s","attempts":1}}}`
-	for _, reported := range []uint32{0, 8} {
+	const documentFormat = `{"services":{"s":{"cap":64,"warm_cap":%d,"health_path":"/h","cold_s":30,"cold_per_s":%d}},"routes":{"r":{"host":"h","prefix":"/a/","kind":"repeatable","timeout_ms":2000,"service":"s","attempts":1}}}`
+	for _, slots := range []uint32{0, 8} {
 		for _, count := range []int{1, 2, 3, 7} {
 			for _, warmCap := range []int{1, 2, 5} {
 				for _, rate := range []int{1, 3, 10} {
-					for inc := uint64(1); inc <= 3; inc++ { // other draws
-						to := readyTarget("a", warming, withSlots(reported), inWarmup(30*time.Second), func(w *wire.Target) { w.Incarnation, w.ShareOffset = inc, uint32(inc) })
+					for incarnation := uint64(1); incarnation <= 3; incarnation++ { // each selects other proxies
+						target := readyTarget("a", warming, withSlots(slots), inWarmup(30*time.Second), func(t *wire.Target) { t.Incarnation, t.ShareOffset = incarnation, uint32(incarnation) })
 						var proxies []*testProxy
 						for i := range count {
-							proxy := newTestProxy(fmt.Sprintf("g%d", i+1), count, fmt.Sprintf(doc, warmCap, rate))
-							proxy.table(count, fmt.Sprintf(doc, warmCap, rate), to)
+							proxy := newTestProxy(fmt.Sprintf("g%d", i+1), count, fmt.Sprintf(documentFormat, warmCap, rate))
+							proxy.table(count, fmt.Sprintf(documentFormat, warmCap, rate), target)
 							proxies = append(proxies, proxy)
 						}
-						setup := fmt.Sprintf("%d proxies, %d slots, warming cap %d, %d/s, start %d", count, reported, warmCap, rate, inc)
+						setup := fmt.Sprintf("%d proxies, %d slots, warming cap %d, %d/s, incarnation %d", count, slots, warmCap, rate, incarnation)
 						id := uint64(0)
-						run := func(done bool) (n int) { // 4 s in which no request ends, or each at once
+						// run sends requests for 4 s. If done is set, each request ends at once, otherwise none does.
+						run := func(done bool) (n int) {
 							for range 200 {
 								for _, proxy := range proxies {
 									id++
@@ -354,7 +356,7 @@
 							return n
 						}
 						if n := run(false); n > warmCap || n < min(warmCap, count, max(1, rate/2)) {
-							t.Fatalf("%s: %d in flight at once", setup, n)
+							t.Fatalf("%s: %d requests in flight at the same time", setup, n)
 						}
 						for _, proxy := range proxies {
 							for id := range proxy.machine.requests {
@@ -363,7 +365,7 @@
 						}
 						sent := run(true)
 						if sent > 4*rate+rate/2+1 || sent < 2*rate {
-							t.Fatalf("%s: %d sent in 4 s", setup, sent)
+							t.Fatalf("%s: %d requests sent in 4 s, want %d to %d", setup, sent, 2*rate, 4*rate+rate/2+1)
 						}
 					}
 				}
