--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -31,7 +31,7 @@
 // State tells whether a proxy may serve requests, and on what grounds.
 type State int
 
-// The states.
+// States of a proxy.
 const (
 	NoTable     State = iota // no table has been received yet
 	Leased                   // the leader's lease is valid
@@ -72,7 +72,7 @@
 	pullAtNextTick       bool                     // the leader waits for the result of an indirect probe
 	reportedSelf         wire.Daemon              // as of the last pull with a description of this proxy
 	reportedTo           string                   // the leader that received that pull
-	recoveredStateSentAt map[string]time.Duration // by control daemon's name and incarnation, see processKey
+	recoveredStateSentAt map[string]time.Duration // by control daemon's process, see processKey
 
 	// The leader and its lease.
 	leaderEpoch      uint64        // the highest epoch of any leader push
@@ -85,7 +85,7 @@
 	// Peer leases.
 	lastPeerPollAt   time.Duration
 	peerAskedAt      map[string]time.Duration // when a peer was last polled
-	peerConfirmedAt  map[string]time.Duration // when the poll was sent that a peer last confirmed
+	peerConfirmedAt  map[string]time.Duration // when the latest poll was sent that a peer has confirmed
 	peerTableAskedAt time.Duration            // when a peer was last asked for its table
 
 	// The current table and its configuration.
--- a/internal/dataplane/routing.go
+++ b/internal/dataplane/routing.go
@@ -16,9 +16,9 @@
 type routeState struct {
 	split          []config.Share // nil until it is set up for the current configuration
 	currentWeights []float64      // by share: increased by its weight at each choice, reduced by totalWeight when chosen
-	totalWeight    float64
-	meanMs         float64 // mean response time in ms
-	samples        int     // number of response times in the mean
+	totalWeight    float64        // sum of the weights of all shares
+	meanMs         float64        // mean response time in ms
+	samples        int            // number of response times in the mean
 }
 
 // route returns the state of a route. It sets up the split if the configuration has changed.
--- a/internal/dataplane/shutdown_test.go
+++ b/internal/dataplane/shutdown_test.go
@@ -12,8 +12,8 @@
 // shutdownRun holds a proxy that was asked to stop, and the requests that it has accepted.
 type shutdownRun struct {
 	*testProxy
-	grace      time.Duration
-	stopAt     time.Duration
+	grace      time.Duration            // grace period of the shutdown
+	stopAt     time.Duration            // when the proxy was asked to stop
 	endsAt     map[uint64]time.Duration // when the requests in flight end
 	exitAt     time.Duration            // when the process ended, 0 if it is still running
 	acceptedAt time.Duration            // when the last request was accepted
--- a/internal/dataplane/target.go
+++ b/internal/dataplane/target.go
@@ -21,14 +21,14 @@
 	ejectedUntil         time.Duration // end of the ejection by the table
 	ejectedAsUnreachable bool          // the table's ejection is due to missed probes
 	ownEjectionUntil     time.Duration // end of the ejection by this proxy
-	reinstatedAt         time.Duration // when an ejection was last lifted
+	reinstatedAt         time.Duration // when an ejection was last lifted, 0 if never
 	avoidedUntil         time.Duration // until then it is chosen last, after a failed connection
-	failedConnects       int           // in a row
+	failedConnects       int           // consecutive failed connections
 
 	// Health checks by this proxy.
 	probedAt          time.Duration    // when it was last probed
 	probePendingSince time.Duration    // 0 if no probe is pending
-	missedProbes      int              // in a row
+	missedProbes      int              // consecutive missed probes
 	indirectProbe     bool             // the pending probe was requested by the leader
 	lastServedAt      time.Duration    // when it last served a request of this proxy
 	statistics        wire.TargetStats // since the last report to the leader
@@ -45,7 +45,7 @@
 	nextWarmupAt   time.Duration // when this proxy may send the next request
 
 	// State warming: until the target is ready it has a smaller cap, and then a slow start.
-	readyAt             time.Duration // when it became ready
+	readyAt             time.Duration // when it changed from warming to ready, 0 if that was not observed
 	warmingShare        int           // this proxy's share of that cap, valid until warmingShareRisesAt
 	nextWarmingShare    int           // the greater share that is valid from then on
 	warmingShareRisesAt time.Duration // 0 if no change is pending
@@ -55,7 +55,7 @@
 	lastUsedAt        time.Duration // when a request was last forwarded to it
 	fullUntil         time.Duration // until then it is not chosen, since it rejected a request as full
 	otherLoad         float64       // number of requests from other proxies at loadReportedAt
-	loadReportedAt    time.Duration
+	loadReportedAt    time.Duration // when the target last reported its load, 0 if never
 	latencyRatio      float64       // of its response times to the means of their routes; 1 is average
 	latencySamples    int           // response times in latencyRatio, from 0 again once that has decayed to 1
 	latencyObservedAt time.Duration // when latencyRatio was last updated
