--- a/internal/controlplane/consensus/append.go
+++ b/internal/controlplane/consensus/append.go
@@ -1,4 +1,4 @@
-// This file is the follower's side of replication: what it does with a leader's append message.
+// Follower side of log replication: handling of append messages.
 
 package consensus
 
@@ -8,11 +8,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// noTimestamp is in the response to an append message of an earlier term, which proves nothing to the leader of this one:
-// the message's timestamp may be by the clock of an earlier process of the same name.
+// noTimestamp replaces the timestamp in a response to an append message of an earlier term. Such a message must not renew
+// the current leader's lease: its timestamp may come from the clock of an earlier process of the same name.
 const noTimestamp = -1 << 62
 
-// handleAppendEntries takes in a leader's heartbeat, with the entries or the chunk that it carries, and answers it.
+// handleAppendEntries processes a leader's append message, which may carry entries, a chunk or neither, and responds to it.
 func (n *Node) handleAppendEntries(now time.Duration, message *wire.Message) {
 	request := message.Append
 	response := &wire.Message{Kind: wire.KindAppend, To: message.From, Timestamp: message.Timestamp, Append: &wire.Append{Reply: true, MatchIndex: n.lastIndex()}}
@@ -28,11 +28,12 @@
 	response.Append.Chunk, response.Append.MatchIndex = n.receiver.status(), n.lastIndex()
 	switch {
 	case request.PrevIndex < n.snapshot.Index:
-		// A snapshot covers committed entries only, and the leader's log holds all of these: they match up to here.
+		// A snapshot covers only committed entries, and the leader's log holds all of them, so the logs match up to
+		// the snapshot.
 		response.Append.Success, response.Append.MatchIndex = true, n.snapshot.Index
 		n.send(response, true)
 	case !n.matchesTerm(request.PrevIndex, request.PrevTerm):
-		// This log differs from the leader's at PrevIndex or before, so entries after it can't be accepted.
+		// This log diverges from the leader's at or before PrevIndex, so the entries can't be appended.
 		if term, ok := n.termAt(request.PrevIndex); ok {
 			response.Append.MatchIndex = n.lastIndexBeforeTerm(request.PrevIndex, term)
 		}
@@ -42,7 +43,7 @@
 		match := request.PrevIndex + uint64(len(entries))
 		isHeartbeat := len(entries) == 0 && !installed
 		n.acknowledgeUpTo(match, isHeartbeat, response)
-		// Up to match this log equals the leader's; entries after match may differ from those committed.
+		// This log equals the leader's up to match; entries after it may differ from the committed ones.
 		if commit := min(request.Commit, match); commit > n.commit {
 			n.commit = commit
 			n.advanceCommit(now)
@@ -50,8 +51,8 @@
 	}
 }
 
-// receiveEntries returns the entries of a request. If a chunk completes a large entry, that is the one; if it completes a
-// snapshot, this is installed.
+// receiveEntries returns the entries that a request delivers. If its chunk completes a large entry, it returns that entry;
+// if its chunk completes a snapshot, it installs the snapshot and reports in installed whether that changed the node.
 func (n *Node) receiveEntries(now time.Duration, request *wire.Append) (entries []wire.Entry, installed bool) {
 	if request.Chunk == nil {
 		return request.Entries, false
@@ -67,9 +68,9 @@
 	return request.Entries, false
 }
 
-// acknowledgeUpTo acknowledges that this log equals the leader's up to an index. The leader counts towards a majority what
-// is acknowledged, so it has to be on disk. A heartbeat is answered at once, however slow the disk is, so that
-// the leader keeps its lease; it then acknowledges only what is synced.
+// acknowledgeUpTo tells the leader that this log equals the leader's up to index match. The leader counts acknowledged
+// entries towards a majority, so the response waits until they are synced. A heartbeat is answered immediately, however
+// slow the disk is, so that the leader keeps its lease; that response acknowledges only synced entries.
 func (n *Node) acknowledgeUpTo(match uint64, isHeartbeat bool, response *wire.Message) {
 	response.Append.Success, response.Append.MatchIndex = true, match
 	if isHeartbeat && !n.hardStateUnsynced() {
@@ -77,6 +78,6 @@
 		n.send(response, false)
 		return
 	}
-	// A term that isn't on disk might be forgotten, and a vote given to another leader of it.
+	// After a crash the node would forget a term that isn't on disk and could vote for another candidate in it.
 	n.send(response, match > n.stable || n.hardStateUnsynced())
 }
--- a/internal/controlplane/consensus/canonical.go
+++ b/internal/controlplane/consensus/canonical.go
@@ -1,5 +1,4 @@
-// This file writes a node's state down in canonical form, for the model checker, which recognizes by it states that it has
-// seen. Nothing else uses it.
+// Canonical encoding of a node's state. Only the model checker uses it, to recognize states that it has already visited.
 
 package consensus
 
@@ -14,34 +13,35 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// maxDeadline is at least as long as any deadline that a node sets: beyond it all times are equal.
-const maxDeadline = transferPatience + tuning.ElectionTimeoutMin
+// maxDeadline bounds how far ahead a node sets any deadline. The encoding doesn't distinguish times further away.
+const maxDeadline = transferBackoff + tuning.ElectionTimeoutMin
 
-// CanonicalEncoder writes state down in a canonical form: nodes and disks are renumbered, and points in time become
-// distances from the present, cut off where no decision of a node depends on them any more. States that differ only in
-// these come out equal.
+// CanonicalEncoder encodes state in a canonical form: nodes and disks are renumbered, and points in time are written
+// relative to the current time, clamped to the range in which they affect a node's decisions. States that differ only in
+// these respects have equal encodings.
 type CanonicalEncoder struct {
-	// Bytes is what has been written.
+	// Bytes is the output so far.
 	Bytes []byte
-	// NodeIndex returns the number to write for a node's name, also for "".
+	// NodeIndex maps a node's name to the number that is written for it. It must accept "".
 	NodeIndex func(name string) byte
-	// DiskNumber returns the number to write for a disk's number, also for 0.
+	// DiskNumber maps a disk's number to the number that is written for it. It must accept 0.
 	DiskNumber func(disk uint64) uint64
-	// DeadlineStep, if not 0, is the only span by which time passes: deadlines within the same step are equal then.
+	// DeadlineStep is the fixed step in which the caller advances time; deadlines that fall into the same step are
+	// encoded alike. 0 means that time advances by any amount.
 	DeadlineStep time.Duration
 }
 
-// Uint appends a number.
+// Uint appends an integer in variable-length encoding.
 func (c *CanonicalEncoder) Uint(value uint64) { c.Bytes = binary.AppendUvarint(c.Bytes, value) }
 
-// Uints appends several numbers.
+// Uints appends several integers.
 func (c *CanonicalEncoder) Uints(values ...uint64) {
 	for _, value := range values {
 		c.Uint(value)
 	}
 }
 
-// Bool appends a truth value.
+// Bool appends a boolean.
 func (c *CanonicalEncoder) Bool(value bool) {
 	if value {
 		c.Bytes = append(c.Bytes, 1)
@@ -50,13 +50,13 @@
 	}
 }
 
-// Data appends bytes, which have no canonical form of their own, after their number.
+// Data appends opaque bytes, prefixed by their length.
 func (c *CanonicalEncoder) Data(data []byte) {
 	c.Uint(uint64(len(data)))
 	c.Bytes = append(c.Bytes, data...)
 }
 
-// Age appends how long before now a time was, at most limit and at least -limit.
+// Age appends the time that has passed from at to now, clamped to the range from -limit to limit.
 func (c *CanonicalEncoder) Age(now, at, limit time.Duration) {
 	age := limit
 	if at > now-limit {
@@ -85,10 +85,10 @@
 	c.Uint(c.DiskNumber(member.Disk))
 }
 
-// Members appends a member list, whose order means nothing.
+// Members appends a member list independently of its order.
 func (c *CanonicalEncoder) Members(members []wire.Member) {
-	if !slices.IsSortedFunc(members, c.compare) {
-		members = slices.SortedFunc(slices.Values(members), c.compare)
+	if !slices.IsSortedFunc(members, c.compareMembers) {
+		members = slices.SortedFunc(slices.Values(members), c.compareMembers)
 	}
 	c.Uint(uint64(len(members)))
 	for _, member := range members {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (c *CanonicalEncoder) compare(a, b wire.Member) int {
+func (c *CanonicalEncoder) compareMembers(a, b wire.Member) int {
 	return cmp.Or(
 		cmp.Compare(c.NodeIndex(a.Name), c.NodeIndex(b.Name)),
 		cmp.Compare(c.DiskNumber(a.Disk), c.DiskNumber(b.Disk)),
@@ -140,8 +140,8 @@
 	c.Data(chunk.Data)
 }
 
-// Message appends a vote or append message; now is the present by the clock that its timestamp is of, or zero if the
-// message has none.
+// Message appends a vote or append message. now is the current time of the clock that its timestamp was read from, or 0 if
+// the message has no timestamp.
 func (c *CanonicalEncoder) Message(message *wire.Message, now time.Duration) {
 	c.NodeName(message.From)
 	c.NodeName(message.To)
@@ -162,7 +162,7 @@
 	}
 }
 
-// Batch appends what a batch puts on disk, without its number.
+// Batch appends the content of a batch without its sequence number.
 func (c *CanonicalEncoder) Batch(b *wire.Batch) {
 	c.Bool(b.HasHardState)
 	c.Uint(b.Term)
@@ -172,7 +172,7 @@
 	c.Snapshot(b.Snapshot)
 }
 
-// PersistentState appends what a disk holds.
+// PersistentState appends the state stored on a disk.
 func (c *CanonicalEncoder) PersistentState(s *PersistentState) {
 	c.Uints(s.Epoch, c.DiskNumber(s.Disk), s.Term)
 	c.NodeName(s.Vote)
@@ -180,8 +180,8 @@
 	c.Entries(s.Log)
 }
 
-// Node appends a node's state at its time now. What Ready would return is left out: the model checker takes it after each
-// step.
+// Node appends a node's state; now is the current time by the node's clock. Pending Ready output is left out, since the
+// model checker consumes it after each step.
 func (c *CanonicalEncoder) Node(node *Node, now time.Duration) {
 	c.Member(node.self)
 	c.Uints(node.epoch, uint64(node.role), node.term)
@@ -240,7 +240,7 @@
 
 func (c *CanonicalEncoder) progress(node *Node, now time.Duration) {
 	list := node.sortedProgress()
-	slices.SortFunc(list, func(a, b *progress) int { return c.compare(a.member, b.member) })
+	slices.SortFunc(list, func(a, b *progress) int { return c.compareMembers(a.member, b.member) })
 	c.Uint(uint64(len(list)))
 	for _, p := range list {
 		c.Member(p.member)
@@ -256,7 +256,8 @@
 	}
 }
 
-// unsynced appends what waits for the disk, with batches numbered from the last one backwards.
+// unsynced appends the unsynced batches and the messages that wait for them. Batches are numbered backwards from the last
+// one.
 func (c *CanonicalEncoder) unsynced(n *Node, now time.Duration) {
 	c.Uint(uint64(len(n.unsyncedBatches)))
 	for _, batch := range n.unsyncedBatches {
--- a/internal/controlplane/consensus/chunk.go
+++ b/internal/controlplane/consensus/chunk.go
@@ -1,7 +1,7 @@
-// This file sends what is too large for one message, a snapshot or a large entry, in chunks. One is in flight to a member
-// at a time; the next follows its acknowledgement, and after a loss the transfer resumes from what the receiver holds.
-// Heartbeats go on beside it and their responses say how much that is, so a lost chunk is noticed by the response
-// to any heartbeat that was sent after it, without a timer.
+// Transfer of snapshots and of entries too large for one message, in chunks. At most one chunk is in flight to a member;
+// the next one follows its acknowledgement. Heartbeats continue during a transfer, and each response states how many bytes
+// the receiver holds. So the response to any heartbeat sent after a chunk reveals that the chunk was lost, without a timer,
+// and the transfer resumes from the bytes that the receiver holds.
 
 package consensus
 
@@ -13,17 +13,17 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// chunkSender is a snapshot or an entry that is being sent to a member. It keeps what it began with: a newer snapshot doesn't
-// restart it.
+// chunkSender is the transfer of a snapshot or of a large entry to a member. A newer snapshot doesn't restart a transfer
+// that has begun.
 type chunkSender struct {
-	content      wire.Chunk    // what is sent; its Data is all of it
-	prevTerm     uint64        // of an entry: the term of the one before it
-	acknowledged uint64        // how many bytes the receiver is known to hold
-	inFlight     bool          // a chunk was sent and not answered yet
-	sentAt       time.Duration // when the last chunk was sent
+	content      wire.Chunk    // the snapshot or entry, with all of its Data
+	prevTerm     uint64        // for an entry: the term of the entry before it
+	acknowledged uint64        // bytes that the receiver is known to hold
+	inFlight     bool          // whether a chunk is sent and not yet acknowledged
+	sentAt       time.Duration // when the last chunk was sent, by the leader's clock
 }
 
-// checksum is FNV-1a, 64 bits, as wire.Chunk has it.
+// checksum returns the 64-bit FNV-1a hash that wire.Chunk.Checksum holds.
 func checksum(data []byte) uint64 {
 	hash := fnv.New64a()
 	hash.Write(data)
@@ -40,8 +40,8 @@
 		Size: uint64(len(e.Data)), Checksum: checksum(e.Data), Data: e.Data}}
 }
 
-// prevEntry returns the entry that the receiver's log must hold: the one before an entry that is still being sent, else the
-// last one that the content brings.
+// prevEntry returns the index and term to send as PrevIndex and PrevTerm: those of the entry before a large entry whose
+// transfer isn't complete, otherwise those of the last entry that the content covers.
 func (s *chunkSender) prevEntry() (index, term uint64) {
 	if s.content.IsEntry && s.acknowledged < s.content.Size {
 		return s.content.Index - 1, s.prevTerm
@@ -49,8 +49,8 @@
 	return s.content.Index, s.content.Term
 }
 
-// nextChunk returns the chunk to send now, nil if one is in flight or all has arrived. A snapshot without data still takes
-// one chunk.
+// nextChunk returns the chunk to send now, or nil if one is in flight or the receiver holds all bytes. A snapshot without
+// data is still sent as one chunk.
 func (s *chunkSender) nextChunk(now time.Duration) *wire.Chunk {
 	if s.inFlight || s.acknowledged == s.content.Size && s.content.Size > 0 {
 		return nil
@@ -62,8 +62,9 @@
 	return &chunk
 }
 
-// acknowledge takes in how much the receiver says it holds, nil if nothing; sentAt is when the message that it answers was
-// sent. That is progress, or else the response to a message sent after the chunk, which was lost then.
+// acknowledge processes a response to a message that was sent at sentAt; held states how much the receiver holds, nil for
+// nothing. If that is no more than before and the message was sent after the last chunk, the chunk was lost, and the
+// transfer resumes from what the receiver holds.
 func (s *chunkSender) acknowledge(held *wire.Chunk, sentAt time.Duration) {
 	var bytes uint64
 	if held != nil && sameContent(held, &s.content) {
@@ -78,15 +79,15 @@
 	return a.IsEntry == b.IsEntry && a.Index == b.Index && a.Term == b.Term && a.Size == b.Size && a.Checksum == b.Checksum
 }
 
-// chunkReceiver is what has arrived of a snapshot or entry. Once complete it keeps only what it was, so that responses go
-// on to say that all has arrived.
+// chunkReceiver is the receiving side of a transfer. Once the transfer is complete it drops the data but keeps the
+// description of the content, so that later responses still report it as received.
 type chunkReceiver struct {
-	content  wire.Chunk // what arrives, without its Data
-	data     []byte
-	complete bool
+	content  wire.Chunk // the snapshot or entry, without Data
+	data     []byte     // the bytes received so far; nil once complete
+	complete bool       // whether all bytes were received
 }
 
-// status is what a response says of it: Offset bytes are held.
+// status returns the chunk that a response carries, whose Offset is the number of bytes received; nil without a transfer.
 func (r *chunkReceiver) status() *wire.Chunk {
 	if r == nil {
 		return nil
@@ -99,8 +100,8 @@
 	return &status
 }
 
-// receiveChunk takes a chunk in, and returns the content if that completes it. A chunk that came twice, or before an
-// earlier one, is dropped: the response says from where to go on.
+// receiveChunk stores a chunk and returns the whole content if the chunk completes it. Duplicate and out-of-order chunks are
+// dropped; the response tells the sender from which offset to continue.
 func (n *Node) receiveChunk(chunk *wire.Chunk) (content wire.Chunk, complete bool) {
 	if chunk.Size > tuning.WireMax {
 		return wire.Chunk{}, false
@@ -121,7 +122,7 @@
 		return wire.Chunk{}, false
 	}
 	if checksum(r.data) != chunk.Checksum {
-		n.receiver = nil // damaged, and asked for again from its beginning
+		n.receiver = nil // corrupted; the response makes the sender start again from offset 0
 		return wire.Chunk{}, false
 	}
 	content = r.content
--- a/internal/controlplane/consensus/clone.go
+++ b/internal/controlplane/consensus/clone.go
@@ -1,4 +1,4 @@
-// This file copies a node, for the model checker, which explores several continuations of one state.
+// Copying of nodes for the model checker, which explores several continuations of one state.
 
 package consensus
 
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Clone returns a node that shares nothing with n that either of them changes. Messages, batches and the bytes of entries
-// are never changed once made, and are shared.
+// Clone returns an independent copy of n. The copy shares only immutable data with n: messages, batches and the data of
+// entries.
 func (n *Node) Clone() *Node {
 	c := *n
 	c.log = slices.Clone(n.log)
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -1,4 +1,4 @@
-// This file is the election: when a node campaigns, who votes for it, and when it has won.
+// Leader election: when a node campaigns, which candidates it votes for, and when it has won.
 
 package consensus
 
@@ -11,50 +11,51 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// campaignKind is why, and how, a node asks for votes.
+// campaignKind distinguishes the kinds of campaigns in which a node requests votes.
 type campaignKind int
 
 const (
-	// preElection asks whether an election would be won, without a new term.
+	// preElection is a pre-vote: it asks whether an election would be won, without starting a new term.
 	preElection campaignKind = iota
-	// election asks for votes in a new term.
+	// election requests votes in a new term.
 	election
-	// transferElection is an election that the leader itself has asked for, so members don't wait for its lease.
+	// transferElection is an election that the leader itself requested, so voters don't wait for its lease to expire.
 	transferElection
 )
 
-// tickElection campaigns when it is time to. A learner, and a member whose disk hangs, could not lead and doesn't.
+// tickElection starts a campaign if one is due. Learners and members whose disk is stalled couldn't lead, so they don't
+// campaign.
 func (n *Node) tickElection(now time.Duration) {
 	if n.DiskStalled(now) || !n.isSelfVoter() {
 		return
 	}
 	switch {
-	case n.mayWinWithoutConsents(now):
+	case n.mayWinByMajority(now):
 		n.becomeLeader(now)
 	case now >= n.electionDeadline && now-n.leaderContactAt >= tuning.ElectionTimeoutMin:
 		n.leader = ""
 		n.campaign(now, preElection, false)
-	case n.mayAskForConsents(now):
-		// The ordinary election stays due: a member that doesn't answer must not put it off.
+	case n.mayStartUnanimousElection(now):
+		// Keep the deadline of the ordinary election: members that don't answer must not delay it.
 		deadline := n.electionDeadline
 		n.campaign(now, preElection, true)
 		n.electionDeadline = deadline
 	}
 }
 
-// mayWinWithoutConsents says whether a unanimous election has become an ordinary one: it has the votes of a majority, and
-// the last of these is so old that every lease which its voters supported has run out.
-func (n *Node) mayWinWithoutConsents(now time.Duration) bool {
+// mayWinByMajority reports whether a candidate in a unanimous election may become leader as in an ordinary one: it has the
+// votes of a majority, and received the last of them so long ago that every lease its voters supported has expired.
+func (n *Node) mayWinByMajority(now time.Duration) bool {
 	return n.role == Candidate && n.unanimous && n.hasMajority(len(n.votes)) && now-n.lastVoteAt >= tuning.ElectionTimeoutMin
 }
 
-// mayAskForConsents says whether a unanimous election may be tried, or tried again.
-func (n *Node) mayAskForConsents(now time.Duration) bool {
+// mayStartUnanimousElection reports whether the node may start or repeat a unanimous election.
+func (n *Node) mayStartUnanimousElection(now time.Duration) bool {
 	idle := n.role == Follower || n.unanimous && n.role == PreCandidate
 	return idle && n.noLeaderContact(now) && now-n.campaignedAt >= tuning.PreVoteInterval
 }
 
-// campaign asks for votes: the members', or in a unanimous election those of the whole electorate.
+// campaign requests votes from all members, or from the whole electorate in a unanimous election.
 func (n *Node) campaign(now time.Duration, kind campaignKind, unanimous bool) {
 	n.campaignedAt = now
 	if kind == preElection {
@@ -68,9 +69,9 @@
 	n.countVote(now, n.self.Name, true)
 }
 
-// requestVotes sends vote requests. Those of an election wait until the candidate's own vote is synced: a candidate that
-// restarts must not vote for another in the same term. A pre-vote promises nothing, and is for the term after the
-// present one.
+// requestVotes sends vote requests. In an election they wait until the candidate's own vote is synced, since after a
+// restart it must not vote for another candidate in the same term. A pre-vote makes no promise, so its requests are sent
+// immediately; they name the term after the current one.
 func (n *Node) requestVotes(kind campaignKind) {
 	preVote := kind == preElection
 	term := n.term
@@ -93,8 +94,9 @@
 	}
 }
 
-// countVote takes a vote in, or only a consent, and goes on once there are enough. A unanimous election needs a
-// majority's votes as well as all consents, and only the candidate with the best log goes on with it.
+// countVote records a vote, or with vote false only re-evaluates the campaign after a consent, and takes the next step once
+// there are enough. A unanimous election needs the votes of a majority and the consent of every member of the electorate,
+// and only the candidate that no other outranks continues it.
 func (n *Node) countVote(now time.Duration, name string, vote bool) {
 	if vote && !n.votes[name] {
 		n.votes[name], n.lastVoteAt = true, now
@@ -110,13 +112,13 @@
 	}
 }
 
-// hasAllConsents says whether every member, also of the list before an uncommitted change, has consented. A member that
-// the change removes counts, since it may be the leader that proposed it and may still decide.
+// hasAllConsents reports whether the whole electorate has consented. That includes a member removed by an uncommitted
+// change: it may be the leader that proposed the change and may still hold a lease.
 func (n *Node) hasAllConsents() bool {
 	return !slices.ContainsFunc(n.electorate, func(m wire.Member) bool { return !n.consents[m.Name] })
 }
 
-// handleVoteRequest answers a candidate or pre-candidate.
+// handleVoteRequest responds to a candidate or pre-candidate.
 func (n *Node) handleVoteRequest(now time.Duration, message *wire.Message) {
 	if n.isReplacedDisk(message) {
 		return
@@ -141,21 +143,21 @@
 		response.Vote.Granted = true
 		n.electionDeadline = now + tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread
 	}
-	// A follower is in a later term than any in which it led, so it can't decide any more, vote or no vote.
+	// A follower is in a later term than any in which it led, so it can't hold a lease, whether or not it grants the vote.
 	response.Vote.NoLeader = n.role == Follower
 	n.send(response, true)
 }
 
-// newVoteResponse answers a request without a vote, with this node's last entry.
+// newVoteResponse returns a response that grants no vote and states the last entry of this node's log.
 func (n *Node) newVoteResponse(m *wire.Message) *wire.Message {
 	lastTerm, _ := n.termAt(n.lastIndex())
 	return &wire.Message{Kind: wire.KindVote, To: m.From, Vote: &wire.Vote{PreVote: m.Vote.PreVote, Reply: true,
 		Unanimous: m.Vote.Unanimous, LastIndex: n.lastIndex(), LastTerm: lastTerm}}
 }
 
-// answerPreVote says whether this node would vote for the pre-candidate, and changes nothing. A vote carries the term
-// that the pre-candidate asked for; any other answer carries this node's term, or a pre-candidate of an earlier term
-// might never ask for a later one.
+// answerPreVote tells a pre-candidate whether this node would vote for it, and changes no state. A granted pre-vote carries
+// the term that was requested. A rejection carries this node's term, without which a pre-candidate in an earlier term
+// might never advance to a later one.
 func (n *Node) answerPreVote(now time.Duration, m, response *wire.Message) {
 	response.Vote.NoLeader = m.Vote.Unanimous && n.noLeaderContact(now) && len(n.unsyncedBatches) == 0
 	response.Vote.Granted = n.allowsElection(now, m.Vote) && n.isUpToDate(m.Vote) && m.Term > n.term
@@ -165,22 +167,22 @@
 	}
 }
 
-// isUpToDate says whether a candidate's log ends at least as late as this node's: with a vote from a majority it then
-// holds every committed entry (section 5.4.1 of the paper).
+// isUpToDate reports whether a candidate's log is at least as up to date as this node's. Since a majority checks this before
+// it votes, an elected leader holds every committed entry (section 5.4.1 of the Raft paper).
 func (n *Node) isUpToDate(request *wire.Vote) bool {
 	lastTerm, _ := n.termAt(n.lastIndex())
 	return request.LastTerm > lastTerm || request.LastTerm == lastTerm && request.LastIndex >= n.lastIndex()
 }
 
-// allowsElection says whether another leader may be elected as far as this node's promises go. Each acknowledgement of a
-// leader's message supports its lease, so candidates are rejected for longer than that lasts, unless the leader itself
-// asked for the election or every member consents to it.
+// allowsElection reports whether this node's support for a leader's lease permits the election of another leader. Each
+// acknowledgement of a leader's message supports its lease, so the node rejects candidates for longer than the lease lasts,
+// unless the leader itself requested the election or the election is unanimous.
 func (n *Node) allowsElection(now time.Duration, request *wire.Vote) bool {
 	leaseExpired := n.role != Leader && now-n.leaderContactAt >= tuning.ElectionTimeoutMin
 	return request.Transfer || leaseExpired || request.Unanimous && n.noLeaderContact(now)
 }
 
-// handleVoteResponse counts the answer of a member of the electorate.
+// handleVoteResponse counts the vote or consent of a member of the electorate.
 func (n *Node) handleVoteResponse(now time.Duration, message *wire.Message) {
 	response := message.Vote
 	campaigning := n.role == PreCandidate || n.role == Candidate
@@ -201,15 +203,15 @@
 	}
 }
 
-// isPreVoteOrConsent says whether a response is to this node's present pre-vote and supports it.
+// isPreVoteOrConsent reports whether a response grants this node's current pre-vote or consents to its election.
 func (n *Node) isPreVoteOrConsent(m *wire.Message) bool {
 	granted := m.Vote.Granted && m.Term == n.term+1
 	consents := m.Vote.NoLeader && m.Term <= n.term
 	return m.Vote.PreVote && (granted || consents)
 }
 
-// isOutrankedBy says whether another member is the better candidate: the one with the later log, then the one whose name
-// comes first. All members reach the same result, so just one of them goes on.
+// isOutrankedBy reports whether the sender of m is the preferred candidate: the one with the more up-to-date log, or with
+// equal logs the one whose name sorts first. All members agree on this order, so only one of them continues its campaign.
 func (n *Node) isOutrankedBy(m *wire.Message) bool {
 	lastTerm, _ := n.termAt(n.lastIndex())
 	return cmp.Or(
--- a/internal/controlplane/consensus/leadershiptransfer.go
+++ b/internal/controlplane/consensus/leadershiptransfer.go
@@ -1,4 +1,4 @@
-// This file is leadership transfer (section 3.10 of Ongaro's thesis, "Consensus: Bridging Theory and Practice").
+// Leadership transfer, as in section 3.10 of Ongaro's thesis, "Consensus: Bridging Theory and Practice".
 
 package consensus
 
@@ -9,18 +9,18 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// transferPatience is how long a leader that has handed over doesn't campaign itself: an election of its successor and a
-// second one, should the vote be split.
-const transferPatience = 4 * tuning.ElectionTimeoutMin
+// transferBackoff is how long a node doesn't campaign after it transferred leadership: time for the election of its
+// successor and for a second election after a split vote.
+const transferBackoff = 4 * tuning.ElectionTimeoutMin
 
-// TransferLeadership gives leadership up and asks the member with the longest log to campaign at once. It says whether
-// there was one; else this node leads on.
+// TransferLeadership steps down and asks the recently active member with the longest log to campaign immediately. It
+// returns false if there is no such member; this node then remains leader.
 func (n *Node) TransferLeadership(now time.Duration) bool {
 	return n.TransferLeadershipTo(now, tuning.LeaderLease, func(wire.Member) bool { return true })
 }
 
-// TransferLeadershipTo does the same among those members that are eligible and acknowledged a message that was sent less
-// than maxAckAge ago.
+// TransferLeadershipTo is TransferLeadership limited to eligible members that have acknowledged a message sent less than
+// maxAckAge ago.
 func (n *Node) TransferLeadershipTo(now, maxAckAge time.Duration, eligible func(wire.Member) bool) bool {
 	var successor *progress
 	for _, p := range n.sortedProgress() {
@@ -31,16 +31,16 @@
 	if n.role != Leader || successor == nil {
 		return false
 	}
-	// It no longer decides from here on, so the successor's election need not wait for the end of its lease.
+	// From here on this node makes no decisions, so the successor's election need not wait for its lease to expire.
 	n.stepDown(now)
-	n.electionDeadline = now + transferPatience
+	n.electionDeadline = now + transferBackoff
 	n.leaderMessageAt = n.electionDeadline
 	timeoutNow := &wire.Message{Kind: wire.KindVote, To: successor.member.Name, Vote: &wire.Vote{Transfer: true, Reply: true}}
 	n.send(timeoutNow, false)
 	return true
 }
 
-// handleTimeoutNow campaigns at once, as the leader has asked.
+// handleTimeoutNow starts a campaign immediately, at the leader's request.
 func (n *Node) handleTimeoutNow(now time.Duration, m *wire.Message) {
 	if m.Term == n.term && n.role == Follower && n.isSelfVoter() {
 		n.campaign(now, transferElection, false)
--- a/internal/controlplane/consensus/log.go
+++ b/internal/controlplane/consensus/log.go
@@ -1,4 +1,4 @@
-// This file is the replicated log: the entries after the snapshot, and the last ones before it.
+// The replicated log: the entries after the snapshot, and a tail of compacted entries before it.
 
 package consensus
 
@@ -12,12 +12,12 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// entryOverhead is about what an entry takes in a message beside its data, in bytes.
+// entryOverhead is the approximate encoded size of an entry in a message without its data, in bytes.
 const entryOverhead = 64
 
 func (n *Node) lastIndex() uint64 { return n.snapshot.Index + uint64(len(n.log)) }
 
-// termAt returns the term of an entry of the log, or of the snapshot's last entry.
+// termAt returns the term of the log entry at index, or of the snapshot's last entry; ok is false for any other index.
 func (n *Node) termAt(index uint64) (term uint64, ok bool) {
 	switch {
 	case index == n.snapshot.Index:
@@ -28,17 +28,18 @@
 	return n.entry(index).Term, true
 }
 
-// matchesTerm says whether the log holds an entry of that index and term. By the Log Matching property it then equals
-// every log that does, up to this entry.
+// matchesTerm reports whether the log holds an entry of that index and term. By the Log Matching property it then equals
+// every other log with such an entry, up to that entry.
 func (n *Node) matchesTerm(index, term uint64) bool {
 	found, ok := n.termAt(index)
 	return ok && found == term
 }
 
-// entry returns an entry after the snapshot, which must be there.
+// entry returns the entry at index, which must be in the log after the snapshot.
 func (n *Node) entry(index uint64) wire.Entry { return n.log[index-n.snapshot.Index-1] }
 
-// retainedEntry returns an entry that is still in memory, and the term of the one before it.
+// retainedEntry returns the entry at index, from the log or the compacted tail, and the term of the entry before it. ok is
+// false if either is no longer in memory.
 func (n *Node) retainedEntry(index uint64) (entry wire.Entry, prevTerm uint64, ok bool) {
 	if index > n.lastIndex() {
 		return wire.Entry{}, 0, false
@@ -47,7 +48,7 @@
 		prevTerm, _ = n.termAt(index - 1)
 		return n.entry(index), prevTerm, true
 	}
-	// The first entry of the tail can't be sent, since the term of the one before it is gone.
+	// The first entry of the tail can't be sent, since the term of the entry before it is no longer known.
 	first := n.snapshot.Index + 1 - uint64(len(n.compactedTail))
 	if index <= first {
 		return wire.Entry{}, 0, false
@@ -55,8 +56,9 @@
 	return n.compactedTail[index-first], n.compactedTail[index-first-1].Term, true
 }
 
-// lastIndexBeforeTerm returns the last index before the entries of a term that end at index, so that a leader goes back by
-// a term, not by an entry, at a time. Committed entries match every leader's and are not gone back over.
+// lastIndexBeforeTerm returns the index before the run of entries of the given term that ends at index, so that a leader
+// backtracks by whole terms instead of single entries. It doesn't go back past committed entries, which match every
+// leader's log.
 func (n *Node) lastIndexBeforeTerm(index, term uint64) uint64 {
 	for index > n.commit+1 && n.matchesTerm(index-1, term) {
 		index--
@@ -64,7 +66,7 @@
 	return index - 1
 }
 
-// entryBytes returns how much data the entries after one index, up to another, hold.
+// entryBytes returns the total data size, in bytes, of the entries after index after, up to and including upTo.
 func (n *Node) entryBytes(after, upTo uint64) (bytes int) {
 	for _, e := range n.log {
 		if e.Index > after && e.Index <= upTo {
@@ -74,24 +76,24 @@
 	return bytes
 }
 
-// UncommittedBytes returns how much data has been proposed and isn't committed yet.
+// UncommittedBytes returns the total data size, in bytes, of the entries that aren't known to be committed.
 func (n *Node) UncommittedBytes() int { return n.entryBytes(n.commit, n.lastIndex()) }
 
-// appendEntry adds an entry of this leader's term to its log and returns the index.
+// appendEntry appends an entry of the leader's current term to its log and returns its index.
 func (n *Node) appendEntry(now time.Duration, kind uint16, data []byte) (index uint64) {
 	entry := wire.Entry{Index: n.lastIndex() + 1, Term: n.term, Kind: kind, Data: data}
 	n.log = append(n.log, entry)
 	if kind == EntryMembers {
-		n.updateMembership() // a member list is in force from its entry on, committed or not
+		n.updateMembership() // a member list takes effect when it is appended, not when it is committed
 	}
 	n.persistBatch(now, &wire.Batch{Entries: []wire.Entry{entry}})
 	n.advanceCommit(now)
 	return entry.Index
 }
 
-// storeEntries adds those of a leader's entries that this follower lacks, and removes those that conflict with them. What
-// the log holds beyond a leader's entries stays, as long as nothing conflicts: the message may be late, and later ones
-// may have been acknowledged.
+// storeEntries appends those of the leader's entries that this follower lacks, and removes entries that conflict with them.
+// Without a conflict, log entries after the leader's stay: the message may be late, and this node may already have
+// acknowledged entries of later messages.
 func (n *Node) storeEntries(now time.Duration, entries []wire.Entry) {
 	known := 0
 	for known < len(entries) && n.matchesTerm(entries[known].Index, entries[known].Term) {
@@ -103,7 +105,7 @@
 	}
 	first := missing[0].Index
 	if first <= n.commit {
-		panic(errors.AssertionFailedf("%s: committed entry %d would be overwritten", n.self.Name, first))
+		panic(errors.AssertionFailedf("node %s: append would overwrite committed entry %d (commit index %d)", n.self.Name, first, n.commit))
 	}
 	batch := &wire.Batch{Entries: missing}
 	if first <= n.lastIndex() {
@@ -116,8 +118,8 @@
 	n.persistBatch(now, batch)
 }
 
-// retainTail keeps the last of the entries that a snapshot replaces in memory, up to tuning.LogTailBytes: a member that is
-// a little behind, or was while a snapshot went to it, goes on from them and needs no other snapshot.
+// retainTail keeps the most recent compacted entries in memory, up to tuning.LogTailBytes. A member that is slightly behind,
+// or fell behind while it received a snapshot, is sent these entries and needs no further snapshot.
 func (n *Node) retainTail(compacted []wire.Entry) {
 	n.compactedTail = append(slices.Clone(n.compactedTail), compacted...)
 	size, first := 0, len(n.compactedTail)
--- a/internal/controlplane/consensus/membership.go
+++ b/internal/controlplane/consensus/membership.go
@@ -1,5 +1,5 @@
-// This file is the membership: who votes, who learns, and changes by one member at a time (chapter 4 of Ongaro's thesis,
-// "Consensus: Bridging Theory and Practice").
+// Cluster membership: voters, learners, and changes by one member at a time, as in chapter 4 of Ongaro's thesis,
+// "Consensus: Bridging Theory and Practice".
 
 package consensus
 
@@ -14,22 +14,23 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// isVacant says whether an entry of the member list is kept for a member to come. It counts towards the size of a majority.
+// isVacant reports whether an entry of the member list is a placeholder for a future member. Such an entry has no vote but
+// counts towards the size of a majority.
 func isVacant(member wire.Member) bool { return member.Disk == 0 }
 
-// Members returns the latest member list in the log, committed or not, with its vacant entries.
+// Members returns the latest member list in the log, committed or not, including vacant entries.
 func (n *Node) Members() []wire.Member { return slices.Clone(n.members) }
 
-// decodeMembers reads an entry of kind EntryMembers. One from disk has passed PersistentState.Validate, one from a leader
-// has passed validateEntries.
+// decodeMembers decodes an entry of kind EntryMembers. It panics on malformed data, which PersistentState.Validate and
+// validateEntries have ruled out for entries from disk and from a leader.
 func decodeMembers(entry wire.Entry) (members []wire.Member) {
 	if err := json.Unmarshal(entry.Data, &members); err != nil {
-		panic(errors.Wrapf(err, "members entry %d", entry.Index))
+		panic(errors.Wrapf(err, "decode membership change entry %d", entry.Index))
 	}
 	return members
 }
 
-// membersAt returns the member list in force at an index after the snapshot.
+// membersAt returns the member list in effect at index, which must not be before the snapshot.
 func (n *Node) membersAt(index uint64) []wire.Member {
 	members := n.snapshot.Members
 	for _, e := range n.log {
@@ -40,8 +41,8 @@
 	return members
 }
 
-// updateMembership takes the member list from the log. It is in force from its entry on, committed or not; if that entry
-// is truncated, the list before is in force again.
+// updateMembership derives the member list from the log. A list takes effect when its entry is appended, committed or not;
+// if that entry is truncated, the previous list takes effect again.
 func (n *Node) updateMembership() {
 	var previous []wire.Member
 	n.members = n.snapshot.Members
@@ -63,8 +64,8 @@
 	}
 }
 
-// updateProgress has the leader replicate to all members of the list. Who has been removed goes on as a learner, until
-// RetainLearners ends that.
+// updateProgress makes the leader replicate to all members of the list. A removed member continues as a learner until
+// RetainLearners drops it.
 func (n *Node) updateProgress() {
 	for _, p := range n.progress {
 		p.voter = slices.Contains(n.members, p.member)
@@ -86,54 +87,55 @@
 	return slices.ContainsFunc(n.members, func(m wire.Member) bool { return m.Name == name })
 }
 
-// isReplacedDisk says whether the sender has a member's name and another disk: it may have forgotten its votes.
+// isReplacedDisk reports whether the sender has the name of a member but another disk. It may have lost its record of votes.
 func (n *Node) isReplacedDisk(m *wire.Message) bool {
 	return slices.ContainsFunc(n.members, func(member wire.Member) bool { return member.Name == m.From && member.Disk != m.Disk })
 }
 
-// AddLearner has the leader replicate to a daemon that has no vote. A member's name can't learn beside the member.
+// AddLearner makes the leader replicate to a learner, which has no vote. It does nothing on other nodes, or if a member has
+// the learner's name.
 func (n *Node) AddLearner(learner wire.Member) {
 	if n.role == Leader && n.progressOf(learner) == nil && !n.isVoterName(learner.Name) {
 		n.progress[learner.Name] = n.newProgress(learner, false)
 	}
 }
 
-// RetainLearners ends the replication to those learners that are not to be kept.
+// RetainLearners stops the replication to all learners for which keep returns false.
 func (n *Node) RetainLearners(keep func(wire.Member) bool) {
 	maps.DeleteFunc(n.progress, func(_ string, p *progress) bool { return !p.voter && !keep(p.member) })
 }
 
-// Removed says whether a committed member list doesn't have this node.
+// Removed reports whether the committed member list excludes this node.
 func (n *Node) Removed() bool { return !n.isSelfVoter() && !n.hasUncommittedChange() }
 
-// hasUncommittedChange says whether a membership change is in the log and not known to be committed.
+// hasUncommittedChange reports whether the log holds a membership change that isn't known to be committed.
 func (n *Node) hasUncommittedChange() bool {
 	return slices.ContainsFunc(n.log, func(e wire.Entry) bool { return e.Kind == EntryMembers && e.Index > n.commit })
 }
 
-// CanChangeMembers says whether this node may propose a membership change. No other may be uncommitted, since majorities
-// of two lists that differ by two need not share a member. And the leader must have committed an entry of its own
-// term: until then a change by an earlier leader may be uncommitted elsewhere.
+// CanChangeMembers reports whether this node may propose a membership change. There must be no uncommitted change, since
+// majorities of two lists that differ by two members need not overlap. The leader must also have committed an entry of its
+// own term: until then another node may hold an uncommitted change of an earlier leader.
 func (n *Node) CanChangeMembers() bool {
 	return n.role == Leader && n.commit >= n.termStartIndex && !n.hasUncommittedChange()
 }
 
-// ProposeMembers proposes a member list that differs from the present one by one member. It may only be called while
-// CanChangeMembers says so.
+// ProposeMembers proposes a member list that differs from the current one by exactly one member. It panics if the lists
+// differ otherwise or CanChangeMembers is false.
 func (n *Node) ProposeMembers(now time.Duration, members []wire.Member) {
 	difference := countMissing(members, n.members) + countMissing(n.members, members)
 	if difference != 1 || !n.CanChangeMembers() {
-		panic(errors.AssertionFailedf("membership change by %d, may be proposed: %v", difference, n.CanChangeMembers()))
+		panic(errors.AssertionFailedf("node %s: invalid membership change: lists differ by %d entries, CanChangeMembers is %v", n.self.Name, difference, n.CanChangeMembers()))
 	}
 	data, err := json.Marshal(members)
 	if err != nil {
-		panic(errors.Wrap(err, "members entry"))
+		panic(errors.Wrap(err, "encode membership change"))
 	}
 	n.appendEntry(now, EntryMembers, data)
 	n.replicate(now, false)
 }
 
-// countMissing returns how many of the members are not among the others.
+// countMissing returns the number of members that others doesn't contain.
 func countMissing(members, others []wire.Member) (count int) {
 	for _, member := range members {
 		if !slices.Contains(others, member) {
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -1,27 +1,27 @@
-// Package consensus is Raft as one pure state machine: elections with a pre-vote, log replication, leader leases,
-// snapshots that travel in chunks, membership changes by one member, and leadership transfer. The paper is Ongaro and
-// Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014).
+// Package consensus implements Raft as a deterministic state machine: elections with pre-vote, log replication, leader
+// leases, chunked snapshot transfer, single-member membership changes, and leadership transfer. It follows Ongaro and
+// Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), the Raft paper.
 //
 // A Node reads no clock, draws no random numbers and does no I/O. Its caller, package controlplane, passes in the time
-// (Tick), messages of other members (Step) and finished syncs (Advance), and takes from Ready what is to be sent, synced
-// and applied. Messages that depend on a sync wait in the node until Advance reports it. What the package doesn't do:
-// it opens no connections and files, it doesn't bootstrap a cluster (an epoch's first members come in a snapshot), it
-// decides on no membership change, and it doesn't know what the data of an entry means.
+// (Tick), messages of other members (Step) and completed syncs (Advance), and takes from Ready what to send, sync and
+// apply. Messages that depend on a sync are held in the node until Advance reports that sync. The package doesn't open
+// connections or files, bootstrap a cluster (the first members of an epoch come in a snapshot), decide on membership
+// changes, or interpret the data of entries.
 //
-// It differs from the paper in three points:
+// It differs from the paper in three ways:
 //
-//   - Lease. A leader may decide only while HasLease holds: a majority acknowledged messages sent within
-//     tuning.LeaderLease, and its own disk keeps up. Members that had contact with a leader reject every candidate for
-//     tuning.ElectionTimeoutMin, which is longer, so two leaders never decide at once.
-//   - Identity. A member is its name and its disk. One that lost its disk is another member: it may have forgotten its
-//     votes, so it learns first and votes once it has been added again.
-//   - Unanimous election. Nobody has to wait for the end of a lease where every single member answers and has no
-//     contact with a leader, as after a start of them all. A candidate of such an election leads only once each member,
-//     including those of the list before an uncommitted change, has its term on disk. A member that has can lead in no
-//     earlier term any more, so nobody else is left who may decide.
+//   - Leader lease. A leader may make decisions only while HasLease is true: a majority has acknowledged messages sent
+//     within tuning.LeaderLease, and its own disk isn't stalled. Members that had contact with a leader reject every
+//     candidate for tuning.ElectionTimeoutMin, which is longer, so two leaders never make decisions at the same time.
+//   - Identity. A member is identified by its name and its disk. A node that lost its disk is a different member: it may
+//     have forgotten its votes, so it joins as a learner and votes only after it has been added again.
+//   - Unanimous election. The wait for leases to expire is skipped if every member answers and has no contact with a
+//     leader, for example after all members were restarted. The candidate becomes leader only once every member,
+//     including those of the list before an uncommitted change, has the candidate's term on disk. None of them can lead
+//     in an earlier term after that, so no other leader can still make decisions.
 //
-// Begin reading at Node.Tick and Node.Step in this file; elections are in election.go, the leader's side of
-// replication in replication.go, the follower's in append.go.
+// Start reading at Node.Tick and Node.Step in this file. Elections are in election.go, the leader side of replication in
+// replication.go and the follower side in append.go.
 package consensus
 
 import (
@@ -34,81 +34,81 @@
 
 // The kinds of log entries, in wire.Entry.Kind.
 const (
-	// EntryNoop begins a leader's term.
+	// EntryNoop is the first entry of a leader's term. It has no data.
 	EntryNoop uint16 = iota
 	// EntryMembers is a membership change; its data is the new list of wire.Member as JSON.
 	EntryMembers
-	// EntryData is a command of the state machine, which this package doesn't look into.
+	// EntryData is a command for the state machine; this package doesn't interpret its data.
 	EntryData
 )
 
-// never is a time before all others, for what has not happened yet.
+// never is the time of an event that hasn't happened yet. It is before all other times.
 const never time.Duration = -1 << 62
 
-// Ready is what the steps since the last Ready left to do. Batches and messages are independent of each other, since
-// the node keeps back messages that depend on a sync. A snapshot is restored before entries are applied.
+// Ready is the output of the node since the last call of Node.Ready. Batches and messages may be handled in any order
+// relative to each other, since the node holds back messages that depend on a sync. A snapshot must be restored before
+// entries are applied.
 type Ready struct {
-	// Batches are to be written and synced in this order, and then to be reported to Advance.
+	// Batches must be written and synced in this order, and then reported to Advance.
 	Batches []*wire.Batch
-	// Messages are to be sent now, in this order. Any of them may be lost.
+	// Messages must be sent now, in this order. Any of them may be lost.
 	Messages []*wire.Message
-	// CommittedEntries are to be applied to the state machine, in this order.
+	// CommittedEntries must be applied to the state machine in this order.
 	CommittedEntries []wire.Entry
-	// Snapshot replaces the state machine's state, if it is not nil.
+	// Snapshot replaces the state machine's state; nil if there is none to restore.
 	Snapshot *wire.Snapshot
-	// Rejected are messages that were dropped, for the log.
+	// Rejected lists the messages that failed validation and were dropped, for logging.
 	Rejected []Rejection
 }
 
-// Node is one member of the cluster, or a learner. All its methods are for one goroutine.
+// Node is a member of the cluster or a learner. It is not safe for concurrent use.
 type Node struct {
 	self  wire.Member
 	epoch uint64
 
-	// The persistent state: it counts as promised to others only once its batches are synced.
+	// The persistent state. The node sends no message that depends on a change here until the batch with it is synced.
 	term     uint64
-	vote     string // the candidate that got this node's vote in term, "" for none
+	vote     string // the candidate that this node voted for in term, "" for none
 	snapshot wire.Snapshot
 	log      []wire.Entry // the entries after the snapshot
 
-	compactedTail []wire.Entry   // the last entries that the snapshot replaced, for members a little behind; in memory only
-	receiver      *chunkReceiver // a snapshot or large entry that arrives in chunks
+	compactedTail []wire.Entry   // the last entries before the snapshot, for members slightly behind; in memory only
+	receiver      *chunkReceiver // the snapshot or large entry being received in chunks, nil if none
 	commit        uint64         // index of the last entry known to be committed
-	applied       uint64         // index of the last entry handed over in Ready
+	applied       uint64         // index of the last entry returned in Ready
 	stable        uint64         // index of the last entry that this node's disk has synced
 
 	members    []wire.Member // the latest list in the log, committed or not, as Raft requires
-	electorate []wire.Member // members, and those before the last change if that may be uncommitted; without vacant entries
+	electorate []wire.Member // members, plus those of the list before the log's last change; without vacant entries
 
 	role             Role
-	roleSince        time.Duration
-	leader           string        // the leader that the node follows or is, "" for none
-	leaderContactAt  time.Duration // when the node accepted a leader's message last; its start counts as one
-	leaderMessageAt  time.Duration // when any leader's message came last since the start, also of an earlier term
-	electionDeadline time.Duration
-
-	votes        map[string]bool // the members that voted for this node in its campaign
-	consents     map[string]bool // the members without contact to a leader, in a unanimous election
-	unanimous    bool            // the campaign is a unanimous election
-	outranked    bool            // in a unanimous election: another member is to campaign instead
-	campaignedAt time.Duration
-	lastVoteAt   time.Duration // when the campaign got its last vote
-
-	progress       map[string]*progress // of a leader: the other members and the learners, by name
-	heartbeatAt    time.Duration
-	termStartIndex uint64 // index of the no-op entry that began this leader's term
-
-	batchSeq        uint64 // number of the last batch
-	hardStateSeq    uint64 // number of the last batch with term and vote
-	unsyncedBatches []unsyncedBatch
-	pendingMessages []pendingMessage
+	roleSince        time.Duration // when the node last changed role, or restarted a campaign
+	leader           string        // name of the leader, possibly this node; "" if unknown
+	leaderContactAt  time.Duration // when the node last accepted a leader's message; its start counts as contact
+	leaderMessageAt  time.Duration // when the node last received any leader's message, even of an earlier term; never if none since its start
+	electionDeadline time.Duration // when a node without contact to a leader starts a pre-vote
+
+	votes        map[string]bool // members that voted for this node in its current campaign
+	consents     map[string]bool // in a unanimous election: members that reported no contact with a leader
+	unanimous    bool            // whether the current campaign is a unanimous election
+	outranked    bool            // in a unanimous election: whether another member is the preferred candidate
+	campaignedAt time.Duration   // when the last campaign began
+	lastVoteAt   time.Duration   // when the current campaign received its last vote
+
+	progress       map[string]*progress // on a leader: replication state of the other members and the learners, by name
+	heartbeatAt    time.Duration        // on a leader: when it last sent heartbeats
+	termStartIndex uint64               // on a leader: index of the no-op entry that began its term
+
+	batchSeq        uint64           // sequence number of the last batch
+	hardStateSeq    uint64           // sequence number of the last batch with term and vote
+	unsyncedBatches []unsyncedBatch  // in order of their sequence numbers
+	pendingMessages []pendingMessage // messages that wait for a sync, in order
 
 	ready Ready
 }
 
-// New starts a node of the given name from what its disk holds, which must have passed Validate. The start counts as
-// contact with a leader, since the node may have acknowledged a leader's message, and so supported its lease, right
-// before it stopped.
+// New starts the node named self from the state on its disk, which must have passed Validate. The start counts as contact
+// with a leader: just before it stopped, the node may have acknowledged a leader's message and thereby supported its lease.
 func New(now time.Duration, self string, state PersistentState) *Node {
 	node := &Node{
 		self:            wire.Member{Name: self, Disk: state.Disk},
@@ -129,44 +129,44 @@
 	return node
 }
 
-// Epoch returns the cluster's epoch, which counts its bootstraps.
+// Epoch returns the cluster's epoch, the number of times it has been bootstrapped.
 func (n *Node) Epoch() uint64 { return n.epoch }
 
-// Term returns the latest term that the node knows.
+// Term returns the latest term known to the node.
 func (n *Node) Term() uint64 { return n.term }
 
-// Vote returns the candidate that this node voted for in its present term, "" for none.
+// Vote returns the candidate that this node voted for in its current term, "" for none.
 func (n *Node) Vote() string { return n.vote }
 
-// Role returns the node's role in its term.
+// Role returns the node's role in its current term.
 func (n *Node) Role() Role { return n.role }
 
-// RoleSince returns when the node last took a role, by its own clock.
+// RoleSince returns when the node last changed role or restarted a campaign, by its own clock.
 func (n *Node) RoleSince() time.Duration { return n.roleSince }
 
-// Leader names the leader that the node follows or is, "" if it knows none.
+// Leader returns the name of the current leader, which may be this node, or "" if the leader is unknown.
 func (n *Node) Leader() string { return n.leader }
 
-// Commit returns the index of the last entry that the node knows to be committed.
+// Commit returns the index of the last entry known to be committed.
 func (n *Node) Commit() uint64 { return n.commit }
 
 // LastIndex returns the index of the last entry of the node's log.
 func (n *Node) LastIndex() uint64 { return n.lastIndex() }
 
-// Log returns the entries after the snapshot. The caller must not change them.
+// Log returns the entries after the snapshot. The caller must not modify them.
 func (n *Node) Log() []wire.Entry { return n.log }
 
-// Snapshot returns the latest snapshot, which the log continues. The caller must not change it.
+// Snapshot returns the latest snapshot. The caller must not modify it.
 func (n *Node) Snapshot() *wire.Snapshot { return &n.snapshot }
 
-// Ready hands over what there is to do, and empties it.
+// Ready returns the pending output and clears it.
 func (n *Node) Ready() Ready {
 	ready := n.ready
 	n.ready = Ready{}
 	return ready
 }
 
-// Tick reports the time. It is to be called every tuning.TickEvery.
+// Tick advances the node's time to now. It must be called every tuning.TickEvery.
 func (n *Node) Tick(now time.Duration) {
 	if n.role == Leader {
 		n.tickHeartbeat(now)
@@ -175,8 +175,8 @@
 	}
 }
 
-// Step takes a vote or append message in. One of another epoch is ignored; one that no correct member can have sent is
-// dropped and reported in Ready.Rejected.
+// Step processes a vote or append message. Messages of another epoch are ignored. Messages that no correct member can have
+// sent are dropped and reported in Ready.Rejected.
 func (n *Node) Step(now time.Duration, message *wire.Message) {
 	if message.Epoch != n.epoch {
 		return
@@ -199,7 +199,8 @@
 	}
 }
 
-// tickHeartbeat sends a leader's heartbeats, and has it step down once a majority or its own disk has been silent.
+// tickHeartbeat sends the leader's heartbeats when they are due. The leader steps down if its disk is stalled or it has lost
+// contact with a majority for tuning.ElectionTimeoutMin.
 func (n *Node) tickHeartbeat(now time.Duration) {
 	majorityContactAt := max(n.majorityAckedAt(now), n.roleSince)
 	if n.DiskStalled(now) || now-majorityContactAt > tuning.ElectionTimeoutMin {
--- a/internal/controlplane/consensus/persistence.go
+++ b/internal/controlplane/consensus/persistence.go
@@ -1,4 +1,4 @@
-// This file numbers the batches that are to be synced, and keeps messages back until what they promise is on disk.
+// Sequence numbers of batches, and messages that are held back until the state they depend on is on disk.
 
 package consensus
 
@@ -10,28 +10,28 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// unsyncedBatch is a batch that Advance hasn't reported yet.
+// unsyncedBatch is a batch whose sync Advance hasn't reported yet.
 type unsyncedBatch struct {
 	seq       uint64
 	queuedAt  time.Duration
-	lastIndex uint64 // of the log as the batch leaves it; lowered if entries are truncated before it is synced
+	lastIndex uint64 // last index of the log after the batch; lowered if entries are truncated before it is synced
 }
 
-// pendingMessage is a message that waits until the batch seq is synced.
+// pendingMessage is a message that is held back until batch seq is synced.
 type pendingMessage struct {
 	seq     uint64
 	message *wire.Message
 }
 
-// Persist numbers a batch of the caller's own, which changes nothing for the node, and has it synced in order with the
-// node's batches. It returns the number, which Advance reports.
+// Persist queues a batch of the caller for syncing, in order with the node's own batches. The batch must not affect the
+// node's state. Persist returns its sequence number, up to which Advance later reports batches as synced.
 func (n *Node) Persist(now time.Duration, batch *wire.Batch) (seq uint64) {
 	n.persistBatch(now, batch)
 	return n.batchSeq
 }
 
-// Advance reports that all batches up to seq are synced: their entries count as acknowledged by this node, and the
-// messages that waited for them are sent.
+// Advance reports that all batches up to seq are synced. Their entries then count towards this node's own acknowledgement,
+// and messages that waited for these batches are released.
 func (n *Node) Advance(now time.Duration, seq uint64) {
 	for len(n.unsyncedBatches) > 0 && n.unsyncedBatches[0].seq <= seq {
 		n.stable = max(n.stable, min(n.unsyncedBatches[0].lastIndex, n.lastIndex()))
@@ -47,7 +47,7 @@
 	n.advanceCommit(now)
 }
 
-// DiskStalled says whether a sync has taken longer than tuning.SyncStall.
+// DiskStalled reports whether the oldest unsynced batch has waited longer than tuning.SyncStall.
 func (n *Node) DiskStalled(now time.Duration) bool {
 	return len(n.unsyncedBatches) > 0 && now-n.unsyncedBatches[0].queuedAt > tuning.SyncStall
 }
@@ -59,19 +59,19 @@
 	n.ready.Batches = append(n.ready.Batches, batch)
 }
 
-// persistHardState has term and vote synced.
+// persistHardState queues a batch with the term and vote.
 func (n *Node) persistHardState(now time.Duration) {
 	n.persistBatch(now, &wire.Batch{HasHardState: true, Term: n.term, Vote: n.vote})
 	n.hardStateSeq = n.batchSeq
 }
 
-// hardStateUnsynced says whether the present term may not be on disk yet.
+// hardStateUnsynced reports whether the current term and vote may not be on disk yet.
 func (n *Node) hardStateUnsynced() bool {
 	return len(n.unsyncedBatches) > 0 && n.unsyncedBatches[0].seq <= n.hardStateSeq
 }
 
-// truncateUnsynced notes that the log has been cut after lastIndex, so that a later sync of what was there before isn't
-// counted for entries that have taken its place.
+// truncateUnsynced records that the log was truncated after lastIndex, so that a later sync of the removed entries isn't
+// counted for the entries that replace them.
 func (n *Node) truncateUnsynced(lastIndex uint64) {
 	n.stable = min(n.stable, lastIndex)
 	for i := range n.unsyncedBatches {
@@ -79,7 +79,8 @@
 	}
 }
 
-// send sends a message in this node's name; with afterSync it waits until all batches so far are synced.
+// send completes a message with this node's name, disk, epoch and term, and sends it. With afterSync the message is held
+// back until all batches queued so far are synced.
 func (n *Node) send(m *wire.Message, afterSync bool) {
 	m.From, m.Disk, m.Epoch, m.Term = n.self.Name, n.self.Disk, n.epoch, n.term
 	if !afterSync || len(n.unsyncedBatches) == 0 {
@@ -87,7 +88,7 @@
 		return
 	}
 	if len(n.pendingMessages) >= tuning.SendQueue {
-		return // as if it was lost: the other side repeats its request
+		return // drop it, as the network may; the sender of the request repeats it
 	}
 	n.pendingMessages = append(n.pendingMessages, pendingMessage{n.batchSeq, m})
 }
--- a/internal/controlplane/consensus/persistentstate.go
+++ b/internal/controlplane/consensus/persistentstate.go
@@ -1,4 +1,4 @@
-// This file is what a member's disk holds.
+// The state that a member stores on disk.
 
 package consensus
 
@@ -11,29 +11,30 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// PersistentState is what a disk holds: all its batches applied in order. To Raft's term, vote, log and snapshot it adds
-// what the control plane needs to bootstrap and to recover a cluster.
+// PersistentState is the state on a disk: the result of applying all its batches in order. Besides Raft's term, vote, log
+// and snapshot it holds what the control plane needs to bootstrap and to recover a cluster.
 type PersistentState struct {
-	// Epoch counts the cluster's bootstraps.
+	// Epoch is the number of times the cluster has been bootstrapped.
 	Epoch uint64
-	// Disk is the disk's own number, 0 if it has none yet.
+	// Disk is the disk's identifying number, 0 if none has been assigned yet.
 	Disk uint64
-	// Term is the latest term that the member has been in, and Vote the candidate that got its vote there, "" for none.
+	// Term is the latest term of the member, and Vote the candidate that it voted for in that term, "" for none.
 	Term uint64
 	Vote string
-	// Snapshot replaces the log's entries up to Snapshot.Index; Log holds those after it.
+	// Snapshot replaces the log's entries up to Snapshot.Index; Log holds the entries after it.
 	Snapshot wire.Snapshot
 	Log      []wire.Entry
-	// BootstrapLock is the bootstrap offer that the disk is bound to, 0 for none. Founders and BootstrapEpoch are
-	// the members and the epoch that it stands for.
+	// BootstrapLock is the bootstrap offer that the disk is committed to, 0 for none. Founders and BootstrapEpoch are
+	// the members and the epoch of that offer.
 	BootstrapLock uint64
-	// RecoveredState is state that is remembered for recovery from a disaster.
+	// RecoveredState is encoded state that is kept for disaster recovery, empty if there is none.
 	RecoveredState []byte
 	Founders       []wire.Member
 	BootstrapEpoch uint64
 }
 
-// ApplyBatch applies the next batch. Entries and lists that were handed out before are not changed.
+// ApplyBatch applies the next batch. It doesn't modify entries or lists in place, so copies of the state made earlier stay
+// valid.
 func (s *PersistentState) ApplyBatch(batch *wire.Batch) {
 	if batch.Reset {
 		*s = PersistentState{Disk: s.Disk}
@@ -67,7 +68,8 @@
 	s.Log = slices.DeleteFunc(slices.Clone(s.Log), func(e wire.Entry) bool { return remove(e.Index) })
 }
 
-// Checkpoint returns the state as one batch that replaces all before it, with which a file of the write-ahead log begins.
+// Checkpoint returns the whole state as one batch that replaces all earlier ones. Each segment of the write-ahead log begins
+// with such a batch.
 func (s *PersistentState) Checkpoint() *wire.Batch {
 	return &wire.Batch{
 		Reset:          true,
@@ -85,8 +87,8 @@
 	}
 }
 
-// Validate checks that a node can start from a state: its log has no gap, follows the snapshot, and its member lists can be
-// decoded.
+// Validate checks that a node can start from the state: the log directly follows the snapshot, has no gaps, and its member
+// lists can be decoded. The API's status of a member shows the error's text.
 func (s *PersistentState) Validate() error {
 	next := s.Snapshot.Index + 1
 	for _, e := range s.Log {
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -1,4 +1,4 @@
-// This file is what a leader knows of each member and learner, and how it reports that.
+// The leader's view of the replication to each member and learner.
 
 package consensus
 
@@ -12,25 +12,26 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// progress is what a leader knows of another member, or of a learner.
+// progress is a leader's record of the replication to another member or a learner.
 type progress struct {
 	member    wire.Member
-	voter     bool          // else a learner
+	voter     bool          // false for a learner
 	next      uint64        // index of the next entry to send
-	match     uint64        // index of the last entry that it is known to have on disk
-	ackedAt   time.Duration // when the latest message was sent that it has answered, by the leader's clock
-	inflight  []sentEntries // sent and not acknowledged, in order
+	match     uint64        // index of the last entry that the member is known to have on disk
+	ackedAt   time.Duration // when the leader sent the latest message that the member has answered, by the leader's clock; never if none
+	inflight  []sentEntries // entries sent and not yet acknowledged, in order
 	rewoundAt time.Duration // when next was last set back after a loss
-	chunks    *chunkSender  // what goes to it in chunks, nil if nothing does
+	chunks    *chunkSender  // the chunked transfer in progress, nil if none
 }
 
-// sentEntries are the entries of one message.
+// sentEntries describes the entries of one message in flight.
 type sentEntries struct {
 	lastIndex uint64
 	bytes     int
 }
 
-// newProgress begins with what the leader has itself, which the first rejection corrects.
+// newProgress returns the initial progress of a member. It assumes that the member has all entries of the leader; the
+// member's first rejection corrects that.
 func (n *Node) newProgress(member wire.Member, voter bool) *progress {
 	return &progress{member: member, voter: voter, next: n.lastIndex() + 1, ackedAt: never}
 }
@@ -42,7 +43,7 @@
 	return bytes
 }
 
-// acknowledge notes that a member has all entries up to match on disk.
+// acknowledge records that the member has all entries up to match on disk.
 func (p *progress) acknowledge(match uint64) {
 	p.match = max(p.match, match)
 	p.next = max(p.next, p.match+1)
@@ -52,9 +53,10 @@
 	}
 }
 
-// rewind sends entries again from where a member says that its log ends. A response to a message that was sent before the
-// last rewind reports the same loss and changes nothing. Nor does one while a snapshot is sent: its receiver has no
-// such entry until it is installed.
+// rewind restarts sending after lastIndex, which a rejection reported as the end of the member's matching log. sentAt is
+// when the rejected message was sent: if that was before the last rewind, the rejection reports the same loss and is
+// ignored. Rejections are also ignored during a snapshot transfer, since the member lacks the entry at PrevIndex until it
+// has installed the snapshot.
 func (p *progress) rewind(now time.Duration, lastIndex uint64, sentAt time.Duration) {
 	if sentAt < p.rewoundAt || p.chunks != nil && !p.chunks.content.IsEntry {
 		return
@@ -63,31 +65,32 @@
 	p.next = max(p.match+1, min(p.next, lastIndex+1))
 }
 
-// recentlyActive says whether the leader's lease may count on the member.
+// recentlyActive reports whether the member has answered a message sent within tuning.LeaderLease.
 func (p *progress) recentlyActive(now time.Duration) bool { return now-p.ackedAt < tuning.LeaderLease }
 
-// sortedProgress returns the progress of all members and learners by name: messages leave in the same order in equal runs.
+// sortedProgress returns the progress of all members and learners, sorted by name so that messages are sent in a
+// deterministic order.
 func (n *Node) sortedProgress() []*progress {
 	return slices.SortedFunc(maps.Values(n.progress), func(a, b *progress) int { return cmp.Compare(a.member.Name, b.member.Name) })
 }
 
-// ReplicaProgress is how far a member or learner is, as its leader knows.
+// ReplicaProgress describes the replication to a member or learner, as known to the leader.
 type ReplicaProgress struct {
 	Member wire.Member
-	Voter  bool // else a learner
-	// Match is the index of the last entry that it is known to have on disk.
+	Voter  bool // false for a learner
+	// Match is the index of the last entry that the member is known to have on disk.
 	Match uint64
-	// AckedAt is when the leader sent the latest message that was answered, by the leader's clock; 0 if none was
-	// in this term.
+	// AckedAt is when the leader sent the latest message that the member has answered, by the leader's clock; 0 if the
+	// member has answered none in this term.
 	AckedAt time.Duration
-	// RecentlyActive says whether that was within tuning.LeaderLease.
+	// RecentlyActive reports whether AckedAt is within tuning.LeaderLease.
 	RecentlyActive bool
-	// NeedsSnapshot says whether it lacks entries that the leader no longer holds.
+	// NeedsSnapshot reports whether the member lacks entries that the leader no longer holds.
 	NeedsSnapshot bool
 }
 
-// Progress lists the leader itself and all members and learners that it replicates to, by name after the leader. It is
-// empty at any other node.
+// Progress returns the replication progress of the leader itself, followed by that of all members and learners that it
+// replicates to, sorted by name. It returns nil if this node isn't the leader.
 func (n *Node) Progress(now time.Duration) []ReplicaProgress {
 	if n.role != Leader {
 		return nil
@@ -111,7 +114,7 @@
 	return !retained && p.match < n.lastIndex()
 }
 
-// progressOf returns the progress of a member or learner on the disk that it is known by, nil if there is none.
+// progressOf returns the progress of the member or learner with that name and disk, or nil if there is none.
 func (n *Node) progressOf(member wire.Member) *progress {
 	if p := n.progress[member.Name]; p != nil && p.member == member {
 		return p
@@ -119,20 +122,21 @@
 	return nil
 }
 
-// RecentlyActive says whether a member or learner has answered within tuning.LeaderLease. The leader itself always has.
+// RecentlyActive reports whether a member or learner has answered a message sent within tuning.LeaderLease. It is always
+// true for the node itself.
 func (n *Node) RecentlyActive(now time.Duration, member wire.Member) bool {
 	p := n.progressOf(member)
 	return member == n.self || p != nil && p.recentlyActive(now)
 }
 
-// CaughtUp says whether a member or learner answers and holds all that is committed, but for tuning.LearnerLag entries,
-// which a growing log always has in flight.
+// CaughtUp reports whether a member or learner is recently active and lacks at most tuning.LearnerLag committed entries,
+// since some entries are always in flight while the log grows.
 func (n *Node) CaughtUp(now time.Duration, member wire.Member) bool {
 	match, ok := n.Match(member)
 	return ok && match > 0 && match+tuning.LearnerLag >= n.commit && n.RecentlyActive(now, member)
 }
 
-// Match returns the index of the last entry that a member or learner is known to have on disk; ok is false if this node
+// Match returns the index of the last entry that a member or learner is known to have on disk. ok is false if this node
 // doesn't replicate to it.
 func (n *Node) Match(member wire.Member) (index uint64, ok bool) {
 	p := n.progressOf(member)
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -1,4 +1,4 @@
-// This file is the arithmetic of majorities.
+// Quorum calculations.
 
 package consensus
 
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// majorityValue returns the largest value that a majority of the members has reached. The node itself has reached own; a
-// member that no progress is known of, such as a vacant entry of the list, has reached unknown.
+// majorityValue returns the largest value that a majority of the members has reached. The value of the node itself is own.
+// Members without progress, such as vacant entries of the list, count with the value unknown.
 func majorityValue[T cmp.Ordered](node *Node, own, unknown T, reached func(*progress) T) T {
 	if len(node.members) == 0 {
 		return unknown
@@ -27,5 +27,5 @@
 	return values[(len(values)-1)/2]
 }
 
-// hasMajority says whether so many members are a majority.
+// hasMajority reports whether count members are a majority.
 func (n *Node) hasMajority(count int) bool { return 2*count > len(n.members) }
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -1,4 +1,4 @@
-// This file is the leader's side of replication: what it sends to each member and learner, and when an entry is committed.
+// Leader side of log replication: what the leader sends to each member and learner, and when entries are committed.
 
 package consensus
 
@@ -9,15 +9,16 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Propose adds a command to the log and returns its index. Only a leader with a lease may call it. The command is committed
-// once Ready hands it over; it may be lost if another leader is elected first.
+// Propose appends a command to the log and returns its index. It may be called only while HasLease is true. The command is
+// committed once Ready returns it; it may be lost if another leader is elected first.
 func (n *Node) Propose(now time.Duration, data []byte) (index uint64) {
 	index = n.appendEntry(now, EntryData, data)
 	n.replicate(now, false)
 	return index
 }
 
-// advanceCommit has a leader commit what a majority holds, and any node hand over what is committed.
+// advanceCommit commits what a majority has synced, if this node is the leader, and then adds newly committed entries to
+// Ready.
 func (n *Node) advanceCommit(now time.Duration) {
 	if n.role == Leader {
 		n.commitMajority(now)
@@ -27,13 +28,13 @@
 		n.ready.CommittedEntries = append(n.ready.CommittedEntries, n.entry(n.applied))
 	}
 	if n.CanChangeMembers() && !n.isSelfVoter() {
-		n.stepDown(now) // its removal is committed; a leader leads until then
+		n.stepDown(now) // a leader that removes itself leads until its removal is committed
 	}
 }
 
-// commitMajority commits what a majority has synced, if it is of this leader's term. An entry of an earlier term may be
-// held by a majority and yet be overwritten by a leader that was elected without it (figure 8 of the paper); it is
-// committed together with the first entry of this term.
+// commitMajority commits the entries that a majority has synced, up to an entry of the leader's current term. An entry of
+// an earlier term can be stored on a majority and still be overwritten by a later leader that lacks it (figure 8 of the
+// Raft paper), so it is committed only together with an entry of the current term.
 func (n *Node) commitMajority(now time.Duration) {
 	index := majorityValue(n, n.stable, 0, func(p *progress) uint64 { return p.match })
 	if index > n.commit && n.matchesTerm(index, n.term) {
@@ -42,7 +43,8 @@
 	}
 }
 
-// replicate sends each member and learner what it may be sent now, or with heartbeat at least that.
+// replicate sends each member and learner the entries or chunk that it needs next. With heartbeat, those that need nothing
+// are sent a heartbeat.
 func (n *Node) replicate(now time.Duration, heartbeat bool) {
 	if n.role != Leader {
 		return
@@ -52,16 +54,16 @@
 	}
 }
 
-// announceCommit sends the new commit index to those that have not acknowledged all of it; the others learn it with the
-// next heartbeat.
+// announceCommit sends the new commit index immediately to those that haven't acknowledged all entries up to it; the others
+// learn it from the next heartbeat.
 func (n *Node) announceCommit(now time.Duration) {
 	for _, p := range n.sortedProgress() {
 		n.sendAppend(now, p, p.chunks == nil && p.match < n.commit)
 	}
 }
 
-// sendAppend sends what a member needs next, as far as what is in flight to it allows, or else a heartbeat if that is
-// wanted.
+// sendAppend sends the entries or chunk that a member needs next, within the limit on bytes in flight. If there is nothing
+// to send, it sends a heartbeat if heartbeat is set, and nothing otherwise.
 func (n *Node) sendAppend(now time.Duration, peer *progress, heartbeat bool) {
 	if peer.chunks == nil {
 		n.startChunks(peer)
@@ -80,8 +82,8 @@
 	n.send(&wire.Message{Kind: wire.KindAppend, To: peer.member.Name, Timestamp: int64(now), Append: request}, false)
 }
 
-// startChunks begins what has to go to a member in chunks: a snapshot, if the entries that it needs are gone, or an entry
-// that is too large for one message.
+// startChunks starts a chunked transfer if the member needs one: of the snapshot, if the leader no longer holds the next
+// entry, or of the next entry, if that is too large for one message.
 func (n *Node) startChunks(p *progress) {
 	if p.next > n.lastIndex() {
 		return
@@ -97,7 +99,7 @@
 	}
 }
 
-// prevEntry returns the entry before the next one for a member, which its log must hold.
+// prevEntry returns the index and term of the entry before the next one to send, which the member's log must match.
 func (n *Node) prevEntry(p *progress) (index, term uint64) {
 	index = p.next - 1
 	if _, prevTerm, ok := n.retainedEntry(p.next); ok {
@@ -107,12 +109,13 @@
 	return index, term
 }
 
-// nextEntries returns the next entries for a member, so many that no more than tuning.AppendMax bytes are in flight to it.
+// nextEntries returns the next entries to send to a member, limited to tuning.AppendMax bytes in flight, and marks them as
+// sent.
 func (n *Node) nextEntries(peer *progress) (entries []wire.Entry) {
 	size, room := 0, tuning.AppendMax-peer.inflightBytes()
 	for {
 		entry, _, ok := n.retainedEntry(peer.next)
-		first := size == 0 && len(peer.inflight) == 0 // goes by itself, whatever its size
+		first := size == 0 && len(peer.inflight) == 0 // always allowed if it fits into one message
 		if !ok || size+len(entry.Data) > room && !first || len(entry.Data) > tuning.AppendMax {
 			break
 		}
@@ -126,7 +129,7 @@
 	return entries
 }
 
-// handleAppendResponse takes in what a member acknowledges, and sends it what it needs next.
+// handleAppendResponse updates a member's progress from its response and sends what it needs next.
 func (n *Node) handleAppendResponse(now time.Duration, message *wire.Message) {
 	if message.Term > n.term {
 		n.becomeFollower(now, message.Term)
@@ -138,7 +141,7 @@
 	}
 	sentAt := time.Duration(message.Timestamp)
 	if sentAt < n.roleSince || sentAt > now {
-		sentAt = never // no time at which this leader, in this term, can have sent it
+		sentAt = never // this leader can't have sent the message at that time in this term
 	}
 	peer.ackedAt = max(peer.ackedAt, sentAt)
 	if peer.chunks != nil {
@@ -150,7 +153,7 @@
 	} else {
 		peer.rewind(now, message.Append.MatchIndex, sentAt)
 	}
-	if n.role == Leader { // it may have committed its own removal
+	if n.role == Leader { // it steps down above if it committed its own removal
 		n.sendAppend(now, peer, false)
 	}
 }
--- a/internal/controlplane/consensus/role.go
+++ b/internal/controlplane/consensus/role.go
@@ -1,4 +1,4 @@
-// This file is the roles of a node and the changes from one to another.
+// Node roles and the transitions between them.
 
 package consensus
 
@@ -9,24 +9,24 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Role is what a node is in its term.
+// Role is the role of a node in its current term.
 type Role int
 
 // The roles of a node.
 const (
 	Follower Role = iota
-	// PreCandidate asks whether it would be elected, without a new term: a node that was isolated doesn't depose
-	// the leader by its return.
+	// PreCandidate asks whether it would be elected, without starting a new term, so that a node that returns from
+	// isolation doesn't depose the leader.
 	PreCandidate
 	Candidate
 	Leader
 )
 
-// String returns the role's name in a member's status, where a pre-candidate is "asking".
+// String returns the role's name as a member's status shows it. A pre-candidate is shown as "asking".
 func (r Role) String() string { return [...]string{"follower", "asking", "candidate", "leader"}[r] }
 
-// reset takes a role and forgets what belonged to the one before. The election deadline is drawn from the node's name,
-// its term and the time, so that members seldom campaign at once, and equal runs draw equal deadlines.
+// reset changes the role and clears the state of the previous one. It derives the election deadline from a hash of the
+// node's name, the term and the time, so that members seldom campaign at the same time and runs are reproducible.
 func (n *Node) reset(now time.Duration, role Role) {
 	n.role = role
 	n.roleSince = now
@@ -40,13 +40,13 @@
 	n.electionDeadline = now + tuning.ElectionTimeoutMin + spread
 }
 
-// becomeFollower takes over a later term, in which this node has no vote and no leader yet, and gives up any other role.
-// A follower in the same term stays as it is.
+// becomeFollower makes the node a follower in term. If the term is later than the current one, its vote and leader are
+// cleared. It has no effect on a node that already is a follower in that term.
 func (n *Node) becomeFollower(now time.Duration, term uint64) {
 	if term > n.term {
 		n.term, n.vote, n.leader = term, "", ""
 		if n.receiver != nil && n.receiver.complete {
-			n.receiver = nil // the new leader may have overwritten what arrived, and then has to send it again
+			n.receiver = nil // the new leader may have overwritten the received content and must be able to send it again
 		}
 		n.persistHardState(now)
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-// stepDown gives leadership up within the term.
+// stepDown makes a leader a follower without changing the term.
 func (n *Node) stepDown(now time.Duration) {
 	n.reset(now, Follower)
 	n.leader = ""
@@ -63,7 +63,7 @@
 
 func (n *Node) becomePreCandidate(now time.Duration) { n.reset(now, PreCandidate) }
 
-// becomeCandidate begins the next term with a vote for this node itself.
+// becomeCandidate starts the next term and votes for this node.
 func (n *Node) becomeCandidate(now time.Duration) {
 	n.term++
 	n.vote = n.self.Name
@@ -71,8 +71,8 @@
 	n.persistHardState(now)
 }
 
-// becomeLeader begins the leader's term with a no-op entry: a leader learns what is
-// committed only by committing an entry of its own term (section 5.4.2 of the paper), and HasLease waits for that.
+// becomeLeader makes the node leader and appends a no-op entry. A leader learns which entries are committed only by
+// committing an entry of its own term (section 5.4.2 of the Raft paper), and HasLease is false until then.
 func (n *Node) becomeLeader(now time.Duration) {
 	n.reset(now, Leader)
 	n.leader = n.self.Name
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -1,4 +1,4 @@
-// This file takes snapshots, which replace the applied log by the state that it led to, and installs a leader's.
+// Log compaction by snapshots, and installation of a leader's snapshot.
 
 package consensus
 
@@ -10,12 +10,13 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// SnapshotDue says whether the log has grown so long that the caller should call Compact.
+// SnapshotDue reports whether the log has grown so large that the caller should call Compact.
 func (n *Node) SnapshotDue() bool {
 	return n.applied > n.snapshot.Index && (len(n.log) > tuning.LogMax || n.entryBytes(n.snapshot.Index, n.applied) > tuning.LogBytes)
 }
 
-// Compact replaces the applied entries by a snapshot; data is the state machine's state after the last of them.
+// Compact replaces the applied entries by a snapshot. data is the encoded state of the state machine after the last applied
+// entry.
 func (n *Node) Compact(now time.Duration, data []byte) {
 	term, ok := n.termAt(n.applied)
 	if !ok || n.applied == n.snapshot.Index {
@@ -29,8 +30,8 @@
 	n.persistBatch(now, &wire.Batch{Snapshot: &snapshot})
 }
 
-// installSnapshot makes a leader's complete snapshot this node's state, and says whether it did. One that the log covers
-// already changes nothing: the entries after it may have been acknowledged, and a leader counts on these.
+// installSnapshot replaces this node's log by a leader's complete snapshot and reports whether it did. A snapshot that the
+// log already covers is ignored: this node may have acknowledged entries after it, which the leader counts on.
 func (n *Node) installSnapshot(now time.Duration, snapshot wire.Snapshot) bool {
 	if snapshot.Index <= n.commit || n.matchesTerm(snapshot.Index, snapshot.Term) {
 		return false
