--- a/internal/controlplane/wal/powercut_test.go
+++ b/internal/controlplane/wal/powercut_test.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	sector    = 64 // bytes that a power cut leaves old or new as one, in these tests
-	itemsKept = 8  // items in a checkpoint
+	sectorSize      = 64 // unit, in bytes, that a simulated power cut leaves entirely old or entirely new
+	checkpointItems = 8  // maximum number of items in a checkpoint
 )
 
-// contents are what the segments' files hold, by name; a missing file has none.
-type contents map[string][]byte
+// fileContents holds the contents of the segment files by name. Missing files have no entry.
+type fileContents map[string][]byte
 
-func readFiles(t *testing.T, dir string) contents {
+func readFiles(t *testing.T, dir string) fileContents {
 	t.Helper()
-	found := contents{}
+	found := fileContents{}
 	for i := range 3 {
 		name := fmt.Sprintf(segmentFile, i)
 		b, err := os.ReadFile(filepath.Join(dir, name))
@@ -36,7 +36,7 @@
 	return found
 }
 
-func (c contents) write(t *testing.T, dir string) {
+func (c fileContents) write(t *testing.T, dir string) {
 	t.Helper()
 	for name, b := range c {
 		if err := os.WriteFile(filepath.Join(dir, name), b, 0o600); err != nil {
@@ -45,20 +45,20 @@
 	}
 }
 
-// cutPower is what a power cut leaves of a change that was not synced yet: each sector of
-// what was written is old or new by itself, or only the first ones are new.
-func cutPower(rnd *rand.Rand, before, after contents) contents {
-	result := contents{}
+// simulatePowerCut returns contents that a power cut may leave of an unsynced change from before to after: either each
+// changed sector is old or new independently, or only the sectors up to some point are new.
+func simulatePowerCut(rnd *rand.Rand, before, after fileContents) fileContents {
+	result := fileContents{}
 	for name, written := range after {
 		old := before[name]
 		left := slices.Clone(written)
-		firstOnly, newUpTo := rnd.IntN(2) == 0, rnd.IntN(len(written)/sector+1)
-		for i := 0; i < len(written); i += sector {
-			end := min(i+sector, len(written))
+		prefixOnly, newSectors := rnd.IntN(2) == 0, rnd.IntN(len(written)/sectorSize+1)
+		for i := 0; i < len(written); i += sectorSize {
+			end := min(i+sectorSize, len(written))
 			if end <= len(old) && bytes.Equal(old[i:end], written[i:end]) {
 				continue
 			}
-			if firstOnly && i/sector < newUpTo || !firstOnly && rnd.IntN(2) == 0 {
+			if prefixOnly && i/sectorSize < newSectors || !prefixOnly && rnd.IntN(2) == 0 {
 				continue
 			}
 			clear(left[i:end])
@@ -69,17 +69,17 @@
 	return result
 }
 
-// model is what was written: items, of which a checkpoint holds the last itemsKept.
+// model is the state that the log must restore: the last checkpointItems of the items written.
 type model struct{ items []string }
 
 func (m *model) checkpoint() []byte { return []byte(strings.Join(m.items, "|")) }
 
 func (m *model) add(items ...string) {
 	m.items = append(slices.Clone(m.items), items...)
-	m.items = m.items[max(0, len(m.items)-itemsKept):]
+	m.items = m.items[max(0, len(m.items)-checkpointItems):]
 }
 
-// stateOf returns the checkpoint of the state that records lead to.
+// stateOf returns the state, in the form of a checkpoint, that results from the records.
 func stateOf(records [][]byte) string {
 	m := model{}
 	for i, record := range records {
@@ -92,30 +92,30 @@
 	return string(m.checkpoint())
 }
 
-// write appends items to the model and the log, as a member's disk does: if there is no room, the log goes on with a
-// checkpoint.
+// write appends items to the model and to the log as package daemon does: if the records don't fit into the segment, it
+// rotates the log.
 func (m *model) write(log *Log, items ...string) error {
 	var records [][]byte
 	for _, item := range items {
 		records = append(records, []byte(item))
 	}
 	m.add(items...)
-	room, err := log.Append(records...)
-	if err == nil && !room {
+	fits, err := log.Append(records...)
+	if err == nil && !fits {
 		err = log.Rotate(m.checkpoint())
 	}
 	return err
 }
 
-// someItems are one to four items of different lengths.
-func someItems(rnd *rand.Rand, at int) (items []string) {
+// randomItems returns one to four items of random lengths; step makes them unique.
+func randomItems(rnd *rand.Rand, step int) (items []string) {
 	for k := range 1 + rnd.IntN(4) {
-		items = append(items, fmt.Sprintf("%d.%d-%s", at, k, strings.Repeat("x", rnd.IntN(150))))
+		items = append(items, fmt.Sprintf("%d.%d-%s", step, k, strings.Repeat("x", rnd.IntN(150))))
 	}
 	return items
 }
 
-// startModel returns a new log in a directory of its own, with a checkpoint of a model's first item.
+// startModel creates a log in a new directory with a checkpoint of a model with one item.
 func startModel(t *testing.T) (dir string, log *Log, m *model) {
 	t.Helper()
 	dir = t.TempDir()
@@ -130,33 +130,33 @@
 	return dir, log, m
 }
 
-// A power cut in the middle of any write leaves what was synced before it, and of the write all or nothing; never an error, and
-// never anything older.
+// After a power cut during a write, Open restores the state either before or after that write. It returns no error, and
+// loses no write that was synced earlier.
 func TestPowerCutKeepsSyncedWrites(t *testing.T) {
 	for seed := range uint64(60) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		dir, log, m := startModel(t)
 		for step := range 12 {
 			for range rnd.IntN(6) {
-				if err := m.write(log, someItems(rnd, step)...); err != nil {
+				if err := m.write(log, randomItems(rnd, step)...); err != nil {
 					t.Fatal(err)
 				}
 			}
 			synced, before := string(m.checkpoint()), readFiles(t, dir)
-			if err := m.write(log, someItems(rnd, step)...); err != nil {
+			if err := m.write(log, randomItems(rnd, step)...); err != nil {
 				t.Fatal(err)
 			}
-			attempted, left := string(m.checkpoint()), cutPower(rnd, before, readFiles(t, dir))
+			attempted, left := string(m.checkpoint()), simulatePowerCut(rnd, before, readFiles(t, dir))
 			log.Close()
 			left.write(t, dir)
 			var records [][]byte
 			var err error
 			if log, records, err = Open(dir, 3, segmentSize); err != nil {
-				t.Fatalf("seed %d, step %d: %v", seed, step, err)
+				t.Fatalf("seed %d, step %d: open after a power cut: %v", seed, step, err)
 			}
 			got := stateOf(records)
 			if got != synced && got != attempted {
-				t.Fatalf("seed %d, step %d: %q is neither %q nor %q", seed, step, got, synced, attempted)
+				t.Fatalf("seed %d, step %d: restored state %q, want the synced %q or the attempted %q", seed, step, got, synced, attempted)
 			}
 			m.items = strings.Split(got, "|")
 		}
@@ -164,28 +164,28 @@
 	}
 }
 
-// A write that failed in part, by a full disk or an error, is retried at the same offset, also with more behind it, and then
-// counts.
+// A write that failed after it was written in part, for example because the disk was full, is retried at the same offset,
+// possibly with more records after it. The retried write must be restored.
 func TestFailedWriteIsRetried(t *testing.T) {
 	for seed := range uint64(40) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		dir, log, m := startModel(t)
 		for step := range 10 {
 			synced, state := readFiles(t, dir), *log
-			kept := slices.Clone(m.items)
-			first := someItems(rnd, step)
+			itemsBefore := slices.Clone(m.items)
+			first := randomItems(rnd, step)
 			if err := m.write(log, first...); err != nil {
 				t.Fatal(err)
 			}
-			cutPower(rnd, synced, readFiles(t, dir)).write(t, dir) // what the failed write left
+			simulatePowerCut(rnd, synced, readFiles(t, dir)).write(t, dir) // the remains of the failed write
 			log.current, log.generation, log.nextNumber, log.offset = state.current, state.generation, state.nextNumber, state.offset
-			m.items = kept
-			if err := m.write(log, append(first, someItems(rnd, step+100)...)...); err != nil {
+			m.items = itemsBefore
+			if err := m.write(log, append(first, randomItems(rnd, step+100)...)...); err != nil {
 				t.Fatal(err)
 			}
 			other, records, err := Open(dir, 3, segmentSize)
 			if err != nil || stateOf(records) != string(m.checkpoint()) {
-				t.Fatalf("seed %d, step %d: %v, %q instead of %q", seed, step, err, stateOf(records), m.checkpoint())
+				t.Fatalf("seed %d, step %d: restored state %q, error %v; want %q", seed, step, stateOf(records), err, m.checkpoint())
 			}
 			other.Close()
 		}
@@ -193,33 +193,33 @@
 	}
 }
 
-// Whatever a power cut leaves of the first allocation, the log begins empty.
+// A power cut during the first allocation leaves missing or short files. Open then returns an empty log.
 func TestPowerCutWhileAllocating(t *testing.T) {
 	for seed := range uint64(25) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		dir := t.TempDir()
 		for i := range 3 {
 			if rnd.IntN(3) > 0 {
-				contents{fmt.Sprintf(segmentFile, i): make([]byte, rnd.IntN(segmentSize+1))}.write(t, dir)
+				fileContents{fmt.Sprintf(segmentFile, i): make([]byte, rnd.IntN(segmentSize+1))}.write(t, dir)
 			}
 		}
 		log, records, err := Open(dir, 3, segmentSize)
 		if err != nil || len(records) != 0 {
-			t.Fatalf("seed %d: %v, %d records", seed, err, len(records))
+			t.Fatalf("seed %d: open returned %d records, error %v; want an empty log", seed, len(records), err)
 		}
 		if err := log.Rotate([]byte("checkpoint")); err != nil {
 			t.Fatal(err)
 		}
 		log.Close()
 		if got, err := readRecords(t, dir); err != nil || fmt.Sprint(got) != "[checkpoint]" {
-			t.Fatalf("seed %d: %v %v", seed, got, err)
+			t.Fatalf("seed %d: records %v after the first checkpoint, error %v", seed, got, err)
 		}
 	}
 }
 
-// A segment that is missing or short beside records may have held the newest of them: older ones never pass for all there was.
-// The log is recreated in their place, also if the power is cut meanwhile.
-func TestMissingSegmentIsDamage(t *testing.T) {
+// If a segment of a log with records is missing or short, it may have held the newest records, so Open must report damage
+// instead of returning older ones. Recreate then starts the log over, and may itself be interrupted by a power cut.
+func TestMissingSegmentIsReportedAsDamage(t *testing.T) {
 	for seed := range uint64(25) {
 		rnd := rand.New(rand.NewPCG(seed, 4))
 		dir := t.TempDir()
@@ -229,7 +229,7 @@
 		}
 		m := &model{items: []string{"start"}}
 		for step := range 20 {
-			if err := m.write(log, someItems(rnd, step)...); err != nil {
+			if err := m.write(log, randomItems(rnd, step)...); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -243,9 +243,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for range 2 { // reading it doesn't make it sound
+		for range 2 { // a failed open must not repair the segment
 			if _, err := readRecords(t, dir); !errors.Is(err, ErrDamaged) {
-				t.Fatalf("seed %d: %v", seed, err)
+				t.Fatalf("seed %d: open with a missing or short segment: error %v, want ErrDamaged", seed, err)
 			}
 		}
 		before := readFiles(t, dir)
@@ -254,23 +254,23 @@
 		}
 		log.Close()
 		if got, err := readRecords(t, dir); err != nil || fmt.Sprint(got) != "[new]" {
-			t.Fatalf("seed %d: %v %v", seed, got, err)
+			t.Fatalf("seed %d: records %v after Recreate, error %v", seed, got, err)
 		}
-		rotated, after := contents{}, readFiles(t, dir)
-		for name, b := range after { // the checkpoint is synced before files get their size
+		rotated, after := fileContents{}, readFiles(t, dir)
+		for name, b := range after { // the checkpoint is synced before the files are extended to their full size
 			rotated[name] = before[name]
 			if bytes.Contains(b[:headerSize+3], []byte("new")) {
 				rotated[name] = b[:max(len(before[name]), 2*(headerSize+3))]
 			}
 		}
-		again := t.TempDir()
+		interrupted := t.TempDir()
 		if rnd.IntN(2) == 0 {
-			cutPower(rnd, before, rotated).write(t, again)
+			simulatePowerCut(rnd, before, rotated).write(t, interrupted)
 		} else {
-			cutPower(rnd, rotated, after).write(t, again)
+			simulatePowerCut(rnd, rotated, after).write(t, interrupted)
 		}
-		if got, err := readRecords(t, again); !errors.Is(err, ErrDamaged) && (err != nil || fmt.Sprint(got) != "[new]") {
-			t.Fatalf("seed %d: after a power cut %v %v", seed, got, err)
+		if got, err := readRecords(t, interrupted); !errors.Is(err, ErrDamaged) && (err != nil || fmt.Sprint(got) != "[new]") {
+			t.Fatalf("seed %d: records %v after a power cut during Recreate, error %v", seed, got, err)
 		}
 	}
 }
--- a/internal/controlplane/wal/recovery.go
+++ b/internal/controlplane/wal/recovery.go
@@ -1,12 +1,12 @@
-// This file reads a segment at a start: its records, and after a crash or damage what can be repaired from a mirror.
+// Recovery of a segment when the log is opened: reading its records, and repairing the last write from its mirror.
 
 package wal
 
 import "github.com/cockroachdb/errors"
 
-// newestGeneration returns the latest generation of which a segment holds anything sound, 0 if it holds nothing. A segment
-// whose checkpoint was cut short while it was taken over holds nothing of the new generation, so the segment before it,
-// which is still complete, stays the newest.
+// newestGeneration returns the latest generation of which the segment holds a record or mirror with a valid checksum, 0 if
+// there is none. If a rotation was interrupted while it wrote the checkpoint, the segment holds nothing valid of the new
+// generation, so the previous segment, which is still complete, remains the newest.
 func (s *segment) newestGeneration(buffer []byte) (newest uint64, err error) {
 	err = s.eachHeader(0, buffer, func(offset int64, header recordHeader) error {
 		if header.generation <= newest {
@@ -21,18 +21,18 @@
 	return newest, err
 }
 
-// recover reads the records of a generation, and the last write from its mirror if it is damaged itself. It returns the
-// offset where the next record goes too.
+// recover reads the records of a generation; if the last write is damaged, it reads that write from its mirror. It also
+// returns the offset at which to write the next record.
 func (s *segment) recover(generation uint64, buffer []byte) (records [][]byte, next int64, err error) {
 	records, end, err := s.readRecords(generation)
 	if err != nil {
 		return nil, 0, err
 	}
 	next = end
-	lastSound := int64(-1) // number of the last sound record behind end
+	lastSound := int64(-1) // highest number of a valid record after end, -1 if there is none
 	err = s.eachHeader(end, buffer, func(offset int64, header recordHeader) error {
-		ofReadRecord := header.isMirror() && header.number < uint32(len(records))
-		if header.generation != generation || ofReadRecord {
+		mirrorsReadRecord := header.isMirror() && header.number < uint32(len(records))
+		if header.generation != generation || mirrorsReadRecord {
 			return nil
 		}
 		data, sound, err := s.readData(header, offset)
@@ -43,8 +43,9 @@
 			lastSound = max(lastSound, int64(header.number))
 			return nil
 		}
-		// The mirror of a write that can't be read itself. The next write goes to another segment, so that this mirror
-		// doesn't count again behind later records, also if the write was cut short and never acknowledged.
+		// This is the mirror of a write that is itself unreadable. Make the next write go to another segment, even if
+		// this write was interrupted and never acknowledged: otherwise a later recovery could find this mirror after
+		// newer records and count it.
 		next = s.size
 		if header.number == uint32(len(records)) {
 			records = append(records, header.records(data)...)
@@ -55,14 +56,14 @@
 		return nil, 0, err
 	}
 	if lastSound >= int64(len(records)) {
-		// Writes are synced one after another, so what lies before a sound one was acknowledged, and is lost.
+		// Each write is synced before the next one begins, so the damaged records before a valid one were acknowledged.
 		return nil, 0, errors.Wrapf(ErrDamaged, "unsound at byte %d, but record %d of generation %d behind it is sound", end, lastSound, generation)
 	}
 	return records, next, nil
 }
 
-// readRecords reads the records of a generation from the segment's beginning up to the first offset at which the next
-// one is missing, or isn't sound. It returns that offset too.
+// readRecords reads the records of a generation from the start of the segment up to the first offset at which the next
+// record is missing or its checksum is invalid. It also returns that offset.
 func (s *segment) readRecords(generation uint64) (records [][]byte, end int64, err error) {
 	for {
 		header, ok, err := s.readHeader(end)
--- a/internal/controlplane/wal/segment.go
+++ b/internal/controlplane/wal/segment.go
@@ -1,4 +1,4 @@
-// This file is the segments' files and their directory: opening, allocating and reading.
+// Segment files and their directory: opening, allocation, reading and writing.
 
 package wal
 
@@ -11,20 +11,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// segmentFile is the name of a segment's file, by its index.
+// segmentFile is the format of a segment's file name, with the index of the segment.
 const segmentFile = "ring-%d"
 
 // segment is one file of the log.
 type segment struct {
 	file     *os.File
-	size     int64 // that it has once it is allocated, in bytes
-	readable int64 // how much of that it had when it was opened, in bytes
+	size     int64 // size of the allocated file, in bytes
+	readable int64 // size of the file when it was opened, at most size, in bytes; 0 if it was missing
 }
 
-// isShort says whether the file was missing, or smaller than it should be, when it was opened.
+// isShort reports whether the file was missing or smaller than its allocated size when it was opened.
 func (s *segment) isShort() bool { return s.readable < s.size }
 
-// openSegment opens a segment's file, and makes an empty one if there is none.
+// openSegment opens the file of a segment and creates an empty one if it doesn't exist.
 func openSegment(dir string, index int, size int64) (*segment, error) {
 	file, err := os.OpenFile(filepath.Join(dir, fmt.Sprintf(segmentFile, index)), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return &segment{file: file, size: size, readable: min(size, info.Size())}, nil
 }
 
-// allocate fills a short file with zeros up to its size, and syncs it.
+// allocate extends a short file with zeros to its full size and syncs it.
 func (s *segment) allocate(zeros []byte) error {
 	info, err := s.file.Stat()
 	if err != nil {
@@ -55,7 +55,7 @@
 	return errors.Wrap(s.file.Sync(), "sync segment")
 }
 
-// write writes and syncs bytes. After an error they may be there in part.
+// write writes b at offset and syncs the file. After an error any part of b may have been written.
 func (s *segment) write(b []byte, offset int64) error {
 	if _, err := s.file.WriteAt(b, offset); err != nil {
 		return errors.Wrap(err, "write segment")
@@ -63,7 +63,7 @@
 	return errors.Wrap(s.file.Sync(), "sync segment")
 }
 
-// readHeader reads a header; ok is false if there can't be one at the offset.
+// readHeader reads the header at offset; ok is false if there is no plausible header.
 func (s *segment) readHeader(offset int64) (header recordHeader, ok bool, err error) {
 	if offset+headerSize > s.readable {
 		return recordHeader{}, false, nil
@@ -76,7 +76,7 @@
 	return header, header.isPlausible(offset, s.readable), nil
 }
 
-// readData reads the data of a header at an offset; sound says whether its checksum is right.
+// readData reads the data that follows the header at offset; sound reports whether its checksum is valid.
 func (s *segment) readData(header recordHeader, offset int64) (data []byte, sound bool, err error) {
 	data = make([]byte, header.length)
 	if _, err := s.file.ReadAt(data, offset+headerSize); err != nil {
@@ -85,7 +85,8 @@
 	return data, header.checksum == header.expectedChecksum(data), nil
 }
 
-// eachHeader visits every plausible header from an offset on, whatever lies between. The file is read through buffer.
+// eachHeader calls visit for every plausible header from offset from on, skipping any other bytes between headers. It reads
+// the file through buffer.
 func (s *segment) eachHeader(from int64, buffer []byte, visit func(offset int64, header recordHeader) error) error {
 	for at := from; at+headerSize <= s.readable; {
 		b := buffer[:min(int64(len(buffer)), s.readable-at)]
@@ -95,13 +96,13 @@
 		if err := s.eachHeaderIn(b, at, visit); err != nil {
 			return err
 		}
-		// A prefix may lie across the end of what was read.
+		// Overlap reads, since a prefix may lie across the end of the buffer.
 		at += int64(len(b) - len(kindPrefix) + 1)
 	}
 	return nil
 }
 
-// eachHeaderIn visits the plausible headers that begin in content, which was read from the offset start on.
+// eachHeaderIn calls visit for the plausible headers that begin in content, which was read from offset start.
 func (s *segment) eachHeaderIn(content []byte, start int64, visit func(offset int64, header recordHeader) error) error {
 	for i := 0; ; i++ {
 		next := bytes.Index(content[i:], kindPrefix)
@@ -123,7 +124,8 @@
 	}
 }
 
-// headerIn decodes the header that b begins with, and reads it from the file if b ends within it.
+// headerIn decodes the header at the start of b, which was read from offset; if b holds only part of the header, it reads
+// the header from the file.
 func (s *segment) headerIn(b []byte, offset int64) (header recordHeader, ok bool, err error) {
 	if len(b) < headerSize {
 		return s.readHeader(offset)
@@ -132,7 +134,7 @@
 	return header, header.isPlausible(offset, s.readable), nil
 }
 
-// makeDirectory makes a directory if there is none, and its entry in the one above durable.
+// makeDirectory creates a directory if it doesn't exist and syncs its parent, so that the new entry is durable.
 func makeDirectory(dir string) error {
 	if _, err := os.Stat(dir); err == nil {
 		return nil
@@ -143,7 +145,7 @@
 	return syncDirectory(filepath.Dir(dir))
 }
 
-// syncDirectory makes a directory's entries durable.
+// syncDirectory syncs a directory, so that its entries are durable.
 func syncDirectory(dir string) error {
 	directory, err := os.Open(dir)
 	if err != nil {
--- a/internal/controlplane/wal/wal.go
+++ b/internal/controlplane/wal/wal.go
@@ -1,19 +1,19 @@
-// Package wal is a member's write-ahead log: records that are on disk once Append or Rotate returns, and that Open reads
-// again after a crash. It doesn't know what records mean, and keeps no more than one state: package daemon encodes and
-// decodes them, package consensus applies them.
+// Package wal implements a member's write-ahead log. Records are durable once Append or Rotate returns, and Open reads them
+// back after a crash. The package doesn't interpret records: package daemon encodes and decodes them, package consensus
+// applies them.
 //
-// The log is a ring of preallocated files, the segments, under one directory. A segment begins with a checkpoint, a record
-// that holds the whole state, and then takes records until it is full. Then the next segment takes over with a new
-// checkpoint, so the log never needs more room than it had at first. The newest segment alone holds all that
-// counts.
+// The log is a ring of preallocated files, the segments, in one directory. A segment begins with a checkpoint, a record that
+// holds the whole state, followed by records until it is full. Then the next segment begins with a new checkpoint, so the
+// log never takes more space than was allocated at first. The newest segment alone suffices to restore the state.
 //
-// What is written at once, one record or a group of several, has one header with the segment's generation, the first
-// record's number and a checksum, so that a power cut leaves all of it or nothing. It is written twice: its mirror follows
-// right behind it until the next write overwrites that. By the mirror a write that a crash cut short, and that was
-// never acknowledged, is distinguished from damage to the write that was synced last: the one has no mirror and is dropped, the
-// other is read from it. Damage that sound records follow is an error: acknowledged records are lost then.
+// Each write, of one record or of a group, has one header with the segment's generation, the first record's number and a
+// checksum, so that after a power cut the write is recovered completely or not at all. The write is followed immediately by
+// a copy of itself, its mirror, which the next write overwrites. The mirror makes it possible to distinguish an interrupted
+// write, which was never acknowledged, from damage to the last synced write: the former has no valid mirror and is dropped,
+// the latter is read from its mirror. Damage before a valid record is an error, since acknowledged records are lost then.
 //
-// Begin reading at Open in this file and Log.Append in write.go; format.go is the form on disk, recovery.go reads it.
+// Start reading at Open in this file and Log.Append in write.go. The on-disk format is in format.go, recovery in
+// recovery.go.
 package wal
 
 import (
@@ -22,32 +22,32 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// ErrDamaged marks the error for a log whose acknowledged records can't all be read. Recreate begins it anew. A member's
-// status shows the text of such an error, so its wording stays.
+// ErrDamaged marks the error for a log whose acknowledged records can't all be read. Recreate starts such a log over. The
+// API's status of a member shows the text of this error, so the text must not change.
 var ErrDamaged = errors.New("ring damaged")
 
-// ErrTooLarge marks the error for a checkpoint that doesn't fit into a segment. The state has to shrink first.
+// ErrTooLarge marks the error for a checkpoint that doesn't fit into a segment. Rotate fails until the state is smaller.
 var ErrTooLarge = errors.New("state larger than a segment of the write-ahead log")
 
-// noSegment is Log.current before the first checkpoint.
+// noSegment is the value of Log.current before the first checkpoint.
 const noSegment = -1
 
-// Log is an open write-ahead log. Its methods are for one goroutine.
+// Log is an open write-ahead log. It is not safe for concurrent use.
 type Log struct {
 	dir         string
 	segments    []*segment
-	segmentSize int64 // in bytes
-	current     int   // index of the segment that is written to, noSegment before the first checkpoint
-	generation  uint64
-	nextNumber  uint32 // of the next record in the current segment
-	offset      int64  // where the next record goes in the current segment, in bytes
-	buffer      []byte // what is written at once, kept from one write to the next
+	segmentSize int64  // in bytes
+	current     int    // index of the segment being written, noSegment before the first checkpoint
+	generation  uint64 // generation of the current segment, 0 before the first checkpoint
+	nextNumber  uint32 // number of the next record in the current segment
+	offset      int64  // offset of the next record in the current segment, in bytes
+	buffer      []byte // encoding buffer, reused between writes
 }
 
-// Open opens the log of so many segments of segmentSize bytes in the directory dir, and allocates it if it doesn't exist.
-// It returns the records of the newest segment; the first of them, if any, is the checkpoint. Besides errors of the file
-// system it returns one marked ErrDamaged. In memory there is at most tuning.WALReadBuffer of a segment at a time,
-// and one record.
+// Open opens the log in directory dir, which has the given number of segments of segmentSize bytes each, and allocates it
+// if it doesn't exist. It returns the records of the newest segment; the first of them, if any, is the checkpoint. It
+// returns an error marked ErrDamaged if acknowledged records can't be read, or an error of the file system. It buffers at
+// most tuning.WALReadBuffer bytes of a segment at a time, besides the records themselves.
 func Open(dir string, segments int, segmentSize int64) (*Log, [][]byte, error) {
 	log, err := openSegments(dir, segments, segmentSize)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return log, records, nil
 }
 
-// Recreate begins a log in dir anew with a checkpoint, whatever its segments hold. Until the checkpoint is synced the log
-// is as damaged as it was; segments that are not written to yet stay as they are until their turn comes.
+// Recreate starts the log in dir over with a checkpoint, whatever its segments hold. If it is interrupted before the
+// checkpoint is synced, the log is as damaged as before. Segments keep their old content until they are next written.
 func Recreate(dir string, segments int, segmentSize int64, checkpoint []byte) (*Log, error) {
 	log, err := openSegments(dir, segments, segmentSize)
 	if err != nil {
@@ -81,14 +81,14 @@
 	return log, nil
 }
 
-// Close closes the files. What was appended is synced already.
+// Close closes the segment files. Appended records are already synced.
 func (l *Log) Close() {
 	for _, s := range l.segments {
 		s.file.Close()
 	}
 }
 
-// openSegments opens the segments' files and finds the newest generation.
+// openSegments opens the segment files and finds the newest generation.
 func openSegments(dir string, segments int, segmentSize int64) (_ *Log, err error) {
 	if err := makeDirectory(dir); err != nil {
 		return nil, err
@@ -117,9 +117,9 @@
 	return log, nil
 }
 
-// recover reads the records of the newest generation. Segments get their size and their entries in the directory synced
-// before the first record is written. So one that is missing or short beside records held the newest of them, or may
-// have.
+// recover reads the records of the newest generation. In a log with records, all segments must be present with their full
+// size, since files and directory entries are allocated and synced before the first record is written. A segment that is
+// missing or short may have held newer records, so it is reported as damage.
 func (l *Log) recover() (records [][]byte, err error) {
 	if l.current == noSegment {
 		return nil, nil
@@ -137,7 +137,7 @@
 	return records, nil
 }
 
-// allocate gives all segments their size and makes their entries in the directory durable.
+// allocate extends all segments to their full size and makes their directory entries durable.
 func (l *Log) allocate() error {
 	zeros := l.readBuffer()
 	for _, s := range l.segments {
@@ -148,5 +148,5 @@
 	return syncDirectory(l.dir)
 }
 
-// readBuffer returns zeroed bytes to read or fill a segment with.
+// readBuffer returns a zeroed buffer for reading a segment or filling it with zeros.
 func (l *Log) readBuffer() []byte { return make([]byte, min(l.segmentSize, tuning.WALReadBuffer)) }
--- a/internal/controlplane/wal/wal_test.go
+++ b/internal/controlplane/wal/wal_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// segmentSize is small, so that the tests rotate often.
+// segmentSize is small so that the tests rotate often.
 const segmentSize = 4096
 
-// appendRecords opens the log, with a checkpoint if there is none, and appends records one by one.
+// appendRecords opens the log, writes a first checkpoint if there is none, and appends records one at a time.
 func appendRecords(t *testing.T, dir string, records ...string) {
 	t.Helper()
 	log, _, err := Open(dir, 3, segmentSize)
@@ -29,8 +29,8 @@
 		}
 	}
 	for _, record := range records {
-		if room, err := log.Append([]byte(record)); err != nil || !room {
-			t.Fatal(room, err)
+		if fits, err := log.Append([]byte(record)); err != nil || !fits {
+			t.Fatalf("append %q: fits %v, error %v", record, fits, err)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	return texts, nil
 }
 
-// What a crash left of the last write is dropped; all before it stays.
+// The remains of a last write that a crash interrupted are dropped; the records before it are kept.
 func TestTornWriteIsDropped(t *testing.T) {
 	for keep := range 30 {
 		dir := t.TempDir()
@@ -58,26 +58,26 @@
 		file := filepath.Join(dir, "ring-0")
 		content, _ := os.ReadFile(file)
 		at := bytes.Index(content, []byte("three")) - headerSize + keep%(headerSize+5)
-		clear(content[at:]) // and with it the mirror, which stands behind it
+		clear(content[at:]) // including the mirror, which follows the record
 		os.WriteFile(file, content, 0o600)
 		got, err := readRecords(t, dir)
 		if err != nil || fmt.Sprint(got) != "[checkpoint one two]" {
-			t.Fatalf("kept %d: %v %v", keep, got, err)
+			t.Fatalf("keep %d: records %v after a torn write, error %v", keep, got, err)
 		}
 		appendRecords(t, dir, "four")
 		if got, err = readRecords(t, dir); err != nil || fmt.Sprint(got) != "[checkpoint one two four]" {
-			t.Fatalf("kept %d: %v %v", keep, got, err)
+			t.Fatalf("keep %d: records %v after the next write, error %v", keep, got, err)
 		}
 	}
 }
 
-// Damage to the write that was synced last is told from a torn write by its mirror: nothing that may have been acknowledged is
-// lost, be it one record, a group, or the checkpoint at a segment's beginning.
+// Damage to the last synced write is repaired from its mirror, so no acknowledged write is lost: neither a single record nor
+// a group nor the checkpoint at the start of a segment. A damaged mirror does no harm either.
 func TestDamagedLastWriteIsReadFromMirror(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		do   func(log *Log) error // the last write
-		want string
+		do   func(log *Log) error // does the last write
+		want string               // the records expected after the damage
 	}{
 		{"one", func(log *Log) error { _, err := log.Append([]byte("three")); return err }, "[checkpoint one two three]"},
 		{"group", func(log *Log) error { _, err := log.Append([]byte("three"), []byte("four")); return err }, "[checkpoint one two three four]"},
@@ -105,23 +105,24 @@
 				damaged[i] ^= 0x10
 				os.WriteFile(file, damaged, 0o600)
 				if got, err := readRecords(t, dir); err != nil || fmt.Sprint(got) != test.want {
-					t.Fatalf("%s, mirror %v, byte %d: %v %v", test.name, damageMirror, i, got, err)
+					t.Fatalf("%s, mirror damaged %v, byte %d: records %v, error %v; want %s", test.name, damageMirror, i, got, err, test.want)
 				}
 			}
 			log, _, _ = Open(dir, 3, segmentSize)
-			room, err := log.Append([]byte("five"))
-			if err == nil && !room {
+			fits, err := log.Append([]byte("five"))
+			if err == nil && !fits {
 				err = log.Rotate([]byte("all and five"))
 			}
 			log.Close()
 			if got, rerr := readRecords(t, dir); err != nil || rerr != nil || !strings.Contains(got[len(got)-1], "five") {
-				t.Fatalf("%s: %v %v after the next write", test.name, got, err)
+				t.Fatalf("%s: records %v after the next write, write error %v, read error %v", test.name, got, err, rerr)
 			}
 		}
 	}
 }
 
-// What is left of a group that was cut short never comes back behind later records.
+// After an interrupted write of a group, of which part of the mirror reached the disk, that mirror must not be recovered
+// after newer records were written.
 func TestMirrorOfTornWriteIsDropped(t *testing.T) {
 	dir := t.TempDir()
 	appendRecords(t, dir, "one")
@@ -138,17 +139,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	room, err := log.Append([]byte("x"))
-	if err == nil && !room {
+	fits, err := log.Append([]byte("x"))
+	if err == nil && !fits {
 		err = log.Rotate([]byte("checkpoint one x"))
 	}
 	log.Close()
 	if got, rerr := readRecords(t, dir); err != nil || rerr != nil || strings.Contains(fmt.Sprint(got), "torn") || !strings.HasSuffix(got[len(got)-1], "x") {
-		t.Fatalf("%v %v %v", got, err, rerr)
+		t.Fatalf("records %v, write error %v, read error %v; want x last and nothing of the torn write", got, err, rerr)
 	}
 }
 
-// One flipped bit before a later sound record is an error, wherever it is.
+// A single flipped bit anywhere before a later valid record is reported as damage.
 func TestDamageBeforeSoundRecordIsAnError(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp("", "wal")
@@ -164,12 +165,12 @@
 		content[i] ^= 1 << rapid.IntRange(0, 7).Draw(rt, "bit")
 		os.WriteFile(file, content, 0o600)
 		if got, err := readRecords(t, dir); !errors.Is(err, ErrDamaged) {
-			rt.Fatalf("byte %d: %v %v", i, got, err)
+			rt.Fatalf("bit flipped in byte %d: records %v, error %v; want ErrDamaged", i, got, err)
 		}
 	})
 }
 
-// The log never grows, and the newest segment has all that counts.
+// Rotation keeps the files at their size and the last write readable, and Rotate rejects a checkpoint that is too large.
 func TestRotationKeepsSize(t *testing.T) {
 	dir := t.TempDir()
 	log, _, err := Open(dir, 3, segmentSize)
@@ -179,8 +180,8 @@
 	last := ""
 	for i := range 2000 {
 		text := fmt.Sprintf("record %d %s", i, bytes.Repeat([]byte("x"), i%100))
-		room, err := log.Append([]byte(text))
-		if err == nil && !room {
+		fits, err := log.Append([]byte(text))
+		if err == nil && !fits {
 			err = log.Rotate([]byte("state after " + text))
 			last = "state after " + text
 		} else {
@@ -193,14 +194,14 @@
 	log.Close()
 	got, err := readRecords(t, dir)
 	if err != nil || got[len(got)-1] != last {
-		t.Fatalf("%v, want %q last", err, last)
+		t.Fatalf("last of %d records isn't %q, error %v", len(got), last, err)
 	}
 	for i := range 3 {
 		if st, _ := os.Stat(filepath.Join(dir, fmt.Sprintf(segmentFile, i))); st.Size() != segmentSize {
-			t.Fatalf("segment %d has %d bytes", i, st.Size())
+			t.Fatalf("segment %d has %d bytes, want %d", i, st.Size(), segmentSize)
 		}
 	}
 	if err := (&Log{segmentSize: segmentSize, segments: []*segment{nil}}).Rotate(make([]byte, segmentSize)); !errors.Is(err, ErrTooLarge) {
-		t.Fatal(err)
+		t.Fatalf("rotate with a checkpoint as large as a segment: error %v, want ErrTooLarge", err)
 	}
 }
--- a/internal/controlplane/wal/write.go
+++ b/internal/controlplane/wal/write.go
@@ -1,4 +1,4 @@
-// This file writes records and checkpoints.
+// Writing of records and checkpoints.
 
 package wal
 
@@ -8,13 +8,13 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Append writes records behind the last one, all or none of which a crash leaves, and syncs them. It returns room false,
-// with nothing written, if they don't fit into the segment: Rotate is due then. After an error of the file system the same
-// records, also with others behind them, are to be appended again before anything else.
-func (l *Log) Append(records ...[]byte) (room bool, err error) {
+// Append writes records after the last one and syncs them. After a crash either all of them are recovered or none. If the
+// records don't fit into the segment, Append writes nothing and returns fits false; the caller must then call Rotate. After
+// a file system error the caller must append the same records again, optionally followed by more, before any other call.
+func (l *Log) Append(records ...[]byte) (fits bool, err error) {
 	kind, data := singleRecord, records[0]
 	if len(records) > 1 {
-		kind, data = recordGroup, joinGroup(records)
+		kind, data = recordGroup, encodeGroup(records)
 	}
 	size := headerSize + int64(len(data))
 	if l.current == noSegment || l.offset+2*size > l.segmentSize {
@@ -30,8 +30,8 @@
 }
 
 // Rotate begins the next segment with a checkpoint, a record that holds the whole state. It returns an error marked
-// ErrTooLarge if the checkpoint and its mirror don't fit into a segment. After an error of the file system it is to
-// be called again before anything else.
+// ErrTooLarge if the checkpoint and its mirror don't fit into a segment. After a file system error the caller must call it
+// again before any other method.
 func (l *Log) Rotate(checkpoint []byte) error {
 	size := headerSize + int64(len(checkpoint))
 	if size > l.segmentSize/2 {
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// write writes and syncs data and its mirror at once. The mirror is overwritten by the next write: only the last write
-// may have been cut short, so only it needs one.
+// write writes data and its mirror in one operation and syncs them. The next write overwrites the mirror: only the last
+// write can have been interrupted, so only the last write needs one.
 func (l *Log) write(s *segment, offset int64, header recordHeader, data []byte) error {
 	mirror := newHeader(header.kind.mirror(), header.generation, header.number, data)
 	l.buffer = append(header.appendTo(l.buffer[:0]), data...)
