--- a/internal/controlplane/consensus/canonical_test.go
+++ b/internal/controlplane/consensus/canonical_test.go
@@ -10,9 +10,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A field that is added to one of these types has to be considered in Clone and in CanonicalEncoder: one that is left out
-// would make different states equal, or be changed through a copy.
-func TestCanonicalFormKnowsAllFields(t *testing.T) {
+// A new field of one of these types must be handled in Clone and in CanonicalEncoder. Otherwise different states could have
+// equal encodings, or a change to a copy could alter the original.
+func TestCanonicalEncoderCoversAllFields(t *testing.T) {
 	for _, known := range []struct {
 		value  any
 		fields []string
@@ -39,12 +39,12 @@
 			fields = append(fields, f.Name)
 		}
 		if !reflect.DeepEqual(fields, known.fields) {
-			t.Errorf("%T has the fields %v, Clone and CanonicalEncoder know %v: add what is new there, then here", known.value, fields, known.fields)
+			t.Errorf("%T has the fields %v, but Clone and CanonicalEncoder handle %v: handle new fields there, then list them here", known.value, fields, known.fields)
 		}
 	}
 }
 
-// canonicalForm is a node's canonical form with the names and disks that it has.
+// canonicalForm returns a node's canonical encoding without renumbering nodes and disks.
 func canonicalForm(n *Node, now time.Duration) []byte {
 	encoder := CanonicalEncoder{
 		NodeIndex:  func(name string) byte { return append([]byte(name), 255)[0] },
@@ -54,7 +54,7 @@
 	return encoder.Bytes
 }
 
-// A copy is equal, and no step of one changes the other.
+// A clone has the same state as the original, and steps of the clone don't change the original.
 func TestCloneIsIndependent(t *testing.T) {
 	cluster := newSimpleCluster()
 	cluster.run(t, 2*time.Second, noCondition)
@@ -62,7 +62,7 @@
 		before := canonicalForm(n, cluster.now)
 		copied := n.Clone()
 		if !bytes.Equal(before, canonicalForm(copied, cluster.now)) {
-			t.Fatal("a copy is not equal")
+			t.Fatal("the clone differs from the original")
 		}
 		copied.Tick(cluster.now + tuning.HeartbeatEvery)
 		if copied.HasLease(cluster.now) {
@@ -70,10 +70,10 @@
 		}
 		copied.Tick(cluster.now + 5*tuning.ElectionTimeoutMin)
 		if !bytes.Equal(before, canonicalForm(n, cluster.now)) {
-			t.Fatal("a step of the copy changed the original")
+			t.Fatal("a step of the clone changed the original")
 		}
 		if bytes.Equal(before, canonicalForm(copied, cluster.now)) {
-			t.Fatal("a step of the copy changed nothing")
+			t.Fatal("steps of the clone didn't change it")
 		}
 	}
 }
--- a/internal/controlplane/consensus/cluster_test.go
+++ b/internal/controlplane/consensus/cluster_test.go
@@ -8,22 +8,22 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// simpleCluster runs the three test members: messages arrive after oneWay unless their link is cut, and syncs are done at
-// once.
+// simpleCluster simulates the three test members. Messages arrive after messageDelay unless their link is cut, and syncs
+// complete immediately.
 type simpleCluster struct {
 	now         time.Duration
 	nodes       map[string]*Node
 	states      map[string]*PersistentState
-	partitioned map[string]bool // "ab": nothing gets from a to b
+	partitioned map[string]bool // "ab": messages from a to b are lost
 	inFlight    []messageInFlight
 }
 
-// oneWay is how long a message takes from a member to another.
-const oneWay = 2 * time.Millisecond
+// messageDelay is the one-way latency between two members.
+const messageDelay = 2 * time.Millisecond
 
 type messageInFlight struct {
 	deliverAt time.Duration
-	receiver  *Node // a restart loses what was in flight to it
+	receiver  *Node // a message is lost if its receiver is restarted while it is in flight
 	message   *wire.Message
 }
 
@@ -37,13 +37,14 @@
 	return cluster
 }
 
-// restart starts a member, also again, from what its disk holds.
+// restart starts or restarts a member from the state on its disk.
 func (c *simpleCluster) restart(name string) {
 	state := *c.states[name]
 	c.nodes[name] = New(c.now, name, state)
 }
 
-// run lets time pass by at most span until a condition holds, and says whether it does.
+// run advances time by at most span until done returns true, and returns whether it did. The test fails if two members hold
+// a lease at the same time.
 func (c *simpleCluster) run(t *testing.T, span time.Duration, done func() bool) bool {
 	t.Helper()
 	for end := c.now + span; c.now < end; c.now += time.Millisecond {
@@ -51,7 +52,7 @@
 		leaseHolders := 0
 		for _, name := range memberNames {
 			c.nodes[name].Tick(c.now)
-			c.carryOut(name)
+			c.processReady(name)
 			if c.nodes[name].HasLease(c.now) {
 				leaseHolders++
 			}
@@ -66,7 +67,7 @@
 	return false
 }
 
-// deliver takes the messages that have arrived in.
+// deliver delivers the messages that are due.
 func (c *simpleCluster) deliver() {
 	for _, f := range c.inFlight {
 		if f.deliverAt <= c.now && c.nodes[f.message.To] == f.receiver {
@@ -76,13 +77,13 @@
 	c.inFlight = slices.DeleteFunc(c.inFlight, func(f messageInFlight) bool { return f.deliverAt <= c.now })
 }
 
-// carryOut sends and syncs what a member has ready.
-func (c *simpleCluster) carryOut(name string) {
+// processReady sends and syncs a member's pending output.
+func (c *simpleCluster) processReady(name string) {
 	n := c.nodes[name]
 	for ready := n.Ready(); len(ready.Batches)+len(ready.Messages) > 0; ready = n.Ready() {
 		for _, m := range ready.Messages {
 			if !c.partitioned[name+m.To] {
-				c.inFlight = append(c.inFlight, messageInFlight{c.now + oneWay, c.nodes[m.To], m})
+				c.inFlight = append(c.inFlight, messageInFlight{c.now + messageDelay, c.nodes[m.To], m})
 			}
 		}
 		for _, b := range ready.Batches {
@@ -92,10 +93,10 @@
 	}
 }
 
-// hasLeader says whether some member holds the lease.
+// hasLeader reports whether some member holds a lease.
 func (c *simpleCluster) hasLeader() bool { return c.leader() != "" }
 
-// leader names the member that holds the lease, "" if none does.
+// leader returns the name of the member that holds a lease, "" if none does.
 func (c *simpleCluster) leader() string {
 	for _, n := range memberNames {
 		if c.nodes[n].HasLease(c.now) {
@@ -105,7 +106,7 @@
 	return ""
 }
 
-// isolate cuts all links of a member, or heals them.
+// isolate cuts all links of a member, or restores them if cut is false.
 func (c *simpleCluster) isolate(name string, cut bool) {
 	for _, n := range memberNames {
 		c.partitioned[name+n], c.partitioned[n+name] = cut, cut
--- a/internal/controlplane/consensus/election_test.go
+++ b/internal/controlplane/consensus/election_test.go
@@ -9,12 +9,12 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// voteRequest is from a candidate whose log ends with the snapshot.
+// voteRequest returns a vote request of a candidate whose log ends with the snapshot.
 func voteRequest(term, disk uint64, from string, transfer bool) *wire.Message {
 	return &wire.Message{Kind: wire.KindVote, From: from, Disk: disk, Epoch: 1, Term: term, Vote: &wire.Vote{LastIndex: 1, Transfer: transfer}}
 }
 
-// grantedVotes counts the votes among messages that are sent.
+// grantedVotes counts the granted votes among the messages in ready.
 func grantedVotes(ready Ready) int {
 	count := 0
 	for _, m := range ready.Messages {
@@ -25,8 +25,8 @@
 	return count
 }
 
-// A vote is sent only once it is synced, is given once a term, is remembered over a restart, and isn't given to a disk that
-// is no member.
+// A vote is sent only after it is synced. A member votes once per term, also across a restart, and not for a candidate whose
+// disk isn't a member's.
 func TestVoteIsSyncedAndGivenOncePerTerm(t *testing.T) {
 	leaseExpired := tuning.ElectionTimeoutMin + time.Second
 	n, state := newTestNode("a")
@@ -40,7 +40,7 @@
 	}
 	n.Advance(leaseExpired, ready.Batches[len(ready.Batches)-1].Seq)
 	if grantedVotes(n.Ready()) != 1 {
-		t.Fatal("no vote")
+		t.Fatal("no vote was sent after the sync")
 	}
 	n = New(0, "a", state)
 	n.Step(leaseExpired, voteRequest(5, 3, "c", false))
@@ -49,33 +49,33 @@
 		n.Advance(leaseExpired, b.Seq)
 	}
 	if grantedVotes(ready)+grantedVotes(n.Ready()) != 0 {
-		t.Fatal("two votes in a term")
+		t.Fatal("voted twice in a term after a restart")
 	}
 	n.Step(leaseExpired, voteRequest(6, 9, "c", false))
 	if ready := n.Ready(); len(ready.Messages) > 0 || n.Term() == 6 {
-		t.Fatal("a disk that is no member was answered")
+		t.Fatal("answered a candidate whose disk isn't a member's")
 	}
 }
 
-// A member that may have supported a leader's lease waits for its end after a restart too, unless that leader itself
-// transfers leadership.
+// After a restart a member may have supported a leader's lease just before, so it doesn't vote until that lease must have
+// expired, unless that leader itself transfers leadership.
 func TestVoteWaitsForLeaderLease(t *testing.T) {
 	n, _ := newTestNode("a")
 	n.Step(tuning.ElectionTimeoutMin/2, voteRequest(5, 2, "b", false))
 	if n.Ready(); n.Term() != 0 {
-		t.Fatal("voted while a leader may still hold a lease")
+		t.Fatal("voted while a leader could still hold a lease")
 	}
 	n.Step(tuning.ElectionTimeoutMin/2, voteRequest(5, 2, "b", true))
 	if n.Ready(); n.Term() != 5 {
-		t.Fatal("a transfer of leadership was rejected")
+		t.Fatal("rejected a candidate to which the leader transferred leadership")
 	}
 	if tuning.ElectionTimeoutMin < tuning.LeaderLease*105/100 || tuning.SyncStall >= tuning.ElectionTimeoutMin {
-		t.Fatal("a leader may decide while another is elected")
+		t.Fatal("ElectionTimeoutMin must exceed LeaderLease by 5 % and be longer than SyncStall, or two leaders could make decisions at the same time")
 	}
 }
 
-// One of two members that are left has the longer log, the other the higher term, from a campaign without success: neither
-// may block the other for good.
+// Of two remaining members one has the longer log and the other a higher term from a failed campaign. The response to a
+// pre-vote must carry the later term, or the member with the longer log could never be elected.
 func TestPreVoteResponseCarriesLaterTerm(t *testing.T) {
 	snapshot := wire.Snapshot{Index: 1, Term: 5, Members: testMembers}
 	nodes := map[string]*Node{
@@ -107,24 +107,25 @@
 	t.Fatalf("no leader: a is %v in term %d, b %v in term %d", nodes["a"].Role(), nodes["a"].Term(), nodes["b"].Role(), nodes["b"].Term())
 }
 
-// After a start of all members nobody can still hold a lease, so none waits.
-func TestUnanimousElectionAfterStartOfAll(t *testing.T) {
+// After all members were restarted no member can still hold a lease, so a leader is elected without waiting for leases to
+// expire.
+func TestUnanimousElectionAfterFullRestart(t *testing.T) {
 	cluster := newSimpleCluster()
 	if !cluster.run(t, tuning.ElectionTimeoutMin/2, cluster.hasLeader) {
-		t.Fatal("no leader soon after the first start")
+		t.Fatalf("no leader within %v of the first start", tuning.ElectionTimeoutMin/2)
 	}
 	cluster.run(t, time.Second, noCondition)
 	for _, n := range memberNames {
 		cluster.restart(n)
 	}
 	if !cluster.run(t, tuning.ElectionTimeoutMin/2, cluster.hasLeader) {
-		t.Fatal("no leader soon after all were restarted")
+		t.Fatalf("no leader within %v of a restart of all members", tuning.ElectionTimeoutMin/2)
 	}
 }
 
-// A majority that has restarted is not everybody: the leader that it answered before may still hold its lease. They wait
-// until that has run out, also if the links to it are cut, and whoever restarts meanwhile. The cluster checks that no two
-// members hold a lease.
+// If a majority restarts, the old leader may still hold a lease that the majority supported before. The majority must wait
+// until that lease expires, also if its links to the old leader are cut and if members restart again meanwhile.
+// simpleCluster.run checks that no two members hold a lease at the same time.
 func TestRestartedMajorityWaitsForLease(t *testing.T) {
 	for step := range 60 {
 		cluster := newSimpleCluster()
@@ -136,7 +137,7 @@
 				rest = append(rest, n)
 			}
 		}
-		bothWays := step%2 == 0 // else the leader gets nothing, but its messages arrive
+		bothWays := step%2 == 0 // otherwise the old leader receives nothing, but its messages still arrive
 		for _, n := range rest {
 			cluster.partitioned[n+oldLeader], cluster.partitioned[oldLeader+n] = true, bothWays
 		}
@@ -148,12 +149,13 @@
 		cluster.restart(rest[step%2])
 		elected := cluster.run(t, 8*time.Second, func() bool { return cluster.hasLeader() && cluster.leader() != oldLeader })
 		if bothWays && !elected {
-			t.Fatal("the others never elected a leader")
+			t.Fatalf("step %d: the restarted majority never elected a leader", step)
 		}
 	}
 }
 
-// The member that the last change removes may be the leader that proposed it, so its consent is needed too.
+// A member removed by an uncommitted change may be the leader that proposed the change, so a unanimous election needs its
+// consent too.
 func TestUnanimousElectionNeedsRemovedMember(t *testing.T) {
 	remaining, err := json.Marshal(testMembers[:2])
 	if err != nil {
@@ -173,15 +175,15 @@
 	}
 	n.Tick(now)
 	if consent("b", 2, true, 4); n.Role() != PreCandidate {
-		t.Fatalf("it is a %v without the consent of the removed member", n.Role())
+		t.Fatalf("role is %v without the consent of the removed member, want pre-candidate", n.Role())
 	}
 	if consent("c", 3, true, 4); n.Role() != Candidate {
-		t.Fatalf("it is a %v with everybody's consent", n.Role())
+		t.Fatalf("role is %v with the consent of all members, want candidate", n.Role())
 	}
 	if consent("b", 2, false, 4); n.Role() != Candidate {
-		t.Fatalf("it is a %v though one has not answered in its term", n.Role())
+		t.Fatalf("role is %v before all members have answered in the new term, want candidate", n.Role())
 	}
 	if consent("c", 3, false, 4); n.Role() != Leader {
-		t.Fatalf("it is a %v though everybody has answered in its term", n.Role())
+		t.Fatalf("role is %v after all members have answered in the new term, want leader", n.Role())
 	}
 }
--- a/internal/controlplane/consensus/export_test.go
+++ b/internal/controlplane/consensus/export_test.go
@@ -7,10 +7,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// What follows disables a guard of the node, to see that the model checker notices.
+// Test-only methods of Node. Some of them violate a rule of Raft, to check that the model checker detects the violation.
 
-// CommitByCount commits what a majority holds, whatever term it is of.
-func (n *Node) CommitByCount(now time.Duration) {
+// CommitByCountingReplicas commits the entries that a majority has synced, even those of an earlier term.
+func (n *Node) CommitByCountingReplicas(now time.Duration) {
 	if n.role != Leader {
 		return
 	}
@@ -22,31 +22,31 @@
 	}
 }
 
-// ProposeAnyMembers proposes a member list, however it differs from the present one.
+// ProposeAnyMembers proposes a member list without checking that it differs from the current one by only one member.
 func (n *Node) ProposeAnyMembers(now time.Duration, members []wire.Member) {
 	data, _ := json.Marshal(members)
 	n.appendEntry(now, EntryMembers, data)
 	n.replicate(now, false)
 }
 
-// SkipApplied withholds committed entries from the state machine.
-func (n *Node) SkipApplied() { n.ready.CommittedEntries = nil }
+// DiscardCommittedEntries drops the committed entries in Ready, so that they are never applied to the state machine.
+func (n *Node) DiscardCommittedEntries() { n.ready.CommittedEntries = nil }
 
-// CommitOwn commits what only the leader itself has synced.
-func (n *Node) CommitOwn(now time.Duration) {
+// CommitWithoutQuorum commits entries that only the leader itself has synced.
+func (n *Node) CommitWithoutQuorum(now time.Duration) {
 	if n.role == Leader && n.stable > n.commit && n.stable >= n.termStartIndex {
 		n.commit = n.stable
 		n.advanceCommit(now)
 	}
 }
 
-// TermAt returns the term of an entry, 0 if there is none.
+// TermAt returns the term of the entry at index, or 0 if there is none.
 func (n *Node) TermAt(index uint64) uint64 {
 	term, _ := n.termAt(index)
 	return term
 }
 
-// DiskOf returns the disk that the member list has for a name, 0 if the name isn't listed.
+// DiskOf returns the disk of the member with that name, or 0 if there is no such member.
 func (n *Node) DiskOf(name string) uint64 {
 	for _, m := range n.members {
 		if m.Name == name {
--- a/internal/controlplane/consensus/fuzz_test.go
+++ b/internal/controlplane/consensus/fuzz_test.go
@@ -9,10 +9,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// choices turns a fuzzer's bytes into choices; without bytes left it chooses zero.
+// choices derives messages and other test input from a fuzzer's bytes. Once they are used up, every choice is zero.
 type choices struct{ bytes []byte }
 
-// next is the next byte.
+// next consumes and returns the next byte.
 func (s *choices) next() byte {
 	if len(s.bytes) == 0 {
 		return 0
@@ -24,7 +24,7 @@
 
 func (s *choices) bit() bool { return s.next()&1 == 1 }
 
-// number is mostly small, as a node's own numbers are, and sometimes at a limit.
+// number returns a term, index or size: usually a small one, as in a node's own state, sometimes one near a limit.
 func (s *choices) number() uint64 {
 	switch c := s.next(); {
 	case c < 240:
@@ -90,12 +90,12 @@
 	return m
 }
 
-// committedEntries are those that a node holds, to be compared with what it holds later.
+// committedEntries returns a copy of the committed entries in a node's log.
 func committedEntries(n *Node) []wire.Entry {
 	return slices.DeleteFunc(slices.Clone(n.log), func(e wire.Entry) bool { return e.Index > n.commit })
 }
 
-// Whatever comes from other daemons a node never panics, and its committed entries and its term never go back.
+// No sequence of received messages makes a node panic, change a committed entry, or decrease its commit index or term.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte{}, false)
 	f.Add([]byte{1, 1, 2, 3, 0, 1, 0, 0, 1, 0, 1, 2, 3, 1, 2, 2, 1, 1, 1, 1}, false)
@@ -109,7 +109,7 @@
 		}
 		s := &choices{data}
 		for len(s.bytes) > 0 {
-			commit, term, before := n.commit, n.term, committedEntries(n)
+			commit, term, entriesBefore := n.commit, n.term, committedEntries(n)
 			switch s.next() % 4 {
 			case 0, 1:
 				n.Step(now, s.message(now))
@@ -121,18 +121,18 @@
 			}
 			n.Ready()
 			if n.commit < commit || n.term < term {
-				t.Fatalf("commit %d after %d, term %d after %d", n.commit, commit, n.term, term)
+				t.Fatalf("commit index or term decreased: commit %d -> %d, term %d -> %d", commit, n.commit, term, n.term)
 			}
-			for _, e := range before {
-				if now, ok := n.termAt(e.Index); ok && now != e.Term {
-					t.Fatalf("committed entry %d of term %d is now of term %d", e.Index, e.Term, now)
+			for _, e := range entriesBefore {
+				if got, ok := n.termAt(e.Index); ok && got != e.Term {
+					t.Fatalf("term of committed entry %d changed from %d to %d", e.Index, e.Term, got)
 				}
 			}
 		}
 	})
 }
 
-// What a disk holds, however odd, is rejected with an error, or a node can start from it.
+// Validate rejects a state read from disk, or a node can start from that state and run without a panic.
 func FuzzPersistentState(f *testing.F) {
 	f.Add([]byte{}, uint8(0))
 	f.Add([]byte{1, 1, 2, 2, 3, 0, 1, 1}, uint8(2))
--- a/internal/controlplane/consensus/lease_test.go
+++ b/internal/controlplane/consensus/lease_test.go
@@ -9,9 +9,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A late append message of a leader's earlier process is answered in the present term. The response must not renew the lease
-// of the leader that the restarted process is now: its timestamp is by another clock.
-func TestLateAppendRenewsNoLease(t *testing.T) {
+// A leader's process restarts and is elected again, and then a follower answers a late append message of the earlier
+// process. Its response, in the current term, must not renew the new lease: the timestamp comes from the earlier process's
+// clock.
+func TestLateAppendDoesNotRenewLease(t *testing.T) {
 	const earlierClock = int64(time.Hour)
 	follower, _ := newTestNode("b")
 	follower.Step(0, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 3, Append: &wire.Append{PrevIndex: 1}})
@@ -19,10 +20,10 @@
 	follower.Step(1, &wire.Message{Kind: wire.KindAppend, From: "a", Disk: 1, Epoch: 1, Term: 2, Timestamp: earlierClock, Append: &wire.Append{PrevIndex: 1}})
 	late := follower.Ready().Messages[0]
 	if late.Term != 3 || late.Timestamp == earlierClock {
-		t.Errorf("term %d, timestamp %d", late.Term, late.Timestamp)
+		t.Errorf("response to an append of an earlier term has term %d and timestamp %d, want term 3 and not the append's timestamp", late.Term, late.Timestamp)
 	}
 
-	// Nor does a leader accept a timestamp that it can't have sent in this term.
+	// The leader also ignores a timestamp that it can't have sent in its current term.
 	leader, _ := newTestNode("a")
 	start := electLeader(leader)
 	for _, b := range leader.Ready().Batches {
@@ -34,16 +35,16 @@
 	}
 	for _, timestamp := range []time.Duration{time.Duration(earlierClock), start - 1, noTimestamp} {
 		if acknowledge(timestamp); leader.HasLease(start) {
-			t.Errorf("a timestamp of %v renews the lease at %v", timestamp, start)
+			t.Errorf("a response with timestamp %v renewed the lease at %v", timestamp, start)
 		}
 	}
 	if acknowledge(start); !leader.HasLease(start) {
-		t.Error("no lease from a majority's acknowledgement")
+		t.Error("the leader has no lease after the acknowledgement of a majority")
 	}
 }
 
-// A leader knows from its log whether another has decided since a term in which it led: none has if it was only without a
-// majority for a while, one has if another was elected meanwhile.
+// A member that leads again determines from its log whether another leader made decisions since its earlier term. None did
+// if it had only lost contact with the majority for a while; one may have if another member was elected meanwhile.
 func TestNoOtherLeaderSince(t *testing.T) {
 	leads := func(cluster *simpleCluster, name string) func() bool {
 		return func() bool { return cluster.leader() == name }
@@ -52,19 +53,19 @@
 		t.Run(fmt.Sprintf("another elected %v", another), func(t *testing.T) {
 			cluster := newSimpleCluster()
 			if !cluster.run(t, 5*time.Second, cluster.hasLeader) {
-				t.Fatal("nobody leads")
+				t.Fatal("no leader was elected")
 			}
 			first := cluster.leader()
 			n, term := cluster.nodes[first], cluster.nodes[first].Term()
 			if !n.NoOtherLeaderSince(term) {
-				t.Error("in its own term nobody else has led")
+				t.Errorf("NoOtherLeaderSince(%d) is false in that same term", term)
 			}
 			cluster.isolate(first, true)
 			if another && !cluster.run(t, 5*time.Second, func() bool { return cluster.hasLeader() && cluster.leader() != first }) {
 				t.Fatal("no other member was elected")
 			}
 			if !another {
-				// Nobody reaches anybody until the leader has stepped down.
+				// Cut all links until the leader has stepped down, so that no other member is elected.
 				for _, name := range memberNames {
 					cluster.isolate(name, true)
 				}
@@ -73,7 +74,7 @@
 			for _, name := range memberNames {
 				cluster.isolate(name, false)
 			}
-			// Leadership is transferred until the first member has it again.
+			// Transfer leadership until the first leader leads again.
 			cluster.run(t, 300*time.Millisecond, noCondition)
 			for i := 0; i < 20 && cluster.leader() != first; i++ {
 				if cluster.hasLeader() {
@@ -84,12 +85,12 @@
 			if cluster.leader() != first {
 				t.Fatalf("%s does not lead again", first)
 			}
-			led := false
+			hasTermBetween := false
 			for _, e := range n.log {
-				led = led || e.Term > term && e.Term < n.Term()
+				hasTermBetween = hasTermBetween || e.Term > term && e.Term < n.Term()
 			}
-			if got := n.NoOtherLeaderSince(term); got == led || another && got {
-				t.Errorf("NoOtherLeaderSince(%d) is %v, entries of another's term in the log: %v", term, got, led)
+			if got := n.NoOtherLeaderSince(term); got == hasTermBetween || another && got {
+				t.Errorf("NoOtherLeaderSince(%d) is %v, log has entries of a term in between: %v, another member was elected: %v", term, got, hasTermBetween, another)
 			}
 		})
 	}
--- a/internal/controlplane/consensus/linkedcluster_test.go
+++ b/internal/controlplane/consensus/linkedcluster_test.go
@@ -13,27 +13,27 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// linkedCluster runs members whose links carry so many bytes a second and whose syncs take time. A message that would wait
-// for its link for longer than tuning.SendQueueTTL is dropped, as a daemon does.
+// linkedCluster simulates members whose links have limited bandwidth and whose syncs take time. A message that would wait
+// longer than tuning.SendQueueTTL for its link is dropped, as a daemon does.
 type linkedCluster struct {
 	now                time.Duration
 	names              []string
 	nodes              map[string]*Node
 	states             map[string]*PersistentState
-	linkRate           map[string]float64       // bytes a second to a member, 0: no bound
-	linkFreeAt         map[string]time.Duration // when a link has carried all that it was given
-	syncTime           map[string]time.Duration // how long a member's disk takes
-	drop               func(m *wire.Message) bool
-	onSend             func(m *wire.Message, bytes int)
-	onApply            func(name string, e wire.Entry)
-	compactedState     func(name string) []byte // a member's snapshot
+	linkRate           map[string]float64               // bandwidth to a member in bytes per second, 0 for unlimited
+	linkFreeAt         map[string]time.Duration         // when the link to a member has sent all queued messages
+	syncTime           map[string]time.Duration         // duration of a sync on a member's disk
+	drop               func(m *wire.Message) bool       // reports whether a message is lost
+	onSend             func(m *wire.Message, bytes int) // called for each message, including lost ones
+	onApply            func(name string, e wire.Entry)  // called for each entry that a member applies
+	compactedState     func(name string) []byte         // returns the data for a member's next snapshot
 	inFlight           []messageInFlight
 	pendingSyncs       []pendingSync
-	snapshotsInstalled map[string]int
-	largestMessage     int // in bytes
+	snapshotsInstalled map[string]int // number of snapshots that a member received and installed
+	largestMessage     int            // in bytes
 }
 
-// pendingSync is what a disk is syncing.
+// pendingSync is a sync in progress on a member's disk.
 type pendingSync struct {
 	doneAt  time.Duration
 	node    *Node
@@ -76,7 +76,7 @@
 	c.nodes[name] = New(c.now, name, state)
 }
 
-// send puts a message on the link to its receiver.
+// send queues a message on the link to its receiver.
 func (c *linkedCluster) send(m *wire.Message) {
 	bytes, err := wire.NewWriter(io.Discard).Put(m)
 	if err != nil {
@@ -97,11 +97,11 @@
 		at = free + time.Duration(float64(bytes)/rate*float64(time.Second))
 		c.linkFreeAt[m.To] = at
 	}
-	c.inFlight = append(c.inFlight, messageInFlight{at + oneWay, to, m})
+	c.inFlight = append(c.inFlight, messageInFlight{at + messageDelay, to, m})
 }
 
-// carryOut sends and syncs what a member has ready, and takes a snapshot when one is due.
-func (c *linkedCluster) carryOut(name string) {
+// processReady sends, applies and starts syncing a member's pending output, and compacts its log if that is due.
+func (c *linkedCluster) processReady(name string) {
 	n := c.nodes[name]
 	for ready := n.Ready(); len(ready.Batches)+len(ready.Messages)+len(ready.CommittedEntries) > 0 || ready.Snapshot != nil; ready = n.Ready() {
 		for _, m := range ready.Messages {
@@ -122,18 +122,18 @@
 	}
 }
 
-// step lets a millisecond pass.
+// step advances time by one millisecond.
 func (c *linkedCluster) step() {
 	c.now += time.Millisecond
 	c.deliver()
 	c.finishSyncs()
 	for _, name := range c.names {
 		c.nodes[name].Tick(c.now)
-		c.carryOut(name)
+		c.processReady(name)
 	}
 }
 
-// deliver takes the messages that have arrived in.
+// deliver delivers the messages that are due.
 func (c *linkedCluster) deliver() {
 	var due []messageInFlight
 	c.inFlight = slices.DeleteFunc(c.inFlight, func(f messageInFlight) bool {
@@ -145,12 +145,12 @@
 	for _, f := range due {
 		if c.nodes[f.message.To] == f.receiver {
 			f.receiver.Step(c.now, f.message)
-			c.carryOut(f.message.To)
+			c.processReady(f.message.To)
 		}
 	}
 }
 
-// finishSyncs reports the syncs that are done.
+// finishSyncs completes the syncs that are due and reports them to their nodes.
 func (c *linkedCluster) finishSyncs() {
 	var done []pendingSync
 	c.pendingSyncs = slices.DeleteFunc(c.pendingSyncs, func(s pendingSync) bool {
@@ -165,12 +165,12 @@
 				c.states[s.name].ApplyBatch(b)
 			}
 			s.node.Advance(c.now, s.batches[len(s.batches)-1].Seq)
-			c.carryOut(s.name)
+			c.processReady(s.name)
 		}
 	}
 }
 
-// run lets time pass by at most span until a condition holds, and says whether it does.
+// run advances time by at most span until done returns true, and returns whether it did.
 func (c *linkedCluster) run(span time.Duration, done func() bool) bool {
 	for end := c.now + span; c.now < end; {
 		c.step()
@@ -181,10 +181,10 @@
 	return false
 }
 
-// noCondition lets a cluster run for the whole span.
+// noCondition makes run last for the whole span.
 func noCondition() bool { return false }
 
-// leader returns the member that holds the lease; the test fails if none does.
+// leader returns the member that holds a lease; the test fails if none does.
 func (c *linkedCluster) leader(t *testing.T) (string, *Node) {
 	t.Helper()
 	for _, name := range c.names {
@@ -192,13 +192,13 @@
 			return name, c.nodes[name]
 		}
 	}
-	t.Fatalf("no leader at %v", c.now)
+	t.Fatalf("no member holds a lease at %v", c.now)
 	return "", nil
 }
 
-// configuration is a document of about so many bytes, as compressible as a real one: the same
-// fields in each route, names and figures that differ.
-func configuration(rnd *rand.Rand, bytes int) []byte {
+// randomConfiguration returns a configuration document of at least the given size that compresses about as well as a real
+// one: each route has the same fields with different names and numbers.
+func randomConfiguration(rnd *rand.Rand, bytes int) []byte {
 	var b []byte
 	for i := 0; len(b) < bytes; i++ {
 		b = fmt.Appendf(b, `{"id":"route-%d","host":"h%d.example","prefix":"/%x/%d","service":"service-%d","attempts":%d,"timeout_ms":%d,"priority":%d},`,
@@ -207,7 +207,7 @@
 	return b
 }
 
-// randomBytes can't be compressed.
+// randomBytes returns incompressible data.
 func randomBytes(rnd *rand.Rand, bytes int) []byte {
 	b := make([]byte, 0, bytes+8)
 	for len(b) < bytes {
@@ -216,24 +216,24 @@
 	return b[:bytes]
 }
 
-// proposeContinuously proposes a change ten times a second, and has all members compact to the last
-// sixteen of them, as the control plane's state does.
+// proposeContinuously returns a function that must be called in each step and proposes a change ten times a second. The
+// members' snapshots hold the last tuning.ChangesKept changes, as those of the control plane do.
 func (c *linkedCluster) proposeContinuously(t *testing.T, change func() []byte) (tick func()) {
-	kept := map[string][][]byte{}
+	recent := map[string][][]byte{} // the last changes that each member applied
 	c.onApply = func(name string, e wire.Entry) {
 		if e.Kind == EntryData {
-			kept[name] = append(kept[name], e.Data)
-			kept[name] = kept[name][max(0, len(kept[name])-tuning.ChangesKept):]
+			recent[name] = append(recent[name], e.Data)
+			recent[name] = recent[name][max(0, len(recent[name])-tuning.ChangesKept):]
 		}
 	}
-	c.compactedState = func(name string) []byte { return slices.Concat(kept[name]...) }
+	c.compactedState = func(name string) []byte { return slices.Concat(recent[name]...) }
 	next := c.now
 	return func() {
 		if c.now >= next {
 			next = c.now + 100*time.Millisecond
 			name, n := c.leader(t)
 			n.Propose(c.now, change())
-			c.carryOut(name)
+			c.processReady(name)
 		}
 	}
 }
--- a/internal/controlplane/consensus/replication_test.go
+++ b/internal/controlplane/consensus/replication_test.go
@@ -11,24 +11,24 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A learner on a link of 128 KiB a second catches up while ten changes a second of 30 KB go on, with one snapshot that nothing
-// restarts, not even a newer one; heartbeats keep it in contact all the while.
+// A learner on a link of 128 KiB/s catches up while ten changes of 30 KB a second are proposed. It receives a single snapshot,
+// whose transfer isn't restarted even when a newer snapshot is taken, and heartbeats keep it recently active throughout.
 func TestLearnerCatchesUpOverSlowLink(t *testing.T) {
 	cluster := newLinkedCluster("a", "b", "c")
 	rnd := rand.New(rand.NewPCG(1, 2))
 	cluster.run(2*time.Second, noCondition)
-	tick := cluster.proposeContinuously(t, func() []byte { return wire.Compress(configuration(rnd, 30<<10)) })
+	tick := cluster.proposeContinuously(t, func() []byte { return wire.Compress(randomConfiguration(rnd, 30<<10)) })
 	cluster.run(10*time.Second, func() bool { tick(); return false })
 
 	learner := wire.Member{Name: "d", Disk: 9}
 	cluster.linkRate["d"] = tuning.SlowLink
-	begun, sent, total := 0, 0, 0
+	transfers, sent, total := 0, 0, 0
 	cluster.onSend = func(m *wire.Message, _ int) {
 		if m.Append == nil || m.Append.Reply || m.Append.Chunk == nil || m.Append.Chunk.IsEntry {
 			return
 		}
 		if m.Append.Chunk.Offset == 0 {
-			begun++
+			transfers++
 			total += int(m.Append.Chunk.Size)
 		}
 		sent += len(m.Append.Chunk.Data)
@@ -50,36 +50,36 @@
 			longestSilence = max(longestSilence, cluster.now-p.ackedAt)
 		}
 		match, ok := n.Match(learner)
-		return ok && match > 0 && match >= n.Commit() // all of it, not only nearly
+		return ok && match > 0 && match >= n.Commit() // completely, not within tuning.LearnerLag as for CaughtUp
 	})
-	t.Logf("caught up after %v: %d snapshot(s), %d of %d bytes sent, longest without contact %v, largest message %d bytes", cluster.now-from, begun, sent, total, longestSilence, cluster.largestMessage)
+	t.Logf("caught up after %v: %d snapshot transfer(s), %d of %d bytes sent, longest time without contact %v, largest message %d bytes", cluster.now-from, transfers, sent, total, longestSilence, cluster.largestMessage)
 	if !caught || cluster.now-from > 5*time.Second {
-		t.Fatalf("not caught up after %v", cluster.now-from)
+		t.Fatalf("learner hasn't caught up after %v", cluster.now-from)
 	}
 	if !compacted {
-		t.Error("no newer snapshot was taken meanwhile")
+		t.Error("no newer snapshot was taken during the transfer, so the test doesn't cover that case")
 	}
-	if begun != 1 || sent != total {
-		t.Errorf("%d snapshots begun, %d bytes sent for %d", begun, sent, total)
+	if transfers != 1 || sent != total {
+		t.Errorf("%d snapshot transfers started and %d bytes sent, want 1 and %d", transfers, sent, total)
 	}
 	if longestSilence >= tuning.LeaderLease {
-		t.Errorf("%v without contact", longestSilence)
+		t.Errorf("learner was without contact for %v, want less than %v", longestSilence, tuning.LeaderLease)
 	}
 	if cluster.largestMessage > tuning.AppendMax+4<<10 {
-		t.Errorf("a message of %d bytes", cluster.largestMessage)
+		t.Errorf("largest message has %d bytes, limit is %d", cluster.largestMessage, tuning.AppendMax+4<<10)
 	}
-	cluster.run(10*time.Second, func() bool { // and stays so
+	cluster.run(10*time.Second, func() bool { // the learner keeps up afterwards
 		tick()
 		_, n := cluster.leader(t)
 		if lag := n.LastIndex() - n.progress["d"].match; lag > 10 {
-			t.Fatalf("%d entries behind again at %v", lag, cluster.now)
+			t.Fatalf("learner fell %d entries behind again at %v", lag, cluster.now)
 		}
 		return false
 	})
 }
 
-// Changes that are more than a link carries can't be followed; but what is in flight to that
-// member stays bounded, it stays in longestSilence, and it has caught up soon after they end.
+// When changes exceed the bandwidth of the link to a member, the member can't keep up. The bytes in flight to it must stay
+// bounded, the leader must stay in contact with it, and it must catch up soon after the changes end.
 func TestOverloadedLinkStaysBounded(t *testing.T) {
 	cluster := newLinkedCluster("a", "b", "c")
 	rnd := rand.New(rand.NewPCG(3, 4))
@@ -94,23 +94,23 @@
 		_, n := cluster.leader(t)
 		longestSilence = max(longestSilence, cluster.now-n.progress[slow].ackedAt)
 		if b := n.progress[slow].inflightBytes(); b > tuning.AppendMax {
-			t.Fatalf("%d bytes in flight", b)
+			t.Fatalf("%d bytes in flight to %s, limit is %d", b, slow, tuning.AppendMax)
 		}
 		return false
 	})
 	if longestSilence >= tuning.LeaderLease {
-		t.Errorf("%v without contact", longestSilence)
+		t.Errorf("%s was without contact for %v, want less than %v", slow, longestSilence, tuning.LeaderLease)
 	}
 	from := cluster.now
 	_, n := cluster.leader(t)
 	if !cluster.run(15*time.Second, func() bool { return n.progress[slow].match >= n.Commit() }) {
-		t.Fatalf("at %d of %d after the changes ended", n.progress[slow].match, n.Commit())
+		t.Fatalf("%s hasn't caught up after the changes ended: match %d, commit %d", slow, n.progress[slow].match, n.Commit())
 	}
-	t.Logf("longest without contact %v; caught up %v after the changes ended", longestSilence, cluster.now-from)
+	t.Logf("longest time without contact %v; caught up %v after the changes ended", longestSilence, cluster.now-from)
 }
 
-// Lost chunks are sent again from what has arrived, not from the beginning, and soon.
-func TestLostChunkIsResumed(t *testing.T) {
+// After lost chunks or responses a transfer resumes promptly from the bytes already received instead of starting over.
+func TestTransferResumesAfterLostChunk(t *testing.T) {
 	for _, kind := range []string{"snapshot", "entry"} {
 		t.Run(kind, func(t *testing.T) {
 			cluster := newLinkedCluster("a", "b", "c")
@@ -120,16 +120,16 @@
 			const size = 400 << 10
 			cluster.compactedState = func(string) []byte { return randomBytes(rnd, size) }
 			data := randomBytes(rnd, size)
-			if kind == "snapshot" { // larger than tuning.LogBytes, so it is compacted at once
+			if kind == "snapshot" { // exceed tuning.LogBytes, so that the log is compacted
 				data = randomBytes(rnd, size/3)
 				for range 3 {
 					n.Propose(cluster.now, data)
-					cluster.carryOut(name)
+					cluster.processReady(name)
 					cluster.run(time.Second, noCondition)
 				}
 			}
 			sent, lost := 0, 0
-			chunkBytes := map[string]int{} // of each chunk to each member
+			chunkBytes := map[string]int{} // size of each distinct chunk to each member
 			cluster.drop = func(m *wire.Message) bool {
 				if m.Append == nil || m.Append.Chunk == nil {
 					return false
@@ -138,7 +138,7 @@
 				if chunk := m.Append.Chunk; !m.Append.Reply {
 					chunkBytes[fmt.Sprint(m.To, chunk.Index, chunk.Offset)] = len(chunk.Data)
 				}
-				isLost := rnd.IntN(3) == 0 // responses too
+				isLost := rnd.IntN(3) == 0 // responses are lost too
 				if isLost {
 					lost++
 				}
@@ -151,58 +151,58 @@
 				from, sent = cluster.now, 0
 				clear(chunkBytes)
 				n.Propose(cluster.now, data)
-				cluster.carryOut(name)
+				cluster.processReady(name)
 			}
 			if !cluster.run(20*time.Second, func() bool {
 				n.AddLearner(wire.Member{Name: "d", Disk: 9})
 				return n.progress["d"].match >= n.LastIndex() && n.Commit() == n.LastIndex()
 			}) {
-				t.Fatalf("at %d of %d", n.progress["d"].match, n.LastIndex())
+				t.Fatalf("transfer not complete: match %d, last index %d", n.progress["d"].match, n.LastIndex())
 			}
 			needed := 0
 			for _, bytes := range chunkBytes {
 				needed += bytes
 			}
-			t.Logf("%v, %d bytes sent for %d, %d messages lost", cluster.now-from, sent, needed, lost)
+			t.Logf("took %v, %d bytes sent of which %d were needed, %d messages lost", cluster.now-from, sent, needed, lost)
 			if lost == 0 || needed < size || sent > 2*needed || cluster.now-from > 5*time.Second {
-				t.Errorf("%d bytes sent for %d, %d lost, in %v", sent, needed, lost, cluster.now-from)
+				t.Errorf("%d bytes sent of which %d were needed (content has %d), %d messages lost, took %v", sent, needed, size, lost, cluster.now-from)
 			}
 		})
 	}
 }
 
-// A member that was unreachable while no more was compacted than is kept in memory needs no snapshot.
+// A member that was unreachable needs no snapshot if the compacted entries that it missed are still in the leader's memory.
 func TestCompactedTailAvoidsSnapshot(t *testing.T) {
 	cluster := newLinkedCluster("a", "b", "c")
 	rnd := rand.New(rand.NewPCG(7, 8))
 	cluster.run(2*time.Second, noCondition)
 	name, n := cluster.leader(t)
-	away := cluster.names[(slices.Index(cluster.names, name)+1)%3]
+	unreachable := cluster.names[(slices.Index(cluster.names, name)+1)%3]
 	tick := cluster.proposeContinuously(t, func() []byte { return randomBytes(rnd, 4<<10) })
 	cluster.run(time.Second, func() bool { tick(); return false })
-	cluster.drop = func(m *wire.Message) bool { return m.To == away || m.From == away }
+	cluster.drop = func(m *wire.Message) bool { return m.To == unreachable || m.From == unreachable }
 	before := n.snapshot.Index
 	cluster.run(8*time.Second, func() bool { tick(); return false })
 	if n.snapshot.Index == before {
-		t.Fatal("nothing was compacted meanwhile")
+		t.Fatal("the log wasn't compacted while the member was unreachable")
 	}
-	cluster.restart(away)
+	cluster.restart(unreachable)
 	cluster.drop = func(*wire.Message) bool { return false }
 	from := cluster.now
 	if !cluster.run(5*time.Second, func() bool {
 		tick()
 		_, n = cluster.leader(t)
-		return n.progress[away] != nil && n.progress[away].match >= n.Commit()
+		return n.progress[unreachable] != nil && n.progress[unreachable].match >= n.Commit()
 	}) {
-		t.Fatal("it never caught up")
+		t.Fatalf("%s never caught up", unreachable)
 	}
 	t.Logf("caught up after %v", cluster.now-from)
-	if cluster.snapshotsInstalled[away] != 0 {
-		t.Error("a snapshot was needed")
+	if cluster.snapshotsInstalled[unreachable] != 0 {
+		t.Errorf("%s installed %d snapshots, want none", unreachable, cluster.snapshotsInstalled[unreachable])
 	}
 }
 
-// After ten thousand entries the log, its tail, the state on disk and messages are as large as after a few hundred.
+// The sizes of the log, the compacted tail, the checkpoint on disk and messages stay bounded over ten thousand entries.
 func TestMemoryIsBoundedAfterTenThousandEntries(t *testing.T) {
 	cluster := newLinkedCluster("a", "b", "c")
 	rnd := rand.New(rand.NewPCG(9, 10))
@@ -212,7 +212,7 @@
 	for i := range 10000 {
 		name, n := cluster.leader(t)
 		n.Propose(cluster.now, doc())
-		cluster.carryOut(name)
+		cluster.processReady(name)
 		cluster.step()
 		if i%10 == 0 {
 			cluster.run(20*time.Millisecond, func() bool { return n.Commit() == n.LastIndex() })
@@ -231,19 +231,20 @@
 		}
 		t.Logf("%s: commit %d, log %d entries, %d bytes; tail %d bytes; checkpoint %d bytes", name, n.Commit(), len(n.log), logBytes, tailBytes, len(checkpoint))
 		if n.Commit() < 10000 || len(n.log) > tuning.LogMax+2 || logBytes > tuning.LogBytes+tuning.AppendMax || tailBytes > tuning.LogTailBytes || len(checkpoint) > tuning.WALFileSize/2 {
-			t.Errorf("%s holds too much", name)
+			t.Errorf("%s exceeds a limit: commit %d, log %d entries of %d and %d bytes of %d, tail %d bytes of %d, checkpoint %d bytes of %d", name, n.Commit(),
+				len(n.log), tuning.LogMax+2, logBytes, tuning.LogBytes+tuning.AppendMax, tailBytes, tuning.LogTailBytes, len(checkpoint), tuning.WALFileSize/2)
 		}
 		if len(n.unsyncedBatches)+len(n.pendingMessages) > 0 {
-			t.Errorf("%s: %d batches and %d messages left over", name, len(n.unsyncedBatches), len(n.pendingMessages))
+			t.Errorf("%s still has %d unsynced batches and %d pending messages", name, len(n.unsyncedBatches), len(n.pendingMessages))
 		}
 	}
 	if cluster.largestMessage > tuning.AppendMax+4<<10 {
-		t.Errorf("a message of %d bytes", cluster.largestMessage)
+		t.Errorf("largest message has %d bytes, limit is %d", cluster.largestMessage, tuning.AppendMax+4<<10)
 	}
 }
 
-// A follower whose disk takes 30 times as long stays in contact and keeps up; a leader whose
-// disk doesn't answer loses its lease, acknowledges nothing, and another is elected.
+// A follower whose syncs take 60 ms (30 times 2 ms) stays in contact and keeps up. A leader whose disk stalls loses its
+// lease, doesn't count unsynced entries as its own acknowledgement, and is replaced.
 func TestSlowAndStalledDisks(t *testing.T) {
 	cluster := newLinkedCluster("a", "b", "c")
 	rnd := rand.New(rand.NewPCG(11, 12))
@@ -255,24 +256,24 @@
 	var longestSilence time.Duration
 	cluster.run(10*time.Second, func() bool {
 		tick()
-		if _, leads := cluster.leader(t); leads != n {
-			t.Fatal("another was elected")
+		if _, leader := cluster.leader(t); leader != n {
+			t.Fatal("another leader was elected because of a slow follower")
 		}
 		longestSilence = max(longestSilence, cluster.now-n.progress[slow].ackedAt)
 		return false
 	})
 	if lag := n.LastIndex() - n.progress[slow].match; lag > 3 || longestSilence > 2*tuning.HeartbeatEvery {
-		t.Errorf("the slow one is %d entries behind, %v without contact", lag, longestSilence)
+		t.Errorf("%s, whose disk is slow, is %d entries behind and was without contact for %v", slow, lag, longestSilence)
 	}
 
 	cluster.syncTime[name] = 10 * time.Second
 	index := n.Propose(cluster.now, []byte("not on the leader's disk"))
-	cluster.carryOut(name)
+	cluster.processReady(name)
 	from := cluster.now
 	if !cluster.run(tuning.ElectionTimeoutMin, func() bool { return !n.HasLease(cluster.now) }) {
-		t.Fatal("it holds its lease with a disk that doesn't answer")
+		t.Fatal("the leader still holds its lease with a stalled disk")
 	}
-	t.Logf("it lost its lease after %v", cluster.now-from)
+	t.Logf("the leader with a stalled disk lost its lease after %v", cluster.now-from)
 	if !cluster.run(5*time.Second, func() bool {
 		for _, other := range cluster.names {
 			if other != name && cluster.nodes[other].HasLease(cluster.now) {
@@ -281,13 +282,13 @@
 		}
 		return false
 	}) {
-		t.Fatal("nobody else was elected")
+		t.Fatal("no other leader was elected")
 	}
 	if n.stable >= index {
-		t.Error("it counts an entry that its disk has not synced")
+		t.Errorf("stable index is %d, but entry %d isn't synced", n.stable, index)
 	}
 	cluster.run(10*time.Second, noCondition)
 	if pending := len(n.pendingMessages); pending > tuning.SendQueue {
-		t.Errorf("%d messages are pending", pending)
+		t.Errorf("%d messages are pending, limit is %d", pending, tuning.SendQueue)
 	}
 }
