--- a/internal/shared/wire/bench_test.go
+++ b/internal/shared/wire/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// pushOfTargets is a table as a leader pushes it to a proxy: n targets of a few services and domains,
-// six proxies and no document, which most pushes omit.
+// pushOfTargets returns a push with a table of n targets in nine services and three domains, and of six
+// proxies. It has no document, since most pushes omit it.
 func pushOfTargets(n int) *Message {
 	t := &Table{Key: TableKey{1, 2, 3}, StateIndex: 4, Revision: 5, State: []byte(`{"admitted":true}`)}
 	for i := range 6 {
@@ -21,7 +21,7 @@
 		Push: &Push{LeaseGranted: true, Key: t.Key, Table: t}}
 }
 
-// pullOfStats is a proxy's pull with its statistics of n targets.
+// pullOfStats returns a pull with statistics for n targets.
 func pullOfStats(n int) *Message {
 	p := &Pull{Self: Daemon{Name: "gate-2", Kind: "gate", Domain: "domain-1", Addr: "10.0.0.2:9000", HTTP: "10.0.0.2:80",
 		Incarnation: 3, Ready: true, State: "serving"}, Key: TableKey{1, 2, 3}, Revision: 5, StateIndex: 4}
--- a/internal/shared/wire/call.go
+++ b/internal/shared/wire/call.go
@@ -1,14 +1,14 @@
 package wire
 
-// Call is an operator's or a target's HTTP call that a member forwards to the leader, or the response.
+// Call is an HTTP request from an operator or a target that a member forwards to the leader, or the leader's response.
 type Call struct {
-	ID           uint64 `capnp:"id"` // pairs the response with the call
-	Reply        bool   // it is the response
+	ID           uint64 `capnp:"id"` // chosen by the forwarding member; the response repeats it
+	Reply        bool   // set in the response
 	Method       string
 	Path         string
 	Query        string // without the question mark
 	Body         []byte
 	Status       uint16 // in a response: the HTTP status
-	RetryAfterMs uint32 // in a response: when to retry, in ms; 0: not set
-	Token        string // identifies a change, so that it is applied once however often it is sent
+	RetryAfterMs uint32 // in a response: delay before a retry, in ms; 0: not set
+	Token        string // idempotency key: a change that is sent several times with the same token is applied once
 }
--- a/internal/shared/wire/compress.go
+++ b/internal/shared/wire/compress.go
@@ -1,10 +1,10 @@
 package wire
 
-// Long texts between daemons (configurations, and the state that proxies keep for disaster recovery)
-// are compressed once by their sender and decompressed by the receiver: a configuration of a thousand
-// routes shrinks to a tenth, and with it the time that it takes on a slow link or for a leader that
-// sends it to all proxies. A compressed text begins with a byte that no plain one begins with; short
-// texts stay as they are.
+// Large payloads (configurations, and the state that proxies keep for disaster recovery) are compressed
+// once by the sender and decompressed by the receiver. A configuration with a thousand routes shrinks to
+// a tenth of its size, which shortens the transfer over a slow link and the time a leader needs to send
+// it to all proxies. A compressed payload starts with a header byte that no uncompressed payload starts
+// with. Short payloads are not compressed.
 
 import (
 	"bytes"
@@ -16,11 +16,12 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// compressedHeader is the first byte of a compressed text. Plain texts are JSON, which never begins with it.
+// compressedHeader is the first byte of a compressed payload. Uncompressed payloads are JSON, which never
+// starts with this byte.
 const compressedHeader = 0
 
-// Compress returns a form of text that Decompress reads: text itself, if it is shorter than
-// tuning.CompressFrom or would not become shorter. The same text always gives the same bytes.
+// Compress returns the compressed form of text, or text itself if it is shorter than
+// tuning.CompressFrom or compression would not make it shorter. The result is deterministic.
 func Compress(text []byte) []byte {
 	if len(text) < tuning.CompressFrom {
 		return text
@@ -34,7 +35,7 @@
 		}
 	}
 	if err != nil {
-		panic(err) // writing to a buffer does not fail
+		panic(err) // writing to a bytes.Buffer cannot fail
 	}
 	if compressed.Len() >= len(text) {
 		return text
@@ -42,18 +43,18 @@
 	return bytes.Clone(compressed.Bytes())
 }
 
-// Decompress returns the text that Compress made b of. It fails if b is truncated or malformed, or if
-// the text is longer than tuning.WireMax bytes.
+// Decompress reverses Compress. It returns an error if b is truncated or malformed, or if the
+// decompressed text is longer than tuning.WireMax bytes.
 func Decompress(b []byte) ([]byte, error) {
 	if len(b) == 0 || b[0] != compressedHeader {
 		return b, nil
 	}
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b[1:])), tuning.WireMax+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "compressed text")
+		return nil, errors.Wrap(err, "decompress payload")
 	}
 	if len(text) > tuning.WireMax {
-		return nil, errors.Newf("compressed text is over %d bytes", tuning.WireMax)
+		return nil, errors.Newf("decompressed payload exceeds %d bytes", tuning.WireMax)
 	}
 	return text, nil
 }
--- a/internal/shared/wire/compress_test.go
+++ b/internal/shared/wire/compress_test.go
@@ -10,7 +10,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// A compressed text decompresses to the same text, is never longer, and routes shrink to half or less.
+// Compression is lossless and deterministic, never makes a payload longer, and shrinks a list of routes to half its
+// size or less.
 func TestCompressedTextRoundTrips(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	noise := make([]byte, 5*tuning.CompressFrom)
@@ -24,26 +25,26 @@
 	for _, text := range [][]byte{nil, []byte("{}"), bytes.Repeat([]byte("a"), tuning.CompressFrom-1), bytes.Repeat([]byte("a"), tuning.CompressFrom), noise, routes.Bytes()} {
 		b := Compress(text)
 		if len(b) > len(text) {
-			t.Errorf("%d bytes grew to %d", len(text), len(b))
+			t.Errorf("compressing %d bytes gave %d bytes, want at most as many", len(text), len(b))
 		}
 		if got, err := Decompress(b); err != nil || !bytes.Equal(got, text) {
-			t.Errorf("%d bytes decompressed to %d: %v", len(text), len(got), err)
+			t.Errorf("round trip of %d bytes gave %d bytes or other content, error %v", len(text), len(got), err)
 		}
 		if again := Compress(text); !bytes.Equal(again, b) {
-			t.Errorf("%d bytes are compressed in two ways", len(text))
+			t.Errorf("compressing the same %d bytes twice gave different results", len(text))
 		}
 	}
 	if b := Compress(routes.Bytes()); 2*len(b) > routes.Len() {
-		t.Errorf("%d bytes of routes take %d", routes.Len(), len(b))
+		t.Errorf("%d bytes of routes compressed to %d bytes, want at most half", routes.Len(), len(b))
 	}
 }
 
-// A truncated text is an error, and so is one that grows over the bound of a message.
+// Decompress rejects truncated input, and input that decompresses to more than tuning.WireMax bytes.
 func TestMalformedCompressedTextIsAnError(t *testing.T) {
 	whole := Compress(bytes.Repeat([]byte("one and another "), tuning.CompressFrom))
 	for n := 1; n < len(whole); n++ {
 		if _, err := Decompress(whole[:n]); err == nil {
-			t.Fatalf("%d of %d bytes were decompressed", n, len(whole))
+			t.Fatalf("Decompress accepted input truncated to %d of %d bytes", n, len(whole))
 		}
 	}
 	var b bytes.Buffer
@@ -61,6 +62,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Decompress(b.Bytes()); err == nil {
-		t.Error("a text over a message's bound was decompressed")
+		t.Error("Decompress accepted a payload that exceeds tuning.WireMax")
 	}
 }
--- a/internal/shared/wire/daemon.go
+++ b/internal/shared/wire/daemon.go
@@ -1,45 +1,45 @@
 package wire
 
-// DaemonKind is the kind of a daemon. The texts stand on the wire, in stored data, in settings and
-// in operators' calls.
+// DaemonKind is the kind of a daemon. The string values are part of the wire format, stored data,
+// settings and the operators' API.
 type DaemonKind string
 
 // The two kinds of daemons.
 const (
-	ControlDaemon DaemonKind = "core"
-	ProxyDaemon   DaemonKind = "gate"
+	ControlDaemon DaemonKind = "core" // member of the control plane
+	ProxyDaemon   DaemonKind = "gate" // proxy of the data plane
 )
 
-// Daemon describes a control daemon or a proxy, as it describes itself to others.
+// Daemon is the description of itself that a control daemon or a proxy sends to other daemons.
 type Daemon struct {
 	Name           string     `json:"name"`              // unique in the fleet
 	Kind           DaemonKind `json:"kind"`              // control daemon or proxy
 	Domain         string     `json:"domain"`            // failure domain (zone)
-	Addr           string     `json:"addr"`              // IP:port for messages between daemons
+	Addr           string     `json:"addr"`              // IP:port of its listener for messages between daemons
 	HTTP           string     `json:"http" capnp:"http"` // IP:port of its HTTP API
-	Incarnation    uint64     `json:"incarnation"`       // random number of this start of the process
-	Disk           uint64     `json:"-"`                 // number of its disk, 0 for a proxy
-	Epoch          uint64     `json:"epoch"`             // bootstrap epoch that it belongs to, 0: none yet
-	BootstrapLock  uint64     `json:"-"`                 // bootstrap offer that its disk is bound to, 0: none
-	Ready          bool       `json:"ready"`             // a proxy: it serves callers; a member: it knows a leader
-	State          string     `json:"state"`             // for operators: the member's role or the proxy's state
-	BootstrapOffer uint64     `json:"-"`                 // bootstrap offer that it sees: a hash of the founders
+	Incarnation    uint64     `json:"incarnation"`       // random number, new at each start of the process
+	Disk           uint64     `json:"-"`                 // number that identifies its disk; 0 for a proxy
+	Epoch          uint64     `json:"epoch"`             // bootstrap epoch that it belongs to; 0: not bootstrapped yet
+	BootstrapLock  uint64     `json:"-"`                 // bootstrap offer that its disk is locked to; 0: none
+	Ready          bool       `json:"ready"`             // for a proxy: it serves callers; for a member: it knows a leader
+	State          string     `json:"state"`             // role of the member or state of the proxy, shown to operators
+	BootstrapOffer uint64     `json:"-"`                 // hash of the founding members that it currently sees; 0: none
 }
 
-// Hello is the message of discovery: the sender, the daemons that it knows of, and the leader.
+// Hello is a discovery message. It carries the sender, the daemons that it knows, and the leader.
 type Hello struct {
 	Self           Daemon   // the sender
 	Daemons        []Daemon // other daemons that the sender knows of
-	Reply          bool     // it answers another hello, and is not answered itself
-	Leader         string   // the leader's name, "": none is known
-	Term           uint64   // the leader's term
-	RecoveredState []byte   // state that is kept for disaster recovery, from Compress
+	Reply          bool     // response to another hello; it gets no response itself
+	Leader         string   // name of the leader; "": none is known
+	Term           uint64   // term of the leader
+	RecoveredState []byte   // state kept for disaster recovery, encoded by Compress
 	Members        []Member // latest member list that the sender knows
-	MembersEpoch   uint64   // epoch that Members is as of
-	MembersIndex   uint64   // index in the log that Members is as of
-	BootstrapEpoch uint64   // epoch that the sender's bootstrap lock is for
-	// LostMembers and RecoveryConsent are an operator's consent to a disaster recovery: the members
-	// whose disks are lost, and that it may begin.
+	MembersEpoch   uint64   // bootstrap epoch of Members
+	MembersIndex   uint64   // log index of Members
+	BootstrapEpoch uint64   // epoch of the bootstrap that the sender is locked to
+	// LostMembers and RecoveryConsent record an operator's consent to a disaster recovery: the members
+	// whose disks are lost, and permission to start it.
 	LostMembers     []string
 	RecoveryConsent bool
 }
--- a/internal/shared/wire/decode.go
+++ b/internal/shared/wire/decode.go
@@ -1,9 +1,9 @@
 package wire
 
-// Decoding copies all that it keeps, so that no message refers to the bytes that came in. It trusts
-// no length: a message is a tree in which each part is read once, so that no more bytes are read than
-// there are, and no more elements are made than there are words, whatever its pointers claim. An
-// error stays in the decoder and is looked at once, at the end.
+// The decoder copies everything it keeps, so decoded messages do not alias the input. It does not trust
+// lengths in the input: a valid message is a tree in which each part is read once, so the decoder reads
+// at most as many bytes as the input has, and allocates at most as many list elements as the input has
+// words, whatever the pointers claim. The decoder keeps the first error, which is checked once at the end.
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Decode reads what Encode made. It trusts nothing in b: any bytes give a message or an error. The
-// message refers to no part of b.
+// Decode parses the output of Encode. It is safe for untrusted input: any bytes give a message or an
+// error. The message does not alias b.
 func Decode(b []byte) (*Message, error) {
 	cm, c, err := openRoot(b)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return m, nil
 }
 
-// DecodeBatch reads what EncodeBatch made, under the same conditions as Decode.
+// DecodeBatch parses the output of EncodeBatch, with the same guarantees as Decode.
 func DecodeBatch(b []byte) (*Batch, error) {
 	cm, c, err := openRoot(b)
 	if err != nil {
@@ -43,7 +43,8 @@
 	return batch, nil
 }
 
-// openRoot returns a message and its root struct. The message may be read only once all through.
+// openRoot returns the Cap'n Proto message in b and its root struct. The read limit allows the message to
+// be traversed only once.
 func openRoot(b []byte) (*capnp.Message, capnp.Struct, error) {
 	cm, err := capnp.Unmarshal(b)
 	if err != nil {
@@ -57,14 +58,14 @@
 	return cm, p.Struct(), nil
 }
 
-// decoder holds what is common to all parts of one message.
+// decoder holds the state shared by all parts of one message.
 type decoder struct {
-	err          error      // the first one
-	elementsLeft int        // elements of lists that may still come: each takes a word at least
-	internTable  [32]string // texts that many elements share, such as a service or a state
+	err          error      // first error
+	elementsLeft int        // upper bound of the list elements still to be read; each takes at least a word
+	internTable  [32]string // cache of strings that many elements share, such as service names and states
 }
 
-// ok keeps err if it is the first error, and reports whether it is nil.
+// ok records err if it is the first error, and reports whether err is nil.
 func (d *decoder) ok(err error) bool {
 	if d.err == nil {
 		d.err = err
@@ -72,21 +73,22 @@
 	return err == nil
 }
 
-// count returns how many elements to read of a list that claims n.
+// count returns the number of elements to read from a list whose header claims n, or 0 and an error if the
+// message cannot contain that many.
 func (d *decoder) count(n int, err error) int {
 	if !d.ok(err) {
 		return 0
 	}
 	if n < 0 || n > d.elementsLeft {
-		d.ok(errors.Newf("a list claims %d elements, the message has at most %d", n, d.elementsLeft))
+		d.ok(errors.Newf("list claims %d elements, but the rest of the message can hold at most %d", n, d.elementsLeft))
 		return 0
 	}
 	d.elementsLeft -= n
 	return n
 }
 
-// readList reads a list of structs, each by read, which fills in one element. An empty list is nil,
-// like one that is not there.
+// readList decodes a list of structs, calling read to fill in each element. It returns nil for an empty
+// list, as for an absent one.
 func readList[C ~capnp.StructKind, T any](d *decoder, list capnp.StructList[C], err error, read func(C, *T)) []T {
 	n := d.count(list.Len(), err)
 	if n == 0 {
@@ -116,7 +118,8 @@
 	return string(b)
 }
 
-// interned is text for what many elements of a message share: equal texts are allocated once.
+// interned is like text, for strings that many elements of a message share: equal strings are allocated
+// once, unless a hash collision evicts them from the table.
 func (d *decoder) interned(b []byte, err error) string {
 	d.ok(err)
 	if len(b) == 0 {
--- a/internal/shared/wire/encode.go
+++ b/internal/shared/wire/encode.go
@@ -1,8 +1,8 @@
 package wire
 
-// The structs are written field by field over the generated accessors, in the order of the schema: the
-// order in which parts are allocated decides the bytes. An error stays in the encoder and is looked
-// at once, at the end.
+// Structs are written field by field through the generated accessors, in schema order: the order of
+// allocation determines the encoded bytes. The encoder keeps the first error, which is checked once at
+// the end.
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Encode returns a message as unpacked Cap'n Proto bytes. Its errors are the library's.
+// Encode returns the unpacked Cap'n Proto encoding of a message. Errors come from the Cap'n Proto library.
 func Encode(m *Message) ([]byte, error) {
 	buf, cm, seg, err := newMessage(m.size())
 	if err != nil {
@@ -24,8 +24,8 @@
 	return finish(buf, cm, seg, e.err)
 }
 
-// EncodeBatch returns a batch as unpacked Cap'n Proto bytes, the form of a record on disk. Its errors
-// are the library's.
+// EncodeBatch returns the unpacked Cap'n Proto encoding of a batch, which is the format of a record on
+// disk. Errors come from the Cap'n Proto library.
 func EncodeBatch(b *Batch) ([]byte, error) {
 	buf, cm, seg, err := newMessage(b.size())
 	if err != nil {
@@ -38,15 +38,15 @@
 	return finish(buf, cm, seg, e.err)
 }
 
-// newMessage returns a message with a segment for size bytes, and the buffer behind both, which
-// begins with the header that finish fills in.
+// newMessage returns an empty message with a segment of size bytes, and the buffer that backs it. The
+// buffer begins with the header, which finish fills in.
 func newMessage(size int) ([]byte, *capnp.Message, *capnp.Segment, error) {
 	buf := make([]byte, headerSize+rootSize+size)
 	cm, seg, err := capnp.NewMessage(capnp.SingleSegment(buf[headerSize:headerSize:len(buf)]))
 	return buf, cm, seg, err
 }
 
-// finish writes the header and returns the encoded bytes; err is the encoder's.
+// finish writes the header and returns the encoded bytes, or an error if err, from the encoder, is not nil.
 func finish(buf []byte, cm *capnp.Message, seg *capnp.Segment, err error) ([]byte, error) {
 	n := len(seg.Data())
 	cm.Release()
@@ -57,10 +57,10 @@
 	return buf[:headerSize+n], nil
 }
 
-// encoder holds the first error of a message's encoding.
+// encoder holds the first error that occurred while encoding a message.
 type encoder struct{ err error }
 
-// ok keeps err if it is the first error, and reports whether it is nil.
+// ok records err if it is the first error, and reports whether err is nil.
 func (e *encoder) ok(err error) bool {
 	if e.err == nil {
 		e.err = err
@@ -68,8 +68,8 @@
 	return err == nil
 }
 
-// newList allocates a list of n elements; ok is false if there is nothing to write. An empty list
-// is not allocated and is read as nil.
+// newList allocates a list of n elements. ok is false if n is 0 or the allocation fails: an empty list
+// is not allocated and decodes as nil.
 func newList[L any](e *encoder, n int, allocate func(int32) (L, error)) (list L, ok bool) {
 	if n == 0 {
 		return list, false
@@ -89,7 +89,7 @@
 	e.parts(out, m)
 }
 
-// parts writes the parts of a message that are set.
+// parts encodes those parts of a message that are set.
 func (e *encoder) parts(out MessageC, m *Message) {
 	if m.Hello != nil {
 		if c, err := out.NewHello(); e.ok(err) {
--- a/internal/shared/wire/encode_table.go
+++ b/internal/shared/wire/encode_table.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// table writes a table. All that it points to is allocated after it, in one run of bytes: PackTable relies on it.
+// table encodes a table. Everything it points to is allocated after it and contiguously, which PackTable relies on.
 func (e *encoder) table(out TableC, table *Table) {
 	if c, err := out.NewKey(); e.ok(err) {
 		e.key(c, table.Key)
--- a/internal/shared/wire/malformed_test.go
+++ b/internal/shared/wire/malformed_test.go
@@ -8,7 +8,8 @@
 	capnp "capnproto.org/go/capnp/v3"
 )
 
-// listOfImpossibleLength is a hello whose list of daemons claims as many elements as a list can have, and takes no bytes.
+// listOfImpossibleLength returns an encoded hello whose list of daemons claims the maximum number of elements but
+// takes no bytes.
 func listOfImpossibleLength(t testingT) []byte {
 	cm, seg := capnp.NewSingleSegmentMessage(nil)
 	c, err := NewRootMessageC(seg)
@@ -21,7 +22,8 @@
 	return b
 }
 
-// listsSharingPointers is a table whose two lists of names are one list, and all names in it one text.
+// listsSharingPointers returns an encoded table whose two lists of names point to the same list, with all its
+// elements pointing to the same text, so that a small message expands to a large one.
 func listsSharingPointers(t testingT) []byte {
 	cm, seg := capnp.NewSingleSegmentMessage(nil)
 	c, err := NewRootMessageC(seg)
@@ -44,17 +46,19 @@
 	return b
 }
 
+// Decode rejects a message that claims more list elements than its size allows, without allocating for them.
 func TestClaimedLengthsAreNotTrusted(t *testing.T) {
 	for name, b := range map[string][]byte{"list of impossible length": listOfImpossibleLength(t), "lists sharing pointers": listsSharingPointers(t)} {
 		if m, err := Decode(b); err == nil || m != nil {
-			t.Errorf("%s: decoded as a message", name)
+			t.Errorf("%s: Decode returned no error", name)
 		}
 	}
 	if got := testing.AllocsPerRun(10, func() { Decode(listOfImpossibleLength(t)) }); got > 200 {
-		t.Errorf("%v allocations for a claimed length", got)
+		t.Errorf("%v allocations for a list of impossible length, want at most 200", got)
 	}
 }
 
+// FuzzDecode checks that Decode and DecodeBatch handle any input, and agree with decoding by reflection.
 func FuzzDecode(f *testing.F) {
 	n := 0
 	m, b := &Message{}, &Batch{}
@@ -74,30 +78,31 @@
 	f.Add([]byte(nil))
 	f.Add([]byte("\xff\xff\xff\xff\xff\xff\xff\xff"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		// What decodes does so by reflection too, and round-trips. Compared as bytes: NaN differs from itself.
+		// Input that Decode accepts decodes to the same message by reflection, and round-trips. The
+		// comparison is of encoded bytes, since NaN does not equal itself.
 		if m, err := Decode(b); err == nil {
 			again, err := Encode(m)
 			must(t, err)
-			old := &Message{}
-			decodeByReflection(t, MessageC_TypeID, b, old)
-			if !bytes.Equal(again, encodedByReflection(t, MessageC_TypeID, NewRootMessageC, emptyListsToNil(old))) {
-				t.Fatalf("got  %+v\nwant %+v", m, old)
+			reflected := &Message{}
+			decodeByReflection(t, MessageC_TypeID, b, reflected)
+			if !bytes.Equal(again, encodedByReflection(t, MessageC_TypeID, NewRootMessageC, emptyListsToNil(reflected))) {
+				t.Fatalf("decoded by Decode and by reflection differ:\ngot  %+v\nwant %+v", m, reflected)
 			}
 			m, err = Decode(again)
 			must(t, err)
 			third, err := Encode(m)
 			must(t, err)
 			if !bytes.Equal(again, third) {
-				t.Fatal("not the same when encoded once more")
+				t.Fatal("decoding and encoding a second time changed the bytes")
 			}
 		}
 		if m, err := DecodeBatch(b); err == nil {
 			again, err := EncodeBatch(m)
 			must(t, err)
-			old := &Batch{}
-			decodeByReflection(t, BatchC_TypeID, b, old)
-			if !bytes.Equal(again, encodedByReflection(t, BatchC_TypeID, NewRootBatchC, emptyListsToNil(old))) {
-				t.Fatalf("got  %+v\nwant %+v", m, old)
+			reflected := &Batch{}
+			decodeByReflection(t, BatchC_TypeID, b, reflected)
+			if !bytes.Equal(again, encodedByReflection(t, BatchC_TypeID, NewRootBatchC, emptyListsToNil(reflected))) {
+				t.Fatalf("decoded by Decode and by reflection differ:\ngot  %+v\nwant %+v", m, reflected)
 			}
 		}
 	})
--- a/internal/shared/wire/message.go
+++ b/internal/shared/wire/message.go
@@ -1,31 +1,31 @@
-// Package wire holds the messages between daemons, and the batches that a member writes to its disk:
-// plain Go structs, and their form on connections and disks.
+// Package wire defines the messages between daemons and the batches that a member writes to its disk,
+// as plain Go structs, and their encoding on connections and disks.
 //
-// The structs are Cap'n Proto messages (schema in msg.capnp, generated code in msg.capnp.go) in
-// packed encoding, each behind its two lengths. State machines and the simulator handle only the
-// structs; package daemon encodes them at the edge of a process. The package opens no connection
-// and gives no message a meaning: that is for consensus, discovery, the control and the data plane.
+// The encoding is Cap'n Proto (schema in msg.capnp, generated code in msg.capnp.go). On a connection each
+// message is packed and preceded by two lengths. State machines and the simulator handle only the structs;
+// package daemon encodes and decodes them at the boundary of a process. This package does not open
+// connections or interpret messages: consensus, discovery, the control plane and the data plane do.
 //
-// Begin with Message; daemon.go, consensus.go, table.go, target.go and call.go hold its parts.
-// Encode and Decode turn a message into bytes and back, Writer and Reader (stream.go) put many on one
-// connection.
+// Start with Message; daemon.go, consensus.go, table.go, target.go and call.go define its parts.
+// Encode and Decode convert a message to bytes and back. Writer and Reader (stream.go) transfer a
+// sequence of messages over one connection.
 package wire
 
-// Kind names the part of a Message that is set.
+// Kind is the kind of a Message, which determines the part that is set.
 type Kind uint16
 
 // The kinds of messages.
 const (
-	KindHello     Kind = iota + 1 // discovery: which daemons there are, and which member leads
-	KindVote                      // election: a request for a vote, or the response
-	KindAppend                    // replication: heartbeat and log entries, or the response
+	KindHello     Kind = iota + 1 // discovery: known daemons and the leader
+	KindVote                      // election: vote request or response
+	KindAppend                    // replication: leader heartbeat with log entries, or response
 	KindPull                      // a proxy's request for its table and lease
-	KindPush                      // the response to a pull
+	KindPush                      // response to a pull
 	KindHeartbeat                 // a target's heartbeat, forwarded by a proxy
-	KindCall                      // an HTTP call that a member forwards to the leader, or the response
+	KindCall                      // HTTP request that a member forwards to the leader, or response
 )
 
-// kindNames are the names of the kinds of messages in reports of the simulator.
+// kindNames maps each kind to its name in simulator reports.
 var kindNames = map[Kind]string{
 	KindHello:     "hello",
 	KindVote:      "vote",
@@ -36,18 +36,18 @@
 	KindCall:      "ask",
 }
 
-// String returns the kind's name in reports, "" for a kind that is not defined.
+// String returns the name of the kind in reports, or "" for an undefined kind.
 func (k Kind) String() string { return kindNames[k] }
 
-// Message is one message between daemons. Exactly the part of its Kind is set.
+// Message is a message between daemons. Only the part that corresponds to Kind is set.
 type Message struct {
 	Kind      Kind
-	From      string  // the sender's name
-	To        string  // the receiver's name; not sent, since a connection has one receiver
-	Disk      uint64  // the sender's disk number if it is a member; of a pull and its push: the proxy's incarnation
-	Epoch     uint64  // how often the control plane was bootstrapped, as the sender knows it
-	Term      uint64  // the sender's election term
-	Timestamp int64   // the sender's clock in ns; a response repeats the request's
+	From      string  // name of the sender
+	To        string  // name of the receiver; not transmitted, since a connection has one receiver
+	Disk      uint64  // disk number of a sender that is a member; in a pull and its push: incarnation of the proxy
+	Epoch     uint64  // number of bootstraps of the control plane so far, as known to the sender
+	Term      uint64  // election term of the sender
+	Timestamp int64   // clock of the sender, in ns; a response repeats the timestamp of its request
 	Hello     *Hello  // set for KindHello
 	Vote      *Vote   // set for KindVote
 	Append    *Append // set for KindAppend
--- a/internal/shared/wire/nonfinite.go
+++ b/internal/shared/wire/nonfinite.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// DiscardNonFinite removes infinite and undefined numbers from a received message: a demand is then not
-// set, and a time 0. No daemon sends such numbers by itself; they have no form in JSON, in which they
-// would be reported to operators, and they spoil every sum that they enter.
+// DiscardNonFinite removes infinities and NaNs from a received message: such a demand becomes unset, and
+// such a response time 0. Daemons do not produce these values themselves. They cannot be encoded in the
+// JSON reports for operators, and would invalidate every sum that includes them.
 func DiscardNonFinite(message *Message) {
 	if message.Heartbeat != nil {
 		discardDemand(&message.Heartbeat.Demand, &message.Heartbeat.HasDemand)
@@ -37,9 +37,9 @@
 	}
 }
 
-func discardDemand(demand *float64, has *bool) {
+func discardDemand(demand *float64, hasDemand *bool) {
 	if !isFinite(*demand) {
-		*demand, *has = 0, false
+		*demand, *hasDemand = 0, false
 	}
 }
 
--- a/internal/shared/wire/packedtable.go
+++ b/internal/shared/wire/packedtable.go
@@ -6,25 +6,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PackedTable is an encoded and packed table, ready for any push. A leader sends the same table to
-// all proxies; encoding it for each would be the largest part of its work.
+// PackedTable is a table that is encoded and packed once and can be inserted into any push. A leader sends
+// the same table to all proxies; encoding it for each of them would dominate its CPU time.
 type PackedTable struct {
-	words  int // size of the encoded table before packing, in words
-	packed []byte
+	words  int    // size of the encoded table before packing, in words
+	packed []byte // packed encoding of the table
 }
 
-// emptyTableSize is the size of a table that has nothing in it: itself and its two keys.
+// emptyTableSize is the encoded size of an empty table, in bytes: the struct itself and its two keys.
 var emptyTableSize = tableSize + 2*tableKeySize
 
-// PackTable encodes a table once. The encoder writes a push's table last and in one run of bytes, and
-// Cap'n Proto's pointers are relative, so these bytes are the same in each message. Its errors are
-// the library's.
+// PackTable encodes and packs a table. The encoder writes the table of a push last and contiguously, and
+// Cap'n Proto pointers are relative, so the encoded table is the same in every message. Errors come from
+// the Cap'n Proto library.
 func PackTable(t *Table) (*PackedTable, error) {
 	push, err := Encode(&Message{Push: &Push{Table: t}})
 	if err != nil {
 		return nil, err
 	}
-	head, err := pushHead(&Message{Push: &Push{}})
+	head, err := encodePushPrefix(&Message{Push: &Push{}})
 	if err != nil {
 		return nil, err
 	}
@@ -32,8 +32,8 @@
 	return &PackedTable{words: len(tail) / wordSize, packed: Pack(nil, tail)}, nil
 }
 
-// pushHead returns the bytes of a push that come before its table.
-func pushHead(m *Message) ([]byte, error) {
+// encodePushPrefix returns the encoded bytes of a push that precede its table.
+func encodePushPrefix(m *Message) ([]byte, error) {
 	c, p := *m, *m.Push
 	p.Table, c.Push = &Table{}, &p
 	b, err := Encode(&c)
@@ -43,22 +43,22 @@
 	return b[:len(b)-emptyTableSize], nil
 }
 
-// canCarryPacked reports whether a message can be written with a packed table in place of its own: the
-// targets to probe would come after the table.
-func canCarryPacked(m *Message) bool {
+// canUsePackedTable reports whether m can be written with a packed table in place of its own. A push with
+// ProbeTargets cannot, since they are encoded after the table.
+func canUsePackedTable(m *Message) bool {
 	return m.Push != nil && m.Push.Table != nil && len(m.Push.ProbeTargets) == 0
 }
 
-// PutPacked is Put for a push whose table is already packed as t; other messages, and those with a nil t,
-// are encoded as Put does.
+// PutPacked is like Put for a push whose table has been packed as t. If t is nil or m cannot use a packed
+// table, it behaves like Put.
 func (w *Writer) PutPacked(m *Message, t *PackedTable) (size int, err error) {
-	if t == nil || !canCarryPacked(m) {
+	if t == nil || !canUsePackedTable(m) {
 		return w.Put(m)
 	}
-	c := w.forConnection(m)
-	head, err := pushHead(&c)
+	c := w.omitRedundant(m)
+	head, err := encodePushPrefix(&c)
 	if err != nil {
-		return 0, errors.Wrap(err, "push")
+		return 0, errors.Wrap(err, "encode push prefix")
 	}
 	words := len(head)/wordSize + t.words
 	binary.LittleEndian.PutUint32(head[4:], uint32(words-headerSize/wordSize))
--- a/internal/shared/wire/packedtable_test.go
+++ b/internal/shared/wire/packedtable_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// fleetTable returns a table with the given numbers of proxies and targets.
 func fleetTable(proxies, targets int) *Table {
 	t := &Table{Key: TableKey{1, 2, 3}, StateIndex: 9, Revision: 4, Document: bytes.Repeat([]byte("document"), 40), State: []byte("state"), EmptiedDomains: []string{"d1"}, PreviousProxies: []string{"g0"}}
 	for i := range proxies {
@@ -18,9 +19,9 @@
 	return t
 }
 
-// A push with a packed table is read as the same message as one that is encoded as a whole, whoever its
-// sender is and whatever else is in it.
-func TestPackedTableIsTheSameMessage(t *testing.T) {
+// A push written with a packed table decodes to the same message as a push encoded as a whole, whatever its
+// other fields are, and takes at most a word more.
+func TestPackedTableDecodesToSameMessage(t *testing.T) {
 	change := &Table{Key: TableKey{1, 2, 4}, DeltaBase: TableKey{1, 2, 3}, RemovedTargets: []TargetID{{Service: "s", Name: "i-1", Incarnation: 1}}}
 	for _, table := range []*Table{{}, change, fleetTable(3, 0), fleetTable(0, 7), fleetTable(64, 307)} {
 		packed, err := PackTable(table)
@@ -41,7 +42,7 @@
 				t.Fatal(err)
 			}
 			if k > n+wordSize {
-				t.Errorf("%d bytes with the packed table, %d encoded as a whole", k, n)
+				t.Errorf("push takes %d bytes with the packed table and %d bytes encoded as a whole, want at most a word more", k, n)
 			}
 		}
 		a.Flush()
@@ -50,7 +51,7 @@
 		for range 4 {
 			want, got := readMessage(t, x), readMessage(t, y)
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("read %+v, want %+v", got, want)
+				t.Fatalf("with packed table: read %+v, want %+v", got, want)
 			}
 		}
 	}
@@ -69,7 +70,7 @@
 	return m
 }
 
-// BenchmarkTable writes a table of a large fleet to one proxy: encoded for it, and packed once for all.
+// BenchmarkTable writes the table of a large fleet to one proxy, encoded for this message or packed once beforehand.
 func BenchmarkTable(b *testing.B) {
 	table := fleetTable(64, 307)
 	m := &Message{Kind: KindPush, From: "c1", Timestamp: 7, Push: &Push{LeaseGranted: true, Table: table}}
--- a/internal/shared/wire/roundtrip_test.go
+++ b/internal/shared/wire/roundtrip_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// Encoding and decoding are checked against the library's own conversion by reflection (pogs).
+// The tests compare Encode and Decode with the Cap'n Proto library's reflection-based conversion (package pogs).
 
 func init() { RegisterSchema(schemas.DefaultRegistry) }
 
@@ -52,21 +52,21 @@
 	}
 }
 
-// emptyListsToNil sets empty lists to nil all through what v points to, as decoding does. Byte slices stay.
+// emptyListsToNil replaces all empty lists in the value that v points to by nil, as decoding does, except byte slices.
 func emptyListsToNil[T any](v T) T {
-	trim(reflect.ValueOf(v))
+	clearEmptyLists(reflect.ValueOf(v))
 	return v
 }
 
-func trim(v reflect.Value) {
+func clearEmptyLists(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			trim(v.Elem())
+			clearEmptyLists(v.Elem())
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			trim(v.Field(i))
+			clearEmptyLists(v.Field(i))
 		}
 	case reflect.Slice:
 		if v.Type().Elem().Kind() == reflect.Uint8 {
@@ -76,50 +76,51 @@
 			v.SetZero()
 		}
 		for i := range v.Len() {
-			trim(v.Index(i))
+			clearEmptyLists(v.Index(i))
 		}
 	}
 }
 
-// checkRoundTrip checks what holds for any message or batch: it decodes to what was encoded, also where
-// one side works by reflection; the bytes are those of reflection; and the size is the one computed.
+// checkRoundTrip checks the invariants of encoding and decoding a message or batch: it decodes to the same
+// value, also if one of the two sides uses reflection; the bytes equal those encoded by reflection; their
+// length is the computed size; and the decoded value does not alias them.
 func checkRoundTrip[V any, C ~capnp.StructKind](t testingT, v *V, size int, id uint64, create func(*capnp.Segment) (C, error),
 	encode func(*V) ([]byte, error), decode func([]byte) (*V, error)) {
 	t.Helper()
-	old := encodedByReflection(t, id, create, v)
+	reflected := encodedByReflection(t, id, create, v)
 	b, err := encode(v)
 	must(t, err)
 	want := emptyListsToNil(v)
-	same := func(how string, got *V) {
+	expectEqual := func(how string, got *V) {
 		t.Helper()
 		if !reflect.DeepEqual(want, got) {
-			t.Fatalf("%s:\nsent %s\ngot  %s", how, shown(want), shown(got))
+			t.Fatalf("%s:\nsent %s\ngot  %s", how, formatJSON(want), formatJSON(got))
 		}
 	}
 	got, err := decode(b)
 	must(t, err)
-	same("encoded and decoded", got)
-	got, err = decode(old)
+	expectEqual("encoded by Encode, decoded by Decode", got)
+	got, err = decode(reflected)
 	must(t, err)
-	same("written by reflection", got)
+	expectEqual("encoded by reflection, decoded by Decode", got)
 	got = new(V)
 	decodeByReflection(t, id, b, got)
-	same("read by reflection", got)
+	expectEqual("encoded by Encode, decoded by reflection", got)
 	if !bytes.Equal(b, encodedByReflection(t, id, create, want)) {
-		t.Fatal("the bytes are not those of reflection")
+		t.Fatal("the encoded bytes differ from those encoded by reflection")
 	}
 	if len(b) != headerSize+rootSize+size {
-		t.Fatalf("%d bytes, computed were %d", len(b), headerSize+rootSize+size)
+		t.Fatalf("encoded size is %d bytes, computed size is %d", len(b), headerSize+rootSize+size)
 	}
 	got, err = decode(b)
 	must(t, err)
 	for i := range b {
 		b[i] ^= 0xff
 	}
-	same("after its bytes were overwritten", got)
+	expectEqual("after the encoded bytes were overwritten", got)
 }
 
-func shown(v any) string {
+func formatJSON(v any) string {
 	b, err := json.Marshal(v)
 	return fmt.Sprintf("%s %v", b, err)
 }
@@ -151,7 +152,7 @@
 	}))
 }
 
-// fillDistinct gives every field a distinct value that is not zero, so that a field that is lost or swapped shows.
+// fillDistinct sets every field to a distinct non-zero value, so that a lost or swapped field is detected.
 func fillDistinct(t testingT, v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -180,7 +181,7 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*n) / 4)
 	default:
-		t.Fatalf("no value for a %s", v.Type())
+		t.Fatalf("fillDistinct does not support type %s", v.Type())
 	}
 }
 
@@ -195,7 +196,8 @@
 	checkBatch(t, &Batch{})
 }
 
-// Each boolean of every struct is set alone, since fillDistinct can't tell two of them apart.
+// Each boolean field is set alone in turn, since fillDistinct sets all of them to true and so cannot detect that two
+// are swapped.
 func TestEveryBoolRoundTripsAlone(t *testing.T) {
 	for k := 0; ; k++ {
 		n, at := 0, 0
@@ -212,6 +214,7 @@
 	}
 }
 
+// setOnlyBool sets the k-th boolean field in v to true and all others to false. at counts the boolean fields.
 func setOnlyBool(v reflect.Value, k int, at *int) {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/shared/wire/size.go
+++ b/internal/shared/wire/size.go
@@ -1,7 +1,7 @@
 package wire
 
-// The size of a message is computed before it is written, from the structs' sizes, so that one buffer
-// is allocated and written in place.
+// The encoded size of a message is computed before encoding, so that a single buffer of the exact size is
+// allocated and written in place.
 
 import (
 	capnp "capnproto.org/go/capnp/v3"
@@ -10,13 +10,13 @@
 // Sizes of Cap'n Proto's encoding, in bytes.
 
 const (
-	wordSize   = 8        // the unit that Cap'n Proto counts in
-	headerSize = 8        // before the one segment: the number of further segments and its words
-	tagSize    = wordSize // before the elements of a list of structs
-	rootSize   = wordSize // the pointer that a segment begins with
+	wordSize   = 8        // unit of Cap'n Proto sizes and offsets
+	headerSize = 8        // precedes the segment: number of segments minus one, and words in the segment
+	tagSize    = wordSize // precedes the elements of a list of structs
+	rootSize   = wordSize // pointer to the root struct at the start of the segment
 )
 
-// Sizes of the structs without what they point to, in bytes, as the generated code has them.
+// Sizes of the structs in the generated code, in bytes, without the objects they point to.
 var (
 	messageSize     = fixedSize(NewMessageC)
 	daemonSize      = fixedSize(NewDaemonC)
@@ -39,7 +39,7 @@
 	batchSize       = fixedSize(NewBatchC)
 )
 
-// fixedSize returns the size of a struct of the schema without what it points to.
+// fixedSize returns the size of a schema struct in bytes, without the objects it points to.
 func fixedSize[T ~capnp.StructKind](create func(*capnp.Segment) (T, error)) int {
 	_, seg := capnp.NewSingleSegmentMessage(nil)
 	c, err := create(seg)
@@ -50,14 +50,14 @@
 	return int(size.DataSize) + wordSize*int(size.PointerCount)
 }
 
-// paddedSize rounds up to whole words.
+// paddedSize rounds a size in bytes up to a multiple of the word size.
 func paddedSize(n int) int { return (n + wordSize - 1) / wordSize * wordSize }
 
 func textSize(s string) int {
 	if s == "" {
 		return 0
 	}
-	return paddedSize(len(s) + 1) // a text ends with a zero byte
+	return paddedSize(len(s) + 1) // texts are NUL-terminated
 }
 
 func textsSize(texts []string) int {
@@ -70,15 +70,15 @@
 
 func dataSize(b []byte) int { return paddedSize(len(b)) }
 
-// listSize returns the size of a list of n structs of so many bytes each; an empty one is not allocated.
-func listSize(n, each int) int {
+// listSize returns the size of a list of n structs of elementSize bytes. An empty list is not allocated.
+func listSize(n, elementSize int) int {
 	if n == 0 {
 		return 0
 	}
-	return tagSize + n*each
+	return tagSize + n*elementSize
 }
 
-// size returns the size of the message without header and root pointer.
+// size returns the encoded size of the message without header and root pointer, in bytes.
 func (m *Message) size() int {
 	size := messageSize + textSize(m.From) + textSize(m.To)
 	if m.Hello != nil {
@@ -132,7 +132,7 @@
 	return callSize + textSize(c.Method) + textSize(c.Path) + textSize(c.Query) + dataSize(c.Body) + textSize(c.Token)
 }
 
-// size returns the size of the batch without header and root pointer.
+// size returns the encoded size of the batch without header and root pointer, in bytes.
 func (b *Batch) size() int {
 	return batchSize + textSize(b.Vote) + entriesSize(b.Entries) + b.Snapshot.size() + dataSize(b.RecoveredState) +
 		membersSize(b.Founders)
--- a/internal/shared/wire/stream.go
+++ b/internal/shared/wire/stream.go
@@ -1,9 +1,9 @@
 package wire
 
-// A message on a connection is packed as Cap'n Proto's packed encoding has it (a byte per word says which
-// of its bytes are not zero), since most of a small message is zeros. Before it come its size in words
-// and its packed size in bytes, as variable-length numbers. The sender's name is sent with the first
-// message and when it changes; the receiver is who has the connection.
+// Messages on a connection use Cap'n Proto's packed encoding, in which a tag byte per word marks the
+// non-zero bytes, since small messages are mostly zeros. Each frame is the unpacked size in words and the
+// packed size in bytes, both as varints, followed by the packed message. The sender's name is sent with the
+// first message and whenever it changes. The receiver's name is omitted, since the connection determines it.
 
 import (
 	"bufio"
@@ -17,22 +17,22 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Writer writes messages to one connection. It is for one goroutine.
+// Writer writes messages to a connection. It is not safe for concurrent use.
 type Writer struct {
 	buffered *bufio.Writer
-	lastFrom string // sender of the last message
-	packed   []byte // reused for each message
+	lastFrom string // Message.From of the last message written
+	packed   []byte // buffer reused for each message
 }
 
-// NewWriter returns a Writer to a connection. Nothing reaches the connection before Flush or a full buffer.
+// NewWriter returns a buffered Writer to a connection. Data is sent when the buffer is full or Flush is called.
 func NewWriter(w io.Writer) *Writer {
 	return &Writer{buffered: bufio.NewWriterSize(w, tuning.WireBuffer)}
 }
 
-// Put writes a message to the buffer and returns its size on the connection in bytes. Its errors are
-// those of the encoding and of the connection.
+// Put writes a message to the buffer and returns the size of its frame in bytes. Errors come from the
+// encoding or the connection.
 func (w *Writer) Put(m *Message) (size int, err error) {
-	c := w.forConnection(m)
+	c := w.omitRedundant(m)
 	b, err := Encode(&c)
 	if err != nil {
 		return 0, err
@@ -41,9 +41,9 @@
 	return w.writeFrame(len(b)/wordSize, w.packed)
 }
 
-// forConnection returns a message as it is sent on this connection: without the receiver, and without a
-// sender that is the same as before.
-func (w *Writer) forConnection(m *Message) Message {
+// omitRedundant returns a copy of m without the receiver, and without the sender if it is the same as in
+// the previous message.
+func (w *Writer) omitRedundant(m *Message) Message {
 	c := *m
 	if c.To = ""; c.From == w.lastFrom {
 		c.From = ""
@@ -53,7 +53,8 @@
 	return c
 }
 
-// writeFrame writes a message of so many words, whose packed bytes are the parts in order.
+// writeFrame writes a frame whose packed message is the concatenation of parts and takes words words unpacked. It
+// returns the size of the frame in bytes.
 func (w *Writer) writeFrame(words int, parts ...[]byte) (size int, err error) {
 	for _, p := range parts {
 		size += len(p)
@@ -73,14 +74,14 @@
 	return n + size, err
 }
 
-// Flush sends what Put has written to the buffer.
+// Flush sends the buffered data.
 func (w *Writer) Flush() error { return w.buffered.Flush() }
 
-// Reader reads messages from one connection. It is for one goroutine.
+// Reader reads messages from a connection. It is not safe for concurrent use.
 type Reader struct {
 	buffered         *bufio.Reader
-	packed, unpacked []byte // reused for each message
-	// Size is the packed size in bytes of the message last read, without its two lengths.
+	packed, unpacked []byte // buffers reused for each message
+	// Size is the packed size of the last message read, in bytes, without the two lengths of its frame.
 	Size int
 }
 
@@ -89,9 +90,9 @@
 	return &Reader{buffered: bufio.NewReaderSize(r, tuning.WireBuffer)}
 }
 
-// Next returns the next message's bytes for Decode; they are valid until the next call. It fails with
-// the connection's error, and for a message that is malformed or over tuning.WireMax bytes. The
-// connection can't be read any further after an error.
+// Next returns the unpacked bytes of the next message, for Decode. They are valid until the next call. It
+// returns an error if reading from the connection fails, or if the message is malformed or larger than
+// tuning.WireMax bytes. After an error the connection cannot be read any further.
 func (r *Reader) Next() ([]byte, error) {
 	words, err := binary.ReadUvarint(r.buffered)
 	if err != nil {
@@ -102,7 +103,7 @@
 		return nil, err
 	}
 	if words > tuning.WireMax/wordSize || packedSize > tuning.WireMax*2 {
-		return nil, errors.Newf("message of %d words, packed in %d bytes, is over %d bytes", words, packedSize, tuning.WireMax)
+		return nil, errors.Newf("message of %d words, packed into %d bytes, exceeds the limit of %d bytes", words, packedSize, tuning.WireMax)
 	}
 	if cap(r.packed) > tuning.WireBuffer {
 		r.packed, r.unpacked = nil, nil
@@ -115,7 +116,8 @@
 	return r.unpacked, err
 }
 
-// readFull reads n bytes into b, which grows only as they come: a claimed length alone allocates nothing.
+// readFull reads n bytes into b. The buffer grows only as data arrives, so a large claimed length does not cause
+// a large allocation.
 func readFull(b []byte, r io.Reader, n int) ([]byte, error) {
 	b = b[:0]
 	for len(b) < n {
@@ -131,30 +133,30 @@
 	return b, nil
 }
 
-// Pack appends b, a multiple of 8 bytes, to dst in Cap'n Proto's packed encoding.
+// Pack appends b in Cap'n Proto's packed encoding to dst. The length of b must be a multiple of 8.
 func Pack(dst, b []byte) []byte { return packed.Pack(dst, b) }
 
-// Unpack appends what packedBytes holds in packed encoding to dst. It fails unless that is exactly size
-// bytes: the library's own function would let a few bytes grow without a bound.
+// Unpack decodes packedBytes and appends the result to dst. It returns an error unless the result has
+// exactly size bytes: the library's own function does not limit how much a few input bytes can expand.
 func Unpack(dst, packedBytes []byte, size int) ([]byte, error) {
 	end := len(dst) + size
 	for len(packedBytes) > 0 {
 		tag := packedBytes[0]
 		packedBytes = packedBytes[1:]
 		if len(packedBytes) < bits.OnesCount8(tag) || len(dst)+wordSize > end {
-			return dst, errors.New("packed message does not fit")
+			return dst, errors.Newf("packed message does not unpack to %d bytes", size)
 		}
 		dst, packedBytes = unpackWord(dst, packedBytes, tag)
 		if tag != allZero && tag != noZero {
 			continue
 		}
 		if len(packedBytes) == 0 {
-			return dst, errors.New("packed message breaks off")
+			return dst, errors.New("packed message is truncated")
 		}
 		run := int(packedBytes[0]) * wordSize
 		packedBytes = packedBytes[1:]
 		if len(dst)+run > end || tag == noZero && len(packedBytes) < run {
-			return dst, errors.New("packed message does not fit")
+			return dst, errors.Newf("packed message does not unpack to %d bytes", size)
 		}
 		if tag == allZero {
 			dst = append(dst, make([]byte, run)...)
@@ -163,18 +165,19 @@
 		}
 	}
 	if len(dst) != end {
-		return dst, errors.New("packed message is too short")
+		return dst, errors.Newf("packed message unpacks to fewer than %d bytes", size)
 	}
 	return dst, nil
 }
 
-// Tags that a count follows: of further words that are zero, or of words that follow unpacked.
+// Tag bytes that are followed by a count byte: of further zero words after allZero, of unpacked words after noZero.
 const (
 	allZero = 0x00
 	noZero  = 0xff
 )
 
-// unpackWord appends one word to dst: a byte of b for each bit of the tag that is set, else zero.
+// unpackWord appends one word to dst: the next byte of b for each set bit of tag, zero for each clear bit. It
+// returns the extended dst and the rest of b.
 func unpackWord(dst, b []byte, tag byte) (grown, rest []byte) {
 	for i := range wordSize {
 		if tag&(1<<i) != 0 {
--- a/internal/shared/wire/stream_test.go
+++ b/internal/shared/wire/stream_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The receiver is not sent, and the sender only when it changes.
+// Messages on one connection decode to what was sent, except that the receiver is omitted, and the sender too while it is
+// unchanged.
 func TestMessagesRoundTripOverOneConnection(t *testing.T) {
 	m := &Message{Kind: KindPush, From: "a", To: "b", Disk: 7, Epoch: 1, Term: 2, Timestamp: -3,
 		Push: &Push{LeaseGranted: true, Key: TableKey{1, 2, 3}, ProbeTargets: []TargetID{{"s", "a", 1}, {"s", "b", 2}}, Table: &Table{Key: TableKey{1, 2, 3}, Document: []byte("{}"),
@@ -28,7 +29,7 @@
 		want := *m
 		want.From, want.To = from, ""
 		if !reflect.DeepEqual(&want, got) {
-			t.Fatalf("sent %+v\ngot  %+v", m.Push.Table, got.Push.Table)
+			t.Fatalf("message %d differs; tables:\nsent %+v\ngot  %+v", i, m.Push.Table, got.Push.Table)
 		}
 		if i == 1 {
 			m.From = "c"
@@ -36,7 +37,7 @@
 	}
 }
 
-// Whatever words are packed come back, and packed bytes never unpack to another size than asked for.
+// Unpack reverses Pack for any words, and rejects truncated input and input that does not unpack to the requested size.
 func TestPackedWordsUnpackToTheirSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b []byte
@@ -49,21 +50,21 @@
 		}
 		p := Pack(nil, b)
 		if got, err := Unpack(nil, p, len(b)); err != nil || !bytes.Equal(got, b) {
-			t.Fatalf("%v: %x -> %x", err, b, got)
+			t.Fatalf("error %v: Pack and Unpack turned %x into %x", err, b, got)
 		}
 		if len(b) > 0 {
 			if _, err := Unpack(nil, p, len(b)-wordSize); err == nil {
-				t.Fatal("unpacked to more bytes than asked for")
+				t.Fatal("Unpack accepted input that exceeds the requested size")
 			}
 			if _, err := Unpack(nil, p[:len(p)-1], len(b)); err == nil {
-				t.Fatal("truncated bytes were unpacked")
+				t.Fatal("Unpack accepted truncated input")
 			}
 		}
 	})
 }
 
-// The messages that each proxy and its leader exchange at rest stay small.
-func TestMessagesAtRestAreSmall(t *testing.T) {
+// The messages that a proxy and the leader exchange when nothing changes take at most 90 bytes each.
+func TestMessagesWithoutChangesAreSmall(t *testing.T) {
 	k := TableKey{3, 41, 51234}
 	for name, m := range map[string]*Message{
 		"pull": {Kind: KindPull, From: "proxy-in-a-domain-17", Epoch: 3, Disk: 0x1234567890abcdef, Timestamp: 123456789012, Pull: &Pull{Key: k, Revision: 12, StateIndex: 301}},
@@ -78,22 +79,23 @@
 			must(t, w.Flush())
 		}
 		if n := buf.Len(); n > 90 {
-			t.Errorf("a %s takes %d bytes", name, n)
+			t.Errorf("a %s without changes takes %d bytes, want at most 90", name, n)
 		}
 	}
 }
 
+// FuzzUnpack checks that Unpack never returns more than the requested size, and that its results round-trip.
 func FuzzUnpack(f *testing.F) {
 	f.Add([]byte{0, 255, 0, 255}, uint8(9))
 	f.Add([]byte{255, 1, 2, 3, 4, 5, 6, 7, 8, 1, 1, 2, 3, 4, 5, 6, 7, 8}, uint8(2))
 	f.Fuzz(func(t *testing.T, b []byte, words uint8) {
 		got, err := Unpack(nil, b, int(words)*wordSize)
 		if len(got) > int(words)*wordSize {
-			t.Fatalf("%d bytes", len(got))
+			t.Fatalf("unpacked to %d bytes, more than the %d requested", len(got), int(words)*wordSize)
 		}
 		if err == nil {
 			if again, err := Unpack(nil, Pack(nil, got), len(got)); err != nil || !bytes.Equal(again, got) {
-				t.Fatalf("%v: %x -> %x", err, got, again)
+				t.Fatalf("error %v: Pack and Unpack turned %x into %x", err, got, again)
 			}
 		}
 	})
