--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -1,9 +1,11 @@
-// Package compatibility holds the forms that others read, as recorded from the code that first wrote
-// them: messages between daemons, JSON that operators, targets and callers get, settings files.
-// The present code must read each recorded form and write it again byte for byte. Stored data
-// has its tests beside its writers, in packages wal and simulator.
+// Package compatibility tests that formats which other processes or people read do not change: messages between
+// daemons, JSON for operators, targets and callers, and settings files. The golden files in testdata were recorded
+// from the code that first wrote each format. The current code must read every golden file and write it back byte for
+// byte.
+// The formats of stored data are tested next to the code that writes them, in packages wal and simulator.
 //
-// `go test ./internal/verification/compatibility -update` records anew, which only an intended change of a form may need.
+// `go test ./internal/verification/compatibility -update` rewrites the golden files. Use it only for an intended change
+// of a format.
 package compatibility
 
 import (
@@ -32,10 +34,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-var update = flag.Bool("update", false, "record the forms anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// recorded returns the recorded form of that name, after writing got to it if asked to.
-func recorded(t *testing.T, name string, got []byte) []byte {
+// readGolden returns the content of a golden file. With -update it first overwrites the file with got.
+func readGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	file := filepath.Join("testdata", name)
 	if *update {
@@ -50,7 +52,8 @@
 	return want
 }
 
-// fill gives each field of v a value of its own that is not zero, in the order of declaration.
+// fill sets each exported field of v to a distinct non-zero value, in order of declaration; booleans become true. n
+// counts the values set.
 func fill(t *testing.T, v reflect.Value, n *int) {
 	t.Helper()
 	*n++
@@ -98,10 +101,11 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*n) / 4)
 	default:
-		t.Fatalf("no value for a %s", v.Type())
+		t.Fatalf("fill does not support type %s", v.Type())
 	}
 }
 
+// filled returns a T with all exported fields set by fill.
 func filled[T any](t *testing.T) *T {
 	t.Helper()
 	v, n := new(T), 0
@@ -109,18 +113,18 @@
 	return v
 }
 
-// jsonForm holds the form of T with all fields set against the recorded one. Types that are read
-// back are read from the record and written again.
-func jsonForm[T any](t *testing.T, name string, readBack bool) {
+// checkJSON compares the JSON encoding of a T with all fields set with the golden file. If readBack is set, it also
+// checks that decoding the golden file and encoding the result reproduces it.
+func checkJSON[T any](t *testing.T, name string, readBack bool) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		got, err := json.MarshalIndent(filled[T](t), "", " ")
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := recorded(t, name+".json", got)
+		want := readGolden(t, name+".json", got)
 		if !bytes.Equal(got, want) {
-			t.Fatalf("written: %s", got)
+			t.Fatalf("encoding differs from the golden file, got: %s", got)
 		}
 		if !readBack {
 			return
@@ -130,42 +134,43 @@
 			t.Fatal(err)
 		}
 		if again, err := json.MarshalIndent(&v, "", " "); err != nil || !bytes.Equal(again, want) {
-			t.Fatalf("%v; read and written: %s", err, again)
+			t.Fatalf("error %v; decoding and encoding the golden file gave: %s", err, again)
 		}
 	})
 }
 
-func TestJSONKeepsItsForm(t *testing.T) {
-	const readBack, writtenOnly = true, false
-	// What members, their disks and proxies hold.
-	jsonForm[state.State](t, "state", readBack)
-	jsonForm[state.RecoveredState](t, "recovered-state", readBack)
-	jsonForm[state.Record](t, "record", readBack)
-	// What operators read.
-	jsonForm[controlplane.StatusView](t, "core-status", readBack)
-	jsonForm[controlplane.DaemonView](t, "core-daemon", readBack)
-	jsonForm[controlplane.TargetView](t, "core-target", readBack)
-	jsonForm[statemachine.Publish](t, "stream-note", readBack)
-	jsonForm[dataplane.View](t, "proxy-status", readBack)
-	jsonForm[outlier.PolicyStats](t, "policy-stat", readBack)
-	jsonForm[outlier.Event](t, "policy-event", readBack)
-	jsonForm[outlier.Decision](t, "policy-decision", readBack)
-	jsonForm[wire.Daemon](t, "daemon", writtenOnly)
-	// What operators and targets send.
-	jsonForm[config.Config](t, "config", readBack)
-	jsonForm[config.TargetReport](t, "target-report", readBack)
-	jsonForm[daemon.Settings](t, "settings", readBack)
+// The JSON encodings of these types do not change.
+func TestJSONFormatsAreUnchanged(t *testing.T) {
+	const readBack, encodeOnly = true, false
+	// Data stored by members and proxies.
+	checkJSON[state.State](t, "state", readBack)
+	checkJSON[state.RecoveredState](t, "recovered-state", readBack)
+	checkJSON[state.Record](t, "record", readBack)
+	// Data that operators read.
+	checkJSON[controlplane.StatusView](t, "core-status", readBack)
+	checkJSON[controlplane.DaemonView](t, "core-daemon", readBack)
+	checkJSON[controlplane.TargetView](t, "core-target", readBack)
+	checkJSON[statemachine.Publish](t, "stream-note", readBack)
+	checkJSON[dataplane.View](t, "proxy-status", readBack)
+	checkJSON[outlier.PolicyStats](t, "policy-stat", readBack)
+	checkJSON[outlier.Event](t, "policy-event", readBack)
+	checkJSON[outlier.Decision](t, "policy-decision", readBack)
+	checkJSON[wire.Daemon](t, "daemon", encodeOnly)
+	// Data that operators and targets send.
+	checkJSON[config.Config](t, "config", readBack)
+	checkJSON[config.TargetReport](t, "target-report", readBack)
+	checkJSON[daemon.Settings](t, "settings", readBack)
 }
 
-// messages are one of each kind, with every field of its part set.
+// messages returns one message of each kind by its name, with every field of its part set.
 func messages(t *testing.T) map[string]*wire.Message {
 	t.Helper()
-	head := func(kind wire.Kind) *wire.Message {
+	header := func(kind wire.Kind) *wire.Message {
 		return &wire.Message{Kind: kind, From: "c1", Disk: 2, Epoch: 3, Term: 4, Timestamp: 5}
 	}
 	all := map[string]*wire.Message{}
 	for _, k := range []wire.Kind{wire.KindHello, wire.KindVote, wire.KindAppend, wire.KindPull, wire.KindPush, wire.KindHeartbeat, wire.KindCall} {
-		all[k.String()] = head(k)
+		all[k.String()] = header(k)
 	}
 	all["hello"].Hello = filled[wire.Hello](t)
 	all["vote"].Vote = filled[wire.Vote](t)
@@ -177,33 +182,34 @@
 	return all
 }
 
-func TestMessagesKeepTheirForm(t *testing.T) {
+// The encoding of each kind of message does not change.
+func TestMessageEncodingIsUnchanged(t *testing.T) {
 	for name, m := range messages(t) {
 		t.Run(name, func(t *testing.T) {
 			got, err := wire.Encode(m)
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := recorded(t, "message-"+name+".bin", got)
+			want := readGolden(t, "message-"+name+".bin", got)
 			if !bytes.Equal(got, want) {
-				t.Fatal("written otherwise than recorded")
+				t.Fatal("encoding differs from the golden file")
 			}
 			read, err := wire.Decode(want)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if again, err := wire.Encode(read); err != nil || !bytes.Equal(again, want) {
-				t.Fatalf("%v; read and written again it is another message", err)
+				t.Fatalf("error %v; or decoding and encoding the golden file changed it", err)
 			}
 			if !reflect.DeepEqual(read, m) {
-				t.Fatalf("read: %+v", read)
+				t.Fatalf("decoded golden file is %+v", read)
 			}
 		})
 	}
 }
 
-// Frames are messages as they stand on a connection, packed and with their lengths.
-func TestFramesKeepTheirForm(t *testing.T) {
+// Frames are messages as transmitted on a connection: packed and preceded by their lengths.
+func TestFrameEncodingIsUnchanged(t *testing.T) {
 	var b bytes.Buffer
 	w := wire.NewWriter(&b)
 	all := messages(t)
@@ -216,40 +222,41 @@
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	want := recorded(t, "frames.bin", b.Bytes())
+	want := readGolden(t, "frames.bin", b.Bytes())
 	if !bytes.Equal(b.Bytes(), want) {
-		t.Fatal("written otherwise than recorded")
+		t.Fatal("encoding differs from the golden file")
 	}
 	r := wire.NewReader(bytes.NewReader(want))
 	for _, name := range names {
 		next, err := r.Next()
 		if err != nil {
-			t.Fatal(name, err)
+			t.Fatalf("read frame of %s: %v", name, err)
 		}
 		if m, err := wire.Decode(next); err != nil || m.Kind.String() != name {
-			t.Fatal(name, err)
+			t.Fatalf("decode frame of %s: error %v, or another kind", name, err)
 		}
 	}
 }
 
-func TestBatchKeepsItsForm(t *testing.T) {
+// The encoding of a batch, which is the format of a record on disk, does not change.
+func TestBatchEncodingIsUnchanged(t *testing.T) {
 	batch := filled[wire.Batch](t)
 	got, err := wire.EncodeBatch(batch)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := recorded(t, "batch.bin", got)
+	want := readGolden(t, "batch.bin", got)
 	if !bytes.Equal(got, want) {
-		t.Fatal("written otherwise than recorded")
+		t.Fatal("encoding differs from the golden file")
 	}
 	read, err := wire.DecodeBatch(want)
 	if err != nil || !reflect.DeepEqual(read, batch) {
-		t.Fatalf("%v; read: %+v", err, read)
+		t.Fatalf("error %v; decoded golden file is %+v", err, read)
 	}
 }
 
-// A rejection's status, headers and body, as a caller or an operator gets them.
-func TestRejectionsKeepTheirForm(t *testing.T) {
+// The status, headers and body of a rejection, as sent to callers and operators, do not change.
+func TestRejectionResponsesAreUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -270,15 +277,15 @@
 				t.Fatal(err)
 			}
 			got.Write(w.Body.Bytes())
-			if want := recorded(t, c.name+".txt", got.Bytes()); !bytes.Equal(got.Bytes(), want) {
-				t.Fatalf("written: %s", got.Bytes())
+			if want := readGolden(t, c.name+".txt", got.Bytes()); !bytes.Equal(got.Bytes(), want) {
+				t.Fatalf("response differs from the golden file, got: %s", got.Bytes())
 			}
 		})
 	}
 }
 
-// Settings files with every key are read completely, and come back as recorded.
-func TestSettingsFilesKeepTheirForm(t *testing.T) {
+// A settings file that sets every key is accepted, and encoding the loaded settings reproduces it.
+func TestSettingsFilesRoundTrip(t *testing.T) {
 	for _, kind := range []wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon} {
 		t.Run(string(kind), func(t *testing.T) {
 			file := filepath.Join("testdata", "mf"+string(kind)+".json")
@@ -290,22 +297,22 @@
 			}
 			loaded, err := flags.Load(kind)
 			if err != nil || len(loaded.Faults) > 0 {
-				t.Fatal(loaded.Faults, err)
+				t.Fatalf("load settings: faults %v, error %v", loaded.Faults, err)
 			}
 			got, err := json.MarshalIndent(loaded.Settings, "", "  ")
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := recorded(t, "mf"+string(kind)+".json", append(got, '\n'))
+			want := readGolden(t, "mf"+string(kind)+".json", append(got, '\n'))
 			if !bytes.Equal(append(got, '\n'), want) {
-				t.Fatalf("read and written: %s", got)
+				t.Fatalf("decoding and encoding the golden file gave: %s", got)
 			}
 		})
 	}
 }
 
-// The flags of each daemon keep their names.
-func TestFlagsKeepTheirNames(t *testing.T) {
+// The flag names of each daemon do not change.
+func TestFlagNamesAreUnchanged(t *testing.T) {
 	for _, kind := range []wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon} {
 		t.Run(string(kind), func(t *testing.T) {
 			var flags daemon.Flags
@@ -320,8 +327,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if want := recorded(t, "flags-"+string(kind)+".json", got); !bytes.Equal(got, want) {
-				t.Fatalf("%s", got)
+			if want := readGolden(t, "flags-"+string(kind)+".json", got); !bytes.Equal(got, want) {
+				t.Fatalf("flags differ from the golden file, got: %s", got)
 			}
 		})
 	}
--- a/internal/verification/conventions/conventions_test.go
+++ b/internal/verification/conventions/conventions_test.go
@@ -1,5 +1,6 @@
-// Package conventions holds the source to the rules that the linters don't know: doc comments name what they
-// describe, names are the field's terms, and errors are told apart by value or type. It has tests only.
+// Package conventions tests the source code for rules that the linters do not cover: doc comments start with the name
+// of what they describe, identifiers use established technical terms, and errors are distinguished by value or type,
+// not by text. It contains only tests.
 package conventions
 
 import (
@@ -14,23 +15,24 @@
 	"unicode"
 )
 
-// root is the repository's, seen from here.
+// root is the path of the repository root from this directory.
 const root = "../../.."
 
-// source is one file that is read.
+// source is a parsed Go file.
 type source struct {
-	path string // below the root
+	path string // relative to the root
 	file *ast.File
 	set  *token.FileSet
 }
 
+// at returns a position as file, line and column, with the file relative to the root.
 func (s *source) at(pos token.Pos) string {
 	p := s.set.Position(pos)
 	p.Filename = s.path
 	return p.String()
 }
 
-// sources are all Go files that are neither generated nor tests.
+// sources parses all Go files that are neither generated nor tests.
 func sources(t *testing.T) []source {
 	t.Helper()
 	var all []source
@@ -50,26 +52,26 @@
 		if err != nil || ast.IsGenerated(file) {
 			return err
 		}
-		below, err := filepath.Rel(root, path)
-		all = append(all, source{below, file, set})
+		relative, err := filepath.Rel(root, path)
+		all = append(all, source{relative, file, set})
 		return err
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(all) < 100 {
-		t.Fatalf("only %d files found", len(all))
+		t.Fatalf("found only %d Go files, expected at least 100", len(all))
 	}
 	return all
 }
 
-// declaration is a named thing with its doc comment, nil if it has none.
+// declaration is a declared function or type with its doc comment, which is nil if it has none.
 type declaration struct {
 	name *ast.Ident
 	doc  *ast.CommentGroup
 }
 
-// declarations are a file's functions and types.
+// declarations returns the functions and types that a file declares.
 func declarations(file *ast.File) []declaration {
 	var all []declaration
 	for _, d := range file.Decls {
@@ -91,7 +93,7 @@
 	return all
 }
 
-// misnamed says whether a doc comment begins with another word than the name of what it describes.
+// misnamed reports whether the doc comment of d, after an optional article, starts with a word other than its name.
 func misnamed(d declaration) bool {
 	if d.doc == nil || strings.HasPrefix(d.doc.Text(), "Deprecated") {
 		return false
@@ -103,23 +105,25 @@
 	return len(words) > 0 && strings.Trim(words[0], ".,:") != d.name.Name
 }
 
+// Doc comments of functions and types start with their names.
 func TestDocCommentsNameWhatTheyDescribe(t *testing.T) {
 	for _, s := range sources(t) {
 		for _, d := range declarations(s.file) {
 			if misnamed(d) {
-				t.Errorf("%s: the doc comment of %s begins with another name", s.at(d.name.Pos()), d.name.Name)
+				t.Errorf("%s: the doc comment of %s does not start with its name", s.at(d.name.Pos()), d.name.Name)
 			}
 		}
 	}
 }
 
-// withdrawn are words of former pages that stand for a concept which has a name in the field; see docs/glossary.md.
-var withdrawn = strings.Fields(`told tell tells sick ill thrown beat beats duty duties keeper mates mate fellows fellow kin
+// forbiddenWords are project-specific words, used in earlier versions, for concepts that have an established technical
+// term. docs/glossary.md lists the terms.
+var forbiddenWords = strings.Fields(`told tell tells sick ill thrown beat beats duty duties keeper mates mate fellows fellow kin
 	errand letters book ballot mend mends mishap shed ramp aim aims worth chill pipe pipes exchange shelf lot lots
 	hears hear heard hearsay roster owed gate gates hub canon stands standing obstacle scarce tally beaten ended ender
 	outlook silences errands shelf news`)
 
-// identifierWords splits an identifier at its capitals.
+// identifierWords splits an identifier before each upper-case letter and returns the parts in lower case.
 func identifierWords(name string) []string {
 	var words []string
 	start := 0
@@ -132,18 +136,18 @@
 	return append(words, strings.ToLower(name[start:]))
 }
 
-// withdrawnWord returns the first withdrawn word of an identifier, "" if there is none.
-func withdrawnWord(name string) string {
+// forbiddenWord returns the first forbidden word in an identifier, or "" if it has none.
+func forbiddenWord(name string) string {
 	for _, w := range identifierWords(name) {
-		if slices.Contains(withdrawn, w) {
+		if slices.Contains(forbiddenWords, w) {
 			return w
 		}
 	}
 	return ""
 }
 
-// named are the identifiers that a file declares at its top level, with the fields of its structs.
-func named(file *ast.File) []*ast.Ident {
+// declaredNames returns the identifiers that a file declares at top level and the fields of its struct types.
+func declaredNames(file *ast.File) []*ast.Ident {
 	var all []*ast.Ident
 	for _, d := range file.Decls {
 		switch d := d.(type) {
@@ -168,19 +172,20 @@
 	return all
 }
 
-func TestNamesAreTheFieldsTerms(t *testing.T) {
+// Identifiers contain no forbidden words.
+func TestIdentifiersUseEstablishedTerms(t *testing.T) {
 	for _, s := range sources(t) {
-		for _, id := range named(s.file) {
-			if w := withdrawnWord(id.Name); w != "" {
-				t.Errorf("%s: %s has the word %q, see docs/glossary.md for the term", s.at(id.Pos()), id.Name, w)
+		for _, id := range declaredNames(s.file) {
+			if w := forbiddenWord(id.Name); w != "" {
+				t.Errorf("%s: %s contains the forbidden word %q; see docs/glossary.md for the established term", s.at(id.Pos()), id.Name, w)
 			}
 		}
 	}
 }
 
-// errorTextComparison says whether a call or comparison looks for a given text in that of an error: errors are told
-// apart by errors.Is and errors.As. Whether two errors have one text, as where the same line is not logged again, is
-// another question.
+// errorTextComparison reports whether n compares the text of an error with a literal, or passes it to a function of
+// package strings; errors.Is and errors.As must be used instead. Comparing the texts of two errors with each other, for
+// example to avoid logging the same line again, is allowed.
 func errorTextComparison(n ast.Node) bool {
 	isText := func(x ast.Expr) bool {
 		call, ok := x.(*ast.CallExpr)
@@ -208,19 +213,20 @@
 	return false
 }
 
-func TestErrorsAreNotToldApartByText(t *testing.T) {
+// Errors are distinguished by value or type, not by their text.
+func TestErrorsAreNotDistinguishedByText(t *testing.T) {
 	for _, s := range sources(t) {
 		ast.Inspect(s.file, func(n ast.Node) bool {
 			if n != nil && errorTextComparison(n) {
-				t.Errorf("%s: the text of an error is compared", s.at(n.Pos()))
+				t.Errorf("%s: compares the text of an error; use errors.Is or errors.As", s.at(n.Pos()))
 			}
 			return true
 		})
 	}
 }
 
-// The checks themselves find what they are for.
-func TestChecksCanFail(t *testing.T) {
+// Each check detects the violations in a sample file.
+func TestChecksDetectViolations(t *testing.T) {
 	const text = `package p
 
 // former is what it was called.
@@ -241,8 +247,8 @@
 			docs++
 		}
 	}
-	for _, id := range named(file) {
-		if withdrawnWord(id.Name) != "" {
+	for _, id := range declaredNames(file) {
+		if forbiddenWord(id.Name) != "" {
 			names++
 		}
 	}
@@ -253,6 +259,6 @@
 		return true
 	})
 	if docs != 1 || names != 1 || texts != 2 {
-		t.Errorf("found %d doc comments, %d names and %d texts, of 1, 1 and 2", docs, names, texts)
+		t.Errorf("found %d misnamed doc comments, %d forbidden names and %d error text comparisons, want 1, 1 and 2", docs, names, texts)
 	}
 }
--- a/internal/verification/fuzzing/step_test.go
+++ b/internal/verification/fuzzing/step_test.go
@@ -13,10 +13,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// maxEvents are given to an owner in one run.
+// maxEvents is the maximum number of fuzzed events in one run.
 const maxEvents = 20
 
-// addSeedInputs adds bytes of every kind of event, and each call with each method.
+// addSeedInputs adds seed inputs that produce every kind of event, and every common path with every method.
 func addSeedInputs(f *testing.F) {
 	f.Add([]byte{})
 	for kind := range byte(8) {
@@ -33,13 +33,13 @@
 	}
 }
 
-// leader is the only member of a control plane with one proxy, bootstrapped and leading.
+// leader is a bootstrapped control daemon that is the leader and only member of a control plane with one proxy.
 type leader struct {
 	controller *controlplane.Controller
 	now        time.Duration
 }
 
-// step handles an event; what it writes is synced at once.
+// step passes an event to the controller and completes every disk write immediately.
 func (l *leader) step(event statemachine.Event) {
 	for _, command := range l.controller.Step(l.now, event) {
 		if sync, ok := command.(statemachine.Sync); ok {
@@ -48,7 +48,7 @@
 	}
 }
 
-// runSecond lets a second pass, in which the proxy pulls and a target sends heartbeats.
+// runSecond advances the clock by one second, during which the proxy pulls and a target sends heartbeats.
 func (l *leader) runSecond() {
 	proxy := wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Incarnation: 1, Domain: "d0"}
 	heartbeat := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: wire.TargetReady}
@@ -67,7 +67,7 @@
 	}
 }
 
-// newLeader runs a control daemon until it leads.
+// newLeader starts a control daemon and runs it until it is the leader.
 func newLeader(t *testing.T) *leader {
 	t.Helper()
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
@@ -77,12 +77,12 @@
 		l.runSecond()
 	}
 	if !l.controller.Leading() {
-		t.Fatal("does not lead")
+		t.Fatal("control daemon is not the leader after 12 seconds")
 	}
 	return l
 }
 
-// FuzzControllerStep gives a leader events from outside, with time between them.
+// FuzzControllerStep checks that a leader handles fuzzed external events, with a tick after each, without panicking.
 func FuzzControllerStep(f *testing.F) {
 	addSeedInputs(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -97,7 +97,7 @@
 	})
 }
 
-// newProxy is a proxy that serves two targets under a lease.
+// newProxy returns a proxy that holds a lease and a table with two targets.
 func newProxy(t *testing.T, now time.Duration) *dataplane.Proxy {
 	t.Helper()
 	p := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Addr: "g1", Incarnation: 9, Domain: "d0"}})
@@ -110,12 +110,13 @@
 	p.Step(now, statemachine.Receive{Message: &wire.Message{Kind: wire.KindPush, From: "c1", Epoch: 1, Term: 1, Timestamp: int64(now), Disk: 9,
 		Push: &wire.Push{LeaseGranted: true, Key: table.Key, Table: table}}})
 	if !p.Serving() {
-		t.Fatal("does not serve")
+		t.Fatal("proxy does not serve after a push that grants its lease")
 	}
 	return p
 }
 
-// FuzzProxyStep gives a serving proxy events from outside, with requests and time between them.
+// FuzzProxyStep checks that a serving proxy handles fuzzed external events, with requests and ticks between them,
+// without panicking.
 func FuzzProxyStep(f *testing.F) {
 	addSeedInputs(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -125,9 +126,9 @@
 		for id := uint64(1); len(s.data) > 0 && id <= maxEvents; id++ {
 			p.Step(now, s.event(t, id))
 			p.Step(now, statemachine.Admit{ID: id, Path: "/s", Method: "GET"})
-			now += tuning.TickEvery << (s.byte() % 8)
+			now += tuning.TickEvery << (s.nextByte() % 8)
 			p.Step(now, statemachine.Tick{})
-			p.Step(now, statemachine.AttemptDone{ID: id, Outcome: statemachine.Outcome(s.byte() % 8), Milliseconds: 1, Last: true})
+			p.Step(now, statemachine.AttemptDone{ID: id, Outcome: statemachine.Outcome(s.nextByte() % 8), Milliseconds: 1, Last: true})
 			p.View(now)
 		}
 	})
