--- a/cmd/mfbackend/server.go
+++ b/cmd/mfbackend/server.go
@@ -222,7 +222,7 @@
 
 // workTime is how long a request takes.
 func (b *backend) workTime(r *http.Request, fault fault) time.Duration {
-	if ms, err := strconv.Atoi(r.Header.Get(testbackend.WorkHeader)); err == nil {
+	if ms, err := strconv.Atoi(r.Header.Get(testbackend.ProcessingTimeHeader)); err == nil {
 		return time.Duration(ms) * time.Millisecond
 	}
 	if fault.mode == faultSlow {
--- a/cmd/mfbackend/server_test.go
+++ b/cmd/mfbackend/server_test.go
@@ -97,7 +97,7 @@
 	b.releaseSlot()
 	late := http.Header{}
 	late.Set(headers.Deadline, "10")
-	late.Set(testbackend.WorkHeader, "1000")
+	late.Set(testbackend.ProcessingTimeHeader, "1000")
 	if response, _ := send(t, http.MethodGet, url, late, nil); response.StatusCode != http.StatusGatewayTimeout || response.Header.Get(headers.NotRun) != "" {
 		t.Error(response.Status, response.Header)
 	}
--- a/cmd/mfload/collector.go
+++ b/cmd/mfload/collector.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	examplesMax  = 20   // in a report
-	leaveGraceMs = 2000 // how long after it said so a leaving target may get requests
+	maxExamples  = 20   // in a report
+	leaveGraceMs = 2000 // time for which a target may still get requests after it announced that it is leaving, in ms
 )
 
-// clientGroup is a kind of clients, by what they do when they are rejected.
+// clientGroup groups clients by their behavior after a rejection.
 type clientGroup string
 
 // The groups of clients.
 const (
-	patientClients   clientGroup = "polite"  // they don't retry
-	impatientClients clientGroup = "at_once" // they retry at once
+	patientClients   clientGroup = "polite"  // do not retry
+	impatientClients clientGroup = "at_once" // retry immediately
 )
 
-// outcomeClass is what an outcome counts as.
+// outcomeClass is the class under which an outcome is counted.
 type outcomeClass string
 
-// The classes of outcomes; offered counts them all.
+// The classes of outcomes. classOffered counts all requests.
 const (
-	classOffered  outcomeClass = "offered"
-	classServed   outcomeClass = "served"
-	classRejected outcomeClass = "refused"
-	classUnknown  outcomeClass = "unknown"
-	classNone     outcomeClass = "no_answer"
-	classWrong    outcomeClass = "wrong"
+	classOffered    outcomeClass = "offered"
+	classServed     outcomeClass = "served"
+	classRejected   outcomeClass = "refused"
+	classUnknown    outcomeClass = "unknown"
+	classUnanswered outcomeClass = "no_answer"
+	classWrong      outcomeClass = "wrong"
 )
 
-// collector is what a run saw so far, from which its report is made.
+// collector accumulates the outcomes of a run and creates the report.
 type collector struct {
 	report             *report
-	latencies          []float64 // of responses, in ms
-	rejectionLatencies []float64
-	latenciesByKind    map[string][]float64 // by the name of the kind of request
-	latenciesByGroup   map[clientGroup][]float64
-	rejected           map[string]bool // ids of requests that did not run
-	notIdempotent      map[string]bool // ids of requests that must not run twice
-	seconds            map[int]map[outcomeClass]int
-	begin              time.Time
+	latencies          []float64                    // of served requests, in ms
+	rejectionLatencies []float64                    // of rejected requests, in ms
+	latenciesByKind    map[string][]float64         // of served requests, by requestKind.Name, in ms
+	latenciesByGroup   map[clientGroup][]float64    // of served requests, in ms
+	rejected           map[string]bool              // ids of requests that were rejected and so must not run
+	notIdempotent      map[string]bool              // ids of requests that must not run twice
+	seconds            map[int]map[outcomeClass]int // counts by the second in which requests were due
+	begin              time.Time                    // start of the run
 }
 
 func newCollector() *collector {
@@ -68,7 +68,7 @@
 	}
 }
 
-// add counts one outcome.
+// add records an outcome.
 func (c *collector) add(result outcome) {
 	c.report.Offered++
 	if result.kind.Method == http.MethodPost {
@@ -93,13 +93,13 @@
 	c.count(result, class, name)
 }
 
-// class is what an outcome counts as.
+// class returns the class of the outcome.
 func (o *outcome) class() outcomeClass {
 	switch {
 	case o.wrong != "":
 		return classWrong
 	case o.err != "":
-		return classNone
+		return classUnanswered
 	case o.ran == ranNo:
 		return classRejected
 	case o.ran == ranUnknown || o.status >= http.StatusInternalServerError:
@@ -108,18 +108,18 @@
 	return classServed
 }
 
-// count counts an outcome by its class.
+// count updates the counters and latencies of the outcome's class.
 func (c *collector) count(result outcome, class outcomeClass, group clientGroup) {
 	report := c.report
 	milliseconds := result.seconds * 1000
 	switch class {
 	case classWrong:
 		report.Wrong++
-		if result.others {
-			report.Others++
+		if result.mismatched {
+			report.Mismatched++
 		}
 		report.addExample("%s %s: %s", result.kind.Name, result.id, result.wrong)
-	case classNone:
+	case classUnanswered:
 		report.Unanswered++
 		report.addExample("%s %s: %s", result.kind.Name, result.id, result.err)
 	case classRejected:
@@ -143,8 +143,8 @@
 	}
 }
 
-// checkRequestLogs reads the back ends' logs of the requests whose ids begin with prefix, and counts what should not
-// have run.
+// checkRequestLogs reads the back ends' request logs and counts the requests whose ids begin with prefix and that
+// should not have run, or not there.
 func (c *collector) checkRequestLogs(dir, prefix string) error {
 	ran := map[string]int{}
 	err := requestlog.ReadAll(dir, func(entry requestlog.Entry) {
@@ -156,37 +156,38 @@
 	for id, times := range ran {
 		if times > 1 && c.notIdempotent[id] {
 			c.report.RanTwice++
-			c.report.addExample("%s ran %d times", id, times)
+			c.report.addExample("request %s is not idempotent but ran %d times", id, times)
 		}
 		if c.rejected[id] {
 			c.report.RanThoughRejected++
-			c.report.addExample("%s ran though refused", id)
+			c.report.addExample("request %s was rejected but ran", id)
 		}
 	}
 	return err
 }
 
-// checkEntry counts a request that ran at the wrong target.
+// checkEntry counts a request that ran at the wrong service, or at a target that had been leaving for too long.
 func (c *collector) checkEntry(entry requestlog.Entry) {
 	if entry.IntendedService != "" {
 		c.report.Misrouted++
-		c.report.addExample("%s was meant for %s, ran at %s", entry.ID, entry.IntendedService, entry.Name)
+		c.report.addExample("request %s was intended for service %s but ran at %s", entry.ID, entry.IntendedService, entry.Name)
 	}
-	c.report.LatestToLeavingMs = max(c.report.LatestToLeavingMs, entry.LeavingForMs)
+	c.report.MaxLeavingForMs = max(c.report.MaxLeavingForMs, entry.LeavingForMs)
 	if entry.LeavingForMs > leaveGraceMs {
 		c.report.PastLeaveGrace++
-		c.report.addExample("%s ran at %s, leaving for %d ms", entry.ID, entry.Name, entry.LeavingForMs)
+		c.report.addExample("request %s ran at %s, which had been leaving for %d ms", entry.ID, entry.Name, entry.LeavingForMs)
 	}
 }
 
-// addExample keeps some of what was not as it should be, for people.
+// addExample adds the description of a request that was not served, or violated a requirement, to the report, up to
+// maxExamples.
 func (r *report) addExample(format string, arguments ...any) {
-	if len(r.Examples) < examplesMax {
+	if len(r.Examples) < maxExamples {
 		r.Examples = append(r.Examples, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// finish makes the report, after the last outcome.
+// finish completes and returns the report. It must be called after the last outcome was added.
 func (c *collector) finish(opts options) *report {
 	report := c.report
 	report.Goodput = float64(report.Served) / opts.duration.Seconds()
--- a/cmd/mfload/generator.go
+++ b/cmd/mfload/generator.go
@@ -9,51 +9,52 @@
 )
 
 const (
-	retriesMax      = 5 // of an impatient client
-	outcomeQueue    = 4096
+	maxRetries      = 5    // of an impatient client
+	outcomeQueue    = 4096 // capacity of generator.outcomes
 	requestTimeout  = 15 * time.Second
 	idleConnTimeout = 10 * time.Second
-	idleConnsMax    = 256                  // to one proxy
-	drainPoll       = 5 * time.Millisecond // between two looks whether requests are still open, at the end
+	maxIdleConns    = 256                  // to one proxy
+	drainPoll       = 5 * time.Millisecond // interval of checks for requests in flight at the end of a run
 )
 
-// generator starts the requests of a run.
+// generator sends the requests of a run.
 type generator struct {
 	options
 	client   *http.Client
 	proxies  *proxyList
-	idPrefix string       // of all ids of this run
-	outcomes chan outcome // closed when the last request is done
-	open     atomic.Int64 // requests without an outcome
-	until    time.Time    // no retries after it
+	idPrefix string       // common prefix of all request ids of this run
+	outcomes chan outcome // closed after the last request has completed
+	inFlight atomic.Int64 // requests without an outcome
+	until    time.Time    // end of the run; no retries are sent after it
 }
 
 func newGenerator(opts options) *generator {
 	client := &http.Client{
-		Transport:     &http.Transport{MaxIdleConnsPerHost: idleConnsMax, IdleConnTimeout: idleConnTimeout},
+		Transport:     &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idleConnTimeout},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Timeout:       requestTimeout,
 	}
 	return &generator{
 		options:  opts,
 		client:   client,
-		proxies:  &proxyList{named: opts.proxies, client: client},
+		proxies:  &proxyList{addresses: opts.proxies, client: client},
 		idPrefix: fmt.Sprintf("%x-", time.Now().UnixNano()),
 		outcomes: make(chan outcome, outcomeQueue),
 	}
 }
 
-// plannedRequest is a request that is due.
+// plannedRequest is a request that is scheduled to be sent.
 type plannedRequest struct {
 	kind      *requestKind
-	id        string
-	due       time.Time
-	impatient bool   // its client retries at once
-	random    uint64 // chooses its proxy and its body
-	retry     int    // how often the client has retried before
+	id        string    // unique; sent in testbackend.RequestIDHeader
+	due       time.Time // scheduled start, from which latency is measured
+	impatient bool      // its client retries immediately after a rejection
+	random    uint64    // selects the proxy and the request body
+	retry     int       // number of retries before this request; 0: first attempt
 }
 
-// run starts requests at random intervals, each drawn from the mix, and closes outcomes when the last one is done.
+// run sends requests as a Poisson process, with kinds drawn from the mix, and closes g.outcomes after the last request
+// has completed.
 func (g *generator) run(mix []requestKind) {
 	random := rand.New(rand.NewPCG(g.seed, 1))
 	start := time.Now()
@@ -65,7 +66,7 @@
 			break
 		}
 		time.Sleep(time.Until(due))
-		kind := draw(mix, random)
+		kind := drawKind(mix, random)
 		g.start(plannedRequest{
 			kind:      kind,
 			id:        fmt.Sprintf("%s%d", g.idPrefix, n),
@@ -74,32 +75,33 @@
 			random:    random.Uint64(),
 		})
 	}
-	for g.open.Load() > 0 {
+	for g.inFlight.Load() > 0 {
 		time.Sleep(drainPoll)
 	}
 	close(g.outcomes)
 }
 
-// start begins one request, unless there are too many.
+// start sends a request in a new goroutine. If too many requests are in flight, it reports the request as unanswered
+// instead.
 func (g *generator) start(planned plannedRequest) {
-	if g.open.Load() >= g.openMax {
-		unsent := plannedRequest{kind: planned.kind, id: planned.id, due: planned.due} // its client counts as a patient one
-		g.outcomes <- outcome{plannedRequest: unsent, err: "too many open"}
+	if g.inFlight.Load() >= g.maxInFlight {
+		unsent := plannedRequest{kind: planned.kind, id: planned.id, due: planned.due} // impatient is not set: counts as a patient client
+		g.outcomes <- outcome{plannedRequest: unsent, err: "too many requests in flight"}
 		return
 	}
-	g.open.Add(1)
+	g.inFlight.Add(1)
 	go func() {
-		defer g.open.Add(-1)
+		defer g.inFlight.Add(-1)
 		done := g.send(planned)
 		g.outcomes <- done
-		if planned.impatient && done.rejected() && planned.retry < retriesMax && time.Now().Before(g.until) {
-			g.start(planned.next())
+		if planned.impatient && done.rejected() && planned.retry < maxRetries && time.Now().Before(g.until) {
+			g.start(planned.nextRetry())
 		}
 	}()
 }
 
-// next is a retry of a client that was rejected, which is a new request.
-func (p plannedRequest) next() plannedRequest {
+// nextRetry returns the retry that an impatient client sends after a rejection. It is a new request with its own id.
+func (p plannedRequest) nextRetry() plannedRequest {
 	p.id = fmt.Sprintf("%s.%d", p.id, p.retry+1)
 	p.due = time.Now()
 	p.random = p.random*7919 + 1
--- a/cmd/mfload/main.go
+++ b/cmd/mfload/main.go
@@ -1,9 +1,10 @@
-// Command mfload is the load generator: open-loop arrivals of a mix of requests at the proxies that are ready, clients
-// that retry as they please, and a check of every response, at the end also against the request logs of the test back
-// ends. Latency counts from the moment a request was due, so that a stall is felt by all that it delayed.
+// Command mfload is an open-loop load generator. It sends a mix of requests to the proxies that are ready, simulates
+// clients with and without retries, and checks every response, and at the end also the request logs of the test back
+// ends. Latency is measured from the time at which a request was scheduled, so that a stall counts for every request
+// that it delayed.
 //
-// Begin with generator; mix.go has the requests, request.go one request, collector.go and report.go what is made of the
-// outcomes.
+// Start with generator; mix.go defines the request mixes, request.go sends and checks a single request, collector.go
+// and report.go evaluate the outcomes.
 package main
 
 import (
@@ -18,42 +19,42 @@
 	"myrtlefold/internal/shared/version"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	exitBroken = 1 // a response or a request log is not as it must be
-	exitUsage  = 2
+	exitFailed = 1 // a response or a request log violates a requirement
+	exitUsage  = 2 // invalid command line or mix
 )
 
-// options are the command line's.
+// options holds the command-line options.
 type options struct {
-	proxies     []string // caller addresses, or ADDR=HTTP
-	mix         string
-	rate        float64       // requests a second
-	duration    time.Duration // of the arrivals
-	requestLogs string        // folder of the back ends' request logs, "": they are not checked
-	workMs      int           // asked of the back ends; below 0: their own
-	output      string
-	perSecond   bool
-	seed        uint64
-	openMax     int64 // requests that may be open at once
+	proxies      []string      // addresses for callers, each ADDR or ADDR=HTTP
+	mix          string        // name of a built-in mix or of a JSON file
+	rate         float64       // requests per second
+	duration     time.Duration // how long requests are sent
+	requestLogs  string        // directory of the back ends' request logs; "": not checked
+	processingMs int           // processing time requested from the back ends, in ms; negative: their default
+	output       string        // text or json
+	perSecond    bool          // report the counts of each second
+	seed         uint64        // of the random numbers
+	maxInFlight  int64         // maximum number of requests in flight
 }
 
-// define puts the flags on the command line.
+// define registers the command-line flags.
 func (o *options) define(app *kingpin.Application) {
-	app.Flag("gate", "caller address of a proxy, or ADDR=HTTP to ask HTTP/ready whether it takes callers (repeat)").Required().StringsVar(&o.proxies)
-	app.Flag("mix", "kelani, kiyihat, or a JSON file").Default("kiyihat").StringVar(&o.mix)
-	app.Flag("rate", "exchanges a second").Default("100").Float64Var(&o.rate)
-	app.Flag("for", "how long").Default("10s").DurationVar(&o.duration)
-	app.Flag("ledgers", "folder of the back ends' ledgers, checked at the end").StringVar(&o.requestLogs)
-	app.Flag("work", "milliseconds of work asked of the back end (default: its own)").Default("-1").IntVar(&o.workMs)
-	app.Flag("output", "text or json").Short('o').Default("text").EnumVar(&o.output, "text", "json")
-	app.Flag("per-second", "also report each second").BoolVar(&o.perSecond)
-	app.Flag("seed", "seed of arrivals and mix").Default("1").Uint64Var(&o.seed)
-	app.Flag("open", "most exchanges open at once; further arrivals count as unanswered").Default("4000").Int64Var(&o.openMax)
+	app.Flag("gate", "address of a proxy for callers, or ADDR=HTTP to poll HTTP/ready for its readiness (repeatable)").Required().StringsVar(&o.proxies)
+	app.Flag("mix", "request mix: kelani, kiyihat, or a JSON file").Default("kiyihat").StringVar(&o.mix)
+	app.Flag("rate", "requests per second").Default("100").Float64Var(&o.rate)
+	app.Flag("for", "how long to send requests").Default("10s").DurationVar(&o.duration)
+	app.Flag("ledgers", "directory of the back ends' request logs, which are checked at the end").StringVar(&o.requestLogs)
+	app.Flag("work", "processing time to request from the back ends, in ms; negative: their default").Default("-1").IntVar(&o.processingMs)
+	app.Flag("output", "output format: text or json").Short('o').Default("text").EnumVar(&o.output, "text", "json")
+	app.Flag("per-second", "also report the counts of each second").BoolVar(&o.perSecond)
+	app.Flag("seed", "random seed for arrivals and mix").Default("1").Uint64Var(&o.seed)
+	app.Flag("open", "maximum number of requests in flight; further requests count as unanswered").Default("4000").Int64Var(&o.maxInFlight)
 }
 
 func main() {
-	app := kingpin.New("mfload", "Sends a deployment's mix of exchanges and checks every answer.")
+	app := kingpin.New("mfload", "Sends a deployment's mix of requests through the proxies and checks every response.")
 	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	var opts options
@@ -73,12 +74,12 @@
 	} else {
 		report.print(os.Stdout)
 	}
-	if report.broken() {
-		os.Exit(exitBroken)
+	if report.failed() {
+		os.Exit(exitFailed)
 	}
 }
 
-// run sends the load and makes the report.
+// run sends the load and returns the report.
 func run(opts options, mix []requestKind) *report {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -93,7 +94,7 @@
 	c.report.Seconds = time.Since(c.begin).Seconds()
 	if opts.requestLogs != "" {
 		if err := c.checkRequestLogs(opts.requestLogs, generator.idPrefix); err != nil {
-			fmt.Fprintf(os.Stderr, "mfload: %v\n", err)
+			fmt.Fprintf(os.Stderr, "mfload: check request logs: %v\n", err)
 		}
 	}
 	return c.finish(opts)
--- a/cmd/mfload/mfload_test.go
+++ b/cmd/mfload/mfload_test.go
@@ -17,23 +17,23 @@
 	"myrtlefold/internal/verification/testbackend"
 )
 
-// sendTo sends one request to a proxy that responds by handler, and returns its outcome.
+// sendTo sends a request to a proxy that is simulated by handler, and returns its outcome.
 func sendTo(t *testing.T, handler http.HandlerFunc) outcome {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	defer server.Close()
-	g := newGenerator(options{proxies: []string{strings.TrimPrefix(server.URL, "http://")}, workMs: -1})
+	g := newGenerator(options{proxies: []string{strings.TrimPrefix(server.URL, "http://")}, processingMs: -1})
 	g.proxies.refresh(t.Context())
 	kind := &requestKind{Name: "k", Service: "s", Method: http.MethodPost, Path: "/x", BodySize: 3, ResponseSize: 2}
 	return g.send(plannedRequest{kind: kind, id: "7", due: time.Now()})
 }
 
-// respond writes a back end's response.
+// respond returns a handler that writes a back end's response.
 func respond(response testbackend.Response) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(response) }
 }
 
-// reject writes a proxy's error.
+// reject returns a handler that writes an error response of a proxy.
 func reject(status int, ran string, body config.ErrorBody) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(reverseproxy.RanHeader, ran)
@@ -42,39 +42,39 @@
 	}
 }
 
-// What each response counts as.
-func TestClassesOfOutcomes(t *testing.T) {
+// Each kind of response is counted under the right class.
+func TestOutcomeClasses(t *testing.T) {
 	sum := testbackend.Sum([]byte("aaa"))
 	for name, c := range map[string]struct {
-		handler http.HandlerFunc
-		class   outcomeClass
-		others  bool
+		handler    http.HandlerFunc
+		class      outcomeClass
+		mismatched bool
 	}{
-		"served":                 {respond(testbackend.Response{ID: "7", Service: "s", Sum: sum, Padding: "xx"}), classServed, false},
-		"another request's":      {respond(testbackend.Response{ID: "8", Service: "s", Sum: sum, Padding: "xx"}), classWrong, true},
-		"another service's":      {respond(testbackend.Response{ID: "7", Service: "t", Sum: sum, Padding: "xx"}), classWrong, false},
-		"another body":           {respond(testbackend.Response{ID: "7", Service: "s", Sum: "0", Padding: "xx"}), classWrong, false},
-		"too short":              {respond(testbackend.Response{ID: "7", Service: "s", Sum: sum, Padding: "x"}), classWrong, false},
-		"rejected":               {reject(503, "no", config.ErrorBody{Code: "full", Ran: "no"}), classRejected, false},
-		"unknown":                {reject(504, "unknown", config.ErrorBody{Code: "lost", Ran: "unknown"}), classUnknown, false},
-		"header unlike its body": {reject(503, "no", config.ErrorBody{Code: "lost", Ran: "unknown"}), classWrong, false},
-		"an error of a back end": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, classUnknown, false},
-		"no response":            {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, classNone, false},
-		"a response that was cut": {func(w http.ResponseWriter, _ *http.Request) {
+		"served":                           {respond(testbackend.Response{ID: "7", Service: "s", Sum: sum, Padding: "xx"}), classServed, false},
+		"response to another request":      {respond(testbackend.Response{ID: "8", Service: "s", Sum: sum, Padding: "xx"}), classWrong, true},
+		"response of another service":      {respond(testbackend.Response{ID: "7", Service: "t", Sum: sum, Padding: "xx"}), classWrong, false},
+		"checksum of another request body": {respond(testbackend.Response{ID: "7", Service: "s", Sum: "0", Padding: "xx"}), classWrong, false},
+		"too little padding":               {respond(testbackend.Response{ID: "7", Service: "s", Sum: sum, Padding: "x"}), classWrong, false},
+		"rejected":                         {reject(503, "no", config.ErrorBody{Code: "full", Ran: "no"}), classRejected, false},
+		"unknown":                          {reject(504, "unknown", config.ErrorBody{Code: "lost", Ran: "unknown"}), classUnknown, false},
+		"header contradicts body":          {reject(503, "no", config.ErrorBody{Code: "lost", Ran: "unknown"}), classWrong, false},
+		"error of a back end":              {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, classUnknown, false},
+		"no response":                      {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, classUnanswered, false},
+		"truncated response": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "9")
 			w.Write([]byte("x"))
-		}, classNone, false},
+		}, classUnanswered, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := sendTo(t, c.handler)
-			if got.class() != c.class || got.others != c.others {
-				t.Errorf("%s: %+v", got.class(), got)
+			if got.class() != c.class || got.mismatched != c.mismatched {
+				t.Errorf("class %s, mismatched %v; want %s, %v: %+v", got.class(), got.mismatched, c.class, c.mismatched, got)
 			}
 		})
 	}
 }
 
-// A run is broken by what the request logs say of its requests, and by nothing that other runs did.
+// Violations in the request logs fail the run that sent the requests. Entries of other runs are ignored.
 func TestRequestLogsAreChecked(t *testing.T) {
 	dir := t.TempDir()
 	writer, err := requestlog.Create(filepath.Join(dir, "b.ledger"))
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	for _, entry := range []requestlog.Entry{
-		{ID: "r-1"}, {ID: "r-1"}, // not idempotent, twice
+		{ID: "r-1"}, {ID: "r-1"}, // not idempotent, ran twice
 		{ID: "r-2"}, {ID: "r-2"}, // idempotent
 		{ID: "r-3"}, // rejected
 		{ID: "r-4", IntendedService: "t"},
@@ -100,19 +100,19 @@
 	c.add(outcome{plannedRequest: plannedRequest{kind: post, id: "r-1"}, status: 200})
 	c.add(outcome{plannedRequest: plannedRequest{kind: get, id: "r-2"}, status: 200})
 	c.add(outcome{plannedRequest: plannedRequest{kind: get, id: "r-3"}, status: 503, ran: ranNo, retryAfter: "1"})
-	if c.report.broken() {
-		t.Fatalf("%+v", c.report)
+	if c.report.failed() {
+		t.Fatalf("the run failed before the request logs were checked: %+v", c.report)
 	}
 	if err := c.checkRequestLogs(dir, "r-"); err != nil {
 		t.Fatal(err)
 	}
 	r := c.finish(options{duration: time.Second})
-	if r.RanTwice != 1 || r.RanThoughRejected != 1 || r.Misrouted != 1 || r.PastLeaveGrace != 1 || r.LatestToLeavingMs != leaveGraceMs+1 || !r.broken() {
-		t.Errorf("%+v", r)
+	if r.RanTwice != 1 || r.RanThoughRejected != 1 || r.Misrouted != 1 || r.PastLeaveGrace != 1 || r.MaxLeavingForMs != leaveGraceMs+1 || !r.failed() {
+		t.Errorf("violations in the request logs: %+v", r)
 	}
 }
 
-// A report for people has its quantiles, groups and seconds in a fixed form.
+// The text report has a fixed format.
 func TestPrintedReport(t *testing.T) {
 	c := newCollector()
 	kind := &requestKind{Name: "fare", Method: http.MethodGet}
@@ -121,31 +121,31 @@
 	c.report.Seconds = 1
 	var printed bytes.Buffer
 	c.finish(options{duration: time.Second, perSecond: true}).print(&printed)
-	want := `offered 2, served 1 (1/s), refused 1, unknown 0, no answer 0 in 1.0 s
-latency ms from due: p50 10.0 p90 10.0 p99 10.0 max 10.0; refusals p50 2.0
+	want := `offered 2, served 1 (1/s), rejected 1, unknown 0, unanswered 0 in 1.0 s
+latency in ms from the scheduled start: p50 10.0 p90 10.0 p99 10.0 max 10.0; of rejections: p50 2.0
   fare              1  p50 10.0 p99 10.0
-  polite            1 user agents asked 1 times, 1 were served  p50 10.0 p99 10.0
-  at_once           1 user agents asked 1 times, 0 were served  p50 0.0 p99 0.0
-ran twice 0, ran though refused 0, wrong answers 0, wrong service 0, to leaving after 2 s 0 (latest 0 ms), refused without Retry-After 0
+  polite            1 clients sent 1 requests, 1 were served  p50 10.0 p99 10.0
+  at_once           1 clients sent 1 requests, 0 were served  p50 0.0 p99 0.0
+ran twice 0, ran although rejected 0, wrong responses 0, ran at the wrong service 0, ran at a target leaving for over 2 s 0 (maximum 0 ms), rejected without Retry-After 0
 {"offered":2,"refused":1,"served":1}
-  e.g. fare 2: 503 full
+  example: fare 2: 503 full
 `
 	if printed.String() != want {
-		t.Error(printed.String())
+		t.Errorf("got:\n%s\nwant:\n%s", printed.String(), want)
 	}
 }
 
-// Kinds are drawn by weight.
-func TestDraw(t *testing.T) {
+// Kinds of requests are drawn with frequencies proportional to their weights.
+func TestDrawKind(t *testing.T) {
 	drawn := map[string]int{}
 	random := rand.New(rand.NewPCG(1, 1))
 	mix := mixes["kelani"]
 	for range 10000 {
-		drawn[draw(mix, random).Name]++
+		drawn[drawKind(mix, random).Name]++
 	}
 	for _, kind := range mix {
 		if part := float64(drawn[kind.Name]) / 10000; part < kind.Weight-0.02 || part > kind.Weight+0.02 {
-			t.Errorf("%s: %g, want %g", kind.Name, part, kind.Weight)
+			t.Errorf("frequency of kind %s is %g, want %g", kind.Name, part, kind.Weight)
 		}
 	}
 }
--- a/cmd/mfload/mix.go
+++ b/cmd/mfload/mix.go
@@ -8,19 +8,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// requestKind is one kind of request in a mix.
+// requestKind describes one kind of request in a mix.
 type requestKind struct {
-	Name         string  `json:"name"`
-	Service      string  `json:"service"`
-	Method       string  `json:"method"`
-	Path         string  `json:"path"`
-	Weight       float64 `json:"weight"`
-	BodySize     int     `json:"body,omitempty"`   // bytes
-	ResponseSize int     `json:"answer,omitempty"` // bytes of padding
-	Impatient    float64 `json:"hard,omitempty"`   // ratio of its user agents that retry at once, and again
+	Name         string  `json:"name"`             // name of the kind in reports
+	Service      string  `json:"service"`          // service that the request is intended for
+	Method       string  `json:"method"`           // HTTP method; POST requests count as not idempotent
+	Path         string  `json:"path"`             // URL path
+	Weight       float64 `json:"weight"`           // share in the mix, relative to the other kinds
+	BodySize     int     `json:"body,omitempty"`   // size of the request body, in bytes
+	ResponseSize int     `json:"answer,omitempty"` // size of the response's padding, in bytes
+	Impatient    float64 `json:"hard,omitempty"`   // fraction of its clients that retry immediately after a rejection, up to maxRetries times
 }
 
-// mixes are those of the deployments that the project is made for.
+// mixes has the built-in mixes by name, which model the deployments that the project was designed for.
 var mixes = map[string][]requestKind{
 	"kelani": {
 		{"history", "records", "GET", "/records/history/day", 0.35, 0, 4000, 0},
@@ -37,10 +37,10 @@
 	},
 }
 
-// errEmptyMix says that a mix's file has no kind of request.
-var errEmptyMix = errors.New("no kind of request")
+// errEmptyMix reports that a mix file contains no kind of request.
+var errEmptyMix = errors.New("the file contains no kind of request")
 
-// loadMix returns the mix of that name, or the one in that JSON file.
+// loadMix returns the built-in mix with the given name, or else reads the JSON file with that name.
 func loadMix(name string) ([]requestKind, error) {
 	if mix := mixes[name]; mix != nil {
 		return mix, nil
@@ -59,8 +59,8 @@
 	return mix, nil
 }
 
-// draw draws a kind of request by weight.
-func draw(mix []requestKind, random *rand.Rand) *requestKind {
+// drawKind selects a random kind of request, with probabilities proportional to the weights.
+func drawKind(mix []requestKind, random *rand.Rand) *requestKind {
 	total := 0.0
 	for _, kind := range mix {
 		total += kind.Weight
--- a/cmd/mfload/proxies.go
+++ b/cmd/mfload/proxies.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	readinessEvery   = 300 * time.Millisecond // between two looks at all proxies
-	readinessTimeout = 250 * time.Millisecond // of a look at one
+	readinessInterval = 300 * time.Millisecond // between two readiness checks of all proxies
+	readinessTimeout  = 250 * time.Millisecond // of the readiness check of one proxy
 )
 
-// proxyList is the proxies that callers may use, kept as a deployment's load balancer would.
+// proxyList tracks which proxies are ready for callers, as the load balancer of a deployment would.
 type proxyList struct {
-	named  []string // as the command line names them: ADDR, or ADDR=HTTP
-	ready  atomic.Pointer[[]string]
-	client *http.Client
+	addresses []string                 // from the command line, each ADDR or ADDR=HTTP
+	ready     atomic.Pointer[[]string] // sorted addresses of the ready proxies
+	client    *http.Client
 }
 
-// run refreshes the list until the context ends.
+// run refreshes the list periodically until the context is canceled.
 func (p *proxyList) run(ctx context.Context) {
-	ticker := time.NewTicker(readinessEvery)
+	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -35,30 +35,30 @@
 	}
 }
 
-// pick chooses one of the ready proxies by a random number.
+// pick selects one of the ready proxies by a random number.
 func (p *proxyList) pick(random uint64) string {
 	ready := *p.ready.Load()
 	return ready[random%uint64(len(ready))]
 }
 
-// proxyReadiness is whether a proxy takes callers.
+// proxyReadiness is the result of a proxy's readiness check.
 type proxyReadiness struct {
-	addr  string
+	addr  string // address for callers
 	ready bool
 }
 
-// refresh asks all proxies at once whether they are ready. If none is, callers use them all.
+// refresh checks the readiness of all proxies concurrently. If none is ready, all are used.
 func (p *proxyList) refresh(ctx context.Context) {
-	answers := make(chan proxyReadiness, len(p.named))
-	for _, name := range p.named {
-		go func() { answers <- p.ask(ctx, name) }()
+	results := make(chan proxyReadiness, len(p.addresses))
+	for _, address := range p.addresses {
+		go func() { results <- p.checkReadiness(ctx, address) }()
 	}
 	var ready, all []string
-	for range p.named {
-		answer := <-answers
-		all = append(all, answer.addr)
-		if answer.ready {
-			ready = append(ready, answer.addr)
+	for range p.addresses {
+		result := <-results
+		all = append(all, result.addr)
+		if result.ready {
+			ready = append(ready, result.addr)
 		}
 	}
 	if len(ready) == 0 {
@@ -68,15 +68,15 @@
 	p.ready.Store(&ready)
 }
 
-// ask asks one proxy; one without an HTTP address counts as ready.
-func (p *proxyList) ask(ctx context.Context, name string) proxyReadiness {
-	addr, admin, asked := strings.Cut(name, "=")
-	if !asked {
+// checkReadiness checks one proxy, given as ADDR=HTTP. A proxy given as ADDR counts as ready.
+func (p *proxyList) checkReadiness(ctx context.Context, address string) proxyReadiness {
+	addr, httpAddr, found := strings.Cut(address, "=")
+	if !found {
 		return proxyReadiness{addr, true}
 	}
 	ctx, cancel := context.WithTimeout(ctx, readinessTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/ready", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+httpAddr+"/ready", nil)
 	if err != nil {
 		return proxyReadiness{addr, false}
 	}
--- a/cmd/mfload/request.go
+++ b/cmd/mfload/request.go
@@ -14,30 +14,31 @@
 	"myrtlefold/internal/verification/testbackend"
 )
 
-// ran says in an error whether the request ran, as the header Ran has it.
-type ran string
+// ranStatus is the value of the header reverseproxy.RanHeader, which an error response of a proxy carries: whether the
+// request ran at a target.
+type ranStatus string
 
-// What an error says of its request; a response of a back end says nothing.
+// The values of ranStatus.
 const (
-	ranUnset   ran = ""
-	ranNo      ran = "no"
-	ranUnknown ran = "unknown"
+	ranUnset   ranStatus = ""        // not an error response of a proxy
+	ranNo      ranStatus = "no"      // the request did not run
+	ranUnknown ranStatus = "unknown" // the request may have run
 )
 
-// outcome is what became of one request.
+// outcome is the result of one request.
 type outcome struct {
 	plannedRequest
-	seconds    float64 // from when it was due
-	status     int     // of HTTP; 0: there was no response
-	ran        ran
-	retryAfter string // the header
-	code       string // of the error
-	wrong      string // what is wrong with the response, "": nothing
-	others     bool   // it is the response to another request
-	err        string // why there is no response
+	seconds    float64 // time from when the request was due until its outcome
+	status     int     // HTTP status; 0: no response
+	ran        ranStatus
+	retryAfter string // value of the Retry-After header; "": none
+	code       string // error code of an error response
+	wrong      string // description of the error in the response; "": none
+	mismatched bool   // the response belongs to another request
+	err        string // why there is no complete response; "": there is one
 }
 
-// rejected reports whether the caller got a proxy's error.
+// rejected reports whether the response is an error response of a proxy.
 func (o *outcome) rejected() bool { return o.ran != ranUnset }
 
 // send sends a request and checks its response.
@@ -64,13 +65,13 @@
 	if err != nil {
 		return nil, err
 	}
-	request.GetBody = nil // the standard client must not send anything again by itself
+	request.GetBody = nil // prevents the standard client from resending the request
 	request.Header.Set(testbackend.RequestIDHeader, planned.id)
 	request.Header.Set(testbackend.IntendedServiceHeader, kind.Service)
-	request.Header.Set(reverseproxy.DefaultHeaders().Attempt, planned.id) // its response must repeat it
+	request.Header.Set(reverseproxy.DefaultHeaders().Attempt, planned.id) // the response must repeat it
 	request.Header.Set(testbackend.PaddingHeader, strconv.Itoa(kind.ResponseSize))
-	if g.workMs >= 0 {
-		request.Header.Set(testbackend.WorkHeader, strconv.Itoa(g.workMs))
+	if g.processingMs >= 0 {
+		request.Header.Set(testbackend.ProcessingTimeHeader, strconv.Itoa(g.processingMs))
 	}
 	return request, nil
 }
@@ -84,12 +85,12 @@
 	}
 	defer response.Body.Close()
 	o.status = response.StatusCode
-	o.ran = ran(response.Header.Get(reverseproxy.RanHeader))
+	o.ran = ranStatus(response.Header.Get(reverseproxy.RanHeader))
 	o.retryAfter = response.Header.Get("Retry-After")
 	got, err := io.ReadAll(response.Body)
 	switch {
 	case err != nil:
-		o.err = "cut: " + err.Error()
+		o.err = "read response body: " + err.Error()
 	case o.rejected():
 		o.checkError(got)
 	case o.status < http.StatusInternalServerError:
@@ -97,28 +98,28 @@
 	}
 }
 
-// checkError checks the body of a proxy's error.
+// checkError checks the body of an error response of a proxy.
 func (o *outcome) checkError(got []byte) {
 	var body struct{ Error config.ErrorBody }
 	if json.Unmarshal(got, &body) != nil || string(body.Error.Ran) != string(o.ran) {
-		o.wrong = fmt.Sprintf("error of another shape: %.80q", got)
+		o.wrong = fmt.Sprintf("malformed error response: %.80q", got)
 	}
 	o.code = body.Error.Code
 }
 
-// checkResponse checks the body of a back end's response to a request with that body.
+// checkResponse checks the body of a back end's response to a request with the body requestBody.
 func (o *outcome) checkResponse(got, requestBody []byte) {
 	var response testbackend.Response
 	switch {
 	case json.Unmarshal(got, &response) != nil:
-		o.wrong = fmt.Sprintf("not the back end's answer: %.80q", got)
+		o.wrong = fmt.Sprintf("not the response of a back end: %.80q", got)
 	case response.ID != o.id:
-		o.wrong, o.others = "the answer is to exchange "+response.ID, true
+		o.wrong, o.mismatched = "response to request "+response.ID, true
 	case response.Service != o.kind.Service:
-		o.wrong = "the answer is from service " + response.Service
+		o.wrong = "response from service " + response.Service
 	case response.Sum != testbackend.Sum(requestBody):
-		o.wrong = "the back end read another body"
+		o.wrong = "the back end received a different request body"
 	case len(response.Padding) != o.kind.ResponseSize:
-		o.wrong = fmt.Sprintf("%d of %d bytes", len(response.Padding), o.kind.ResponseSize)
+		o.wrong = fmt.Sprintf("padding of %d bytes instead of %d", len(response.Padding), o.kind.ResponseSize)
 	}
 }
--- a/internal/verification/linearizability/check.go
+++ b/internal/verification/linearizability/check.go
@@ -8,14 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// endOfHistory comes after all calls that were replied to. Open calls that take no effect
-// come after it only, so that they need not be tried at every moment.
-var endOfHistory = &Operation{outcome: closing}
+// endOfHistory is an operation after all completed calls. Open calls that never take effect are ordered after it, so
+// that the search need not consider a call without effect at every earlier point.
+var endOfHistory = &Operation{outcome: historyEnd}
 
-// Check returns an error if the calls are not linearizable, with the calls that end nearest
-// to where no order can be found any more.
+// Check returns an error if the calls are not linearizable. The error lists the calls around the first one that the
+// longest linearizable prefix found does not contain.
 func (l *Log) Check() error {
-	calls := l.relevant()
+	calls := l.relevantOperations()
 	var operations []porcupine.Operation
 	for _, o := range calls {
 		end := int64(o.repliedAt)
@@ -32,15 +32,16 @@
 	return errors.Newf("%d calls are not linearizable:\n%s", len(operations), explain(calls, info))
 }
 
-// explainedCalls is how many calls are shown before and after the one that fits in no order.
+// explainedCalls is the number of calls shown before and after the first one that cannot be linearized.
 const explainedCalls = 12
 
-// explain shows the calls around the first one that fits in no longest order.
+// explain lists the calls around the first completed one that is not in the longest order found, which it marks
+// with >.
 func explain(calls []*Operation, info porcupine.LinearizationInfo) string {
-	fits := longestOrder(info)
+	ordered := longestOrder(info)
 	first := -1
 	for i, o := range calls {
-		if !fits[i] && o.outcome != open {
+		if !ordered[i] && o.outcome != open {
 			first = i
 			break
 		}
@@ -59,19 +60,19 @@
 	return strings.Join(lines, "\n")
 }
 
-// longestOrder is the set of calls in the longest order that was found, by their indexes.
+// longestOrder returns the indexes of the calls in the longest partial linearization that was found.
 func longestOrder(info porcupine.LinearizationInfo) map[int]bool {
-	fits := map[int]bool{}
+	ordered := map[int]bool{}
 	for _, partial := range info.PartialLinearizations() {
 		for _, order := range partial {
-			if len(order) <= len(fits) {
+			if len(order) <= len(ordered) {
 				continue
 			}
-			fits = map[int]bool{}
+			ordered = map[int]bool{}
 			for _, i := range order {
-				fits[i] = true
+				ordered[i] = true
 			}
 		}
 	}
-	return fits
+	return ordered
 }
--- a/internal/verification/linearizability/history.go
+++ b/internal/verification/linearizability/history.go
@@ -1,14 +1,13 @@
-// Package linearizability records operators' calls and their replies and checks them for
-// linearizability: whether each call can be given one moment between its sending and
-// its reply so that all of them, in the order of these moments, are what a single
-// register would have answered whose value is replaced by compare-and-set on its revision.
+// Package linearizability records operators' calls with their replies and checks whether they are linearizable:
+// whether each call can be assigned a point in time between its invocation and its reply so that all calls, executed
+// in the order of these points, have the replies of a single register that is updated by compare-and-set on its
+// revision.
 //
-// A call without a clear reply stays open: it may have taken effect at any moment after
-// its sending, or never. The same change sent again is acknowledged with the revision that
-// it led to the first time.
+// A call without a definite reply remains open: it may have taken effect at any time after its invocation, or never. A
+// change that is sent again is acknowledged with the revision that it created the first time.
 //
-// It makes no calls; package simulator and mfchaos do, and record them here. The search for an order is that of
-// package porcupine. Begin with Log; reduce.go leaves out calls that only make the search long, model.go is the
+// The package makes no calls itself; package simulator and command mfchaos make and record them. Package porcupine
+// searches for an order. Start with Log; reduce.go omits calls that only prolong the search, and model.go defines the
 // register.
 package linearizability
 
@@ -19,81 +18,82 @@
 	"time"
 )
 
-// Change is a change of the configuration as an operator sends it.
+// Change is a change to the configuration, as sent by an operator.
 type Change struct {
-	Base     uint64 // revision that it is built on
-	Revision uint64 // the operator's own number for the result, 0: the next one
-	Key      string // stands for the whole change: the same change has the same key
-	Token    string // the operator's id for it, "" if it gave none
-	Value    string // what a read returns once it is in force, "" if that is not known
+	Base     uint64 // revision that the change is based on
+	Revision uint64 // revision number that the operator chose for the result; 0: the next one
+	Key      string // identifies the content of the change: equal changes have equal keys
+	Token    string // idempotency key that the operator gave it; "": none
+	Value    string // value that reads return once the change is in force; "": not known
 }
 
-// outcome is how a call ended.
+// outcome is the result of a call.
 type outcome int
 
 const (
-	open         outcome = iota // no clear reply
-	acknowledged                // the change is in force as a revision
-	stale                       // rejected: another revision is the present one
-	returned                    // a read's reply
-	void                        // rejected and nothing was changed, or a read without a reply
-	closing                     // the end of the history: open calls after it take no effect any more
+	open         outcome = iota // no definite reply
+	acknowledged                // the change is in force and created a revision
+	stale                       // rejected: the current revision is another one
+	returned                    // a read returned a value
+	noEffect                    // rejected without a change to the state, or a read without a reply
+	historyEnd                  // end of the history: open calls ordered after it take no effect
 )
 
-// String says how a call ended, in front of the revision that its reply names.
+// String returns a description of the outcome, to be followed by the revision in the reply.
 func (o outcome) String() string {
-	return [...]string{"no clear answer", "acknowledged as", "refused at", "returned", "nothing changed", "the end"}[o]
+	return [...]string{"no definite reply", "acknowledged as revision", "rejected at revision", "returned revision", "no effect, revision", "end of history"}[o]
 }
 
-// Operation is one call.
+// Operation is a recorded call, either a read or a change.
 type Operation struct {
 	read      bool
 	change    Change
-	sentAt    time.Duration
-	repliedAt time.Duration
+	sentAt    time.Duration // since the start of the run
+	repliedAt time.Duration // since the start of the run; 0 while it is open
 	outcome   outcome
-	revision  uint64 // that the reply names
-	value     string // that a read returned, "" if it is not looked at
+	revision  uint64 // revision in the reply; 0: none
+	value     string // value that a read returned; "": not checked
 }
 
-// Acknowledge records that a change was acknowledged as a revision.
+// Acknowledge records that a change was acknowledged and created a revision.
 func (o *Operation) Acknowledge(at time.Duration, revision uint64) {
 	o.finish(at, acknowledged, revision, "")
 }
 
-// Reject records that a change was rejected because another revision is the present one; 0: it is not known which.
-func (o *Operation) Reject(at time.Duration, present uint64) { o.finish(at, stale, present, "") }
+// Reject records that a change was rejected because its base is not the current revision, which is 0 if it is not
+// known.
+func (o *Operation) Reject(at time.Duration, current uint64) { o.finish(at, stale, current, "") }
 
-// Return records a read's reply.
+// Return records the revision and the value that a read returned.
 func (o *Operation) Return(at time.Duration, revision uint64, value string) {
 	o.finish(at, returned, revision, value)
 }
 
-// Void records a reply that promises that nothing was changed.
-func (o *Operation) Void(at time.Duration) { o.finish(at, void, 0, "") }
+// Void records a reply that guarantees that a change had no effect, or that a read got no reply.
+func (o *Operation) Void(at time.Duration) { o.finish(at, noEffect, 0, "") }
 
-func (o *Operation) finish(at time.Duration, how outcome, revision uint64, value string) {
-	o.repliedAt, o.outcome, o.revision, o.value = at, how, revision, value
+func (o *Operation) finish(at time.Duration, result outcome, revision uint64, value string) {
+	o.repliedAt, o.outcome, o.revision, o.value = at, result, revision, value
 }
 
-// String shows a call with its times in seconds.
+// String describes a call, with its times in seconds.
 func (o *Operation) String() string {
-	what := fmt.Sprintf("order %s on %d", cmp.Or(o.change.Token, o.change.Key), o.change.Base)
+	call := fmt.Sprintf("change %s based on revision %d", cmp.Or(o.change.Token, o.change.Key), o.change.Base)
 	if o.read {
-		what = "read"
+		call = "read"
 	}
-	return fmt.Sprintf("%.3f to %.3f: %s: %s %d", o.sentAt.Seconds(), o.repliedAt.Seconds(), what, o.outcome, o.revision)
+	return fmt.Sprintf("%.3f to %.3f: %s: %s %d", o.sentAt.Seconds(), o.repliedAt.Seconds(), call, o.outcome, o.revision)
 }
 
-// Log is the calls of one run, by the time of one clock.
+// Log records the calls of one run. All times are measured by the same clock.
 type Log struct{ operations []*Operation }
 
-// Write records that a change is sent.
+// Write records the invocation of a change.
 func (l *Log) Write(at time.Duration, c Change) *Operation {
 	return l.add(&Operation{change: c, sentAt: at})
 }
 
-// Read records that the configuration is asked for.
+// Read records the invocation of a read of the configuration.
 func (l *Log) Read(at time.Duration) *Operation { return l.add(&Operation{read: true, sentAt: at}) }
 
 func (l *Log) add(o *Operation) *Operation {
@@ -101,16 +101,17 @@
 	return o
 }
 
-// Reset forgets all calls so far, when all state is lost by intention.
+// Reset removes all calls recorded so far, for a run that deliberately destroys all state.
 func (l *Log) Reset() { l.operations = nil }
 
-// ForgetUnacknowledged drops replies that name more than had been acknowledged, when a majority of
-// the control daemons' disks is lost: what was agreed and not acknowledged yet may be lost with them.
+// ForgetUnacknowledged removes reads and rejections whose replies contain a revision above highest, the highest
+// acknowledged one. It is called when a majority of the control daemons' disks is lost, since changes that were
+// committed but not yet acknowledged may be lost with them.
 func (l *Log) ForgetUnacknowledged(highest uint64) {
 	l.operations = slices.DeleteFunc(l.operations, func(o *Operation) bool {
 		return (o.outcome == returned || o.outcome == stale) && o.revision > highest
 	})
 }
 
-// Len is how many calls were recorded.
+// Len returns the number of recorded calls.
 func (l *Log) Len() int { return len(l.operations) }
--- a/internal/verification/linearizability/model.go
+++ b/internal/verification/linearizability/model.go
@@ -8,63 +8,63 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// version is a state of the register, with those before it.
-type version struct {
-	before   *version
-	change   Change
+// registerState is a state of the register, linked to the states before it.
+type registerState struct {
+	previous *registerState // nil for the initial state
+	change   Change         // change that led to this state
 	revision uint64
-	hash     uint64 // of this state and all before it
-	closed   bool   // the history is over
+	hash     uint64 // hash of this state and all previous ones
+	atEnd    bool   // the end of the history has been reached
 }
 
-// close is the state at the end of the history.
-func (v *version) close() *version {
-	end := *v
-	end.closed = true
-	end.hash = ^end.hash
-	return &end
+// end returns the state after the end of the history.
+func (v *registerState) end() *registerState {
+	last := *v
+	last.atEnd = true
+	last.hash = ^last.hash
+	return &last
 }
 
-// next is the state that a change leads to.
-func (v *version) next(c Change) *version {
-	n := &version{before: v, change: c, revision: cmp.Or(c.Revision, v.revision+1)}
+// next returns the state that results from a change.
+func (v *registerState) next(c Change) *registerState {
+	n := &registerState{previous: v, change: c, revision: cmp.Or(c.Revision, v.revision+1)}
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d %s %s", v.hash, n.revision, c.Key, c.Token)
 	n.hash = h.Sum64()
 	return n
 }
 
-// accepted is the state that a change led to, nil if it has not been accepted.
-func (v *version) accepted(c Change) *version {
-	for ; v.before != nil; v = v.before {
-		if v.before.revision == c.Base && v.change.Key == c.Key || c.Token != "" && v.change.Token == c.Token {
+// accepted returns the state that a change led to when it was accepted, or nil if it has not been accepted.
+func (v *registerState) accepted(c Change) *registerState {
+	for ; v.previous != nil; v = v.previous {
+		if v.previous.revision == c.Base && v.change.Key == c.Key || c.Token != "" && v.change.Token == c.Token {
 			return v
 		}
 	}
 	return nil
 }
 
-// fits says whether a change would be accepted in a state in which it has not been.
-func (v *version) fits(c Change) bool {
+// accepts reports whether a change that has not been accepted before would be accepted in this state.
+func (v *registerState) accepts(c Change) bool {
 	return v.revision == c.Base && (c.Revision == 0 || c.Revision > v.revision)
 }
 
-// register is the model: what a single machine would answer.
+// register is the sequential model that the calls are checked against.
 var register = porcupine.Model{
-	Init:  func() any { return &version{} },
-	Equal: func(a, b any) bool { return a.(*version).hash == b.(*version).hash },
+	Init:  func() any { return &registerState{} },
+	Equal: func(a, b any) bool { return a.(*registerState).hash == b.(*registerState).hash },
 	Step: func(state, input, _ any) (bool, any) {
-		possible, next := state.(*version).step(input.(*Operation))
+		possible, next := state.(*registerState).step(input.(*Operation))
 		return possible, next
 	},
 }
 
-// step says whether a call may have its outcome in a state, and which state it leads to.
-func (v *version) step(call *Operation) (possible bool, next *version) {
+// step reports whether a call can have its recorded outcome when executed in this state, and returns the next state.
+func (v *registerState) step(call *Operation) (possible bool, next *registerState) {
 	switch {
-	case call.outcome == closing:
-		return !v.closed, v.close()
-	case v.closed:
+	case call.outcome == historyEnd:
+		return !v.atEnd, v.end()
+	case v.atEnd:
 		return call.outcome == open, v
 	case call.read:
 		return v.revision == call.revision && (call.value == "" || v.change.Value == "" || v.change.Value == call.value), v
@@ -77,7 +77,7 @@
 		return accepted.revision == call.revision, v
 	}
 	next = v.next(call.change)
-	possible = accepted == nil && v.fits(call.change)
+	possible = accepted == nil && v.accepts(call.change)
 	if call.outcome == acknowledged {
 		possible = possible && next.revision == call.revision
 	}
--- a/internal/verification/linearizability/reduce.go
+++ b/internal/verification/linearizability/reduce.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// changeIdentity is what makes two changes the same, by whichever token they were sent.
+// changeIdentity identifies a change independently of its token.
 type changeIdentity struct {
 	base uint64
 	key  string
@@ -13,59 +13,59 @@
 
 func (c Change) identity() changeIdentity { return changeIdentity{c.Base, c.Key} }
 
-// callIdentity is what makes two calls copies of one change.
+// callIdentity identifies a change with its token. Calls with equal identities are copies of one change.
 type callIdentity struct {
 	changeIdentity
 	token string
 }
 
-// acceptedItself says whether an acknowledgement shows that the change itself, and not an earlier one
-// under its token, was accepted on its base.
+// acceptedItself reports whether the acknowledgement of a call proves that this change was accepted on its base, and not
+// an earlier change with the same token.
 func (o *Operation) acceptedItself() bool {
 	return o.outcome == acknowledged && o.revision == cmp.Or(o.change.Revision, o.change.Base+1)
 }
 
-// relevant are the calls that the check needs. Each open call doubles the number of orders
-// that a check may have to try, so those are left out of which the replies show that they
-// took no effect, or none that an earlier copy of the same change may not have had:
-//   - copies of a change that is open since an earlier time;
-//   - a change that was rejected, since its base never is the present revision again;
-//   - a change on whose base another one was accepted.
+// relevantOperations returns the calls that the check needs. Each open call doubles the number of orders that the check
+// may have to try. Therefore open calls are omitted if the replies to other calls show that they had no effect, or no
+// effect that an earlier copy of the same change could not have had:
+//   - copies of a change that has been open since an earlier time;
+//   - a change that was rejected, since its base never becomes the current revision again;
+//   - a change if another one was accepted on its base.
 //
-// So are reads during which another read began and ended with the same result: whatever
-// moment suits that one suits both. And so are rejections during which another change on the same base was
-// rejected at the same revision, if no call shows that the change itself was ever accepted: where forty
-// wait for a leader that rejects them all at once, there would be an order to try for each set of them.
-func (l *Log) relevant() (calls []*Operation) {
-	rejected, accepted := l.fates()
+// A read is omitted if another read with the same result started and ended during it, since any point in time that is
+// valid for the other read is valid for both. A rejection is omitted if another change on the same base was rejected at
+// the same revision during it and no call shows that the change itself was ever accepted. Otherwise, if forty changes
+// wait for a leader that rejects them all at once, the check would have to try an order for each subset of them.
+func (l *Log) relevantOperations() (calls []*Operation) {
+	rejected, accepted := l.decidedChanges()
 	opened, reads, rejections := map[callIdentity]bool{}, l.readsByResult(), l.rejectionsByRevision()
 	for _, o := range l.operations {
 		switch o.outcome {
-		case void:
+		case noEffect:
 			continue
 		case returned:
-			if reads.spans(o) {
+			if reads.containShorter(o) {
 				continue
 			}
 		case stale:
-			if rejections.spans(o) {
+			if rejections.containShorter(o) {
 				continue
 			}
 		case open:
 			winner, decided := accepted[o.change.Base]
-			copied := callIdentity{o.change.identity(), o.change.Token}
-			if o.read || opened[copied] || rejected[o.change.identity()] || decided && winner != o.change.Key {
+			identity := callIdentity{o.change.identity(), o.change.Token}
+			if o.read || opened[identity] || rejected[o.change.identity()] || decided && winner != o.change.Key {
 				continue
 			}
-			opened[copied] = true
+			opened[identity] = true
 		}
 		calls = append(calls, o)
 	}
 	return calls
 }
 
-// fates are the changes that were rejected, and the keys of those that were accepted, by their base.
-func (l *Log) fates() (rejected map[changeIdentity]bool, accepted map[uint64]string) {
+// decidedChanges returns the changes that were rejected, and the keys of the accepted changes by their base.
+func (l *Log) decidedChanges() (rejected map[changeIdentity]bool, accepted map[uint64]string) {
 	rejected, accepted = map[changeIdentity]bool{}, map[uint64]string{}
 	for _, o := range l.operations {
 		switch {
@@ -78,18 +78,18 @@
 	return rejected, accepted
 }
 
-// spans says whether another call was sent and replied to during a call, and is shorter.
+// spans reports whether the call other was sent and replied to during the call o, and was shorter.
 func spans(o, other *Operation) bool {
 	return other.sentAt >= o.sentAt && other.repliedAt <= o.repliedAt && other.repliedAt-other.sentAt < o.repliedAt-o.sentAt
 }
 
-// readResult is what a read returned.
+// readResult is the result of a read.
 type readResult struct {
 	revision uint64
 	value    string
 }
 
-// readsByResult are the reads that were replied to.
+// readsByResult groups the reads that returned by their result.
 type readsByResult map[readResult][]*Operation
 
 func (l *Log) readsByResult() readsByResult {
@@ -103,16 +103,16 @@
 	return reads
 }
 
-// spans says whether another read of the same result began and ended during a read, and is
-// shorter.
-func (r readsByResult) spans(o *Operation) bool {
+// containShorter reports whether a read with the same result as o started and ended during o, and was shorter.
+func (r readsByResult) containShorter(o *Operation) bool {
 	return slices.ContainsFunc(r[readResult{o.revision, o.value}], func(other *Operation) bool { return spans(o, other) })
 }
 
-// rejection is on which base changes were rejected, and the revision that they were rejected at.
+// rejection is the base of a rejected change and the current revision in its rejection.
 type rejection struct{ base, revision uint64 }
 
-// rejectionsByRevision are the rejected changes of which no call shows that they were accepted, under their token or another.
+// rejectionsByRevision groups the rejected changes by their rejections. It omits changes that any call shows to have been
+// accepted, with their token or another one.
 type rejectionsByRevision map[rejection][]*Operation
 
 func (l *Log) rejectionsByRevision() rejectionsByRevision {
@@ -133,8 +133,9 @@
 	return rejections
 }
 
-// spans says whether a change is among those, and another that was rejected alike was sent and rejected during it.
-func (r rejectionsByRevision) spans(o *Operation) bool {
-	alike := r[rejection{o.change.Base, o.revision}]
-	return slices.Contains(alike, o) && slices.ContainsFunc(alike, func(other *Operation) bool { return spans(o, other) })
+// containShorter reports whether r has the change o, and another change with the same rejection was sent and rejected
+// during o, and was shorter.
+func (r rejectionsByRevision) containShorter(o *Operation) bool {
+	candidates := r[rejection{o.change.Base, o.revision}]
+	return slices.Contains(candidates, o) && slices.ContainsFunc(candidates, func(other *Operation) bool { return spans(o, other) })
 }
--- a/internal/verification/requestlog/requestlog.go
+++ b/internal/verification/requestlog/requestlog.go
@@ -1,7 +1,8 @@
-// Package requestlog is the log that a test back end keeps of the requests that it ran, one JSON line each, and that
-// checks read afterwards: what ran twice, though it was rejected, or at the wrong target. It judges nothing itself.
+// Package requestlog implements the log in which a test back end records the requests that it ran, as one JSON object
+// per line. Verification tools read it after a run to find requests that ran twice, although they were rejected, or at
+// the wrong target. The package itself checks nothing.
 //
-// Begin with Entry; Writer is the back end's side, ReadAll the checks'.
+// Start with Entry; back ends use Writer, verification tools ReadAll.
 package requestlog
 
 import (
@@ -16,36 +17,36 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Pattern matches the files of request logs in their folder.
+// Pattern is the glob pattern of request log files.
 const Pattern = "*.ledger"
 
-// queueLength is how many entries may wait to be written: a disk that is slow for a moment delays no request.
+// queueLength is the number of entries that can wait to be written, so that a briefly slow disk does not delay requests.
 const queueLength = 4096
 
-// Entry is one request that a back end ran.
+// Entry describes a request that a back end ran.
 type Entry struct {
-	StartedAt        int64            `json:"at_ns"` // when it began, in ns since 1970
-	ID               string           `json:"id"`    // the caller's
-	Service          string           `json:"service"`
-	Name             string           `json:"name"` // the back end's
-	Incarnation      uint64           `json:"incarnation"`
-	Domain           string           `json:"domain"`
-	Method           string           `json:"method"`
-	IntendedService  string           `json:"meant_for,omitempty"` // which one the caller meant, if it is another
-	State            wire.TargetState `json:"state"`               // the back end's
-	LeavingForMs     int64            `json:"leaving_for_ms,omitempty"`
-	RequestsInFlight int64            `json:"in_work"` // with this one
-	WarmingUp        bool             `json:"cold,omitempty"`
+	StartedAt        int64            `json:"at_ns"`                    // start of the request, in ns since 1970
+	ID               string           `json:"id"`                       // request id chosen by the caller
+	Service          string           `json:"service"`                  // service of the back end
+	Name             string           `json:"name"`                     // name of the back end
+	Incarnation      uint64           `json:"incarnation"`              // incarnation of the back end
+	Domain           string           `json:"domain"`                   // failure domain of the back end
+	Method           string           `json:"method"`                   // HTTP method
+	IntendedService  string           `json:"meant_for,omitempty"`      // service that the caller intended, if it is another one; "": the same
+	State            wire.TargetState `json:"state"`                    // state of the back end
+	LeavingForMs     int64            `json:"leaving_for_ms,omitempty"` // time since the back end began to leave, in ms; 0: it is not leaving
+	RequestsInFlight int64            `json:"in_work"`                  // number of requests in flight, including this one
+	WarmingUp        bool             `json:"cold,omitempty"`           // the back end is limited to its service's warm-up rate
 }
 
-// Writer writes entries on a goroutine of its own.
+// Writer writes entries to a file in a separate goroutine.
 type Writer struct {
 	entries chan Entry
-	written chan struct{} // closed when all entries are
+	written chan struct{} // closed when all entries are written
 	output  io.WriteCloser
 }
 
-// Create opens a file to append to and returns its writer; without a name the entries go nowhere.
+// Create opens a file for appending and returns its writer. With an empty name, entries are discarded.
 func Create(name string) (*Writer, error) {
 	var output io.WriteCloser = discard{io.Discard}
 	if name != "" {
@@ -60,7 +61,7 @@
 	return w, nil
 }
 
-// discard is the output of a log without a file.
+// discard is the output of a writer without a file.
 type discard struct{ io.Writer }
 
 // Close does nothing.
@@ -69,23 +70,23 @@
 func (w *Writer) run() {
 	defer close(w.written)
 	for entry := range w.entries {
-		line, _ := json.Marshal(entry) // an Entry has nothing that JSON can't hold
+		line, _ := json.Marshal(entry) // marshalling an Entry cannot fail
 		w.output.Write(append(line, '\n'))
 	}
 }
 
-// Write queues an entry; it waits while the queue is full.
+// Write queues an entry. It blocks while the queue is full.
 func (w *Writer) Write(entry Entry) { w.entries <- entry }
 
-// Close waits until all entries are written and closes the file. No Write may follow.
+// Close waits until all entries are written and closes the file. Write must not be called afterwards.
 func (w *Writer) Close() error {
 	close(w.entries)
 	<-w.written
 	return w.output.Close()
 }
 
-// ReadAll passes the entries of all request logs in a folder to visit, each file's in its order. A line that is no
-// entry is left out: a back end that was killed leaves a part of one.
+// ReadAll calls visit for the entries of all request logs in a folder, in the order of each file. It skips lines that
+// cannot be parsed, since a killed back end can leave a partial line.
 func ReadAll(dir string, visit func(Entry)) error {
 	names, err := filepath.Glob(filepath.Join(dir, Pattern))
 	if err != nil {
@@ -101,7 +102,7 @@
 func readFile(name string, visit func(Entry)) error {
 	file, err := os.Open(name)
 	if err != nil {
-		return errors.Wrap(err, "request log")
+		return errors.Wrap(err, "open request log")
 	}
 	defer file.Close()
 	lines := bufio.NewScanner(file)
@@ -111,5 +112,5 @@
 			visit(entry)
 		}
 	}
-	return errors.Wrapf(lines.Err(), "request log %s", name)
+	return errors.Wrapf(lines.Err(), "read request log %s", name)
 }
--- a/internal/verification/requestlog/requestlog_test.go
+++ b/internal/verification/requestlog/requestlog_test.go
@@ -9,8 +9,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Entries are read as they were written, over several files and starts; the part of a line that a killed back end
-// leaves is passed over.
+// ReadAll returns entries as they were written, from several files and from a file that was reopened, and skips the
+// partial line of a killed back end.
 func TestEntriesAreReadAsWritten(t *testing.T) {
 	dir := t.TempDir()
 	entries := []Entry{
@@ -37,19 +37,19 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(got, entries) {
-		t.Errorf("%+v", got)
+		t.Errorf("read %+v, want %+v", got, entries)
 	}
 	line, err := os.ReadFile(filepath.Join(dir, "2.ledger"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := `{"at_ns":4,"id":"a-3","service":"t","name":"b2","incarnation":0,"domain":"","method":"GET","state":"ready","in_work":0}` + "\n"; string(line) != want {
-		t.Errorf("%s", line)
+		t.Errorf("wrote %s, want %s", line, want)
 	}
 }
 
-// Without a file entries go nowhere.
-func TestNoFile(t *testing.T) {
+// A writer without a file discards its entries.
+func TestWriterWithoutFile(t *testing.T) {
 	writer, err := Create("")
 	if err != nil {
 		t.Fatal(err)
