--- a/cmd/mfbackend/faults.go
+++ b/cmd/mfbackend/faults.go
@@ -1,4 +1,4 @@
-// This file is how the back end fails on request.
+// Fault injection on request.
 
 package main
 
@@ -14,62 +14,62 @@
 	"myrtlefold/internal/verification/testbackend"
 )
 
-// faultMode is a way to fail, as callers name it.
+// faultMode is a kind of fault, by its name in testbackend.FaultParameter.
 type faultMode string
 
-// The ways to fail.
+// The kinds of faults.
 const (
 	noFault      faultMode = "ok"
-	faultHang    faultMode = "hang"    // no responses, no heartbeats
-	faultStuck   faultMode = "stuck"   // no responses to requests
-	faultMute    faultMode = "mute"    // no heartbeats
-	faultSlow    faultMode = "slow"    // slow:DURATION, what each request takes at least
-	faultLose    faultMode = "lose"    // runs a request and loses the response
-	faultHalf    faultMode = "half"    // sends half a response
-	faultGarbage faultMode = "garbage" // sends what is no HTTP
-	faultSurplus faultMode = "surplus" // surplus:DURATION, sends another response, that nobody asked for, so much later
-	faultReset   faultMode = "reset"   // resets the connection in place of a response
-	faultFail    faultMode = "fail"    // responds 500 without running
+	faultHang    faultMode = "hang"    // sends neither responses nor heartbeats
+	faultStuck   faultMode = "stuck"   // sends no responses to requests, but still heartbeats
+	faultMute    faultMode = "mute"    // sends no heartbeats
+	faultSlow    faultMode = "slow"    // slow:DURATION: each request takes at least DURATION
+	faultLose    faultMode = "lose"    // runs the request and closes the connection without a response
+	faultHalf    faultMode = "half"    // sends half of the response and closes the connection
+	faultGarbage faultMode = "garbage" // sends data that is not HTTP
+	faultSurplus faultMode = "surplus" // surplus:DURATION: sends an unsolicited response DURATION after each response
+	faultReset   faultMode = "reset"   // resets the connection instead of sending the response
+	faultFail    faultMode = "fail"    // responds with status 500 and does not log the request
 )
 
-// leaveRequest asks the back end to leave, by the parameter that names a fault.
+// leaveRequest is the value of testbackend.FaultParameter that asks the back end to leave.
 const leaveRequest = "leave"
 
-// fault is how the back end fails now.
+// fault is a fault with its parameter.
 type fault struct {
 	mode  faultMode
-	delay time.Duration // of faultSlow and faultSurplus
+	delay time.Duration // parameter of faultSlow and faultSurplus; 0 for other faults
 }
 
-// parseFault reads MODE or MODE:DURATION. A mode that is not known is no fault, an invalid duration none.
+// parseFault parses MODE or MODE:DURATION. An unknown mode has no effect, and an invalid duration counts as 0.
 func parseFault(text string) *fault {
 	mode, duration, _ := strings.Cut(text, ":")
 	delay, _ := time.ParseDuration(duration)
 	return &fault{mode: faultMode(mode), delay: delay}
 }
 
-// setFault responds at testbackend.FaultPath.
+// setFault handles requests at testbackend.FaultPath.
 func (b *backend) setFault(_ http.ResponseWriter, r *http.Request) {
 	text := r.URL.Query().Get(testbackend.FaultParameter)
 	b.fault.Store(parseFault(text))
 	if text == leaveRequest {
 		select {
 		case b.leaveRequests <- struct{}{}:
-		default: // it leaves already
+		default: // it is already leaving
 		}
 	}
 }
 
-// failure is the body of the response to a request that failed.
+// failure is the response body for a request that failed.
 type failure struct {
 	Error   string `json:"error"`
-	ID      string `json:"id"`
-	Service string `json:"service"`
+	ID      string `json:"id"`      // id of the request
+	Service string `json:"service"` // service of the back end
 }
 
-// respond sends a response, as far as the fault lets it.
+// respond sends a response, modified as the fault requires.
 func (f fault) respond(w http.ResponseWriter, response testbackend.Response) {
-	body, _ := json.Marshal(response) // a Response has nothing that JSON can't hold
+	body, _ := json.Marshal(response) // marshalling a Response cannot fail
 	switch f.mode {
 	case faultSurplus:
 		f.respondTwice(w, response.ID, body)
@@ -92,7 +92,7 @@
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 }
 
-// respondTwice sends a response, and later another that nobody asked for.
+// respondTwice sends a response and, later, an unsolicited one on the same connection.
 func (f fault) respondTwice(w http.ResponseWriter, id string, body []byte) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -103,7 +103,7 @@
 	go sendSurplus(conn, surplusResponse{header: header, body: body, id: id, attemptHeader: headers.Attempt, delay: f.delay})
 }
 
-// respondBroken sends nothing, half a response or garbage, and closes the connection.
+// respondBroken sends nothing, half of the response, or garbage before it, and closes the connection.
 func (f fault) respondBroken(w http.ResponseWriter, body []byte) {
 	conn, output, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/cmd/mfbackend/main.go
+++ b/cmd/mfbackend/main.go
@@ -1,9 +1,9 @@
 // Command mfbackend is a test back end. It registers and sends heartbeats, serves its identity, logs every request that
-// it runs, and fails on request in the ways that the fleet must tolerate: it hangs, runs a request and loses the
-// response, sends garbage or half a response, is slow, warms up, or leaves. It stands for a back end's code, so only
-// its identity page or health check, its reports and the headers of requests are part of the system's contract.
+// it runs, and injects on request the faults that the fleet must tolerate: it hangs, runs a request and loses the
+// response, sends garbage or half a response, is slow, warms up, or leaves. It takes the place of a real back end, so
+// only its identity page or health check, its reports and the headers of requests are part of the system's contract.
 //
-// Begin with backend, in server.go; registration.go is its part towards the daemons, faults.go how it fails.
+// Start with backend in server.go; registration.go communicates with the daemons, and faults.go injects faults.
 package main
 
 import (
@@ -23,42 +23,42 @@
 	"myrtlefold/internal/verification/requestlog"
 )
 
-// options are the command line's.
+// options holds the command-line options.
 type options struct {
 	service, name, domain string
-	addr                  string // IP:port that daemons are told
-	bind                  string // IP:port to listen on, "": addr
-	from                  string // IP that heartbeats leave from, "": the system's choice
-	daemons               []string
-	work                  time.Duration // how long a request takes
-	slots                 int64         // requests that run at once; others wait
-	warmup                time.Duration // how long its state is warming
-	warmupRateTime        time.Duration // how long it only bears its service's warm-up rate
-	checkPath             string        // where it is asked for its health; "": it is asked for its identity
-	uniqueName            bool          // its name is this start's alone, and its reports go by it
-	requestLog            string        // file, "": none
+	addr                  string        // IP:port that it registers
+	bind                  string        // IP:port to listen on; "": addr
+	from                  string        // source IP of heartbeats; "": chosen by the system
+	daemons               []string      // HTTP addresses of the daemons
+	processingTime        time.Duration // of a request
+	slots                 int64         // number of requests that run concurrently; others wait
+	warmup                time.Duration // time after the start for which its state is warming
+	warmupRateTime        time.Duration // time after the start for which it is limited to its service's warm-up rate
+	checkPath             string        // path of its health check; "": none, its identity is checked instead
+	uniqueName            bool          // its name is unique to this start of the process, and its reports identify it by name alone
+	requestLog            string        // file; "": none
 }
 
-// define puts the flags on the command line.
+// define registers the command-line flags.
 func (o *options) define(app *kingpin.Application) {
-	app.Flag("service", "service that it belongs to").Required().StringVar(&o.service)
-	app.Flag("name", "its name in the service").Required().StringVar(&o.name)
-	app.Flag("addr", "IP:port to serve on").Required().StringVar(&o.addr)
-	app.Flag("bind", "IP:port to listen on, if it is not addr itself").StringVar(&o.bind)
-	app.Flag("from", "IP that its words leave from").StringVar(&o.from)
-	app.Flag("domain", "domain (zone)").Default("").StringVar(&o.domain)
-	app.Flag("daemon", "HTTP address of a daemon to beat to (repeat)").Required().StringsVar(&o.daemons)
-	app.Flag("work", "how long an exchange takes").Default("10ms").DurationVar(&o.work)
-	app.Flag("bears", "how many exchanges it works on at once; others wait").Default("64").Int64Var(&o.slots)
-	app.Flag("warm", "how long it says that it is warming up").Default("0s").DurationVar(&o.warmup)
-	app.Flag("health", "path where it tells its health; then it takes the identity that is expected with each exchange, and turns away what it has no room for").StringVar(&o.checkPath)
-	app.Flag("named", "take a name of its own for this start, and send words of targets by name").BoolVar(&o.uniqueName)
-	app.Flag("cold", "how long after its start it bears only its service's cold rate").Default("0s").DurationVar(&o.warmupRateTime)
-	app.Flag("ledger", "file to append the ledger to").StringVar(&o.requestLog)
+	app.Flag("service", "service of the back end").Required().StringVar(&o.service)
+	app.Flag("name", "name of the back end in its service").Required().StringVar(&o.name)
+	app.Flag("addr", "IP:port to serve on and to register").Required().StringVar(&o.addr)
+	app.Flag("bind", "IP:port to listen on, if not addr").StringVar(&o.bind)
+	app.Flag("from", "source IP of heartbeats and reports").StringVar(&o.from)
+	app.Flag("domain", "failure domain (zone)").Default("").StringVar(&o.domain)
+	app.Flag("daemon", "HTTP address of a daemon to send heartbeats to (repeatable)").Required().StringsVar(&o.daemons)
+	app.Flag("work", "processing time of a request").Default("10ms").DurationVar(&o.processingTime)
+	app.Flag("bears", "number of requests to run concurrently; others wait").Default("64").Int64Var(&o.slots)
+	app.Flag("warm", "time after the start for which to report the state warming").Default("0s").DurationVar(&o.warmup)
+	app.Flag("health", "path of its health check; if set, it rejects requests intended for another target and requests beyond its capacity").StringVar(&o.checkPath)
+	app.Flag("named", "use a name that is unique to this start, and send reports that identify the target by name").BoolVar(&o.uniqueName)
+	app.Flag("cold", "time after the start for which it is limited to its service's warm-up rate (cold_per_s)").Default("0s").DurationVar(&o.warmupRateTime)
+	app.Flag("ledger", "request log file to append to").StringVar(&o.requestLog)
 }
 
 func main() {
-	app := kingpin.New("mfbackend", "A stand-in back end that can fail on request and keeps a ledger of what it ran.")
+	app := kingpin.New("mfbackend", "A test back end that injects faults on request and logs the requests that it ran.")
 	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	var o options
@@ -73,7 +73,7 @@
 	}
 }
 
-// run serves until a signal or a caller asks the back end to leave, and until it has left.
+// run serves requests until a signal or a caller asks the back end to leave, and returns after it has left.
 func run(opts options) error {
 	log, err := requestlog.Create(opts.requestLog)
 	if err != nil {
--- a/cmd/mfbackend/registration.go
+++ b/cmd/mfbackend/registration.go
@@ -1,4 +1,4 @@
-// This file is the back end towards the daemons: it registers by heartbeats, and signs off when it leaves.
+// Registration with the daemons: the back end registers by sending heartbeats, and deregisters when it shuts down.
 
 package main
 
@@ -15,10 +15,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// leaveTime is how long a leaving back end serves on at least, so that callers can be notified.
-const leaveTime = 3 * time.Second
+// minLeaveTime is the minimum time for which a leaving back end continues to serve, so that the proxies learn that it is
+// leaving and stop sending requests to it.
+const minLeaveTime = 3 * time.Second
 
-// report is what the back end says of itself now.
+// report returns the back end's current report to the daemons.
 func (b *backend) report() config.TargetReport {
 	demand := float64(b.inFlight.Load()) / float64(b.slots)
 	report := config.TargetReport{
@@ -39,7 +40,8 @@
 	return report
 }
 
-// sendHeartbeats sends heartbeats to one daemon after another until the context ends.
+// sendHeartbeats sends periodic heartbeats, each to the next daemon in turn that accepts it, until the context is
+// canceled.
 func (b *backend) sendHeartbeats(ctx context.Context) {
 	for next := 0; ; next++ {
 		if mode := b.fault.Load().mode; mode != faultHang && mode != faultMute {
@@ -71,33 +73,33 @@
 	return b.call(method, "http://"+daemon+path, body) < http.StatusMultipleChoices
 }
 
-// unanswered is the status of a call without a response, above all others.
-const unanswered = 1000
+// statusNoResponse stands for the status of a call without a response. It is above all HTTP statuses.
+const statusNoResponse = 1000
 
-// call makes a call of a daemon and returns the response's status, or unanswered.
+// call sends an HTTP request to a daemon and returns the status of the response, or statusNoResponse.
 func (b *backend) call(method, url string, body []byte) (status int) {
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
-		return unanswered
+		return statusNoResponse
 	}
 	response, err := b.client.Do(request)
 	if err != nil {
-		return unanswered
+		return statusNoResponse
 	}
 	response.Body.Close()
 	return response.StatusCode
 }
 
-// leave says so to every daemon, serves on until its requests are done and callers have had time to be notified, and
-// then signs off.
+// leave reports the state leaving to every daemon, continues to serve for minLeaveTime or until all requests have
+// completed, whichever is later, and then deregisters.
 func (b *backend) leave() {
 	if b.state.Swap(wire.TargetLeaving) != wire.TargetLeaving {
-		b.leftAt.Store(time.Now().UnixNano())
+		b.leavingSince.Store(time.Now().UnixNano())
 	}
 	for _, daemon := range b.daemons {
 		b.sendHeartbeat(daemon)
 	}
-	for end := time.Now().Add(leaveTime); time.Now().Before(end) || b.inFlight.Load() > 0; {
+	for end := time.Now().Add(minLeaveTime); time.Now().Before(end) || b.inFlight.Load() > 0; {
 		time.Sleep(tuning.TickEvery)
 	}
 	path := fmt.Sprintf("%s/%s?incarnation=%d", b.service, b.name, b.incarnation)
--- a/cmd/mfbackend/server.go
+++ b/cmd/mfbackend/server.go
@@ -1,4 +1,4 @@
-// This file is the back end towards proxies: its identity, its health and the requests that it runs.
+// HTTP server of the back end: its identity, its health check and the requests that it runs.
 
 package main
 
@@ -23,32 +23,32 @@
 )
 
 const (
-	unlimited  = time.Hour // how long a request may take that names no deadline
-	paddingMax = 8 << 20   // bytes of padding in a response
+	maxRequestTime = time.Hour // time limit of a request without a deadline header
+	maxPadding     = 8 << 20   // limit of the padding in a response, in bytes
 )
 
-// headers are those that proxies use.
+// headers are the names of the headers between proxies and targets.
 var headers = reverseproxy.DefaultHeaders()
 
 // backend is the test back end.
 type backend struct {
 	options
 	incarnation     uint64
-	warmupRateUntil time.Time
-	client          *http.Client // to the daemons
+	warmupRateUntil time.Time    // end of the limit to the service's warm-up rate
+	client          *http.Client // for calls to the daemons
 	log             *requestlog.Writer
-	leaveRequests   chan struct{} // gets one when a caller asks the back end to leave
+	leaveRequests   chan struct{} // receives a value when a caller asks the back end to leave
 
 	state         atomic.Value          // a wire.TargetState
-	fault         atomic.Pointer[fault] // how it fails now
-	leftAt        atomic.Int64          // when it began to leave, in ns since 1970; 0: it does not
-	reportNumber  atomic.Uint64         // of the last report by name
-	inFlight      atomic.Int64          // requests, waiting ones included
-	waiting       atomic.Int64          // requests that wait for a slot
-	occupiedSlots chan struct{}
+	fault         atomic.Pointer[fault] // current fault
+	leavingSince  atomic.Int64          // when it began to leave, in ns since 1970; 0: it is not leaving
+	reportNumber  atomic.Uint64         // number of the last report sent by name
+	inFlight      atomic.Int64          // number of requests, including waiting ones
+	waiting       atomic.Int64          // number of requests that wait for a slot
+	occupiedSlots chan struct{}         // holds one element for each running request
 }
 
-// newBackend returns a back end that starts now.
+// newBackend returns a back end whose warm-up starts now.
 func newBackend(opts options, log *requestlog.Writer) *backend {
 	target := &backend{
 		options:       opts,
@@ -87,20 +87,20 @@
 	return mux
 }
 
-// targetState is its state now.
+// targetState returns the current state.
 func (b *backend) targetState() wire.TargetState { return b.state.Load().(wire.TargetState) }
 
-// warmupLeftMs is how much longer it only bears its service's warm-up rate, in ms.
+// warmupLeftMs returns for how much longer the back end is limited to its service's warm-up rate, in ms.
 func (b *backend) warmupLeftMs() int64 { return max(0, time.Until(b.warmupRateUntil).Milliseconds()) }
 
-// setLoad puts the present load in a response's headers.
+// setLoad sets the load header of a response.
 func (b *backend) setLoad(header http.Header) {
 	if b.checkPath != "" {
 		header.Set(headers.Load, fmt.Sprintf("%d,%d,%d", len(b.occupiedSlots), b.waiting.Load(), b.slots))
 	}
 }
 
-// serveIdentity responds at config.IdentityPath.
+// serveIdentity handles requests at config.IdentityPath.
 func (b *backend) serveIdentity(w http.ResponseWriter, r *http.Request) {
 	if b.fault.Load().mode == faultHang {
 		<-r.Context().Done()
@@ -109,12 +109,12 @@
 	daemon.WriteJSON(w, http.StatusOK, b.report())
 }
 
-// healthResponse is the body of a health check's response.
+// healthResponse is the response body of a successful health check.
 type healthResponse struct {
 	State wire.TargetState `json:"state"`
 }
 
-// serveHealth responds at the health check's path.
+// serveHealth handles health checks.
 func (b *backend) serveHealth(w http.ResponseWriter, r *http.Request) {
 	if b.fault.Load().mode == faultHang {
 		<-r.Context().Done()
@@ -125,40 +125,40 @@
 		w.Header().Set(headers.WarmupLeft, strconv.FormatInt(left, 10))
 	}
 	if state := b.targetState(); state != wire.TargetReady {
-		b.reject(w, r, http.StatusServiceUnavailable, string(state)) // alive, but 200 would say ready
+		b.reject(w, r, http.StatusServiceUnavailable, string(state)) // alive, but status 200 means ready
 		return
 	}
 	b.setLoad(w.Header())
 	daemon.WriteJSON(w, http.StatusOK, healthResponse{State: wire.TargetReady})
 }
 
-// repeatAttempt puts the id of the proxy's attempt in a response's headers.
-func repeatAttempt(w http.ResponseWriter, r *http.Request) {
+// echoAttempt copies the proxy's attempt id from the request to the response headers.
+func echoAttempt(w http.ResponseWriter, r *http.Request) {
 	if id := r.Header.Get(headers.Attempt); id != "" {
 		w.Header().Set(headers.Attempt, id)
 	}
 }
 
-// rejection is the body of the response to a request that is not run.
+// rejection is the response body for a request that is not run.
 type rejection struct {
 	Error string `json:"error"`
 }
 
-// reject responds that a request is not run here, and why.
+// reject responds that the request was not run, with the reason.
 func (b *backend) reject(w http.ResponseWriter, r *http.Request, status int, reason string) {
-	repeatAttempt(w, r)
+	echoAttempt(w, r)
 	w.Header().Set(headers.NotRun, "1")
 	b.setLoad(w.Header())
 	daemon.WriteJSON(w, status, rejection{Error: reason})
 }
 
-// serveRequest runs and logs a request and responds, or does what its fault says.
+// serveRequest logs and runs a request and sends the response, subject to the current fault.
 func (b *backend) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	if b.checkPath != "" && b.rejected(w, r) {
+	if b.checkPath != "" && !b.admit(w, r) {
 		return
 	}
 	inFlight := b.inFlight.Add(1)
@@ -168,7 +168,7 @@
 		<-r.Context().Done()
 		return
 	}
-	work := b.workTime(r, fault)
+	processingTime := b.processingTimeOf(r, fault)
 	ctx, cancel := context.WithTimeout(r.Context(), timeLeft(r))
 	defer cancel()
 	if !b.acquireSlot(ctx) {
@@ -182,8 +182,8 @@
 	if fault.mode != faultFail {
 		b.log.Write(entry)
 	}
-	inTime := workFor(ctx, work)
-	repeatAttempt(w, r)
+	inTime := process(ctx, processingTime)
+	echoAttempt(w, r)
 	b.setLoad(w.Header())
 	if !inTime {
 		daemon.WriteJSON(w, http.StatusGatewayTimeout, failure{Error: "not done in the time given", ID: entry.ID, Service: entry.Service})
@@ -192,7 +192,7 @@
 	fault.respond(w, b.response(r, entry, body))
 }
 
-// acquireSlot waits for a slot; it returns false if the context ends before.
+// acquireSlot waits for a free slot, and reports whether it got one before the context ended.
 func (b *backend) acquireSlot(ctx context.Context) bool {
 	b.waiting.Add(1)
 	defer b.waiting.Add(-1)
@@ -206,57 +206,57 @@
 
 func (b *backend) releaseSlot() { <-b.occupiedSlots }
 
-// rejected rejects a request that is meant for another target or that there is no capacity for, and reports whether it
-// did.
-func (b *backend) rejected(w http.ResponseWriter, r *http.Request) bool {
+// admit reports whether a request is accepted. It rejects one that is intended for another target or for which there is
+// no capacity.
+func (b *backend) admit(w http.ResponseWriter, r *http.Request) bool {
 	if expected := r.Header.Get(headers.ExpectTarget); expected != "" && expected != b.name {
 		b.reject(w, r, http.StatusMisdirectedRequest, "this is "+b.name)
-		return true
+		return false
 	}
 	if b.waiting.Load() >= b.slots {
 		b.reject(w, r, http.StatusServiceUnavailable, "no room")
-		return true
+		return false
 	}
-	return false
+	return true
 }
 
-// workTime is how long a request takes.
-func (b *backend) workTime(r *http.Request, fault fault) time.Duration {
+// processingTimeOf returns the processing time of a request.
+func (b *backend) processingTimeOf(r *http.Request, fault fault) time.Duration {
 	if ms, err := strconv.Atoi(r.Header.Get(testbackend.ProcessingTimeHeader)); err == nil {
 		return time.Duration(ms) * time.Millisecond
 	}
 	if fault.mode == faultSlow {
-		return max(b.work, fault.delay)
+		return max(b.processingTime, fault.delay)
 	}
-	return b.work
+	return b.processingTime
 }
 
-// workFor waits for so long, and returns false if the context's deadline came before. Work goes on when the caller has
-// gone.
-func workFor(ctx context.Context, work time.Duration) bool {
-	done := time.NewTimer(work)
+// process simulates the processing of a request by waiting for the given time, or until the deadline of the context if
+// that is earlier. It reports whether the processing was completed. Processing continues if the caller disconnects.
+func process(ctx context.Context, processingTime time.Duration) bool {
+	done := time.NewTimer(processingTime)
 	defer done.Stop()
 	deadline, bounded := ctx.Deadline()
-	if !bounded || time.Now().Add(work).Before(deadline) {
+	if !bounded || time.Now().Add(processingTime).Before(deadline) {
 		<-done.C
 		return true
 	}
-	over := time.NewTimer(time.Until(deadline))
-	defer over.Stop()
-	<-over.C
+	expired := time.NewTimer(time.Until(deadline))
+	defer expired.Stop()
+	<-expired.C
 	return false
 }
 
-// timeLeft is how long the request may take, as its deadline header says.
+// timeLeft returns the remaining time of a request from its deadline header, or maxRequestTime if it has no valid one.
 func timeLeft(r *http.Request) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get(headers.Deadline))
 	if err != nil || ms < 0 {
-		return unlimited
+		return maxRequestTime
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// logEntry is the request log's entry for a request.
+// logEntry returns the request log entry for a request.
 func (b *backend) logEntry(r *http.Request, inFlight int64) requestlog.Entry {
 	entry := requestlog.Entry{
 		StartedAt:        time.Now().UnixNano(),
@@ -273,20 +273,20 @@
 	if intended := r.Header.Get(testbackend.IntendedServiceHeader); intended != b.service {
 		entry.IntendedService = intended
 	}
-	if leftAt := b.leftAt.Load(); leftAt > 0 {
-		entry.LeavingForMs = (entry.StartedAt - leftAt) / int64(time.Millisecond)
+	if since := b.leavingSince.Load(); since > 0 {
+		entry.LeavingForMs = (entry.StartedAt - since) / int64(time.Millisecond)
 	}
 	return entry
 }
 
-// response is the body of the response to a request that ran.
+// response returns the response body for a request that ran.
 func (b *backend) response(r *http.Request, entry requestlog.Entry, body []byte) testbackend.Response {
-	padding, _ := strconv.Atoi(r.Header.Get(testbackend.PaddingHeader)) // 0: none is asked for
+	padding, _ := strconv.Atoi(r.Header.Get(testbackend.PaddingHeader)) // 0 without the header: no padding
 	return testbackend.Response{
 		ID:          entry.ID,
 		Incarnation: b.incarnation,
 		Name:        b.name,
-		Padding:     strings.Repeat("x", min(padding, paddingMax)),
+		Padding:     strings.Repeat("x", min(padding, maxPadding)),
 		Service:     b.service,
 		Sum:         testbackend.Sum(body),
 	}
--- a/cmd/mfbackend/server_test.go
+++ b/cmd/mfbackend/server_test.go
@@ -15,7 +15,7 @@
 	"myrtlefold/internal/verification/testbackend"
 )
 
-// startBackend starts a back end of service s and returns its URL.
+// startBackend starts a back end with one slot in service s, and returns it and its URL.
 func startBackend(t *testing.T, o options) (b *backend, url string) {
 	t.Helper()
 	log, err := requestlog.Create(o.requestLog)
@@ -29,7 +29,7 @@
 	return b, server.URL
 }
 
-// send sends a request and returns the response with its body.
+// send sends a request and returns the response and its body.
 func send(t *testing.T, method, url string, header http.Header, body []byte) (*http.Response, []byte) {
 	t.Helper()
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
@@ -49,8 +49,9 @@
 	return response, got
 }
 
-// A request that ran is logged with what its caller meant, and its response repeats the request.
-func TestRequestIsLoggedAndAnswered(t *testing.T) {
+// A request that ran is logged with the service that its caller intended, and its response repeats the ids of the
+// request and has the checksum of its body.
+func TestRequestIsLoggedAndGetsResponse(t *testing.T) {
 	dir := t.TempDir()
 	b, url := startBackend(t, options{requestLog: filepath.Join(dir, "b.ledger")})
 	header := http.Header{}
@@ -65,7 +66,7 @@
 	}
 	want := testbackend.Response{ID: "7", Incarnation: b.incarnation, Name: "b", Padding: "xxxxx", Service: "s", Sum: testbackend.Sum([]byte("text"))}
 	if got != want || response.Header.Get(headers.Attempt) != "a7" {
-		t.Errorf("%+v %v", got, response.Header)
+		t.Errorf("response %+v with header %v, want %+v with attempt id a7", got, response.Header, want)
 	}
 	if err := b.log.Close(); err != nil {
 		t.Fatal(err)
@@ -75,39 +76,40 @@
 		t.Fatal(err)
 	}
 	if len(entries) != 1 || entries[0].ID != "7" || entries[0].IntendedService != "other" || entries[0].State != wire.TargetReady || entries[0].RequestsInFlight != 1 {
-		t.Errorf("%+v", entries)
+		t.Errorf("request log has %+v, want one entry for request 7, intended for another service", entries)
 	}
 }
 
-// What does not run says so: a request for another target, one without a slot in its time, and one that is asked to
-// fail.
-func TestRequestsThatDoNotRun(t *testing.T) {
+// A request for another target and a request that gets no slot before its deadline are rejected as not run. A request
+// that exceeds its deadline while it runs gets status 504 and is not marked as not run, and the fault fail gives
+// status 500.
+func TestRejectedAndFailedRequests(t *testing.T) {
 	b, url := startBackend(t, options{checkPath: "/health"})
 	expectOther := http.Header{}
 	expectOther.Set(headers.ExpectTarget, "c")
 	if response, _ := send(t, http.MethodGet, url, expectOther, nil); response.StatusCode != http.StatusMisdirectedRequest || response.Header.Get(headers.NotRun) == "" {
-		t.Error(response.Status, response.Header)
+		t.Error("request for another target:", response.Status, response.Header)
 	}
 	b.occupiedSlots <- struct{}{}
 	brief := http.Header{}
 	brief.Set(headers.Deadline, "10")
 	if response, _ := send(t, http.MethodGet, url, brief, nil); response.StatusCode != http.StatusServiceUnavailable || response.Header.Get(headers.NotRun) == "" {
-		t.Error(response.Status, response.Header)
+		t.Error("request without a free slot:", response.Status, response.Header)
 	}
 	b.releaseSlot()
 	late := http.Header{}
 	late.Set(headers.Deadline, "10")
 	late.Set(testbackend.ProcessingTimeHeader, "1000")
 	if response, _ := send(t, http.MethodGet, url, late, nil); response.StatusCode != http.StatusGatewayTimeout || response.Header.Get(headers.NotRun) != "" {
-		t.Error(response.Status, response.Header)
+		t.Error("request that exceeds its deadline:", response.Status, response.Header)
 	}
 	send(t, http.MethodPost, url+testbackend.FaultPath+"?"+testbackend.FaultParameter+"=fail", nil, nil)
 	if response, _ := send(t, http.MethodGet, url, nil, nil); response.StatusCode != http.StatusInternalServerError {
-		t.Error(response.Status)
+		t.Error("request with fault fail:", response.Status)
 	}
 }
 
-// Faults are read as MODE or MODE:DURATION; what is not known is no fault.
+// Faults are parsed as MODE or MODE:DURATION; an invalid duration counts as 0.
 func TestParseFault(t *testing.T) {
 	for text, want := range map[string]fault{
 		"ok":           {mode: noFault},
@@ -116,21 +118,21 @@
 		"surplus:soon": {mode: faultSurplus},
 	} {
 		if got := *parseFault(text); got != want {
-			t.Errorf("%s: %+v", text, got)
+			t.Errorf("parseFault(%q) is %+v, want %+v", text, got, want)
 		}
 	}
 }
 
-// The health check tells whether the back end is ready, and its identity and load.
-func TestHealth(t *testing.T) {
+// The health check reports whether the back end is ready, and its identity, load and warm-up time.
+func TestHealthCheck(t *testing.T) {
 	b, url := startBackend(t, options{checkPath: "/health", warmupRateTime: time.Hour})
 	response, body := send(t, http.MethodGet, url+"/health", nil, nil)
 	if response.StatusCode != http.StatusOK || string(bytes.TrimSpace(body)) != `{"state":"ready"}` || response.Header.Get(headers.Identity) != "b" ||
 		response.Header.Get(headers.Load) != "0,0,1" || response.Header.Get(headers.WarmupLeft) == "" {
-		t.Errorf("%s %s %v", response.Status, body, response.Header)
+		t.Errorf("ready back end: status %s, body %s, header %v", response.Status, body, response.Header)
 	}
 	b.state.Store(wire.TargetLeaving)
 	if response, body := send(t, http.MethodGet, url+"/health", nil, nil); response.StatusCode != http.StatusServiceUnavailable || string(bytes.TrimSpace(body)) != `{"error":"leaving"}` {
-		t.Errorf("%s %s", response.Status, body)
+		t.Errorf("leaving back end: status %s, body %s", response.Status, body)
 	}
 }
--- a/cmd/mfbackend/surplus.go
+++ b/cmd/mfbackend/surplus.go
@@ -1,4 +1,4 @@
-// This file is a back end's connections that go wrong after a complete response.
+// Faults of a connection: an unsolicited (surplus) response after a complete one, and resets.
 
 package main
 
@@ -13,30 +13,30 @@
 	"time"
 )
 
-// surplusConnKept is how long a connection on which a surplus response went out is kept for a next request, whose
-// response is a close.
-const surplusConnKept = 5 * time.Second
+// surplusConnTimeout is how long a connection stays open after a surplus response. A request that arrives on it within
+// this time gets no response; the connection is closed.
+const surplusConnTimeout = 5 * time.Second
 
-// surplusResponse is a response that is followed by another one.
+// surplusResponse describes a response that is followed by a surplus one.
 type surplusResponse struct {
-	header        http.Header
-	body          []byte
-	id            string // the request's, which the body and attemptHeader repeat
-	attemptHeader string
-	delay         time.Duration // between the two
+	header        http.Header   // of the first response
+	body          []byte        // of the first response
+	id            string        // id of the request, contained in body and in attemptHeader
+	attemptHeader string        // name of the header that repeats id
+	delay         time.Duration // between the two responses
 }
 
-// sendSurplus sends a response and, after its delay or with the next request, another one that nobody waits for: its
-// id is one that no request has.
+// sendSurplus writes a response and, after the delay or when the next request arrives, an unsolicited one, whose id
+// belongs to no request. Then it closes the connection.
 func sendSurplus(conn net.Conn, response surplusResponse) {
 	defer conn.Close()
 	if writeResponse(conn, response.header, response.body) != nil {
 		return
 	}
-	next := make([]byte, 1)
+	firstByte := make([]byte, 1) // of the next request
 	if response.delay > 0 {
 		conn.SetReadDeadline(time.Now().Add(response.delay))
-		if _, err := conn.Read(next); errors.Is(err, io.EOF) {
+		if _, err := conn.Read(firstByte); errors.Is(err, io.EOF) {
 			return
 		}
 	}
@@ -48,8 +48,8 @@
 	if writeResponse(conn, header, body) != nil {
 		return
 	}
-	conn.SetReadDeadline(time.Now().Add(surplusConnKept))
-	conn.Read(next)
+	conn.SetReadDeadline(time.Now().Add(surplusConnTimeout))
+	conn.Read(firstByte)
 }
 
 func writeResponse(w io.Writer, header http.Header, body []byte) error {
@@ -64,7 +64,7 @@
 	return err
 }
 
-// reset ends a connection at once; its other side reads an error.
+// reset closes a connection with a TCP reset, so that the peer gets a read error.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/cmd/mfbackend/surplus_test.go
+++ b/cmd/mfbackend/surplus_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A surplus response follows a complete one at once, or with the next request at the latest, and has neither its id nor
-// its body.
+// A surplus response follows a complete one immediately, or when the next request arrives if that is before the end of
+// the delay. It has another id and another body.
 func TestSurplusResponse(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Hour} {
 		server, client := net.Pipe()
@@ -24,7 +24,7 @@
 			}
 			body, err := io.ReadAll(response.Body)
 			if err != nil || string(body) != want[1] || response.Header.Get("Att") != want[0] {
-				t.Fatalf("%v %v %q", err, response.Header, body)
+				t.Fatalf("delay %v: error %v, header %v, body %q; want id %s, body %s", delay, err, response.Header, body, want[0], want[1])
 			}
 			if delay > 0 && want[0] == "7" {
 				client.Write([]byte("G"))
--- a/internal/shared/wire/decode.go
+++ b/internal/shared/wire/decode.go
@@ -73,8 +73,8 @@
 	return err == nil
 }
 
-// count returns the number of elements to read from a list whose header claims n, or 0 and an error if the
-// message cannot contain that many.
+// count returns the number of elements to read from a list whose header claims n. If the message cannot
+// contain that many, it records an error and returns 0.
 func (d *decoder) count(n int, err error) int {
 	if !d.ok(err) {
 		return 0
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -1,8 +1,7 @@
 // Package compatibility tests that formats which other processes or people read do not change: messages between
 // daemons, JSON for operators, targets and callers, and settings files. The golden files in testdata were recorded
 // from the code that first wrote each format. The current code must read every golden file and write it back byte for
-// byte.
-// The formats of stored data are tested next to the code that writes them, in packages wal and simulator.
+// byte. The formats of stored data are tested next to the code that writes them, in packages wal and simulator.
 //
 // `go test ./internal/verification/compatibility -update` rewrites the golden files. Use it only for an intended change
 // of a format.
