--- a/internal/dataplane/reverseproxy/attempt.go
+++ b/internal/dataplane/reverseproxy/attempt.go
@@ -1,5 +1,5 @@
-// This file has one attempt at a target: the connection, the request's writing and what becomes of the connection.
-// response.go reads what comes back.
+// This file implements one attempt to send a request to a target: it gets a connection, writes the request, and
+// returns the connection to the pool or closes it. response.go reads the response.
 
 package reverseproxy
 
@@ -15,39 +15,39 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// attempt sends a request to a target, on the request's goroutine.
+// attempt is one attempt to send a request to a target. It runs on the request's goroutine.
 type attempt struct {
 	request    *request
-	target     statemachine.Forward // by value, which leaves it on the stack
+	target     statemachine.Forward // a copy, so that the caller's value does not escape to the heap
 	idempotent bool                 // the request may run more than once
 	start      time.Time
-	deadline   time.Time // when the response has to be complete
+	deadline   time.Time // by which the response must be complete
 
-	reported bool // the owner has been notified of the attempt's end
+	reported bool // the owner has been notified that the attempt ended
 
-	// The connection's, once there is one.
-	conn     *Conn
-	unwatch  func() bool // ends the watch of the caller's leaving; false: the caller has left
-	uploaded chan error  // the end of the rest of the body's sending, nil: there is no rest
-	released bool        // the attempt is done with the connection
+	// Set once the attempt has a connection.
+	conn       *Conn
+	unwatch    func() bool // stops watching for the caller's disconnect; returns false if the caller has disconnected
+	uploadDone chan error  // receives the result of sending the rest of the body; nil if there is no rest
+	released   bool        // the attempt no longer uses the connection
 
-	load *statemachine.TargetLoad // what the target said of itself with the response
+	load *statemachine.TargetLoad // load that the target reported with the response, nil if none
 }
 
-// attemptResult is how an attempt ended: with a response that was passed on (status), or with an error.
+// attemptResult is the result of an attempt: a response that was passed on (status), or an error.
 type attemptResult struct {
-	status           int  // of the response that was passed on, 0: none was
-	truncated        bool // it ended early
-	sent             bool // something of the request came or may have come to the target
-	ran              bool // and it may have run there
+	status           int  // status of the response that was passed on, 0 if none was
+	truncated        bool // the response that was passed on ended early
+	sent             bool // part of the request reached or may have reached the target
+	mayHaveRun       bool // the request may have run at the target
 	deadlineExceeded bool
-	err              *attemptError // why no response was passed on; nil if the caller has left
-	fallback         *response     // the target's own failure, if it is complete
-	load             *statemachine.TargetLoad
+	err              *attemptError            // why no response was passed on; may be nil if the caller disconnected
+	fallback         *response                // the target's complete server error response, nil if none
+	load             *statemachine.TargetLoad // load that the target reported, nil if none
 	outcome          statemachine.Outcome
 }
 
-// attempt makes an attempt at a target and notifies the owner of its end.
+// attempt makes an attempt at a target and notifies the owner when it has ended.
 func (q *request) attempt(target *statemachine.Forward, idempotent bool) (result attemptResult) {
 	a := &attempt{request: q, target: *target, idempotent: idempotent, start: time.Now()}
 	a.deadline = a.start.Add(target.TimeLeft)
@@ -55,7 +55,8 @@
 	return a.run()
 }
 
-// report notifies the owner of the attempt's end, unless it has been; last: no other attempt follows.
+// report notifies the owner that the attempt has ended, unless it has done so before. last means that no other
+// attempt follows.
 func (a *attempt) report(result *attemptResult, last bool) {
 	if a.reported {
 		return
@@ -70,12 +71,12 @@
 	})
 }
 
-// run sends the request and reads the response. A kept connection that turns out to be closed before anything was
-// written to it is replaced by a new one, which says more of the target.
+// run sends the request and reads the response. If writing to a reused connection fails before any byte was written,
+// run uses a new connection, whose result says more about the target.
 func (a *attempt) run() attemptResult {
-	maxIdle := a.maxIdle()
+	maxIdleTime := a.maxIdleTime()
 	for {
-		conn, err := a.connect(maxIdle)
+		conn, err := a.connect(maxIdleTime)
 		if err != nil {
 			return a.connectFailed(err)
 		}
@@ -89,8 +90,8 @@
 		if written == 0 && err != nil {
 			a.unwatch()
 			a.conn.Close()
-			if maxIdle > 0 && !a.conn.fresh {
-				maxIdle = 0
+			if maxIdleTime > 0 && !a.conn.fresh {
+				maxIdleTime = 0
 				continue
 			}
 			return a.writeFailed()
@@ -104,27 +105,28 @@
 	}
 }
 
-// maxIdle is for how long a connection may have been unused to be taken for the request, 0: only a new one may be.
-func (a *attempt) maxIdle() time.Duration {
+// maxIdleTime returns how long a pooled connection may have been idle to be used for the request; 0 means that the
+// request needs a new connection.
+func (a *attempt) maxIdleTime() time.Duration {
 	switch {
 	case a.target.ServiceConfig.HasHealthCheck() && a.requestID() == "":
-		return 0 // a surplus response on a used connection could not be told from the request's own
+		return 0 // without an id, a surplus response on a used connection would pass for the request's response
 	case !a.idempotent:
 		return tuning.NonIdempotentIdleMax
 	}
 	return tuning.ConnIdle
 }
 
-// requestID is the id that the response has to repeat, "" if the caller sent none.
+// requestID returns the id that the response must repeat, "" if the caller sent none.
 func (a *attempt) requestID() string {
 	return a.request.incoming.Header.Get(a.request.forwarder.Headers.Attempt)
 }
 
-// connect returns an idle connection to the target or a new one, with its deadline set.
-func (a *attempt) connect(maxIdle time.Duration) (*Conn, error) {
+// connect returns a pooled or new connection to the target with the attempt's deadline set.
+func (a *attempt) connect(maxIdleTime time.Duration) (*Conn, error) {
 	forwarder := a.request.forwarder
-	if maxIdle > 0 {
-		if conn := forwarder.pool.take(a.target.Target.ID(), maxIdle, a.deadline); conn != nil {
+	if maxIdleTime > 0 {
+		if conn := forwarder.pool.take(a.target.Target.ID(), maxIdleTime, a.deadline); conn != nil {
 			forwarder.Counts.ConnsReused.Add(1)
 			return conn, nil
 		}
@@ -144,8 +146,8 @@
 	return conn, nil
 }
 
-// verify checks that a new connection is to the target that is meant and takes a request. A target with a health
-// check is told with each request who is meant; any other one is asked.
+// verify checks that a new connection leads to the intended target and can take a request. A target without a health
+// check is asked for its identity. One with a health check is not, since each request names the intended target.
 func (a *attempt) verify(conn *Conn) error {
 	if !a.target.ServiceConfig.HasHealthCheck() {
 		report, reusable, err := conn.Identify(earlier(a.deadline, time.Now().Add(tuning.DialTimeout)), a.target.Target.Addr)
@@ -160,13 +162,15 @@
 		}
 	}
 	conn.netConn.SetDeadline(a.deadline)
-	if !conn.isIdle() { // a target that is full may reset a connection at once: then nothing was written
+	// A target at its connection limit may reset a new connection at once. Checking here ensures that nothing of the
+	// request was written in that case.
+	if !conn.isIdle() {
 		return net.ErrClosed
 	}
 	return nil
 }
 
-// connectFailed says what an attempt without a connection means.
+// connectFailed returns the result of an attempt that failed to connect.
 func (a *attempt) connectFailed(err error) attemptResult {
 	switch {
 	case a.request.incoming.Context().Err() != nil:
@@ -180,7 +184,7 @@
 	return attemptResult{outcome: statemachine.ConnectFailed, err: errNoConnection}
 }
 
-// write writes the request as far as it is buffered, and returns how many bytes of it the kernel took.
+// write writes the request's header and the buffered part of its body. It returns how many bytes the kernel accepted.
 func (a *attempt) write() (written int, err error) {
 	conn := a.conn
 	a.unwatch = context.AfterFunc(a.request.incoming.Context(), func() { conn.netConn.SetDeadline(expiredDeadline()) })
@@ -191,7 +195,7 @@
 	return written, err
 }
 
-// writeFailed says what an attempt means of which the kernel took no byte.
+// writeFailed returns the result of an attempt of which the kernel accepted no byte.
 func (a *attempt) writeFailed() attemptResult {
 	if a.request.incoming.Context().Err() != nil {
 		return attemptResult{outcome: statemachine.ClientGone}
@@ -199,58 +203,62 @@
 	return attemptResult{outcome: statemachine.ConnectFailed, err: errConnectionClosed, deadlineExceeded: a.pastDeadline()}
 }
 
-// startUpload sends the rest of the body while the response is awaited. Its goroutine ends with the body, with the
-// connection, or with the caller's reading; release waits for that.
+// startUpload starts a goroutine that sends the rest of the body while the attempt waits for the response. The
+// goroutine ends when the body has been sent, when the connection is closed, or when reading from the caller fails or
+// is stopped. release waits for it.
 func (a *attempt) startUpload() {
-	uploaded, conn, body := make(chan error, 1), a.conn, a.request.body
-	a.uploaded = uploaded
+	uploadDone, conn, body := make(chan error, 1), a.conn, a.request.body
+	a.uploadDone = uploadDone
 	go func() {
 		err := body.sendRest(conn.netConn)
 		incomplete := body.aborted || body.tooLarge
-		uploaded <- err
+		uploadDone <- err
 		if incomplete {
-			conn.Close() // the target waits for what will not come
+			conn.Close() // the target would wait for the missing part of the body
 		}
 	}()
 }
 
-// release ends the attempt's use of its connection. That is kept if reusable and if the request is over on it;
-// else it is closed, so that nobody reads a response that comes later.
+// release ends the attempt's use of its connection. The connection goes back to the pool if it is reusable and
+// neither the request nor the response has a part left on it. Otherwise it is closed, so that a late response is
+// never read as the response to another request.
 func (a *attempt) release(reusable bool) {
 	if a.released {
 		return
 	}
 	a.released = true
-	if a.uploaded != nil {
+	if a.uploadDone != nil {
 		select {
-		case err := <-a.uploaded:
+		case err := <-a.uploadDone:
 			reusable = reusable && err == nil
 		default:
 			a.abortUpload()
 			reusable = false
 		}
 	}
-	callerStays := a.unwatch()
-	if !callerStays || !reusable || a.conn.partlyWritten || a.conn.reader.Buffered() > 0 {
+	callerConnected := a.unwatch()
+	if !callerConnected || !reusable || a.conn.partlyWritten || a.conn.reader.Buffered() > 0 {
 		a.conn.Close()
 		return
 	}
 	a.keepConn()
 }
 
-// abortUpload ends the sending of a body whose response came before its end: the caller need not send the rest.
+// abortUpload stops sending a body after the attempt has ended early, typically because the response came before the
+// end of the body. The caller need not send the rest.
 func (a *attempt) abortUpload() {
 	body, writer := a.request.body, a.request.writer
 	a.conn.Close()
-	body.readStopped, body.callerGoneBefore = true, a.request.incoming.Context().Err() != nil
+	body.readStopped, body.callerGoneWhenStopped = true, a.request.incoming.Context().Err() != nil
 	http.NewResponseController(writer).SetReadDeadline(expiredDeadline())
 	writer.Header().Set("Connection", "close")
-	<-a.uploaded
-	// The proxy broke it off, not the caller, and what the caller sends from here on is lost.
+	<-a.uploadDone
+	// The proxy stopped the upload, not the caller. Whatever the caller still sends is lost, so no other target can
+	// get the complete body.
 	body.restRead, body.aborted = true, false
 }
 
-// keepConn keeps the connection for later, as far as the owner lets this proxy keep any.
+// keepConn puts the connection into the pool, within the number of idle connections that the owner allows.
 func (a *attempt) keepConn() {
 	a.request.forwarder.pool.put(a.target.Target.ID(), a.conn, a.target.MaxIdle)
 }
@@ -258,7 +266,7 @@
 // pastDeadline reports whether the request's deadline has passed.
 func (a *attempt) pastDeadline() bool { return !time.Now().Before(a.deadline) }
 
-// earlier returns the earlier of two times.
+// earlier returns whichever of a and b comes first.
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
--- a/internal/dataplane/reverseproxy/draining.go
+++ b/internal/dataplane/reverseproxy/draining.go
@@ -1,5 +1,5 @@
-// This file has how a proxy that stops ends the taking of requests: it knows its callers' connections and which of
-// them have a request under way, has responses close their connections, and closes the others.
+// This file implements connection draining. While a proxy shuts down, responses close their caller's connection, and
+// connections without a request in progress are closed directly.
 
 package reverseproxy
 
@@ -10,28 +10,28 @@
 	"sync/atomic"
 )
 
-// CallerConns are the callers' connections, by what http.Server says of them. A connection is busy from the moment
-// at which a request's header was read until its response was written. Any goroutine may call its methods.
+// CallerConns tracks the callers' connections by the states that http.Server reports. A connection is busy from the
+// time a request's header has been read until its response has been written. All methods are safe for concurrent use.
 type CallerConns struct {
 	listener atomic.Pointer[net.Listener]
-	states   sync.Map // *callerConn to http.ConnState
-	open     atomic.Int64
-	busy     atomic.Int64
-	closed   atomic.Bool
+	states   sync.Map     // *callerConn to http.ConnState
+	open     atomic.Int64 // connections that are open
+	busy     atomic.Int64 // connections in http.StateActive
+	closed   atomic.Bool  // Close was called
 }
 
-// Open returns how many connections there are.
+// Open returns the number of open connections.
 func (c *CallerConns) Open() int64 { return c.open.Load() }
 
-// Busy returns how many of them have a request under way.
+// Busy returns the number of connections with a request in progress.
 func (c *CallerConns) Busy() int64 { return c.busy.Load() }
 
 // Closed reports whether Close was called.
 func (c *CallerConns) Closed() bool { return c.closed.Load() }
 
-// Close closes the listener and each connection without a request under way. Connections with one are closed after
-// it. From then on the owner has to reject what comes: a request may just be read from a connection that is closed
-// here.
+// Close closes the listener and each connection without a request in progress. The other connections are closed once
+// their requests have been answered. After Close the owner must reject new requests, since one may still be read from
+// a connection while Close closes it.
 func (c *CallerConns) Close() {
 	c.closed.Store(true)
 	if listener := c.listener.Load(); listener != nil {
@@ -45,7 +45,7 @@
 	})
 }
 
-// ConnState is the http.Server.ConnState of the callers' server: it takes in a connection's change of state.
+// ConnState is the http.Server.ConnState hook of the callers' server. It records a connection's change of state.
 func (c *CallerConns) ConnState(netConn net.Conn, state http.ConnState) {
 	conn, ok := netConn.(*callerConn)
 	if !ok {
@@ -71,11 +71,11 @@
 	c.states.Store(conn, state)
 }
 
-// hasPipelined reports whether requests of the connection were started whose turn has not come.
+// hasPipelined reports whether the connection has pipelined requests that were started and are not answered yet.
 func (c *callerConn) hasPipelined() bool { return c.unanswered.Load() > 0 }
 
-// countDraining counts a request that came although the proxy is draining.
-func (c *callerConn) countDraining() {
+// countIfDraining counts a request that arrives while the proxy is draining.
+func (c *callerConn) countIfDraining() {
 	switch {
 	case !c.forwarder.Draining.Load():
 	case c.openedWhileDraining:
@@ -85,17 +85,17 @@
 	}
 }
 
-// closingWriter has the responses of a draining proxy close their connections, also those to requests that came
-// before it began to drain. While pipelined requests are unanswered on a connection, no response closes it.
+// closingWriter makes the responses of a draining proxy close their connections, including those to requests that
+// were read before draining began. No response closes a connection that still has unanswered pipelined requests.
 type closingWriter struct {
 	http.ResponseWriter
 	conn *callerConn
 }
 
-// Unwrap returns the server's writer, for http.ResponseController.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader writes the response's header.
+// WriteHeader sets or removes "Connection: close" as needed and writes the response's header.
 func (w closingWriter) WriteHeader(status int) {
 	if w.conn.forwarder.Draining.Load() {
 		w.Header().Set("Connection", "close")
--- a/internal/dataplane/reverseproxy/errors.go
+++ b/internal/dataplane/reverseproxy/errors.go
@@ -1,4 +1,4 @@
-// This file has the errors that the proxy answers with itself. Their codes and messages are part of the HTTP API.
+// This file defines the errors that the proxy itself responds with. Their codes and messages are part of the HTTP API.
 
 package reverseproxy
 
@@ -13,15 +13,15 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// requestError is an error that ends a request.
+// requestError is the error response that ends a request.
 type requestError struct {
 	status     int
-	retryAfter time.Duration // when the caller may come back, 0: not said
-	code       string
-	message    string
+	retryAfter time.Duration // when the caller may retry, 0 for no Retry-After header
+	code       string        // config.ErrorBody.Code
+	message    string        // config.ErrorBody.Message
 }
 
-// Errors of what a caller sent.
+// Errors in callers' requests.
 var (
 	errHeaderTooLarge = &requestError{status: http.StatusRequestHeaderFieldsTooLarge, code: "header", message: "the header is too large"}
 	errNotForwardable = badRequest("neither tunnels nor paths that could be read two ways are carried")
@@ -33,22 +33,22 @@
 	}
 )
 
-// badRequest returns an error of status 400.
+// badRequest returns an error with status 400.
 func badRequest(message string) *requestError {
 	return &requestError{status: http.StatusBadRequest, code: "bad_request", message: message}
 }
 
-// Error returns what is wrong with the request.
+// Error returns the message for the caller.
 func (e *requestError) Error() string { return e.message }
 
-// attemptError is why an attempt brought no response that could be passed on. The caller gets it if no other
-// attempt follows.
+// attemptError is the reason why an attempt produced no response that could be passed on. The caller gets it if no
+// other attempt follows.
 type attemptError struct{ code, message string }
 
-// Error returns the reason.
+// Error returns the message for the caller.
 func (e *attemptError) Error() string { return e.message }
 
-// Errors before anything of the request was written.
+// Errors that occur before any part of the request was written.
 var (
 	errNoConnection     = &attemptError{"closed", "no connection to the target"}
 	errConnectionClosed = &attemptError{"closed", "the connection to the target was closed"}
@@ -57,26 +57,27 @@
 	errWrongIdentity    = &attemptError{"foreign", "the target's address answers for another"}
 )
 
-// Errors after something of the request was written.
+// Errors that occur after part of the request was written.
 var (
-	errResponseLost        = &attemptError{"lost", "the target's answer was lost"}
-	errResponseTruncated   = &attemptError{"lost", "the target's answer was cut"}
-	errResponseDeadline    = &attemptError{"late", "no answer within the deadline"}
-	errResponseOfAnother   = &attemptError{"strange", "the target's answer is another exchange's"}
-	errResponseNotTargets  = &attemptError{"strange", "the target's answer is not its own"}
-	errTargetUnreachable   = &attemptError{"dark", "nothing reaches the target, which has not answered"}
-	errTargetRejected      = &attemptError{"turned_away", "the target turned it away"}
-	errTargetFailed        = &attemptError{"failed", "the target failed"}
-	errTargetFailedUnclear = &attemptError{"unclear", "the target failed"}
+	errResponseLost       = &attemptError{"lost", "the target's answer was lost"}
+	errResponseTruncated  = &attemptError{"lost", "the target's answer was cut"}
+	errResponseDeadline   = &attemptError{"late", "no answer within the deadline"}
+	errMismatchedID       = &attemptError{"strange", "the target's answer is another exchange's"}
+	errUnverifiedResponse = &attemptError{"strange", "the target's answer is not its own"}
+	errTargetUnreachable  = &attemptError{"dark", "nothing reaches the target, which has not answered"}
+	errTargetRejected     = &attemptError{"turned_away", "the target turned it away"}
+	errTargetFailed       = &attemptError{"failed", "the target failed"}
+	errAmbiguousStatus    = &attemptError{"unclear", "the target failed"}
 )
 
-// Errors of a connection to a target; an attempt turns them into one of those above.
+// Errors on a connection to a target. An attempt maps them to one of the errors above.
 var (
 	errInvalidResponse = errors.New("the target's response is not valid HTTP/1; check what listens at its address")
 	errNotReusable     = errors.New("the target closes its connections after a response; have it keep them open")
 )
 
-// RetryAfter returns a Retry-After header's value: seconds, rounded up, and in thousandths below one second.
+// RetryAfter formats delay as the value of a Retry-After header. From one second on it is rounded up to whole seconds;
+// a shorter delay has three decimal places and is at least 0.001.
 func RetryAfter(delay time.Duration) string {
 	if delay >= time.Second {
 		return strconv.Itoa(int((delay + time.Second - 1) / time.Second))
@@ -84,13 +85,13 @@
 	return strconv.FormatFloat(max(0.001, delay.Seconds()), 'f', 3, 64)
 }
 
-// WriteError answers a request with an error in the one JSON shape. retryAfter is when the caller may come back,
-// 0: not said.
+// WriteError responds to a request with an error in the JSON format of all errors. retryAfter is when the caller may
+// retry, 0 for no Retry-After header.
 func WriteError(w http.ResponseWriter, status int, retryAfter time.Duration, body config.ErrorBody) {
 	writeError(w, RanHeader, status, retryAfter, body)
 }
 
-// writeError is WriteError with a name for the header that says whether the request ran.
+// writeError is WriteError with a given name of the header that says whether the request ran.
 func writeError(w http.ResponseWriter, ranHeader string, status int, retryAfter time.Duration, body config.ErrorBody) {
 	if body.Ran == "" {
 		body.Ran = config.RanNo
--- a/internal/dataplane/reverseproxy/faults_test.go
+++ b/internal/dataplane/reverseproxy/faults_test.go
@@ -106,7 +106,7 @@
 		}
 	case resp.Header.Get("P") != "" && (resp.StatusCode != 503 || got != "fail"):
 		c.wrong = append(c.wrong, fmt.Sprintf("%s got a failure of the proxy's with a target's proof: %d %q", id, resp.StatusCode, got))
-	case once && (promisesNotRun(resp.StatusCode) || resp.Header.Get("R") == "no"):
+	case once && (impliesNotRun(resp.StatusCode) || resp.Header.Get("R") == "no"):
 		c.rejected[id] = true
 	}
 	return !resp.Close
--- a/internal/dataplane/reverseproxy/headers.go
+++ b/internal/dataplane/reverseproxy/headers.go
@@ -1,5 +1,4 @@
-// This file has the names of the headers that are spoken with callers and targets, and the rules on headers and
-// paths.
+// This file defines the names of the headers exchanged with callers and targets, and the rules for headers and paths.
 
 package reverseproxy
 
@@ -15,7 +14,7 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// Default names of headers that callers read.
+// Default names of the headers exchanged with callers.
 const (
 	// DeadlineHeader is the default of Headers.Deadline.
 	DeadlineHeader = "Myrtlefold-Deadline-Ms"
@@ -23,30 +22,34 @@
 	RanHeader = "Myrtlefold-Ran"
 )
 
-// Headers are the names of the headers that are spoken with callers and targets. DefaultHeaders has the defaults.
+// Headers holds the names of the headers exchanged with callers and targets. DefaultHeaders returns the defaults.
 type Headers struct {
-	// Deadline is, of a request, how many milliseconds its caller still gives. The target gets what is left of it.
+	// Deadline is a request header: the time left for the request, in milliseconds. The target is sent what then
+	// remains of it.
 	Deadline string
-	// Ran says, of an error, whether the request ran at a target: "no" or "unknown".
+	// Ran is a header of the proxy's errors: whether the request ran at a target, "no" or "unknown".
 	Ran string
-	// Attempt is the request's id, which the response repeats. A response with another id is not passed on.
+	// Attempt is a request header: the request's id, which the response must repeat. A response with another id is
+	// not passed on.
 	Attempt string
-	// ExpectTarget is the name of the target that a request is meant for; any other one answers 421 and does not
-	// run it. It is sent to targets with a health check.
+	// ExpectTarget is a request header for targets with a health check: the name of the intended target. Any other
+	// target responds with 421 and does not run the request.
 	ExpectTarget string
-	// NotRun marks a target's response as a rejection of a request that it did not run, whatever its value.
+	// NotRun is a response header of targets. Any value marks the response as a rejection of a request that the
+	// target did not run.
 	NotRun string
-	// Load is a target's load with a response: "running,waiting,slots", in requests.
+	// Load is a response header of targets: the target's load as "running,waiting,slots", in requests.
 	Load string
-	// Identity is the name of the target that answers a health check.
+	// Identity is a header of responses to health checks: the target's name.
 	Identity string
-	// WarmupLeft says, in a response to a health check, for how many milliseconds the target is still warming up.
+	// WarmupLeft is a header of responses to health checks: how long the target is still warming up, in milliseconds.
 	WarmupLeft string
-	// Proof is a header that each success of a target has, whatever its value. "": there is none.
+	// Proof is a header that must be present, with any value, in each successful response of a target. "" turns the
+	// check off.
 	Proof string
 }
 
-// DefaultHeaders returns the product's own names. Its targets send no proof.
+// DefaultHeaders returns the product's own header names. The check of the Proof header is off.
 func DefaultHeaders() Headers {
 	return Headers{
 		Deadline:     DeadlineHeader,
@@ -60,7 +63,7 @@
 	}
 }
 
-// ParseLoad returns the load that a Headers.Load header states, or nil if it is not three numbers from 0 up.
+// ParseLoad parses the value of a Headers.Load header. It returns nil unless the value is three integers of at least 0.
 func ParseLoad(value string) *statemachine.TargetLoad {
 	running, rest, _ := strings.Cut(value, ",")
 	waiting, slots, _ := strings.Cut(rest, ",")
@@ -74,14 +77,14 @@
 	return &statemachine.TargetLoad{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}
 }
 
-// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1, and some that are not named there).
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110, section 7.6.1, and some that are not
+// listed there).
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// removeHopByHopHeaders removes the headers that concern one connection only, those that Connection names among
-// them.
+// removeHopByHopHeaders removes the hop-by-hop headers, including those that the Connection header names.
 func removeHopByHopHeaders(header http.Header) {
 	for _, value := range header.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
@@ -95,8 +98,7 @@
 	}
 }
 
-// isHopByHop reports whether a header concerns one connection only. connection has the request's Connection
-// headers.
+// isHopByHop reports whether a header is hop-by-hop. connection holds the values of the request's Connection headers.
 func isHopByHop(connection []string, name string) bool {
 	if slices.Contains(hopByHopHeaders, name) {
 		return true
@@ -111,7 +113,7 @@
 	return false
 }
 
-// headerSize returns a header's size in bytes, as HTTP/1.1 writes it.
+// headerSize returns the size of a header in bytes in HTTP/1.1 format.
 func headerSize(header http.Header) (size int) {
 	const separators = len(": \r\n")
 	for name, values := range header {
@@ -130,8 +132,8 @@
 	return append(out, "\r\n"...)
 }
 
-// isUnambiguousPath reports whether a URL's path can be read in one way only, so that a rule and a target read it
-// alike.
+// isUnambiguousPath reports whether a URL's path has only one interpretation, so that routing rules and targets cannot
+// interpret it differently.
 func isUnambiguousPath(address *url.URL) bool {
 	decoded := address.Path
 	if !strings.HasPrefix(decoded, "/") || strings.Contains(decoded, "//") || strings.ContainsAny(decoded, "\x00\\") {
--- a/internal/dataplane/reverseproxy/limits.go
+++ b/internal/dataplane/reverseproxy/limits.go
@@ -1,5 +1,5 @@
-// This file has the limits on what callers send. The configuration's may change at any moment and are read with
-// each request; what the configuration leaves open has the limits of package tuning.
+// This file implements the limits on what callers send. The configured limits may change at any time and are read for
+// each request. Where the configuration sets no limit, the limits of package tuning apply.
 
 package reverseproxy
 
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// limits returns the configuration's limits; zero values set none.
+// limits returns the configured limits. A zero value means that the configuration sets no such limit.
 func (f *Forwarder) limits() config.Limits {
 	if limits := f.Limits.Load(); limits != nil {
 		return *limits
@@ -16,7 +16,7 @@
 	return config.Limits{}
 }
 
-// maxHeaderBytes returns how large a request's header may be, in bytes.
+// maxHeaderBytes returns the maximum size of a request's header in bytes.
 func (f *Forwarder) maxHeaderBytes() int {
 	if n := f.limits().HeaderBytes; n > 0 {
 		return n
@@ -24,8 +24,9 @@
 	return tuning.HeaderMax
 }
 
-// maxBodyBytes returns how large a request's body for a service may be, in bytes. For a service with a health
-// check the configuration's limit for all callers replaces the service's own; for others the smaller one holds.
+// maxBodyBytes returns the maximum size of the body of a request for a service, in bytes. For a service with a health
+// check, the configured limit for all callers replaces the service's own limit. For other services, the smaller of the
+// two limits applies.
 func (f *Forwarder) maxBodyBytes(service *config.Service) int64 {
 	own, common := int64(service.BodyMax), int64(f.limits().BodyBytes)
 	switch {
--- a/internal/dataplane/reverseproxy/listener.go
+++ b/internal/dataplane/reverseproxy/listener.go
@@ -1,5 +1,5 @@
-// This file has the callers' side of the network: the listener and the connections that it accepts. What is read
-// from them is in pipelining.go, how they end in draining.go.
+// This file implements the listener for callers and the connections that it accepts. pipelining.go reads from them,
+// and draining.go closes them on shutdown.
 
 package reverseproxy
 
@@ -12,23 +12,24 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// callerConnKey is the key of a request's callerConn in its context.
+// callerConnKey is the context key of the callerConn that a request arrived on.
 type callerConnKey struct{}
 
-// WrapListener returns a listener whose connections start pipelined requests before their turn and are known to
-// Callers, which closes it when the proxy stops. It is called once, for the server that the forwarder handles.
+// WrapListener returns a listener whose connections start pipelined requests early and are tracked by Callers.
+// Callers.Close closes the wrapped listener. WrapListener must be called only once, for the server whose handler is
+// the forwarder.
 func (f *Forwarder) WrapListener(listener net.Listener) net.Listener {
 	f.Callers.listener.Store(&listener)
 	return callerListener{listener, f}
 }
 
-// callerListener is a listener for callers.
+// callerListener wraps each accepted connection in a callerConn.
 type callerListener struct {
 	net.Listener
 	forwarder *Forwarder
 }
 
-// Accept waits for a caller's connection.
+// Accept waits for the next connection from a caller.
 func (l callerListener) Accept() (net.Conn, error) {
 	netConn, err := l.Listener.Accept()
 	if err != nil {
@@ -44,8 +45,8 @@
 	return conn, nil
 }
 
-// ConnContext is the http.Server.ConnContext of the callers' server: it has requests know which connection they
-// came on.
+// ConnContext is the http.Server.ConnContext hook of the callers' server. It stores the connection in the context of
+// its requests.
 func (f *Forwarder) ConnContext(ctx context.Context, netConn net.Conn) context.Context {
 	if conn, ok := netConn.(*callerConn); ok {
 		return context.WithValue(ctx, callerConnKey{}, conn)
@@ -53,41 +54,43 @@
 	return ctx
 }
 
-// callerConn is a caller's connection. The server reads it on one goroutine at a time and serves its requests one
-// after another, but reads also while a request is being served.
+// callerConn is a connection from a caller. The server reads it from one goroutine at a time and serves its requests
+// one after another, but also reads from it while a request is being served.
 type callerConn struct {
 	net.Conn
 	forwarder           *Forwarder
-	ctx                 context.Context // of the pipelined requests; it ends with the connection
+	ctx                 context.Context // context of the pipelined requests, canceled when the connection is closed
 	cancel              context.CancelFunc
 	openedWhileDraining bool
 
-	// pipelined are the requests that were started before their turn, in their order: from the reading side to the
-	// serving side.
+	// pipelined passes the requests that were started before their turn, in order, from the reading goroutine to the
+	// serving goroutine.
 	pipelined chan *pipelinedRequest
-	// unanswered is how many of them are not answered yet; below 0: none is started any more.
+	// unanswered counts the pipelined requests that have not been answered. A negative value means that no more are
+	// started.
 	unanswered atomic.Int64
 
-	// The reading side's.
+	// Used only by Read, which the server calls from one goroutine at a time.
 	readBuffer  []byte
-	unread      []byte // of readBuffer: read from the caller and not by the server yet
-	header      []byte // what the server has read of a header that is not complete
-	headersRead int    // how many headers the server has read
-	opaque      bool   // something came that is not a plain request: nothing is interpreted any more
+	unread      []byte // part of readBuffer that the server has not read yet
+	header      []byte // part of an incomplete header that the server has read
+	headersRead int    // number of complete headers that the server has read
+	opaque      bool   // something other than a plain request was read; data is passed through without parsing
 
-	// The serving side's.
-	served        int // how many requests the server has come to
-	nextPipelined *pipelinedRequest
-	requestActive bool
+	// Used only by the goroutine that serves the connection's requests.
+	requestsServed int               // number of requests passed to the handler, including the current one
+	nextPipelined  *pipelinedRequest // received from pipelined, and its turn has not come; nil if none
+	requestActive  bool              // the handler is running
 }
 
-// Close closes the connection and ends its pipelined requests.
+// Close closes the connection and cancels its pipelined requests.
 func (c *callerConn) Close() error {
 	c.cancel()
 	return c.Conn.Close()
 }
 
-// CloseWrite closes the connection for writing, which is how the server ends one that its caller still writes to.
+// CloseWrite closes the write side of the connection. The server uses it to end a connection on which the caller may
+// still be writing.
 func (c *callerConn) CloseWrite() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.CloseWrite()
@@ -95,9 +98,9 @@
 	return nil
 }
 
-// SetReadDeadline sets the server's deadlines and, while a request is active, the forwarder's. The server's are
-// turned into those of the configuration, which may change at any moment: that for a header, and a longer one for
-// the next request on an idle connection.
+// SetReadDeadline is called by the server and, while a request is active, by the forwarder. It converts the server's
+// fixed timeouts to the configured ones, which may change at any time. The server's timeout for reading a header
+// (tuning.CallerHeader) and its idle timeout (tuning.CallerIdle) are told apart by their length.
 func (c *callerConn) SetReadDeadline(deadline time.Time) error {
 	if left := time.Until(deadline); !c.requestActive && !deadline.IsZero() && left > 0 {
 		limits := c.forwarder.limits()
--- a/internal/dataplane/reverseproxy/pipelining.go
+++ b/internal/dataplane/reverseproxy/pipelining.go
@@ -1,9 +1,9 @@
-// This file starts pipelined requests before the ones ahead of them on their connection are answered. net/http's
-// server reads a caller's next request only after the response to the one before. A callerConn therefore looks at
-// the bytes that the server reads: while one request is being served, a further one that is complete, plain and
-// without a body is started on a goroutine of its own, and its response is kept until the server has come to it in
-// the usual way. So bytes, order and framing remain the server's. Once something comes that is not a plain request
-// in each byte, nothing more is interpreted on that connection.
+// This file starts pipelined requests before the requests ahead of them on their connection have been answered.
+// net/http's server reads a caller's next request only after it has written the response to the previous one. A
+// callerConn therefore inspects the bytes that the server reads: while one request is being served, each further
+// request that is complete, plain (isPlainRequest) and without a body is started on its own goroutine. Its response is
+// held back until the server reaches the request in the usual way, so reading, ordering and framing remain with the
+// server. After anything other than a plain request, the connection's data is passed through without parsing.
 
 package reverseproxy
 
@@ -20,10 +20,11 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// headerEnd is what a header ends with.
+// headerEnd is the end of a request's header: an empty line.
 var headerEnd = []byte("\r\n\r\n")
 
-// Read gives the server at most what completes one header, so that what follows stays in the connection's buffer.
+// Read returns at most the bytes that complete the current header, so that anything after it stays in the connection's
+// buffer.
 func (c *callerConn) Read(buffer []byte) (int, error) {
 	if len(c.unread) == 0 {
 		if c.opaque {
@@ -32,20 +33,20 @@
 		if n, err := c.fill(); n == 0 {
 			return 0, err
 		}
-		// The server reads one byte while it serves a request: then the first header that came is a further
-		// request's.
-		c.scan(len(buffer) == 1 && c.headersRead > 0 && len(c.header) == 0)
+		// While it serves a request, net/http's server reads a single byte in the background. In that case the
+		// first header in the buffer belongs to the next request, not to the one being served.
+		c.scanForRequests(len(buffer) == 1 && c.headersRead > 0 && len(c.header) == 0)
 	}
 	n := min(len(buffer), len(c.unread))
 	if !c.opaque {
-		n = c.followHeader(c.unread[:n])
+		n = c.trackHeader(c.unread[:n])
 	}
 	copy(buffer, c.unread[:n])
 	c.unread = c.unread[n:]
 	return n, nil
 }
 
-// fill reads from the caller and returns how many bytes came.
+// fill reads from the caller into the buffer and returns the number of bytes read.
 func (c *callerConn) fill() (int, error) {
 	if c.readBuffer == nil {
 		c.readBuffer = make([]byte, tuning.PipelineReadAhead)
@@ -55,8 +56,8 @@
 	return n, err
 }
 
-// followHeader takes in what the server reads next, and returns how much of it belongs to the present header.
-func (c *callerConn) followHeader(next []byte) int {
+// trackHeader records the bytes that the server reads next and returns how many of them belong to the current header.
+func (c *callerConn) trackHeader(next []byte) int {
 	before := len(c.header)
 	c.header = append(c.header, next...)
 	from := max(0, before-len(headerEnd)+1)
@@ -73,23 +74,23 @@
 	return len(next)
 }
 
-// scan starts the requests that are complete in what has come, but for the first one, which is the server's; if the
-// server is serving another one (serving), also that.
-func (c *callerConn) scan(serving bool) {
+// scanForRequests starts the complete requests in the unread data. The first one is left to the server, unless the
+// server is already serving an earlier request (serving).
+func (c *callerConn) scanForRequests(serving bool) {
 	rest, number := c.unread, c.headersRead+1
 	if !serving {
 		if bytes.HasSuffix(rest, headerEnd) && bytes.Count(rest, headerEnd) == 1 {
-			return // the usual case: one request
+			return // the common case: a single request
 		}
 		all := append(bytes.Clone(c.header), rest...)
-		first, following, complete := cutHeader(all)
+		first, following, complete := splitHeader(all)
 		if !complete || !isPlainRequest(first) {
 			return
 		}
 		rest, number = following, number+1
 	}
 	for {
-		header, following, complete := cutHeader(rest)
+		header, following, complete := splitHeader(rest)
 		if !complete || !isPlainRequest(header) || !c.startPipelined(number, bytes.Clone(header)) {
 			return
 		}
@@ -97,8 +98,8 @@
 	}
 }
 
-// cutHeader splits what came after the first complete header.
-func cutHeader(data []byte) (header, rest []byte, complete bool) {
+// splitHeader splits data after the first complete header. complete is false if there is none.
+func splitHeader(data []byte) (header, rest []byte, complete bool) {
 	at := bytes.Index(data, headerEnd)
 	if at < 0 {
 		return nil, data, false
@@ -107,15 +108,17 @@
 	return data[:end], data[end:], true
 }
 
+// Characters that are allowed in a plain request's header names and host.
 const (
 	headerNameBytes = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_"
 	hostBytes       = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.:-"
 )
 
-// framingHeaders change where a request ends or what becomes of its connection.
+// framingHeaders are headers that affect where a request ends or how its connection is used afterwards.
 var framingHeaders = []string{"connection", "content-length", "transfer-encoding", "upgrade", "expect", "trailer"}
 
-// isPlainRequest reports whether a header is a complete request without a body that can be read in one way only.
+// isPlainRequest reports whether a header is that of a request without a body and has only one interpretation. Such a
+// header is the complete request.
 func isPlainRequest(header []byte) bool {
 	lines := strings.Split(string(header), "\r\n")
 	if len(lines) < 3 || !isPlainRequestLine(lines[0]) {
@@ -146,24 +149,25 @@
 	return hosts == 1
 }
 
-// isPlainRequestLine reports whether a request line asks for a path, by a method whose requests have no body.
+// isPlainRequestLine reports whether a request line is a GET or HEAD of a path over HTTP/1.1.
 func isPlainRequestLine(line string) bool {
 	fields := strings.Split(line, " ")
 	return len(fields) == 3 && (fields[0] == http.MethodGet || fields[0] == http.MethodHead) &&
 		strings.HasPrefix(fields[1], "/") && fields[2] == "HTTP/1.1"
 }
 
-// isNotPrintable reports whether a character is none of ASCII's printable ones.
+// isNotPrintable reports whether a character is outside printable ASCII.
 func isNotPrintable(char rune) bool { return char < ' ' || char > '~' }
 
-// hasToWait reports whether the owner has a pipelined request wait for its turn.
-func hasToWait(command statemachine.Command) bool {
+// mustWait reports whether the owner refused to start a pipelined request before its turn.
+func mustWait(command statemachine.Command) bool {
 	rejection, ok := command.(statemachine.Reject)
 	return ok && rejection.Code == statemachine.CodeNotPipelined
 }
 
-// startPipelined starts the connection's request of that number, from 1, before its turn. It returns false if as
-// many are started as may be, or if the connection is to end.
+// startPipelined starts the request with the given number on the connection (the first is 1) before its turn. It
+// returns false if the header can't be parsed, if the limit of pipelined requests is reached, or if the connection is
+// about to be closed.
 func (c *callerConn) startPipelined(number int, header []byte) bool {
 	if c.forwarder.Draining.Load() {
 		return false
@@ -186,7 +190,7 @@
 	return true
 }
 
-// addUnanswered counts a pipelined request that starts. It returns false if none may start now.
+// addUnanswered counts one more unanswered pipelined request. It returns false if none may be started now.
 func (c *callerConn) addUnanswered() bool {
 	for {
 		n := c.unanswered.Load()
@@ -199,16 +203,17 @@
 	}
 }
 
-// endPipelining has no more requests start before their turn, so that the connection may end. It returns false, and
-// changes nothing, while some are unanswered.
+// endPipelining prevents further requests from being started before their turn, so that the connection may be closed.
+// While pipelined requests are unanswered it changes nothing and returns false.
 func (c *callerConn) endPipelining() bool {
 	return c.unanswered.Load() < 0 || c.unanswered.CompareAndSwap(0, -1)
 }
 
-// takePipelined returns what was started of the request that the server has come to, nil if nothing was. It panics
-// with http.ErrAbortHandler if that is not what the server read: then nothing is answered.
+// takePipelined returns the pipelined request for the request that the server has reached, or nil if that was not
+// started before its turn. If the two differ, takePipelined panics with http.ErrAbortHandler: the connection is closed
+// without a response.
 func (c *callerConn) takePipelined(incoming *http.Request) *pipelinedRequest {
-	c.served++
+	c.requestsServed++
 	if c.nextPipelined == nil {
 		select {
 		case c.nextPipelined = <-c.pipelined:
@@ -216,10 +221,10 @@
 		}
 	}
 	started := c.nextPipelined
-	if started == nil || started.number > c.served {
+	if started == nil || started.number > c.requestsServed {
 		return nil
 	}
-	if started.number < c.served || !sameRequest(started.request, incoming) {
+	if started.number < c.requestsServed || !sameRequest(started.request, incoming) {
 		panic(http.ErrAbortHandler)
 	}
 	c.nextPipelined = nil
@@ -232,8 +237,8 @@
 		maps.EqualFunc(a.Header, b.Header, slices.Equal[[]string])
 }
 
-// finishPipelined passes on the response to a request that was started before its turn, now that the server has
-// come to it.
+// finishPipelined passes on the response to a request that was started before its turn and that the server has now
+// reached.
 func (f *Forwarder) finishPipelined(w closingWriter, r *http.Request, started *pipelinedRequest) {
 	defer context.AfterFunc(r.Context(), w.conn.cancel)()
 	select {
@@ -253,30 +258,30 @@
 		f.Counts.Requests.Add(^uint64(0)) // it was counted when it was started
 		f.serve(w, r)
 	case started.writer == nil:
-		started.passTo(w)
+		started.writeTo(w)
 	}
 }
 
-// pipelinedRequest is a request that was started before its turn, and the http.ResponseWriter of its response. The
-// response is kept; if it is larger than what is kept, its own goroutine writes it on once the server has come to
-// the request.
+// pipelinedRequest is a request that was started before its turn. It is also the http.ResponseWriter for its response,
+// which it buffers. If the response is larger than tuning.ResponseBufferMax, the request's goroutine waits until the
+// server reaches the request and writes the response through the server's writer.
 type pipelinedRequest struct {
-	number  int // on its connection, from 1
+	number  int // position on the connection; the first request is 1
 	request *http.Request
 	header  http.Header
-	status  int // 0: not written yet
-	body    []byte
-	writers chan http.ResponseWriter // brings the server's writer once the server has come to the request
-	writer  http.ResponseWriter      // nil: the response is kept
+	status  int                      // 0 until WriteHeader is called
+	body    []byte                   // buffered part of the response's body
+	writers chan http.ResponseWriter // passes the server's writer once the server has reached the request
+	writer  http.ResponseWriter      // the server's writer; nil while the response is buffered
 
-	// done is closed when the request's goroutine has ended. The fields below are set by then.
+	// done is closed when the request's goroutine has ended. The fields below are final from then on.
 	done     chan struct{}
-	panicked any  // what it panicked with
-	deferred bool // nothing was sent, since it may run only once; it is served when its turn has come
+	panicked any  // the value that the goroutine panicked with, nil if it did not panic
+	deferred bool // nothing was sent, because the request may run only once; it is served when its turn comes
 }
 
-// run serves the request. Its goroutine ends with the request, at the latest when the caller's connection has
-// ended.
+// run serves the request on its own goroutine. It ends when the request has been served or soon after the caller's
+// connection has been closed.
 func (p *pipelinedRequest) run(forwarder *Forwarder) {
 	defer close(p.done)
 	defer func() { p.panicked = recover() }()
@@ -289,14 +294,15 @@
 // Header returns the response's header.
 func (p *pipelinedRequest) Header() http.Header { return p.header }
 
-// WriteHeader sets the response's status.
+// WriteHeader sets the response's status. Only the first call has an effect.
 func (p *pipelinedRequest) WriteHeader(status int) {
 	if p.status == 0 {
 		p.status = status
 	}
 }
 
-// Write keeps some of the body or, if that is too large, waits for the server's writer and writes it on.
+// Write buffers a part of the body. If the body becomes too large for the buffer, Write waits for the server's writer
+// and writes to that.
 func (p *pipelinedRequest) Write(data []byte) (int, error) {
 	p.WriteHeader(http.StatusOK)
 	if p.writer == nil {
@@ -311,34 +317,34 @@
 	return p.writer.Write(data)
 }
 
-// awaitWriter waits until the server has come to the request, and writes on what is kept.
+// awaitWriter waits until the server has reached the request and writes the buffered response to the server's writer.
 func (p *pipelinedRequest) awaitWriter() error {
 	select {
 	case w := <-p.writers:
-		return p.passTo(w)
+		return p.writeTo(w)
 	case <-p.request.Context().Done():
 		return p.request.Context().Err()
 	}
 }
 
-// Flush flushes what was written on already.
+// Flush flushes the server's writer, if the response is written to that.
 func (p *pipelinedRequest) Flush() {
 	if p.writer != nil {
 		http.NewResponseController(p.writer).Flush()
 	}
 }
 
-// passTo writes the response, as far as it is there, to the server's writer.
-func (p *pipelinedRequest) passTo(w http.ResponseWriter) error {
+// writeTo writes the header and the buffered body to the server's writer, to which later writes go directly.
+func (p *pipelinedRequest) writeTo(w http.ResponseWriter) error {
 	p.writer = w
 	maps.Copy(w.Header(), p.header)
 	p.header = w.Header()
 	w.WriteHeader(p.status)
-	kept := p.body
+	buffered := p.body
 	p.body = nil
-	if len(kept) == 0 {
+	if len(buffered) == 0 {
 		return nil
 	}
-	_, err := w.Write(kept)
+	_, err := w.Write(buffered)
 	return err
 }
--- a/internal/dataplane/reverseproxy/pool.go
+++ b/internal/dataplane/reverseproxy/pool.go
@@ -1,5 +1,5 @@
-// This file has the idle connections to targets. A target's are in a fixed number of slots, which are taken and
-// filled by single atomic steps, so that requests wait for no lock.
+// This file implements the pool of idle connections to targets. Each target has a fixed number of slots, which are
+// filled and emptied by atomic operations, so that requests never wait for a lock.
 
 package reverseproxy
 
@@ -12,18 +12,18 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// processStart is what connections count their age from.
+// processStart is the reference time of Conn.lastUsed.
 var processStart = time.Now()
 
-// Pool has the idle connections to the table's targets. SetTargets and SetUnreachable are called by one goroutine,
-// the owner's; requests take and put connections on theirs.
+// Pool holds the idle connections to the targets in the routing table. SetTargets and SetUnreachable must be called
+// from a single goroutine, the owner's. Requests take and put connections from their own goroutines.
 type Pool struct {
 	targets atomic.Pointer[map[wire.TargetID]*targetConns]
-	stop    chan struct{}
+	stop    chan struct{} // closed by Close
 	sweeper sync.WaitGroup
 }
 
-// NewPool returns a pool without targets. It closes expired connections on a goroutine of its own until Close.
+// NewPool returns a pool without targets. Until Close, the pool closes expired connections on its own goroutine.
 func NewPool() *Pool {
 	p := &Pool{stop: make(chan struct{})}
 	p.targets.Store(&map[wire.TargetID]*targetConns{})
@@ -31,7 +31,7 @@
 	return p
 }
 
-// sweep closes expired connections now and then, until the pool is closed.
+// sweep periodically closes expired connections until the pool is closed.
 func (p *Pool) sweep() {
 	ticker := time.NewTicker(tuning.ConnIdle / 4)
 	defer ticker.Stop()
@@ -47,7 +47,7 @@
 	}
 }
 
-// SetTargets sets the targets, which are the keys, and closes the idle connections to all others.
+// SetTargets sets the targets, which are the keys of addresses, and closes the idle connections to all others.
 func (p *Pool) SetTargets(addresses map[wire.TargetID]string) {
 	before := *p.targets.Load()
 	targets := make(map[wire.TargetID]*targetConns, len(addresses))
@@ -65,37 +65,37 @@
 	}
 }
 
-// SetUnreachable sets which targets nothing reaches.
+// SetUnreachable sets which targets are unreachable.
 func (p *Pool) SetUnreachable(ids map[wire.TargetID]bool) {
 	for id, conns := range *p.targets.Load() {
 		conns.unreachable.Store(ids[id])
 	}
 }
 
-// isUnreachable reports whether nothing reaches a target.
+// isUnreachable reports whether a target is in the pool and unreachable.
 func (p *Pool) isUnreachable(id wire.TargetID) bool {
 	conns := (*p.targets.Load())[id]
 	return conns != nil && conns.unreachable.Load()
 }
 
-// Close closes all idle connections, and has those closed that come back later. It is called once, and waits for
-// the pool's goroutine.
+// Close closes all idle connections and waits for the pool's goroutine to end. Connections that are put back later are
+// closed at once. Close must be called only once.
 func (p *Pool) Close() {
 	close(p.stop)
 	p.sweeper.Wait()
 	p.SetTargets(nil)
 }
 
-// take returns the connection to a target that was used last, with that deadline, if it has been unused for less
-// than maxIdle; else nil.
-func (p *Pool) take(id wire.TargetID, maxIdle time.Duration, deadline time.Time) *Conn {
+// take removes and returns the most recently used connection to a target, with its deadline set, or nil if there is no
+// connection that has been idle for less than maxIdleTime.
+func (p *Pool) take(id wire.TargetID, maxIdleTime time.Duration, deadline time.Time) *Conn {
 	if conns := (*p.targets.Load())[id]; conns != nil {
-		return conns.take(maxIdle, deadline)
+		return conns.take(maxIdleTime, deadline)
 	}
 	return nil
 }
 
-// put keeps a connection to a target, and at most limit in all.
+// put adds a connection to a target, of which at most limit are kept.
 func (p *Pool) put(id wire.TargetID, conn *Conn, limit int) {
 	if conns := (*p.targets.Load())[id]; conns != nil {
 		conns.put(conn, limit)
@@ -104,22 +104,22 @@
 	}
 }
 
-// targetConns are a target's idle connections.
+// targetConns holds a target's idle connections.
 type targetConns struct {
 	slots       [tuning.IdleConnsMax]atomic.Pointer[Conn]
-	removed     atomic.Bool // the target has left the table: what comes back is closed
-	unreachable atomic.Bool // nothing reaches the target
+	removed     atomic.Bool // the target is no longer in the routing table; connections that are put back are closed
+	unreachable atomic.Bool // the target is unreachable
 }
 
-// put keeps a connection, and closes those unused for longest so that at most limit are left: one that was used
-// just now serves every request, an old one only those that may be repeated.
+// put adds a connection and closes the least recently used ones, so that at most limit are kept. A connection that was
+// just used can serve any request, an older one only idempotent requests.
 func (t *targetConns) put(conn *Conn, limit int) {
 	conn.lastUsed.Store(int64(time.Since(processStart)))
 	if limit <= 0 {
 		conn.Close()
 		return
 	}
-	for kept := t.count(); kept >= limit; kept-- {
+	for n := t.count(); n >= limit; n-- {
 		t.closeOldest()
 	}
 	for i := range t.slots {
@@ -133,7 +133,7 @@
 	conn.Close()
 }
 
-// count returns how many connections there are.
+// count returns the number of idle connections.
 func (t *targetConns) count() (n int) {
 	for i := range t.slots {
 		if t.slots[i].Load() != nil {
@@ -143,7 +143,7 @@
 	return n
 }
 
-// closeOldest closes the connection that has been unused for longest, if there is one.
+// closeOldest closes the least recently used connection, if there is one.
 func (t *targetConns) closeOldest() {
 	var oldest *Conn
 	slot := 0
@@ -157,16 +157,16 @@
 	}
 }
 
-// take returns the connection that was used last, with that deadline, if it has been unused for less than maxIdle;
-// else nil.
-func (t *targetConns) take(maxIdle time.Duration, deadline time.Time) *Conn {
+// take removes and returns the most recently used connection, with its deadline set, or nil if there is no connection
+// that has been idle for less than maxIdleTime.
+func (t *targetConns) take(maxIdleTime time.Duration, deadline time.Time) *Conn {
 	for {
 		newest, slot := t.newest()
 		if newest == nil {
 			return nil
 		}
 		now := time.Now()
-		if newest.idleFor(now) >= maxIdle {
+		if newest.idleFor(now) >= maxIdleTime {
 			return nil
 		}
 		if !t.slots[slot].CompareAndSwap(newest, nil) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// newest returns the connection that was used last and its slot, nil if there is none.
+// newest returns the most recently used connection and its slot, nil if there is none.
 func (t *targetConns) newest() (newest *Conn, slot int) {
 	for i := range t.slots {
 		if conn := t.slots[i].Load(); conn != nil && (newest == nil || conn.lastUsed.Load() > newest.lastUsed.Load()) {
@@ -200,7 +200,7 @@
 	}
 }
 
-// closeExpired closes the connections that are too old to be used.
+// closeExpired closes the connections that have expired.
 func (t *targetConns) closeExpired(now time.Time) {
 	for i := range t.slots {
 		conn := t.slots[i].Swap(nil)
@@ -213,13 +213,13 @@
 	}
 }
 
-// idleFor returns for how long a connection has been unused.
+// idleFor returns how long a connection has been idle.
 func (c *Conn) idleFor(now time.Time) time.Duration {
 	return now.Sub(processStart) - time.Duration(c.lastUsed.Load())
 }
 
-// isExpired reports whether a connection is too old to be used. The caller must own it: the connection must be in
-// no slot.
+// isExpired reports whether a connection has been idle for too long or for longer than the target announced to keep it
+// open. The connection must be in no slot, so that only the calling goroutine uses it.
 func (c *Conn) isExpired(now time.Time) bool {
 	return c.idleFor(now) >= tuning.ConnIdle || !c.reuseUntil.IsZero() && now.After(c.reuseUntil)
 }
--- a/internal/dataplane/reverseproxy/pool_test.go
+++ b/internal/dataplane/reverseproxy/pool_test.go
@@ -64,7 +64,7 @@
 	}
 	conn := open(0)
 	for v, want := range map[string][2]bool{"": {false, false}, "timeout=1": {false, true}, "max=3, Timeout=2": {false, false}, "timeout=x": {false, false}} {
-		conn.noteKeepAlive(&http.Response{Header: http.Header{"Keep-Alive": {v}}})
+		conn.setReuseUntil(&http.Response{Header: http.Header{"Keep-Alive": {v}}})
 		now := time.Now()
 		if got := [2]bool{conn.isExpired(now.Add(tuning.IdleTimeoutMargin / 2)), conn.isExpired(now.Add(tuning.IdleTimeoutMargin + time.Millisecond))}; got != want {
 			t.Errorf("%q: %v", v, got)
--- a/internal/dataplane/reverseproxy/requestwriter.go
+++ b/internal/dataplane/reverseproxy/requestwriter.go
@@ -1,4 +1,4 @@
-// This file puts a request into the bytes that go to its target.
+// This file serializes requests to targets.
 
 package reverseproxy
 
@@ -13,7 +13,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// appendRequest appends the request's header to out, and its body as far as it is buffered.
+// appendRequest appends the request's header and the buffered part of its body to out.
 func (a *attempt) appendRequest(out []byte) []byte {
 	out = a.appendRequestLine(out)
 	out = a.appendCallerHeaders(out)
@@ -21,7 +21,8 @@
 	return a.request.body.appendTo(out, a.request.incoming.Method)
 }
 
-// appendRequestLine appends the request line and the host, as the caller sent them.
+// appendRequestLine appends the request line and the Host header as the caller sent them. A URI in absolute form is
+// reduced to its path and query.
 func (a *attempt) appendRequestLine(out []byte) []byte {
 	incoming := a.request.incoming
 	uri := incoming.RequestURI
@@ -36,7 +37,7 @@
 	return append(out, "\r\n"...)
 }
 
-// appendCallerHeaders appends the caller's headers without those that the proxy sets itself.
+// appendCallerHeaders appends the caller's headers except hop-by-hop headers and those that the proxy sets itself.
 func (a *attempt) appendCallerHeaders(out []byte) []byte {
 	header := a.request.incoming.Header
 	connection := header["Connection"]
@@ -55,19 +56,19 @@
 	return out
 }
 
-// isProxyHeader reports whether the proxy sets a header of each request itself.
+// isProxyHeader reports whether a header is one that the proxy sets itself and never passes on from the caller.
 func (a *attempt) isProxyHeader(name string) bool {
 	headers := &a.request.forwarder.Headers
 	return name == "Content-Length" || name == "Host" ||
 		strings.EqualFold(name, headers.Deadline) || strings.EqualFold(name, headers.ExpectTarget)
 }
 
-// sendsForwardedFor reports whether the target gets the caller's address.
+// sendsForwardedFor reports whether the target is sent the caller's address in X-Forwarded-For.
 func (a *attempt) sendsForwardedFor() bool {
 	return a.request.forwarder.SendForwardedFor && !a.target.ServiceConfig.HasHealthCheck()
 }
 
-// appendProxyHeaders appends the headers that the proxy sets itself, but for those of the body.
+// appendProxyHeaders appends the headers that the proxy sets itself, except those that frame the body.
 func (a *attempt) appendProxyHeaders(out []byte) []byte {
 	incoming, headers := a.request.incoming, &a.request.forwarder.Headers
 	if a.sendsForwardedFor() {
@@ -85,7 +86,8 @@
 	return append(out, "\r\n"...)
 }
 
-// millisecondsLeft is how long the target may work on the request: its response has to travel after that.
+// millisecondsLeft returns how long the target may work on the request, at least 1. It leaves time for the response to
+// travel over the network.
 func (a *attempt) millisecondsLeft() int64 {
 	workBy := a.deadline
 	if a.target.WorkTime > 0 {
@@ -94,10 +96,11 @@
 	return max(1, (time.Until(workBy) - tuning.NetHop).Milliseconds())
 }
 
-// appendTo appends the headers that frame the body, the header's end, and the body as far as it is buffered.
+// appendTo appends the headers that frame the body, the empty line that ends the header, and the buffered part of the
+// body.
 func (b *requestBody) appendTo(out []byte, method string) []byte {
 	switch {
-	case b.size > 0 || b.size == 0 && hasBodyByDefault(method):
+	case b.size > 0 || b.size == 0 && sendsZeroLength(method):
 		out = append(out, "Content-Length: "...)
 		out = strconv.AppendInt(out, b.size, 10)
 		out = append(out, "\r\n\r\n"...)
@@ -116,7 +119,7 @@
 	return out
 }
 
-// hasBodyByDefault reports whether a request of a method states the length of its body even if that is empty.
-func hasBodyByDefault(method string) bool {
+// sendsZeroLength reports whether a request with the given method and an empty body has the header "Content-Length: 0".
+func sendsZeroLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/dataplane/reverseproxy/response.go
+++ b/internal/dataplane/reverseproxy/response.go
@@ -11,28 +11,28 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// response is a target's response: complete, or its beginning with the rest to come.
+// response is a target's response of which the whole body or a first part, possibly empty, has been read.
 type response struct {
 	http     *http.Response
-	buffered []byte // what was read of its body
-	complete bool   // that is all of its body
+	buffered []byte // part of the body that has been read
+	complete bool   // buffered is the whole body
 }
 
-// readResponse reads the response to the request that was written. It passes the response on, or says why it does
+// readResponse reads the response to the request that was written. It passes the response on, or returns why it does
 // not.
 func (a *attempt) readResponse() attemptResult {
 	defer a.release(false)
 	if !a.awaitResponse() {
 		a.request.forwarder.Counts.AbandonedUnreachable.Add(1)
-		return a.lost(errTargetUnreachable)
+		return a.responseLost(errTargetUnreachable)
 	}
 	received, err := a.conn.readHeader(a.request.incoming.Method)
 	if err != nil {
-		return a.lost(errResponseLost)
+		return a.responseLost(errResponseLost)
 	}
 	if mismatch := a.checkOrigin(received); mismatch != nil {
 		a.request.forwarder.Counts.MismatchedResponses.Add(1)
-		return a.lost(mismatch)
+		return a.responseLost(mismatch)
 	}
 	if value := received.Header.Get(a.request.forwarder.Headers.Load); value != "" {
 		a.load = ParseLoad(value)
@@ -46,13 +46,13 @@
 		return a.rejectedByTarget(resp)
 	}
 	if err != nil {
-		return a.lost(errResponseTruncated)
+		return a.responseLost(errResponseTruncated)
 	}
 	return a.useResponse(resp)
 }
 
-// awaitResponse waits until something comes. It returns false if the attempt is given up, because the target is
-// unreachable and the request may go to another one.
+// awaitResponse waits until the first byte of the response can be read or reading fails. It returns false if the
+// attempt should be abandoned, because the target is unreachable and the request may be sent to another one.
 func (a *attempt) awaitResponse() bool {
 	if !a.idempotent || !a.target.MayRetry || a.request.body.rest != nil {
 		return true
@@ -61,27 +61,29 @@
 	return a.conn.awaitResponse(a.request.incoming.Context(), a.deadline, func() bool { return forwarder.mayAbandon(id) })
 }
 
-// checkOrigin returns what shows that a response is not to the request or not its target's, nil if nothing does.
+// checkOrigin checks that a response belongs to the request and comes from the target. It returns nil if it found
+// nothing wrong.
 func (a *attempt) checkOrigin(received *http.Response) *attemptError {
 	headers := &a.request.forwarder.Headers
 	if id := a.requestID(); id != "" && received.Header.Get(headers.Attempt) != id {
-		return errResponseOfAnother
+		return errMismatchedID
 	}
 	if received.StatusCode >= http.StatusMultipleChoices {
 		return nil
 	}
 	if headers.Proof != "" && received.Header.Get(headers.Proof) == "" || a.isMarkedNotRun(received) {
-		return errResponseNotTargets
+		return errUnverifiedResponse
 	}
 	return nil
 }
 
-// isMarkedNotRun reports whether a response says that the target did not run the request.
+// isMarkedNotRun reports whether a response is marked with Headers.NotRun: the target did not run the request.
 func (a *attempt) isMarkedNotRun(received *http.Response) bool {
 	return received.Header.Get(a.request.forwarder.Headers.NotRun) != ""
 }
 
-// bufferBody reads the response's body, up to tuning.ResponseBufferMax bytes, unless that may stream from the start.
+// bufferBody reads up to tuning.ResponseBufferMax bytes of the response's body, unless the response may be streamed
+// from the start.
 func (a *attempt) bufferBody(received *http.Response) (*response, error) {
 	resp := &response{http: received}
 	var err error
@@ -94,52 +96,52 @@
 	return resp, err
 }
 
-// mayStream reports whether a response is passed on before its end: it has no length, so it may last for as long as
-// it likes, and nothing in its header needs its end for a decision.
+// mayStream reports whether a response is streamed from the start: it has no length, so it may go on indefinitely, and
+// its status and headers do not require the complete body for deciding what to do with it.
 func (a *attempt) mayStream(received *http.Response) bool {
 	return received.ContentLength < 0 && !a.target.ServiceConfig.HasHealthCheck() &&
 		!a.isMarkedNotRun(received) && !(a.idempotent && isServerError(received))
 }
 
-// rejectedByTarget says what a response means whose target did not run the request.
+// rejectedByTarget returns the result of an attempt whose response is marked as not run.
 func (a *attempt) rejectedByTarget(resp *response) attemptResult {
 	a.request.forwarder.Counts.TargetRejected.Add(1)
 	a.release(resp.complete && !resp.http.Close)
 	return attemptResult{sent: true, outcome: statemachine.TargetRejected, err: errTargetRejected, load: a.load}
 }
 
-// useResponse passes a response on that is the target's own, or keeps it as a fallback.
+// useResponse passes on the response of a target that has run the request, or returns it as a fallback.
 func (a *attempt) useResponse(resp *response) attemptResult {
 	outcome := statemachine.Served
 	if isServerError(resp.http) {
 		outcome = statemachine.ServerError
 	}
-	if a.target.ServiceConfig.HasHealthCheck() && !a.idempotent && promisesNotRun(resp.http.StatusCode) {
-		// To a caller it would say that nothing ran, which its target has not said.
+	if a.target.ServiceConfig.HasHealthCheck() && !a.idempotent && impliesNotRun(resp.http.StatusCode) {
+		// The status would tell the caller that the request did not run, but the target has not said so.
 		a.release(resp.complete && !resp.http.Close)
-		return attemptResult{sent: true, ran: true, outcome: statemachine.ServerError, err: errTargetFailedUnclear, load: a.load}
+		return attemptResult{sent: true, mayHaveRun: true, outcome: statemachine.ServerError, err: errAmbiguousStatus, load: a.load}
 	}
 	if !resp.complete {
 		return a.stream(resp, outcome)
 	}
 	a.release(!resp.http.Close)
-	if a.mayDoBetter(resp.http) {
-		return attemptResult{sent: true, ran: true, outcome: outcome, fallback: resp, err: errTargetFailed, load: a.load}
+	if a.mayRetryServerError(resp.http) {
+		return attemptResult{sent: true, mayHaveRun: true, outcome: outcome, fallback: resp, err: errTargetFailed, load: a.load}
 	}
 	result := attemptResult{status: resp.http.StatusCode, outcome: outcome, load: a.load}
-	a.report(&result, true) // the target is free, however slowly the caller reads
+	a.report(&result, true) // before writing: the target is done, however slowly the caller reads
 	resp.writeTo(a.request.writer, a.request.incoming.Method)
 	return result
 }
 
-// mayDoBetter reports whether another target may serve the request after a target's own failure. A target's
-// time-out is its answer, and a further attempt needs time.
-func (a *attempt) mayDoBetter(received *http.Response) bool {
+// mayRetryServerError reports whether the request may be sent to another target after a target's server error. A 504 is
+// passed on as the target's response, and a retry needs at least tuning.RetryTimeMin.
+func (a *attempt) mayRetryServerError(received *http.Response) bool {
 	return isServerError(received) && a.idempotent && a.target.Route.Kind != "" &&
 		received.StatusCode != http.StatusGatewayTimeout && time.Until(a.deadline) > tuning.RetryTimeMin
 }
 
-// stream passes a response on as it comes.
+// stream passes a response on as it arrives.
 func (a *attempt) stream(resp *response, outcome statemachine.Outcome) attemptResult {
 	result := attemptResult{status: resp.http.StatusCode, outcome: outcome, load: a.load}
 	if err := resp.writeTo(a.request.writer, a.request.incoming.Method); err != nil {
@@ -154,10 +156,11 @@
 	return result
 }
 
-// lost says what an attempt means whose response did not come, not completely, or not from its target.
-func (a *attempt) lost(reason *attemptError) attemptResult {
+// responseLost returns the result of an attempt whose response did not arrive, was incomplete, or did not come from the
+// intended target.
+func (a *attempt) responseLost(reason *attemptError) attemptResult {
 	a.release(false)
-	result := attemptResult{sent: true, ran: true, outcome: statemachine.ResponseLost, err: reason, load: a.load}
+	result := attemptResult{sent: true, mayHaveRun: true, outcome: statemachine.ResponseLost, err: reason, load: a.load}
 	body := a.request.body
 	switch {
 	case body.callerGone(a.request.incoming) || body.aborted || body.tooLarge:
@@ -168,20 +171,20 @@
 	return result
 }
 
-// mayAbandon reports whether a request that may be repeated need not wait for a target any longer. A draining proxy
-// waits: it may not find another target in the time that it has left, and planned work is no reason to end a
-// response sooner.
+// mayAbandon reports whether an idempotent request may stop waiting for a response from a target. While draining, the
+// proxy keeps waiting: the time left may be too short for another target to serve the request, and a planned shutdown
+// must not end a request sooner.
 func (f *Forwarder) mayAbandon(id wire.TargetID) bool {
 	return !f.Draining.Load() && f.pool.isUnreachable(id)
 }
 
-// isServerError reports whether a response says that the target failed.
+// isServerError reports whether a response has a status of 500 or above.
 func isServerError(received *http.Response) bool {
 	return received.StatusCode >= http.StatusInternalServerError
 }
 
-// promisesNotRun reports whether a status tells callers that nothing ran.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take a status to mean that the request did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
--- a/internal/dataplane/reverseproxy/retries.go
+++ b/internal/dataplane/reverseproxy/retries.go
@@ -1,5 +1,5 @@
-// This file has the loop over a request's targets: what follows each attempt, and which error the caller gets
-// if none brings a response. Which target is next, and whether there is one, is the owner's decision.
+// This file implements the loop over a request's targets. It decides whether another attempt may follow and which error
+// the caller gets if no attempt succeeds. The owner decides whether there is another target, and which one.
 
 package reverseproxy
 
@@ -13,15 +13,15 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// idSpread is a multiplier that spreads consecutive ids over all values (Knuth's multiplicative hashing).
-const idSpread = 2654435761
+// hashMultiplier is the multiplier of Knuth's multiplicative hashing, which spreads consecutive ids over all values.
+const hashMultiplier = 2654435761
 
-// forward carries out the owner's commands for the request, the first of which it is given, until the caller has a
+// forward carries out the owner's commands for the request, starting with the given one, until the caller has a
 // response.
 func (q *request) forward(command statemachine.Command) {
 	for {
 		if command == nil {
-			q.abort() // the caller left while the owner was asked, which knows it
+			q.abort() // the caller disconnected while the owner was asked; the owner has been notified
 		}
 		if rejection, ok := command.(statemachine.Reject); ok {
 			q.reject(&rejection)
@@ -36,7 +36,7 @@
 	}
 }
 
-// reject answers a request for which the owner has no target, or no other one.
+// reject responds to a request for which the owner has no target, or no further one.
 func (q *request) reject(rejection *statemachine.Reject) {
 	if q.passFallback() {
 		return
@@ -58,8 +58,8 @@
 	q.fail(&failed, q.ran)
 }
 
-// tryTarget makes an attempt at a target. It returns whether something of the request may have come there, and
-// whether the request is over.
+// tryTarget attempts to send the request to a target. sent means that part of the request may have reached the target;
+// over means that the request has ended.
 func (q *request) tryTarget(target *statemachine.Forward) (sent, over bool) {
 	q.service = target.Service
 	if !q.limitBody(target) {
@@ -68,28 +68,30 @@
 		return false, true
 	}
 	idempotent := isIdempotent(target, q.incoming.Method)
-	if q.pipelined != nil && !idempotent { // the owner gives these no target; nothing is sent in any case
+	// The owner rejects pipelined requests that are not idempotent. Checking again ensures that none is ever sent.
+	if q.pipelined != nil && !idempotent {
 		q.returnTarget()
 		q.pipelined.deferred = true
 		return false, true
 	}
 	result := q.attempt(target, idempotent)
-	return result.sent, q.conclude(&result, idempotent)
+	return result.sent, q.finishAttempt(&result, idempotent)
 }
 
-// limitBody sets the limit of the service on the request's body. It returns false if that is exceeded already.
+// limitBody applies the service's limit to the request's body. It returns false if the limit is already exceeded.
 func (q *request) limitBody(target *statemachine.Forward) bool {
 	limit := q.forwarder.maxBodyBytes(&target.ServiceConfig)
 	q.body.remaining = limit - int64(len(q.body.buffered))
 	return q.incoming.ContentLength <= limit && q.body.remaining >= 0
 }
 
-// returnTarget tells the owner that the request does not use its target.
+// returnTarget notifies the owner that the request does not use the target that was chosen for it.
 func (q *request) returnTarget() {
 	q.forwarder.owner.Notify(statemachine.AttemptDone{ID: q.id, Outcome: statemachine.ClientGone, Last: true})
 }
 
-// isIdempotent reports whether a request may run more than once: by its route, and without one by its method.
+// isIdempotent reports whether a request may run more than once. Its route decides, or its method if the route has no
+// kind.
 func isIdempotent(target *statemachine.Forward, method string) bool {
 	if target.Route.Kind == "" {
 		return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
@@ -97,9 +99,9 @@
 	return target.Route.Idempotent()
 }
 
-// conclude ends the request after an attempt, unless another attempt may follow. It returns whether the request is
-// over.
-func (q *request) conclude(result *attemptResult, idempotent bool) (over bool) {
+// finishAttempt ends the request after an attempt, unless another attempt may follow. It reports whether the request
+// has ended.
+func (q *request) finishAttempt(result *attemptResult, idempotent bool) (over bool) {
 	switch {
 	case result.status != 0:
 		q.countServed(result)
@@ -116,18 +118,19 @@
 		q.fail(errBodyIncomplete, config.RanUnknown)
 		return true
 	}
-	q.noteFailure(result)
-	if !result.deadlineExceeded && (!result.ran || idempotent) && !q.body.restRead {
+	q.recordFailure(result)
+	if !result.deadlineExceeded && (!result.mayHaveRun || idempotent) && !q.body.restRead {
 		return false
 	}
 	q.forwarder.owner.Notify(statemachine.Cancel{ID: q.id, Failed: true})
 	if !q.passFallback() {
-		q.failAfter(result)
+		q.failWithResult(result)
 	}
 	return true
 }
 
-// countServed counts a request whose response was passed on, and ends its caller's connection if it was truncated.
+// countServed counts a request whose response was passed on. If the response was truncated, countServed panics with
+// http.ErrAbortHandler, which closes the caller's connection.
 func (q *request) countServed(result *attemptResult) {
 	q.status = result.status
 	q.forwarder.Counts.Served.Add(1)
@@ -137,10 +140,10 @@
 	}
 }
 
-// noteFailure keeps what a failed attempt means for the error that the caller may get.
-func (q *request) noteFailure(result *attemptResult) {
+// recordFailure records what a failed attempt means for the error response that the caller may get.
+func (q *request) recordFailure(result *attemptResult) {
 	q.lastError = result.err
-	if result.ran {
+	if result.mayHaveRun {
 		q.ran = config.RanUnknown
 		q.errorStatus = http.StatusBadGateway
 		if result.deadlineExceeded {
@@ -152,7 +155,7 @@
 	}
 }
 
-// passFallback passes a target's own failure on to the caller, and returns false if there is none.
+// passFallback passes the fallback response on to the caller. It returns false if there is none.
 func (q *request) passFallback() bool {
 	if q.fallback == nil {
 		return false
@@ -163,13 +166,13 @@
 	return true
 }
 
-// failAfter answers with the error of the last attempt. When to come back differs by request, so that callers do
-// not come back at once.
-func (q *request) failAfter(result *attemptResult) {
+// failWithResult responds with the error of the last attempt. Retry-After differs by request, so that callers do not
+// all retry at the same time.
+func (q *request) failWithResult(result *attemptResult) {
 	status := q.errorStatus
 	if status == 0 {
 		status = http.StatusServiceUnavailable
 	}
-	spread := time.Duration(q.id*idSpread>>8) % tuning.RetryAfterSpan
+	spread := time.Duration(q.id*hashMultiplier>>8) % tuning.RetryAfterSpan
 	q.fail(&requestError{status, tuning.RetryAfterMin + spread, result.err.code, result.err.message}, q.ran)
 }
--- a/internal/dataplane/reverseproxy/reverseproxy.go
+++ b/internal/dataplane/reverseproxy/reverseproxy.go
@@ -1,21 +1,22 @@
 // Package reverseproxy forwards callers' HTTP requests to targets and passes the targets' responses back.
 //
-// It chooses no target and decides on no queue, limit or retry: it asks the proxy's state machine (Owner, which is
-// package dataplane) and carries out the Forward or Reject that comes back. It has connections to targets of its
-// own (upstream.go, pool.go), because net/http's transport sends some requests again by itself.
+// The package does not select targets and makes no decisions about queueing, limits or retries. It asks the proxy's
+// state machine (Owner, implemented by package dataplane) and carries out the Forward or Reject command that it
+// returns. It manages its own connections to targets (upstream.go, pool.go) instead of using net/http's transport,
+// which resends some requests on its own.
 //
-// What holds for each request:
-//   - It counts as not run only if nothing of it was written, or if its target says so.
-//   - A response is passed on only if it belongs to the request: it repeats the request's id, and the identity of who
-//     answers on a connection was checked. Targets with a health check are sent the identity that is expected with
-//     each request, others are asked for theirs on each new connection.
-//   - A small response is buffered until it is complete, so that one that is truncated can be replaced by a retry or an
-//     error. A large one streams, and if it is truncated the caller's connection is closed.
-//   - Responses pass unaltered but for their hop-by-hop headers. Errors have one JSON shape that says whether
-//     the request ran: no, or unknown.
+// The following holds for each request:
+//   - The request counts as not run only if none of it was written, or if the target says that it did not run it.
+//   - A response is passed on only if it belongs to the request: it must repeat the request's id, and the identity of
+//     the target on the connection must have been checked. A target with a health check is sent the expected identity
+//     with each request; any other target is asked for its identity on each new connection.
+//   - A small response is buffered until it is complete, so that a truncated one can be replaced by a retry or an
+//     error. A large response is streamed; if it is truncated, the caller's connection is closed.
+//   - Responses are passed on unaltered except for hop-by-hop headers. All errors have the same JSON format, which
+//     says whether the request ran: "no" or "unknown".
 //
-// Begin with Forwarder.ServeHTTP; request.forward (retries.go) is the loop over targets and attempt.run
-// (attempt.go) is one round of it. Requests that a caller pipelines are in pipelining.go.
+// The entry point is Forwarder.ServeHTTP. request.forward (retries.go) is the loop over targets, and attempt.run
+// (attempt.go) is one iteration of it. Pipelined requests are handled in pipelining.go.
 package reverseproxy
 
 import (
@@ -30,20 +31,21 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// Owner is the proxy's state machine as the forwarder reaches it. Its functions may be called on any goroutine.
+// Owner is the forwarder's interface to the proxy's state machine, which owns all routing state. Its functions may be
+// called from any goroutine.
 type Owner struct {
-	// Now is the owner's clock: the time since the process began.
+	// Now returns the owner's clock: the time since the process started.
 	Now func() time.Duration
-	// Notify passes an event on and does not wait.
+	// Notify passes an event to the owner without waiting for a result.
 	Notify func(event statemachine.Event)
-	// Ask passes an event of the request with that id on and waits for the statemachine.Forward or
-	// statemachine.Reject that it leads to. If ctx ends first it returns nil, and the owner has been notified of
-	// the request's end.
+	// Ask passes an event of the request with the given id to the owner and waits for the resulting
+	// statemachine.Forward or statemachine.Reject. If ctx ends first, Ask returns nil and has already notified the
+	// owner that the request has ended.
 	Ask func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command
 }
 
-// Forwarder is the http.Handler of the callers' address. Its exported fields without an atomic type are set
-// before it serves its first request.
+// Forwarder is the http.Handler for callers' requests. Exported fields that are not safe for concurrent use must be
+// set before the first request is served.
 type Forwarder struct {
 	owner  Owner
 	pool   *Pool
@@ -51,26 +53,26 @@
 
 	// Counts are the forwarder's counters.
 	Counts Counts
-	// Observe is called at the end of each request with its service ("": none was found), its status (0: the caller
-	// got none) and the time that it took, in seconds. Default: nothing.
+	// Observe is called at the end of each request with its service ("" if none was found), its status (0 if the
+	// caller got no response) and its duration in seconds. The default does nothing.
 	Observe func(service string, status int, seconds float64)
-	// Draining has each response close its caller's connection, so that callers move to other proxies. Default:
-	// false.
+	// Draining makes each response close the caller's connection, so that callers reconnect to other proxies.
+	// Default: false.
 	Draining atomic.Bool
-	// Callers are the callers' connections.
+	// Callers tracks the open connections from callers.
 	Callers CallerConns
-	// Limits are the configuration's limits on callers. Default: nil, which leaves those of package tuning.
+	// Limits holds the configured limits on callers. Default: nil, which applies the limits of package tuning.
 	Limits atomic.Pointer[config.Limits]
-	// SourceAddr is the address that connections to targets leave from. Default: nil, which is the system's choice.
+	// SourceAddr is the local address of connections to targets. Default: nil, which lets the system choose.
 	SourceAddr net.Addr
-	// Headers are the names of the headers that are spoken with callers and targets. Default: DefaultHeaders.
+	// Headers holds the names of the headers exchanged with callers and targets. Default: DefaultHeaders.
 	Headers Headers
-	// SendForwardedFor adds the caller's address to X-Forwarded-For, for targets without a health check. Default:
-	// true.
+	// SendForwardedFor adds the caller's address to the X-Forwarded-For header of requests to targets without a
+	// health check. Default: true.
 	SendForwardedFor bool
 }
 
-// New returns a forwarder that asks owner for targets and keeps its idle connections in pool.
+// New returns a forwarder that asks owner for targets and keeps idle connections to them in pool.
 func New(owner Owner, pool *Pool) *Forwarder {
 	return &Forwarder{
 		owner:            owner,
@@ -81,8 +83,9 @@
 	}
 }
 
-// ServeHTTP forwards a caller's request, or passes on the response to one that was started before its turn. It
-// panics with http.ErrAbortHandler to close the connection of a caller that has left or got a truncated response.
+// ServeHTTP forwards a caller's request or, if it was pipelined and already started, passes on its response. It
+// panics with http.ErrAbortHandler to close the connection of a caller that has disconnected or whose response was
+// truncated.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(callerConnKey{}).(*callerConn)
 	if conn == nil {
@@ -91,7 +94,7 @@
 	}
 	conn.requestActive = true
 	defer func() { conn.requestActive = false }()
-	conn.countDraining()
+	conn.countIfDraining()
 	writer := closingWriter{w, conn}
 	if started := conn.takePipelined(r); started != nil {
 		f.finishPipelined(writer, r, started)
@@ -100,28 +103,28 @@
 	f.serve(writer, r)
 }
 
-// request is a caller's request on its way through the proxy, on one goroutine.
+// request is a caller's request while the proxy processes it. It is used by one goroutine.
 type request struct {
 	forwarder *Forwarder
 	writer    http.ResponseWriter
 	incoming  *http.Request
-	pipelined *pipelinedRequest // the writer, if the request was started before its turn
+	pipelined *pipelinedRequest // equal to writer if the request was started before its turn, else nil
 	start     time.Time
-	id        uint64 // its id with the owner
+	id        uint64 // the request's id in the owner's events and commands
 	body      *requestBody
 
-	// What Observe is called with.
+	// Arguments for Observe.
 	service string
 	status  int
 
-	// What the attempts so far have come to.
-	ran         config.Ran    // whether it may have run: config.RanNo or config.RanUnknown
-	lastError   *attemptError // nil: no attempt has failed
-	errorStatus int           // 502 or 504 once it may have run, else 0
-	fallback    *response     // a target's own failure, passed on if no other target does better
+	// Result of the attempts so far.
+	ran         config.Ran    // config.RanNo, or config.RanUnknown once the request may have run
+	lastError   *attemptError // nil if no attempt has failed
+	errorStatus int           // 502 or 504 once the request may have run, else 0
+	fallback    *response     // first server error (5xx) of a target, passed on if no other target gives a response
 }
 
-// serve forwards a request, on the goroutine of the server or of a pipelined request.
+// serve forwards a request. It runs on the server's goroutine or on that of a pipelined request.
 func (f *Forwarder) serve(w http.ResponseWriter, r *http.Request) {
 	f.Counts.Requests.Add(1)
 	q := &request{forwarder: f, writer: w, incoming: r, start: time.Now(), ran: config.RanNo}
@@ -140,24 +143,25 @@
 		Timeout:   timeout,
 		Pipelined: q.pipelined != nil,
 	})
-	if q.pipelined != nil && hasToWait(command) {
+	if q.pipelined != nil && mustWait(command) {
 		q.pipelined.deferred = true
 		return
 	}
 	q.forward(command)
 }
 
-// observe reports the request's end. One that is deferred ends when its turn has come.
+// observe calls Observe for a finished request. A deferred request is not finished: it is served, and then
+// observed, when its turn comes.
 func (q *request) observe() {
 	if q.pipelined == nil || !q.pipelined.deferred {
 		q.forwarder.Observe(q.service, q.status, time.Since(q.start).Seconds())
 	}
 }
 
-// accept checks the request and reads its body as far as it is buffered. It returns how much time the caller still
-// gives, 0 if the caller does not say, and false if the caller got an error.
+// accept validates the request and reads the part of its body that is buffered. It returns the time that remains of
+// the caller's timeout, 0 if the caller set none. accepted is false if an error response was sent.
 func (q *request) accept() (timeout time.Duration, accepted bool) {
-	timeout, failed := q.check()
+	timeout, failed := q.checkHeader()
 	if failed == nil {
 		failed = q.receiveBody(timeout)
 	}
@@ -171,9 +175,9 @@
 	return timeout, true
 }
 
-// check returns the time that the caller gives, 0 if the caller does not say, or what is wrong with the request's
-// header.
-func (q *request) check() (timeout time.Duration, failed *requestError) {
+// checkHeader validates the request's header. It returns the caller's timeout, 0 if the caller set none, or the error
+// to respond with.
+func (q *request) checkHeader() (timeout time.Duration, failed *requestError) {
 	if headerSize(q.incoming.Header) > q.forwarder.maxHeaderBytes() {
 		return 0, errHeaderTooLarge
 	}
@@ -193,7 +197,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// fail answers the caller with an error; ran says whether the request may have run.
+// fail responds to the caller with an error. ran tells the caller whether the request may have run.
 func (q *request) fail(failed *requestError, ran config.Ran) {
 	q.status = failed.status
 	if ran == config.RanUnknown {
@@ -205,8 +209,8 @@
 	writeError(q.writer, q.forwarder.Headers.Ran, failed.status, failed.retryAfter, body)
 }
 
-// abort ends a request whose caller has left: any response, or an empty one, would be a false one. It does not
-// return.
+// abort ends a request whose caller has disconnected, without a response: even an empty response would be wrong. It
+// panics with http.ErrAbortHandler and does not return.
 func (q *request) abort() {
 	q.forwarder.Counts.CallersGone.Add(1)
 	panic(http.ErrAbortHandler)
--- a/internal/dataplane/reverseproxy/sockets.go
+++ b/internal/dataplane/reverseproxy/sockets.go
@@ -1,4 +1,4 @@
-// This file has the options of the sockets that connections are opened and accepted with.
+// This file sets the socket options of connections to targets and from callers.
 
 package reverseproxy
 
@@ -13,7 +13,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// keepAlive finds out that the other side of an idle connection is gone.
+// keepAlive configures TCP keep-alive probes, which detect that the peer of an idle connection is gone.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     tuning.KeepAliveIdle,
@@ -21,21 +21,20 @@
 	Count:    tuning.KeepAliveCount,
 }
 
-// NewDialer returns a dialer of connections that break when the other side acknowledges nothing for
-// tuning.AckTimeout. source is the address that they leave from, nil for the system's choice; timeout is for
-// opening one.
+// NewDialer returns a dialer whose connections fail when the peer leaves sent data unacknowledged for
+// tuning.AckTimeout. source is the local address, nil to let the system choose. timeout limits the time to connect.
 func NewDialer(source net.Addr, timeout time.Duration) *net.Dialer {
 	return &net.Dialer{LocalAddr: source, Timeout: timeout, Control: userTimeout(tuning.AckTimeout), KeepAliveConfig: keepAlive}
 }
 
-// Listen listens on a TCP address for connections that break when the other side acknowledges nothing for
+// Listen listens on a TCP address for connections that fail when the peer leaves sent data unacknowledged for
 // ackTimeout.
 func Listen(addr string, ackTimeout time.Duration) (net.Listener, error) {
 	config := net.ListenConfig{Control: userTimeout(ackTimeout), KeepAliveConfig: keepAlive}
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// userTimeout returns a control function that sets how long sent data may stay unacknowledged (TCP_USER_TIMEOUT,
+// userTimeout returns a control function that limits how long sent data may remain unacknowledged (TCP_USER_TIMEOUT in
 // tcp(7)).
 func userTimeout(timeout time.Duration) func(network, addr string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
@@ -50,5 +49,5 @@
 	}
 }
 
-// expiredDeadline returns a deadline that ends whatever waits on a connection.
+// expiredDeadline returns a deadline in the past, which ends all pending reads or writes of a connection.
 func expiredDeadline() time.Time { return time.Now().Add(-time.Second) }
--- a/internal/dataplane/reverseproxy/streaming.go
+++ b/internal/dataplane/reverseproxy/streaming.go
@@ -1,4 +1,4 @@
-// This file passes a target's response on to the caller.
+// This file writes a target's response to the caller.
 
 package reverseproxy
 
@@ -10,20 +10,20 @@
 	"strconv"
 )
 
-// writeTo passes the response on to a caller whose request had that method. One that is not complete streams: what
-// has come is written before more is read. An error is the target's or the caller's; the caller's response is
-// truncated then.
+// writeTo writes the response to a caller. method is the method of the caller's request. An incomplete response is
+// streamed: what has been read is written before more is read. After an error, which may come from reading from the
+// target or writing to the caller, the caller's response is truncated.
 func (resp *response) writeTo(w http.ResponseWriter, method string) error {
-	announced := slices.Collect(maps.Keys(resp.http.Trailer))
-	size := resp.bodySize(len(announced) > 0)
+	trailerNames := slices.Collect(maps.Keys(resp.http.Trailer))
+	size := resp.bodySize(len(trailerNames) > 0)
 	hasBody := mayHaveBody(method, resp.http.StatusCode)
 	header := w.Header()
 	resp.copyHeaderTo(header)
 	if size >= 0 && hasBody {
 		header["Content-Length"] = []string{strconv.FormatInt(size, 10)}
 	}
-	if len(announced) > 0 {
-		header["Trailer"] = announced
+	if len(trailerNames) > 0 {
+		header["Trailer"] = trailerNames
 	}
 	w.WriteHeader(resp.http.StatusCode)
 	if len(resp.buffered) > 0 && hasBody {
@@ -40,13 +40,14 @@
 	return nil
 }
 
-// mayHaveBody reports whether a response of that status to a request of that method has a body (RFC 9110, section 6.4.1).
+// mayHaveBody reports whether a response with the given status to a request with the given method may have a body
+// (RFC 9110, section 6.4.1).
 func mayHaveBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// bodySize returns the size of the body in bytes, below 0 if the body is chunked: its size is unknown, or a
-// trailer follows.
+// bodySize returns the size of the body in bytes. A negative size means that the body is chunked, because its size is
+// unknown or a trailer follows.
 func (resp *response) bodySize(hasTrailer bool) int64 {
 	if resp.complete && !hasTrailer {
 		return int64(len(resp.buffered))
@@ -54,7 +55,8 @@
 	return resp.http.ContentLength
 }
 
-// copyHeaderTo sets the target's headers in header. Those that net/http would make up stay unset.
+// copyHeaderTo copies the target's headers to header. Date and Content-Type are suppressed if the target sent none,
+// since net/http would otherwise add them.
 func (resp *response) copyHeaderTo(header http.Header) {
 	removeHopByHopHeaders(resp.http.Header)
 	maps.Copy(header, resp.http.Header)
@@ -65,7 +67,7 @@
 	}
 }
 
-// streamBody passes a body on as it comes. One without a length is flushed after each read.
+// streamBody writes a body to the caller as it arrives. A body without a length is flushed after each read.
 func streamBody(w http.ResponseWriter, body io.Reader, hasLength bool) error {
 	controller := http.NewResponseController(w)
 	buffer := make([]byte, streamBufferBytes)
--- a/internal/dataplane/reverseproxy/uploads.go
+++ b/internal/dataplane/reverseproxy/uploads.go
@@ -1,4 +1,4 @@
-// This file reads callers' request bodies and sends them to targets.
+// This file reads request bodies from callers and sends them to targets.
 
 package reverseproxy
 
@@ -14,37 +14,36 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// streamBufferBytes is how much of a body that streams is read at once.
+// streamBufferBytes is the size of the buffer for streaming a body.
 const streamBufferBytes = 32 << 10
 
-// requestBody is a caller's body: what was read of it before the owner was asked for a target, and the rest, which
-// is sent on as it comes. While sendRest runs on its own goroutine, the fields below rest belong to that
-// goroutine.
+// requestBody is the body of a caller's request: the part that was read before the owner was asked for a target, and
+// the rest, which is sent on as it arrives. While sendRest runs on its own goroutine, the fields after rest belong to
+// that goroutine.
 type requestBody struct {
 	buffered []byte
-	rest     io.Reader   // nil: all of it is buffered
-	size     int64       // in bytes, below 0: unknown, and the body is chunked
-	trailer  http.Header // filled in when all of the body has been read
+	rest     io.Reader   // nil if the whole body is buffered
+	size     int64       // in bytes; negative if unknown, and the body is chunked
+	trailer  http.Header // complete once the whole body has been read
 
-	remaining int64 // how many bytes of the rest the service's limit leaves
-	restRead  bool  // some of the rest was read, so no other target can get the body
-	tooLarge  bool  // it is over the service's limit
-	aborted   bool  // the caller broke it off
+	remaining int64 // how many more bytes the service's limit allows
+	restRead  bool  // part of the rest was read, so no other target can get the complete body
+	tooLarge  bool  // the body exceeds the service's limit
+	aborted   bool  // reading from the caller failed before the end of the body
 
-	readStopped      bool // the proxy ended the reading, which also ends the context of the caller's request
-	callerGoneBefore bool // whether the caller had left before that
+	readStopped           bool // the proxy stopped reading from the caller, which also cancels the context of the request
+	callerGoneWhenStopped bool // the caller had disconnected before the proxy stopped reading
 }
 
-// callerGone reports whether the caller has left.
+// callerGone reports whether the caller has disconnected.
 func (b *requestBody) callerGone(incoming *http.Request) bool {
 	if b.readStopped {
-		return b.callerGoneBefore
+		return b.callerGoneWhenStopped
 	}
 	return incoming.Context().Err() != nil
 }
 
-// receiveBody reads the request's body as far as it is buffered, within the time that the caller gave (0: not
-// said).
+// receiveBody reads the part of the request's body that is buffered, within the caller's timeout (0 for none).
 func (q *request) receiveBody(timeout time.Duration) *requestError {
 	body, err := q.readBody(timeout)
 	if err == nil {
@@ -61,7 +60,8 @@
 	return errBodyIncomplete
 }
 
-// readBody reads with a deadline on the caller's connection, which stays set after an error.
+// readBody reads the buffered part of the body with a read deadline on the caller's connection. After an error the
+// deadline remains set.
 func (q *request) readBody(timeout time.Duration) (*requestBody, error) {
 	if timeout == 0 || q.incoming.ContentLength == 0 {
 		return newRequestBody(q.incoming)
@@ -75,8 +75,8 @@
 	return body, err
 }
 
-// newRequestBody reads a body of up to tuning.ReplayMax bytes, so that a slow caller occupies no target, and the
-// beginning of a larger one whose size is unknown.
+// newRequestBody reads a body of up to tuning.ReplayMax bytes completely, so that a slow caller does not occupy a
+// target. Of a larger body it reads nothing if the size is known, and otherwise the first tuning.ReplayMax bytes.
 func newRequestBody(incoming *http.Request) (*requestBody, error) {
 	size := incoming.ContentLength
 	switch {
@@ -92,7 +92,7 @@
 	return newChunkedBody(incoming)
 }
 
-// newChunkedBody is newRequestBody for a body whose size is unknown.
+// newChunkedBody is newRequestBody for a body of unknown size.
 func newChunkedBody(incoming *http.Request) (*requestBody, error) {
 	buffered, complete, err := readUpTo(incoming.Body, tuning.ReplayMax)
 	if err != nil {
@@ -110,8 +110,8 @@
 	return body, nil
 }
 
-// appendChunk appends data to out as one chunk of a chunked body; no data is no chunk, since that would end the
-// body.
+// appendChunk appends data to out as one chunk of a chunked body. For empty data it appends nothing, since an empty
+// chunk would end the body.
 func appendChunk(out, data []byte) []byte {
 	if len(data) == 0 {
 		return out
@@ -122,7 +122,7 @@
 	return append(out, "\r\n"...)
 }
 
-// appendLastChunk appends the end of a chunked body and its trailer to out.
+// appendLastChunk appends the last chunk of a chunked body and the trailer to out.
 func (b *requestBody) appendLastChunk(out []byte) []byte {
 	out = append(out, "0\r\n"...)
 	for name, values := range b.trailer {
@@ -133,7 +133,7 @@
 	return append(out, "\r\n"...)
 }
 
-// sendRest writes the rest of the body to a target as it comes.
+// sendRest writes the rest of the body to a target as it arrives.
 func (b *requestBody) sendRest(target io.Writer) error {
 	buffer := make([]byte, streamBufferBytes)
 	for {
@@ -156,7 +156,7 @@
 	}
 }
 
-// sendData writes some of the rest of the body.
+// sendData writes part of the body, as a chunk if the body is chunked.
 func (b *requestBody) sendData(target io.Writer, data []byte) error {
 	if len(data) == 0 {
 		return nil
@@ -168,7 +168,7 @@
 	return err
 }
 
-// sendEnd writes what follows the last data of the body.
+// sendEnd ends the body: it writes the last chunk and the trailer of a chunked body, and nothing otherwise.
 func (b *requestBody) sendEnd(target io.Writer) error {
 	if b.size >= 0 {
 		return nil
--- a/internal/dataplane/reverseproxy/upstream.go
+++ b/internal/dataplane/reverseproxy/upstream.go
@@ -1,6 +1,6 @@
-// This file has the connections to targets: one TCP connection each, HTTP/1.1, one request at a time, written and
-// read by the goroutine of the request. So it is known of every byte whether it went out, an idle connection costs
-// no goroutine, and what comes without having been asked for is seen before the connection is used again.
+// This file implements connections to targets. Each is an HTTP/1.1 connection over TCP that carries one request at a
+// time, written and read by the request's goroutine. The proxy therefore knows whether any byte of a request was
+// written, an idle connection needs no goroutine, and unsolicited data is detected before the connection is reused.
 
 package reverseproxy
 
@@ -25,23 +25,23 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// responseHeaderMax is how many bytes may come before a response's header is complete.
+// responseHeaderMax is the maximum number of bytes that are read for a response's header.
 const responseHeaderMax = 4 * tuning.HeaderMax
 
-// Conn is a connection to a target. It belongs to one goroutine at a time.
+// Conn is a connection to a target. It may be used by only one goroutine at a time.
 type Conn struct {
 	netConn       net.Conn
 	rawConn       syscall.RawConn // of netConn
-	reader        *bufio.Reader   // reads the Conn itself, which applies readLimit
-	writeBuffer   []byte          // kept from one request to the next
-	readLimit     int64           // how many bytes may still come
-	fresh         bool            // nothing has been written to it
-	partlyWritten bool            // a request was written in part: the target would read what is written next as its rest
-	reuseUntil    time.Time       // the target may close it after this; zero: it does not say
-	lastUsed      atomic.Int64    // when it was last put into a pool, since processStart; other goroutines read it
+	reader        *bufio.Reader   // reads through Conn.Read, which enforces readLimit
+	writeBuffer   []byte          // reused for each request
+	readLimit     int64           // how many more bytes may be read
+	fresh         bool            // nothing has been written to the connection
+	partlyWritten bool            // a request was written in part; the target would take further data for its rest
+	reuseUntil    time.Time       // the target may close the connection after this; zero if it announced no timeout
+	lastUsed      atomic.Int64    // when it was last put into a pool, in ns since processStart; read by other goroutines
 }
 
-// Dial opens a connection to a target. source is the address that it leaves from, nil for the system's choice.
+// Dial opens a connection to a target. source is the local address, nil to let the system choose.
 func Dial(ctx context.Context, addr string, source net.Addr) (*Conn, error) {
 	netConn, err := NewDialer(source, tuning.DialTimeout).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return conn, nil
 }
 
-// Read reads what the target sent, up to the present limit; after that it fails.
+// Read reads from the target. Once readLimit is used up, it fails with errInvalidResponse.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	if c.readLimit <= 0 {
 		return 0, errInvalidResponse
@@ -75,7 +75,7 @@
 // Close closes the connection.
 func (c *Conn) Close() { c.netConn.Close() }
 
-// isIdle reports whether the connection is open and nothing has come since the last response. Its deadline must not
+// isIdle reports whether the connection is open and no data has arrived since the last response. Its deadline must not
 // have passed.
 func (c *Conn) isIdle() bool {
 	if c.reader.Buffered() > 0 {
@@ -96,8 +96,9 @@
 	return err == nil && nothingToRead
 }
 
-// awaitResponse waits until something comes, until the deadline, or until isUnreachable says that the target is
-// not to be waited for any longer. It returns false in that last case.
+// awaitResponse waits until data arrives, reading fails, the deadline is near or ctx ends, and then returns true. It
+// returns false if no data has arrived and isUnreachable, which it calls at intervals, reports that the wait should be
+// abandoned.
 func (c *Conn) awaitResponse(ctx context.Context, deadline time.Time, isUnreachable func() bool) bool {
 	c.readLimit = responseHeaderMax
 	for wait := tuning.UnreachableCheckAfter; ; wait = tuning.UnreachableCheckEvery {
@@ -122,15 +123,15 @@
 	return true
 }
 
-// noResponseYet reports whether nothing has come. A read whose deadline has passed does not look at the socket: a
-// response may have come meanwhile, and a process that was held up looks late.
+// noResponseYet reports whether no data has arrived. A read whose deadline has passed does not check the socket, so if
+// the process was suspended, a response may have arrived that the read did not notice.
 func (c *Conn) noResponseYet(deadline time.Time) bool {
 	c.netConn.SetReadDeadline(deadline)
 	return c.isIdle()
 }
 
-// readHeader reads the status and the header of the response to a request of that method, and passes over interim
-// responses.
+// readHeader reads the status line and the header of the response to a request with the given method. It skips up to
+// tuning.InterimMax-1 interim responses.
 func (c *Conn) readHeader(method string) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	for range tuning.InterimMax {
@@ -144,21 +145,21 @@
 		}
 		if resp.StatusCode >= http.StatusOK {
 			c.readLimit = math.MaxInt64
-			c.noteKeepAlive(resp)
+			c.setReuseUntil(resp)
 			return resp, nil
 		}
 	}
 	return nil, errInvalidResponse
 }
 
-// isValid reports whether a response is HTTP/1 with a status of three digits, and no change of protocol.
+// isValid reports whether a response is HTTP/1 with a three-digit status and does not switch protocols.
 func isValid(resp *http.Response) bool {
 	return resp.ProtoMajor == 1 && resp.StatusCode >= 100 && resp.StatusCode <= 999 &&
 		resp.StatusCode != http.StatusSwitchingProtocols
 }
 
-// noteKeepAlive notes for how long the target says that it keeps the connection.
-func (c *Conn) noteKeepAlive(resp *http.Response) {
+// setReuseUntil sets reuseUntil from the timeout that the target announces in the Keep-Alive header.
+func (c *Conn) setReuseUntil(resp *http.Response) {
 	c.reuseUntil = time.Time{}
 	for parameter := range strings.SplitSeq(resp.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -168,9 +169,9 @@
 	}
 }
 
-// Get sends a GET request and reads the response. Its body is complete up to tuning.ProbeBody bytes; a larger one
-// is not read to its end, and the connection is not reusable then. headers are names and values in turn. reusable
-// reports whether the connection may be used again.
+// Get sends a GET request and reads the response. headers alternates names and values. reusable reports whether the
+// connection may be used again. A body of more than tuning.ProbeBody bytes is not read completely, and the connection
+// is then not reusable.
 func (c *Conn) Get(deadline time.Time, host, path string, headers ...string) (resp *http.Response, body []byte, reusable bool, err error) {
 	c.netConn.SetDeadline(deadline)
 	if !c.fresh && !c.isIdle() {
@@ -200,8 +201,8 @@
 	return append(out, "\r\n"...)
 }
 
-// Identify asks a target without a health check who it is. reusable reports whether the connection may be used
-// again.
+// Identify requests the identity of a target without a health check. reusable reports whether the connection may be
+// used again.
 func (c *Conn) Identify(deadline time.Time, addr string) (report *config.TargetReport, reusable bool, err error) {
 	resp, body, reusable, err := c.Get(deadline, addr, config.IdentityPath)
 	if err != nil {
@@ -215,7 +216,8 @@
 	return report, reusable, errors.Wrapf(json.Unmarshal(body, report), "identity of the target at %s", addr)
 }
 
-// readComplete reads a response's body of up to limit bytes. complete is false if there is more of it.
+// readComplete reads a response's body if it is not larger than limit bytes. Of a larger body it reads nothing if the
+// size is known, and otherwise up to limit bytes. complete reports whether the whole body was read.
 func readComplete(resp *http.Response, limit int) (body []byte, complete bool, err error) {
 	size := resp.ContentLength
 	switch {
@@ -231,7 +233,7 @@
 	return body, err == nil, err
 }
 
-// readUpTo reads up to limit bytes. complete is false if there may be more.
+// readUpTo reads up to limit bytes from source. complete reports whether the end of source was reached.
 func readUpTo(source io.Reader, limit int) (data []byte, complete bool, err error) {
 	const (
 		firstBytes = 4 << 10
