--- a/internal/dataplane/reverseproxy/attempt.go
+++ b/internal/dataplane/reverseproxy/attempt.go
@@ -23,7 +23,7 @@
 	start      time.Time
 	deadline   time.Time // by which the response must be complete
 
-	reported bool // the owner has been notified that the attempt ended
+	reported bool // the state machine has been notified that the attempt ended
 
 	// Set once the attempt has a connection.
 	conn       *Conn
@@ -47,7 +47,7 @@
 	outcome          statemachine.Outcome
 }
 
-// attempt makes an attempt at a target and notifies the owner when it has ended.
+// attempt makes an attempt at a target and notifies the state machine when it has ended.
 func (q *request) attempt(target *statemachine.Forward, idempotent bool) (result attemptResult) {
 	a := &attempt{request: q, target: *target, idempotent: idempotent, start: time.Now()}
 	a.deadline = a.start.Add(target.TimeLeft)
@@ -55,14 +55,14 @@
 	return a.run()
 }
 
-// report notifies the owner that the attempt has ended, unless it has done so before. last means that no other
+// report notifies the state machine that the attempt has ended, unless it has done so before. last means that no other
 // attempt follows.
 func (a *attempt) report(result *attemptResult, last bool) {
 	if a.reported {
 		return
 	}
 	a.reported = true
-	a.request.forwarder.owner.Notify(statemachine.AttemptDone{
+	a.request.forwarder.stateMachine.Notify(statemachine.AttemptDone{
 		ID:           a.target.ID,
 		Outcome:      result.outcome,
 		Milliseconds: float64(time.Since(a.start)) / float64(time.Millisecond),
@@ -82,7 +82,7 @@
 		}
 		a.conn = conn
 		a.conn.writeBuffer = a.appendRequest(a.conn.writeBuffer[:0])
-		if a.request.forwarder.owner.Now() > a.target.WriteBy {
+		if a.request.forwarder.stateMachine.Now() > a.target.WriteBy {
 			a.keepConn()
 			return attemptResult{outcome: statemachine.ChoiceExpired, err: errChoiceExpired}
 		}
@@ -258,7 +258,7 @@
 	body.restRead, body.aborted = true, false
 }
 
-// keepConn puts the connection into the pool, within the number of idle connections that the owner allows.
+// keepConn puts the connection into the pool, within the number of idle connections that the state machine allows.
 func (a *attempt) keepConn() {
 	a.request.forwarder.pool.put(a.target.Target.ID(), a.conn, a.target.MaxIdle)
 }
--- a/internal/dataplane/reverseproxy/draining.go
+++ b/internal/dataplane/reverseproxy/draining.go
@@ -30,8 +30,8 @@
 func (c *CallerConns) Closed() bool { return c.closed.Load() }
 
 // Close closes the listener and each connection without a request in progress. The other connections are closed once
-// their requests have been answered. After Close the owner must reject new requests, since one may still be read from
-// a connection while Close closes it.
+// their requests have been answered. After Close the state machine must reject new requests, since one may still be
+// read from a connection while Close closes it.
 func (c *CallerConns) Close() {
 	c.closed.Store(true)
 	if listener := c.listener.Load(); listener != nil {
--- a/internal/dataplane/reverseproxy/draining_test.go
+++ b/internal/dataplane/reverseproxy/draining_test.go
@@ -10,9 +10,8 @@
 	"myrtlefold/internal/shared/config"
 )
 
-// TestDrainingClosesConnectionsAfterResponse checks that a request that is being served when the proxy begins to
-// drain is answered, and that the response closes its caller's connection, so that the caller sends nothing more
-// on it.
+// TestDrainingClosesConnectionsAfterResponse checks that a request in progress when the proxy begins to drain gets its
+// response, and that the response closes the caller's connection, so that the caller sends no more requests on it.
 func TestDrainingClosesConnectionsAfterResponse(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		started, answer := make(chan bool), make(chan bool)
@@ -33,15 +32,14 @@
 			t.Fatal(err)
 		}
 		if resp.StatusCode != http.StatusOK || !resp.Close {
-			t.Errorf("%s: %d, closes its connection: %v", method, resp.StatusCode, resp.Close)
+			t.Errorf("%s: got status %d, closes its connection: %v", method, resp.StatusCode, resp.Close)
 		}
 	}
 }
 
-// TestCloseAnswersWhatWasRead checks that when the callers' connections are closed, those without a request end at
-// once and no new one opens, while requests that were read before, pipelined ones among them, get complete
-// responses.
-func TestCloseAnswersWhatWasRead(t *testing.T) {
+// TestCloseCompletesRequestsInProgress checks that closing the callers' connections closes those without a request at
+// once and prevents new ones, while requests that were read before, including pipelined ones, get complete responses.
+func TestCloseCompletesRequestsInProgress(t *testing.T) {
 	var started [3]chan bool
 	for i := range started {
 		started[i] = make(chan bool)
@@ -64,7 +62,7 @@
 	pipelined.send("/1", "/2")
 	<-started[1]
 	<-started[2]
-	waitFor(t, "all four are counted", func() bool { return proxy.forwarder.Callers.Open() == 4 && proxy.forwarder.Callers.Busy() == 2 })
+	waitFor(t, "all four connections are counted", func() bool { return proxy.forwarder.Callers.Open() == 4 && proxy.forwarder.Callers.Busy() == 2 })
 
 	proxy.forwarder.Draining.Store(true)
 	proxy.forwarder.Callers.Close()
@@ -72,17 +70,17 @@
 	unused.expectEnd()
 	if c, err := net.Dial("tcp", proxy.addr); err == nil {
 		c.Close()
-		t.Error("a new connection opens")
+		t.Error("a new connection was accepted after Close")
 	}
 	close(answer)
 	if !busy.expectResponse("/0") {
-		t.Error("the response does not close its connection")
+		t.Error("the response to /0 does not close its connection")
 	}
 	if pipelined.expectResponse("/1") {
-		t.Error("the response closes the connection while a request is unanswer on it")
+		t.Error("the response to /1 closes the connection while a pipelined request on it is unanswered")
 	}
 	pipelined.expectResponse("/2")
 	busy.expectEnd()
 	pipelined.expectEnd()
-	waitFor(t, "nothing is open", func() bool { return proxy.forwarder.Callers.Open() == 0 && proxy.forwarder.Callers.Busy() == 0 })
+	waitFor(t, "all connections are closed", func() bool { return proxy.forwarder.Callers.Open() == 0 && proxy.forwarder.Callers.Busy() == 0 })
 }
--- a/internal/dataplane/reverseproxy/faults_test.go
+++ b/internal/dataplane/reverseproxy/faults_test.go
@@ -21,7 +21,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// faultProxy is a forwarder to such targets, whose owner forwards each request to up to three of them, to each once.
+// faultProxy is a forwarder to faultyTargets. Its state machine forwards each request to up to three different targets.
 type faultProxy struct {
 	forwarder *Forwarder
 	pool      *Pool
@@ -36,12 +36,12 @@
 		kind  config.RouteKind
 		tried []int
 	}
-	states, turn := map[uint64]*requestState{}, make(chan *rand.Rand, 1)
-	turn <- rand.New(rand.NewPCG(seed, 99))
-	owner := Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}}
-	owner.Ask = func(_ context.Context, id uint64, event statemachine.Event) statemachine.Command {
-		rnd := <-turn
-		defer func() { turn <- rnd }()
+	states, random := map[uint64]*requestState{}, make(chan *rand.Rand, 1) // random also serves as the lock of states
+	random <- rand.New(rand.NewPCG(seed, 99))
+	stateMachine := Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}}
+	stateMachine.Ask = func(_ context.Context, id uint64, event statemachine.Event) statemachine.Command {
+		rnd := <-random
+		defer func() { random <- rnd }()
 		if admit, ok := event.(statemachine.Admit); ok {
 			states[id] = &requestState{kind: config.KindRepeatable}
 			if strings.HasPrefix(admit.Path, "/once/") {
@@ -73,7 +73,7 @@
 			MaxIdle:        tuning.IdleConnsMax,
 		}
 	}
-	f.forwarder = New(owner, f.pool)
+	f.forwarder = New(stateMachine, f.pool)
 	f.forwarder.Headers = testHeaders()
 	f.server = httptest.NewUnstartedServer(f.forwarder)
 	f.server.Listener, f.server.Config.ConnContext = f.forwarder.WrapListener(f.server.Listener), f.forwarder.ConnContext
@@ -81,15 +81,15 @@
 	return f
 }
 
-// callerResults is what callers found in their responses.
+// callerResults collects what callers found in their responses.
 type callerResults struct {
-	wrong      []string        // responses that are another's, truncated or altered
-	rejected   map[string]bool // requests that may run only once and were answered as not run
-	served     int
-	incomplete int // ended without a complete response
+	wrong      []string        // descriptions of responses that belong to another request, are truncated or altered
+	rejected   map[string]bool // ids of requests that may run only once and whose response says that they did not run
+	served     int             // number of successful responses
+	incomplete int             // number of requests that ended without a complete response
 }
 
-// check compares a response with its request, and returns whether the connection stays open.
+// check compares a response with its request and reports whether the connection stays open. ids: callers send ids.
 func (c *callerResults) check(id string, once bool, resp *http.Response, ids bool) bool {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -102,29 +102,30 @@
 	case resp.StatusCode < 300:
 		c.served++
 		if got == "" || got != payloadOf(id, len(got)-len(id)-1) || size > 0 && size != len(got) || ids && resp.Header.Get("A") != id || ids && resp.Header.Get("P") == "" {
-			c.wrong = append(c.wrong, fmt.Sprintf("%s got %d %.60q of %s", id, resp.StatusCode, got, resp.Header.Get("A")))
+			c.wrong = append(c.wrong, fmt.Sprintf("request %s got status %d, body %.60q, id %s", id, resp.StatusCode, got, resp.Header.Get("A")))
 		}
 	case resp.Header.Get("P") != "" && (resp.StatusCode != 503 || got != "fail"):
-		c.wrong = append(c.wrong, fmt.Sprintf("%s got a failure of the proxy's with a target's proof: %d %q", id, resp.StatusCode, got))
+		c.wrong = append(c.wrong, fmt.Sprintf("request %s got an error with a target's proof that no target sent: status %d, body %q", id, resp.StatusCode, got))
 	case once && (impliesNotRun(resp.StatusCode) || resp.Header.Get("R") == "no"):
 		c.rejected[id] = true
 	}
 	return !resp.Close
 }
 
-// call is one caller, which keeps its connections, pipelines and leaves at random.
-func (f *faultProxy) call(name string, n int, rnd *rand.Rand, ids bool) (c callerResults) {
+// runCaller runs one caller, which sends n requests. It reuses its connections, and pipelines and disconnects at
+// random.
+func (f *faultProxy) runCaller(name string, n int, rnd *rand.Rand, ids bool) (c callerResults) {
 	c.rejected = map[string]bool{}
 	var conn net.Conn
 	var reader *bufio.Reader
-	leave := func() {
+	disconnect := func() {
 		if conn != nil {
 			conn.Close()
 			conn = nil
 		}
 	}
-	defer leave()
-	head := func(id string, once, body bool) string {
+	defer disconnect()
+	formatRequest := func(id string, once, body bool) string {
 		path, header := "/"+id, ""
 		if once {
 			path = "/once/" + id
@@ -151,44 +152,46 @@
 			count = 2 + rnd.IntN(4)
 		}
 		var sent []string
-		var onces []bool
+		var onceFlags []bool
 		for range count {
 			id, once := fmt.Sprintf("%s-%d", name, i), rnd.IntN(2) == 0
-			sent, onces, i = append(sent, id), append(onces, once), i+1
-			pipeline += head(id, once, once && count == 1)
+			sent, onceFlags, i = append(sent, id), append(onceFlags, once), i+1
+			pipeline += formatRequest(id, once, once && count == 1)
 		}
 		io.WriteString(conn, pipeline)
 		expected := len(sent)
 		if rnd.IntN(10) == 0 {
-			expected = rnd.IntN(len(sent)) // it leaves before it has all its responses
+			expected = rnd.IntN(len(sent)) // disconnect before all responses have been read
 		}
 		for k := range expected {
 			resp, err := http.ReadResponse(reader, nil)
 			if err != nil {
 				c.incomplete++
-				leave()
+				disconnect()
 				break
 			}
-			if !c.check(sent[k], onces[k], resp, ids) {
-				leave()
+			if !c.check(sent[k], onceFlags[k], resp, ids) {
+				disconnect()
 				break
 			}
 		}
 		if expected < len(sent) {
-			leave()
+			disconnect()
 		}
 	}
 	return c
 }
 
-// faultResult is what a run of all callers came to.
+// faultResult is the result of a run of all callers.
 type faultResult struct {
 	callerResults
-	ranTwice, ranRejected []string
-	ran                   int
+	ranTwice    []string // descriptions of requests that may run only once and ran more often
+	ranRejected []string // ids of requests that ran although their response says that they did not
+	ran         int      // number of runs of all requests
 }
 
-// runFaults runs all callers against targets with faults. ids: callers send ids and the proxy checks them.
+// runFaults runs all callers against targets with faults. Callers send ids if healthCheck is set. The proxy checks them
+// if ids is set.
 func runFaults(t *testing.T, seed uint64, healthCheck, ids bool, faults []targetFault) (res faultResult, faulty *faultyTargets, proxy *faultProxy) {
 	const callers, requests = 12, 120
 	faulty = newFaultyTargets(t, 5, seed, faults)
@@ -204,15 +207,15 @@
 		}
 		counted <- runs
 	}()
-	ends := make(chan callerResults, callers)
+	results := make(chan callerResults, callers)
 	for k := range callers {
 		go func() {
-			ends <- proxy.call(fmt.Sprint("c", k), requests, rand.New(rand.NewPCG(seed, 1000+uint64(k))), healthCheck)
+			results <- proxy.runCaller(fmt.Sprint("c", k), requests, rand.New(rand.NewPCG(seed, 1000+uint64(k))), healthCheck)
 		}()
 	}
 	rejected := map[string]bool{}
 	for range callers {
-		c := <-ends
+		c := <-results
 		res.wrong, res.served, res.incomplete = append(res.wrong, c.wrong...), res.served+c.served, res.incomplete+c.incomplete
 		maps.Copy(rejected, c.rejected)
 	}
@@ -237,7 +240,8 @@
 	return res, faulty, proxy
 }
 
-// onceIDs draws a caller's random numbers again and returns which of its requests may run only once.
+// onceIDs returns which requests of a caller may run only once. rnd must have the same seed as in runCaller, since
+// onceIDs draws the same random numbers.
 func onceIDs(name string, n int, rnd *rand.Rand) map[string]bool {
 	ids := map[string]bool{}
 	for i := 0; i < n; {
@@ -258,55 +262,55 @@
 	return ids
 }
 
-// TestFaultyTargets runs many callers, some of which pipeline and leave, against targets with all faults: nothing
-// that may run only once runs twice, nothing that was rejected has run, and no caller gets a response that is
-// another's, truncated or altered.
+// TestFaultyTargets runs many callers, which pipeline and disconnect at random, against targets that inject all faults.
+// It checks that no request that may run only once runs twice, that no rejected request has run, and that no caller
+// gets a response that belongs to another request, is truncated or altered.
 func TestFaultyTargets(t *testing.T) {
 	var all []targetFault
 	for fault := range targetFaults {
 		all = append(all, fault)
 	}
-	// Targets without a health check repeat no id: there only what comes at once or on an idle connection can be
-	// distinguished from a response.
+	// Without a health check no ids are sent and checked. A surplus response is then detected only if it arrives
+	// together with the response before it or while the connection is idle.
 	framed := []targetFault{chunkedResponse, interimFirst, surplusAtOnce, closesAfter, closesWithoutResponse, resets, resetsUnread, truncatedResponse, truncatedHeader, garbage, largeResponse, largeTruncated}
 	for _, tc := range []struct {
 		name        string
 		healthCheck bool
 		faults      []targetFault
 	}{{"ids", true, all}, {"identity", false, framed}} {
-		var caused [targetFaults]int64
+		var injected [targetFaults]int64
 		var mismatched, opened, reused, pipelined, deferred uint64
 		for seed := range uint64(4) {
 			res, faulty, proxy := runFaults(t, seed, tc.healthCheck, true, tc.faults)
 			for _, violations := range [][]string{res.wrong, res.ranTwice, res.ranRejected} {
 				if len(violations) > 0 {
-					t.Errorf("%s, seed %d: %d, e.g. %s", tc.name, seed, len(violations), violations[0])
+					t.Errorf("%s, seed %d: %d violations, e.g. %s", tc.name, seed, len(violations), violations[0])
 				}
 			}
 			if res.served < 300 {
-				t.Errorf("%s, seed %d: %d served", tc.name, seed, res.served)
+				t.Errorf("%s, seed %d: only %d requests served", tc.name, seed, res.served)
 			}
 			for fault := range targetFaults {
-				caused[fault] += faulty.caused[fault].Load()
+				injected[fault] += faulty.injected[fault].Load()
 			}
 			counts := &proxy.forwarder.Counts
 			mismatched, opened, reused = mismatched+counts.MismatchedResponses.Load(), opened+counts.ConnsOpened.Load(), reused+counts.ConnsReused.Load()
 			pipelined, deferred = pipelined+counts.Pipelined.Load(), deferred+counts.Deferred.Load()
 		}
 		for _, fault := range tc.faults {
-			if caused[fault] < 10 {
-				t.Errorf("%s: %s came %d times", tc.name, targetFaultNames[fault], caused[fault])
+			if injected[fault] < 10 {
+				t.Errorf("%s: fault %q was injected only %d times", tc.name, targetFaultNames[fault], injected[fault])
 			}
 		}
 		if reused < 100 || pipelined < 100 || deferred < 20 || tc.healthCheck && mismatched < 20 {
-			t.Errorf("%s: reused %d, pipelined %d, deferred %d, mismatched %d", tc.name, reused, pipelined, deferred, mismatched)
+			t.Errorf("%s: too few cases exercised: reused %d, pipelined %d, deferred %d, mismatched %d", tc.name, reused, pipelined, deferred, mismatched)
 		}
-		t.Logf("%s: caused %v, mismatched %d, opened %d, reused %d, pipelined %d, deferred %d", tc.name, caused, mismatched, opened, reused, pipelined, deferred)
+		t.Logf("%s: injected %v, mismatched %d, opened %d, reused %d, pipelined %d, deferred %d", tc.name, injected, mismatched, opened, reused, pipelined, deferred)
 	}
 }
 
-// TestFaultyTargetsFindsMissingIDCheck checks that without the check of the id TestFaultyTargets would find
-// responses that belong to others.
+// TestFaultyTargetsFindsMissingIDCheck checks that TestFaultyTargets would detect a missing check of response ids:
+// without it, callers get responses that belong to other requests.
 func TestFaultyTargetsFindsMissingIDCheck(t *testing.T) {
 	wrong := 0
 	for seed := range uint64(3) {
@@ -314,6 +318,6 @@
 		wrong += len(res.wrong)
 	}
 	if wrong == 0 {
-		t.Fatal("no response was another's")
+		t.Fatal("no caller got a response that belongs to another request")
 	}
 }
--- a/internal/dataplane/reverseproxy/faultytargets_test.go
+++ b/internal/dataplane/reverseproxy/faultytargets_test.go
@@ -18,59 +18,59 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// targetFault is what a test target does with a request besides answering it.
+// targetFault is a fault, or a rare but valid behavior, that a test target injects when it handles a request.
 type targetFault int
 
 const (
-	noFault               targetFault = iota // a complete response
-	chunkedResponse                          // the same, without a length
-	interimFirst                             // an interim response first
-	surplusAtOnce                            // another response follows in the same piece
-	surplusLater                             // another response follows whenever the scheduler gets to it
-	surplusInPlace                           // the response to an earlier request comes in place of this one's
-	closesAfter                              // closes without having announced it
-	closesWithoutResponse                    // runs it, answers nothing and closes
-	resets                                   // runs it and resets the connection
-	resetsUnread                             // resets before it has read the request
-	truncatedResponse                        // breaks its response off
-	truncatedHeader                          // breaks its header off
-	garbage                                  // sends what is no response
-	rejects                                  // does not run it and says so
-	failsWithStatus                          // runs it and answers 503 without saying whether it ran
-	misdirected                              // answers 421
-	largeResponse                            // a response that streams
-	largeTruncated                           // the same, broken off
-	targetFaults
+	noFault               targetFault = iota // sends a complete response
+	chunkedResponse                          // sends a complete chunked response
+	interimFirst                             // sends an interim response before the response
+	surplusAtOnce                            // sends another response in the same write
+	surplusLater                             // sends another response later, on another goroutine
+	surplusInPlace                           // sends the response to an earlier request before the request's own
+	closesAfter                              // closes the connection after the response without announcing it
+	closesWithoutResponse                    // runs the request and closes the connection without a response
+	resets                                   // runs the request and resets the connection
+	resetsUnread                             // resets the connection before it has read the request
+	truncatedResponse                        // truncates the response's body
+	truncatedHeader                          // truncates the response's header
+	garbage                                  // sends data that is not an HTTP response
+	rejects                                  // does not run the request and says so
+	failsWithStatus                          // runs the request and responds with 503, without saying whether it ran
+	misdirected                              // responds with 421 without running the request
+	largeResponse                            // sends a response that is too large to be buffered
+	largeTruncated                           // sends such a response truncated
+	targetFaults                             // number of faults
 )
 
-var targetFaultNames = [targetFaults]string{"no fault", "chunks", "interim", "surplus at once", "surplus later", "surplus in place", "closes after",
-	"closes without response", "resets", "resets unread", "truncated", "truncated header", "garbage", "rejects", "fails", "421", "large", "large and truncated"}
+var targetFaultNames = [targetFaults]string{"no fault", "chunked", "interim first", "surplus at once", "surplus later", "surplus in place", "closes after response",
+	"closes without response", "resets", "resets unread", "truncated", "truncated header", "garbage", "rejects", "fails with status", "misdirected", "large", "large and truncated"}
 
-// runRecord says that a target ran a request.
+// runRecord records that a target ran the request with the given id.
 type runRecord struct{ id string }
 
-// faultyTargets are targets with faults by seed, which record each run.
+// faultyTargets are targets that inject random faults, determined by a seed, and record each run of a request.
 type faultyTargets struct {
 	targets    []wire.Target
 	faults     []targetFault
 	runs       chan runRecord
 	goroutines sync.WaitGroup
-	caused     [targetFaults]atomic.Int64
+	injected   [targetFaults]atomic.Int64
 	listeners  []net.Listener
 }
 
-// payloadOf is the body that belongs to an id.
+// payloadOf returns the body of the response to the request with an id: more than size bytes that repeat the id.
 func payloadOf(id string, size int) string {
 	return strings.Repeat(id+".", 1+size/(len(id)+1))
 }
 
-// responseTo is a complete response to a request.
+// responseTo returns a complete response to the request with an id.
 func responseTo(id string, size int) string {
 	body := payloadOf(id, size)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nA: %s\r\nP: yes\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// newFaultyTargets starts n targets.
+// newFaultyTargets starts n targets that inject the given faults.
 func newFaultyTargets(t *testing.T, n int, seed uint64, faults []targetFault) *faultyTargets {
 	f := &faultyTargets{faults: faults, runs: make(chan runRecord, 1<<16)}
 	for i := range n {
@@ -93,7 +93,7 @@
 	return f
 }
 
-// close ends the targets and waits for their goroutines.
+// close stops the targets and waits for their goroutines.
 func (f *faultyTargets) close() {
 	for _, listener := range f.listeners {
 		listener.Close()
@@ -102,7 +102,7 @@
 	close(f.runs)
 }
 
-// serve answers a connection's requests until a fault ends it.
+// serve responds to the requests on a connection until a fault or the proxy closes it.
 func (f *faultyTargets) serve(conn *net.TCPConn, rnd *rand.Rand) {
 	defer f.goroutines.Done()
 	defer conn.Close()
@@ -115,7 +115,7 @@
 		}
 		if fault == resetsUnread {
 			if _, err := reader.Peek(1); err == nil {
-				f.caused[fault].Add(1)
+				f.injected[fault].Add(1)
 				conn.SetLinger(0)
 			}
 			return
@@ -138,19 +138,20 @@
 		if at := strings.IndexByte(id, '/'); at >= 0 {
 			id = id[at+1:]
 		}
-		f.caused[fault].Add(1)
+		f.injected[fault].Add(1)
 		if fault != rejects && fault != misdirected {
 			f.runs <- runRecord{id}
 		}
-		if !f.answer(conn, rnd, fault, id, previous) {
+		if !f.respond(conn, rnd, fault, id, previous) {
 			return
 		}
 		previous = id
 	}
 }
 
-// answer carries a fault out and returns whether the connection stays open.
-func (f *faultyTargets) answer(conn *net.TCPConn, rnd *rand.Rand, fault targetFault, id, previous string) bool {
+// respond sends the response with the given fault and reports whether the connection stays open. previous is the id of
+// the request before on the connection.
+func (f *faultyTargets) respond(conn *net.TCPConn, rnd *rand.Rand, fault targetFault, id, previous string) bool {
 	complete := responseTo(id, rnd.IntN(300))
 	large := responseTo(id, tuning.ResponseBufferMax+1000)
 	send := func(s string) bool {
--- a/internal/dataplane/reverseproxy/limits_test.go
+++ b/internal/dataplane/reverseproxy/limits_test.go
@@ -16,32 +16,32 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// TestSizeLimits checks that the sizes of callers' headers and bodies are limited by the configuration as it is at
-// each request.
+// TestSizeLimits checks that the header and the body of each request are limited by the configuration that is in force
+// at that time.
 func TestSizeLimits(t *testing.T) {
 	b := newBackend(t, "b", echo)
 	proxy := newTestProxy(t, b.Target)
 	big := strings.Repeat("x", 3000)
-	ask := func(l *config.Limits, set config.Service, header, body string, want int) {
+	expectStatus := func(limits *config.Limits, service config.Service, header, body string, want int) {
 		t.Helper()
-		proxy.forwarder.Limits.Store(l)
-		proxy.service = set
+		proxy.forwarder.Limits.Store(limits)
+		proxy.service = service
 		if status, _, text := proxy.request(t, "PUT", "/", body, "A", header); status != want {
-			t.Fatalf("%+v: %d %s, not %d", l, status, text, want)
+			t.Fatalf("limits %+v: got status %d, body %s, want status %d", limits, status, text, want)
 		}
 	}
 	own := config.Service{BodyMax: 100 << 10, Attempts: 3}
-	ask(nil, own, big, big, 200)
-	ask(&config.Limits{HeaderBytes: 2000}, own, big, "", 431)
-	ask(&config.Limits{HeaderBytes: 2000}, own, "", big, 200)
-	ask(&config.Limits{HeaderBytes: 2 * tuning.HeaderMax}, own, strings.Repeat("x", tuning.HeaderMax+1), "", 200)
-	ask(nil, own, strings.Repeat("x", tuning.HeaderMax+1), "", 431)
-	ask(&config.Limits{BodyBytes: 2999}, own, "", big, 413)
-	ask(&config.Limits{BodyBytes: 3000}, own, "", big, 200)
-	own.BodyMax = 2000 // the service's own limit remains
-	ask(&config.Limits{BodyBytes: 3000}, own, "", big, 413)
+	expectStatus(nil, own, big, big, 200)
+	expectStatus(&config.Limits{HeaderBytes: 2000}, own, big, "", 431)
+	expectStatus(&config.Limits{HeaderBytes: 2000}, own, "", big, 200)
+	expectStatus(&config.Limits{HeaderBytes: 2 * tuning.HeaderMax}, own, strings.Repeat("x", tuning.HeaderMax+1), "", 200)
+	expectStatus(nil, own, strings.Repeat("x", tuning.HeaderMax+1), "", 431)
+	expectStatus(&config.Limits{BodyBytes: 2999}, own, "", big, 413)
+	expectStatus(&config.Limits{BodyBytes: 3000}, own, "", big, 200)
+	own.BodyMax = 2000 // the service's own limit still applies
+	expectStatus(&config.Limits{BodyBytes: 3000}, own, "", big, 413)
 	if n := b.runs.Load(); n != 4 {
-		t.Fatal(n, "ran")
+		t.Fatal(n, "requests reached the target, want 4")
 	}
 	for _, tc := range []struct {
 		service config.Service
@@ -55,12 +55,12 @@
 	} {
 		proxy.forwarder.Limits.Store(tc.limits)
 		if n := proxy.forwarder.maxBodyBytes(&tc.service); n != tc.want {
-			t.Errorf("%+v %+v: %d", tc.service, tc.limits, n)
+			t.Errorf("service %+v, limits %+v: got a body limit of %d, want %d", tc.service, tc.limits, n, tc.want)
 		}
 	}
 }
 
-// deadlineListener sends each deadline that is set on its connections, as the time until then.
+// deadlineListener reports each read deadline that is set on its connections, as the time left until the deadline.
 type deadlineListener struct {
 	net.Listener
 	set chan time.Duration
@@ -87,13 +87,13 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// TestCallerTimeouts checks that net/http's server waits for headers and for the next request as long as the
-// configuration says, and that a caller's own time for its body stays as it is.
+// TestCallerTimeouts checks that net/http's server applies the configured timeouts for headers and for idle
+// connections, and that these do not change the deadline for a body, which the caller sets.
 func TestCallerTimeouts(t *testing.T) {
 	const minute = 60 * 1000
 	for _, tc := range []struct {
 		limits *config.Limits
-		want   [4]time.Duration // each deadline's upper end: header, body, unused, next header
+		want   [4]time.Duration // maximum of each deadline: header, body, idle connection, next header
 	}{
 		{nil, [4]time.Duration{tuning.CallerHeader, 30 * time.Minute, tuning.CallerIdle, tuning.CallerHeader}},
 		{&config.Limits{HeaderMs: 10 * minute, IdleMs: 20 * minute}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, 20*time.Minute + tuning.IdleSlack, 10 * time.Minute}},
@@ -121,7 +121,7 @@
 				fmt.Fprint(conn, "GET / HTTP/1.1\r\n")
 			}
 			if got := <-set; got > want || got < want/2 {
-				t.Errorf("%+v: deadline %d is in %v, not %v", tc.limits, i, got, want)
+				t.Errorf("limits %+v: deadline %d is in %v, want %v", tc.limits, i, got, want)
 			}
 		}
 		conn.Close()
--- a/internal/dataplane/reverseproxy/pipelining.go
+++ b/internal/dataplane/reverseproxy/pipelining.go
@@ -159,7 +159,7 @@
 // isNotPrintable reports whether a character is outside printable ASCII.
 func isNotPrintable(char rune) bool { return char < ' ' || char > '~' }
 
-// mustWait reports whether the owner refused to start a pipelined request before its turn.
+// mustWait reports whether the state machine refused to start a pipelined request before its turn.
 func mustWait(command statemachine.Command) bool {
 	rejection, ok := command.(statemachine.Reject)
 	return ok && rejection.Code == statemachine.CodeNotPipelined
--- a/internal/dataplane/reverseproxy/pipelining_test.go
+++ b/internal/dataplane/reverseproxy/pipelining_test.go
@@ -19,8 +19,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// TestPipelinedResponsesKeepTheirOrder checks that requests sent before the first is answered are answered in
-// their order.
+// TestPipelinedResponsesKeepTheirOrder checks that pipelined requests are answered in the order in which they were
+// sent.
 func TestPipelinedResponsesKeepTheirOrder(t *testing.T) {
 	a := newRawBackend(t, "a", func(connNumber, n int, r *http.Request) (string, bool) {
 		return respond(200, r.URL.Path)(connNumber, n, r)
@@ -37,14 +37,14 @@
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(resp.Body); string(body) != fmt.Sprintf("/%d", i) || resp.Header.Get("A") != fmt.Sprint(i) {
-			t.Fatalf("%d: %q", i, body)
+			t.Fatalf("response %d has body %q, header %v", i, body, resp.Header)
 		}
 	}
 }
 
-// TestPipelinedRequestsRunConcurrently checks that a pipelined request reaches its target while the one ahead of
-// it runs, that the responses come in order, and that none closes the connection while others are unanswered on
-// it.
+// TestPipelinedRequestsRunConcurrently checks that a pipelined request reaches its target while the request ahead of it
+// is still running, that the responses come in order, and that none of them closes the connection while others are
+// outstanding.
 func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	first, second := make(chan bool), make(chan bool)
 	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
@@ -69,28 +69,28 @@
 	for i := range 3 {
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatal(i, err)
+			t.Fatalf("response %d: %v", i, err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || !bytes.HasPrefix(body, fmt.Appendf(nil, "/%dx", i)) || len(body) != 2+3*tuning.ResponseBufferMax || i < 2 && resp.Close {
-			t.Fatalf("%d: %.100q, %d bytes, %v, close %v", i, body, len(body), err, resp.Close)
+			t.Fatalf("response %d: body %.100q of %d bytes, error %v, closes the connection: %v", i, body, len(body), err, resp.Close)
 		}
 	}
 	if n := proxy.forwarder.Counts.Pipelined.Load(); n != 2 {
-		t.Fatal(n, "pipelined")
+		t.Fatal(n, "requests were pipelined, want 2")
 	}
 }
 
-// TestClosedConnectionEndsPipelinedRequests checks that the end of a connection ends the pipelined requests that
+// TestClosedConnectionCancelsPipelinedRequests checks that closing a connection cancels the pipelined requests that
 // were started on it.
-func TestClosedConnectionEndsPipelinedRequests(t *testing.T) {
-	asked, ended := make(chan bool, 4), make(chan bool)
+func TestClosedConnectionCancelsPipelinedRequests(t *testing.T) {
+	asked, canceled := make(chan bool, 4), make(chan bool)
 	forwarder := newForwarder(t, func(ctx context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 		asked <- true
 		if id == 2 {
 			<-ctx.Done()
-			close(ended)
+			close(canceled)
 		}
-		<-ended
+		<-canceled
 		return nil
 	})
 	listener := listen(t)
@@ -102,13 +102,13 @@
 	fmt.Fprintf(conn, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n")
 	<-asked
 	server.Close()
-	<-ended
+	<-canceled
 }
 
-// TestPipelinedRequestsAreWhatTheServerReads checks that whatever comes in whatever pieces, the server reads it
-// unaltered, and that each request that is started before its turn is the one that the server reads when its turn
-// has come.
-func TestPipelinedRequestsAreWhatTheServerReads(t *testing.T) {
+// TestPipelinedRequestsMatchWhatTheServerReads checks with random requests, split at random, that the server reads the
+// caller's bytes unaltered, and that each request that is started before its turn is the request that the server later
+// reads at that position.
+func TestPipelinedRequestsMatchWhatTheServerReads(t *testing.T) {
 	forwarder := newForwarder(t, func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 		return statemachine.Reject{ID: id, Status: 503}
 	})
@@ -141,7 +141,7 @@
 			}
 		}
 		if !bytes.Equal(got, all) {
-			t.Fatalf("%q became %q", all, got)
+			t.Fatalf("the caller sent %q, the server read %q", all, got)
 		}
 		var requests []*http.Request
 		reader := bufio.NewReader(bytes.NewReader(all))
@@ -158,18 +158,17 @@
 			<-started.done
 			count++
 			if started.number > len(requests) || requests[started.number-1].RequestURI != started.request.RequestURI || requests[started.number-1].Method != started.request.Method {
-				t.Fatalf("%s started as number %d of %q", started.request.RequestURI, started.number, all)
+				t.Fatalf("the request for %s was started as number %d of %q", started.request.RequestURI, started.number, all)
 			}
 		}
 	})
 	if count == 0 {
-		t.Fatal("nothing was pipelined")
+		t.Fatal("no request was pipelined")
 	}
 }
 
-// TestNonIdempotentRequestIsNotPipelined checks that a pipelined request that may run only once is not started
-// before its turn: behind a response that closes the connection it counts as not read, and its caller sends it
-// again.
+// TestNonIdempotentRequestIsNotPipelined checks that a pipelined request that may run only once is not started before
+// its turn. If the response ahead of it closes the connection, the caller takes it for unread and sends it again.
 func TestNonIdempotentRequestIsNotPipelined(t *testing.T) {
 	for kind, want := range map[config.RouteKind]int64{config.KindOnce: 1, config.KindRepeatable: 2} {
 		hold, second := make(chan bool), make(chan bool, 1)
@@ -187,21 +186,21 @@
 		<-a.requests
 		fmt.Fprint(conn, "GET /1 HTTP/1.1\r\nHost: h\r\nA: 1\r\n\r\n")
 		if kind == config.KindOnce {
-			waitFor(t, "the request behind is deferred", func() bool { return proxy.forwarder.Counts.Deferred.Load() == 1 })
+			waitFor(t, "the second request is deferred", func() bool { return proxy.forwarder.Counts.Deferred.Load() == 1 })
 		} else {
 			<-second
 		}
 		close(hold)
-		io.Copy(io.Discard, conn) // the first response is truncated, and the connection closed with it
+		io.Copy(io.Discard, conn) // the first response is truncated, which closes the connection
 		conn.Close()
 		if n := a.runs.Load(); n != want {
-			t.Errorf("%s: %d requests reached the target", kind, n)
+			t.Errorf("route kind %s: %d requests reached the target, want %d", kind, n, want)
 		}
 	}
 }
 
-// TestDeferredRequestIsServedInItsTurn checks that a request that was not started before its turn is served in its
-// turn, and that its target is returned until then.
+// TestDeferredRequestIsServedInItsTurn checks that a deferred pipelined request is served when its turn comes, and that
+// the target chosen for it before is returned to the state machine.
 func TestDeferredRequestIsServedInItsTurn(t *testing.T) {
 	first := make(chan bool)
 	a := newRawBackend(t, "a", func(connNumber, n int, r *http.Request) (string, bool) {
@@ -215,10 +214,10 @@
 	fmt.Fprint(conn, "GET /0 HTTP/1.1\r\nHost: h\r\nA: 0\r\n\r\n")
 	<-a.requests
 	fmt.Fprint(conn, "GET /1 HTTP/1.1\r\nHost: h\r\nA: 1\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nA: 2\r\n\r\n")
-	waitFor(t, "both are deferred", func() bool { return proxy.forwarder.Counts.Deferred.Load() == 2 })
+	waitFor(t, "both requests are deferred", func() bool { return proxy.forwarder.Counts.Deferred.Load() == 2 })
 	for range 2 {
 		if done := (<-proxy.notified).(statemachine.AttemptDone); done.Outcome != statemachine.ClientGone || !done.Last {
-			t.Fatal("the target was not returned:", done)
+			t.Fatal("the target was not returned to the state machine:", done)
 		}
 	}
 	close(first)
@@ -229,18 +228,18 @@
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(resp.Body); string(body) != fmt.Sprintf("/%d", i) || resp.Header.Get("A") != fmt.Sprint(i) {
-			t.Fatalf("%d: %q %v", i, body, resp.Header)
+			t.Fatalf("response %d has body %q, header %v", i, body, resp.Header)
 		}
 	}
 	if a.runs.Load() != 3 {
-		t.Fatal(a.runs.Load(), "runs")
+		t.Fatal(a.runs.Load(), "requests reached the target, want 3")
 	}
 }
 
-// TestCallerThatLeavesEndsPipelinedRequests checks that a caller that leaves ends its pipelined requests, also
-// while a response is on its way.
-func TestCallerThatLeavesEndsPipelinedRequests(t *testing.T) {
-	ended := make(chan bool)
+// TestCallerDisconnectCancelsPipelinedRequests checks that the pipelined requests of a caller that disconnects are
+// canceled, even while a response is being streamed.
+func TestCallerDisconnectCancelsPipelinedRequests(t *testing.T) {
+	canceled := make(chan bool)
 	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("P", "a")
 		if r.URL.Path == "/0" {
@@ -249,7 +248,7 @@
 		fmt.Fprint(w, strings.Repeat("x", 2*tuning.ResponseBufferMax))
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
-		close(ended)
+		close(canceled)
 	})
 	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 	proxy.timeLeft = time.Hour
@@ -266,13 +265,13 @@
 		}
 	}
 	if proxy.forwarder.Counts.Pipelined.Load() != 1 {
-		t.Fatal("the second was not pipelined")
+		t.Fatal("the second request was not pipelined")
 	}
 	conn.Close()
-	<-ended // long before the deadline
+	<-canceled // long before the deadline
 }
 
-// pieceConn is a connection from which pieces come one at a time.
+// pieceConn is a connection whose input arrives in the given pieces, at most one for each Read.
 type pieceConn struct {
 	net.Conn
 	pieces [][]byte
--- a/internal/dataplane/reverseproxy/pool.go
+++ b/internal/dataplane/reverseproxy/pool.go
@@ -16,7 +16,7 @@
 var processStart = time.Now()
 
 // Pool holds the idle connections to the targets in the routing table. SetTargets and SetUnreachable must be called
-// from a single goroutine, the owner's. Requests take and put connections from their own goroutines.
+// from a single goroutine, that of the state machine. Requests take and put connections from their own goroutines.
 type Pool struct {
 	targets atomic.Pointer[map[wire.TargetID]*targetConns]
 	stop    chan struct{} // closed by Close
--- a/internal/dataplane/reverseproxy/pool_test.go
+++ b/internal/dataplane/reverseproxy/pool_test.go
@@ -10,15 +10,15 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// TestConnectionsCloseWithTheirTarget checks that no connection is kept for a target that has left the table.
-func TestConnectionsCloseWithTheirTarget(t *testing.T) {
+// TestRemovedTargetConnectionsAreClosed checks that no connection is kept for a target that was removed from the table.
+func TestRemovedTargetConnectionsAreClosed(t *testing.T) {
 	a := newBackend(t, "a", echo)
 	proxy := newTestProxy(t, a.Target)
 	for range 3 {
 		proxy.request(t, "GET", "/x", "")
 	}
 	if done := <-proxy.notified; done.(statemachine.AttemptDone).Outcome != statemachine.Served {
-		t.Fatal(done)
+		t.Fatal("unexpected notification:", done)
 	}
 	take := func(pool *Pool) *Conn { return pool.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
 	conn := take(proxy.pool)
@@ -28,46 +28,46 @@
 	proxy.pool.put(a.Target.ID(), conn, 1)
 	proxy.pool.SetTargets(map[wire.TargetID]string{})
 	if take(proxy.pool) != nil || conn.isIdle() {
-		t.Fatal("the connection is still open")
+		t.Fatal("the connection to the removed target is still in the pool or open")
 	}
 	otherProxy := newTestProxy(t, a.Target)
-	otherProxy.pool.SetTargets(map[wire.TargetID]string{}) // it left while the request was under way
+	otherProxy.pool.SetTargets(map[wire.TargetID]string{}) // as if the target was removed during the request
 	otherProxy.request(t, "GET", "/x", "")
 	if take(otherProxy.pool) != nil {
-		t.Fatal("a connection came back for a target that has left")
+		t.Fatal("a connection to a removed target was put back into the pool")
 	}
 }
 
-// TestIdleTimeByIdempotence checks that a request that may run only once takes only a connection that was just
-// used, and an idempotent one any that its target still keeps.
-func TestIdleTimeByIdempotence(t *testing.T) {
+// TestMaxIdleTimeByIdempotence checks that a request that is not idempotent gets only a recently used connection, and
+// an idempotent request any connection that has not expired.
+func TestMaxIdleTimeByIdempotence(t *testing.T) {
 	listener := listen(t)
 	conns := &targetConns{}
-	open := func(ago time.Duration) *Conn {
+	open := func(idle time.Duration) *Conn {
 		conn := dialTarget(t, listener.Addr().String())
 		conns.put(conn, tuning.IdleConnsMax)
-		conn.lastUsed.Add(-int64(ago))
+		conn.lastUsed.Add(-int64(idle))
 		return conn
 	}
 	deadline := time.Now().Add(time.Hour)
-	old, mid := open(tuning.ConnIdle), open(2*tuning.NonIdempotentIdleMax)
+	expired, idle := open(tuning.ConnIdle), open(2*tuning.NonIdempotentIdleMax)
 	if conns.take(tuning.NonIdempotentIdleMax, deadline) != nil {
-		t.Fatal("one that is too old for a request that may run only once is taken")
+		t.Fatal("a request that is not idempotent got a connection that was idle for too long")
 	}
-	young := open(0)
-	if conns.take(tuning.NonIdempotentIdleMax, deadline) != young || conns.take(tuning.ConnIdle, deadline) != mid || conns.take(tuning.ConnIdle, deadline) != nil {
-		t.Fatal("not the last used first")
+	recent := open(0)
+	if conns.take(tuning.NonIdempotentIdleMax, deadline) != recent || conns.take(tuning.ConnIdle, deadline) != idle || conns.take(tuning.ConnIdle, deadline) != nil {
+		t.Fatal("the connections were not taken most recently used first, or an expired one was taken")
 	}
 	conns.closeExpired(time.Now())
-	if old.isIdle() {
-		t.Fatal("not closed")
+	if expired.isIdle() {
+		t.Fatal("the expired connection was not closed")
 	}
 	conn := open(0)
 	for v, want := range map[string][2]bool{"": {false, false}, "timeout=1": {false, true}, "max=3, Timeout=2": {false, false}, "timeout=x": {false, false}} {
 		conn.setReuseUntil(&http.Response{Header: http.Header{"Keep-Alive": {v}}})
 		now := time.Now()
 		if got := [2]bool{conn.isExpired(now.Add(tuning.IdleTimeoutMargin / 2)), conn.isExpired(now.Add(tuning.IdleTimeoutMargin + time.Millisecond))}; got != want {
-			t.Errorf("%q: %v", v, got)
+			t.Errorf("Keep-Alive %q: expired before and after the margin: %v, want %v", v, got, want)
 		}
 	}
 	for range tuning.IdleConnsMax + 3 {
@@ -78,12 +78,12 @@
 		n++
 	}
 	if n != tuning.IdleConnsMax {
-		t.Fatal(n, "kept")
+		t.Fatalf("%d connections are kept, want %d", n, tuning.IdleConnsMax)
 	}
 }
 
-// TestIdleConnectionLimit checks that as many idle connections are kept as the owner says, those that were used
-// last.
+// TestIdleConnectionLimit checks that at most as many idle connections are kept as the state machine allows, and that
+// these are the most recently used ones.
 func TestIdleConnectionLimit(t *testing.T) {
 	a := newRawBackend(t, "a", respond(200, "ok"))
 	proxy := newTestProxy(t, a.Target)
@@ -100,16 +100,16 @@
 	take := func() *Conn { return proxy.pool.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
 	for _, want := range []*Conn{opened[4], opened[3], nil} {
 		if got := take(); got != want {
-			t.Fatalf("got %p of %p", got, opened)
+			t.Fatalf("took connection %p, want %p, opened %p", got, want, opened)
 		}
 	}
 	for _, conn := range opened[:3] {
 		if conn.netConn.SetDeadline(time.Now().Add(time.Hour)) == nil {
-			t.Error("one that is not kept is still open")
+			t.Error("a connection that is not kept is still open")
 		}
 	}
 	conn := dialTarget(t, a.Addr)
 	if keep(conn, 0); take() != nil {
-		t.Fatal("one is kept where none may be")
+		t.Fatal("a connection is kept although the limit is 0")
 	}
 }
--- a/internal/dataplane/reverseproxy/retries.go
+++ b/internal/dataplane/reverseproxy/retries.go
@@ -1,5 +1,5 @@
 // This file implements the loop over a request's targets. It decides whether another attempt may follow and which error
-// the caller gets if no attempt succeeds. The owner decides whether there is another target, and which one.
+// the caller gets if no attempt succeeds. The state machine decides whether there is another target, and which one.
 
 package reverseproxy
 
@@ -16,12 +16,12 @@
 // hashMultiplier is the multiplier of Knuth's multiplicative hashing, which spreads consecutive ids over all values.
 const hashMultiplier = 2654435761
 
-// forward carries out the owner's commands for the request, starting with the given one, until the caller has a
+// forward carries out the state machine's commands for the request, starting with the given one, until the caller has a
 // response.
 func (q *request) forward(command statemachine.Command) {
 	for {
 		if command == nil {
-			q.abort() // the caller disconnected while the owner was asked; the owner has been notified
+			q.abort() // the caller disconnected; Ask has notified the state machine
 		}
 		if rejection, ok := command.(statemachine.Reject); ok {
 			q.reject(&rejection)
@@ -32,11 +32,11 @@
 		if over {
 			return
 		}
-		command = q.forwarder.owner.Ask(q.incoming.Context(), q.id, statemachine.Retry{ID: q.id, Sent: sent})
+		command = q.forwarder.stateMachine.Ask(q.incoming.Context(), q.id, statemachine.Retry{ID: q.id, Sent: sent})
 	}
 }
 
-// reject responds to a request for which the owner has no target, or no further one.
+// reject responds to a request for which the state machine has no target, or no further one.
 func (q *request) reject(rejection *statemachine.Reject) {
 	if q.passFallback() {
 		return
@@ -68,7 +68,8 @@
 		return false, true
 	}
 	idempotent := isIdempotent(target, q.incoming.Method)
-	// The owner rejects pipelined requests that are not idempotent. Checking again ensures that none is ever sent.
+	// The state machine rejects pipelined requests that are not idempotent. Checking again ensures that none is ever
+	// sent.
 	if q.pipelined != nil && !idempotent {
 		q.returnTarget()
 		q.pipelined.deferred = true
@@ -85,9 +86,9 @@
 	return q.incoming.ContentLength <= limit && q.body.remaining >= 0
 }
 
-// returnTarget notifies the owner that the request does not use the target that was chosen for it.
+// returnTarget notifies the state machine that the request does not use the target that was chosen for it.
 func (q *request) returnTarget() {
-	q.forwarder.owner.Notify(statemachine.AttemptDone{ID: q.id, Outcome: statemachine.ClientGone, Last: true})
+	q.forwarder.stateMachine.Notify(statemachine.AttemptDone{ID: q.id, Outcome: statemachine.ClientGone, Last: true})
 }
 
 // isIdempotent reports whether a request may run more than once. Its route decides, or its method if the route has no
@@ -108,7 +109,7 @@
 		return true
 	case q.body.callerGone(q.incoming):
 		if result.outcome != statemachine.ClientGone {
-			q.forwarder.owner.Notify(statemachine.Cancel{ID: q.id})
+			q.forwarder.stateMachine.Notify(statemachine.Cancel{ID: q.id})
 		}
 		q.abort()
 	case q.body.tooLarge:
@@ -122,7 +123,7 @@
 	if !result.deadlineExceeded && (!result.mayHaveRun || idempotent) && !q.body.restRead {
 		return false
 	}
-	q.forwarder.owner.Notify(statemachine.Cancel{ID: q.id, Failed: true})
+	q.forwarder.stateMachine.Notify(statemachine.Cancel{ID: q.id, Failed: true})
 	if !q.passFallback() {
 		q.failWithResult(result)
 	}
--- a/internal/dataplane/reverseproxy/reverseproxy.go
+++ b/internal/dataplane/reverseproxy/reverseproxy.go
@@ -31,25 +31,24 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// Owner is the forwarder's interface to the proxy's state machine, which owns all routing state. Its functions may be
-// called from any goroutine.
+// Owner is the forwarder's interface to the proxy's state machine. Its functions may be called from any goroutine.
 type Owner struct {
-	// Now returns the owner's clock: the time since the process started.
+	// Now returns the state machine's time: the time since the process started.
 	Now func() time.Duration
-	// Notify passes an event to the owner without waiting for a result.
+	// Notify passes an event to the state machine without waiting for a result.
 	Notify func(event statemachine.Event)
-	// Ask passes an event of the request with the given id to the owner and waits for the resulting
+	// Ask passes an event of the request with the given id to the state machine and waits for the resulting
 	// statemachine.Forward or statemachine.Reject. If ctx ends first, Ask returns nil and has already notified the
-	// owner that the request has ended.
+	// state machine that the request has ended.
 	Ask func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command
 }
 
 // Forwarder is the http.Handler for callers' requests. Exported fields that are not safe for concurrent use must be
 // set before the first request is served.
 type Forwarder struct {
-	owner  Owner
-	pool   *Pool
-	nextID atomic.Uint64
+	stateMachine Owner
+	pool         *Pool
+	nextID       atomic.Uint64
 
 	// Counts are the forwarder's counters.
 	Counts Counts
@@ -72,10 +71,10 @@
 	SendForwardedFor bool
 }
 
-// New returns a forwarder that asks owner for targets and keeps idle connections to them in pool.
-func New(owner Owner, pool *Pool) *Forwarder {
+// New returns a forwarder that asks stateMachine for targets and keeps idle connections to them in pool.
+func New(stateMachine Owner, pool *Pool) *Forwarder {
 	return &Forwarder{
-		owner:            owner,
+		stateMachine:     stateMachine,
 		pool:             pool,
 		Observe:          func(string, int, float64) {},
 		Headers:          DefaultHeaders(),
@@ -110,7 +109,7 @@
 	incoming  *http.Request
 	pipelined *pipelinedRequest // equal to writer if the request was started before its turn, else nil
 	start     time.Time
-	id        uint64 // the request's id in the owner's events and commands
+	id        uint64 // the request's id in the state machine's events and commands
 	body      *requestBody
 
 	// Arguments for Observe.
@@ -135,7 +134,7 @@
 		return
 	}
 	q.id = f.nextID.Add(1)
-	command := f.owner.Ask(r.Context(), q.id, statemachine.Admit{
+	command := f.stateMachine.Ask(r.Context(), q.id, statemachine.Admit{
 		ID:        q.id,
 		Host:      r.Host,
 		Path:      r.URL.Path,
--- a/internal/dataplane/reverseproxy/reverseproxy_test.go
+++ b/internal/dataplane/reverseproxy/reverseproxy_test.go
@@ -22,9 +22,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// TestErrorShapeAndTransparency checks that errors have one shape, and that bodies, headers and trailers pass
-// unaltered.
-func TestErrorShapeAndTransparency(t *testing.T) {
+// TestErrorFormatAndPassThrough checks that all errors have the same JSON format, and that bodies, headers and trailers
+// are passed on unaltered.
+func TestErrorFormatAndPassThrough(t *testing.T) {
 	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Len", fmt.Sprint(len(body)))
@@ -38,7 +38,7 @@
 	proxy := newTestProxy(t, a.Target)
 	for _, tc := range []struct {
 		method, path, body string
-		head               []string
+		headers            []string
 		status             int
 		ran                config.Ran
 	}{
@@ -48,14 +48,14 @@
 		{"GET", "/a", "", []string{"X-Big", strings.Repeat("x", 40<<10)}, 431, "no"},
 		{"POST", "/a", strings.Repeat("x", 101<<10), nil, 413, "no"},
 	} {
-		status, header, b := proxy.request(t, tc.method, tc.path, tc.body, tc.head...)
+		status, header, b := proxy.request(t, tc.method, tc.path, tc.body, tc.headers...)
 		var e struct{ Error config.ErrorBody }
 		if json.Unmarshal([]byte(b), &e) != nil || status != tc.status || e.Error.Ran != tc.ran || header.Get(RanHeader) != string(tc.ran) || e.Error.Code == "" {
-			t.Errorf("%s %s: %d %s", tc.method, tc.path, status, b)
+			t.Errorf("%s %s: got status %d, header %v, body %s, want status %d, ran %q", tc.method, tc.path, status, header, b, tc.status, tc.ran)
 		}
 	}
 	if a.runs.Load() != 0 {
-		t.Fatal("a bad request ran")
+		t.Fatal("an invalid request reached the target")
 	}
 	body := strings.Repeat("0123456789", 9000) // too large to be buffered
 	req, _ := http.NewRequest("PUT", proxy.url+"/q?a=1&a=2", io.MultiReader(strings.NewReader(body)))
@@ -68,15 +68,15 @@
 	got, err := io.ReadAll(resp.Body)
 	r := <-a.requests
 	if err != nil || string(got) != body || resp.StatusCode != 207 || resp.Header.Get("X-Hop") != "" || resp.Trailer.Get("X-Sum") != "s" || resp.Header.Get("X-Len") != fmt.Sprint(len(body)) {
-		t.Fatalf("%v %d %v %v, %d bytes", err, resp.StatusCode, resp.Header, resp.Trailer, len(got))
+		t.Fatalf("unexpected response: error %v, status %d, header %v, trailer %v, body of %d bytes", err, resp.StatusCode, resp.Header, resp.Trailer, len(got))
 	}
 	if r.Header.Get("X-Mine") != "" || r.Header.Get("X-Forwarded-For") == "" || r.URL.RawQuery != "a=1&a=2" || r.Host != proxy.addr || r.Header.Get(DeadlineHeader) == "" {
-		t.Fatalf("%v %v %v", r.Header, r.URL, r.Host)
+		t.Fatalf("unexpected request at the target: header %v, URL %v, host %v", r.Header, r.URL, r.Host)
 	}
 }
 
-// TestRequestToTargetWithHealthCheck checks what is sent to a target with a health check: its name, the time left,
-// and the request as it came; nothing else.
+// TestRequestToTargetWithHealthCheck checks that a target with a health check is sent its name, the time left and the
+// caller's request unaltered, and nothing else.
 func TestRequestToTargetWithHealthCheck(t *testing.T) {
 	a := newRawBackend(t, "a", respond(200, "ok", "L", "3, 1,4"))
 	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
@@ -84,37 +84,38 @@
 	fmt.Fprint(conn, "POST /a%41/b?x=%2f&&y HTTP/1.1\r\nHost: h.example\r\nA: 77\r\nD: 900\r\nE: another\r\nTransfer-Encoding: chunked\r\nConnection: Mine\r\nMine: 1\r\nKept: v\r\n\r\n2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 200 || resp.Header.Get("A") != "77" || resp.Header.Get("Date") != "" || resp.Header.Get("Content-Type") != "" || resp.ContentLength != 2 {
-		t.Fatal(err, resp)
+		t.Fatal("unexpected response:", err, resp)
 	}
 	r := <-a.requests
 	if r.RequestURI != "/a%41/b?x=%2f&&y" || r.Host != "h.example" || r.Method != "POST" || <-a.bodies != "abcde" || r.ContentLength != 5 {
-		t.Fatal(r.RequestURI, r.Host, r.ContentLength)
+		t.Fatal("unexpected request at the target:", r.RequestURI, r.Host, r.ContentLength)
 	}
 	var left int
 	fmt.Sscan(r.Header.Get("D"), &left)
 	if left < 1 || left > int((proxy.timeLeft-tuning.NetHop).Milliseconds()) {
-		t.Fatal("left", left)
+		t.Fatal("the target is sent a deadline in ms of", left)
 	}
 	r.Header.Del("D")
 	if got, want := fmt.Sprint(r.Header), fmt.Sprint(http.Header{"A": {"77"}, "E": {"a"}, "Kept": {"v"}, "Content-Length": {"5"}}); got != want {
-		t.Fatal(got)
+		t.Fatalf("the target is sent header %s, want %s", got, want)
 	}
 	if done := (<-proxy.notified).(statemachine.AttemptDone); done.Load == nil || *done.Load != (statemachine.TargetLoad{Running: 3, Waiting: 1, Slots: 4}) {
-		t.Fatal(done.Load)
+		t.Fatal("the state machine is notified of load", done.Load)
 	}
 	if admit := proxy.asked[0].(statemachine.Admit); admit.Timeout <= 0 || admit.Timeout > 900*time.Millisecond {
-		t.Fatal(admit.Timeout)
+		t.Fatal("the state machine is asked with timeout", admit.Timeout)
 	}
 	if a.conns.Load() != 1 || a.runs.Load() != 1 {
-		t.Fatal("asked for its identity")
+		t.Fatal("the target was sent more than one request, or on more than one connection")
 	}
 }
 
-// TestConcurrentRequestsGetTheirOwnResponses sends many requests at once over few connections that come and go.
+// TestConcurrentRequestsGetTheirOwnResponses checks that each of many concurrent requests gets its own response while
+// connections to the target are reused, expire and are closed.
 func TestConcurrentRequestsGetTheirOwnResponses(t *testing.T) {
 	a := newRawBackend(t, "a", func(connNumber, n int, r *http.Request) (string, bool) {
 		response, _ := respond(200, r.URL.Path)(connNumber, n, r)
-		return response, n%7 != 0 // it closes a connection now and then
+		return response, n%7 != 0 // closes the connection after every seventh request
 	})
 	go func() {
 		for range a.requests {
@@ -128,9 +129,9 @@
 	forwarder.Headers.Attempt = "A"
 	server := httptest.NewServer(forwarder)
 	defer server.Close()
-	stop, swept := make(chan bool), make(chan bool)
+	stop, stopped := make(chan bool), make(chan bool)
 	go func() {
-		defer close(swept)
+		defer close(stopped)
 		for {
 			select {
 			case <-stop:
@@ -144,7 +145,7 @@
 			}
 		}
 	}()
-	ends := make(chan error, 8)
+	results := make(chan error, 8)
 	for k := range 8 {
 		go func() {
 			for i := range 100 {
@@ -152,48 +153,48 @@
 				req.Header.Set("A", fmt.Sprintf("%d-%d", k, i))
 				resp, err := http.DefaultClient.Do(req)
 				if err != nil {
-					ends <- err
+					results <- err
 					return
 				}
 				body, _ := io.ReadAll(resp.Body)
 				resp.Body.Close()
 				if resp.StatusCode != 200 || string(body) != req.URL.Path || resp.Header.Get("A") != req.Header.Get("A") {
-					ends <- fmt.Errorf("%s got %d %q", req.URL.Path, resp.StatusCode, body)
+					results <- fmt.Errorf("request for %s got status %d, body %q", req.URL.Path, resp.StatusCode, body)
 					return
 				}
 			}
-			ends <- nil
+			results <- nil
 		}()
 	}
 	for range 8 {
-		if err := <-ends; err != nil {
+		if err := <-results; err != nil {
 			t.Error(err)
 		}
 	}
 	close(stop)
-	<-swept
+	<-stopped
 }
 
-// TestCallerThatLeavesEndsItsRequest checks that a caller that leaves gets nothing that looks like a response, and
-// that its target is notified.
-func TestCallerThatLeavesEndsItsRequest(t *testing.T) {
-	left := make(chan bool)
-	a := newBackend(t, "a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(left) })
+// TestCallerDisconnectCancelsRequest checks that the request of a caller that disconnects is canceled at the target,
+// and that nothing is written to the caller's connection that could be taken for a response.
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
+	canceled := make(chan bool)
+	a := newBackend(t, "a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(canceled) })
 	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 	conn := dial(t, proxy.addr)
 	fmt.Fprint(conn, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 	<-a.requests
 	conn.(*net.TCPConn).CloseWrite()
-	<-left
+	<-canceled
 	if body, _ := io.ReadAll(conn); len(body) > 0 {
-		t.Fatalf("%q", body)
+		t.Fatalf("the caller's connection got %q, want nothing", body)
 	}
 	if done := (<-proxy.notified).(statemachine.AttemptDone); done.Outcome != statemachine.ClientGone || !done.Last {
-		t.Fatal(done)
+		t.Fatal("unexpected notification:", done)
 	}
 }
 
-// BenchmarkRequest measures one small request from end to end over loopback, caller and target included.
+// BenchmarkRequest measures a small request from end to end over loopback, including the caller and the target.
 func BenchmarkRequest(b *testing.B) {
 	const response = "HTTP/1.1 200 OK\r\nContent-Length: 600\r\nMyrtlefold-Attempt: 1f\r\nDate: Mon, 01 Jan 2024 00:00:00 GMT\r\nContent-Type: text/plain\r\n\r\n"
 	listener := listen(b)
@@ -213,11 +214,11 @@
 					if err != nil {
 						return
 					}
-					say := out
+					response := out
 					if bytes.HasPrefix(reader[:n], []byte("GET "+config.IdentityPath)) {
-						say = fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
+						response = fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 					}
-					c.Write(say)
+					c.Write(response)
 				}
 			}()
 		}
@@ -231,31 +232,31 @@
 	conn := dial(b, server.Listener.Addr().String())
 	reader := bufio.NewReader(conn)
 	req := []byte("GET /lep/2f HTTP/1.1\r\nHost: h.example\r\nMyrtlefold-Attempt: 1f\r\nMyrtlefold-Deadline-Ms: 2000\r\nUser-Agent: b\r\nAccept: */*\r\n\r\n")
-	one := func() {
+	roundTrip := func() {
 		conn.Write(req)
 		for n := 0; ; {
-			l, err := reader.ReadSlice('\n')
+			line, err := reader.ReadSlice('\n')
 			if err != nil {
 				b.Fatal(err)
 			}
-			if bytes.HasPrefix(l, []byte("Content-Length: ")) {
+			if bytes.HasPrefix(line, []byte("Content-Length: ")) {
 				n = 600
 			}
-			if len(l) == 2 {
+			if len(line) == 2 {
 				reader.Discard(n)
 				return
 			}
 		}
 	}
-	one()
+	roundTrip()
 	b.ReportAllocs()
 	for b.Loop() {
-		one()
+		roundTrip()
 	}
 }
 
-// TestWorkTimeLimitsTheDeadlineHeader checks that the deadline that a target is sent is the time that it may work,
-// which in a draining proxy is less than the caller still gives.
+// TestWorkTimeLimitsTheDeadlineHeader checks that the deadline sent to a target is limited by the time that it may work
+// on the request. In a draining proxy that is less than the time until the request's deadline.
 func TestWorkTimeLimitsTheDeadlineHeader(t *testing.T) {
 	deadlines := make(chan string, 1)
 	a := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
@@ -264,14 +265,14 @@
 	})
 	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 	proxy.timeLeft = time.Minute
-	for _, work := range []time.Duration{0, 2 * time.Second} {
-		proxy.workTime = work
+	for _, workTime := range []time.Duration{0, 2 * time.Second} {
+		proxy.workTime = workTime
 		if status, _, _ := proxy.request(t, "GET", "/x", "", "D", "60000"); status != http.StatusOK {
-			t.Fatal(status)
+			t.Fatal("unexpected status", status)
 		}
 		ms, err := strconv.Atoi(<-deadlines)
-		if most := proxy.timeLeft; err != nil || work == 0 && ms > int(most.Milliseconds()) || work > 0 && ms > int(work.Milliseconds()) {
-			t.Errorf("of %v, at work for at most %v, the target gets %d ms, %v", proxy.timeLeft, work, ms, err)
+		if most := proxy.timeLeft; err != nil || workTime == 0 && ms > int(most.Milliseconds()) || workTime > 0 && ms > int(workTime.Milliseconds()) {
+			t.Errorf("with %v left and a work time of %v, the target is sent a deadline of %d ms, error %v", proxy.timeLeft, workTime, ms, err)
 		}
 	}
 }
--- a/internal/dataplane/reverseproxy/streaming_test.go
+++ b/internal/dataplane/reverseproxy/streaming_test.go
@@ -14,24 +14,24 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// TestTruncatedResponseNeverLooksComplete checks that a truncated response is replaced by an error if it was
-// buffered, and closes the caller's connection if it streamed.
+// TestTruncatedResponseNeverLooksComplete checks that a truncated response is replaced by an error if it was buffered,
+// and that the caller's connection is closed if it was streamed.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
-	for _, say := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
-		proxy := newTestProxy(t, newBackend(t, "a", respondAndClose(say)).Target)
+	for _, response := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
+		proxy := newTestProxy(t, newBackend(t, "a", respondAndClose(response)).Target)
 		resp, err := proxy.client.Get(proxy.url + "/x")
 		if err == nil {
 			var b []byte
 			b, err = io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err == nil && (resp.StatusCode != 502 || resp.Header.Get(RanHeader) != "unknown" || bytes.Contains(b, []byte("half"))) {
-				t.Fatalf("read %q as a complete response", b)
+				t.Fatalf("the caller got %q as a complete response", b)
 			}
 		}
 	}
 }
 
-// TestChunksAreStreamed checks that the chunks of a response are passed on before the next one has come.
+// TestChunksAreStreamed checks that each chunk of a response is passed on before the next one has arrived.
 func TestChunksAreStreamed(t *testing.T) {
 	next := make(chan bool)
 	a := newBackend(t, "a", func(w http.ResponseWriter, _ *http.Request) {
@@ -51,21 +51,21 @@
 	for i := range 3 {
 		line, err := r.ReadBytes('\n')
 		if err != nil || !bytes.Equal(line, fmt.Appendf(nil, "part %d\n", i)) {
-			t.Fatalf("%q %v", line, err)
+			t.Fatalf("read %q, %v as part %d", line, err, i)
 		}
 		next <- true
 	}
 }
 
-// TestResponsesWithoutBody checks that responses without a body keep their length, and that trailers of buffered
-// responses are passed on.
+// TestResponsesWithoutBody checks that Content-Length of responses without a body is passed on unaltered, that buffered
+// chunked responses get a length or keep their trailer, and that the target's connection is reused after each of them.
 func TestResponsesWithoutBody(t *testing.T) {
 	for _, tc := range []struct {
-		method, say string
-		status      int
-		length      string
-		trailer     string
-		body        string
+		method, response string
+		status           int
+		length           string
+		trailer          string
+		body             string
 	}{
 		{"HEAD", "HTTP/1.1 200 OK\r\nA: 1\r\nP: 1\r\nContent-Length: 77\r\n\r\n", 200, "77", "", ""},
 		{"GET", "HTTP/1.1 304 N\r\nA: 1\r\nP: 1\r\nEtag: x\r\n\r\n", 304, "", "", ""},
@@ -74,7 +74,7 @@
 		{"GET", "HTTP/1.1 200 OK\r\nA: 1\r\nP: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 200, "3", "", "abc"},
 		{"GET", "HTTP/1.1 200 OK\r\nA: 1\r\nP: 1\r\nTrailer: T\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nT: v\r\n\r\n", 200, "", "v", "abc"},
 	} {
-		a := newRawBackend(t, "a", func(int, int, *http.Request) (string, bool) { return tc.say, true })
+		a := newRawBackend(t, "a", func(int, int, *http.Request) (string, bool) { return tc.response, true })
 		proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindRepeatable)
 		for range 2 {
 			req, _ := http.NewRequest(tc.method, proxy.url+"/x", nil)
@@ -86,28 +86,29 @@
 			body, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err != nil || resp.StatusCode != tc.status || resp.Header.Get("Content-Length") != tc.length || resp.Trailer.Get("T") != tc.trailer || string(body) != tc.body {
-				t.Fatalf("%q: %v %d %v %v %q", tc.say, err, resp.StatusCode, resp.Header, resp.Trailer, body)
+				t.Fatalf("target's response %q: the caller got error %v, status %d, header %v, trailer %v, body %q", tc.response, err, resp.StatusCode, resp.Header, resp.Trailer, body)
 			}
 		}
 		if a.conns.Load() != 1 {
-			t.Errorf("%q: %d connections", tc.say, a.conns.Load())
+			t.Errorf("target's response %q: %d connections were opened, want 1", tc.response, a.conns.Load())
 		}
 	}
 }
 
-// TestLargeResponses checks that large responses stream, and that a truncated one closes its caller's connection.
+// TestLargeResponses checks that large responses are passed on completely without a retry, and that the caller of a
+// truncated one sees an error, since its connection is closed.
 func TestLargeResponses(t *testing.T) {
 	big := strings.Repeat("z", tuning.ResponseBufferMax+1)
-	for _, cut := range []bool{false, true} {
-		for _, chunks := range []bool{false, true} {
+	for _, truncated := range []bool{false, true} {
+		for _, chunked := range []bool{false, true} {
 			a := newRawBackend(t, "a", func(_, _ int, _ *http.Request) (string, bool) {
 				s := "HTTP/1.1 200 OK\r\nA: 1\r\nP: 1\r\n"
-				if chunks {
+				if chunked {
 					s += fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(big), big)
 				} else {
 					s += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(big), big)
 				}
-				if cut {
+				if truncated {
 					return s[:len(s)-5], false
 				}
 				return s, true
@@ -121,15 +122,15 @@
 			}
 			body, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
-			if cut != (err != nil) || !cut && string(body) != big || a.runs.Load() != 1 {
-				t.Fatal(cut, chunks, err, len(body), a.runs.Load())
+			if truncated != (err != nil) || !truncated && string(body) != big || a.runs.Load() != 1 {
+				t.Fatalf("truncated %v, chunked %v: the caller got error %v, body of %d bytes; %d requests at the target", truncated, chunked, err, len(body), a.runs.Load())
 			}
 		}
 	}
 }
 
-// FuzzResponse checks that whatever bytes come from a target, its caller gets a success only with the body that
-// those bytes frame.
+// FuzzResponse checks that whatever bytes a target sends, the caller gets a successful response only if the bytes are a
+// valid response with the same status and body.
 func FuzzResponse(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: 1\r\n\r\nfine",
@@ -148,14 +149,14 @@
 	} {
 		f.Add([]byte(s))
 	}
-	var say atomic.Pointer[string]
-	a := newRawBackend(f, "a", func(int, int, *http.Request) (string, bool) { return *say.Load(), false })
+	var response atomic.Pointer[string]
+	a := newRawBackend(f, "a", func(int, int, *http.Request) (string, bool) { return *response.Load(), false })
 	proxy := newTestProxy(f, a.Target).withHealthCheck(config.KindOnce)
 	proxy.forwarder.Headers.Proof = ""
 	proxy.client.Transport = &http.Transport{DisableCompression: true}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s := string(b)
-		say.Store(&s)
+		response.Store(&s)
 		proxy.asked = proxy.asked[:0]
 		req, _ := http.NewRequest("GET", proxy.url+"/x", nil)
 		req.Header.Set("A", "1")
@@ -163,7 +164,7 @@
 		for len(proxy.notified) > 0 {
 			<-proxy.notified
 		}
-		for len(a.requests) > 0 { // none if the machine has no port left, which is an error of the test
+		for len(a.requests) > 0 { // empty if the proxy could not connect because the machine ran out of ports
 			<-a.requests
 			<-a.bodies
 		}
@@ -179,14 +180,14 @@
 		for {
 			want, err := http.ReadResponse(reader, nil)
 			if err != nil {
-				t.Fatalf("a success from %q: %v", s, err)
+				t.Fatalf("the caller got a success although the target sent %q: %v", s, err)
 			}
 			if want.StatusCode < 200 {
 				continue
 			}
 			body, err := io.ReadAll(want.Body)
 			if err != nil || want.StatusCode != resp.StatusCode || want.Header.Get("A") != "1" || !bytes.Equal(body, got) {
-				t.Fatalf("%q became %d %q: %v", s, resp.StatusCode, got, err)
+				t.Fatalf("the target sent %q, the caller got status %d, body %q; error %v", s, resp.StatusCode, got, err)
 			}
 			return
 		}
--- a/internal/dataplane/reverseproxy/testproxy_test.go
+++ b/internal/dataplane/reverseproxy/testproxy_test.go
@@ -23,15 +23,15 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// backend is a target whose requests a handler of the test serves.
+// backend is a target whose responses come from an http.HandlerFunc.
 type backend struct {
 	wire.Target
 	server   *httptest.Server
-	runs     atomic.Int64
-	requests chan *http.Request // those that came
+	runs     atomic.Int64       // number of requests, without those for its identity
+	requests chan *http.Request // the requests that it received
 }
 
-// newBackend starts a backend that also answers who it is.
+// newBackend starts a backend, which also responds to requests for its identity.
 func newBackend(t testing.TB, name string, handler http.HandlerFunc) *backend {
 	t.Helper()
 	b := &backend{requests: make(chan *http.Request, 16)}
@@ -49,7 +49,7 @@
 	return b
 }
 
-// respondAndClose writes bytes in place of a response and closes the connection.
+// respondAndClose writes raw bytes as the response and closes the connection.
 func respondAndClose(response string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -60,21 +60,21 @@
 	}
 }
 
-// echo answers with the body of the request.
+// echo responds with the body of the request.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(w, "ran %s", body)
 }
 
-// rawResponder returns the bytes that answer the nth request on a connection, and whether the connection stays open.
-type rawResponder func(conn, n int, r *http.Request) (response string, stays bool)
+// rawResponder returns the raw response to the nth request on a connection, and whether the connection stays open.
+type rawResponder func(conn, n int, r *http.Request) (response string, keepOpen bool)
 
-// rawBackend is a target whose responses are bytes.
+// rawBackend is a target whose responses are raw bytes.
 type rawBackend struct {
 	wire.Target
-	conns, runs atomic.Int64
-	requests    chan *http.Request // those that came
-	bodies      chan string        // of those requests
+	conns, runs atomic.Int64       // number of connections and of requests
+	requests    chan *http.Request // the requests that it received
+	bodies      chan string        // the bodies of those requests
 }
 
 // newRawBackend starts a rawBackend.
@@ -99,7 +99,7 @@
 	return b
 }
 
-// serve answers the requests of a connection.
+// serve responds to the requests on a connection.
 func (b *rawBackend) serve(conn net.Conn, connNumber int, respond rawResponder) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -115,14 +115,15 @@
 		b.runs.Add(1)
 		b.requests <- r
 		b.bodies <- string(body)
-		response, stays := respond(connNumber, n, r)
-		if _, err := io.WriteString(conn, response); err != nil || !stays {
+		response, keepOpen := respond(connNumber, n, r)
+		if _, err := io.WriteString(conn, response); err != nil || !keepOpen {
 			return
 		}
 	}
 }
 
-// respond answers with the request's id and the proof of testHeaders. headers are names and values in turn.
+// respond returns a responder whose responses have the request's id and the proof header, as in testHeaders. headers
+// alternates names and values.
 func respond(status int, body string, headers ...string) rawResponder {
 	return func(_, _ int, r *http.Request) (string, bool) {
 		response := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\nA: %s\r\nP: yes\r\n", status, len(body), r.Header.Get("A"))
@@ -133,23 +134,24 @@
 	}
 }
 
-// respondOnce answers with bytes and closes the connection.
+// respondOnce returns a responder that sends raw bytes and closes the connection.
 func respondOnce(response string) rawResponder {
 	return func(int, int, *http.Request) (string, bool) { return response, false }
 }
 
-// testProxy is a forwarder whose owner forwards each request to its targets in turn, and then rejects it.
+// testProxy is a forwarder whose state machine forwards each request to the given targets in order, one per attempt,
+// and then rejects it.
 type testProxy struct {
 	forwarder *Forwarder
 	pool      *Pool
 	url, addr string
 	client    *http.Client
 
-	asked    []any        // the events that the owner was asked with
-	notified chan any     // those that it was notified of
-	now      atomic.Int64 // the owner's clock
+	asked    []any        // the events passed to Owner.Ask
+	notified chan any     // the events passed to Owner.Notify
+	now      atomic.Int64 // the time that Owner.Now returns
 
-	// What the owner's commands have.
+	// Fields of the state machine's Forward commands.
 	service  config.Service
 	route    config.Route
 	timeLeft time.Duration
@@ -168,13 +170,13 @@
 		timeLeft: 5 * time.Second,
 	}
 	f.pool.SetTargets(addressesOf(targets...))
-	turn := make(chan bool, 1)
+	lock := make(chan bool, 1)
 	f.forwarder = New(Owner{
 		Now:    func() time.Duration { return time.Duration(f.now.Load()) },
 		Notify: func(event statemachine.Event) { f.notified <- event },
 		Ask: func(_ context.Context, id uint64, event statemachine.Event) statemachine.Command {
-			turn <- true
-			defer func() { <-turn }()
+			lock <- true
+			defer func() { <-lock }()
 			f.asked = append(f.asked, event)
 			return f.command(id, targets)
 		},
@@ -188,7 +190,7 @@
 	return f
 }
 
-// newForwarder returns a forwarder whose owner's clock stands still and which asks with ask.
+// newForwarder returns a forwarder whose state machine has a constant time and responds with ask.
 func newForwarder(t testing.TB, ask func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command) *Forwarder {
 	t.Helper()
 	pool := NewPool()
@@ -197,7 +199,7 @@
 	return New(Owner{Now: now, Notify: func(statemachine.Event) {}, Ask: ask}, pool)
 }
 
-// addressesOf returns what Pool.SetTargets takes.
+// addressesOf returns the targets' addresses in the form that Pool.SetTargets takes.
 func addressesOf(targets ...wire.Target) map[wire.TargetID]string {
 	addresses := map[wire.TargetID]string{}
 	for _, target := range targets {
@@ -206,7 +208,8 @@
 	return addresses
 }
 
-// command answers the last event that the owner was asked with: the nth since its request came gets the nth target.
+// command returns the state machine's response to the last event in asked: a Forward to the first target for an Admit
+// and to the next one for each Retry after that, and a Reject if no target is left.
 func (f *testProxy) command(id uint64, targets []wire.Target) statemachine.Command {
 	n := 0
 	for _, event := range f.asked {
@@ -234,12 +237,12 @@
 	}
 }
 
-// testHeaders are short names for the headers.
+// testHeaders returns short header names.
 func testHeaders() Headers {
 	return Headers{Deadline: "D", Ran: "R", Attempt: "A", ExpectTarget: "E", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C", Proof: "P"}
 }
 
-// withHealthCheck gives the service a health check and its route a kind, and the headers the names of testHeaders.
+// withHealthCheck gives the service a health check and its route the given kind, and sets the names of testHeaders.
 func (f *testProxy) withHealthCheck(kind config.RouteKind) *testProxy {
 	f.service.HealthPath = "/h"
 	f.route.Kind = kind
@@ -247,7 +250,7 @@
 	return f
 }
 
-// request sends a request and returns the response. headers are names and values in turn.
+// request sends a request and returns the response. headers alternates names and values.
 func (f *testProxy) request(t *testing.T, method, path, body string, headers ...string) (status int, header http.Header, responseBody string) {
 	t.Helper()
 	request, _ := http.NewRequest(method, f.url+path, strings.NewReader(body))
@@ -266,17 +269,17 @@
 	return resp.StatusCode, resp.Header, string(read)
 }
 
-// lastRetry returns the event that the owner was asked with last.
+// lastRetry returns the last event passed to Owner.Ask, which must be a Retry.
 func (f *testProxy) lastRetry() statemachine.Retry {
 	return f.asked[len(f.asked)-1].(statemachine.Retry)
 }
 
-// waitFor waits until something holds.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds, and fails the test if it does not within 30 s.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !holds(); runtime.Gosched() {
+	for end := time.Now().Add(30 * time.Second); !condition(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting until " + description)
 		}
 	}
 }
@@ -303,7 +306,7 @@
 	return listener
 }
 
-// dialTarget opens a connection as the proxy does, which is closed at the end of the test.
+// dialTarget opens a connection with Dial that is closed at the end of the test.
 func dialTarget(t *testing.T, addr string) *Conn {
 	t.Helper()
 	conn, err := Dial(t.Context(), addr, nil)
@@ -314,7 +317,7 @@
 	return conn
 }
 
-// rawCaller is a caller that writes and reads its connection itself.
+// rawCaller is a caller that reads and writes its connection directly, without an http.Client.
 type rawCaller struct {
 	t *testing.T
 	net.Conn
@@ -328,7 +331,7 @@
 	return &rawCaller{t, conn, bufio.NewReader(conn)}
 }
 
-// send sends requests for paths without waiting for their responses.
+// send sends GET requests for paths without waiting for the responses.
 func (c *rawCaller) send(paths ...string) {
 	c.t.Helper()
 	for _, path := range paths {
@@ -336,7 +339,7 @@
 	}
 }
 
-// expectResponse reads a complete response and returns whether it closes the connection.
+// expectResponse reads a response, checks its body, and reports whether the response closes the connection.
 func (c *rawCaller) expectResponse(body string) (closes bool) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -344,20 +347,20 @@
 		c.t.Fatal(err)
 	}
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != body {
-		c.t.Fatalf("%q, %v, expected %q", got, err, body)
+		c.t.Fatalf("read body %q, %v, want %q", got, err, body)
 	}
 	return resp.Close
 }
 
-// expectEnd waits for the connection's end.
+// expectEnd waits until the connection is closed and fails if data arrives before that.
 func (c *rawCaller) expectEnd() {
 	c.t.Helper()
 	if got, err := io.ReadAll(c.reader); len(got) > 0 {
-		c.t.Fatalf("%q, %v instead of the end", got, err)
+		c.t.Fatalf("read %q, %v, want the connection closed without further data", got, err)
 	}
 }
 
-// partialConn writes half of what it is given first, and fails; what follows it writes completely.
+// partialConn writes only half of the data of the first Write, which fails. Later writes are complete.
 type partialConn struct {
 	net.Conn
 	failed bool
@@ -372,5 +375,5 @@
 	return n, errPartialWrite
 }
 
-// errPartialWrite is what a partialConn fails with.
-var errPartialWrite = errors.New("no more is written")
+// errPartialWrite is the error of the first Write of a partialConn.
+var errPartialWrite = errors.New("only half of the data was written")
--- a/internal/dataplane/reverseproxy/uploads.go
+++ b/internal/dataplane/reverseproxy/uploads.go
@@ -17,9 +17,9 @@
 // streamBufferBytes is the size of the buffer for streaming a body.
 const streamBufferBytes = 32 << 10
 
-// requestBody is the body of a caller's request: the part that was read before the owner was asked for a target, and
-// the rest, which is sent on as it arrives. While sendRest runs on its own goroutine, the fields after rest belong to
-// that goroutine.
+// requestBody is the body of a caller's request: the part that was read before the state machine was asked for a
+// target, and the rest, which is sent on as it arrives. While sendRest runs on its own goroutine, the fields after rest
+// belong to that goroutine.
 type requestBody struct {
 	buffered []byte
 	rest     io.Reader   // nil if the whole body is buffered
--- a/internal/dataplane/reverseproxy/uploads_test.go
+++ b/internal/dataplane/reverseproxy/uploads_test.go
@@ -16,9 +16,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// TestUploads checks that bodies that are too large to be buffered are sent on as they come, that one that its
-// caller breaks off never looks complete to its target, and that a response before the end of the body ends the
-// upload.
+// TestUploads checks that bodies that are too large to be buffered are passed on unaltered, that a body that the caller
+// aborts never looks complete to the target, and that a response before the end of the body ends the upload.
 func TestUploads(t *testing.T) {
 	big := strings.Repeat("0123456789abcdef", tuning.ReplayMax/8)
 	a := newRawBackend(t, "a", respond(200, "ok"))
@@ -28,18 +27,18 @@
 		req.Header.Set("A", "1")
 		resp, err := proxy.client.Do(req)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatal(err, resp)
+			t.Fatal("unexpected response:", err, resp)
 		}
 		resp.Body.Close()
 		if <-a.bodies != big {
-			t.Fatal("another body")
+			t.Fatal("the target received a different body")
 		}
 		<-proxy.notified
 	}
-	for _, head := range []string{"Content-Length: 999999", "Transfer-Encoding: chunked"} {
+	for _, header := range []string{"Content-Length: 999999", "Transfer-Encoding: chunked"} {
 		conn := dial(t, proxy.addr)
-		fmt.Fprintf(conn, "PUT /x HTTP/1.1\r\nHost: h\r\nA: 1\r\n%s\r\n\r\n", head)
-		if head[0] == 'T' {
+		fmt.Fprintf(conn, "PUT /x HTTP/1.1\r\nHost: h\r\nA: 1\r\n%s\r\n\r\n", header)
+		if header[0] == 'T' {
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(big), big)
 		} else {
 			fmt.Fprint(conn, big)
@@ -48,14 +47,14 @@
 		body, _ := io.ReadAll(conn)
 		conn.Close()
 		if len(body) > 0 && !bytes.HasPrefix(body, []byte("HTTP/1.1 400")) {
-			t.Fatalf("%q", body)
+			t.Fatalf("%s: the caller got %q", header, body)
 		}
 		if done := (<-proxy.notified).(statemachine.AttemptDone); done.Outcome != statemachine.ClientGone {
-			t.Fatal(done)
+			t.Fatal("unexpected notification:", done)
 		}
 	}
 	if a.runs.Load() != 2 {
-		t.Fatal("an incomplete body ran")
+		t.Fatal("a request with an incomplete body looked complete to the target")
 	}
 	early := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("P", "1")
@@ -67,12 +66,12 @@
 	fmt.Fprintf(conn, "PUT /x HTTP/1.1\r\nHost: h\r\nA: 1\r\nContent-Length: 999999\r\n\r\n%s", big)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 413 || !resp.Close {
-		t.Fatal(err, resp)
+		t.Fatal("unexpected response:", err, resp)
 	}
 }
 
-// TestTargetLostDuringUpload checks that a target that goes while its caller is still sending is not taken for a
-// fault of the caller.
+// TestTargetLostDuringUpload checks that if the target closes its connection while the caller is still sending, the
+// caller is not blamed: it gets a 502, and the attempt counts as a lost response.
 func TestTargetLostDuringUpload(t *testing.T) {
 	listener := listen(t)
 	go func() {
@@ -90,26 +89,26 @@
 	fmt.Fprintf(conn, "PUT /x HTTP/1.1\r\nHost: h\r\nA: 1\r\nContent-Length: 999999\r\n\r\n%s", strings.Repeat("x", tuning.ReplayMax/2))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 502 || resp.Header.Get("R") != "unknown" {
-		t.Fatal(err, resp)
+		t.Fatal("unexpected response:", err, resp)
 	}
 	if done := (<-proxy.notified).(statemachine.AttemptDone); done.Outcome != statemachine.ResponseLost {
-		t.Fatal(done)
+		t.Fatal("unexpected notification:", done)
 	}
 }
 
-// TestBodyTimeout checks that a body that does not come within its caller's time is rejected as not run.
+// TestBodyTimeout checks that a request whose body does not arrive within the caller's timeout is rejected as not run.
 func TestBodyTimeout(t *testing.T) {
 	a := newRawBackend(t, "a", respond(200, "ok"))
 	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
-	for _, head := range []string{"Content-Length: 9", "Transfer-Encoding: chunked"} {
+	for _, header := range []string{"Content-Length: 9", "Transfer-Encoding: chunked"} {
 		conn := dial(t, proxy.addr)
-		fmt.Fprintf(conn, "PUT /x HTTP/1.1\r\nHost: h\r\nA: 1\r\nD: 50\r\n%s\r\n\r\n1", head)
+		fmt.Fprintf(conn, "PUT /x HTTP/1.1\r\nHost: h\r\nA: 1\r\nD: 50\r\n%s\r\n\r\n1", header)
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != 408 || resp.Header.Get("R") != "no" || !resp.Close {
-			t.Fatal(err, resp)
+			t.Fatalf("%s: unexpected response: %v, %v", header, err, resp)
 		}
 	}
 	if a.runs.Load() != 0 || len(proxy.asked) != 0 {
-		t.Fatal("passed on")
+		t.Fatal("a request with an incomplete body reached the state machine or the target")
 	}
 }
--- a/internal/dataplane/reverseproxy/upstream_test.go
+++ b/internal/dataplane/reverseproxy/upstream_test.go
@@ -13,7 +13,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// TestWrongIdentityGetsNoRequest checks that a connection is used only for the identity that the table names.
+// TestWrongIdentityGetsNoRequest checks that a request is not sent on a connection to a target whose identity differs
+// from the one in the table.
 func TestWrongIdentityGetsNoRequest(t *testing.T) {
 	a := newBackend(t, "a", echo)
 	other := a.Target
@@ -21,18 +22,18 @@
 	proxy := newTestProxy(t, other)
 	status, header, _ := proxy.request(t, "POST", "/x", "body")
 	if status != 503 || header.Get(RanHeader) != "no" || a.runs.Load() != 0 {
-		t.Fatalf("status %d ran %q runs %d", status, header.Get(RanHeader), a.runs.Load())
+		t.Fatalf("got status %d, ran %q, %d requests at the target", status, header.Get(RanHeader), a.runs.Load())
 	}
 }
 
-// TestConnectionReuse checks that a connection serves request after request, unless its target closes it, its age
-// forbids it, or something came on it that was not asked for.
+// TestConnectionReuse checks that a connection is reused for further requests unless the target closes it, its
+// announced idle timeout is over, or unsolicited data has arrived on it.
 func TestConnectionReuse(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		headers []string
-		tail    string
-		conns   int64
+		surplus string // sent after each response
+		conns   int64  // expected number of connections for three requests
 	}{
 		{"kept", nil, "", 1},
 		{"closes", []string{"Connection", "close"}, "", 3},
@@ -42,30 +43,30 @@
 	} {
 		a := newRawBackend(t, "a", func(conn, n int, r *http.Request) (string, bool) {
 			response, _ := respond(200, "ok", tc.headers...)(conn, n, r)
-			return response + tc.tail, true
+			return response + tc.surplus, true
 		})
 		proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 		for range 3 {
 			if status, _, body := proxy.request(t, "POST", "/x", "", "A", "1"); status != 200 || body != "ok" {
-				t.Fatal(tc.name, status, body)
+				t.Fatalf("%s: got status %d, body %q", tc.name, status, body)
 			}
 		}
 		if a.conns.Load() != tc.conns {
-			t.Errorf("%s: %d connections", tc.name, a.conns.Load())
+			t.Errorf("%s: %d connections were opened, want %d", tc.name, a.conns.Load(), tc.conns)
 		}
 	}
 }
 
-// TestIdleConnectionWithInputIsNotIdle checks that a connection is no longer idle when something comes on it or
-// its target closes it.
-func TestIdleConnectionWithInputIsNotIdle(t *testing.T) {
+// TestConnectionWithInputIsNotIdle checks that a connection is no longer idle once data has arrived on it or the target
+// has closed it.
+func TestConnectionWithInputIsNotIdle(t *testing.T) {
 	for _, surplus := range []string{"HTTP/1.1 200 OK\r\n\r\n", "x", ""} {
 		listener := listen(t)
 		conn := dialTarget(t, listener.Addr().String())
 		target, _ := listener.Accept()
 		conn.netConn.SetDeadline(time.Now().Add(time.Hour))
 		if !conn.isIdle() {
-			t.Fatal("not idle from the start")
+			t.Fatal("a new connection is not idle")
 		}
 		if surplus == "" {
 			target.Close()
@@ -75,11 +76,11 @@
 	}
 }
 
-// TestPartlyWrittenConnectionIsNotReused checks that a connection on which a request was written in part is not
-// used again, whatever its target answers: it would read the next request as the rest of this one.
+// TestPartlyWrittenConnectionIsNotReused checks that a connection on which a request was written only in part is not
+// reused, whatever the target responds: the target would read the next request as the rest of this one.
 func TestPartlyWrittenConnectionIsNotReused(t *testing.T) {
 	listener := listen(t)
-	heads := make(chan string, 16)
+	ids := make(chan string, 16)
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -93,7 +94,7 @@
 					if err != nil {
 						return
 					}
-					heads <- r.Header.Get("A")
+					ids <- r.Header.Get("A")
 					response, _ := respond(200, "early")(0, 0, r)
 					io.WriteString(c, response)
 					io.Copy(io.Discard, r.Body)
@@ -108,47 +109,48 @@
 	proxy.pool.put(target.ID(), conn, 1)
 	proxy.request(t, "POST", "/x", strings.Repeat("b", 2000), "A", "1")
 	proxy.request(t, "POST", "/x", strings.Repeat("b", 2000), "A", "2")
-	if one, two := <-heads, <-heads; one != "1" || two != "2" {
-		t.Fatalf("requests %q and %q", one, two)
+	if first, second := <-ids, <-ids; first != "1" || second != "2" {
+		t.Fatalf("the target received requests %q and %q, want 1 and 2", first, second)
 	}
 	if proxy.forwarder.Counts.ConnsOpened.Load() != 1 {
-		t.Fatal(proxy.forwarder.Counts.ConnsOpened.Load(), "opened")
+		t.Fatal(proxy.forwarder.Counts.ConnsOpened.Load(), "connections were opened, want 1")
 	}
 }
 
-// TestRequestWithoutIDGetsNewConnection checks that a request without an id, to which any response would seem to
-// belong, gets a connection that has had no response.
+// TestRequestWithoutIDGetsNewConnection checks that a request without an id is sent on a new connection. On a used one,
+// a surplus response to an earlier request could not be told apart from the response to this request.
 func TestRequestWithoutIDGetsNewConnection(t *testing.T) {
 	a := newRawBackend(t, "a", respond(200, "ok"))
 	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 	for i, id := range []string{"1", "", "2"} {
 		if status, _, _ := proxy.request(t, "POST", "/x", "", "A", id); status != 200 {
-			t.Fatal(i, status)
+			t.Fatalf("request %d: got status %d", i, status)
 		}
 	}
 	if a.conns.Load() != 2 {
-		t.Fatal(a.conns.Load(), "connections")
+		t.Fatal(a.conns.Load(), "connections were opened, want 2")
 	}
 }
 
-// TestDrainingProxyWaitsForUnreachableTarget checks that a draining proxy waits for an unreachable target: another
-// one may not have the time left to serve, and the request would be ended by planned work.
+// TestDrainingProxyWaitsForUnreachableTarget checks that a draining proxy keeps waiting for an unreachable target. The
+// time left may be too short for another target to serve the request, which would then fail because of a planned
+// shutdown.
 func TestDrainingProxyWaitsForUnreachableTarget(t *testing.T) {
 	a := newRawBackend(t, "a", respond(200, "ok"))
 	proxy := newTestProxy(t, a.Target)
 	proxy.pool.SetUnreachable(map[wire.TargetID]bool{a.ID(): true})
 	if !proxy.forwarder.mayAbandon(a.ID()) {
-		t.Fatal("not abandoned at other times")
+		t.Fatal("the target may not be abandoned although the proxy is not draining")
 	}
 	proxy.forwarder.Draining.Store(true)
 	if proxy.forwarder.mayAbandon(a.ID()) {
-		t.Fatal("abandoned while draining")
+		t.Fatal("the target may be abandoned while the proxy is draining")
 	}
 }
 
-// TestResponseOfUnreachableTargetIsTaken checks that a response that has come when its target turns out to be
-// unreachable is taken, however late the proxy looks: it may have been held up, and the target has done its work.
-func TestResponseOfUnreachableTargetIsTaken(t *testing.T) {
+// TestResponseOfUnreachableTargetIsUsed checks that a response is used if it has already arrived when the proxy learns
+// that the target is unreachable. This happens if the proxy was suspended: the target has served the request.
+func TestResponseOfUnreachableTargetIsUsed(t *testing.T) {
 	listener := listen(t)
 	conn := dialTarget(t, listener.Addr().String())
 	target, err := listener.Accept()
@@ -158,16 +160,17 @@
 	defer target.Close()
 	deadline := time.Now().Add(time.Minute)
 	conn.netConn.SetDeadline(deadline)
-	comes := func() bool { // the response comes after the proxy has looked for it
+	// isUnreachable sends the response after awaitResponse's read has timed out.
+	isUnreachable := func() bool {
 		fmt.Fprint(target, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole")
 		conn.netConn.SetReadDeadline(deadline)
-		waitFor(t, "the response is there", func() bool { return !conn.isIdle() })
+		waitFor(t, "the response has arrived", func() bool { return !conn.isIdle() })
 		return true
 	}
-	if !conn.awaitResponse(t.Context(), deadline, comes) {
-		t.Fatal("abandoned with its response there")
+	if !conn.awaitResponse(t.Context(), deadline, isUnreachable) {
+		t.Fatal("the attempt was abandoned although its response had arrived")
 	}
 	if resp, err := conn.readHeader("GET"); err != nil || resp.StatusCode != 200 {
-		t.Fatal(resp, err)
+		t.Fatal("unexpected response:", resp, err)
 	}
 }
