--- a/internal/dataplane/reverseproxy/attempt.go
+++ b/internal/dataplane/reverseproxy/attempt.go
@@ -47,7 +47,7 @@
 	outcome          statemachine.Outcome
 }
 
-// attempt makes an attempt at a target and notifies the state machine when it has ended.
+// attempt makes one attempt to send the request to a target and notifies the state machine when it has ended.
 func (q *request) attempt(target *statemachine.Forward, idempotent bool) (result attemptResult) {
 	a := &attempt{request: q, target: *target, idempotent: idempotent, start: time.Now()}
 	a.deadline = a.start.Add(target.TimeLeft)
@@ -72,7 +72,7 @@
 }
 
 // run sends the request and reads the response. If writing to a reused connection fails before any byte was written,
-// run uses a new connection, whose result says more about the target.
+// run uses a new connection, since the failure of a reused one says little about the target.
 func (a *attempt) run() attemptResult {
 	maxIdleTime := a.maxIdleTime()
 	for {
--- a/internal/dataplane/reverseproxy/pipelining.go
+++ b/internal/dataplane/reverseproxy/pipelining.go
@@ -1,9 +1,10 @@
-// This file starts pipelined requests before the requests ahead of them on their connection have been answered.
-// net/http's server reads a caller's next request only after it has written the response to the previous one. A
-// callerConn therefore inspects the bytes that the server reads: while one request is being served, each further
-// request that is complete, plain (isPlainRequest) and without a body is started on its own goroutine. Its response is
-// held back until the server reaches the request in the usual way, so reading, ordering and framing remain with the
-// server. After anything other than a plain request, the connection's data is passed through without parsing.
+// This file starts pipelined requests before their turn, which comes when the requests ahead of them on their
+// connection have been answered. net/http's server reads a caller's next request only after it has written the response
+// to the previous one. A callerConn therefore inspects the bytes that the server reads: while one request is being
+// served, each further request that is complete, plain (isPlainRequest) and without a body is started on its own
+// goroutine. Its response is held back until the server reaches the request in the usual way, so reading, ordering and
+// framing remain with the server. After anything other than a plain request, the connection's data is passed through
+// without parsing.
 
 package reverseproxy
 
--- a/internal/dataplane/reverseproxy/pipelining_test.go
+++ b/internal/dataplane/reverseproxy/pipelining_test.go
@@ -168,7 +168,8 @@
 }
 
 // TestNonIdempotentRequestIsNotPipelined checks that a pipelined request that may run only once is not started before
-// its turn. If the response ahead of it closes the connection, the caller takes it for unread and sends it again.
+// its turn. If the response ahead of it closes the connection, the caller assumes that the request was not read and
+// sends it again.
 func TestNonIdempotentRequestIsNotPipelined(t *testing.T) {
 	for kind, want := range map[config.RouteKind]int64{config.KindOnce: 1, config.KindRepeatable: 2} {
 		hold, second := make(chan bool), make(chan bool, 1)
--- a/internal/dataplane/reverseproxy/retries.go
+++ b/internal/dataplane/reverseproxy/retries.go
@@ -41,21 +41,21 @@
 	if q.passFallback() {
 		return
 	}
-	failed := requestError{rejection.Status, rejection.RetryAfter, rejection.Code, rejection.Message}
+	reqErr := requestError{rejection.Status, rejection.RetryAfter, rejection.Code, rejection.Message}
 	if q.lastError != nil {
-		failed.code = q.lastError.code
-		failed.message += "; before that: " + q.lastError.code
+		reqErr.code = q.lastError.code
+		reqErr.message += "; before that: " + q.lastError.code
 		if q.errorStatus != 0 {
-			failed.status = q.errorStatus
+			reqErr.status = q.errorStatus
 		}
-		if failed.retryAfter == 0 {
-			failed.retryAfter = tuning.RetryAfterMin
+		if reqErr.retryAfter == 0 {
+			reqErr.retryAfter = tuning.RetryAfterMin
 		}
 	}
 	if len(rejection.Allowed) > 0 {
 		q.writer.Header().Set("Allow", strings.Join(rejection.Allowed, ", "))
 	}
-	q.fail(&failed, q.ran)
+	q.fail(&reqErr, q.ran)
 }
 
 // tryTarget attempts to send the request to a target. sent means that part of the request may have reached the target;
--- a/internal/dataplane/reverseproxy/reverseproxy.go
+++ b/internal/dataplane/reverseproxy/reverseproxy.go
@@ -160,12 +160,12 @@
 // accept validates the request and reads the part of its body that is buffered. It returns the time that remains of
 // the caller's timeout, 0 if the caller set none. accepted is false if an error response was sent.
 func (q *request) accept() (timeout time.Duration, accepted bool) {
-	timeout, failed := q.checkHeader()
-	if failed == nil {
-		failed = q.receiveBody(timeout)
+	timeout, reqErr := q.checkHeader()
+	if reqErr == nil {
+		reqErr = q.receiveBody(timeout)
 	}
-	if failed != nil {
-		q.fail(failed, config.RanNo)
+	if reqErr != nil {
+		q.fail(reqErr, config.RanNo)
 		return 0, false
 	}
 	if timeout > 0 {
@@ -176,7 +176,7 @@
 
 // checkHeader validates the request's header. It returns the caller's timeout, 0 if the caller set none, or the error
 // to respond with.
-func (q *request) checkHeader() (timeout time.Duration, failed *requestError) {
+func (q *request) checkHeader() (timeout time.Duration, reqErr *requestError) {
 	if headerSize(q.incoming.Header) > q.forwarder.maxHeaderBytes() {
 		return 0, errHeaderTooLarge
 	}
@@ -197,15 +197,15 @@
 }
 
 // fail responds to the caller with an error. ran tells the caller whether the request may have run.
-func (q *request) fail(failed *requestError, ran config.Ran) {
-	q.status = failed.status
+func (q *request) fail(reqErr *requestError, ran config.Ran) {
+	q.status = reqErr.status
 	if ran == config.RanUnknown {
 		q.forwarder.Counts.RunUnknown.Add(1)
 	} else {
 		q.forwarder.Counts.NotRun.Add(1)
 	}
-	body := config.ErrorBody{Code: failed.code, Message: failed.message, Ran: ran}
-	writeError(q.writer, q.forwarder.Headers.Ran, failed.status, failed.retryAfter, body)
+	body := config.ErrorBody{Code: reqErr.code, Message: reqErr.message, Ran: ran}
+	writeError(q.writer, q.forwarder.Headers.Ran, reqErr.status, reqErr.retryAfter, body)
 }
 
 // abort ends a request whose caller has disconnected, without a response: even an empty response would be wrong. It
--- a/internal/dataplane/reverseproxy/testproxy_test.go
+++ b/internal/dataplane/reverseproxy/testproxy_test.go
@@ -190,7 +190,7 @@
 	return f
 }
 
-// newForwarder returns a forwarder whose state machine has a constant time and responds with ask.
+// newForwarder returns a forwarder whose state machine has a constant clock and ask as its function Ask.
 func newForwarder(t testing.TB, ask func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command) *Forwarder {
 	t.Helper()
 	pool := NewPool()
