--- a/cmd/mfcontrol/main.go
+++ b/cmd/mfcontrol/main.go
@@ -1,5 +1,5 @@
-// Command mfcontrol is the control daemon: it keeps the configuration, the proxy membership and the health of targets.
-// Its --help has the settings; package daemon runs it.
+// Command mfcontrol is the control daemon: it replicates the configuration, the proxy membership and the health of
+// targets. Run it with --help for its settings; package daemon implements it.
 package main
 
 import (
--- a/cmd/mfctl/main.go
+++ b/cmd/mfctl/main.go
@@ -1,4 +1,5 @@
-// Command mfctl is the operators' command. Its --help has the commands; package mfctl carries them out.
+// Command mfctl is the command-line client for operators. Run it with --help for its commands; package mfctl implements
+// them.
 package main
 
 import (
--- a/cmd/mfproxy/main.go
+++ b/cmd/mfproxy/main.go
@@ -1,5 +1,5 @@
-// Command mfproxy is the proxy daemon: it forwards callers' requests to back ends. Its --help has the settings; package
-// daemon runs it.
+// Command mfproxy is the proxy daemon: it forwards requests of callers to back ends. Run it with --help for its settings;
+// package daemon implements it.
 package main
 
 import (
--- a/internal/daemon/clock.go
+++ b/internal/daemon/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Clock is the time that a daemon's state machine is stepped with: monotonic, and the same for all parts of the process.
+// Clock is the monotonic clock that all parts of a daemon's process share. The state machine is stepped with its time.
 type Clock struct{ start time.Time }
 
 // Now returns the time since the process started; it is never 0.
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -1,4 +1,4 @@
-// This file is the control daemon's process: it opens the disk, starts the controller, and carries out its commands.
+// The control daemon's process: it opens the disk, runs the controller and executes the controller's commands.
 
 package daemon
 
@@ -14,22 +14,22 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// controlDaemon is a control daemon's parts.
+// controlDaemon holds the parts of a running control daemon.
 type controlDaemon struct {
 	*Process
 	controller *controlplane.Controller
 	disk       *Disk
 	stream     *EventStream
-	term       atomic.Uint64 // the controller's, for the lines of the stream
+	term       atomic.Uint64 // the controller's current term, which each record of the stream carries
 }
 
-// RunControl is mfcontrol: it runs a control daemon until it is stopped, and returns the exit code.
+// RunControl is the entry point of mfcontrol: it runs a control daemon until it is stopped and returns the exit code.
 func RunControl(args []string, platform Platform) int {
 	process, code := Start(wire.ControlDaemon, args, platform)
 	if process == nil {
 		return code
 	}
-	disk, persisted, damage, err := process.openDiskWithRetry(process.stops)
+	disk, persisted, damage, err := process.openDiskWithRetry(process.stopSignals)
 	if err != nil {
 		process.Log.WithError(err).Info("stopped")
 		return exitOK
@@ -42,7 +42,7 @@
 	}
 	server, err := d.listen(ctx)
 	if err != nil {
-		process.Log.WithError(err).Error("daemon can't start")
+		process.Log.WithError(err).Error("start failed")
 		return exitFailed
 	}
 	go d.disk.Run(ctx)
@@ -53,7 +53,7 @@
 	return code
 }
 
-// listen opens the daemon's ports: for other daemons and for the HTTP API.
+// listen opens the daemon's listeners: one for other daemons and one for the HTTP API.
 func (d *controlDaemon) listen(ctx context.Context) (api *http.Server, err error) {
 	if err := d.listenForDaemons(ctx); err != nil {
 		return nil, err
@@ -79,21 +79,21 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// counts are the controller's counters, a controlplane.Counts.
+// counts returns the controller's counters as a controlplane.Counts.
 func (d *controlDaemon) counts() any {
 	var counts controlplane.Counts
 	d.Loop.Inspect(func(now time.Duration) { counts = d.controller.Status(now).Counts })
 	return counts
 }
 
-// step steps the controller; only on the loop's goroutine.
+// step passes an event to the controller and returns its commands. It must be called on the loop's goroutine.
 func (d *controlDaemon) step(now time.Duration, event statemachine.Event) []statemachine.Command {
 	commands := d.controller.Step(now, event)
 	d.term.Store(d.controller.Term())
 	return commands
 }
 
-// execute carries out a command of the controller; only on the loop's goroutine.
+// execute executes one of the controller's commands. It must be called on the loop's goroutine.
 func (d *controlDaemon) execute(ctx context.Context, command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Sync:
@@ -105,7 +105,7 @@
 	}
 }
 
-// handler is the daemon's HTTP API: for operators, and for targets' heartbeats.
+// handler returns the handler of the HTTP API, which serves operators and the heartbeats of targets.
 func (d *controlDaemon) handler(ctx context.Context) http.Handler {
 	mux := d.AdminMux(func() (ready bool, role any) {
 		d.Loop.Inspect(func(now time.Duration) { ready, role = d.controller.Ready(), d.controller.Status(now).Role })
@@ -117,7 +117,8 @@
 	return mux
 }
 
-// serveStream serves the stream of target events, or redirects the reader to the leader.
+// serveStream serves the stream of target events if this member leads, and otherwise redirects the client to the
+// leader.
 func (d *controlDaemon) serveStream(w http.ResponseWriter, r *http.Request) {
 	var leading bool
 	var leaderAddr string
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -1,5 +1,5 @@
-// This file is a member's disk: batches in, syncs out, on a goroutine of its own. A write that the disk rejects is
-// retried until it succeeds, and nothing is acknowledged meanwhile.
+// The write-ahead log writer of a control plane member. It writes and syncs batches on its own goroutine. A failed
+// write is retried until it succeeds, and no batch is acknowledged in the meantime.
 
 package daemon
 
@@ -19,30 +19,31 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// recordLog is where a disk's records go: a *wal.Log, or one that fails in tests.
+// recordLog is the log that a Disk writes to: a *wal.Log, or in tests one that returns errors.
 type recordLog interface {
-	// Append writes and syncs records. It returns false if there was no room, and then has written none.
+	// Append writes and syncs records. If the current file has no room for all of them, it writes none and returns
+	// false.
 	Append(records ...[]byte) (room bool, err error)
-	// Rotate begins a new file with a record that stands for all before it.
-	Rotate(complete []byte) error
+	// Rotate starts a new file with a checkpoint record, which replaces all earlier records.
+	Rotate(checkpoint []byte) error
 }
 
-// Disk owns a member's write-ahead log: batches in, numbers of synced ones out.
+// Disk owns a member's write-ahead log. It takes batches and posts the sequence number of the last one synced.
 type Disk struct {
-	log       *logrus.Logger
-	loop      *Loop
-	wal       recordLog
-	persisted consensus.PersistentState // what the log's records amount to
-	queue     chan *wire.Batch
-	retryGap  time.Duration // how long after a rejected write it is retried
-	failure   error         // why writes are rejected now, nil: they are not
+	log           *logrus.Logger
+	loop          *Loop
+	wal           recordLog
+	persisted     consensus.PersistentState // the state after all records of the log
+	queue         chan *wire.Batch
+	retryInterval time.Duration // delay before a failed write is retried
+	writeErr      error         // error of the last write, nil if it succeeded
 }
 
 func newDisk(log *logrus.Logger, loop *Loop, records recordLog) *Disk {
-	return &Disk{log: log, loop: loop, wal: records, queue: make(chan *wire.Batch, tuning.EventQueue), retryGap: tuning.DiskRetry}
+	return &Disk{log: log, loop: loop, wal: records, queue: make(chan *wire.Batch, tuning.EventQueue), retryInterval: tuning.DiskRetry}
 }
 
-// Write queues a batch, which Run writes and acknowledges by a statemachine.Synced; it waits while the queue is full.
+// Write queues a batch for Run, which writes it and posts a statemachine.Synced. It blocks while the queue is full.
 func (d *Disk) Write(ctx context.Context, batch *wire.Batch) {
 	select {
 	case d.queue <- batch:
@@ -50,7 +51,7 @@
 	}
 }
 
-// Run writes and syncs batches as they come until the context ends, those that wait together in one write.
+// Run writes and syncs queued batches until the context ends. Batches that are queued at the same time share one write.
 func (d *Disk) Run(ctx context.Context) {
 	for {
 		select {
@@ -66,14 +67,14 @@
 	}
 }
 
-// sync writes batches until the disk has taken them or the context ends, and acknowledges them if it has.
+// sync writes batches, with retries until the write succeeds or the context ends, and then acknowledges them.
 func (d *Disk) sync(ctx context.Context, batches []*wire.Batch) {
 	var records [][]byte
 	for _, batch := range batches {
 		d.persisted.ApplyBatch(batch)
 		record, err := wire.EncodeBatch(batch)
 		if err != nil {
-			d.log.WithError(err).WithField("batch", batch.Seq).Fatal("batch can't be encoded")
+			d.log.WithError(err).WithField("batch", batch.Seq).Fatal("batch encoding failed")
 		}
 		records = append(records, record)
 	}
@@ -84,7 +85,7 @@
 			break
 		}
 		select {
-		case <-time.After(d.retryGap):
+		case <-time.After(d.retryInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -100,7 +101,7 @@
 	return err
 }
 
-// rotate puts one record of the complete persisted state in place of all others.
+// rotate replaces all records of the log by one checkpoint of the persisted state.
 func (d *Disk) rotate() error {
 	record, err := wire.EncodeBatch(d.persisted.Checkpoint())
 	if err != nil {
@@ -109,26 +110,27 @@
 	return d.wal.Rotate(record)
 }
 
-// reportHealth logs and posts when writes begin to be rejected, for another reason, or accepted again.
+// reportHealth logs and posts a change of the disk's health: the first failed write, a failure with another error, or
+// recovery.
 func (d *Disk) reportHealth(err error) {
-	before := d.failure
-	d.failure = err
+	before := d.writeErr
+	d.writeErr = err
 	switch {
 	case err == nil && before == nil, err != nil && before != nil && err.Error() == before.Error():
 		return
 	case err == nil:
 		d.log.Info("disk accepts writes again")
 	default:
-		d.log.WithError(err).Error("disk rejects writes; nothing is acknowledged until it accepts them")
+		d.log.WithError(err).Error("disk rejects writes; no batch is acknowledged until it accepts them")
 	}
 	d.loop.Post(statemachine.DiskHealth{Err: err})
 }
 
-// load reads the records of the log; an empty log gets a disk number of its own.
+// load restores the persisted state from the records of the log. A log without a disk number gets a new one.
 func (d *Disk) load(records [][]byte) error {
 	for _, record := range records {
 		batch, err := wire.DecodeBatch(record)
-		if err != nil { // its text is in the API's status of a member, and so stays as it is
+		if err != nil { // the status API shows this text, so it must not change
 			return errors.Mark(errors.Wrap(err, "ring record"), wal.ErrDamaged)
 		}
 		d.persisted.ApplyBatch(batch)
@@ -143,7 +145,7 @@
 	return d.rotate()
 }
 
-// persistedCopy returns the persisted state as it is now; the disk's own changes with each batch.
+// persistedCopy returns a copy of the persisted state that later batches don't change.
 func (d *Disk) persistedCopy() consensus.PersistentState {
 	persisted := d.persisted
 	persisted.Log = slices.Clone(persisted.Log)
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -17,7 +17,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// newDiskProcess returns a process with an empty data folder, whose loop the test reads.
+// newDiskProcess returns a process with an empty data directory. Its loop doesn't run: tests read the queue.
 func newDiskProcess(tb testing.TB) *Process {
 	tb.Helper()
 	log := logrus.New()
@@ -25,7 +25,7 @@
 	return &Process{Settings: Settings{Data: tb.TempDir()}, Log: log, Loop: newLoop(&Clock{})}
 }
 
-// postedEvents takes the events that have been posted so far.
+// postedEvents removes and returns the events that are in the loop's queue.
 func postedEvents(loop *Loop) (events []statemachine.Event) {
 	for len(loop.queue) > 0 {
 		events = append(events, (<-loop.queue).event)
@@ -33,29 +33,29 @@
 	return events
 }
 
-// faultyLog rejects writes with the errors that are due, one each.
+// faultyLog is a recordLog whose calls return the queued errors, one per call, nil for success.
 type faultyLog struct {
-	due       []error
-	noRoom    int // appends that find no room
-	appended  [][]byte
-	rotations int
+	errs        []error
+	fullAppends int // number of appends that report that the file is full
+	appended    [][]byte
+	rotations   int
 }
 
-func (l *faultyLog) reject() error {
-	if len(l.due) == 0 {
+func (l *faultyLog) nextError() error {
+	if len(l.errs) == 0 {
 		return nil
 	}
-	err := l.due[0]
-	l.due = l.due[1:]
+	err := l.errs[0]
+	l.errs = l.errs[1:]
 	return err
 }
 
 func (l *faultyLog) Append(records ...[]byte) (bool, error) {
-	if err := l.reject(); err != nil {
+	if err := l.nextError(); err != nil {
 		return true, err
 	}
-	if l.noRoom > 0 {
-		l.noRoom--
+	if l.fullAppends > 0 {
+		l.fullAppends--
 		return false, nil
 	}
 	l.appended = append(l.appended, records...)
@@ -63,23 +63,23 @@
 }
 
 func (l *faultyLog) Rotate(_ []byte) error {
-	if err := l.reject(); err != nil {
+	if err := l.nextError(); err != nil {
 		return err
 	}
 	l.rotations++
 	return nil
 }
 
-// A member finds on its disk again what was synced, over many rotations of the write-ahead log.
-func TestDiskKeepsWhatWasSynced(t *testing.T) {
+// After a restart a member reads back all that was synced, across many rotations of the write-ahead log.
+func TestDiskPersistsSyncedBatches(t *testing.T) {
 	p := newDiskProcess(t)
 	d, persisted, err := p.OpenDisk()
 	if err != nil || persisted.Disk == 0 {
-		t.Fatal(err, persisted)
+		t.Fatalf("open empty disk: error %v, disk number %d", err, persisted.Disk)
 	}
 	go d.Run(t.Context())
 	want := consensus.PersistentState{Disk: persisted.Disk}
-	big := []byte(`{"op":"restore","name":"` + strings.Repeat("x", 100<<10) + `"}`) // an entry that decodes, and a state
+	big := []byte(`{"op":"restore","name":"` + strings.Repeat("x", 100<<10) + `"}`) // valid as an entry and as a snapshot
 	for i := range uint64(200) {
 		batch := &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1, Kind: consensus.EntryData, Data: big}}}
 		if i%8 == 7 {
@@ -94,22 +94,22 @@
 	}
 	_, got, err := p.OpenDisk()
 	if err != nil || got.Disk != want.Disk || got.Snapshot.Index != want.Snapshot.Index || len(got.Log) != len(want.Log) || got.Log[0].Index != want.Log[0].Index {
-		t.Fatalf("%v: %d %d", err, got.Snapshot.Index, len(got.Log))
+		t.Fatalf("reopened disk: error %v, snapshot index %d, %d log entries; want %d and %d", err, got.Snapshot.Index, len(got.Log), want.Snapshot.Index, len(want.Log))
 	}
 }
 
-// A write to a disk that is full or fails is retried: nothing is acknowledged before the disk has taken all, in order,
-// and each reason is reported once.
-func TestRejectedWriteIsRetried(t *testing.T) {
+// A write that fails because the disk is full or broken is retried. No batch is acknowledged before all are written in
+// order, and consecutive failures with the same error are reported once.
+func TestFailedWriteIsRetried(t *testing.T) {
 	full, broken := syscall.ENOSPC, syscall.EIO
 	for name, records := range map[string]*faultyLog{
-		"append":   {due: []error{full, full, broken, full}},
-		"rotation": {due: []error{full, nil, broken, nil, broken}, noRoom: 9},
+		"append":   {errs: []error{full, full, broken, full}},
+		"rotation": {errs: []error{full, nil, broken, nil, broken}, fullAppends: 9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newDiskProcess(t)
 			d := newDisk(p.Log, p.Loop, records)
-			d.retryGap = 0
+			d.retryInterval = 0
 			var batches []*wire.Batch
 			for i := range uint64(3) {
 				batches = append(batches, &wire.Batch{Seq: i + 1, Entries: []wire.Entry{{Index: i + 1, Term: 1}}})
@@ -117,24 +117,24 @@
 			d.sync(t.Context(), batches)
 			posted := postedEvents(p.Loop)
 			if last, ok := posted[len(posted)-1].(statemachine.Synced); !ok || last.Seq != 3 {
-				t.Fatal(posted)
+				t.Fatalf("posted %v, want Synced up to batch 3 last", posted)
 			}
 			before := posted[:len(posted)-1]
 			for i, event := range before {
 				health, ok := event.(statemachine.DiskHealth)
 				if !ok || (health.Err == nil) != (i == len(before)-1) || i > 0 && health.Err != nil && errors.Is(health.Err, before[i-1].(statemachine.DiskHealth).Err) {
-					t.Errorf("posted %v", posted)
+					t.Errorf("posted %v, want one DiskHealth for each change of the error", posted)
 				}
 			}
-			if len(records.due) > 0 || len(records.appended)+3*records.rotations != 3 || len(d.persisted.Log) != 3 {
-				t.Errorf("%d records and %d complete ones taken, %d entries", len(records.appended), records.rotations, len(d.persisted.Log))
+			if len(records.errs) > 0 || len(records.appended)+3*records.rotations != 3 || len(d.persisted.Log) != 3 {
+				t.Errorf("%d errors left, %d records appended, %d rotations, %d entries; want no errors left, 3 records in all and 3 entries", len(records.errs), len(records.appended), records.rotations, len(d.persisted.Log))
 			}
 		})
 	}
 }
 
-// A disk that can't be read completely counts as lost: it is recreated under another number, once, and says why.
-// Damage is of a record, of a file, or of what a valid record says.
+// A disk that can't be read completely counts as lost: it is recreated once, under a new number, and the damage is
+// returned. The cases damage a record, remove a file, and store a valid record whose entry does not decode.
 func TestDamagedDiskCountsAsLost(t *testing.T) {
 	for name, damage := range map[string]func(t *testing.T, dir string){
 		"a flipped bit": func(t *testing.T, dir string) {
@@ -176,13 +176,13 @@
 			t.Errorf("%s: error %v, damage %v, disk %d after %d, term %d, %d entries", name, err, found, persisted.Disk, before.Disk, persisted.Term, len(persisted.Log))
 		}
 		if _, again, found, err := p.openDiskWithRetry(nil); err != nil || found != nil || again.Disk != persisted.Disk {
-			t.Errorf("%s: at the next start %v, damage %v, disk %d after %d", name, err, found, again.Disk, persisted.Disk)
+			t.Errorf("%s: at the next start: error %v, damage %v, disk %d after %d", name, err, found, again.Disk, persisted.Disk)
 		}
 	}
 }
 
-// Opening a disk that can't be opened is retried and ends no process.
-func TestOpeningTheDiskIsRetried(t *testing.T) {
+// Opening the disk is retried until it succeeds; a failure doesn't end the process.
+func TestOpenDiskIsRetried(t *testing.T) {
 	p := newDiskProcess(t)
 	parent := filepath.Join(p.Settings.Data, "disk")
 	if err := os.WriteFile(parent, nil, 0o600); err != nil {
@@ -190,7 +190,7 @@
 	}
 	p.Settings.Data = filepath.Join(parent, "ring")
 	if _, _, err := p.OpenDisk(); err == nil {
-		t.Fatal("opened")
+		t.Fatal("OpenDisk succeeded below a regular file")
 	}
 	opened := make(chan consensus.PersistentState)
 	go func() {
@@ -201,12 +201,12 @@
 		t.Fatal(err)
 	}
 	if persisted := <-opened; persisted.Disk == 0 {
-		t.Fatal("no number")
+		t.Fatal("the opened disk has no number")
 	}
 }
 
-// A process that is asked to stop while its disk can't be opened gives up.
-func TestStopEndsOpeningTheDisk(t *testing.T) {
+// A stop signal ends the retries of a process whose disk can't be opened.
+func TestStopInterruptsOpeningDisk(t *testing.T) {
 	p := newDiskProcess(t)
 	file := filepath.Join(p.Settings.Data, "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -216,6 +216,6 @@
 	stop := make(chan os.Signal, 1)
 	stop <- syscall.SIGTERM
 	if _, _, _, err := p.openDiskWithRetry(stop); !errors.Is(err, errStopped) {
-		t.Fatal(err)
+		t.Fatalf("error %v, want errStopped", err)
 	}
 }
--- a/internal/daemon/diskopen.go
+++ b/internal/daemon/diskopen.go
@@ -1,4 +1,4 @@
-// This file opens a member's disk at the start. One whose contents can't be read completely counts as lost.
+// Opening a member's disk at startup. A disk whose contents can't be read completely counts as lost.
 
 package daemon
 
@@ -16,11 +16,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// errStopped says that the process was asked to stop before its disk was open.
+// errStopped is returned if the process was asked to stop before its disk was open.
 var errStopped = errors.New("stopped while the disk was opened")
 
-// OpenDisk opens the disk and returns it with what it holds; an empty folder gets a disk number of its own. An error
-// that is wal.ErrDamaged or state.ErrDamaged says that the contents can't be read completely.
+// OpenDisk opens the disk and returns it with its persisted state. An empty directory gets a new disk number. An error
+// that wraps wal.ErrDamaged or state.ErrDamaged means that the contents can't be read completely.
 func (p *Process) OpenDisk() (*Disk, consensus.PersistentState, error) {
 	log, records, err := wal.Open(p.Settings.Data, tuning.WALFiles, tuning.WALFileSize)
 	if err != nil {
@@ -34,11 +34,11 @@
 	return disk, disk.persistedCopy(), nil
 }
 
-// newDiskNumber draws a number that no two disks share; 0 is none.
+// newDiskNumber returns a random disk number, unique for practical purposes and never 0, which means no number.
 func newDiskNumber() uint64 { return rand.Uint64() | 1 }
 
-// recreateDisk empties a damaged disk and gives it another number: to the control plane this member's disk is lost, so
-// the member recovers everything from its peers and votes only once it has been added again.
+// recreateDisk clears a damaged disk and gives it a new number. The control plane treats the old disk as lost, so the
+// member recovers all state from its peers and votes only after it has been added again.
 func (p *Process) recreateDisk() (*Disk, consensus.PersistentState, error) {
 	persisted := consensus.PersistentState{Disk: newDiskNumber()}
 	record, err := wire.EncodeBatch(persisted.Checkpoint())
@@ -54,24 +54,25 @@
 	return disk, disk.persistedCopy(), nil
 }
 
-// openDiskWithRetry opens the disk, however often that has to be retried: a process that ended instead would be
-// started again to meet the same. damage is what was found if the disk had to be recreated. The error is errStopped.
+// openDiskWithRetry opens the disk and retries until it succeeds, since a process that exited would be restarted and
+// meet the same error. damage is the reason why the disk had to be recreated, nil if it was intact. The only error is
+// errStopped.
 func (p *Process) openDiskWithRetry(stop <-chan os.Signal) (disk *Disk, persisted consensus.PersistentState, damage, err error) {
 	log := p.Log.WithField("data", p.Settings.Data)
-	logged := ""
+	lastLogged := ""
 	for {
 		disk, persisted, err = p.OpenDisk()
 		if errors.IsAny(err, wal.ErrDamaged, state.ErrDamaged) {
-			log.WithError(err).Error("stored state is damaged; it counts as lost, and this member recovers it from its peers")
+			log.WithError(err).Error("stored state is damaged; recreating the disk and recovering the state from peers")
 			damage = err
 			disk, persisted, err = p.recreateDisk()
 		}
 		if err == nil {
 			return disk, persisted, damage, nil
 		}
-		if logged != err.Error() {
-			logged = err.Error()
-			log.WithError(err).Error("disk can't be opened; retrying")
+		if lastLogged != err.Error() {
+			lastLogged = err.Error()
+			log.WithError(err).Error("opening the disk failed; retrying")
 		}
 		select {
 		case <-time.After(tuning.DiskRetry):
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -2,8 +2,8 @@
 // dataplane.Proxy. It holds all I/O around them: settings, the clock, the loop that steps a state machine on one
 // goroutine, messages between daemons over TCP, health checks, the disk, the HTTP API, logs and metrics.
 //
-// It decides nothing about configuration, leadership or targets: that is the state machines' part. What it reads
-// becomes an event (package statemachine), and it carries out the commands that they return.
+// Decisions about configuration, leadership and targets belong to the state machines. This package turns input into
+// events (package statemachine) and executes the commands that the state machines return.
 //
-// Begin with RunControl and RunProxy, then Process, which the parts share, and Loop.
+// Start reading at RunControl and RunProxy, then Process, which holds what the parts share, and Loop.
 package daemon
--- a/internal/daemon/healthcheck.go
+++ b/internal/daemon/healthcheck.go
@@ -1,6 +1,5 @@
-// This file is the health checks: targets are asked, on connections that stay open from one check to the next, either
-// for their health or, where a service has no path for that, for their identity. What a response means for a target
-// is decided by the state machines.
+// Active health checks of targets over persistent connections. A check requests the service's health path or, for a
+// service without one, the target's identity. The state machines decide what a result means for the target.
 
 package daemon
 
@@ -19,18 +18,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// HealthChecker carries out health checks and posts their outcomes to the loop.
+// HealthChecker runs health checks and posts their results to the loop.
 type HealthChecker struct {
 	clock     *Clock
 	loop      *Loop
-	localAddr net.Addr // that connections leave from, nil: the system's choice
+	localAddr net.Addr // local address of connections, nil for the system's choice
 	headers   reverseproxy.Headers
 
-	targets     map[wire.TargetID]*checkedTarget // the loop's goroutine owns the map
-	idleCheckAt time.Duration                    // when idle connections were last closed
+	targets       map[wire.TargetID]*checkedTarget // owned by the loop's goroutine
+	lastIdleSweep time.Duration                    // when idle connections were last closed
 }
 
-// newHealthChecker returns a checker that uses these headers, or the product's own if there are none.
+// newHealthChecker returns a checker that uses the given header names, or the default ones if headers is the zero
+// value.
 func newHealthChecker(clock *Clock, loop *Loop, localAddr net.Addr, headers reverseproxy.Headers) *HealthChecker {
 	if headers == (reverseproxy.Headers{}) {
 		headers = reverseproxy.DefaultHeaders()
@@ -38,27 +38,27 @@
 	return &HealthChecker{clock: clock, loop: loop, localAddr: localAddr, headers: headers, targets: map[wire.TargetID]*checkedTarget{}}
 }
 
-// checkedTarget holds one target's connection while no check uses it.
+// checkedTarget holds the idle connection to one target.
 type checkedTarget struct {
-	conn      atomic.Pointer[reverseproxy.Conn]
-	checkedAt time.Duration // when the last check began
-	forgotten atomic.Bool   // no more checks go there
+	conn        atomic.Pointer[reverseproxy.Conn] // the idle connection, nil if there is none or a check uses it
+	lastCheckAt time.Duration                     // when the last check started
+	removed     atomic.Bool                       // set once the target is no longer checked
 }
 
-// keep keeps a connection for the next check, in place of the one kept before; nil: none.
-func (t *checkedTarget) keep(conn *reverseproxy.Conn) {
+// putIdle stores a connection for the next check and closes the one stored before. A nil conn only closes that one.
+func (t *checkedTarget) putIdle(conn *reverseproxy.Conn) {
 	if old := t.conn.Swap(conn); old != nil {
 		old.Close()
 	}
-	if t.forgotten.Load() {
+	if t.removed.Load() { // set while the check was running
 		if conn = t.conn.Swap(nil); conn != nil {
 			conn.Close()
 		}
 	}
 }
 
-// Check checks a target and posts the outcome, a statemachine.ProbeResult; only on the loop's goroutine, which it
-// doesn't keep waiting.
+// Check starts a check of a target, which posts its result as a statemachine.ProbeResult. It must be called on the
+// loop's goroutine and does not block.
 func (h *HealthChecker) Check(probe statemachine.Probe) {
 	sentAt := h.clock.Now()
 	h.closeIdle(sentAt)
@@ -67,8 +67,8 @@
 		target = &checkedTarget{}
 		h.targets[probe.ID] = target
 	}
-	target.checkedAt = sentAt
-	go func() { // ends by tuning.ProbeTimeout
+	target.lastCheckAt = sentAt
+	go func() { // returns within tuning.ProbeTimeout
 		result := h.check(target, probe)
 		h.loop.Post(statemachine.ProbeResult{
 			ID:           probe.ID,
@@ -80,29 +80,30 @@
 	}()
 }
 
-// closeIdle closes, now and then, the connections to targets that are no longer checked.
+// closeIdle closes the connections to targets that are no longer checked. It scans the targets at most four
+// times per tuning.ProbeConnIdle.
 func (h *HealthChecker) closeIdle(now time.Duration) {
-	if now-h.idleCheckAt <= tuning.ProbeConnIdle/4 {
+	if now-h.lastIdleSweep <= tuning.ProbeConnIdle/4 {
 		return
 	}
-	h.idleCheckAt = now
+	h.lastIdleSweep = now
 	for id, target := range h.targets {
-		if now-target.checkedAt > tuning.ProbeConnIdle {
+		if now-target.lastCheckAt > tuning.ProbeConnIdle {
 			delete(h.targets, id)
-			target.forgotten.Store(true)
-			target.keep(nil)
+			target.removed.Store(true)
+			target.putIdle(nil)
 		}
 	}
 }
 
-// checkResult is what a response says of its target.
+// checkResult is the health of a target according to its response.
 type checkResult struct {
-	report     *config.TargetReport // nil: no valid response, or one that says it is unhealthy
-	warmupLeft time.Duration        // how much longer it is warming up
+	report     *config.TargetReport // nil if the target is unhealthy or its response invalid
+	warmupLeft time.Duration        // remaining warm-up time, 0 if the target is warm
 }
 
-// check checks a target on the kept connection, and once more on a new one if that fails: its target may have closed
-// it meanwhile.
+// check checks a target on its idle connection. If that fails it retries once on a new connection, since the target may
+// have closed the idle one.
 func (h *HealthChecker) check(target *checkedTarget, probe statemachine.Probe) checkResult {
 	deadline := time.Now().Add(tuning.ProbeTimeout)
 	conn := target.conn.Swap(nil)
@@ -112,7 +113,7 @@
 	}
 	if conn != nil {
 		result, reusable, err := h.checkOn(conn, probe, deadline)
-		target.keepOrClose(conn, err == nil && reusable)
+		target.putIdleOrClose(conn, err == nil && reusable)
 		if err == nil || time.Now().After(deadline) {
 			return result
 		}
@@ -122,14 +123,14 @@
 		return checkResult{}
 	}
 	result, reusable, err := h.checkOn(conn, probe, deadline)
-	target.keepOrClose(conn, err == nil && reusable)
+	target.putIdleOrClose(conn, err == nil && reusable)
 	return result
 }
 
-// keepOrClose keeps a connection that can be used again, and closes any other.
-func (t *checkedTarget) keepOrClose(conn *reverseproxy.Conn, reusable bool) {
+// putIdleOrClose stores a reusable connection for the next check and closes any other.
+func (t *checkedTarget) putIdleOrClose(conn *reverseproxy.Conn, reusable bool) {
 	if reusable {
-		t.keep(conn)
+		t.putIdle(conn)
 	} else {
 		conn.Close()
 	}
@@ -141,8 +142,8 @@
 	return reverseproxy.Dial(ctx, addr, h.localAddr)
 }
 
-// checkOn checks a target on a connection, and reports whether the connection can be used again. An error says that
-// there was no response.
+// checkOn checks a target on a connection and reports whether the connection can be reused. An error means that there
+// was no response.
 func (h *HealthChecker) checkOn(conn *reverseproxy.Conn, probe statemachine.Probe, deadline time.Time) (result checkResult, reusable bool, err error) {
 	if probe.Path == "" {
 		report, reusable, err := conn.Identify(deadline, probe.Addr)
@@ -159,7 +160,7 @@
 	return h.readHealth(probe.ID, response), reusable, nil
 }
 
-// readHealth reads the response of a health check's path.
+// readHealth converts the response to a health check request into a result.
 func (h *HealthChecker) readHealth(id wire.TargetID, response *http.Response) (result checkResult) {
 	report := &config.TargetReport{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation}
 	if name := response.Header.Get(h.headers.Identity); name != "" {
@@ -169,7 +170,7 @@
 	switch {
 	case response.StatusCode == http.StatusOK:
 		report.State = wire.TargetReady
-	case notRun: // alive, and too busy to say more: the report has no state
+	case notRun: // alive but overloaded: the report leaves the state empty
 	default:
 		return checkResult{}
 	}
--- a/internal/daemon/healthcheck_test.go
+++ b/internal/daemon/healthcheck_test.go
@@ -17,20 +17,20 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// newTestChecker returns a health checker with short header names, whose loop the test reads.
+// newTestChecker returns a health checker with short header names. Its loop doesn't run: tests read the queue.
 func newTestChecker() *HealthChecker {
 	clock := &Clock{start: time.Now()}
 	headers := reverseproxy.Headers{Deadline: "D", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C"}
 	return newHealthChecker(clock, newLoop(clock), nil, headers)
 }
 
-// checkOnce carries out one health check and waits for its result.
+// checkOnce runs one health check and waits for its result.
 func (h *HealthChecker) checkOnce(probe statemachine.Probe) statemachine.ProbeResult {
 	h.Check(probe)
 	return (<-h.loop.queue).event.(statemachine.ProbeResult)
 }
 
-// startTarget starts a target and returns its address and the number of connections that it gets.
+// startTarget starts a target and returns its address and the counter of connections opened to it.
 func startTarget(t *testing.T, handler http.HandlerFunc) (addr string, connections *atomic.Int64) {
 	t.Helper()
 	connections = &atomic.Int64{}
@@ -45,7 +45,7 @@
 	return server.Listener.Addr().String(), connections
 }
 
-// What a response to a health check says of its target.
+// Health check responses are converted into target reports, and the checks of a target share one connection.
 func TestHealthCheck(t *testing.T) {
 	half := 0.5
 	for _, c := range []struct {
@@ -71,7 +71,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			addr, connections := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path != "/well" || r.Header.Get("D") == "" {
-					t.Error(r.URL, r.Header)
+					t.Errorf("health check of %s with headers %v, want path /well and a deadline", r.URL, r.Header)
 				}
 				for i := 0; i+1 < len(c.headers); i += 2 {
 					w.Header().Set(c.headers[i], c.headers[i+1])
@@ -83,24 +83,24 @@
 			for range 3 {
 				got := checker.checkOnce(probe)
 				if got.ID != probe.ID || got.WarmupLeft != c.warmupLeft || (got.Report == nil) != c.noReport {
-					t.Fatalf("%+v", got)
+					t.Fatalf("result %+v, want warm-up time left %v and report missing %v", got, c.warmupLeft, c.noReport)
 				}
 				if r := got.Report; r != nil && (r.ID() != (wire.TargetID{Service: "s", Name: c.targetName, Incarnation: 3}) || r.State != c.state || (r.Demand == nil) != (c.demand == nil) || r.Demand != nil && *r.Demand != *c.demand) {
-					t.Fatalf("%+v", r)
+					t.Fatalf("report %+v, want target %q in state %q", r, c.targetName, c.state)
 				}
 			}
 			if connections.Load() != 1 {
-				t.Fatal(connections.Load(), "connections")
+				t.Fatalf("%d connections, want 1", connections.Load())
 			}
 		})
 	}
 }
 
-// Targets without a health check's path are asked for their identity, also on a connection that stays.
+// Targets of services without a health path are checked by an identity request, over one persistent connection.
 func TestIdentityCheck(t *testing.T) {
 	addr, connections := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != config.IdentityPath {
-			t.Error(r.URL)
+			t.Errorf("request of %s, want %s", r.URL, config.IdentityPath)
 		}
 		json.NewEncoder(w).Encode(config.TargetReport{Service: "s", Name: "z", Incarnation: 4, State: wire.TargetLeaving})
 	})
@@ -108,16 +108,16 @@
 	for range 3 {
 		got := checker.checkOnce(statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr})
 		if r := got.Report; r == nil || r.ID() != (wire.TargetID{Service: "s", Name: "z", Incarnation: 4}) || r.State != wire.TargetLeaving {
-			t.Fatalf("%+v", got)
+			t.Fatalf("result %+v, want a report of target z, incarnation 4, leaving", got)
 		}
 	}
 	if connections.Load() != 1 {
-		t.Fatal(connections.Load(), "connections")
+		t.Fatalf("%d connections, want 1", connections.Load())
 	}
 }
 
-// A kept connection that its target closed is no failed check, a target that moved is checked at its new address, and
-// connections of targets that are no longer checked are closed.
+// A check succeeds although the target has closed the idle connection, a target with a new address is checked there,
+// and connections to targets that are no longer checked are closed.
 func TestHealthCheckConnections(t *testing.T) {
 	addr, connections := startTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, _ := http.NewResponseController(w).Hijack()
@@ -128,7 +128,7 @@
 	probe := statemachine.Probe{ID: wire.TargetID{Service: "s", Name: "x", Incarnation: 3}, Addr: addr, Path: "/w"}
 	for i := range 3 {
 		if got := checker.checkOnce(probe); got.Report == nil || connections.Load() != int64(i+1) {
-			t.Fatal(got, connections.Load())
+			t.Fatalf("result %+v after %d connections, want a report on connection %d", got, connections.Load(), i+1)
 		}
 	}
 	closed := make(chan bool, 8)
@@ -142,7 +142,7 @@
 	defer moved.Close()
 	probe.Addr = moved.Listener.Addr().String()
 	if got := checker.checkOnce(probe); got.Report == nil {
-		t.Fatal("not checked at its new address")
+		t.Fatal("no report from the target's new address")
 	}
 	checker.clock.start = checker.clock.start.Add(-2 * tuning.ProbeConnIdle)
 	probe.ID.Name = "other"
@@ -150,7 +150,7 @@
 	checker.checkOnce(probe)
 	<-closed
 	if len(checker.targets) != 1 {
-		t.Fatal(len(checker.targets), "targets")
+		t.Fatalf("%d targets kept, want only the one still checked", len(checker.targets))
 	}
 	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -159,6 +159,6 @@
 	probe.Addr = unused.Addr().String()
 	unused.Close()
 	if got := checker.checkOnce(probe); got.Report != nil {
-		t.Fatal("a report from no target")
+		t.Fatal("report from an address without a listener")
 	}
 }
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -1,4 +1,4 @@
-// This file is the HTTP servers of a daemon, and its HTTP API as far as both daemons have it.
+// The HTTP servers of a daemon and the part of the HTTP API that both kinds of daemon serve.
 
 package daemon
 
@@ -21,18 +21,18 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// liveResponse is the body of /live.
+// liveResponse is the response body of /live.
 type liveResponse struct {
 	Live bool `json:"live"`
 }
 
-// readyResponse is the body of /ready.
+// readyResponse is the response body of /ready.
 type readyResponse struct {
 	Ready bool `json:"ready"`
-	State any  `json:"state"` // the state machine's, which says why
+	State any  `json:"state"` // state of the state machine, which explains Ready
 }
 
-// AdminMux returns the mux that every daemon's HTTP API starts from: /live, /ready and /metrics.
+// AdminMux returns a mux with the endpoints that all daemons serve: /live, /ready and /metrics.
 func (p *Process) AdminMux(ready func() (ready bool, state any)) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, _ *http.Request) {
@@ -54,21 +54,21 @@
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(body) // an error is the client's connection's, and there is nobody to report it to
+	json.NewEncoder(w).Encode(body) // an error means that the client's connection failed, so it can't be reported
 }
 
-// writeError responds to an operator's call with an error, which gets the kind of rejection that its status stands for.
+// writeError responds to an operator's call with an error, whose kind of rejection follows from the status.
 func writeError(w http.ResponseWriter, status int, retryAfter time.Duration, body config.ErrorBody) {
 	body.Rejection = config.RejectionOf(status)
 	reverseproxy.WriteError(w, status, retryAfter, body)
 }
 
-// serveAPI runs the server of the HTTP API until it is closed.
+// serveAPI starts the server of the HTTP API.
 func (p *Process) serveAPI(handler http.Handler) (*http.Server, error) {
 	return p.serve(p.Settings.HTTP, newServer(handler), nil)
 }
 
-// serveCallers runs the forwarder's server for callers until the forwarder accepts no more.
+// serveCallers starts the server for callers. It accepts connections until the forwarder closes its listener.
 func (p *Process) serveCallers(forwarder *reverseproxy.Forwarder) (*http.Server, error) {
 	server := newServer(forwarder)
 	server.ConnContext, server.ConnState = forwarder.ConnContext, forwarder.Callers.ConnState
@@ -84,7 +84,7 @@
 	}
 }
 
-// serve starts a server on addr; forwarder, if there is one, wraps the listener and may close it.
+// serve starts a server on addr. A forwarder, if not nil, wraps the listener and may close it.
 func (p *Process) serve(addr string, server *http.Server, forwarder *reverseproxy.Forwarder) (*http.Server, error) {
 	listener, err := reverseproxy.Listen(addr, tuning.CallerAckTimeout)
 	if err != nil {
@@ -103,8 +103,8 @@
 	return server, nil
 }
 
-// CallHandler returns the handler that passes operators' and targets' calls to the state machine. The calls' ids count
-// up from firstID.
+// CallHandler returns a handler that passes calls of operators and targets to the state machine and writes its reply.
+// The calls get consecutive ids from firstID on.
 func (p *Process) CallHandler(firstID uint64) http.HandlerFunc {
 	var lastID atomic.Uint64
 	lastID.Store(firstID - 1)
@@ -122,7 +122,7 @@
 			Body:   body,
 		}
 		reply, ok := p.Loop.Call(r.Context(), call.ID, call, nil).(statemachine.Reply)
-		if !ok { // the client has gone
+		if !ok { // the client has disconnected or the loop has stopped
 			return
 		}
 		if reply.RetryAfter > 0 {
@@ -134,7 +134,8 @@
 	}
 }
 
-// readCall reads a call's body. It returns false if there is no complete one, and has responded if it is too large.
+// readCall reads the body of a call. It returns false if reading fails, and then has responded if the body is too
+// large.
 func readCall(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocumentMax+1))
 	var tooLarge *http.MaxBytesError
@@ -144,7 +145,7 @@
 	return body, err == nil
 }
 
-// callQuery is a call's query; the header If-Match stands for the parameter base.
+// callQuery returns the query of a call. The header If-Match sets the parameter base if the query doesn't.
 func callQuery(r *http.Request) string {
 	query := r.URL.Query()
 	if base := strings.Trim(r.Header.Get("If-Match"), `"`); base != "" && !query.Has("base") {
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -1,4 +1,4 @@
-// This file runs a state machine: events in, commands out, on one goroutine.
+// The event loop of a daemon, which steps its state machine on one goroutine.
 
 package daemon
 
@@ -10,22 +10,21 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// loopItem is what the loop's goroutine takes from its queue: an event, a call, a call's cancellation, or an
-// inspection.
+// loopItem is an item of the loop's queue: an event, a call, the cancellation of a call, or an inspection.
 type loopItem struct {
-	event   statemachine.Event          // nil: none
-	callID  uint64                      // of a call or its cancellation, else 0
-	reply   chan<- statemachine.Command // of a call, else nil
-	inspect func(now time.Duration)     // of an inspection, else nil
+	event   statemachine.Event          // event for the state machine, nil for none
+	callID  uint64                      // id of the call that the item makes or cancels, else 0
+	reply   chan<- statemachine.Command // receives the reply to a call, else nil
+	inspect func(now time.Duration)     // function to run between two steps, else nil
 }
 
-// Loop feeds one state machine from one goroutine, that of Run. All other methods but Respond may be called on any
-// goroutine; once Run has returned they return at once.
+// Loop steps one state machine on the goroutine that calls Run. Respond must be called on that goroutine; all other
+// methods are safe for concurrent use and don't block once Run has returned.
 type Loop struct {
 	queue   chan loopItem
 	done    chan struct{} // closed when Run returns
 	clock   *Clock
-	pending map[uint64]chan<- statemachine.Command // who waits in Call, by id; Run's goroutine owns it
+	pending map[uint64]chan<- statemachine.Command // reply channels by call id; owned by Run's goroutine
 }
 
 func newLoop(clock *Clock) *Loop {
@@ -37,7 +36,7 @@
 	}
 }
 
-// enqueue waits while the queue is full. It reports whether the loop takes items at all.
+// enqueue adds an item to the queue and blocks while the queue is full. It returns false if the loop has stopped.
 func (l *Loop) enqueue(item loopItem) bool {
 	select {
 	case l.queue <- item:
@@ -47,11 +46,11 @@
 	}
 }
 
-// Post queues an event for the state machine; it waits while the queue is full.
+// Post queues an event for the state machine. It blocks while the queue is full.
 func (l *Loop) Post(event statemachine.Event) { l.enqueue(loopItem{event: event}) }
 
-// Call posts an event and returns the command that answers id. If the context ends first it posts cancel, which may
-// be nil, and returns nil.
+// Call posts an event and returns the command that replies to the call with that id. If the context ends first, it
+// posts cancel (unless nil) and returns nil. It also returns nil once the loop has stopped.
 func (l *Loop) Call(ctx context.Context, id uint64, event, cancel statemachine.Event) statemachine.Command {
 	reply := make(chan statemachine.Command, 1)
 	if !l.enqueue(loopItem{event: event, callID: id, reply: reply}) {
@@ -68,7 +67,8 @@
 	}
 }
 
-// Inspect runs f between two steps of the state machine and waits for it. Once Run has returned, f is not run.
+// Inspect runs f between two steps of the state machine and waits until it returns. Once Run has returned, f is not
+// run.
 func (l *Loop) Inspect(f func(now time.Duration)) {
 	inspected := make(chan struct{})
 	item := loopItem{inspect: func(now time.Duration) { f(now); close(inspected) }}
@@ -81,7 +81,7 @@
 	}
 }
 
-// Respond passes a command to whoever waits for it in Call, if it still waits; only on Run's goroutine.
+// Respond passes the reply to the Call with that id, if it is still waiting. It must be called on Run's goroutine.
 func (l *Loop) Respond(id uint64, command statemachine.Command) {
 	if reply := l.pending[id]; reply != nil {
 		delete(l.pending, id)
@@ -89,8 +89,8 @@
 	}
 }
 
-// Run steps the state machine for each event and each tick until the context ends, and passes the commands to
-// execute. It reads the clock after it has taken an event, so a step's time is never before the event's arrival.
+// Run steps the state machine for each event and each tick until the context ends, and passes its commands to execute.
+// It reads the clock after dequeuing an event, so the time of a step is never before the event's arrival.
 func (l *Loop) Run(ctx context.Context, step func(time.Duration, statemachine.Event) []statemachine.Command, execute func(context.Context, statemachine.Command)) {
 	defer close(l.done)
 	ticker := time.NewTicker(tuning.TickEvery)
@@ -103,7 +103,7 @@
 	for {
 		select {
 		case item := <-l.queue:
-			if event := l.take(item); event != nil {
+			if event := l.dequeue(item); event != nil {
 				stepAndExecute(event)
 			}
 		case <-ticker.C:
@@ -114,11 +114,11 @@
 	}
 }
 
-// Wait waits until Run has returned.
+// Wait blocks until Run has returned.
 func (l *Loop) Wait() { <-l.done }
 
-// take does what an item asks of the loop itself, and returns its event, nil: it has none.
-func (l *Loop) take(item loopItem) statemachine.Event {
+// dequeue runs the inspection or updates the pending calls as an item requires, and returns its event, nil for none.
+func (l *Loop) dequeue(item loopItem) statemachine.Event {
 	switch {
 	case item.inspect != nil:
 		item.inspect(l.clock.Now())
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -1,4 +1,4 @@
-// This file shows the state machines' counters on /metrics.
+// Export of the counters of the state machines and the forwarder on /metrics.
 
 package daemon
 
@@ -9,14 +9,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// RegisterCounters puts the counts of a state machine or the forwarder on /metrics: each field of the struct that
-// counts returns (or points to), if it is an unsigned integer or atomic, as mf_PREFIX_NAME_total. NAME is the field's
-// tag `metric:"name"`, or its Go name in snake case if it has none.
+// RegisterCounters exports counters on /metrics. The function counts returns a struct or a pointer to one; each field
+// that is an unsigned integer, plain or atomic, is exported as mf_PREFIX_NAME_total. NAME is the field's tag
+// `metric:"name"` or, without a tag, its Go name in snake case.
 func (p *Process) RegisterCounters(prefix string, counts func() any) {
 	p.Metrics.MustRegister(counterCollector{prefix, counts})
 }
 
-// counterCollector is a prometheus.Collector of a struct's fields.
+// counterCollector is a prometheus.Collector for the fields of a struct.
 type counterCollector struct {
 	prefix string
 	counts func() any
@@ -25,7 +25,7 @@
 // Describe sends no descriptor, which makes the collector an unchecked one.
 func (c counterCollector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends the counts to a registry.
+// Collect sends the current values to a registry.
 func (c counterCollector) Collect(metrics chan<- prometheus.Metric) {
 	counts := reflect.Indirect(reflect.ValueOf(c.counts()))
 	for i := range counts.NumField() {
@@ -40,7 +40,7 @@
 	}
 }
 
-// counterValue reads an unsigned integer or an atomic one; of other fields it returns false.
+// counterValue returns the value of an unsigned integer, plain or atomic. It returns false for other fields.
 func counterValue(field reflect.Value) (value float64, ok bool) {
 	if field.CanUint() {
 		return float64(field.Uint()), true
@@ -55,7 +55,7 @@
 	return float64(load.Call(nil)[0].Uint()), true
 }
 
-// metricName is what a counter's field is called on /metrics, between prefix and suffix.
+// metricName returns the name of a field's counter without prefix and suffix.
 func metricName(field reflect.StructField) string {
 	if name := field.Tag.Get("metric"); name != "" {
 		return name
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -17,10 +17,10 @@
 	"myrtlefold/internal/dataplane/reverseproxy"
 )
 
-var update = flag.Bool("update", false, "record names anew, which only an intended change may need")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata, only for an intended change of names")
 
-// checkRecorded fails unless lines are those of the file in testdata.
-func checkRecorded(t *testing.T, name string, lines []byte) {
+// checkGolden compares lines with the golden file of that name in testdata.
+func checkGolden(t *testing.T, name string, lines []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
 	if *update {
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(lines, want) {
-		t.Fatalf("%s differs from what is recorded:\n%s", name, lines)
+		t.Fatalf("testdata/%s differs from:\n%s", name, lines)
 	}
 }
 
-// The counters on /metrics keep their names.
+// The names of the counters on /metrics don't change: dashboards and alerts refer to them.
 func TestMetricNames(t *testing.T) {
 	p := &Process{Metrics: prometheus.NewRegistry()}
 	p.RegisterCounters("core", func() any { return &controlplane.Counts{} })
@@ -51,10 +51,10 @@
 	for _, f := range families {
 		fmt.Fprintln(&lines, f.GetName())
 	}
-	checkRecorded(t, "metrics.txt", lines.Bytes())
+	checkGolden(t, "metrics.txt", lines.Bytes())
 }
 
-// A counter's name is its field's tag, or else the field's name in snake case; other fields are no counters.
+// A counter is named by its field's tag or else by the field's name in snake case. Other fields are not exported.
 func TestCounterNames(t *testing.T) {
 	p := &Process{Metrics: prometheus.NewRegistry()}
 	p.RegisterCounters("x", func() any {
@@ -74,6 +74,6 @@
 		names = append(names, family.GetName())
 	}
 	if want := []string{"mf_x_atomic_total", "mf_x_old_name_total", "mf_x_two_words_total"}; !slices.Equal(names, want) {
-		t.Errorf("%v, want %v", names, want)
+		t.Errorf("metrics %v, want %v", names, want)
 	}
 }
--- a/internal/daemon/packedtables.go
+++ b/internal/daemon/packedtables.go
@@ -5,16 +5,16 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// packedTables keeps the packed forms of the tables last sent, since one table goes to many proxies. A state machine
-// never changes a table that it has handed out, so the pointer identifies it.
+// packedTables caches the packed encodings of the most recently sent tables, since one table goes to many proxies. A
+// state machine never changes a table after returning it, so the pointer identifies the table.
 type packedTables struct {
 	tables [tuning.PackedTables]*wire.Table
 	packed [tuning.PackedTables]*wire.PackedTable
-	next   int // which is replaced next
+	next   int // index of the entry to replace next
 }
 
-// pack returns a table in its packed form. It returns nil for no table and for one that can't be packed: the error is
-// met again, and logged, when the message is written.
+// pack returns the packed encoding of a table. It returns nil for a nil table and for one that can't be encoded:
+// writing the message then fails with the same error, which is logged there.
 func (p *packedTables) pack(table *wire.Table) *wire.PackedTable {
 	if table == nil {
 		return nil
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -1,4 +1,4 @@
-// This file is a daemon's process: what its parts share, and how it starts.
+// The state that the parts of a daemon's process share, and the start of the process.
 
 package daemon
 
@@ -26,57 +26,57 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// The exit codes of a daemon.
+// Exit codes of a daemon.
 const (
 	exitOK     = 0
 	exitFailed = 1
-	exitUsage  = 2 // the command line or the settings are invalid
+	exitUsage  = 2 // invalid command line or settings
 )
 
-// Kind says which of the two daemons a process is.
+// Kind is the kind of a daemon: control daemon or proxy.
 type Kind = wire.DaemonKind
 
-// The two daemons.
+// Kinds of daemons.
 const (
 	ControlDaemon = wire.ControlDaemon
 	ProxyDaemon   = wire.ProxyDaemon
 )
 
-// program is a daemon's program as its command line names it.
+// program is the name and the --help text of a daemon's executable.
 type program struct{ name, help string }
 
-// programs are the daemons' programs, by kind of daemon.
+// programs maps each kind of daemon to its executable.
 var programs = map[wire.DaemonKind]program{
-	wire.ControlDaemon: {"mfcontrol", "A control daemon: keeps the configuration, the proxy membership and the health of targets."},
-	wire.ProxyDaemon:   {"mfproxy", "A proxy daemon: forwards callers' requests to back ends."},
+	wire.ControlDaemon: {"mfcontrol", "Control daemon: replicates the configuration, the proxy membership and the health of targets."},
+	wire.ProxyDaemon:   {"mfproxy", "Proxy daemon: forwards requests of callers to back ends."},
 }
 
-// Process is a daemon's process: what its parts share.
+// Process holds what the parts of a daemon's process share.
 type Process struct {
 	*Clock
 	Kind        wire.DaemonKind
 	Settings    Settings
 	Log         *logrus.Logger
 	Metrics     *prometheus.Registry
-	Incarnation uint64 // a random number of this start
+	Incarnation uint64 // random, distinguishes this run from earlier ones; never 0
 	Loop        *Loop
 	Transport   *Transport
 	Checker     *HealthChecker
 
-	platform    Platform
-	rawSettings []byte         // the text that Settings were read from
-	hangups     chan os.Signal // SIGHUP, caught from the start on: by default it ends a process
-	stops       chan os.Signal // SIGTERM and SIGINT, caught from the start on: requests may be under way before Wait
-	exitCode    chan int       // takes the exit code when the state machine is done
+	platform      Platform
+	rawSettings   []byte         // text that Settings were read from
+	reloadSignals chan os.Signal // SIGHUP, caught before startup because its default action ends the process
+	stopSignals   chan os.Signal // SIGTERM and SIGINT, caught before startup since callers may be served before Wait
+	exitCode      chan int       // receives the exit code when the state machine has stopped
 }
 
-// Start reads command line and settings and returns the daemon's process. If anything is wrong, or only a check was
-// asked for, it prints that and returns no process but the exit code.
+// Start parses the command line, loads the settings and returns the daemon's process. If either is invalid, or with the
+// flag --check, it prints the result and returns a nil process and the exit code.
 func Start(kind wire.DaemonKind, args []string, platform Platform) (*Process, int) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	stops := make(chan os.Signal, 2)
-	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	stopSignals := make(chan os.Signal, 2)
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
 
 	name := programs[kind].name
 	app := kingpin.New(name, programs[kind].help)
@@ -109,7 +109,7 @@
 	}
 	limitMemory(loaded.Settings)
 	p := newProcess(kind, loaded.Settings, newLogger(loaded.Settings.LogLevel), platform)
-	p.rawSettings, p.hangups, p.stops = loaded.Raw, hangups, stops
+	p.rawSettings, p.reloadSignals, p.stopSignals = loaded.Raw, reloadSignals, stopSignals
 	return p, exitOK
 }
 
@@ -118,7 +118,7 @@
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
 	log.SetFormatter(&logrus.JSONFormatter{})
-	parsed, _ := logrus.ParseLevel(level) // it was checked with the settings
+	parsed, _ := logrus.ParseLevel(level) // can't fail: Settings.Check has parsed it
 	log.SetLevel(parsed)
 	return log
 }
@@ -136,7 +136,7 @@
 		Settings:    settings,
 		Log:         log,
 		Metrics:     metrics,
-		Incarnation: rand.Uint64() | 1, // never 0, which is none
+		Incarnation: rand.Uint64() | 1, // 0 means no incarnation
 		Loop:        loop,
 		Transport:   &Transport{log: log, clock: clock, loop: loop, traffic: traffic, localAddr: localAddr, queues: map[string]chan outgoing{}},
 		Checker:     newHealthChecker(clock, loop, localAddr, platform.Headers),
@@ -145,8 +145,8 @@
 	}
 }
 
-// limitMemory bounds the runtime's memory by a part of the process's, since the rest goes to what the runtime doesn't
-// count.
+// limitMemory sets the memory limit of the Go runtime to a share of the process's limit. The rest is for memory that
+// the runtime doesn't count.
 func limitMemory(settings Settings) {
 	if settings.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(float64(settings.MemoryMb<<20) * tuning.MemoryShare))
@@ -154,7 +154,7 @@
 	}
 }
 
-// localAddr returns the address that connections leave from, nil for the system's choice.
+// localAddr returns the local address of outgoing connections, nil for the system's choice.
 func (s *Settings) localAddr() net.Addr {
 	if s.LocalIP == "" {
 		return nil
@@ -162,7 +162,7 @@
 	return &net.TCPAddr{IP: net.ParseIP(s.LocalIP)}
 }
 
-// Daemon returns what the daemon says of itself to others.
+// Daemon returns the daemon's description of itself for other daemons.
 func (p *Process) Daemon() wire.Daemon {
 	return wire.Daemon{
 		Name:        p.Settings.Name,
@@ -174,15 +174,15 @@
 	}
 }
 
-// listenForDaemons accepts other daemons' connections until the context ends.
+// listenForDaemons accepts connections of other daemons until the context ends.
 func (p *Process) listenForDaemons(ctx context.Context) error {
 	return p.Transport.Listen(ctx, cmp.Or(p.Settings.Bind, p.Settings.Addr), func(err error) {
-		p.Log.WithError(err).Fatal("connections of daemons can't be accepted")
+		p.Log.WithError(err).Fatal("accepting connections of daemons failed")
 	})
 }
 
-// Execute carries out the commands that the state machines of both daemons give; only on the loop's goroutine. What a
-// command starts ends with the context.
+// Execute executes the commands that the state machines of both daemons have in common. It must be called on the loop's
+// goroutine. Work that a command starts ends with the context.
 func (p *Process) Execute(ctx context.Context, command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Send:
@@ -196,10 +196,10 @@
 	case statemachine.Exit:
 		select {
 		case p.exitCode <- exitOK:
-		default: // it is said already
+		default: // an exit code is already set
 		}
 	default:
-		panic(errors.AssertionFailedf("command %T", command))
+		panic(errors.AssertionFailedf("unknown command %T", command))
 	}
 }
 
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -15,7 +15,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// settingsFile is a control daemon's, in a folder of its own.
+// settingsFile writes a control daemon's settings file to a temporary directory and returns its name.
 func settingsFile(t *testing.T, seeds string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "set.json")
@@ -31,25 +31,25 @@
 	}
 }
 
-// startControlDaemon starts a control daemon's process. It goes on to catch SIGHUP after the test, since one may still be
-// on its way and would end the tests.
+// startControlDaemon starts a control daemon's process. SIGHUP stays caught after the test, since one that is delivered
+// late would end the test binary.
 func startControlDaemon(t *testing.T, settings string) *Process {
 	t.Helper()
 	p, code := Start(wire.ControlDaemon, []string{"-s", settings}, DefaultPlatform())
 	if p == nil {
-		t.Fatalf("exit code %d", code)
+		t.Fatalf("Start failed with exit code %d", code)
 	}
-	t.Cleanup(func() { signal.Stop(p.stops) })
+	t.Cleanup(func() { signal.Stop(p.stopSignals) })
 	return p
 }
 
-// A SIGHUP that comes while a daemon starts does not end it, and the changed settings are read once it watches them:
-// seeds that differ later are taken.
-func TestHangupWhileStarting(t *testing.T) {
+// A SIGHUP during startup does not end the process. The settings are reloaded once it watches them, and changed seeds
+// take effect, also after a reload that failed.
+func TestReloadSignalDuringStartup(t *testing.T) {
 	file := settingsFile(t, "127.0.0.1:3")
 	p := startControlDaemon(t, file)
 	writeSettings(t, file, "127.0.0.1:4")
-	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil { // would end this process by default
+	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil { // the default action would end this process
 		t.Fatal(err)
 	}
 	got := make(chan []string, 4)
@@ -57,12 +57,12 @@
 	select {
 	case seeds := <-got:
 		if !slices.Equal(seeds, []string{"127.0.0.1:4"}) {
-			t.Error(seeds)
+			t.Errorf("seeds %v, want the changed ones", seeds)
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("changed seeds were not taken")
+		t.Fatal("changed seeds did not take effect")
 	}
-	writeSettings(t, file, strings.Repeat("x", 3)) // invalid: the previous ones stay
+	writeSettings(t, file, strings.Repeat("x", 3)) // invalid, so the previous settings stay in effect
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
@@ -73,36 +73,36 @@
 	select {
 	case seeds := <-got:
 		if !slices.Equal(seeds, []string{"127.0.0.1:5"}) {
-			t.Error(seeds)
+			t.Errorf("seeds %v, want those of the last valid settings", seeds)
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("seeds changed after invalid settings were not taken")
+		t.Fatal("seeds changed after invalid settings did not take effect")
 	}
 }
 
-// A SIGTERM that comes while a daemon starts does not end it at once: it serves callers before it waits for signals,
-// and stops as at any time.
-func TestStopWhileStarting(t *testing.T) {
+// A SIGTERM during startup leads to a normal shutdown: the daemon already serves callers before it handles signals, so
+// it must not end at once.
+func TestStopSignalDuringStartup(t *testing.T) {
 	p := startControlDaemon(t, settingsFile(t, "127.0.0.1:3"))
-	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil { // would end this process by default
+	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil { // the default action would end this process
 		t.Fatal(err)
 	}
-	for len(p.stops) == 0 {
-		runtime.Gosched() // until it has arrived
+	for len(p.stopSignals) == 0 {
+		runtime.Gosched() // until the signal is delivered
 	}
 	p.HandleSignals(t.Context())
 	select {
 	case item := <-p.Loop.queue:
 		if _, ok := item.event.(statemachine.Stop); !ok {
-			t.Errorf("%T", item.event)
+			t.Errorf("posted %T, want statemachine.Stop", item.event)
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("the state machine was not asked to stop")
+		t.Fatal("no Stop event was posted")
 	}
 }
 
-// A command line or settings that can't be used end the process with their exit code.
-func TestExitCodesOfAStart(t *testing.T) {
+// Start returns the right exit code for an invalid command line, invalid settings and --check.
+func TestStartExitCodes(t *testing.T) {
 	valid := settingsFile(t, "127.0.0.1:3")
 	for name, c := range map[string]struct {
 		args []string
--- a/internal/daemon/proxy.go
+++ b/internal/daemon/proxy.go
@@ -1,5 +1,5 @@
-// This file is the proxy daemon's process: it starts the proxy's state machine and the forwarder, and carries out the
-// state machine's commands.
+// The proxy daemon's process: it runs the proxy's state machine and the forwarder, and executes the state machine's
+// commands.
 
 package daemon
 
@@ -20,22 +20,23 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Calls of the HTTP API count up from their first id, which sets a proxy's apart from its callers' requests.
+// The first ids of HTTP API calls. A proxy's are in the upper half so that they don't collide with the ids of its
+// callers' requests.
 const (
 	firstCallID      = 1
 	firstProxyCallID = 1<<63 + 1
 )
 
-// proxyDaemon is a proxy daemon's parts.
+// proxyDaemon holds the parts of a running proxy daemon.
 type proxyDaemon struct {
 	*Process
 	proxy        *dataplane.Proxy
 	pool         *reverseproxy.Pool
 	forwarder    *reverseproxy.Forwarder
-	stopDeadline atomic.Int64 // when the last responses of a stop have to be written, by Now
+	stopDeadline atomic.Int64 // deadline for writing the last responses during shutdown, in ns of Clock.Now
 }
 
-// RunProxy is mfproxy: it runs a proxy daemon until it is stopped, and returns the exit code.
+// RunProxy is the entry point of mfproxy: it runs a proxy daemon until it is stopped and returns the exit code.
 func RunProxy(args []string, platform Platform) int {
 	process, code := Start(wire.ProxyDaemon, args, platform)
 	if process == nil {
@@ -46,7 +47,7 @@
 	d := newProxyDaemon(process)
 	api, callers, err := d.listen(ctx)
 	if err != nil {
-		process.Log.WithError(err).Error("daemon can't start")
+		process.Log.WithError(err).Error("start failed")
 		return exitFailed
 	}
 	go d.Loop.Run(ctx, d.proxy.Step, d.execute)
@@ -87,7 +88,7 @@
 	return daemon
 }
 
-// listen opens the daemon's ports: for other daemons, for the HTTP API and for callers.
+// listen opens the daemon's listeners: one each for other daemons, for the HTTP API and for callers.
 func (d *proxyDaemon) listen(ctx context.Context) (api, callers *http.Server, err error) {
 	if err := d.listenForDaemons(ctx); err != nil {
 		return nil, nil, err
@@ -100,7 +101,7 @@
 	return api, callers, err
 }
 
-// execute carries out a command of the proxy's state machine; only on the loop's goroutine.
+// execute executes a command of the proxy's state machine. It must be called on the loop's goroutine.
 func (d *proxyDaemon) execute(ctx context.Context, command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Forward:
@@ -122,7 +123,7 @@
 	}
 }
 
-// registerMetrics puts the daemon's counters and times on /metrics.
+// registerMetrics registers the daemon's counters and the histogram of response times.
 func (d *proxyDaemon) registerMetrics() {
 	times := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "mf_exchange_seconds",
@@ -141,13 +142,13 @@
 	d.RegisterCounters("carry", func() any { return &d.forwarder.Counts })
 }
 
-// view is the proxy's state as operators may read it.
+// view returns the proxy's state for operators.
 func (d *proxyDaemon) view() (view dataplane.View) {
 	d.Loop.Inspect(func(now time.Duration) { view = d.proxy.View(now) })
 	return view
 }
 
-// handler is the daemon's HTTP API: for operators, and for targets' heartbeats.
+// handler returns the handler of the HTTP API, which serves operators and the heartbeats of targets.
 func (d *proxyDaemon) handler() http.Handler {
 	mux := d.AdminMux(func() (ready bool, state any) {
 		view := d.view()
@@ -163,8 +164,8 @@
 	return mux
 }
 
-// awaitResponses waits, once the state machine is done, for what callers' connections still have under way: responses
-// that are being written and bodies that are being read. It returns false if some are left at the end.
+// awaitResponses waits, after the state machine has stopped, until no caller's connection is busy: responses may still
+// be written and request bodies read. It returns false if connections are still busy at the deadline.
 func (d *proxyDaemon) awaitResponses() bool {
 	poll := time.NewTicker(tuning.ShutdownPoll)
 	defer poll.Stop()
@@ -176,7 +177,7 @@
 	return true
 }
 
-// logStopped logs what callers are left with at the end of a stop.
+// logStopped logs the exit code and how many connections and requests of callers the shutdown left open.
 func (d *proxyDaemon) logStopped(code int) {
 	counts := &d.forwarder.Counts
 	d.Log.WithFields(logrus.Fields{
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -14,8 +14,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// soleMember is a control plane of one member on a real write-ahead log, whose clock the test moves.
-type soleMember struct {
+// singleMember is a control plane of one member with a real write-ahead log and a simulated clock.
+type singleMember struct {
 	disk       *Disk
 	loop       *Loop
 	controller *controlplane.Controller
@@ -23,17 +23,17 @@
 	accepted   int
 }
 
-func newSoleMember(tb testing.TB, p *Process) *soleMember {
+func newSingleMember(tb testing.TB, p *Process) *singleMember {
 	tb.Helper()
 	disk, persisted, err := p.OpenDisk()
 	if err != nil {
 		tb.Fatal(err)
 	}
 	self := wire.Daemon{Name: "c1", Kind: wire.ControlDaemon, Addr: "c1", Incarnation: 1}
-	return &soleMember{disk: disk, loop: p.Loop, now: time.Second, controller: controlplane.New(time.Second, controlplane.Settings{Self: self, BootstrapSize: 1}, persisted)}
+	return &singleMember{disk: disk, loop: p.Loop, now: time.Second, controller: controlplane.New(time.Second, controlplane.Settings{Self: self, BootstrapSize: 1}, persisted)}
 }
 
-func (m *soleMember) step(tb testing.TB, event statemachine.Event) {
+func (m *singleMember) step(tb testing.TB, event statemachine.Event) {
 	tb.Helper()
 	var batches []*wire.Batch
 	for _, command := range m.controller.Step(m.now, event) {
@@ -42,7 +42,7 @@
 			batches = append(batches, c.Batch)
 		case statemachine.Reply:
 			if c.Status != 200 {
-				tb.Fatalf("%d %s", c.Status, c.Body)
+				tb.Fatalf("call rejected with status %d: %s", c.Status, c.Body)
 			}
 			m.accepted++
 		}
@@ -55,18 +55,18 @@
 	}
 }
 
-func (m *soleMember) lead(tb testing.TB) {
+func (m *singleMember) lead(tb testing.TB) {
 	tb.Helper()
 	for end := m.now + 10*time.Second; !m.controller.Leading() && m.now < end; m.now += tuning.TickEvery {
 		m.step(tb, statemachine.Tick{})
 	}
 	if !m.controller.Leading() {
-		tb.Fatal("it is not the leader")
+		tb.Fatal("the member did not become leader within 10 s")
 	}
 }
 
-// changingConfig is a configuration of so many services whose figures change.
-func changingConfig(rnd *rand.Rand, services int) []byte {
+// randomConfig returns a configuration of the given number of services with random limits.
+func randomConfig(rnd *rand.Rand, services int) []byte {
 	doc := []byte(`{"services":{`)
 	for i := range services {
 		if i > 0 {
@@ -77,11 +77,11 @@
 	return append(doc, "}}"...)
 }
 
-func (m *soleMember) change(tb testing.TB, changes, services int) {
+func (m *singleMember) change(tb testing.TB, changes, services int) {
 	tb.Helper()
 	rnd := rand.New(rand.NewPCG(uint64(changes), uint64(services)))
 	for i := range changes {
-		m.step(tb, statemachine.Call{ID: uint64(i) + 1, Token: fmt.Sprint("t", i), Method: "PUT", Path: "/v1/config", Query: fmt.Sprintf("base=%d", m.controller.Revision()), Body: changingConfig(rnd, services)})
+		m.step(tb, statemachine.Call{ID: uint64(i) + 1, Token: fmt.Sprint("t", i), Method: "PUT", Path: "/v1/config", Query: fmt.Sprintf("base=%d", m.controller.Revision()), Body: randomConfig(rnd, services)})
 		m.now += time.Millisecond
 	}
 	if m.accepted != changes {
@@ -98,40 +98,40 @@
 	return len(b)
 }
 
-// A member that starts again after many changes is where it was, whatever their number, and
-// its disk holds no more than after a few hundred.
+// A member that restarts after many configuration changes has the same revision as before, and the size of its
+// persisted state does not grow with the number of changes.
 func TestRestartAfterManyChanges(t *testing.T) {
 	p := newDiskProcess(t)
-	m := newSoleMember(t, p)
+	m := newSingleMember(t, p)
 	m.lead(t)
 	m.change(t, 300, 10)
-	again := newSoleMember(t, p)
+	again := newSingleMember(t, p)
 	again.lead(t)
 	if a, b := again.controller.Revision(), m.controller.Revision(); a != b || a != 300 {
-		t.Errorf("revision %d after %d", a, b)
+		t.Errorf("revision %d after the restart, %d before, want 300", a, b)
 	}
 	if n := persistedBytes(t, &m.disk.persisted); n > tuning.WALFileSize/2 {
-		t.Errorf("a persisted state of %d bytes", n)
+		t.Errorf("persisted state of %d bytes, want at most %d", n, tuning.WALFileSize/2)
 	}
 }
 
-// The time from a process's start until its member can take part: the write-ahead log is read, its state is checked,
-// and the state machine is made from it.
+// BenchmarkRestart measures the time from the start of a process until its member can take part: reading the
+// write-ahead log, checking the state and creating the state machine.
 func BenchmarkRestart(b *testing.B) {
 	for _, services := range []int{70, 350} {
 		for _, changes := range []int{10, 1000, 10000} {
 			b.Run(fmt.Sprintf("%d-services-%d-changes", services, changes), func(b *testing.B) {
 				p := newDiskProcess(b)
-				m := newSoleMember(b, p)
+				m := newSingleMember(b, p)
 				m.lead(b)
 				m.change(b, changes, services)
 				persisted := m.disk.persistedCopy()
 				size := persistedBytes(b, &persisted)
 				b.ReportAllocs()
 				for b.Loop() {
-					again := newSoleMember(b, p)
+					again := newSingleMember(b, p)
 					if again.controller.Revision() > uint64(changes) {
-						b.Fatal("more than there was")
+						b.Fatalf("revision %d after %d changes", again.controller.Revision(), changes)
 					}
 				}
 				b.ReportMetric(float64(size), "image-bytes")
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -1,6 +1,6 @@
-// This file is policy sessions over HTTP: POST /v1/judge takes lines of target events as they come and answers each
-// at once. A session that breaks off is kept for a while, so that its client goes on from the line it had got to.
-// Sessions have no effect on the fleet.
+// Policy sessions over HTTP. POST /v1/judge evaluates a stream of target events, one per line, and responds to each
+// line at once. The session of an interrupted request is kept for tuning.SessionKept, so that the client can resume
+// after the last line read. Sessions have no effect on the fleet.
 
 package daemon
 
@@ -19,42 +19,42 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// session is a policy session with its client's state. Who has opened it owns it, until it is released.
+// session is a policy session. The request that opened it owns it until it is released.
 type session struct {
 	*outlier.Session
 	id         string
-	releasedAt time.Time // when its client went, zero while it is there
+	releasedAt time.Time // when its last request ended, zero while a request owns it
 }
 
-// sessionRequest asks for a new session or for the one of that id, or releases one.
+// sessionRequest opens a new session, resumes an existing one or releases one.
 type sessionRequest struct {
-	id      string // "": a new one
+	id      string // session to resume, empty for a new one
 	reply   chan<- sessionReply
-	release *session // if it is not nil, nothing is asked for
+	release *session // session to release; if set, the other fields are ignored
 }
 
-// sessionReply is the session, or why there is none.
+// sessionReply holds the opened session or the reason why it can't be opened.
 type sessionReply struct {
 	session *session
 	err     *sessionError
 }
 
-// sessionError says why a session can't be opened.
+// sessionError is the reason why a session can't be opened.
 type sessionError struct {
-	status  int // of the HTTP response
+	status  int // status of the HTTP response
 	message string
 }
 
 // Error returns the message of the HTTP response.
 func (e *sessionError) Error() string { return e.message }
 
-// Sessions serves policy sessions. One goroutine owns the list of them.
+// Sessions serves policy sessions. A single goroutine owns the list of sessions.
 type Sessions struct {
 	requests chan sessionRequest
 	done     <-chan struct{} // closed when the context ends
 }
 
-// NewSessions starts the goroutine that owns the sessions, which ends with the context.
+// NewSessions starts the goroutine that owns the sessions. It ends with the context.
 func NewSessions(ctx context.Context) *Sessions {
 	s := &Sessions{requests: make(chan sessionRequest), done: ctx.Done()}
 	go s.run()
@@ -79,7 +79,7 @@
 	}
 }
 
-// dropExpired drops the sessions whose clients have not come back in time.
+// dropExpired removes sessions that have been released for longer than tuning.SessionKept.
 func dropExpired(sessions map[string]*session) {
 	for id, s := range sessions {
 		if !s.releasedAt.IsZero() && time.Since(s.releasedAt) > tuning.SessionKept {
@@ -88,7 +88,7 @@
 	}
 }
 
-// openSession finds the session of that id, or begins one if id is empty.
+// openSession resumes the session with that id, or creates one if id is empty.
 func openSession(sessions map[string]*session, id string) (*session, *sessionError) {
 	s := sessions[id]
 	switch {
@@ -107,7 +107,7 @@
 	return s, nil
 }
 
-// request passes a request to the goroutine that owns the sessions; it returns false if that has ended.
+// request passes a request to the goroutine that owns the sessions. It returns false if that goroutine has ended.
 func (s *Sessions) request(request sessionRequest) bool {
 	select {
 	case s.requests <- request:
@@ -117,7 +117,8 @@
 	}
 }
 
-// open returns the session of that id or, if id is empty, a new one. Without either the process ends.
+// open resumes the session with that id or, if id is empty, creates one. It returns an error if that is not possible or
+// the daemon is stopping.
 func (s *Sessions) open(id string) (*session, *sessionError) {
 	reply := make(chan sessionReply, 1)
 	if !s.request(sessionRequest{id: id, reply: reply}) {
@@ -127,16 +128,17 @@
 	return r.session, r.err
 }
 
-// sessionOpened is the first line of a response: how to resume, and up to which line it was taken.
+// sessionOpened is the first line of a response. It holds the id for resuming the session and the number of lines that
+// the session has already read.
 type sessionOpened struct {
 	LinesRead uint64 `json:"line"`
 	Stream    string `json:"stream"`
 }
 
-// ServeHTTP runs one session until its client ends it.
+// ServeHTTP serves one session until the client ends the request.
 func (s *Sessions) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
-	if controller.EnableFullDuplex() != nil { // the response would wait for the end of the request
+	if controller.EnableFullDuplex() != nil { // without full duplex the response would wait for the end of the request
 		return
 	}
 	session, err := s.open(r.URL.Query().Get("resume"))
@@ -158,7 +160,7 @@
 	}
 }
 
-// evaluate answers the lines of a request's body until it ends or the client goes.
+// evaluate responds to each line of a request body until the body ends or the client disconnects.
 func (s *session) evaluate(body io.Reader, encoder *json.Encoder, controller *http.ResponseController) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, tuning.SessionLineMax)
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -29,54 +29,54 @@
 	return loaded.Settings, paths
 }
 
-// Every fault of the settings is named, flags override the file, samples are valid.
+// Every fault of invalid settings is reported, the sample settings are valid, and flags override the file.
 func TestSettings(t *testing.T) {
 	_, got := loadSettings(t, wire.ControlDaemon, `{"name":"a b","addr":"localhost:1","http":"0.0.0.0:1","seeds":["x"],"size":4,"listen":"127.0.0.1:3","log":"loud","odd":1,"bind":"here","from":"0.0.0.0"}`, Settings{})
 	if want := []string{"addr", "bind", "data", "domain", "from", "http", "listen", "log", "name", "odd", "seeds[0]", "size"}; !slices.Equal(got, want) {
-		t.Fatalf("%v", got)
+		t.Fatalf("faults of %v, want %v", got, want)
 	}
-	for k, program := range programs {
+	for kind, program := range programs {
 		b, err := os.ReadFile("../../sample/" + program.name + ".json")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, got := loadSettings(t, k, string(b), Settings{Name: "other"})
+		s, got := loadSettings(t, kind, string(b), Settings{Name: "other"})
 		if len(got) > 0 || s.Name != "other" || s.Domain != "hill" {
-			t.Fatal(k, got, s)
+			t.Fatalf("sample of %s: faults %v, settings %+v", kind, got, s)
 		}
 	}
 }
 
-// The other samples of settings are valid too, and leave the control plane's size to the seeds.
+// The other sample settings are valid too and don't set the size of the control plane.
 func TestSampleSettings(t *testing.T) {
-	for f, kind := range map[string]wire.DaemonKind{"mfcontrol-seeds": wire.ControlDaemon, "mfproxy-bounded": wire.ProxyDaemon} {
-		b, err := os.ReadFile("../../sample/" + f + ".json")
+	for file, kind := range map[string]wire.DaemonKind{"mfcontrol-seeds": wire.ControlDaemon, "mfproxy-bounded": wire.ProxyDaemon} {
+		b, err := os.ReadFile("../../sample/" + file + ".json")
 		if err != nil {
 			t.Fatal(err)
 		}
 		s, faults := loadSettings(t, kind, string(b), Settings{})
 		if len(faults) > 0 || s.Size != 0 {
-			t.Errorf("%s: %v, size %d", f, faults, s.Size)
+			t.Errorf("%s: faults %v, size %d", file, faults, s.Size)
 		}
 	}
 }
 
-// A size by flag overrides the file's, also 0; if none is given it is 3.
+// The flag --size sets the size of the control plane, also to 0. Without it the size is 3.
 func TestSizeByFlag(t *testing.T) {
 	base := []string{"--name", "c", "--domain", "d", "--addr", "127.0.0.1:1", "--http", "127.0.0.1:2", "--data", "x", "--seed", "127.0.0.1:1"}
 	for _, c := range []struct {
-		more  []string
+		args  []string
 		size  int
 		found bool
 	}{{nil, 3, false}, {[]string{"--size", "5"}, 5, false}, {[]string{"--size", "0", "--found"}, 0, true}} {
 		flags, app := &Flags{}, kingpin.New("x", "")
 		flags.Bind(app, wire.ControlDaemon)
-		if _, err := app.Parse(append(c.more, base...)); err != nil {
+		if _, err := app.Parse(append(c.args, base...)); err != nil {
 			t.Fatal(err)
 		}
 		loaded, err := flags.Load(wire.ControlDaemon)
 		if s := loaded.Settings; err != nil || len(loaded.Faults) > 0 || s.Size != c.size || s.Bootstrap != c.found {
-			t.Errorf("%v: %+v %v", c.more, loaded, err)
+			t.Errorf("flags %v: settings %+v, faults %v, error %v", c.args, s, loaded.Faults, err)
 		}
 	}
 }
--- a/internal/daemon/settingscheck.go
+++ b/internal/daemon/settingscheck.go
@@ -1,4 +1,4 @@
-// This file checks settings.
+// Validation of settings.
 
 package daemon
 
@@ -16,28 +16,28 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// faultList collects the faults of settings.
+// faultList collects the faults found in settings.
 type faultList struct{ list []config.Fault }
 
 func (l *faultList) add(path, format string, arguments ...any) {
 	l.list = append(l.list, config.Fault{Path: path, Text: fmt.Sprintf(format, arguments...)})
 }
 
-// checkReachable checks an address that others connect to.
+// checkReachable checks an address that other processes connect to.
 func (l *faultList) checkReachable(path, addr string) {
 	if parsed, err := netip.ParseAddrPort(addr); err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
 		l.add(path, "%q is not IP:port with an address that others can reach", addr)
 	}
 }
 
-// Check returns the faults of settings for a kind of daemon, by the settings' names.
+// Check returns the faults of the settings of a daemon of the given kind. The paths are the names of the settings.
 func (s *Settings) Check(kind wire.DaemonKind) []config.Fault {
 	faults := &faultList{}
 	if s.Name == "" || len(s.Name) > tuning.ItemNameMax || strings.ContainsAny(s.Name, " /\"") {
 		faults.add("name", "must be 1 to %d characters without spaces, quotes or /", tuning.ItemNameMax)
 	}
 	if s.Domain == "" {
-		faults.add("domain", "is missing")
+		faults.add("domain", "is required")
 	}
 	s.checkAddresses(faults)
 	if _, err := logrus.ParseLevel(s.LogLevel); err != nil {
@@ -63,7 +63,7 @@
 	}
 	if s.LocalIP != "" {
 		if ip, err := netip.ParseAddr(s.LocalIP); err != nil || ip.IsUnspecified() {
-			faults.add("from", "%q is not an IP of this machine", s.LocalIP)
+			faults.add("from", "%q is not a specific IP address", s.LocalIP)
 		}
 	}
 	for i, seed := range s.Seeds {
@@ -85,35 +85,35 @@
 		{"retry_slack", float64(s.RetrySlack)},
 	} {
 		if !(number.value >= 0 && number.value <= math.MaxInt32+1) {
-			faults.add(number.path, "%v is below 0 or too large", number.value)
+			faults.add(number.path, "%v is negative or too large", number.value)
 		}
 	}
 }
 
 func (s *Settings) checkControl(faults *faultList) {
 	if s.Data == "" {
-		faults.add("data", "is missing: a core member needs a folder")
+		faults.add("data", "is required: a control plane member needs a data directory")
 	}
 	if !slices.Contains([]int{0, 1, 3, 5}, s.Size) {
-		faults.add("size", "a core has 3 or 5 members (1 for trials, 0 if the seeds found it), not %d", s.Size)
+		faults.add("size", "must be 3 or 5 (1 for tests, 0 to bootstrap with the seeds), not %d", s.Size)
 	}
 	if s.Size == 0 && len(s.Seeds) == 0 {
-		faults.add("seeds", "is empty, and no size is told")
+		faults.add("seeds", "must not be empty if the size is 0")
 	}
 	if s.Size > 1 && len(s.Seeds) == 0 {
-		faults.add("seeds", "is empty")
+		faults.add("seeds", "must not be empty")
 	}
 	if s.Listen != "" {
-		faults.add("listen", "is for proxies")
+		faults.add("listen", "must not be set for a control daemon")
 	}
 }
 
 func (s *Settings) checkProxy(faults *faultList) {
 	faults.checkReachable("listen", s.Listen)
 	if len(s.Seeds) == 0 {
-		faults.add("seeds", "is empty")
+		faults.add("seeds", "must not be empty")
 	}
 	if s.Size != 0 {
-		faults.add("size", "is for core members")
+		faults.add("size", "must not be set for a proxy")
 	}
 }
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -1,4 +1,4 @@
-// This file is the signals that a daemon gets while it runs, and the end of its process.
+// Signal handling and shutdown of a daemon.
 
 package daemon
 
@@ -12,8 +12,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Wait handles signals and changes of the settings until the state machine is done, and returns the exit code.
-// setSeeds takes new seeds, on the loop's goroutine.
+// Wait handles signals and changes of the settings until the state machine has stopped, and returns the exit code. It
+// calls setSeeds with changed seeds on the loop's goroutine.
 func (p *Process) Wait(ctx context.Context, setSeeds func([]string)) int {
 	p.HandleSignals(ctx)
 	p.WatchSettings(ctx, func(seeds []string) { p.Loop.Inspect(func(time.Duration) { setSeeds(seeds) }) })
@@ -21,33 +21,33 @@
 	return <-p.exitCode
 }
 
-// HandleSignals has the first SIGTERM or SIGINT stop the state machine, and a second one end the process, until the
-// context ends.
+// HandleSignals starts the handling of SIGTERM and SIGINT, which ends with the context. The first signal stops the
+// state machine, the second one ends the process at once.
 func (p *Process) HandleSignals(ctx context.Context) {
 	go func() {
 		select {
-		case <-p.stops:
+		case <-p.stopSignals:
 		case <-ctx.Done():
 			return
 		}
 		p.Loop.Post(statemachine.Stop{})
 		select {
-		case <-p.stops:
+		case <-p.stopSignals:
 		case <-ctx.Done():
 			return
 		}
-		p.Log.Warn("second stop signal; process ends at once")
+		p.Log.Warn("second stop signal, exiting at once")
 		os.Exit(exitFailed)
 	}()
 }
 
-// shutDownAPI ends the HTTP API: it accepts no more calls, and the responses that the state machine has given are
-// written.
+// shutDownAPI shuts down the HTTP API: it accepts no more calls and writes the responses to calls in progress, within
+// tuning.ShutdownWriteTimeout.
 func (p *Process) shutDownAPI(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.ShutdownWriteTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		p.Log.WithError(err).Warn("HTTP API closed with calls unanswered")
+		p.Log.WithError(err).Warn("HTTP API closed with calls in progress")
 		server.Close()
 	}
 }
--- a/internal/daemon/stream.go
+++ b/internal/daemon/stream.go
@@ -1,6 +1,6 @@
-// This file is the stream of target events and decisions that a leading control daemon serves as JSON lines. A reader
-// resumes by the last line's term and number; one that is too slow, or comes too late, gets the number of lines that
-// it missed.
+// The stream of target events and decisions, which the leading control daemon serves as JSON lines. A client resumes
+// with the term and sequence number of the last line it read. If it reads too slowly or resumes too late, it gets a
+// line with the number of lines it missed.
 
 package daemon
 
@@ -20,35 +20,35 @@
 	Term uint64 `json:"term"`
 	Seq  uint64 `json:"seq"`
 	statemachine.Publish
-	Missed uint64 `json:"missed,omitempty"` // lines that this one stands for
-	Note   string `json:"note,omitempty"`   // why they were missed
+	Missed uint64 `json:"missed,omitempty"` // number of missed lines that this one stands for, else 0
+	Note   string `json:"note,omitempty"`   // why lines were missed
 }
 
 // streamReader is a client of the stream.
 type streamReader struct {
-	lines   chan streamRecord
-	dropped uint64 // lines that it was too slow for and has not been notified of
+	lines   chan streamRecord // lines to be sent to the client
+	dropped uint64            // lines dropped since the last notice because the client is too slow
 }
 
-// position is where a reader stands in the stream: the last line that it read.
+// position identifies a line of the stream.
 type position struct{ term, seq uint64 }
 
 // subscription adds a reader, or removes it.
 type subscription struct {
 	reader *streamReader
-	after  *position // resume after this line; nil: with the next one
-	remove bool
+	after  *position // last line that the client read, nil to begin with the next line published
+	remove bool      // remove the reader instead of adding it
 }
 
-// EventStream passes target events to the readers of the stream, and keeps the last lines for those that resume. One
-// goroutine owns both.
+// EventStream passes target events to the readers of the stream and keeps the last lines for readers that resume. A
+// single goroutine owns the readers and the kept lines.
 type EventStream struct {
 	published     chan streamRecord
 	subscriptions chan subscription
 	done          <-chan struct{} // closed when the stream's context ends
 }
 
-// NewEventStream starts the goroutine that owns the stream, which ends with the context.
+// NewEventStream starts the goroutine that owns the stream. It ends with the context.
 func NewEventStream(ctx context.Context) *EventStream {
 	s := &EventStream{
 		published:     make(chan streamRecord, tuning.EventQueue),
@@ -59,7 +59,7 @@
 	return s
 }
 
-// Publish adds a line; it never waits for readers.
+// Publish adds a line to the stream. Slow readers don't block it.
 func (s *EventStream) Publish(term uint64, event statemachine.Publish) {
 	select {
 	case s.published <- streamRecord{Term: term, Publish: event}:
@@ -67,7 +67,7 @@
 	}
 }
 
-// subscribe reports whether the stream still runs.
+// subscribe adds or removes a reader. It returns false if the stream has ended.
 func (s *EventStream) subscribe(change subscription) bool {
 	select {
 	case s.subscriptions <- change:
@@ -108,7 +108,8 @@
 	}
 }
 
-// offer passes a line to a reader, without waiting for it; before it goes how many the reader was too slow for.
+// offer queues a line for a reader without blocking, preceded by a notice if lines have been dropped. If the reader's
+// queue is full, the line is dropped.
 func (r *streamReader) offer(line streamRecord) {
 	if r.dropped > 0 {
 		select {
@@ -124,9 +125,10 @@
 	}
 }
 
-// replay offers a reader the kept lines behind the one that it read last, and before them how many others there were.
+// replay queues the kept lines after the last one that a reader has read. If lines in between are missing, it first
+// queues a notice with their number.
 func (r *streamReader) replay(kept []streamRecord, last position) {
-	gap := true // between the last line read and the first one kept
+	gap := true // whether lines may be missing between the last line read and the first one kept
 	for _, line := range kept {
 		if line.Term < last.term || line.Term == last.term && line.Seq <= last.seq {
 			gap = false
@@ -141,7 +143,8 @@
 	}
 }
 
-// redirectToLeader sends a reader to the leader's HTTP address, "" if none is known.
+// redirectToLeader redirects a client to the leader's HTTP address. If leaderAddr is empty, no leader is known and the
+// client gets 503.
 func redirectToLeader(w http.ResponseWriter, r *http.Request, leaderAddr string) {
 	if leaderAddr == "" {
 		writeError(w, http.StatusServiceUnavailable, tuning.RetryAfterMin, config.ErrorBody{Code: "no_leader", Message: "no leader is known"})
@@ -150,7 +153,8 @@
 	http.Redirect(w, r, "http://"+leaderAddr+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 }
 
-// parseFrom reads where a reader resumes from the parameter from; nil: it does not resume.
+// parseFrom parses the query parameter from, the last line that the client read. It returns nil if the parameter is
+// empty.
 func parseFrom(from string) (*position, error) {
 	if from == "" {
 		return nil, nil
@@ -162,7 +166,7 @@
 	return &last, nil
 }
 
-// Serve responds to one reader with the stream's lines until it goes.
+// Serve writes the lines of the stream to one client until it disconnects.
 func (s *EventStream) Serve(w http.ResponseWriter, r *http.Request) {
 	after, err := parseFrom(r.URL.Query().Get("from"))
 	if err != nil {
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -17,15 +17,15 @@
 
 func publishedEvent() statemachine.Publish { return statemachine.Publish{Event: &outlier.Event{}} }
 
-// await waits until all lines published so far have been taken from the queue.
+// await waits until the stream's goroutine has dequeued all lines published so far.
 func (s *EventStream) await() {
 	for len(s.published) > 0 {
 		runtime.Gosched()
 	}
 }
 
-// A reader resumes after the line it names, and gets the number of lines that it missed, be it for coming late or for
-// reading too slowly.
+// A reader resumes after the given line, and gets the number of lines it missed by resuming too late or reading too
+// slowly. Publishing never blocks on a slow reader.
 func TestStream(t *testing.T) {
 	stream := NewEventStream(t.Context())
 	for range 10 {
@@ -37,17 +37,17 @@
 	stream.subscribe(subscription{reader: reader, after: &position{term: 3, seq: 4}})
 	for want := uint64(5); want <= 10; want++ {
 		if line := next(reader); line.Seq != want || line.Missed != 0 {
-			t.Fatalf("%+v, want %d", line, want)
+			t.Fatalf("line %+v, want line %d", line, want)
 		}
 	}
 	stream.Publish(4, publishedEvent())
 	if line := next(reader); line.Seq != 11 || line.Term != 4 {
-		t.Fatalf("%+v", line)
+		t.Fatalf("line %+v, want line 11 of term 4", line)
 	}
 	other := &streamReader{lines: make(chan streamRecord, 64)}
-	stream.subscribe(subscription{reader: other, after: &position{term: 2, seq: 900}}) // from another leader
+	stream.subscribe(subscription{reader: other, after: &position{term: 2, seq: 900}}) // a line of another leader
 	if line := next(other); line.Missed == 0 {
-		t.Fatalf("%+v", line)
+		t.Fatalf("line %+v, want a number of missed lines", line)
 	}
 	slow := &streamReader{lines: make(chan streamRecord, 2)}
 	stream.subscribe(subscription{reader: slow})
@@ -55,20 +55,20 @@
 		stream.Publish(4, publishedEvent())
 	}
 	stream.await()
-	stream.subscribe(subscription{reader: other, remove: true}) // taken only when the last line has been offered
+	stream.subscribe(subscription{reader: other, remove: true}) // handled after all lines have been offered
 	if a, b := next(slow), next(slow); a.Seq != 12 || b.Seq != 13 {
-		t.Fatalf("%+v %+v", a, b)
+		t.Fatalf("lines %+v and %+v, want 12 and 13", a, b)
 	}
 	stream.Publish(4, publishedEvent())
 	if line := next(slow); line.Missed != 3 {
-		t.Fatalf("%+v", line)
+		t.Fatalf("line %+v, want 3 missed lines", line)
 	}
 	for range 3 * tuning.EventsKept {
-		stream.Publish(4, publishedEvent()) // nobody reads, nobody waits
+		stream.Publish(4, publishedEvent()) // must not block although no reader reads
 	}
 }
 
-// openTestSession opens a policy session: what is written to lines is its request's body.
+// openTestSession opens a policy session. What is written to lines is the body of the request.
 func openTestSession(t *testing.T, url string) (lines *io.PipeWriter, answers *json.Decoder, response *http.Response) {
 	t.Helper()
 	body, lines := io.Pipe()
@@ -83,8 +83,8 @@
 	return lines, json.NewDecoder(response.Body), response
 }
 
-// The outlier detector over HTTP: each line is answered while the stream is open, and one that broke off goes on where
-// it was.
+// A policy session responds to each line while the request is open, and an interrupted session resumes after the last
+// line read.
 func TestSessions(t *testing.T) {
 	server := httptest.NewServer(NewSessions(t.Context()))
 	defer server.Close()
@@ -95,7 +95,7 @@
 		t.Helper()
 		lines, _, response := openTestSession(t, server.URL+query)
 		if response.StatusCode != want {
-			t.Fatal(response.Status)
+			t.Fatalf("query %q: status %s, want %d", query, response.Status, want)
 		}
 		lines.Close()
 	}
@@ -103,12 +103,12 @@
 	var result outlier.Result
 	lines, answers, response := openTestSession(t, server.URL)
 	if err := answers.Decode(&opened); err != nil || opened.LinesRead != 0 {
-		t.Fatal(err, opened)
+		t.Fatalf("new session: error %v, first line %+v", err, opened)
 	}
 	checkStatus("?resume="+opened.Stream, http.StatusConflict)
 	fmt.Fprintln(lines, "nonsense")
 	if err := answers.Decode(&result); err != nil || result.Line != 1 || result.Error == "" {
-		t.Fatal(err, result)
+		t.Fatalf("invalid line: error %v, result %+v, want an error for line 1", err, result)
 	}
 	missedCheck(lines, 1e9)
 	lines.Close()
@@ -126,11 +126,11 @@
 	}
 	lines, answers, response = resume()
 	if err := answers.Decode(&opened); err != nil || opened.LinesRead != 2 {
-		t.Fatal(err, opened)
+		t.Fatalf("resumed session: error %v, first line %+v, want 2 lines read", err, opened)
 	}
 	missedCheck(lines, 2e9)
 	if err := answers.Decode(&result); err != nil || result.Line != 3 || result.Decision == nil || result.Decision.Kind != "bar" {
-		t.Fatal(err, result)
+		t.Fatalf("second missed check: error %v, result %+v, want an ejection at line 3", err, result)
 	}
 	lines.Close()
 	response.Body.Close()
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -1,4 +1,4 @@
-// This file counts the messages between daemons, by direction and kind, as /metrics shows them.
+// Metrics of the messages between daemons, by direction and kind.
 
 package daemon
 
@@ -10,31 +10,31 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// kindLabels are the kinds of messages as /metrics names them, by wire.Kind.
+// kindLabels are the metric labels of the kinds of messages, indexed by wire.Kind.
 var kindLabels = [...]string{"unknown", "hello", "vote", "append", "pull", "push", "beat", "ask"}
 
-// Direction is which way a message went, as /metrics names it.
+// Direction is the direction of a message and its label in the metrics.
 type Direction string
 
-// The directions, as this daemon sees them.
+// Directions of messages, as seen from this daemon.
 const (
 	received Direction = "received"
 	sent     Direction = "sent"
 )
 
-// MessageCount is how many messages of a kind went one way. Bytes are as on the connection, packed.
+// MessageCount counts the messages of one kind and direction. Bytes is their packed size on the connection.
 type MessageCount struct {
 	Direction       Direction
 	Kind            string
 	Messages, Bytes uint64
 }
 
-// Traffic counts a daemon's messages to and from others. It is a prometheus.Collector.
+// Traffic counts the messages that a daemon exchanges with others. It is a prometheus.Collector.
 type Traffic struct {
 	received, sent [len(kindLabels)]messageCounter
 }
 
-// messageCounter counts the messages of one kind that went one way.
+// messageCounter counts the messages of one kind and direction.
 type messageCounter struct{ messages, bytes atomic.Uint64 }
 
 func (t *Traffic) counters(direction Direction) *[len(kindLabels)]messageCounter {
@@ -53,7 +53,7 @@
 	counter.bytes.Add(uint64(bytes))
 }
 
-// Counts returns the counts so far, without those that are 0.
+// Counts returns all counts that are not 0.
 func (t *Traffic) Counts() (counts []MessageCount) {
 	for _, direction := range []Direction{received, sent} {
 		counters := t.counters(direction)
@@ -76,7 +76,7 @@
 	bytesDesc    = prometheus.NewDesc("mf_wire_bytes_total", "Bytes of messages between daemons.", trafficLabels, nil)
 )
 
-// Collect sends the counts to a registry.
+// Collect sends the current values to a registry.
 func (t *Traffic) Collect(metrics chan<- prometheus.Metric) {
 	for _, c := range t.Counts() {
 		direction := string(c.Direction)
--- a/internal/daemon/traffic_test.go
+++ b/internal/daemon/traffic_test.go
@@ -9,7 +9,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Messages are counted by direction and kind, with their frames; a kind that is not known counts as such.
+// Messages and their bytes are counted by direction and kind. A message of an unknown kind is counted as unknown.
 func TestTraffic(t *testing.T) {
 	var traffic Traffic
 	traffic.add(sent, wire.KindPush, 100)
@@ -19,15 +19,15 @@
 	want := []MessageCount{{received, "unknown", 1, 1}, {received, "hello", 1, 10}, {sent, "push", 2, 150}}
 	got := traffic.Counts()
 	if !slices.Equal(got, want) {
-		t.Fatal(got)
+		t.Fatalf("counts %v, want %v", got, want)
 	}
 	if int(wire.KindCall) != len(kindLabels)-1 {
-		t.Fatal("a kind of message has no name")
+		t.Fatal("kindLabels does not end with the label of wire.KindCall")
 	}
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&traffic)
 	families, err := registry.Gather()
 	if err != nil || len(families) != 2 || len(families[0].Metric) != 3 {
-		t.Fatal(families, err)
+		t.Fatalf("metric families %v, error %v; want 2 families with 3 metrics", families, err)
 	}
 }
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -1,5 +1,5 @@
-// This file is the connections between daemons. Each carries messages one way: a daemon sends on the connections
-// that it opened, and reads from those that others opened.
+// Connections between daemons. Each connection carries messages in one direction: a daemon sends on the connections
+// that it opens and receives on those that it accepts.
 
 package daemon
 
@@ -19,20 +19,20 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Transport sends messages to other daemons and posts theirs to the loop.
+// Transport sends messages to other daemons and posts received messages to the loop.
 type Transport struct {
 	log       *logrus.Logger
 	clock     *Clock
 	loop      *Loop
 	traffic   *Traffic
-	localAddr net.Addr // that connections leave from, nil: the system's choice
+	localAddr net.Addr // local address of connections, nil for the system's choice
 
-	queues map[string]chan outgoing // messages to be sent, by address; the loop's goroutine owns them
-	tables packedTables             // those that are sent to many; the loop's goroutine owns them
+	queues map[string]chan outgoing // send queues by address; owned by the loop's goroutine
+	tables packedTables             // encodings of tables that go to several daemons; owned by the loop's goroutine
 }
 
-// Listen accepts other daemons' connections on addr until the context ends. failed gets the error that ends it
-// before, on a goroutine of its own.
+// Listen accepts connections of other daemons on addr until the context ends. If accepting fails before, it calls
+// failed with the error on another goroutine.
 func (t *Transport) Listen(ctx context.Context, addr string, failed func(error)) error {
 	listener, err := reverseproxy.Listen(addr, tuning.AckTimeout)
 	if err != nil {
@@ -61,14 +61,15 @@
 	}
 }
 
-// isTransient reports whether a listener's error ends by itself: descriptors come free, or one caller went.
+// isTransient reports whether accepting can succeed later after an error: no file descriptor was free, or the peer
+// aborted the connection.
 func isTransient(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED)
 }
 
-// receive posts the messages of one connection until it or the context ends, or a message can't be decoded.
+// receive posts the messages of one connection until it closes, a message can't be decoded, or the context ends.
 func (t *Transport) receive(ctx context.Context, conn net.Conn) {
-	defer closeAtEnd(ctx, conn)()
+	defer closeOnDone(ctx, conn)()
 	reader := wire.NewReader(conn)
 	sender := ""
 	for {
@@ -78,11 +79,11 @@
 		}
 		message, err := wire.Decode(encoded)
 		if err != nil {
-			t.log.WithError(err).WithField("from", conn.RemoteAddr().String()).Warn("message can't be decoded; connection closed")
+			t.log.WithError(err).WithField("from", conn.RemoteAddr().String()).Warn("closing connection: message decoding failed")
 			return
 		}
 		if message.From == "" {
-			message.From = sender // the first message of a connection names the sender for all
+			message.From = sender // only the first message of a connection names the sender
 		}
 		sender = message.From
 		t.traffic.add(received, message.Kind, reader.Size)
@@ -90,8 +91,8 @@
 	}
 }
 
-// closeAtEnd closes a connection when the context ends, or when the returned function is called.
-func closeAtEnd(ctx context.Context, conn net.Conn) (closeNow func()) {
+// closeOnDone closes a connection when the context ends or the returned function is called.
+func closeOnDone(ctx context.Context, conn net.Conn) (closeNow func()) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	return func() {
 		stop()
@@ -99,15 +100,16 @@
 	}
 }
 
-// outgoing is a message that waits to be sent.
+// outgoing is a queued message.
 type outgoing struct {
 	message  *wire.Message
-	table    *wire.PackedTable // the message's, if it is packed for all who get it
+	table    *wire.PackedTable // the message's table in packed form, nil if it has to be encoded with the message
 	queuedAt time.Duration
 }
 
-// Send queues a message for an address; only on the loop's goroutine, which it doesn't keep waiting. Messages that
-// can't be sent soon are dropped: state machines repeat them, or send later ones in their place.
+// Send queues a message for an address. It must be called on the loop's goroutine and does not block. Messages that
+// can't be sent within tuning.SendQueueTTL, or find the queue full, are dropped: state machines repeat them or send
+// newer ones.
 func (t *Transport) Send(ctx context.Context, addr string, message *wire.Message) {
 	queue := t.queues[addr]
 	if queue == nil {
@@ -133,25 +135,24 @@
 		case <-ctx.Done():
 			return
 		case item := <-queue:
-			if t.clock.Now()-item.queuedAt <= tuning.SendQueueTTL { // an older one would only delay later ones
+			if t.clock.Now()-item.queuedAt <= tuning.SendQueueTTL { // older messages would only delay newer ones
 				s.send(ctx, item)
 			}
 		}
 	}
 }
 
-// sender sends messages to one address; the goroutine of runSender owns it.
+// sender sends messages to one address. It is owned by the goroutine of runSender.
 type sender struct {
 	*Transport
 	addr       string
 	queue      chan outgoing
-	writer     *wire.Writer // nil: there is no connection
+	writer     *wire.Writer // nil if not connected
 	conn       net.Conn
 	disconnect func() // closes conn
 }
 
-// send sends a message, on a connection that it opens if there is none. What is written goes out when no other
-// message waits.
+// send writes a message and connects first if necessary. It flushes the writer when the queue is empty.
 func (s *sender) send(ctx context.Context, item outgoing) {
 	if s.writer == nil && !s.connect(ctx) {
 		return
@@ -165,13 +166,14 @@
 		err = s.writer.Flush()
 	}
 	if err != nil {
-		s.log.WithError(err).WithField("to", s.addr).Debug("message not sent")
+		s.log.WithError(err).WithField("to", s.addr).Debug("sending failed, message dropped")
 		s.disconnect()
 		s.writer = nil
 	}
 }
 
-// connect opens the connection. If it can't, it waits a little and drops what is in the queue, which is stale by then.
+// connect opens the connection. If that fails, it waits for tuning.Redial and drops the queued messages, which are
+// stale by then.
 func (s *sender) connect(ctx context.Context) bool {
 	dialer := reverseproxy.NewDialer(s.localAddr, tuning.ProbeTimeout)
 	conn, err := dialer.DialContext(ctx, "tcp", s.addr)
@@ -185,8 +187,8 @@
 		}
 		return false
 	}
-	s.conn, s.writer, s.disconnect = conn, wire.NewWriter(conn), closeAtEnd(ctx, conn)
-	go func() { // the other side never sends: this reads only its close
+	s.conn, s.writer, s.disconnect = conn, wire.NewWriter(conn), closeOnDone(ctx, conn)
+	go func() { // the peer sends nothing: reading only detects that it closes the connection
 		io.Copy(io.Discard, conn)
 		conn.Close()
 	}()
--- a/internal/daemon/transport_test.go
+++ b/internal/daemon/transport_test.go
@@ -15,8 +15,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A table that goes to many is packed once, and what is kept of past ones is bounded.
-func TestTablesArePackedOnce(t *testing.T) {
+// A table that is sent to several daemons is packed once, and the cache of packed tables is bounded.
+func TestTableIsPackedOnce(t *testing.T) {
 	var p packedTables
 	first := &wire.Table{StateIndex: 1}
 	a := p.pack(first)
@@ -27,14 +27,14 @@
 		p.pack(&wire.Table{StateIndex: uint64(i)})
 	}
 	if p.pack(first) == a {
-		t.Error("a table from before is still kept")
+		t.Error("the oldest table was not evicted from the cache")
 	}
 	if p.pack(nil) != nil {
-		t.Error("no table is packed")
+		t.Error("packing a nil table returned a table")
 	}
 }
 
-// A lack of descriptors ends no daemon; a listener that is gone does.
+// A lack of file descriptors and aborted connections are transient errors of accept; a closed listener is not.
 func TestTransientAcceptErrors(t *testing.T) {
 	failure := func(cause error) error {
 		return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", cause)}
@@ -51,12 +51,13 @@
 		{nil, false},
 	} {
 		if isTransient(c.err) != c.want {
-			t.Error(c.err)
+			t.Errorf("isTransient(%v) is %v, want %v", c.err, !c.want, c.want)
 		}
 	}
 }
 
-// Connections to and from daemons, callers and targets break when what is sent on them stays unacknowledged.
+// Listeners and dialers set the socket options that detect dead peers: a TCP user timeout for unacknowledged data, and
+// keep-alive.
 func TestSocketOptions(t *testing.T) {
 	ln, err := reverseproxy.Listen("127.0.0.1:0", tuning.CallerAckTimeout)
 	if err != nil {
@@ -85,7 +86,7 @@
 		} {
 			raw.Control(func(fd uintptr) {
 				if got, err := unix.GetsockoptInt(int(fd), o.level, o.name); err != nil || got != o.want {
-					t.Errorf("option %d is %d, not %d: %v", o.name, got, o.want, err)
+					t.Errorf("socket option %d is %d, want %d, error %v", o.name, got, o.want, err)
 				}
 			})
 		}
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -1,4 +1,4 @@
-// This file watches a daemon's settings for changes while it runs.
+// Reloading of the settings while a daemon runs.
 
 package daemon
 
@@ -13,17 +13,17 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// settingsWatcher is the settings as they were last read and as they are in effect; its goroutine owns it.
+// settingsWatcher reloads the settings and applies changes. It is owned by the goroutine of run.
 type settingsWatcher struct {
 	*Process
 	setSeeds func([]string)
-	lastRead string // the text, or the error in its place
-	inEffect Settings
+	lastRead string   // text of the settings when last read, or the text of the error if reading failed
+	inEffect Settings // settings in effect; those that can't change at run time keep their values from the start
 }
 
-// WatchSettings reads the settings each tuning.SettingsEvery and at once on SIGHUP, until the context ends. Valid
-// changes of log level, seeds and memory take effect; others wait for the next start; invalid ones are logged once and
-// the previous settings kept.
+// WatchSettings reloads the settings every tuning.SettingsEvery and on SIGHUP, until the context ends. Changes of the
+// log level, the seeds and the memory limit take effect at once, others at the next start. Invalid settings are logged
+// once, and the previous ones stay in effect.
 func (p *Process) WatchSettings(ctx context.Context, setSeeds func([]string)) {
 	w := &settingsWatcher{Process: p, setSeeds: setSeeds, lastRead: string(p.rawSettings), inEffect: p.Settings}
 	go w.run(ctx)
@@ -34,7 +34,7 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case <-w.hangups:
+		case <-w.reloadSignals:
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
@@ -43,7 +43,7 @@
 	}
 }
 
-// reload reads the settings once.
+// reload reads the settings and applies them if they have changed and are valid.
 func (w *settingsWatcher) reload() {
 	loaded, err := w.platform.Load()
 	text := string(loaded.Raw)
@@ -64,7 +64,7 @@
 	}
 }
 
-// apply puts in effect what can change while the daemon runs.
+// apply applies the settings that can change while the daemon runs.
 func (w *settingsWatcher) apply(next Settings) {
 	if level, _ := logrus.ParseLevel(next.LogLevel); next.LogLevel != w.inEffect.LogLevel {
 		w.Log.SetLevel(level)
