--- a/internal/mfctl/client.go
+++ b/internal/mfctl/client.go
@@ -1,4 +1,4 @@
-// This file is the calls of the HTTP API.
+// Client of the HTTP API.
 
 package mfctl
 
@@ -21,14 +21,14 @@
 
 var httpClient = &http.Client{Timeout: tuning.CtlCall}
 
-// request is a call of the HTTP API, whichever member it goes to.
+// request is a call of the HTTP API. It can be sent to any member.
 type request struct {
 	method, path string
 	query        url.Values
 	body         []byte
 }
 
-// url is the request's at one member.
+// url returns the URL of the request at one member.
 func (r request) url(member string) string {
 	if len(r.query) == 0 {
 		return "http://" + member + r.path
@@ -36,21 +36,24 @@
 	return "http://" + member + r.path + "?" + r.query.Encode()
 }
 
-// response is what a member answers.
+// response is the response of a member.
 type response struct {
-	status int // of HTTP; 0: there is none
+	status int // HTTP status, 0 if there was no response
 	body   []byte
 }
 
-// done reports whether the member did what it was asked for.
-func (r response) done() bool { return r.status == http.StatusOK || r.status == http.StatusAccepted }
+// succeeded reports whether the member carried out the request.
+func (r response) succeeded() bool {
+	return r.status == http.StatusOK || r.status == http.StatusAccepted
+}
 
-// call asks one member after another until one answers with more than 'no leader', and returns the last response that
-// it got, or an error if it got none. Going on is safe: a change carries its id, and 503 means that it was not applied.
-// That does not speak for another member whose response was lost: then the end is unknown.
+// call sends a request to one member after another until a response has another status than 503 or c.wait is over. It
+// returns the last response, or an error if there was none. Retrying is safe because each change carries an id and 503
+// means that the responding member did not apply it. If the response of another member was lost, however, that member
+// may have applied the change, and the outcome is unknown.
 func (c *cli) call(r request) (last response, err error) {
 	deadline := time.Now().Add(c.wait)
-	lost := false
+	responseLost := false
 	for i := 0; ; i++ {
 		got, failure := r.send(c.members[i%len(c.members)])
 		if failure == nil {
@@ -58,12 +61,12 @@
 		} else if last.status == 0 {
 			err = failure
 		}
-		lost = lost || failure != nil && r.method != http.MethodGet && !neverConnected(failure)
+		responseLost = responseLost || failure != nil && r.method != http.MethodGet && !isDialError(failure)
 		switch {
 		case failure == nil && got.status != http.StatusServiceUnavailable:
 			return last, err
-		case time.Now().After(deadline) && lost:
-			return lostResponse(r.query.Get("id")), nil
+		case time.Now().After(deadline) && responseLost:
+			return unknownOutcome(r.query.Get("id")), nil
 		case time.Now().After(deadline):
 			return last, err
 		}
@@ -71,7 +74,7 @@
 	}
 }
 
-// send makes the call at one member and reads the complete response.
+// send sends the request to one member and reads the complete response.
 func (r request) send(member string) (response, error) {
 	request, err := http.NewRequest(r.method, r.url(member), bytes.NewReader(r.body))
 	if err != nil {
@@ -86,14 +89,14 @@
 	return response{status: got.StatusCode, body: body}, err
 }
 
-// neverConnected reports whether a call failed before anything of it was sent.
-func neverConnected(err error) bool {
+// isDialError reports whether a request failed before any of it was sent.
+func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// lostResponse is the end of a change that a member may have accepted whose response was lost.
-func lostResponse(id string) response {
+// unknownOutcome returns the response that stands for a lost one: a member may have accepted the change.
+func unknownOutcome(id string) response {
 	return response{status: http.StatusGatewayTimeout, body: config.ErrorBody{
 		Code:      "unknown",
 		Rejection: config.RejectedUndecided,
@@ -103,7 +106,7 @@
 	}.JSON()}
 }
 
-// get reads what one daemon, which may be a proxy, answers to a GET.
+// get returns the response body of a GET request to one daemon, which may be a proxy.
 func get(daemon, path string) ([]byte, error) {
 	got, err := httpClient.Get("http://" + daemon + path)
 	if err != nil {
@@ -113,25 +116,25 @@
 	return io.ReadAll(got.Body)
 }
 
-// show prints what a member answers to a GET; text prints it for people, nil: as JSON.
-func (c *cli) show(path string, text func(body []byte)) int {
+// show prints the response of a member to a GET request. printText prints it as text; if nil, it is printed as JSON.
+func (c *cli) show(path string, printText func(body []byte)) int {
 	got, err := c.call(request{method: http.MethodGet, path: path})
-	return c.finish(got, err, text)
+	return c.printResult(got, err, printText)
 }
 
-// appliedChange is the body of the response to a change that is in force.
+// appliedChange is the response body of a change that was applied.
 type appliedChange struct {
 	ID       string `json:"id"`
 	Revision uint64 `json:"revision"`
 }
 
-// change makes a change under an id of its own, so that it is applied once however often it is sent.
+// change sends a change with a new id, by which the control plane applies it only once even if it is sent repeatedly.
 func (c *cli) change(r request) int {
 	r.query.Set("id", changeid.New())
 	got, err := c.call(r)
-	return c.finish(got, err, func(body []byte) {
+	return c.printResult(got, err, func(body []byte) {
 		var change appliedChange
-		json.Unmarshal(body, &change) // of another form it prints as no revision
+		json.Unmarshal(body, &change) // a body that can't be decoded leaves the revision 0
 		fmt.Printf("in force; configuration revision %d; change %s\n", change.Revision, change.ID)
 	})
 }
--- a/internal/mfctl/commands.go
+++ b/internal/mfctl/commands.go
@@ -1,4 +1,4 @@
-// This file is the table of mfctl's commands: each with its arguments and its handler.
+// The commands of mfctl with their arguments and handlers.
 
 package mfctl
 
@@ -13,25 +13,25 @@
 	"myrtlefold/internal/shared/config"
 )
 
-// handler carries out a command whose arguments have been parsed, and returns the exit code.
+// handler runs a command after its arguments have been parsed and returns the exit code.
 type handler func() int
 
-// definition puts a command's arguments on the command line and returns its handler; nil: it is a group of commands.
+// definition defines a command's arguments and flags and returns its handler, nil for a group of commands.
 type definition func(*cli, *kingpin.CmdClause) handler
 
-// command is a command or, without a handler of its own, a group of commands.
+// command is a command or a group of commands.
 type command struct {
-	name    string // as it is typed, behind its group's name
+	name    string // full name, including that of the group
 	help    string
-	define  definition // nil: a group
-	offline bool       // it needs no member of the control plane
+	define  definition // nil for a group without flags
+	offline bool       // the command contacts no member of the control plane
 }
 
-// commands are in the order of the help; a group stands before its commands.
+// commands are listed in the order of the help. A group comes before its commands.
 var commands = []command{
 	{name: "status", help: "each member's own view, and the core as its leader sees it: who leads and by whom, who is silent or learning, and whether the next loss can be borne", define: withoutArguments((*cli).status)},
-	{name: "roster", help: "all daemons: kind, domain, address, readiness", define: show("/v1/roster", printDaemons)},
-	{name: "targets", help: "back ends, with the reason for each bar or hold", define: show("/v1/targets", printTargets)},
+	{name: "roster", help: "all daemons: kind, domain, address, readiness", define: showCommand("/v1/roster", printDaemons)},
+	{name: "targets", help: "back ends, with the reason for each bar or hold", define: showCommand("/v1/targets", printTargets)},
 	{name: "aims", help: "service-level aims: what part of each service's exchanges met them, over all proxies", define: withoutArguments((*cli).objectives)},
 
 	{name: "config", help: "the configuration and its revisions"},
@@ -41,7 +41,7 @@
 	{name: "config set", help: "add or replace one named item: a service, route, policy or aim", define: configSet},
 	{name: "config drop", help: "remove named items", define: configDrop},
 	{name: "config check", help: "check a configuration here, without asking anyone: every fault by its place", define: configCheck, offline: true},
-	{name: "config history", help: "the changes that are kept", define: show("/v1/config/history", nil)},
+	{name: "config history", help: "the changes that are kept", define: showCommand("/v1/config/history", nil)},
 	{name: "config diff", help: "what changed from one revision to another, as a merge patch", define: configDiff},
 	{name: "config rollback", help: "put an earlier revision's text in force as a new revision", define: configRollback},
 
@@ -52,12 +52,12 @@
 	{name: "change", help: "what became of a change", define: changeGet},
 
 	{name: "domain", help: "domains (zones)"},
-	{name: "domain list", help: "domains and which are emptied", define: show("/v1/domains", nil)},
-	{name: "domain empty", help: "keep new exchanges from a domain's targets", define: post("domain", "name", "/v1/domains/%s/empty")},
-	{name: "domain restore", help: "take an emptied domain back", define: post("domain", "name", "/v1/domains/%s/restore")},
+	{name: "domain list", help: "domains and which are emptied", define: showCommand("/v1/domains", nil)},
+	{name: "domain empty", help: "keep new exchanges from a domain's targets", define: postCommand("domain", "name", "/v1/domains/%s/empty")},
+	{name: "domain restore", help: "take an emptied domain back", define: postCommand("domain", "name", "/v1/domains/%s/restore")},
 
 	{name: "policy", help: "policies that judge targets"},
-	{name: "policy list", help: "policies in force, with their counts", define: show("/v1/policies", printPolicies)},
+	{name: "policy list", help: "policies in force, with their counts", define: showCommand("/v1/policies", printPolicies)},
 	{name: "policy put", help: "create or replace a policy", define: policyPut},
 	{name: "policy remove", help: "remove a policy", define: policyRemove},
 	{name: "policy compare", help: "run policies over recorded events and compare them", define: policyCompare, offline: true},
@@ -66,16 +66,16 @@
 	{name: "stream", help: "follow target events and decisions as JSON lines", define: streamFollow},
 
 	{name: "core", help: "members of the core"},
-	{name: "core add", help: "let a running core daemon become a member", define: post("name", "daemon", "/v1/core/%s/add")},
-	{name: "core remove", help: "take a member out", define: post("name", "member", "/v1/core/%s/remove")},
+	{name: "core add", help: "let a running core daemon become a member", define: postCommand("name", "daemon", "/v1/core/%s/add")},
+	{name: "core remove", help: "take a member out", define: postCommand("name", "member", "/v1/core/%s/remove")},
 	{name: "core refound", help: "found the core again with the members that are there; the override for when no majority will return (see docs/operate.md)", define: coreRefound},
 
 	{name: "gate", help: "proxies"},
-	{name: "gate forget", help: "drop a proxy that is gone for good from the roster", define: post("name", "proxy", "/v1/gates/%s/forget")},
+	{name: "gate forget", help: "drop a proxy that is gone for good from the roster", define: postCommand("name", "proxy", "/v1/gates/%s/forget")},
 }
 
-// define puts all commands on the command line; it returns the handlers by the commands' names, and
-// which of them need no member.
+// define defines all commands on the command line. It returns the handlers by command name and the set of commands that
+// contact no member.
 func (c *cli) define(app *kingpin.Application) (handlers map[string]handler, offline map[string]bool) {
 	handlers, offline = map[string]handler{}, map[string]bool{}
 	groups := map[string]*kingpin.CmdClause{}
@@ -103,13 +103,14 @@
 	}
 }
 
-// show defines a command that prints what a member answers; text prints it for people, nil: as JSON.
-func show(path string, text func(body []byte)) definition {
-	return withoutArguments(func(c *cli) int { return c.show(path, text) })
+// showCommand defines a command that prints the response of a member to a GET request. printText prints it as text; if
+// nil, it is printed as JSON.
+func showCommand(path string, printText func(body []byte)) definition {
+	return withoutArguments(func(c *cli) int { return c.show(path, printText) })
 }
 
-// post defines a command that makes a change of the one thing that its argument names.
-func post(argument, help, path string) definition {
+// postCommand defines a command that sends a POST request for the object named by its argument.
+func postCommand(argument, help, path string) definition {
 	return func(c *cli, clause *kingpin.CmdClause) handler {
 		name := clause.Arg(argument, help).Required().String()
 		return func() int {
@@ -126,14 +127,14 @@
 	return clause.Arg("name", help).Required().String()
 }
 
-// namedKinds are the parts of a configuration that hold items by name.
+// namedKinds are the sections of a configuration that map names to items.
 var namedKinds = []string{"services", "routes", "policies", "aims"}
 
 func kindArgument(clause *kingpin.CmdClause) *string {
 	return clause.Arg("kind", strings.Join(namedKinds, ", ")).Required().Enum(namedKinds...)
 }
 
-// baseHelp is the help of the flag --base.
+// baseHelp is the help text of the flag --base.
 const baseHelp = "revision that it was built on"
 
 func baseFlag(clause *kingpin.CmdClause, help string) *uint64 {
@@ -148,7 +149,7 @@
 	return clause.Arg(name, "revision").Required().Uint64()
 }
 
-// baseQuery is the query of a change to a revision of the configuration.
+// baseQuery returns the query of a change that is based on a revision of the configuration.
 func baseQuery(revision uint64) url.Values { return url.Values{"base": {fmt.Sprint(revision)}} }
 
 func configGet(c *cli, clause *kingpin.CmdClause) handler {
@@ -186,7 +187,7 @@
 	base, revision := baseFlag(clause, baseHelp), revisionFlag(clause)
 	return func() int {
 		drop := map[string][]string{*kind: *names}
-		return c.changeNamed(config.NamedChange{Revision: *revision, Drop: drop}, baseQuery(*base))
+		return c.sendNamedChange(config.NamedChange{Revision: *revision, Drop: drop}, baseQuery(*base))
 	}
 }
 
@@ -211,7 +212,7 @@
 	}
 }
 
-// routesGroup defines the flag that the commands on routes have in common.
+// routesGroup defines the flag shared by the commands on routes.
 func routesGroup(c *cli, clause *kingpin.CmdClause) handler {
 	clause.Flag("config", "read this file instead of asking a member").StringVar(&c.routesFile)
 	return nil
@@ -277,7 +278,7 @@
 	return func() int {
 		query := url.Values{"gone": {strings.Join(*gone, ",")}}
 		got, err := c.call(request{method: http.MethodPost, path: "/v1/core/refound", query: query})
-		return c.finish(got, err, func(body []byte) {
+		return c.printResult(got, err, func(body []byte) {
 			fmt.Printf("founding again: %s; watch it with 'mfctl status'\n", strings.TrimSpace(string(body)))
 		})
 	}
--- a/internal/mfctl/config.go
+++ b/internal/mfctl/config.go
@@ -1,4 +1,4 @@
-// This file is the commands that change and check configurations.
+// The commands that change and check configurations.
 
 package mfctl
 
@@ -17,18 +17,18 @@
 	"myrtlefold/internal/shared/outlier"
 )
 
-// standardInput is the file name that stands for standard input.
+// standardInput is the file name that denotes standard input.
 const standardInput = "-"
 
 // readFile reads a file, or standard input.
 func readFile(name string) ([]byte, error) {
-	if name == standardInput || name == "" { // the command line library reads a lone dash as nothing
+	if name == standardInput || name == "" { // kingpin parses a lone dash as an empty argument
 		return io.ReadAll(os.Stdin)
 	}
 	return os.ReadFile(name)
 }
 
-// changeByFile makes a change whose body is a file.
+// changeByFile sends a change whose body is read from a file.
 func (c *cli) changeByFile(file string, r request) int {
 	var err error
 	if r.body, err = readFile(file); err != nil {
@@ -37,7 +37,7 @@
 	return c.change(r)
 }
 
-// putConfig sends a whole configuration, with the operator's own revision unless that is 0.
+// putConfig sends a complete configuration. A revision other than 0 replaces the one in the document.
 func (c *cli) putConfig(file string, revision uint64, query url.Values) int {
 	document, err := readFile(file)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return c.change(request{http.MethodPut, "/v1/config", query, document})
 }
 
-// setItem sends the partial change that adds or replaces one item.
+// setItem sends a partial change that adds or replaces one item.
 func (c *cli) setItem(kind, name, file string, revision uint64, query url.Values) int {
 	item, err := readFile(file)
 	if err != nil {
@@ -66,11 +66,11 @@
 		return exitInvalid
 	}
 	set := map[string]map[string]json.RawMessage{kind: {name: item}}
-	return c.changeNamed(config.NamedChange{Revision: revision, Set: set}, query)
+	return c.sendNamedChange(config.NamedChange{Revision: revision, Set: set}, query)
 }
 
-// changeNamed sends a partial change by names.
-func (c *cli) changeNamed(change config.NamedChange, query url.Values) int {
+// sendNamedChange sends a partial change of named items.
+func (c *cli) sendNamedChange(change config.NamedChange, query url.Values) int {
 	body, err := json.Marshal(change)
 	if err != nil {
 		return fail(err, exitUsage)
@@ -85,7 +85,7 @@
 	Valid  bool           `json:"sound"`
 }
 
-// checkConfig checks a configuration and then what each change makes of it.
+// checkConfig checks a configuration, and then the result of applying each change to the one before.
 func (c *cli) checkConfig(file string, changes []string) int {
 	var document []byte
 	for i, name := range append([]string{file}, changes...) {
@@ -120,7 +120,7 @@
 	return exitOK
 }
 
-// applyChange returns what a partial change of either form makes of a document.
+// applyChange applies a partial change, a merge patch or a named change, to a document.
 func applyChange(document, change []byte) ([]byte, []config.Fault, error) {
 	if !config.IsNamedChange(change) {
 		changed, err := config.MergePatch(document, change)
--- a/internal/mfctl/fleet.go
+++ b/internal/mfctl/fleet.go
@@ -1,4 +1,4 @@
-// This file prints the daemons, the targets and the objectives of services.
+// The commands that print the daemons, the targets and the service-level objectives.
 
 package mfctl
 
@@ -16,14 +16,14 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// parseDaemons reads the body of /v1/roster. With an error it returns what could be read.
+// parseDaemons decodes the response body of /v1/roster. With an error it returns the daemons decoded so far.
 func parseDaemons(body []byte) ([]controlplane.DaemonView, error) {
 	var roster struct{ Daemons []controlplane.DaemonView }
 	err := json.Unmarshal(body, &roster)
 	return roster.Daemons, err
 }
 
-// printDaemons prints the body of /v1/roster.
+// printDaemons prints the response body of /v1/roster as a table.
 func printDaemons(body []byte) {
 	daemons, _ := parseDaemons(body)
 	table := newTable()
@@ -41,10 +41,10 @@
 	}
 }
 
-// printTargets prints the body of /v1/targets.
+// printTargets prints the response body of /v1/targets as a table.
 func printTargets(body []byte) {
 	var list struct{ Targets []controlplane.TargetView }
-	json.Unmarshal(body, &list) // what can't be read is left out
+	json.Unmarshal(body, &list) // targets that can't be decoded are left out
 	table := newTable()
 	defer table.Flush()
 	fmt.Fprintln(table, "SERVICE\tNAME\tADDRESS\tDOMAIN\tSTATE\tDEMAND\tSLOTS\tCOLD LEFT\tBEAT MS\tBAR LEFT\tWHY")
@@ -64,11 +64,11 @@
 	}
 }
 
-// objectives prints the objectives of services, added up over all proxies that answer.
+// objectives prints the service-level objectives, summed over all proxies that respond.
 func (c *cli) objectives() int {
 	got, err := c.call(request{method: http.MethodGet, path: "/v1/roster"})
 	if err != nil || got.status != http.StatusOK {
-		return c.finish(got, err, nil)
+		return c.printResult(got, err, nil)
 	}
 	daemons, _ := parseDaemons(got.body)
 	sums := map[string]*dataplane.ObjectiveView{}
@@ -97,7 +97,7 @@
 	return exitOK
 }
 
-// proxyObjectives are what one proxy has counted.
+// proxyObjectives returns the objectives as counted by one proxy.
 func proxyObjectives(proxy string) ([]dataplane.ObjectiveView, error) {
 	got, err := httpClient.Get("http://" + proxy + "/v1/status")
 	if err != nil {
--- a/internal/mfctl/mfctl.go
+++ b/internal/mfctl/mfctl.go
@@ -1,9 +1,10 @@
-// Package mfctl is the operators' command. It asks any member of the control plane, goes on to the next one where that
-// is safe, gives its changes an id so that a retry can't apply one twice, and says by its exit code how a call ended.
-// It decides nothing: the control plane checks and applies what it is asked for.
+// Package mfctl implements the command-line client for operators. It sends a request to any member of the control plane
+// and retries it at the next one where that is safe. Each change carries an id, so that a retry can't apply it twice,
+// and the exit code tells how the request ended. The control plane validates and applies all changes; only 'config
+// check', 'policy compare' and 'policy judge' work without it.
 //
-// Begin with Run, then commands.go, the table of commands and their arguments. client.go has the calls, output.go what
-// all commands print; each group of commands has a file of its own.
+// Start reading at Run, then commands.go, which lists the commands and their arguments. client.go contains the HTTP
+// client and output.go the output that all commands share. Each group of commands has its own file.
 package mfctl
 
 import (
@@ -21,23 +22,22 @@
 const (
 	exitOK       = iota
 	exitFailed   // rejected or failed
-	exitUsage    // the command line is wrong
-	exitStale    // built on a stale revision
+	exitUsage    // invalid command line
+	exitStale    // based on a stale revision, nothing changed
 	exitInvalid  // rejected as invalid, nothing changed
-	exitNoLeader // nobody could answer, nothing changed
-	exitUnknown  // it may have happened or not
+	exitNoLeader // no leader or no response, nothing changed
+	exitUnknown  // unknown whether the change was applied
 )
 
-// cli is one run of mfctl, with the flags that all commands have. Its methods that carry out a command return the exit
-// code.
+// cli holds the flags that all commands share. Its methods that run a command return the exit code.
 type cli struct {
 	members    []string      // HTTP addresses of control daemons
 	json       bool          // print JSON
-	wait       time.Duration // how long to retry while there is no leader
-	routesFile string        // the commands on routes read this file, "": they ask a member
+	wait       time.Duration // how long requests are retried while there is no leader
+	routesFile string        // file that the commands on routes read, empty to request the configuration from a member
 }
 
-// Run is mfctl: it parses the command line, runs the command and returns the exit code.
+// Run is the entry point of mfctl: it parses the command line, runs the command and returns the exit code.
 func Run(args []string) int {
 	app := kingpin.New("mfctl", `Operators' command for a myrtlefold core.
 
--- a/internal/mfctl/mfctl_test.go
+++ b/internal/mfctl/mfctl_test.go
@@ -16,7 +16,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// runCommand runs mfctl and returns its exit code and what it printed on both of its outputs.
+// runCommand runs mfctl and returns its exit code and its output to stdout and stderr.
 func runCommand(t *testing.T, args ...string) (code int, output string) {
 	t.Helper()
 	file, err := os.CreateTemp(t.TempDir(), "out")
@@ -45,7 +45,7 @@
 	return file
 }
 
-// startMember starts a member and returns its address.
+// startMember starts an HTTP server in the role of a member and returns its address.
 func startMember(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -55,39 +55,39 @@
 
 func addressOf(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
-// noLeader is a member that knows no leader.
+// noLeader is the handler of a member that knows no leader.
 func noLeader(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	w.Write(config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}.JSON())
 }
 
-// Every sample of a configuration is valid, and the changes on them.
-func TestSamples(t *testing.T) {
+// The sample configurations are valid, and so are the results of the sample changes.
+func TestSampleConfigs(t *testing.T) {
 	split := []string{"--change", "../../sample/change-split.json", "--change", "../../sample/change-unsplit.json"}
 	for name, changes := range map[string][]string{"kelani": nil, "kiyihat": nil, "press": nil, "kelani-routes": nil, "press-routes": nil, "kiyihat-routes": split} {
 		if code, out := runCommand(t, append([]string{"config", "check", "../../sample/" + name + ".json"}, changes...)...); code != exitOK {
-			t.Errorf("%s: %d %s", name, code, out)
+			t.Errorf("%s: exit code %d: %s", name, code, out)
 		}
 	}
 }
 
-// A check without any fleet names every fault by its place, also in what a change leads to.
+// 'config check' reports every fault with its path, also those that result from a change.
 func TestCheckConfig(t *testing.T) {
 	bad := writeDocument(t, `{"services":{"a":{"cap":0,"odd":1}},"routes":{"r":{"host":"","prefix":"x","kind":"sometimes","timeout_ms":0,"attempts":1,"service":"b"}}}`)
 	code, out := runCommand(t, "config", "check", bad)
 	if code != exitInvalid {
-		t.Fatal(code, out)
+		t.Fatalf("exit code %d: %s", code, out)
 	}
 	for _, at := range []string{"services.a.cap", "services.a.odd", "routes.r.prefix", "routes.r.kind", "routes.r.timeout_ms", "routes.r.service"} {
 		if !strings.Contains(out, at+": ") {
-			t.Errorf("%s is not named in\n%s", at, out)
+			t.Errorf("no fault at %s in the output:\n%s", at, out)
 		}
 	}
 	if code, out := runCommand(t, "config", "check", writeDocument(t, `{"services":`)); code != exitInvalid {
-		t.Fatal(code, out)
+		t.Fatalf("exit code %d: %s", code, out)
 	}
 	if code, out := runCommand(t, "config", "check", "no-such-file"); code != exitUsage {
-		t.Fatal(code, out)
+		t.Fatalf("exit code %d: %s", code, out)
 	}
 	for _, c := range []struct{ change, at string }{
 		{`{"drop":{"services":["payments"]}}`, "routes.payments.service"},
@@ -97,12 +97,12 @@
 	} {
 		code, out := runCommand(t, "config", "check", "../../sample/kiyihat-routes.json", "--change", writeDocument(t, c.change))
 		if code != exitInvalid || !strings.Contains(out, c.at+": ") {
-			t.Errorf("%s: %d %s", c.change, code, out)
+			t.Errorf("change %s: exit code %d, want %d and a fault at %s: %s", c.change, code, exitInvalid, c.at, out)
 		}
 	}
 }
 
-// Routes are listed and matched, from a file or from a member.
+// 'routes list' and 'routes match' work on a file and on the configuration of a member.
 func TestRoutesCommand(t *testing.T) {
 	doc := writeDocument(t, `{"services":{"a":{},"b":{}},"routes":{
 		"all":{"prefix":"/x/","host":"","kind":"repeatable","timeout_ms":500,"attempts":2,"service":"a"},
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	if _, faults, err := outlier.ParseConfig(text); err != nil || len(faults) > 0 {
-		t.Fatal(faults, err)
+		t.Fatalf("test configuration: faults %v, error %v", faults, err)
 	}
 	member := startMember(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/config" || !r.URL.Query().Has("plain") {
@@ -135,17 +135,18 @@
 		} {
 			args := append([]string{"routes", "match", c.host, c.path, "--method", c.method}, from...)
 			if code, out := runCommand(t, args...); code != c.code || out != c.want {
-				t.Errorf("%v: %d %q", args, code, out)
+				t.Errorf("%v: exit code %d, output %q; want %d, %q", args, code, out, c.code, c.want)
 			}
 		}
 		code, out := runCommand(t, append([]string{"routes"}, from...)...)
 		if lines := strings.Split(strings.TrimSpace(out), "\n"); code != exitOK || len(lines) != 4 || !strings.HasPrefix(lines[1], "all") || !strings.HasPrefix(lines[2], "own") {
-			t.Errorf("%d %s", code, out)
+			t.Errorf("routes: exit code %d, want the routes all and own and one rule:\n%s", code, out)
 		}
 	}
 }
 
-// What set, drop and put send carries the operator's own number, the base and an id.
+// 'config set', 'config drop' and 'config put' send the base revision, an id and the revision given by the operator.
+// Invalid arguments or documents send nothing.
 func TestNamedChangesSent(t *testing.T) {
 	var method, query string
 	var body map[string]any
@@ -170,30 +171,30 @@
 		code, out := runCommand(t, append(c.args, "--at", at)...)
 		sent, _ := json.Marshal(body)
 		if code != exitOK || method != c.call || string(sent) != c.want || !strings.Contains(query, "base=4") || !strings.Contains(query, "id=") {
-			t.Errorf("%v: %d %s; %s ?%s %s", c.args, code, out, method, query, sent)
+			t.Errorf("%v: exit code %d, output %s; sent %s?%s %s, want %s %s", c.args, code, out, method, query, sent, c.call, c.want)
 		}
 	}
 	method = ""
 	for _, args := range [][]string{{"config", "set", "odd", "a", item, "--base", "4"}, {"config", "drop", "routes", "--base", "4"}} {
 		if code, out := runCommand(t, append(args, "--at", at)...); code != exitUsage || method != "" {
-			t.Errorf("%v: %d %s", args, code, out)
+			t.Errorf("%v: exit code %d, want %d and no request: %s", args, code, exitUsage, out)
 		}
 	}
 	if code, out := runCommand(t, "config", "set", "routes", "a", writeDocument(t, "{"), "--base", "4", "--at", at); code != exitInvalid || method != "" {
-		t.Error(code, out)
+		t.Errorf("invalid JSON: exit code %d, want %d and no request: %s", code, exitInvalid, out)
 	}
 }
 
-// Status asks the members that are named, then those of the roster, each once.
-func TestStatusOfAllMembers(t *testing.T) {
-	asked := map[string]int{}
+// 'status' queries the members given on the command line and then the other control daemons that they know, each once.
+func TestStatusQueriesAllMembers(t *testing.T) {
+	queries := map[string]int{}
 	member := func(name string, roster func() []map[string]any) string {
 		return startMember(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/v1/roster" {
 				daemon.WriteJSON(w, 200, map[string]any{"daemons": roster()})
 				return
 			}
-			asked[name]++
+			queries[name]++
 			daemon.WriteJSON(w, 200, map[string]any{"name": name, "role": "follower"})
 		})
 	}
@@ -207,13 +208,13 @@
 	}
 	a, b = member("a", roster), member("b", roster)
 	code, out := runCommand(t, "status", "--at", a)
-	if code != exitOK || asked["a"] != 1 || asked["b"] != 1 || strings.Count(out, "follower") != 2 {
-		t.Fatal(code, asked, out)
+	if code != exitOK || queries["a"] != 1 || queries["b"] != 1 || strings.Count(out, "follower") != 2 {
+		t.Fatalf("exit code %d, queries %v, want one of each member: %s", code, queries, out)
 	}
 }
 
-// A rejection prints as its kind and a code that names the cause; mfctl exits with the kind's code.
-func TestRejectionsByKind(t *testing.T) {
+// A rejection is printed with its kind and code, and sets the exit code.
+func TestRejectionExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		body   config.ErrorBody
@@ -234,37 +235,37 @@
 			})
 			code, out := runCommand(t, "--wait", "0s", "--at", member, "domain", "empty", "north")
 			if code != c.code || !strings.Contains(out, "mfctl: "+c.want+": ") {
-				t.Errorf("%d: exit %d, %q; want %d, %q", c.status, code, out, c.code, c.want)
+				t.Errorf("status %d: exit code %d, output %q; want %d, %q", c.status, code, out, c.code, c.want)
 			}
 		})
 	}
 }
 
-// While some members are down, what the others answer is printed, not that those are down.
-func TestAnswerComesBeforeAFailedConnection(t *testing.T) {
+// If one member responds and another is down, the response is printed and not the connection error.
+func TestResponsePreferredToConnectionError(t *testing.T) {
 	server := httptest.NewServer(nil)
 	down := addressOf(server)
 	server.Close()
 	up := startMember(t, noLeader)
 	code, out := runCommand(t, "--wait", "100ms", "--at", up, "--at", down, "domain", "empty", "north")
 	if code != exitNoLeader || !strings.Contains(out, "cannot tell now (no_leader)") {
-		t.Error(code, out)
+		t.Errorf("exit code %d, want %d: %s", code, exitNoLeader, out)
 	}
 }
 
-// A change whose response was lost may have been accepted: a later 'nothing was changed' of another member does not
-// say that it was not.
-func TestLostResponseIsUnknown(t *testing.T) {
+// A change whose response was lost may have been applied. A 503 from another member before or after it must not be
+// reported as 'nothing changed'. A read has no such outcome.
+func TestLostResponseIsUnknownOutcome(t *testing.T) {
 	broken := startMember(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	idle := startMember(t, noLeader)
 	for _, order := range [][]string{{broken, idle}, {idle, broken}} {
 		code, out := runCommand(t, "--wait", "100ms", "--at", order[0], "--at", order[1], "domain", "empty", "north")
 		if code != exitUnknown || !strings.Contains(out, "cannot tell now (unknown)") || !strings.Contains(out, "  id 20") {
-			t.Error(code, out)
+			t.Errorf("exit code %d, want %d and the id of the change: %s", code, exitUnknown, out)
 		}
 	}
 	code, out := runCommand(t, "--wait", "100ms", "--at", broken, "--at", idle, "targets")
 	if code != exitNoLeader || !strings.Contains(out, "no_leader") {
-		t.Error(code, out)
+		t.Errorf("read: exit code %d, want %d: %s", code, exitNoLeader, out)
 	}
 }
--- a/internal/mfctl/output.go
+++ b/internal/mfctl/output.go
@@ -1,4 +1,4 @@
-// This file is what all commands print, and the exit codes of calls.
+// Output functions that the commands share, and the mapping of HTTP statuses to exit codes.
 
 package mfctl
 
@@ -15,22 +15,23 @@
 	"myrtlefold/internal/shared/config"
 )
 
-// finish prints a member's response, by text if people read it, and returns the exit code.
-func (c *cli) finish(got response, err error, text func(body []byte)) int {
+// printResult prints the result of a call and returns the exit code. printText prints the body of a successful response
+// as text; if it is nil or the output is JSON, the body is printed as JSON.
+func (c *cli) printResult(got response, err error, printText func(body []byte)) int {
 	switch {
 	case err != nil:
 		return fail(err, exitNoLeader)
-	case c.json || got.done() && text == nil:
+	case c.json || got.succeeded() && printText == nil:
 		c.printBody(got.body)
-	case got.done():
-		text(got.body)
+	case got.succeeded():
+		printText(got.body)
 	default:
 		printError(got.body)
 	}
 	return exitCode(got.status)
 }
 
-// exitCode says how a call with that HTTP status ended.
+// exitCode returns the exit code for an HTTP status.
 func exitCode(status int) int {
 	switch status {
 	case http.StatusOK, http.StatusAccepted:
@@ -53,10 +54,10 @@
 	return code
 }
 
-// printError prints the body of a rejected call for people.
+// printError prints the response body of a rejected call as text.
 func printError(body []byte) {
 	var rejected struct{ Error config.ErrorBody }
-	json.Unmarshal(body, &rejected) // of another form it prints as an error without a text
+	json.Unmarshal(body, &rejected) // a body that can't be decoded prints as an error without a message
 	fmt.Fprintf(os.Stderr, "mfctl: %s: %s\n", rejectionText(rejected.Error), rejected.Error.Message)
 	printFaults(rejected.Error.Faults)
 	if rejected.Error.ID != "" {
@@ -64,14 +65,14 @@
 	}
 }
 
-// printFaults prints the faults of a document for people.
+// printFaults prints the faults of a document as text.
 func printFaults(faults []config.Fault) {
 	for _, fault := range faults {
 		fmt.Fprintf(os.Stderr, "  %s: %s\n", fault.Path, fault.Text)
 	}
 }
 
-// rejectionTexts are the kinds of rejections as people read them.
+// rejectionTexts describe the kinds of rejections in text output.
 var rejectionTexts = map[config.Rejection]string{
 	config.RejectedVersion:   "another version",
 	config.RejectedInvalid:   "invalid",
@@ -80,7 +81,7 @@
 	config.RejectedNotFound:  "not found",
 }
 
-// rejectionText is a rejection's kind and code for people: "cannot tell now (no_leader)".
+// rejectionText returns the kind and code of a rejection, such as "cannot tell now (no_leader)".
 func rejectionText(rejected config.ErrorBody) string {
 	kind, known := rejectionTexts[rejected.Rejection]
 	if !known {
@@ -89,7 +90,7 @@
 	return fmt.Sprintf("%s (%s)", kind, rejected.Code)
 }
 
-// printBody prints a response as it is, or indented where people read it.
+// printBody prints a response body: unchanged if the output is JSON, and indented if it is text.
 func (c *cli) printBody(body []byte) {
 	var indented bytes.Buffer
 	if c.json || json.Indent(&indented, body, "", "  ") != nil {
@@ -99,18 +100,18 @@
 	fmt.Println(strings.TrimSpace(indented.String()))
 }
 
-// printJSON prints a value as a line of JSON.
+// printJSON prints a value as one line of JSON.
 func printJSON(value any) { json.NewEncoder(os.Stdout).Encode(value) }
 
-// newTable aligns the columns, separated by tabs, of what is written to it; Flush prints them.
+// newTable returns a writer that aligns tab-separated columns. Flush prints the table.
 func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0) }
 
-// seconds is a time for people, to a tenth of a second.
+// seconds converts milliseconds to a duration rounded to 0.1 s.
 func seconds(milliseconds int64) time.Duration {
 	return (time.Duration(milliseconds) * time.Millisecond).Round(100 * time.Millisecond)
 }
 
-// orDash is a cell of a table: the text, or a dash if there is none.
+// orDash returns the text of a table cell, a dash if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
@@ -118,7 +119,7 @@
 	return text
 }
 
-// yesOrDash is a cell of a table that says whether something holds.
+// yesOrDash returns the text of a boolean table cell.
 func yesOrDash(yes bool) string {
 	if yes {
 		return "yes"
--- a/internal/mfctl/policy.go
+++ b/internal/mfctl/policy.go
@@ -1,4 +1,4 @@
-// This file is the commands on policies that need no member, and the list of policies.
+// The policy commands that contact no member, and the output of the list of policies.
 
 package mfctl
 
@@ -20,7 +20,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// comparePolicies prints each policy's score on a recording; policies are files named for the policy.
+// comparePolicies evaluates policies on recorded events and prints their scores. A policy is named after its file, and
+// the default policy is always included.
 func (c *cli) comparePolicies(recording string, files []string) int {
 	policies := map[string]config.Policy{config.DefaultPolicyName: config.DefaultPolicy()}
 	for _, file := range files {
@@ -66,7 +67,7 @@
 	}
 }
 
-// readPolicy reads a policy's file and prints what is wrong with it.
+// readPolicy reads a policy from a file and prints its faults, if any.
 func readPolicy(file string) (policy config.Policy, valid bool) {
 	policy.Mode = config.ModeLive
 	var faults []config.Fault
@@ -85,8 +86,8 @@
 	return policy, len(faults) == 0
 }
 
-// evaluatePolicies evaluates the policies of a configuration's file ("": the default policy) on standard input's
-// events, and prints each result.
+// evaluatePolicies evaluates the policies of a configuration file on the events read from standard input and prints
+// each result. Without a file it evaluates the default policy.
 func evaluatePolicies(file string) int {
 	policies := &config.Config{}
 	if file != "" {
@@ -108,7 +109,7 @@
 	for lines.Scan() {
 		for _, result := range session.Evaluate(lines.Bytes()) {
 			if result.Error != "" {
-				code = exitInvalid // it is returned at the end: the stream goes on
+				code = exitInvalid // returned at the end: later lines are still evaluated
 			}
 			if results.Encode(result) != nil {
 				return exitFailed
@@ -122,14 +123,14 @@
 	return code
 }
 
-// printPolicies prints the body of /v1/policies.
+// printPolicies prints the response body of /v1/policies as a table.
 func printPolicies(body []byte) {
 	var list struct {
 		Revision uint64
 		SinceMs  float64 `json:"since_ms"`
 		Policies map[string]outlier.PolicyStats
 	}
-	json.Unmarshal(body, &list) // what can't be read is left out
+	json.Unmarshal(body, &list) // policies that can't be decoded are left out
 	table := newTable()
 	defer table.Flush()
 	fmt.Fprintf(table, "revision %d, scores of the last %.0f s\n", list.Revision, list.SinceMs/1000)
--- a/internal/mfctl/recorded_test.go
+++ b/internal/mfctl/recorded_test.go
@@ -11,9 +11,9 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-var update = flag.Bool("update", false, "record names anew, which only an intended change may need")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata, only for an intended change of names")
 
-// The commands of mfctl keep their names, arguments and flags.
+// The names of commands, arguments and flags don't change: scripts of operators use them.
 func TestCommandNames(t *testing.T) {
 	app := kingpin.New("mfctl", "")
 	(&cli{}).define(app)
@@ -45,6 +45,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(lines.Bytes(), want) {
-		t.Fatalf("commands differ from those recorded:\n%s", lines.Bytes())
+		t.Fatalf("testdata/commands.txt differs from:\n%s", lines.Bytes())
 	}
 }
--- a/internal/mfctl/routes.go
+++ b/internal/mfctl/routes.go
@@ -1,4 +1,4 @@
-// This file is the commands on routes and rules.
+// The commands on routes and rules.
 
 package mfctl
 
@@ -15,8 +15,8 @@
 	"myrtlefold/internal/shared/outlier"
 )
 
-// withConfig passes a configuration to show, which reports whether there was what it looked for. The configuration is
-// that of the flag's file or, without one, the one in force.
+// withConfig calls show with the configuration of the file given by --config or, without the flag, with the one in
+// force. If show returns false, nothing matched, and the exit code is exitFailed.
 func (c *cli) withConfig(show func(*config.Config) bool) int {
 	var text []byte
 	if c.routesFile != "" {
@@ -27,7 +27,7 @@
 	} else {
 		got, err := c.call(request{method: http.MethodGet, path: "/v1/config", query: url.Values{"plain": {""}}})
 		if err != nil || got.status != http.StatusOK {
-			return c.finish(got, err, nil)
+			return c.printResult(got, err, nil)
 		}
 		text = got.body
 	}
@@ -45,7 +45,7 @@
 	return exitOK
 }
 
-// destinationText says where a route's requests go, and with which shares.
+// destinationText returns the service that a route forwards to, or the services with their shares.
 func destinationText(route config.Route) string {
 	shares := route.Shares()
 	sum := 0.0
@@ -62,10 +62,10 @@
 	return strings.Join(texts, ", ")
 }
 
-// hostText is a route's or rule's host for people.
+// hostText returns the host of a route or rule, "*" if it matches any host.
 func hostText(host string) string { return cmp.Or(host, "*") }
 
-// routeList is the routes and rules of a configuration, printed as JSON.
+// routeList holds the routes and rules of a configuration for JSON output.
 type routeList struct {
 	Routes map[string]config.Route `json:"routes"`
 	Rules  []config.Rule           `json:"rules"`
@@ -98,19 +98,19 @@
 	return true
 }
 
-// routeMatch is the route that a request goes by, printed as JSON.
+// routeMatch is the route that matches a request, for JSON output.
 type routeMatch struct {
 	Route config.Route `json:"is"`
 	Name  string       `json:"route"`
 }
 
-// ruleMatch is the rule that a request goes by, printed as JSON.
+// ruleMatch is the rule that matches a request, for JSON output.
 type ruleMatch struct {
-	Allowed []string `json:"allowed"` // the methods that the rule takes
+	Allowed []string `json:"allowed"` // methods that the rules for the path allow
 	Service string   `json:"service"`
 }
 
-// matchRoute prints the route or rule that a request goes by, and reports whether there is one.
+// matchRoute prints the route or rule that matches a request and reports whether there is one.
 func (c *cli) matchRoute(cfg *config.Config, host, path, method string) bool {
 	name, route, isRoute := cfg.FindRoute(host, path)
 	service, allowed, isRule := cfg.FindRule(host, path, method)
--- a/internal/mfctl/status.go
+++ b/internal/mfctl/status.go
@@ -1,4 +1,4 @@
-// This file is 'mfctl status': each member's own view, and the control plane as its leader sees it.
+// The command 'mfctl status', which prints each member's own view and the leader's view of the control plane.
 
 package mfctl
 
@@ -15,18 +15,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// status asks the members that are named and then the other control daemons that one of them knows.
+// status queries the members given on the command line, and then the other control daemons that the first responding
+// one knows.
 func (c *cli) status() int {
 	var report statusReport
-	answering := "" // the first named member that answers
+	firstResponding := "" // address of the first given member that responds
 	for _, member := range c.members {
-		if report.ask(member) && answering == "" {
-			answering = member
+		if report.query(member) && firstResponding == "" {
+			firstResponding = member
 		}
 	}
-	if answering != "" {
-		for _, member := range otherMembers(answering, c.members) {
-			report.ask(member)
+	if firstResponding != "" {
+		for _, member := range otherMembers(firstResponding, c.members) {
+			report.query(member)
 		}
 	}
 	if c.json {
@@ -34,7 +35,7 @@
 	} else {
 		report.printMembers()
 	}
-	if answering == "" {
+	if firstResponding == "" {
 		return exitNoLeader
 	}
 	if !c.json {
@@ -43,14 +44,14 @@
 	return exitOK
 }
 
-// statusReport collects the members' views.
+// statusReport collects the views of the members that respond.
 type statusReport struct {
-	bodies []json.RawMessage // as the members sent them
-	views  []controlplane.StatusView
+	bodies []json.RawMessage         // response bodies, for JSON output
+	views  []controlplane.StatusView // decoded bodies
 }
 
-// ask adds a member's view. It returns false if the member does not answer.
-func (r *statusReport) ask(member string) bool {
+// query adds a member's view to the report. It returns false if the member does not respond.
+func (r *statusReport) query(member string) bool {
 	body, err := get(member, "/v1/status")
 	if err != nil {
 		fail(err, exitFailed)
@@ -64,8 +65,8 @@
 	return true
 }
 
-// otherMembers are the addresses of the control daemons that a member knows, except those asked.
-func otherMembers(member string, asked []string) (others []string) {
+// otherMembers returns the HTTP addresses of the control daemons that a member knows, except those in known.
+func otherMembers(member string, known []string) (others []string) {
 	body, err := get(member, "/v1/roster")
 	if err != nil {
 		return nil
@@ -75,7 +76,7 @@
 		return nil
 	}
 	for _, daemon := range daemons {
-		if daemon.Kind == wire.ControlDaemon && !slices.Contains(asked, daemon.HTTP) {
+		if daemon.Kind == wire.ControlDaemon && !slices.Contains(known, daemon.HTTP) {
 			others = append(others, daemon.HTTP)
 		}
 	}
@@ -100,13 +101,13 @@
 	}
 }
 
-// printControlPlane prints how the control plane stands as its leader sees it; without a leader's view it says that
-// nobody can tell.
+// printControlPlane prints the leader's view of the control plane. If no leader has responded, it prints when each
+// member was last in contact with its leader.
 func printControlPlane(w io.Writer, views []controlplane.StatusView) {
 	for _, view := range views {
 		printFailures(w, &view)
 	}
-	leader := leadersView(views)
+	leader := findLeader(views)
 	if leader == nil {
 		fmt.Fprintln(w, "\ncore: no member that answered leads; whether the next loss can be borne cannot be told")
 		for _, view := range views {
@@ -124,7 +125,7 @@
 	}
 }
 
-// printMemberTable prints the members as the leader sees them.
+// printMemberTable prints the leader's view of the members.
 func printMemberTable(w io.Writer, view controlplane.ControlPlaneView) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer table.Flush()
@@ -135,7 +136,7 @@
 	}
 }
 
-// printFailures prints what a member could not read, and that its disk rejects writes.
+// printFailures prints the damage that a member found in stored state and the error of its disk, if any.
 func printFailures(w io.Writer, view *controlplane.StatusView) {
 	for _, damage := range view.Damage {
 		fmt.Fprintf(w, "\nDAMAGE at %s: %s: %s\n", view.Name, damage.Subject, damage.Reason)
@@ -145,8 +146,8 @@
 	}
 }
 
-// leadersView is the view of the member that holds the lease in the latest term, nil if none does.
-func leadersView(views []controlplane.StatusView) (latest *controlplane.StatusView) {
+// findLeader returns the view of the member that holds the lease in the latest epoch and term, nil if none does.
+func findLeader(views []controlplane.StatusView) (latest *controlplane.StatusView) {
 	for i := range views {
 		view := &views[i]
 		if view.ControlPlane.HoldsLease && (latest == nil || view.Epoch > latest.Epoch || view.Epoch == latest.Epoch && view.Term > latest.Term) {
@@ -156,7 +157,7 @@
 	return latest
 }
 
-// contactText is what a member without the lease says of its leader.
+// contactText describes the contact of a member without a lease to its leader.
 func contactText(member *controlplane.StatusView) string {
 	view := member.ControlPlane
 	switch view.Leader {
@@ -168,7 +169,7 @@
 	return fmt.Sprintf("last heard %s %v ago", view.Leader, seconds(view.LeaderLastContactMs))
 }
 
-// toleranceText says what the control plane can lose now.
+// toleranceText describes which losses the control plane tolerates now.
 func toleranceText(tolerance controlplane.FailureToleranceView) string {
 	switch {
 	case !tolerance.Tolerable:
@@ -187,14 +188,14 @@
 	return fmt.Sprintf("any %d machines", n)
 }
 
-// blockerTexts say why a member does not count.
+// blockerTexts describe why a member does not count towards the failure tolerance.
 var blockerTexts = map[controlplane.BlockerKind]string{
 	controlplane.BlockerUnresponsive: "is silent",
 	controlplane.BlockerStopping:     "said that it stops",
 	controlplane.BlockerPlaceholder:  "is a place that nobody has taken yet",
 }
 
-// blockerText says why a loss can't be tolerated, and until when.
+// blockerText describes why the next loss is not tolerated and what would change that.
 func blockerText(blocker controlplane.Blocker, view controlplane.ControlPlaneView) string {
 	switch {
 	case blocker.Kind == controlplane.BlockerTooFewMembers && blocker.Successor == "":
@@ -207,7 +208,7 @@
 	return fmt.Sprintf("%s %s, until it is back%s", blocker.Member, blockerTexts[blocker.Kind], replacementText(blocker))
 }
 
-// replacementText says who replaces a member, and when.
+// replacementText describes which daemon replaces a member, and when.
 func replacementText(blocker controlplane.Blocker) string {
 	successor := blocker.Successor
 	switch {
@@ -221,17 +222,17 @@
 	return fmt.Sprintf("; %s replaces it as soon as it has caught up", successor)
 }
 
-// noContactShownMs is from when on the time without contact to a member is shown, in ms: below, it is as it should be.
-const noContactShownMs = 1000
+// minNoContactShownMs is the shortest time without contact to a member that is shown, in ms. Shorter times are normal.
+const minNoContactShownMs = 1000
 
 func noContactText(member controlplane.MemberView) string {
-	if member.NoContactMs < noContactShownMs {
+	if member.NoContactMs < minNoContactShownMs {
 		return "-"
 	}
 	return seconds(member.NoContactMs).String()
 }
 
-// logText is how much of the committed log a member holds.
+// logText describes how many of the committed log entries a member has.
 func logText(member controlplane.MemberView, commit uint64) string {
 	if member.State == controlplane.MemberStandby || member.State == controlplane.MemberPlaceholder {
 		return "-"
--- a/internal/mfctl/status_test.go
+++ b/internal/mfctl/status_test.go
@@ -9,7 +9,7 @@
 	"myrtlefold/internal/daemon"
 )
 
-// startMembers starts members that answer with given views.
+// startMembers starts members that respond with the given views, and returns the flags with their addresses.
 func startMembers(t *testing.T, views ...controlplane.StatusView) (args []string) {
 	t.Helper()
 	for _, view := range views {
@@ -24,8 +24,8 @@
 	return args
 }
 
-// leaderView is a leader of three members, one of which is unresponsive while a learner catches up, which may replace it
-// in replaceableInMs.
+// leaderView returns the view of the leader of three members, one of which is unresponsive. A learner is catching up
+// and may replace it in replaceableInMs.
 func leaderView(replaceableInMs int64) controlplane.StatusView {
 	return controlplane.StatusView{Name: "core-1", Role: "leader", Leadership: "deciding", Leader: "core-1", Epoch: 1, Term: 4, ControlPlane: controlplane.ControlPlaneView{
 		Leader: "core-1", HoldsLease: true, LeadingMs: 72_340, Commit: 812, Last: 813, Voters: 3, Majority: 2, LeaseVoters: []string{"core-1", "core-3"},
@@ -40,11 +40,11 @@
 			Blockers: []controlplane.Blocker{{Kind: controlplane.BlockerUnresponsive, Member: "core-2", Successor: "core-4", ReplaceableInMs: &replaceableInMs}}}}}
 }
 
-// The text says who leads, by whom, since when, who is unresponsive, who catches up and how far, and until when the
-// next loss can't be tolerated.
-func TestStatusOfTheControlPlane(t *testing.T) {
-	behind := controlplane.StatusView{Name: "core-9", Role: "leader", Epoch: 1, Term: 3, ControlPlane: controlplane.ControlPlaneView{HoldsLease: true, FailureTolerance: controlplane.FailureToleranceView{Evaluated: true, Tolerable: true, Machines: 1}}}
-	code, out := runCommand(t, append(startMembers(t, behind, leaderView(4790)), "status")...)
+// 'status' prints the leader, its lease, the state and log of each member, and why the next loss is not tolerated. It
+// ignores leaders of older terms, and prints damage, disk errors and the last contact of members without a leader.
+func TestStatusOfControlPlane(t *testing.T) {
+	formerLeader := controlplane.StatusView{Name: "core-9", Role: "leader", Epoch: 1, Term: 3, ControlPlane: controlplane.ControlPlaneView{HoldsLease: true, FailureTolerance: controlplane.FailureToleranceView{Evaluated: true, Tolerable: true, Machines: 1}}}
+	code, out := runCommand(t, append(startMembers(t, formerLeader, leaderView(4790)), "status")...)
 	if code != exitOK {
 		t.Fatal(code, out)
 	}
@@ -57,7 +57,7 @@
 		"  core-2 is silent, until it is back; core-4 replaces it in 4.8s at the earliest\n",
 	} {
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is not in\n%s", want, out)
+			t.Errorf("output lacks %q:\n%s", want, out)
 		}
 	}
 	if _, out := runCommand(t, append(startMembers(t, leaderView(0)), "status")...); !strings.Contains(out, "core-4 replaces it as soon as it has caught up") {
@@ -68,13 +68,13 @@
 	if code != exitOK || !strings.Contains(out, "cannot be told\n  core-2 last heard core-1 9.1s ago\n") {
 		t.Error(code, out)
 	}
-	hurt := leaderView(0)
-	hurt.Damage, hurt.DiskError = []controlplane.Damage{{Subject: "snapshot", Reason: "does not decode"}}, "no space left on device"
-	if _, out = runCommand(t, append(startMembers(t, hurt), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 takes no writes: no space left on device\n") {
+	damaged := leaderView(0)
+	damaged.Damage, damaged.DiskError = []controlplane.Damage{{Subject: "snapshot", Reason: "does not decode"}}, "no space left on device"
+	if _, out = runCommand(t, append(startMembers(t, damaged), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 takes no writes: no space left on device\n") {
 		t.Error(out)
 	}
-	warming := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", ControlPlane: controlplane.ControlPlaneView{Leader: "core-3"}}
-	if _, out = runCommand(t, append(startMembers(t, warming), "status")...); !strings.Contains(out, "  core-3 is elected, and gathers what the proxies hold") {
+	gathering := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", ControlPlane: controlplane.ControlPlaneView{Leader: "core-3"}}
+	if _, out = runCommand(t, append(startMembers(t, gathering), "status")...); !strings.Contains(out, "  core-3 is elected, and gathers what the proxies hold") {
 		t.Error(out)
 	}
 	code, out = runCommand(t, append(startMembers(t, leaderView(4790)), "-o", "json", "status")...)
@@ -83,7 +83,7 @@
 	}
 }
 
-// Each blocker of the next loss has a text of its own.
+// Each kind of blocker and each failure tolerance has its text.
 func TestBlockerTexts(t *testing.T) {
 	soon := int64(2500)
 	view := controlplane.ControlPlaneView{Voters: 2, Majority: 2}
@@ -96,7 +96,7 @@
 		"c1 is silent, until it is back; c3 is there: 'mfctl core add c3', then 'mfctl core remove c1'":     {Kind: controlplane.BlockerUnresponsive, Member: "c1", Successor: "c3"},
 	} {
 		if got := blockerText(blocker, view); got != want {
-			t.Errorf("%+v: %q, want %q", blocker, got, want)
+			t.Errorf("blocker %+v: text %q, want %q", blocker, got, want)
 		}
 	}
 	for want, tolerance := range map[string]controlplane.FailureToleranceView{
@@ -105,7 +105,7 @@
 		"any 2 machines can be borne now, but not the loss of domain north": {Machines: 2, Tolerable: true, DomainsAtRisk: []string{"north"}},
 	} {
 		if got := toleranceText(tolerance); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("tolerance %+v: text %q, want %q", tolerance, got, want)
 		}
 	}
 }
--- a/internal/mfctl/stream.go
+++ b/internal/mfctl/stream.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// followStream prints the stream of target events of the first member that serves it, for so long or (0) until it ends.
+// followStream prints the stream of target events from the first member that serves it, for the given duration or, if
+// that is 0, until the stream ends.
 func (c *cli) followStream(from string, duration time.Duration) int {
 	ctx := context.Background()
 	if duration > 0 {
@@ -41,9 +42,9 @@
 	return exitNoLeader
 }
 
-// copyStream prints a stream until it ends. It returns false if the member does not serve it.
+// copyStream prints a stream until it ends. It returns served false if the member does not serve the stream.
 func copyStream(request *http.Request) (served bool, err error) {
-	got, err := (&http.Client{}).Do(request) // without the time-out of other calls
+	got, err := (&http.Client{}).Do(request) // no timeout, unlike httpClient
 	if err != nil {
 		return false, err
 	}
