--- a/internal/mfctl/client.go
+++ b/internal/mfctl/client.go
@@ -102,7 +102,7 @@
 		Rejection: config.RejectedUndecided,
 		Ran:       config.RanUnknown,
 		ID:        id,
-		Message:   "a member's answer was lost; the change may have been agreed: ask for it by its id",
+		Message:   "the response of a member was lost, so the change may have been applied; look it up by its id",
 	}.JSON()}
 }
 
--- a/internal/mfctl/commands.go
+++ b/internal/mfctl/commands.go
@@ -29,49 +29,49 @@
 
 // commands are listed in the order of the help. A group comes before its commands.
 var commands = []command{
-	{name: "status", help: "each member's own view, and the core as its leader sees it: who leads and by whom, who is silent or learning, and whether the next loss can be borne", define: withoutArguments((*cli).status)},
-	{name: "roster", help: "all daemons: kind, domain, address, readiness", define: showCommand("/v1/roster", printDaemons)},
-	{name: "targets", help: "back ends, with the reason for each bar or hold", define: showCommand("/v1/targets", printTargets)},
-	{name: "aims", help: "service-level aims: what part of each service's exchanges met them, over all proxies", define: withoutArguments((*cli).objectives)},
-
-	{name: "config", help: "the configuration and its revisions"},
-	{name: "config get", help: "print the configuration in force", define: configGet},
-	{name: "config put", help: "replace the whole configuration", define: configPut},
+	{name: "status", help: "view of each member, and the control plane as seen by its leader: leader, lease, state of the members and failure tolerance", define: withoutArguments((*cli).status)},
+	{name: "roster", help: "list all daemons with kind, domain, address and readiness", define: showCommand("/v1/roster", printDaemons)},
+	{name: "targets", help: "list the targets, with the reason why one gets no requests", define: showCommand("/v1/targets", printTargets)},
+	{name: "aims", help: "service-level objectives: ratio of requests that met them, over all proxies", define: withoutArguments((*cli).objectives)},
+
+	{name: "config", help: "read and change the configuration"},
+	{name: "config get", help: "print the current configuration", define: configGet},
+	{name: "config put", help: "replace the complete configuration", define: configPut},
 	{name: "config patch", help: "apply a merge patch (RFC 7396)", define: configPatch},
-	{name: "config set", help: "add or replace one named item: a service, route, policy or aim", define: configSet},
+	{name: "config set", help: "add or replace one named item: a service, route, policy or objective", define: configSet},
 	{name: "config drop", help: "remove named items", define: configDrop},
-	{name: "config check", help: "check a configuration here, without asking anyone: every fault by its place", define: configCheck, offline: true},
-	{name: "config history", help: "the changes that are kept", define: showCommand("/v1/config/history", nil)},
-	{name: "config diff", help: "what changed from one revision to another, as a merge patch", define: configDiff},
-	{name: "config rollback", help: "put an earlier revision's text in force as a new revision", define: configRollback},
+	{name: "config check", help: "check a configuration file offline and print each fault with its path", define: configCheck, offline: true},
+	{name: "config history", help: "list the recent changes", define: showCommand("/v1/config/history", nil)},
+	{name: "config diff", help: "print the difference between two revisions as a merge patch", define: configDiff},
+	{name: "config rollback", help: "apply the content of an earlier revision as a new revision", define: configRollback},
 
-	{name: "routes", help: "routes: which exchanges go where, and what holds for them", define: routesGroup},
-	{name: "routes list", help: "all routes (the default)", define: routesList},
-	{name: "routes match", help: "the route or rule that would take an exchange, and its services", define: routesMatch},
+	{name: "routes", help: "list the routes and find the one that matches a request", define: routesGroup},
+	{name: "routes list", help: "list all routes and rules (the default)", define: routesList},
+	{name: "routes match", help: "print the route or rule that matches a request, and its services", define: routesMatch},
 
-	{name: "change", help: "what became of a change", define: changeGet},
+	{name: "change", help: "print the outcome of a change", define: changeGet},
 
-	{name: "domain", help: "domains (zones)"},
-	{name: "domain list", help: "domains and which are emptied", define: showCommand("/v1/domains", nil)},
-	{name: "domain empty", help: "keep new exchanges from a domain's targets", define: postCommand("domain", "name", "/v1/domains/%s/empty")},
-	{name: "domain restore", help: "take an emptied domain back", define: postCommand("domain", "name", "/v1/domains/%s/restore")},
+	{name: "domain", help: "failure domains (zones)"},
+	{name: "domain list", help: "list the domains and whether they are emptied", define: showCommand("/v1/domains", nil)},
+	{name: "domain empty", help: "stop sending new requests to the targets of a domain", define: postCommand("domain", "name", "/v1/domains/%s/empty")},
+	{name: "domain restore", help: "resume sending requests to an emptied domain", define: postCommand("domain", "name", "/v1/domains/%s/restore")},
 
-	{name: "policy", help: "policies that judge targets"},
-	{name: "policy list", help: "policies in force, with their counts", define: showCommand("/v1/policies", printPolicies)},
+	{name: "policy", help: "outlier detection policies"},
+	{name: "policy list", help: "list the policies with their modes and statistics", define: showCommand("/v1/policies", printPolicies)},
 	{name: "policy put", help: "create or replace a policy", define: policyPut},
 	{name: "policy remove", help: "remove a policy", define: policyRemove},
-	{name: "policy compare", help: "run policies over recorded events and compare them", define: policyCompare, offline: true},
-	{name: "policy judge", help: "read target events on standard input, write decisions on standard output", define: policyJudge, offline: true},
+	{name: "policy compare", help: "evaluate policies on recorded events and compare their scores", define: policyCompare, offline: true},
+	{name: "policy judge", help: "evaluate policies on target events from standard input and print the decisions", define: policyJudge, offline: true},
 
 	{name: "stream", help: "follow target events and decisions as JSON lines", define: streamFollow},
 
-	{name: "core", help: "members of the core"},
-	{name: "core add", help: "let a running core daemon become a member", define: postCommand("name", "daemon", "/v1/core/%s/add")},
-	{name: "core remove", help: "take a member out", define: postCommand("name", "member", "/v1/core/%s/remove")},
-	{name: "core refound", help: "found the core again with the members that are there; the override for when no majority will return (see docs/operate.md)", define: coreRefound},
+	{name: "core", help: "members of the control plane"},
+	{name: "core add", help: "add a running control daemon as a member", define: postCommand("name", "daemon", "/v1/core/%s/add")},
+	{name: "core remove", help: "remove a member", define: postCommand("name", "member", "/v1/core/%s/remove")},
+	{name: "core refound", help: "recover the control plane with the remaining members when a majority is permanently lost (see docs/operate.md)", define: coreRefound},
 
 	{name: "gate", help: "proxies"},
-	{name: "gate forget", help: "drop a proxy that is gone for good from the roster", define: postCommand("name", "proxy", "/v1/gates/%s/forget")},
+	{name: "gate forget", help: "remove a permanently lost proxy from the proxy membership", define: postCommand("name", "proxy", "/v1/gates/%s/forget")},
 }
 
 // define defines all commands on the command line. It returns the handlers by command name and the set of commands that
@@ -120,7 +120,7 @@
 }
 
 func fileArgument(clause *kingpin.CmdClause) *string {
-	return clause.Arg("file", "JSON file, - for standard input").Required().String()
+	return clause.Arg("file", "JSON file, or - for standard input").Required().String()
 }
 
 func nameArgument(clause *kingpin.CmdClause, help string) *string {
@@ -142,7 +142,7 @@
 }
 
 func revisionFlag(clause *kingpin.CmdClause) *uint64 {
-	return clause.Flag("revision", "your own number for the result, above the present one (default: the document's, else the next)").Uint64()
+	return clause.Flag("revision", "revision number of the result, higher than the current one (default: the document's, else the next)").Uint64()
 }
 
 func revisionArgument(clause *kingpin.CmdClause, name string) *uint64 {
@@ -153,7 +153,7 @@
 func baseQuery(revision uint64) url.Values { return url.Values{"base": {fmt.Sprint(revision)}} }
 
 func configGet(c *cli, clause *kingpin.CmdClause) handler {
-	plain := clause.Flag("plain", "only the document, with its revision inside, as 'config put' takes it").Bool()
+	plain := clause.Flag("plain", "print only the document, including its revision, as accepted by 'config put'").Bool()
 	return func() int {
 		if *plain {
 			return c.show("/v1/config?plain", nil)
@@ -176,14 +176,14 @@
 
 func configSet(c *cli, clause *kingpin.CmdClause) handler {
 	kind := kindArgument(clause)
-	name := nameArgument(clause, "the item's name")
+	name := nameArgument(clause, "name of the item")
 	file, base, revision := fileArgument(clause), baseFlag(clause, baseHelp), revisionFlag(clause)
 	return func() int { return c.setItem(*kind, *name, *file, *revision, baseQuery(*base)) }
 }
 
 func configDrop(c *cli, clause *kingpin.CmdClause) handler {
 	kind := kindArgument(clause)
-	names := clause.Arg("name", "names to remove; one that is not there is no fault").Required().Strings()
+	names := clause.Arg("name", "names to remove; missing ones are ignored").Required().Strings()
 	base, revision := baseFlag(clause, baseHelp), revisionFlag(clause)
 	return func() int {
 		drop := map[string][]string{*kind: *names}
@@ -193,7 +193,7 @@
 
 func configCheck(c *cli, clause *kingpin.CmdClause) handler {
 	file := fileArgument(clause)
-	changes := clause.Flag("change", "check what this partial change makes of it, too (repeat; each on the one before)").Strings()
+	changes := clause.Flag("change", "partial change to apply and check as well (repeatable; each applies to the result of the one before)").Strings()
 	return func() int { return c.checkConfig(*file, *changes) }
 }
 
@@ -204,7 +204,7 @@
 
 func configRollback(c *cli, clause *kingpin.CmdClause) handler {
 	to := revisionArgument(clause, "to")
-	base := baseFlag(clause, "present revision")
+	base := baseFlag(clause, "current revision")
 	return func() int {
 		query := baseQuery(*base)
 		query.Set("to", fmt.Sprint(*to))
@@ -214,7 +214,7 @@
 
 // routesGroup defines the flag shared by the commands on routes.
 func routesGroup(c *cli, clause *kingpin.CmdClause) handler {
-	clause.Flag("config", "read this file instead of asking a member").StringVar(&c.routesFile)
+	clause.Flag("config", "configuration file to read instead of the current configuration").StringVar(&c.routesFile)
 	return nil
 }
 
@@ -224,16 +224,16 @@
 }
 
 func routesMatch(c *cli, clause *kingpin.CmdClause) handler {
-	host := clause.Arg("host", "host that the caller names").Required().String()
-	path := clause.Arg("path", "path of the exchange").Required().String()
-	method := clause.Flag("method", "method, for rules").Default(http.MethodGet).String()
+	host := clause.Arg("host", "host of the request").Required().String()
+	path := clause.Arg("path", "path of the request").Required().String()
+	method := clause.Flag("method", "method of the request, which only rules match").Default(http.MethodGet).String()
 	return func() int {
 		return c.withConfig(func(cfg *config.Config) bool { return c.matchRoute(cfg, *host, *path, *method) })
 	}
 }
 
 func changeGet(c *cli, clause *kingpin.CmdClause) handler {
-	id := clause.Arg("id", "the change's id").Required().String()
+	id := clause.Arg("id", "id of the change").Required().String()
 	return func() int { return c.show("/v1/changes/"+url.PathEscape(*id), nil) }
 }
 
@@ -242,7 +242,7 @@
 func policyPut(c *cli, clause *kingpin.CmdClause) handler {
 	name := nameArgument(clause, "policy")
 	file := fileArgument(clause)
-	base := baseFlag(clause, "configuration revision that it was built on")
+	base := baseFlag(clause, "configuration revision that the change is based on")
 	return func() int {
 		return c.changeByFile(*file, request{method: http.MethodPut, path: policyPath(*name), query: baseQuery(*base)})
 	}
@@ -257,29 +257,29 @@
 }
 
 func policyCompare(c *cli, clause *kingpin.CmdClause) handler {
-	events := clause.Flag("events", "recording (JSON lines), - for standard input").Required().String()
-	files := clause.Arg("file", "policy files; the default policy always takes part").Strings()
+	events := clause.Flag("events", "recorded events (JSON lines), or - for standard input").Required().String()
+	files := clause.Arg("file", "policy files; the default policy is always included").Strings()
 	return func() int { return c.comparePolicies(*events, *files) }
 }
 
 func policyJudge(_ *cli, clause *kingpin.CmdClause) handler {
-	file := clause.Flag("config", "configuration whose policies judge; without it the default policy").String()
+	file := clause.Flag("config", "configuration file with the policies to evaluate (default: only the default policy)").String()
 	return func() int { return evaluatePolicies(*file) }
 }
 
 func streamFollow(c *cli, clause *kingpin.CmdClause) handler {
-	from := clause.Flag("from", "resume after this term.seq").String()
-	duration := clause.Flag("for", "stop after so long").Duration()
+	from := clause.Flag("from", "resume after the line with this term.seq").String()
+	duration := clause.Flag("for", "stop after this duration").Duration()
 	return func() int { return c.followStream(*from, *duration) }
 }
 
 func coreRefound(c *cli, clause *kingpin.CmdClause) handler {
-	gone := clause.Flag("gone", "a member whose disk will never come back (repeat)").Strings()
+	gone := clause.Flag("gone", "member whose disk is permanently lost (repeatable)").Strings()
 	return func() int {
 		query := url.Values{"gone": {strings.Join(*gone, ",")}}
 		got, err := c.call(request{method: http.MethodPost, path: "/v1/core/refound", query: query})
 		return c.printResult(got, err, func(body []byte) {
-			fmt.Printf("founding again: %s; watch it with 'mfctl status'\n", strings.TrimSpace(string(body)))
+			fmt.Printf("recovery started: %s; follow it with 'mfctl status'\n", strings.TrimSpace(string(body)))
 		})
 	}
 }
--- a/internal/mfctl/config.go
+++ b/internal/mfctl/config.go
@@ -62,7 +62,7 @@
 		return fail(err, exitUsage)
 	}
 	if !json.Valid(item) {
-		fmt.Fprintf(os.Stderr, "mfctl: %s: not JSON\n", cmp.Or(file, "standard input"))
+		fmt.Fprintf(os.Stderr, "mfctl: %s: not valid JSON\n", cmp.Or(file, "standard input"))
 		return exitInvalid
 	}
 	set := map[string]map[string]json.RawMessage{kind: {name: item}}
@@ -115,7 +115,7 @@
 		}
 	}
 	if !c.json {
-		fmt.Println("the configuration is sound")
+		fmt.Println("the configuration is valid")
 	}
 	return exitOK
 }
--- a/internal/mfctl/fleet.go
+++ b/internal/mfctl/fleet.go
@@ -28,13 +28,13 @@
 	daemons, _ := parseDaemons(body)
 	table := newTable()
 	defer table.Flush()
-	fmt.Fprintln(table, "NAME\tKIND\tDOMAIN\tADDRESS\tHTTP\tREADY\tSTATE\tPLACE\tHEARD MS\tTABLE\tINCARNATION")
+	fmt.Fprintln(table, "NAME\tKIND\tDOMAIN\tADDRESS\tHTTP\tREADY\tSTATE\tMEMBERSHIP\tLAST CONTACT MS\tTABLE\tINCARNATION")
 	for _, d := range daemons {
 		membership := "-"
 		if d.Member {
 			membership = "member"
 		} else if d.ProxyMember {
-			membership = "roster"
+			membership = "proxy member"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%s\t%.0f\t%d\t%x\n", d.Name, d.Kind, d.Domain, d.Addr, d.HTTP,
 			d.Ready, d.State, membership, d.LastContactMs, d.TableVersion, d.Incarnation)
@@ -47,7 +47,7 @@
 	json.Unmarshal(body, &list) // targets that can't be decoded are left out
 	table := newTable()
 	defer table.Flush()
-	fmt.Fprintln(table, "SERVICE\tNAME\tADDRESS\tDOMAIN\tSTATE\tDEMAND\tSLOTS\tCOLD LEFT\tBEAT MS\tBAR LEFT\tWHY")
+	fmt.Fprintln(table, "SERVICE\tNAME\tADDRESS\tDOMAIN\tSTATE\tDEMAND\tSLOTS\tWARM-UP LEFT\tLAST HEARTBEAT MS\tEJECTION LEFT\tREASON")
 	for _, t := range list.Targets {
 		slots, warmupLeft, ejectionLeft := "-", "-", "-"
 		if t.Slots > 0 {
@@ -78,7 +78,7 @@
 		}
 		counted, err := proxyObjectives(daemon.HTTP)
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "mfctl: %s left out: %v\n", daemon.Name, err)
+			fmt.Fprintf(os.Stderr, "mfctl: proxy %s omitted: %v\n", daemon.Name, err)
 			continue
 		}
 		for _, objective := range counted {
@@ -112,7 +112,7 @@
 func printObjectives(sums map[string]*dataplane.ObjectiveView) {
 	table := newTable()
 	defer table.Flush()
-	fmt.Fprintln(table, "AIM\tSERVICE\tWINDOW MIN\tUNDER MS\tAIM\tMET\tEXCHANGES\tLEFT OF WHAT MAY MISS")
+	fmt.Fprintln(table, "OBJECTIVE\tSERVICE\tWINDOW MIN\tLATENCY MS\tTARGET\tACHIEVED\tREQUESTS\tERROR BUDGET LEFT")
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
 		sum := sums[name]
 		met, budgetLeft := "-", "-"
--- a/internal/mfctl/mfctl.go
+++ b/internal/mfctl/mfctl.go
@@ -1,7 +1,7 @@
 // Package mfctl implements the command-line client for operators. It sends a request to any member of the control plane
 // and retries it at the next one where that is safe. Each change carries an id, so that a retry can't apply it twice,
-// and the exit code tells how the request ended. The control plane validates and applies all changes; only 'config
-// check', 'policy compare' and 'policy judge' work without it.
+// and the exit code tells how the request ended. The control plane validates and applies all changes; 'config
+// check', 'policy compare', 'policy judge' and 'routes --config' work offline.
 //
 // Start reading at Run, then commands.go, which lists the commands and their arguments. client.go contains the HTTP
 // client and output.go the output that all commands share. Each group of commands has its own file.
@@ -39,17 +39,17 @@
 
 // Run is the entry point of mfctl: it parses the command line, runs the command and returns the exit code.
 func Run(args []string) int {
-	app := kingpin.New("mfctl", `Operators' command for a myrtlefold core.
+	app := kingpin.New("mfctl", `Command-line client for operators of a myrtlefold fleet.
 
-Exit codes: 0 done; 1 refused or failed; 2 usage; 3 built on a stale revision;
-4 invalid, nothing changed; 5 no leader or nobody answers, nothing changed;
-6 unknown: ask with 'mfctl change ID'.`)
+Exit codes: 0 success; 1 rejected or failed; 2 usage error; 3 stale base
+revision, nothing changed; 4 invalid, nothing changed; 5 no leader or no
+response, nothing changed; 6 outcome unknown: query it with 'mfctl change ID'.`)
 	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	c := &cli{}
-	app.Flag("at", "HTTP address of a core member (repeat); also MFCTL_AT, split by commas").StringsVar(&c.members)
-	output := app.Flag("output", "text or json").Short('o').Default("text").Enum("text", "json")
-	app.Flag("wait", "how long to go on while there is no leader").Default("8s").DurationVar(&c.wait)
+	app.Flag("at", "HTTP address of a control plane member (repeatable; default: MFCTL_AT, separated by commas)").StringsVar(&c.members)
+	output := app.Flag("output", "output format: text or json").Short('o').Default("text").Enum("text", "json")
+	app.Flag("wait", "how long to retry while there is no leader").Default("8s").DurationVar(&c.wait)
 	handlers, offline := c.define(app)
 
 	name, err := app.Parse(args)
@@ -62,7 +62,7 @@
 		c.members = strings.Split(members, ",")
 	}
 	if len(c.members) == 0 && !offline[name] && c.routesFile == "" {
-		fmt.Fprintln(os.Stderr, "mfctl: no member is named: --at IP:port or MFCTL_AT")
+		fmt.Fprintln(os.Stderr, "mfctl: no member address: use --at IP:port or set MFCTL_AT")
 		return exitUsage
 	}
 	return handlers[name]()
--- a/internal/mfctl/mfctl_test.go
+++ b/internal/mfctl/mfctl_test.go
@@ -127,11 +127,11 @@
 			host, path, method, want string
 			code                     int
 		}{
-			{"other", "/x/1", "GET", "route all: */x/, repeatable, 500 ms, 2 attempts, priority 0, goes to a\n", exitOK},
-			{"h.test:80", "/x/1/2", "PUT", "route own: h.test/x/, once, 700 ms, 1 attempts, priority 3, goes to a 25.0 %, b 75.0 %\n", exitOK},
-			{"other", "/y/z", "GET", "a rule: goes to b\n", exitOK},
-			{"other", "/y/z", "PUT", "a rule takes that path, but not by PUT: only by GET\n", exitFailed},
-			{"other", "/z", "GET", "nothing takes it: callers get 404\n", exitFailed},
+			{"other", "/x/1", "GET", "route all: */x/, repeatable, timeout 500 ms, 2 attempts, priority 0, destination a\n", exitOK},
+			{"h.test:80", "/x/1/2", "PUT", "route own: h.test/x/, once, timeout 700 ms, 1 attempts, priority 3, destination a 25.0 %, b 75.0 %\n", exitOK},
+			{"other", "/y/z", "GET", "rule: destination b\n", exitOK},
+			{"other", "/y/z", "PUT", "a rule matches the path but not the method PUT; allowed: GET\n", exitFailed},
+			{"other", "/z", "GET", "no route or rule matches: callers get 404\n", exitFailed},
 		} {
 			args := append([]string{"routes", "match", c.host, c.path, "--method", c.method}, from...)
 			if code, out := runCommand(t, args...); code != c.code || out != c.want {
@@ -221,10 +221,10 @@
 		code   int
 		want   string
 	}{
-		{412, config.ErrorBody{Code: "stale", Rejection: config.RejectedVersion}, exitStale, "another version (stale)"},
+		{412, config.ErrorBody{Code: "stale", Rejection: config.RejectedVersion}, exitStale, "stale version (stale)"},
 		{422, config.ErrorBody{Code: "invalid", Rejection: config.RejectedInvalid}, exitInvalid, "invalid (invalid)"},
-		{503, config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}, exitNoLeader, "cannot tell now (no_leader)"},
-		{504, config.ErrorBody{Code: "unknown", Rejection: config.RejectedUndecided}, exitUnknown, "cannot tell now (unknown)"},
+		{503, config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}, exitNoLeader, "undecided (no_leader)"},
+		{504, config.ErrorBody{Code: "unknown", Rejection: config.RejectedUndecided}, exitUnknown, "undecided (unknown)"},
 		{409, config.ErrorBody{Code: "member", Rejection: config.RejectedConflict}, exitFailed, "conflict (member)"},
 		{404, config.ErrorBody{Code: "not_found", Rejection: config.RejectedNotFound}, exitFailed, "not found (not_found)"},
 	} {
@@ -248,7 +248,7 @@
 	server.Close()
 	up := startMember(t, noLeader)
 	code, out := runCommand(t, "--wait", "100ms", "--at", up, "--at", down, "domain", "empty", "north")
-	if code != exitNoLeader || !strings.Contains(out, "cannot tell now (no_leader)") {
+	if code != exitNoLeader || !strings.Contains(out, "undecided (no_leader)") {
 		t.Errorf("exit code %d, want %d: %s", code, exitNoLeader, out)
 	}
 }
@@ -260,7 +260,7 @@
 	idle := startMember(t, noLeader)
 	for _, order := range [][]string{{broken, idle}, {idle, broken}} {
 		code, out := runCommand(t, "--wait", "100ms", "--at", order[0], "--at", order[1], "domain", "empty", "north")
-		if code != exitUnknown || !strings.Contains(out, "cannot tell now (unknown)") || !strings.Contains(out, "  id 20") {
+		if code != exitUnknown || !strings.Contains(out, "undecided (unknown)") || !strings.Contains(out, "  id 20") {
 			t.Errorf("exit code %d, want %d and the id of the change: %s", code, exitUnknown, out)
 		}
 	}
--- a/internal/mfctl/output.go
+++ b/internal/mfctl/output.go
@@ -74,14 +74,14 @@
 
 // rejectionTexts describe the kinds of rejections in text output.
 var rejectionTexts = map[config.Rejection]string{
-	config.RejectedVersion:   "another version",
+	config.RejectedVersion:   "stale version",
 	config.RejectedInvalid:   "invalid",
-	config.RejectedUndecided: "cannot tell now",
+	config.RejectedUndecided: "undecided",
 	config.RejectedConflict:  "conflict",
 	config.RejectedNotFound:  "not found",
 }
 
-// rejectionText returns the kind and code of a rejection, such as "cannot tell now (no_leader)".
+// rejectionText returns the kind and code of a rejection, such as "undecided (no_leader)".
 func rejectionText(rejected config.ErrorBody) string {
 	kind, known := rejectionTexts[rejected.Rejection]
 	if !known {
--- a/internal/mfctl/policy.go
+++ b/internal/mfctl/policy.go
@@ -60,7 +60,7 @@
 func printScores(scores []outlier.Score) {
 	table := newTable()
 	defer table.Flush()
-	fmt.Fprintln(table, "POLICY\tBARS\tWRONG\tERRORS\tMISSED\tSLOW\tMISSED SLOW\tTO BAR MS\tBARRED MS\tMOVES\tFAILED")
+	fmt.Fprintln(table, "POLICY\tEJECTIONS\tWRONG EJECTIONS\tERRORS\tMISSED ERRORS\tSLOW\tMISSED SLOW\tTIME TO EJECT MS\tEJECTED MS\tTRANSITIONS\tFAILED EVALUATIONS")
 	for _, s := range scores {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", s.Policy, s.Ejections, s.WrongEjections, s.Errors,
 			s.MissedErrors, s.Slow, s.MissedSlow, s.TimeToEjectMs, s.EjectedMs, s.Transitions, s.FailedEvaluations)
@@ -134,7 +134,7 @@
 	table := newTable()
 	defer table.Flush()
 	fmt.Fprintf(table, "revision %d, scores of the last %.0f s\n", list.Revision, list.SinceMs/1000)
-	fmt.Fprintln(table, "NAME\tMODE\tSLICE\tDECIDES\tTTL MS\tEVALUATED\tFAILED\tOUT\tBARS\tWRONG\tERRORS\tMISSED\tTO BAR MS\tWHEN\tLAST ERROR")
+	fmt.Fprintln(table, "NAME\tMODE\tSLICE\tDECISION\tTTL MS\tEVALUATIONS\tFAILED EVALUATIONS\tTARGETS OUT\tEJECTIONS\tWRONG EJECTIONS\tERRORS\tMISSED ERRORS\tTIME TO EJECT MS\tCONDITION\tLAST ERROR")
 	for _, name := range slices.Sorted(maps.Keys(list.Policies)) {
 		stats := list.Policies[name]
 		policy, score := stats.Policy, outlier.Score{}
--- a/internal/mfctl/routes.go
+++ b/internal/mfctl/routes.go
@@ -79,7 +79,7 @@
 	}
 	table := newTable()
 	defer table.Flush()
-	fmt.Fprintln(table, "ROUTE\tHOST\tPREFIX\tKIND\tTIMEOUT MS\tAIM MS\tPRIORITY\tATTEMPTS\tGOES TO")
+	fmt.Fprintln(table, "ROUTE\tHOST\tPREFIX\tKIND\tTIMEOUT MS\tLATENCY TARGET MS\tPRIORITY\tATTEMPTS\tDESTINATION")
 	names := slices.SortedFunc(maps.Keys(cfg.Routes), func(first, second string) int {
 		a, b := cfg.Routes[first], cfg.Routes[second]
 		return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Prefix, b.Prefix))
@@ -120,14 +120,14 @@
 	case c.json:
 		printJSON(ruleMatch{Service: service, Allowed: allowed})
 	case isRoute:
-		fmt.Printf("route %s: %s%s, %s, %d ms, %d attempts, priority %d, goes to %s\n", name, hostText(route.Host), route.Prefix,
+		fmt.Printf("route %s: %s%s, %s, timeout %d ms, %d attempts, priority %d, destination %s\n", name, hostText(route.Host), route.Prefix,
 			route.Kind, route.TimeoutMs, route.Attempts, route.Priority, destinationText(route))
 	case isRule:
-		fmt.Printf("a rule: goes to %s\n", service)
+		fmt.Printf("rule: destination %s\n", service)
 	case len(allowed) > 0:
-		fmt.Printf("a rule takes that path, but not by %s: only by %s\n", method, strings.Join(allowed, ", "))
+		fmt.Printf("a rule matches the path but not the method %s; allowed: %s\n", method, strings.Join(allowed, ", "))
 	default:
-		fmt.Println("nothing takes it: callers get 404")
+		fmt.Println("no route or rule matches: callers get 404")
 	}
 	return isRoute || isRule
 }
--- a/internal/mfctl/status.go
+++ b/internal/mfctl/status.go
@@ -94,7 +94,7 @@
 func (r *statusReport) printMembers() {
 	table := newTable()
 	defer table.Flush()
-	fmt.Fprintln(table, "MEMBER\tROLE\tLEAD\tLEADER\tEPOCH\tTERM\tREVISION\tTABLE\tTARGETS\tPROXIES\tEMPTIED")
+	fmt.Fprintln(table, "MEMBER\tROLE\tLEADERSHIP\tLEADER\tEPOCH\tTERM\tREVISION\tTABLE\tTARGETS\tPROXIES\tEMPTIED DOMAINS")
 	for _, s := range r.views {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, s.Role, s.Leadership, s.Leader,
 			s.Epoch, s.Term, s.Revision, s.Table.Version, s.Targets, s.Proxies, strings.Join(s.Emptied, ","))
@@ -109,14 +109,14 @@
 	}
 	leader := findLeader(views)
 	if leader == nil {
-		fmt.Fprintln(w, "\ncore: no member that answered leads; whether the next loss can be borne cannot be told")
+		fmt.Fprintln(w, "\ncontrol plane: no responding member leads; failure tolerance is unknown")
 		for _, view := range views {
 			fmt.Fprintf(w, "  %s %s\n", view.Name, contactText(&view))
 		}
 		return
 	}
 	view := leader.ControlPlane
-	fmt.Fprintf(w, "\ncore: %s leads for %v in term %d, by the answers of %d of %d members (%s); %d make a majority\n",
+	fmt.Fprintf(w, "\ncontrol plane: %s has led for %v in term %d; lease granted by %d of %d members (%s), majority is %d\n",
 		leader.Name, seconds(view.LeadingMs), leader.Term, len(view.LeaseVoters), view.Voters, strings.Join(view.LeaseVoters, ", "), view.Majority)
 	printMemberTable(w, view)
 	fmt.Fprintf(w, "next loss: %s\n", toleranceText(view.FailureTolerance))
@@ -129,7 +129,7 @@
 func printMemberTable(w io.Writer, view controlplane.ControlPlaneView) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer table.Flush()
-	fmt.Fprintln(table, "MEMBER\tDOMAIN\tSTATE\tVOTE\tSILENT\tLOG")
+	fmt.Fprintln(table, "MEMBER\tDOMAIN\tSTATE\tVOTER\tNO CONTACT\tLOG")
 	for _, m := range view.Members {
 		state := strings.ReplaceAll(string(m.State), "_", " ")
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, orDash(m.Domain), state, yesOrDash(m.Voter), noContactText(m), logText(m, view.Commit))
@@ -142,7 +142,7 @@
 		fmt.Fprintf(w, "\nDAMAGE at %s: %s: %s\n", view.Name, damage.Subject, damage.Reason)
 	}
 	if view.DiskError != "" {
-		fmt.Fprintf(w, "\nDISK of %s takes no writes: %s\n", view.Name, view.DiskError)
+		fmt.Fprintf(w, "\nDISK of %s rejects writes: %s\n", view.Name, view.DiskError)
 	}
 }
 
@@ -162,23 +162,23 @@
 	view := member.ControlPlane
 	switch view.Leader {
 	case "":
-		return fmt.Sprintf("hears no leader, for %v", seconds(view.LeaderLastContactMs))
+		return fmt.Sprintf("has had no contact with a leader for %v", seconds(view.LeaderLastContactMs))
 	case member.Name:
-		return "is elected, and gathers what the proxies hold before it decides"
+		return "is elected and collects the state of the proxies before it serves as leader"
 	}
-	return fmt.Sprintf("last heard %s %v ago", view.Leader, seconds(view.LeaderLastContactMs))
+	return fmt.Sprintf("was last in contact with leader %s %v ago", view.Leader, seconds(view.LeaderLastContactMs))
 }
 
 // toleranceText describes which losses the control plane tolerates now.
 func toleranceText(tolerance controlplane.FailureToleranceView) string {
 	switch {
 	case !tolerance.Tolerable:
-		return "cannot be borne now"
+		return "not tolerated now"
 	case len(tolerance.DomainsAtRisk) > 0:
 		domains := strings.Join(tolerance.DomainsAtRisk, " or ")
-		return fmt.Sprintf("%s can be borne now, but not the loss of domain %s", machinesText(tolerance.Machines), domains)
+		return fmt.Sprintf("tolerated for %s, but not for domain %s", machinesText(tolerance.Machines), domains)
 	}
-	return fmt.Sprintf("%s can be borne now, and any one domain", machinesText(tolerance.Machines))
+	return fmt.Sprintf("tolerated for %s and any single domain", machinesText(tolerance.Machines))
 }
 
 func machinesText(n int) string {
@@ -190,22 +190,22 @@
 
 // blockerTexts describe why a member does not count towards the failure tolerance.
 var blockerTexts = map[controlplane.BlockerKind]string{
-	controlplane.BlockerUnresponsive: "is silent",
-	controlplane.BlockerStopping:     "said that it stops",
-	controlplane.BlockerPlaceholder:  "is a place that nobody has taken yet",
+	controlplane.BlockerUnresponsive: "is unresponsive",
+	controlplane.BlockerStopping:     "is stopping",
+	controlplane.BlockerPlaceholder:  "is a placeholder that no daemon has taken yet",
 }
 
 // blockerText describes why the next loss is not tolerated and what would change that.
 func blockerText(blocker controlplane.Blocker, view controlplane.ControlPlaneView) string {
 	switch {
 	case blocker.Kind == controlplane.BlockerTooFewMembers && blocker.Successor == "":
-		return fmt.Sprintf("%d of %d members are needed, until another core machine is there", view.Majority, view.Voters)
+		return fmt.Sprintf("majority requires %d of %d members; waiting for another control daemon", view.Majority, view.Voters)
 	case blocker.Kind == controlplane.BlockerTooFewMembers:
-		return fmt.Sprintf("%d of %d members are needed, until %s has come in", view.Majority, view.Voters, blocker.Successor)
+		return fmt.Sprintf("majority requires %d of %d members; waiting for %s to become a member", view.Majority, view.Voters, blocker.Successor)
 	case blocker.Kind == controlplane.BlockerCatchingUp:
-		return fmt.Sprintf("%s is catching up, until it has the leader's snapshot", blocker.Member)
+		return fmt.Sprintf("%s is catching up; waiting for it to receive the leader's snapshot", blocker.Member)
 	}
-	return fmt.Sprintf("%s %s, until it is back%s", blocker.Member, blockerTexts[blocker.Kind], replacementText(blocker))
+	return fmt.Sprintf("%s %s; waiting for it%s", blocker.Member, blockerTexts[blocker.Kind], replacementText(blocker))
 }
 
 // replacementText describes which daemon replaces a member, and when.
@@ -213,9 +213,9 @@
 	successor := blocker.Successor
 	switch {
 	case successor == "":
-		return "; no other core machine is there to replace it"
+		return "; no other control daemon is available to replace it"
 	case blocker.ReplaceableInMs == nil:
-		return fmt.Sprintf("; %s is there: 'mfctl core add %s', then 'mfctl core remove %s'", successor, successor, blocker.Member)
+		return fmt.Sprintf("; replace it by %s: 'mfctl core add %s', then 'mfctl core remove %s'", successor, successor, blocker.Member)
 	case *blocker.ReplaceableInMs > 0:
 		return fmt.Sprintf("; %s replaces it in %v at the earliest", successor, seconds(*blocker.ReplaceableInMs))
 	}
--- a/internal/mfctl/status_test.go
+++ b/internal/mfctl/status_test.go
@@ -49,12 +49,12 @@
 		t.Fatal(code, out)
 	}
 	for _, want := range []string{
-		"core: core-1 leads for 1m12.3s in term 4, by the answers of 2 of 3 members (core-1, core-3); 2 make a majority\n",
-		"core-2  south   silent    yes   3.2s    790 of 812\n",
-		"core-4  south   learning  -     -       420 of 812\n",
-		"core-5  west    standby   -     -       -\n",
-		"next loss: cannot be borne now\n",
-		"  core-2 is silent, until it is back; core-4 replaces it in 4.8s at the earliest\n",
+		"control plane: core-1 has led for 1m12.3s in term 4; lease granted by 2 of 3 members (core-1, core-3), majority is 2\n",
+		"core-2  south   silent    yes    3.2s        790 of 812\n",
+		"core-4  south   learning  -      -           420 of 812\n",
+		"core-5  west    standby   -      -           -\n",
+		"next loss: not tolerated now\n",
+		"  core-2 is unresponsive; waiting for it; core-4 replaces it in 4.8s at the earliest\n",
 	} {
 		if !strings.Contains(out, want) {
 			t.Errorf("output lacks %q:\n%s", want, out)
@@ -65,16 +65,16 @@
 	}
 	follower := controlplane.StatusView{Name: "core-2", Role: "follower", ControlPlane: controlplane.ControlPlaneView{Leader: "core-1", LeaderLastContactMs: 9120}}
 	code, out = runCommand(t, append(startMembers(t, follower), "status")...)
-	if code != exitOK || !strings.Contains(out, "cannot be told\n  core-2 last heard core-1 9.1s ago\n") {
+	if code != exitOK || !strings.Contains(out, "failure tolerance is unknown\n  core-2 was last in contact with leader core-1 9.1s ago\n") {
 		t.Error(code, out)
 	}
 	damaged := leaderView(0)
 	damaged.Damage, damaged.DiskError = []controlplane.Damage{{Subject: "snapshot", Reason: "does not decode"}}, "no space left on device"
-	if _, out = runCommand(t, append(startMembers(t, damaged), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 takes no writes: no space left on device\n") {
+	if _, out = runCommand(t, append(startMembers(t, damaged), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 rejects writes: no space left on device\n") {
 		t.Error(out)
 	}
 	gathering := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", ControlPlane: controlplane.ControlPlaneView{Leader: "core-3"}}
-	if _, out = runCommand(t, append(startMembers(t, gathering), "status")...); !strings.Contains(out, "  core-3 is elected, and gathers what the proxies hold") {
+	if _, out = runCommand(t, append(startMembers(t, gathering), "status")...); !strings.Contains(out, "  core-3 is elected and collects the state of the proxies") {
 		t.Error(out)
 	}
 	code, out = runCommand(t, append(startMembers(t, leaderView(4790)), "-o", "json", "status")...)
@@ -88,21 +88,21 @@
 	soon := int64(2500)
 	view := controlplane.ControlPlaneView{Voters: 2, Majority: 2}
 	for want, blocker := range map[string]controlplane.Blocker{
-		"2 of 2 members are needed, until another core machine is there":                                    {Kind: controlplane.BlockerTooFewMembers},
-		"2 of 2 members are needed, until c3 has come in":                                                   {Kind: controlplane.BlockerTooFewMembers, Successor: "c3"},
-		"c1 is catching up, until it has the leader's snapshot":                                             {Kind: controlplane.BlockerCatchingUp, Member: "c1"},
-		"c1 said that it stops, until it is back; no other core machine is there to replace it":             {Kind: controlplane.BlockerStopping, Member: "c1"},
-		"c1 is a place that nobody has taken yet, until it is back; c3 replaces it in 2.5s at the earliest": {Kind: controlplane.BlockerPlaceholder, Member: "c1", Successor: "c3", ReplaceableInMs: &soon},
-		"c1 is silent, until it is back; c3 is there: 'mfctl core add c3', then 'mfctl core remove c1'":     {Kind: controlplane.BlockerUnresponsive, Member: "c1", Successor: "c3"},
+		"majority requires 2 of 2 members; waiting for another control daemon":                                     {Kind: controlplane.BlockerTooFewMembers},
+		"majority requires 2 of 2 members; waiting for c3 to become a member":                                      {Kind: controlplane.BlockerTooFewMembers, Successor: "c3"},
+		"c1 is catching up; waiting for it to receive the leader's snapshot":                                       {Kind: controlplane.BlockerCatchingUp, Member: "c1"},
+		"c1 is stopping; waiting for it; no other control daemon is available to replace it":                       {Kind: controlplane.BlockerStopping, Member: "c1"},
+		"c1 is a placeholder that no daemon has taken yet; waiting for it; c3 replaces it in 2.5s at the earliest": {Kind: controlplane.BlockerPlaceholder, Member: "c1", Successor: "c3", ReplaceableInMs: &soon},
+		"c1 is unresponsive; waiting for it; replace it by c3: 'mfctl core add c3', then 'mfctl core remove c1'":   {Kind: controlplane.BlockerUnresponsive, Member: "c1", Successor: "c3"},
 	} {
 		if got := blockerText(blocker, view); got != want {
 			t.Errorf("blocker %+v: text %q, want %q", blocker, got, want)
 		}
 	}
 	for want, tolerance := range map[string]controlplane.FailureToleranceView{
-		"cannot be borne now":                                               {Evaluated: true},
-		"any 1 machine can be borne now, and any one domain":                {Machines: 1, Tolerable: true},
-		"any 2 machines can be borne now, but not the loss of domain north": {Machines: 2, Tolerable: true, DomainsAtRisk: []string{"north"}},
+		"not tolerated now": {Evaluated: true},
+		"tolerated for any 1 machine and any single domain":      {Machines: 1, Tolerable: true},
+		"tolerated for any 2 machines, but not for domain north": {Machines: 2, Tolerable: true, DomainsAtRisk: []string{"north"}},
 	} {
 		if got := toleranceText(tolerance); got != want {
 			t.Errorf("tolerance %+v: text %q, want %q", tolerance, got, want)
