--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// The names of the counters on /metrics don't change: dashboards and alerts refer to them.
+// The names of the counters on /metrics must stay the same as recorded in testdata.
 func TestMetricNames(t *testing.T) {
 	p := &Process{Metrics: prometheus.NewRegistry()}
 	p.RegisterCounters("core", func() any { return &controlplane.Counts{} })
--- a/internal/mfctl/recorded_test.go
+++ b/internal/mfctl/recorded_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files in testdata, only for an intended change of names")
 
-// The names of commands, arguments and flags don't change: scripts of operators use them.
+// The names of commands, arguments and flags must stay the same as recorded in testdata.
 func TestCommandNames(t *testing.T) {
 	app := kingpin.New("mfctl", "")
 	(&cli{}).define(app)
--- a/internal/mfctl/status_test.go
+++ b/internal/mfctl/status_test.go
@@ -46,7 +46,7 @@
 	formerLeader := controlplane.StatusView{Name: "core-9", Role: "leader", Epoch: 1, Term: 3, ControlPlane: controlplane.ControlPlaneView{HoldsLease: true, FailureTolerance: controlplane.FailureToleranceView{Evaluated: true, Tolerable: true, Machines: 1}}}
 	code, out := runCommand(t, append(startMembers(t, formerLeader, leaderView(4790)), "status")...)
 	if code != exitOK {
-		t.Fatal(code, out)
+		t.Fatalf("status: exit code %d: %s", code, out)
 	}
 	for _, want := range []string{
 		"control plane: core-1 has led for 1m12.3s in term 4; lease granted by 2 of 3 members (core-1, core-3), majority is 2\n",
@@ -61,25 +61,25 @@
 		}
 	}
 	if _, out := runCommand(t, append(startMembers(t, leaderView(0)), "status")...); !strings.Contains(out, "core-4 replaces it as soon as it has caught up") {
-		t.Error(out)
+		t.Errorf("replacement possible at once: %s", out)
 	}
 	follower := controlplane.StatusView{Name: "core-2", Role: "follower", ControlPlane: controlplane.ControlPlaneView{Leader: "core-1", LeaderLastContactMs: 9120}}
 	code, out = runCommand(t, append(startMembers(t, follower), "status")...)
 	if code != exitOK || !strings.Contains(out, "failure tolerance is unknown\n  core-2 was last in contact with leader core-1 9.1s ago\n") {
-		t.Error(code, out)
+		t.Errorf("no leader among the views: exit code %d: %s", code, out)
 	}
 	damaged := leaderView(0)
 	damaged.Damage, damaged.DiskError = []controlplane.Damage{{Subject: "snapshot", Reason: "does not decode"}}, "no space left on device"
 	if _, out = runCommand(t, append(startMembers(t, damaged), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 rejects writes: no space left on device\n") {
-		t.Error(out)
+		t.Errorf("damaged member: %s", out)
 	}
 	gathering := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", ControlPlane: controlplane.ControlPlaneView{Leader: "core-3"}}
 	if _, out = runCommand(t, append(startMembers(t, gathering), "status")...); !strings.Contains(out, "  core-3 is elected and collects the state of the proxies") {
-		t.Error(out)
+		t.Errorf("member that gathers state: %s", out)
 	}
 	code, out = runCommand(t, append(startMembers(t, leaderView(4790)), "-o", "json", "status")...)
 	if code != exitOK || !strings.Contains(out, `"next_loss":{"known":true,"machines":0,"bearable":false,"domains_at_risk":["north","west"],"obstacles":[{"kind":"silent","member":"core-2","replaceable_in_ms":4790,"by":"core-4"}]}`) {
-		t.Error(code, out)
+		t.Errorf("JSON output: exit code %d: %s", code, out)
 	}
 }
 
