--- a/internal/mfctl/status.go
+++ b/internal/mfctl/status.go
@@ -1,4 +1,4 @@
-// This file is 'mfctl status': each member's own view, and the control plane as its leader sees it.
+// The command 'mfctl status', which prints each member's own view and the leader's view of the control plane.
 
 package mfctl
 
@@ -15,18 +15,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// status asks the members that are named and then the other control daemons that one of them knows.
+// status queries the members given on the command line, and then the other control daemons that the first responding
+// one knows.
 func (c *cli) status() int {
 	var report statusReport
-	answering := "" // the first named member that answers
+	firstResponding := "" // address of the first given member that responds
 	for _, member := range c.members {
-		if report.ask(member) && answering == "" {
-			answering = member
+		if report.query(member) && firstResponding == "" {
+			firstResponding = member
 		}
 	}
-	if answering != "" {
-		for _, member := range otherMembers(answering, c.members) {
-			report.ask(member)
+	if firstResponding != "" {
+		for _, member := range otherMembers(firstResponding, c.members) {
+			report.query(member)
 		}
 	}
 	if c.json {
@@ -34,7 +35,7 @@
 	} else {
 		report.printMembers()
 	}
-	if answering == "" {
+	if firstResponding == "" {
 		return exitNoLeader
 	}
 	if !c.json {
@@ -43,14 +44,14 @@
 	return exitOK
 }
 
-// statusReport collects the members' views.
+// statusReport collects the views of the members that respond.
 type statusReport struct {
-	bodies []json.RawMessage // as the members sent them
-	views  []controlplane.StatusView
+	bodies []json.RawMessage         // response bodies, for JSON output
+	views  []controlplane.StatusView // decoded bodies
 }
 
-// ask adds a member's view. It returns false if the member does not answer.
-func (r *statusReport) ask(member string) bool {
+// query adds a member's view to the report. It returns false if the member does not respond.
+func (r *statusReport) query(member string) bool {
 	body, err := get(member, "/v1/status")
 	if err != nil {
 		fail(err, exitFailed)
@@ -64,8 +65,8 @@
 	return true
 }
 
-// otherMembers are the addresses of the control daemons that a member knows, except those asked.
-func otherMembers(member string, asked []string) (others []string) {
+// otherMembers returns the HTTP addresses of the control daemons that a member knows, except those in known.
+func otherMembers(member string, known []string) (others []string) {
 	body, err := get(member, "/v1/roster")
 	if err != nil {
 		return nil
@@ -75,7 +76,7 @@
 		return nil
 	}
 	for _, daemon := range daemons {
-		if daemon.Kind == wire.ControlDaemon && !slices.Contains(asked, daemon.HTTP) {
+		if daemon.Kind == wire.ControlDaemon && !slices.Contains(known, daemon.HTTP) {
 			others = append(others, daemon.HTTP)
 		}
 	}
@@ -93,29 +94,29 @@
 func (r *statusReport) printMembers() {
 	table := newTable()
 	defer table.Flush()
-	fmt.Fprintln(table, "MEMBER\tROLE\tLEAD\tLEADER\tEPOCH\tTERM\tREVISION\tTABLE\tTARGETS\tPROXIES\tEMPTIED")
+	fmt.Fprintln(table, "MEMBER\tROLE\tLEADERSHIP\tLEADER\tEPOCH\tTERM\tREVISION\tTABLE\tTARGETS\tPROXIES\tEMPTIED DOMAINS")
 	for _, s := range r.views {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, s.Role, s.Leadership, s.Leader,
 			s.Epoch, s.Term, s.Revision, s.Table.Version, s.Targets, s.Proxies, strings.Join(s.Emptied, ","))
 	}
 }
 
-// printControlPlane prints how the control plane stands as its leader sees it; without a leader's view it says that
-// nobody can tell.
+// printControlPlane prints the leader's view of the control plane. If no leader has responded, it prints when each
+// member was last in contact with its leader.
 func printControlPlane(w io.Writer, views []controlplane.StatusView) {
 	for _, view := range views {
 		printFailures(w, &view)
 	}
-	leader := leadersView(views)
+	leader := findLeader(views)
 	if leader == nil {
-		fmt.Fprintln(w, "\ncore: no member that answered leads; whether the next loss can be borne cannot be told")
+		fmt.Fprintln(w, "\ncontrol plane: no responding member leads; failure tolerance is unknown")
 		for _, view := range views {
 			fmt.Fprintf(w, "  %s %s\n", view.Name, contactText(&view))
 		}
 		return
 	}
 	view := leader.ControlPlane
-	fmt.Fprintf(w, "\ncore: %s leads for %v in term %d, by the answers of %d of %d members (%s); %d make a majority\n",
+	fmt.Fprintf(w, "\ncontrol plane: %s has led for %v in term %d; lease granted by %d of %d members (%s), majority is %d\n",
 		leader.Name, seconds(view.LeadingMs), leader.Term, len(view.LeaseVoters), view.Voters, strings.Join(view.LeaseVoters, ", "), view.Majority)
 	printMemberTable(w, view)
 	fmt.Fprintf(w, "next loss: %s\n", toleranceText(view.FailureTolerance))
@@ -124,29 +125,29 @@
 	}
 }
 
-// printMemberTable prints the members as the leader sees them.
+// printMemberTable prints the leader's view of the members.
 func printMemberTable(w io.Writer, view controlplane.ControlPlaneView) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer table.Flush()
-	fmt.Fprintln(table, "MEMBER\tDOMAIN\tSTATE\tVOTE\tSILENT\tLOG")
+	fmt.Fprintln(table, "MEMBER\tDOMAIN\tSTATE\tVOTER\tNO CONTACT\tLOG")
 	for _, m := range view.Members {
 		state := strings.ReplaceAll(string(m.State), "_", " ")
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, orDash(m.Domain), state, yesOrDash(m.Voter), noContactText(m), logText(m, view.Commit))
 	}
 }
 
-// printFailures prints what a member could not read, and that its disk rejects writes.
+// printFailures prints the damage that a member found in stored state and the error of its disk, if any.
 func printFailures(w io.Writer, view *controlplane.StatusView) {
 	for _, damage := range view.Damage {
 		fmt.Fprintf(w, "\nDAMAGE at %s: %s: %s\n", view.Name, damage.Subject, damage.Reason)
 	}
 	if view.DiskError != "" {
-		fmt.Fprintf(w, "\nDISK of %s takes no writes: %s\n", view.Name, view.DiskError)
+		fmt.Fprintf(w, "\nDISK of %s rejects writes: %s\n", view.Name, view.DiskError)
 	}
 }
 
-// leadersView is the view of the member that holds the lease in the latest term, nil if none does.
-func leadersView(views []controlplane.StatusView) (latest *controlplane.StatusView) {
+// findLeader returns the view of the member that holds the lease in the latest epoch and term, nil if none does.
+func findLeader(views []controlplane.StatusView) (latest *controlplane.StatusView) {
 	for i := range views {
 		view := &views[i]
 		if view.ControlPlane.HoldsLease && (latest == nil || view.Epoch > latest.Epoch || view.Epoch == latest.Epoch && view.Term > latest.Term) {
@@ -156,28 +157,28 @@
 	return latest
 }
 
-// contactText is what a member without the lease says of its leader.
+// contactText describes the contact of a member without a lease to its leader.
 func contactText(member *controlplane.StatusView) string {
 	view := member.ControlPlane
 	switch view.Leader {
 	case "":
-		return fmt.Sprintf("hears no leader, for %v", seconds(view.LeaderLastContactMs))
+		return fmt.Sprintf("has had no contact with a leader for %v", seconds(view.LeaderLastContactMs))
 	case member.Name:
-		return "is elected, and gathers what the proxies hold before it decides"
+		return "is elected and collects the state of the proxies before it serves as leader"
 	}
-	return fmt.Sprintf("last heard %s %v ago", view.Leader, seconds(view.LeaderLastContactMs))
+	return fmt.Sprintf("was last in contact with leader %s %v ago", view.Leader, seconds(view.LeaderLastContactMs))
 }
 
-// toleranceText says what the control plane can lose now.
+// toleranceText describes which losses the control plane tolerates now.
 func toleranceText(tolerance controlplane.FailureToleranceView) string {
 	switch {
 	case !tolerance.Tolerable:
-		return "cannot be borne now"
+		return "not tolerated now"
 	case len(tolerance.DomainsAtRisk) > 0:
 		domains := strings.Join(tolerance.DomainsAtRisk, " or ")
-		return fmt.Sprintf("%s can be borne now, but not the loss of domain %s", machinesText(tolerance.Machines), domains)
+		return fmt.Sprintf("tolerated for %s, but not for domain %s", machinesText(tolerance.Machines), domains)
 	}
-	return fmt.Sprintf("%s can be borne now, and any one domain", machinesText(tolerance.Machines))
+	return fmt.Sprintf("tolerated for %s and any single domain", machinesText(tolerance.Machines))
 }
 
 func machinesText(n int) string {
@@ -187,51 +188,51 @@
 	return fmt.Sprintf("any %d machines", n)
 }
 
-// blockerTexts say why a member does not count.
+// blockerTexts describe why a member does not count towards the failure tolerance.
 var blockerTexts = map[controlplane.BlockerKind]string{
-	controlplane.BlockerUnresponsive: "is silent",
-	controlplane.BlockerStopping:     "said that it stops",
-	controlplane.BlockerPlaceholder:  "is a place that nobody has taken yet",
+	controlplane.BlockerUnresponsive: "is unresponsive",
+	controlplane.BlockerStopping:     "is stopping",
+	controlplane.BlockerPlaceholder:  "is a placeholder that no daemon has taken yet",
 }
 
-// blockerText says why a loss can't be tolerated, and until when.
+// blockerText describes why the next loss is not tolerated and what would change that.
 func blockerText(blocker controlplane.Blocker, view controlplane.ControlPlaneView) string {
 	switch {
 	case blocker.Kind == controlplane.BlockerTooFewMembers && blocker.Successor == "":
-		return fmt.Sprintf("%d of %d members are needed, until another core machine is there", view.Majority, view.Voters)
+		return fmt.Sprintf("majority requires %d of %d members; waiting for another control daemon", view.Majority, view.Voters)
 	case blocker.Kind == controlplane.BlockerTooFewMembers:
-		return fmt.Sprintf("%d of %d members are needed, until %s has come in", view.Majority, view.Voters, blocker.Successor)
+		return fmt.Sprintf("majority requires %d of %d members; waiting for %s to become a member", view.Majority, view.Voters, blocker.Successor)
 	case blocker.Kind == controlplane.BlockerCatchingUp:
-		return fmt.Sprintf("%s is catching up, until it has the leader's snapshot", blocker.Member)
+		return fmt.Sprintf("%s is catching up; waiting for it to receive the leader's snapshot", blocker.Member)
 	}
-	return fmt.Sprintf("%s %s, until it is back%s", blocker.Member, blockerTexts[blocker.Kind], replacementText(blocker))
+	return fmt.Sprintf("%s %s; waiting for it%s", blocker.Member, blockerTexts[blocker.Kind], replacementText(blocker))
 }
 
-// replacementText says who replaces a member, and when.
+// replacementText describes which daemon replaces a member, and when.
 func replacementText(blocker controlplane.Blocker) string {
 	successor := blocker.Successor
 	switch {
 	case successor == "":
-		return "; no other core machine is there to replace it"
+		return "; no other control daemon is available to replace it"
 	case blocker.ReplaceableInMs == nil:
-		return fmt.Sprintf("; %s is there: 'mfctl core add %s', then 'mfctl core remove %s'", successor, successor, blocker.Member)
+		return fmt.Sprintf("; replace it by %s: 'mfctl core add %s', then 'mfctl core remove %s'", successor, successor, blocker.Member)
 	case *blocker.ReplaceableInMs > 0:
 		return fmt.Sprintf("; %s replaces it in %v at the earliest", successor, seconds(*blocker.ReplaceableInMs))
 	}
 	return fmt.Sprintf("; %s replaces it as soon as it has caught up", successor)
 }
 
-// noContactShownMs is from when on the time without contact to a member is shown, in ms: below, it is as it should be.
-const noContactShownMs = 1000
+// minNoContactShownMs is the shortest time without contact to a member that is shown, in ms. Shorter times are normal.
+const minNoContactShownMs = 1000
 
 func noContactText(member controlplane.MemberView) string {
-	if member.NoContactMs < noContactShownMs {
+	if member.NoContactMs < minNoContactShownMs {
 		return "-"
 	}
 	return seconds(member.NoContactMs).String()
 }
 
-// logText is how much of the committed log a member holds.
+// logText describes how many of the committed log entries a member has.
 func logText(member controlplane.MemberView, commit uint64) string {
 	if member.State == controlplane.MemberStandby || member.State == controlplane.MemberPlaceholder {
 		return "-"
