--- a/cmd/mfchaos/checks.go
+++ b/cmd/mfchaos/checks.go
@@ -1,4 +1,4 @@
-// This file holds what was served against the rules.
+// This file checks the results of a run against the rules.
 
 package main
 
@@ -11,31 +11,69 @@
 	"time"
 )
 
-// violation notes that a rule was broken.
-func (f *fleet) violation(rule, format string, args ...any) {
+// Rules that a run is checked against, by the names that are printed.
+const (
+	ruleAtMostOnce           = "runs twice"            // a non-idempotent request runs at most once
+	ruleRejectedRequest      = "refused but ran"       // a request that was reported as not run has not run
+	ruleCorrectResponse      = "wrong answer"          // a response has the content that its request asked for
+	ruleOwnResponse          = "another's answer"      // a request does not get the response to another request
+	ruleRightService         = "wrong service"         // a request reaches a target of its service
+	ruleDrainingTarget       = "leaving target"        // a draining target gets no requests after 2 s
+	ruleWarmupRate           = "cold rate"             // a target that warms up gets no more than its service's warm-up rate allows
+	ruleRetryAfter           = "come back when"        // a rejection has the header Retry-After
+	ruleEmptiedDomain        = "emptied domain"        // an emptied domain gets no requests
+	ruleConfigurationInForce = "in force everywhere"   // after the acknowledgement of a change all serving proxies follow it
+	ruleOneChangePerBase     = "one base"              // of several changes on one base revision at most one is accepted
+	ruleLinearizable         = "history"               // reads and changes of the configuration are linearizable
+	ruleInvalidConfiguration = "invalid configuration" // an invalid configuration is rejected and changes nothing
+	ruleGracefulStop         = "planned restart"       // a daemon that gets SIGTERM exits in time and without an error
+	ruleSettingsReload       = "settings changed"      // a daemon reloads a valid settings file and survives an invalid one
+	ruleFullCapacity         = "capacity back"         // after a fault all targets serve again within 15 s
+	ruleRecoveryTime         = "back in 15 s"          // after a fault the fleet serves again within 15 s
+)
+
+// Rules that only a soak or an upgrade checks.
+const (
+	ruleNoCrash              = "ended by itself"   // no process exits without being asked
+	ruleNoPermanentRejection = "refused for good"  // no valid request gets a 4xx response
+	ruleNoEarlyTimeout       = "broken off"        // a graceful stop does not make a proxy time a request out early
+	ruleDeadline             = "deadline"          // a request is answered within its deadline
+	ruleLostRequest          = "lost"              // no request loses its response without a reason
+	ruleChangeAccepted       = "order refused"     // a change on the newest acknowledged revision is accepted
+	ruleDurability           = "acknowledged lost" // what was acknowledged survives the loss of all processes
+	ruleNoDamage             = "damage"            // no control daemon reports unreadable data
+)
+
+// ruleTestEnvironment counts failures of the test itself, not of the fleet: something could not be started, written or read.
+const ruleTestEnvironment = "lab"
+
+// recordViolation counts and logs a violation of a rule.
+func (f *fleet) recordViolation(rule, format string, args ...any) {
 	f.violations[rule]++
-	f.violationTexts = append(f.violationTexts, rule+": "+fmt.Sprintf(format, args...))
+	f.violationMessages = append(f.violationMessages, rule+": "+fmt.Sprintf(format, args...))
 	f.logf("BROKEN %s: %s", rule, fmt.Sprintf(format, args...))
 }
 
-// emptiedSlack is how long after the acknowledgement a request that was on its way may still begin in an emptied domain.
-const emptiedSlack = 500 * time.Millisecond
+// emptiedDomainSlack is how long after the acknowledgement a request that a proxy had already sent may still start in an
+// emptied domain.
+const emptiedDomainSlack = 500 * time.Millisecond
 
-// checkEmptied looks for requests that began in an emptied domain.
-func (f *fleet) checkEmptied(domain string, from, until time.Time) {
+// checkEmptiedDomain checks that no request started in a domain while it was emptied.
+func (f *fleet) checkEmptiedDomain(domain string, from, until time.Time) {
 	late := 0
 	for _, entry := range f.requestLog() {
-		if entry.Domain == domain && entry.StartedAt > from.Add(emptiedSlack).UnixNano() && entry.StartedAt < until.UnixNano() {
+		if entry.Domain == domain && entry.StartedAt > from.Add(emptiedDomainSlack).UnixNano() && entry.StartedAt < until.UnixNano() {
 			late++
 		}
 	}
 	if late > 0 {
-		f.violation("emptied domain", "%d exchanges ran in %s more than 0.5 s after it was emptied", late, domain)
+		f.recordViolation(ruleEmptiedDomain, "%d requests ran in %s more than 0.5 s after it was emptied", late, domain)
 	}
 }
 
-// checkWarmupRate looks in the ledgers for seconds in which a warming target ran more than its service's rate and the
-// half over it that complete turns can make.
+// checkWarmupRate checks in the request logs that no back end, while it warmed up, ran more requests in any second than 1.5
+// times its service's warm-up rate. The proxies that share a rate may each send one request beyond it; so few share it that
+// these requests stay within half of the rate.
 func (f *fleet) checkWarmupRate() {
 	var configuration struct {
 		Services map[string]struct {
@@ -43,11 +81,11 @@
 		}
 	}
 	if err := json.Unmarshal(f.config, &configuration); err != nil {
-		f.violation("cold rate", "the configuration is not read: %v", err)
+		f.recordViolation(ruleWarmupRate, "the configuration can't be decoded: %v", err)
 		return
 	}
 	ran, most := 0, 0
-	arrivals := map[string][]int64{} // of the last second, by back end
+	arrivals := map[string][]int64{} // start times within the last second, by back end
 	for _, entry := range f.requestLog() {
 		if !entry.WarmingUp {
 			continue
@@ -59,39 +97,39 @@
 		arrivals[entry.Name] = second
 		most = max(most, len(second))
 		if rate := configuration.Services[entry.Service].Rate; rate > 0 && float64(len(second)) > 1.5*rate {
-			f.violation("cold rate", "%s ran %d exchanges in a second while cold, of %g", entry.Name, len(second), rate)
+			f.recordViolation(ruleWarmupRate, "%s ran %d requests in a second while warming up, its rate is %g", entry.Name, len(second), rate)
 		}
 	}
-	f.logf("%d exchanges ran at cold targets, at most %d in a second at one", ran, most)
+	f.logf("%d requests ran at targets that were warming up, at most %d in a second at one target", ran, most)
 }
 
-// verdict prints what the load saw and which rules held, and returns the exit code.
-func (f *fleet) verdict(seed uint64) int {
+// printVerdict prints the load generator's report and which rules held, and returns the exit code.
+func (f *fleet) printVerdict(seed uint64) int {
 	var rep map[string]any
 	report, _ := os.ReadFile(f.path("load.json"))
 	if json.Unmarshal(report, &rep) != nil {
-		fmt.Println("the load generator left no report")
+		fmt.Println("mfchaos: the load generator left no valid report in load.json")
 		return 1
 	}
 	num := func(k string) int { f, _ := rep[k].(float64); return int(f) }
-	for rule, k := range map[string]string{"runs twice": "ran_twice", "refused but ran": "ran_though_refused", "wrong answer": "wrong_answers", "another's answer": "answers_of_others",
-		"wrong service": "wrong_service", "leaving target": "to_leaving_after_2s", "come back when": "refused_without_retry_after"} {
+	for rule, k := range map[string]string{ruleAtMostOnce: "ran_twice", ruleRejectedRequest: "ran_though_refused", ruleCorrectResponse: "wrong_answers", ruleOwnResponse: "answers_of_others",
+		ruleRightService: "wrong_service", ruleDrainingTarget: "to_leaving_after_2s", ruleRetryAfter: "refused_without_retry_after"} {
 		if n := num(k); n > 0 {
-			f.violation(rule, "%d", n)
+			f.recordViolation(rule, "%d", n)
 		}
 	}
 	if f.routes {
 		f.checkWarmupRate()
 	}
-	fmt.Printf("\nseed %d, %s, faults: %s\n", seed, f.name, strings.Join(f.faults, ", "))
-	fmt.Printf("offered %d, served %d, refused %d, unknown %d, no answer %d, latency ms %v, latest to a leaving target %d ms\n",
+	fmt.Printf("\nseed %d, %s, faults: %s\n", seed, f.deploymentName, strings.Join(f.faults, ", "))
+	fmt.Printf("offered %d, served %d, refused %d, unknown %d, no answer %d, latency ms %v, latest request to a draining target %d ms\n",
 		num("offered"), num("served"), num("refused"), num("unknown"), num("no_answer"), rep["latency_ms"], num("latest_to_leaving_ms"))
 	for _, e := range examplesOf(rep) {
 		fmt.Println("  e.g.", e)
 	}
-	for _, r := range []string{"runs twice", "refused but ran", "wrong answer", "another's answer", "wrong service", "leaving target", "cold rate", "come back when", "emptied domain",
-		"in force everywhere", "one base", "history", "invalid configuration", "planned restart", "settings changed", "capacity back", "back in 15 s"} {
-		if r == "cold rate" && !f.routes {
+	for _, r := range []string{ruleAtMostOnce, ruleRejectedRequest, ruleCorrectResponse, ruleOwnResponse, ruleRightService, ruleDrainingTarget, ruleWarmupRate, ruleRetryAfter, ruleEmptiedDomain,
+		ruleConfigurationInForce, ruleOneChangePerBase, ruleLinearizable, ruleInvalidConfiguration, ruleGracefulStop, ruleSettingsReload, ruleFullCapacity, ruleRecoveryTime} {
+		if r == ruleWarmupRate && !f.routes {
 			continue
 		}
 		v := "held"
@@ -106,8 +144,8 @@
 	return 0
 }
 
-// examplesOf are what the load generator noted for people; it leaves the field out if
-// there is nothing.
+// examplesOf returns the examples of violations in the load generator's report. The report omits the field if there are
+// none.
 func examplesOf(report map[string]any) []any {
 	examples, _ := report["examples"].([]any)
 	return examples
--- a/cmd/mfchaos/deployment.go
+++ b/cmd/mfchaos/deployment.go
@@ -1,30 +1,31 @@
-// This file holds the shapes of fleets by name.
+// This file defines the deployments that a fleet can be started as.
 
 package main
 
-// Deployment is a fleet's shape.
+// Deployment is the size of a fleet and the services that it runs.
 type Deployment struct {
 	Controls, Proxies int
-	Domains           []string
+	Domains           []string // failure domains, to which processes are assigned in turn
 	Services          []Service
-	Rate              float64 // requests a second
+	Rate              float64 // requests per second of the load
 }
 
-// Service is a service of a deployment and how its stand-in back ends behave.
+// Service is a service of a deployment and the behaviour of its test back ends.
 type Service struct {
 	Name    string
-	Targets int
-	Work    string // how long a request takes
-	Bears   int    // requests at once
-	Warm    string // how long a restarted one warms up
+	Targets int    // number of back ends
+	Work    string // duration of a request
+	Bears   int    // concurrent requests of a back end; more wait
+	Warm    string // warm-up time of a restarted back end
 }
 
+// deployments are the values of --deployment.
 var deployments = map[string]Deployment{
 	"kelani": {3, 12, []string{"hill", "port", "coast"}, []Service{{"records", 30, "20ms", 24, "1500ms"}, {"monitoring", 6, "5ms", 48, "500ms"}}, 210},
 	"kiyihat": {5, 8, []string{"north", "south", "isles", "quay"}, []Service{{"fares", 14, "4ms", 64, "500ms"},
 		{"payments", 9, "25ms", 32, "1500ms"}, {"documents", 8, "30ms", 16, "1s"}}, 630},
-	// press is small enough that one machine can ask it for twice what it bears: 4 targets
-	// of 4 requests at a time and 40 ms each, 400 a second.
+	// press is small enough for one machine to send it twice its capacity: 4 targets with 4 concurrent requests of 40 ms
+	// each serve 400 requests per second.
 	"press": {3, 3, []string{"hill", "port", "coast"}, []Service{{"records", 4, "40ms", 4, "3s"}}, 400},
 	"small": {3, 3, []string{"hill", "port", "coast"}, []Service{{"records", 4, "20ms", 24, "1s"}, {"monitoring", 3, "5ms", 48, "500ms"}}, 60},
 }
--- a/cmd/mfchaos/fleet.go
+++ b/cmd/mfchaos/fleet.go
@@ -1,4 +1,4 @@
-// This file is a fleet on loopback: its processes, their addresses and settings, and when it serves.
+// This file starts a fleet on loopback: it assigns addresses, writes settings, starts the processes and waits until they serve.
 
 package main
 
@@ -20,49 +20,52 @@
 	"myrtlefold/internal/verification/linearizability"
 )
 
-// fleet is a fleet and what was seen of it.
+// fleet is a running deployment and the results collected from it.
 type fleet struct {
-	deployment     Deployment
-	name           string
-	dir            string
-	bin            string
-	controls       []*process
-	proxies        []*process
-	backends       []*process
-	random         *rand.Rand
-	startedAt      time.Time
-	config         []byte
-	faults         []string
-	inForceSeconds []float64
-	network        network
-	initial        programs // what the fleet starts with, by kind of process; of others: what stands in bin
-	violations     map[string]int
-	history        linearizability.Log
-	violationTexts []string
-	grace          time.Duration // until a process that was asked to stop is ended by force, as their settings say; 0: they do not
-	routes         bool          // by routes: targets have health paths, slots, warm-up times and a name for each incarnation
+	deployment        Deployment
+	deploymentName    string // key in deployments, the value of --deployment
+	dir               string // holds settings, state, logs and request logs
+	bin               string // directory of the programs
+	controls          []*process
+	proxies           []*process
+	backends          []*process
+	random            *rand.Rand
+	startedAt         time.Time
+	config            []byte    // configuration without its revision
+	faults            []string  // names of the injected faults, in order
+	inForceSeconds    []float64 // duration of each accepted configuration change
+	network           network
+	initial           programs       // program that each kind of process is first started with; a kind without an entry uses the one in bin
+	violations        map[string]int // count by rule
+	history           linearizability.Log
+	violationMessages []string
+	grace             time.Duration // written to the daemons' settings: time from SIGTERM until a process is killed; 0 leaves it unset
+	routes            bool          // the configuration uses routes; back ends have a health path, slots, a warm-up time and a new name at each start
 }
 
-func (f *fleet) path(s ...string) string { return filepath.Join(append([]string{f.dir}, s...)...) }
+// path returns a path below the fleet's directory.
+func (f *fleet) path(elements ...string) string {
+	return filepath.Join(append([]string{f.dir}, elements...)...)
+}
 
-// boundAddress gives each boundAddress an address of its own on loopback, and one at which the
-// others reach it through the lab's relays.
-func (f *fleet) boundAddress(block, i int) string {
-	return fmt.Sprintf("%s%d.%d", addresses.bound, block, i+1)
+// bindAddress returns the loopback address on which machine i of an address block listens.
+func (f *fleet) bindAddress(block, i int) string {
+	return fmt.Sprintf("%s%d.%d", prefixes.bind, block, i+1)
 }
 
-func (f *fleet) reachedAddress(block, i int) string {
-	return fmt.Sprintf("%s%d.%d", addresses.reached, block, i+1)
+// relayAddress returns the loopback address at which the other machines reach machine i of an address block, through a relay.
+func (f *fleet) relayAddress(block, i int) string {
+	return fmt.Sprintf("%s%d.%d", prefixes.relay, block, i+1)
 }
 
 // start starts the fleet and waits until it serves.
 func (f *fleet) start() error {
-	if err := f.makeFolders(); err != nil {
+	if err := f.createDirectories(); err != nil {
 		return err
 	}
 	f.addControls()
 	f.addProxies()
-	if err := f.configureDaemons(); err != nil {
+	if err := f.writeDaemonSettings(); err != nil {
 		return err
 	}
 	if err := f.addBackends(); err != nil {
@@ -74,19 +77,19 @@
 			return err
 		}
 	}
-	if err := f.configure(20 * time.Second); err != nil {
+	if err := f.putInitialConfig(20 * time.Second); err != nil {
 		return err
 	}
 	return f.awaitServing(10 * time.Second)
 }
 
-// makeFolders makes the fleet's folder anew.
-func (f *fleet) makeFolders() error {
+// createDirectories deletes the fleet's directory and creates it again, with empty subdirectories.
+func (f *fleet) createDirectories() error {
 	if err := os.RemoveAll(f.dir); err != nil {
 		return err
 	}
-	for _, folder := range []string{"set", "log", "data", "ledger"} {
-		if err := os.MkdirAll(f.path(folder), 0o755); err != nil {
+	for _, directory := range []string{"set", "log", "data", "ledger"} {
+		if err := os.MkdirAll(f.path(directory), 0o755); err != nil {
 			return err
 		}
 	}
@@ -102,37 +105,37 @@
 
 func (f *fleet) addControls() {
 	for i := range f.deployment.Controls {
-		ip := f.boundAddress(controlBlock, i)
+		ip := f.bindAddress(controlBlock, i)
 		f.controls = append(f.controls, &process{name: fmt.Sprintf("core-%d", i+1), kind: controlProgram, domain: f.domain(i),
-			addr: f.reachedAddress(controlBlock, i) + ":7001", bind: ip + ":7001", http: ip + ":7101"})
+			addr: f.relayAddress(controlBlock, i) + ":7001", bind: ip + ":7001", http: ip + ":7101"})
 	}
 }
 
 func (f *fleet) addProxies() {
 	for i := range f.deployment.Proxies {
-		ip := f.boundAddress(proxyBlock, i)
+		ip := f.bindAddress(proxyBlock, i)
 		f.proxies = append(f.proxies, &process{name: fmt.Sprintf("gate-%d", i+1), kind: proxyProgram, domain: f.domain(i),
-			addr: f.reachedAddress(proxyBlock, i) + ":7001", bind: ip + ":7001", http: ip + ":7101", listen: ip + ":7201"})
+			addr: f.relayAddress(proxyBlock, i) + ":7001", bind: ip + ":7001", http: ip + ":7101", listen: ip + ":7201"})
 	}
 }
 
-// domain is the failure domain of the i-th process of a kind.
+// domain returns the failure domain of the i-th process of a kind.
 func (f *fleet) domain(i int) string {
 	return f.deployment.Domains[i%len(f.deployment.Domains)]
 }
 
-// seedsMax is how many control daemons stand in the settings of the others.
-const seedsMax = 3
+// seedNodesMax limits how many control daemons are listed as seed nodes in the daemons' settings.
+const seedNodesMax = 3
 
-// configureDaemons writes each daemon's settings and opens the relays before its addresses.
-func (f *fleet) configureDaemons() error {
+// writeDaemonSettings writes each daemon's settings file and opens the relays in front of its addresses.
+func (f *fleet) writeDaemonSettings() error {
 	var seeds []string
-	for _, p := range f.controls[:min(seedsMax, len(f.controls))] {
+	for _, p := range f.controls[:min(seedNodesMax, len(f.controls))] {
 		seeds = append(seeds, p.addr)
 	}
 	for _, p := range slices.Concat(f.controls, f.proxies) {
 		for _, a := range []string{p.bind, p.http} {
-			if err := f.network.relay(reachedAt(a), a); err != nil {
+			if err := f.network.relay(relayAddressOf(a), a); err != nil {
 				return err
 			}
 		}
@@ -148,12 +151,12 @@
 	return nil
 }
 
-// addBackends adds the back ends of all services, each behind a relay.
+// addBackends adds the back ends of all services and opens a relay in front of each.
 func (f *fleet) addBackends() error {
 	for block, service := range f.deployment.Services {
 		for i := range service.Targets {
-			addr := fmt.Sprintf("%s:7301", f.reachedAddress(backendBlock+block, i))
-			if err := f.network.relay(addr, fmt.Sprintf("%s:7301", f.boundAddress(backendBlock+block, i))); err != nil {
+			addr := fmt.Sprintf("%s:7301", f.relayAddress(backendBlock+block, i))
+			if err := f.network.relay(addr, fmt.Sprintf("%s:7301", f.bindAddress(backendBlock+block, i))); err != nil {
 				return err
 			}
 			domain := f.domain(len(f.backends))
@@ -163,7 +166,7 @@
 	return nil
 }
 
-// writeSettings writes a daemon's settings to its file and has it start with them.
+// writeSettings writes a daemon's settings file and sets the arguments that make the daemon read it.
 func (f *fleet) writeSettings(p *process, s daemon.Settings) error {
 	b, _ := json.MarshalIndent(s, "", "  ")
 	file := f.path("set", p.name+".json")
@@ -174,15 +177,15 @@
 	return nil
 }
 
-// healthURL is the samples' by routes, and warmupTime is how long a back end warms up there.
+// Settings of back ends when the configuration uses routes.
 const (
-	healthURL  = "/health"
+	healthURL  = "/health" // path of the health check in the sample configurations
 	warmupTime = 6 * time.Second
 )
 
-// newBackend is a back end's process, not started yet.
+// newBackend returns the process of a back end without starting it.
 func (f *fleet) newBackend(service Service, name, addr, domain, warm string) *process {
-	bind := boundAt(addr)
+	bind := bindAddressOf(addr)
 	p := &process{name: name, kind: backendProgram, domain: domain, addr: addr, bind: bind, http: bind, service: service.Name}
 	p.args = []string{"--service", service.Name, "--name", name, "--addr", addr, "--bind", bind, "--from", hostOf(bind), "--domain", domain, "--work", service.Work, "--bears", strconv.Itoa(service.Bears),
 		"--warm", warm, "--ledger", f.path("ledger", name+".ledger")}
@@ -191,16 +194,16 @@
 	}
 	for i, g := range f.proxies {
 		if i%4 == len(name)%4 {
-			p.args = append(p.args, "--daemon", reachedAt(g.http))
+			p.args = append(p.args, "--daemon", relayAddressOf(g.http))
 		}
 	}
 	for _, c := range f.controls {
-		p.args = append(p.args, "--daemon", reachedAt(c.http))
+		p.args = append(p.args, "--daemon", relayAddressOf(c.http))
 	}
 	return p
 }
 
-// killAll kills all processes.
+// killAll kills all processes, including those that are suspended.
 func (f *fleet) killAll() {
 	for _, p := range slices.Concat(f.proxies, f.controls, f.backends) {
 		if p.cmd != nil {
@@ -210,10 +213,11 @@
 	}
 }
 
+// client is the HTTP client for queries of the fleet's processes.
 var client = &http.Client{Timeout: time.Second}
 
-// get returns the status and body at url, 0: no answer.
-func get(url string) (int, []byte) {
+// httpGet returns the status and the body of url. The status is 0 if there was no response.
+func httpGet(url string) (int, []byte) {
 	resp, err := client.Get(url)
 	if err != nil {
 		return 0, nil
@@ -223,7 +227,8 @@
 	return resp.StatusCode, b
 }
 
-// awaitServing waits until all proxies are ready and all running targets are known.
+// awaitServing waits until all running proxies are ready and mfctl lists at least as many serving targets as there are
+// running back ends.
 func (f *fleet) awaitServing(within time.Duration) error {
 	end := time.Now().Add(within)
 	for {
@@ -231,12 +236,12 @@
 		for _, g := range f.proxies {
 			if !g.stopped && !g.frozen {
 				want++
-				if s, _ := get("http://" + g.http + "/ready"); s == http.StatusOK {
+				if s, _ := httpGet("http://" + g.http + "/ready"); s == http.StatusOK {
 					ready++
 				}
 			}
 		}
-		out, code := f.ctl(nil, "-o", "json", "targets")
+		out, code := f.runCtl(nil, "-o", "json", "targets")
 		var v struct{ Targets []struct{ Why string } }
 		json.Unmarshal([]byte(out), &v)
 		serving := 0
@@ -245,40 +250,42 @@
 				serving++
 			}
 		}
-		run := 0
+		running := 0
 		for _, s := range f.backends {
 			if !s.stopped {
-				run++
+				running++
 			}
 		}
-		if code == 0 && ready == want && serving >= run {
+		if code == 0 && ready == want && serving >= running {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d proxies ready, %d of %d targets serving after %v", ready, want, serving, run, within)
+			return fmt.Errorf("%d of %d proxies ready, %d of %d targets serving after %v", ready, want, serving, running, within)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
+// describe prints the running fleet and the environment and arguments with which mfctl and mfload reach it.
 func (f *fleet) describe() {
-	fmt.Printf("the fleet is up after %.1f s\n", time.Since(f.startedAt).Seconds())
-	fmt.Println("operators:  export MFCTL_AT=" + f.controlAddresses())
-	var g []string
+	fmt.Printf("the fleet serves after %.1f s\n", time.Since(f.startedAt).Seconds())
+	fmt.Println("operators:  export MFCTL_AT=" + f.controlHTTPAddresses())
+	var proxyArgs []string
 	for _, p := range f.proxies {
-		g = append(g, "--gate "+p.listen+"="+p.http)
+		proxyArgs = append(proxyArgs, "--gate "+p.listen+"="+p.http)
 	}
-	fmt.Println("callers:    mfload --mix " + strings.Replace(f.name, "small", "kelani", 1) + " --ledgers " + f.path("ledger") + " " + strings.Join(g, " "))
+	fmt.Println("callers:    mfload --mix " + strings.Replace(f.deploymentName, "small", "kelani", 1) + " --ledgers " + f.path("ledger") + " " + strings.Join(proxyArgs, " "))
 	for _, p := range slices.Concat(f.controls, f.proxies, f.backends) {
 		fmt.Printf("  %-14s %-7s %-6s pid %-7d %s\n", p.name, p.kind, p.domain, p.cmd.Process.Pid, p.listen)
 	}
 }
 
+// logf prints a line with the time since the start in seconds.
 func (f *fleet) logf(format string, args ...any) {
 	fmt.Printf("%6.1f  %s\n", time.Since(f.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// pickRunning draws one of the processes that run, nil: none does.
+// pickRunning returns a random one of the processes that are neither stopped nor suspended, or nil if there is none.
 func (f *fleet) pickRunning(ps []*process) *process {
 	var up []*process
 	for _, p := range ps {
@@ -292,18 +299,22 @@
 	return up[f.random.IntN(len(up))]
 }
 
-func (f *fleet) pause(lo, hi int) {
-	time.Sleep(time.Duration(lo+f.random.IntN(hi-lo+1)) * time.Millisecond)
+// sleepBetween sleeps for a random time between two bounds in ms, both included.
+func (f *fleet) sleepBetween(minMs, maxMs int) {
+	time.Sleep(time.Duration(minMs+f.random.IntN(maxMs-minMs+1)) * time.Millisecond)
 }
 
+// restart starts a process again; a failure to start is recorded as a violation.
 func (f *fleet) restart(p *process) {
 	if err := f.startProcess(p); err != nil {
-		f.violation("lab", "%v", err)
+		f.recordViolation(ruleTestEnvironment, "%v", err)
 	}
 }
 
-func (f *fleet) setMode(p *process, m string) {
-	resp, err := client.Post("http://"+p.http+"/.stub/mode?set="+m, "", nil)
+// setFaultMode makes a back end misbehave in the given way, or behave again with "ok". Errors are ignored: the back end
+// may be down.
+func (f *fleet) setFaultMode(p *process, mode string) {
+	resp, err := client.Post("http://"+p.http+"/.stub/mode?set="+mode, "", nil)
 	if err == nil {
 		resp.Body.Close()
 	}
--- a/cmd/mfchaos/history.go
+++ b/cmd/mfchaos/history.go
@@ -1,5 +1,5 @@
-// This file records the operators' calls for the configuration, which all go through
-// mfctl, and checks at the end that they are linearizable; see package linearizability.
+// This file records the operators' reads and changes of the configuration, which all go through mfctl, and checks that
+// the recorded history is linearizable; see package linearizability.
 package main
 
 import (
@@ -11,44 +11,44 @@
 	"myrtlefold/internal/verification/linearizability"
 )
 
-// Exit codes of mfctl that tell what became of an order; any other leaves it open.
+// Exit codes of mfctl that determine the outcome of a change; after any other the outcome is unknown.
 const (
 	ctlDone     = 0
-	ctlStale    = 3
-	ctlInvalid  = 4
+	ctlStale    = 3 // the base is not the current revision
+	ctlInvalid  = 4 // the configuration is invalid
 	ctlNoLeader = 5 // nothing was changed
 )
 
-// configCall is one run of 'mfctl config put'.
-type configCall struct {
+// ctlResult is the result of one run of 'mfctl config put'.
+type ctlResult struct {
 	output     string
 	code       int
-	finishedAt time.Duration
+	finishedAt time.Duration // since the fleet's start
 }
 
-// putConfig puts a configuration on a base and records the call.
+// putConfig puts a configuration on a base revision and records the call in the history.
 func (f *fleet) putConfig(doc []byte, base int, flags ...string) (out string, code int) {
 	write := f.recordChange(doc, base)
-	call := f.runPut(doc, base, flags...)
+	call := f.runConfigPut(doc, base, flags...)
 	recordReply(write, call)
 	return call.output, call.code
 }
 
-// recordChange takes an order into the history as it is sent.
+// recordChange adds a change to the history as it is sent.
 func (f *fleet) recordChange(doc []byte, base int) *linearizability.Operation {
 	text := canonical(doc)
 	return f.history.Write(time.Since(f.startedAt), linearizability.Change{Base: uint64(base), Key: text, Value: text})
 }
 
-// runPut runs mfctl. It touches nothing of the lab, so that several may run at once.
-func (f *fleet) runPut(doc []byte, base int, flags ...string) configCall {
+// runConfigPut runs 'mfctl config put'. It modifies nothing of the fleet, so several calls may run concurrently.
+func (f *fleet) runConfigPut(doc []byte, base int, flags ...string) ctlResult {
 	args := append([]string{"-o", "json"}, flags...)
-	out, code := f.ctl(doc, append(args, "config", "put", "-", "--base", strconv.Itoa(base))...)
-	return configCall{out, code, time.Since(f.startedAt)}
+	out, code := f.runCtl(doc, append(args, "config", "put", "-", "--base", strconv.Itoa(base))...)
+	return ctlResult{out, code, time.Since(f.startedAt)}
 }
 
-// recordReply takes an order's answer into the history.
-func recordReply(write *linearizability.Operation, call configCall) {
+// recordReply adds the reply to a change to the history.
+func recordReply(write *linearizability.Operation, call ctlResult) {
 	var v struct {
 		Revision uint64 `json:"revision"`
 		Error    struct {
@@ -56,7 +56,7 @@
 		} `json:"error"`
 	}
 	if json.Unmarshal([]byte(call.output), &v) != nil && call.code == ctlDone {
-		return // it is acknowledged, but nobody knows as which revision
+		return // the change is accepted, but its revision is unknown
 	}
 	switch call.code {
 	case ctlDone:
@@ -68,10 +68,10 @@
 	}
 }
 
-// revision reads the configuration's revision, -1 if nobody tells it.
+// revision reads the current revision of the configuration and records the read; it returns -1 if the read fails.
 func (f *fleet) revision() int {
 	read := f.history.Read(time.Since(f.startedAt))
-	out, code := f.ctl(nil, "-o", "json", "config", "get")
+	out, code := f.runCtl(nil, "-o", "json", "config", "get")
 	var v struct {
 		Revision int             `json:"revision"`
 		Config   json.RawMessage `json:"config"`
@@ -88,7 +88,7 @@
 	return v.Revision
 }
 
-// canonical is one form for all documents that say the same.
+// canonical returns a form of a document that is the same for all equivalent documents.
 func canonical(doc []byte) string {
 	if c, err := config.Canonical(doc); err == nil {
 		return string(c)
@@ -96,10 +96,10 @@
 	return string(doc)
 }
 
-// checkHistory looks whether all answers to operators fit one order of events.
+// checkHistory checks that the recorded calls are linearizable.
 func (f *fleet) checkHistory() {
 	if err := f.history.Check(); err != nil {
-		f.violation("history", "%v", err)
+		f.recordViolation(ruleLinearizable, "%v", err)
 	}
-	f.logf("%d calls for the configuration were recorded", f.history.Len())
+	f.logf("%d reads and changes of the configuration were recorded", f.history.Len())
 }
--- a/cmd/mfchaos/main.go
+++ b/cmd/mfchaos/main.go
@@ -1,10 +1,9 @@
-// Command mfchaos runs a whole fleet on this machine's loopback as separate
-// processes, breaks it by a seeded script while mfload sends a deployment's mix,
-// and prints a verdict per rule. It is the only program that starts processes,
-// and it ends only those, by their numbers.
+// Command mfchaos runs a whole fleet as separate processes on the loopback network of this machine, injects faults from a
+// seeded script while mfload sends load, and prints for each rule whether it held. It is the only program that starts
+// processes, and it ends only those, by their process IDs.
 //
-// Begin with fleet, in fleet.go, and fleet.perform here, which carries out a command; faults.go has the faults,
-// checks.go the rules that a script's run is held to, soak.go the soak, upgrade.go the roll between versions.
+// Begin with fleet, in fleet.go, and fleet.runCommand here, which runs a command; faults.go has the faults, checks.go the
+// rules that a run is checked against, soak.go the soak test and upgrade.go the rolling upgrade between two versions.
 package main
 
 import (
@@ -21,70 +20,70 @@
 	"myrtlefold/internal/shared/version"
 )
 
-// options are the flags and arguments that do not stand in the lab itself.
+// options are the flags and arguments that are not stored in the fleet itself.
 type options struct {
-	config      string
+	config      string // file; "": the deployment's sample
 	seed        uint64
 	span        time.Duration
-	rate        float64
-	gap         time.Duration
-	only        []string
-	wipe        bool
+	rate        float64       // requests per second; 0: the deployment's
+	meanGap     time.Duration // between faults
+	onlyFaults  []string      // empty: all
+	wipeAtEnd   bool
 	rounds      int
 	phase       time.Duration
 	policyPhase time.Duration
 	soak        soakOptions
 	upgrade     upgradeOptions
-	net         int
+	network     int // second octet of the bind addresses
 }
 
-// define puts the commands and flags on the command line.
-func (f *fleet) define(app *kingpin.Application, opts *options) {
-	app.Flag("deployment", "kelani, kiyihat, small or press").Short('d').Default("small").EnumVar(&f.name, "kelani", "kiyihat", "small", "press")
-	app.Flag("dir", "folder for settings, state, logs and ledgers (made anew)").Default("lab").StringVar(&f.dir)
-	app.Flag("bin", "folder of the programs").Default("bin").StringVar(&f.bin)
-	app.Flag("loopback", "second number of the lab's loopback addresses; it takes the next one too").Default(strconv.Itoa(defaultNetwork)).IntVar(&opts.net)
+// defineCommands declares the commands and flags.
+func (f *fleet) defineCommands(app *kingpin.Application, opts *options) {
+	app.Flag("deployment", "kelani, kiyihat, small or press").Short('d').Default("small").EnumVar(&f.deploymentName, "kelani", "kiyihat", "small", "press")
+	app.Flag("dir", "directory for settings, state, logs and request logs (deleted and created again)").Default("lab").StringVar(&f.dir)
+	app.Flag("bin", "directory of the programs").Default("bin").StringVar(&f.bin)
+	app.Flag("loopback", "second octet of the loopback addresses that the fleet listens on; its relays use the next one").Default(strconv.Itoa(defaultLoopbackNetwork)).IntVar(&opts.network)
 	app.Flag("config", "configuration (default: the deployment's sample)").StringVar(&opts.config)
-	app.Flag("routes", "configure by routes; back ends tell health, slots and how long they are cold, and take a new name at each start").BoolVar(&f.routes)
+	app.Flag("routes", "use the sample configuration with routes; back ends report health, slots and the rest of their warm-up time, and take a new name at each start").BoolVar(&f.routes)
 	app.Command("up", "start the fleet and leave it running until interrupted")
-	run := app.Command("run", "start the fleet, load and break it, print a verdict per rule")
+	run := app.Command("run", "start the fleet, inject faults under load and print for each rule whether it held")
 	run.Flag("seed", "seed of the script").Default("1").Uint64Var(&opts.seed)
-	run.Flag("for", "how long the load lasts").Default("40s").DurationVar(&opts.span)
-	run.Flag("rate", "exchanges a second (default: the deployment's)").Float64Var(&opts.rate)
-	run.Flag("gap", "mean time between faults").Default("3s").DurationVar(&opts.gap)
-	run.Flag("fault", "only these faults (repeat)").StringsVar(&opts.only)
-	run.Flag("wipe-at-end", "end with all core disks lost").BoolVar(&opts.wipe)
-	measure := app.Command("measure", "measure what the README states: death to last exchange, change to in force, cost of carrying")
-	measure.Flag("rounds", "how often").Default("9").IntVar(&opts.rounds)
-	overload := app.Command("overload", "ask a fleet (-d press) for half, all, twice and half of what it bears, then restart its service under load")
-	overload.Flag("phase", "how long each part lasts").Default("12s").DurationVar(&opts.phase)
-	policies := app.Command("policies", "one target fails, then one is slow: load without and with the shipped policy, put in force under load, and compare on the recording")
-	policies.Flag("phase", "how long each load lasts").Default("12s").DurationVar(&opts.policyPhase)
-	opts.soak.bind(app.Command("soak", "stops, hangups and changes in series that overlap, under callers that use their connections until a process is gone"))
-	opts.upgrade.bind(app.Command("upgrade", "roll a fleet of earlier daemons to the present ones and back, under callers and changes; nothing is lost, nothing is damaged"))
+	run.Flag("for", "duration of the load").Default("40s").DurationVar(&opts.span)
+	run.Flag("rate", "requests per second (default: the deployment's)").Float64Var(&opts.rate)
+	run.Flag("gap", "mean time between faults").Default("3s").DurationVar(&opts.meanGap)
+	run.Flag("fault", "inject only this kind of fault (repeatable)").StringsVar(&opts.onlyFaults)
+	run.Flag("wipe-at-end", "kill all daemons and delete their data at the end").BoolVar(&opts.wipeAtEnd)
+	measure := app.Command("measure", "measure the figures of the README: time from a target's crash to its last request, time until a configuration is in force, latency through a proxy")
+	measure.Flag("rounds", "repetitions of each measurement").Default("9").IntVar(&opts.rounds)
+	overload := app.Command("overload", "load a fleet (-d press) with 50, 90, 100, 200 and again 50 % of its capacity, then restart its service under load")
+	overload.Flag("phase", "duration of each load").Default("12s").DurationVar(&opts.phase)
+	policies := app.Command("policies", "make one target fail, then be slow; load the fleet without and with the shipped policy, which is put under load, and compare policies on the recorded events")
+	policies.Flag("phase", "duration of each load").Default("12s").DurationVar(&opts.policyPhase)
+	opts.soak.bind(app.Command("soak", "stop, signal and reconfigure daemons at random, overlapping times while callers use each connection until it is closed"))
+	opts.upgrade.bind(app.Command("upgrade", "upgrade a fleet of earlier daemons to the current ones and back, under load and configuration changes, and check that nothing acknowledged is lost or damaged"))
 }
 
 func main() {
-	app := kingpin.New("mfchaos", "Runs a whole fleet on loopback and breaks it by script.")
+	app := kingpin.New("mfchaos", "Runs a whole fleet on loopback and injects faults into it.")
 	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	f := &fleet{violations: map[string]int{}, startedAt: time.Now()}
 	opts := &options{}
-	f.define(app, opts)
+	f.defineCommands(app, opts)
 	cmd, err := app.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "mfchaos: %v, see --help\n", err)
 		os.Exit(2)
 	}
-	addresses = prefixesOf(opts.net)
-	f.deployment = deployments[f.name]
+	prefixes = addressPrefixesOf(opts.network)
+	f.deployment = deployments[f.deploymentName]
 	if cmd == "soak" {
 		f.deployment, f.routes, f.grace = opts.soak.deployment(), true, opts.soak.grace
 		opts.config = filepath.Join("sample", "kelani-routes.json")
 	}
 	if cmd == "upgrade" {
 		f.deployment, f.routes, f.grace = opts.upgrade.soak.deployment(), true, opts.upgrade.soak.grace
-		f.initial = opts.upgrade.earlier()
+		f.initial = opts.upgrade.earlierPrograms()
 		opts.config = filepath.Join("sample", "kelani-routes.json")
 	}
 	if err := f.readConfig(opts.config); err != nil {
@@ -95,7 +94,7 @@
 	signal.Notify(sig, os.Interrupt, syscall.SIGTERM)
 	code := 0
 	done := make(chan int, 1)
-	go f.perform(cmd, opts, done)
+	go f.runCommand(cmd, opts, done)
 	select {
 	case <-sig:
 	case code = <-done:
@@ -104,8 +103,8 @@
 	os.Exit(code)
 }
 
-// perform carries out a command and sends the exit code; 'up' sends none, and lasts until a signal.
-func (f *fleet) perform(cmd string, opts *options, done chan<- int) {
+// runCommand starts the fleet, runs a command and sends the exit code. For 'up' it sends none: the fleet runs until a signal.
+func (f *fleet) runCommand(cmd string, opts *options, done chan<- int) {
 	if err := f.start(); err != nil {
 		fmt.Fprintln(os.Stderr, "mfchaos:", err)
 		done <- 1
@@ -118,16 +117,16 @@
 		if opts.rate == 0 {
 			opts.rate = f.deployment.Rate
 		}
-		done <- f.runScript(opts.seed, opts.span, opts.rate, opts.gap, opts.only, opts.wipe)
+		done <- f.runScript(opts)
 	case "policies":
-		done <- f.policies(opts.policyPhase)
+		done <- f.comparePolicies(opts.policyPhase)
 	case "overload":
-		done <- f.overload(opts.phase)
+		done <- f.runOverload(opts.phase)
 	case "soak":
 		done <- f.runSoak(&opts.soak)
 	case "upgrade":
 		done <- f.runUpgrade(&opts.upgrade)
 	case "measure":
-		done <- f.measure(opts.rounds)
+		done <- f.measureLatencies(opts.rounds)
 	}
 }
--- a/cmd/mfchaos/measure.go
+++ b/cmd/mfchaos/measure.go
@@ -1,4 +1,4 @@
-// This file measures a fleet on one machine.
+// This file measures latencies, overload behaviour and the effect of policies on a fleet.
 
 package main
 
@@ -7,7 +7,6 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"myrtlefold/internal/shared/wire"
 	"net/http"
 	"os"
 	"os/exec"
@@ -17,74 +16,76 @@
 	"strings"
 	"syscall"
 	"time"
+
+	"myrtlefold/internal/shared/wire"
 )
 
-// measure prints what is written in the docs.
-func (f *fleet) measure(rounds int) int {
+// measureLatencies prints the latencies that the README states: until a configuration is in force, from a target's crash
+// until no proxy chooses it any more, and of requests through a proxy compared with direct ones.
+func (f *fleet) measureLatencies(rounds int) int {
 	f.random = rand.New(rand.NewPCG(1, 2))
-	var force, death, direct, carried, ratio []float64
+	var inForceMs, ejectionMs, directMs, proxiedMs, ratios []float64
 	for range rounds {
-		b := f.revision()
+		base := f.revision()
 		t := time.Now()
-		resp, err := f.put(b)
-		if err != nil || resp != 200 {
-			fmt.Println("put:", resp, err)
+		status, err := f.putOverHTTP(base)
+		if err != nil || status != http.StatusOK {
+			fmt.Printf("mfchaos: PUT /v1/config on revision %d: status %d, error %v\n", base, status, err)
 			return 1
 		}
-		force = append(force, time.Since(t).Seconds()*1000)
+		inForceMs = append(inForceMs, time.Since(t).Seconds()*1000)
 	}
-	f.logf("PUT to in force on %d proxies, ms: %s", len(f.proxies), spread(force))
+	f.logf("ms from PUT until in force on %d proxies: %s", len(f.proxies), summarize(inForceMs))
 	for range rounds {
 		p := f.pickRunning(f.backends)
 		var last time.Duration
 		p.kill()
 		t := time.Now()
 		for time.Since(t) < 4*time.Second {
-			opened := f.choiceOf(p)
-			if opened != "out" {
+			if f.isEligible(p) {
 				last = time.Since(t)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		death = append(death, last.Seconds()*1000)
+		ejectionMs = append(ejectionMs, last.Seconds()*1000)
 		f.restart(p)
 		f.awaitServing(10 * time.Second)
 	}
-	f.logf("target's death to its bar on the last proxy, ms: %s", spread(death))
+	f.logf("ms from a target's crash until the last proxy ejects it: %s", summarize(ejectionMs))
 	s := f.backends[0]
 	for range rounds {
-		d := f.medianLatency("http://"+s.http, s.service, 300)
-		c := f.medianLatency("http://"+f.proxies[0].listen, s.service, 300)
-		direct, carried, ratio = append(direct, d), append(carried, c), append(ratio, c/d)
+		direct := f.medianLatency("http://"+s.http, s.service, 300)
+		proxied := f.medianLatency("http://"+f.proxies[0].listen, s.service, 300)
+		directMs, proxiedMs, ratios = append(directMs, direct), append(proxiedMs, proxied), append(ratios, proxied/direct)
 	}
-	f.logf("median exchange without work, ms: straight to a back end %s, through a proxy %s, ratio pair by pair %s", spread(direct), spread(carried), spread(ratio))
+	f.logf("median ms of a request without work: directly to a back end %s, through a proxy %s, ratio of each pair %s", summarize(directMs), summarize(proxiedMs), summarize(ratios))
 	return 0
 }
 
-// policies shows what a shipped policy changes on real requests. It is put in
-// force a quarter into the second load, so that the switch itself is seen too.
-func (f *fleet) policies(phase time.Duration) int {
-	bad := 0
-	rec, err := os.Create(f.path("events.jsonl"))
+// comparePolicies loads the fleet with a faulty target, first without and then with the shipped policy for that fault. The
+// policy is put after a quarter of the second load, so that the load also covers the change.
+func (f *fleet) comparePolicies(phase time.Duration) int {
+	failures := 0
+	recording, err := os.Create(f.path("events.jsonl"))
 	if err != nil {
 		fmt.Println(err)
 		return 1
 	}
 	stream := exec.Command(filepath.Join(f.bin, "mfctl"), "stream")
-	stream.Env = append(os.Environ(), "MFCTL_AT="+f.controlAddresses())
-	stream.Stdout = rec
+	stream.Env = append(os.Environ(), "MFCTL_AT="+f.controlHTTPAddresses())
+	stream.Stdout = recording
 	if err := stream.Start(); err != nil {
 		fmt.Println(err)
 		return 1
 	}
-	for _, c := range []struct{ policy, mode string }{{"failing", "fail"}, {"slow", "slow:900ms"}} {
-		for _, with := range []bool{false, true} {
-			f.setMode(f.backends[0], c.mode)
-			if with {
+	for _, c := range []struct{ policy, faultMode string }{{"failing", "fail"}, {"slow", "slow:900ms"}} {
+		for _, withPolicy := range []bool{false, true} {
+			f.setFaultMode(f.backends[0], c.faultMode)
+			if withPolicy {
 				go func() {
 					time.Sleep(phase / 4)
-					out, code := f.ctl(nil, "policy", "put", c.policy, filepath.Join("sample", "policies", c.policy+".json"), "--base", strconv.Itoa(f.revision()))
-					f.logf("put %s: exit code %d %s", c.policy, code, strings.TrimSpace(out))
+					out, code := f.runCtl(nil, "policy", "put", c.policy, filepath.Join("sample", "policies", c.policy+".json"), "--base", strconv.Itoa(f.revision()))
+					f.logf("put policy %s: exit code %d %s", c.policy, code, strings.TrimSpace(out))
 				}()
 			}
 			out, _ := exec.Command(filepath.Join(f.bin, "mfload"), f.loadArgs(f.deployment.Rate, phase)...).Output()
@@ -95,23 +96,23 @@
 				Ms                                       map[string]float64 `json:"latency_ms"`
 			}
 			json.Unmarshal(out, &rep)
-			bad += rep.Wrong + rep.Twice + rep.NoAnswer
-			f.logf("%s is '%s', policy %s in force %v: offered %d, served %d, failed %d, refused %d, no answer %d, p50 %.0f p99 %.0f ms", f.backends[0].name, c.mode, c.policy, with,
+			failures += rep.Wrong + rep.Twice + rep.NoAnswer
+			f.logf("%s has fault mode %s, with policy %s: %v; offered %d, served %d, failed %d, refused %d, no answer %d, p50 %.0f p99 %.0f ms", f.backends[0].name, c.faultMode, c.policy, withPolicy,
 				rep.Offered, rep.Served, rep.Unknown, rep.Refused, rep.NoAnswer, rep.Ms["p50"], rep.Ms["p99"])
 		}
-		f.setMode(f.backends[0], "ok")
-		f.ctl(nil, "policy", "remove", c.policy, "--base", strconv.Itoa(f.revision()))
+		f.setFaultMode(f.backends[0], "ok")
+		f.runCtl(nil, "policy", "remove", c.policy, "--base", strconv.Itoa(f.revision()))
 	}
 	stream.Process.Signal(syscall.SIGTERM)
 	stream.Wait()
-	rec.Close()
+	recording.Close()
 	files, _ := filepath.Glob("sample/policies/*.json")
-	out, code := f.ctl(nil, append([]string{"policy", "compare", "--events", f.path("events.jsonl")}, files...)...)
+	out, code := f.runCtl(nil, append([]string{"policy", "compare", "--events", f.path("events.jsonl")}, files...)...)
 	fmt.Print(out)
-	return min(bad+code, 1)
+	return min(failures+code, 1)
 }
 
-// loadReport is what mfload prints of one load.
+// loadReport is the part of mfload's report that is printed.
 type loadReport struct {
 	Offered, Served, Refused, Unknown int
 	Goodput                           float64            `json:"goodput_per_s"`
@@ -126,8 +127,8 @@
 	} `json:"groups"`
 }
 
-// printLoad runs one load and prints a row of what came of it.
-func (f *fleet) printLoad(rate float64, phase time.Duration) error {
+// runLoad runs mfload with a rate in requests per second and prints its results as a row. It returns mfload's error.
+func (f *fleet) runLoad(rate float64, phase time.Duration) error {
 	out, err := exec.Command(filepath.Join(f.bin, "mfload"), f.loadArgs(rate, phase)...).Output()
 	var report loadReport
 	json.Unmarshal(out, &report)
@@ -135,20 +136,21 @@
 		report.Ms["p50"], report.Ms["p99"], report.Refusal, report.RetryAfter)
 	for _, name := range []string{"polite", "at_once"} {
 		group := report.Groups[name]
-		f.logf("%26s: %d user agents asked %d times, %d served, p50 %.0f p99 %.0f ms", name, group.Agents, group.Asked, group.Served, group.Ms["p50"], group.Ms["p99"])
+		f.logf("%26s: %d clients sent %d requests, %d clients were served, p50 %.0f p99 %.0f ms", name, group.Agents, group.Asked, group.Served, group.Ms["p50"], group.Ms["p99"])
 	}
 	return err
 }
 
-// warmingRequestsMax is how many requests at once a warming target may get at the most: its cap, and one that is on its way.
+// warmingRequestsMax is the allowed number of concurrent requests at a target in the state warming: its cap of 1, and one
+// request that is already on its way.
 const warmingRequestsMax = 2
 
-// overload shows goodput, rejections and recovery as demand goes past what the fleet can serve, and what reaches
-// targets that come back while they warm up.
-func (f *fleet) overload(phase time.Duration) int {
+// runOverload prints goodput and rejections while the load rises above the fleet's capacity and falls again. Then it restarts
+// all back ends under load and checks that those in the state warming get few concurrent requests.
+func (f *fleet) runOverload(phase time.Duration) int {
 	failures := 0
 	load := func(rate float64) {
-		if f.printLoad(rate, phase) != nil {
+		if f.runLoad(rate, phase) != nil {
 			failures++
 		}
 	}
@@ -156,7 +158,7 @@
 	for _, part := range []float64{0.5, 0.9, 1, 2, 0.5} {
 		load(f.deployment.Rate * part)
 	}
-	f.logf("the whole service restarts cold under its full rate; each target bears 1 exchange while it warms")
+	f.logf("all back ends of the service restart under its full rate; each takes 1 concurrent request while it is warming")
 	restarted := make(chan struct{})
 	go func() {
 		time.Sleep(phase / 4)
@@ -165,24 +167,24 @@
 	}()
 	load(f.deployment.Rate)
 	<-restarted
-	most := int64(0)
+	highest := int64(0)
 	for _, entry := range f.requestLog() {
 		if entry.State == wire.TargetWarming {
-			most = max(most, entry.RequestsInFlight)
+			highest = max(highest, entry.RequestsInFlight)
 		}
 	}
-	f.logf("most exchanges at once at a warming target: %d", most)
+	f.logf("highest number of concurrent requests at a warming target: %d", highest)
 	if f.routes {
 		f.checkWarmupRate()
-		failures += f.violations["cold rate"]
+		failures += f.violations[ruleWarmupRate]
 	}
-	if most > warmingRequestsMax {
+	if highest > warmingRequestsMax {
 		failures++
 	}
 	return min(failures, 1)
 }
 
-// restartService kills all back ends and starts them again, warming up.
+// restartService kills all back ends and starts them again in the state warming.
 func (f *fleet) restartService() {
 	for i, p := range f.backends {
 		p.kill()
@@ -191,32 +193,33 @@
 	}
 }
 
-// choiceOf says whether any proxy would still choose a target: "in" or "out".
-func (f *fleet) choiceOf(target *process) string {
+// isEligible reports whether any proxy lists a target as not ejected.
+func (f *fleet) isEligible(target *process) bool {
 	for _, g := range f.proxies {
 		var v struct {
 			Targets []struct {
-				Service, Name string
-				BarMs         int64 `json:"bar_left_ms"`
-				OwnBarMs      int64 `json:"own_bar_left_ms"`
+				Service, Name     string
+				EjectionLeftMs    int64 `json:"bar_left_ms"`
+				OwnEjectionLeftMs int64 `json:"own_bar_left_ms"`
 			}
 		}
-		_, b := get("http://" + g.http + "/v1/status")
+		_, b := httpGet("http://" + g.http + "/v1/status")
 		json.Unmarshal(b, &v)
 		for _, t := range v.Targets {
-			if t.Name == target.name && t.BarMs == 0 && t.OwnBarMs == 0 {
-				return "in"
+			if t.Name == target.name && t.EjectionLeftMs == 0 && t.OwnEjectionLeftMs == 0 {
+				return true
 			}
 		}
 	}
-	return "out"
+	return false
 }
 
-func (f *fleet) medianLatency(base, svc string, count int) float64 {
+// medianLatency sends requests without work to a service, one after the other, and returns the median latency in ms.
+func (f *fleet) medianLatency(base, service string, count int) float64 {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 	var ms []float64
 	for range count {
-		req, _ := http.NewRequest("GET", base+"/"+svc+"/x", nil)
+		req, _ := http.NewRequest("GET", base+"/"+service+"/x", nil)
 		req.Header.Set("Stub-Work-Ms", "0")
 		t := time.Now()
 		resp, err := client.Do(req)
@@ -231,7 +234,8 @@
 	return ms[len(ms)/2]
 }
 
-func spread(values []float64) string {
+// summarize formats the median, minimum and maximum of some values.
+func summarize(values []float64) string {
 	s := slices.Clone(values)
 	slices.Sort(s)
 	return fmt.Sprintf("median %.2f (min %.2f, max %.2f, n %d)", s[len(s)/2], s[0], s[len(s)-1], len(s))
--- a/cmd/mfchaos/net.go
+++ b/cmd/mfchaos/net.go
@@ -1,8 +1,7 @@
-// This file is the fleet's network: a relay before each address that daemons and back
-// ends tell the others, which can hold back what one machine sends another, or delay
-// all. What is held back arrives when the cut ends, as late as it then is; that is
-// harder on the fleet than losing it. Machines are told apart by the addresses that
-// their connections leave from, so no privileges are needed.
+// This file simulates network partitions and delays. Every address that a daemon or back end advertises belongs to a
+// relay, which can hold back the data that one machine sends to another, or delay all data. Held-back data is delivered
+// when the cut ends, however late that is: late messages are a harder test for the fleet than lost ones. The relays
+// identify machines by the source addresses of their connections, so no privileges are needed.
 
 package main
 
@@ -16,9 +15,10 @@
 	"time"
 )
 
+// network is the cuts and the delay that the fleet's relays apply.
 type network struct {
-	cuts  atomic.Pointer[map[[2]string]bool] // from machine, to machine; replaced, never changed
-	delay atomic.Int64
+	cuts  atomic.Pointer[map[[2]string]bool] // pairs of sending and receiving machine; the map is replaced, never modified
+	delay atomic.Int64                       // added to each read, in ns; 0: none
 }
 
 func hostOf(addr string) string {
@@ -26,29 +26,39 @@
 	return h
 }
 
-// machineOf is an address's machine, whichever of its addresses it is.
-func machineOf(addr string) string { return strings.TrimPrefix(boundAt(hostOf(addr)), addresses.bound) }
+// machineOf returns the part of an address that identifies its machine; it is the same for bind and relay addresses.
+func machineOf(addr string) string {
+	return strings.TrimPrefix(bindAddressOf(hostOf(addr)), prefixes.bind)
+}
+
+// relayAddressOf returns the relay address in front of a bind address.
+func relayAddressOf(addr string) string {
+	return strings.Replace(addr, prefixes.bind, prefixes.relay, 1)
+}
 
-func reachedAt(addr string) string {
-	return strings.Replace(addr, addresses.bound, addresses.reached, 1)
+// bindAddressOf returns the bind address behind a relay address.
+func bindAddressOf(addr string) string {
+	return strings.Replace(addr, prefixes.relay, prefixes.bind, 1)
 }
-func boundAt(addr string) string { return strings.Replace(addr, addresses.reached, addresses.bound, 1) }
 
-// defaultNetwork is the second number of a fleet's loopback addresses unless the command line gives another.
-const defaultNetwork = 20
+// defaultLoopbackNetwork is the default second octet of the fleet's bind addresses.
+const defaultLoopbackNetwork = 20
 
-// addresses are the beginnings of this lab's loopback addresses: those at which its machines listen, and those at which the others
-// reach them. They are set once, before anything runs; labs with different ones run side by side.
-var addresses = prefixesOf(defaultNetwork)
+// prefixes are the address prefixes of this fleet. They are set once, before anything is started. Fleets with different
+// prefixes can run side by side.
+var prefixes = addressPrefixesOf(defaultLoopbackNetwork)
 
-// addressPrefixes are two beginnings of loopback addresses.
-type addressPrefixes struct{ bound, reached string }
+// addressPrefixes are the prefixes of the loopback addresses on which machines listen (bind) and at which the other machines
+// reach them (relay).
+type addressPrefixes struct{ bind, relay string }
 
-func prefixesOf(net int) addressPrefixes {
+// addressPrefixesOf returns the prefixes for a second octet; the relay addresses use the next one.
+func addressPrefixesOf(net int) addressPrefixes {
 	return addressPrefixes{fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+1)}
 }
 
-// directedPairs are the ways between two groups of machines.
+// directedPairs returns the pairs of sending and receiving machine between two groups: from a to b if out is set, from b to
+// a if back is set.
 func directedPairs(a, b []*process, out, back bool) map[[2]string]bool {
 	m := map[[2]string]bool{}
 	for _, x := range a {
@@ -65,15 +75,16 @@
 	return m
 }
 
-func (f *network) set(cuts map[[2]string]bool) { f.cuts.Store(&cuts) }
+// setCuts replaces all cuts; nil heals the network.
+func (n *network) setCuts(cuts map[[2]string]bool) { n.cuts.Store(&cuts) }
 
-func (f *network) isCut(from, to string) bool {
-	m := f.cuts.Load()
+func (n *network) isCut(from, to string) bool {
+	m := n.cuts.Load()
 	return m != nil && (*m)[[2]string{from, to}]
 }
 
-// relay takes connections at one address and passes them on to another.
-func (f *network) relay(at, to string) error {
+// relay accepts connections at one address and forwards them to another until the process ends.
+func (n *network) relay(at, to string) error {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		return err
@@ -84,39 +95,40 @@
 			if err != nil {
 				return
 			}
-			go f.forward(c, to)
+			go n.forward(c, to)
 		}
 	}()
 	return nil
 }
 
-func (f *network) forward(caller net.Conn, address string) {
+// forward connects a caller's connection with an address, once the network between the two machines is not cut.
+func (n *network) forward(caller net.Conn, address string) {
 	defer caller.Close()
 	src, dst := machineOf(caller.RemoteAddr().String()), machineOf(address)
-	for f.isCut(src, dst) || f.isCut(dst, src) { // a handshake needs both ways
+	for n.isCut(src, dst) || n.isCut(dst, src) { // a TCP handshake needs both directions
 		time.Sleep(5 * time.Millisecond)
 	}
 	d, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
-		caller.(*net.TCPConn).SetLinger(0) // refused there is refused here
+		caller.(*net.TCPConn).SetLinger(0) // closes with a reset, so that the caller sees an error
 		return
 	}
 	defer d.Close()
 	done := make(chan bool, 2)
-	go func() { f.copyOneWay(caller, d, src, dst); done <- true }()
-	go func() { f.copyOneWay(d, caller, dst, src); done <- true }()
+	go func() { n.copyStream(caller, d, src, dst); done <- true }()
+	go func() { n.copyStream(d, caller, dst, src); done <- true }()
 	<-done
 }
 
-// copyOneWay copies one way.
-func (f *network) copyOneWay(source, destination net.Conn, src, dst string) {
+// copyStream copies one direction of a connection, which cuts and delays hold back.
+func (n *network) copyStream(source, destination net.Conn, src, dst string) {
 	buffer := make([]byte, 64<<10)
 	for {
 		count, err := source.Read(buffer)
-		for f.isCut(src, dst) {
+		for n.isCut(src, dst) {
 			time.Sleep(5 * time.Millisecond)
 		}
-		if d := f.delay.Load(); d > 0 {
+		if d := n.delay.Load(); d > 0 {
 			time.Sleep(time.Duration(d))
 		}
 		if count > 0 {
--- a/cmd/mfchaos/operator.go
+++ b/cmd/mfchaos/operator.go
@@ -1,4 +1,4 @@
-// This file is the operator's side of a fleet: mfctl, the configuration and who leads.
+// This file runs operators' commands on a fleet: mfctl, configuration changes and the query for the leader.
 
 package main
 
@@ -16,10 +16,10 @@
 	"myrtlefold/internal/shared/config"
 )
 
-// readConfig reads the configuration from a file or (without a name) the deployment's sample.
+// readConfig reads the configuration from a file, or the deployment's sample if the name is empty.
 func (f *fleet) readConfig(file string) error {
 	if file == "" {
-		file = strings.Replace(f.name, "small", "kelani", 1)
+		file = strings.Replace(f.deploymentName, "small", "kelani", 1)
 		if f.routes {
 			file += "-routes"
 		}
@@ -29,14 +29,14 @@
 	if err != nil {
 		return err
 	}
-	if f.config, err = config.WithoutRevision(doc); err != nil { // it is put again and again
+	if f.config, err = config.WithoutRevision(doc); err != nil { // it is put several times, each time on another revision
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	return nil
 }
 
-// controlAddresses is the members' addresses for mfctl.
-func (f *fleet) controlAddresses() string {
+// controlHTTPAddresses returns the control daemons' HTTP addresses in the form that mfctl takes.
+func (f *fleet) controlHTTPAddresses() string {
 	var a []string
 	for _, c := range f.controls {
 		a = append(a, c.http)
@@ -44,17 +44,17 @@
 	return strings.Join(a, ",")
 }
 
-// ctl runs the operators' command as an operator would.
-func (f *fleet) ctl(in []byte, args ...string) (string, int) {
+// runCtl runs mfctl with an input, and returns its output and exit code.
+func (f *fleet) runCtl(input []byte, args ...string) (string, int) {
 	c := exec.Command(filepath.Join(f.bin, "mfctl"), args...)
-	c.Env = append(os.Environ(), "MFCTL_AT="+f.controlAddresses())
-	c.Stdin = bytes.NewReader(in)
+	c.Env = append(os.Environ(), "MFCTL_AT="+f.controlHTTPAddresses())
+	c.Stdin = bytes.NewReader(input)
 	out, _ := c.CombinedOutput()
 	return string(out), c.ProcessState.ExitCode()
 }
 
-// configure puts the configuration in force.
-func (f *fleet) configure(within time.Duration) error {
+// putInitialConfig puts the configuration until it is accepted, or a timeout is over.
+func (f *fleet) putInitialConfig(within time.Duration) error {
 	end := time.Now().Add(within)
 	for {
 		out, code := f.putConfig(f.config, max(0, f.revision()), "--wait", "3s")
@@ -62,19 +62,19 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("no configuration in %v: %s", within, out)
+			return fmt.Errorf("configuration not accepted within %v: %s", within, out)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// leader is the member that leads now, nil: none does.
+// leader returns the control daemon that reports itself as the leader, or nil if none does.
 func (f *fleet) leader() *process {
 	for _, c := range f.controls {
 		if c.stopped || c.frozen {
 			continue
 		}
-		_, b := get("http://" + c.http + "/v1/status")
+		_, b := httpGet("http://" + c.http + "/v1/status")
 		var v struct{ Lead string }
 		if json.Unmarshal(b, &v) == nil && v.Lead == "deciding" {
 			return c
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// put puts the configuration once more by the API itself.
-func (f *fleet) put(base int) (int, error) {
+// putOverHTTP puts the configuration by the leader's HTTP API and returns the status.
+func (f *fleet) putOverHTTP(base int) (int, error) {
 	req, _ := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/v1/config?base=%d", f.leader().http, base), bytes.NewReader(f.config))
 	resp, err := (&http.Client{Timeout: 10 * time.Second}).Do(req)
 	if err != nil {
--- a/cmd/mfchaos/process.go
+++ b/cmd/mfchaos/process.go
@@ -1,4 +1,4 @@
-// This file is a process of the fleet: its start, its signals and its end.
+// This file starts, signals and stops one process of the fleet.
 
 package main
 
@@ -12,28 +12,30 @@
 	"time"
 )
 
-// Programs of a fleet.
+// Programs of a fleet; also the kinds of its processes.
 const (
 	controlProgram = "mfcontrol"
 	proxyProgram   = "mfproxy"
 	backendProgram = "mfbackend"
 )
 
-// process is a process of the fleet.
+// process is a daemon or back end of the fleet.
 type process struct {
-	name, domain       string
-	kind               string // one of the programs
-	program            string // path of its program, "": that of its kind
-	args               []string
-	cmd                *exec.Cmd
-	addr, http, listen string
-	bind               string // where it listens; the others reach it at addr, through a relay
-	service            string
-	frozen             bool
-	stopped            bool
+	name, domain string
+	kind         string // controlProgram, proxyProgram or backendProgram
+	program      string // path of the program; "": the one of its kind in the fleet's bin directory
+	args         []string
+	cmd          *exec.Cmd
+	addr         string // advertised address: a relay in front of bind
+	bind         string // address on which it listens
+	http         string // address of its HTTP API
+	listen       string // address for callers; proxies only
+	service      string // back ends only
+	frozen       bool   // suspended; not set by the present faults, which resume a process before they end
+	stopped      bool   // it has ended and was waited for
 }
 
-// startProcess starts a process, which ends with this one.
+// startProcess starts a process and appends its output to its log. The kernel kills it when this process dies.
 func (f *fleet) startProcess(p *process) error {
 	logFile, err := os.OpenFile(f.path("log", p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -56,6 +58,7 @@
 	}
 }
 
+// kill ends a process by SIGKILL and waits for it.
 func (p *process) kill() {
 	if !p.stopped {
 		p.signal(syscall.SIGKILL)
@@ -64,8 +67,8 @@
 	}
 }
 
-// stop ends a process by SIGTERM and returns how long that took and how it ended.
-func (p *process) stop(bound time.Duration) (time.Duration, error) {
+// stop ends a process by SIGTERM, or by SIGKILL after a timeout. It returns how long that took and the process's exit error.
+func (p *process) stop(timeout time.Duration) (time.Duration, error) {
 	t := time.Now()
 	p.signal(syscall.SIGTERM)
 	done := make(chan error, 1)
@@ -74,10 +77,10 @@
 	case err := <-done:
 		p.stopped = true
 		return time.Since(t), err
-	case <-time.After(bound):
+	case <-time.After(timeout):
 		p.cmd.Process.Kill()
 		<-done
 		p.stopped = true
-		return bound, fmt.Errorf("%s did not stop in %v", p.name, bound)
+		return timeout, fmt.Errorf("%s did not stop within %v of SIGTERM", p.name, timeout)
 	}
 }
--- a/cmd/mfchaos/requestlog.go
+++ b/cmd/mfchaos/requestlog.go
@@ -9,7 +9,7 @@
 	var entries []requestlog.Entry
 	err := requestlog.ReadAll(f.path("ledger"), func(entry requestlog.Entry) { entries = append(entries, entry) })
 	if err != nil {
-		f.violation("lab", "%v", err)
+		f.recordViolation(ruleTestEnvironment, "%v", err)
 	}
 	return entries
 }
--- a/cmd/mfchaos/script.go
+++ b/cmd/mfchaos/script.go
@@ -1,4 +1,4 @@
-// This file plays a seeded script of faults under load.
+// This file injects random faults from a seed into a fleet under load.
 
 package main
 
@@ -13,28 +13,29 @@
 	"time"
 )
 
-func (f *fleet) loadArgs(rate float64, d time.Duration) []string {
-	mix := strings.Replace(f.name, "small", "kelani", 1)
-	if f.name == "press" {
+// loadArgs returns the arguments of mfload for a rate in requests per second and a duration.
+func (f *fleet) loadArgs(rate float64, duration time.Duration) []string {
+	mix := strings.Replace(f.deploymentName, "small", "kelani", 1)
+	if f.deploymentName == "press" {
 		mix = filepath.Join("sample", "press-mix.json")
 	}
-	a := []string{"--mix", mix, "--rate", fmt.Sprint(rate), "--for", d.String(), "--ledgers", f.path("ledger"), "-o", "json"}
+	args := []string{"--mix", mix, "--rate", fmt.Sprint(rate), "--for", duration.String(), "--ledgers", f.path("ledger"), "-o", "json"}
 	for _, g := range f.proxies {
-		a = append(a, "--gate", g.listen+"="+g.http)
+		args = append(args, "--gate", g.listen+"="+g.http)
 	}
-	return a
+	return args
 }
 
-// runScript loads and breaks the fleet and returns the exit code.
-func (f *fleet) runScript(seed uint64, dur time.Duration, rate float64, gap time.Duration, only []string, wipe bool) int {
-	f.random = rand.New(rand.NewPCG(seed, 2))
-	f.logf("fleet %s is up: %d cores, %d proxies, %d targets", f.name, len(f.controls), len(f.proxies), len(f.backends))
+// runScript injects faults into the fleet under load, checks the rules and returns the exit code.
+func (f *fleet) runScript(opts *options) int {
+	f.random = rand.New(rand.NewPCG(opts.seed, 2))
+	f.logf("fleet %s serves: %d control daemons, %d proxies, %d targets", f.deploymentName, len(f.controls), len(f.proxies), len(f.backends))
 	kinds := faults
-	if len(only) > 0 {
-		kinds = slices.DeleteFunc(slices.Clone(faults), func(f fault) bool { return !slices.Contains(only, f.name) })
+	if len(opts.onlyFaults) > 0 {
+		kinds = slices.DeleteFunc(slices.Clone(faults), func(known fault) bool { return !slices.Contains(opts.onlyFaults, known.name) })
 	}
 	if len(kinds) == 0 {
-		fmt.Println("no such fault; there are:")
+		fmt.Println("mfchaos: unknown fault; the faults are:")
 		for _, fault := range faults {
 			fmt.Println(" ", fault.name)
 		}
@@ -45,27 +46,27 @@
 		fmt.Println(err)
 		return 1
 	}
-	load := exec.Command(filepath.Join(f.bin, "mfload"), f.loadArgs(rate, dur)...)
+	load := exec.Command(filepath.Join(f.bin, "mfload"), f.loadArgs(opts.rate, opts.span)...)
 	load.Stdout, load.Stderr = out, os.Stderr
 	if err := load.Start(); err != nil {
 		fmt.Println(err)
 		return 1
 	}
-	end := time.Now().Add(dur - 6*time.Second)
+	end := time.Now().Add(opts.span - 6*time.Second)
 	for time.Now().Before(end) {
 		fault := kinds[f.random.IntN(len(kinds))]
 		f.faults = append(f.faults, fault.name)
 		fault.inject(f)
-		time.Sleep(min(time.Duration(f.random.ExpFloat64()*float64(gap)), 3*gap, max(0, time.Until(end))))
+		time.Sleep(min(time.Duration(f.random.ExpFloat64()*float64(opts.meanGap)), 3*opts.meanGap, max(0, time.Until(end))))
 	}
 	load.Wait()
 	out.Close()
 	if err := f.awaitServing(15 * time.Second); err != nil {
-		f.violation("back in 15 s", "%v", err)
+		f.recordViolation(ruleRecoveryTime, "%v", err)
 	}
 	f.checkHistory()
-	if wipe {
-		f.loseEverything()
+	if opts.wipeAtEnd {
+		f.loseAllState()
 	}
-	return f.verdict(seed)
+	return f.printVerdict(opts.seed)
 }
--- a/cmd/mfchaos/soak.go
+++ b/cmd/mfchaos/soak.go
@@ -1,5 +1,5 @@
-// This file is the soak: a fleet under planned work that comes in series and overlaps, with callers that keep
-// their connections and use them until a proxy's process is gone. It prints what broke, by seed.
+// This file runs the soak test: daemons and back ends are stopped and reconfigured at overlapping times, while callers keep
+// their connections and use them until the proxy closes them. Everything random is drawn from a seed.
 
 package main
 
@@ -14,68 +14,69 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// soakOptions are the flags of the soak.
+// soakOptions are the flags of command soak.
 type soakOptions struct {
 	seed     uint64
-	span     time.Duration
-	grace    time.Duration
+	span     time.Duration // of the script
+	grace    time.Duration // from SIGTERM until a process is killed
 	proxies  int
 	controls int
-	targets  int
+	targets  int // back ends of both services together
 	callers  int
-	faults   bool
+	faults   bool // also kill daemons and delete data
 }
 
+// bind declares the flags.
 func (o *soakOptions) bind(command *kingpin.CmdClause) {
 	command.Flag("seed", "seed of the script and the callers").Default("1").Uint64Var(&o.seed)
-	command.Flag("for", "how long the script lasts").Default("30s").DurationVar(&o.span)
-	command.Flag("grace", "how long after SIGTERM a process is ended by force").Default("6s").DurationVar(&o.grace)
+	command.Flag("for", "duration of the script").Default("30s").DurationVar(&o.span)
+	command.Flag("grace", "time from SIGTERM until a process is killed").Default("6s").DurationVar(&o.grace)
 	command.Flag("proxies", "proxy daemons").Default("5").IntVar(&o.proxies)
 	command.Flag("cores", "control daemons").Default("3").IntVar(&o.controls)
 	command.Flag("targets", "back ends").Default("15").IntVar(&o.targets)
-	command.Flag("callers", "connections that callers keep").Default("100").IntVar(&o.callers)
-	command.Flag("faults", "also kill daemons and lose disks").BoolVar(&o.faults)
+	command.Flag("callers", "callers, with one connection each").Default("100").IntVar(&o.callers)
+	command.Flag("faults", "also kill daemons and delete their data").BoolVar(&o.faults)
 }
 
-// deployment is the fleet of a soak: a third of the back ends serve readings, the others records.
+// deployment returns the fleet of a soak: a third of the back ends belong to service monitoring, the others to records.
 func (o *soakOptions) deployment() Deployment {
 	monitoring := max(1, o.targets/3)
 	return Deployment{Controls: o.controls, Proxies: o.proxies, Domains: []string{"hill", "port", "coast"}, Services: []Service{
 		{"records", max(1, o.targets-monitoring), "250ms", 6, "0s"}, {"monitoring", monitoring, "90ms", 6, "0s"}}}
 }
 
-// soak is one run.
+// soak is one run of a soak or an upgrade.
 type soak struct {
 	*fleet
 	options   *soakOptions
-	startedAt time.Time
+	startedAt time.Time // of the script and the callers; the fleet started earlier
 	log       eventLog
 }
 
-// runSoak plays one seed on a fleet that is up, and returns the exit code.
+// runSoak runs a soak on a fleet that serves, and returns the exit code.
 func (f *fleet) runSoak(o *soakOptions) int {
 	s := &soak{fleet: f, options: o, startedAt: time.Now(), log: newEventLog()}
-	f.logf("soak %d: %d cores, %d proxies, %d targets, %d callers", o.seed, len(f.controls), len(f.proxies), len(f.backends), o.callers)
+	f.logf("soak %d: %d control daemons, %d proxies, %d targets, %d callers", o.seed, len(f.controls), len(f.proxies), len(f.backends), o.callers)
 	callers := s.startCallers()
-	operator := s.playScript()
+	operator := s.runSoakScript()
 	outcomes := callers.finish()
 	operator.checkAfterLoss()
 	return s.report(outcomes)
 }
 
-// random is a source of its own for each part of a run, so that one part's draws move no other's.
+// random returns a separate random source for each part of a run, so that the draws of one part don't change those of another.
 func (o *soakOptions) random(part uint64) *rand.Rand { return rand.New(rand.NewPCG(o.seed, part)) }
 
-// report prints what the callers saw and what broke.
-func (s *soak) report(outcomes []soakOutcome) int {
+// report checks the callers' outcomes, prints their counts and the violations, and returns the exit code.
+func (s *soak) report(outcomes []requestOutcome) int {
 	ran := s.countRuns()
-	counts := map[string]int{}
+	counts := map[outcomeClass]int{}
 	for i := range outcomes {
 		counts[s.classify(&outcomes[i], ran)]++
 	}
-	s.checkLedgers(outcomes, ran)
-	fmt.Printf("\nsoak seed %d: %d requests, %v; %d stops, %d hangups, %d changes acknowledged, %d orders unanswered, %d kills\n",
-		s.options.seed, len(outcomes), counts, s.log.count(eventStop), s.log.count(eventHangup), s.log.count(eventChange), s.log.count(eventUnanswered), s.log.count(eventKill))
+	s.checkRequestLogs(outcomes, ran)
+	fmt.Printf("\nsoak seed %d: %d requests, %v; %d stops, %d SIGHUPs, %d changes acknowledged, %d calls without a conclusive reply, %d kills\n",
+		s.options.seed, len(outcomes), counts, s.log.count(eventStop), s.log.count(eventSIGHUP), s.log.count(eventChange), s.log.count(eventUnanswered), s.log.count(eventKill))
 	if len(s.violations) == 0 {
 		fmt.Println("  all rules held")
 		return 0
@@ -83,6 +84,6 @@
 	for _, rule := range slices.Sorted(maps.Keys(s.violations)) {
 		fmt.Printf("  %-22s BROKEN %d times\n", rule, s.violations[rule])
 	}
-	fmt.Fprintf(os.Stderr, "soak %d: logs and ledgers stand in %s\n", s.options.seed, s.dir)
+	fmt.Fprintf(os.Stderr, "soak %d: logs and request logs are in %s\n", s.options.seed, s.dir)
 	return 1
 }
--- a/cmd/mfchaos/soak_callers.go
+++ b/cmd/mfchaos/soak_callers.go
@@ -1,5 +1,5 @@
-// This file is a soak's callers. Each keeps one connection, rests on it for up to seconds between requests, and uses
-// it until the other side closes it, whether proxies are ready or not.
+// This file is the callers of a soak. Each keeps one connection open, leaves it idle for up to seconds between requests and
+// uses it until the proxy closes it, whether or not the proxy is ready.
 
 package main
 
@@ -22,78 +22,78 @@
 )
 
 const (
-	soakDeadline   = 3 * time.Second        // that callers give
-	soakRestMost   = 4 * time.Second        // between two requests of a connection
-	soakReadyEvery = 300 * time.Millisecond // how often callers hear which proxies are ready
-	soakPipeline   = 3                      // requests at once of a caller that pipelines
+	requestDeadline      = 3 * time.Second        // deadline that callers send with each request
+	callerPauseMax       = 4 * time.Second        // longest pause between two requests on a connection
+	readyPollInterval    = 300 * time.Millisecond // interval between two queries of which proxies are ready
+	pipelinedRequestsMax = 3                      // most requests that a pipelining caller sends at once
 )
 
-// soakKind is a sort of request.
-type soakKind struct {
+// requestKind is a kind of request.
+type requestKind struct {
 	method, path, service string
-	once                  bool
-	body                  int
+	once                  bool          // it must not run more than once
+	body                  int           // bytes
 	timeout               time.Duration // of its route in the sample configuration
 }
 
-var soakKinds = []soakKind{
+var requestKinds = []requestKind{
 	{http.MethodGet, "/records/history/day", "records", false, 0, 4 * time.Second},
 	{http.MethodPost, "/records/alarms/ack", "records", true, 400, 4 * time.Second},
 	{http.MethodPost, "/records/certificates", "records", true, 30000, 4 * time.Second},
 	{http.MethodGet, "/monitoring/probes", "monitoring", false, 0, 2 * time.Second},
 }
 
-// soakOutcome is what became of one request.
-type soakOutcome struct {
+// requestOutcome is the outcome of one request.
+type requestOutcome struct {
 	id         string
-	kind       *soakKind
-	proxy      string
-	pipelined  bool      // it was sent behind another on its connection
+	kind       *requestKind
+	proxy      string    // name
+	pipelined  bool      // sent on its connection before an earlier request was answered
 	sentAt     time.Time // when its last byte was written
 	finishedAt time.Time
 	status     int           // 0: there was no complete response
 	notWritten bool          // it was not written completely
-	wrong      string        // what is wrong with the answer
-	notRun     bool          // it was answered that it did not run
-	unknownRun bool          // it was answered that it may have run, by the proxy
-	retryAfter time.Duration // when to come back, as a refusal says
+	mismatch   string        // why the response does not belong to the request; "": it does
+	notRun     bool          // the response says that it did not run
+	mayHaveRun bool          // the proxy responded that it may have run
+	retryAfter time.Duration // from the header Retry-After, at most callerPauseMax
 }
 
-// soakCallers are all callers of a run.
+// soakCallers is all callers of a run.
 type soakCallers struct {
 	soak     *soak
-	ready    atomic.Pointer[[]*process]
-	stop     chan struct{}
+	ready    atomic.Pointer[[]*process] // proxies that are ready, or all if none is
+	stop     chan struct{}              // closed at the end of the run
 	running  sync.WaitGroup
-	outcomes chan []soakOutcome
+	outcomes chan []requestOutcome
 }
 
-// startCallers lets the callers begin.
+// startCallers starts the callers.
 func (s *soak) startCallers() *soakCallers {
-	c := &soakCallers{soak: s, stop: make(chan struct{}), outcomes: make(chan []soakOutcome, s.options.callers)}
+	c := &soakCallers{soak: s, stop: make(chan struct{}), outcomes: make(chan []requestOutcome, s.options.callers)}
 	c.refreshReady()
-	c.running.Go(c.watch)
+	c.running.Go(c.pollReady)
 	for i := range s.options.callers {
-		c.running.Go(func() { c.outcomes <- c.call(i, s.options.random(1000+uint64(i))) })
+		c.running.Go(func() { c.outcomes <- c.runCaller(i, s.options.random(1000+uint64(i))) })
 	}
 	return c
 }
 
-// finish has the callers end and returns what became of their requests.
-func (c *soakCallers) finish() []soakOutcome {
+// finish stops the callers and returns the outcomes of their requests.
+func (c *soakCallers) finish() []requestOutcome {
 	close(c.stop)
 	c.running.Wait()
 	close(c.outcomes)
-	var all []soakOutcome
+	var all []requestOutcome
 	for outcomes := range c.outcomes {
 		all = append(all, outcomes...)
 	}
 	return all
 }
 
-// watch keeps the list of proxies that are ready, as the platform would.
-func (c *soakCallers) watch() {
-	look := time.NewTicker(soakReadyEvery)
+// pollReady keeps the list of ready proxies current, like the platform's load balancer.
+func (c *soakCallers) pollReady() {
+	look := time.NewTicker(readyPollInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -105,12 +105,13 @@
 	}
 }
 
+// refreshReady asks all proxies whether they are ready and stores the list.
 func (c *soakCallers) refreshReady() {
 	ready := make([]*process, len(c.soak.proxies))
 	var asked sync.WaitGroup
 	for i, g := range c.soak.proxies {
 		asked.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), soakReadyEvery)
+			ctx, cancel := context.WithTimeout(context.Background(), readyPollInterval)
 			defer cancel()
 			request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.http+"/ready", nil)
 			if err != nil {
@@ -134,32 +135,33 @@
 	c.ready.Store(&ready)
 }
 
-// call is one caller: it opens connections until the run ends, and uses each until it is closed. A part of the
-// callers stays with one proxy, ready or not; a part pipelines.
-func (c *soakCallers) call(number int, rnd *rand.Rand) []soakOutcome {
-	var outcomes []soakOutcome
-	loyal := number%4 == 0
+// runCaller runs one caller: it opens connections until the run ends, and uses each until it is closed. Every fourth caller
+// keeps to one proxy, ready or not; every fifth pipelines requests.
+func (c *soakCallers) runCaller(number int, rnd *rand.Rand) []requestOutcome {
+	var outcomes []requestOutcome
+	keepsProxy := number%4 == 0
 	pipelines := number%5 == 0
-	home := c.soak.proxies[rnd.IntN(len(c.soak.proxies))]
+	assigned := c.soak.proxies[rnd.IntN(len(c.soak.proxies))]
 	for round := 0; !c.isStopped(); round++ {
-		to := home
-		if ready := *c.ready.Load(); !loyal {
+		to := assigned
+		if ready := *c.ready.Load(); !keepsProxy {
 			to = ready[rnd.IntN(len(ready))]
 		}
 		conn, err := net.DialTimeout("tcp", to.listen, time.Second)
 		if err != nil {
-			c.rest(time.Duration(20+rnd.IntN(80)) * time.Millisecond)
+			c.sleep(time.Duration(20+rnd.IntN(80)) * time.Millisecond)
 			continue
 		}
-		k := &soakConnection{callers: c, conn: conn, reader: bufio.NewReader(conn), proxy: to.name, random: rnd, pipelines: pipelines,
+		k := &callerConnection{callers: c, conn: conn, reader: bufio.NewReader(conn), proxy: to.name, random: rnd, pipelines: pipelines,
 			prefix: fmt.Sprintf("%d-%d-%d", c.soak.options.seed, number, round)}
-		outcomes = append(outcomes, k.use()...)
+		outcomes = append(outcomes, k.run()...)
 		conn.Close()
-		c.rest(time.Duration(rnd.IntN(50)) * time.Millisecond)
+		c.sleep(time.Duration(rnd.IntN(50)) * time.Millisecond)
 	}
 	return outcomes
 }
 
+// isStopped reports whether the run has ended.
 func (c *soakCallers) isStopped() bool {
 	select {
 	case <-c.stop:
@@ -169,59 +171,59 @@
 	}
 }
 
-// rest waits, unless the run ends before.
-func (c *soakCallers) rest(d time.Duration) {
+// sleep waits for a time, or until the run ends.
+func (c *soakCallers) sleep(d time.Duration) {
 	select {
 	case <-c.stop:
 	case <-time.After(d):
 	}
 }
 
-// soakConnection is a caller's connection.
-type soakConnection struct {
+// callerConnection is a caller's connection to a proxy.
+type callerConnection struct {
 	callers   *soakCallers
 	conn      net.Conn
 	reader    *bufio.Reader
 	proxy     string
 	random    *rand.Rand
 	pipelines bool
-	prefix    string
-	sent      int
+	prefix    string // of its requests' IDs
+	sent      int    // number of requests
 }
 
-// use sends requests until the connection is closed or the run ends.
-func (k *soakConnection) use() (outcomes []soakOutcome) {
+// run sends requests until the connection is closed or the run ends.
+func (k *callerConnection) run() (outcomes []requestOutcome) {
 	for !k.callers.isStopped() {
 		batch, open := k.roundTrip()
 		outcomes = append(outcomes, batch...)
 		if !open {
 			return outcomes
 		}
-		k.callers.rest(batch[len(batch)-1].retryAfter)
-		if k.random.IntN(3) > 0 { // others send on at once
-			k.callers.rest(time.Duration(k.random.Int64N(int64(soakRestMost))))
+		k.callers.sleep(batch[len(batch)-1].retryAfter)
+		if k.random.IntN(3) > 0 { // a third of the requests follow without a pause
+			k.callers.sleep(time.Duration(k.random.Int64N(int64(callerPauseMax))))
 		}
 	}
 	return outcomes
 }
 
-// roundTrip sends one request, or some that are pipelined, and reads the answers; open is false if the
-// connection has ended.
-func (k *soakConnection) roundTrip() (batch []soakOutcome, open bool) {
+// roundTrip sends one request, or several pipelined ones, and reads the responses; open is false if the connection has
+// ended.
+func (k *callerConnection) roundTrip() (batch []requestOutcome, open bool) {
 	requests := 1
 	if k.pipelines {
-		requests += k.random.IntN(soakPipeline)
+		requests += k.random.IntN(pipelinedRequestsMax)
 	}
 	var text []byte
 	for i := range requests {
-		kind := &soakKinds[k.random.IntN(len(soakKinds))]
+		kind := &requestKinds[k.random.IntN(len(requestKinds))]
 		if requests > 1 {
-			kind = &soakKinds[0]
+			kind = &requestKinds[0]
 		}
 		id := fmt.Sprintf("%s-%d", k.prefix, k.sent)
 		k.sent++
-		batch = append(batch, soakOutcome{id: id, kind: kind, proxy: k.proxy, pipelined: i > 0})
-		text = append(text, k.compose(kind, id)...)
+		batch = append(batch, requestOutcome{id: id, kind: kind, proxy: k.proxy, pipelined: i > 0})
+		text = append(text, k.buildRequest(kind, id)...)
 	}
 	k.conn.SetDeadline(time.Now().Add(2 * k.callers.soak.options.grace))
 	_, err := k.conn.Write(text)
@@ -232,7 +234,7 @@
 	open = err == nil
 	for i := range batch {
 		if open {
-			open = k.read(&batch[i])
+			open = k.readResponse(&batch[i])
 		}
 		if batch[i].status == 0 {
 			batch[i].finishedAt = time.Now()
@@ -241,11 +243,12 @@
 	return batch, open
 }
 
-func (k *soakConnection) compose(kind *soakKind, id string) []byte {
+// buildRequest returns the bytes of a request with a random work time.
+func (k *callerConnection) buildRequest(kind *requestKind, id string) []byte {
 	names := reverseproxy.DefaultHeaders()
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: soak\r\nExchange-Id: %s\r\nExchange-Service: %s\r\n%s: %s\r\n%s: %d\r\n",
-		kind.method, kind.path, id, kind.service, names.Attempt, id, names.Deadline, soakDeadline.Milliseconds())
+		kind.method, kind.path, id, kind.service, names.Attempt, id, names.Deadline, requestDeadline.Milliseconds())
 	fmt.Fprintf(&b, "Stub-Work-Ms: %d\r\n", 20+k.random.IntN(1000))
 	if kind.body > 0 {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", kind.body)
@@ -255,8 +258,8 @@
 	return b.Bytes()
 }
 
-// read reads one answer; it returns false if the connection ends with it or instead of it.
-func (k *soakConnection) read(outcome *soakOutcome) bool {
+// readResponse reads one response; it returns false if the connection ends with the response or before it is complete.
+func (k *callerConnection) readResponse(outcome *requestOutcome) bool {
 	response, err := http.ReadResponse(k.reader, &http.Request{Method: outcome.kind.method})
 	if err != nil {
 		return false
@@ -268,12 +271,12 @@
 	outcome.finishedAt, outcome.status = time.Now(), response.StatusCode
 	names := reverseproxy.DefaultHeaders()
 	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
-		outcome.retryAfter = min(soakRestMost, time.Duration(seconds*float64(time.Second)))
+		outcome.retryAfter = min(callerPauseMax, time.Duration(seconds*float64(time.Second)))
 	}
 	ran := response.Header.Get(names.Ran)
-	outcome.notRun, outcome.unknownRun = ran == "no", ran == "unknown"
+	outcome.notRun, outcome.mayHaveRun = ran == "no", ran == "unknown"
 	if id := response.Header.Get(names.Attempt); id != "" && id != outcome.id {
-		outcome.wrong = "the answer is to " + strconv.Quote(id)
+		outcome.mismatch = "the response belongs to attempt " + strconv.Quote(id)
 	}
 	return !response.Close
 }
--- a/cmd/mfchaos/soak_log.go
+++ b/cmd/mfchaos/soak_log.go
@@ -1,5 +1,4 @@
-// This file is a soak's record of what was done to which process and when. All parts of a run add to it; it is
-// read once they are over.
+// This file records what a soak did to which process and when.
 
 package main
 
@@ -8,25 +7,25 @@
 	"time"
 )
 
-// eventKind is what was done.
+// eventKind is the kind of an event.
 type eventKind int
 
 const (
 	eventStop       eventKind = iota // SIGTERM
 	eventKill                        // SIGKILL, unplanned
-	eventHangup                      // SIGHUP
-	eventChange                      // a change of the configuration was acknowledged
-	eventUnanswered                  // an order had no clear answer
+	eventSIGHUP                      // SIGHUP
+	eventChange                      // a configuration change was acknowledged
+	eventUnanswered                  // an operator's call got no conclusive reply
 )
 
-// soakEvent is one entry.
+// soakEvent is an entry of an eventLog.
 type soakEvent struct {
 	at   time.Time
 	kind eventKind
-	name string // the process's
+	name string // of the process; "" for changes
 }
 
-// eventLog is the record: one goroutine owns the entries.
+// eventLog holds the events of a run in order. The entries are kept in a channel of capacity 1, which also serves as a lock.
 type eventLog struct{ entries chan []soakEvent }
 
 func newEventLog() eventLog {
@@ -40,8 +39,8 @@
 	e.entries <- append(entries, soakEvent{time.Now(), kind, name})
 }
 
-// all is the entries so far.
-func (e eventLog) all() []soakEvent {
+// snapshot returns a copy of the entries so far.
+func (e eventLog) snapshot() []soakEvent {
 	entries := <-e.entries
 	e.entries <- entries
 	return slices.Clone(entries)
@@ -49,7 +48,7 @@
 
 func (e eventLog) count(kind eventKind) int {
 	n := 0
-	for _, entry := range e.all() {
+	for _, entry := range e.snapshot() {
 		if entry.kind == kind {
 			n++
 		}
@@ -57,8 +56,8 @@
 	return n
 }
 
-// latest is the latest entry of a kind for a process up to a moment, nil: there is none.
-func latest(entries []soakEvent, kind eventKind, name string, until time.Time) *soakEvent {
+// latestEvent returns the latest event of a kind for a process that is not later than until, or nil if there is none.
+func latestEvent(entries []soakEvent, kind eventKind, name string, until time.Time) *soakEvent {
 	var found *soakEvent
 	for i := range entries {
 		if e := &entries[i]; e.kind == kind && e.name == name && !e.at.After(until) {
--- a/cmd/mfchaos/soak_operator.go
+++ b/cmd/mfchaos/soak_operator.go
@@ -1,5 +1,5 @@
-// This file is a soak's operator: changes of the configuration and emptied domains, one after the other without a
-// pause, each sent again until it has a clear answer; and whether what was acknowledged outlives a loss of all
+// This file is the operator of a soak, who changes the configuration and empties domains, one action shortly after the other,
+// and sends each again until it has a conclusive reply. It also checks that what was acknowledged survives the loss of all
 // processes.
 
 package main
@@ -15,6 +15,7 @@
 	"slices"
 	"strconv"
 	"sync"
+	"syscall"
 	"time"
 
 	"myrtlefold/internal/shared/config"
@@ -22,41 +23,44 @@
 )
 
 const (
-	changePause   = 150 * time.Millisecond
-	changeRetry   = 50 * time.Millisecond
-	changeTimeout = 2 * time.Second  // for one answer
-	changeGiveUp  = 20 * time.Second // until a change counts as unanswered: all control daemons may be down for a while
-	recoverWait   = 15 * time.Second
+	meanChangePause     = 150 * time.Millisecond // between two actions
+	changeRetryInterval = 50 * time.Millisecond
+	changeTimeout       = 2 * time.Second  // for one reply
+	changeGiveUpAfter   = 20 * time.Second // until a call counts as unanswered: all control daemons may be down for a while
+	recoverWait         = 15 * time.Second // for the fleet to serve after the restart of all daemons
 )
 
-// soakOperator is one operator and what it was promised.
+// soakOperator is an operator and what was acknowledged to it.
 type soakOperator struct {
 	soak     *soak
 	random   *rand.Rand
 	stop     chan struct{}
 	running  sync.WaitGroup
-	revision int             // the newest that was acknowledged
-	doc      []byte          // what was acknowledged as it
-	emptied  map[string]bool // domains by what was acknowledged last
+	revision int             // newest configuration revision that was acknowledged, or read after an unknown outcome; 0: none yet
+	document []byte          // configuration of that revision; nil: unknown
+	emptied  map[string]bool // by domain; true: acknowledged as emptied, false: the outcome of the last call is unknown
 }
 
+// startOperator starts an operator.
 func (s *soak) startOperator() *soakOperator {
 	o := &soakOperator{soak: s, random: s.options.random(2), stop: make(chan struct{}), emptied: map[string]bool{}}
 	o.running.Go(o.run)
 	return o
 }
 
+// finish stops the operator after its current action.
 func (o *soakOperator) finish() {
 	close(o.stop)
 	o.running.Wait()
 }
 
+// run changes the configuration until it is stopped; every eighth action empties or restores a domain.
 func (o *soakOperator) run() {
 	for i := 0; ; i++ {
 		select {
 		case <-o.stop:
 			return
-		case <-time.After(time.Duration(o.random.Int64N(int64(2 * changePause)))):
+		case <-time.After(time.Duration(o.random.Int64N(int64(2 * meanChangePause)))):
 		}
 		if i%8 == 7 {
 			o.emptyOrRestore()
@@ -66,9 +70,9 @@
 	}
 }
 
-// call sends one call to one control daemon.
-func (o *soakOperator) call(core *process, method, path string, body []byte) (status int, answer []byte) {
-	request, err := http.NewRequest(method, "http://"+core.http+path, bytes.NewReader(body))
+// send sends one call to a control daemon and returns the reply; the status is 0 if there was none.
+func (o *soakOperator) send(control *process, method, path string, body []byte) (status int, answer []byte) {
+	request, err := http.NewRequest(method, "http://"+control.http+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -84,54 +88,55 @@
 	return response.StatusCode, answer
 }
 
-// sendUntilClear sends an sendUntilClear to any daemon, and the same again until an answer is clear.
-func (o *soakOperator) sendUntilClear(method, path string, body []byte) (status int, answer []byte) {
-	for begun := time.Now(); time.Since(begun) < changeGiveUp; {
-		core := o.soak.controls[o.random.IntN(len(o.soak.controls))]
-		status, answer = o.call(core, method, path, body)
+// sendUntilConclusive sends a call to random control daemons until a reply has a status from 200 to 499, or changeGiveUpAfter is
+// over; then it returns status 0.
+func (o *soakOperator) sendUntilConclusive(method, path string, body []byte) (status int, answer []byte) {
+	for started := time.Now(); time.Since(started) < changeGiveUpAfter; {
+		control := o.soak.controls[o.random.IntN(len(o.soak.controls))]
+		status, answer = o.send(control, method, path, body)
 		if status >= 200 && status < 500 {
 			return status, answer
 		}
-		time.Sleep(changeRetry)
+		time.Sleep(changeRetryInterval)
 	}
 	o.soak.log.add(eventUnanswered, "")
 	return 0, nil
 }
 
-// change puts another configuration on top of the newest acknowledged one.
+// change puts a different configuration on the newest acknowledged revision.
 func (o *soakOperator) change() {
 	doc, err := config.MergePatch(o.soak.config, fmt.Appendf(nil, `{"limits":{"body_bytes":%d}}`, tuning.BodyMaxDefault-o.random.IntN(tuning.BodyMaxDefault/2)))
 	if err != nil {
-		o.soak.violation("lab", "%v", err)
+		o.soak.recordViolation(ruleTestEnvironment, "%v", err)
 		return
 	}
 	if o.revision == 0 {
-		o.revision, _ = o.read()
+		o.revision, _ = o.readConfig()
 	}
-	status, answer := o.sendUntilClear(http.MethodPut, "/v1/config?base="+strconv.Itoa(o.revision), doc)
+	status, answer := o.sendUntilConclusive(http.MethodPut, "/v1/config?base="+strconv.Itoa(o.revision), doc)
 	var v struct {
 		Revision int `json:"revision"`
 	}
 	switch {
 	case status == http.StatusOK && json.Unmarshal(answer, &v) == nil && v.Revision > o.revision:
-		o.revision, o.doc = v.Revision, doc
+		o.revision, o.document = v.Revision, doc
 		o.soak.log.add(eventChange, "")
 	case status == 0:
-		// It may or may not be in force: whoever reads it goes on from there.
-		if revision, text := o.read(); revision > o.revision {
-			o.revision, o.doc = revision, text
+		// The change may or may not be in force: continue from the revision that is read.
+		if revision, text := o.readConfig(); revision > o.revision {
+			o.revision, o.document = revision, text
 		}
 	default:
-		o.soak.violation("order refused", "a change on %d, the newest acknowledged: %d %.200s", o.revision, status, answer)
-		o.revision, o.doc = o.read()
+		o.soak.recordViolation(ruleChangeAccepted, "change on revision %d, the newest acknowledged: status %d, %.200s", o.revision, status, answer)
+		o.revision, o.document = o.readConfig()
 	}
 }
 
-// read reads the configuration in force, 0 if nobody tells it.
-func (o *soakOperator) read() (revision int, doc []byte) {
-	for begun := time.Now(); time.Since(begun) < changeGiveUp; time.Sleep(changeRetry) {
-		for _, core := range o.soak.controls {
-			status, answer := o.call(core, http.MethodGet, "/v1/config", nil)
+// readConfig reads the configuration in force; the revision is 0 if no control daemon replies.
+func (o *soakOperator) readConfig() (revision int, doc []byte) {
+	for started := time.Now(); time.Since(started) < changeGiveUpAfter; time.Sleep(changeRetryInterval) {
+		for _, control := range o.soak.controls {
+			status, answer := o.send(control, http.MethodGet, "/v1/config", nil)
 			var v struct {
 				Revision int             `json:"revision"`
 				Config   json.RawMessage `json:"config"`
@@ -146,14 +151,14 @@
 
 // emptyOrRestore empties one domain, or restores the one that is emptied.
 func (o *soakOperator) emptyOrRestore() {
-	for domain, is := range o.emptied {
-		if !is {
+	for domain, confirmed := range o.emptied {
+		if !confirmed {
 			continue
 		}
-		if status, _ := o.sendUntilClear(http.MethodPost, "/v1/domains/"+domain+"/restore", nil); status == http.StatusOK {
+		if status, _ := o.sendUntilConclusive(http.MethodPost, "/v1/domains/"+domain+"/restore", nil); status == http.StatusOK {
 			delete(o.emptied, domain)
 		} else {
-			o.emptied[domain] = false // nobody knows
+			o.emptied[domain] = false // the outcome is unknown
 		}
 		return
 	}
@@ -162,20 +167,20 @@
 	if _, unknown := o.emptied[domain]; unknown {
 		return
 	}
-	if status, _ := o.sendUntilClear(http.MethodPost, "/v1/domains/"+domain+"/empty", nil); status == http.StatusOK {
+	if status, _ := o.sendUntilConclusive(http.MethodPost, "/v1/domains/"+domain+"/empty", nil); status == http.StatusOK {
 		o.emptied[domain] = true
 	} else {
 		o.emptied[domain] = false
 	}
 }
 
-// checkAfterLoss kills all daemons at once, loses the disk of one control daemon if the core bears that, and looks
-// whether what was acknowledged is there again.
+// checkAfterLoss kills all daemons at once, deletes the data of one control daemon if there are at least three, restarts them
+// and checks that what was acknowledged is still there.
 func (o *soakOperator) checkAfterLoss() {
 	run := o.soak
 	daemons := slices.Concat(run.controls, run.proxies)
 	for _, p := range daemons {
-		p.signal(9)
+		p.signal(syscall.SIGKILL)
 	}
 	for _, p := range daemons {
 		p.kill()
@@ -187,32 +192,33 @@
 		run.restart(p)
 	}
 	end := time.Now().Add(recoverWait)
-	revision, doc := o.read()
+	revision, doc := o.readConfig()
 	switch {
 	case time.Now().After(end):
-		run.violation("back in 15 s", "no configuration is read after a loss of all daemons")
+		run.recordViolation(ruleRecoveryTime, "the configuration can't be read within %v of the restart of all daemons", recoverWait)
 	case revision < o.revision:
-		run.violation("acknowledged lost", "revision %d is read, %d was acknowledged", revision, o.revision)
-	case revision == o.revision && o.doc != nil && canonical(doc) != canonical(o.doc):
-		run.violation("acknowledged lost", "revision %d is another one than was acknowledged", revision)
+		run.recordViolation(ruleDurability, "revision %d is in force, but %d was acknowledged", revision, o.revision)
+	case revision == o.revision && o.document != nil && canonical(doc) != canonical(o.document):
+		run.recordViolation(ruleDurability, "revision %d has another content than was acknowledged", revision)
 	}
-	for domain, is := range o.emptied {
-		if is && !slices.Contains(o.emptiedNow(), domain) {
-			run.violation("acknowledged lost", "domain %s was acknowledged as emptied", domain)
+	for domain, confirmed := range o.emptied {
+		if confirmed && !slices.Contains(o.readEmptiedDomains(), domain) {
+			run.recordViolation(ruleDurability, "domain %s was acknowledged as emptied and is not any more", domain)
 		}
 	}
 	for domain := range o.emptied {
-		o.sendUntilClear(http.MethodPost, "/v1/domains/"+domain+"/restore", nil)
+		o.sendUntilConclusive(http.MethodPost, "/v1/domains/"+domain+"/restore", nil)
 	}
 	if err := run.awaitServing(recoverWait); err != nil {
-		run.violation("back in 15 s", "after a loss of all daemons: %v", err)
+		run.recordViolation(ruleRecoveryTime, "after the restart of all daemons: %v", err)
 	}
 }
 
-func (o *soakOperator) emptiedNow() []string {
-	for begun := time.Now(); time.Since(begun) < recoverWait; time.Sleep(changeRetry) {
-		for _, core := range o.soak.controls {
-			status, answer := o.call(core, http.MethodGet, "/v1/domains", nil)
+// readEmptiedDomains returns the emptied domains, or nil if no control daemon replies.
+func (o *soakOperator) readEmptiedDomains() []string {
+	for started := time.Now(); time.Since(started) < recoverWait; time.Sleep(changeRetryInterval) {
+		for _, control := range o.soak.controls {
+			status, answer := o.send(control, http.MethodGet, "/v1/domains", nil)
 			var v struct {
 				Emptied []string `json:"emptied"`
 			}
--- a/cmd/mfchaos/soak_script.go
+++ b/cmd/mfchaos/soak_script.go
@@ -1,5 +1,5 @@
-// This file is a soak's script: stops of proxies, control daemons and back ends, hangups and, if wanted, kills, drawn
-// by seed. They come in series and overlap. One goroutine owns all processes while the script lasts.
+// This file is the script of a soak: from a seed it stops proxies, control daemons and back ends, sends SIGHUPs and, with
+// option faults, kills daemons, at times that overlap. One goroutine owns all processes while the script runs.
 
 package main
 
@@ -13,73 +13,74 @@
 )
 
 const (
-	scriptStep    = 20 * time.Millisecond
-	scriptQuiet   = 2 // so many times the grace before the end nothing begins any more
-	restartPause  = 50 * time.Millisecond
-	restartSpread = 400 * time.Millisecond
-	stopSlack     = 500 * time.Millisecond // what a busy machine may add to a grace
+	scriptInterval    = 20 * time.Millisecond  // between two steps of the script
+	quietGracePeriods = 2                      // grace periods before the end of the script in which no action starts
+	restartPause      = 50 * time.Millisecond  // least time from a process's exit to its restart
+	restartJitter     = 400 * time.Millisecond // bound of the random time added to restartPause
+	stopSlack         = 500 * time.Millisecond // time that a busy machine may need beyond the grace period
 )
 
-// phase is where a process of the script is.
+// phase is the state of a process of the script.
 type phase int
 
 const (
-	phaseUp phase = iota
-	phaseStopping
-	phaseDown
+	phaseUp       phase = iota
+	phaseStopping       // after SIGTERM, until its exit
+	phaseDown           // after its exit or SIGKILL, until its restart
 )
 
-// actor is a process of the script.
-type actor struct {
+// managedProcess is a process that the script stops and restarts.
+type managedProcess struct {
 	*process
-	phase   phase
-	stopAt  time.Time // when it was asked to stop
-	startAt time.Time // when it is started again
-	logged  int64     // how long its log was at its start
-	wipe    bool      // its disk is lost while it is down
+	phase          phase
+	stopAt         time.Time // when it was sent SIGTERM, or SIGKILL after the grace period
+	startAt        time.Time // when it is to be started again
+	logSizeAtStart int64     // size of its log in bytes when it was last started; 0 for the first start
+	wipe           bool      // its data is deleted before its next start
 }
 
-// processEnd is the notice that a process is gone.
-type processEnd struct {
-	actor *actor
-	cmd   *exec.Cmd
-	err   error
+// processExit reports that a process has exited.
+type processExit struct {
+	process *managedProcess
+	cmd     *exec.Cmd
+	err     error
 }
 
-// series is one kind of work, done again and again.
-type series struct {
+// recurringAction is an action that is done at random intervals.
+type recurringAction struct {
 	next time.Time
-	gap  time.Duration // the mean
+	gap  time.Duration // mean interval
 	act  func()
 }
 
-// script is a run's processes and series.
+// script is the processes and recurring actions of a run.
 type script struct {
-	soak     *soak
-	random   *rand.Rand
-	proxies  []*actor
-	controls []*actor
-	targets  []*actor
-	series   []*series
-	ends     chan processEnd
+	soak      *soak
+	random    *rand.Rand
+	proxies   []*managedProcess
+	controls  []*managedProcess
+	targets   []*managedProcess
+	recurring []*recurringAction
+	exits     chan processExit
 }
 
-// playScript plays the script to its end, with all processes up again, and returns what operators were promised.
-func (s *soak) playScript() *soakOperator {
-	script := &script{soak: s, random: s.options.random(1), ends: make(chan processEnd, 16)}
-	script.proxies, script.controls, script.targets = script.actors(s.proxies), script.actors(s.controls), script.actors(s.backends)
-	script.plan()
+// runSoakScript runs the script and an operator until the span is over and all processes are up again. It returns the operator,
+// which holds what was acknowledged to it.
+func (s *soak) runSoakScript() *soakOperator {
+	script := &script{soak: s, random: s.options.random(1), exits: make(chan processExit, 16)}
+	script.proxies, script.controls, script.targets = script.manage(s.proxies), script.manage(s.controls), script.manage(s.backends)
+	script.scheduleAll()
 	operator := s.startOperator()
 	end := s.startedAt.Add(s.options.span)
-	quiet := end.Add(-scriptQuiet * s.options.grace)
-	step := time.NewTicker(scriptStep)
-	defer step.Stop()
-	for now := range step.C {
+	quiet := end.Add(-quietGracePeriods * s.options.grace)
+	ticker := time.NewTicker(scriptInterval)
+	defer ticker.Stop()
+	for now := range ticker.C {
 		if now.Before(quiet) {
-			script.begin(now)
+			script.runDue(now)
 		}
-		script.drainEnds(now)
-		script.superviseActors(now)
+		script.handleExits(now)
+		script.superviseProcesses(now)
 		if now.After(end) && script.allUp() {
 			break
 		}
@@ -88,46 +89,48 @@
 	return operator
 }
 
-func (c *script) actors(procs []*process) []*actor {
-	var all []*actor
+// manage wraps processes that are running, and has their exits reported.
+func (c *script) manage(procs []*process) []*managedProcess {
+	var all []*managedProcess
 	for _, p := range procs {
-		a := &actor{process: p}
+		a := &managedProcess{process: p}
 		all = append(all, a)
-		c.awaitEnd(a)
+		c.notifyOnExit(a)
 	}
 	return all
 }
 
-// awaitEnd sends the process's end to the script.
-func (c *script) awaitEnd(a *actor) {
+// notifyOnExit waits for a process in the background and sends its exit to the script.
+func (c *script) notifyOnExit(a *managedProcess) {
 	cmd := a.cmd
-	go func() { c.ends <- processEnd{a, cmd, cmd.Wait()} }()
+	go func() { c.exits <- processExit{a, cmd, cmd.Wait()} }()
 }
 
-// plan draws how often each kind of work comes.
-func (c *script) plan() {
-	between := func(low, high time.Duration) time.Duration {
+// scheduleAll draws the mean interval of each action.
+func (c *script) scheduleAll() {
+	randomBetween := func(low, high time.Duration) time.Duration {
 		return low + time.Duration(c.random.Int64N(int64(high-low)))
 	}
-	fleet := time.Duration(max(1, len(c.proxies)/5))
-	c.add(between(800*time.Millisecond, 3*time.Second)/fleet, c.stopProxies)
-	c.add(between(3*time.Second, 9*time.Second), c.stopCore)
-	c.add(between(time.Second, 4*time.Second), c.stopTarget)
-	c.add(between(100*time.Millisecond, 600*time.Millisecond), c.hangUp)
+	proxyFactor := time.Duration(max(1, len(c.proxies)/5)) // large fleets stop proxies more often
+	c.schedule(randomBetween(800*time.Millisecond, 3*time.Second)/proxyFactor, c.stopProxies)
+	c.schedule(randomBetween(3*time.Second, 9*time.Second), c.stopControl)
+	c.schedule(randomBetween(time.Second, 4*time.Second), c.stopTarget)
+	c.schedule(randomBetween(100*time.Millisecond, 600*time.Millisecond), c.sendSIGHUP)
 	if c.soak.options.faults {
-		c.add(between(3*time.Second, 8*time.Second), c.killProxy)
-		c.add(between(5*time.Second, 12*time.Second), c.killCore)
-		c.add(between(8*time.Second, 20*time.Second), c.killAllCores)
+		c.schedule(randomBetween(3*time.Second, 8*time.Second), c.killProxy)
+		c.schedule(randomBetween(5*time.Second, 12*time.Second), c.killControl)
+		c.schedule(randomBetween(8*time.Second, 20*time.Second), c.killAllControls)
 	}
 }
 
-func (c *script) add(gap time.Duration, do func()) {
-	c.series = append(c.series, &series{next: time.Now().Add(gap), gap: gap, act: do})
+// schedule adds an action with a mean interval.
+func (c *script) schedule(gap time.Duration, do func()) {
+	c.recurring = append(c.recurring, &recurringAction{next: time.Now().Add(gap), gap: gap, act: do})
 }
 
-// begin does what is due.
-func (c *script) begin(now time.Time) {
-	for _, s := range c.series {
+// runDue runs the actions that are due, and draws when each comes next.
+func (c *script) runDue(now time.Time) {
+	for _, s := range c.recurring {
 		if now.Before(s.next) {
 			continue
 		}
@@ -136,12 +139,13 @@
 	}
 }
 
-// superviseActors ends by force what has not stopped in its grace, and starts what is to come back.
-func (c *script) superviseActors(now time.Time) {
+// superviseProcesses kills daemons that have not stopped within their grace period, which is a violation, and starts the
+// processes whose time has come.
+func (c *script) superviseProcesses(now time.Time) {
 	for _, a := range slices.Concat(c.proxies, c.controls, c.targets) {
 		switch {
 		case a.phase == phaseStopping && now.Sub(a.stopAt) > c.soak.options.grace+stopSlack && a.kind != backendProgram:
-			c.soak.violation("planned restart", "%s did not stop in its grace", a.name)
+			c.soak.recordViolation(ruleGracefulStop, "%s did not stop within its grace period", a.name)
 			a.signal(syscall.SIGKILL)
 			a.stopAt = now
 		case a.phase == phaseDown && now.After(a.startAt):
@@ -150,22 +154,23 @@
 	}
 }
 
-func (c *script) start(a *actor) {
+// start starts a process again.
+func (c *script) start(a *managedProcess) {
 	if a.wipe {
 		os.RemoveAll(c.soak.path("data", a.name))
 		a.wipe = false
 	}
-	a.logged = c.logLength(a)
+	a.logSizeAtStart = c.logSize(a)
 	if err := c.soak.startProcess(a.process); err != nil {
-		c.soak.violation("lab", "%v", err)
+		c.soak.recordViolation(ruleTestEnvironment, "%v", err)
 		return
 	}
 	a.phase = phaseUp
-	c.awaitEnd(a)
+	c.notifyOnExit(a)
 }
 
-// logLength is how long a process's log is, over all its starts.
-func (c *script) logLength(a *actor) int64 {
+// logSize returns the size of a process's log in bytes. The log is kept over all starts.
+func (c *script) logSize(a *managedProcess) int64 {
 	info, err := os.Stat(c.soak.path("log", a.name+".log"))
 	if err != nil {
 		return 0
@@ -173,35 +178,37 @@
 	return info.Size()
 }
 
-// drainEnds takes in which processes are gone.
-func (c *script) drainEnds(now time.Time) {
+// handleExits handles the exits that have been reported since the last step.
+func (c *script) handleExits(now time.Time) {
 	for {
 		select {
-		case end := <-c.ends:
-			c.processExited(now, end)
+		case exit := <-c.exits:
+			c.processExited(now, exit)
 		default:
 			return
 		}
 	}
 }
 
-func (c *script) processExited(now time.Time, end processEnd) {
-	a := end.actor
-	if a.cmd != end.cmd {
+// processExited checks that an exit was asked for and had no error, and sets when the process is started again.
+func (c *script) processExited(now time.Time, exit processExit) {
+	a := exit.process
+	if a.cmd != exit.cmd {
 		return
 	}
 	switch {
 	case a.phase == phaseUp:
-		c.soak.violation("ended by itself", "%s: %v", a.name, end.err)
-	case a.phase == phaseStopping && c.logLength(a) == a.logged && a.kind != backendProgram:
-		// It was asked before the first line of its program ran: nothing was taken.
-	case a.phase == phaseStopping && end.err != nil:
-		c.soak.violation("planned restart", "%s: %v", a.name, end.err)
+		c.soak.recordViolation(ruleNoCrash, "%s: %v", a.name, exit.err)
+	case a.phase == phaseStopping && c.logSize(a) == a.logSizeAtStart && a.kind != backendProgram:
+		// It got SIGTERM before its program had logged anything, so it may not handle the signal yet and has accepted nothing.
+	case a.phase == phaseStopping && exit.err != nil:
+		c.soak.recordViolation(ruleGracefulStop, "%s: %v", a.name, exit.err)
 	}
 	a.stopped, a.phase = true, phaseDown
-	a.startAt = now.Add(restartPause + time.Duration(c.random.Int64N(int64(restartSpread))))
+	a.startAt = now.Add(restartPause + time.Duration(c.random.Int64N(int64(restartJitter))))
 }
 
+// allUp reports whether all processes are up.
 func (c *script) allUp() bool {
 	for _, a := range slices.Concat(c.proxies, c.controls, c.targets) {
 		if a.phase != phaseUp {
@@ -211,48 +218,49 @@
 	return true
 }
 
-// up is the actors that are neither stopping nor down, in an order drawn anew.
-func (c *script) up(of []*actor) []*actor {
-	up := slices.DeleteFunc(slices.Clone(of), func(a *actor) bool { return a.phase != phaseUp })
+// shuffledUp returns the processes that are neither stopping nor down, in random order.
+func (c *script) shuffledUp(of []*managedProcess) []*managedProcess {
+	up := slices.DeleteFunc(slices.Clone(of), func(a *managedProcess) bool { return a.phase != phaseUp })
 	c.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
 	return up
 }
 
-func (c *script) stop(a *actor) {
+// stop sends SIGTERM.
+func (c *script) stop(a *managedProcess) {
 	a.phase, a.stopAt = phaseStopping, time.Now()
 	c.soak.log.add(eventStop, a.name)
 	a.signal(syscall.SIGTERM)
 }
 
-// kill ends a process without a word.
-func (c *script) kill(a *actor) {
+// kill sends SIGKILL.
+func (c *script) kill(a *managedProcess) {
 	c.soak.log.add(eventKill, a.name)
 	a.phase = phaseDown
-	a.startAt = time.Now().Add(time.Hour) // until its end is noticed
+	a.startAt = time.Now().Add(time.Hour) // replaced when its exit is handled
 	a.signal(syscall.SIGKILL)
 }
 
-// stopProxies stops some proxies at once; one stays.
+// stopProxies stops up to a quarter of the proxies at once, but never the last one that is up.
 func (c *script) stopProxies() {
-	up := c.up(c.proxies)
+	up := c.shuffledUp(c.proxies)
 	n := min(1+c.random.IntN(max(1, len(c.proxies)/4)), len(up)-1)
 	for i := range n {
 		c.stop(up[i])
 	}
 }
 
-// stopCore stops a control daemon if all others are up.
-func (c *script) stopCore() {
-	if up := c.up(c.controls); len(up) == len(c.controls) {
+// stopControl stops a control daemon if all of them are up.
+func (c *script) stopControl() {
+	if up := c.shuffledUp(c.controls); len(up) == len(c.controls) {
 		c.stop(up[0])
 	}
 }
 
-// stopTarget stops a back end whose service has others.
+// stopTarget stops a back end whose service has another one that is up.
 func (c *script) stopTarget() {
-	up := c.up(c.targets)
+	up := c.shuffledUp(c.targets)
 	for _, a := range up {
-		others := slices.ContainsFunc(up, func(o *actor) bool { return o != a && o.service == a.service })
+		others := slices.ContainsFunc(up, func(o *managedProcess) bool { return o != a && o.service == a.service })
 		if others {
 			c.stop(a)
 			return
@@ -260,32 +268,35 @@
 	}
 }
 
-// hangUp sends a SIGHUP to any daemon, also one that is starting or stopping.
-func (c *script) hangUp() {
+// sendSIGHUP sends a SIGHUP to a random daemon unless it is down; it may be starting or stopping.
+func (c *script) sendSIGHUP() {
 	daemons := slices.Concat(c.proxies, c.controls)
 	a := daemons[c.random.IntN(len(daemons))]
 	if a.phase != phaseDown {
-		c.soak.log.add(eventHangup, a.name)
+		c.soak.log.add(eventSIGHUP, a.name)
 		a.signal(syscall.SIGHUP)
 	}
 }
 
+// killProxy kills a proxy if another one is up.
 func (c *script) killProxy() {
-	if up := c.up(c.proxies); len(up) > 1 {
+	if up := c.shuffledUp(c.proxies); len(up) > 1 {
 		c.kill(up[0])
 	}
 }
 
-// killCore kills a control daemon if all others are up; at times its disk is lost.
-func (c *script) killCore() {
-	if up := c.up(c.controls); len(up) == len(c.controls) {
+// killControl kills a control daemon if all of them are up. If there are more than two, it also deletes its data in half of
+// the cases.
+func (c *script) killControl() {
+	if up := c.shuffledUp(c.controls); len(up) == len(c.controls) {
 		up[0].wipe = len(c.controls) > 2 && c.random.IntN(2) == 0
 		c.kill(up[0])
 	}
 }
 
-func (c *script) killAllCores() {
-	for _, a := range c.up(c.controls) {
+// killAllControls kills all control daemons that are up.
+func (c *script) killAllControls() {
+	for _, a := range c.shuffledUp(c.controls) {
 		c.kill(a)
 	}
 }
--- a/cmd/mfchaos/soak_verdict.go
+++ b/cmd/mfchaos/soak_verdict.go
@@ -1,4 +1,4 @@
-// This file holds what a soak's callers saw against the rules.
+// This file checks the outcomes of a soak's requests against the rules.
 
 package main
 
@@ -8,109 +8,131 @@
 )
 
 const (
-	// A request may be cut with its process if it was sent in the first soakExcusedParts-th of the grace, and its target is
-	// still at work in the last soakLastParts-th.
-	soakExcusedParts = 2
-	soakLastParts    = 6
-	// soakReadDelayMax is how long after its last byte a request counts as read by a process that closes its connection.
-	soakReadDelayMax = 2 * time.Second
+	// A request may lose its response when its proxy's process is killed at the end of the grace period, if it was sent within
+	// the first half of that period and its target still works on it in the last sixth. These are the divisors of the period.
+	excusedSendDivisor = 2
+	excusedEndDivisor  = 6
+	// closeRaceWindow is for requests that a proxy closed the connection on: if one has not run and its connection was closed
+	// sooner than this after its last byte, the proxy may have closed without having read it.
+	closeRaceWindow = 2 * time.Second
 )
 
-// countRuns is how often each request ran, by its id.
+// outcomeClass is the class that a request is counted in.
+type outcomeClass string
+
+// Classes of outcomes, by the names that are printed.
+const (
+	classMismatched outcomeClass = "wrong"       // the response belongs to another request
+	classRejected   outcomeClass = "refused"     // it was rejected without having run
+	classUnknown    outcomeClass = "unknown"     // the proxy responded that it may have run
+	classBrokenOff  outcomeClass = "broken off"  // the proxy timed it out early during a graceful stop
+	classFailed     outcomeClass = "failed"      // another 5xx response
+	classDenied     outcomeClass = "denied"      // a 4xx response
+	classServed     outcomeClass = "served"      // a response below 400
+	classNotSent    outcomeClass = "not sent"    // it was not written completely
+	classKilled     outcomeClass = "killed"      // its proxy was killed
+	classCrossed    outcomeClass = "crossed"     // its proxy closed the connection before it read the request
+	classLate       outcomeClass = "late"        // no response within the deadline
+	classLost       outcomeClass = "lost"        // no response, for no valid reason
+	classOutOfTime  outcomeClass = "out of time" // its target may have needed longer than the proxy's grace period
+)
+
+// countRuns returns how often each request ran, by its ID, and checks that each ran at its service.
 func (s *soak) countRuns() map[string]int {
 	ran := map[string]int{}
 	for _, entry := range s.requestLog() {
 		ran[entry.ID]++
 		if entry.IntendedService != "" {
-			s.violation("wrong service", "%s was meant for %s", entry.ID, entry.IntendedService)
+			s.recordViolation(ruleRightService, "%s ran at another service than %s, for which it was sent", entry.ID, entry.IntendedService)
 		}
 	}
 	return ran
 }
 
-// classify names what became of a request, and notes it if that breaks a rule.
-func (s *soak) classify(outcome *soakOutcome, ran map[string]int) string {
+// classify returns the class of an outcome, and records a violation if it breaks a rule.
+func (s *soak) classify(outcome *requestOutcome, ran map[string]int) outcomeClass {
 	switch {
-	case outcome.wrong != "":
-		s.violation("another's answer", "%s: %s", outcome.id, outcome.wrong)
-		return "wrong"
+	case outcome.mismatch != "":
+		s.recordViolation(ruleOwnResponse, "%s: %s", outcome.id, outcome.mismatch)
+		return classMismatched
 	case outcome.status >= 500 && outcome.notRun:
-		return "refused"
-	case outcome.unknownRun:
+		return classRejected
+	case outcome.mayHaveRun:
 		return s.classifyUnknown(outcome)
 	case outcome.status >= 500:
-		return "failed"
+		return classFailed
 	case outcome.status >= 400:
-		s.violation("refused for good", "%s got %d", outcome.id, outcome.status)
-		return "denied"
+		s.recordViolation(ruleNoPermanentRejection, "%s got status %d", outcome.id, outcome.status)
+		return classDenied
 	case outcome.status > 0:
-		return "served"
+		return classServed
 	case outcome.notWritten:
-		return "not sent"
+		return classNotSent
 	}
 	return s.classifyTruncated(outcome, ran[outcome.id] > 0)
 }
 
-// classifyUnknown names what became of a request that its proxy answered without knowing whether it ran. A 502 tells that
-// its target broke off; a 504 before the time of its caller and its route is over is the proxy's own, and a
-// stop is no reason for one.
-func (s *soak) classifyUnknown(o *soakOutcome) string {
+// classifyUnknown returns the class of a request whose proxy responded that it may have run. A 502 is allowed: the target
+// closed the connection. A 504 before the caller's deadline and the route's timeout is a decision of the proxy, for which a
+// graceful stop is no valid reason.
+func (s *soak) classifyUnknown(o *requestOutcome) outcomeClass {
 	waited := o.finishedAt.Sub(o.sentAt)
-	stop := latest(s.log.all(), eventStop, o.proxy, o.finishedAt)
-	if stop == nil || o.status != http.StatusGatewayTimeout || waited >= min(soakDeadline, o.kind.timeout) || o.finishedAt.Sub(stop.at) > s.options.grace || s.outOfGrace(o, stop) {
-		return "unknown"
+	stop := latestEvent(s.log.snapshot(), eventStop, o.proxy, o.finishedAt)
+	if stop == nil || o.status != http.StatusGatewayTimeout || waited >= min(requestDeadline, o.kind.timeout) || o.finishedAt.Sub(stop.at) > s.options.grace || s.mayOutlastGrace(o, stop) {
+		return classUnknown
 	}
-	s.violation("broken off", "%s at %s was sent %v after SIGTERM and given up %v after it", o.id, o.proxy, o.sentAt.Sub(stop.at), o.finishedAt.Sub(stop.at))
-	return "broken off"
+	s.recordViolation(ruleNoEarlyTimeout, "%s at %s was sent %v after SIGTERM and timed out early, %v after SIGTERM", o.id, o.proxy, o.sentAt.Sub(stop.at), o.finishedAt.Sub(stop.at))
+	return classBrokenOff
 }
 
-// outOfGrace says whether a request was sent so soon after SIGTERM, and ended so late, that its target may take too long.
-func (s *soak) outOfGrace(o *soakOutcome, stop *soakEvent) bool {
+// mayOutlastGrace reports whether a request was sent so soon after SIGTERM, and ended so late, that its target may need longer
+// than the grace period.
+func (s *soak) mayOutlastGrace(o *requestOutcome, stop *soakEvent) bool {
 	grace := s.options.grace
-	return o.sentAt.Sub(stop.at) <= grace/soakExcusedParts && o.finishedAt.Sub(stop.at) >= grace-grace/soakLastParts
+	return o.sentAt.Sub(stop.at) <= grace/excusedSendDivisor && o.finishedAt.Sub(stop.at) >= grace-grace/excusedEndDivisor
 }
 
-// classifyTruncated names what became of a request whose connection ended without an answer.
-func (s *soak) classifyTruncated(outcome *soakOutcome, hasRun bool) string {
-	entries := s.log.all()
+// classifyTruncated returns the class of a request whose connection was closed without a complete response.
+func (s *soak) classifyTruncated(outcome *requestOutcome, hasRun bool) outcomeClass {
+	entries := s.log.snapshot()
 	grace := s.options.grace
 	waited := outcome.finishedAt.Sub(outcome.sentAt)
-	if kill := latest(entries, eventKill, outcome.proxy, outcome.finishedAt.Add(time.Second)); kill != nil && kill.at.After(outcome.sentAt.Add(-time.Second)) {
-		return "killed"
+	if kill := latestEvent(entries, eventKill, outcome.proxy, outcome.finishedAt.Add(time.Second)); kill != nil && kill.at.After(outcome.sentAt.Add(-time.Second)) {
+		return classKilled
 	}
 	if !hasRun && outcome.pipelined {
-		return "crossed" // the answer before it closed the connection: it was not passed on
+		return classCrossed // the proxy closed the connection after an earlier response and did not forward this request
 	}
-	if waited >= soakDeadline {
-		s.violation("deadline", "%s at %s ended %v after it was sent, without an answer", outcome.id, outcome.proxy, waited)
-		return "late"
+	if waited >= requestDeadline {
+		s.recordViolation(ruleDeadline, "%s at %s lost its connection %v after it was sent, without a response", outcome.id, outcome.proxy, waited)
+		return classLate
 	}
-	if !hasRun && waited < soakReadDelayMax {
-		return "crossed"
+	if !hasRun && waited < closeRaceWindow {
+		return classCrossed
 	}
-	stop := latest(entries, eventStop, outcome.proxy, outcome.finishedAt)
+	stop := latestEvent(entries, eventStop, outcome.proxy, outcome.finishedAt)
 	if stop == nil || outcome.finishedAt.Sub(stop.at) > grace+time.Second {
-		s.violation("lost", "%s at %s was cut %v after it was sent, with no stop; ran: %v", outcome.id, outcome.proxy, waited, hasRun)
-		return "lost"
+		s.recordViolation(ruleLostRequest, "%s at %s lost its connection %v after it was sent, with no stop of its proxy shortly before; ran: %v", outcome.id, outcome.proxy, waited, hasRun)
+		return classLost
 	}
 	after, end := outcome.sentAt.Sub(stop.at), outcome.finishedAt.Sub(stop.at)
-	if s.outOfGrace(outcome, stop) {
-		return "out of time"
+	if s.mayOutlastGrace(outcome, stop) {
+		return classOutOfTime
 	}
-	s.violation("lost", "%s at %s was sent %v after SIGTERM and cut %v after it; ran: %v", outcome.id, outcome.proxy, after, end, hasRun)
-	return "lost"
+	s.recordViolation(ruleLostRequest, "%s at %s was sent %v after SIGTERM and lost its connection %v after SIGTERM; ran: %v", outcome.id, outcome.proxy, after, end, hasRun)
+	return classLost
 }
 
-// checkLedgers looks for requests that ran twice, or although it was promised that they don't.
-func (s *soak) checkLedgers(outcomes []soakOutcome, ran map[string]int) {
+// checkRequestLogs checks that no non-idempotent request ran more than once, or ran although its response denied it.
+func (s *soak) checkRequestLogs(outcomes []requestOutcome, ran map[string]int) {
 	for i := range outcomes {
 		o := &outcomes[i]
 		n := ran[o.id]
 		if o.kind.once && n > 1 {
-			s.violation("runs twice", "%s ran %d times", o.id, n)
+			s.recordViolation(ruleAtMostOnce, "%s ran %d times", o.id, n)
 		}
 		if o.kind.once && o.notRun && n > 0 {
-			s.violation("refused but ran", "%s got %d", o.id, o.status)
+			s.recordViolation(ruleRejectedRequest, "%s got a response with status %d that it did not run", o.id, o.status)
 		}
 	}
 }
