--- a/cmd/mfsim/availability.go
+++ b/cmd/mfsim/availability.go
@@ -10,34 +10,34 @@
 	"myrtlefold/internal/verification/simulator"
 )
 
-// pairsShown is how many of the pairs of kinds are printed.
-const pairsShown = 40
+// pairsShownMax limits how many pairs of kinds are printed.
+const pairsShownMax = 40
 
-// measureAvailability prints a row for each kind of fault, or pair of kinds: figures over all seeds, worst first.
-// It returns the exit status.
-func measureAvailability(chosen options) int {
+// measureAvailability prints a table with a row for each kind of fault, or pair of kinds, over all seeds. Rows with the
+// largest share of unserved requests come first. It returns the exit status.
+func measureAvailability(opts options) int {
 	var rows []row
 	status := 0
-	for _, measured := range measure(chosen, faultSets(chosen.pairs)) {
+	for _, measured := range measureAll(opts, faultSets(opts.pairs)) {
 		for _, m := range measured {
 			if m.Failure != "" {
 				fmt.Printf("%v: %s\n", m.Faults, m.Failure)
 				status = statusFailed
 			}
 		}
-		rows = append(rows, rowOf(measured))
+		rows = append(rows, newRow(measured))
 	}
 	slices.SortStableFunc(rows, func(a, b row) int { return cmp.Compare(b.unserved, a.unserved) })
-	fmt.Println("| kind | refused % | failed % | no answer % | longest gap s | whole again s | change in force s | other outcomes |\n|---|---|---|---|---|---|---|---|")
+	fmt.Println("| kind | refused % | failed % | no answer % | longest gap s | full capacity after s | change in force after s | other change outcomes |\n|---|---|---|---|---|---|---|---|")
 	for i, r := range rows {
-		if !chosen.pairs || i < pairsShown {
+		if !opts.pairs || i < pairsShownMax {
 			fmt.Println(r.text)
 		}
 	}
 	return status
 }
 
-// faultSets returns each kind of fault by itself, or each pair of two.
+// faultSets returns a set for each kind of fault, or for each pair of different kinds.
 func faultSets(pairs bool) (sets [][]simulator.Fault) {
 	for i, a := range simulator.Faults {
 		if !pairs {
@@ -51,8 +51,8 @@
 	return sets
 }
 
-// measure runs each set of faults with each seed, as many sets at once as there are processors.
-func measure(o options, sets [][]simulator.Fault) [][]simulator.Availability {
+// measureAll measures each set of faults with each seed, with as many sets at once as there are processors.
+func measureAll(o options, sets [][]simulator.Fault) [][]simulator.Availability {
 	plan := simulator.Plans[o.plan]
 	measured := make([][]simulator.Availability, len(sets))
 	forEach(len(sets), func(i int) {
@@ -63,14 +63,14 @@
 	return measured
 }
 
-// row is a row of the table, with what it is sorted by.
+// row is a row of the table, with its sort key.
 type row struct {
-	unserved float64 // part of the requests
+	unserved float64 // share of the requests that were not served
 	text     string
 }
 
-// rowOf adds up the seeds of one set of faults.
-func rowOf(measured []simulator.Availability) row {
+// newRow returns the row of one set of faults, summed over its seeds.
+func newRow(measured []simulator.Availability) row {
 	var sum simulator.Availability
 	var gaps, recoveries, latencies []time.Duration
 	outcomes := map[simulator.ChangeOutcome]int{}
@@ -95,11 +95,11 @@
 		}
 	}
 	return row{sum.UnservedShare(), fmt.Sprintf("| %s | %s | %s | %s | %s | %s | %s | %s |", strings.Join(measured[0].Faults, " + "),
-		percent(sum.Rejected), percent(sum.Failed), percent(sum.Abandoned), medianAndMost(gaps), medianAndMost(recoveries), medianAndMost(latencies), strings.Join(others, ", "))}
+		percent(sum.Rejected), percent(sum.Failed), percent(sum.Abandoned), medianAndMax(gaps), medianAndMax(recoveries), medianAndMax(latencies), strings.Join(others, ", "))}
 }
 
-// medianAndMost prints both in seconds; it sorts the durations.
-func medianAndMost(durations []time.Duration) string {
+// medianAndMax formats the median and the maximum of some durations in seconds. It sorts the durations.
+func medianAndMax(durations []time.Duration) string {
 	if len(durations) == 0 {
 		return "-"
 	}
--- a/cmd/mfsim/check.go
+++ b/cmd/mfsim/check.go
@@ -10,8 +10,8 @@
 	"myrtlefold/internal/verification/modelcheck"
 )
 
-// check is the command that explores the quorum node systematically.
-type check struct {
+// checkCommand is the command that checks the consensus protocol by exploring its states.
+type checkCommand struct {
 	command  *kingpin.CmdClause
 	list     *bool
 	scenario *string
@@ -23,26 +23,27 @@
 	seed     *uint64
 }
 
-func checkCommand(app *kingpin.Application) *check {
-	c := app.Command("check", "Explores the agreement among core members: all orders of events up to a bound, then random ones.")
-	return &check{
+// newCheckCommand declares the command and its flags.
+func newCheckCommand(app *kingpin.Application) *checkCommand {
+	c := app.Command("check", "Model-checks the consensus among control daemons: all orders of events up to a bound, then random walks.")
+	return &checkCommand{
 		command:  c,
 		list:     c.Flag("scenarios", "list the scenarios").Bool(),
-		scenario: c.Flag("scenario", "only this one").String(),
-		states:   c.Flag("states", "distinct states of each scenario").Default("200000").Int(),
-		depth:    c.Flag("depth", "most actions from the start of a scenario").Default("1000").Int(),
+		scenario: c.Flag("scenario", "check only this scenario").String(),
+		states:   c.Flag("states", "most distinct states of each scenario").Default("200000").Int(),
+		depth:    c.Flag("depth", "most transitions from the first state of a scenario").Default("1000").Int(),
 		workers:  c.Flag("workers", "threads that expand states").Default("3").Int(),
-		walks:    c.Flag("walks", "random walks of each scenario, beyond its bounds").Default("1000").Int(),
-		length:   c.Flag("length", "actions of a walk").Default("400").Int(),
-		seed:     c.Flag("seed", "of the walks").Default("1").Uint64(),
+		walks:    c.Flag("walks", "random walks in each scenario, without its budget of events").Default("1000").Int(),
+		length:   c.Flag("length", "transitions of each walk").Default("400").Int(),
+		seed:     c.Flag("seed", "seed of the walks").Default("1").Uint64(),
 	}
 }
 
-// run explores and returns the process's exit status.
-func (c *check) run() int {
+// run checks the scenarios, or lists them, and returns the exit status.
+func (c *checkCommand) run() int {
 	if *c.scenario != "" && modelcheck.ScenarioByName(*c.scenario) == nil {
-		fmt.Fprintf(os.Stderr, "mfsim: no scenario %q, see check --scenarios\n", *c.scenario)
-		return 2
+		fmt.Fprintf(os.Stderr, "mfsim: unknown scenario %q, see check --scenarios\n", *c.scenario)
+		return statusUsage
 	}
 	status := 0
 	for i := range modelcheck.Scenarios {
@@ -55,20 +56,21 @@
 			continue
 		}
 		if !c.explore(s) {
-			status = 1
+			status = statusFailed
 		}
 	}
 	return status
 }
 
-// explore searches one scenario and then walks in it; it says whether all held.
-func (c *check) explore(s *modelcheck.Scenario) bool {
+// explore searches the states of one scenario and then takes random walks in it; it reports whether no
+// invariant was violated.
+func (c *checkCommand) explore(s *modelcheck.Scenario) bool {
 	limits := modelcheck.Limits{States: *c.states, Depth: *c.depth, Workers: *c.workers}
 	started := time.Now()
-	found := modelcheck.Search(s, limits)
-	fmt.Printf("%v, %.1f s\n", found, time.Since(started).Seconds())
+	searched := modelcheck.Search(s, limits)
+	fmt.Printf("%v, %.1f s\n", searched, time.Since(started).Seconds())
 	started = time.Now()
 	walked := modelcheck.Walk(s, *c.seed, *c.walks, *c.length)
 	fmt.Printf("%v, %.1f s\n", walked, time.Since(started).Seconds())
-	return found.Violation == "" && walked.Violation == ""
+	return searched.Violation == "" && walked.Violation == ""
 }
--- a/cmd/mfsim/days.go
+++ b/cmd/mfsim/days.go
@@ -11,32 +11,32 @@
 	"myrtlefold/internal/verification/simulator"
 )
 
-// job is a day to run, by its seed and the kinds of faults in it (none: all).
+// job is a day to simulate.
 type job struct {
 	seed  uint64
-	kinds []simulator.Fault
+	kinds []simulator.Fault // kinds of faults to inject; empty: all
 }
 
-// result is a day that was run.
+// result is a simulated day; its world is nil when a worker has finished.
 type result struct {
 	job
 	world *simulator.World
 }
 
-// runDays runs days by seed, prints those that broke a rule and a summary, and returns the exit status.
-func runDays(chosen options) int {
+// runDays simulates days of random faults, prints those that violated a rule and a summary, and returns the exit status.
+func runDays(opts options) int {
 	jobs := make(chan job)
-	go chosen.sendJobs(jobs, chosen.onlyFaults())
+	go opts.sendJobs(jobs, opts.selectedFaults())
 	results := make(chan result)
-	plan := chosen.fleet()
+	plan := opts.simulatorPlan()
 	start := time.Now()
 	workers := runtime.GOMAXPROCS(0)
 	for range workers {
 		go func() {
 			for j := range jobs {
-				results <- result{j, simulator.Day(j.seed, plan, j.kinds, chosen.faultsPerDay(), chosen.span)}
+				results <- result{j, simulator.Day(j.seed, plan, j.kinds, opts.faultsPerDay(), opts.span)}
 			}
-			results <- result{} // the worker is done
+			results <- result{} // the worker has finished
 		}()
 	}
 	sum := summary{rules: map[string]int{}, digests: map[uint64]string{}}
@@ -46,16 +46,16 @@
 			workers--
 			continue
 		}
-		sum.add(chosen, r)
+		sum.add(opts, r)
 	}
-	sum.print(chosen, time.Since(start))
+	sum.print(opts, time.Since(start))
 	if sum.failed > 0 {
 		return statusFailed
 	}
 	return 0
 }
 
-// sendJobs sends the days to run, and closes the channel.
+// sendJobs sends the days to simulate and closes the channel.
 func (o options) sendJobs(jobs chan<- job, only []simulator.Fault) {
 	defer close(jobs)
 	for seed := o.from; seed < o.from+o.seeds; seed++ {
@@ -71,28 +71,28 @@
 	}
 }
 
-// shownPerRule is how many days that broke a rule are printed.
-const shownPerRule = 2
+// shownPerRuleMax limits how many days are printed for each rule that they violated.
+const shownPerRuleMax = 2
 
-// summary adds up what days had.
+// summary is the totals over days.
 type summary struct {
-	failed, ran, steps int
+	failed, ran, steps int // days that violated a rule, all days, and their events
 	served, requests   int
-	latestToDraining   time.Duration     // latest attempt at a draining target
-	latestToCrashed    time.Duration     // latest attempt at a crashed target
-	rules              map[string]int    // days by the rule that they broke
-	digests            map[uint64]string // by seed, if they are asked for
+	latestToDraining   time.Duration     // longest time from a target's acknowledged draining to an attempt there
+	latestToCrashed    time.Duration     // longest time from a target's crash to an attempt there
+	rules              map[string]int    // number of days by the rule that they violated
+	digests            map[uint64]string // by seed; empty unless --digest is given
 }
 
-// add takes in a day, and prints it if it broke a rule.
-func (s *summary) add(chosen options, day result) {
+// add adds a day to the totals and prints it if it violated a rule and is one of the first to violate it.
+func (s *summary) add(opts options, day result) {
 	stats := &day.world.Stats
 	s.ran++
 	s.steps += stats.Steps
 	s.latestToDraining = max(s.latestToDraining, stats.LatestToDraining)
 	s.latestToCrashed = max(s.latestToCrashed, stats.LatestToCrashed)
 	s.served, s.requests = s.served+stats.Served, s.requests+stats.Requests
-	if chosen.digest {
+	if opts.digest {
 		s.digests[day.seed] = day.world.Digest()
 	}
 	if day.world.Failure == "" {
@@ -101,12 +101,12 @@
 	s.failed++
 	rule, _, _ := strings.Cut(day.world.Failure, ":")
 	s.rules[rule]++
-	if s.rules[rule] <= shownPerRule {
-		printFailure(chosen, day)
+	if s.rules[rule] <= shownPerRuleMax {
+		printFailure(opts, day)
 	}
 }
 
-// printFailure prints how a day failed, and the command that replays it.
+// printFailure prints how a day violated a rule, the end of its trace and the command that replays it.
 func printFailure(o options, r result) {
 	var kinds []string
 	for _, k := range r.kinds {
@@ -116,11 +116,12 @@
 		r.seed, r.world.Failure, r.world.Trace(o.trace), r.seed, o.faults, o.span, o.plan, strings.Join(kinds, " "))
 }
 
+// print prints the digests and the totals.
 func (s *summary) print(o options, took time.Duration) {
 	for _, seed := range slices.Sorted(maps.Keys(s.digests)) {
 		fmt.Printf("digest %s faults %d seed %d: %s\n", o.plan, o.faultsPerDay(), seed, s.digests[seed])
 	}
-	fmt.Printf("%d days, %d steps, %d of %d exchanges served, latest exchange to a leaving target %v, to a gone one %v, broken rules %v, %.1f s\n",
+	fmt.Printf("%d days, %d steps, %d of %d requests served, latest request to a draining target %v, to a crashed one %v, violated rules %v, %.1f s\n",
 		s.ran, s.steps, s.served, s.requests, s.latestToDraining, s.latestToCrashed, s.rules, took.Seconds())
 	fmt.Printf("%d passed, %d failed\n", s.ran-s.failed, s.failed)
 }
--- a/cmd/mfsim/main.go
+++ b/cmd/mfsim/main.go
@@ -1,7 +1,6 @@
-// Command mfsim runs seeds through the simulator and reports each rule that
-// broke, with a short trace and the command that replays it. The work is in packages simulator and modelcheck;
-// here are the command line (options.go), each mode's runs (days.go, scenes.go, availability.go, check.go) and
-// what is printed of them.
+// Command mfsim runs a simulated fleet from seeds and reports each rule that was violated, with a short trace and the command
+// that replays the run. The simulation is in packages simulator and modelcheck. This package has the command line
+// (options.go), the modes (days.go, scenes.go, availability.go, check.go) and their output.
 package main
 
 import (
@@ -14,22 +13,22 @@
 
 func main() {
 	debug.SetGCPercent(simulator.GCPercent)
-	chosen := parse(os.Args[1:])
+	opts := parseOptions(os.Args[1:])
 	switch {
-	case chosen.check != nil:
-		os.Exit(chosen.check.run())
-	case chosen.listKinds:
+	case opts.check != nil:
+		os.Exit(opts.check.run())
+	case opts.listKinds:
 		listFaults()
-	case chosen.listRules && chosen.digest:
-		os.Exit(runAllScenes(chosen))
-	case chosen.listRules:
+	case opts.listRules && opts.digest:
+		os.Exit(runAllScenes(opts))
+	case opts.listRules:
 		listScenes()
-	case chosen.rule != "":
-		os.Exit(runScene(findScene(chosen.rule), chosen))
-	case chosen.availability:
-		os.Exit(measureAvailability(chosen))
+	case opts.rule != "":
+		os.Exit(runScene(findScene(opts.rule), opts))
+	case opts.availability:
+		os.Exit(measureAvailability(opts))
 	default:
-		os.Exit(runDays(chosen))
+		os.Exit(runDays(opts))
 	}
 }
 
--- a/cmd/mfsim/parallel.go
+++ b/cmd/mfsim/parallel.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// forEach calls a function with each number below count, as many at once as there are processors, and waits for all.
+// forEach calls a function with each number from 0 to count-1, with as many calls at once as there are processors, and waits
+// for all calls.
 func forEach(count int, run func(i int)) {
 	var all sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
--- a/cmd/mfsim/scenes.go
+++ b/cmd/mfsim/scenes.go
@@ -8,32 +8,33 @@
 	"myrtlefold/internal/verification/simulator"
 )
 
-// shownPerScene is how many seeds of a scene that broke a rule are printed.
-const shownPerScene = 3
+// shownPerSceneMax limits the failures that are printed: none is after more than this many seeds passed or showed a violation of
+// the scene's rules.
+const shownPerSceneMax = 3
 
-// listScenes prints the rules' scenes.
+// listScenes prints the scenes of the rules.
 func listScenes() {
 	for _, s := range simulator.Scenes {
 		fmt.Printf("%-14s %s; guard: %s\n", s.Name, s.Threat, s.DisabledGuard)
 	}
 }
 
-// findScene finds a scene by its name; it ends the program if there is none.
+// findScene returns the scene with a name; it ends the process if there is none.
 func findScene(name string) *simulator.Scene {
 	i := slices.IndexFunc(simulator.Scenes, func(s simulator.Scene) bool { return s.Name == name })
 	if i < 0 {
-		usage("no rule %q, see --rules", name)
+		exitWithUsageError("unknown rule %q, see --rules", name)
 	}
 	return &simulator.Scenes[i]
 }
 
-// runScene runs one scene with all seeds and returns the exit status. With its guard no seed may break a rule; without
-// it, some seed must break one of the scene's.
-func runScene(scene *simulator.Scene, chosen options) int {
+// runScene runs one scene with all seeds and returns the exit status. With its guard, no seed may violate a rule; without the
+// guard, at least one seed must violate one of the scene's rules. In both cases the threat must have occurred.
+func runScene(scene *simulator.Scene, opts options) int {
 	held, shown, occurrences := 0, 0, 0
-	for seed := chosen.from; seed < chosen.from+chosen.seeds; seed++ {
-		world := scene.Run(seed, chosen.fleet(), chosen.withoutGuard)
-		if chosen.digest {
+	for seed := opts.from; seed < opts.from+opts.seeds; seed++ {
+		world := scene.Run(seed, opts.simulatorPlan(), opts.withoutGuard)
+		if opts.digest {
 			fmt.Println(sceneDigest(scene, seed, world))
 		}
 		occurrences += scene.Occurrences(&world.Stats)
@@ -43,33 +44,34 @@
 		case scene.ShownBy(world):
 			shown++
 		}
-		if world.Failure != "" && held+shown <= shownPerScene {
+		if world.Failure != "" && held+shown <= shownPerSceneMax {
 			fmt.Printf("seed %d: %s\n", seed, world.Failure)
-			if !chosen.withoutGuard {
-				fmt.Println(world.Trace(chosen.trace))
+			if !opts.withoutGuard {
+				fmt.Println(world.Trace(opts.trace))
 			}
 		}
 	}
-	fmt.Printf("%s: %s\ncaused %d times in %d seeds; held in %d, broke %q in %d\n", scene.Name, scene.Threat, occurrences, chosen.seeds, held, scene.RuleNames(), shown)
-	if !chosen.withoutGuard && held < int(chosen.seeds) || chosen.withoutGuard && shown == 0 || occurrences == 0 {
+	fmt.Printf("%s: %s\nthreat occurred %d times in %d seeds; all rules held in %d, %q violated in %d\n", scene.Name, scene.Threat, occurrences, opts.seeds, held, scene.RuleNames(), shown)
+	if !opts.withoutGuard && held < int(opts.seeds) || opts.withoutGuard && shown == 0 || occurrences == 0 {
 		return statusFailed
 	}
 	return 0
 }
 
-// sceneDigest is the line that .ci/digests compares.
+// sceneDigest returns the output line that .ci/digests compares.
 func sceneDigest(s *simulator.Scene, seed uint64, w *simulator.World) string {
 	return fmt.Sprintf("digest scene %s seed %d: %s", s.Name, seed, w.Digest())
 }
 
-// runAllScenes runs all scenes, as many at once as there are processors, prints their digests and returns the exit status.
-func runAllScenes(chosen options) int {
+// runAllScenes runs all scenes with their guards, as many at once as there are processors, prints their digests and failures,
+// and returns the exit status.
+func runAllScenes(opts options) int {
 	lines := make([][]string, len(simulator.Scenes))
 	failed := make([]bool, len(simulator.Scenes))
 	forEach(len(simulator.Scenes), func(i int) {
 		scene := &simulator.Scenes[i]
-		for seed := chosen.from; seed < chosen.from+chosen.seeds; seed++ {
-			w := scene.Run(seed, chosen.fleet(), false)
+		for seed := opts.from; seed < opts.from+opts.seeds; seed++ {
+			w := scene.Run(seed, opts.simulatorPlan(), false)
 			lines[i] = append(lines[i], sceneDigest(scene, seed, w))
 			if w.Failure != "" {
 				lines[i] = append(lines[i], w.Failure)
