--- a/cmd/mfchaos/deployment.go
+++ b/cmd/mfchaos/deployment.go
@@ -12,11 +12,11 @@
 
 // Service is a service of a deployment and the behaviour of its test back ends.
 type Service struct {
-	Name    string
-	Targets int    // number of back ends
-	Work    string // duration of a request
-	Bears   int    // concurrent requests of a back end; more wait
-	Warm    string // warm-up time of a restarted back end
+	Name        string
+	Targets     int    // number of back ends
+	RequestTime string // time that a back end works on a request, as a Go duration
+	Concurrency int    // requests that a back end works on at once; more wait
+	WarmupTime  string // time for which a restarted back end reports the state warming, as a Go duration
 }
 
 // deployments are the values of --deployment.
--- a/cmd/mfchaos/faults.go
+++ b/cmd/mfchaos/faults.go
@@ -90,7 +90,7 @@
 				n++
 				f.logf("stop %s and start it again", p.name)
 				p.stop(8 * time.Second)
-				*p = *f.newBackend(s, p.name, p.addr, p.domain, s.Warm)
+				*p = *f.newBackend(s, p.name, p.addr, p.domain, s.WarmupTime)
 				f.restart(p)
 			}
 		}
@@ -230,7 +230,7 @@
 		for _, p := range f.backends {
 			if p.service == s.Name && !p.stopped {
 				p.kill()
-				*p = *f.newBackend(s, p.name, p.addr, p.domain, s.Warm)
+				*p = *f.newBackend(s, p.name, p.addr, p.domain, s.WarmupTime)
 				f.restart(p)
 			}
 		}
@@ -271,11 +271,11 @@
 		}
 		docs := [][]byte{f.config, other}
 		writes := []*linearizability.Operation{f.recordChange(docs[0], b), f.recordChange(docs[1], b)}
-		answers := []chan ctlResult{make(chan ctlResult, 1), make(chan ctlResult, 1)}
+		results := []chan ctlResult{make(chan ctlResult, 1), make(chan ctlResult, 1)}
 		for i := range docs {
-			go func() { answers[i] <- f.runConfigPut(docs[i], b) }()
+			go func() { results[i] <- f.runConfigPut(docs[i], b) }()
 		}
-		first, second := <-answers[0], <-answers[1]
+		first, second := <-results[0], <-results[1]
 		recordReply(writes[0], first)
 		recordReply(writes[1], second)
 		f.logf("two changes on revision %d: exit codes %d and %d", b, first.code, second.code)
--- a/cmd/mfchaos/fleet.go
+++ b/cmd/mfchaos/fleet.go
@@ -187,7 +187,7 @@
 func (f *fleet) newBackend(service Service, name, addr, domain, warm string) *process {
 	bind := bindAddressOf(addr)
 	p := &process{name: name, kind: backendProgram, domain: domain, addr: addr, bind: bind, http: bind, service: service.Name}
-	p.args = []string{"--service", service.Name, "--name", name, "--addr", addr, "--bind", bind, "--from", hostOf(bind), "--domain", domain, "--work", service.Work, "--bears", strconv.Itoa(service.Bears),
+	p.args = []string{"--service", service.Name, "--name", name, "--addr", addr, "--bind", bind, "--from", hostOf(bind), "--domain", domain, "--work", service.RequestTime, "--bears", strconv.Itoa(service.Concurrency),
 		"--warm", warm, "--ledger", f.path("ledger", name+".ledger")}
 	if f.routes {
 		p.args = append(p.args, "--health", healthURL, "--named", "--cold", warmupTime.String())
--- a/cmd/mfchaos/main.go
+++ b/cmd/mfchaos/main.go
@@ -53,7 +53,7 @@
 	run.Flag("gap", "mean time between faults").Default("3s").DurationVar(&opts.meanGap)
 	run.Flag("fault", "inject only this kind of fault (repeatable)").StringsVar(&opts.onlyFaults)
 	run.Flag("wipe-at-end", "kill all daemons and delete their data at the end").BoolVar(&opts.wipeAtEnd)
-	measure := app.Command("measure", "measure the figures of the README: time from a target's crash to its last request, time until a configuration is in force, latency through a proxy")
+	measure := app.Command("measure", "measure the figures of the README: time from a target's crash to its ejection by the last proxy, time until a configuration is in force, latency through a proxy")
 	measure.Flag("rounds", "repetitions of each measurement").Default("9").IntVar(&opts.rounds)
 	overload := app.Command("overload", "load a fleet (-d press) with 50, 90, 100, 200 and again 50 % of its capacity, then restart its service under load")
 	overload.Flag("phase", "duration of each load").Default("12s").DurationVar(&opts.phase)
--- a/cmd/mfchaos/measure.go
+++ b/cmd/mfchaos/measure.go
@@ -89,16 +89,16 @@
 				}()
 			}
 			out, _ := exec.Command(filepath.Join(f.bin, "mfload"), f.loadArgs(f.deployment.Rate, phase)...).Output()
-			var rep struct {
+			var report struct {
 				Offered, Served, Refused, Unknown, Wrong int
-				Twice                                    int                `json:"ran_twice"`
-				NoAnswer                                 int                `json:"no_answer"`
-				Ms                                       map[string]float64 `json:"latency_ms"`
+				RanTwice                                 int                `json:"ran_twice"`
+				Unanswered                               int                `json:"no_answer"`
+				LatencyMs                                map[string]float64 `json:"latency_ms"`
 			}
-			json.Unmarshal(out, &rep)
-			failures += rep.Wrong + rep.Twice + rep.NoAnswer
+			json.Unmarshal(out, &report)
+			failures += report.Wrong + report.RanTwice + report.Unanswered
 			f.logf("%s has fault mode %s, with policy %s: %v; offered %d, served %d, failed %d, refused %d, no answer %d, p50 %.0f p99 %.0f ms", f.backends[0].name, c.faultMode, c.policy, withPolicy,
-				rep.Offered, rep.Served, rep.Unknown, rep.Refused, rep.NoAnswer, rep.Ms["p50"], rep.Ms["p99"])
+				report.Offered, report.Served, report.Unknown, report.Refused, report.Unanswered, report.LatencyMs["p50"], report.LatencyMs["p99"])
 		}
 		f.setFaultMode(f.backends[0], "ok")
 		f.runCtl(nil, "policy", "remove", c.policy, "--base", strconv.Itoa(f.revision()))
@@ -116,14 +116,14 @@
 type loadReport struct {
 	Offered, Served, Refused, Unknown int
 	Goodput                           float64            `json:"goodput_per_s"`
-	Refusal                           float64            `json:"refusal_median_ms"`
-	Ms                                map[string]float64 `json:"latency_ms"`
+	RejectionMedianMs                 float64            `json:"refusal_median_ms"`
+	LatencyMs                         map[string]float64 `json:"latency_ms"`
 	RetryAfter                        map[string]int     `json:"retry_after"`
 	Groups                            map[string]struct {
-		Agents int                `json:"user_agents"`
-		Asked  int                `json:"asked"`
-		Served int                `json:"user_agents_served"`
-		Ms     map[string]float64 `json:"latency_ms"`
+		Clients   int                `json:"user_agents"`
+		Requests  int                `json:"asked"`
+		Served    int                `json:"user_agents_served"`
+		LatencyMs map[string]float64 `json:"latency_ms"`
 	} `json:"groups"`
 }
 
@@ -133,10 +133,10 @@
 	var report loadReport
 	json.Unmarshal(out, &report)
 	f.logf("%8.0f %8d %8.1f %8d %8d %9.1f %9.1f %9.1f  %v", rate, report.Offered, report.Goodput, report.Refused, report.Unknown,
-		report.Ms["p50"], report.Ms["p99"], report.Refusal, report.RetryAfter)
+		report.LatencyMs["p50"], report.LatencyMs["p99"], report.RejectionMedianMs, report.RetryAfter)
 	for _, name := range []string{"polite", "at_once"} {
 		group := report.Groups[name]
-		f.logf("%26s: %d clients sent %d requests, %d clients were served, p50 %.0f p99 %.0f ms", name, group.Agents, group.Asked, group.Served, group.Ms["p50"], group.Ms["p99"])
+		f.logf("%26s: %d clients sent %d requests, %d clients were served, p50 %.0f p99 %.0f ms", name, group.Clients, group.Requests, group.Served, group.LatencyMs["p50"], group.LatencyMs["p99"])
 	}
 	return err
 }
@@ -154,7 +154,7 @@
 			failures++
 		}
 	}
-	f.logf("%8s %8s %8s %8s %8s %9s %9s %9s  retry-after", "rate", "offered", "goodput", "refused", "unknown", "p50 ms", "p99 ms", "refuse ms")
+	f.logf("%8s %8s %8s %8s %8s %9s %9s %9s  retry-after", "rate", "offered", "goodput", "refused", "unknown", "p50 ms", "p99 ms", "reject ms")
 	for _, part := range []float64{0.5, 0.9, 1, 2, 0.5} {
 		load(f.deployment.Rate * part)
 	}
--- a/cmd/mfchaos/soak_callers.go
+++ b/cmd/mfchaos/soak_callers.go
@@ -93,13 +93,13 @@
 
 // pollReady keeps the list of ready proxies current, like the platform's load balancer.
 func (c *soakCallers) pollReady() {
-	look := time.NewTicker(readyPollInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(readyPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-c.stop:
 			return
-		case <-look.C:
+		case <-ticker.C:
 			c.refreshReady()
 		}
 	}
--- a/cmd/mfchaos/soak_operator.go
+++ b/cmd/mfchaos/soak_operator.go
@@ -71,7 +71,7 @@
 }
 
 // send sends one call to a control daemon and returns the reply; the status is 0 if there was none.
-func (o *soakOperator) send(control *process, method, path string, body []byte) (status int, answer []byte) {
+func (o *soakOperator) send(control *process, method, path string, body []byte) (status int, reply []byte) {
 	request, err := http.NewRequest(method, "http://"+control.http+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
@@ -81,21 +81,21 @@
 		return 0, nil
 	}
 	defer response.Body.Close()
-	answer, err = io.ReadAll(response.Body)
+	reply, err = io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil
 	}
-	return response.StatusCode, answer
+	return response.StatusCode, reply
 }
 
 // sendUntilConclusive sends a call to random control daemons until a reply has a status from 200 to 499, or changeGiveUpAfter is
 // over; then it returns status 0.
-func (o *soakOperator) sendUntilConclusive(method, path string, body []byte) (status int, answer []byte) {
+func (o *soakOperator) sendUntilConclusive(method, path string, body []byte) (status int, reply []byte) {
 	for started := time.Now(); time.Since(started) < changeGiveUpAfter; {
 		control := o.soak.controls[o.random.IntN(len(o.soak.controls))]
-		status, answer = o.send(control, method, path, body)
+		status, reply = o.send(control, method, path, body)
 		if status >= 200 && status < 500 {
-			return status, answer
+			return status, reply
 		}
 		time.Sleep(changeRetryInterval)
 	}
@@ -113,12 +113,12 @@
 	if o.revision == 0 {
 		o.revision, _ = o.readConfig()
 	}
-	status, answer := o.sendUntilConclusive(http.MethodPut, "/v1/config?base="+strconv.Itoa(o.revision), doc)
+	status, reply := o.sendUntilConclusive(http.MethodPut, "/v1/config?base="+strconv.Itoa(o.revision), doc)
 	var v struct {
 		Revision int `json:"revision"`
 	}
 	switch {
-	case status == http.StatusOK && json.Unmarshal(answer, &v) == nil && v.Revision > o.revision:
+	case status == http.StatusOK && json.Unmarshal(reply, &v) == nil && v.Revision > o.revision:
 		o.revision, o.document = v.Revision, doc
 		o.soak.log.add(eventChange, "")
 	case status == 0:
@@ -127,7 +127,7 @@
 			o.revision, o.document = revision, text
 		}
 	default:
-		o.soak.recordViolation(ruleChangeAccepted, "change on revision %d, the newest acknowledged: status %d, %.200s", o.revision, status, answer)
+		o.soak.recordViolation(ruleChangeAccepted, "change on revision %d, the newest acknowledged: status %d, %.200s", o.revision, status, reply)
 		o.revision, o.document = o.readConfig()
 	}
 }
@@ -136,12 +136,12 @@
 func (o *soakOperator) readConfig() (revision int, doc []byte) {
 	for started := time.Now(); time.Since(started) < changeGiveUpAfter; time.Sleep(changeRetryInterval) {
 		for _, control := range o.soak.controls {
-			status, answer := o.send(control, http.MethodGet, "/v1/config", nil)
+			status, reply := o.send(control, http.MethodGet, "/v1/config", nil)
 			var v struct {
 				Revision int             `json:"revision"`
 				Config   json.RawMessage `json:"config"`
 			}
-			if status == http.StatusOK && json.Unmarshal(answer, &v) == nil {
+			if status == http.StatusOK && json.Unmarshal(reply, &v) == nil {
 				return v.Revision, v.Config
 			}
 		}
@@ -218,11 +218,11 @@
 func (o *soakOperator) readEmptiedDomains() []string {
 	for started := time.Now(); time.Since(started) < recoverWait; time.Sleep(changeRetryInterval) {
 		for _, control := range o.soak.controls {
-			status, answer := o.send(control, http.MethodGet, "/v1/domains", nil)
+			status, reply := o.send(control, http.MethodGet, "/v1/domains", nil)
 			var v struct {
 				Emptied []string `json:"emptied"`
 			}
-			if status == http.StatusOK && json.Unmarshal(answer, &v) == nil {
+			if status == http.StatusOK && json.Unmarshal(reply, &v) == nil {
 				return v.Emptied
 			}
 		}
