--- a/internal/verification/modelcheck/canonical.go
+++ b/internal/verification/modelcheck/canonical.go
@@ -1,5 +1,5 @@
-// This file makes the key of a state from its canonical form. States with the same key go on alike, but for the length of
-// time-outs drawn later, so one of them is enough.
+// This file computes the key of a state from its canonical form. States with the same key have equivalent successors,
+// except for the length of timeouts drawn later, so the search expands only one of them.
 
 package modelcheck
 
@@ -16,30 +16,30 @@
 type key [16]byte
 
 const (
-	// noServer is written for the empty name.
+	// noServer encodes the empty server name.
 	noServer = 255
-	// maxServers bounds the servers of a scenario, and is the distance from a server's number to that of the vacant
-	// member of its name.
+	// maxServers is the upper bound for the servers of a scenario. The vacant member of a server's name is encoded as
+	// the server's number plus maxServers.
 	maxServers = 32
 )
 
-// canonicalizer makes keys. It reuses its buffers, so each worker has its own.
+// canonicalizer computes the keys of states. It reuses its buffers, so each worker needs its own.
 type canonicalizer struct {
 	encoder    consensus.CanonicalEncoder
-	rank       [maxServers]byte // what each server is renumbered to
-	least      []byte           // the least form so far
+	rank       [maxServers]byte // new number of each server, by its index
+	smallest   []byte           // smallest canonical form found so far
 	messages   [][]byte
 	signatures []signature
 	order      []int
-	// distinct servers differ by their clocks or names, and are not renumbered.
+	// distinct means that servers differ in clock rate or have vacant members, so they are not interchangeable.
 	distinct bool
 }
 
-// signature is what is known of a server without names. Servers with different signatures need not be tried at each
-// other's rank.
+// signature summarizes a server's state without using server names. Only servers with equal signatures are permuted in the
+// search for the smallest canonical form.
 type signature [12]uint64
 
-// The last two numbers of a signature count a server's messages in flight.
+// Indexes of the two signature numbers that count a server's messages in flight.
 const (
 	messagesTo   = 10
 	messagesFrom = 11
@@ -48,7 +48,7 @@
 func newCanonicalizer(scenario *Scenario) *canonicalizer {
 	c := &canonicalizer{distinct: len(scenario.ClockRates) > 1 || scenario.VacantMembers > 0}
 	if len(scenario.TimeSteps) == 1 && scenario.TimeSteps[0] == longestTimeout && len(scenario.ClockRates) == 0 {
-		c.encoder.DeadlineStep = longestTimeout // whenever a deadline is within the next step, it has passed after it
+		c.encoder.DeadlineStep = longestTimeout // all deadlines within the next step pass together
 	}
 	c.encoder.NodeIndex = c.nodeIndex
 	c.encoder.DiskNumber = c.diskNumber
@@ -61,7 +61,7 @@
 	}
 	rank := c.rank[(name[0]-'a')%maxServers]
 	if len(name) > 1 {
-		rank += maxServers // a vacant entry of the member list
+		rank += maxServers // a vacant member
 	}
 	return rank
 }
@@ -74,21 +74,22 @@
 	return diskNumber(int(c.rank[server]), (disk-1)%disksPerServer)
 }
 
-// key is that of the least of the state's forms over all orders of the servers that their signatures leave open.
+// key returns the checksum of the smallest canonical form over all orders of servers that are consistent with the order of
+// their signatures.
 func (c *canonicalizer) key(s *State) key {
-	c.least = c.least[:0]
+	c.smallest = c.smallest[:0]
 	c.orderServers(s)
 	c.eachPermutation(0, func() {
 		c.write(s, c.order)
-		if len(c.least) == 0 || bytes.Compare(c.encoder.Bytes, c.least) < 0 {
-			c.least = append(c.least[:0], c.encoder.Bytes...)
+		if len(c.smallest) == 0 || bytes.Compare(c.encoder.Bytes, c.smallest) < 0 {
+			c.smallest = append(c.smallest[:0], c.encoder.Bytes...)
 		}
 	})
-	sum := sha256.Sum256(c.least)
+	sum := sha256.Sum256(c.smallest)
 	return key(sum[:16])
 }
 
-// orderServers fills in the servers' signatures, and orders the servers by them.
+// orderServers computes the servers' signatures and sorts the servers by them.
 func (c *canonicalizer) orderServers(s *State) {
 	c.signatures, c.order = c.signatures[:0], c.order[:0]
 	for i := range s.servers {
@@ -116,7 +117,8 @@
 	return result
 }
 
-// eachPermutation calls visit with every order that permutes servers of equal signature, from the given rank on.
+// eachPermutation calls visit for every permutation of servers with equal signatures, keeping the ranks below from fixed.
+// The current permutation is in c.order.
 func (c *canonicalizer) eachPermutation(from int, visit func()) {
 	if from == len(c.order) {
 		visit()
@@ -129,7 +131,7 @@
 	}
 }
 
-// serverForm returns the form of one server alone, with the numbers that all have.
+// serverForm returns the encoding of a single server, without renumbering.
 func (c *canonicalizer) serverForm(s *State, i int) []byte {
 	for j := range s.servers {
 		c.rank[j] = byte(j)
@@ -139,7 +141,7 @@
 	return bytes.Clone(c.encoder.Bytes)
 }
 
-// write writes the state down with the servers in an order.
+// write encodes the state with the servers in the given order.
 func (c *canonicalizer) write(s *State, order []int) {
 	c.encoder.Bytes = c.encoder.Bytes[:0]
 	for rank, i := range order {
@@ -163,7 +165,7 @@
 	}
 }
 
-// writeNetwork appends the messages in flight as a set.
+// writeNetwork appends the messages in flight, sorted, since their order doesn't matter.
 func (c *canonicalizer) writeNetwork(s *State) {
 	start := len(c.encoder.Bytes)
 	c.messages = c.messages[:0]
@@ -180,7 +182,7 @@
 	}
 }
 
-// writeHistory appends what the invariants remember, in an order that doesn't depend on names.
+// writeHistory appends the history that the invariants use, in an order that is independent of server names.
 func (c *canonicalizer) writeHistory(state *State) {
 	for _, leader := range state.history.leaders {
 		c.encoder.Uint(leader.term)
--- a/internal/verification/modelcheck/invariant.go
+++ b/internal/verification/modelcheck/invariant.go
@@ -1,4 +1,4 @@
-// This file is the invariants, which must hold in every state, and the history that they need.
+// This file defines the invariants, which must hold in every state, and the history that they are checked against.
 
 package modelcheck
 
@@ -11,36 +11,37 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// The names of the invariants, with which a violation begins. ElectionSafety, LogMatching, LeaderCompleteness and
-// StateMachineSafety are properties in figure 3 of the Raft paper.
+// Names of the invariants. The text of a violation begins with one of them. ElectionSafety, LogMatching, LeaderCompleteness and
+// StateMachineSafety are the properties of figure 3 in the Raft paper.
 const (
 	ElectionSafety       = "one leader per term"
 	CommittedEntriesKept = "committed entries are kept"
 	LogMatching          = "logs match"
 	StateMachineSafety   = "state machines agree"
-	LeaderCompleteness   = "leaders hold what is committed"
-	QuorumsIntersect     = "majorities of successive lists meet"
+	LeaderCompleteness   = "leaders hold all committed entries"
+	QuorumsIntersect     = "majorities of successive member lists intersect"
 	SingleLeaseHolder    = "one lease at a time"
 	LeaseHolderIsCurrent = "a lease holder knows the latest commit"
 	VotersAreMembers     = "only members vote and are counted"
 	OneVotePerTerm       = "one vote per term"
-	SyncedBeforeSent     = "what is promised is synced"
+	SyncedBeforeSent     = "state is synced before it is announced"
 	NoPanic              = "no step panics"
 )
 
 type (
-	// leaderRecord is the leader that a term had.
+	// leaderRecord names the leader of a term.
 	leaderRecord struct {
 		term   uint64
 		server string
 	}
-	// voteRecord is the candidate that a member voted for.
+	// voteRecord is a member's vote for a candidate in a term.
 	voteRecord struct {
 		term      uint64
 		voter     wire.Member
 		candidate string
 	}
-	// commitRecord is the state after a committed entry, and the term of the node that first held it for committed.
+	// commitRecord is the state after a committed entry, the entry's term, and the term of the node that first considered
+	// the entry committed.
 	commitRecord struct {
 		stateMachine
 		entryTerm uint64
@@ -48,26 +49,26 @@
 	}
 )
 
-// history is what has happened, and no node may go back on.
+// history records elections, votes and commits, none of which a later step may contradict.
 type history struct {
 	leaders   []leaderRecord
 	votes     []voteRecord
-	committed []commitRecord // by index, from firstIndex on
+	committed []commitRecord // in order of the entries' indexes, starting at firstIndex
 }
 
-// clone clips the lists, so that appending to one copies it.
+// clone returns a history that shares its lists with h. Their capacity is clipped, so an append copies them.
 func (h history) clone() history {
 	return history{slices.Clip(h.leaders), slices.Clip(h.votes), slices.Clip(h.committed)}
 }
 
-// fail notes a violation. Only the first counts.
+// fail records a violation unless the scenario ignores the invariant. Only the first violation is kept.
 func (s *State) fail(invariant, format string, args ...any) {
 	if s.violation == "" && !slices.Contains(s.scenario.Faults.Ignore, invariant) {
 		s.violation = invariant + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
-// check checks the server that took the last step, against all others.
+// check checks all invariants that the last step, taken by server i, can violate.
 func (s *State) check(i int) {
 	server := s.servers[i]
 	s.checkLeader(server)
@@ -81,8 +82,8 @@
 	s.checkLeases()
 }
 
-// checkLeader checks that a term has one leader, which a majority of the members voted for, and which holds all that was
-// committed before.
+// checkLeader checks that a term has at most one leader, that a majority of the members voted for it, and that it holds all
+// entries committed in earlier terms.
 func (s *State) checkLeader(server *server) {
 	if server.node.Role() != consensus.Leader {
 		return
@@ -103,7 +104,7 @@
 	members := leader.node.Members()
 	self := wire.Member{Name: leader.name, Disk: leader.disk.Disk}
 	if !slices.Contains(members, self) {
-		s.fail(VotersAreMembers, "%s leads term %d and is no member of %v", leader.name, term, members)
+		s.fail(VotersAreMembers, "%s leads term %d but is not among the members %v", leader.name, term, members)
 	}
 	votes := 1
 	for _, vote := range s.history.votes {
@@ -112,11 +113,11 @@
 		}
 	}
 	if 2*votes <= len(members) {
-		s.fail(VotersAreMembers, "%s leads term %d by %d votes of the members %v", leader.name, term, votes, members)
+		s.fail(VotersAreMembers, "%s leads term %d with %d votes from the members %v", leader.name, term, votes, members)
 	}
 }
 
-// checkLeaderCompleteness checks that a leader holds all that was committed in earlier terms.
+// checkLeaderCompleteness checks that a leader holds all entries that were committed in earlier terms.
 func (s *State) checkLeaderCompleteness(leader *server, term uint64) {
 	log, snapshot := leader.node.Log(), leader.node.Snapshot()
 	for _, entry := range s.history.committed {
@@ -131,8 +132,8 @@
 	}
 }
 
-// checkCommitted checks that what a node holds for committed is what any node ever did, and that its state machine has
-// applied just that.
+// checkCommitted checks that the entries a node considers committed equal those in the history, and that its state machine
+// has applied exactly these.
 func (s *State) checkCommitted(server *server) {
 	node := server.node
 	snapshot, commit := node.Snapshot(), min(node.Commit(), node.LastIndex())
@@ -149,26 +150,26 @@
 		s.compareCommitted(server, state, entry.Term)
 	}
 	if server.applied != state {
-		s.fail(StateMachineSafety, "%s has applied %+v and committed %+v", server.name, server.applied, state)
+		s.fail(StateMachineSafety, "%s has applied state %+v but committed state %+v", server.name, server.applied, state)
 	}
 }
 
-// compareCommitted compares the state after a committed entry with that after the entry which was committed first, or
-// notes it.
+// compareCommitted compares the state after a committed entry with the state recorded for that index. If none is recorded
+// yet, it records this one.
 func (s *State) compareCommitted(server *server, state stateMachine, entryTerm uint64) {
 	known := s.history.committed
 	offset := int(state.index) - firstIndex
 	switch {
 	case offset < len(known) && known[offset].stateMachine != state:
-		s.fail(CommittedEntriesKept, "%s holds another entry %d than was committed", server.name, state.index)
+		s.fail(CommittedEntriesKept, "%s considers a different entry %d committed than was committed first", server.name, state.index)
 	case offset == len(known):
 		s.history.committed = append(known, commitRecord{state, entryTerm, server.node.Term()})
 	case offset > len(known):
-		s.fail(CommittedEntriesKept, "%s has a snapshot at %d beyond what was committed", server.name, state.index)
+		s.fail(CommittedEntriesKept, "%s has a snapshot at index %d, beyond the last committed entry", server.name, state.index)
 	}
 }
 
-// checkLogMatching checks that two logs which agree on the term of an entry agree on all before it.
+// checkLogMatching checks that two logs with the same term at some index are identical up to that index.
 func (s *State) checkLogMatching(a, b *server) {
 	first := max(a.node.Snapshot().Index, b.node.Snapshot().Index) + 1
 	last := min(a.node.LastIndex(), b.node.LastIndex())
@@ -177,7 +178,7 @@
 		x, y := entryAt(a.node, index), entryAt(b.node, index)
 		same := x.Term == y.Term
 		if matched && !same || same && (x.Kind != y.Kind || string(x.Data) != string(y.Data)) {
-			s.fail(LogMatching, "entry %d of %s and %s", index, a.name, b.name)
+			s.fail(LogMatching, "entry %d differs between %s and %s", index, a.name, b.name)
 			return
 		}
 		matched = matched || same
@@ -188,7 +189,7 @@
 	return node.Log()[index-node.Snapshot().Index-1]
 }
 
-// checkMemberLists checks that any majority of a member list in a log shares a member with any majority of the list before.
+// checkMemberLists checks that any majority of a member list in a log shares a member with any majority of the previous list.
 func (s *State) checkMemberLists(server *server) {
 	members := server.node.Snapshot().Members
 	for _, entry := range server.node.Log() {
@@ -201,7 +202,7 @@
 			return
 		}
 		if !quorumsIntersect(members, after) {
-			s.fail(QuorumsIntersect, "entry %d of %s: %v after %v", entry.Index, server.name, after, members)
+			s.fail(QuorumsIntersect, "entry %d of %s: members %v after %v", entry.Index, server.name, after, members)
 		}
 		members = after
 	}
@@ -217,7 +218,8 @@
 	return len(a)/2+1+len(b)/2+1 > union
 }
 
-// checkLeases checks that at most one server holds a lease at one true time, and that it knows of every commit.
+// checkLeases checks that at most one server holds a lease at any point in true time, and that no entry was committed in a
+// term after the holder's.
 func (s *State) checkLeases() {
 	var holder *server
 	for _, server := range s.servers {
@@ -225,19 +227,19 @@
 			continue
 		}
 		if holder != nil {
-			s.fail(SingleLeaseHolder, "%s in term %d and %s in term %d", holder.name, holder.node.Term(), server.name, server.node.Term())
+			s.fail(SingleLeaseHolder, "%s in term %d and %s in term %d both hold a lease", holder.name, holder.node.Term(), server.name, server.node.Term())
 		}
 		holder = server
 		latest := s.history.committed[len(s.history.committed)-1]
 		if latest.byTerm > server.node.Term() {
-			s.fail(LeaseHolderIsCurrent, "%s holds a lease in term %d, entry %d was committed in term %d",
+			s.fail(LeaseHolderIsCurrent, "%s holds a lease in term %d, but entry %d was committed in term %d",
 				server.name, server.node.Term(), latest.index, latest.byTerm)
 		}
 	}
 }
 
-// checkSent checks a message that is sent: votes and acknowledgements must be on disk, unless the disk is in a later term
-// already, when they count as sent before.
+// checkSent checks that the votes, terms and entries which a message announces are on the sender's disk. If the disk has a
+// later term already, the message counts as sent before that term began.
 func (s *State) checkSent(sender *server, message *wire.Message) {
 	vote, appended := message.Vote, message.Append
 	diskTerm := sender.disk.Term
@@ -249,9 +251,9 @@
 		s.recordVote(sender, message.Term, message.To)
 		s.checkVoteSynced(sender, message.Term, message.To)
 	case vote != nil && !vote.PreVote && vote.NoLeader && diskTerm < message.Term:
-		s.fail(SyncedBeforeSent, "%s gave its consent to term %d and has term %d on disk", sender.name, message.Term, diskTerm)
+		s.fail(SyncedBeforeSent, "%s consented to term %d but has term %d on disk", sender.name, message.Term, diskTerm)
 	case appended != nil && !appended.Reply && diskTerm < message.Term:
-		s.fail(SyncedBeforeSent, "%s leads in term %d and has term %d on disk", sender.name, message.Term, diskTerm)
+		s.fail(SyncedBeforeSent, "%s leads in term %d but has term %d on disk", sender.name, message.Term, diskTerm)
 	case appended != nil && appended.Reply && appended.Success:
 		s.checkLogSynced(sender, message)
 	}
@@ -260,7 +262,7 @@
 func (s *State) checkVoteSynced(voter *server, term uint64, candidate string) {
 	disk := &voter.disk
 	if disk.Term < term || disk.Term == term && disk.Vote != candidate {
-		s.fail(SyncedBeforeSent, "%s voted for %s in term %d and has term %d, vote %q on disk", voter.name, candidate, term, disk.Term, disk.Vote)
+		s.fail(SyncedBeforeSent, "%s voted for %s in term %d but has term %d, vote %q on disk", voter.name, candidate, term, disk.Term, disk.Vote)
 	}
 }
 
@@ -271,11 +273,12 @@
 	}
 	last := disk.Snapshot.Index + uint64(len(disk.Log))
 	if disk.Term < message.Term || last < match {
-		s.fail(SyncedBeforeSent, "%s confirmed entry %d in term %d and has entry %d, term %d on disk", sender.name, match, message.Term, last, disk.Term)
+		s.fail(SyncedBeforeSent, "%s acknowledged entry %d in term %d but has entry %d, term %d on disk", sender.name, match, message.Term, last, disk.Term)
 	}
 }
 
-// recordVote notes who voted for whom, over restarts.
+// recordVote records a vote and checks that the member, identified by name and disk, hasn't voted for another candidate in
+// the term, also before a restart.
 func (s *State) recordVote(server *server, term uint64, candidate string) {
 	voter := wire.Member{Name: server.name, Disk: server.disk.Disk}
 	for _, vote := range s.history.votes {
--- a/internal/verification/modelcheck/modelcheck_test.go
+++ b/internal/verification/modelcheck/modelcheck_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// What the tests explore of each scenario. mfsim check goes further.
+// Bounds of the exploration of each scenario in tests. The command mfsim check explores further.
 const (
 	statesInTests = 3000
 	walksInTests  = 30
 	walkLength    = 250
 )
 
-// No invariant is violated within the bounds of any scenario.
+// The bounded search of every scenario finds no violated invariant.
 func TestSearchFindsNoViolation(t *testing.T) {
 	for i := range Scenarios {
 		report := Search(&Scenarios[i], Limits{States: statesInTests, Depth: 1000, Workers: 2})
@@ -18,12 +18,13 @@
 			t.Error(report)
 		}
 		if report.Transitions < report.States {
-			t.Errorf("%d states by %d transitions", report.States, report.Transitions)
+			t.Errorf("%d states reached by only %d transitions", report.States, report.Transitions)
 		}
 	}
 }
 
-// Nor in long walks beyond those bounds; and these do elect leaders and commit.
+// Random walks beyond the scenarios' bounds find no violated invariant, and they elect leaders and commit entries, so that the
+// invariants are put to the test.
 func TestWalksFindNoViolation(t *testing.T) {
 	for i := range Scenarios {
 		report := Walk(&Scenarios[i], 1, walksInTests, walkLength)
@@ -32,23 +33,23 @@
 			t.Error(report)
 		}
 		if report.Leaders < 3 || report.Committed < 5 {
-			t.Errorf("%s: %d leaders and %d commits at most", report.Scenario, report.Leaders, report.Committed)
+			t.Errorf("%s: no walk had more than %d leaders and %d commits, want at least 3 and 5", report.Scenario, report.Leaders, report.Committed)
 		}
 	}
 }
 
-// A search reports the same whatever the number of workers.
+// The report of a search is independent of the number of workers.
 func TestSearchIsDeterministic(t *testing.T) {
 	scenario := ScenarioByName("diverged")
 	one := Search(scenario, Limits{States: 2000, Depth: 6, Workers: 1})
 	for range 3 {
 		if report := Search(scenario, Limits{States: 2000, Depth: 6, Workers: 3}); report.String() != one.String() {
-			t.Fatalf("%v\n%v", report, one)
+			t.Fatalf("report with 3 workers:\n%v\nwith 1 worker:\n%v", report, one)
 		}
 	}
 }
 
-// States that differ by the names of servers or by the time of day are one.
+// States that differ only in the servers' names or in absolute time have the same key.
 func TestSymmetricStatesHaveOneKey(t *testing.T) {
 	scenario := ScenarioByName("election")
 	c := newCanonicalizer(scenario)
@@ -57,7 +58,7 @@
 	later := state.clone()
 	later.now += longestTimeout
 	if c.key(later) != base {
-		t.Error("another time of day makes another state")
+		t.Error("the same state at a later time has a different key")
 	}
 	var first key
 	for i := range state.servers {
@@ -65,10 +66,10 @@
 		if key := c.key(ticked); i == 0 {
 			first = key
 		} else if key != first {
-			t.Errorf("%s as a candidate makes another state than a does", serverName(i))
+			t.Errorf("the state with %s as candidate has a different key than the one with a", serverName(i))
 		}
 	}
 	if first == base {
-		t.Error("a candidate makes no other state")
+		t.Error("the state with a candidate has the same key as the one without")
 	}
 }
--- a/internal/verification/modelcheck/network.go
+++ b/internal/verification/modelcheck/network.go
@@ -1,4 +1,4 @@
-// This file is the network: the messages in flight.
+// This file models the network as the set of messages in flight.
 
 package modelcheck
 
@@ -17,8 +17,9 @@
 	message *wire.Message
 }
 
-// send puts a message on the network, where it is lost if nobody has the receiver's name. Beyond the scenario's bound the
-// oldest message is lost. A message that is in flight already isn't added: duplicates are transitions of their own.
+// send puts a message in flight. A message to an unknown server is dropped, and so is the oldest message in flight when there
+// are more than the scenario's bound. A message that is already in flight isn't added again: the Duplicate transition models
+// duplicates.
 func (s *State) send(message *wire.Message) {
 	if s.serverIndex(message.To) < 0 {
 		return
@@ -45,8 +46,8 @@
 	return hash.Sum64()
 }
 
-// findMessage returns the index of a transition's message, or else of one that looks the same, -1 if there is none: in a
-// counterexample that is being minimized, its timestamp may differ.
+// findMessage returns the index of a transition's message in flight, or else that of a message with the same description, or
+// -1 if there is none. While a counterexample is minimized, the timestamp and so the id of a message may differ.
 func (s *State) findMessage(wanted networkMessage) int {
 	i := slices.IndexFunc(s.network, func(m networkMessage) bool { return m.id == wanted.id })
 	if i >= 0 {
@@ -56,8 +57,8 @@
 	return slices.IndexFunc(s.network, func(m networkMessage) bool { return describeMessage(m.message) == description })
 }
 
-// timestampClock returns the present by the clock that a message's timestamp is of: the leader's, who sends append messages
-// and gets the responses. Vote messages have none.
+// timestampClock returns the current time on the clock that set a message's timestamp: that of the leader, which sends append
+// messages and receives their responses. It returns 0 for vote messages, which have no timestamp.
 func (s *State) timestampClock(message *wire.Message) time.Duration {
 	if message.Append == nil {
 		return 0
@@ -69,7 +70,7 @@
 	return s.servers[s.serverIndex(leader)].clock(s.now)
 }
 
-// copyMessage copies what a fault may change.
+// copyMessage copies a message with its vote and append parts, which an injected fault may change.
 func copyMessage(message *wire.Message) *wire.Message {
 	c := *message
 	if message.Vote != nil {
--- a/internal/verification/modelcheck/scenario.go
+++ b/internal/verification/modelcheck/scenario.go
@@ -1,4 +1,4 @@
-// This file is the scenarios: where the model checker begins, and what may happen then.
+// This file defines the scenarios: the first state of an exploration and the bounds of the events that follow.
 
 package modelcheck
 
@@ -10,63 +10,66 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Scenario is a first state, and the bounds of what may happen from there.
+// Scenario is a first state and the bounds of the exploration from there.
 type Scenario struct {
 	Name        string
 	Description string
-	// Servers is how many servers there are. The first Voters of them are members at the start.
+	// Servers is the number of servers. The first Voters of them are the initial members.
 	Servers int
 	Voters  int
-	// VacantMembers is how many entries of the member list are kept for a member to come.
+	// VacantMembers is the number of entries in the initial member list that no server holds: they are reserved for
+	// members that join later.
 	VacantMembers int
-	// ClockRates are the rates of the servers' clocks in thousandths, one after another; without any all run true.
+	// ClockRates are the rates of the servers' clocks in thousandths of true time, assigned to the servers in turn. If it is
+	// empty, all clocks run at the rate of true time.
 	ClockRates []int64
-	// SynchronousDisks sync at once, which leaves depth for the rest.
+	// SynchronousDisks means that disks sync at once. This saves transitions, so that a search gets deeper.
 	SynchronousDisks bool
-	// MaxInFlight is how many messages are in flight at most; beyond that the oldest are lost.
+	// MaxInFlight is the maximum number of messages in flight. Beyond it the oldest are lost.
 	MaxInFlight int
-	// TimeSteps are the spans by which true time passes.
+	// TimeSteps are the durations by which an Advance transition may move true time forward.
 	TimeSteps []time.Duration
-	// Budget bounds the transitions of a search.
+	// Budget limits how often each kind of transition occurs on a path of a search.
 	Budget Budget
-	// Setup brings the servers, which have just started, to the first state. Nil leaves them so.
+	// Setup brings the newly started servers to the first state. If it is nil, they stay as they are.
 	Setup func(s *State)
-	// Faults are injected.
+	// Faults are the faults to inject.
 	Faults Faults
 }
 
-// Faults change what a scenario's servers do, to see the invariants broken. The zero value changes nothing.
+// Faults change the behavior of a scenario's servers, so that tests can show that an invariant is violated. The zero value
+// changes nothing.
 type Faults struct {
-	// AcknowledgeEarly says which batches are reported to the node as synced before they are.
+	// AcknowledgeEarly reports whether to acknowledge a batch to the node before it is synced.
 	AcknowledgeEarly func(batch *wire.Batch) bool
-	// Restart changes what a restart finds on its disk.
+	// Restart changes the disk contents that a restarted server reads.
 	Restart func(disk *consensus.PersistentState)
 	// Deliver changes a copy of a message on its way to a node.
 	Deliver func(node *consensus.Node, message *wire.Message)
-	// AfterStep is called after each step of a node.
+	// AfterStep is called after each step of a node, before its output is processed.
 	AfterStep func(node *consensus.Node, now time.Duration)
-	// ChangeMembers is called in place of Node.ProposeMembers.
+	// ChangeMembers is called instead of Node.ProposeMembers.
 	ChangeMembers func(node *consensus.Node, now time.Duration, members []wire.Member)
-	// Ignore names invariants that are not checked, so that those that break in consequence show.
+	// Ignore names invariants that are not reported, so that violations that follow from theirs show.
 	Ignore []string
 }
 
-// The spans by which true time passes: a heartbeat's interval; half of the time for which a member with contact to a leader
-// rejects candidates, and a bit; more than any election's time-out.
+// The time steps of the scenarios: the heartbeat interval; slightly more than half of the time for which a member in contact
+// with a leader rejects candidates; and more than the longest election timeout.
 var (
 	heartbeat           = tuning.HeartbeatEvery
 	halfElectionTimeout = tuning.ElectionTimeoutMin/2 + tuning.HeartbeatEvery/10
 	longestTimeout      = tuning.ElectionTimeoutMin + tuning.ElectionTimeoutSpread + tuning.HeartbeatEvery
 )
 
-// driftingRates are clocks that differ by 2 %, the most that is provided for.
+// driftingRates are clock rates that differ by 2 %, the maximum drift that the protocol allows for.
 var driftingRates = []int64{1000, 1010, 990}
 
-// Scenarios are all scenarios, in the order in which they run.
+// Scenarios lists all scenarios in the order in which mfsim check runs them.
 var Scenarios = []Scenario{
 	{
 		Name:        "first-start",
-		Description: "three machines start at once and none waits; disks are late",
+		Description: "three servers start at once without waiting; disks sync late",
 		Servers:     3,
 		Voters:      3,
 		MaxInFlight: 5,
@@ -75,7 +78,7 @@
 	},
 	{
 		Name:        "election",
-		Description: "no leader was heard for long: candidates, votes, late syncs, restarts, duplicates",
+		Description: "no contact to a leader for long: candidates, votes, late syncs, restarts, duplicates",
 		Servers:     3,
 		Voters:      3,
 		MaxInFlight: 5,
@@ -85,7 +88,7 @@
 	},
 	{
 		Name:             "second-leader",
-		Description:      "a leader is out of touch while another is elected; clocks differ by 2 %",
+		Description:      "a leader loses contact while another is elected; clocks differ by 2 %",
 		Servers:          3,
 		Voters:           3,
 		SynchronousDisks: true,
@@ -97,7 +100,7 @@
 	},
 	{
 		Name:        "late-sync",
-		Description: "a leader proposes, disks are late, processes end",
+		Description: "a leader proposes, disks sync late, processes restart",
 		Servers:     3,
 		Voters:      3,
 		MaxInFlight: 5,
@@ -107,7 +110,7 @@
 	},
 	{
 		Name:             "diverged",
-		Description:      "two leaders in turn propose what nobody else has yet",
+		Description:      "two successive leaders propose entries that no other server has yet",
 		Servers:          3,
 		Voters:           3,
 		SynchronousDisks: true,
@@ -118,7 +121,7 @@
 	},
 	{
 		Name:        "overtaken",
-		Description: "a majority holds an entry of an earlier term, another machine one of a term between",
+		Description: "a majority holds an entry of an earlier term, another server one of a term in between",
 		Servers:     3,
 		Voters:      3,
 		MaxInFlight: 4,
@@ -128,7 +131,7 @@
 	},
 	{
 		Name:             "members",
-		Description:      "three members and a standby: changes of the list, lost disks",
+		Description:      "three members and a standby: membership changes, lost disks",
 		Servers:          4,
 		Voters:           3,
 		SynchronousDisks: true,
@@ -139,7 +142,7 @@
 	},
 	{
 		Name:        "one-grows",
-		Description: "one member and a standby, the smallest core that grows",
+		Description: "one member and a standby: the smallest control plane that grows",
 		Servers:     2,
 		Voters:      1,
 		MaxInFlight: 5,
@@ -148,7 +151,7 @@
 	},
 	{
 		Name:        "snapshot",
-		Description: "a member lost its disk or lags behind a snapshot; disks are late",
+		Description: "a member has lost its disk or lags behind a snapshot; disks sync late",
 		Servers:     3,
 		Voters:      3,
 		MaxInFlight: 4,
@@ -158,7 +161,7 @@
 	},
 	{
 		Name:        "snapshot-under-way",
-		Description: "a lagging member takes a snapshot in; disks are late, processes end",
+		Description: "a lagging member installs a snapshot; disks sync late, processes restart",
 		Servers:     3,
 		Voters:      3,
 		MaxInFlight: 4,
@@ -168,7 +171,7 @@
 	},
 	{
 		Name:        "handover",
-		Description: "a leader hands over while its messages are still under way",
+		Description: "a leader transfers leadership while its messages are in flight",
 		Servers:     3,
 		Voters:      3,
 		MaxInFlight: 5,
@@ -178,7 +181,7 @@
 	},
 	{
 		Name:             "kept-place",
-		Description:      "two members and a place that is kept for a third, which is given to a standby",
+		Description:      "two members and a vacant member, which a standby replaces",
 		Servers:          3,
 		Voters:           2,
 		VacantMembers:    1,
@@ -190,7 +193,7 @@
 	},
 	{
 		Name:             "five",
-		Description:      "five machines, one leader after another",
+		Description:      "five servers, one leader after another",
 		Servers:          5,
 		Voters:           5,
 		SynchronousDisks: true,
@@ -201,7 +204,7 @@
 	},
 }
 
-// ScenarioByName returns the scenario of that name, nil if there is none.
+// ScenarioByName returns the scenario with the given name, or nil if there is none.
 func ScenarioByName(name string) *Scenario {
 	for i := range Scenarios {
 		if Scenarios[i].Name == name {
--- a/internal/verification/modelcheck/search.go
+++ b/internal/verification/modelcheck/search.go
@@ -1,47 +1,48 @@
-// This file is the bounded search, breadth first, so that the first violation that it finds has the shortest counterexample.
+// This file implements the bounded breadth-first search. As it proceeds by depth, the first violation that it finds has a
+// counterexample of minimal length.
 
 package modelcheck
 
 import "bytes"
 
-// Limits bound a search.
+// Limits are the bounds of a search.
 type Limits struct {
-	States  int // distinct states
-	Depth   int // transitions from the first state
-	Workers int // goroutines
+	States  int // number of distinct states after which the search stops
+	Depth   int // maximum number of transitions from the first state
+	Workers int // number of goroutines that expand states
 }
 
-// origin is how a state was first reached.
+// origin records how a state was first reached.
 type origin struct {
-	parent     int32  // the state's id, -1 for the first state
-	transition uint16 // its index among those enabled in the parent
+	parent     int32  // id of the preceding state, -1 for the first state
+	transition uint16 // index of the transition among those enabled in the parent
 }
 
-// frontierState is a state whose successors are to be found. Its id is its index among the origins.
+// frontierState is a state that is to be expanded. Its id is its index in search.origins.
 type frontierState struct {
 	id    int32
 	state *State
 }
 
-// successor is a state after a transition.
+// successor is a state reached by one transition, with its key.
 type successor struct {
 	origin
 	key   key
 	state *State
 }
 
-// search is a search in progress.
+// search is the state of a running search.
 type search struct {
 	scenario *Scenario
 	limits   Limits
 	report   *Report
 	first    *State
-	origins  []origin // of all states, by id
-	seen     map[key]bool
+	origins  []origin     // origins of all states found, by state id
+	seen     map[key]bool // keys of all states found
 }
 
 // Search explores a scenario breadth first until a state violates an invariant, all states have been reached or a limit is
-// met. The report doesn't depend on the number of workers.
+// exceeded. The report is independent of the number of workers.
 func Search(scenario *Scenario, limits Limits) *Report {
 	first := newState(scenario)
 	report := &Report{Scenario: scenario.Name}
@@ -62,21 +63,21 @@
 	for len(frontier) > 0 && report.Depth < limits.Depth {
 		report.Depth++
 		frontier = running.nextFrontier(frontier)
-		if running.isOver() {
+		if running.stopped() {
 			break
 		}
 	}
 	report.States = len(running.origins)
-	report.Complete = !running.isOver() && len(frontier) == 0
+	report.Complete = !running.stopped() && len(frontier) == 0
 	return report
 }
 
-// isOver says whether there is a violation, or enough states.
-func (s *search) isOver() bool {
+// stopped reports whether a violation was found or the limit of states is reached.
+func (s *search) stopped() bool {
 	return s.report.Violation != "" || len(s.origins) >= s.limits.States
 }
 
-// nextFrontier returns the states that are reached first by one more transition.
+// nextFrontier returns the new states that one transition from the frontier reaches.
 func (s *search) nextFrontier(frontier []frontierState) (next []frontierState) {
 	for successors := range expand(s.scenario, frontier, s.limits.Workers) {
 		for _, found := range successors {
@@ -93,16 +94,16 @@
 			}
 			next = append(next, frontierState{id, found.state})
 		}
-		if s.isOver() {
+		if s.stopped() {
 			break
 		}
 	}
 	return next
 }
 
-// counterexample returns the transitions to a state, by taking them again.
+// counterexample returns the transitions that lead to a state. It replays them, since origins hold only their indexes.
 func (s *search) counterexample(id int32) (transitions []Transition) {
-	var path []uint16 // from the state back to the first
+	var path []uint16 // transition indexes from the state back to the first state
 	for ; s.origins[id].parent >= 0; id = s.origins[id].parent {
 		path = append(path, s.origins[id].transition)
 	}
@@ -115,7 +116,7 @@
 	return transitions
 }
 
-// successorsOf returns the states after each transition, without those that change nothing.
+// successorsOf returns the successors of states, omitting transitions without effect.
 func successorsOf(states []frontierState, encoder *canonicalizer) (successors []successor) {
 	for _, from := range states {
 		ownKey := encoder.key(from.state)
@@ -134,8 +135,8 @@
 	return successors
 }
 
-// isNoOp says whether a delivery changed nothing but that the message is gone, after which nothing can happen that couldn't
-// happen before.
+// isNoOp reports whether a delivery had no effect except that the message is no longer in flight. The state after it allows
+// nothing that the state before didn't, so it need not be explored.
 func (c *canonicalizer) isNoOp(before, after *State, delivery Transition) bool {
 	receiver := before.serverIndex(delivery.message.message.To)
 	return after.violation == "" && len(after.network) == len(before.network)-1 &&
--- a/internal/verification/modelcheck/server.go
+++ b/internal/verification/modelcheck/server.go
@@ -1,4 +1,4 @@
-// This file is one server of the cluster: its process, disk, clock and state machine.
+// This file models one server of the cluster: its process, disk, clock and state machine.
 
 package modelcheck
 
@@ -13,9 +13,9 @@
 )
 
 const (
-	// disksPerServer separates the numbers of one server's successive disks from the next server's.
+	// disksPerServer is the size of the number range for the successive disks of one server.
 	disksPerServer = 16
-	// nominalRate is the rate of a clock that runs true, in thousandths.
+	// nominalRate is the rate of a clock without drift, in thousandths of true time.
 	nominalRate = 1000
 )
 
@@ -23,14 +23,15 @@
 type server struct {
 	name    string
 	node    *consensus.Node
-	disk    consensus.PersistentState // what a restart finds at least
-	pending []*wire.Batch             // given to the disk, and not known to be synced
+	disk    consensus.PersistentState // synced state, which survives a restart
+	pending []*wire.Batch             // batches written but not known to be synced, oldest first
 	applied stateMachine
-	disks   uint64 // how many disks it has lost
-	rate    int64  // of its clock, in thousandths of the true time
+	disks   uint64 // number of disks lost so far
+	rate    int64  // clock rate in thousandths of true time
 }
 
-// newServer starts a server for the first time. The members have a snapshot with the member list, others have an empty disk.
+// newServer starts a server for the first time. The initial members have a snapshot with the member list on disk; the disks
+// of the other servers are empty.
 func (s *State) newServer(i int, members []wire.Member) *server {
 	created := &server{name: serverName(i), rate: nominalRate, disk: consensus.PersistentState{Epoch: epoch, Disk: diskNumber(i, 0)}}
 	if rates := s.scenario.ClockRates; len(rates) > 0 {
@@ -46,7 +47,7 @@
 
 func serverName(i int) string { return string(rune('a' + i)) }
 
-// diskNumber numbers a server's disks from its first, which is disk 0.
+// diskNumber returns the cluster-wide number of a server's disk. Its first disk is disk 0. The number is never 0.
 func diskNumber(server int, disk uint64) uint64 { return uint64(server)*disksPerServer + disk + 1 }
 
 func (s *server) clone() *server {
@@ -57,12 +58,12 @@
 	return &c
 }
 
-// clock returns the server's own time at the true time now.
+// clock returns the time on the server's clock at the true time now.
 func (s *server) clock(now time.Duration) time.Duration {
 	return now / nominalRate * time.Duration(s.rate)
 }
 
-// applyReady restores and applies what the node has handed over.
+// applyReady restores the node's new snapshot, if any, and applies its committed entries.
 func (s *server) applyReady(ready *consensus.Ready) {
 	if ready.Snapshot != nil {
 		s.applied = decodeStateMachine(ready.Snapshot.Data)
@@ -72,7 +73,7 @@
 	}
 }
 
-// sync puts the first count pending batches on disk, and reports that to the node.
+// sync writes the first count pending batches to disk and reports them to the node as synced.
 func (s *server) sync(count int, now time.Duration) {
 	if count == 0 {
 		return
@@ -85,14 +86,14 @@
 	s.node.Advance(now, seq)
 }
 
-// stateMachine represents the state that entries lead to by a checksum over all that were applied, so that different
-// histories differ.
+// stateMachine represents the applied state by a checksum over all entries applied, so that states with different histories
+// differ.
 type stateMachine struct {
-	index    uint64 // of the last entry applied
+	index    uint64 // index of the last entry applied
 	checksum uint64
 }
 
-// apply returns the state after the next entry.
+// apply returns the state after applying entry.
 func (m stateMachine) apply(entry wire.Entry) stateMachine {
 	var b [32]byte
 	binary.LittleEndian.PutUint64(b[0:], m.checksum)
@@ -105,12 +106,12 @@
 	return stateMachine{entry.Index, hash.Sum64()}
 }
 
-// encode returns a snapshot's data.
+// encode returns the state as the data of a snapshot.
 func (m stateMachine) encode() []byte {
 	return binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, m.index), m.checksum)
 }
 
-// decodeStateMachine reads a snapshot's data; that of the first snapshot is empty.
+// decodeStateMachine decodes the data of a snapshot. The data of the first snapshot is empty.
 func decodeStateMachine(data []byte) stateMachine {
 	if len(data) != 16 {
 		return stateMachine{index: firstIndex}
--- a/internal/verification/modelcheck/setup.go
+++ b/internal/verification/modelcheck/setup.go
@@ -1,5 +1,5 @@
-// This file brings the servers of a scenario to its first state. What it does is no transition: the states that it is called
-// with are changed.
+// This file brings the servers of a scenario to its first state. Unlike transitions, these functions modify the state in place
+// and use up no budget.
 
 package modelcheck
 
@@ -12,10 +12,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// setupNoContact lets every member's time-out run out.
+// setupNoContact lets the election timeout of every member expire.
 func setupNoContact(s *State) { s.now += longestTimeout }
 
-// setupLeader has a leader that all members follow, and a committed entry.
+// setupLeader leads to a leader that all members follow and one committed entry.
 func setupLeader(s *State) {
 	s.runFor(2 * time.Second)
 	s.propose(s.leader(), "start")
@@ -23,17 +23,17 @@
 	s.runFor(2 * heartbeat)
 }
 
-// setupCompacted has a leader whose snapshot covers its log, so that a member that lacks entries needs it.
+// setupCompacted leads to a leader whose snapshot covers its whole log, so that a member that lacks entries needs the snapshot.
 func setupCompacted(s *State) {
 	setupLeader(s)
 	s.compact(s.leader())
 	s.quiesce()
 }
 
-// setupOvertaken has a majority that holds an entry of the first term, whose leader was elected again in the third term and
-// restarted before it synced an entry of that; another server holds an entry of the second term at the same index. It is the
-// case in which a majority that holds an entry of an earlier term does not make it committed (Ongaro and Ousterhout, "In
-// Search of an Understandable Consensus Algorithm", section 5.4.2).
+// setupOvertaken leads to a majority that holds an entry of the first term. The leader of that term was elected again in the
+// third term and restarted before it synced an entry of the third term. Another server holds an entry of the second term at
+// the same index. This is the case in which an entry of an earlier term is not committed although a majority holds it (Ongaro
+// and Ousterhout, "In Search of an Understandable Consensus Algorithm", section 5.4.2).
 func setupOvertaken(s *State) {
 	setupLeader(s)
 	first := s.leader()
@@ -50,7 +50,8 @@
 	s.network = nil
 }
 
-// setupLaggingMember has a member that lacks entries which the leader's snapshot covers, with that snapshot in flight.
+// setupLaggingMember leads to a member that lacks entries covered by the leader's snapshot, with a chunk of that snapshot in
+// flight.
 func setupLaggingMember(state *State) {
 	setupLeader(state)
 	leader := state.leader()
@@ -61,7 +62,7 @@
 	}
 	state.compact(leader)
 	state.quiesceExcept(lagging)
-	state.restart(leader, 0) // what a leader keeps of the compacted log in memory is gone
+	state.restart(leader, 0) // drops the compacted entries that the leader still holds in memory
 	state.electByVoteOf(leader, (leader+2)%len(state.servers))
 	for range 20 {
 		if slices.ContainsFunc(state.network, func(m networkMessage) bool { return m.message.Append != nil && m.message.Append.Chunk != nil }) {
@@ -74,10 +75,10 @@
 		}
 		state.receive(state.takeOldest())
 	}
-	panic("no snapshot is in flight")
+	panic("setupLaggingMember: the leader sent no snapshot")
 }
 
-// electByVoteOf has a server elected by the vote of another alone, with nothing delivered to the rest.
+// electByVoteOf makes a server leader with the vote of one other server. Messages to all other servers are lost.
 func (s *State) electByVoteOf(candidate, voter int) {
 	s.network = nil
 	node := func() *consensus.Node { return s.servers[candidate].node }
@@ -98,7 +99,8 @@
 	}
 }
 
-// deliverBetween delivers what two servers have for each other, and syncs the second one's disk.
+// deliverBetween delivers the messages to two servers until none is in flight, and syncs the second server's disk. Messages to
+// all other servers are lost.
 func (s *State) deliverBetween(first, second int) {
 	for len(s.network) > 0 {
 		message := s.takeOldest()
@@ -109,7 +111,7 @@
 	}
 }
 
-// runFor lets time pass with every message delivered in order and every sync done.
+// runFor advances time by span with regular ticks, delivering all messages in order and syncing all disks.
 func (s *State) runFor(span time.Duration) {
 	for end := s.now + span; s.now < end; s.now += tuning.TickEvery {
 		for i := range s.servers {
@@ -119,10 +121,10 @@
 	}
 }
 
-// quiesce delivers and syncs until nothing is left to do.
+// quiesce delivers all messages and syncs all disks until nothing is pending.
 func (s *State) quiesce() { s.quiesceExcept("") }
 
-// quiesceExcept does the same, but what goes to one server is lost.
+// quiesceExcept does the same, but drops messages to one server.
 func (s *State) quiesceExcept(isolated string) {
 	for busy := true; busy; {
 		busy = false
@@ -142,14 +144,14 @@
 	}
 }
 
-// takeOldest takes the oldest message off the network.
+// takeOldest removes the oldest message in flight and returns it.
 func (s *State) takeOldest() *wire.Message {
 	oldest := s.network[0].message
 	s.network = s.network[1:]
 	return oldest
 }
 
-// receive has a message's receiver take it in.
+// receive delivers a message to its receiver.
 func (s *State) receive(message *wire.Message) {
 	s.step(s.serverIndex(message.To), func(node *consensus.Node, now time.Duration) { node.Step(now, message) })
 }
@@ -166,7 +168,7 @@
 	s.step(i, func(node *consensus.Node, now time.Duration) { node.Compact(now, s.servers[i].applied.encode()) })
 }
 
-// syncAll syncs all that a server's disk has been given.
+// syncAll syncs all pending batches of a server.
 func (s *State) syncAll(i int) {
 	s.step(i, func(_ *consensus.Node, now time.Duration) { s.servers[i].sync(len(s.servers[i].pending), now) })
 }
--- a/internal/verification/modelcheck/state.go
+++ b/internal/verification/modelcheck/state.go
@@ -1,15 +1,15 @@
-// Package modelcheck checks the real consensus.Node systematically: it runs a small cluster through the orders of events that a
-// scenario allows, and checks invariants in every state that it reaches. Messages arrive in any order, late, twice or
-// never; syncs are late; servers restart with all, none or a part of what they had written; servers pause while time
-// passes; there are membership changes, snapshots and leadership transfers.
+// Package modelcheck is a model checker for the production consensus.Node. It explores the event orders that a scenario allows
+// in a small cluster, and checks invariants in every state that it reaches. Messages arrive in any order, late, twice or
+// never; syncs complete late; servers restart with all, none or a part of their unsynced writes; servers pause while time
+// passes; and there are membership changes, snapshots and leadership transfers.
 //
-// Search explores breadth first within the scenario's bounds, and treats states of the same canonical form as one; Walk goes
-// deeper at random. A violation comes with a counterexample, the shortest sequence of transitions that a search finds, or
-// what is left of a walk's when it has been minimized. The package checks no liveness, and nothing of the control plane
-// above consensus: that is the simulator's work.
+// Search explores breadth first within the scenario's bounds, and treats states of the same canonical form as equal. Walk takes
+// long random walks. A violation is reported with a counterexample: a shortest sequence of transitions from a search, or a
+// minimized random walk. The package checks neither liveness properties nor the control plane above consensus; the package
+// simulator does.
 //
-// Begin reading at State in this file; the invariants are in invariant.go, the transitions in transition.go, the scenarios in
-// scenario.go.
+// State in this file is the entry point to the code. The invariants are in invariant.go, the transitions in transition.go and
+// the scenarios in scenario.go.
 package modelcheck
 
 import (
@@ -22,27 +22,28 @@
 )
 
 const (
-	// epoch is the only epoch that is checked: bootstraps are the control plane's, not the node's.
+	// epoch is the epoch of all servers. Only a bootstrap by the control plane, which isn't modeled, changes the epoch.
 	epoch = 1
-	// firstIndex is the index of the snapshot that every scenario begins with.
+	// firstIndex is the index of the initial snapshot in every scenario.
 	firstIndex = 1
-	// startTime is the true time at which scenarios begin, so that no time is near zero.
+	// startTime is the true time at which scenarios begin. It is far from zero, so that no time computed from it is zero or
+	// negative.
 	startTime = time.Minute
 )
 
-// State is one state of the cluster. It is never changed once it is reached: a transition makes a new State that shares with
-// the old one all servers but the one that took the step.
+// State is one state of the cluster. It is immutable once it is reached: a transition creates a new State, which shares all
+// servers with the old one except the server that took the step.
 type State struct {
 	scenario  *Scenario
-	now       time.Duration // the true time
+	now       time.Duration // true time
 	servers   []*server
-	network   []networkMessage // oldest first
-	spent     Budget           // what has been used of the scenario's budget
+	network   []networkMessage // messages in flight, oldest first
+	spent     Budget           // number of budgeted transitions of each kind taken so far
 	history   history
-	violation string // the invariant that the last transition broke, and how; "" if none
+	violation string // violated invariant and a description; "" if none
 }
 
-// newState starts the scenario's servers: its voters are the first members.
+// newState starts the scenario's servers and runs its Setup.
 func newState(scenario *Scenario) *State {
 	s := &State{scenario: scenario, now: startTime}
 	members := scenario.members()
@@ -57,7 +58,7 @@
 	return s
 }
 
-// members are the members at the start, with the vacant entries of the list.
+// members returns the initial member list, including vacant members.
 func (scenario *Scenario) members() (members []wire.Member) {
 	for i := range scenario.Voters {
 		members = append(members, wire.Member{Name: serverName(i), Disk: diskNumber(i, 0)})
@@ -68,17 +69,17 @@
 	return members
 }
 
-// serverIndex returns the index of a server, -1 for names that no server has.
+// serverIndex returns the index of the server with the given name, or -1 if there is none.
 func (s *State) serverIndex(name string) int {
 	return slices.IndexFunc(s.servers, func(server *server) bool { return server.name == name })
 }
 
-// leader returns the index of the server that holds the lease, -1 if none does.
+// leader returns the index of the server that holds the lease, or -1 if none does.
 func (s *State) leader() int {
 	return slices.IndexFunc(s.servers, func(server *server) bool { return server.node.HasLease(server.clock(s.now)) })
 }
 
-// clone copies the state but not its servers.
+// clone returns a copy of the state that shares the servers.
 func (s *State) clone() *State {
 	c := *s
 	c.servers = slices.Clone(s.servers)
@@ -87,14 +88,14 @@
 	return &c
 }
 
-// cloneServer replaces a server by a copy, which may be changed then.
+// cloneServer replaces a shared server with a copy that may be modified, and returns the copy.
 func (s *State) cloneServer(i int) *server {
 	s.servers[i] = s.servers[i].clone()
 	return s.servers[i]
 }
 
-// step has one server take a step, carries out what that leaves to do, and checks the invariants. The state must be a
-// fresh clone.
+// step calls a step function on server i's node, processes the node's output and checks the invariants. It modifies the state,
+// which therefore must be a new clone or, during setup, the first state.
 func (s *State) step(i int, step func(node *consensus.Node, now time.Duration)) {
 	server := s.cloneServer(i)
 	defer s.recoverPanic(server)
@@ -103,20 +104,20 @@
 	if hook := s.scenario.Faults.AfterStep; hook != nil {
 		hook(server.node, now)
 	}
-	s.carryOut(server, now)
+	s.processReady(server, now)
 	s.check(i)
 }
 
-// recoverPanic makes a panic a violation. It is to be deferred.
+// recoverPanic turns a panic into a violation. It must be called by defer.
 func (s *State) recoverPanic(server *server) {
 	if r := recover(); r != nil {
 		s.fail(NoPanic, "%s: %v", server.name, r)
 	}
 }
 
-// carryOut takes what the node has ready until there is nothing: batches go to the disk, messages to the network, committed
-// entries to the state machine.
-func (s *State) carryOut(server *server, now time.Duration) {
+// processReady processes the node's output until there is no more: batches go to the disk, messages to the network, and
+// snapshots and committed entries to the state machine.
+func (s *State) processReady(server *server, now time.Duration) {
 	for {
 		ready := server.node.Ready()
 		if len(ready.Batches)+len(ready.Messages)+len(ready.CommittedEntries) == 0 && ready.Snapshot == nil {
@@ -140,7 +141,8 @@
 	}
 }
 
-// restart ends a process and starts it again from its disk, on which the first written of the pending batches are.
+// restart ends a server's process and starts it again from its disk. Of its pending batches, the first written ones are on
+// disk; the others are lost.
 func (s *State) restart(i, written int) {
 	server := s.cloneServer(i)
 	for _, batch := range server.pending[:written] {
@@ -152,8 +154,8 @@
 	s.start(i, server)
 }
 
-// wipe has a server come back with an empty disk, as a daemon of the epoch that knows of no members, which is how the
-// control plane has it join.
+// wipe restarts a server with an empty disk. The server knows the epoch but no members, as when the control plane lets a new
+// daemon join.
 func (s *State) wipe(i int) {
 	server := s.cloneServer(i)
 	server.disks++
@@ -161,7 +163,7 @@
 	s.start(i, server)
 }
 
-// start starts a server's process from its disk.
+// start starts a server's process from the state on its disk.
 func (s *State) start(i int, server *server) {
 	defer s.recoverPanic(server)
 	server.pending = nil
--- a/internal/verification/modelcheck/transition.go
+++ b/internal/verification/modelcheck/transition.go
@@ -1,4 +1,4 @@
-// This file lists the transitions that are enabled in a state, and takes them.
+// This file enumerates the transitions enabled in a state and executes them.
 
 package modelcheck
 
@@ -11,50 +11,49 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// TransitionKind is what happens in a transition.
+// TransitionKind is the kind of event in a transition.
 type TransitionKind uint8
 
 // The kinds of transitions.
 const (
 	Deliver            TransitionKind = iota // a message arrives
 	Duplicate                                // a message arrives and stays in flight
-	Tick                                     // a process looks at its clock
-	Sync                                     // the disk has synced all Count batches
+	Tick                                     // a process handles a timer tick
+	Sync                                     // the disk syncs all Count pending batches
 	Advance                                  // true time passes for all servers
-	Restart                                  // a process ends and starts again; Count unsynced batches had been written
-	Wipe                                     // the same with its disk lost
-	Propose                                  // a leader adds an entry
-	AddLearner                               // a leader replicates to Member
-	AddMember                                // a leader proposes the list with Member
-	DropMember                               // a leader proposes the list without Member
-	Compact                                  // a process replaces its log by a snapshot
-	TransferLeadership                       // a leader hands over
+	Restart                                  // a process restarts; the first Count pending batches survive
+	Wipe                                     // a process restarts with an empty disk
+	Propose                                  // a leader appends an entry
+	AddLearner                               // a leader starts to replicate to Member
+	AddMember                                // a leader proposes the member list with Member added
+	DropMember                               // a leader proposes the member list with Member removed
+	Compact                                  // a process replaces its applied log entries with a snapshot
+	TransferLeadership                       // a leader transfers its leadership
 	kindCount
 )
 
-// String returns the kind's name in a counterexample.
+// String returns the name of the kind as counterexamples print it.
 func (k TransitionKind) String() string {
-	return [...]string{"deliver", "deliver and keep", "tick", "sync", "advance", "restart", "wipe", "propose", "learn", "add", "drop", "compact", "transfer"}[k]
+	return [...]string{"deliver", "duplicate", "tick", "sync", "advance", "restart", "wipe", "propose", "add learner", "add member", "drop member", "compact", "transfer leadership"}[k]
 }
 
-// Budget bounds how often each kind of transition happens from the start on. Kinds that are bounded by what there is
-// (messages, batches) need none.
+// Budget is the maximum number of transitions of each kind on a path from the first state. The kinds in unlimited have none.
 type Budget [kindCount]uint8
 
-// unlimited are the kinds that have no budget.
+// unlimited marks the kinds without a budget. The messages and batches that exist limit them, or repeating them has no effect.
 var unlimited = [kindCount]bool{Deliver: true, Tick: true, Sync: true, AddLearner: true}
 
-// Transition is one event. Which fields count depends on its kind.
+// Transition is one event. Its kind determines which of the other fields are used.
 type Transition struct {
 	Kind     TransitionKind
-	Server   int           // its index
-	Count    int           // of batches
-	Duration time.Duration // that passes
-	Member   wire.Member
-	message  networkMessage // that arrives
+	Server   int            // index of the server that takes the step
+	Count    int            // number of batches that are synced, or survive a restart
+	Duration time.Duration  // time that passes in an Advance
+	Member   wire.Member    // member or learner that is added or removed
+	message  networkMessage // message that is delivered
 }
 
-// String returns the transition's line in a counterexample.
+// String returns the transition as a line of a counterexample.
 func (t Transition) String() string {
 	switch t.Kind {
 	case Deliver, Duplicate:
@@ -79,19 +78,19 @@
 
 func describeAppend(appended *wire.Append) string {
 	if appended.Reply {
-		return fmt.Sprintf("append reply ok %v match %d", appended.Success, appended.MatchIndex)
+		return fmt.Sprintf("append response success %v match %d", appended.Success, appended.MatchIndex)
 	}
 	text := fmt.Sprintf("append after %d/%d commit %d entries", appended.PrevIndex, appended.PrevTerm, appended.Commit)
 	for _, entry := range appended.Entries {
 		text += fmt.Sprintf(" %d/%d", entry.Index, entry.Term)
 	}
 	if chunk := appended.Chunk; chunk != nil {
-		text += fmt.Sprintf(" piece of %d/%d at %d", chunk.Index, chunk.Term, chunk.Offset)
+		text += fmt.Sprintf(" snapshot chunk of %d/%d at offset %d", chunk.Index, chunk.Term, chunk.Offset)
 	}
 	return text
 }
 
-// enabled lists the transitions that may come next, in a fixed order.
+// enabled lists the transitions that are possible in the state, in a deterministic order.
 func (s *State) enabled() []Transition {
 	var list []Transition
 	add := func(t Transition) {
@@ -112,7 +111,7 @@
 	return list
 }
 
-// serverTransitions adds what one server may do.
+// serverTransitions adds the enabled transitions of one server.
 func (s *State) serverTransitions(i int, add func(Transition)) {
 	server := s.servers[i]
 	unsynced := len(server.pending)
@@ -136,8 +135,8 @@
 	}
 }
 
-// membershipTransitions adds the membership changes that a leader may propose: any one change, more than the control plane
-// would choose. As there, a server learns first.
+// membershipTransitions adds the membership changes that a leader may propose. It allows every single change, which is more
+// than the control plane proposes. As in the control plane, a server must be a caught-up learner before it becomes a member.
 func (s *State) membershipTransitions(i int, add func(Transition)) {
 	leader := s.servers[i]
 	if !leader.node.CanChangeMembers() {
@@ -146,7 +145,7 @@
 	members := leader.node.Members()
 	for _, member := range members {
 		if len(members) == 1 {
-			break // nobody would be left
+			break // the last member can't be removed
 		}
 		add(Transition{Kind: DropMember, Server: i, Member: member})
 	}
@@ -164,14 +163,15 @@
 	}
 }
 
-// isEnabled says whether a server's transition may come next. In a counterexample that is being minimized it may not.
+// isEnabled reports whether a server's transition is possible in the state. It may not be while a counterexample is minimized,
+// since earlier transitions are left out.
 func (s *State) isEnabled(wanted Transition) bool {
 	return slices.ContainsFunc(s.enabled(), func(t Transition) bool {
 		return t.Kind == wanted.Kind && t.Server == wanted.Server && t.Count == wanted.Count && t.Member == wanted.Member
 	})
 }
 
-// after returns the state after a transition, nil if it isn't enabled.
+// after returns the state after a transition, or nil if the transition isn't enabled.
 func (s *State) after(t Transition) *State {
 	switch t.Kind {
 	case Deliver, Duplicate:
@@ -195,14 +195,14 @@
 	return next
 }
 
-// spend counts a transition towards the budget.
+// spend counts a transition against the budget.
 func (s *State) spend(kind TransitionKind) {
 	if !unlimited[kind] {
 		s.spent[kind]++
 	}
 }
 
-// stepServer has a server's node take the step of a transition.
+// stepServer executes a transition on a server's node.
 func (s *State) stepServer(t Transition, node *consensus.Node, now time.Duration) {
 	server := s.servers[t.Server]
 	switch t.Kind {
@@ -237,7 +237,7 @@
 	node.ProposeMembers(now, members)
 }
 
-// afterTime returns the state after time has passed.
+// afterTime returns the state after an Advance transition.
 func (s *State) afterTime(t Transition) *State {
 	next := s.clone()
 	next.spend(t.Kind)
@@ -246,7 +246,7 @@
 	return next
 }
 
-// afterDelivery returns the state after a message has arrived, nil if it isn't in flight.
+// afterDelivery returns the state after the delivery of a message, or nil if the message isn't in flight.
 func (s *State) afterDelivery(t Transition) *State {
 	i := s.findMessage(t.message)
 	if i < 0 {
--- a/internal/verification/modelcheck/walk.go
+++ b/internal/verification/modelcheck/walk.go
@@ -1,4 +1,4 @@
-// This file is the seeded random walk, for what lies deeper than a search gets.
+// This file implements seeded random walks, which reach states beyond the depth of a search.
 
 package modelcheck
 
@@ -7,17 +7,17 @@
 	"slices"
 )
 
-// walkWeights say how often a walk picks each kind of transition that is enabled.
+// walkWeights are the relative frequencies with which a walk picks each kind of enabled transition.
 var walkWeights = weights{
 	Deliver: 60, Duplicate: 3, Tick: 25, Sync: 25, Advance: 10, Restart: 2, Wipe: 1, Propose: 10,
 	AddLearner: 4, AddMember: 6, DropMember: 2, Compact: 2, TransferLeadership: 1,
 }
 
-// weights say how often each kind of transition is picked.
+// weights holds the relative frequency of each kind of transition.
 type weights [kindCount]int
 
-// Walk takes walks of length transitions each from a scenario's first state, without a budget, and minimizes the first that
-// violates an invariant.
+// Walk takes random walks of the given length from a scenario's first state, ignoring its budget. It stops at the first
+// violation of an invariant and minimizes the counterexample.
 func Walk(scenario *Scenario, seed uint64, walks, length int) *Report {
 	unbounded := *scenario
 	for kind := range unbounded.Budget {
@@ -39,7 +39,7 @@
 	return report
 }
 
-// randomPath takes random transitions from a state, up to a violation.
+// randomPath takes up to length random transitions from a state and stops at a violation.
 func randomPath(first *State, rnd *rand.Rand, length int) (last *State, path []Transition) {
 	last = first
 	kindWeights := randomWeights(rnd)
@@ -52,8 +52,8 @@
 	return last, path
 }
 
-// randomWeights leave about half of the kinds that need not happen out of a walk: what hides a fault in some walks is
-// missing in others (swarm testing).
+// randomWeights returns walkWeights with each optional kind of transition disabled with probability 1/2 (swarm testing): a
+// kind that masks a fault is then missing from some of the walks.
 func randomWeights(rnd *rand.Rand) weights {
 	chosen := walkWeights
 	for kind := range chosen {
@@ -68,7 +68,7 @@
 	return chosen
 }
 
-// pick draws a kind by weight, and then one transition of it.
+// pick draws a kind by weight, and then one of its transitions with equal probability.
 func pick(rnd *rand.Rand, kindWeights weights, transitions []Transition) Transition {
 	var byKind [kindCount][]Transition
 	for _, transition := range transitions {
@@ -90,10 +90,11 @@
 		}
 		drawn -= kindWeights[kind]
 	}
-	panic("no transition drawn")
+	panic("pick: draw exceeds the total weight of the enabled transitions")
 }
 
-// minimize leaves transitions out as long as what is left violates an invariant.
+// minimize removes transitions from a path as long as the rest still violates an invariant. It returns the shortened path and
+// its violation.
 func minimize(first *State, path []Transition, violation string) ([]Transition, string) {
 	for size := len(path) / 2; size > 0; {
 		shortened := false
@@ -112,7 +113,8 @@
 	return path, violation
 }
 
-// replay takes those transitions that are enabled, up to a violation.
+// replay takes the transitions of a path, skipping those that aren't enabled, and stops at a violation. It returns the
+// transitions taken.
 func replay(first *State, path []Transition) (taken []Transition, violation string) {
 	state := first
 	for _, transition := range path {
--- a/internal/verification/modelcheck/workers.go
+++ b/internal/verification/modelcheck/workers.go
@@ -1,18 +1,18 @@
-// This file spreads the work of a search over goroutines.
+// This file distributes the expansion of states over worker goroutines.
 
 package modelcheck
 
-// batchSize is how many states a worker expands at a time.
+// batchSize is the number of states that a worker expands at a time.
 const batchSize = 64
 
-// expansion is a batch of states, whose successors a worker sends once.
+// expansion is a batch of states and the channel that receives their successors, in one send.
 type expansion struct {
 	states     []frontierState
 	successors chan []successor
 }
 
-// expand yields the successors of states in order, a batch at a time. Its goroutines end with it, up to the batches that
-// they have begun.
+// expand yields the successors of states, batch by batch and in order. When the iteration ends, its goroutines end as soon as
+// they have finished their current batches.
 func expand(scenario *Scenario, states []frontierState, workers int) func(func([]successor) bool) {
 	return func(yield func([]successor) bool) {
 		work := make(chan expansion)
@@ -31,7 +31,7 @@
 	}
 }
 
-// expandBatches expands batches until there are no more.
+// expandBatches expands batches until the channel is closed.
 func expandBatches(scenario *Scenario, work <-chan expansion) {
 	c := newCanonicalizer(scenario)
 	for batch := range work {
@@ -39,7 +39,8 @@
 	}
 }
 
-// distribute gives all states out in batches, first in order to whom yields them and then to a worker, until it is stopped.
+// distribute divides the states into batches and sends each batch first to inOrder, for the consumer, and then to work, for a
+// worker. It returns early when stop is closed.
 func distribute(states []frontierState, inOrder, work chan<- expansion, stop <-chan struct{}) {
 	defer close(work)
 	defer close(inOrder)
