--- a/internal/verification/simulator/attempt.go
+++ b/internal/verification/simulator/attempt.go
@@ -8,8 +8,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// attempt is one attempt of a request at a target, as the reverse proxy makes it: on an idle connection, or on a
-// new one whose target's identity is checked, then the request, then what its end means.
+// attempt is one attempt to send a request to a target. Like the reverse proxy, it takes an idle connection or opens a new
+// one and checks the target's identity, writes the request, and maps the result to an outcome.
 type attempt struct {
 	world      *World
 	process    *Process
@@ -17,17 +17,17 @@
 	command    statemachine.Forward
 	connection *connection
 	reused     bool // the connection has carried a request before
-	done       bool // its response was read or lost
+	done       bool // the response was read or lost
 }
 
-// failure is how an attempt failed.
+// failure describes how an attempt failed.
 type failure struct {
 	outcome  statemachine.Outcome
 	sent     bool // the target may have run the request
-	timedOut bool // the request's time is over: there is no further attempt
+	timedOut bool // the request's deadline has passed, so it isn't retried
 }
 
-// forward carries out a proxy's command to send a request to a target.
+// forward executes a proxy's command to send a request to a target.
 func (w *World) forward(process *Process, command statemachine.Forward) {
 	request := w.callers.open[command.ID]
 	if request == nil || !request.isAt(process) {
@@ -48,7 +48,7 @@
 	a.connect()
 }
 
-// connect opens the connection if it is new, and goes on to write the request.
+// connect opens the connection if it is new, then writes the request.
 func (a *attempt) connect() {
 	w, t, id := a.world, a.connection.target, a.command.Target.ID()
 	switch {
@@ -64,13 +64,12 @@
 	}
 }
 
-// targetAnswers says whether the target of the connection is reachable and not hanging.
+// targetAnswers reports whether the target of the connection is reachable and not hanging.
 func (a *attempt) targetAnswers() bool {
 	return !a.connection.target.hanging && a.world.connected(a.process.name, a.connection.target.name)
 }
 
-// write is the moment at which a request's first byte goes out; a process that
-// is frozen then goes on with it when it thaws.
+// write writes the first byte of the request. A frozen process continues here when it thaws.
 func (a *attempt) write() {
 	world, process, request := a.world, a.process, a.request
 	if !process.alive || process.incarnation != request.incarnation {
@@ -93,11 +92,11 @@
 	world.schedule(0, a.arrive)
 }
 
-// arrive is the moment at which a request reaches its target, which may reject it or run it.
+// arrive delivers the request to its target, which rejects or runs it.
 func (a *attempt) arrive() {
 	world, request, target := a.world, a.request, a.connection.target
 	if target.service != request.service {
-		world.violated(ruleRightService, "exchange %d for %s reached %s", request.id, request.service, target.fullName())
+		world.violated(ruleRightService, "request %d for service %s reached target %s", request.id, request.service, target.fullName())
 	}
 	lost := failure{outcome: statemachine.ResponseLost, sent: true}
 	switch {
@@ -126,7 +125,7 @@
 	a.run()
 }
 
-// targetRejects says whether a target is full: it has as many requests at work and waiting as it takes.
+// targetRejects reports whether a target is full: all its slots and its whole queue are in use.
 func (w *World) targetRejects(t *Target) bool {
 	if w.Plan.Slots == 0 || len(t.inFlight) < w.Plan.Slots+targetQueueLength {
 		return false
@@ -135,24 +134,24 @@
 	return true
 }
 
-// run has the target run the request, and respond after its service time.
+// run lets the target run the request and respond after its service time.
 func (a *attempt) run() {
 	w, p, t := a.world, a.process, a.connection.target
 	w.checkExecution(t, a.request)
 	t.inFlight = append(t.inFlight, a.request)
 	p.attempts = append(p.attempts, a)
-	if a.connection.surplusAt > 0 { // it is then read in place of the response
+	if a.connection.surplusAt > 0 { // the proxy reads the surplus response instead of this request's response
 		w.schedule(a.connection.surplusAt-w.now, func() { w.readSurplusResponse(a) })
 	}
 	w.schedule(t.serviceTime, func() {
 		a.leaveTarget()
-		if a.end() { // else the proxy has given this connection up
+		if a.end() { // otherwise the proxy has closed this connection already
 			a.respond()
 		}
 	})
 }
 
-// respond is the moment at which the target has run the request.
+// respond handles the end of the request at the target: the response is lost or reaches the proxy.
 func (a *attempt) respond() {
 	world, request, target := a.world, a.request, a.connection.target
 	if !target.alive || target.losesResponses {
@@ -174,13 +173,13 @@
 	})
 }
 
-// leaveTarget takes the request out of the target's work.
+// leaveTarget removes the request from the target's requests in flight.
 func (a *attempt) leaveTarget() {
 	t := a.connection.target
 	t.inFlight = slices.DeleteFunc(t.inFlight, func(r *request) bool { return r == a.request })
 }
 
-// end notes that the response was read or lost; it says whether the attempt had not ended before.
+// end marks the response as read or lost. It reports whether the attempt hadn't ended before.
 func (a *attempt) end() bool {
 	if a.done {
 		return false
@@ -190,13 +189,13 @@
 	return true
 }
 
-// loseResponse ends an attempt whose connection is closed: the target drops what has run so far.
+// loseResponse ends an attempt whose connection was closed. The target aborts the request.
 func (a *attempt) loseResponse() {
 	a.leaveTarget()
 	a.fail(0, failure{outcome: statemachine.ResponseLost, sent: true})
 }
 
-// whileOpen runs a function after a delay if the request is still open then, at the same start of its proxy.
+// whileOpen runs a function after a delay, provided that the request is still open then and its proxy hasn't restarted.
 func (a *attempt) whileOpen(delay time.Duration, run func()) {
 	w, p, r := a.world, a.process, a.request
 	w.schedule(delay, func() {
@@ -206,7 +205,7 @@
 	})
 }
 
-// fail tells the proxy after a delay that the attempt failed, and either ends the request or asks for a retry.
+// fail reports a failed attempt to the proxy after a delay, and either ends the request or asks for a retry.
 func (a *attempt) fail(delay time.Duration, f failure) {
 	w, r := a.world, a.request
 	a.whileOpen(delay, func() {
@@ -217,6 +216,7 @@
 	})
 }
 
+// retryOrGiveUp asks the proxy for a retry, or ends the request if a retry is not allowed.
 func (a *attempt) retryOrGiveUp(failed failure) {
 	world, process, request := a.world, a.process, a.request
 	budgeted := world.disabledGuard != guardRetryBudget
--- a/internal/verification/simulator/availability.go
+++ b/internal/verification/simulator/availability.go
@@ -9,24 +9,24 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Availability is what a kind of fault, or two at once, left of the service: a system that rejects everything
-// breaks no rule.
+// Availability measures the effect of one or more simultaneous faults on the service. It complements the rules, which a
+// system that rejects every request doesn't break.
 type Availability struct {
 	Faults                                []string
 	Requests, Rejected, Failed, Abandoned int
-	LongestGap                            time.Duration // longest time without a response of some service
-	Recovery                              time.Duration // from the fault's beginning to full capacity
-	ChangeLatency                         time.Duration // from the sending of a change, 0.5 s after the fault, until it is in force
+	LongestGap                            time.Duration // longest time in which some service served no request
+	Recovery                              time.Duration // from the beginning of the faults to full capacity
+	ChangeLatency                         time.Duration // from sending a configuration change, changeDelay after the faults, to its final reply
 	Outcome                               ChangeOutcome
-	Failure                               string // the rule that was broken, and how
+	Failure                               string // the rule that was broken and a description; "" if none
 }
 
-// ChangeOutcome is what became of the change that is sent during a fault.
+// ChangeOutcome is the outcome of the configuration change that is sent during a fault.
 type ChangeOutcome string
 
-// The outcomes.
+// Outcomes of the change.
 const (
-	OutcomeNone     ChangeOutcome = "none" // it was not sent
+	OutcomeNone     ChangeOutcome = "none" // the change was not sent
 	OutcomeInForce  ChangeOutcome = "in force"
 	OutcomeRejected ChangeOutcome = "refused"
 	OutcomeUnknown  ChangeOutcome = "unknown"
@@ -34,24 +34,24 @@
 )
 
 const (
-	// measuredTime is for how long after faults begin the service is looked at; most end by themselves in it.
-	measuredTime = 25 * time.Second
-	// changeDelay is how long after the faults begin a change is sent.
+	// measurementTime is the duration of the measurement from the beginning of the faults. Most faults end within it.
+	measurementTime = 25 * time.Second
+	// changeDelay is the time from the beginning of the faults to the sending of a change.
 	changeDelay = 500 * time.Millisecond
-	// insistTime is for how long, and insistInterval how often, a change is sent again if it is rejected; so does mfctl.
-	insistTime     = 8 * time.Second
-	insistInterval = 200 * time.Millisecond
-	// replyTimeout is how long a change waits for its reply.
+	// changeRetryTime is how long a rejected change is sent again, every changeRetryInterval, as mfctl does.
+	changeRetryTime     = 8 * time.Second
+	changeRetryInterval = 200 * time.Millisecond
+	// replyTimeout is how long the sender of a change waits for the reply.
 	replyTimeout = 6500 * time.Millisecond
 )
 
-// UnservedShare is the part of requests that were not served.
+// UnservedShare returns the fraction of requests that were not served.
 func (a *Availability) UnservedShare() float64 {
 	return float64(a.Rejected+a.Failed+a.Abandoned) / float64(max(1, a.Requests))
 }
 
-// MeasureAvailability injects faults once, all at the same moment, and looks at the time
-// that follows.
+// MeasureAvailability starts a fleet, injects all faults at the same moment, and measures the availability in the
+// measurementTime that follows.
 func MeasureAvailability(seed uint64, plan Plan, faults ...Fault) Availability {
 	plan.Resubmitted = 0 // each request counts once
 	result := Availability{Outcome: OutcomeNone}
@@ -65,8 +65,8 @@
 	for _, f := range faults {
 		world.inject(f)
 	}
-	world.schedule(changeDelay, func() { world.insistOnChange(begin+changeDelay, 0, &result) })
-	for world.now < begin+measuredTime && world.Failure == "" {
+	world.schedule(changeDelay, func() { world.sendChangeUntilAccepted(begin+changeDelay, 0, &result) })
+	for world.now < begin+measurementTime && world.Failure == "" {
 		world.Run(world.now + 100*time.Millisecond)
 		if world.missingTarget() != "" || !world.Serving() {
 			result.Recovery = world.now - begin
@@ -82,15 +82,15 @@
 	return result
 }
 
-// insistOnChange sends a change as mfctl does: under one token, to one control daemon after another, as long as
-// it is rejected. The number of attempts before says whose turn it is.
-func (w *World) insistOnChange(from time.Duration, attempts int, result *Availability) {
+// sendChangeUntilAccepted sends a change like mfctl: with one token, to each control daemon in turn, as long as it is
+// rejected. attempts is the number of earlier attempts, which selects the control daemon.
+func (w *World) sendChangeUntilAccepted(from time.Duration, attempts int, result *Availability) {
 	daemons, services := w.daemons(wire.ControlDaemon), w.services()
 	process := daemons[attempts%len(daemons)]
 	rejected := func() {
 		result.Outcome = OutcomeRejected
-		if w.now-from < insistTime {
-			w.schedule(insistInterval, func() { w.insistOnChange(from, attempts+1, result) })
+		if w.now-from < changeRetryTime {
+			w.schedule(changeRetryInterval, func() { w.sendChangeUntilAccepted(from, attempts+1, result) })
 		}
 	}
 	if !process.alive || process.frozen {
--- a/internal/verification/simulator/bulk_changes.go
+++ b/internal/verification/simulator/bulk_changes.go
@@ -9,35 +9,33 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Changes in bulk: many in a row, many at once, and many whose replies are lost, so that they are sent again.
+// Parameters of bulk changes: many in a row, many at once, and many that are sent again because their replies are lost.
 const (
-	// stormInterval is the time between two changes of a storm.
+	// stormInterval is the time between two changes of the fault "storm of changes".
 	stormInterval = 100 * time.Millisecond
-	// concurrentChanges is how many changes are under way together, and concurrentDocuments how many
-	// different documents they carry.
+	// concurrentChanges is the number of changes sent at once, and concurrentDocuments the number of different
+	// documents among them.
 	concurrentChanges   = 8
 	concurrentDocuments = 3
-	// replyLossShare is the part of replies that is lost while replies are lost in bulk.
+	// replyLossShare is the fraction of replies lost during the fault "answers to changes lost".
 	replyLossShare = 0.7
-	// lostReplyInterval is the time between two changes that meet the loss of replies.
+	// lostReplyInterval is the time between two changes during that fault.
 	lostReplyInterval = 400 * time.Millisecond
-	// maxRepetitions bounds how often one change is sent again.
+	// maxRepetitions is the maximum number of times that one change is sent again.
 	maxRepetitions = 8
-	// maxBulkChanges bounds the changes in bulk of one day, so that the check of its history
-	// stays fast.
+	// maxBulkChanges is the maximum number of bulk changes in one run, which keeps the check of the run's history fast.
 	maxBulkChanges = 200
 )
 
-// operatorChange is one change as an operator sends it, as often as need be under one token.
+// operatorChange is the call of an operator's change, which may be sent repeatedly with the same token.
 type operatorChange struct {
 	method, path, query string
 	body                []byte
 	token               string
-	repetitions         int // how often it was sent again
+	repetitions         int // number of times it was sent again
 }
 
-// sendRepeatedly sends a change. While replies are lost in bulk it is sent again, to another
-// member, until one reply gets through.
+// sendRepeatedly sends a change. If the reply is lost, it sends the change again to another member until a reply arrives.
 func (w *World) sendRepeatedly(p *Process, c *operatorChange, onReply func(statemachine.Reply)) {
 	pending := w.call(p, c.method, c.path, c.query, c.body, c.token, onReply)
 	arrives := pending.onReply
@@ -47,26 +45,25 @@
 			return
 		}
 		w.Stats.LostReplies++
-		w.logf("answer %d to %s is lost", r.Status, c.token)
+		w.logf("reply with status %d to change %s is lost", r.Status, c.token)
 		w.schedule(w.randomMilliseconds(20, 300), func() { w.repeatChange(p, c, onReply) })
 	}
 }
 
-// leavesOpen says whether a rejection leaves a change's fate open: a member that can't decide
-// now (503) says nothing of an earlier copy whose reply was lost. Any other rejection does.
+// leavesOpen reports whether a rejection leaves the outcome of a change unknown. With status 503 a member can't decide now,
+// so an earlier copy whose reply was lost may have been accepted. Any other rejection is final.
 func (c *operatorChange) leavesOpen(r statemachine.Reply) bool {
 	return c.repetitions > 0 && r.Status == http.StatusServiceUnavailable
 }
 
-// losesReply draws whether a reply is lost. Only changes of the configuration lose theirs:
-// a change of a domain that took no effect must not come after a later one for it.
+// losesReply randomly decides whether a reply is lost. Only replies to configuration changes are: a repeated change of a
+// domain could take effect after a later change of the same domain.
 func (w *World) losesReply(c *operatorChange) bool {
 	return w.now < w.operators.repliesLostUntil && c.repetitions < maxRepetitions &&
 		changesConfiguration(c.method, c.path) && w.random.Float64() < replyLossShare
 }
 
-// repeatChange sends a change again to another living member, or to the same one if there is
-// no other.
+// repeatChange sends a change again to another running member, or to the same one if there is no other.
 func (w *World) repeatChange(before *Process, c *operatorChange, onReply func(statemachine.Reply)) {
 	others := slices.DeleteFunc(w.daemons(wire.ControlDaemon), func(p *Process) bool { return !p.alive || p == before })
 	to := before
@@ -77,7 +74,7 @@
 	w.sendRepeatedly(to, c, onReply)
 }
 
-// mayChangeInBulk counts changes in bulk; it says whether the day's bound allows so many more.
+// mayChangeInBulk counts bulk changes. It reports whether the run's maximum allows that many more.
 func (w *World) mayChangeInBulk(changes int) bool {
 	if w.operators.bulkChanges+changes > maxBulkChanges {
 		return false
@@ -86,7 +83,7 @@
 	return true
 }
 
-// changeRepeatedly sends a change of the configuration to any member again and again, for a while.
+// changeRepeatedly sends a configuration change to a random member at each interval for the given time span.
 func (w *World) changeRepeatedly(interval, span time.Duration) {
 	for at := time.Duration(0); at < span; at += interval {
 		w.schedule(at, func() {
@@ -97,15 +94,15 @@
 	}
 }
 
-// loseReplies loses most replies to operators' changes for a while, and has some changes sent.
+// loseReplies loses most replies to configuration changes for a while, and sends changes during that time.
 func (w *World) loseReplies(span time.Duration) {
-	w.logf("answers to orders are lost for %v", span)
+	w.logf("replies to configuration changes are lost for %v", span)
 	w.operators.repliesLostUntil = max(w.operators.repliesLostUntil, w.now+span)
 	w.changeRepeatedly(lostReplyInterval, span)
 }
 
-// changeConcurrently sends changes on one base at once, to any members: some the same document
-// under different tokens, some another one.
+// changeConcurrently sends several changes on the same base at once to random members. Some have the same document under
+// different tokens, others have different documents.
 func (w *World) changeConcurrently() {
 	if !w.mayChangeInBulk(concurrentChanges) {
 		return
--- a/internal/verification/simulator/callers.go
+++ b/internal/verification/simulator/callers.go
@@ -10,60 +10,60 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// callers are those who send requests to the proxies.
+// callers holds the state of the clients that send requests to the proxies.
 type callers struct {
 	stopped     bool                // no more requests are sent
-	sent        uint64              // requests so far, also the last one's id
-	open        map[uint64]*request // without an outcome, by id
+	sent        uint64              // number of requests sent, which is also the id of the last one
+	open        map[uint64]*request // requests without an outcome, by id
 	connections []*persistentConnection
 
 	// For the checks.
-	servedAt   []time.Duration            // of each served request
-	lastServed map[string]time.Duration   // by service
-	attempts   map[string][]attemptRecord // by service, in the order of their writing
+	servedAt   []time.Duration            // time of each response
+	lastServed map[string]time.Duration   // time of the last response of each service
+	attempts   map[string][]attemptRecord // attempts for each service in the order in which they were written
 }
 
 func newCallers() callers {
 	return callers{open: map[uint64]*request{}, lastServed: map[string]time.Duration{}, attempts: map[string][]attemptRecord{}}
 }
 
-// request is a caller's request.
+// request is a caller's request and its progress.
 type request struct {
 	id            uint64
 	service       string
 	nonIdempotent bool
 	proxy         *Process
-	incarnation   int                   // of the proxy
-	connection    *persistentConnection // that it came on, nil: one of its own
-	resubmissions int                   // how often its caller has sent the same before
+	incarnation   int                   // the proxy's incarnation that received the request
+	connection    *persistentConnection // the caller's persistent connection; nil if the request has a connection of its own
+	resubmissions int                   // number of times that the caller has sent the same request before
 
-	revision    uint64 // the proxy's when it chose the target
-	sent        bool   // an attempt was written of which nobody can tell whether it ran
+	revision    uint64 // the proxy's revision when it chose the target
+	sent        bool   // an attempt was written that may or may not have run
 	nextIsRetry bool   // its next attempt counts as a retry
-	executions  int    // by targets
+	executions  int    // number of times that targets ran it
 	outcome     requestOutcome
 }
 
-// requestOutcome is what a caller learns of its request.
+// requestOutcome is the outcome of a request as its caller sees it.
 type requestOutcome int
 
 const (
 	outcomePending  requestOutcome = iota
-	outcomeServed                  // there was a response
-	outcomeRejected                // it did not run
+	outcomeServed                  // the caller got a response
+	outcomeRejected                // rejected without running
 	outcomeUnknown                 // it may have run
 )
 
-// attemptRecord is an attempt of a request, for the check of the retry budget.
+// attemptRecord records an attempt of a request for the check of the retry budget.
 type attemptRecord struct {
 	at    time.Duration
 	retry bool
 }
 
-// maxResubmissions is how often a caller sends the same request again.
+// maxResubmissions is the maximum number of times that a caller sends the same request again.
 const maxResubmissions = 3
 
-// isAt says whether a request is at the present start of a proxy.
+// isAt reports whether the request is at the current incarnation of a proxy.
 func (r *request) isAt(p *Process) bool { return r.proxy == p && r.incarnation == p.incarnation }
 
 // StartCallers sends requests at the plan's rate until callers are stopped.
@@ -84,7 +84,7 @@
 	w.schedule(0, next)
 }
 
-// services are the names of the plan's services, sorted.
+// services returns the names of the plan's services, sorted.
 func (w *World) services() []string { return slices.Sorted(maps.Keys(w.Plan.Services)) }
 
 func (w *World) randomService() string {
@@ -103,8 +103,8 @@
 	w.admit(&request{service: service, nonIdempotent: nonIdempotent, proxy: p, incarnation: p.incarnation, resubmissions: resubmissions})
 }
 
-// pickProxy draws one of the proxies that take new connections: those that are ready, or all that run if
-// none is; nil: none runs.
+// pickProxy returns a random ready proxy. If none is ready, it returns a random one that accepts connections, or nil if there
+// is none.
 func (w *World) pickProxy() *Process {
 	var candidates []*Process
 	for _, p := range w.daemons(wire.ProxyDaemon) {
@@ -125,20 +125,20 @@
 	return candidates[w.random.IntN(len(candidates))]
 }
 
-// admit gives a request to its proxy.
+// admit delivers a new request to its proxy.
 func (w *World) admit(r *request) {
 	w.callers.sent++
 	r.id = w.callers.sent
 	w.callers.open[r.id] = r
 	w.Stats.Requests++
 	method, path := http.MethodGet, "/a"
-	if r.nonIdempotent && w.disabledGuard != guardAtMostOnce { // without it the proxy's own guard is out too
+	if r.nonIdempotent && w.disabledGuard != guardAtMostOnce { // with the guard disabled, the proxy must not know that the request isn't idempotent
 		method, path = http.MethodPost, "/once/a"
 	}
 	w.deliver(r.proxy, statemachine.Admit{ID: r.id, Host: "x", Path: "/" + r.service + path, Method: method})
 }
 
-// finishRequest gives a request its outcome. Some callers send an unserved request again at once.
+// finishRequest sets the outcome of a request. Some callers send an unserved request again at once.
 func (w *World) finishRequest(request *request, outcome requestOutcome) {
 	request.outcome = outcome
 	delete(w.callers.open, request.id)
@@ -149,12 +149,12 @@
 	case outcomeRejected:
 		w.Stats.Rejected++
 		if request.executions > 0 {
-			w.violated(ruleRejectedRequest, "exchange %d had run %d times", request.id, request.executions)
+			w.violated(ruleRejectedRequest, "request %d was rejected but had run %d times", request.id, request.executions)
 		}
 	case outcomeUnknown:
 		w.Stats.Unknown++
 		if w.checks.plannedOnly {
-			w.violated(ruleGracefulStop, "exchange %d at %s was lost during planned work", request.id, request.proxy.name)
+			w.violated(ruleGracefulStop, "request %d at %s was lost during planned work", request.id, request.proxy.name)
 		}
 	}
 	if outcome != outcomeServed && request.resubmissions < maxResubmissions && w.random.Float64() < w.Plan.Resubmitted {
@@ -171,14 +171,14 @@
 	w.callers.servedAt = append(w.callers.servedAt, w.now)
 }
 
-// rejectRequest carries out a proxy's command to reject a request.
+// rejectRequest executes a proxy's command to reject a request.
 func (w *World) rejectRequest(c statemachine.Reject) {
 	r := w.callers.open[c.ID]
 	if r == nil {
 		return
 	}
 	if c.Status == http.StatusServiceUnavailable && c.RetryAfter == 0 {
-		w.violated(ruleRetryAfter, "a refusal without Retry-After")
+		w.violated(ruleRetryAfter, "request %d was rejected with status 503 without Retry-After", c.ID)
 	}
 	if r.sent && w.disabledGuard != guardUnknownAfterSend {
 		w.finishRequest(r, outcomeUnknown)
@@ -187,8 +187,8 @@
 	}
 }
 
-// cancelRequests has a part of a proxy's callers go, or lose their connections, before they
-// have their responses; count is the statistic that counts them.
+// cancelRequests cancels each open request at a proxy with probability part, as if its caller had closed the connection. It
+// increments count for each.
 func (w *World) cancelRequests(p *Process, part float64, count *int) {
 	var ids []uint64
 	for id, r := range w.callers.open {
@@ -206,7 +206,7 @@
 	}
 }
 
-// ServedBetween counts the requests that were served in a span of time.
+// ServedBetween returns the number of requests served from from (inclusive) to until (exclusive).
 func (w *World) ServedBetween(from, until time.Duration) (count int) {
 	for _, at := range w.callers.servedAt {
 		if at >= from && at < until {
--- a/internal/verification/simulator/commands.go
+++ b/internal/verification/simulator/commands.go
@@ -13,7 +13,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// deliver gives a process an event, at once or, if the process is slow, once it has handled what came before.
+// deliver delivers an event to a process: at once, or after the process's backlog if the process is slow.
 func (w *World) deliver(p *Process, event statemachine.Event) {
 	if !p.alive {
 		return
@@ -23,10 +23,10 @@
 	}
 }
 
-// step has a process's state machine handle one event, and carries out its commands.
+// step lets a process's state machine handle one event, and executes the resulting commands.
 func (w *World) step(p *Process, event statemachine.Event) { w.stepAt(p, event, p.localTime()) }
 
-// stepAt is the same by a time of the process's own clock.
+// stepAt does the same with the given time of the process's own clock.
 func (w *World) stepAt(process *Process, event statemachine.Event, now time.Duration) {
 	if !process.alive {
 		return
@@ -53,7 +53,7 @@
 	}
 }
 
-// stateMachine is what both kinds of daemons are run by.
+// stateMachine is the interface that the state machines of both daemon kinds implement.
 type stateMachine interface {
 	Step(now time.Duration, event statemachine.Event) []statemachine.Command
 }
@@ -65,8 +65,8 @@
 	return p.proxy
 }
 
-// revealsState says whether a command tells anybody what was decided: a reply to an operator,
-// or a table or lease for a proxy.
+// revealsState reports whether a command discloses a decision: a reply to an operator, or a push of a table or lease to a
+// proxy.
 func revealsState(command statemachine.Command) bool {
 	switch c := command.(type) {
 	case statemachine.Reply:
@@ -77,8 +77,8 @@
 	return false
 }
 
-// pauseBeforeCommands freezes a process between a step and its commands: all of them are
-// carried out when the process goes on, however late.
+// pauseBeforeCommands freezes a process between a step and the execution of its commands. They are executed when the process
+// thaws, however late that is.
 func (w *World) pauseBeforeCommands(p *Process, commands []statemachine.Command) {
 	pause := p.pauseAfterStep
 	p.pauseAfterStep = 0
@@ -91,7 +91,7 @@
 	})
 }
 
-// execute carries out a command, as the daemon's shell does.
+// execute executes a command, as the daemon's shell does.
 func (w *World) execute(process *Process, command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Send:
@@ -103,7 +103,7 @@
 	case statemachine.Reply:
 		w.reply(c)
 	case statemachine.StateChange:
-		w.noteStateChange(process, c)
+		w.recordStateChange(process, c)
 	case statemachine.Publish:
 		if c.Decision != nil && c.Decision.Kind != outlier.KindLapse {
 			w.logf("%s %s %s %s/%s", process.name, c.Decision.Policy, c.Decision.Kind, c.Decision.Service, c.Decision.Name)
@@ -113,7 +113,7 @@
 	case statemachine.TargetsChanged:
 		process.targets = c.Addresses
 		maps.DeleteFunc(process.idle, func(id wire.TargetID, _ []*connection) bool { _, listed := c.Addresses[id]; return !listed })
-	case statemachine.UnreachableTargets: // requests here wait for their deadlines
+	case statemachine.UnreachableTargets: // the simulator lets requests wait for their deadlines
 	case statemachine.CloseAfterResponse: // persistent connections are closed by the process's state, see closeAfterResponse
 	case statemachine.StopAccepting:
 		process.rejectsConnections = true
@@ -122,12 +122,12 @@
 	case statemachine.Reject:
 		w.rejectRequest(c)
 	default:
-		panic(fmt.Sprintf("the simulator carries out no command %T", command))
+		panic(fmt.Sprintf("simulator: unknown command type %T", command))
 	}
 }
 
-// noteStateChange logs a change of a daemon's state and keeps what the checks need to know of it.
-func (w *World) noteStateChange(p *Process, c statemachine.StateChange) {
+// recordStateChange logs a state change of a daemon and records what the checks need.
+func (w *World) recordStateChange(p *Process, c statemachine.StateChange) {
 	w.logf("%s %s %s -> %s (%s)", p.name, c.Subject, c.From, c.To, c.Reason)
 	if w.disabledGuard == guardReplyInForce && c.Subject == statemachine.SubjectRevision && p.controller != nil {
 		w.checks.acknowledged = max(w.checks.acknowledged, p.controller.Revision())
@@ -141,14 +141,14 @@
 	}
 }
 
-// exit ends a process that has nothing left to do after its stop signal.
+// exit executes a process's command to exit at the end of its graceful stop.
 func (w *World) exit(p *Process) {
 	if !p.alive {
 		return
 	}
 	w.logf("exit %s", p.name)
 	if p.proxy != nil && p.proxy.InFlight() > 0 {
-		w.violated(ruleGracefulStop, "%s left %d exchanges behind at a planned stop", p.name, p.proxy.InFlight())
+		w.violated(ruleGracefulStop, "%s exited with %d requests in flight after a planned stop", p.name, p.proxy.InFlight())
 	}
 	w.checkNoCallPending(p)
 	w.Kill(p)
--- a/internal/verification/simulator/configuration.go
+++ b/internal/verification/simulator/configuration.go
@@ -3,21 +3,23 @@
 import "myrtlefold/internal/shared/config"
 
 const (
-	// usualCap is the cap of requests at once for each target in configurations of the plan.
-	usualCap = 40
-	// timeoutBase is the time-out of document 0 in milliseconds; each number has its own time-out.
+	// defaultConcurrencyLimit is the configured maximum number of concurrent requests for each target.
+	defaultConcurrencyLimit = 40
+	// timeoutBase is the request timeout in document 0, in milliseconds. Document n has the timeout timeoutBase + n.
 	timeoutBase = 1000
-	// routeLatencyTarget is the latency target of routes in milliseconds, routeAttempts their attempts.
+	// routeLatencyTarget is the latency target of routes in milliseconds, and routeAttempts their maximum number of
+	// attempts.
 	routeLatencyTarget = 400
 	routeAttempts      = 3
 )
 
-// Document is a configuration of all services of the plan; its number tells it from others.
+// Document returns a configuration of all services of the plan. Documents with different numbers differ.
 func (w *World) Document(number int) []byte {
-	return w.DocumentFor(number, usualCap, w.services())
+	return w.DocumentFor(number, defaultConcurrencyLimit, w.services())
 }
 
-// DocumentFor is a configuration of some services, with a cap of requests at once for each target.
+// DocumentFor returns a configuration of the given services. limit is the maximum number of concurrent requests for each
+// target.
 func (w *World) DocumentFor(number, limit int, services []string) []byte {
 	settings, routes := map[string]any{}, map[string]config.Route{}
 	var rules []any
@@ -36,7 +38,7 @@
 }
 
 func (w *World) serviceSettings(number, limit int) map[string]any {
-	service := map[string]any{"cap": limit, "warm_cap": w.warmupCap(limit), "timeout_ms": timeoutBase + number}
+	service := map[string]any{"cap": limit, "warm_cap": w.warmingLimit(limit), "timeout_ms": timeoutBase + number}
 	if w.Plan.WarmupRate > 0 {
 		service["cold_per_s"], service["cold_s"] = w.Plan.WarmupRate, warmupTime.Seconds()
 	}
@@ -46,14 +48,14 @@
 	return service
 }
 
-// warmupCap is the cap of requests at once for a target in state warming.
-func (w *World) warmupCap(limit int) int {
+// warmingLimit returns the maximum number of concurrent requests for a target in state warming.
+func (w *World) warmingLimit(limit int) int {
 	if w.disabledGuard == guardWarmingConcurrency {
 		return limit
 	}
 	return min(limit, warmingConcurrency)
 }
 
-// nextDocumentNumber tells each configuration of a run from all others: the same one sent
-// twice on one base is rightly accepted twice.
+// nextDocumentNumber returns a document number that is unique in the run, since two equal documents on the same base may both
+// be accepted.
 func (w *World) nextDocumentNumber() int { return 1000 + len(w.operators.changes) }
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -8,25 +8,27 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// connection leads from a proxy to a target; the proxy keeps it idle between requests.
+// connection is a connection from a proxy to a target. The proxy keeps it open between requests.
 type connection struct {
 	target    *Target
 	idleSince time.Duration
-	surplusAt time.Duration // when a response comes on it that no request waits for, 0: none does
+	surplusAt time.Duration // when a response arrives that belongs to no open request; 0 if none will
 }
 
 const (
-	// surplusShare is the part of responses after which a target that does so sends another one.
+	// surplusShare is the fraction of responses after which a target with the surplus fault sends another response.
 	surplusShare = 0.3
-	// maxSurplusDelay is how much later that comes at most, in milliseconds: some come while the connection is
-	// idle, some once it carries the next request.
+	// maxSurplusDelay is the maximum delay of a surplus response in milliseconds. Some arrive while the connection is
+	// idle, some while it carries the next request.
 	maxSurplusDelay = 60
-	// idleLimitShares: with guardIdleConnections disabled, each proxy keeps this part of a target's connections.
+	// idleLimitShares is the divisor of the connection limit that gives the idle connections of each proxy when
+	// guardIdleConnections is disabled.
 	idleLimitShares = 16
 )
 
-// takeConnection returns the idle connection of a proxy to a target that was used last, less than maxIdle ago,
-// nil if none can be used: the reverse proxy closes those that are closed or on which something came.
+// takeConnection removes and returns the proxy's most recently used idle connection to a target, or returns nil if none is
+// usable. Connections that were idle for maxIdle or longer aren't usable. Like the reverse proxy, it discards connections that
+// are closed or on which a surplus response has arrived.
 func (w *World) takeConnection(process *Process, id wire.TargetID, maxIdle time.Duration) *connection {
 	for len(process.idle[id]) > 0 {
 		last := len(process.idle[id]) - 1
@@ -47,7 +49,8 @@
 	return nil
 }
 
-// returnConnection keeps a connection idle after a complete response; of all, as many as were used last are kept.
+// returnConnection keeps a connection idle after a complete response. At most most idle connections are kept, the most recently
+// used ones.
 func (w *World) returnConnection(process *Process, id wire.TargetID, returned *connection, most int) {
 	if returned.target.sendsSurplus && w.random.Float64() < surplusShare {
 		returned.surplusAt = w.now + w.randomMilliseconds(0, maxSurplusDelay)
@@ -56,7 +59,7 @@
 	if _, listed := process.targets[id]; !listed {
 		return
 	}
-	if w.disabledGuard == guardIdleConnections { // a fixed part of the limit for each proxy, the oldest first
+	if w.disabledGuard == guardIdleConnections { // a fixed share of the limit for each proxy; surplus connections are closed
 		process.idle[id] = slices.DeleteFunc(process.idle[id], func(o *connection) bool { return w.now-o.idleSince >= tuning.ConnIdle })
 		if len(process.idle[id]) < max(1, w.Plan.ConnectionLimit/idleLimitShares) {
 			process.idle[id] = append(process.idle[id], returned)
@@ -67,7 +70,8 @@
 	process.idle[id] = idle[max(0, len(idle)-most):]
 }
 
-// overConnectionLimit says whether a target has as many connections as it takes, in use or not; it resets the next.
+// overConnectionLimit reports whether a target has reached its connection limit, counting active and idle connections, so that
+// it resets the next one.
 func (w *World) overConnectionLimit(t *Target, id wire.TargetID) bool {
 	if w.Plan.ConnectionLimit == 0 {
 		return false
@@ -96,7 +100,7 @@
 	return true
 }
 
-// readSurplusResponse has a proxy read a response that bears another request's id, unless the attempt has ended.
+// readSurplusResponse lets a proxy read a response with the id of another request, unless the attempt has ended.
 func (w *World) readSurplusResponse(a *attempt) {
 	if !a.end() {
 		return
@@ -107,14 +111,14 @@
 		return
 	}
 	if w.callers.open[a.request.id] == a.request {
-		w.violated(ruleOwnResponse, "exchange %d at %s got the answer to an earlier one", a.request.id, a.process.name)
+		w.violated(ruleOwnResponse, "request %d at %s got the response to an earlier request", a.request.id, a.process.name)
 	}
 }
 
-// resetConnections breaks a part of a proxy's connections to targets and callers, and those with other daemons.
-// What a target was at work on has run, and is dropped there.
+// resetConnections resets a fraction of a proxy's connections to targets and callers, and all its connections to other daemons.
+// Targets abort the requests in flight on these connections, which count as run.
 func (w *World) resetConnections(p *Process, part float64) {
-	w.logf("reset %.2f of the connections of %s", part, p.name)
+	w.logf("reset a fraction of %.2f of the connections of %s", part, p.name)
 	for id, idle := range p.idle {
 		p.idle[id] = idle[:len(idle)-int(part*float64(len(idle)))]
 	}
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/day.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// bootstrapTime is how long a fleet that is switched on may take until it has a leader, in the usual case, and
-	// maxBootstrapTime if a vote is split: that costs another election.
+	// bootstrapTime is the usual time from the start of a fleet until it has a leader, and maxBootstrapTime the maximum,
+	// which allows for another election after a split vote.
 	bootstrapTime    = 5 * time.Second
 	maxBootstrapTime = 10 * time.Second
-	// firstConfigurationTime is how long it may take to serve by its first configuration.
+	// firstConfigurationTime is the maximum time until the fleet serves with its first configuration.
 	firstConfigurationTime = 3 * time.Second
-	// afterFaults is how long a day goes on after its last fault, before healing.
-	afterFaults = 9 * time.Second
-	// recoveryBound is how long after healing everything must serve again.
+	// timeBeforeHealing is how long a run continues after the span in which faults begin, before it heals all faults.
+	timeBeforeHealing = 9 * time.Second
+	// recoveryBound is the maximum time from healing until the fleet serves at full capacity again.
 	recoveryBound = 15 * time.Second
-	// observationTime is for how long after recovery requests are counted, and servedShare the part of them that
-	// must be served.
+	// observationTime is how long served requests are counted after recovery, and servedShare the fraction of the plan's
+	// rate that must be served in that time.
 	observationTime = 8 * time.Second
 	servedShare     = 0.7
 	// readInterval is the time between two reads of the configuration.
 	readInterval = 400 * time.Millisecond
 )
 
-// Start bootstraps the fleet, puts a first configuration in force and starts the callers.
+// Start creates a world, bootstraps its fleet, puts a first configuration in force and starts the callers.
 func Start(seed uint64, plan Plan) *World {
 	world := New(seed, plan)
 	if !world.Run(bootstrapTime) {
@@ -39,24 +39,24 @@
 	}
 	leader := world.Leader()
 	if leader == nil {
-		world.violated(ruleBootstrap, "no leader after 10 s")
+		world.violated(ruleBootstrap, "no leader %v after the start", maxBootstrapTime)
 		return world
 	}
 	world.PutConfig(leader, 0, 1)
 	if !world.AwaitServing(firstConfigurationTime) && world.Failure == "" {
-		world.violated(ruleBootstrap, "not serving 3 s after the first configuration")
+		world.violated(ruleBootstrap, "not serving %v after the first configuration was sent", firstConfigurationTime)
 	}
 	world.StartCallers()
 	return world
 }
 
-// Day runs a seed: so many faults drawn from kinds (all if none is named) that begin over
-// a span of time, then healing, then the last checks.
+// Day runs one seed: it injects a number of faults, drawn from kinds or from Faults if kinds is empty, at random times within
+// span. Then it heals all faults, waits for recovery and makes the final checks.
 func Day(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration) *World {
 	return day(seed, plan, kinds, faults, span, func(*World) {})
 }
 
-// day is a Day that is prepared by a function once the fleet serves. With as many kinds as faults each comes once.
+// day is like Day but calls prepare once the fleet serves. If there are as many kinds as faults, each kind is injected once.
 func day(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration, prepare func(*World)) *World {
 	world := Start(seed, plan)
 	if world.Failure != "" {
@@ -75,7 +75,7 @@
 		world.schedule(time.Duration(world.random.Int64N(int64(span))), func() { world.inject(fault) })
 	}
 	world.StartReaders(readInterval)
-	if !world.Run(begin + span + afterFaults) {
+	if !world.Run(begin + span + timeBeforeHealing) {
 		return world
 	}
 	world.Heal()
@@ -84,7 +84,7 @@
 	return world
 }
 
-// inject starts a fault.
+// inject logs and starts a fault.
 func (w *World) inject(f Fault) {
 	w.logf("fault: %s", f.Name)
 	f.Inject(w)
@@ -94,7 +94,7 @@
 func (w *World) Heal() {
 	w.logf("heal")
 	clear(w.network.blocked)
-	putConfig := func() { // a service may have been left out
+	putConfig := func() { // the configuration in force may lack a service
 		if leader := w.Leader(); leader != nil {
 			w.PutConfig(leader, w.Revision(), w.random.IntN(1000))
 		}
@@ -105,7 +105,7 @@
 		w.schedule(4*time.Second, putConfig)
 	}
 	w.operators.repliesLostUntil = 0
-	w.calmNetwork()
+	w.restoreNetwork()
 	for _, p := range w.fleet() {
 		p.slowdown, p.disk.slowdown, p.disk.full = 0, 0, false
 		if !p.alive {
@@ -118,23 +118,23 @@
 	}
 }
 
-// AwaitRecovery runs until the fleet serves with all targets that are ready; it must within that time.
+// AwaitRecovery runs until the fleet serves with all ready targets. It is a violation if that takes longer than within.
 func (w *World) AwaitRecovery(within time.Duration) {
 	from := w.now
 	if !w.AwaitServing(within) && w.Failure == "" {
-		w.violated(ruleRecoveryTime, "not serving %v after healing: %s", within, w.describeDaemons())
+		w.violated(ruleRecoveryTime, "not serving %v after healing; daemons: %s", within, w.describeDaemons())
 	}
 	for w.Failure == "" && w.missingTarget() != "" {
 		if w.now-from > within {
-			w.violated(ruleFullCapacity, "%s not served %v after healing", w.missingTarget(), within)
+			w.violated(ruleFullCapacity, "target %s not in use %v after healing", w.missingTarget(), within)
 		}
 		w.Run(w.now + 100*time.Millisecond)
 	}
 	w.Stats.RecoveryTime = w.now - from
 }
 
-// missingTarget names a target that lives and is ready, and that the leader's table does
-// not offer; "" if there is none. Of two that claim one name, one is enough.
+// missingTarget returns the name of a ready target that the leader's table doesn't offer to requests, or "" if there is none.
+// Of several targets with the same name, the table needs to offer only one.
 func (w *World) missingTarget() string {
 	for _, t := range w.targets.all {
 		if !t.alive || t.state != wire.TargetReady || w.targets.listening[t.address] != t || w.offered(t) {
@@ -148,7 +148,7 @@
 	return ""
 }
 
-// offered says whether the leader's table offers a target to requests.
+// offered reports whether the leader's table offers a target to requests.
 func (w *World) offered(t *Target) bool {
 	leader := w.Leader()
 	if leader == nil || leader.controller.Table() == nil {
@@ -162,7 +162,7 @@
 	return false
 }
 
-// describeDaemons says how each daemon is.
+// describeDaemons returns a summary of each daemon's state.
 func (w *World) describeDaemons() string {
 	var b strings.Builder
 	for _, p := range w.fleet() {
@@ -176,7 +176,7 @@
 	return b.String()
 }
 
-// Finish lets the last changes end, then makes the checks that look back.
+// Finish waits for the last changes and requests to end, then makes the checks that need the whole run.
 func (w *World) Finish() {
 	if w.Failure != "" {
 		return
@@ -184,7 +184,7 @@
 	from := w.now
 	w.Run(w.now + observationTime)
 	if served := w.ServedBetween(from, w.now); w.Failure == "" && served < int(w.Plan.Rate*observationTime.Seconds()*servedShare) {
-		w.violated(ruleServingAgain, "%d exchanges served in the 8 s after healing", served)
+		w.violated(ruleServingAgain, "only %d requests served in the %v after recovery", served, observationTime)
 	}
 	w.callers.stopped = true
 	w.Run(w.now + 3*time.Second)
--- a/internal/verification/simulator/digest.go
+++ b/internal/verification/simulator/digest.go
@@ -1,7 +1,7 @@
-// This file is the digest of a run: a hash over every event that an owner took, every command
-// that it gave, and the bytes of every message and disk batch among them, in their order. It
-// names each kind by a constant of its own and writes fields one by one, so that it depends on
-// what the daemons do and not on how their code is named. The texts of log lines are left out.
+// This file computes the digest of a run: a hash over all events that the state machines handled and all commands that they
+// returned, in order, including the encoded messages and disk batches. Each kind has a constant text and fields are written
+// one by one, so that the digest depends on the daemons' behavior and not on names in their code. Recorded digests depend on
+// these texts. Log lines are excluded.
 
 package simulator
 
@@ -20,17 +20,17 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// digest takes in steps; the zero value is not usable.
+// digest hashes steps. Its zero value is not usable.
 type digest struct {
 	sum hash.Hash
 }
 
 func newDigest() *digest { return &digest{sum: fnv.New128a()} }
 
-// Digest is the hash of the run so far in hexadecimal. The plan must ask for it.
+// Digest returns the hash of the run so far in hexadecimal. It requires Plan.Digest.
 func (w *World) Digest() string { return fmt.Sprintf("%x", w.digest.sum.Sum(nil)) }
 
-// step takes in one step of a process: its name and clock, the event and all commands.
+// step hashes one step of a process: its name and clock, the event and all commands.
 func (d *digest) step(process string, now time.Duration, event statemachine.Event, commands []statemachine.Command) {
 	d.text(process)
 	d.duration(now)
@@ -41,7 +41,7 @@
 	}
 }
 
-// event takes in an event with all its fields.
+// event hashes an event with all its fields.
 func (d *digest) event(event statemachine.Event) {
 	switch e := event.(type) {
 	case statemachine.Receive:
@@ -74,7 +74,7 @@
 	}
 }
 
-// proxyEvent takes in an event that only proxies have.
+// proxyEvent hashes an event that only proxies handle.
 func (d *digest) proxyEvent(event statemachine.Event) {
 	switch e := event.(type) {
 	case statemachine.Admit:
@@ -104,11 +104,11 @@
 		d.number(e.ID)
 		d.flag(e.Failed)
 	default:
-		panic(fmt.Sprintf("no digest of event %T", event))
+		panic(fmt.Sprintf("digest: unknown event type %T", event))
 	}
 }
 
-// command takes in a command with all its fields.
+// command hashes a command with its fields. Of a StateChange, which is only logged, it hashes the kind alone.
 func (d *digest) command(command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Send:
@@ -143,7 +143,7 @@
 	}
 }
 
-// proxyCommand takes in a command that only proxies give.
+// proxyCommand hashes a command that only proxies return.
 func (d *digest) proxyCommand(command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Forward:
@@ -185,11 +185,11 @@
 		}
 		d.json(c.Limits)
 	default:
-		panic(fmt.Sprintf("no digest of command %T", command))
+		panic(fmt.Sprintf("digest: unknown command type %T", command))
 	}
 }
 
-// message takes in a message as it is on the wire, with its receiver.
+// message hashes a message in its wire encoding, preceded by its receiver.
 func (d *digest) message(m *wire.Message) {
 	b, err := wire.Encode(m)
 	if err != nil {
@@ -204,7 +204,7 @@
 	d.number(id.Incarnation)
 }
 
-// json takes in what has a form in JSON that others read, by that form.
+// json hashes a value in its JSON encoding, which is part of an external interface.
 func (d *digest) json(v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -213,7 +213,7 @@
 	d.bytes(b)
 }
 
-// bytes takes in a length and that many bytes, so that neighbours can't run together.
+// bytes hashes the length of b and then b, so that the boundaries of adjacent fields are part of the hash.
 func (d *digest) bytes(b []byte) {
 	d.number(uint64(len(b)))
 	d.sum.Write(b)
--- a/internal/verification/simulator/disk.go
+++ b/internal/verification/simulator/disk.go
@@ -13,34 +13,34 @@
 
 // disk is a control daemon's disk.
 type disk struct {
-	image    consensus.PersistentState // what is synced
-	unsynced []*wire.Batch             // what was written and is not synced, the oldest first
-	stalled  bool
-	slowdown int  // how many times longer a sync takes, 0: as usual
-	syncing  bool // a slow sync is under way
-	full     bool // it takes no more bytes
-	// rejecting: a write was rejected and is tried again.
+	image    consensus.PersistentState // synced state
+	unsynced []*wire.Batch             // batches written but not synced, oldest first
+	stalled  bool                      // syncs don't complete
+	slowdown int                       // factor by which syncs take longer; 0: normal speed
+	syncing  bool                      // a slow sync is in progress
+	full     bool                      // writes are rejected
+	// rejecting means that a write was rejected and is retried.
 	rejecting bool
 }
 
-// syncTime is the longest that a sync takes on an undisturbed disk, in milliseconds.
+// syncTime is the maximum duration of a sync without faults, in milliseconds.
 const syncTime = 4
 
-// errDiskFull is why a full disk rejects a write.
+// errDiskFull is the error of a write to a full disk.
 var errDiskFull = errors.New("no space left on device")
 
-// randomDiskID draws a number for a new disk, never 0.
+// randomDiskID returns a random id for a new disk, never 0.
 func (w *World) randomDiskID() uint64 { return w.random.Uint64() | 1 }
 
-// WipeDisk loses a dead member's disk.
+// WipeDisk replaces the disk of a stopped process with an empty one.
 func (w *World) WipeDisk(p *Process) {
 	w.logf("wipe disk of %s", p.name)
 	w.recordDiskLoss(p)
 	p.disk = &disk{image: consensus.PersistentState{Disk: w.randomDiskID()}}
 }
 
-// tearDisk leaves a part of what was not synced, and loses the rest.
-func (w *World) tearDisk(d *disk) {
+// loseUnsynced applies a random prefix of the unsynced batches to a disk and drops the rest, as a crash does.
+func (w *World) loseUnsynced(d *disk) {
 	for len(d.unsynced) > 0 && w.random.IntN(3) > 0 {
 		d.image.ApplyBatch(d.unsynced[0])
 		d.unsynced = d.unsynced[1:]
@@ -48,9 +48,9 @@
 	d.unsynced, d.stalled = nil, false
 }
 
-// StallDisk keeps a disk from syncing for a while.
+// StallDisk prevents a disk from completing syncs for a while.
 func (w *World) StallDisk(p *Process, span time.Duration) {
-	w.logf("stall disk of %s for %v", p.name, span)
+	w.logf("disk of %s stalls for %v", p.name, span)
 	d, incarnation := p.disk, p.incarnation
 	d.stalled = true
 	w.schedule(span, func() {
@@ -59,7 +59,7 @@
 	})
 }
 
-// slowDisk has a disk take so many times as long for each sync, one at a time, for a while.
+// slowDisk makes each sync of a disk take times as long for a while. Syncs then run one at a time.
 func (w *World) slowDisk(p *Process, times int, span time.Duration) {
 	w.logf("disk of %s is %d times slower for %v", p.name, times, span)
 	d := p.disk
@@ -67,7 +67,7 @@
 	w.schedule(span, func() { d.slowdown = 0 })
 }
 
-// fillDisk has a disk reject all writes for a while.
+// fillDisk makes a disk reject all writes for a while.
 func (w *World) fillDisk(p *Process, span time.Duration) {
 	w.logf("disk of %s is full for %v", p.name, span)
 	d := p.disk
@@ -75,7 +75,7 @@
 	w.schedule(span, func() { d.full = false })
 }
 
-// write carries out a command to write a batch to disk and sync it.
+// write executes a command to write a batch to disk and sync it.
 func (w *World) write(p *Process, c statemachine.Sync) {
 	p.disk.unsynced = append(p.disk.unsynced, c.Batch)
 	if w.disabledGuard == guardSync {
@@ -85,8 +85,7 @@
 	w.syncDisk(p, p.incarnation, p.disk)
 }
 
-// syncDisk syncs what was written, after the time that it takes. What comes while a write is rejected
-// waits behind it.
+// syncDisk syncs the written batches after a random sync time. While a rejected write is retried, further batches wait for it.
 func (w *World) syncDisk(p *Process, incarnation int, d *disk) {
 	switch {
 	case d.rejecting:
@@ -97,13 +96,13 @@
 	}
 }
 
-// canFlush says whether a start of a process still runs on a disk, and there is something to sync and
-// nothing in the way.
+// canFlush reports whether an incarnation of a process still runs with this disk, and the disk has batches to sync and is able to
+// sync them.
 func (d *disk) canFlush(p *Process, incarnation int) bool {
 	return p.incarnation == incarnation && p.alive && d == p.disk && !d.stalled && !d.rejecting && len(d.unsynced) > 0
 }
 
-// flushDisk syncs all that was written, and tells the process.
+// flushDisk syncs all written batches and notifies the process.
 func (w *World) flushDisk(p *Process, incarnation int, d *disk) {
 	if !d.canFlush(p, incarnation) {
 		return
@@ -121,7 +120,7 @@
 	w.deliver(p, statemachine.Synced{Seq: sequence})
 }
 
-// syncDiskSlowly syncs what is there now, and then what has come meanwhile.
+// syncDiskSlowly syncs the batches written so far, and then those written in the meantime.
 func (w *World) syncDiskSlowly(process *Process, incarnation int, slow *disk) {
 	if slow.syncing {
 		return
@@ -146,19 +145,19 @@
 	})
 }
 
-// rejectWrite rejects what waits for a disk. As in daemon.Disk, the process learns why,
-// acknowledges nothing meanwhile and tries again every tuning.DiskRetry.
+// rejectWrite rejects the unsynced batches. As with daemon.Disk, the process is notified of the error, and the write is retried
+// every tuning.DiskRetry until it succeeds; nothing is acknowledged in the meantime.
 func (w *World) rejectWrite(p *Process, incarnation int, d *disk) {
 	w.Stats.RejectedWrites++
 	w.schedule(tuning.DiskRetry, func() { w.retryWrite(p, incarnation, d) })
 	if !d.rejecting {
 		d.rejecting = true
-		w.logf("disk of %s refuses writes", p.name)
+		w.logf("disk of %s rejects writes", p.name)
 		w.deliver(p, statemachine.DiskHealth{Err: errDiskFull})
 	}
 }
 
-// retryWrite tries a rejected write again; a process that is frozen tries when it goes on.
+// retryWrite retries a rejected write. It waits while the process is frozen.
 func (w *World) retryWrite(p *Process, incarnation int, d *disk) {
 	switch {
 	case p.incarnation != incarnation || !p.alive || d != p.disk:
@@ -167,7 +166,7 @@
 	case d.full:
 		w.rejectWrite(p, incarnation, d)
 	default:
-		w.logf("disk of %s takes writes again", p.name)
+		w.logf("disk of %s accepts writes again", p.name)
 		d.rejecting = false
 		w.deliver(p, statemachine.DiskHealth{})
 		w.syncDisk(p, incarnation, d)
--- a/internal/verification/simulator/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -9,16 +9,16 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Fault is a kind of fault, or of operators' work that meets faults. A name is what mfsim's flag --kind takes.
+// Fault is a kind of fault, or of operator activity that is combined with faults. Name is a value of mfsim's flag --kind.
 type Fault struct {
 	Name   string
-	Inject func(w *World) // starts it, and schedules its end
+	Inject func(w *World) // starts the fault and schedules its end
 }
 
-// Faults are all kinds of faults. Days draw by index: new kinds go to the end of their list.
+// Faults lists all kinds of faults. Runs draw them by index, so append new kinds to the end of their list.
 var Faults = slices.Concat(targetFaults, proxyFaults, controlFaults, networkFaults, operatorFaults)
 
-// FaultByName finds a fault.
+// FaultByName returns the fault with the given name, ignoring case. The result is false if there is none.
 func FaultByName(name string) (Fault, bool) {
 	i := slices.IndexFunc(Faults, func(f Fault) bool { return strings.EqualFold(f.Name, name) })
 	if i < 0 {
@@ -27,47 +27,46 @@
 	return Faults[i], true
 }
 
-// defaultLossPause is how long after a control machine's return or start the next may be lost,
-// where the plan does not say.
+// defaultLossPause is the value of lossPause for plans without CatchUp.
 const defaultLossPause = 8 * time.Second
 
-// lossPause is how long after a control machine's return or start the next may be lost.
+// lossPause returns the minimum time between the start or kill of a control daemon and the next loss of one.
 func (w *World) lossPause() time.Duration { return cmp.Or(w.Plan.CatchUp, defaultLossPause) }
 
-// expendableControlDaemon draws a control daemon whose loss leaves a sound majority; nil: there is none now.
+// expendableControlDaemon returns a random control daemon whose loss leaves a healthy majority, or nil if there is none now.
 func (w *World) expendableControlDaemon() *Process {
 	if w.processes.replacing > 0 || w.processes.replaced > 0 && w.partitionedLately() {
-		return nil // machines that are cut off count as lost, and one that is removed can't come back instead
+		return nil // partitioned machines count as lost, and a removed one doesn't return to make up for them
 	}
 	daemons := w.daemons(wire.ControlDaemon)
 	for _, p := range daemons {
 		d := p.disk
 		if !p.alive || p.frozen || d.stalled || d.full || d.rejecting || w.now-p.startedOrKilledAt < w.lossPause() {
-			return nil // one at a time: the others are the majority
+			return nil // at most one daemon may be disturbed at a time, so that the others form a majority
 		}
 	}
 	return daemons[w.random.IntN(len(daemons))]
 }
 
-// partitionedLately says whether control daemons are cut off from each other, or were until a short while ago.
+// partitionedLately reports whether control daemons are partitioned from each other, or were within the last lossPause.
 func (w *World) partitionedLately() bool {
 	return w.now < w.network.controlPartitionedUntil+w.lossPause()
 }
 
-// killAndRestart kills a process and starts it again after some time between two numbers of milliseconds.
+// killAndRestart kills a process and restarts it after a random delay of low to high milliseconds.
 func (w *World) killAndRestart(p *Process, low, high int) {
 	w.Kill(p)
 	w.restartLater(p, w.randomMilliseconds(low, high))
 }
 
-// killAndRestartAll does that with several processes.
+// killAndRestartAll does the same with several processes.
 func (w *World) killAndRestartAll(processes []*Process, low, high int) {
 	for _, p := range processes {
 		w.killAndRestart(p, low, high)
 	}
 }
 
-// fleet are all daemons whose machines are there.
+// fleet returns all daemons, running or not, whose machines weren't removed.
 func (w *World) fleet() (daemons []*Process) {
 	for _, name := range w.processes.names {
 		daemons = append(daemons, w.process(name))
--- a/internal/verification/simulator/faults_control.go
+++ b/internal/verification/simulator/faults_control.go
@@ -6,13 +6,14 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// slowMachine is how many times longer a slow machine takes for everything, slowDiskTimes a slow disk for a sync.
+// slowMachine is the factor by which a slow machine takes longer for everything, and slowDiskTimes the factor by which a slow
+// disk takes longer for a sync.
 const (
 	slowMachine   = 5
 	slowDiskTimes = 30
 )
 
-// controlFaults are the faults of control daemons: kills, losses of power, freezes, disks and partitions.
+// controlFaults are the faults of control daemons: kills, power failures, freezes, disk faults, slow machines and partitions.
 var controlFaults = []Fault{
 	{"core killed", func(w *World) {
 		if p := w.expendableControlDaemon(); p != nil {
@@ -33,7 +34,7 @@
 			return
 		}
 		w.killAndRestartAll(w.daemons(wire.ControlDaemon), 9000, 20000)
-		w.schedule(time.Second, w.rollService)
+		w.schedule(time.Second, w.rollingRestart)
 	}},
 	{"power fails everywhere", func(w *World) {
 		if w.expendableControlDaemon() == nil {
@@ -43,7 +44,7 @@
 			w.putNextConfig(leader)
 		}
 		w.schedule(w.randomMilliseconds(0, 20), func() {
-			w.logf("power fails everywhere")
+			w.logf("power failure of the whole fleet")
 			w.killAndRestartAll(w.fleet(), 200, 2000)
 		})
 	}},
@@ -95,12 +96,12 @@
 			w.isolate([]string{p.name}, w.randomMilliseconds(500, 5000), true, w.random.IntN(2) == 0)
 		}
 	}},
-	{"leader cut off from targets", (*World).cutLeaderOffFromTargets},
-	{"core cut off from proxies", (*World).cutControlPlaneOffFromProxies},
+	{"leader cut off from targets", (*World).partitionLeaderFromTargets},
+	{"core cut off from proxies", (*World).partitionControlPlaneFromProxies},
 	{"core connections reset", func(w *World) {
 		for range 3 {
 			w.schedule(w.randomMilliseconds(0, 1000), func() {
-				w.logf("reset the connections of all core members")
+				w.logf("reset the connections of all control daemons")
 				for _, p := range w.daemons(wire.ControlDaemon) {
 					w.resetDaemonConnections(p)
 				}
@@ -146,7 +147,7 @@
 	{"core machine replaced by plan", func(w *World) { w.replaceRandomControlDaemon(true) }},
 }
 
-// expendableLeader is the leader, nil if there is none or a loss leaves no sound majority.
+// expendableLeader returns the leader, or nil if there is none or its loss would leave no healthy majority.
 func (w *World) expendableLeader() *Process {
 	leader := w.Leader()
 	if leader == nil || w.expendableControlDaemon() == nil {
@@ -155,7 +156,7 @@
 	return leader
 }
 
-// splitControlPlane partitions the control daemons into two halves, drawn anew.
+// splitControlPlane partitions the control daemons into two random halves.
 func (w *World) splitControlPlane() {
 	names := w.daemonNames(wire.ControlDaemon)
 	w.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
@@ -165,17 +166,17 @@
 			links = append(links, bothDirections(a, b)...)
 		}
 	}
-	w.logf("split core %v", names[:len(names)/2])
+	w.logf("partition control daemons %v from the others", names[:len(names)/2])
 	w.partition(links, w.randomMilliseconds(500, 6000))
 }
 
-// cutLeaderOffFromTargets blocks the links between the leader and half of the targets.
-func (w *World) cutLeaderOffFromTargets() {
+// partitionLeaderFromTargets blocks the links between the leader and about half of the targets.
+func (w *World) partitionLeaderFromTargets() {
 	leader := w.Leader()
 	if leader == nil {
 		return
 	}
-	w.logf("cut %s off from targets", leader.name)
+	w.logf("partition %s from about half of the targets", leader.name)
 	var links []link
 	for _, t := range w.targets.all {
 		if w.random.IntN(2) == 0 {
@@ -185,10 +186,10 @@
 	w.partition(links, w.randomMilliseconds(1000, 6000))
 }
 
-// cutControlPlaneOffFromProxies blocks the links between control daemons and all proxies, or some of them.
-func (w *World) cutControlPlaneOffFromProxies() {
+// partitionControlPlaneFromProxies blocks the links between the control daemons and either all proxies or about half of them.
+func (w *World) partitionControlPlaneFromProxies() {
 	some := w.random.IntN(2) == 0
-	w.logf("cut core off from proxies, some %v", some)
+	w.logf("partition control daemons from proxies, only some: %v", some)
 	var links []link
 	for _, proxy := range w.daemonNames(wire.ProxyDaemon) {
 		if some && w.random.IntN(2) == 0 {
@@ -201,7 +202,7 @@
 	w.partition(links, w.randomMilliseconds(1000, 6000))
 }
 
-// twoOrThreeControlDaemons draws two or three living control daemons.
+// twoOrThreeControlDaemons returns two or three random control daemons that are running and not frozen.
 func (w *World) twoOrThreeControlDaemons() []*Process {
 	var living []*Process
 	for _, p := range w.daemons(wire.ControlDaemon) {
@@ -213,7 +214,7 @@
 	return living[:min(len(living), 2+w.random.IntN(2))]
 }
 
-// injectRandomFault injects one fault into a control daemon, of any kind that ends by itself.
+// injectRandomFault injects into a control daemon one fault of a random kind that ends by itself.
 func (w *World) injectRandomFault(process *Process) {
 	if !process.alive {
 		return
--- a/internal/verification/simulator/faults_network.go
+++ b/internal/verification/simulator/faults_network.go
@@ -8,11 +8,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// networkFaults are the faults of domains and links, and of messages that come late.
+// networkFaults are the faults of domains, links and delayed messages, and targets that move to another address.
 var networkFaults = []Fault{
 	{"domain cut off", func(w *World) {
 		domain := w.randomDomain()
-		w.logf("domain %s cut off", domain)
+		w.logf("isolate domain %s", domain)
 		w.isolateDomain(domain, w.randomMilliseconds(3000, 30000))
 	}},
 	{"late words", (*World).sendStaleReports},
@@ -20,20 +20,20 @@
 		if t := w.pickTarget(); t != nil && w.usableTargets(t.service) > 1 {
 			w.CrashTarget(t)
 			w.schedule(w.randomMilliseconds(0, 1500), func() {
-				w.logf("%s starts elsewhere", t.fullName())
+				w.logf("start %s at another address", t.fullName())
 				w.AddTarget(t.service, t.name, t.domain, fmt.Sprintf("10.3.0.%d:80", len(w.targets.all)), w.randomMilliseconds(0, 1000))
 			})
 		}
 	}},
 	{"domain loses power", (*World).cutPowerOfDomain},
 	{"net loses and delays", func(w *World) {
-		w.logf("loss and delay")
-		w.disturbNetwork(0.05, 30*time.Millisecond, 0.03)
-		w.schedule(w.randomMilliseconds(1000, 5000), w.calmNetwork)
+		w.logf("network loses and delays messages")
+		w.degradeNetwork(0.05, 30*time.Millisecond, 0.03)
+		w.schedule(w.randomMilliseconds(1000, 5000), w.restoreNetwork)
 	}},
 }
 
-// sendStaleReports has daemons receive reports of targets that have ended.
+// sendStaleReports sends daemons late reports of targets that have ended.
 func (w *World) sendStaleReports() {
 	kinds := []wire.DaemonKind{wire.ControlDaemon, wire.ProxyDaemon}
 	states := []wire.TargetState{wire.TargetReady, wire.TargetWarming}
@@ -46,13 +46,13 @@
 	}
 }
 
-// cutPowerOfDomain ends all processes and targets of a domain, and starts them again later.
+// cutPowerOfDomain kills all processes and targets of a domain and restarts them later.
 func (w *World) cutPowerOfDomain() {
 	if w.expendableControlDaemon() == nil {
 		return
 	}
 	domain := w.randomDomain()
-	w.logf("domain %s loses power", domain)
+	w.logf("power failure in domain %s", domain)
 	span := w.randomMilliseconds(500, 6000)
 	for _, p := range w.fleet() {
 		if p.domain == domain && p.alive {
--- a/internal/verification/simulator/faults_operator.go
+++ b/internal/verification/simulator/faults_operator.go
@@ -10,7 +10,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// operatorFaults are operators' changes, planned work, and the faults that meet them.
+// operatorFaults are operators' changes and planned work, some combined with faults.
 var operatorFaults = []Fault{
 	{"config", func(w *World) {
 		if p := w.pickProcess(wire.ControlDaemon, true); p != nil {
@@ -36,7 +36,7 @@
 		if w.expendableControlDaemon() == nil {
 			return
 		}
-		w.logf("core machines restart in turn")
+		w.logf("control daemons restart one after another")
 		for i, p := range w.daemons(wire.ControlDaemon) {
 			w.schedule(time.Duration(i)*8500*time.Millisecond, func() {
 				if w.expendableControlDaemon() != nil {
@@ -46,7 +46,7 @@
 		}
 	}},
 	{"all proxies forget", func(w *World) {
-		w.logf("all proxies are killed at once")
+		w.logf("kill all proxies at once")
 		w.killAndRestartAll(w.daemons(wire.ProxyDaemon), 100, 1000)
 	}},
 	{"config burst", func(w *World) {
@@ -90,7 +90,7 @@
 	{"eight orders at once", (*World).changeConcurrently},
 }
 
-// replacePolicies replaces the default policy, and a moment later puts a new one that only observes.
+// replacePolicies replaces the default policy, and shortly afterwards adds a policy in shadow mode.
 func (w *World) replacePolicies() {
 	base, p := w.Revision(), w.pickProcess(wire.ControlDaemon, true)
 	if p == nil {
@@ -110,7 +110,7 @@
 	w.SendChange(p, "PUT", "/v1/policies/"+name, fmt.Sprintf("base=%d", base), []byte(policy), configChange(base))
 }
 
-// memberChange is what an operator does with a member of the control plane.
+// memberChange is an operator's action on a member of the control plane, as it is named in the API's path.
 type memberChange string
 
 const (
@@ -118,10 +118,10 @@
 	removeMember memberChange = "remove"
 )
 
-// maxMemberChanges is how often an operator repeats a change of members.
-const maxMemberChanges = 30
+// maxMemberChangeAttempts is the maximum number of attempts of a membership change.
+const maxMemberChangeAttempts = 30
 
-// swapMember starts a control daemon and has an operator add it, and then remove another.
+// swapMember starts a new control daemon. An operator adds it as a member and then removes another member.
 func (w *World) swapMember() {
 	old := w.expendableControlDaemon()
 	if old == nil || w.processes.swapping || w.Leader() == nil {
@@ -130,11 +130,11 @@
 	w.processes.swapping = true
 	name := fmt.Sprintf("c%d", 20+len(w.processes.names))
 	w.addAndStart(wire.ControlDaemon, name, w.random.IntN(w.Plan.Domains))
-	w.logf("%s is swapped for %s", old.name, name)
+	w.logf("%s is replaced by %s", old.name, name)
 	w.schedule(time.Second, func() {
-		w.changeMember(addMember, name, maxMemberChanges, func() {
-			w.changeMember(removeMember, old.name, maxMemberChanges, func() {
-				w.logf("%s is out", old.name)
+		w.changeMember(addMember, name, maxMemberChangeAttempts, func() {
+			w.changeMember(removeMember, old.name, maxMemberChangeAttempts, func() {
+				w.logf("%s is removed", old.name)
 				w.Kill(old)
 				w.forgetMachine(old)
 			})
@@ -142,13 +142,14 @@
 	})
 }
 
-// changeMember asks the leader of the time to add or remove a member, again and again until it has; then runs after.
-func (w *World) changeMember(what memberChange, name string, left int, after func()) {
-	if left == 0 {
+// changeMember asks the current leader to add or remove a member, repeatedly until it succeeds, and then calls after. It gives up
+// after the given number of attempts.
+func (w *World) changeMember(what memberChange, name string, attempts int, after func()) {
+	if attempts == 0 {
 		return
 	}
 	retry := func() {
-		w.schedule(500*time.Millisecond, func() { w.changeMember(what, name, left-1, after) })
+		w.schedule(500*time.Millisecond, func() { w.changeMember(what, name, attempts-1, after) })
 	}
 	leader := w.Leader()
 	if leader == nil {
@@ -164,7 +165,8 @@
 	})
 }
 
-// emptyAndRestoreDomain has an operator empty a domain, unless one was emptied lately, and restore it later.
+// emptyAndRestoreDomain lets an operator empty a domain and restore it later. It does nothing if a domain was emptied or restored
+// in the last 12 s.
 func (w *World) emptyAndRestoreDomain() {
 	p := w.pickProcess(wire.ControlDaemon, true)
 	if p == nil {
--- a/internal/verification/simulator/faults_proxy.go
+++ b/internal/verification/simulator/faults_proxy.go
@@ -7,7 +7,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// proxyFaults are the faults of proxies: kills, freezes, partitions and graceful stops.
+// proxyFaults are the faults of proxies: kills, replacements, freezes, partitions, graceful restarts, resets and slowness.
 var proxyFaults = []Fault{
 	{"gate killed", func(w *World) {
 		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
@@ -74,12 +74,12 @@
 	}},
 }
 
-// replaceProxy adds a proxy, ends another for good and has an operator forget it.
+// replaceProxy adds a proxy and kills another one, which never restarts. An operator then asks the leader to forget it.
 func (w *World) replaceProxy() {
 	if len(w.daemonNames(wire.ProxyDaemon)) > w.Plan.Proxies+2 {
 		return
 	}
-	w.logf("a proxy is added")
+	w.logf("add a proxy and remove another")
 	w.addAndStart(wire.ProxyDaemon, fmt.Sprintf("g%d", 10+len(w.processes.names)), w.random.IntN(w.Plan.Domains))
 	old := w.pickProcess(wire.ProxyDaemon, false)
 	if old == nil {
@@ -93,8 +93,8 @@
 	})
 }
 
-// freezeBusyProxy freezes a proxy with requests whose targets are chosen and that are not yet written, while a
-// target is drained.
+// freezeBusyProxy freezes a proxy that has chosen targets for requests but hasn't written them yet, and drains a target
+// meanwhile.
 func (w *World) freezeBusyProxy() {
 	p := w.pickProcess(wire.ProxyDaemon, true)
 	if p == nil || p.frozen {
--- a/internal/verification/simulator/faults_target.go
+++ b/internal/verification/simulator/faults_target.go
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// targetFaults are the faults of targets and of whole services.
+// targetFaults are the faults of single targets and of whole services.
 var targetFaults = []Fault{
 	{"target crash", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.usableTargets(t.service) > 1 {
@@ -23,21 +23,21 @@
 	}},
 	{"target hangs", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.usableTargets(t.service) > 1 {
-			w.logf("hang %s", t.fullName())
+			w.logf("%s hangs", t.fullName())
 			t.hanging = true
 			w.schedule(w.randomMilliseconds(1000, 8000), func() { t.hanging = false })
 		}
 	}},
 	{"target loses answers", func(w *World) {
 		if t := w.pickTarget(); t != nil {
-			w.logf("%s loses answers", t.fullName())
+			w.logf("%s loses responses", t.fullName())
 			t.losesResponses = true
 			w.schedule(w.randomMilliseconds(1000, 5000), func() { t.losesResponses = false })
 		}
 	}},
 	{"service loses answers", func(w *World) {
 		service, span := w.randomService(), w.randomMilliseconds(2000, 9000)
-		w.logf("all of %s loses answers", service)
+		w.logf("all targets of %s lose responses", service)
 		for _, t := range w.targets.of(service) {
 			t.losesResponses = true
 			w.schedule(span, func() { t.losesResponses = false })
@@ -45,7 +45,7 @@
 	}},
 	{"service slow", func(w *World) {
 		service, span := w.randomService(), w.randomMilliseconds(2000, 9000)
-		w.logf("all of %s is slow", service)
+		w.logf("all targets of %s are slow", service)
 		for _, t := range w.targets.of(service) {
 			t.serviceTime = w.randomMilliseconds(300, 900)
 			w.schedule(span, func() { t.serviceTime = t.usualServiceTime })
@@ -59,16 +59,16 @@
 	}},
 	{"target turns cold", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.Plan.WarmupRate > 0 {
-			w.logf("%s is cold", t.fullName())
+			w.logf("%s warms up again", t.fullName())
 			w.warmUpAgain(t)
 		}
 	}},
-	{"service rolled", (*World).rollService},
-	{"address handed over", (*World).handAddressOver},
-	{"service removed, its addresses handed over", (*World).handServiceOver},
+	{"service rolled", (*World).rollingRestart},
+	{"address handed over", (*World).reassignAddress},
+	{"service removed, its addresses handed over", (*World).removeService},
 	{"targets send surplus answers", func(w *World) {
 		span := w.randomMilliseconds(3000, 12000)
-		w.logf("all targets send surplus answers for %v", span)
+		w.logf("all targets send surplus responses for %v", span)
 		for _, t := range w.targets.all {
 			t.sendsSurplus = t.alive
 			w.schedule(span, func() { t.sendsSurplus = false })
@@ -76,7 +76,7 @@
 	}},
 }
 
-// of are the living targets of a service.
+// of returns the running targets of a service.
 func (t *targets) of(service string) (living []*Target) {
 	for _, target := range t.all {
 		if target.alive && target.service == service {
@@ -86,10 +86,10 @@
 	return living
 }
 
-// restartService crashes all targets of a service; they come back slow and in state warming.
+// restartService crashes all targets of a service. They restart slow and in state warming.
 func (w *World) restartService() {
 	service := w.randomService()
-	w.logf("all of %s restarts cold", service)
+	w.logf("all targets of %s restart and warm up", service)
 	for _, t := range w.targets.of(service) {
 		w.CrashTarget(t)
 		w.schedule(w.randomMilliseconds(300, 600), func() {
@@ -103,10 +103,10 @@
 	}
 }
 
-// rollService restarts a service, one target at a time.
-func (w *World) rollService() {
+// rollingRestart restarts the targets of a service one after another.
+func (w *World) rollingRestart() {
 	service := w.randomService()
-	w.logf("roll %s", service)
+	w.logf("rolling restart of %s", service)
 	old := slices.DeleteFunc(w.targets.of(service), func(t *Target) bool { return !t.takesRequests() })
 	var next func(i int)
 	next = func(i int) {
@@ -122,55 +122,55 @@
 	next(0)
 }
 
-// handAddressOver crashes a target and starts one of another service at its address, while a proxy is cut off
-// from all daemons: it still reaches the targets, and so who listens at the address next.
-func (w *World) handAddressOver() {
+// reassignAddress crashes a target and starts a target of another service at its address. Meanwhile a proxy is partitioned from
+// all daemons, but not from the targets, so it may connect to the new target at the old address.
+func (w *World) reassignAddress() {
 	t := w.pickTarget()
 	if t == nil || w.usableTargets(t.service) < 3 {
 		return
 	}
 	services := w.services()
-	heir := services[(slices.Index(services, t.service)+1)%len(services)]
+	successor := services[(slices.Index(services, t.service)+1)%len(services)]
 	if proxy := w.pickProcess(wire.ProxyDaemon, true); proxy != nil {
 		var links []link
 		for _, name := range w.processes.names {
 			links = append(links, bothDirections(proxy.name, name)...)
 		}
-		w.logf("cut %s off from all daemons", proxy.name)
+		w.logf("partition %s from all daemons", proxy.name)
 		w.partition(links, w.randomMilliseconds(2000, 6000))
 	}
 	w.CrashTarget(t)
 	pause := w.randomMilliseconds(20, 1500)
-	if w.random.IntN(2) == 0 { // before any proxy has met the closed port and leaves it out
+	if w.random.IntN(2) == 0 { // before a proxy finds the port closed and stops using it
 		pause = w.randomMilliseconds(1, 30)
 	}
 	w.schedule(pause, func() {
 		if w.targets.listening[t.address] == nil {
-			w.logf("%s goes from %s to %s", t.address, t.fullName(), heir)
-			w.AddTarget(heir, fmt.Sprintf("%s-x%d", heir, len(w.targets.all)), t.domain, t.address, 0)
+			w.logf("address %s is reassigned from %s to %s", t.address, t.fullName(), successor)
+			w.AddTarget(successor, fmt.Sprintf("%s-x%d", successor, len(w.targets.all)), t.domain, t.address, 0)
 		}
 	})
 }
 
-// handServiceOver drains all targets of a service, starts those of another at their addresses, and has an operator
-// remove the service from the configuration; later the service comes back elsewhere. A proxy is cut off meanwhile.
-func (w *World) handServiceOver() {
+// removeService drains all targets of a service and starts targets of another service at their addresses. An operator removes the
+// service from the configuration. Later the service is added again with other addresses. A proxy is isolated meanwhile.
+func (w *World) removeService() {
 	services := w.services()
 	i := w.random.IntN(len(services))
-	removed, heir := services[i], services[(i+1)%len(services)]
+	removed, successor := services[i], services[(i+1)%len(services)]
 	if w.targets.removingService || w.Leader() == nil {
 		return
 	}
 	w.targets.removingService = true
 	proxy := w.pickProcess(wire.ProxyDaemon, true)
-	w.logf("empty and remove %s, hand its addresses to %s", removed, heir)
-	drained := w.drainServiceFor(removed, heir)
+	w.logf("remove service %s and reassign its addresses to %s", removed, successor)
+	drained := w.drainServiceFor(removed, successor)
 	if proxy != nil {
 		w.schedule(time.Second, func() { w.isolate([]string{proxy.name}, w.randomMilliseconds(3000, 6000), true, true) })
 	}
-	w.schedule(2*time.Second, func() { w.putServices([]string{heir}) })
+	w.schedule(2*time.Second, func() { w.putServices([]string{successor}) })
 	w.schedule(7*time.Second, func() {
-		w.logf("%s comes back elsewhere", removed)
+		w.logf("service %s returns at other addresses", removed)
 		for k, t := range drained {
 			w.AddTarget(removed, t.name, t.domain, fmt.Sprintf("10.2.%d.%d:80", len(w.targets.all), k+1), 0)
 		}
@@ -181,14 +181,15 @@
 	})
 }
 
-// drainServiceFor drains all targets of a service, and starts one of another service at the address of each.
-func (w *World) drainServiceFor(service, heir string) []*Target {
+// drainServiceFor drains all targets of a service and starts a target of the successor service at each of their addresses. It
+// returns the drained targets.
+func (w *World) drainServiceFor(service, successor string) []*Target {
 	old := slices.DeleteFunc(w.targets.of(service), func(t *Target) bool { return !t.takesRequests() })
 	for _, t := range old {
 		w.DrainTarget(t, func() {
 			w.schedule(w.randomMilliseconds(0, 300), func() {
 				if w.targets.listening[t.address] == nil {
-					w.AddTarget(heir, "at-"+t.name, t.domain, t.address, 0)
+					w.AddTarget(successor, "at-"+t.name, t.domain, t.address, 0)
 				}
 			})
 		})
@@ -196,11 +197,11 @@
 	return old
 }
 
-// putServices has an operator put a configuration of some services only.
+// putServices lets an operator put a configuration with only the given services.
 func (w *World) putServices(services []string) {
 	if leader := w.Leader(); leader != nil {
 		base := w.Revision()
-		document := w.DocumentFor(w.random.IntN(1000), usualCap, services)
+		document := w.DocumentFor(w.random.IntN(1000), defaultConcurrencyLimit, services)
 		w.SendChange(leader, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), document, configChange(base))
 	}
 }
--- a/internal/verification/simulator/guards.go
+++ b/internal/verification/simulator/guards.go
@@ -7,47 +7,48 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Guard is something that daemons or their shells do so that a rule holds. A scene or test disables one, in the
-// simulated shells or in what they pass on, to show that the rule's check can fail. Its text is what mfsim prints.
+// Guard is a mechanism of the daemons or their shells that upholds a rule. A scene or test disables a guard in the simulated
+// shells, or in the data that they forward, to show that the rule's check can fail. mfsim prints its text.
 type Guard string
 
 // Guards of requests and targets.
 const (
 	guardNone               Guard = ""
-	guardAtMostOnce         Guard = "resend"           // what must not run twice is not retried
-	guardResponseIDs        Guard = "ids"              // a response to another request is not taken
-	guardUnknownAfterSend   Guard = "say no"           // what was sent is not reported as not run
-	guardIdentity           Guard = "identity"         // a new connection's target is the one that was meant
-	guardDraining           Guard = "holds"            // a leaving target reports that it is
-	guardHealthChecks       Guard = "probes"           // a target that does not answer fails its health check
-	guardEmptiedDomains     Guard = "emptied"          // tables name the emptied domains
-	guardWarmingConcurrency Guard = "warm cap"         // configurations bound the requests at warming targets
+	guardAtMostOnce         Guard = "resend"           // non-idempotent requests that may have run aren't retried
+	guardResponseIDs        Guard = "ids"              // a response to another request is discarded
+	guardUnknownAfterSend   Guard = "say no"           // a request that was sent isn't reported as rejected
+	guardIdentity           Guard = "identity"         // the identity of the target is checked on a new connection
+	guardDraining           Guard = "holds"            // a leaving target reports that state
+	guardHealthChecks       Guard = "probes"           // a target that doesn't respond fails its health check
+	guardEmptiedDomains     Guard = "emptied"          // tables list the emptied domains
+	guardWarmingConcurrency Guard = "warm cap"         // configurations limit concurrent requests at warming targets
 	guardWarmupReport       Guard = "cold"             // targets report that they warm up
-	guardRetryBudget        Guard = "budget"           // retries are counted as such
-	guardIdleConnections    Guard = "idle connections" // idle connections follow from what all proxies may keep
+	guardRetryBudget        Guard = "budget"           // retries are counted against the retry budget
+	guardIdleConnections    Guard = "idle connections" // the limit of idle connections per proxy is derived from the limit for all proxies
 )
 
 // Guards of the control plane.
 const (
 	guardReplyInForce    Guard = "early answer" // a change is acknowledged once all proxies follow it
-	guardTableVersions   Guard = "old tables"   // a late message brings the table of its own time
-	guardBaseRevision    Guard = "base"         // a change names the revision that it is built on
+	guardTableVersions   Guard = "old tables"   // a late message carries the table version of its sending
+	guardBaseRevision    Guard = "base"         // a change names the revision on which it is based
 	guardSync            Guard = "sync"         // a write is synced before it is acknowledged
-	guardGracefulStop    Guard = "stop"         // a stopping proxy finishes its requests
-	guardBootstrapHellos Guard = "hellos"       // control daemons learn of one another before they bootstrap
-	guardClockRate       Guard = "clocks"       // clocks run at nearly the same speed
-	// guardReadsAtLeader: a member that does not lead answers no reads from its own state.
+	guardGracefulStop    Guard = "stop"         // a stopping proxy completes its requests
+	guardBootstrapHellos Guard = "hellos"       // control daemons discover each other before they bootstrap
+	guardClockRate       Guard = "clocks"       // clock rates differ little
+	// guardReadsAtLeader ensures that only the leader answers reads from its own state.
 	guardReadsAtLeader Guard = "followers answer"
-	// guardMajorityBeforeReply: a leader acknowledges a change once a majority has it.
+	// guardMajorityBeforeReply ensures that a leader acknowledges a change only once a majority has it.
 	guardMajorityBeforeReply Guard = "answer before majority"
-	// guardIdempotentChanges: a change that was accepted is accepted again when it is sent again.
+	// guardIdempotentChanges ensures that an accepted change is accepted again when it is repeated.
 	guardIdempotentChanges Guard = "repetition refused"
-	// guardFreshClock: the time of a step is read once its event has come; else
-	// a process that stood still in between believes in a lease that is over.
+	// guardFreshClock ensures that the time of a step is read after its event has arrived. Otherwise a process that was
+	// frozen in between would use an expired lease.
 	guardFreshClock Guard = "clock of the call"
 )
 
-// replyWithoutGuard replies to a call in the place of a member whose guard is disabled, if that is so.
+// replyWithoutGuard returns the reply that a member would give to a call without the disabled guard, and whether it replaces the
+// member's own reply.
 func (w *World) replyWithoutGuard(p *Process, c statemachine.Call) (reply statemachine.Reply, replaced bool) {
 	if p.controller == nil || !p.alive || p.frozen {
 		return statemachine.Reply{}, false
@@ -65,7 +66,7 @@
 	return statemachine.Reply{}, false
 }
 
-// randomClockRate draws how fast a process's clock runs.
+// randomClockRate returns a random rate for a process's clock: within 2 % of true time, unless guardClockRate is disabled.
 func (w *World) randomClockRate() float64 {
 	if w.disabledGuard == guardClockRate {
 		return 0.2 + 1.8*w.random.Float64()
@@ -73,7 +74,7 @@
 	return 0.98 + 0.04*w.random.Float64()
 }
 
-// reportedState is the state that a target reports.
+// reportedState returns the state that a target in the given state reports.
 func (w *World) reportedState(state wire.TargetState) wire.TargetState {
 	if w.disabledGuard == guardDraining && state == wire.TargetLeaving {
 		return wire.TargetReady
@@ -81,7 +82,7 @@
 	return state
 }
 
-// mutateMessage takes a disabled guard out of a message between daemons; nil: it is not sent.
+// mutateMessage returns a message between daemons as it would be without the disabled guard, or nil if it isn't sent.
 func (w *World) mutateMessage(from, to *Process, m *wire.Message) *wire.Message {
 	switch {
 	case w.disabledGuard == guardBootstrapHellos && m.Hello != nil && from.kind == wire.ControlDaemon && to.kind == wire.ControlDaemon:
@@ -94,8 +95,8 @@
 	return m
 }
 
-// mutateReorderedMessage does the same to a leader's message that comes late: it brings all of the table
-// of its time as if that were the latest.
+// mutateReorderedMessage does the same for a reordered message of a leader: with guardTableVersions disabled, a push carries the
+// table from the time of its sending as if it were the latest version.
 func (w *World) mutateReorderedMessage(from *Process, m *wire.Message) *wire.Message {
 	if w.disabledGuard != guardTableVersions || m.Push == nil || from.controller == nil || from.controller.Table() == nil {
 		return m
@@ -105,7 +106,7 @@
 	return withTable(m, &table)
 }
 
-// withTable is a copy of a push with another table.
+// withTable returns a copy of a push message with another table.
 func withTable(m *wire.Message, table *wire.Table) *wire.Message {
 	changed, push := *m, *m.Push
 	push.Table, changed.Push = table, &push
--- a/internal/verification/simulator/heartbeat.go
+++ b/internal/verification/simulator/heartbeat.go
@@ -10,10 +10,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// maxHeartbeatRetries is to how many more daemons a target sends a heartbeat that is not acknowledged.
+// maxHeartbeatRetries is the maximum number of further daemons to which a target sends an unacknowledged heartbeat.
 const maxHeartbeatRetries = 3
 
-// startHeartbeats has a target report how it is until it ends.
+// startHeartbeats starts a target's periodic heartbeats, which continue until the target ends.
 func (w *World) startHeartbeats(t *Target) {
 	var next func()
 	next = func() {
@@ -41,7 +41,7 @@
 	w.sendHeartbeat(t, 0)
 }
 
-// sendHeartbeat sends a target's report to a random daemon, and to the next one until one acknowledges it.
+// sendHeartbeat sends a target's report to a random daemon, and to further random daemons until one acknowledges it.
 func (w *World) sendHeartbeat(t *Target, retries int) {
 	if retries > maxHeartbeatRetries {
 		return
@@ -75,7 +75,7 @@
 	w.schedule(w.heartbeatEvery()/3, retry)
 }
 
-// heartbeatAcknowledged notes what the checks may hold daemons to from now on.
+// heartbeatAcknowledged records the reported states that the checks enforce from now on.
 func (w *World) heartbeatAcknowledged(t *Target, p *Process, state wire.TargetState, warmingUntil time.Duration) {
 	if warmingUntil > w.now && t.acknowledgedWarmingUntil != warmingUntil {
 		t.acknowledgedWarmingUntil, t.warmupEnforcedFrom = warmingUntil, w.now+warmupEnforcedAfter
@@ -83,16 +83,16 @@
 	if state == wire.TargetLeaving && t.drainAcknowledgedAt == 0 {
 		t.drainAcknowledgedAt = w.now
 		w.Stats.Drains++
-		w.logf("%s leaving, taken by %s", t.fullName(), p.name)
+		w.logf("%s is leaving, acknowledged by %s", t.fullName(), p.name)
 	}
 }
 
-// report is what a target says of itself, in a state.
+// report returns a target's report with the given state.
 func (t *Target) report(state wire.TargetState) *config.TargetReport {
 	return &config.TargetReport{Service: t.service, Name: t.name, Incarnation: t.incarnation, Address: t.address, Domain: t.domain, State: state}
 }
 
-// heartbeatCall is the call by which a target reports how it is.
+// heartbeatCall returns the API call of a target's heartbeat.
 func (w *World) heartbeatCall(t *Target, state wire.TargetState) (method, path string, body []byte) {
 	report := t.report(state)
 	report.Slots = int64(w.Plan.Slots)
@@ -109,12 +109,12 @@
 	return method, path, mustMarshal(report)
 }
 
-// reportTarget has a daemon receive a target's report, as a late or repeated one would arrive.
+// reportTarget sends a target's report to a daemon, like a report that arrives late or twice.
 func (w *World) reportTarget(p *Process, t *Target, state wire.TargetState) {
 	w.call(p, "POST", "/v1/targets", "", mustMarshal(t.report(state)), "", w.ignoreReply)
 }
 
-// mustMarshal is a value as JSON; all values here have such a form.
+// mustMarshal returns the JSON encoding of v. It panics if v has none.
 func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/verification/simulator/history.go
+++ b/internal/verification/simulator/history.go
@@ -15,18 +15,18 @@
 	"myrtlefold/internal/verification/linearizability"
 )
 
-// diskLossWindow is how far apart disks are lost that count as lost at once.
+// diskLossWindow is the time within which losses of disks count as simultaneous.
 const diskLossWindow = 30 * time.Second
 
-// changesConfiguration says whether a call changes the configuration if it is accepted.
+// changesConfiguration reports whether a call changes the configuration if it is accepted.
 func changesConfiguration(method, path string) bool {
 	return method != "GET" && (strings.HasPrefix(path, "/v1/config") || strings.HasPrefix(path, "/v1/policies/"))
 }
 
-// readsConfiguration says whether a call reads the configuration in force.
+// readsConfiguration reports whether a call reads the current configuration.
 func readsConfiguration(method, path string) bool { return method == "GET" && path == "/v1/config" }
 
-// record takes a call for the configuration into the history; the function that it returns takes the reply.
+// record adds a call that reads or changes the configuration to the history. The returned function records the reply.
 func (w *World) record(method, path, query string, body []byte, token string) func(statemachine.Reply) {
 	switch {
 	case readsConfiguration(method, path) && query == "":
@@ -39,8 +39,8 @@
 	return func(statemachine.Reply) {}
 }
 
-// changeOf is a call as the history knows it. What the result of a partial change is, only
-// the leader knows.
+// changeOf returns a call as a change of the history. Its value is set only for a complete configuration: the result of a partial
+// change depends on the leader's configuration.
 func changeOf(method, path, query string, body []byte, token string) linearizability.Change {
 	document := canonical(body)
 	c := linearizability.Change{Base: queryNumber(query, "base"), Key: fmt.Sprintf("%s %s %s %s", method, path, query, document), Token: token}
@@ -50,7 +50,7 @@
 	return c
 }
 
-// queryNumber is a number in a call's query, 0 if it is not there.
+// queryNumber returns a number from a call's query, or 0 if it is missing or invalid.
 func queryNumber(query, key string) uint64 {
 	values, err := url.ParseQuery(query)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return number
 }
 
-// canonical is one form for all documents that mean the same, and any other text as it is.
+// canonical returns the canonical form of a configuration document. It returns other text unchanged.
 func canonical(document []byte) string {
 	if c, err := config.Canonical(document); err == nil {
 		return string(c)
@@ -98,23 +98,23 @@
 			} `json:"error"`
 		}
 		if json.Unmarshal(reply.Body, &body) != nil {
-			body.Error.Revision = 0 // fits any revision
+			body.Error.Revision = 0 // 0 matches any revision
 		}
 		write.Reject(w.now, body.Error.Revision)
-	case http.StatusGatewayTimeout: // open: it may take effect at any later time, or never
+	case http.StatusGatewayTimeout: // the operation stays open, since it may take effect at any later time or never
 	default:
 		write.Void(w.now)
 	}
 }
 
-// CheckHistory checks that all replies to operators fit one order of events.
+// CheckHistory checks that the history of operators' reads and changes is linearizable.
 func (w *World) CheckHistory() {
 	if err := w.checks.history.Check(); err != nil && w.Failure == "" {
 		w.violated(ruleLinearizable, "%v", err)
 	}
 }
 
-// StartReaders has an operator read the configuration again and again, at any control daemon.
+// StartReaders starts periodic reads of the configuration at random control daemons.
 func (w *World) StartReaders(interval time.Duration) {
 	daemons := w.daemons(wire.ControlDaemon)
 	if p := daemons[w.random.IntN(len(daemons))]; p.alive && !w.callers.stopped {
@@ -123,8 +123,8 @@
 	w.schedule(interval/2+time.Duration(w.random.Int64N(int64(interval))), func() { w.StartReaders(interval) })
 }
 
-// recordDiskLoss notes that a control daemon's disk is lost. If a majority of them is lost at once, the history
-// learns that what had been agreed and not acknowledged may be lost with them.
+// recordDiskLoss records the loss of a control daemon's disk. If at least half of the disks are lost within diskLossWindow,
+// the history allows that committed changes which were not acknowledged are lost too.
 func (w *World) recordDiskLoss(p *Process) {
 	if p.kind != wire.ControlDaemon {
 		return
--- a/internal/verification/simulator/limited_link.go
+++ b/internal/verification/simulator/limited_link.go
@@ -6,23 +6,23 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// limitedLink is a link into one process that carries few bytes, also where the plan's links take no time.
+// limitedLink is a link to one process with limited bandwidth. It doesn't depend on Plan.Resources.
 type limitedLink struct {
 	bytesPerSecond float64
-	busyUntil      time.Duration // when all that is on it has passed
+	busyUntil      time.Duration // when the last message has been transmitted
 }
 
-// limitLink has what is sent to a process pass at so many bytes a second; 0: at once again.
+// limitLink limits the bandwidth of the link to a process. 0 removes the limit.
 func (w *World) limitLink(p *Process, bytesPerSecond float64) {
-	w.logf("link into %s: %.0f bytes a second", p.name, bytesPerSecond)
+	w.logf("link to %s limited to %.0f bytes/s (0: unlimited)", p.name, bytesPerSecond)
 	delete(w.network.limited, p.name)
 	if bytesPerSecond > 0 {
 		w.network.limited[p.name] = &limitedLink{bytesPerSecond: bytesPerSecond}
 	}
 }
 
-// transmit returns how long a message waits and takes. One that would wait for too long is dropped,
-// as a shell does; ok is false then.
+// transmit returns the time that a message takes, including the wait for earlier messages. If it would wait longer than
+// tuning.SendQueueTTL, it is dropped, as the daemons' shells do, and ok is false.
 func (l *limitedLink) transmit(now time.Duration, bytes int) (took time.Duration, ok bool) {
 	free := max(l.busyUntil, now)
 	if free-now > tuning.SendQueueTTL {
--- a/internal/verification/simulator/limited_resources.go
+++ b/internal/verification/simulator/limited_resources.go
@@ -9,24 +9,24 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// LimitedResources has processes take time for what they handle, and links for what goes over them.
+// LimitedResources limits the processors of daemons and the bandwidth of the proxies' links.
 type LimitedResources struct {
-	ControlShare, ProxyShare float64 // parts of a processor that a control daemon and a proxy have
-	ProxyLink                float64 // bytes a second of a proxy's link, each way
+	ControlShare, ProxyShare float64 // fraction of a processor that a control daemon and a proxy have
+	ProxyLink                float64 // bandwidth of a proxy's link in bytes per second, in each direction
 }
 
-// What a process that has a processor of its own takes for one message or event, and for a
-// byte: system calls, reading and writing, and the state machine's step.
+// Processor time for one message or event and for each byte of it, on a whole processor: system calls, reading and writing, and
+// the state machine's step.
 const (
 	eventCost = 60 * time.Microsecond
 	byteCost  = 10 * time.Nanosecond
-	// callCost is an HTTP call of a target or an operator, with its reply.
+	// callCost is the processor time for an HTTP call of a target or an operator, including the reply.
 	callCost = 3 * eventCost
-	// dialCost is a new connection to a target, with its end.
+	// dialCost is the processor time for opening and closing a connection to a target.
 	dialCost = 3 * eventCost
 )
 
-// task is what processor time is spent on; messages are "send" or "receive" and their kind.
+// task is a kind of work that takes processor time. For messages it is "send" or "receive" and the kind of message.
 type task string
 
 const (
@@ -38,18 +38,18 @@
 func sendTask(m *wire.Message) task    { return task("send " + m.Kind.String()) }
 func receiveTask(m *wire.Message) task { return task("receive " + m.Kind.String()) }
 
-// usage is what a process uses of its processor and link, where these are limited.
+// usage is a process's use of its processor and link, where these are limited.
 type usage struct {
-	processorUntil time.Duration // until when its processor is taken
-	outboundUntil  time.Duration // until when its link out is taken
-	inboundUntil   time.Duration // until when its link in is taken
+	processorUntil time.Duration // when its processor becomes free
+	outboundUntil  time.Duration // when its outbound link becomes free
+	inboundUntil   time.Duration // when its inbound link becomes free
 	tickWaiting    bool          // a tick waits for the processor
 	processorTime  map[task]time.Duration
-	// healthCheckConnections are the targets to which it has a connection for health checks.
+	// healthCheckConnections marks the targets to which it has an open connection for health checks.
 	healthCheckConnections map[wire.TargetID]bool
 }
 
-// share is the part of a processor that a process has.
+// share returns the fraction of a processor that a process has.
 func (l *LimitedResources) share(p *Process) float64 {
 	if p.kind == wire.ControlDaemon {
 		return l.ControlShare
@@ -57,7 +57,7 @@
 	return l.ProxyShare
 }
 
-// messageSize is how many bytes a message takes on a connection.
+// messageSize returns the encoded size of a message in bytes.
 func messageSize(m *wire.Message) int {
 	size, err := wire.NewWriter(io.Discard).Put(m)
 	if err != nil {
@@ -66,11 +66,10 @@
 	return size
 }
 
-// messageCost is what sending or receiving so many bytes takes.
+// messageCost returns the processor time for sending or receiving a message of the given size.
 func messageCost(bytes int) time.Duration { return eventCost + time.Duration(bytes)*byteCost }
 
-// useProcessor has a process spend processor time on a task, after all that it has to do before. It returns
-// the moment when that is done.
+// useProcessor queues a task of a process behind its earlier tasks, and returns the time at which the task is done.
 func (w *World) useProcessor(p *Process, t task, cost time.Duration) time.Duration {
 	u := &p.usage
 	if u.processorTime == nil {
@@ -96,7 +95,8 @@
 	})
 }
 
-// healthCheckCost is what a health check takes: request and response, and a new connection unless there is one.
+// healthCheckCost returns the processor time of a health check: request and response, and opening a connection unless one is
+// open.
 func (w *World) healthCheckCost(p *Process, c statemachine.Probe) time.Duration {
 	if p.usage.healthCheckConnections == nil {
 		p.usage.healthCheckConnections = map[wire.TargetID]bool{}
@@ -111,19 +111,19 @@
 	return 2*eventCost + dialCost
 }
 
-// transmit has bytes that are ready at a moment go over a proxy's link, after all that is on it. It returns the
-// moment when they have, which is also when the link is free again.
+// transmit queues bytes on a proxy's link, at the time ready and behind earlier messages. It returns the time at which they are
+// transmitted and the link is free again.
 func (w *World) transmit(ready time.Duration, linkUntil *time.Duration, bytes int) time.Duration {
 	*linkUntil = max(*linkUntil, ready) + time.Duration(float64(bytes)*float64(time.Second)/w.Plan.Resources.ProxyLink)
 	return *linkUntil
 }
 
-// linkIsFull says whether a shell drops a message to or from a proxy, since it would wait for too long.
+// linkIsFull reports whether a message would wait longer than tuning.SendQueueTTL for a link, so that a shell drops it.
 func (w *World) linkIsFull(linkUntil time.Duration) bool {
 	return linkUntil-w.now > tuning.SendQueueTTL
 }
 
-// sendOverLimitedLinks sends a message where that takes processor time and bandwidth; delay is what it takes besides.
+// sendOverLimitedLinks sends a message using processor time and bandwidth. delay is added to the time that these take.
 func (w *World) sendOverLimitedLinks(message *message, delay time.Duration) {
 	bytes := messageSize(message.Message)
 	arrival := w.useProcessor(message.sender, sendTask(message.Message), messageCost(bytes))
--- a/internal/verification/simulator/network.go
+++ b/internal/verification/simulator/network.go
@@ -9,48 +9,48 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// network is the state of all links between machines.
+// network holds the state of all links between machines.
 type network struct {
-	loss           float64       // part of messages that are lost
-	delay          time.Duration // most of what a message takes, beyond a fifth of it that each takes
-	reorderedShare float64       // part of messages that come seconds late and out of order
+	loss           float64       // fraction of messages that are lost
+	delay          time.Duration // a message takes from delay/5 to delay/5 + delay
+	reorderedShare float64       // fraction of messages that arrive seconds late and out of order
 
-	blocked map[link]bool // links over which nothing goes
-	// controlPartitionedUntil is until when control daemons are cut off from each other.
+	blocked map[link]bool // links that drop all messages
+	// controlPartitionedUntil is the end of the last partition between control daemons.
 	controlPartitionedUntil time.Duration
-	lastArrival             map[link]time.Duration  // of the last message that was not late
-	resets                  map[link]linkReset      // the last reset of each link
-	limited                 map[string]*limitedLink // links into daemons that carry few bytes, by the daemon's name
+	lastArrival             map[link]time.Duration  // arrival time of the last message that wasn't reordered
+	resets                  map[link]linkReset      // last reset of each link
+	limited                 map[string]*limitedLink // links with limited bandwidth, by the name of the receiving daemon
 }
 
-// usualDelay is the delay of an undisturbed network.
-const usualDelay = time.Millisecond
+// defaultDelay is the delay of a network without faults.
+const defaultDelay = time.Millisecond
 
 func newNetwork() network {
-	return network{delay: usualDelay, blocked: map[link]bool{}, lastArrival: map[link]time.Duration{}, resets: map[link]linkReset{}, limited: map[string]*limitedLink{}}
+	return network{delay: defaultDelay, blocked: map[link]bool{}, lastArrival: map[link]time.Duration{}, resets: map[link]linkReset{}, limited: map[string]*limitedLink{}}
 }
 
-// link is the way from one machine to another, by their names.
+// link is the directed link from one machine to another, by name.
 type link struct{ source, destination string }
 
-// bothDirections are the links between two machines.
+// bothDirections returns the two links between two machines.
 func bothDirections(a, b string) []link { return []link{{a, b}, {b, a}} }
 
-// linkReset is a connection between two daemons that was reset: what was sent on it before
-// at and has not arrived is lost, and what is sent before until waits for the next connection.
+// linkReset is a reset of the connection between two daemons. Messages sent before at that haven't arrived are lost. Messages
+// sent from then on arrive no earlier than until, when a new connection is open.
 type linkReset struct{ at, until time.Duration }
 
-// message is a message on its way to a daemon.
+// message is a message in flight to a daemon.
 type message struct {
 	*wire.Message
 	sender, receiver *Process
-	incarnation      int // of the receiver: a message to an earlier start is lost
+	incarnation      int // receiver's incarnation at the sending; the message is lost if the receiver restarts
 	sentAt           time.Duration
 }
 
 func (m *message) link() link { return link{m.sender.name, m.receiver.name} }
 
-// send carries out a daemon's command to send a message.
+// send executes a daemon's command to send a message.
 func (w *World) send(from *Process, command statemachine.Send) {
 	receiver := w.processes.byAddress[command.Addr]
 	if receiver == nil || !w.reachable(from.name, receiver.name) || w.random.Float64() < w.network.loss {
@@ -72,9 +72,9 @@
 		w.sendOverLimitedLinks(sent, delay)
 		return
 	}
-	arrival := max(w.now+delay, w.network.lastArrival[sent.link()]+1, w.network.resets[sent.link()].until) // a connection keeps its order
+	arrival := max(w.now+delay, w.network.lastArrival[sent.link()]+1, w.network.resets[sent.link()].until) // a connection preserves the order of messages
 	if w.random.Float64() < w.network.reorderedShare {
-		arrival = w.now + w.randomMilliseconds(200, 4000) // left over in an earlier connection
+		arrival = w.now + w.randomMilliseconds(200, 4000) // as if delayed on an earlier connection
 		w.Stats.ReorderedMessages++
 		sent.Message = w.mutateReorderedMessage(from, sent.Message)
 	} else {
@@ -90,19 +90,19 @@
 	}
 }
 
-// reachable says whether the link from one machine to another carries anything.
+// reachable reports whether the link from one machine to another is open.
 func (w *World) reachable(from, to string) bool { return !w.network.blocked[link{from, to}] }
 
-// connected says whether two machines can speak to each other.
+// connected reports whether the links between two machines are open in both directions.
 func (w *World) connected(a, b string) bool { return w.reachable(a, b) && w.reachable(b, a) }
 
-// disturbNetwork has all links between daemons lose, delay and hold up messages.
-func (w *World) disturbNetwork(loss float64, delay time.Duration, lateShare float64) {
-	w.network.loss, w.network.delay, w.network.reorderedShare = loss, delay, lateShare
+// degradeNetwork makes all links between daemons lose, delay and reorder messages.
+func (w *World) degradeNetwork(loss float64, delay time.Duration, reorderedShare float64) {
+	w.network.loss, w.network.delay, w.network.reorderedShare = loss, delay, reorderedShare
 }
 
-// calmNetwork ends what disturbNetwork began.
-func (w *World) calmNetwork() { w.disturbNetwork(0, usualDelay, 0) }
+// restoreNetwork ends the effects of degradeNetwork.
+func (w *World) restoreNetwork() { w.degradeNetwork(0, defaultDelay, 0) }
 
 // partition blocks links for a while.
 func (w *World) partition(links []link, span time.Duration) {
@@ -119,10 +119,10 @@
 	})
 }
 
-// isolate cuts machines off from all others for a while, in what they send, in what they receive, or both.
-// Among themselves they stay connected.
+// isolate partitions machines from all others for a while: in the outbound direction, the inbound direction, or both. The
+// machines stay connected with each other.
 func (w *World) isolate(names []string, span time.Duration, outbound, inbound bool) {
-	w.logf("cut off %v for %v (out %v, in %v)", names, span, outbound, inbound)
+	w.logf("isolate %v for %v (outbound %v, inbound %v)", names, span, outbound, inbound)
 	others := slices.Clone(w.processes.names)
 	for _, t := range w.targets.all {
 		others = append(others, t.name)
@@ -144,7 +144,7 @@
 	w.partition(links, span)
 }
 
-// isolateDomain cuts a domain's machines off from all others.
+// isolateDomain partitions a domain's machines from all others for a while.
 func (w *World) isolateDomain(domain string, span time.Duration) {
 	var inside []string
 	for _, name := range w.processes.names {
@@ -160,10 +160,10 @@
 	w.isolate(inside, span, true, true)
 }
 
-// randomDomain draws the name of a domain.
+// randomDomain returns the name of a random domain.
 func (w *World) randomDomain() string { return fmt.Sprintf("d%d", 1+w.random.IntN(w.Plan.Domains)) }
 
-// resetDaemonConnections breaks a daemon's connections with all others, both ways.
+// resetDaemonConnections resets a daemon's connections with all other daemons, in both directions.
 func (w *World) resetDaemonConnections(p *Process) {
 	for _, name := range w.processes.names {
 		if name == p.name {
--- a/internal/verification/simulator/operator.go
+++ b/internal/verification/simulator/operator.go
@@ -13,40 +13,41 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// operators are those who call the API of the daemons; targets' reports are calls too.
+// operators holds the state of the daemons' API clients: operators, and targets that report.
 type operators struct {
-	calls   uint64                  // calls so far, also the last one's id
-	pending map[uint64]*pendingCall // without a reply, by id
+	calls   uint64                  // number of calls so far, which is also the id of the last one
+	pending map[uint64]*pendingCall // calls without a reply, by id
 	changes []*change
 
-	bulkChanges      int           // changes in bulk so far
-	repliesLostUntil time.Duration // until when most replies to changes of the configuration are lost
+	bulkChanges      int           // number of bulk changes so far
+	repliesLostUntil time.Duration // end of the time in which most replies to configuration changes are lost
 }
 
 func newOperators() operators { return operators{pending: map[uint64]*pendingCall{}} }
 
-// pendingCall is a call that has no reply yet.
+// pendingCall is a call without a reply.
 type pendingCall struct {
 	description string
 	onReply     func(statemachine.Reply)
-	// reader is the process that has read the call, at its start of that number; nil: none has yet.
+	// reader is the process that has read the call, and readerIncarnation its incarnation then. reader is nil if no process
+	// has read the call yet.
 	reader            *Process
 	readerIncarnation int
 }
 
-// change is an operator's change of the configuration, of a domain or of the members, and its fate.
+// change is an operator's change of the configuration or of a domain, and its outcome.
 type change struct {
 	kind     changeKind
-	domain   string // that is emptied or restored
+	domain   string // domain that is emptied or restored; "" for other changes
 	token    string
-	base     uint64 // revision of the configuration that it is built on
-	document string // what was sent
+	base     uint64 // revision of the configuration on which the change is based
+	document string // body that was sent
 	sentAt   time.Duration
 	state    changeState
-	revision uint64 // that an accepted one led to
+	revision uint64 // resulting revision if the change was accepted
 }
 
-// changeKind is what a change concerns.
+// changeKind is the kind of a change.
 type changeKind string
 
 const (
@@ -56,7 +57,7 @@
 	changeRestore changeKind = "restore"
 )
 
-// String names a change in the trace.
+// String returns the change's name in the trace.
 func (c *change) String() string {
 	if c.domain != "" {
 		return string(c.kind) + " " + c.domain
@@ -64,7 +65,7 @@
 	return string(c.kind)
 }
 
-// changeState is what an operator knows of its change.
+// changeState is the outcome of a change as its operator knows it.
 type changeState int
 
 const (
@@ -74,8 +75,10 @@
 	changeUnknown
 )
 
-// String names the state.
-func (s changeState) String() string { return [...]string{"open", "accepted", "refused", "unknown"}[s] }
+// String returns the state's name.
+func (s changeState) String() string {
+	return [...]string{"open", "accepted", "rejected", "unknown"}[s]
+}
 
 func configChange(base uint64) *change { return &change{kind: changeConfig, base: base} }
 
@@ -83,14 +86,14 @@
 
 func restoreChange(domain string) *change { return &change{kind: changeRestore, domain: domain} }
 
-// callTime is how long a call takes to its daemon at most, in milliseconds; slowCallTime is the same with
-// guardBaseRevision disabled, so that changes meet.
+// callTime is the maximum time in milliseconds that a call or a reply takes. slowCallTime is the maximum for a call with
+// guardBaseRevision disabled, long enough for changes to overlap.
 const (
 	callTime     = 2
 	slowCallTime = 60
 )
 
-// call sends a call to a daemon; the reply goes to onReply.
+// call sends a call to a daemon and passes the reply to onReply. If token is "", the call gets a unique one.
 func (w *World) call(process *Process, method, path, query string, body []byte, token string, onReply func(statemachine.Reply)) *pendingCall {
 	w.operators.calls++
 	id := w.operators.calls
@@ -116,7 +119,7 @@
 	return pending
 }
 
-// callArrives has a daemon handle a call, once its processor is free where that is limited.
+// callArrives delivers a call to a daemon, after its processor's backlog if the plan limits processors.
 func (w *World) callArrives(process *Process, pending *pendingCall, call statemachine.Call) {
 	if reply, replaced := w.replyWithoutGuard(process, call); replaced {
 		w.execute(process, reply)
@@ -136,14 +139,14 @@
 	})
 }
 
-// setReader notes that a process has read the call, if it runs.
+// setReader records that a process has read the call, if it is running.
 func (c *pendingCall) setReader(p *Process) {
 	if p.alive && !p.frozen {
 		c.reader, c.readerIncarnation = p, p.incarnation
 	}
 }
 
-// reply carries out a daemon's command to reply to a call.
+// reply executes a daemon's command to reply to a call.
 func (w *World) reply(r statemachine.Reply) {
 	if c := w.operators.pending[r.ID]; c != nil {
 		delete(w.operators.pending, r.ID)
@@ -151,19 +154,19 @@
 	}
 }
 
-// ignoreReply is for calls whose replies only the history looks at.
+// ignoreReply is the reply handler of calls whose replies only the history uses.
 func (w *World) ignoreReply(statemachine.Reply) {}
 
-// checkNoCallPending checks that a process that ends gracefully leaves no call that it has read without a reply.
+// checkNoCallPending checks that a process which exits gracefully has replied to all calls that it has read.
 func (w *World) checkNoCallPending(p *Process) {
 	for _, id := range slices.Sorted(maps.Keys(w.operators.pending)) {
 		if c := w.operators.pending[id]; c.reader == p && c.readerIncarnation == p.incarnation {
-			w.violated(ruleGracefulStop, "%s left %s without an answer at a planned stop", p.name, c.description)
+			w.violated(ruleGracefulStop, "%s exited at a planned stop without a reply to %s", p.name, c.description)
 		}
 	}
 }
 
-// SendChange sends an operator's change to a control daemon and follows its fate.
+// SendChange sends an operator's change to a control daemon and tracks its outcome.
 func (w *World) SendChange(process *Process, method, path, query string, body []byte, sent *change) {
 	if !process.alive {
 		return
@@ -173,25 +176,25 @@
 	w.operators.changes = append(w.operators.changes, sent)
 	w.Stats.Changes++
 	if sent.kind == changeRestore {
-		delete(w.checks.emptiedAt, sent.domain) // from the call on, requests may go there again
+		delete(w.checks.emptiedAt, sent.domain) // requests may go to the domain again as soon as the call is sent
 	}
-	order := &operatorChange{method: method, path: path, query: query, body: body, token: sent.token}
-	w.sendRepeatedly(process, order, func(r statemachine.Reply) {
+	operation := &operatorChange{method: method, path: path, query: query, body: body, token: sent.token}
+	w.sendRepeatedly(process, operation, func(r statemachine.Reply) {
 		switch {
 		case r.Status == http.StatusOK:
 			w.accepted(sent, revisionOf(r))
-		case r.Status == http.StatusGatewayTimeout || order.leavesOpen(r):
+		case r.Status == http.StatusGatewayTimeout || operation.leavesOpen(r):
 			sent.state = changeUnknown
 			w.Stats.UnknownChanges++
 		default:
 			sent.state = changeRejected
 			w.Stats.RejectedChanges++
-			w.logf("%s refused with %d", sent, r.Status)
+			w.logf("%s rejected with status %d", sent, r.Status)
 		}
 	})
 }
 
-// accepted notes that a change was acknowledged as a revision, and checks what follows from that.
+// accepted records that a change was acknowledged with a revision, and checks the rules that this affects.
 func (w *World) accepted(accepted *change, revision uint64) {
 	accepted.state, accepted.revision = changeAccepted, revision
 	w.Stats.AcceptedChanges++
@@ -213,15 +216,15 @@
 	}
 }
 
-// PutConfig sends a complete configuration that is built on a base; its number tells it from others.
+// PutConfig sends the complete configuration document with the given number, based on revision base.
 func (w *World) PutConfig(p *Process, base uint64, number int) {
 	w.SendChange(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), w.Document(number), configChange(base))
 }
 
-// putNextConfig has a control daemon receive a configuration that no other change of the run has.
+// putNextConfig sends a control daemon a configuration document that is unique in the run, based on the current revision.
 func (w *World) putNextConfig(p *Process) { w.PutConfig(p, w.Revision(), w.nextDocumentNumber()) }
 
-// Revision is the highest that any living member has applied.
+// Revision returns the highest revision that any running control daemon has applied.
 func (w *World) Revision() (revision uint64) {
 	for _, p := range w.daemons(wire.ControlDaemon) {
 		if p.controller != nil && p.alive {
@@ -231,7 +234,7 @@
 	return revision
 }
 
-// revisionOf is the revision that a reply names, 0 if none.
+// revisionOf returns the revision in a reply, or 0 if there is none.
 func revisionOf(r statemachine.Reply) uint64 {
 	var body struct {
 		Revision uint64 `json:"revision"`
@@ -242,7 +245,7 @@
 	return body.Revision
 }
 
-// restoreDomain sends the restoring of an emptied domain again and again until it is accepted.
+// restoreDomain sends the change that restores an emptied domain, repeatedly until it is accepted.
 func (w *World) restoreDomain(domain string) {
 	process := w.pickProcess(wire.ControlDaemon, true)
 	if process == nil {
@@ -251,7 +254,7 @@
 	}
 	c := restoreChange(domain)
 	w.SendChange(process, "POST", "/v1/domains/"+domain+"/restore", "", nil, c)
-	for _, t := range w.targets.all { // they had no requests meanwhile
+	for _, t := range w.targets.all { // without requests in the meantime they must warm up again
 		if t.alive && t.domain == domain && w.Plan.WarmupRate > 0 && t.warmingUntil <= w.now {
 			w.warmUpAgain(t)
 		}
--- a/internal/verification/simulator/persistent_connection.go
+++ b/internal/verification/simulator/persistent_connection.go
@@ -1,19 +1,19 @@
 package simulator
 
-// persistentConnection is a caller's connection to a start of a proxy: requests go on it, whether the proxy is
-// ready or not, until the proxy closes it or is gone.
+// persistentConnection is a caller's connection to one incarnation of a proxy. The caller sends requests on it, whether the proxy
+// is ready or not, until the proxy closes it or ends.
 type persistentConnection struct {
 	proxy         *Process
 	incarnation   int
 	closedByProxy bool
 }
 
-// usable says whether the connection is still open to its caller.
+// usable reports whether the caller can still send requests on the connection.
 func (c *persistentConnection) usable() bool {
 	return c.proxy != nil && !c.closedByProxy && c.proxy.alive && c.proxy.incarnation == c.incarnation && !c.proxy.rejectsConnections
 }
 
-// sendOnPersistentConnection sends a request on one of the callers' connections, which is opened anew if it is closed.
+// sendOnPersistentConnection sends a request on a random persistent connection, which it reopens if it is closed.
 func (w *World) sendOnPersistentConnection(service string, nonIdempotent bool) {
 	for len(w.callers.connections) < w.Plan.PersistentConnections {
 		w.callers.connections = append(w.callers.connections, &persistentConnection{})
@@ -29,7 +29,7 @@
 	w.admit(&request{service: service, nonIdempotent: nonIdempotent, proxy: c.proxy, incarnation: c.incarnation, connection: c})
 }
 
-// closeAfterResponse closes the connection of a response that a stopping proxy gives.
+// closeAfterResponse closes the connection of a request to which a stopping proxy has responded.
 func (w *World) closeAfterResponse(r *request) {
 	if r.connection != nil && r.proxy.stopping {
 		r.connection.closedByProxy = true
--- a/internal/verification/simulator/plan.go
+++ b/internal/verification/simulator/plan.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// Plan is the size of a fleet, its load, and what its settings say.
+// Plan describes a fleet: its size, load, and settings.
 type Plan struct {
-	ControlDaemons int // control daemons at the start: members of the control plane, and standbys
-	Proxies        int // proxies at the start
-	Domains        int // failure domains, over which daemons and targets are spread in turn
-	// Seeds is how many control daemons bootstrap the control plane; the others learn of them. 0: all do, and
-	// the number of members is given.
+	ControlDaemons int // number of control daemons at the start, including standbys
+	Proxies        int // number of proxies at the start
+	Domains        int // number of failure domains, to which daemons and targets are assigned in turn
+	// Seeds is the number of control daemons that are the seeds of all daemons. The control daemons then bootstrap with the
+	// setting for a first start. 0: the first three daemons are the seeds, and ControlDaemons is the configured number of
+	// members to bootstrap.
 	Seeds             int
-	Services          map[string]int // targets of each service
-	ConfiguredDomains []string       // domains that the control daemons' settings name
-
-	Rate          float64 // requests a second
-	NonIdempotent float64 // part of the requests that must not run twice
-	Resubmitted   float64 // part of unserved requests that their callers send again at once
-	// PersistentConnections is how many connections callers keep and use until they are closed; 0: each request
-	// goes to a ready proxy on a connection of its own.
+	Services          map[string]int // number of targets of each service
+	ConfiguredDomains []string       // domains in the control daemons' settings
+
+	Rate          float64 // requests per second
+	NonIdempotent float64 // fraction of requests that must not run twice
+	Resubmitted   float64 // fraction of unserved requests that their callers send again at once
+	// PersistentConnections is the number of connections that callers reuse until they are closed. 0: each request goes to a
+	// ready proxy on a connection of its own.
 	PersistentConnections int
 
-	Slots           int           // requests at once that targets report, with routes in place of rules; 0: neither
-	ConnectionLimit int           // connections that a target takes from all proxies together and resets beyond; 0: no limit
-	WarmupRate      float64       // requests a second that a target bears while it warms up; 0: no limit
-	HeartbeatEvery  time.Duration // between two heartbeats of a target; 0: tuning.TargetHeartbeatEvery
-	// ReportToControlOnly: targets send their heartbeats to control daemons only, not to proxies.
+	Slots           int           // concurrent requests that targets report as their capacity, with routes instead of rules in the configuration; 0: neither
+	ConnectionLimit int           // connections that a target accepts from all proxies together; it resets further ones; 0: no limit
+	WarmupRate      float64       // requests per second that a target can handle while it warms up; 0: no limit
+	HeartbeatEvery  time.Duration // interval of the targets' heartbeats; 0: tuning.TargetHeartbeatEvery
+	// ReportToControlOnly means that targets send heartbeats only to control daemons, not to proxies.
 	ReportToControlOnly bool
 
 	Resources *LimitedResources // nil: processors and links take no time
-	CatchUp   time.Duration     // from a replacement's start until the control plane must bear the next loss; 0: not set
-	Losses    int               // control machines that may be lost at once; 0: not set
-	Grace     time.Duration     // from a proxy's stop signal until it is killed, as its settings say; 0: not set
+	CatchUp   time.Duration     // time from the start of a replacement until the control plane must tolerate the next loss; 0: not set
+	Losses    int               // number of control machines that may be lost at once; 0: not set
+	Grace     time.Duration     // configured time from a proxy's stop signal until it is killed; 0: not set
 
-	Digest bool // compute the run's digest, see World.Digest
+	Digest bool // whether to compute the run's digest, see World.Digest
 }
 
-// Small is a fleet that shows all behaviour and still runs fast.
+// Small is a fleet that is large enough for all behavior and still runs fast.
 var Small = Plan{ControlDaemons: 3, Proxies: 5, Domains: 3, Services: map[string]int{"fares": 5, "pay": 4}, Rate: 60, NonIdempotent: 0.4, Resubmitted: 0.5}
 
-// Plans are the fleets by name: the two deployments of the users, and the small one.
+// Plans are the plans by name: Small, and models of the users' two deployments.
 var Plans = map[string]Plan{
 	"small":   Small,
 	"kelani":  {ControlDaemons: 3, Proxies: 12, Domains: 3, Services: map[string]int{"records": 30, "monitoring": 6}, Rate: 210, NonIdempotent: 0.3, Resubmitted: 0.8},
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -13,22 +13,22 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// processes are the daemons of the fleet.
+// processes holds the daemons of the fleet.
 type processes struct {
-	byName    map[string]*Process // also those whose machines were removed
+	byName    map[string]*Process // including daemons whose machines were removed
 	byAddress map[string]*Process
-	names     []string // of those whose machines are there, in the order of their addition
-	seeds     []string // names of the daemons that a process learns of at its start
-	replaced  int      // control machines that were replaced for good
-	replacing int      // of these, whose successor has not started, or who has not stopped
-	swapping  bool     // an operator swaps a member, one at a time
+	names     []string // names of daemons whose machines weren't removed, in the order of addition
+	seeds     []string // names of the daemons whose addresses a starting process gets
+	replaced  int      // number of permanent replacements of control machines
+	replacing int      // number of these replacements in progress
+	swapping  bool     // an operator is replacing a member; only one at a time does
 }
 
 func newProcesses() processes {
 	return processes{byName: map[string]*Process{}, byAddress: map[string]*Process{}}
 }
 
-// Process is a daemon's process, and its machine. Exactly one of controller and proxy is set once it has started.
+// Process is a daemon's process and its machine. Exactly one of controller and proxy is set once it has started.
 type Process struct {
 	world   *World
 	name    string
@@ -38,38 +38,38 @@
 
 	controller  *controlplane.Controller
 	proxy       *dataplane.Proxy
-	incarnation int // its starts so far
+	incarnation int // number of starts so far
 	alive       bool
-	removed     bool // its machine was replaced and never comes back
-	// startedOrKilledAt is when it last was started or killed.
+	removed     bool // its machine was removed permanently
+	// startedOrKilledAt is the time of its last start or kill.
 	startedOrKilledAt time.Duration
 	startedAt         time.Duration
-	clockOffset       time.Duration // what its own clock showed at its start
-	clockRate         float64       // seconds of its own clock in a second of virtual time
+	clockOffset       time.Duration // time on its own clock at its start
+	clockRate         float64       // seconds of its own clock per second of virtual time
 
 	frozen     bool
-	heldEvents []statemachine.Event // what came while it was frozen
-	afterThaw  []func()             // what its shell does before its state machine goes on
-	frozenAt   time.Duration        // its own time when it was last frozen
-	stopping   bool                 // it was sent the stop signal
-	// rejectsConnections: no connection to it opens any more, and those without a request are closed.
+	heldEvents []statemachine.Event // events that arrived while it was frozen
+	afterThaw  []func()             // shell operations to run at the thaw, before the held events
+	frozenAt   time.Duration        // time on its own clock when it was last frozen
+	stopping   bool                 // it has received the stop signal
+	// rejectsConnections means that it accepts no new connections and has closed those without a request.
 	rejectsConnections bool
-	// pauseAfterStep is for how long the process is to stand still between the next step that reveals
-	// its state to others and the commands of that step; 0: not.
+	// pauseAfterStep is how long to freeze the process between the next step that discloses a decision to others and the
+	// commands of that step; 0: no pause.
 	pauseAfterStep time.Duration
 
 	disk       *disk
-	diskLostAt time.Duration // when its disk was last lost, 0: never
+	diskLostAt time.Duration // time of the last loss of its disk; 0: never
 
-	slowdown     float64       // how many times longer it takes for everything, 0: as usual
-	backlogUntil time.Duration // when a slow process has handled all that came
-	usage        usage         // of its processor and link, where these are limited
+	slowdown     float64       // factor by which everything takes longer; 0: normal speed
+	backlogUntil time.Duration // when a slow process will have handled all events so far
+	usage        usage         // use of its processor and link, where these are limited
 
-	// Of a proxy.
-	idle            map[wire.TargetID][]*connection // connections to targets without a request, the last used at the end
-	targets         map[wire.TargetID]string        // addresses of the targets that it may forward to
-	attempts        []*attempt                      // requests at targets
-	highestRevision uint64
+	// Used for proxies only.
+	idle            map[wire.TargetID][]*connection // idle connections to each target, most recently used last
+	targets         map[wire.TargetID]string        // addresses of the targets to which it may forward
+	attempts        []*attempt                      // attempts in progress at targets
+	highestRevision uint64                          // highest revision so far of this incarnation
 }
 
 func (w *World) addProcess(kind wire.DaemonKind, name string, domain int) {
@@ -82,21 +82,21 @@
 	w.processes.names = append(w.processes.names, name)
 }
 
-// process is the daemon of a name, nil if there never was one.
+// process returns the daemon with the given name, or nil if there never was one.
 func (w *World) process(name string) *Process { return w.processes.byName[name] }
 
-// isControlDaemon says whether a machine runs a control daemon, or did.
+// isControlDaemon reports whether a machine runs or ran a control daemon.
 func (w *World) isControlDaemon(name string) bool {
 	p := w.process(name)
 	return p != nil && p.controller != nil
 }
 
-// localTime is the time of the process's own clock.
+// localTime returns the time on the process's own clock.
 func (p *Process) localTime() time.Duration {
 	return p.clockOffset + time.Duration(float64(p.world.now-p.startedAt)*p.clockRate)
 }
 
-// startProcess starts a process that does not run, with what its disk holds.
+// startProcess starts a stopped process from the state on its disk.
 func (w *World) startProcess(p *Process) {
 	w.resetProcess(p)
 	var seeds []string
@@ -112,7 +112,7 @@
 	w.startTicks(p)
 }
 
-// resetProcess forgets what an earlier start left, and draws the clock of the new one.
+// resetProcess discards the state of an earlier incarnation and sets a random clock for the new one.
 func (w *World) resetProcess(p *Process) {
 	p.incarnation++
 	p.alive, p.frozen, p.heldEvents, p.afterThaw, p.usage.tickWaiting = true, false, nil, nil, false
@@ -125,7 +125,7 @@
 	p.disk.syncing, p.disk.rejecting = false, false
 }
 
-// startController makes the state machine of a control daemon from its disk.
+// startController creates the state machine of a control daemon from its disk.
 func (w *World) startController(p *Process, self wire.Daemon, seeds []string) {
 	p.disk.unsynced = nil
 	image := p.disk.image
@@ -138,7 +138,7 @@
 	p.controller = controlplane.New(p.localTime(), settings, image)
 }
 
-// startTicks gives a process a tick each tuning.TickEvery until it ends.
+// startTicks delivers a tick to a process every tuning.TickEvery until it ends.
 func (w *World) startTicks(process *Process) {
 	incarnation := process.incarnation
 	var tick func()
@@ -158,26 +158,26 @@
 	w.schedule(w.randomMilliseconds(0, 20), tick)
 }
 
-// Kill ends a process at once; what its disk had not synced may be there in part.
+// Kill ends a process at once. A random part of its unsynced writes survives on its disk.
 func (w *World) Kill(process *Process) {
 	if !process.alive {
 		return
 	}
 	w.logf("kill %s", process.name)
 	process.alive, process.startedOrKilledAt = false, w.now
-	w.tearDisk(process.disk)
+	w.loseUnsynced(process.disk)
 	for _, id := range slices.Sorted(maps.Keys(w.callers.open)) {
 		if r := w.callers.open[id]; r.isAt(process) {
 			delete(w.callers.open, id)
 			w.Stats.Abandoned++
 			if w.checks.plannedOnly {
-				w.violated(ruleGracefulStop, "exchange %d was left behind by %s", r.id, process.name)
+				w.violated(ruleGracefulStop, "request %d was abandoned by %s", r.id, process.name)
 			}
 		}
 	}
 }
 
-// Restart starts a dead process again, unless its machine was removed.
+// Restart starts a stopped process again, unless its machine was removed.
 func (w *World) Restart(p *Process) {
 	if !p.alive && !p.removed {
 		w.logf("start %s", p.name)
@@ -185,12 +185,12 @@
 	}
 }
 
-// restartLater starts a dead process again after a while.
+// restartLater calls Restart after a delay.
 func (w *World) restartLater(p *Process, delay time.Duration) {
 	w.schedule(delay, func() { w.Restart(p) })
 }
 
-// stopProcess sends a process the stop signal.
+// stopProcess sends the stop signal to a process.
 func (w *World) stopProcess(p *Process) {
 	w.Stats.GracefulStops++
 	if w.disabledGuard == guardGracefulStop && p.proxy != nil {
@@ -201,7 +201,8 @@
 	w.deliver(p, statemachine.Stop{})
 }
 
-// restartGracefully stops a process, kills it if it is still there after a while, and starts it again.
+// restartGracefully sends the stop signal to a process. After the given time it kills the process, if it is still running, and
+// restarts it.
 func (w *World) restartGracefully(p *Process, after time.Duration) {
 	incarnation := p.incarnation
 	w.stopProcess(p)
@@ -213,7 +214,7 @@
 	})
 }
 
-// Freeze stops a process where it is for a while, as a paused virtual machine does.
+// Freeze suspends a process for a while, like a paused virtual machine.
 func (w *World) Freeze(p *Process, span time.Duration) {
 	if !p.alive || p.frozen {
 		return
@@ -228,7 +229,7 @@
 	})
 }
 
-// Thaw has a frozen process go on with all that came meanwhile.
+// Thaw resumes a frozen process, which then handles the held events.
 func (w *World) Thaw(process *Process) {
 	if !process.frozen {
 		return
@@ -237,7 +238,7 @@
 	process.frozen = false
 	held := process.heldEvents
 	process.heldEvents = nil
-	for _, resume := range process.afterThaw { // the shell's threads go on at once, before the state machine has any event
+	for _, resume := range process.afterThaw { // the shell's threads resume before the state machine handles an event
 		resume()
 	}
 	process.afterThaw = nil
@@ -250,7 +251,7 @@
 	}
 }
 
-// Leader is the member that leads and holds a lease, nil if there is none.
+// Leader returns the running control daemon that leads and holds the lease, or nil if there is none.
 func (w *World) Leader() *Process {
 	for _, p := range w.fleet() {
 		if p.controller != nil && p.alive && !p.frozen && p.controller.Leading() {
@@ -260,12 +261,12 @@
 	return nil
 }
 
-// daemonNames are the names of all daemons of a kind, in the order of their addition.
+// daemonNames returns the names of all daemons of a kind, in the order of their addition.
 func (w *World) daemonNames(kind wire.DaemonKind) []string {
 	return slices.DeleteFunc(slices.Clone(w.processes.names), func(name string) bool { return w.process(name).kind != kind })
 }
 
-// daemons are all daemons of a kind, in the order of their addition.
+// daemons returns all daemons of a kind, in the order of their addition.
 func (w *World) daemons(kind wire.DaemonKind) (daemons []*Process) {
 	for _, name := range w.daemonNames(kind) {
 		daemons = append(daemons, w.process(name))
@@ -273,7 +274,7 @@
 	return daemons
 }
 
-// pickProcess draws a daemon of a kind that lives, or one that does not; nil: there is none.
+// pickProcess returns a random daemon of a kind that is running, or stopped if alive is false. It returns nil if there is none.
 func (w *World) pickProcess(kind wire.DaemonKind, alive bool) *Process {
 	candidates := slices.DeleteFunc(w.daemons(kind), func(p *Process) bool { return p.alive != alive })
 	if len(candidates) == 0 {
--- a/internal/verification/simulator/replacement.go
+++ b/internal/verification/simulator/replacement.go
@@ -8,21 +8,20 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// controlStopGrace is how long after the stop signal the process of a replaced control machine is killed.
+// controlStopGrace is the time from the stop signal to a control daemon until its process is killed.
 const controlStopGrace = 6 * time.Second
 
-// ReplaceControlDaemon takes a control machine away for good: its process and disk never come back. Its successor
-// is an empty daemon in the same domain under another name and address. Unplanned, the old one is killed now and the
-// successor starts after the pause. Planned, the successor starts now and the old one
-// gets the stop signal after the pause. Then is called once both have happened, with the
-// time of the successor's start.
+// ReplaceControlDaemon permanently replaces a control machine, including its disk. The successor is a daemon with an empty disk in
+// the same domain, with a different name and address. In an unplanned replacement, the old daemon is killed now and the
+// successor starts after the pause. In a planned one, the successor starts now and the old daemon gets the stop signal after
+// the pause. Once both have happened, then is called with the time of the successor's start.
 func (w *World) ReplaceControlDaemon(old *Process, planned bool, pause time.Duration, then func(started time.Duration)) {
 	w.processes.replaced++
 	w.processes.replacing++
 	w.Stats.ReplacedMachines++
 	name := fmt.Sprintf("r%d", w.processes.replaced)
 	if !planned {
-		w.logf("%s is gone for good", old.name)
+		w.logf("%s is lost permanently", old.name)
 		w.Kill(old)
 		w.removeMachine(old)
 		w.schedule(pause, func() {
@@ -35,7 +34,7 @@
 	w.startSuccessor(old, name)
 	started := w.now
 	w.schedule(pause, func() {
-		w.logf("stop %s for good", old.name)
+		w.logf("stop %s permanently", old.name)
 		if old.alive {
 			w.stopProcess(old)
 		}
@@ -46,15 +45,15 @@
 	})
 }
 
-// startSuccessor starts an empty control daemon in the domain of another.
+// startSuccessor starts a control daemon with an empty disk in the domain of the old one.
 func (w *World) startSuccessor(old *Process, name string) {
-	w.logf("%s comes in place of %s", name, old.name)
+	w.logf("%s replaces %s", name, old.name)
 	w.addProcess(wire.ControlDaemon, name, domainIndex(old.domain))
 	w.processes.seeds = w.seedsFor(name)
 	w.startProcess(w.process(name))
 }
 
-// addAndStart starts a daemon on a new machine.
+// addAndStart starts a daemon on a new machine and returns it.
 func (w *World) addAndStart(kind wire.DaemonKind, name string, domain int) *Process {
 	w.addProcess(kind, name, domain)
 	p := w.process(name)
@@ -62,11 +61,11 @@
 	return p
 }
 
-// domainIndex is a domain's number from 0, by its name.
+// domainIndex returns the index of a domain, starting at 0, from its name.
 func domainIndex(domain string) int { return int(domain[1] - '1') }
 
-// replaceRandomControlDaemon replaces a control machine, the leader half of the time, where the control plane looks
-// after its members itself and no other machine of it is lost.
+// replaceRandomControlDaemon replaces a control machine, in half of the cases the leader's. It does nothing if the plan has no
+// seeds, since only then does the control plane replace members itself, or if another control machine is lost.
 func (w *World) replaceRandomControlDaemon(planned bool) {
 	p := w.expendableControlDaemon()
 	if p == nil || w.Plan.Seeds == 0 || w.partitionedLately() {
@@ -81,8 +80,7 @@
 	w.ReplaceControlDaemon(p, planned, w.randomMilliseconds(0, 1500), func(time.Duration) {})
 }
 
-// removeOnceStopped waits for a process that has the stop signal, kills it at the deadline, and
-// then removes its machine.
+// removeOnceStopped waits until a stopping process has ended, or kills it at the deadline, and then removes its machine.
 func (w *World) removeOnceStopped(old *Process, deadline time.Duration, then func()) {
 	if old.alive && w.now < deadline {
 		w.schedule(10*time.Millisecond, func() { w.removeOnceStopped(old, deadline, then) })
@@ -93,20 +91,20 @@
 	then()
 }
 
-// removeMachine removes a machine that never comes back; to the history its disk is lost.
+// removeMachine permanently removes a machine, including its disk.
 func (w *World) removeMachine(old *Process) {
 	w.recordDiskLoss(old)
 	old.removed = true
 	w.forgetMachine(old)
 }
 
-// forgetMachine takes a machine out of the fleet.
+// forgetMachine removes a machine from the list of the fleet.
 func (w *World) forgetMachine(old *Process) {
 	w.processes.names = slices.DeleteFunc(w.processes.names, func(name string) bool { return name == old.name })
 }
 
-// seedsFor are the names of the seeds of a process that is started now: up to three living
-// control daemons, itself left out if there are others.
+// seedsFor returns the names of the seeds of a process that starts now: up to three running control daemons other than itself, or
+// itself if there are none.
 func (w *World) seedsFor(self string) (seeds []string) {
 	for _, p := range w.daemons(wire.ControlDaemon) {
 		if p.alive && p.name != self && len(seeds) < 3 {
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -13,71 +13,72 @@
 	"myrtlefold/internal/verification/linearizability"
 )
 
-// Rule is what must never happen, or must always come about; a world's failure begins with it.
+// Rule names a safety or liveness property that runs check. World.Failure begins with the name of the broken rule.
 type Rule string
 
 // Rules of requests.
 const (
-	ruleAtMostOnce         Rule = "ran twice"          // what must not run twice does not
-	ruleRejectedRequest    Rule = "refused but ran"    // what is reported as not run has not run
-	ruleRetryAfter         Rule = "come back when"     // a rejection for now says when to retry
+	ruleAtMostOnce         Rule = "ran twice"          // a non-idempotent request runs at most once
+	ruleRejectedRequest    Rule = "refused but ran"    // a request that is reported as rejected has not run
+	ruleRetryAfter         Rule = "come back when"     // a temporary rejection has a Retry-After
 	ruleOwnResponse        Rule = "another's answer"   // a request gets its own response
 	ruleRightService       Rule = "wrong service"      // a request reaches a target of its service
-	ruleDrainingTarget     Rule = "leaving"            // a leaving target gets no requests
+	ruleDrainingTarget     Rule = "leaving"            // a leaving target gets no new requests
 	ruleCrashedTarget      Rule = "gone"               // a crashed target gets no requests
 	ruleEmptiedDomain      Rule = "emptied domain"     // an emptied domain gets no requests
-	ruleWarmingConcurrency Rule = "warming"            // a warming target gets few requests at once
-	ruleWarmupRate         Rule = "cold rate"          // a target that warms up gets few requests a second
-	ruleRetryBudget        Rule = "retry budget"       // retries stay a small part of all attempts
-	ruleInFlightCount      Rule = "forgotten exchange" // a proxy without requests counts none in flight
-	ruleGracefulStop       Rule = "in flight"          // planned work loses no request and no call
+	ruleWarmingConcurrency Rule = "warming"            // a warming target gets few concurrent requests
+	ruleWarmupRate         Rule = "cold rate"          // a target that warms up gets few requests per second
+	ruleRetryBudget        Rule = "retry budget"       // retries stay a small fraction of all attempts
+	ruleInFlightCount      Rule = "forgotten exchange" // a proxy without open requests counts none in flight
+	ruleGracefulStop       Rule = "in flight"          // planned work loses no request and no API call
 )
 
 // Rules of the control plane and its configurations.
 const (
-	ruleSingleLeader         Rule = "one leader"                // at most one member decides
-	ruleConfigurationInForce Rule = "not in force"              // what was acknowledged is followed
+	ruleSingleLeader         Rule = "one leader"                // at most one member holds the lease
+	ruleConfigurationInForce Rule = "not in force"              // proxies follow an acknowledged configuration
 	ruleRevisionOrder        Rule = "slipped back"              // a proxy's revision never decreases
-	ruleOneChangePerBase     Rule = "one base"                  // of changes on one base one is accepted
-	ruleDurability           Rule = "forgotten"                 // what was acknowledged stays
-	ruleAcceptedChange       Rule = "accepted but not in force" // an accepted change is on record as such
+	ruleOneChangePerBase     Rule = "one base"                  // at most one of several changes on the same base is accepted
+	ruleDurability           Rule = "forgotten"                 // an acknowledged change is not lost
+	ruleAcceptedChange       Rule = "accepted but not in force" // an accepted change is recorded as accepted
 	ruleRejectedChange       Rule = "refused but in force"      // a rejected change takes no effect
-	ruleLinearizable         Rule = "history"                   // all replies fit one order of events
+	ruleLinearizable         Rule = "history"                   // the history of reads and changes is linearizable
 )
 
 // Rules of recovery.
 const (
-	ruleBootstrap    Rule = "start"         // a fleet that is switched on serves
-	ruleRecoveryTime Rule = "back in 15 s"  // after healing it serves again
-	ruleFullCapacity Rule = "capacity back" // after healing all targets are used again
-	ruleServingAgain Rule = "serving again" // after healing most requests are served
+	ruleBootstrap    Rule = "start"         // a newly started fleet serves
+	ruleRecoveryTime Rule = "back in 15 s"  // the fleet serves again after healing
+	ruleFullCapacity Rule = "capacity back" // all targets are used again after healing
+	ruleServingAgain Rule = "serving again" // most requests are served after healing
 )
 
-// The brief's bounds of "about 2 s".
+// Maximum times until a leaving or crashed target gets no more requests. The requirement is "about 2 s".
 const (
 	drainingBound = 2 * time.Second
 	crashedBound  = 2 * time.Second
-	// crashedAfterLeaderLossBound is the same when the leader was lost in those very seconds, one missed health check
-	// short of the ejection: the time that it had spent is added to a proxy's doubt and its own two health checks.
+	// crashedAfterLeaderLossBound is the bound if the leader was lost around the time of the crash. In the worst case the
+	// leader was one failed health check short of ejecting the target. A proxy then has to detect the loss of the leader and
+	// make two health checks of its own, in addition to the time that the leader had used.
 	crashedAfterLeaderLossBound = 2500 * time.Millisecond
 )
 
-// checks is what the rules need to know of the run so far.
+// checks holds the state of the run that the checks of the rules need.
 type checks struct {
 	history        linearizability.Log
 	acknowledged   uint64                   // highest acknowledged revision
-	acknowledgedAt map[uint64]time.Duration // when each revision first was
-	emptiedAt      map[string]time.Duration // when the emptying of each domain was acknowledged
-	// leadershipLostAt is when a leader last lost its lease, or a proxy its leader.
+	acknowledgedAt map[uint64]time.Duration // time of the first acknowledgement of each revision
+	emptiedAt      map[string]time.Duration // time at which the emptying of each emptied domain was acknowledged
+	// leadershipLostAt is the last time at which a leader lost its lease or a proxy lost its leader.
 	leadershipLostAt time.Duration
-	plannedOnly      bool // only planned work is done: no request may be lost
+	plannedOnly      bool // the run has only planned work, so no request may be lost
 }
 
 func newChecks() checks {
 	return checks{acknowledgedAt: map[uint64]time.Duration{}, emptiedAt: map[string]time.Duration{}}
 }
 
-// violated notes that a rule is broken, and how; the run ends then. Only the first one is kept.
+// violated records the violation of a rule with a description, which ends the run. Only the first violation is kept.
 func (w *World) violated(rule Rule, format string, a ...any) {
 	if w.Failure == "" {
 		w.Failure = string(rule) + ": " + fmt.Sprintf(format, a...)
@@ -85,7 +86,7 @@
 	}
 }
 
-// acknowledge notes that a revision was acknowledged to an operator.
+// acknowledge records that a revision was acknowledged to an operator.
 func (w *World) acknowledge(revision uint64) {
 	w.checks.acknowledged = max(w.checks.acknowledged, revision)
 	if w.checks.acknowledgedAt[revision] == 0 {
@@ -93,14 +94,14 @@
 	}
 }
 
-// forgetAcknowledgements is for runs that lose all state by intention.
+// forgetAcknowledgements discards all acknowledgements, for runs that lose all state intentionally.
 func (w *World) forgetAcknowledgements() {
 	w.checks.acknowledged, w.operators.changes = 0, nil
 	clear(w.checks.acknowledgedAt)
 }
 
-// checkSingleLeader checks that at most one member decides at any moment of real time, within an
-// epoch and beyond it.
+// checkSingleLeader checks that at most one running control daemon holds a lease at any moment of virtual time, across all
+// epochs.
 func (w *World) checkSingleLeader(p *Process) {
 	if !p.controller.HoldsLease(p.localTime()) {
 		return
@@ -108,51 +109,51 @@
 	for _, name := range w.processes.names {
 		other := w.process(name)
 		if other != p && other.controller != nil && other.alive && other.controller.HoldsLease(other.localTime()) {
-			w.violated(ruleSingleLeader, "%s and %s both decide", p.name, other.name)
+			w.violated(ruleSingleLeader, "%s and %s both hold a lease", p.name, other.name)
 		}
 	}
 }
 
-// checkRevisionNeverDecreases checks a proxy's revision.
+// checkRevisionNeverDecreases checks that a proxy's revision is not lower than before.
 func (w *World) checkRevisionNeverDecreases(p *Process) {
 	revision := p.proxy.Revision()
 	if revision < p.highestRevision {
-		w.violated(ruleRevisionOrder, "%s went from revision %d to %d", p.name, p.highestRevision, revision)
+		w.violated(ruleRevisionOrder, "%s went back from revision %d to %d", p.name, p.highestRevision, revision)
 		return
 	}
 	p.highestRevision = revision
 }
 
-// checkChoice checks that a proxy may forward a request to the target that it has chosen now.
+// checkChoice checks that a proxy may forward a request to the target that it has just chosen.
 func (w *World) checkChoice(a *attempt) {
 	revision, target := a.process.proxy.Revision(), &a.command.Target
 	if revision < w.checks.acknowledged {
-		w.violated(ruleConfigurationInForce, "%s serves on revision %d, %d was acknowledged", a.process.name, revision, w.checks.acknowledged)
+		w.violated(ruleConfigurationInForce, "%s serves with revision %d, but revision %d was acknowledged", a.process.name, revision, w.checks.acknowledged)
 	}
 	if at, emptied := w.checks.emptiedAt[target.Domain]; emptied && w.now > at {
-		w.violated(ruleEmptiedDomain, "%s gives an exchange to %s/%s in %s, emptied %v ago", a.process.name, target.Service, target.Name, target.Domain, w.now-at)
+		w.violated(ruleEmptiedDomain, "%s forwards a request to %s/%s in domain %s, which was emptied %v ago", a.process.name, target.Service, target.Name, target.Domain, w.now-at)
 	}
 	a.request.revision = revision
 	w.checkTarget(a)
 }
 
-// checkWrite checks the same once more when the first byte goes out, which a frozen process
-// does late. A choice that was right may be carried out for its short time to live.
+// checkWrite repeats the checks when the first byte of a request is written, which a frozen process does late. A choice that was
+// valid may be used for tuning.ChoiceTTL.
 func (w *World) checkWrite(a *attempt) {
-	timeToLive := tuning.ChoiceTTL * 21 / 20 // as the slowest clock counts it
+	timeToLive := tuning.ChoiceTTL * 21 / 20 // 5 % longer, for slow clocks
 	for revision, at := range w.checks.acknowledgedAt {
 		if revision > a.request.revision && w.now-at > timeToLive {
-			w.violated(ruleConfigurationInForce, "%s writes what it chose on revision %d, %d was acknowledged %v ago", a.process.name, a.request.revision, revision, w.now-at)
+			w.violated(ruleConfigurationInForce, "%s writes a request with a target chosen at revision %d, but revision %d was acknowledged %v ago", a.process.name, a.request.revision, revision, w.now-at)
 		}
 	}
 	target := &a.command.Target
 	if at, emptied := w.checks.emptiedAt[target.Domain]; emptied && w.now-at > timeToLive {
-		w.violated(ruleEmptiedDomain, "%s writes to %s/%s in %s, emptied %v ago", a.process.name, target.Service, target.Name, target.Domain, w.now-at)
+		w.violated(ruleEmptiedDomain, "%s writes a request to %s/%s in domain %s, which was emptied %v ago", a.process.name, target.Service, target.Name, target.Domain, w.now-at)
 	}
 	w.checkTarget(a)
 }
 
-// checkTarget checks that the target has not been leaving or dead for too long.
+// checkTarget checks that the target has not been leaving or crashed for longer than the bounds allow.
 func (w *World) checkTarget(attempt *attempt) {
 	id := attempt.command.Target.ID()
 	for _, t := range w.targets.all {
@@ -163,7 +164,7 @@
 			elapsed := w.now - t.drainAcknowledgedAt
 			w.Stats.LatestToDraining = max(w.Stats.LatestToDraining, elapsed)
 			if elapsed > drainingBound {
-				w.violated(ruleDrainingTarget, "%s (%s) gives an exchange to %s, leaving for %v", attempt.process.name, attempt.process.proxy.State(), t.fullName(), elapsed)
+				w.violated(ruleDrainingTarget, "%s (%s) sends a request to %s, which has been leaving for %v", attempt.process.name, attempt.process.proxy.State(), t.fullName(), elapsed)
 			}
 		}
 		if !t.alive && t.crashedAt > 0 {
@@ -174,28 +175,28 @@
 				bound = crashedAfterLeaderLossBound
 			}
 			if elapsed > bound {
-				w.violated(ruleCrashedTarget, "%s (%s) gives an exchange to %s, gone for %v", attempt.process.name, attempt.process.proxy.State(), t.fullName(), elapsed)
+				w.violated(ruleCrashedTarget, "%s (%s) sends a request to %s, which crashed %v ago", attempt.process.name, attempt.process.proxy.State(), t.fullName(), elapsed)
 			}
 		}
 	}
 }
 
-// checkExecution checks a request that a target begins to run.
+// checkExecution checks a request when a target starts to run it.
 func (w *World) checkExecution(t *Target, r *request) {
 	r.executions++
 	if r.nonIdempotent && r.executions > 1 {
-		w.violated(ruleAtMostOnce, "exchange %d at %s", r.id, t.fullName())
+		w.violated(ruleAtMostOnce, "non-idempotent request %d runs again, at %s", r.id, t.fullName())
 	}
 	if r.outcome == outcomeRejected {
-		w.violated(ruleRejectedRequest, "exchange %d runs after its refusal", r.id)
+		w.violated(ruleRejectedRequest, "request %d runs after it was rejected", r.id)
 	}
 	if t.state == wire.TargetWarming {
 		w.checkWarmingConcurrency(t)
 	}
 }
 
-// checkWarmingConcurrency checks a warming target that gets one request more. Requests that a dead proxy left
-// behind, or whose callers have their responses, don't count.
+// checkWarmingConcurrency checks the number of concurrent requests at a warming target that gets another request. It doesn't
+// count requests of earlier incarnations of a proxy and requests that have ended for their callers.
 func (w *World) checkWarmingConcurrency(t *Target) {
 	count := 1
 	for _, r := range t.inFlight {
@@ -205,11 +206,11 @@
 	}
 	w.Stats.MostWhileWarming = max(w.Stats.MostWhileWarming, count)
 	if count > warmingConcurrency {
-		w.violated(ruleWarmingConcurrency, "%s has %d exchanges, bears %d", t.fullName(), count, warmingConcurrency)
+		w.violated(ruleWarmingConcurrency, "warming target %s has %d concurrent requests, allowed are %d", t.fullName(), count, warmingConcurrency)
 	}
 }
 
-// checkWarmupRate checks that in any second a target that warms up gets no more than half over its rate and five.
+// checkWarmupRate checks that in any second a target that warms up gets no more than 1.5 times its rate plus 5 requests.
 func (w *World) checkWarmupRate(t *Target) {
 	if t.warmingUntil <= w.now || t.acknowledgedWarmingUntil != t.warmingUntil || w.now < t.warmupEnforcedFrom {
 		t.recentArrivals = nil
@@ -218,11 +219,12 @@
 	w.Stats.WarmupArrivals++
 	t.recentArrivals = append(slices.DeleteFunc(t.recentArrivals, func(at time.Duration) bool { return w.now-at >= time.Second }), w.now)
 	if most := w.Plan.WarmupRate*1.5 + 5; float64(len(t.recentArrivals)) > most {
-		w.violated(ruleWarmupRate, "%s got %d exchanges in a second, bears %v", t.fullName(), len(t.recentArrivals), w.Plan.WarmupRate)
+		w.violated(ruleWarmupRate, "target %s got %d requests within a second, its warm-up rate is %v", t.fullName(), len(t.recentArrivals), w.Plan.WarmupRate)
 	}
 }
 
-// CheckRetryBudget checks that retries stay within a fifth of the traffic of any 10 s, plus the allowance.
+// CheckRetryBudget checks that the retries in any window of tuning.RetryWindow stay within the budget: a fifth of the attempts,
+// plus a fixed number of free retries.
 func (w *World) CheckRetryBudget() {
 	for _, service := range slices.Sorted(maps.Keys(w.callers.attempts)) {
 		w.checkRetryBudgetOf(service, w.callers.attempts[service])
@@ -231,7 +233,7 @@
 
 func (w *World) checkRetryBudgetOf(service string, attempts []attemptRecord) {
 	free := max(tuning.RetryFree, w.Plan.Proxies)
-	oldest, retries, traffic := 0, 0, 0 // of the window that ends with an attempt
+	oldest, retries, traffic := 0, 0, 0 // counts for the window that ends with the latest attempt
 	for _, latest := range attempts {
 		traffic++
 		if latest.retry {
@@ -245,30 +247,30 @@
 			oldest++
 		}
 		if retries > traffic/tuning.RetryShare+free+2 {
-			w.violated(ruleRetryBudget, "%s: %d retries among %d sends in 10 s", service, retries, traffic)
+			w.violated(ruleRetryBudget, "service %s: %d retries among %d attempts in 10 s", service, retries, traffic)
 		}
 	}
 }
 
-// checkOneChangePerBase checks a configuration that was accepted against those accepted before on its base.
+// checkOneChangePerBase checks an accepted configuration change against those accepted before on the same base. Only the same
+// document with the same resulting revision may be accepted again.
 func (w *World) checkOneChangePerBase(c *change) {
 	for _, other := range w.operators.changes {
 		sameBase := other != c && other.kind == changeConfig && other.state == changeAccepted && other.base == c.base
 		if sameBase && (other.document != c.document || other.revision != c.revision) {
-			w.violated(ruleOneChangePerBase, "%s and %s were both accepted on %d", other.token, c.token, c.base)
+			w.violated(ruleOneChangePerBase, "changes %s and %s were both accepted on base revision %d", other.token, c.token, c.base)
 		}
 	}
 }
 
-// CheckAcknowledgedChanges checks that what was acknowledged is still agreed by the member that leads,
-// and that what was rejected never took effect.
+// CheckAcknowledgedChanges checks that the leader still has all acknowledged changes and that no rejected change took effect.
 func (w *World) CheckAcknowledgedChanges() {
 	leader := w.Leader()
 	if leader == nil {
 		return
 	}
 	if revision := leader.controller.Revision(); revision < w.checks.acknowledged {
-		w.violated(ruleDurability, "revision %d was acknowledged, the leader has %d", w.checks.acknowledged, revision)
+		w.violated(ruleDurability, "revision %d was acknowledged, but the leader has revision %d", w.checks.acknowledged, revision)
 	}
 	records := map[string]state.Record{}
 	for _, record := range leader.controller.ChangeRecords() {
@@ -280,19 +282,19 @@
 			continue
 		}
 		if c.state == changeRejected && record.Outcome == state.OutcomeAccepted {
-			w.violated(ruleRejectedChange, "%s", c.token)
+			w.violated(ruleRejectedChange, "change %s was rejected but is recorded as accepted", c.token)
 		}
 		if c.state == changeAccepted && record.Outcome != state.OutcomeAccepted {
-			w.violated(ruleAcceptedChange, "%s", c.token)
+			w.violated(ruleAcceptedChange, "change %s was accepted but is recorded as %v", c.token, record.Outcome)
 		}
 	}
 }
 
-// checkNothingInFlight checks that proxies count no requests when there are none.
+// checkNothingInFlight checks that no proxy counts requests in flight once all requests have ended.
 func (w *World) checkNothingInFlight() {
 	for _, name := range w.processes.names {
 		if p := w.process(name); w.Failure == "" && p.proxy != nil && p.alive && p.proxy.State() == dataplane.Leased && p.proxy.InFlight() > 0 {
-			w.violated(ruleInFlightCount, "%s still counts %d in flight", name, p.proxy.InFlight())
+			w.violated(ruleInFlightCount, "%s still counts %d requests in flight", name, p.proxy.InFlight())
 		}
 	}
 }
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -8,90 +8,89 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Scene is a run of its own for a rule: it brings about the faults that threaten the rule, counts how often they came
-// about, and names a guard that, once disabled, makes the rule's check fail.
+// Scene is a run for a rule. It injects faults that threaten the rule, counts how often the dangerous situation occurred, and names
+// a guard that must be disabled to make the rule's check fail.
 type Scene struct {
 	Name        string
-	Rules       []Rule   // the rules of which one shows it if the guard is disabled
-	Threat      string   // what happens, for mfsim --rules
-	Faults      []string // faults that are injected
-	Repeats     int      // how often each of them is
-	AdjustPlan  func(*Plan)
-	Script      func(w *World) // runs in place of the faults
-	Planned     bool           // only planned work is done: no request may be lost
-	Occurrences func(s *Stats) int
-	// DisabledGuard is the guard without which the scene breaks a rule.
+	Rules       []Rule             // one of these is broken if the guard is disabled
+	Threat      string             // description of the situation, for mfsim --rules
+	Faults      []string           // names of the faults to inject
+	Repeats     int                // number of times that each of them is injected
+	AdjustPlan  func(*Plan)        // changes the plan for the scene; nil: no change
+	Script      func(w *World)     // runs instead of the faults; nil: the faults are injected
+	Planned     bool               // the scene has only planned work, so no request may be lost
+	Occurrences func(s *Stats) int // returns how often the dangerous situation occurred
+	// DisabledGuard is the guard without which the scene breaks one of the rules.
 	DisabledGuard Guard
 }
 
-// Scenes are all of them; what only HTTP can show (altered, wrong and incomplete responses)
-// is caused in package reverseproxy.
+// Scenes lists all scenes. Faults that need HTTP (altered, wrong and incomplete responses) are tested in package reverseproxy.
 var Scenes = []Scene{
-	{Name: "twice", Rules: []Rule{ruleAtMostOnce}, Threat: "back ends run an exchange and lose its answer, proxies die with it",
+	{Name: "twice", Rules: []Rule{ruleAtMostOnce}, Threat: "targets run a request and lose its response, proxies are killed with requests in flight",
 		Faults: []string{"service loses answers", "target loses answers", "gate killed"}, Repeats: 2,
 		Occurrences: func(s *Stats) int { return s.LostNonIdempotent }, DisabledGuard: guardAtMostOnce},
-	{Name: "surplus", Rules: []Rule{ruleOwnResponse}, Threat: "targets send answers that nobody waits for, connections are reset and callers leave",
+	{Name: "surplus", Rules: []Rule{ruleOwnResponse}, Threat: "targets send responses that no request waits for, connections are reset and callers cancel",
 		Faults: []string{"targets send surplus answers", "connections reset", "callers leave", "service loses answers"}, Repeats: 2, AdjustPlan: func(p *Plan) { p.Rate = 250 },
 		Occurrences: func(s *Stats) int { return min(s.SurplusResponses, s.MismatchedResponses, s.ResetAttempts, s.Canceled) }, DisabledGuard: guardResponseIDs},
-	{Name: "reset", Rules: []Rule{ruleAtMostOnce}, Threat: "connections are reset and surplus answers come while requests that may run once are at their targets",
+	{Name: "reset", Rules: []Rule{ruleAtMostOnce}, Threat: "connections are reset and surplus responses arrive while non-idempotent requests are at their targets",
 		Faults: []string{"connections reset", "targets send surplus answers"}, Repeats: 3, AdjustPlan: func(p *Plan) { p.Rate, p.NonIdempotent = 250, 0.7 },
 		Occurrences: func(s *Stats) int { return min(s.ResetAttempts, s.MismatchedResponses) }, DisabledGuard: guardAtMostOnce},
-	{Name: "refused", Rules: []Rule{ruleRejectedRequest}, Threat: "refusals after a try, when answers are lost and targets hang",
+	{Name: "refused", Rules: []Rule{ruleRejectedRequest}, Threat: "requests are rejected after an attempt, when responses are lost and targets hang",
 		Faults: []string{"service loses answers", "target hangs", "service slow"}, Repeats: 2, AdjustPlan: func(p *Plan) { p.Rate = 700 },
 		Occurrences: func(s *Stats) int { return min(s.Rejected, s.LostResponses) }, DisabledGuard: guardUnknownAfterSend},
-	{Name: "wrong-service", Rules: []Rule{ruleRightService}, Threat: "addresses go to another service while proxies are cut off",
+	{Name: "wrong-service", Rules: []Rule{ruleRightService}, Threat: "addresses are reassigned to another service while proxies are isolated",
 		Faults: []string{"address handed over", "address handed over", "service removed, its addresses handed over"}, Repeats: 3,
 		AdjustPlan:  func(p *Plan) { p.Rate = 250 },
 		Occurrences: func(s *Stats) int { return s.WrongIdentities }, DisabledGuard: guardIdentity},
-	{Name: "leaving", Rules: []Rule{ruleDrainingTarget}, Threat: "targets leave while leaders die and proxies are cut off",
+	{Name: "leaving", Rules: []Rule{ruleDrainingTarget}, Threat: "targets leave while leaders are killed and proxies are isolated",
 		Faults: []string{"target leaves", "leader killed", "gate isolated", "gate frozen with work in hand"}, Repeats: 2,
 		Occurrences: func(s *Stats) int { return s.Drains }, DisabledGuard: guardDraining},
-	{Name: "gone", Rules: []Rule{ruleCrashedTarget}, Threat: "targets die without a word, also with their leader",
+	{Name: "gone", Rules: []Rule{ruleCrashedTarget}, Threat: "targets crash without notice, also together with the leader",
 		Faults: []string{"target vanishes", "target crash", "leader killed", "late words"}, Repeats: 2,
 		Occurrences: func(s *Stats) int { return s.TargetCrashes }, DisabledGuard: guardHealthChecks},
-	{Name: "emptied", Rules: []Rule{ruleEmptiedDomain}, Threat: "a domain is emptied while proxies are cut off, frozen and led anew",
+	{Name: "emptied", Rules: []Rule{ruleEmptiedDomain}, Threat: "a domain is emptied while proxies are isolated, frozen and get a new leader",
 		Faults: []string{"domain emptied and restored", "gate isolated", "gate frozen with work in hand", "leader killed"}, Repeats: 2,
 		Occurrences: func(s *Stats) int { return s.EmptiedDomains }, DisabledGuard: guardEmptiedDomains},
-	{Name: "in-force", Rules: []Rule{ruleConfigurationInForce}, Threat: "configurations change while proxies are cut off, frozen and orphaned",
+	{Name: "in-force", Rules: []Rule{ruleConfigurationInForce}, Threat: "configurations change while proxies are isolated, frozen and lose their leader",
 		Faults: []string{"config", "config patch", "gate isolated", "gate frozen", "leader isolated"}, Repeats: 2,
 		Occurrences: func(s *Stats) int { return s.AcceptedChanges }, DisabledGuard: guardReplyInForce},
-	{Name: "slip", Rules: []Rule{ruleRevisionOrder}, Threat: "messages of earlier tables and leaders come late",
+	{Name: "slip", Rules: []Rule{ruleRevisionOrder}, Threat: "messages with earlier tables and of earlier leaders arrive late",
 		Faults: []string{"net loses and delays", "config", "leader killed"}, Repeats: 3,
 		Occurrences: func(s *Stats) int { return min(s.AcceptedChanges, s.ReorderedMessages) }, DisabledGuard: guardTableVersions},
-	{Name: "one-base", Rules: []Rule{ruleOneChangePerBase}, Threat: "two changes are built on one revision; invalid ones come between",
+	{Name: "one-base", Rules: []Rule{ruleOneChangePerBase}, Threat: "two changes are based on the same revision, with invalid changes in between",
 		Faults: []string{"config pair", "config pair", "config invalid", "config rolled back"}, Repeats: 3,
 		Occurrences: func(s *Stats) int { return s.RejectedChanges }, DisabledGuard: guardBaseRevision},
-	{Name: "forgotten", Rules: []Rule{ruleDurability, ruleConfigurationInForce, ruleRevisionOrder}, Threat: "power goes and disks are lost just after an acknowledgement",
+	{Name: "forgotten", Rules: []Rule{ruleDurability, ruleConfigurationInForce, ruleRevisionOrder}, Threat: "power fails and daemons are killed just after an acknowledgement",
 		Faults: []string{"power fails everywhere", "core herd killed", "config and leader killed"}, Repeats: 2,
 		Occurrences: func(s *Stats) int { return s.AcceptedChanges }, DisabledGuard: guardSync},
-	{Name: "warming", Rules: []Rule{ruleWarmingConcurrency}, Threat: "a whole service comes back cold under its full load, proxies come and go",
+	{Name: "warming", Rules: []Rule{ruleWarmingConcurrency}, Threat: "a whole service restarts and warms up under full load, proxies are added, removed and killed",
 		Faults: []string{"config", "service comes back cold", "gate added, another gone for good", "gate killed"}, Repeats: 2, AdjustPlan: func(p *Plan) { p.Rate = 300 },
 		Occurrences: func(s *Stats) int { return s.MostWhileWarming }, DisabledGuard: guardWarmingConcurrency},
-	{Name: "cold", Rules: []Rule{ruleWarmupRate}, Threat: "a whole service comes back cold on routes under load, proxies come and go and orphan",
+	{Name: "cold", Rules: []Rule{ruleWarmupRate}, Threat: "a whole service with routes restarts and warms up under load, proxies are added, removed, killed and isolated",
 		Faults: []string{"config", "service comes back cold", "target turns cold", "domain emptied and restored", "gate added, another gone for good", "gate killed", "gate isolated"}, Repeats: 2,
 		AdjustPlan:  func(p *Plan) { p.Rate, p.Slots, p.WarmupRate = 300, 6, 8 },
 		Occurrences: func(s *Stats) int { return s.WarmupArrivals }, DisabledGuard: guardWarmupReport},
-	{Name: "slots", Rules: []Rule{ruleAtMostOnce}, Threat: "targets of few slots turn exchanges away and lose answers under load",
+	{Name: "slots", Rules: []Rule{ruleAtMostOnce}, Threat: "targets with few slots reject requests and lose responses under load",
 		Faults: []string{"service loses answers", "target loses answers", "service slow", "gate killed"}, Repeats: 2,
 		AdjustPlan:  func(p *Plan) { p.Rate, p.Slots = 500, 3 },
 		Occurrences: func(s *Stats) int { return min(s.TargetRejections, s.LostNonIdempotent) }, DisabledGuard: guardAtMostOnce},
-	{Name: "retries", Rules: []Rule{ruleRetryBudget}, Threat: "a service loses all answers to exchanges that may be sent again",
+	{Name: "retries", Rules: []Rule{ruleRetryBudget}, Threat: "a service loses all responses to idempotent requests",
 		Faults: []string{"service loses answers"}, Repeats: 3, AdjustPlan: func(p *Plan) { p.NonIdempotent, p.Rate = 0, 300 },
 		Occurrences: func(s *Stats) int { return s.Retries }, DisabledGuard: guardRetryBudget},
-	{Name: "in-flight", Rules: []Rule{ruleGracefulStop}, Threat: "proxies, leaders, members, targets, configurations and domains change by plan under load",
+	{Name: "in-flight", Rules: []Rule{ruleGracefulStop}, Threat: "planned changes of proxies, leaders, members, targets, configurations and domains under load",
 		Faults: []string{"gate restarted", "service rolled", "leader stopped", "config", "config patch", "domain emptied and restored", "member swapped", "policy replaced"}, Repeats: 1,
 		Planned: true, Occurrences: func(s *Stats) int { return s.GracefulStops }, DisabledGuard: guardGracefulStop},
-	{Name: "back", Rules: []Rule{ruleRecoveryTime}, Threat: "everything is lost at once and one core machine never returns",
+	{Name: "back", Rules: []Rule{ruleRecoveryTime}, Threat: "all daemons and their disks are lost at once, and one control daemon never returns",
 		Script: (*World).loseEverything, Occurrences: func(*Stats) int { return 1 }, DisabledGuard: guardBootstrapHellos},
-	{Name: "one-leader", Rules: []Rule{ruleSingleLeader}, Threat: "leaders freeze, are isolated, stall and hand over",
+	{Name: "one-leader", Rules: []Rule{ruleSingleLeader}, Threat: "leaders are frozen, isolated, stalled and transfer leadership",
 		Faults: []string{"leader frozen", "leader isolated", "core split", "leader's disk stalls", "leader stopped"}, Repeats: 2,
 		Occurrences: func(s *Stats) int { return s.Steps }, DisabledGuard: guardClockRate},
 }
 
-// sceneSpan is the time over which a scene's faults begin.
+// sceneSpan is the time span in which a scene's faults begin.
 const sceneSpan = 25 * time.Second
 
-// Run runs a scene by seed, with its guard disabled if asked to.
+// Run runs the scene with a seed. withoutGuard disables its guard.
 func (s *Scene) Run(seed uint64, plan Plan, withoutGuard bool) *World {
 	if s.AdjustPlan != nil {
 		s.AdjustPlan(&plan)
@@ -116,13 +115,13 @@
 	})
 }
 
-// faults are the scene's faults, each as often as it is injected.
+// faults returns the scene's faults, each Repeats times.
 func (s *Scene) faults() (faults []Fault) {
 	for range s.Repeats {
 		for _, name := range s.Faults {
 			f, found := FaultByName(name)
 			if !found {
-				panic("no kind " + name)
+				panic("scene " + s.Name + ": unknown fault " + name)
 			}
 			faults = append(faults, f)
 		}
@@ -130,7 +129,7 @@
 	return faults
 }
 
-// redrawClockRates gives the clocks of all processes another speed from now on.
+// redrawClockRates sets new random rates for the clocks of all processes from now on.
 func (w *World) redrawClockRates() {
 	for _, p := range w.fleet() {
 		p.clockOffset, p.startedAt = p.localTime(), w.now
@@ -138,13 +137,13 @@
 	}
 }
 
-// ShownBy says whether a world failed by one of the scene's rules.
+// ShownBy reports whether a world broke one of the scene's rules.
 func (s *Scene) ShownBy(w *World) bool {
 	rule, _, _ := strings.Cut(w.Failure, ":")
 	return w.Failure != "" && slices.Contains(s.Rules, Rule(rule))
 }
 
-// RuleNames are the scene's rules as mfsim prints them.
+// RuleNames returns the names of the scene's rules as mfsim prints them.
 func (s *Scene) RuleNames() string {
 	var names []string
 	for _, rule := range s.Rules {
--- a/internal/verification/simulator/scheduler.go
+++ b/internal/verification/simulator/scheduler.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// scheduler holds virtual time, the events to come, and the run's only source of chance.
+// scheduler holds the virtual time, the queue of future events, and the run's only source of randomness.
 type scheduler struct {
 	now       time.Duration // virtual time since the machines were switched on
 	queue     events
-	scheduled uint64 // events scheduled so far
+	scheduled uint64 // number of events scheduled so far
 	random    *rand.Rand
 }
 
-// streamOfSeeds is the second half of each random source's seed, the same for all runs.
-const streamOfSeeds = 0x6d79727465
+// randomStream is the second half of the random generator's seed, the same for all runs.
+const randomStream = 0x6d79727465
 
 func newScheduler(seed uint64) scheduler {
-	return scheduler{random: rand.New(rand.NewPCG(seed, streamOfSeeds))}
+	return scheduler{random: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
-// schedule has a function run after a delay. Of functions that are due at one moment, the one that was
-// scheduled first runs first.
+// schedule schedules a function to run after a delay. Functions that are due at the same time run in the order in which they
+// were scheduled.
 func (s *scheduler) schedule(delay time.Duration, run func()) {
 	s.scheduled++
 	heap.Push(&s.queue, event{s.now + delay, s.scheduled, run})
 }
 
-// randomMilliseconds draws a duration between two numbers of milliseconds.
+// randomMilliseconds returns a random duration from low to high milliseconds, inclusive.
 func (s *scheduler) randomMilliseconds(low, high int) time.Duration {
 	return time.Duration(low)*time.Millisecond + time.Duration(s.random.Int64N(int64(high-low)*int64(time.Millisecond)+1))
 }
 
-// event is a function that is to run at a moment of virtual time.
+// event is a function that runs at a given virtual time.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
 }
 
-// events is a heap with the earliest event on top, for package container/heap.
+// events is a min-heap by time, for package container/heap.
 type events []event
 
 // Len returns the number of events.
 func (e events) Len() int { return len(e) }
 
-// Less says whether event i comes before event j.
+// Less reports whether event i comes before event j.
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 
-// Swap exchanges two events.
+// Swap swaps two events.
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push appends an event.
@@ -65,7 +65,7 @@
 	return popped
 }
 
-// Run moves virtual time on until a moment, or until a rule is broken; it says whether all rules hold.
+// Run advances virtual time to until, or to the first violation of a rule. It reports whether all rules hold.
 func (w *World) Run(until time.Duration) bool {
 	for len(w.queue) > 0 && w.queue[0].at <= until && w.Failure == "" {
 		next := heap.Pop(&w.queue).(event)
--- a/internal/verification/simulator/slow_process.go
+++ b/internal/verification/simulator/slow_process.go
@@ -6,11 +6,11 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// slowProcessorShare is the part of a processor that a machine has in the users' deployments: what a
-// slowed process takes for an event is eventCost over it, times its slowdown.
+// slowProcessorShare is the fraction of a processor that a machine has in the users' deployments. A slow process takes
+// eventCost / slowProcessorShare, times its slowdown, for an event.
 const slowProcessorShare = 0.32
 
-// slowProcess has a process take so many times as long for everything, for a while.
+// slowProcess makes everything that a process does take times as long for a while.
 func (w *World) slowProcess(p *Process, times float64, span time.Duration) {
 	w.logf("%s is %v times slower for %v", p.name, times, span)
 	p.slowdown = times
@@ -22,8 +22,8 @@
 	})
 }
 
-// delayedBySlowness says whether a process still has to handle what came before; the event then waits its
-// turn. Where the processors of all are limited, useProcessor counts a process's slowdown instead.
+// delayedBySlowness schedules an event behind the backlog of a slow process and reports whether it did. It does nothing if the
+// process has neither a slowdown nor a backlog, or if the plan limits processors: useProcessor applies the slowdown then.
 func (w *World) delayedBySlowness(p *Process, event statemachine.Event) bool {
 	if w.Plan.Resources != nil || p.slowdown == 0 && p.backlogUntil <= w.now {
 		return false
--- a/internal/verification/simulator/target.go
+++ b/internal/verification/simulator/target.go
@@ -10,65 +10,64 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// targets are the back ends of the fleet.
+// targets holds the targets of the fleet.
 type targets struct {
-	all       []*Target          // also those that have ended
-	listening map[string]*Target // by address
-	started   uint64             // targets started so far
-	// removingService: an operator takes a service away and brings it back, one at a time.
+	all       []*Target          // all targets, including those that have ended
+	listening map[string]*Target // running targets by address
+	started   uint64             // number of targets started so far
+	// removingService means that an operator is removing a service and will add it again; only one at a time does.
 	removingService bool
 }
 
 func newTargets() targets { return targets{listening: map[string]*Target{}} }
 
-// Target is one start of a back end; a restart is another Target.
+// Target is one incarnation of a target. A restart creates another Target.
 type Target struct {
 	service, name, domain, address string
 	incarnation                    uint64
 	alive                          bool
 	state                          wire.TargetState
-	drainAcknowledgedAt            time.Duration // when a daemon first acknowledged that it is leaving, 0: none has
+	drainAcknowledgedAt            time.Duration // when a daemon first acknowledged that it is leaving; 0: none has
 	crashedAt                      time.Duration
 
-	// What it reports.
-	numbered          bool   // its reports go by PUT and are numbered
-	lastNumber        uint64 // of its last report
+	// Reports.
+	numbered          bool   // it sends numbered reports by PUT
+	lastNumber        uint64 // number of its last report
 	withoutHeartbeats bool   // it sends no heartbeats, but serves and answers health checks
 
-	// How it serves.
+	// Service.
 	serviceTime, usualServiceTime time.Duration
 	inFlight                      []*request
-	resetsWhenFull                bool // when full it resets connections and sends no response
+	resetsWhenFull                bool // when full it resets connections instead of responding
 
 	// Faults.
-	hanging             bool // it neither answers nor sends anything
+	hanging             bool // it sends nothing, including responses
 	losesResponses      bool
-	sendsSurplus        bool // it sends responses that nobody waits for
-	fails               bool // it answers with server errors
-	ignoresHealthChecks bool // but sends heartbeats and serves
+	sendsSurplus        bool // it sends responses that belong to no request
+	fails               bool // it responds with server errors
+	ignoresHealthChecks bool // it doesn't respond to health checks, but serves and sends heartbeats
 
-	// Its warm-up.
+	// Warm-up.
 	warmingUntil             time.Duration
-	acknowledgedWarmingUntil time.Duration   // the end that a daemon has acknowledged
-	warmupEnforcedFrom       time.Duration   // when all must keep to it
-	recentArrivals           []time.Duration // while it is warming up, of the last second
+	acknowledgedWarmingUntil time.Duration   // end of the warm-up that a daemon has acknowledged
+	warmupEnforcedFrom       time.Duration   // from when on the warm-up rate is checked
+	recentArrivals           []time.Duration // arrival times of requests in the last second of the warm-up
 }
 
-// DefaultSlots is how many requests at once targets with numbered reports say that they work on, where the
-// plan gives none.
+// DefaultSlots is the number of slots that targets with numbered reports report if the plan has none.
 const DefaultSlots = 16
 
 const (
-	// warmupTime is how long a target warms up after a start during traffic, where the plan has a warm-up rate.
+	// warmupTime is how long a target warms up after a start during traffic, if the plan has a warm-up rate.
 	warmupTime = 3 * time.Second
-	// warmupEnforcedAfter is how long after a target's report was acknowledged its warm-up rate must hold
-	// everywhere: the bound for whatever is reported of a target.
+	// warmupEnforcedAfter is the maximum time from the acknowledgement of a target's report until all proxies respect its
+	// warm-up rate. It is the same bound as for everything else that targets report.
 	warmupEnforcedAfter = 2 * time.Second
-	// warmingConcurrency is how many requests at once a target in state warming bears, from all proxies together.
+	// warmingConcurrency is the maximum number of concurrent requests at a target in state warming, from all proxies together.
 	warmingConcurrency = 6
-	// targetQueueLength is how many requests wait at a target that works on as many as it has slots.
+	// targetQueueLength is the number of requests that a target queues when all its slots are in use.
 	targetQueueLength = 2
-	// drainTime is how long a target goes on serving at least once its draining is acknowledged.
+	// drainTime is the minimum time that a target continues to serve after its draining was acknowledged.
 	drainTime = 2500 * time.Millisecond
 )
 
@@ -78,10 +77,10 @@
 	return wire.TargetID{Service: t.service, Name: t.name, Incarnation: t.incarnation}
 }
 
-// takesRequests says whether a target lives and is not leaving.
+// takesRequests reports whether a target is running and not leaving.
 func (t *Target) takesRequests() bool { return t.alive && t.state != wire.TargetLeaving }
 
-// AddTarget starts a back end, which is in state warming for that long; 0: it is ready.
+// AddTarget starts a target and returns it. The target is in state warming for the given time; with 0 it is ready at once.
 func (w *World) AddTarget(service, name, domain, address string, warming time.Duration) *Target {
 	w.targets.started++
 	t := &Target{service: service, name: name, domain: domain, address: address, incarnation: w.targets.started + uint64(w.random.IntN(1000))*100000, alive: true,
@@ -90,7 +89,7 @@
 	t.numbered = w.targets.started%3 != 0
 	if w.Plan.WarmupRate > 0 && w.now > warmupTime {
 		t.warmingUntil = w.now + warmupTime
-		t.acknowledgedWarmingUntil = t.warmingUntil // a start warms up for its service's time, whoever has its report
+		t.acknowledgedWarmingUntil = t.warmingUntil // the configured warm-up applies from the start, without an acknowledged report
 	}
 	t.resetsWhenFull = w.targets.started%5 == 0
 	if warming > 0 && w.Plan.WarmupRate == 0 {
@@ -107,17 +106,17 @@
 	return t
 }
 
-// restartTarget starts a crashed back end again after a while, unless another has its address by then.
+// restartTarget starts a crashed target again after a while, unless another target has its address by then.
 func (w *World) restartTarget(t *Target, after, warming time.Duration) {
 	w.schedule(after, func() {
 		if w.targets.listening[t.address] == nil {
-			w.logf("start %s again", t.fullName())
+			w.logf("restart %s", t.fullName())
 			w.AddTarget(t.service, t.name, t.domain, t.address, warming)
 		}
 	})
 }
 
-// CrashTarget ends a back end that reports nothing of it.
+// CrashTarget ends a target without notice.
 func (w *World) CrashTarget(t *Target) {
 	if !t.alive {
 		return
@@ -130,7 +129,7 @@
 	}
 }
 
-// DrainTarget has a back end report that it is leaving, finish its requests, sign off and end; then runs after.
+// DrainTarget lets a target report that it is leaving, complete its requests, deregister and end. Then it calls after.
 func (w *World) DrainTarget(t *Target, after func()) {
 	t.state = wire.TargetLeaving
 	w.reportNow(t)
@@ -153,13 +152,13 @@
 	w.schedule(3*time.Second, end)
 }
 
-// warmUpAgain has a back end report that it warms up anew, for twice the usual time.
+// warmUpAgain lets a target report another warm-up, of twice the usual time.
 func (w *World) warmUpAgain(t *Target) {
 	t.warmingUntil = w.now + 2*warmupTime
 	w.reportNow(t)
 }
 
-// pickTarget draws a target that takes requests; nil: there is none.
+// pickTarget returns a random target that takes requests, or nil if there is none.
 func (w *World) pickTarget() *Target {
 	var candidates []*Target
 	for _, t := range w.targets.all {
@@ -173,8 +172,8 @@
 	return candidates[w.random.IntN(len(candidates))]
 }
 
-// usableTargets counts the targets of a service that can serve. Faults spare a service's last ones: what must
-// never happen is still checked then, but the day has to leave something to serve.
+// usableTargets returns the number of targets of a service that can serve. Faults leave the last targets of a service alone:
+// the safety rules would be checked without them too, but the run must be able to serve requests.
 func (w *World) usableTargets(service string) int {
 	count := 0
 	for _, t := range w.targets.all {
@@ -185,7 +184,7 @@
 	return count
 }
 
-// startHealthCheck carries out a daemon's command to check a target's health.
+// startHealthCheck executes a daemon's command to check a target's health.
 func (w *World) startHealthCheck(p *Process, c statemachine.Probe) {
 	if p.kind == wire.ProxyDaemon {
 		w.Stats.ProxyHealthChecks++
@@ -196,7 +195,8 @@
 	w.checkHealth(p, c)
 }
 
-// checkHealth lets a health check end with what the target at its address answers, if there is one.
+// checkHealth delivers the result of a health check: the report of the target at the address, or a failure if it doesn't
+// respond or there is none.
 func (w *World) checkHealth(process *Process, command statemachine.Probe) {
 	incarnation, sentAt := process.incarnation, process.localTime()
 	finish := func(delay time.Duration, report *config.TargetReport) {
@@ -223,5 +223,5 @@
 	}
 }
 
-// milliseconds is a duration as events give it.
+// milliseconds converts a duration to the unit of events.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/verification/simulator/trace.go
+++ b/internal/verification/simulator/trace.go
@@ -8,7 +8,7 @@
 // trace is the log of a run.
 type trace struct {
 	lines []string
-	hash  uint64 // of all lines
+	hash  uint64 // hash over all lines
 }
 
 // hashPrime is the prime of the 64-bit FNV hash.
@@ -23,7 +23,7 @@
 	}
 }
 
-// Hash sums up the whole trace and the number of events.
+// Hash returns a hash of the whole trace and the number of events, to compare two runs.
 func (w *World) Hash() uint64 { return w.trace.hash + uint64(w.Stats.Steps) }
 
 // Trace returns the last lines of the trace.
