--- a/internal/verification/simulator/world.go
+++ b/internal/verification/simulator/world.go
@@ -1,13 +1,13 @@
-// Package simulator runs the state machines of a whole fleet in virtual time: control daemons and proxies as
-// they are, on simulated machines. Its network is seeded, with delay, loss and partitions; its disks stall, tear
-// and are lost; its clocks start anywhere and run at unlike speed; processes crash, freeze and come back; targets,
-// callers and operators are simulated. What must never happen is checked at each step that it concerns. A seed
-// is a run: the same seed gives the same trace, step by step.
+// Package simulator is a deterministic simulator of a whole fleet in virtual time. It runs the production state machines of
+// control daemons and proxies on simulated machines. The network delays, loses and reorders messages and has partitions. Disks
+// stall, lose unsynced writes or all data. Clocks start at different times and run at different rates. Processes crash, freeze
+// and restart. Targets, callers and operators are simulated too. Rules are checked at each step that can break them. All
+// randomness comes from the seed: the same seed gives the same trace.
 //
-// It does not run the daemons' shells (HTTP, connections, files); package daemon's tests and mfchaos do.
+// The simulator doesn't run the daemons' shells (HTTP, connections, files). The tests of package daemon and mfchaos do.
 //
-// Begin with World, then process.go and commands.go (how a state machine is run), day.go (a random run),
-// rules.go (what is checked) and scenes.go (how each check is shown to be able to fail).
+// World is the entry point to the code. The files process.go and commands.go run the state machines, day.go defines a random run,
+// rules.go the checks, and scenes.go the runs which show that each check can fail.
 package simulator
 
 import (
@@ -20,18 +20,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// GCPercent is how far the heap of a program that runs worlds may grow between two
-// collections, in percent: each world holds a few MiB and makes much that is soon garbage.
+// GCPercent is the garbage collection target percentage (see debug.SetGCPercent) for programs that run worlds. It is high because
+// a world holds only a few MiB but allocates many short-lived objects.
 const GCPercent = 400
 
-// bootstrapWindow is for how long after the beginning processes start with the setting that the fleet starts for the first time.
+// bootstrapWindow is the time from the start of the run within which control daemons start with the setting for a first
+// bootstrap, if the plan has seeds.
 const bootstrapWindow = 1050 * time.Millisecond
 
-// World is one run: the machines, what they do to each other, and what was seen of it.
+// World is one run: the simulated machines, the network, the clients, and what the run recorded.
 type World struct {
 	Plan    Plan
 	Seed    uint64
-	Failure string // the first rule that was broken, a colon, and how; "" while all hold
+	Failure string // the first broken rule, a colon and a description; "" while all rules hold
 	Stats   Stats
 
 	scheduler
@@ -44,10 +45,10 @@
 	checks    checks
 
 	disabledGuard Guard   // guardNone in ordinary runs
-	digest        *digest // nil: the plan asks for none
+	digest        *digest // nil if the plan doesn't ask for it
 }
 
-// New returns a world whose machines have just been switched on.
+// New returns a world whose machines have just started.
 func New(seed uint64, plan Plan) *World {
 	w := &World{Plan: plan, Seed: seed, scheduler: newScheduler(seed), processes: newProcesses(), targets: newTargets(),
 		network: newNetwork(), callers: newCallers(), operators: newOperators(), checks: newChecks()}
@@ -59,8 +60,7 @@
 	return w
 }
 
-// startDaemons adds the plan's daemons and starts them: all at once, or within a second if the control
-// plane bootstraps from seeds.
+// startDaemons adds the plan's daemons and starts them: all at once, or at random times within a second if the plan has seeds.
 func (w *World) startDaemons() {
 	for i := range w.Plan.ControlDaemons {
 		w.addProcess(wire.ControlDaemon, fmt.Sprintf("c%d", i+1), i%w.Plan.Domains)
@@ -93,7 +93,7 @@
 	}
 }
 
-// AwaitServing runs until the whole fleet serves (see Serving), and says whether it does within that time.
+// AwaitServing runs until the whole fleet serves (see Serving) or the given time is over. It reports whether the fleet serves.
 func (w *World) AwaitServing(within time.Duration) bool {
 	end := w.now + within
 	for w.now < end {
@@ -107,8 +107,8 @@
 	return false
 }
 
-// Serving says whether a leader has a configuration and an available target of each service, and every
-// living proxy holds a lease and a table of its term.
+// Serving reports whether there is a leader that has a configuration and an available target of each service, and every running
+// proxy holds a lease and a table of the leader's term.
 func (w *World) Serving() bool {
 	leader := w.Leader()
 	if leader == nil || leader.controller.Table() == nil || len(leader.controller.Table().Proxies) == 0 || leader.controller.Revision() == 0 {
