--- a/internal/verification/modelcheck/canonical.go
+++ b/internal/verification/modelcheck/canonical.go
@@ -117,8 +117,8 @@
 	return result
 }
 
-// eachPermutation calls visit for every permutation of servers with equal signatures, keeping the ranks below from fixed.
-// The current permutation is in c.order.
+// eachPermutation calls visit for every permutation of servers with equal signatures, keeping the order before position
+// from. The current permutation is in c.order.
 func (c *canonicalizer) eachPermutation(from int, visit func()) {
 	if from == len(c.order) {
 		visit()
--- a/internal/verification/modelcheck/search.go
+++ b/internal/verification/modelcheck/search.go
@@ -42,7 +42,7 @@
 }
 
 // Search explores a scenario breadth first until a state violates an invariant, all states have been reached or a limit is
-// exceeded. The report is independent of the number of workers.
+// reached. The report is independent of the number of workers.
 func Search(scenario *Scenario, limits Limits) *Report {
 	first := newState(scenario)
 	report := &Report{Scenario: scenario.Name}
--- a/internal/verification/modelcheck/transition.go
+++ b/internal/verification/modelcheck/transition.go
@@ -40,7 +40,8 @@
 // Budget is the maximum number of transitions of each kind on a path from the first state. The kinds in unlimited have none.
 type Budget [kindCount]uint8
 
-// unlimited marks the kinds without a budget. The messages and batches that exist limit them, or repeating them has no effect.
+// unlimited marks the kinds without a budget. The messages and batches that exist limit their number, or repeating
+// them has no effect.
 var unlimited = [kindCount]bool{Deliver: true, Tick: true, Sync: true, AddLearner: true}
 
 // Transition is one event. Its kind determines which of the other fields are used.
--- a/internal/verification/simulator/callers.go
+++ b/internal/verification/simulator/callers.go
@@ -132,7 +132,7 @@
 	w.callers.open[r.id] = r
 	w.Stats.Requests++
 	method, path := http.MethodGet, "/a"
-	if r.nonIdempotent && w.disabledGuard != guardAtMostOnce { // with the guard disabled, the proxy must not know that the request isn't idempotent
+	if r.nonIdempotent && w.disabledGuard != guardAtMostOnce { // with the guard disabled, the proxy takes the request for idempotent
 		method, path = http.MethodPost, "/once/a"
 	}
 	w.deliver(r.proxy, statemachine.Admit{ID: r.id, Host: "x", Path: "/" + r.service + path, Method: method})
@@ -206,7 +206,7 @@
 	}
 }
 
-// ServedBetween returns the number of requests served from from (inclusive) to until (exclusive).
+// ServedBetween returns the number of requests served in the time span [from, until).
 func (w *World) ServedBetween(from, until time.Duration) (count int) {
 	for _, at := range w.callers.servedAt {
 		if at >= from && at < until {
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// connection is a connection from a proxy to a target. The proxy keeps it open between requests.
+// connection is a proxy's connection to a target, which stays open between requests.
 type connection struct {
 	target    *Target
 	idleSince time.Duration
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// returnConnection keeps a connection idle after a complete response. At most most idle connections are kept, the most recently
-// used ones.
+// returnConnection keeps a connection idle after a complete response. Of the proxy's idle connections to the
+// target, it keeps the most recently used ones, up to the number most.
 func (w *World) returnConnection(process *Process, id wire.TargetID, returned *connection, most int) {
 	if returned.target.sendsSurplus && w.random.Float64() < surplusShare {
 		returned.surplusAt = w.now + w.randomMilliseconds(0, maxSurplusDelay)
@@ -59,7 +59,7 @@
 	if _, listed := process.targets[id]; !listed {
 		return
 	}
-	if w.disabledGuard == guardIdleConnections { // a fixed share of the limit for each proxy; surplus connections are closed
+	if w.disabledGuard == guardIdleConnections { // a fixed share of the limit for each proxy; further connections are closed
 		process.idle[id] = slices.DeleteFunc(process.idle[id], func(o *connection) bool { return w.now-o.idleSince >= tuning.ConnIdle })
 		if len(process.idle[id]) < max(1, w.Plan.ConnectionLimit/idleLimitShares) {
 			process.idle[id] = append(process.idle[id], returned)
--- a/internal/verification/simulator/plan.go
+++ b/internal/verification/simulator/plan.go
@@ -21,7 +21,7 @@
 	// ready proxy on a connection of its own.
 	PersistentConnections int
 
-	Slots           int           // concurrent requests that targets report as their capacity, with routes instead of rules in the configuration; 0: neither
+	Slots           int           // slots that targets report; the configuration then has routes instead of rules; 0: neither
 	ConnectionLimit int           // connections that a target accepts from all proxies together; it resets further ones; 0: no limit
 	WarmupRate      float64       // requests per second that a target can handle while it warms up; 0: no limit
 	HeartbeatEvery  time.Duration // interval of the targets' heartbeats; 0: tuning.TargetHeartbeatEvery
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -13,7 +13,7 @@
 	"myrtlefold/internal/verification/linearizability"
 )
 
-// Rule names a safety or liveness property that runs check. World.Failure begins with the name of the broken rule.
+// Rule is the name of a safety or liveness property that is checked during a run. World.Failure begins with the broken rule.
 type Rule string
 
 // Rules of requests.
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -8,8 +8,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Scene is a run for a rule. It injects faults that threaten the rule, counts how often the dangerous situation occurred, and names
-// a guard that must be disabled to make the rule's check fail.
+// Scene is a run for a rule. It injects faults that threaten the rule, counts how often the situation that they
+// create occurred, and names a guard. With the guard disabled, the rule's check must fail.
 type Scene struct {
 	Name        string
 	Rules       []Rule             // one of these is broken if the guard is disabled
@@ -19,7 +19,7 @@
 	AdjustPlan  func(*Plan)        // changes the plan for the scene; nil: no change
 	Script      func(w *World)     // runs instead of the faults; nil: the faults are injected
 	Planned     bool               // the scene has only planned work, so no request may be lost
-	Occurrences func(s *Stats) int // returns how often the dangerous situation occurred
+	Occurrences func(s *Stats) int // returns how often the situation occurred
 	// DisabledGuard is the guard without which the scene breaks one of the rules.
 	DisabledGuard Guard
 }
--- a/internal/verification/simulator/world.go
+++ b/internal/verification/simulator/world.go
@@ -6,8 +6,8 @@
 //
 // The simulator doesn't run the daemons' shells (HTTP, connections, files). The tests of package daemon and mfchaos do.
 //
-// World is the entry point to the code. The files process.go and commands.go run the state machines, day.go defines a random run,
-// rules.go the checks, and scenes.go the runs which show that each check can fail.
+// World is the entry point to the code. The files process.go and commands.go run the state machines, day.go defines a random run
+// with faults, rules.go the checks, and scenes.go the runs which show that each check can fail.
 package simulator
 
 import (
