--- a/cmd/mfchaos/checks.go
+++ b/cmd/mfchaos/checks.go
@@ -13,39 +13,42 @@
 
 // Rules that a run is checked against, by the names that are printed.
 const (
-	ruleAtMostOnce           = "runs twice"            // a non-idempotent request runs at most once
-	ruleRejectedRequest      = "refused but ran"       // a request that was reported as not run has not run
-	ruleCorrectResponse      = "wrong answer"          // a response has the content that its request asked for
-	ruleOwnResponse          = "another's answer"      // a request does not get the response to another request
-	ruleRightService         = "wrong service"         // a request reaches a target of its service
-	ruleDrainingTarget       = "leaving target"        // a draining target gets no requests after 2 s
-	ruleWarmupRate           = "cold rate"             // a target that warms up gets no more than its service's warm-up rate allows
-	ruleRetryAfter           = "come back when"        // a rejection has the header Retry-After
-	ruleEmptiedDomain        = "emptied domain"        // an emptied domain gets no requests
-	ruleConfigurationInForce = "in force everywhere"   // after the acknowledgement of a change all serving proxies follow it
-	ruleOneChangePerBase     = "one base"              // of several changes on one base revision at most one is accepted
-	ruleLinearizable         = "history"               // reads and changes of the configuration are linearizable
-	ruleInvalidConfiguration = "invalid configuration" // an invalid configuration is rejected and changes nothing
-	ruleGracefulStop         = "planned restart"       // a daemon that gets SIGTERM exits in time and without an error
-	ruleSettingsReload       = "settings changed"      // a daemon reloads a valid settings file and survives an invalid one
-	ruleFullCapacity         = "capacity back"         // after a fault all targets serve again within 15 s
-	ruleRecoveryTime         = "back in 15 s"          // after a fault the fleet serves again within 15 s
+	ruleAtMostOnce           = "at most once"                    // a non-idempotent request runs at most once
+	ruleRejectedRequest      = "rejected requests not run"       // a request that is reported as rejected has not run
+	ruleCorrectResponse      = "correct response content"        // a response has the content that its request asked for
+	ruleOwnResponse          = "response matches request"        // a request gets its own response
+	ruleRightService         = "correct service"                 // a request reaches only targets of its service
+	ruleDrainingTarget       = "no requests to draining targets" // a draining target gets no new requests after 2 s
+	ruleWarmupRate           = "warm-up rate limit"              // a target that warms up gets at most 1.5 times its service's warm-up rate in any second
+	ruleRetryAfter           = "Retry-After on rejection"        // a temporary rejection has a Retry-After
+	ruleEmptiedDomain        = "no requests to emptied domains"  // an emptied domain gets no requests
+	ruleConfigurationInForce = "configuration in force"          // all proxies that serve follow an acknowledged configuration
+	ruleOneChangePerBase     = "one change per base revision"    // at most one of several changes on the same base is accepted
+	ruleLinearizable         = "linearizability"                 // reads and changes of the configuration are linearizable
+	ruleInvalidConfiguration = "invalid configuration rejected"  // an invalid configuration is rejected and changes nothing
+	ruleGracefulStop         = "graceful stop"                   // a daemon that gets SIGTERM exits in time and without an error
+	ruleSettingsReload       = "settings reload"                 // a daemon reloads a valid settings file and survives an invalid one
+	ruleFullCapacity         = "full capacity"                   // after a fault all targets serve again within 15 s
+	ruleRecoveryTime         = "recovery time"                   // after a fault the fleet serves again within 15 s
 )
 
 // Rules that only a soak or an upgrade checks.
 const (
-	ruleNoCrash              = "ended by itself"   // no process exits without being asked
-	ruleNoPermanentRejection = "refused for good"  // no valid request gets a 4xx response
-	ruleNoEarlyTimeout       = "broken off"        // a graceful stop does not make a proxy time a request out early
-	ruleDeadline             = "deadline"          // a request is answered within its deadline
-	ruleLostRequest          = "lost"              // no request loses its response without a reason
-	ruleChangeAccepted       = "order refused"     // a change on the newest acknowledged revision is accepted
-	ruleDurability           = "acknowledged lost" // what was acknowledged survives the loss of all processes
-	ruleNoDamage             = "damage"            // no control daemon reports unreadable data
+	ruleNoCrash              = "no unexpected exit"     // no process exits without being asked
+	ruleNoPermanentRejection = "no 4xx responses"       // no valid request gets a 4xx response
+	ruleNoEarlyTimeout       = "no early timeouts"      // a graceful stop does not make a proxy time a request out early
+	ruleDeadline             = "deadline"               // a request is answered within its deadline
+	ruleLostRequest          = "no lost responses"      // no request loses its response without a reason
+	ruleChangeAccepted       = "valid changes accepted" // a change on the newest acknowledged revision is accepted
+	ruleDurability           = "durability"             // acknowledged changes survive the loss of all processes
+	ruleNoDamage             = "no unreadable data"     // no control daemon reports unreadable data
 )
 
+// ruleWidth is the width of the column of rules in printed verdicts: that of the longest name.
+const ruleWidth = len(ruleDrainingTarget)
+
 // ruleTestEnvironment counts failures of the test itself, not of the fleet: something could not be started, written or read.
-const ruleTestEnvironment = "lab"
+const ruleTestEnvironment = "test environment"
 
 // recordViolation counts and logs a violation of a rule.
 func (f *fleet) recordViolation(rule, format string, args ...any) {
@@ -122,7 +125,7 @@
 		f.checkWarmupRate()
 	}
 	fmt.Printf("\nseed %d, %s, faults: %s\n", seed, f.deploymentName, strings.Join(f.faults, ", "))
-	fmt.Printf("offered %d, served %d, refused %d, unknown %d, no answer %d, latency ms %v, latest request to a draining target %d ms\n",
+	fmt.Printf("offered %d, served %d, rejected %d, unknown %d, no reply %d, latency ms %v, latest request to a draining target %d ms\n",
 		num("offered"), num("served"), num("refused"), num("unknown"), num("no_answer"), rep["latency_ms"], num("latest_to_leaving_ms"))
 	for _, e := range examplesOf(rep) {
 		fmt.Println("  e.g.", e)
@@ -136,7 +139,7 @@
 		if f.violations[r] > 0 {
 			v = fmt.Sprintf("BROKEN %d times", f.violations[r])
 		}
-		fmt.Printf("  %-22s %s\n", r, v)
+		fmt.Printf("  %-*s %s\n", ruleWidth, r, v)
 	}
 	if len(f.violations) > 0 {
 		return 1
--- a/cmd/mfchaos/soak.go
+++ b/cmd/mfchaos/soak.go
@@ -82,7 +82,7 @@
 		return 0
 	}
 	for _, rule := range slices.Sorted(maps.Keys(s.violations)) {
-		fmt.Printf("  %-22s BROKEN %d times\n", rule, s.violations[rule])
+		fmt.Printf("  %-*s BROKEN %d times\n", ruleWidth, rule, s.violations[rule])
 	}
 	fmt.Fprintf(os.Stderr, "soak %d: logs and request logs are in %s\n", s.options.seed, s.dir)
 	return 1
--- a/cmd/mfchaos/soak_verdict.go
+++ b/cmd/mfchaos/soak_verdict.go
@@ -22,19 +22,19 @@
 
 // Classes of outcomes, by the names that are printed.
 const (
-	classMismatched outcomeClass = "wrong"       // the response belongs to another request
-	classRejected   outcomeClass = "refused"     // it was rejected without having run
-	classUnknown    outcomeClass = "unknown"     // the proxy responded that it may have run
-	classBrokenOff  outcomeClass = "broken off"  // the proxy timed it out early during a graceful stop
-	classFailed     outcomeClass = "failed"      // another 5xx response
-	classDenied     outcomeClass = "denied"      // a 4xx response
-	classServed     outcomeClass = "served"      // a response below 400
-	classNotSent    outcomeClass = "not sent"    // it was not written completely
-	classKilled     outcomeClass = "killed"      // its proxy was killed
-	classCrossed    outcomeClass = "crossed"     // its proxy closed the connection before it read the request
-	classLate       outcomeClass = "late"        // no response within the deadline
-	classLost       outcomeClass = "lost"        // no response, for no valid reason
-	classOutOfTime  outcomeClass = "out of time" // its target may have needed longer than the proxy's grace period
+	classMismatched       outcomeClass = "mismatched response"   // the response belongs to another request
+	classRejected         outcomeClass = "rejected"              // it was rejected without having run
+	classUnknown          outcomeClass = "unknown"               // the proxy responded that it may have run
+	classEarlyTimeout     outcomeClass = "early timeout"         // the proxy timed it out early during a graceful stop
+	classServerError      outcomeClass = "other 5xx"             // a 5xx response of none of the classes above
+	classClientError      outcomeClass = "4xx"                   // a 4xx response
+	classServed           outcomeClass = "served"                // a response below 400
+	classNotSent          outcomeClass = "not sent"              // the caller could not write it completely
+	classProxyKilled      outcomeClass = "proxy killed"          // its proxy was killed while the request was open
+	classClosedBeforeRead outcomeClass = "closed before read"    // its proxy closed the connection without having read the request
+	classDeadlineExceeded outcomeClass = "deadline exceeded"     // no response within the deadline
+	classLost             outcomeClass = "lost"                  // no response, for none of the allowed reasons
+	classGraceExceeded    outcomeClass = "grace period exceeded" // no response, as its target may have needed longer than the proxy's grace period
 )
 
 // countRuns returns how often each request ran, by its ID, and checks that each ran at its service.
@@ -60,10 +60,10 @@
 	case outcome.mayHaveRun:
 		return s.classifyUnknown(outcome)
 	case outcome.status >= 500:
-		return classFailed
+		return classServerError
 	case outcome.status >= 400:
 		s.recordViolation(ruleNoPermanentRejection, "%s got status %d", outcome.id, outcome.status)
-		return classDenied
+		return classClientError
 	case outcome.status > 0:
 		return classServed
 	case outcome.notWritten:
@@ -82,7 +82,7 @@
 		return classUnknown
 	}
 	s.recordViolation(ruleNoEarlyTimeout, "%s at %s was sent %v after SIGTERM and timed out early, %v after SIGTERM", o.id, o.proxy, o.sentAt.Sub(stop.at), o.finishedAt.Sub(stop.at))
-	return classBrokenOff
+	return classEarlyTimeout
 }
 
 // mayOutlastGrace reports whether a request was sent so soon after SIGTERM, and ended so late, that its target may need longer
@@ -98,17 +98,17 @@
 	grace := s.options.grace
 	waited := outcome.finishedAt.Sub(outcome.sentAt)
 	if kill := latestEvent(entries, eventKill, outcome.proxy, outcome.finishedAt.Add(time.Second)); kill != nil && kill.at.After(outcome.sentAt.Add(-time.Second)) {
-		return classKilled
+		return classProxyKilled
 	}
 	if !hasRun && outcome.pipelined {
-		return classCrossed // the proxy closed the connection after an earlier response and did not forward this request
+		return classClosedBeforeRead // the proxy closed the connection after an earlier response and did not forward this request
 	}
 	if waited >= requestDeadline {
 		s.recordViolation(ruleDeadline, "%s at %s lost its connection %v after it was sent, without a response", outcome.id, outcome.proxy, waited)
-		return classLate
+		return classDeadlineExceeded
 	}
 	if !hasRun && waited < closeRaceWindow {
-		return classCrossed
+		return classClosedBeforeRead
 	}
 	stop := latestEvent(entries, eventStop, outcome.proxy, outcome.finishedAt)
 	if stop == nil || outcome.finishedAt.Sub(stop.at) > grace+time.Second {
@@ -117,13 +117,13 @@
 	}
 	after, end := outcome.sentAt.Sub(stop.at), outcome.finishedAt.Sub(stop.at)
 	if s.mayOutlastGrace(outcome, stop) {
-		return classOutOfTime
+		return classGraceExceeded
 	}
 	s.recordViolation(ruleLostRequest, "%s at %s was sent %v after SIGTERM and lost its connection %v after SIGTERM; ran: %v", outcome.id, outcome.proxy, after, end, hasRun)
 	return classLost
 }
 
-// checkRequestLogs checks that no non-idempotent request ran more than once, or ran although its response denied it.
+// checkRequestLogs checks that no non-idempotent request ran more than once, or ran although its response said that it had not.
 func (s *soak) checkRequestLogs(outcomes []requestOutcome, ran map[string]int) {
 	for i := range outcomes {
 		o := &outcomes[i]
--- a/cmd/mfsim/availability.go
+++ b/cmd/mfsim/availability.go
@@ -28,7 +28,7 @@
 		rows = append(rows, newRow(measured))
 	}
 	slices.SortStableFunc(rows, func(a, b row) int { return cmp.Compare(b.unserved, a.unserved) })
-	fmt.Println("| kind | refused % | failed % | no answer % | longest gap s | full capacity after s | change in force after s | other change outcomes |\n|---|---|---|---|---|---|---|---|")
+	fmt.Println("| kind | rejected % | unknown % | abandoned % | longest gap s | full capacity after s | change in force after s | other change outcomes |\n|---|---|---|---|---|---|---|---|")
 	for i, r := range rows {
 		if !opts.pairs || i < pairsShownMax {
 			fmt.Println(r.text)
--- a/cmd/mfsim/days.go
+++ b/cmd/mfsim/days.go
@@ -11,7 +11,7 @@
 	"myrtlefold/internal/verification/simulator"
 )
 
-// job is a day to simulate.
+// job is a day to simulate: a random scenario, see simulator.Day.
 type job struct {
 	seed  uint64
 	kinds []simulator.Fault // kinds of faults to inject; empty: all
--- a/cmd/mfsim/options.go
+++ b/cmd/mfsim/options.go
@@ -14,8 +14,8 @@
 // options are the parsed command line.
 type options struct {
 	from, seeds  uint64        // first seed and number of seeds
-	faults       int           // of a day
-	span         time.Duration // virtual time in which faults start
+	faults       int           // number of faults in a day
+	span         time.Duration // virtual time in which faults begin
 	kinds        []string      // empty: all
 	pairs        bool
 	listKinds    bool
@@ -42,14 +42,14 @@
 	app.Flag("kind", "inject only this kind of fault (repeatable; see --kinds)").StringsVar(&o.kinds)
 	app.Flag("pairs", "run every pair of kinds once per seed").BoolVar(&o.pairs)
 	app.Flag("kinds", "list the kinds of faults").BoolVar(&o.listKinds)
-	app.Flag("rule", "run the scene of this rule (see --rules)").StringVar(&o.rule)
-	app.Flag("rules", "list the scenes of rules, with the threat that each causes and the guard without which the rule is violated").BoolVar(&o.listRules)
+	app.Flag("rule", "run the scene with this name (see --rules)").StringVar(&o.rule)
+	app.Flag("rules", "list the scenes that test the rules, with the threat that each causes and the guard without which one of its rules is violated").BoolVar(&o.listRules)
 	app.Flag("without-guard", "with --rule: disable the scene's guard, to see that the rule's check can fail").BoolVar(&o.withoutGuard)
 	app.Flag("availability", "measure availability under each kind of fault (with --pairs: under pairs of kinds, the worst are printed)").BoolVar(&o.availability)
 	app.Flag("trace", "lines of trace that are printed for a failed seed").Default("40").IntVar(&o.trace)
 	app.Flag("plan", "plan of the simulated fleet: small, kelani or kiyihat").Default("small").EnumVar(&o.plan, "small", "kelani", "kiyihat")
 	app.Flag("digest", "print each day's or scene's digest: a hash of all events, commands and messages").BoolVar(&o.digest)
-	app.Command("days", "Simulates days of random faults, or the scene of a rule (the default command).").Default()
+	app.Command("days", "Simulates days of random faults, or one scene (the default command).").Default()
 	check := newCheckCommand(app)
 	command, err := app.Parse(args)
 	if err != nil {
--- a/cmd/mfsim/scenes.go
+++ b/cmd/mfsim/scenes.go
@@ -8,11 +8,11 @@
 	"myrtlefold/internal/verification/simulator"
 )
 
-// shownPerSceneMax limits the failures that are printed: none is after more than this many seeds passed or showed a violation of
+// shownPerSceneMax limits the failures that are printed: no more are printed once this many seeds have passed or violated one of
 // the scene's rules.
 const shownPerSceneMax = 3
 
-// listScenes prints the scenes of the rules.
+// listScenes prints each scene with its threat and its guard.
 func listScenes() {
 	for _, s := range simulator.Scenes {
 		fmt.Printf("%-14s %s; guard: %s\n", s.Name, s.Threat, s.DisabledGuard)
@@ -23,7 +23,7 @@
 func findScene(name string) *simulator.Scene {
 	i := slices.IndexFunc(simulator.Scenes, func(s simulator.Scene) bool { return s.Name == name })
 	if i < 0 {
-		exitWithUsageError("unknown rule %q, see --rules", name)
+		exitWithUsageError("unknown scene %q, see --rules", name)
 	}
 	return &simulator.Scenes[i]
 }
@@ -51,7 +51,7 @@
 			}
 		}
 	}
-	fmt.Printf("%s: %s\nthreat occurred %d times in %d seeds; all rules held in %d, %q violated in %d\n", scene.Name, scene.Threat, occurrences, opts.seeds, held, scene.RuleNames(), shown)
+	fmt.Printf("%s: %s\nthreat occurred %d times in %d seeds; all rules held in %d, a rule of the scene (%s) was violated in %d\n", scene.Name, scene.Threat, occurrences, opts.seeds, held, scene.RuleNames(), shown)
 	if !opts.withoutGuard && held < int(opts.seeds) || opts.withoutGuard && shown == 0 || occurrences == 0 {
 		return statusFailed
 	}
--- a/internal/verification/simulator/availability.go
+++ b/internal/verification/simulator/availability.go
@@ -10,7 +10,7 @@
 )
 
 // Availability measures the effect of one or more simultaneous faults on the service. It complements the rules, which a
-// system that rejects every request doesn't break.
+// system that rejects every request doesn't violate.
 type Availability struct {
 	Faults                                []string
 	Requests, Rejected, Failed, Abandoned int
@@ -18,7 +18,7 @@
 	Recovery                              time.Duration // from the beginning of the faults to full capacity
 	ChangeLatency                         time.Duration // from sending a configuration change, changeDelay after the faults, to its final reply
 	Outcome                               ChangeOutcome
-	Failure                               string // the rule that was broken and a description; "" if none
+	Failure                               string // the rule that was violated and a description; "" if none
 }
 
 // ChangeOutcome is the outcome of the configuration change that is sent during a fault.
@@ -26,11 +26,11 @@
 
 // Outcomes of the change.
 const (
-	OutcomeNone     ChangeOutcome = "none" // the change was not sent
-	OutcomeInForce  ChangeOutcome = "in force"
-	OutcomeRejected ChangeOutcome = "refused"
-	OutcomeUnknown  ChangeOutcome = "unknown"
-	OutcomeNoReply  ChangeOutcome = "no answer"
+	OutcomeNone     ChangeOutcome = "none"     // the change was not sent
+	OutcomeInForce  ChangeOutcome = "in force" // accepted, and all proxies follow it
+	OutcomeRejected ChangeOutcome = "rejected" // every attempt was rejected, or its daemon was down or frozen
+	OutcomeUnknown  ChangeOutcome = "unknown"  // the daemon replied that it can't tell
+	OutcomeNoReply  ChangeOutcome = "no reply" // no reply within replyTimeout
 )
 
 const (
@@ -100,7 +100,7 @@
 	done := false
 	finish := func(outcome ChangeOutcome) { result.ChangeLatency, result.Outcome = w.now-from, outcome }
 	patch := fmt.Appendf(nil, `{"services":{"%s":{"timeout_ms":1777}}}`, services[len(services)-1])
-	w.call(process, "PATCH", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), patch, "insisted", func(r statemachine.Reply) {
+	w.call(process, "PATCH", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), patch, "measured", func(r statemachine.Reply) {
 		if done {
 			return
 		}
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/day.go
@@ -50,8 +50,9 @@
 	return world
 }
 
-// Day runs one seed: it injects a number of faults, drawn from kinds or from Faults if kinds is empty, at random times within
-// span. Then it heals all faults, waits for recovery and makes the final checks.
+// Day runs one random scenario, a simulated day, which the seed determines: it injects a number of faults, drawn from kinds or
+// from Faults if kinds is empty, at random times within span. Then it heals all faults, waits for recovery and makes the final
+// checks.
 func Day(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration) *World {
 	return day(seed, plan, kinds, faults, span, func(*World) {})
 }
@@ -126,7 +127,7 @@
 	}
 	for w.Failure == "" && w.missingTarget() != "" {
 		if w.now-from > within {
-			w.violated(ruleFullCapacity, "target %s not in use %v after healing", w.missingTarget(), within)
+			w.violated(ruleFullCapacity, "target %s is not in use %v after healing", w.missingTarget(), within)
 		}
 		w.Run(w.now + 100*time.Millisecond)
 	}
@@ -176,7 +177,8 @@
 	return b.String()
 }
 
-// Finish waits for the last changes and requests to end, then makes the checks that need the whole run.
+// Finish checks that requests are served after recovery, stops the callers and waits for the last changes and requests to end.
+// Then it makes the checks that need the whole run.
 func (w *World) Finish() {
 	if w.Failure != "" {
 		return
--- a/internal/verification/simulator/guards.go
+++ b/internal/verification/simulator/guards.go
@@ -8,43 +8,43 @@
 )
 
 // Guard is a mechanism of the daemons or their shells that upholds a rule. A scene or test disables a guard in the simulated
-// shells, or in the data that they forward, to show that the rule's check can fail. mfsim prints its text.
+// shells, or in the data that they forward, to show that the rule's check can fail. mfsim --rules prints its text.
 type Guard string
 
 // Guards of requests and targets.
 const (
 	guardNone               Guard = ""
-	guardAtMostOnce         Guard = "resend"           // non-idempotent requests that may have run aren't retried
-	guardResponseIDs        Guard = "ids"              // a response to another request is discarded
-	guardUnknownAfterSend   Guard = "say no"           // a request that was sent isn't reported as rejected
-	guardIdentity           Guard = "identity"         // the identity of the target is checked on a new connection
-	guardDraining           Guard = "holds"            // a leaving target reports that state
-	guardHealthChecks       Guard = "probes"           // a target that doesn't respond fails its health check
-	guardEmptiedDomains     Guard = "emptied"          // tables list the emptied domains
-	guardWarmingConcurrency Guard = "warm cap"         // configurations limit concurrent requests at warming targets
-	guardWarmupReport       Guard = "cold"             // targets report that they warm up
-	guardRetryBudget        Guard = "budget"           // retries are counted against the retry budget
-	guardIdleConnections    Guard = "idle connections" // the limit of idle connections per proxy is derived from the limit for all proxies
+	guardAtMostOnce         Guard = "no retry of non-idempotent requests" // non-idempotent requests that may have run aren't retried
+	guardResponseIDs        Guard = "response ids"                        // a response to another request is discarded
+	guardUnknownAfterSend   Guard = "outcome unknown after send"          // a request that was sent to a target is reported as unknown, not as rejected
+	guardIdentity           Guard = "target identity"                     // a new connection is used only if it reached the intended target
+	guardDraining           Guard = "draining report"                     // a draining target reports state leaving
+	guardHealthChecks       Guard = "health checks"                       // a target that doesn't respond fails its health check
+	guardEmptiedDomains     Guard = "emptied domains in tables"           // tables list the emptied domains
+	guardWarmingConcurrency Guard = "warming concurrency limit"           // configurations limit concurrent requests at warming targets
+	guardWarmupReport       Guard = "warm-up report"                      // targets report that they warm up
+	guardRetryBudget        Guard = "retry budget"                        // retries are counted against the retry budget
+	guardIdleConnections    Guard = "idle connections"                    // the limit of idle connections per proxy is derived from the limit for all proxies
 )
 
 // Guards of the control plane.
 const (
-	guardReplyInForce    Guard = "early answer" // a change is acknowledged once all proxies follow it
-	guardTableVersions   Guard = "old tables"   // a late message carries the table version of its sending
-	guardBaseRevision    Guard = "base"         // a change names the revision on which it is based
-	guardSync            Guard = "sync"         // a write is synced before it is acknowledged
-	guardGracefulStop    Guard = "stop"         // a stopping proxy completes its requests
-	guardBootstrapHellos Guard = "hellos"       // control daemons discover each other before they bootstrap
-	guardClockRate       Guard = "clocks"       // clock rates differ little
+	guardReplyInForce    Guard = "reply once in force"         // a change is acknowledged once all proxies follow it
+	guardTableVersions   Guard = "table versions"              // a message carries the version of the table that it was sent with, however late it arrives
+	guardBaseRevision    Guard = "base revision"               // a change names the revision on which it is based
+	guardSync            Guard = "sync before acknowledgement" // a write is synced before it is acknowledged
+	guardGracefulStop    Guard = "graceful stop"               // a stopping proxy completes its requests before it exits
+	guardBootstrapHellos Guard = "bootstrap hellos"            // control daemons find each other by hello messages before they bootstrap
+	guardClockRate       Guard = "clock rate"                  // clock rates differ from true time by at most 2 %
 	// guardReadsAtLeader ensures that only the leader answers reads from its own state.
-	guardReadsAtLeader Guard = "followers answer"
+	guardReadsAtLeader Guard = "reads at leader"
 	// guardMajorityBeforeReply ensures that a leader acknowledges a change only once a majority has it.
-	guardMajorityBeforeReply Guard = "answer before majority"
+	guardMajorityBeforeReply Guard = "majority before reply"
 	// guardIdempotentChanges ensures that an accepted change is accepted again when it is repeated.
-	guardIdempotentChanges Guard = "repetition refused"
+	guardIdempotentChanges Guard = "idempotent changes"
 	// guardFreshClock ensures that the time of a step is read after its event has arrived. Otherwise a process that was
 	// frozen in between would use an expired lease.
-	guardFreshClock Guard = "clock of the call"
+	guardFreshClock Guard = "clock read after event"
 )
 
 // replyWithoutGuard returns the reply that a member would give to a call without the disabled guard, and whether it replaces the
--- a/internal/verification/simulator/operator.go
+++ b/internal/verification/simulator/operator.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// ignoreReply is the reply handler of calls whose replies only the history uses.
+// ignoreReply is the reply handler of calls whose replies only the recorded history uses.
 func (w *World) ignoreReply(statemachine.Reply) {}
 
 // checkNoCallPending checks that a process which exits gracefully has replied to all calls that it has read.
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -13,47 +13,48 @@
 	"myrtlefold/internal/verification/linearizability"
 )
 
-// Rule is the name of a safety or liveness property that is checked during a run. World.Failure begins with the broken rule.
+// Rule is the name of a safety or liveness property that is checked during a run. World.Failure begins with the name of the
+// rule that was violated.
 type Rule string
 
 // Rules of requests.
 const (
-	ruleAtMostOnce         Rule = "ran twice"          // a non-idempotent request runs at most once
-	ruleRejectedRequest    Rule = "refused but ran"    // a request that is reported as rejected has not run
-	ruleRetryAfter         Rule = "come back when"     // a temporary rejection has a Retry-After
-	ruleOwnResponse        Rule = "another's answer"   // a request gets its own response
-	ruleRightService       Rule = "wrong service"      // a request reaches a target of its service
-	ruleDrainingTarget     Rule = "leaving"            // a leaving target gets no new requests
-	ruleCrashedTarget      Rule = "gone"               // a crashed target gets no requests
-	ruleEmptiedDomain      Rule = "emptied domain"     // an emptied domain gets no requests
-	ruleWarmingConcurrency Rule = "warming"            // a warming target gets few concurrent requests
-	ruleWarmupRate         Rule = "cold rate"          // a target that warms up gets few requests per second
-	ruleRetryBudget        Rule = "retry budget"       // retries stay a small fraction of all attempts
-	ruleInFlightCount      Rule = "forgotten exchange" // a proxy without open requests counts none in flight
-	ruleGracefulStop       Rule = "in flight"          // planned work loses no request and no API call
+	ruleAtMostOnce         Rule = "at most once"                    // a non-idempotent request runs at most once
+	ruleRejectedRequest    Rule = "rejected requests not run"       // a request that is reported as rejected has not run
+	ruleRetryAfter         Rule = "Retry-After on rejection"        // a temporary rejection has a Retry-After
+	ruleOwnResponse        Rule = "response matches request"        // a request gets its own response
+	ruleRightService       Rule = "correct service"                 // a request reaches only targets of its service
+	ruleDrainingTarget     Rule = "no requests to draining targets" // a draining target gets no new requests after drainingBound
+	ruleCrashedTarget      Rule = "no requests to crashed targets"  // a crashed target gets no requests after crashedBound
+	ruleEmptiedDomain      Rule = "no requests to emptied domains"  // an emptied domain gets no requests
+	ruleWarmingConcurrency Rule = "warming concurrency limit"       // a warming target gets at most warmingConcurrency requests at once
+	ruleWarmupRate         Rule = "warm-up rate limit"              // a target that warms up gets at most 1.5 times its warm-up rate plus 5 requests in any second
+	ruleRetryBudget        Rule = "retry budget"                    // retries stay a small fraction of all attempts
+	ruleInFlightCount      Rule = "in-flight count"                 // a proxy without open requests counts none in flight
+	ruleGracefulStop       Rule = "graceful stop"                   // planned stops and changes lose no request and no API call
 )
 
 // Rules of the control plane and its configurations.
 const (
-	ruleSingleLeader         Rule = "one leader"                // at most one member holds the lease
-	ruleConfigurationInForce Rule = "not in force"              // proxies follow an acknowledged configuration
-	ruleRevisionOrder        Rule = "slipped back"              // a proxy's revision never decreases
-	ruleOneChangePerBase     Rule = "one base"                  // at most one of several changes on the same base is accepted
-	ruleDurability           Rule = "forgotten"                 // an acknowledged change is not lost
-	ruleAcceptedChange       Rule = "accepted but not in force" // an accepted change is recorded as accepted
-	ruleRejectedChange       Rule = "refused but in force"      // a rejected change takes no effect
-	ruleLinearizable         Rule = "history"                   // the history of reads and changes is linearizable
+	ruleSingleLeader         Rule = "one leader"                   // at most one member holds the lease
+	ruleConfigurationInForce Rule = "configuration in force"       // proxies serve with the acknowledged configuration or a later one
+	ruleRevisionOrder        Rule = "revision never decreases"     // a proxy's revision never decreases
+	ruleOneChangePerBase     Rule = "one change per base revision" // at most one of several changes on the same base is accepted
+	ruleDurability           Rule = "durability"                   // an acknowledged change is not lost
+	ruleAcceptedChange       Rule = "accepted changes recorded"    // an accepted change is recorded as accepted
+	ruleRejectedChange       Rule = "rejected changes not applied" // a rejected change is not recorded as accepted
+	ruleLinearizable         Rule = "linearizability"              // reads and changes of the configuration are linearizable
 )
 
 // Rules of recovery.
 const (
-	ruleBootstrap    Rule = "start"         // a newly started fleet serves
-	ruleRecoveryTime Rule = "back in 15 s"  // the fleet serves again after healing
-	ruleFullCapacity Rule = "capacity back" // all targets are used again after healing
-	ruleServingAgain Rule = "serving again" // most requests are served after healing
+	ruleBootstrap    Rule = "bootstrap"                 // a new fleet elects a leader and serves in time
+	ruleRecoveryTime Rule = "recovery time"             // the fleet serves again within recoveryBound after healing
+	ruleFullCapacity Rule = "full capacity"             // all ready targets are in use again within recoveryBound after healing
+	ruleServingAgain Rule = "throughput after recovery" // after recovery at least servedShare of the requests are served
 )
 
-// Maximum times until a leaving or crashed target gets no more requests. The requirement is "about 2 s".
+// Maximum times until a draining or crashed target gets no more requests. The requirement is "about 2 s".
 const (
 	drainingBound = 2 * time.Second
 	crashedBound  = 2 * time.Second
@@ -63,7 +64,7 @@
 	crashedAfterLeaderLossBound = 2500 * time.Millisecond
 )
 
-// checks holds the state of the run that the checks of the rules need.
+// checks holds what the rules' checks need to know about the run so far.
 type checks struct {
 	history        linearizability.Log
 	acknowledged   uint64                   // highest acknowledged revision
@@ -71,7 +72,7 @@
 	emptiedAt      map[string]time.Duration // time at which the emptying of each emptied domain was acknowledged
 	// leadershipLostAt is the last time at which a leader lost its lease or a proxy lost its leader.
 	leadershipLostAt time.Duration
-	plannedOnly      bool // the run has only planned work, so no request may be lost
+	plannedOnly      bool // the run has only planned stops and changes, so no request may be lost
 }
 
 func newChecks() checks {
@@ -153,7 +154,7 @@
 	w.checkTarget(a)
 }
 
-// checkTarget checks that the target has not been leaving or crashed for longer than the bounds allow.
+// checkTarget checks that the target has not been draining or crashed for longer than the bounds allow.
 func (w *World) checkTarget(attempt *attempt) {
 	id := attempt.command.Target.ID()
 	for _, t := range w.targets.all {
@@ -164,7 +165,7 @@
 			elapsed := w.now - t.drainAcknowledgedAt
 			w.Stats.LatestToDraining = max(w.Stats.LatestToDraining, elapsed)
 			if elapsed > drainingBound {
-				w.violated(ruleDrainingTarget, "%s (%s) sends a request to %s, which has been leaving for %v", attempt.process.name, attempt.process.proxy.State(), t.fullName(), elapsed)
+				w.violated(ruleDrainingTarget, "%s (%s) sends a request to %s, which has been draining for %v", attempt.process.name, attempt.process.proxy.State(), t.fullName(), elapsed)
 			}
 		}
 		if !t.alive && t.crashedAt > 0 {
@@ -206,7 +207,7 @@
 	}
 	w.Stats.MostWhileWarming = max(w.Stats.MostWhileWarming, count)
 	if count > warmingConcurrency {
-		w.violated(ruleWarmingConcurrency, "warming target %s has %d concurrent requests, allowed are %d", t.fullName(), count, warmingConcurrency)
+		w.violated(ruleWarmingConcurrency, "warming target %s has %d concurrent requests, the limit is %d", t.fullName(), count, warmingConcurrency)
 	}
 }
 
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -8,19 +8,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Scene is a run for a rule. It injects faults that threaten the rule, counts how often the situation that they
-// create occurred, and names a guard. With the guard disabled, the rule's check must fail.
+// Scene is a scenario that tests one or more rules. It injects faults that threaten the rules, counts how often the situation
+// that they create occurred, and names a guard. With the guard disabled, the check of one of the rules must fail.
 type Scene struct {
 	Name        string
-	Rules       []Rule             // one of these is broken if the guard is disabled
+	Rules       []Rule             // one of these is violated if the guard is disabled
 	Threat      string             // description of the situation, for mfsim --rules
 	Faults      []string           // names of the faults to inject
 	Repeats     int                // number of times that each of them is injected
 	AdjustPlan  func(*Plan)        // changes the plan for the scene; nil: no change
 	Script      func(w *World)     // runs instead of the faults; nil: the faults are injected
-	Planned     bool               // the scene has only planned work, so no request may be lost
+	Planned     bool               // the scene has only planned stops and changes, so no request may be lost
 	Occurrences func(s *Stats) int // returns how often the situation occurred
-	// DisabledGuard is the guard without which the scene breaks one of the rules.
+	// DisabledGuard is the guard without which the scene violates one of the rules.
 	DisabledGuard Guard
 }
 
@@ -42,7 +42,7 @@
 		Faults: []string{"address handed over", "address handed over", "service removed, its addresses handed over"}, Repeats: 3,
 		AdjustPlan:  func(p *Plan) { p.Rate = 250 },
 		Occurrences: func(s *Stats) int { return s.WrongIdentities }, DisabledGuard: guardIdentity},
-	{Name: "leaving", Rules: []Rule{ruleDrainingTarget}, Threat: "targets leave while leaders are killed and proxies are isolated",
+	{Name: "leaving", Rules: []Rule{ruleDrainingTarget}, Threat: "targets are drained while leaders are killed and proxies are isolated",
 		Faults: []string{"target leaves", "leader killed", "gate isolated", "gate frozen with work in hand"}, Repeats: 2,
 		Occurrences: func(s *Stats) int { return s.Drains }, DisabledGuard: guardDraining},
 	{Name: "gone", Rules: []Rule{ruleCrashedTarget}, Threat: "targets crash without notice, also together with the leader",
@@ -66,7 +66,7 @@
 	{Name: "warming", Rules: []Rule{ruleWarmingConcurrency}, Threat: "a whole service restarts and warms up under full load, proxies are added, removed and killed",
 		Faults: []string{"config", "service comes back cold", "gate added, another gone for good", "gate killed"}, Repeats: 2, AdjustPlan: func(p *Plan) { p.Rate = 300 },
 		Occurrences: func(s *Stats) int { return s.MostWhileWarming }, DisabledGuard: guardWarmingConcurrency},
-	{Name: "cold", Rules: []Rule{ruleWarmupRate}, Threat: "a whole service with routes restarts and warms up under load, proxies are added, removed, killed and isolated",
+	{Name: "cold", Rules: []Rule{ruleWarmupRate}, Threat: "a whole service that has routes restarts and warms up under load, proxies are added, removed, killed and isolated",
 		Faults: []string{"config", "service comes back cold", "target turns cold", "domain emptied and restored", "gate added, another gone for good", "gate killed", "gate isolated"}, Repeats: 2,
 		AdjustPlan:  func(p *Plan) { p.Rate, p.Slots, p.WarmupRate = 300, 6, 8 },
 		Occurrences: func(s *Stats) int { return s.WarmupArrivals }, DisabledGuard: guardWarmupReport},
@@ -90,7 +90,7 @@
 // sceneSpan is the time span in which a scene's faults begin.
 const sceneSpan = 25 * time.Second
 
-// Run runs the scene with a seed. withoutGuard disables its guard.
+// Run runs the scene with a seed. If withoutGuard is set, its guard is disabled.
 func (s *Scene) Run(seed uint64, plan Plan, withoutGuard bool) *World {
 	if s.AdjustPlan != nil {
 		s.AdjustPlan(&plan)
@@ -137,7 +137,7 @@
 	}
 }
 
-// ShownBy reports whether a world broke one of the scene's rules.
+// ShownBy reports whether the run in w violated one of the scene's rules.
 func (s *Scene) ShownBy(w *World) bool {
 	rule, _, _ := strings.Cut(w.Failure, ":")
 	return w.Failure != "" && slices.Contains(s.Rules, Rule(rule))
--- a/internal/verification/simulator/stats.go
+++ b/internal/verification/simulator/stats.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Stats holds the counters of a run, for reports and for scenes, which must show that the situation they test occurred.
+// Stats holds the counters of a run, for reports and for scenes, which use them to show that the situation they test occurred.
 type Stats struct {
 	Steps int // number of events run
 
@@ -43,7 +43,7 @@
 	GracefulStops     int           // stop signals
 	ReplacedMachines  int           // control machines that were replaced permanently
 	PeerServing       int           // number of times that a proxy started to serve on its peers' leases
-	DelayedSteps      int           // steps whose commands were executed after a pause
+	DelayedSteps      int           // steps of a daemon whose commands were executed after a pause
 	ReorderedMessages int           // messages that arrived seconds late and out of order
 	RejectedWrites    int           // writes that a full disk rejected
 	RecoveryTime      time.Duration // from healing to full capacity
