--- a/internal/verification/simulator/proxy_membership_test.go
+++ b/internal/verification/simulator/proxy_membership_test.go
@@ -8,9 +8,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A majority of the old proxies is cut off from the control plane, but not from their callers,
-// while many new ones come: the new majority alone must not put a change in force that
-// the old one, serving on peer leases, can't know of.
+// A majority of the old proxies is partitioned from the control plane but not from its callers, and serves on peer
+// leases. Many new proxies join meanwhile. A majority of the new set alone must not put a change in force, as the old
+// majority can't have received it.
 func TestChangeNeedsOldAndNewMajorityOfProxies(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -18,15 +18,15 @@
 		p.Rate, p.Proxies = 300, 5
 		w := Start(seed, p)
 		w.Run(w.now + time.Second)
-		var ks []link
+		var links []link
 		for _, g := range []string{"g1", "g2", "g3"} {
 			for _, o := range w.processes.names {
 				if o != "g1" && o != "g2" && o != "g3" {
-					ks = append(ks, bothDirections(g, o)...)
+					links = append(links, bothDirections(g, o)...)
 				}
 			}
 		}
-		w.partition(ks, 12*time.Second)
+		w.partition(links, 12*time.Second)
 		for i := range 8 {
 			name := fmt.Sprintf("g%d", 60+i)
 			w.addAndStart(wire.ProxyDaemon, name, i%3)
@@ -49,7 +49,7 @@
 		w.Run(w.now + 9*time.Second)
 		requireNoFailure(t, w)
 		if w.checks.acknowledged == 2 {
-			t.Fatalf("seed %d: acknowledged without the old majority", seed)
+			t.Fatalf("seed %d: revision 2 was acknowledged without a majority of the old proxies", seed)
 		}
 		w.Run(w.now + 3*time.Second)
 		w.Heal()
@@ -58,7 +58,7 @@
 	}
 }
 
-// Days hold in which many proxies crash and standbys come in numbers, during partitions.
+// Random runs break no rule in which many proxies crash and many new ones join, partitions included.
 func TestDaysOfProxyCrashesAndStandbys(t *testing.T) {
 	t.Parallel()
 	kinds := append(faultsNamed(t, "gate herd killed", "gate isolated", "domain cut off", "leader killed", "config", "core cut off from proxies"),
@@ -78,7 +78,7 @@
 	}
 }
 
-// A large fleet's proxies serve within a few seconds, not one after the other.
+// All 40 proxies of a new fleet serve within 4 s of the first configuration, so they must not be admitted one by one.
 func TestManyProxiesServeWithinSeconds(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -88,10 +88,10 @@
 		if !w.runUntil(10*time.Second, w.hasLeader) {
 			t.Fatalf("no leader\n%s", w.Trace(20))
 		}
-		at := w.now
+		from := w.now
 		w.PutConfig(w.Leader(), 0, 1)
 		if !w.AwaitServing(4 * time.Second) {
-			t.Fatalf("not serving after %v: %s", w.now-at, w.describeDaemons())
+			t.Fatalf("not all proxies serve after %v: %s", w.now-from, w.describeDaemons())
 		}
 		requireNoFailure(t, w)
 	}
--- a/internal/verification/simulator/repeated_change_test.go
+++ b/internal/verification/simulator/repeated_change_test.go
@@ -13,15 +13,15 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// testChange is an operator's change of the configuration, which is sent as often as need be.
+// testChange is an operator's change of the configuration. Tests send it several times.
 type testChange struct {
-	base     uint64
-	doc      []byte
-	token    string // the operator's own id, "" for none
-	revision uint64 // that it led to, 0: it lost
+	base     uint64 // the revision that the change is built on
+	doc      []byte // the configuration document
+	token    string // the id that the operator chose; "": none
+	revision uint64 // the revision that the change created; 0: it was rejected
 }
 
-// sendConfiguration sends a change and waits for its reply, and the revision that it names.
+// sendConfiguration sends a change to a daemon and returns its reply and the revision in it, 0 if there is none.
 func (w *World) sendConfiguration(t *testing.T, p *Process, c testChange) (statemachine.Reply, uint64) {
 	t.Helper()
 	r, fields := w.callAndWait(t, p, "PUT", "/v1/config", fmt.Sprintf("base=%d", c.base), string(c.doc), c.token)
@@ -29,50 +29,49 @@
 	return r, uint64(revision)
 }
 
-// A change that was accepted is acknowledged when it is sent again, by any member, over
-// hundreds of changes on top, another leader, restarts and snapshots, and the one that
-// lost against it is rejected. After a loss of all disks it is acknowledged or left
-// without a clear reply.
+// An accepted change that is sent again to any member is acknowledged again: after hundreds of later changes, under
+// another leader, and after restarts and snapshots. A change that lost against it is always rejected. Once all disks
+// are lost, either may instead get 504 (outcome unknown), except for the latest change.
 func TestRepeatedChangeIsAcknowledgedAgain(t *testing.T) {
 	t.Parallel()
-	const changes = 300 // over one snapshot each tuning.LogMax entries
+	const changes = 300 // enough for a snapshot, which is taken each tuning.LogMax entries
 	w := Start(21, Small)
-	var taken, lost []testChange
+	var accepted, lost []testChange
 	for i := range changes {
-		o := testChange{base: w.Revision(), doc: w.Document(i + 10)}
-		r, revision := w.sendConfiguration(t, w.Leader(), o)
+		c := testChange{base: w.Revision(), doc: w.Document(i + 10)}
+		r, revision := w.sendConfiguration(t, w.Leader(), c)
 		if r.Status != 200 {
 			t.Fatalf("change %d: %d %s", i, r.Status, r.Body)
 		}
-		o.revision = revision
-		taken = append(taken, o)
-		lost = append(lost, testChange{base: o.base, doc: w.Document(i + 5000)})
+		c.revision = revision
+		accepted = append(accepted, c)
+		lost = append(lost, testChange{base: c.base, doc: w.Document(i + 5000)})
 	}
-	last := len(taken) - 1
-	again := func(when string, mayForget bool) {
+	last := len(accepted) - 1
+	sendAgain := func(when string, mayForget bool) {
 		t.Helper()
 		for k, i := range []int{0, 1, 100, last - tuning.ChangesKept - 1, last - 1, last} {
 			p := w.daemons(wire.ControlDaemon)[k%w.Plan.ControlDaemons]
-			r, revision := w.sendConfiguration(t, p, taken[i])
+			r, revision := w.sendConfiguration(t, p, accepted[i])
 			switch {
-			case r.Status == 200 && revision == taken[i].revision:
+			case r.Status == 200 && revision == accepted[i].revision:
 			case r.Status == 504 && mayForget && i != last:
 			default:
 				t.Errorf("%s: change %d sent again: %d %s", when, i, r.Status, r.Body)
 			}
 			r, _ = w.sendConfiguration(t, p, lost[i])
 			if r.Status != 412 && !(r.Status == 504 && mayForget && i != last) {
-				t.Errorf("%s: the one that lost against change %d: %d %s", when, i, r.Status, r.Body)
+				t.Errorf("%s: the change that lost against change %d, sent again: %d %s", when, i, r.Status, r.Body)
 			}
 		}
 	}
-	again("at once", false)
+	sendAgain("immediately", false)
 	old := w.Leader()
 	w.Kill(old)
 	w.AwaitRecovery(10 * time.Second)
 	w.Restart(old)
 	w.Run(w.now + time.Second)
-	again("under another leader", false)
+	sendAgain("under another leader", false)
 	for _, p := range w.fleet() {
 		w.Kill(p)
 	}
@@ -80,7 +79,7 @@
 		w.Restart(p)
 	}
 	w.AwaitRecovery(10 * time.Second)
-	again("after a restart of all", false)
+	sendAgain("after a restart of all daemons", false)
 	for _, p := range w.daemons(wire.ControlDaemon) {
 		w.Kill(p)
 		w.WipeDisk(p)
@@ -90,24 +89,24 @@
 		w.Restart(p)
 	}
 	w.AwaitRecovery(15 * time.Second)
-	again("after a loss of all disks", true)
+	sendAgain("after a loss of all disks", true)
 	requireNoFailure(t, w)
 }
 
-// Changes under one id and without one, the same at several members at once, and other
-// documents under the same number: one wins, its copies are all acknowledged as one
-// change, the others lose. No reply says that a change is under way.
+// Three different documents, one of them with an id, are sent on the same base to several members at once, each more
+// than once. One of them wins and all of its copies are acknowledged as one change; the others are rejected. No reply
+// may say only that a change is in progress.
 func TestOneOfConcurrentChangesWins(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
-		orders := []testChange{{base: 1, doc: w.Document(2)}, {base: 1, doc: w.Document(3), token: "third"}, {base: 1, doc: w.Document(4)}}
-		type answer struct{ order, status, revision int }
-		var got []answer
+		changes := []testChange{{base: 1, doc: w.Document(2)}, {base: 1, doc: w.Document(3), token: "third"}, {base: 1, doc: w.Document(4)}}
+		type reply struct{ change, status, revision int }
+		var got []reply
 		for i := range 8 {
-			k := i % len(orders)
-			w.call(w.daemons(wire.ControlDaemon)[(i+int(seed))%w.Plan.ControlDaemons], "PUT", "/v1/config", "base=1", orders[k].doc, orders[k].token, func(r statemachine.Reply) {
-				got = append(got, answer{k, r.Status, int(revisionOf(r))})
+			k := i % len(changes)
+			w.call(w.daemons(wire.ControlDaemon)[(i+int(seed))%w.Plan.ControlDaemons], "PUT", "/v1/config", "base=1", changes[k].doc, changes[k].token, func(r statemachine.Reply) {
+				got = append(got, reply{k, r.Status, int(revisionOf(r))})
 			})
 			if seed%3 == 0 {
 				w.Run(w.now + w.randomMilliseconds(0, 3))
@@ -115,16 +114,16 @@
 		}
 		w.Run(w.now + 3*time.Second)
 		if len(got) != 8 {
-			t.Fatalf("seed %d: %d answers", seed, len(got))
+			t.Fatalf("seed %d: %d replies to 8 calls", seed, len(got))
 		}
-		winner := slices.IndexFunc(got, func(a answer) bool { return a.status == 200 })
-		for _, a := range got {
-			want := answer{a.order, 412, 0}
-			if winner >= 0 && a.order == got[winner].order {
-				want = answer{a.order, 200, 2}
+		winner := slices.IndexFunc(got, func(r reply) bool { return r.status == 200 })
+		for _, r := range got {
+			want := reply{r.change, 412, 0}
+			if winner >= 0 && r.change == got[winner].change {
+				want = reply{r.change, 200, 2}
 			}
-			if a != want {
-				t.Errorf("seed %d: %+v", seed, got)
+			if r != want {
+				t.Errorf("seed %d: got %+v, want %+v; all replies: %+v", seed, r, want, got)
 				break
 			}
 		}
@@ -132,29 +131,29 @@
 	}
 }
 
-// A change of a domain that is sent again under its id, long after it was accepted and
-// undone, is acknowledged and changes nothing.
-func TestRepeatedDomainChangeTakesNoEffect(t *testing.T) {
+// A call that empties a domain is sent again under its id long after it was accepted and undone. It is acknowledged, and
+// the domain is not emptied again.
+func TestRepeatedDomainChangeHasNoEffect(t *testing.T) {
 	t.Parallel()
 	w := Start(22, Small)
 	for i := range 3 * tuning.ChangesKept {
 		for _, what := range []string{"empty", "restore"} {
 			if r, _ := w.callAndWait(t, w.daemons(wire.ControlDaemon)[i%w.Plan.ControlDaemons], "POST", "/v1/domains/d1/"+what, "", "", fmt.Sprintf("%s%d", what, i)); r.Status != 200 {
-				t.Fatalf("%s %d: %d %s", what, i, r.Status, r.Body)
+				t.Fatalf("POST /v1/domains/d1/%s, round %d: %d %s", what, i, r.Status, r.Body)
 			}
 		}
 	}
 	if r, _ := w.callAndWait(t, w.Leader(), "POST", "/v1/domains/d1/empty", "", "", "empty0"); r.Status != 200 {
-		t.Errorf("%d %s", r.Status, r.Body)
+		t.Errorf("the first call sent again: %d %s", r.Status, r.Body)
 	}
 	if _, m := w.callAndWait(t, w.Leader(), "GET", "/v1/domains", "", "", ""); len(m["emptied"].([]any)) > 0 {
-		t.Errorf("emptied again: %v", m["emptied"])
+		t.Errorf("emptied domains %v, want none", m["emptied"])
 	}
 	requireNoFailure(t, w)
 }
 
-// Two operators who send the very same configuration on one base make one change: both
-// learn that it is in force, as one revision. Two different ones are never both.
+// Two operators who send the same configuration on the same base make one change: both get the same revision and learn
+// that it is in force. Of two different configurations only one is accepted.
 func TestSameConfigurationFromTwoOperatorsIsOneChange(t *testing.T) {
 	t.Parallel()
 	for _, second := range []int{7, 8} {
@@ -177,13 +176,14 @@
 				want = 2
 			}
 			if accepted != want || len(revs) != 1 {
-				t.Errorf("seed %d, 7 and %d: %d accepted as %v\n%s", w.Seed, second, accepted, revs, w.Trace(10))
+				t.Errorf("seed %d, documents 7 and %d: %d accepted, want %d; revisions %v, want one\n%s", w.Seed, second, accepted, want, revs, w.Trace(10))
 			}
 		}
 	}
 }
 
-// The same change twice at once is one change; another on the same base loses.
+// The same change sent twice at once takes effect once; a different change on the same base loses, or wins and both
+// copies lose.
 func TestSameChangeSentTwiceAtOnceIsOneChange(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -209,17 +209,18 @@
 				second++
 			case "0 412 0", "1 412 0":
 			default:
-				t.Errorf("seed %d: %v", seed, got)
+				t.Errorf("seed %d: unexpected reply %q among %q (document, status, revision)", seed, g, got)
 			}
 		}
 		if len(got) != 3 || first+2*second != 2 || first == 1 {
-			t.Errorf("seed %d: %v", seed, got)
+			t.Errorf("seed %d: replies %q (document, status, revision), want one winner", seed, got)
 		}
 		requireNoFailure(t, w)
 	}
 }
 
-// Changes that are repeated push no configuration out of what is kept.
+// Repeated domain calls must not displace the record of an accepted configuration: that change is still acknowledged
+// when it is sent again.
 func TestRepeatedChangesKeepEarlierRecords(t *testing.T) {
 	t.Parallel()
 	w := Start(24, Small)
@@ -228,16 +229,16 @@
 		w.callAndWait(t, w.Leader(), "POST", "/v1/domains/d1/restore", "", "", "")
 	}
 	if r, m := w.callAndWait(t, w.Leader(), "PUT", "/v1/config", "base=1", string(w.Document(2)), ""); r.Status != 200 || m["revision"] != 2.0 {
-		t.Errorf("%s", r.Body)
+		t.Errorf("the configuration sent again: %d %s, want revision 2", r.Status, r.Body)
 	}
 	if n := len(w.Leader().controller.ChangeRecords()); n > 2*tuning.ChangesKept {
-		t.Errorf("%d records", n)
+		t.Errorf("%d change records are kept, want at most %d", n, 2*tuning.ChangesKept)
 	}
 }
 
-// An operator's own revisions: steps of any size upwards, kept with the document, and
-// the very same call again is answered as the first, also under the next leader.
-func TestOperatorsOwnRevisions(t *testing.T) {
+// Operators may number revisions themselves: a revision may exceed its base by any step and is stored with the document.
+// The same call sent again gets the same answer, also under the next leader.
+func TestOperatorChosenRevisions(t *testing.T) {
 	t.Parallel()
 	p := Small
 	p.ConfiguredDomains = []string{"d9"}
@@ -246,23 +247,23 @@
 		b, _ := config.WithRevision(w.Document(n), uint64(rev))
 		return string(b)
 	}
-	spaced := func(s string) string {
+	indented := func(s string) string {
 		var v any
 		json.Unmarshal([]byte(s), &v)
 		b, _ := json.MarshalIndent(v, " ", "  ")
 		return string(b)
 	}
-	named := `{"revision":30,"set":{"services":{"fares":{"cap":33,"warm_cap":6,"timeout_ms":1000}}},"drop":{"services":["nobody"]}}`
+	patch := `{"revision":30,"set":{"services":{"fares":{"cap":33,"warm_cap":6,"timeout_ms":1000}}},"drop":{"services":["nobody"]}}`
 	steps := []struct {
 		method, path, query, body string
 		status                    int
-		rev                       float64
-		at                        string
+		rev                       float64 // the revision in the reply
+		at                        string  // the path of the first invalid field; "": none
 	}{
 		{"PUT", "/v1/config", "base=1", doc(1, 2), 422, 1, "revision"},
 		{"PUT", "/v1/config", "base=1", doc(7, 2), 200, 7, ""},
 		{"PUT", "/v1/config", "base=1", doc(7, 2), 200, 7, ""},
-		{"PUT", "/v1/config", "base=1", spaced(doc(7, 2)), 200, 7, ""},
+		{"PUT", "/v1/config", "base=1", indented(doc(7, 2)), 200, 7, ""},
 		{"PUT", "/v1/config", "base=1", doc(8, 2), 412, 7, ""},
 		{"PUT", "/v1/config", "base=1", doc(7, 3), 412, 7, ""},
 		{"PUT", "/v1/config", "base=0", doc(7, 2), 412, 7, ""},
@@ -270,8 +271,8 @@
 		{"PATCH", "/v1/config", "base=7", `{"set":{"services":[]}}`, 422, 7, "set.services"},
 		{"PATCH", "/v1/config", "base=7", `{"set":{},"odd":1}`, 422, 7, "odd"},
 		{"PATCH", "/v1/config", "base=7", `{"drop":{"services":["fares"]}}`, 422, 7, "rules[0].service"},
-		{"PATCH", "/v1/config", "base=7", named, 200, 30, ""},
-		{"PATCH", "/v1/config", "base=7", named, 200, 30, ""},
+		{"PATCH", "/v1/config", "base=7", patch, 200, 30, ""},
+		{"PATCH", "/v1/config", "base=7", patch, 200, 30, ""},
 		{"PATCH", "/v1/config", "base=7", `{"services":{"fares":{"cap":34}}}`, 412, 30, ""},
 		{"PATCH", "/v1/config", "base=30", `{"services":{"fares":{"cap":34}}}`, 200, 31, ""},
 		{"PATCH", "/v1/config", "base=30", `{"services":{"fares":{"cap":34}}}`, 200, 31, ""},
@@ -294,7 +295,7 @@
 				}
 			}
 			if r.Status != c.status || at != c.at || r.Status != 404 && rev != c.rev {
-				t.Errorf("step %d, %s %s?%s: %d %s", from+i, c.method, c.path, c.query, r.Status, r.Body)
+				t.Errorf("step %d, %s %s?%s: %d %s, want %d, revision %v, invalid field %q", from+i, c.method, c.path, c.query, r.Status, r.Body, c.status, c.rev, c.at)
 			}
 		}
 	}
@@ -303,13 +304,13 @@
 	w.AwaitRecovery(10 * time.Second)
 	run(len(steps) - 1)
 	if r, _ := w.callAndWait(t, w.followers()[0], "GET", "/v1/config", "plain=", "", ""); string(r.Body) != doc(40, 4)+"\n" {
-		t.Errorf("%s", r.Body)
+		t.Errorf("GET /v1/config?plain: %s, want the document of revision 40", r.Body)
 	}
 	if r, m := w.callAndWait(t, w.followers()[0], "PATCH", "/v1/config", "base=40", `{"services":{"fares":{"cap":35}}}`, ""); r.Status != 200 || m["revision"] != 41.0 {
-		t.Errorf("%s", r.Body)
+		t.Errorf("PATCH on base 40: %d %s, want revision 41", r.Status, r.Body)
 	}
 	if _, m := w.callAndWait(t, w.followers()[0], "GET", "/v1/config", "plain=", "", ""); m["revision"] != 41.0 {
-		t.Errorf("a document without a revision inside: %v", m["revision"])
+		t.Errorf("the document has revision %v, want 41", m["revision"])
 	}
 	requireNoFailure(t, w)
 }
