--- a/internal/verification/simulator/proxy_membership_test.go
+++ b/internal/verification/simulator/proxy_membership_test.go
@@ -62,7 +62,7 @@
 func TestDaysOfProxyCrashesAndStandbys(t *testing.T) {
 	t.Parallel()
 	kinds := append(faultsNamed(t, "gate herd killed", "gate isolated", "domain cut off", "leader killed", "config", "core cut off from proxies"),
-		Fault{"standby proxies come", func(w *World) {
+		Fault{"four new proxies join", func(w *World) {
 			if len(w.daemonNames(wire.ProxyDaemon)) > w.Plan.Proxies+8 {
 				return
 			}
--- a/internal/verification/simulator/status_test.go
+++ b/internal/verification/simulator/status_test.go
@@ -13,7 +13,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// memberNamed is a member in the leader's view, empty if it is not there.
+// memberNamed returns a member from the leader's view, the zero value if the view does not contain it.
 func memberNamed(view controlplane.ControlPlaneView, name string) controlplane.MemberView {
 	for _, m := range view.Members {
 		if m.Name == name {
@@ -23,8 +23,9 @@
 	return controlplane.MemberView{}
 }
 
-// The leader shows by which majority it leads, which member is unreachable and for how long, that the next
-// loss can't be borne and until when, and that it can again once a standby is a member.
+// The leader's status lists the voters behind its lease. After a member is lost, it shows that member as unresponsive and
+// since when, that the next loss is not tolerable, and when the member can be replaced. Once a standby has become a
+// member, the next loss is tolerable again.
 func TestStatusShowsALossAndItsRepair(t *testing.T) {
 	t.Parallel()
 	w := Start(7, bootstrapPlan(4, 3))
@@ -32,46 +33,47 @@
 	w.Run(w.now + 2*time.Second)
 	v := w.controlPlaneView(t)
 	if v.Voters != 3 || v.Majority != 2 || len(v.LeaseVoters) != 3 || !v.HoldsLease || v.LeadingMs == 0 || v.Leader != w.Leader().name {
-		t.Fatalf("%+v", v)
+		t.Fatalf("before the loss, want three voters and a lease held by %s: %+v", w.Leader().name, v)
 	}
 	if !v.FailureTolerance.Evaluated || !v.FailureTolerance.Tolerable || v.FailureTolerance.Machines != 1 || len(v.FailureTolerance.Blockers) > 0 || len(v.FailureTolerance.DomainsAtRisk) > 0 {
-		t.Fatalf("%+v", v.FailureTolerance)
+		t.Fatalf("before the loss, want one tolerable loss: %+v", v.FailureTolerance)
 	}
 	lost := w.followerMember()
 	w.Kill(lost)
 	w.Run(w.now + 2*time.Second)
 	v = w.controlPlaneView(t)
 	if m := memberNamed(v, lost.name); m.State != controlplane.MemberUnresponsive || m.NoContactMs < 1200 || m.NoContactMs > 2500 {
-		t.Errorf("the silent member: %+v", m)
+		t.Errorf("the lost member, want it unresponsive for 1.2 s to 2.5 s: %+v", m)
 	}
 	if len(v.LeaseVoters) != 2 || slices.Contains(v.LeaseVoters, lost.name) {
-		t.Errorf("the lease stands on %v", v.LeaseVoters)
+		t.Errorf("voters of the lease: %v, want two without %s", v.LeaseVoters, lost.name)
 	}
 	if v.FailureTolerance.Tolerable || v.FailureTolerance.Machines != 0 || len(v.FailureTolerance.DomainsAtRisk) != 2 {
-		t.Errorf("%+v", v.FailureTolerance)
+		t.Errorf("after the loss, want no tolerable loss and two domains at risk: %+v", v.FailureTolerance)
 	}
 	if len(v.FailureTolerance.Blockers) != 1 {
-		t.Fatalf("%+v", v.FailureTolerance.Blockers)
+		t.Fatalf("blockers, want one: %+v", v.FailureTolerance.Blockers)
 	}
-	o := v.FailureTolerance.Blockers[0]
-	if o.Kind != controlplane.BlockerUnresponsive || o.Member != lost.name || o.Successor == "" || o.ReplaceableInMs == nil || *o.ReplaceableInMs > 10_000 {
-		t.Errorf("%+v", o)
+	blocker := v.FailureTolerance.Blockers[0]
+	if blocker.Kind != controlplane.BlockerUnresponsive || blocker.Member != lost.name || blocker.Successor == "" || blocker.ReplaceableInMs == nil || *blocker.ReplaceableInMs > 10_000 {
+		t.Errorf("blocker, want %s unresponsive, with a successor within 10 s: %+v", lost.name, blocker)
 	}
 	if !w.runUntil(30*time.Second, func() bool { return w.Leader() != nil && w.controlPlaneView(t).FailureTolerance.Tolerable }) {
-		t.Fatalf("never bearable again: %+v", w.controlPlaneView(t))
+		t.Fatalf("no loss is tolerable 30 s after the last one: %+v", w.controlPlaneView(t))
 	}
 	v = w.controlPlaneView(t)
-	if m := memberNamed(v, o.Successor); m.State != controlplane.MemberFollower || !m.Voter || m.Match < 1 {
-		t.Errorf("%s came in for it: %+v", o.Successor, m)
+	if m := memberNamed(v, blocker.Successor); m.State != controlplane.MemberFollower || !m.Voter || m.Match < 1 {
+		t.Errorf("the successor %s, want a voting follower: %+v", blocker.Successor, m)
 	}
 	if n := w.Leader().controller.Status(0).Counts.MemberChanges; n < 1 {
-		t.Errorf("%d changes of members are counted", n)
+		t.Errorf("%d member changes are counted, want at least 1", n)
 	}
 	requireNoFailure(t, w)
 }
 
-// A follower shows that it can't tell, and how long ago it last heard from its leader.
-func TestFollowersStatusCannotTellLosses(t *testing.T) {
+// A follower's status says that it has not evaluated the failure tolerance, and shows the time since the last message
+// from its leader.
+func TestFollowerStatusDoesNotEvaluateFailureTolerance(t *testing.T) {
 	t.Parallel()
 	w := Start(3, bootstrapPlan(3, 3))
 	w.runUntil(10*time.Second, w.hasMembers(3))
@@ -79,7 +81,7 @@
 	w.Run(w.now + time.Second)
 	v := f.controller.Status(f.localTime()).ControlPlane
 	if v.FailureTolerance.Evaluated || v.FailureTolerance.Tolerable || v.HoldsLease || v.Leader != w.Leader().name || v.LeaderLastContactMs > 1000 || len(v.Members) > 0 {
-		t.Errorf("%+v", v)
+		t.Errorf("status of follower %s, want only the leader and a recent contact: %+v", f.name, v)
 	}
 	leader := w.Leader()
 	for _, p := range w.daemons(wire.ControlDaemon) {
@@ -90,12 +92,12 @@
 	w.Run(w.now + 3*time.Second)
 	v = f.controller.Status(f.localTime()).ControlPlane
 	if v.HoldsLease || v.LeaderLastContactMs < 2000 {
-		t.Errorf("3 s without %s: %+v", leader.name, v)
+		t.Errorf("status of follower %s 3 s after %s was killed, want a last contact at least 2 s ago: %+v", f.name, leader.name, v)
 	}
 }
 
-// A leader that is left alone counts the time without a leader from the end of its own lease.
-func TestStatusOfLeaderLeftAloneCountsFromItsLease(t *testing.T) {
+// A former leader whose followers are all lost counts the time without a leader from the end of its own lease.
+func TestStatusOfFormerLeaderCountsFromEndOfItsLease(t *testing.T) {
 	t.Parallel()
 	w := Start(3, bootstrapPlan(3, 3))
 	w.runUntil(10*time.Second, w.hasMembers(3))
@@ -108,22 +110,22 @@
 	}
 	w.Run(w.now + 3*time.Second)
 	if v := leader.controller.Status(leader.localTime()).ControlPlane; v.HoldsLease || v.LeaderLastContactMs < 1500 || v.LeaderLastContactMs > 3500 {
-		t.Errorf("%+v", v)
+		t.Errorf("3 s after all followers were killed, want no lease and a last contact 1.5 s to 3.5 s ago: %+v", v)
 	}
 }
 
-// One machine alone leads, and shows that it is too few.
-func TestStatusOfOnlyMemberBearsNoLoss(t *testing.T) {
+// The only member of a control plane leads, and its status says that too few members make any loss intolerable.
+func TestStatusOfSingleMemberToleratesNoLoss(t *testing.T) {
 	t.Parallel()
 	w := Start(5, bootstrapPlan(1, 1))
 	w.runUntil(10*time.Second, w.hasLeader)
 	v := w.controlPlaneView(t)
 	if v.FailureTolerance.Tolerable || len(v.FailureTolerance.Blockers) != 1 || v.FailureTolerance.Blockers[0].Kind != controlplane.BlockerTooFewMembers || v.FailureTolerance.Blockers[0].Successor != "" {
-		t.Errorf("%+v", v.FailureTolerance)
+		t.Errorf("want too few members as the only blocker: %+v", v.FailureTolerance)
 	}
 }
 
-// A member that stops gracefully is distinguished from one that crashed.
+// The status distinguishes a member that stops gracefully from one that crashed.
 func TestStatusShowsAStoppingMember(t *testing.T) {
 	t.Parallel()
 	w := Start(9, bootstrapPlan(3, 3))
@@ -133,19 +135,19 @@
 	w.Run(w.now + 2*time.Second)
 	v := w.controlPlaneView(t)
 	if m := memberNamed(v, f.name); m.State != controlplane.MemberStopping {
-		t.Errorf("%+v", m)
+		t.Errorf("%s has the stop signal, want it shown as stopping: %+v", f.name, m)
 	}
 	if len(v.FailureTolerance.Blockers) != 1 || v.FailureTolerance.Blockers[0].Kind != controlplane.BlockerStopping || v.FailureTolerance.Blockers[0].ReplaceableInMs != nil {
-		t.Errorf("%+v", v.FailureTolerance.Blockers)
+		t.Errorf("want the stopping member as the only blocker, without a time of replacement: %+v", v.FailureTolerance.Blockers)
 	}
 	w.Restart(f)
 	if !w.runUntil(5*time.Second, func() bool { return w.Leader() != nil && w.controlPlaneView(t).FailureTolerance.Tolerable }) {
-		t.Errorf("back, and the next loss can't be borne: %+v", w.controlPlaneView(t).FailureTolerance)
+		t.Errorf("no loss is tolerable 5 s after %s restarted: %+v", f.name, w.controlPlaneView(t).FailureTolerance)
 	}
 }
 
-// Each counter grows when what it counts happens: a lost lease, a snapshot, a repeated
-// change, a reply that can't be given, another version, a wrong document.
+// Counters of the control plane increase with the events that they count: a lost lease, a snapshot sent, a repeated
+// change, a reply of unknown outcome or of unavailability, a change on another version, and an invalid document.
 func TestControlPlaneCountsItsEvents(t *testing.T) {
 	t.Parallel()
 	w := Start(11, Small)
@@ -157,21 +159,21 @@
 		return r.Status
 	}
 	doc := string(w.Document(4))
-	on := "base=" + strconv.FormatUint(base, 10)
-	if s := put(on, doc, "once"); s != 200 {
-		t.Fatal(s)
+	query := "base=" + strconv.FormatUint(base, 10)
+	if s := put(query, doc, "once"); s != 200 {
+		t.Fatalf("PUT /v1/config: %d, want 200", s)
 	}
 	for _, x := range []struct {
 		query, body string
 		want        int
-	}{{on, doc, 200}, {on, `{"services":{}}`, 412}, {on, "{", 400}} {
+	}{{query, doc, 200}, {query, `{"services":{}}`, 412}, {query, "{", 400}} {
 		if s := put(x.query, x.body, ""); s != x.want {
-			t.Fatalf("%s: %d, want %d", x.body[:1], s, x.want)
+			t.Fatalf("PUT /v1/config of %.20s: %d, want %d", x.body, s, x.want)
 		}
 	}
 	n := l.controller.Status(0).Counts
 	if n.RepeatsAnswered != 1 || n.RejectedVersion != 1 || n.RejectedInvalid != 1 || n.AnsweredUnknown != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("want one repeated, one stale and one invalid change: %+v", n)
 	}
 	f := w.followerMember()
 	w.isolate([]string{l.name}, 4*time.Second, true, true)
@@ -179,14 +181,14 @@
 	w.call(l, "PUT", "/v1/config", "base="+strconv.FormatUint(w.Revision(), 10), w.Document(5), "", func(r statemachine.Reply) { unknown = r.Status })
 	w.Run(w.now + 2*time.Second)
 	if unknown != 504 {
-		t.Errorf("a change put to a leader that is cut off is answered %d", unknown)
+		t.Errorf("a change at an isolated leader got %d, want 504", unknown)
 	}
 	if r, _ := w.callAndWait(t, l, "GET", "/v1/config", "", "", ""); r.Status != 503 {
-		t.Errorf("a leader cut off answers %d", r.Status)
+		t.Errorf("a read at an isolated leader got %d, want 503", r.Status)
 	}
 	n = l.controller.Status(0).Counts
 	if n.LeasesLost != 1 || n.AnsweredUnavailable != 1 || n.AnsweredUnknown != 1 {
-		t.Errorf("%+v", n)
+		t.Errorf("want one lost lease, one unavailable and one unknown reply: %+v", n)
 	}
 	w.Run(w.now + 5*time.Second)
 	w.Kill(f)
@@ -204,34 +206,34 @@
 		}
 	}
 	if sent < 1 {
-		t.Error("no snapshot is counted")
+		t.Error("no sent snapshot is counted although a member restarted with an empty disk")
 	}
 }
 
-// failoverWithin is how soon somebody decides after a loss that was said to be bearable: an
-// election after the longest lease, a second one, and the wait for proxies' tables.
+// failoverWithin bounds the time from a loss that the status called tolerable until a leader decides again. It covers an
+// election after the longest lease, a second election, and the wait for the proxies' tables.
 const failoverWithin = 5 * time.Second
 
-// noticedWithin is how soon the status shows a loss: it counts a voter until that has not
-// answered for a lease.
-const noticedWithin = tuning.LeaderLease + 2*tuning.HeartbeatEvery
+// detectionDelay is the time until the status shows a loss: a voter counts until it has not replied for the length of a
+// lease.
+const detectionDelay = tuning.LeaderLease + 2*tuning.HeartbeatEvery
 
-// controlPlaneSize is a control plane of so many machines.
-type controlPlaneSize struct{ cores, seeds int }
+// controlPlaneSize is the number of control daemons and of the seeds among them.
+type controlPlaneSize struct{ controlDaemons, seeds int }
 
-// What the status says can be borne is borne: whichever voter is lost, and however many as
-// it says, there is a leader again; and so with each domain that is not at risk.
-func TestBearableLossesAreBorne(t *testing.T) {
+// A leader decides again after every loss that the status calls tolerable: any voters, as many as it says, and any domain
+// that it does not list as at risk.
+func TestControlPlaneSurvivesTolerableLosses(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
 		size := []controlPlaneSize{{3, 3}, {4, 3}, {5, 3}, {7, 3}, {11, 3}}[seed%5]
-		t.Run(fmt.Sprintf("%d machines, seed %d", size.cores, seed), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d machines, seed %d", size.controlDaemons, seed), func(t *testing.T) {
 			t.Parallel()
-			w := Start(seed, bootstrapPlan(size.cores, size.seeds))
-			w.runUntil(10*time.Second, w.hasMembers(min(size.cores, 7)))
+			w := Start(seed, bootstrapPlan(size.controlDaemons, size.seeds))
+			w.runUntil(10*time.Second, w.hasMembers(min(size.controlDaemons, 7)))
 			for round := range 8 {
 				if !w.runUntil(90*time.Second, func() bool { return w.Leader() != nil && w.controlPlaneView(t).FailureTolerance.Tolerable }) {
-					t.Fatalf("round %d: never bearable: %+v\n%s", round, w.controlPlaneView(t), w.Trace(20))
+					t.Fatalf("round %d: no loss is tolerable within 90 s: %+v\n%s", round, w.controlPlaneView(t), w.Trace(20))
 				}
 				v := w.controlPlaneView(t)
 				lost := w.chooseLoss(v, round)
@@ -239,22 +241,22 @@
 					w.Kill(w.process(name))
 				}
 				if !w.runUntil(failoverWithin, w.hasLeader) {
-					t.Fatalf("round %d: nobody decides %v after the loss of %v, which was said to be bearable: %+v\n%s", round, failoverWithin, lost, v, w.Trace(40))
+					t.Fatalf("round %d: no leader %v after the loss of %v, which the status called tolerable: %+v\n%s", round, failoverWithin, lost, v, w.Trace(40))
 				}
-				w.schedule(w.randomMilliseconds(0, 12000), func() { // often after the next loss
+				w.schedule(w.randomMilliseconds(0, 12000), func() { // often only after the next loss
 					for _, name := range lost {
 						w.Restart(w.process(name))
 					}
 				})
-				w.Run(w.now + noticedWithin)
+				w.Run(w.now + detectionDelay)
 				requireNoFailure(t, w)
 			}
 		})
 	}
 }
 
-// chooseLoss draws as many voters as may be lost, or a whole domain that is not at risk; the
-// leader is among them in every other round.
+// chooseLoss draws as many living voters as may be lost, the leader among them in even rounds. In every third round it
+// takes all voters of the leader's domain instead, unless that domain is at risk.
 func (w *World) chooseLoss(v controlplane.ControlPlaneView, round int) (names []string) {
 	var voters []string
 	for _, m := range v.Members {
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -18,9 +18,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-var update = flag.Bool("update", false, "record the stored data in testdata anew, which only an intended change of its form may need")
+var update = flag.Bool("update", false, "rewrite the stored data in testdata; only for an intended change of the stored format")
 
-// recordedFile returns the recorded bytes of that name, after writing got to them if asked to.
+// recordedFile returns the content of a file in testdata/stored. With -update it first replaces the content by got.
 func recordedFile(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	file := filepath.Join("testdata", "stored", name)
@@ -36,15 +36,15 @@
 	return want
 }
 
-// storedImages are what members' disks held at moments of simulated runs: nothing yet, a bootstrap
-// lock, a log from the beginning, and a snapshot with a log.
+// storedImages returns the state on members' disks at four points of simulated runs: empty, with a bootstrap lock, with
+// a log from the beginning, and with a snapshot and a log.
 func storedImages(t *testing.T) map[string]consensus.PersistentState {
 	t.Helper()
 	images := map[string]consensus.PersistentState{"fresh": New(11, Small).process("c1").disk.image}
 	locked := New(11, Small)
 	for locked.process("c1").disk.image.BootstrapLock == 0 {
 		if locked.now > 5*time.Second {
-			t.Fatal("no bootstrap lock")
+			t.Fatal("c1 has stored no bootstrap lock after 5 s")
 		}
 		locked.Run(locked.now + time.Millisecond)
 	}
@@ -57,13 +57,13 @@
 		images["snapshot"] = w.process("c2").disk.image
 	}
 	if w.Failure != "" || images["snapshot"].Snapshot.Index <= 1 || len(images["snapshot"].Log) == 0 {
-		t.Fatal("no disk with a snapshot and a log:", w.Failure)
+		t.Fatal("c2 has no snapshot with a log after it:", w.Failure)
 	}
 	return images
 }
 
-// What earlier code wrote to members' disks is read to the same state, and written again byte for byte.
-func TestStoredStateKeepsItsForm(t *testing.T) {
+// State that earlier versions wrote to members' disks must decode to the same state and encode to the same bytes.
+func TestStoredStateFormatIsUnchanged(t *testing.T) {
 	for name, img := range storedImages(t) {
 		t.Run(name, func(t *testing.T) {
 			got, err := wire.EncodeBatch(img.Checkpoint())
@@ -72,7 +72,7 @@
 			}
 			want := recordedFile(t, name+".batch", got)
 			if !bytes.Equal(got, want) {
-				t.Error("a run writes otherwise than recorded")
+				t.Error("the run's stored state differs from the recorded bytes")
 			}
 			b, err := wire.DecodeBatch(want)
 			if err != nil {
@@ -84,21 +84,21 @@
 				t.Fatal(err)
 			}
 			if again, err := wire.EncodeBatch(read.Checkpoint()); err != nil || !bytes.Equal(again, want) {
-				t.Fatalf("%v; read and written again it is another image", err)
+				t.Fatalf("decoding and encoding the recorded state gives other bytes: %v", err)
 			}
 			status, err := json.MarshalIndent(controlplane.New(0, controlplane.Settings{Self: wire.Daemon{Name: "c1", Kind: wire.ControlDaemon}}, read).Status(0), "", " ")
 			if err != nil {
 				t.Fatal(err)
 			}
 			if want := recordedFile(t, name+".status.json", status); !bytes.Equal(status, want) {
-				t.Errorf("its member says %s", status)
+				t.Errorf("status of a member with this state differs from the recorded one: %s", status)
 			}
 			rewriteThroughWAL(t, want)
 		})
 	}
 }
 
-// rewriteThroughWAL takes a record through a write-ahead log of the daemons' size.
+// rewriteThroughWAL writes a record to a write-ahead log of the daemons' size and checks that it reads back unchanged.
 func rewriteThroughWAL(t *testing.T, record []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -109,35 +109,35 @@
 	r.Close()
 	r, records, err := wal.Open(dir, tuning.WALFiles, tuning.WALFileSize)
 	if err != nil || len(records) != 1 || !bytes.Equal(records[0], record) {
-		t.Fatal(len(records), err)
+		t.Fatalf("the reopened log has %d records, want the one written: %v", len(records), err)
 	}
 	r.Close()
 }
 
-// What a proxy remembers for a control plane that has lost everything is read, and written again byte for byte.
-func TestProxysRecoveredStateKeepsItsForm(t *testing.T) {
+// The state that a proxy keeps for a control plane that has lost all disks must decode, and encode to the same bytes.
+func TestProxyRecoveredStateFormatIsUnchanged(t *testing.T) {
 	w := Start(11, Small)
 	for _, p := range w.daemons(wire.ControlDaemon) {
 		w.Kill(p)
 	}
 	w.Run(w.now + 3*time.Second)
-	gate, member := w.process("g1"), w.process("c1")
+	g1, member := w.process("g1"), w.process("c1")
 	self := wire.Daemon{Name: member.name, Kind: wire.ControlDaemon, Domain: member.domain, Addr: member.address, Incarnation: 1}
-	gate.proxy.Step(gate.localTime(), statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
-	var memory []byte
-	for step := time.Duration(0); memory == nil; step += tuning.TickEvery {
+	g1.proxy.Step(g1.localTime(), statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: member.name, Hello: &wire.Hello{Self: self, Reply: true}}})
+	var sent []byte
+	for step := time.Duration(0); sent == nil; step += tuning.TickEvery {
 		if step > 5*time.Second {
-			t.Fatal("the proxy says nothing of what it remembers")
+			t.Fatal("g1 has sent no recovered state after 5 s")
 		}
-		for _, cmd := range gate.proxy.Step(gate.localTime()+step, statemachine.Tick{}) {
+		for _, cmd := range g1.proxy.Step(g1.localTime()+step, statemachine.Tick{}) {
 			if send, ok := cmd.(statemachine.Send); ok && send.Message.Hello != nil && len(send.Message.Hello.RecoveredState) > 0 {
-				memory = send.Message.Hello.RecoveredState
+				sent = send.Message.Hello.RecoveredState
 			}
 		}
 	}
-	want := recordedFile(t, "proxy-memory.bin", memory)
-	if !bytes.Equal(memory, want) {
-		t.Error("a proxy says otherwise than recorded")
+	want := recordedFile(t, "proxy-memory.bin", sent)
+	if !bytes.Equal(sent, want) {
+		t.Error("the recovered state that g1 sends differs from the recorded bytes")
 	}
 	plain, err := wire.Decompress(want)
 	if err != nil {
@@ -149,10 +149,10 @@
 	}
 	again, err := json.Marshal(recovered)
 	if err != nil || !bytes.Equal(wire.Compress(again), want) {
-		t.Fatalf("%v; read and written again it is another memory", err)
+		t.Fatalf("decoding and encoding the recorded state gives other bytes: %v", err)
 	}
 	var state state.State
 	if err := json.Unmarshal(recovered.State, &state); err != nil || state.Revision != w.checks.acknowledged || w.checks.acknowledged == 0 {
-		t.Fatal(state.Revision, err)
+		t.Fatalf("the recovered state has revision %d, want the acknowledged %d: %v", state.Revision, w.checks.acknowledged, err)
 	}
 }
--- a/internal/verification/simulator/target_test.go
+++ b/internal/verification/simulator/target_test.go
@@ -7,27 +7,27 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A lack of heartbeats alone removes nobody for good: a domain isolated for longer than an unreachable target's
-// entry lasts is back at full capacity within seconds of healing.
+// Missing heartbeats alone must not remove a target for good. A domain isolated for longer than the entries of unreachable
+// targets are kept is back at full capacity within 4 s of the end of the partition.
 func TestHealedTargetsServeWithinSeconds(t *testing.T) {
 	t.Parallel()
-	for seed, cut := range []time.Duration{15 * time.Second, 25 * time.Second, 50 * time.Second, 90 * time.Second} {
+	for seed, isolated := range []time.Duration{15 * time.Second, 25 * time.Second, 50 * time.Second, 90 * time.Second} {
 		w := Start(uint64(seed), Small)
-		w.isolateDomain("d2", cut)
-		w.Run(w.now + cut)
+		w.isolateDomain("d2", isolated)
+		w.Run(w.now + isolated)
 		healed := w.now
 		for w.missingTarget() != "" && w.now < healed+30*time.Second {
 			w.Run(w.now + 100*time.Millisecond)
 		}
 		requireNoFailure(t, w)
 		if took := w.now - healed; took > 4*time.Second {
-			t.Errorf("cut for %v: %s missing %v after healing", cut, w.missingTarget(), took)
+			t.Errorf("after an isolation of %v: %s is still missing %v after its end", isolated, w.missingTarget(), took)
 		}
 	}
 }
 
-// A stale report of an earlier start neither evicts the present one nor brings the earlier one
-// back, whether or not the leader that knew better is still there.
+// A stale report of an earlier start of a target must neither evict the present start nor bring the earlier one back,
+// whether or not the leader that knew of the restart is still alive.
 func TestStaleReportEvictsNoTarget(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -36,7 +36,7 @@
 		w.CrashTarget(old)
 		w.Run(w.now + 300*time.Millisecond)
 		n := w.AddTarget(old.service, old.name, old.domain, old.address, 0)
-		n.incarnation = old.incarnation - 1 // a clock that went back, or chance: incarnations have no order
+		n.incarnation = old.incarnation - 1 // the clock was set back, or by chance: incarnations are not ordered
 		if seed%3 == 1 {                    // under another address
 			delete(w.targets.listening, n.address)
 			n.address = "10.9.9.9:80"
@@ -44,33 +44,33 @@
 		}
 		w.Run(w.now + 4*time.Second)
 		if !w.offered(n) {
-			t.Fatalf("seed %d: the new start is not served\n%s", seed, w.Trace(20))
+			t.Fatalf("seed %d: the new start is not offered\n%s", seed, w.Trace(20))
 		}
 		if seed%2 == 0 {
 			w.Kill(w.Leader())
 			for w.Leader() == nil && w.now < 30*time.Second {
 				w.Run(w.now + 5*time.Millisecond)
 			}
-			w.reportTarget(w.Leader(), old, wire.TargetReady) // before any other message
+			w.reportTarget(w.Leader(), old, wire.TargetReady) // before the new leader gets any other message
 		}
 		for range 20 {
 			w.reportTarget(w.pickProcess(wire.ProxyDaemon, true), old, wire.TargetReady)
 			w.reportTarget(w.Leader(), old, wire.TargetWarming)
 			w.Run(w.now + 50*time.Millisecond)
 			if w.offered(old) {
-				t.Fatalf("seed %d: the old start is served\n%s", seed, w.Trace(20))
+				t.Fatalf("seed %d: the old start is offered\n%s", seed, w.Trace(20))
 			}
 		}
 		w.Run(w.now + 2*time.Second)
 		requireNoFailure(t, w)
 		if !w.offered(n) || w.offered(old) {
-			t.Fatalf("seed %d: new served %v, old served %v\n%s", seed, w.offered(n), w.offered(old), w.Trace(20))
+			t.Fatalf("seed %d: new start offered %v, old start offered %v\n%s", seed, w.offered(n), w.offered(old), w.Trace(20))
 		}
 	}
 }
 
-// Two live targets under one name, or at one address: one of them stays, and no
-// report of the other moves anything back and forth.
+// Two live targets share a name or an address. Exactly one of them is offered, and reports of the other must not make the
+// entry alternate between them.
 func TestTwoTargetsWithOneNameDoNotAlternate(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
@@ -80,20 +80,20 @@
 		if seed%2 == 0 {
 			b.service, b.name = a.service, a.name
 		} else {
-			b.address = a.address // a still listens there
+			b.address = a.address // a keeps listening there
 			w.targets.listening[a.address] = a
 			delete(w.targets.listening, "10.9.9.8:80")
 		}
 		w.Run(w.now + 3*time.Second)
 		if w.offered(a) == w.offered(b) {
-			t.Fatalf("seed %d: %v %v\n%s", seed, w.offered(a), w.offered(b), w.Trace(20))
+			t.Fatalf("seed %d: offered %v and %v, want one of the two\n%s", seed, w.offered(a), w.offered(b), w.Trace(20))
 		}
-		first, turns := w.offered(a), 0
+		offered, switches := w.offered(a), 0
 		for range 900 {
 			w.Run(w.now + 100*time.Millisecond)
-			if now := w.offered(a); now != first {
-				first = now
-				turns++
+			if now := w.offered(a); now != offered {
+				offered = now
+				switches++
 			}
 			if w.now > 60*time.Second && w.now < 60*time.Second+100*time.Millisecond {
 				w.Kill(w.Leader())
@@ -102,15 +102,15 @@
 			}
 		}
 		requireNoFailure(t, w)
-		if turns > 2 { // a new leader may find out anew
-			t.Errorf("seed %d: %d turns", seed, turns)
+		if switches > 2 { // a new leader may decide anew
+			t.Errorf("seed %d: the offered target changed %d times, want at most 2", seed, switches)
 		}
 	}
 }
 
-// A target that has left does not come back by a stale report, also when the leader
-// that saw it leave is gone.
-func TestDrainedTargetStaysAway(t *testing.T) {
+// A target that drained and ended must not be offered again on a stale report, even if the leader that saw it drain is
+// lost.
+func TestDrainedTargetIsNotOfferedAgain(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
 		w := Start(seed, Small)
@@ -118,7 +118,7 @@
 		w.DrainTarget(old, func() {})
 		w.Run(w.now + 6*time.Second)
 		if old.alive {
-			t.Fatal("still there")
+			t.Fatalf("seed %d: %s runs 6 s after it was drained", seed, old.name)
 		}
 		w.Kill(w.Leader())
 		for w.Leader() == nil {
@@ -128,28 +128,27 @@
 			w.reportTarget(w.Leader(), old, wire.TargetReady)
 			w.Run(w.now + 30*time.Millisecond)
 			if w.offered(old) {
-				t.Fatalf("seed %d: served again\n%s", seed, w.Trace(20))
+				t.Fatalf("seed %d: %s is offered again\n%s", seed, old.name, w.Trace(20))
 			}
 		}
 		requireNoFailure(t, w)
 	}
 }
 
-// When every target of a service is unavailable, a stale report of a crashed one does not make it
-// the last resort.
-func TestStaleReportOfDeadTargetIsNoLastResort(t *testing.T) {
+// When every target of a service has crashed, proxies must not fall back to one of them on a stale report.
+func TestNoFallbackToCrashedTargetOnStaleReport(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
-		var dead []*Target
+		var crashed []*Target
 		for _, x := range w.targets.all {
 			if x.service == "fares" {
 				w.CrashTarget(x)
-				dead = append(dead, x)
+				crashed = append(crashed, x)
 			}
 		}
 		w.Run(w.now + 3*time.Second)
-		for _, x := range dead {
+		for _, x := range crashed {
 			w.reportTarget(w.Leader(), x, wire.TargetReady)
 			w.reportTarget(w.pickProcess(wire.ProxyDaemon, true), x, wire.TargetReady)
 		}
@@ -158,9 +157,9 @@
 	}
 }
 
-// The control plane is gone for a minute while a service is rolled: it goes on, and the
-// control plane finds it complete when it is back.
-func TestServiceIsRolledWithoutControlPlane(t *testing.T) {
+// All targets of a service are replaced one after another while no control daemon runs for most of a minute. Requests are served
+// throughout, and the fleet recovers once the control daemons restart.
+func TestRollingReplacementWithoutControlPlane(t *testing.T) {
 	t.Parallel()
 	roll := faultNamed(t, "service rolled")
 	for seed := range uint64(6) {
@@ -174,7 +173,7 @@
 			from := w.now
 			w.Run(w.now + 2*time.Second)
 			if n := w.ServedBetween(from, w.now); w.Failure == "" && n < 90 {
-				t.Fatalf("seed %d: %d exchanges served in 2 s\n%s", seed, n, w.Trace(30))
+				t.Fatalf("seed %d: %d requests served in 2 s, want at least 90\n%s", seed, n, w.Trace(30))
 			}
 		}
 		w.restartAll()
@@ -184,8 +183,7 @@
 	}
 }
 
-// What short pauses of targets cost: one that is shorter than the interval of
-// health checks ejects nobody, a long one always does.
+// A target that pauses for less than the interval of health checks is never ejected; one that pauses for long always is.
 func TestTargetsAreEjectedForLongPausesOnly(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -206,17 +204,17 @@
 			w.Run(w.now + 2*time.Second - c.pause + time.Duration(i*37%450)*time.Millisecond)
 		}
 		n := int(w.Leader().controller.Status(0).Counts.Ejections - before)
-		t.Logf("of 60 pauses of %v, %d led to a bar", c.pause, n)
+		t.Logf("%d of 60 pauses of %v led to an ejection", n, c.pause)
 		requireNoFailure(t, w)
 		if n < c.min || n > c.max {
-			t.Errorf("of 60 pauses of %v, %d led to a bar", c.pause, n)
+			t.Errorf("%d of 60 pauses of %v led to an ejection, want %d to %d", n, c.pause, c.min, c.max)
 		}
 	}
 }
 
-// A target that crashes while no configuration names its service gets nothing once one does
-// again, however long ago it crashed.
-func TestTargetThatDiedUnconfiguredGetsNothing(t *testing.T) {
+// A target that crashes while its service is not configured must get no requests once the service is configured again,
+// however long after the crash.
+func TestTargetCrashedWhileUnconfiguredGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(24) {
 		p := Small
@@ -234,7 +232,7 @@
 		w.Run(w.now + 5*time.Second)
 		requireNoFailure(t, w)
 		if w.Leader().controller.Revision() != 3 {
-			t.Fatalf("seed %d: revision %d", seed, w.Leader().controller.Revision())
+			t.Fatalf("seed %d: revision %d, want 3", seed, w.Leader().controller.Revision())
 		}
 	}
 }
--- a/internal/verification/simulator/total_loss_test.go
+++ b/internal/verification/simulator/total_loss_test.go
@@ -9,24 +9,24 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// The fates of one control machine in a total loss.
+// The failures of one control machine in a total loss.
 const (
-	diskKept        = 'w' // its disk survives
-	diskLost        = 'l' // it comes back with an empty disk
-	machineGone     = 'g' // it never comes back; its disk is lost with it
-	machineIsolated = 'c' // it runs on with its disk, reached by nobody, and is back later
+	diskKept        = 'w' // it restarts with its disk
+	diskLost        = 'l' // it restarts with an empty disk
+	machineGone     = 'g' // it never restarts, and its disk is lost
+	machineIsolated = 'c' // it runs on with its disk but is isolated until the test reconnects it
 )
 
-// loseMachinesByFate has all control machines meet their fates at once; the proxies live on, or
-// restart too.
-func (w *World) loseMachinesByFate(fates string, forget bool) {
-	w.logf("fates %s, proxies forget %v", fates, forget)
-	var cut []string
-	for i, f := range fates {
+// failControlMachines has all control machines fail at once, each by its character in failures. The proxies run on, or
+// are restarted too and forget what they know.
+func (w *World) failControlMachines(failures string, forget bool) {
+	w.logf("failures %s, proxies forget %v", failures, forget)
+	var isolated []string
+	for i, f := range failures {
 		p := w.daemons(wire.ControlDaemon)[i]
 		switch f {
 		case machineIsolated:
-			cut = append(cut, p.name)
+			isolated = append(isolated, p.name)
 			continue
 		case diskLost, machineGone:
 			w.Kill(p)
@@ -38,8 +38,8 @@
 			w.schedule(w.randomMilliseconds(200, 2000), func() { w.Restart(p) })
 		}
 	}
-	if len(cut) > 0 { // alone or together
-		w.isolate(cut, time.Hour, true, true)
+	if len(isolated) > 0 { // from all others; the isolated machines reach one another
+		w.isolate(isolated, time.Hour, true, true)
 	}
 	for _, p := range w.daemons(wire.ProxyDaemon) {
 		if forget {
@@ -49,22 +49,22 @@
 	}
 }
 
-// An operator recovers a survivor just when the member comes back with which
-// it is a majority of the old control plane: one of the two control planes goes on, never both.
-func TestOperatorRecoveryMeetsReturningMember(t *testing.T) {
+// An operator starts a recovery of the control plane at one survivor while an isolated member returns, with which it is
+// a majority of the old control plane. Either the old or the new control plane may go on, never both.
+func TestOperatorRecoveryDuringReturnOfMember(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
 		p := Small
 		p.Rate = 20
 		w := Start(seed, p)
-		w.loseMachinesByFate("wlc", seed%2 == 0)
+		w.failControlMachines("wlc", seed%2 == 0)
 		w.Run(w.now + 8*time.Second)
 		if w.Leader() != nil {
-			t.Fatal("leads")
+			t.Fatalf("seed %d: a minority leads", seed)
 		}
 		r, _ := w.callAndWait(t, w.process("c1"), "POST", "/v1/core/refound", "", "", "")
 		if r.Status != 202 {
-			t.Fatalf("%s", r.Body)
+			t.Fatalf("seed %d: POST /v1/core/refound: %d %s", seed, r.Status, r.Body)
 		}
 		w.Run(w.now + time.Duration(seed)*25*time.Millisecond)
 		clear(w.network.blocked)
@@ -72,105 +72,106 @@
 		w.Run(w.now + 3*time.Second)
 		requireNoFailure(t, w)
 		if l := w.Leader(); l == nil || l.controller.Revision() < w.checks.acknowledged {
-			t.Fatalf("seed %d: forgotten or no leader", seed)
+			t.Fatalf("seed %d: no leader, or acknowledged revision %d is lost", seed, w.checks.acknowledged)
 		}
 	}
 }
 
-// Every mix of disks lost, machines gone, members isolated and members intact, for 3
-// and 5 members, with proxies that remember and that forget. There are never two
-// control planes (checked at each step). If the last one can't decide whatever the unreachable
-// members have, and a majority of machines is there, a new one leads within 15 s; where
-// it might, nobody bootstraps until an operator consents for those who are gone, and not even
-// then while a majority may be isolated. Unreachable members join when they are back.
+// Runs every combination of kept disks, lost disks, machines gone and isolated machines for 3 and 5 members, each with
+// proxies that keep and that lose their state. There must never be two control planes, which is checked at each step:
+//   - If the old control plane can't decide whatever the unreachable members hold, and a majority of the machines is
+//     reachable, a new one leads within 15 s.
+//   - If it might still decide, no new one bootstraps until an operator vouches that the missing machines are gone, and
+//     not even then while a majority may merely be isolated.
+//   - Unreachable members join again once they are reachable.
 func TestTotalLossLeavesOneControlPlane(t *testing.T) {
 	t.Parallel()
-	mixes := map[string]bool{}
-	var gen func(prefix string, n int)
-	gen = func(prefix string, n int) {
+	combinations := map[string]bool{}
+	var generate func(prefix string, n int)
+	generate = func(prefix string, n int) {
 		if n == 0 {
-			mixes[prefix] = true
+			combinations[prefix] = true
 			return
 		}
 		for _, f := range "wlgc" {
 			if prefix == "" || strings.IndexRune("wlgc", f) >= strings.IndexByte("wlgc", prefix[len(prefix)-1]) {
-				gen(prefix+string(f), n-1)
+				generate(prefix+string(f), n-1)
 			}
 		}
 	}
-	gen("", 3)
-	gen("", 5)
-	for fates := range mixes {
+	generate("", 3)
+	generate("", 5)
+	for failures := range combinations {
 		for _, forget := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s-%v", fates, forget), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s-%v", failures, forget), func(t *testing.T) {
 				t.Parallel()
-				n := len(fates)
+				n := len(failures)
 				p := Small
 				p.ControlDaemons, p.Rate = n, 10
-				seed := uint64(len(fates)*100 + strings.Count(fates, "l")*7 + strings.Count(fates, "c"))
+				seed := uint64(len(failures)*100 + strings.Count(failures, "l")*7 + strings.Count(failures, "c"))
 				w := Start(seed, p)
 				w.PutConfig(w.Leader(), 1, 2)
 				w.Run(w.now + 2*time.Second)
-				count := func(f string) int { return strings.Count(fates, f) }
-				there, cut := count("w")+count("l"), count("c")
-				elects := 2*count("w") > n
-				founds := 2*there > n && 2*(n-count("l")) <= n
-				vouched := 2*there > n-count("g") && !elects
-				w.loseMachinesByFate(fates, forget)
+				count := func(f string) int { return strings.Count(failures, f) }
+				restarted, isolated := count("w")+count("l"), count("c")
+				elects := 2*count("w") > n                                   // the old control plane elects a leader
+				bootstraps := 2*restarted > n && 2*(n-count("l")) <= n       // so many disks are lost that the old one can't
+				bootstrapsOnConsent := 2*restarted > n-count("g") && !elects // an operator vouches for the machines that are gone
+				w.failControlMachines(failures, forget)
 				w.Run(w.now + 15*time.Second)
 				requireNoFailure(t, w)
 				leader := func() *Process {
 					if l := w.Leader(); l != nil && !w.network.blocked[link{l.name, "g1"}] {
 						return l
 					}
-					return nil // nobody, or among the isolated only
+					return nil // there is none, or it is isolated
 				}
 				l := leader()
-				if (l != nil) != (elects || founds) {
-					t.Fatalf("leads %v after 15 s, wanted %v\n%s", l != nil, elects || founds, w.Trace(40))
+				if (l != nil) != (elects || bootstraps) {
+					t.Fatalf("leader after 15 s: %v, want %v\n%s", l != nil, elects || bootstraps, w.Trace(40))
 				}
-				if l == nil && there > 0 {
+				if l == nil && restarted > 0 {
 					var gone []string
-					for i, f := range fates {
-						if f == 'g' {
+					for i, f := range failures {
+						if f == machineGone {
 							gone = append(gone, w.daemonNames(wire.ControlDaemon)[i])
 						}
 					}
-					at := w.daemons(wire.ControlDaemon)[strings.IndexAny(fates, "wl")]
+					at := w.daemons(wire.ControlDaemon)[strings.IndexAny(failures, "wl")]
 					r, _ := w.callAndWait(t, at, "POST", "/v1/core/refound", "gone="+strings.Join(gone, ","), "", "")
 					w.Run(w.now + 10*time.Second)
 					requireNoFailure(t, w)
-					if l = leader(); (r.Status == 202) != vouched || (l != nil) != vouched {
-						t.Fatalf("vouched for: %d %s, leads %v, wanted %v\n%s", r.Status, r.Body, l != nil, vouched, w.Trace(40))
+					if l = leader(); (r.Status == 202) != bootstrapsOnConsent || (l != nil) != bootstrapsOnConsent {
+						t.Fatalf("POST /v1/core/refound: %d %s, leader 10 s later: %v, want %v\n%s", r.Status, r.Body, l != nil, bootstrapsOnConsent, w.Trace(40))
 					}
 				}
 				if l != nil {
 					if r := l.controller.Revision(); r != 2 && (count("w") > 0 || !forget) {
-						t.Errorf("revision %d\n%s", r, w.Trace(40))
+						t.Errorf("revision %d, want 2\n%s", r, w.Trace(40))
 					}
 					if r, _ := w.callAndWait(t, l, "POST", "/v1/core/refound", "", "", ""); r.Status != 409 {
-						t.Errorf("a living core is founded anew: %d", r.Status)
+						t.Errorf("POST /v1/core/refound at a control plane with a leader: %d, want 409", r.Status)
 					}
 				}
 				if l != nil && l.controller.Revision() == 0 {
-					w.forgetAcknowledgements() // all who knew of them are lost
+					w.forgetAcknowledgements() // every disk and proxy that knew of them is lost
 					w.PutConfig(l, 0, 3)
 				}
 				clear(w.network.blocked)
 				w.Run(w.now + 8*time.Second)
 				requireNoFailure(t, w)
-				leads := elects || vouched || 2*(count("w")+cut) > n || 2*(there+cut) > n && 2*(n-count("l")) <= n
-				if l := w.Leader(); leads != (l != nil) {
-					t.Fatalf("after healing: leader %v\n%s", l != nil, w.Trace(40))
+				wantLeader := elects || bootstrapsOnConsent || 2*(count("w")+isolated) > n || 2*(restarted+isolated) > n && 2*(n-count("l")) <= n
+				if l := w.Leader(); wantLeader != (l != nil) {
+					t.Fatalf("leader 8 s after the isolated machines were reconnected: %v, want %v\n%s", l != nil, wantLeader, w.Trace(40))
 				} else if l != nil {
 					epoch := l.controller.Status(0).Epoch
-					for i, f := range fates {
+					for i, f := range failures {
 						if s := w.daemons(wire.ControlDaemon)[i].controller.Status(0); f != machineGone && (s.Epoch != epoch || s.Leader == "") {
-							t.Errorf("c%d: epoch %d, leader %q, the leader's epoch %d\n%s", i+1, s.Epoch, s.Leader, epoch, w.Trace(30))
+							t.Errorf("c%d: epoch %d, leader %q, want a leader and its epoch %d\n%s", i+1, s.Epoch, s.Leader, epoch, w.Trace(30))
 						}
 					}
 					if w.checks.acknowledged >= 2 && l.controller.Revision() < 2 {
-						t.Errorf("forgotten")
+						t.Errorf("revision %d, but %d was acknowledged", l.controller.Revision(), w.checks.acknowledged)
 					}
 				}
 			})
@@ -178,8 +179,8 @@
 	}
 }
 
-// Every disk of the control plane is lost at once while the proxies live: it begins a new
-// epoch and recovers configuration and emptied domains from the proxies.
+// All disks of the control plane are lost at once while the proxies run on. The control plane bootstraps a new epoch and
+// recovers the configuration and the emptied domains from the proxies.
 func TestControlPlaneRecoversStateFromProxies(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
@@ -200,13 +201,13 @@
 		w.Finish()
 		requireNoFailure(t, w)
 		if s := w.Leader().controller.Status(0); s.Epoch != 2 || s.Revision != 2 || len(s.Emptied) != 1 {
-			t.Fatalf("seed %d: %+v", seed, s)
+			t.Fatalf("seed %d: want epoch 2, revision 2 and one emptied domain: %+v", seed, s)
 		}
 	}
 }
 
-// Two of three disks are lost: the new epoch starts from the survivor's state,
-// even when no proxy remembers.
+// Two of three disks are lost and all proxies restart without state. The new epoch starts from the state on the
+// surviving disk.
 func TestNewEpochStartsFromSurvivingDisk(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
@@ -228,12 +229,12 @@
 		w.Finish()
 		requireNoFailure(t, w)
 		if s := w.Leader().controller.Status(0); s.Epoch != 2 || s.Revision != 2 {
-			t.Fatalf("seed %d: %+v", seed, s)
+			t.Fatalf("seed %d: want epoch 2 and revision 2: %+v", seed, s)
 		}
 	}
 }
 
-// Everything is wiped: an empty control plane bootstraps and takes a configuration anew.
+// All disks are wiped and all daemons restart. The empty control plane bootstraps and accepts a first configuration.
 func TestEmptyControlPlaneBootstrapsAnew(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
@@ -251,7 +252,7 @@
 		for _, p := range w.fleet() {
 			w.Restart(p)
 		}
-		w.network.loss, w.network.delay = 0.2, 100*time.Millisecond // seeds learn of one another at different times
+		w.network.loss, w.network.delay = 0.2, 100*time.Millisecond // so that seeds discover one another at different times
 		w.schedule(5*time.Second, func() { w.network.loss, w.network.delay = 0, time.Millisecond })
 		end := w.now + 15*time.Second
 		for w.Leader() == nil && w.now < end {
--- a/internal/verification/simulator/world_test.go
+++ b/internal/verification/simulator/world_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Without faults every request is served.
-func TestCalmFleetServesAllRequests(t *testing.T) {
+// In a run without faults every request is served.
+func TestFleetWithoutFaultsServesAllRequests(t *testing.T) {
 	t.Parallel()
 	w := Start(1, Small)
 	w.Run(w.now + 20*time.Second)
 	if w.Failure != "" || w.Stats.Served < 1000 || w.Stats.Rejected+w.Stats.Unknown > 0 {
-		t.Fatalf("%s %+v\n%s", w.Failure, w.Stats, w.Trace(50))
+		t.Fatalf("failure %q, want none, at least 1000 requests served and none rejected or unknown: %+v\n%s", w.Failure, w.Stats, w.Trace(50))
 	}
 }
 
-// One seed gives the same run twice, step by step.
-func TestSeedGivesTheSameRun(t *testing.T) {
+// Two runs with the same seed have the same trace and number of events.
+func TestSameSeedGivesSameRun(t *testing.T) {
 	t.Parallel()
 	a, b := Day(7, Small, nil, 12, 20*time.Second), Day(7, Small, nil, 12, 20*time.Second)
 	if a.Hash() != b.Hash() {
-		t.Fatalf("two runs of a seed differ:\n%s\n---\n%s", a.Trace(20), b.Trace(20))
+		t.Fatalf("two runs with the same seed differ:\n%s\n---\n%s", a.Trace(20), b.Trace(20))
 	}
 }
