--- a/internal/verification/simulator/membership_test.go
+++ b/internal/verification/simulator/membership_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// Three of five members are lost one after another and there is no standby. The membership shrinks after each loss, so
-// that the two that are left can still elect a leader.
+// Two of five members are lost one after another and there is no standby, so the membership shrinks to three. A third
+// member may then be lost: the two that are left are a majority of three and have a leader.
 func TestMembershipShrinksWithoutStandbys(t *testing.T) {
 	t.Parallel()
 	w := Start(3, bootstrapPlan(5, 3))
--- a/internal/verification/simulator/registration_test.go
+++ b/internal/verification/simulator/registration_test.go
@@ -21,7 +21,7 @@
 }
 
 // After a power loss of all daemons the targets are known from stored state before any of them sends a report. A target
-// that crashed during the outage is not offered.
+// that crashes as the daemons restart is not offered.
 func TestTargetsSurviveLossOfAllProcesses(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/verification/simulator/repeated_change_test.go
+++ b/internal/verification/simulator/repeated_change_test.go
@@ -30,7 +30,7 @@
 }
 
 // An accepted change that is sent again to any member is acknowledged again: after hundreds of later changes, under
-// another leader, and after restarts and snapshots. A change that lost against it is always rejected. Once all disks
+// another leader, and after restarts and snapshots. A change that lost against it is rejected again. Once all disks
 // are lost, either may instead get 504 (outcome unknown), except for the latest change.
 func TestRepeatedChangeIsAcknowledgedAgain(t *testing.T) {
 	t.Parallel()
--- a/internal/verification/simulator/scenes_test.go
+++ b/internal/verification/simulator/scenes_test.go
@@ -47,10 +47,10 @@
 	}
 }
 
-// Bounds how far each kind of fault may reduce availability, as a system that rejects everything breaks no rule. The
-// bounds hold for the share of requests that are not served, the longest time in which some service gives no response,
-// and, where a change can be made at all, the time until it is in force. They are about a third above the worst of 6
-// seeds (docs/measured.md).
+// Each kind of fault may reduce availability only so far: without such bounds a system that rejects everything would
+// pass, as it breaks no rule. Bounded are the share of requests that are not served, the longest time in which some
+// service gives no response, and, where a change can be made at all, the time until it is in force. The bounds are about
+// a third above the worst of 6 seeds (docs/measured.md).
 func TestFaultsLeaveTheServiceAvailable(t *testing.T) {
 	t.Parallel()
 	unserved := map[string]float64{ // percent of the requests; 0.6 for faults not listed
