--- a/internal/verification/simulator/bootstrap_test.go
+++ b/internal/verification/simulator/bootstrap_test.go
@@ -8,9 +8,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Whatever the number of seeds and daemons, one control plane is bootstrapped and grows until it
-// outlives a machine and a domain; a seed may be restarted in between, and does not start with the
-// bootstrap setting any more.
+// For any number of seeds and control daemons, one control plane is bootstrapped and grows to the size at which it
+// survives the loss of a machine or a domain. A seed may restart meanwhile, also with an empty disk; from bootstrapWindow
+// on it starts without the bootstrap setting.
 func TestSeedsBootstrapOneControlPlane(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ cores, seeds, want int }{{1, 1, 1}, {3, 1, 3}, {5, 1, 5}, {2, 2, 2}, {3, 3, 3}, {4, 3, 3}, {5, 3, 5}, {6, 3, 5}, {7, 3, 7}, {11, 3, 7}} {
@@ -18,7 +18,7 @@
 			t.Run(fmt.Sprintf("%d of %d", c.seeds, c.cores), func(t *testing.T) {
 				t.Parallel()
 				w := New(seed, bootstrapPlan(c.cores, c.seeds))
-				if seed%3 > 0 { // its disk keeps the bootstrap setting
+				if seed%3 > 0 { // restarted, a seed goes on with the bootstrap that is locked on its disk
 					w.schedule(w.randomMilliseconds(100, 2500), func() {
 						p := w.process(w.processes.names[w.random.IntN(c.seeds)])
 						w.Kill(p)
@@ -33,14 +33,14 @@
 				requireNoFailure(t, w)
 				w.checkMembership(t, c.want)
 				if e := w.Leader().controller.Status(0).Epoch; e != 1 && seed%3 == 0 {
-					t.Errorf("epoch %d", e)
+					t.Errorf("the control plane was bootstrapped more than once: epoch %d, want 1", e)
 				}
 				w.PutConfig(w.Leader(), 0, 1)
 				w.AwaitRecovery(10 * time.Second)
 				requireNoFailure(t, w)
 				for _, n := range w.daemonNames(wire.ControlDaemon) { // a standby forwards calls too
 					if !w.process(n).controller.Ready() {
-						t.Errorf("%s is not ready", n)
+						t.Errorf("control daemon %s is not ready", n)
 					}
 				}
 			})
@@ -48,8 +48,9 @@
 	}
 }
 
-// A daemon that is no seed, or that starts without the bootstrap setting, bootstraps nothing.
-func TestNobodyBootstrapsAfterTheFirstStart(t *testing.T) {
+// Control daemons that aren't seeds, and seeds that start with empty disks and without the bootstrap setting, must not
+// bootstrap a control plane.
+func TestDaemonsWithoutBootstrapSettingDoNotBootstrap(t *testing.T) {
 	t.Parallel()
 	w := New(1, bootstrapPlan(5, 3))
 	for _, n := range w.processes.names[:3] {
@@ -61,6 +62,6 @@
 	w.Run(60 * time.Second)
 	requireNoFailure(t, w)
 	if w.Leader() != nil {
-		t.Fatalf("%s leads\n%s", w.Leader().name, w.Trace(20))
+		t.Fatalf("%s leads a control plane that no seed may have bootstrapped\n%s", w.Leader().name, w.Trace(20))
 	}
 }
--- a/internal/verification/simulator/calm_fleet_test.go
+++ b/internal/verification/simulator/calm_fleet_test.go
@@ -10,15 +10,15 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Bounds of the users' platform on operators' work in calm times.
+// Bounds that the users' platform sets on operators' work while there are no faults.
 const (
-	calmEvacuation = time.Second            // an emptying or restoring is acknowledged within it
-	readyEighths   = 7                      // of eight samples, at which a connected proxy reports that it is ready
-	sampleInterval = 100 * time.Millisecond // between two samples
+	calmDomainChangeTime = time.Second            // longest time until emptying or restoring a domain is acknowledged
+	minReadyEighths      = 7                      // fewest of eight samples in which a connected proxy is ready
+	sampleInterval       = 100 * time.Millisecond // time between two samples
 )
 
-// calmSizes are fleets without faults, the small one and one of many proxies.
-func calmSizes() map[string]Plan {
+// calmPlans returns plans of fleets by name: the small one, one of many proxies, and one with standbys.
+func calmPlans() map[string]Plan {
 	many := Small
 	many.Proxies, many.Rate = 69, 20
 	spares := bootstrapPlan(11, 3)
@@ -26,59 +26,59 @@
 	return map[string]Plan{"small": Small, "69 proxies": many, "11 core machines": spares}
 }
 
-// In a calm fleet an emptied domain is acknowledged within a second by any control daemon,
-// and so is one that is restored, also while another is already empty.
+// Without faults, any control daemon acknowledges within a second that a domain is emptied or restored, also while
+// another domain is empty already.
 func TestDomainIsEmptiedWithinASecond(t *testing.T) {
 	t.Parallel()
-	for name, plan := range calmSizes() {
+	for name, plan := range calmPlans() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := Start(5, plan)
 			w.Run(w.now + 6*time.Second)
-			cores := w.daemonNames(wire.ControlDaemon)
+			daemons := w.daemonNames(wire.ControlDaemon)
 			slowest := time.Duration(0)
 			for i, call := range []string{"d1/empty", "d2/empty", "d1/restore", "d1/empty", "d2/restore", "d1/restore"} {
 				from, took := w.now, time.Duration(0)
-				w.call(w.process(cores[i%len(cores)]), "POST", "/v1/domains/"+call, "", nil, fmt.Sprintf("calm-%d", i), func(r statemachine.Reply) {
+				w.call(w.process(daemons[i%len(daemons)]), "POST", "/v1/domains/"+call, "", nil, fmt.Sprintf("calm-%d", i), func(r statemachine.Reply) {
 					if r.Status == 200 {
 						took = w.now - from
 					}
 				})
 				w.Run(w.now + 2*time.Second)
-				if took == 0 || took > calmEvacuation {
-					t.Errorf("%s at %s: acknowledged after %v", call, cores[i%len(cores)], took)
+				if took == 0 || took > calmDomainChangeTime {
+					t.Errorf("%s at %s: acknowledged after %v (0s: never)", call, daemons[i%len(daemons)], took)
 				}
 				slowest = max(slowest, took)
 			}
-			t.Logf("the slowest took %v", slowest)
+			t.Logf("the slowest was acknowledged after %v", slowest)
 			requireNoFailure(t, w)
 		})
 	}
 }
 
-// In calm times proxies report that they are ready, whatever is configured meanwhile.
+// Without faults, proxies report that they are ready while configurations change.
 func TestProxiesAreReadyDuringChanges(t *testing.T) {
 	t.Parallel()
-	for name, plan := range calmSizes() {
+	for name, plan := range calmPlans() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := Start(6, plan)
 			w.Run(w.now + 6*time.Second)
-			ready, looks := map[string]int{}, 0
-			for ; looks < 200; looks++ {
-				if looks%40 == 0 {
-					w.PutConfig(w.Leader(), w.Revision(), 3+looks/40)
+			ready, samples := map[string]int{}, 0
+			for ; samples < 200; samples++ {
+				if samples%40 == 0 {
+					w.PutConfig(w.Leader(), w.Revision(), 3+samples/40)
 				}
 				w.Run(w.now + sampleInterval)
-				for _, g := range w.daemonNames(wire.ProxyDaemon) {
-					if w.process(g).proxy.Ready() {
-						ready[g]++
+				for _, name := range w.daemonNames(wire.ProxyDaemon) {
+					if w.process(name).proxy.Ready() {
+						ready[name]++
 					}
 				}
 			}
-			for _, g := range w.daemonNames(wire.ProxyDaemon) {
-				if 8*ready[g] < readyEighths*looks {
-					t.Errorf("%s was ready at %d of %d looks", g, ready[g], looks)
+			for _, name := range w.daemonNames(wire.ProxyDaemon) {
+				if 8*ready[name] < minReadyEighths*samples {
+					t.Errorf("proxy %s was ready in %d of %d samples", name, ready[name], samples)
 				}
 			}
 			requireNoFailure(t, w)
@@ -86,41 +86,40 @@
 	}
 }
 
-// A service that a later configuration adds is served as one that was there from the beginning.
-func TestLaterServicesAreServedAlike(t *testing.T) {
+// A service that a later configuration adds back is served as well as one that was configured all the time.
+func TestServiceAddedLaterIsServed(t *testing.T) {
 	t.Parallel()
 	w := Start(8, Small)
 	w.Run(w.now + 5*time.Second)
-	first := []string{"fares", "pay"}
-	without := first[:1]
-	r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(3, 40, without)), "")
+	services := []string{"fares", "pay"}
+	r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(3, 40, services[:1])), "")
 	if r.Status != 200 {
-		t.Fatalf("%d %s", r.Status, r.Body)
+		t.Fatalf("the configuration was rejected: %d %s", r.Status, r.Body)
 	}
 	w.Run(w.now + 3*time.Second)
-	if r, _ = w.callAndWait(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(4, 40, first)), ""); r.Status != 200 {
-		t.Fatalf("%d %s", r.Status, r.Body)
+	if r, _ = w.callAndWait(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(4, 40, services)), ""); r.Status != 200 {
+		t.Fatalf("the configuration was rejected: %d %s", r.Status, r.Body)
 	}
 	w.Run(w.now + 2*time.Second)
-	served, asked := map[string]int{}, map[string]int{}
+	available, samples := map[string]int{}, map[string]int{}
 	for range 20 {
 		w.Run(w.now + 500*time.Millisecond)
-		for _, table := range w.daemons(wire.ProxyDaemon) {
-			table := table.proxy.Table()
+		for _, p := range w.daemons(wire.ProxyDaemon) {
+			table := p.proxy.Table()
 			if table == nil {
 				continue
 			}
-			for _, svc := range first {
-				asked[svc]++
+			for _, svc := range services {
+				samples[svc]++
 				if slices.ContainsFunc(table.Targets, func(x wire.Target) bool { return x.Service == svc && !x.Draining && x.EjectedBy == "" && !x.Pending }) {
-					served[svc]++
+					available[svc]++
 				}
 			}
 		}
 	}
-	for _, svc := range first {
-		if asked[svc] == 0 || served[svc]*10 < asked[svc]*9 {
-			t.Errorf("%s could be served at %d of %d looks", svc, served[svc], asked[svc])
+	for _, svc := range services {
+		if samples[svc] == 0 || available[svc]*10 < samples[svc]*9 {
+			t.Errorf("service %s had an available target in %d of %d samples of proxies' tables", svc, available[svc], samples[svc])
 		}
 	}
 	requireNoFailure(t, w)
--- a/internal/verification/simulator/clocks_test.go
+++ b/internal/verification/simulator/clocks_test.go
@@ -10,19 +10,20 @@
 	"testing"
 )
 
-// Clocks that jump change nothing: state machines are given the time and read no clock, draw
-// no random number and do no I/O; and the shells use wall time only to name things.
+// A jump of the wall clock must not change what daemons do. State machines are given the time with each event, so they
+// must not read a clock, draw random numbers, do I/O or start goroutines. The shells around them may use wall time only
+// to make names.
 func TestStateMachinesReadNoClock(t *testing.T) {
 	t.Parallel()
-	owners := []string{"controlplane", "dataplane", "shared/outlier", "controlplane/consensus",
+	stateMachineDirs := []string{"controlplane", "dataplane", "shared/outlier", "controlplane/consensus",
 		"shared/state", "shared/discovery", "shared/targetreport", "shared/reply", "shared/statemachine"}
-	barred := []string{"math/rand", "math/rand/v2", "os", "net", "net/http", "sync", "sync/atomic", "context"}
-	wall := []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "UTC", "Local", "Date", "Clock", "Format", "Round", "Truncate"}
-	naming := map[string]int{"../../shared/changeid/changeid.go": 2} // a change's id begins with the date
-	for _, dir := range append(slices.Clone(owners), "dataplane/reverseproxy", "daemon", "mfctl", "shared/changeid", "controlplane/wal", "shared/wire", "shared/config") {
+	forbiddenImports := []string{"math/rand", "math/rand/v2", "os", "net", "net/http", "sync", "sync/atomic", "context"}
+	wallTimeMethods := []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "UTC", "Local", "Date", "Clock", "Format", "Round", "Truncate"}
+	allowedUses := map[string]int{"../../shared/changeid/changeid.go": 2} // by file; a change's id begins with the date
+	for _, dir := range append(slices.Clone(stateMachineDirs), "dataplane/reverseproxy", "daemon", "mfctl", "shared/changeid", "controlplane/wal", "shared/wire", "shared/config") {
 		files, _ := filepath.Glob("../../" + dir + "/*.go")
 		if len(files) == 0 {
-			t.Fatal("no files in", dir)
+			t.Fatalf("no Go files in %s", dir)
 		}
 		for _, f := range files {
 			if strings.HasSuffix(f, "_test.go") || strings.HasSuffix(f, ".capnp.go") {
@@ -34,14 +35,14 @@
 				t.Fatal(err)
 			}
 			for _, i := range file.Imports {
-				if p := strings.Trim(i.Path.Value, `"`); slices.Contains(owners, dir) && slices.Contains(barred, p) {
-					t.Errorf("%s imports %s", f, p)
+				if p := strings.Trim(i.Path.Value, `"`); slices.Contains(stateMachineDirs, dir) && slices.Contains(forbiddenImports, p) {
+					t.Errorf("%s imports %s, which a state machine must not", f, p)
 				}
 			}
-			walls := 0
+			wallTimeUses := 0
 			ast.Inspect(file, func(n ast.Node) bool {
-				if _, ok := n.(*ast.GoStmt); ok && slices.Contains(owners, dir) {
-					t.Errorf("%s starts a goroutine", set.Position(n.Pos()))
+				if _, ok := n.(*ast.GoStmt); ok && slices.Contains(stateMachineDirs, dir) {
+					t.Errorf("%s: a state machine starts a goroutine", set.Position(n.Pos()))
 				}
 				c, ok := n.(*ast.CallExpr)
 				if !ok {
@@ -51,16 +52,16 @@
 				if !ok {
 					return true
 				}
-				if x, ok := s.X.(*ast.Ident); ok && x.Name == "time" && slices.Contains(owners, dir) && s.Sel.Name != "Duration" {
-					t.Errorf("%s: an owner calls time.%s", set.Position(n.Pos()), s.Sel.Name)
+				if x, ok := s.X.(*ast.Ident); ok && x.Name == "time" && slices.Contains(stateMachineDirs, dir) && s.Sel.Name != "Duration" {
+					t.Errorf("%s: a state machine calls time.%s", set.Position(n.Pos()), s.Sel.Name)
 				}
-				if slices.Contains(wall, s.Sel.Name) && !slices.Contains([]string{"Round", "Truncate"}, s.Sel.Name) {
-					walls++
+				if slices.Contains(wallTimeMethods, s.Sel.Name) && !slices.Contains([]string{"Round", "Truncate"}, s.Sel.Name) {
+					wallTimeUses++
 				}
 				return true
 			})
-			if walls > naming[f] {
-				t.Errorf("%s looks at wall time %d times, %d are for names", f, walls, naming[f])
+			if wallTimeUses > allowedUses[f] {
+				t.Errorf("%s uses wall time %d times, at most %d are allowed", f, wallTimeUses, allowedUses[f])
 			}
 		}
 	}
--- a/internal/verification/simulator/day_test.go
+++ b/internal/verification/simulator/day_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Random days hold for control planes that seeds bootstrapped.
+// Random runs break no rule with a control plane that seeds bootstrapped.
 func TestDaysOfBootstrappedControlPlanes(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 32; seed++ {
@@ -21,7 +21,7 @@
 	}
 }
 
-// A bounded sweep of random days holds; mfsim runs more.
+// Random runs of the small fleet break no rule. mfsim runs more seeds.
 func TestDaysOfRandomFaults(t *testing.T) {
 	t.Parallel()
 	n := uint64(64)
@@ -36,14 +36,14 @@
 	}
 }
 
-// Random days hold at any size of the control plane, also where it bears no loss.
+// Random runs break no rule at any size of the control plane, also if it survives no loss of a member.
 func TestDaysOfAnyControlPlaneSize(t *testing.T) {
 	t.Parallel()
-	for _, cores := range []int{1, 2, 4, 8, 11} {
+	for _, controlDaemons := range []int{1, 2, 4, 8, 11} {
 		for seed := range uint64(2) {
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
-				requireNoFailure(t, Day(100+seed, bootstrapPlan(cores, min(3, cores)), nil, 12, 25*time.Second))
+				requireNoFailure(t, Day(100+seed, bootstrapPlan(controlDaemons, min(3, controlDaemons)), nil, 12, 25*time.Second))
 			})
 		}
 	}
--- a/internal/verification/simulator/disk_test.go
+++ b/internal/verification/simulator/disk_test.go
@@ -8,13 +8,13 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A member whose disk is full does not end, and retries its writes until there is space;
-// changes are acknowledged meanwhile, nothing is written there, and it has them soon after.
+// A member whose disk is full keeps running and retries its write until there is space. Meanwhile the others acknowledge
+// changes and nothing is written to the full disk; afterwards the member catches up.
 func TestMemberWithAFullDiskRetries(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := Start(seed+1, Small)
-		p := w.daemons(wire.ControlDaemon)[seed%3] // the leader among them
+		p := w.daemons(wire.ControlDaemon)[seed%3] // over the seeds, every member
 		started, written := p.incarnation, len(p.disk.image.Log)
 		w.fillDisk(p, 6*time.Second)
 		for n := range 3 {
@@ -25,28 +25,28 @@
 		}
 		requireNoFailure(t, w)
 		if w.Stats.RejectedWrites == 0 || w.checks.acknowledged < 3 {
-			t.Fatalf("seed %d: its disk refused %d writes, revision %d acknowledged\n%s", w.Seed, w.Stats.RejectedWrites, w.checks.acknowledged, w.Trace(30))
+			t.Fatalf("seed %d: the full disk rejected %d writes, want some; revision %d acknowledged, want 3 or later\n%s", w.Seed, w.Stats.RejectedWrites, w.checks.acknowledged, w.Trace(30))
 		}
-		if most := int(6*time.Second/tuning.DiskRetry) + 1; w.Stats.RejectedWrites > most {
-			t.Errorf("seed %d: %d writes were refused, one each %v makes %d", w.Seed, w.Stats.RejectedWrites, tuning.DiskRetry, most)
+		if limit := int(6*time.Second/tuning.DiskRetry) + 1; w.Stats.RejectedWrites > limit {
+			t.Errorf("seed %d: %d writes were rejected, one every %v makes at most %d", w.Seed, w.Stats.RejectedWrites, tuning.DiskRetry, limit)
 		}
 		if len(p.disk.image.Log) != written {
-			t.Errorf("seed %d: the full disk of %s took writes", w.Seed, p.name)
+			t.Errorf("seed %d: the full disk of %s was written to", w.Seed, p.name)
 		}
 		w.Run(w.now + 6*time.Second)
 		requireNoFailure(t, w)
 		if p.incarnation != started {
-			t.Errorf("seed %d: %s ended\n%s", w.Seed, p.name, w.Trace(30))
+			t.Errorf("seed %d: the process of %s ended\n%s", w.Seed, p.name, w.Trace(30))
 		}
 		if !p.alive || p.controller.Revision() < w.checks.acknowledged {
-			t.Errorf("seed %d: %s is not back\n%s", w.Seed, p.name, w.Trace(30))
+			t.Errorf("seed %d: %s has not caught up since its disk has space\n%s", w.Seed, p.name, w.Trace(30))
 		}
 		w.Finish()
 		requireNoFailure(t, w)
 	}
 }
 
-// Changes are acknowledged also while all disks of the control plane are thirty times slower.
+// Changes are still acknowledged while all disks of the control plane are thirty times slower.
 func TestChangesAreAcknowledgedOnSlowDisks(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -62,10 +62,10 @@
 		}
 		requireNoFailure(t, w)
 		if w.checks.acknowledged < 4 {
-			t.Errorf("seed %d: revision %d acknowledged\n%s", w.Seed, w.checks.acknowledged, w.Trace(30))
+			t.Errorf("seed %d: revision %d acknowledged on slow disks, want 4 or later\n%s", w.Seed, w.checks.acknowledged, w.Trace(30))
 		}
 		if w.Stats.SlowestChange < 40*time.Millisecond {
-			t.Errorf("seed %d: no change took over %v on slow disks", w.Seed, w.Stats.SlowestChange)
+			t.Errorf("seed %d: the slowest change took %v, want at least 40ms on slow disks", w.Seed, w.Stats.SlowestChange)
 		}
 	}
 }
--- a/internal/verification/simulator/helpers_test.go
+++ b/internal/verification/simulator/helpers_test.go
@@ -14,9 +14,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// What several tests of a world need.
-
-// requireNoFailure ends the test if a rule was broken.
+// requireNoFailure ends the test if the run has broken a rule.
 func requireNoFailure(t *testing.T, w *World) {
 	t.Helper()
 	if w.Failure != "" {
@@ -24,7 +22,7 @@
 	}
 }
 
-// runUntil runs the world until a condition holds, for that time at most, and says whether it does.
+// runUntil runs the world until a condition holds or the given time has passed, and reports whether the condition holds.
 func (w *World) runUntil(within time.Duration, holds func() bool) bool {
 	end := w.now + within
 	for !holds() && w.now < end && w.Failure == "" {
@@ -33,30 +31,31 @@
 	return holds()
 }
 
-// requireWithin runs in small steps until a condition holds, and returns how long that took.
+// requireWithin runs the world in steps of 2 ms until a condition holds, and returns how long that took. It ends the
+// test if the condition does not hold in time or a rule is broken; what describes the condition.
 func (w *World) requireWithin(t *testing.T, within time.Duration, what string, holds func() bool) time.Duration {
 	t.Helper()
 	from := w.now
 	for !holds() {
 		if w.now-from > within || w.Failure != "" {
-			t.Fatalf("seed %d: %s not in %v\n%s", w.Seed, what, within, w.Trace(40))
+			t.Fatalf("seed %d: %s: not within %v\n%s", w.Seed, what, within, w.Trace(40))
 		}
 		w.Run(w.now + 2*time.Millisecond)
 	}
 	return w.now - from
 }
 
-// faultNamed finds a fault.
+// faultNamed returns the fault with a name, and ends the test if there is none.
 func faultNamed(t *testing.T, name string) Fault {
 	t.Helper()
 	f, found := FaultByName(name)
 	if !found {
-		t.Fatalf("no fault %q", name)
+		t.Fatalf("no fault is named %q", name)
 	}
 	return f
 }
 
-// faultsNamed finds several faults.
+// faultsNamed returns the faults with the given names.
 func faultsNamed(t *testing.T, names ...string) (faults []Fault) {
 	t.Helper()
 	for _, name := range names {
@@ -65,20 +64,20 @@
 	return faults
 }
 
-// bootstrapPlan is a fleet whose control plane's size is not given: seeds bootstrap it, and the leader grows and
-// repairs it.
+// bootstrapPlan is a fleet whose settings don't give the size of the control plane: its seeds bootstrap it, and the
+// leader adds members and replaces lost ones.
 func bootstrapPlan(controlDaemons, seeds int) Plan {
 	p := Small
 	p.ControlDaemons, p.Seeds, p.Rate = controlDaemons, seeds, 20
 	return p
 }
 
-// followers are the living control daemons that do not lead.
+// followers returns the living control daemons other than the leader, standbys included.
 func (w *World) followers() []*Process {
 	return slices.DeleteFunc(w.daemons(wire.ControlDaemon), func(p *Process) bool { return !p.alive || p == w.Leader() })
 }
 
-// memberNames are the members as the leader counts them, none without a leader.
+// memberNames returns the names of the members in the leader's view, none without a leader.
 func (w *World) memberNames() (names []string) {
 	leader := w.Leader()
 	if leader == nil {
@@ -90,17 +89,18 @@
 	return names
 }
 
-// hasMembers is the condition that the control plane has so many members.
+// hasMembers returns the condition that the control plane has exactly count members.
 func (w *World) hasMembers(count int) func() bool {
 	return func() bool { return len(w.memberNames()) == count }
 }
 
-// hasLeader is the condition that there is a leader.
+// hasLeader reports whether there is a leader.
 func (w *World) hasLeader() bool { return w.Leader() != nil }
 
+// isListed reports whether the leader counts p as a member.
 func (w *World) isListed(p *Process) bool { return slices.Contains(w.memberNames(), p.name) }
 
-// followerMember is a living member that does not lead.
+// followerMember returns a living member that does not lead, nil if there is none.
 func (w *World) followerMember() *Process {
 	for _, p := range w.followerMembers(w.Leader()) {
 		if p.alive {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// followerMembers are all members but the leader.
+// followerMembers returns all members but the leader, dead ones included.
 func (w *World) followerMembers(leader *Process) (members []*Process) {
 	for _, name := range w.memberNames() {
 		if name != leader.name {
@@ -120,28 +120,28 @@
 	return members
 }
 
-// checkMembership checks that all members live, and that the control plane outlives the loss of any one
-// machine and any one domain.
+// checkMembership checks that the control plane has so many members, that all of them are alive and that, if there
+// are three or more, the loss of any one domain leaves a majority.
 func (w *World) checkMembership(t *testing.T, members int) {
 	t.Helper()
 	names, perDomain := w.memberNames(), map[string]int{}
 	for _, name := range names {
 		perDomain[w.process(name).domain]++
 		if !w.process(name).alive {
-			t.Errorf("seed %d: %s is a member and dead", w.Seed, name)
+			t.Errorf("seed %d: member %s is dead", w.Seed, name)
 		}
 	}
 	if len(names) != members {
-		t.Fatalf("seed %d: members %v, wanted %d\n%s", w.Seed, names, members, w.Trace(40))
+		t.Fatalf("seed %d: members %v, want %d\n%s", w.Seed, names, members, w.Trace(40))
 	}
 	for domain, count := range perDomain {
 		if members >= 3 && 2*count >= members {
-			t.Errorf("seed %d: %d of %d members are in %s: %v", w.Seed, count, members, domain, names)
+			t.Errorf("seed %d: %d of %d members are in domain %s: %v", w.Seed, count, members, domain, names)
 		}
 	}
 }
 
-// controlPlaneView is the leader's own view of the control plane.
+// controlPlaneView returns the state of the control plane as the leader's status shows it.
 func (w *World) controlPlaneView(t *testing.T) controlplane.ControlPlaneView {
 	t.Helper()
 	leader := w.Leader()
@@ -151,29 +151,31 @@
 	return leader.controller.Status(leader.localTime()).ControlPlane
 }
 
-// requireLeader wants a leader that decides within the time that a leader's loss may cost.
+// requireLeader runs the world for 200 ms, then ends the test unless a member leads within failoverBound. The round is
+// only named in the failure.
 func (w *World) requireLeader(t *testing.T, round int) {
 	t.Helper()
 	w.Run(w.now + 200*time.Millisecond)
 	if !w.runUntil(failoverBound, w.hasLeader) {
-		t.Fatalf("seed %d, round %d: nobody leads\n%s", w.Seed, round, w.Trace(60))
+		t.Fatalf("seed %d, round %d: no leader\n%s", w.Seed, round, w.Trace(60))
 	}
 }
 
-// requireChange wants a change to be acknowledged within the time that a leader's loss may cost.
+// requireChange sends the leader a change, and ends the test unless it is acknowledged within failoverBound.
 func (w *World) requireChange(t *testing.T) {
 	t.Helper()
 	before := w.checks.acknowledged
 	if w.Leader() == nil {
-		t.Fatalf("seed %d: nobody leads\n%s", w.Seed, w.Trace(60))
+		t.Fatalf("seed %d: no leader\n%s", w.Seed, w.Trace(60))
 	}
 	w.putNextConfig(w.Leader())
 	if !w.runUntil(failoverBound, func() bool { return w.checks.acknowledged > before }) {
-		t.Fatalf("seed %d: a change was not acknowledged in %v\n%s", w.Seed, failoverBound, w.Trace(40))
+		t.Fatalf("seed %d: a change was not acknowledged within %v\n%s", w.Seed, failoverBound, w.Trace(40))
 	}
 }
 
-// changeTenTimesASecond has an operator change the configuration for a while.
+// changeTenTimesASecond sends a new configuration to a random control daemon every 100 ms, until span has passed or no
+// control daemon is alive.
 func (w *World) changeTenTimesASecond(span time.Duration) {
 	end := w.now + span
 	var next func()
@@ -186,7 +188,8 @@
 	next()
 }
 
-// callAndWait makes a call at a daemon and waits for its reply.
+// callAndWait sends a call to a daemon and waits up to 10 s for the reply. It returns the reply and the fields of its
+// JSON body.
 func (w *World) callAndWait(t *testing.T, p *Process, method, path, query, body, token string) (statemachine.Reply, map[string]any) {
 	t.Helper()
 	var reply *statemachine.Reply
@@ -195,11 +198,11 @@
 		w.Run(w.now + 10*time.Millisecond)
 	}
 	if reply == nil {
-		t.Fatalf("%s %s got no answer %s\n%s", method, path, w.Failure, w.Trace(20))
+		t.Fatalf("%s %s got no reply within 10 s %s\n%s", method, path, w.Failure, w.Trace(20))
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(reply.Body, &fields); err != nil {
-		t.Fatalf("%s: %v", reply.Body, err)
+		t.Fatalf("%s %s: reply %q is not a JSON object: %v", method, path, reply.Body, err)
 	}
 	return *reply, fields
 }
@@ -216,7 +219,7 @@
 	}
 }
 
-// leasedProxies counts the proxies that hold a lease of the leader.
+// leasedProxies counts the living proxies that hold a lease from the leader.
 func leasedProxies(w *World) (count int) {
 	for _, p := range w.daemons(wire.ProxyDaemon) {
 		if p.alive && p.proxy.State() == dataplane.Leased {
@@ -226,7 +229,7 @@
 	return count
 }
 
-// lostLeases is how often a control daemon that runs has lost the leader's lease.
+// lostLeases returns how often the living control daemons have lost leadership since they were started.
 func (w *World) lostLeases() (count uint64) {
 	for _, p := range w.daemons(wire.ControlDaemon) {
 		if p.alive {
@@ -236,8 +239,9 @@
 	return count
 }
 
-// releaseTargets replaces a part of all targets by later starts of them, so many at once and so far apart.
-func (w *World) releaseTargets(part float64, atOnce int, interval time.Duration) {
+// releaseTargets drains and restarts a random share of the targets in batches, as a rolling release does: each batch
+// has batchSize targets and begins one interval after the batch before it.
+func (w *World) releaseTargets(share float64, batchSize int, interval time.Duration) {
 	var released []*Target
 	for _, t := range w.targets.all {
 		if t.alive && t.state != wire.TargetLeaving {
@@ -246,7 +250,7 @@
 	}
 	w.random.Shuffle(len(released), func(i, j int) { released[i], released[j] = released[j], released[i] })
 	wait := time.Duration(0)
-	for batch := range slices.Chunk(released[:int(part*float64(len(released)))], atOnce) {
+	for batch := range slices.Chunk(released[:int(share*float64(len(released)))], batchSize) {
 		w.schedule(wait, func() {
 			for _, t := range batch {
 				w.DrainTarget(t, func() { w.restartTarget(t, w.randomMilliseconds(300, 900), 0) })
@@ -256,7 +260,7 @@
 	}
 }
 
-// tableEntry is a target in a table, nil if it is not there.
+// tableEntry returns a target's entry in a table, nil if there is none.
 func tableEntry(table *wire.Table, name string) *wire.Target {
 	for i := range table.Targets {
 		if table.Targets[i].Name == name {
@@ -266,7 +270,7 @@
 	return nil
 }
 
-// documentWithRoutes is a configuration with many routes besides those of the plan.
+// documentWithRoutes returns a configuration of the plan with so many generated routes in place of the plan's.
 func (w *World) documentWithRoutes(number, routes int) []byte {
 	return w.editDocument(number, func(document map[string]any) {
 		services := w.services()
@@ -280,7 +284,7 @@
 	})
 }
 
-// editDocument is a configuration of the plan, changed.
+// editDocument returns a configuration of the plan after edit has changed it.
 func (w *World) editDocument(number int, edit func(document map[string]any)) []byte {
 	var document map[string]any
 	if err := json.Unmarshal(w.Document(number), &document); err != nil {
@@ -291,8 +295,9 @@
 }
 
 const (
-	// testCatchUp is the platform's shortest bound from a successor's start to the next loss.
+	// testCatchUp is the shortest time that the platform gives a control plane between the start of a lost member's
+	// successor and the next loss.
 	testCatchUp = 4 * time.Second
-	// failoverBound is how long after a loss a leader may take to decide again.
+	// failoverBound is the longest time from the loss of a member until a leader acknowledges changes again.
 	failoverBound = 4 * time.Second
 )
