--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -9,33 +9,32 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Each test here is aimed at one guard that random days seldom meet; docs/rules.md
-// says which guard was disabled to see it fail.
+// Each test in this file covers one guard that random runs seldom exercise. docs/rules.md lists the guard that was
+// disabled to see each test fail.
 
-// A change is acknowledged only when a majority has it on disk: with two of three
-// disks stalled it must survive a power cut and the loss of the third disk, or not
-// have been acknowledged.
+// A change is acknowledged only once a majority has it on disk. With two of three disks stalled, a change that was
+// acknowledged must survive a power cut and the loss of the third disk.
 func TestChangeIsSyncedByAMajorityBeforeItsReply(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		for _, leaderToo := range []bool{false, true} {
 			w := Start(seed, Small)
 			l, fs := w.Leader(), w.followers()
-			lose := l
+			diskLost := l
 			w.StallDisk(fs[0], time.Minute)
 			if leaderToo {
 				w.StallDisk(l, time.Minute)
-				lose = fs[1]
+				diskLost = fs[1]
 			} else {
 				w.StallDisk(fs[1], time.Minute)
 			}
 			w.PutConfig(l, 1, 2)
 			w.Run(w.now + 350*time.Millisecond)
 			for _, p := range w.daemons(wire.ControlDaemon) {
-				p.disk.unsynced = nil // power goes before anything more is written
+				p.disk.unsynced = nil // the power cut comes before anything more is written
 			}
 			w.killAll()
-			w.WipeDisk(lose)
+			w.WipeDisk(diskLost)
 			w.Run(w.now + time.Second)
 			w.restartAll()
 			w.AwaitRecovery(15 * time.Second)
@@ -45,8 +44,8 @@
 	}
 }
 
-// A member that lost its disk has no vote until it has been admitted again: it and
-// one that was behind must not elect a leader that forgets what was acknowledged.
+// A member that lost its disk has no vote until it has been admitted again. Otherwise it could, with a member that lags
+// behind, elect a leader that lacks an acknowledged change.
 func TestMemberWithoutItsDiskHasNoVote(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -56,7 +55,7 @@
 		w.PutConfig(l, 1, 2)
 		w.Run(w.now + 2*time.Second)
 		if w.checks.acknowledged != 2 {
-			t.Fatalf("not acknowledged\n%s", w.Trace(30))
+			t.Fatalf("seed %d: the change was not acknowledged within 2 s\n%s", seed, w.Trace(30))
 		}
 		w.Kill(l)
 		w.Kill(fs[0])
@@ -65,7 +64,7 @@
 		w.Restart(fs[0])
 		w.Run(w.now + 10*time.Second)
 		if w.Leader() != nil {
-			t.Fatalf("seed %d: %s leads\n%s", seed, w.Leader().name, w.Trace(30))
+			t.Fatalf("seed %d: %s was elected with the vote of a member that lost its disk\n%s", seed, w.Leader().name, w.Trace(30))
 		}
 		w.Restart(l)
 		w.AwaitRecovery(15 * time.Second)
@@ -74,8 +73,8 @@
 	}
 }
 
-// A proxy that is isolated just after its lease was granted goes on for that lease's time, so an
-// acknowledgement waits for its end, be it this leader's lease or an earlier one's.
+// A proxy that is isolated just after it was granted a lease serves until that lease ends. A change must therefore not
+// be acknowledged before, whether this leader granted the lease or an earlier one.
 func TestAcknowledgementWaitsForLeases(t *testing.T) {
 	t.Parallel()
 	p := Small
@@ -83,7 +82,7 @@
 	for seed := range uint64(24) {
 		w := Start(seed, p)
 		w.isolate([]string{"g1"}, 4*time.Second, true, true)
-		for _, tg := range w.targets.all { // callers and back ends still reach it
+		for _, tg := range w.targets.all { // the proxy and the targets still reach each other
 			delete(w.network.blocked, link{"g1", tg.name})
 			delete(w.network.blocked, link{tg.name, "g1"})
 		}
@@ -95,19 +94,19 @@
 				w.Run(w.now + 10*time.Millisecond)
 			}
 			if w.Leader() == nil {
-				t.Fatalf("no leader\n%s", w.Trace(20))
+				t.Fatalf("seed %d: no leader within 1 s of the stop of the old one\n%s", seed, w.Trace(20))
 			}
 			w.PutConfig(w.Leader(), 1, 2)
 		}
 		w.Run(w.now + 3*time.Second)
 		if w.checks.acknowledged != 2 {
-			t.Fatalf("seed %d: not acknowledged\n%s", seed, w.Trace(30))
+			t.Fatalf("seed %d: the change was not acknowledged within 3 s\n%s", seed, w.Trace(30))
 		}
 		requireNoFailure(t, w)
 	}
 }
 
-// A stopping proxy ends only when its requests have.
+// A stopping proxy exits only after its requests have ended.
 func TestStoppingProxyFinishesItsRequests(t *testing.T) {
 	t.Parallel()
 	w := Start(2, Small)
@@ -121,24 +120,24 @@
 	w.stopProcess(g)
 	w.Run(w.now + 2*time.Second)
 	if !g.alive {
-		t.Fatal("ended early")
+		t.Fatal("the proxy exited before its requests ended")
 	}
 	w.Run(w.now + 5*time.Second)
 	requireNoFailure(t, w)
 	if g.alive {
-		t.Fatalf("still there with %d exchanges\n%s", g.proxy.InFlight(), w.Trace(20))
+		t.Fatalf("the proxy has not exited after 7 s, with %d requests in flight\n%s", g.proxy.InFlight(), w.Trace(20))
 	}
 }
 
-// The design on the ordinary path: two missed health checks take a target out of
-// every proxy's table at once, though its heartbeats go on; the regular refresh keeps
-// it out; a response clears the ejection, and what runs well stays where it is.
+// Two missed health checks eject a target from every proxy's table at once, although its heartbeats go on. Regular
+// refreshes of the table keep it ejected, and a successful health check ends the ejection. Healthy targets stay in the
+// tables.
 func TestEjectionLastsUntilAHealthCheckSucceeds(t *testing.T) {
 	t.Parallel()
 	w := Start(5, Small)
 	w.Run(w.now + 5*time.Second)
 	tg := w.targets.all[0]
-	in := func() (n int) {
+	tablesUsing := func() (n int) { // tables in which the target is not ejected
 		for _, p := range w.daemons(wire.ProxyDaemon) {
 			for _, x := range p.proxy.Table().Targets {
 				if x.Name == tg.name && x.EjectionLeft == 0 {
@@ -148,49 +147,49 @@
 		}
 		return n
 	}
-	delete(w.targets.listening, tg.address) // its port is closed, connections included, while its heartbeats go on
+	delete(w.targets.listening, tg.address) // its port and connections are closed; its heartbeats go on
 	for _, p := range w.processes.byName {
 		delete(p.idle, wire.TargetID{Service: tg.service, Name: tg.name, Incarnation: tg.incarnation})
 	}
-	at := w.now
-	for in() > 0 && w.now < at+5*time.Second {
+	closedAt := w.now
+	for tablesUsing() > 0 && w.now < closedAt+5*time.Second {
 		w.Run(w.now + 10*time.Millisecond)
 	}
-	if took := w.now - at; took > 1500*time.Millisecond {
-		t.Fatalf("%v until no table held it", took)
+	if took := w.now - closedAt; took > 1500*time.Millisecond {
+		t.Fatalf("tables used the target for %v after its port was closed, want at most 1.5s", took)
 	}
-	ver := w.Leader().controller.Table().Key.Version
-	w.Run(w.now + 45*time.Second) // over several refreshes and the ejection's 30 s
-	if in() > 0 || w.Leader().controller.Table().Key.Version == ver {
-		t.Fatalf("in %d tables again; version %d -> %d", in(), ver, w.Leader().controller.Table().Key.Version)
+	version := w.Leader().controller.Table().Key.Version
+	w.Run(w.now + 45*time.Second) // longer than several refreshes and the 30 s of the ejection
+	if tablesUsing() > 0 || w.Leader().controller.Table().Key.Version == version {
+		t.Fatalf("%d tables use the target again; table version %d -> %d, want a later one", tablesUsing(), version, w.Leader().controller.Table().Key.Version)
 	}
 	w.targets.listening[tg.address] = tg
 	w.Run(w.now + 2*time.Second)
-	if in() != 5 {
-		t.Fatalf("back in %d of 5 tables", in())
+	if tablesUsing() != 5 {
+		t.Fatalf("%d of 5 tables use the target after its port is open again", tablesUsing())
 	}
-	ver = w.Leader().controller.Table().Key.Version
-	same := w.Leader().controller.Status(0).Counts.TablesUnchanged
+	version = w.Leader().controller.Table().Key.Version
+	unchanged := w.Leader().controller.Status(0).Counts.TablesUnchanged
 	w.Run(w.now + 3*time.Second)
-	if s := w.Leader().controller.Status(0); s.Counts.TablesUnchanged-same < 50 || s.Table.Version > ver+1 {
-		t.Fatalf("%d idempotent rebuilds, version %d -> %d", s.Counts.TablesUnchanged-same, ver, s.Table.Version)
+	if s := w.Leader().controller.Status(0); s.Counts.TablesUnchanged-unchanged < 50 || s.Table.Version > version+1 {
+		t.Fatalf("%d tables were rebuilt without a change, want at least 50; version %d -> %d, want at most one step", s.Counts.TablesUnchanged-unchanged, version, s.Table.Version)
 	}
-	// A leaving target answers health checks and even reports that it is ready: it remains draining.
-	l := w.targets.all[1]
-	l.state = wire.TargetLeaving
+	// A leaving target stays draining, even if it answers health checks and reports that it is ready again.
+	leaving := w.targets.all[1]
+	leaving.state = wire.TargetLeaving
 	w.Run(w.now + time.Second)
-	l.state = wire.TargetReady
+	leaving.state = wire.TargetReady
 	w.Run(w.now + 3*time.Second)
 	requireNoFailure(t, w)
 	for _, x := range w.Leader().controller.Table().Targets {
-		if x.Name == l.name && (!x.Draining || x.EjectionLeft != 0) {
-			t.Fatalf("%+v", x)
+		if x.Name == leaving.name && (!x.Draining || x.EjectionLeft != 0) {
+			t.Fatalf("the leaving target is not draining, or is ejected: %+v", x)
 		}
 	}
 }
 
-// When every target of a service is ejected, those that still send heartbeats are used; draining
-// and crashed ones never are.
+// If every target of a service is ejected, the targets that still send heartbeats are used. Draining and crashed targets
+// never are.
 func TestEjectedTargetsServeIfAllAreEjected(t *testing.T) {
 	t.Parallel()
 	w := Start(6, Small)
@@ -213,12 +212,12 @@
 	w.Run(w.now + time.Second)
 	requireNoFailure(t, w)
 	if w.Stats.Served-before != 50 {
-		t.Fatalf("%d of 50 served\n%s", w.Stats.Served-before, w.Trace(20))
+		t.Fatalf("%d of 50 requests were served\n%s", w.Stats.Served-before, w.Trace(20))
 	}
 }
 
-// A leader that is cut off from healthy targets does not eject them: proxies have
-// responses from them. What no proxy can vouch for is ejected all the same.
+// A leader that is partitioned from healthy targets does not eject them, since proxies report responses from them. A
+// target without such a report is still ejected.
 func TestIsolatedLeaderEjectsNoHealthyTarget(t *testing.T) {
 	t.Parallel()
 	p := Small
@@ -233,13 +232,13 @@
 	w.Run(w.now + 6*time.Second)
 	requireNoFailure(t, w)
 	if n := l.controller.Status(0).Counts; n.Ejections != before.Ejections || n.MissesOverruled < 50 {
-		t.Fatalf("%d bars, %d misses overruled\n%s", n.Ejections-before.Ejections, n.MissesOverruled, w.Trace(20))
+		t.Fatalf("%d ejections, want none; %d missed health checks were overruled, want at least 50\n%s", n.Ejections-before.Ejections, n.MissesOverruled, w.Trace(20))
 	}
 }
 
-// Where next to nothing is sent, proxies that check targets' health in the leader's place vouch for
-// healthy targets, and for none that crashed meanwhile.
-func TestProxiesVouchForIdleTargets(t *testing.T) {
+// With hardly any requests there are no responses that would show healthy targets to a leader that is partitioned from
+// them. Proxies then check the targets' health on its behalf, so that it ejects the one that crashed and no other.
+func TestProxiesCheckIdleTargetsForLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
 		p := Small
@@ -253,20 +252,20 @@
 		before := l.controller.Status(0).Counts
 		w.Run(w.now + 3*time.Second)
 		if n := l.controller.Status(0).Counts; n.Ejections != before.Ejections || n.MissesOverruled == before.MissesOverruled {
-			t.Fatalf("seed %d: %d bars, %d misses overruled\n%s", seed, n.Ejections-before.Ejections, n.MissesOverruled, w.Trace(20))
+			t.Fatalf("seed %d: %d ejections, want none; %d missed health checks were overruled, want some\n%s", seed, n.Ejections-before.Ejections, n.MissesOverruled-before.MissesOverruled, w.Trace(20))
 		}
 		w.CrashTarget(w.targets.all[int(seed)%len(w.targets.all)])
 		w.Run(w.now + tuning.ProbeEvery + tuning.ProbeEvery + tuning.ProbeTimeout + 100*time.Millisecond)
 		if n := l.controller.Status(0).Counts; n.Ejections != before.Ejections+1 {
-			t.Fatalf("seed %d: %d bars after a death\n%s", seed, n.Ejections-before.Ejections, w.Trace(20))
+			t.Fatalf("seed %d: %d ejections after one target crashed, want 1\n%s", seed, n.Ejections-before.Ejections, w.Trace(20))
 		}
 		w.Run(w.now + 3*time.Second)
 		requireNoFailure(t, w)
 	}
 }
 
-// A leader that was frozen must not, on its first event after the thaw, grant
-// a lease: another may have led and acknowledged meanwhile.
+// A leader that was frozen must not grant a lease on its first event after the thaw: another member may have led and
+// acknowledged changes meanwhile.
 func TestThawedLeaderGrantsNoLease(t *testing.T) {
 	t.Parallel()
 	p := Small
@@ -275,7 +274,7 @@
 		w := Start(seed, p)
 		l := w.Leader()
 		w.isolate([]string{"g1", l.name}, 10*time.Second, true, true)
-		w.partition(bothDirections(l.name, "g1"), 3800*time.Millisecond) // so that its first event after the thaw is fresh
+		w.partition(bothDirections(l.name, "g1"), 3800*time.Millisecond) // it ends before the thaw, so that the first event after the thaw is a recent message
 		for _, tg := range w.targets.all {
 			delete(w.network.blocked, link{"g1", tg.name})
 			delete(w.network.blocked, link{tg.name, "g1"})
@@ -285,19 +284,19 @@
 		w.PutConfig(w.Leader(), 1, 2)
 		w.Run(w.now + 3*time.Second)
 		if w.checks.acknowledged != 2 {
-			t.Fatalf("seed %d: not acknowledged\n%s", seed, w.Trace(30))
+			t.Fatalf("seed %d: the change was not acknowledged within 3 s\n%s", seed, w.Trace(30))
 		}
 		requireNoFailure(t, w)
 	}
 }
 
-// A proxy that could reach nothing for a while serves again as soon as the leader
-// leases it: the faults that it saw in targets then were its own.
-func TestReturningProxyServesAtOnce(t *testing.T) {
+// A proxy that was isolated for a while serves again as soon as it has a lease from the leader. It must not keep the
+// ejections that it decided on meanwhile, since the fault was its own.
+func TestReconnectedProxyServesAtOnce(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
 		w := Start(seed, Small)
-		d := 4*time.Second + time.Duration(seed)*45*time.Millisecond // the heal meets its probes anywhere
+		d := 4*time.Second + time.Duration(seed)*45*time.Millisecond // over the seeds, the isolation ends at different moments between two health checks
 		w.isolate([]string{"g1"}, d, true, true)
 		w.Run(w.now + d)
 		g := w.process("g1")
@@ -306,19 +305,19 @@
 		}
 		for _, x := range g.proxy.View(g.localTime()).Targets {
 			if x.OwnEjectionLeftMs > 0 {
-				t.Fatalf("%s is still barred for %d ms", x.Name, x.OwnEjectionLeftMs)
+				t.Fatalf("seed %d: the proxy still ejects %s by itself for %d ms", seed, x.Name, x.OwnEjectionLeftMs)
 			}
 		}
 		requireNoFailure(t, w)
 	}
 }
 
-// latestAfterDeath runs a world and returns how long after its crash a
-// target was last chosen.
-func latestAfterDeath(t *testing.T, seed uint64, do func(w *World, tg *Target)) time.Duration {
+// latestAttemptAfterCrash runs a world in which do crashes a target, and returns how long after the crash a request was
+// last attempted at it.
+func latestAttemptAfterCrash(t *testing.T, seed uint64, do func(w *World, tg *Target)) time.Duration {
 	t.Helper()
 	p := Small
-	p.Rate = 60 // few enough that connections which do not open do not show it first
+	p.Rate = 60 // so few that the crash is not noticed first by requests whose connections do not open
 	w := Start(seed, p)
 	w.Run(w.now + time.Second)
 	do(w, w.targets.all[int(seed)%len(w.targets.all)])
@@ -327,44 +326,45 @@
 	return w.Stats.LatestToCrashed
 }
 
-// A leader and a target crash together: a new leader checks targets' health while it gathers tables,
-// and serves nothing that only old tables vouch for.
-func TestNewLeaderTrustsNoDeadTarget(t *testing.T) {
+// A leader and a target crash together, and most proxies are new. The next leader checks targets' health while it
+// gathers tables, and must not take over the crashed target from an old table.
+func TestNewLeaderVerifiesTargetsOfOldTables(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		if late := latestAfterDeath(t, seed, func(w *World, tg *Target) {
+		if late := latestAttemptAfterCrash(t, seed, func(w *World, tg *Target) {
 			w.Kill(w.Leader())
-			for _, p := range w.daemons(wire.ProxyDaemon)[1:] { // new proxies, which have seen nothing; one remembers the table
+			for _, p := range w.daemons(wire.ProxyDaemon)[1:] { // only one proxy keeps the old table
 				w.Kill(p)
 				w.schedule(100*time.Millisecond, func() { w.Restart(p) })
 			}
 			w.CrashTarget(tg)
 		}); late > 2*time.Second {
-			t.Errorf("seed %d: chosen %v after its death", seed, late)
+			t.Errorf("seed %d: the target was still used %v after its crash, want at most 2s", seed, late)
 		}
 	}
 }
 
-// A leader is isolated just before it ejects a target: proxies decide by health checks of their own.
-func TestProxiesNoticeDeadTargetsWithoutLeader(t *testing.T) {
+// The control plane is isolated just before its leader would eject a crashed target. Proxies must then eject the target
+// by their own health checks.
+func TestProxiesEjectCrashedTargetsWithoutLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		if late := latestAfterDeath(t, seed, func(w *World, tg *Target) {
+		if late := latestAttemptAfterCrash(t, seed, func(w *World, tg *Target) {
 			w.CrashTarget(tg)
 			w.Run(w.now + 300*time.Millisecond)
 			w.isolate(w.daemonNames(wire.ControlDaemon), 10*time.Second, true, true)
 		}); late > 2*time.Second {
-			t.Errorf("seed %d: chosen %v after its death", seed, late)
+			t.Errorf("seed %d: the target was still used %v after its crash, want at most 2s", seed, late)
 		}
 	}
 }
 
-// A proxy freezes with requests whose targets are chosen and that are not yet written. What happens
-// meanwhile holds for them too: on the thaw they go elsewhere or are rejected.
+// A proxy freezes after it has chosen targets for some requests and before it has written them. The choices are out of
+// date at the thaw, so these requests must go to other targets or be rejected.
 func TestThawedProxyDropsExpiredChoices(t *testing.T) {
 	t.Parallel()
 	freeze := faultNamed(t, "gate frozen with work in hand")
-	stale := uint64(0)
+	expired := uint64(0)
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
 		w.Run(w.now + time.Second)
@@ -373,10 +373,10 @@
 		w.Run(w.now + 9*time.Second)
 		requireNoFailure(t, w)
 		for _, p := range w.daemons(wire.ProxyDaemon) {
-			stale += p.proxy.Counts.ExpiredChoices
+			expired += p.proxy.Counts.ExpiredChoices
 		}
 	}
-	if stale < 12 {
-		t.Fatalf("only %d choices grew old", stale)
+	if expired < 12 {
+		t.Fatalf("%d choices of targets expired, want at least 12", expired)
 	}
 }
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -10,8 +10,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// threeMembers is a control plane of three members in three domains, after its first change.
-func threeMembers(t *testing.T, seed uint64) *World {
+// startThreeMembers starts a control plane of three members in three domains and runs it for testCatchUp, after which it
+// must survive a loss.
+func startThreeMembers(t *testing.T, seed uint64) *World {
 	t.Helper()
 	w := Start(seed, replacementPlan(3, 3))
 	w.Run(w.now + testCatchUp)
@@ -20,16 +21,16 @@
 	return w
 }
 
-// An unreachable member is removed before its successor is added: a successor that dies as soon as it
-// is a member takes no majority with it.
-func TestSuccessorThatDiesTakesNoMajorityAlong(t *testing.T) {
+// An unreachable member is removed before its successor is added, so that a majority is left if the successor crashes
+// as soon as it is a member.
+func TestMajoritySurvivesCrashOfSuccessor(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := threeMembers(t, seed)
+		w := startThreeMembers(t, seed)
 		old := w.followerMembers(w.Leader())[seed%2]
 		w.ReplaceControlDaemon(old, false, 0, func(time.Duration) {})
 		w.Run(w.now + time.Millisecond)
-		w.requireWithin(t, testCatchUp, "a successor", func() bool { return w.isListed(w.process("r1")) })
+		w.requireWithin(t, testCatchUp, "the successor becomes a member", func() bool { return w.isListed(w.process("r1")) })
 		w.Kill(w.process("r1"))
 		w.Run(w.now + 20*time.Millisecond)
 		w.requireChange(t)
@@ -37,16 +38,16 @@
 	}
 }
 
-// A reachable member is removed after its successor is added: a member that dies at the
-// first change of the members takes no majority with it.
-func TestMemberDiesDuringPlannedReplacement(t *testing.T) {
+// A reachable member is removed only after its successor was added, so that a majority is left if another member
+// crashes at the first membership change.
+func TestMajoritySurvivesCrashDuringPlannedReplacement(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := threeMembers(t, seed)
+		w := startThreeMembers(t, seed)
 		fs := w.followerMembers(w.Leader())
 		w.ReplaceControlDaemon(fs[0], true, 100*time.Millisecond, func(time.Duration) {})
 		before := w.memberNames()
-		w.requireWithin(t, testCatchUp, "a change of members", func() bool { l := w.memberNames(); return l != nil && !slices.Equal(l, before) })
+		w.requireWithin(t, testCatchUp, "the membership changes", func() bool { now := w.memberNames(); return now != nil && !slices.Equal(now, before) })
 		w.Kill(fs[1])
 		w.Run(w.now + 20*time.Millisecond)
 		w.requireChange(t)
@@ -54,14 +55,14 @@
 	}
 }
 
-// A member that is stopped as its successor starts remains a member until the successor is one,
-// also over a network that is slow and loses messages.
-func TestPlannedSuccessorIsAMemberBeforeTheOldEnds(t *testing.T) {
+// A member that is stopped when its successor starts stays a member, and keeps running, until the successor is one; also
+// over a network that is slow and loses messages.
+func TestPlannedSuccessorJoinsBeforeOldMemberExits(t *testing.T) {
 	t.Parallel()
-	for _, cores := range []int{1, 3, 4, 5, 7, 11} {
+	for _, controlDaemons := range []int{1, 3, 4, 5, 7, 11} {
 		for seed := range uint64(6) {
-			w := Start(seed, replacementPlan(cores, 3))
-			w.runUntil(10*time.Second, w.hasMembers([]int{0, 1, 0, 3, 3, 5, 0, 7, 0, 0, 0, 7}[cores]))
+			w := Start(seed, replacementPlan(controlDaemons, 3))
+			w.runUntil(10*time.Second, w.hasMembers([]int{0, 1, 0, 3, 3, 5, 0, 7, 0, 0, 0, 7}[controlDaemons]))
 			w.Run(w.now + testCatchUp)
 			w.network.delay, w.network.loss = 60*time.Millisecond, 0.02
 			old := w.Leader()
@@ -70,84 +71,84 @@
 			}
 			n := len(w.memberNames())
 			w.ReplaceControlDaemon(old, true, 0, func(time.Duration) {})
-			w.requireWithin(t, controlStopGrace, "the end", func() bool { return !old.alive })
-			w.requireWithin(t, failoverBound, "a leader", w.hasLeader)
+			w.requireWithin(t, controlStopGrace, "the old member exits", func() bool { return !old.alive })
+			w.requireWithin(t, failoverBound, "a member leads", w.hasLeader)
 			if w.isListed(old) || len(w.memberNames()) < n {
-				t.Errorf("seed %d: of %d, %s ended with members %v\n%s", seed, cores, old.name, w.memberNames(), w.Trace(20))
+				t.Errorf("seed %d: with %d control daemons, %s exited and left members %v\n%s", seed, controlDaemons, old.name, w.memberNames(), w.Trace(20))
 			}
 			requireNoFailure(t, w)
 		}
 	}
 }
 
-// A lost leader is replaced in the same time as another member, an election aside: the time for which
-// its followers did not reach it before one of them led counts.
+// A lost leader is replaced as fast as any other member, or after an election if that takes longer: the time for which
+// its followers did not hear it before one of them was elected counts towards the time until a member is replaced.
 func TestLostLeaderIsReplacedInTime(t *testing.T) {
 	t.Parallel()
 	const bound = 6 * time.Second
-	most := max(bound/tuning.ReplaceParts, tuning.ElectionTimeoutMin+tuning.ElectionTimeoutSpread+tuning.NewLeaderGrace) + 500*time.Millisecond
+	limit := max(bound/tuning.ReplaceParts, tuning.ElectionTimeoutMin+tuning.ElectionTimeoutSpread+tuning.NewLeaderGrace) + 500*time.Millisecond
 	for seed := range uint64(9) {
-		cores := []int{3, 5, 7}[seed%3]
-		p := replacementPlan(cores, 3)
+		controlDaemons := []int{3, 5, 7}[seed%3]
+		p := replacementPlan(controlDaemons, 3)
 		p.CatchUp = bound
 		w := Start(seed, p)
-		w.runUntil(2*tuning.GrowAfter, w.hasMembers(cores))
+		w.runUntil(2*tuning.GrowAfter, w.hasMembers(controlDaemons))
 		w.Run(w.now + bound)
 		old := w.Leader()
 		w.ReplaceControlDaemon(old, false, 0, func(time.Duration) {})
 		w.Run(w.now + time.Millisecond)
-		d := w.requireWithin(t, bound, "the repair", func() bool { return w.isListed(w.process("r1")) && !w.isListed(old) })
-		if d > most {
-			t.Errorf("seed %d: repaired after %v, wanted %v", seed, d, most)
+		d := w.requireWithin(t, bound, "the successor replaces the leader", func() bool { return w.isListed(w.process("r1")) && !w.isListed(old) })
+		if d > limit {
+			t.Errorf("seed %d: the leader was replaced after %v, want at most %v", seed, d, limit)
 		}
 		requireNoFailure(t, w)
 	}
 }
 
-// A standby has all that is agreed before any member is lost.
+// A standby has everything that was committed before any member is lost.
 func TestStandbyFollowsTheLog(t *testing.T) {
 	t.Parallel()
-	w := threeMembers(t, 1)
+	w := startThreeMembers(t, 1)
 	s := w.addAndStart(wire.ControlDaemon, "s1", 0)
 	w.Run(w.now + time.Second)
 	w.requireChange(t)
 	w.Run(w.now + 300*time.Millisecond)
 	if s.controller.Revision() != w.Leader().controller.Revision() || w.isListed(s) {
-		t.Errorf("the standby has %d, the leader %d; members %v", s.controller.Revision(), w.Leader().controller.Revision(), w.memberNames())
+		t.Errorf("the standby has revision %d, want the leader's %d; it must not be one of the members %v", s.controller.Revision(), w.Leader().controller.Revision(), w.memberNames())
 	}
 }
 
-// A standby that can't learn, since its disk stalls, is not waited for: another comes instead,
-// though it is of the wrong domain.
-func TestStandbyThatCannotLearnIsPassedOver(t *testing.T) {
+// A standby whose disk stalls can't catch up. The leader must not wait for it, but add another standby, even one of
+// another domain than that of the lost member.
+func TestStandbyThatCannotCatchUpIsSkipped(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := threeMembers(t, seed)
+		w := startThreeMembers(t, seed)
 		old := w.followerMembers(w.Leader())[0]
-		dom := int(old.domain[1] - '0')
-		bad := w.addAndStart(wire.ControlDaemon, "s1", dom-1)
-		w.StallDisk(bad, time.Minute)
-		good := w.addAndStart(wire.ControlDaemon, "s2", dom%3)
+		domain := int(old.domain[1] - '0')
+		stalled := w.addAndStart(wire.ControlDaemon, "s1", domain-1)
+		w.StallDisk(stalled, time.Minute)
+		healthy := w.addAndStart(wire.ControlDaemon, "s2", domain%3)
 		w.Run(w.now + 500*time.Millisecond)
 		w.Kill(old)
 		w.removeMachine(old)
-		w.requireWithin(t, tuning.LearnerTimeout+testCatchUp, "the other standby", func() bool { return w.isListed(good) && !w.isListed(old) })
+		w.requireWithin(t, tuning.LearnerTimeout+testCatchUp, "the other standby replaces the lost member", func() bool { return w.isListed(healthy) && !w.isListed(old) })
 		requireNoFailure(t, w)
 	}
 }
 
-// A member that is away for a while is not given up for a standby that can't learn.
-func TestMemberStaysIfNobodyCanReplaceIt(t *testing.T) {
+// A member that is down for a while stays a member if the only standby can't catch up.
+func TestMemberStaysWithoutUsableStandby(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := threeMembers(t, seed)
+		w := startThreeMembers(t, seed)
 		old := w.followerMembers(w.Leader())[0]
 		w.StallDisk(w.addAndStart(wire.ControlDaemon, "s1", domainIndex(old.domain)), time.Minute)
 		w.Run(w.now + 500*time.Millisecond)
 		w.Kill(old)
 		w.Run(w.now + testCatchUp)
 		if !w.isListed(old) {
-			t.Errorf("seed %d: %v", seed, w.memberNames())
+			t.Errorf("seed %d: %s is no member any more, without a usable standby: members %v", seed, old.name, w.memberNames())
 		}
 		w.Restart(old)
 		w.Run(w.now + time.Second)
@@ -156,8 +157,8 @@
 	}
 }
 
-// Two members that stop at once do not hand leadership to each other until both have
-// ended: the others lead, and both are replaced before they end.
+// Two members that stop at the same time must not transfer leadership to each other until both have exited. Another
+// member leads, and both are replaced before they exit.
 func TestTwoStoppingMembersAreReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
@@ -167,14 +168,14 @@
 		w.runUntil(2*tuning.GrowAfter, w.hasMembers(7))
 		w.Run(w.now + testCatchUp)
 		first := w.Leader()
-		second := slices.MinFunc(w.followerMembers(first), func(a, b *Process) int { return cmp.Compare(a.name, b.name) }) // leadership would go there
+		second := slices.MinFunc(w.followerMembers(first), func(a, b *Process) int { return cmp.Compare(a.name, b.name) }) // the first that leadership would be transferred to
 		for _, old := range []*Process{first, second} {
 			w.ReplaceControlDaemon(old, true, time.Millisecond, func(time.Duration) {})
 		}
-		w.requireWithin(t, controlStopGrace, "the end", func() bool { return !first.alive && !second.alive })
-		w.requireWithin(t, failoverBound, "a leader", w.hasLeader)
+		w.requireWithin(t, controlStopGrace, "both members exit", func() bool { return !first.alive && !second.alive })
+		w.requireWithin(t, failoverBound, "a member leads", w.hasLeader)
 		if w.isListed(first) || w.isListed(second) || len(w.memberNames()) != 7 {
-			t.Errorf("seed %d: %s and %s ended with members %v\n%s", seed, first.name, second.name, w.memberNames(), w.Trace(20))
+			t.Errorf("seed %d: %s and %s exited and left members %v, want 7 others\n%s", seed, first.name, second.name, w.memberNames(), w.Trace(20))
 		}
 		requireNoFailure(t, w)
 	}
--- a/internal/verification/simulator/history_test.go
+++ b/internal/verification/simulator/history_test.go
@@ -8,19 +8,19 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// changeWhileLeadersFail has operators send pairs of changes on one base to two members, each change again some time
-// later, while leaders crash and are isolated, and read all the while.
+// changeWhileLeadersFail has operators read the configuration and send pairs of changes on the same base, each change
+// three times to random control daemons, while leaders crash, freeze and are isolated.
 func (w *World) changeWhileLeadersFail(pairs int) {
 	w.StartReaders(40 * time.Millisecond)
 	for i := range pairs {
 		w.schedule(time.Duration(i)*700*time.Millisecond, func() {
 			base := w.Revision()
 			for k := range 2 {
-				order := w.Document(100 + 2*i + k)
-				for _, after := range []int{0, 400, 3000} {
-					w.schedule(time.Duration(after)*time.Millisecond+w.randomMilliseconds(0, 20), func() {
+				document := w.Document(100 + 2*i + k)
+				for _, delay := range []int{0, 400, 3000} {
+					w.schedule(time.Duration(delay)*time.Millisecond+w.randomMilliseconds(0, 20), func() {
 						p := w.daemons(wire.ControlDaemon)[w.random.IntN(w.Plan.ControlDaemons)]
-						w.call(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), order, "", w.ignoreReply)
+						w.call(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", base), document, "", w.ignoreReply)
 					})
 				}
 			}
@@ -36,7 +36,7 @@
 					w.Kill(l)
 					w.schedule(1500*time.Millisecond, func() { w.Restart(l) })
 				case i%12 == 7:
-					w.isolate([]string{l.name}, 3*time.Second, true, true) // from the next leader's messages too
+					w.isolate([]string{l.name}, 3*time.Second, true, true) // it receives no message of the next leader either
 					w.Freeze(l, 2*time.Second)
 				default:
 					w.isolate([]string{l.name}, 2*time.Second, true, true)
@@ -47,7 +47,7 @@
 	w.Run(w.now + time.Duration(pairs)*700*time.Millisecond + 8*time.Second)
 }
 
-// Changes and reads while leaders come and go are linearizable.
+// Changes and reads are linearizable while leaders fail.
 func TestRepliesAreLinearizable(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -56,18 +56,17 @@
 		w.CheckHistory()
 		requireNoFailure(t, w)
 		if n := w.checks.history.Len(); n < 300 {
-			t.Errorf("seed %d: %d calls only", seed, n)
+			t.Errorf("seed %d: the history has %d calls, want at least 300", seed, n)
 		}
 	}
 }
 
-// A process that stands still between a step and its commands, for
-// longer than any lease, gives an operator a late but true reply and binds no proxy: what was
-// decided held at a moment after the call had come, and leases count from the proxy's own
-// timestamp.
-func TestLateRepliesAreTrueAndLateLeasesBindNobody(t *testing.T) {
+// A leader may freeze, for longer than any lease, after it has decided and before it has sent its replies and leases.
+// The late replies to operators must still be correct: what was decided held at a moment after the call had come. The
+// late leases must have no effect: a lease counts from the proxy's own timestamp.
+func TestLateRepliesAndLeasesAreSafe(t *testing.T) {
 	t.Parallel()
-	late := 0
+	delayed := 0
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
 		w.StartReaders(40 * time.Millisecond)
@@ -91,15 +90,14 @@
 		w.CheckHistory()
 		w.CheckAcknowledgedChanges()
 		requireNoFailure(t, w)
-		late += w.Stats.DelayedSteps
+		delayed += w.Stats.DelayedSteps
 	}
-	if late < 60 {
-		t.Errorf("%d steps were told late only", late)
+	if delayed < 60 {
+		t.Errorf("the commands of %d steps were delayed, want at least 60", delayed)
 	}
 }
 
-// With a guard of the control plane disabled the history is not linearizable any more: a check
-// that can't fail is none.
+// The check of the history fails if a guard of the control plane is disabled.
 func TestDisabledGuardsBreakLinearizability(t *testing.T) {
 	t.Parallel()
 	for _, disabled := range []Guard{guardReadsAtLeader, guardMajorityBeforeReply, guardIdempotentChanges, guardFreshClock} {
@@ -114,7 +112,7 @@
 					return
 				}
 			}
-			t.Error("10 seeds were linearizable")
+			t.Error("the histories of all 10 seeds were linearizable with the guard disabled")
 		})
 	}
 }
--- a/internal/verification/simulator/leadership_test.go
+++ b/internal/verification/simulator/leadership_test.go
@@ -9,76 +9,76 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// countTargets counts the targets that a leader knows, and how many of them have to be verified
-// before they are served.
-func (w *World) countTargets(p *Process) (n, hearsay int) {
+// countTargets returns how many targets a leader knows, and how many of these are not used until they have answered one
+// of its health checks.
+func (w *World) countTargets(p *Process) (known, unverified int) {
 	all := p.controller.Targets(w.now)
 	for _, t := range all {
 		if strings.HasPrefix(t.Why, "known by hearsay") {
-			hearsay++
+			unverified++
 		}
 	}
-	return len(all), hearsay
+	return len(all), unverified
 }
 
-// isolateFromControlDaemons cuts a control daemon off from all others, both ways, for a time.
+// isolateFromControlDaemons blocks the links between a control daemon and all others, in both directions, for a while.
 func (w *World) isolateFromControlDaemons(p *Process, d time.Duration) {
-	var ks []link
+	var links []link
 	for _, n := range w.daemonNames(wire.ControlDaemon) {
 		if n != p.name {
-			ks = append(ks, link{n, p.name}, link{p.name, n})
+			links = append(links, link{n, p.name}, link{p.name, n})
 		}
 	}
-	w.partition(ks, d)
+	w.partition(links, d)
 }
 
-// A leader that loses its lease for a moment, while nobody else leads, goes on with all
-// that it knew, in the same term or in another: no target has to be verified anew.
+// A leader that loses its lease for a moment while no other member leads keeps what it knew, whether it leads again in
+// the same term or in a later one: it does not have to verify its targets again.
 func TestResumedLeaderKeepsItsTargets(t *testing.T) {
 	t.Parallel()
-	same, later := 0, 0
+	sameTerm, laterTerm := 0, 0
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
 		l := w.Leader()
 		if l == nil {
-			t.Fatalf("seed %d: nobody leads", seed)
+			t.Fatalf("seed %d: no leader 3 s after the start", seed)
 		}
-		had, _ := w.countTargets(l)
+		knownBefore, _ := w.countTargets(l)
 		before := l.controller.Status(w.now)
 		w.isolateFromControlDaemons(l, tuning.LeaderLease+time.Duration(seed%2)*tuning.HeartbeatEvery)
 		w.runUntil(time.Second, func() bool { return !l.controller.Leading() })
-		fewest, unproved := had, 0
+		fewestKnown, mostUnverified := knownBefore, 0
 		for end := w.now + 2*time.Second; w.now < end && w.Leader() == nil; {
 			w.Run(w.now + tuning.TickEvery)
-			n, hearsay := w.countTargets(l)
-			fewest, unproved = min(fewest, n), max(unproved, hearsay)
+			known, unverified := w.countTargets(l)
+			fewestKnown, mostUnverified = min(fewestKnown, known), max(mostUnverified, unverified)
 		}
 		if w.Leader() != l {
-			continue // another was elected, which is as good
+			continue // another member was elected, which is allowed too
 		}
 		after := l.controller.Status(w.now)
 		if after.Term > before.Term {
-			later++
-		} else if same++; after.Counts.Elections != before.Counts.Elections {
-			t.Errorf("seed %d: it began a new lead in the same term", seed)
+			laterTerm++
+		} else if sameTerm++; after.Counts.Elections != before.Counts.Elections {
+			t.Errorf("seed %d: the leader started its leadership anew in the same term", seed)
 		}
-		if fewest < had || unproved > 0 {
-			t.Errorf("seed %d: it knew %d targets, then %d, and %d of them by hearsay\n%s", seed, had, fewest, unproved, w.Trace(20))
+		if fewestKnown < knownBefore || mostUnverified > 0 {
+			t.Errorf("seed %d: the leader knew %d targets, then %d at the fewest, and had to verify up to %d again, want 0\n%s", seed, knownBefore, fewestKnown, mostUnverified, w.Trace(20))
 		}
 		w.Run(w.now + 2*time.Second)
 		requireNoFailure(t, w)
 	}
-	if same == 0 || later == 0 {
-		t.Errorf("%d leaders led again in the same term, %d in a later one", same, later)
+	if sameTerm == 0 || laterTerm == 0 {
+		t.Errorf("%d leaders resumed in the same term and %d in a later one, want some of each", sameTerm, laterTerm)
 	}
 }
 
-// Where another led meanwhile, or that can't be excluded, a leader begins from what is agreed and what
-// the proxies report.
-func TestLeaderStartsAnewAfterAnother(t *testing.T) {
+// If another member has led meanwhile, or may have, a leader starts from the committed state and from what proxies
+// report.
+func TestLeaderStartsAfreshAfterAnotherLed(t *testing.T) {
 	t.Parallel()
-	forgot := 0
+	restarted := 0
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
@@ -97,33 +97,34 @@
 			continue
 		}
 		if first.controller.Status(w.now).Counts.Elections > elections {
-			forgot++
+			restarted++
 		}
 		w.Run(w.now + 3*time.Second)
 		requireNoFailure(t, w)
 	}
-	t.Logf("%d leaders led again after another", forgot)
+	t.Logf("%d leaders started afresh after another member had led", restarted)
 }
 
-// Where nobody led for longer than it takes to notice a target's crash, what a leader knew of its targets
-// before is unverified: one that crashed meanwhile gets no request, though no proxy remembers that it was ejected.
-func TestLeaderAfterLongLossTrustsNoTarget(t *testing.T) {
+// After a time without a leader that is longer than it takes to detect a target's crash, a leader verifies the targets
+// that it knew before: one that crashed meanwhile must get no request, although all proxies restarted and none remembers
+// its ejection.
+func TestLeaderVerifiesTargetsAfterLongLossOfLeadership(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(24) {
 		w := Start(seed, Small)
 		w.Run(w.now + 3*time.Second)
-		cores, gates := w.daemonNames(wire.ControlDaemon), w.daemonNames(wire.ProxyDaemon)
-		for _, c := range cores {
+		controlDaemons, proxies := w.daemonNames(wire.ControlDaemon), w.daemonNames(wire.ProxyDaemon)
+		for _, c := range controlDaemons {
 			w.isolateFromControlDaemons(w.process(c), 2300*time.Millisecond)
 		}
 		w.Run(w.now + tuning.LeaderLease - 200*time.Millisecond)
 		w.CrashTarget(w.targets.all[int(seed)%len(w.targets.all)])
 		w.Run(w.now + 300*time.Millisecond)
-		for _, g := range gates {
+		for _, g := range proxies {
 			w.Kill(w.process(g))
 		}
 		w.Run(w.now + 1600*time.Millisecond)
-		for _, g := range gates {
+		for _, g := range proxies {
 			w.Restart(w.process(g))
 		}
 		w.Run(w.now + 6*time.Second)
--- a/internal/verification/simulator/limited_link_test.go
+++ b/internal/verification/simulator/limited_link_test.go
@@ -8,8 +8,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// isMember says whether the leader counts a process, with the disk that it has now, as a member.
-func (w *World) isMember(p *Process) bool {
+// isMemberWithDisk reports whether the leader counts a process as a member with the disk that it has now.
+func (w *World) isMemberWithDisk(p *Process) bool {
 	leader := w.Leader()
 	if leader == nil {
 		return false
@@ -22,7 +22,7 @@
 	return false
 }
 
-// documentWithServices is a configuration with so many services beside those of the plan.
+// documentWithServices returns a configuration with so many random services in addition to those of the plan.
 func (w *World) documentWithServices(number, services int) []byte {
 	return w.editDocument(number, func(document map[string]any) {
 		all := document["services"].(map[string]any)
@@ -32,7 +32,7 @@
 	})
 }
 
-// putLargeConfigurations has operators put a large configuration ten times a second for a while.
+// putLargeConfigurations has operators send the leader a large configuration ten times a second for a while.
 func (w *World) putLargeConfigurations(span time.Duration, services int) {
 	for at := time.Duration(0); at < span; at += 100 * time.Millisecond {
 		w.schedule(at, func() {
@@ -45,22 +45,22 @@
 	}
 }
 
-// A member that lost its disk, on a link of 128 KiB a second, receives the whole state and votes again while
-// ten changes a second of some 30 KB go on, whether the state began small or large; and a
-// restarted one catches up. No leader changes by it, and what was acknowledged is in force.
+// A member catches up over a link of 128 KiB a second while ten changes of about 30 KB a second go on: one that lost its
+// disk receives the whole state and becomes a voter again, and one that only restarted receives what it missed. The
+// leader stays the same, no rule is broken, and at least 150 changes are acknowledged meanwhile.
 func TestMemberCatchesUpOverALimitedLink(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
 		w := Start(seed+1, Small)
 		const services = 370
 		if n := len(w.documentWithServices(1, services)); n < 25<<10 || n > 40<<10 {
-			t.Fatalf("a document of %d bytes", n)
+			t.Fatalf("the document has %d bytes, want 25 to 40 KiB", n)
 		}
 		w.putLargeConfigurations(18*time.Second, services)
 		w.Run(w.now + 4*time.Second)
 		leader := w.Leader()
 		if leader == nil {
-			t.Fatalf("seed %d: no leader: %s", seed, w.Failure)
+			t.Fatalf("seed %d: no leader 4 s after the first large configuration: %s", seed, w.Failure)
 		}
 		p := w.followers()[0]
 		w.Kill(p)
@@ -70,35 +70,35 @@
 		w.Run(w.now + 3*time.Second)
 		w.limitLink(p, tuning.SlowLink)
 		w.Restart(p)
-		from := w.now
-		caught := func() bool {
+		restartedAt := w.now
+		caughtUp := func() bool {
 			l := w.Leader()
-			return l != nil && w.isMember(p) && p.controller.Revision()+10 >= l.controller.Revision()
+			return l != nil && w.isMemberWithDisk(p) && p.controller.Revision()+10 >= l.controller.Revision()
 		}
-		for w.now < from+12*time.Second && !caught() && w.Run(w.now+100*time.Millisecond) {
+		for w.now < restartedAt+12*time.Second && !caughtUp() && w.Run(w.now+100*time.Millisecond) {
 		}
-		took := w.now - from
-		if w.Failure != "" || !caught() {
+		took := w.now - restartedAt
+		if w.Failure != "" || !caughtUp() {
 			l := w.Leader()
-			t.Fatalf("seed %d: %s; member %v after %v, revision %d of %d", seed, w.Failure, w.isMember(p), took, p.controller.Revision(), l.controller.Revision())
+			t.Fatalf("seed %d: %s; not caught up: a member: %v, after %v, revision %d of %d", seed, w.Failure, w.isMemberWithDisk(p), took, p.controller.Revision(), l.controller.Revision())
 		}
 		w.Run(w.now + 3*time.Second)
 		if w.Leader() != leader || w.Failure != "" {
-			t.Errorf("seed %d: the lead changed, %s", seed, w.Failure)
+			t.Errorf("seed %d: the leader changed or a rule was broken: %s", seed, w.Failure)
 		}
-		if !caught() {
-			t.Errorf("seed %d: behind again: %d of %d", seed, p.controller.Revision(), w.Revision())
+		if !caughtUp() {
+			t.Errorf("seed %d: the member fell behind again: revision %d of %d", seed, p.controller.Revision(), w.Revision())
 		}
-		w.Run(from + 16*time.Second)
-		acked := 0
+		w.Run(restartedAt + 16*time.Second)
+		acknowledged := 0
 		for _, c := range w.operators.changes {
 			if c.state == changeAccepted {
-				acked++
+				acknowledged++
 			}
 		}
-		t.Logf("seed %d: caught up after %v; %d changes acknowledged of %d", seed, took, acked, len(w.operators.changes))
-		if acked < 150 {
-			t.Errorf("seed %d: %d of %d changes acknowledged", seed, acked, len(w.operators.changes))
+		t.Logf("seed %d: caught up after %v; %d of %d changes were acknowledged", seed, took, acknowledged, len(w.operators.changes))
+		if acknowledged < 150 {
+			t.Errorf("seed %d: %d of %d changes were acknowledged, want at least 150", seed, acknowledged, len(w.operators.changes))
 		}
 	}
 }
