--- a/internal/verification/simulator/bootstrap_test.go
+++ b/internal/verification/simulator/bootstrap_test.go
@@ -13,11 +13,11 @@
 // on it starts without the bootstrap setting.
 func TestSeedsBootstrapOneControlPlane(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ cores, seeds, want int }{{1, 1, 1}, {3, 1, 3}, {5, 1, 5}, {2, 2, 2}, {3, 3, 3}, {4, 3, 3}, {5, 3, 5}, {6, 3, 5}, {7, 3, 7}, {11, 3, 7}} {
+	for _, c := range []struct{ controlDaemons, seeds, wantMembers int }{{1, 1, 1}, {3, 1, 3}, {5, 1, 5}, {2, 2, 2}, {3, 3, 3}, {4, 3, 3}, {5, 3, 5}, {6, 3, 5}, {7, 3, 7}, {11, 3, 7}} {
 		for seed := range uint64(12) {
-			t.Run(fmt.Sprintf("%d of %d", c.seeds, c.cores), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d of %d", c.seeds, c.controlDaemons), func(t *testing.T) {
 				t.Parallel()
-				w := New(seed, bootstrapPlan(c.cores, c.seeds))
+				w := New(seed, bootstrapPlan(c.controlDaemons, c.seeds))
 				if seed%3 > 0 { // restarted, a seed goes on with the bootstrap that is locked on its disk
 					w.schedule(w.randomMilliseconds(100, 2500), func() {
 						p := w.process(w.processes.names[w.random.IntN(c.seeds)])
@@ -28,10 +28,10 @@
 						w.schedule(w.randomMilliseconds(50, 1200), func() { w.Restart(p) })
 					})
 				}
-				w.runUntil(25*time.Second, w.hasMembers(c.want))
+				w.runUntil(25*time.Second, w.hasMembers(c.wantMembers))
 				w.Run(w.now + 4*time.Second)
 				requireNoFailure(t, w)
-				w.checkMembership(t, c.want)
+				w.checkMembership(t, c.wantMembers)
 				if e := w.Leader().controller.Status(0).Epoch; e != 1 && seed%3 == 0 {
 					t.Errorf("the control plane was bootstrapped more than once: epoch %d, want 1", e)
 				}
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -19,14 +19,14 @@
 	for seed := range uint64(6) {
 		for _, leaderToo := range []bool{false, true} {
 			w := Start(seed, Small)
-			l, fs := w.Leader(), w.followers()
+			l, followers := w.Leader(), w.followers()
 			diskLost := l
-			w.StallDisk(fs[0], time.Minute)
+			w.StallDisk(followers[0], time.Minute)
 			if leaderToo {
 				w.StallDisk(l, time.Minute)
-				diskLost = fs[1]
+				diskLost = followers[1]
 			} else {
-				w.StallDisk(fs[1], time.Minute)
+				w.StallDisk(followers[1], time.Minute)
 			}
 			w.PutConfig(l, 1, 2)
 			w.Run(w.now + 350*time.Millisecond)
@@ -50,18 +50,18 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
-		l, fs := w.Leader(), w.followers()
-		w.isolate([]string{fs[1].name}, 3*time.Second, true, true)
+		l, followers := w.Leader(), w.followers()
+		w.isolate([]string{followers[1].name}, 3*time.Second, true, true)
 		w.PutConfig(l, 1, 2)
 		w.Run(w.now + 2*time.Second)
 		if w.checks.acknowledged != 2 {
 			t.Fatalf("seed %d: the change was not acknowledged within 2 s\n%s", seed, w.Trace(30))
 		}
 		w.Kill(l)
-		w.Kill(fs[0])
-		w.WipeDisk(fs[0])
+		w.Kill(followers[0])
+		w.WipeDisk(followers[0])
 		w.Run(w.now + time.Second)
-		w.Restart(fs[0])
+		w.Restart(followers[0])
 		w.Run(w.now + 10*time.Second)
 		if w.Leader() != nil {
 			t.Fatalf("seed %d: %s was elected with the vote of a member that lost its disk\n%s", seed, w.Leader().name, w.Trace(30))
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -44,11 +44,11 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		w := startThreeMembers(t, seed)
-		fs := w.followerMembers(w.Leader())
-		w.ReplaceControlDaemon(fs[0], true, 100*time.Millisecond, func(time.Duration) {})
+		followers := w.followerMembers(w.Leader())
+		w.ReplaceControlDaemon(followers[0], true, 100*time.Millisecond, func(time.Duration) {})
 		before := w.memberNames()
 		w.requireWithin(t, testCatchUp, "the membership changes", func() bool { now := w.memberNames(); return now != nil && !slices.Equal(now, before) })
-		w.Kill(fs[1])
+		w.Kill(followers[1])
 		w.Run(w.now + 20*time.Millisecond)
 		w.requireChange(t)
 		requireNoFailure(t, w)
@@ -66,8 +66,8 @@
 			w.Run(w.now + testCatchUp)
 			w.network.delay, w.network.loss = 60*time.Millisecond, 0.02
 			old := w.Leader()
-			if fs := w.followerMembers(old); seed%2 == 1 && len(fs) > 0 {
-				old = fs[0]
+			if followers := w.followerMembers(old); seed%2 == 1 && len(followers) > 0 {
+				old = followers[0]
 			}
 			n := len(w.memberNames())
 			w.ReplaceControlDaemon(old, true, 0, func(time.Duration) {})
