--- a/cmd/mfchaos/fleet.go
+++ b/cmd/mfchaos/fleet.go
@@ -37,7 +37,7 @@
 	network           network
 	initial           programs       // program that each kind of process is first started with; a kind without an entry uses the one in bin
 	violations        map[string]int // count by rule
-	history           linearizability.Log
+	history           linearizability.History
 	violationMessages []string
 	grace             time.Duration // written to the daemons' settings: time from SIGTERM until a process is killed; 0 leaves it unset
 	routes            bool          // the configuration uses routes; back ends have a health path, slots, a warm-up time and a new name at each start
@@ -124,13 +124,13 @@
 	return f.deployment.Domains[i%len(f.deployment.Domains)]
 }
 
-// seedNodesMax limits how many control daemons are listed as seed nodes in the daemons' settings.
-const seedNodesMax = 3
+// maxSeeds limits how many control daemons are listed as seed nodes in the daemons' settings.
+const maxSeeds = 3
 
 // writeDaemonSettings writes each daemon's settings file and opens the relays in front of its addresses.
 func (f *fleet) writeDaemonSettings() error {
 	var seeds []string
-	for _, p := range f.controls[:min(seedNodesMax, len(f.controls))] {
+	for _, p := range f.controls[:min(maxSeeds, len(f.controls))] {
 		seeds = append(seeds, p.addr)
 	}
 	for _, p := range slices.Concat(f.controls, f.proxies) {
--- a/cmd/mfchaos/history.go
+++ b/cmd/mfchaos/history.go
@@ -64,7 +64,7 @@
 	case ctlStale:
 		write.Reject(call.finishedAt, v.Error.Revision)
 	case ctlInvalid, ctlNoLeader:
-		write.Void(call.finishedAt)
+		write.NoEffect(call.finishedAt)
 	}
 }
 
@@ -77,7 +77,7 @@
 		Config   json.RawMessage `json:"config"`
 	}
 	if code != 0 || json.Unmarshal([]byte(out), &v) != nil {
-		read.Void(time.Since(f.startedAt))
+		read.NoEffect(time.Since(f.startedAt))
 		return -1
 	}
 	value := ""
--- a/internal/controlplane/admission.go
+++ b/internal/controlplane/admission.go
@@ -140,7 +140,7 @@
 		return
 	}
 	c.lastCleanupAt = now
-	expired := func(_ wire.TargetID, at time.Duration) bool { return now-at > tuning.TombstoneKeep }
+	expired := func(_ wire.TargetID, at time.Duration) bool { return now-at > tuning.TombstoneTTL }
 	maps.DeleteFunc(c.tombstones, expired)
 	maps.DeleteFunc(c.leavingTargets, expired)
 	maps.DeleteFunc(c.withdrawnInVersion, func(id wire.TargetID, _ uint64) bool {
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -53,7 +53,7 @@
 	}
 	switch {
 	case event.Path == recoveryPath && event.Method == "POST":
-		c.answer(call, c.recoverByOperator(now, queryValue(event.Query, "gone")))
+		c.answer(call, c.handleRecoveryConsent(now, queryValue(event.Query, "gone")))
 		return
 	case event.Path == statusPath:
 		c.answer(call, statemachine.Reply{Status: 200, Body: reply.Body(c.Status(now))})
@@ -88,7 +88,7 @@
 	}
 	c.lastRelayID++
 	request.ID = c.lastRelayID
-	call.call = request
+	call.request = request
 	c.relayedCalls[request.ID] = call
 	if leadsSoon {
 		call.relayedTo = c.settings.Self.Name
@@ -114,7 +114,7 @@
 func (c *Controller) relay(now time.Duration, call *pendingCall, leader string) {
 	call.relayedTo, call.relayedAt, call.relayedTerm = leader, now, c.Term()
 	call.relayCount++
-	c.send(leader, &wire.Message{Kind: wire.KindCall, Call: call.call})
+	c.send(leader, &wire.Message{Kind: wire.KindCall, Call: call.request})
 }
 
 // executeCall executes a call as the leader. A change is answered once it is in force, any other call immediately.
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -33,7 +33,7 @@
 	}
 	command, err := state.DecodeCommand(entry.Data)
 	if err != nil {
-		c.cannotDecode(fmt.Sprintf("entry %d", entry.Index), err)
+		c.abstainAfterDecodeError(fmt.Sprintf("entry %d", entry.Index), err)
 		return
 	}
 	revision := c.state.Revision
--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -39,7 +39,7 @@
 		return
 	}
 	c.decodeProxyStates()
-	consent := c.operatorsConsent(visible)
+	consent := c.mergedRecoveryConsent(visible)
 	survey := c.surveyMembers(visible, consent.LostMembers)
 	founders := survey.eligibleFounders(visible)
 	c.updateVisibleFounders(now, founders)
--- a/internal/controlplane/configapi.go
+++ b/internal/controlplane/configapi.go
@@ -126,7 +126,7 @@
 	switch status {
 	case state.AlreadyAccepted:
 		c.answerWhenInForce(now, call, revision)
-	case state.Forgotten:
+	case state.StatusUnknown:
 		c.answerUnknown(call)
 	default:
 		c.counts.Rejected++
--- a/internal/controlplane/consensus/chunk.go
+++ b/internal/controlplane/consensus/chunk.go
@@ -103,7 +103,7 @@
 // receiveChunk stores a chunk and returns the whole content if the chunk completes it. Duplicate and out-of-order chunks are
 // dropped; the response tells the sender from which offset to continue.
 func (n *Node) receiveChunk(chunk *wire.Chunk) (content wire.Chunk, complete bool) {
-	if chunk.Size > tuning.WireMax {
+	if chunk.Size > tuning.MessageMax {
 		return wire.Chunk{}, false
 	}
 	if n.receiver == nil || !sameContent(&n.receiver.content, chunk) {
--- a/internal/controlplane/consensus/lease.go
+++ b/internal/controlplane/consensus/lease.go
@@ -41,10 +41,10 @@
 	n.electionDeadline = now + tuning.ElectionTimeoutMin + n.electionDeadline%tuning.ElectionTimeoutSpread
 }
 
-// noLeaderContact reports whether this node isn't the leader and has received no leader's message for tuning.LeaderQuiet.
+// noLeaderContact reports whether this node isn't the leader and has received no leader's message for tuning.LeaderSilenceMin.
 // Its start doesn't count as contact here, since a unanimous election doesn't rely on leases having expired.
 func (n *Node) noLeaderContact(now time.Duration) bool {
-	return n.role != Leader && now-n.leaderMessageAt >= tuning.LeaderQuiet
+	return n.role != Leader && now-n.leaderMessageAt >= tuning.LeaderSilenceMin
 }
 
 // NoOtherLeaderSince reports whether this node leads and no other leader has made decisions since the given term, in which
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -225,7 +225,7 @@
 func (c *Controller) restoreSnapshot(snapshot *wire.Snapshot) {
 	restored, err := state.Decode(snapshot.Data)
 	if err != nil {
-		c.cannotDecode(fmt.Sprintf("snapshot %d", snapshot.Index), err)
+		c.abstainAfterDecodeError(fmt.Sprintf("snapshot %d", snapshot.Index), err)
 		return
 	}
 	c.state = restored
@@ -370,7 +370,7 @@
 // tickLeader runs the periodic work of a member that is Gathering or Leading.
 func (c *Controller) tickLeader(now time.Duration) {
 	c.probeTargets(now)
-	c.judgeTargets(now)
+	c.evaluateTargets(now)
 	c.expireClaims(now)
 	c.cleanUpTargets(now)
 	c.publishDecisions(c.scorer.Tick(now))
--- a/internal/controlplane/healthcheck.go
+++ b/internal/controlplane/healthcheck.go
@@ -17,7 +17,7 @@
 // interval. It limits the rate when all targets are due at once, for example when leadership begins. A leader whose
 // ticks are delayed sends fewer probes.
 func probesPerTick(targets int) int {
-	return max(tuning.ProbesPerTickMin, int(tuning.ProbePace*float64(targets)*float64(tuning.TickEvery)/float64(tuning.ProbeEvery)))
+	return max(tuning.ProbesPerTickMin, int(tuning.ProbeRateFactor*float64(targets)*float64(tuning.TickEvery)/float64(tuning.ProbeEvery)))
 }
 
 // probeTargets begins the probes that are due, up to the limit of probesPerTick. Targets that missed their last probe come
@@ -76,7 +76,7 @@
 func (c *Controller) deferProbe(now time.Duration, t *target) {
 	spread := time.Duration(t.ShareOffset) * tuning.TickEvery % tuning.NewServiceProbeSpread
 	t.lastProbeAt = now - tuning.ProbeEvery + spread
-	stopped := t.heartbeatStreak.Count() >= tuning.ProofHeartbeats && now-t.lastHeartbeatAt > tuning.NewServiceSilence
+	stopped := t.heartbeatStreak.Count() >= tuning.AliveHeartbeatsMin && now-t.lastHeartbeatAt > tuning.NewServiceSilence
 	t.unconfirmed = t.unconfirmed || stopped
 }
 
@@ -137,11 +137,11 @@
 	}
 	event := t.outlierEvent(now, config.SliceProbe)
 	event.Success, event.Milliseconds = answered, result.Milliseconds
-	c.judgeEvent(event)
+	c.evaluateEvent(event)
 	if wasUnconfirmed && !t.unconfirmed {
 		return // many targets are confirmed at once when leadership begins; the next tick builds one table for all
 	}
-	c.targetChanged(now, t)
+	c.rebuildTableAfterTargetChange(now, t)
 }
 
 // admitClaimant admits the claimant that a probe was sent to, if it answered and displaces the conflicting targets. It
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -47,8 +47,8 @@
 	}
 	c.updateFromReport(now, t, report)
 	c.advanceState(now, t, report.State)
-	c.judgeHeartbeat(now, t)
-	c.targetChanged(now, t)
+	c.evaluateHeartbeat(now, t)
+	c.rebuildTableAfterTargetChange(now, t)
 }
 
 // signOff permanently removes a target that reported that it is gone.
@@ -93,24 +93,24 @@
 	t.unconfirmed = t.unconfirmed && !t.heartbeatStreak.IsSteady(now)
 }
 
-// judgeHeartbeat passes a heartbeat to the outlier policies, and the demand if the target has reported one.
-func (c *Controller) judgeHeartbeat(now time.Duration, t *target) {
+// evaluateHeartbeat passes a heartbeat to the outlier policies, and the demand if the target has reported one.
+func (c *Controller) evaluateHeartbeat(now time.Duration, t *target) {
 	heartbeat := t.outlierEvent(now, config.SliceHeartbeat)
 	heartbeat.Success, heartbeat.State = true, t.State
-	c.judgeEvent(heartbeat)
+	c.evaluateEvent(heartbeat)
 	if t.HasDemand {
 		demand := t.outlierEvent(now, config.SliceDemand)
 		demand.Demand = t.Demand
-		c.judgeEvent(demand)
+		c.evaluateEvent(demand)
 	}
 }
 
-// judgeHeartbeatGap passes an event to the outlier policies that reports for how long no heartbeat has arrived.
-func (c *Controller) judgeHeartbeatGap(now time.Duration, t *target) {
+// evaluateHeartbeatGap passes an event to the outlier policies that reports for how long no heartbeat has arrived.
+func (c *Controller) evaluateHeartbeatGap(now time.Duration, t *target) {
 	gap := t.outlierEvent(now, config.SliceHeartbeat)
 	gap.State = t.State
 	gap.Milliseconds = float64(now-t.lastHeartbeatAt) / float64(time.Millisecond)
-	c.judgeEvent(gap)
+	c.evaluateEvent(gap)
 }
 
 // outlierEvent returns an outlier event of a target without the fields that are specific to the slice.
--- a/internal/controlplane/idlefleet_test.go
+++ b/internal/controlplane/idlefleet_test.go
@@ -160,7 +160,7 @@
 	row.EjectionLeft, row.EjectedBy = 1, "default"
 	missing := row
 	row.Heartbeating, missing.Heartbeating = true, false
-	if routingFactsOf(&row) == routingFactsOf(&missing) {
+	if routingFieldsOf(&row) == routingFieldsOf(&missing) {
 		t.Fatal("the routing facts of an ejected target are the same with and without heartbeats, want them to differ")
 	}
 }
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -139,7 +139,7 @@
 			c.answer(w.call, w.reply)
 		}
 		if w.proxyChange {
-			c.endPreviousProxies(now)
+			c.retirePreviousProxies(now)
 		}
 		if t := c.targets[w.pendingTarget]; t != nil && t.Pending {
 			t.Pending = false
@@ -185,7 +185,7 @@
 		return false
 	}
 	reportExpired := w.call.targetReport && now-w.call.receivedAt > tuning.TargetReportWait
-	if now-w.waitingSince <= tuning.CallWait && !reportExpired {
+	if now-w.waitingSince <= tuning.ChangeTimeout && !reportExpired {
 		return false
 	}
 	c.answerUnknown(w.call)
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -132,7 +132,7 @@
 // memberReplaceAfter returns how long a member has to be without contact before a standby replaces it.
 func (c *Controller) memberReplaceAfter() time.Duration {
 	repairTime := cmp.Or(c.settings.CatchUpTime, tuning.CatchUpDefault)
-	return max(repairTime/tuning.ReplaceParts, tuning.ReplaceAfterMin)
+	return max(repairTime/tuning.ReplacementDivisor, tuning.ReplaceAfterMin)
 }
 
 // sinceLastContact returns the time since this member last had contact with the named one. It is 0 for this member
--- a/internal/controlplane/outlierdetection.go
+++ b/internal/controlplane/outlierdetection.go
@@ -12,9 +12,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// judgeTargets feeds the outlier policies with each target's request statistics and missing heartbeats, and removes
+// evaluateTargets feeds the outlier policies with each target's request statistics and missing heartbeats, and removes
 // targets that have shown no sign of life for tuning.TargetExpiry.
-func (c *Controller) judgeTargets(now time.Duration) {
+func (c *Controller) evaluateTargets(now time.Duration) {
 	for _, id := range c.targetIDs() {
 		t := c.targets[id]
 		if now-t.statsEvaluatedAt >= tuning.StatsEvery {
@@ -23,7 +23,7 @@
 		}
 		if now-t.lastHeartbeatAt > tuning.TargetHeartbeatTimeout && now-t.heartbeatGapEvaluatedAt >= tuning.StatsEvery {
 			t.heartbeatGapEvaluatedAt = now
-			c.judgeHeartbeatGap(now, t)
+			c.evaluateHeartbeatGap(now, t)
 		}
 		if now-t.lastAliveAt > tuning.TargetExpiry {
 			c.removeTarget(now, id, "silent and unreachable")
@@ -42,7 +42,7 @@
 	requests := t.outlierEvent(now, config.SliceRequest)
 	requests.Count, requests.Errors, requests.Slow = int(stats.Successes+stats.Errors), int(stats.Errors), int(stats.Slow)
 	requests.Milliseconds = stats.TotalMs
-	c.judgeEvent(requests)
+	c.evaluateEvent(requests)
 }
 
 // addTargetStats adds the statistics that a proxy reports on its targets. A success among them confirms that the target
@@ -67,8 +67,8 @@
 	}
 }
 
-// judgeEvent publishes an event of a target and feeds it to the outlier policies.
-func (c *Controller) judgeEvent(event outlier.Event) {
+// evaluateEvent publishes an event of a target and feeds it to the outlier policies.
+func (c *Controller) evaluateEvent(event outlier.Event) {
 	c.emit(statemachine.Publish{Event: &event})
 	c.publishDecisions(c.scorer.Step(event))
 }
--- a/internal/controlplane/pendingcall.go
+++ b/internal/controlplane/pendingcall.go
@@ -21,7 +21,7 @@
 	relayedFromID uint64
 
 	// call is the message relayed to the leader, nil if the call was not relayed.
-	call        *wire.Call
+	request     *wire.Call
 	relayedTo   string        // the leader that it was last relayed to
 	relayCount  int           // how often it was relayed, or executed here after a relay
 	relayedAt   time.Duration // when it was last relayed
@@ -38,7 +38,7 @@
 // still be committed.
 func (c *Controller) expirePendingChanges(now time.Duration) {
 	for _, token := range slices.Sorted(maps.Keys(c.pendingChanges)) {
-		if call := c.pendingChanges[token]; now-call.receivedAt > tuning.CallWait {
+		if call := c.pendingChanges[token]; now-call.receivedAt > tuning.ChangeTimeout {
 			delete(c.pendingChanges, token)
 			c.answerUnknown(call)
 		}
@@ -58,7 +58,7 @@
 		case c.leadership == Leading:
 			delete(c.relayedCalls, id)
 			call.relayCount++
-			c.executeCall(now, call, call.call)
+			c.executeCall(now, call, call.request)
 		case leader == "" || leader == c.settings.Self.Name:
 		case leader != call.relayedTo || c.Term() != call.relayedTerm || call.targetReport && now-call.relayedAt > tuning.TargetReportRetry:
 			// The token stays the same, so that a change is made only once even if several leaders receive it.
@@ -71,5 +71,5 @@
 // within tuning.CallWait; tuning.LeaderLease is added for the reply to arrive.
 func (p *pendingCall) relayExpired(now time.Duration) bool {
 	waited := now - p.receivedAt
-	return waited > tuning.CallWait+tuning.LeaderLease || p.targetReport && waited > tuning.TargetReportWait
+	return waited > tuning.ChangeTimeout+tuning.LeaderLease || p.targetReport && waited > tuning.TargetReportWait
 }
--- a/internal/controlplane/proxymembership.go
+++ b/internal/controlplane/proxymembership.go
@@ -73,9 +73,9 @@
 	return names
 }
 
-// endPreviousProxies proposes that majorities of the previous membership are no longer required, unless a further change
+// retirePreviousProxies proposes that majorities of the previous membership are no longer required, unless a further change
 // is not in force yet.
-func (c *Controller) endPreviousProxies(now time.Duration) {
+func (c *Controller) retirePreviousProxies(now time.Duration) {
 	if len(c.state.PreviousProxies) == 0 || slices.ContainsFunc(c.waiters, func(w *inForceWaiter) bool { return w.proxyChange }) {
 		return
 	}
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -31,9 +31,9 @@
 	BeginsEmpty bool `json:"begins_empty"`
 }
 
-// operatorsConsent returns the union of the consents that operators gave to any visible daemon, so that all members act
+// mergedRecoveryConsent returns the union of the consents that operators gave to any visible daemon, so that all members act
 // on the same consent.
-func (c *Controller) operatorsConsent(visible []wire.Daemon) discovery.RecoveryConsent {
+func (c *Controller) mergedRecoveryConsent(visible []wire.Daemon) discovery.RecoveryConsent {
 	var union discovery.RecoveryConsent
 	for _, daemon := range visible {
 		consent := c.recoveryConsent
@@ -48,11 +48,11 @@
 	return union
 }
 
-// recoverByOperator handles an operator's consent that the visible members begin a new epoch without waiting for the
+// handleRecoveryConsent handles an operator's consent that the visible members begin a new epoch without waiting for the
 // others. The comma-separated list lost names the members whose machines are lost for good. The consent is rejected
 // while a majority of the last membership may still be running. In an epoch that can't begin because no state found can
 // be decoded, it allows the epoch to begin with an empty state.
-func (c *Controller) recoverByOperator(now time.Duration, lost string) statemachine.Reply {
+func (c *Controller) handleRecoveryConsent(now time.Duration, lost string) statemachine.Reply {
 	if c.leadership == Recovering && !c.canRecover() {
 		c.emptyStateAllowed = true
 		return statemachine.Reply{Status: 202, Body: reply.Body(emptyRecoveryAnswer{BeginsEmpty: true})}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -27,7 +27,7 @@
 	StateIndex uint64        `json:"seq"`
 	Members    []wire.Member `json:"members"`
 	// Emptied are the failure domains that operators have emptied.
-	Emptied []string `json:"emptied"`
+	EmptiedDomains []string `json:"emptied"`
 	// Table is the key of the latest table that this member made as the leader.
 	Table        wire.TableKey    `json:"table"`
 	Targets      int              `json:"targets"` // known to this member as the leader
@@ -43,19 +43,19 @@
 // Status returns this member's status.
 func (c *Controller) Status(now time.Duration) StatusView {
 	view := StatusView{
-		Current:      c.HoldsLease(now),
-		Name:         c.settings.Self.Name,
-		Role:         "empty",
-		Leadership:   c.leadership.String(),
-		Revision:     c.state.Revision,
-		StateIndex:   c.state.Index,
-		Emptied:      append([]string{}, c.state.EmptiedDomains...),
-		Targets:      len(c.targets),
-		Proxies:      len(c.state.Proxies),
-		ControlPlane: c.controlPlaneView(now),
-		Damage:       c.damage,
-		DiskError:    c.diskError,
-		Counts:       c.counts,
+		Current:        c.HoldsLease(now),
+		Name:           c.settings.Self.Name,
+		Role:           "empty",
+		Leadership:     c.leadership.String(),
+		Revision:       c.state.Revision,
+		StateIndex:     c.state.Index,
+		EmptiedDomains: append([]string{}, c.state.EmptiedDomains...),
+		Targets:        len(c.targets),
+		Proxies:        len(c.state.Proxies),
+		ControlPlane:   c.controlPlaneView(now),
+		Damage:         c.damage,
+		DiskError:      c.diskError,
+		Counts:         c.counts,
 	}
 	if c.node != nil {
 		view.Role, view.Leader, view.Members = c.node.Role().String(), c.node.Leader(), c.node.Members()
--- a/internal/controlplane/storedstate.go
+++ b/internal/controlplane/storedstate.go
@@ -10,9 +10,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// CheckImage checks whether a member's disk image can be used completely. The error, marked state.ErrDamaged, names the
+// CheckPersistentState checks whether a member's disk image can be used completely. The error, marked state.ErrDamaged, names the
 // first part that can't be. In that case the member must not use the image, but start as one that lost its disk.
-func CheckImage(image *consensus.PersistentState) error {
+func CheckPersistentState(image *consensus.PersistentState) error {
 	if err := image.Validate(); err != nil {
 		return errors.Mark(err, state.ErrDamaged)
 	}
--- a/internal/controlplane/storedstate_test.go
+++ b/internal/controlplane/storedstate_test.go
@@ -23,7 +23,7 @@
 	return &consensus.PersistentState{Epoch: 1, Disk: 7, Snapshot: wire.Snapshot{Index: 1, Data: snapshot}, Log: log}
 }
 
-// CheckImage accepts a disk image only if all of it can be used: a member must not start from a part of what it stored.
+// CheckPersistentState accepts a disk image only if all of it can be used: a member must not start from a part of what it stored.
 func TestCheckImage(t *testing.T) {
 	initial := state.New()
 	initial.Recovered = true
@@ -50,7 +50,7 @@
 		{"snapshot that is no state", imageOf([]byte(`{"seq":"x"}`)), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			err := CheckImage(c.image)
+			err := CheckPersistentState(c.image)
 			if c.isDamaged && !errors.Is(err, state.ErrDamaged) || !c.isDamaged && err != nil {
 				t.Errorf("error %v; want damage: %v", err, c.isDamaged)
 			}
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -94,13 +94,13 @@
 	moved := func(published time.Duration, left int64) bool {
 		return left > 0 && (published-now-time.Duration(left)).Abs() > tuning.TimeLeftStep
 	}
-	facts := routingFactsOf(row)
-	if facts == t.publishedFacts && math.Abs(row.Demand-t.publishedDemand) < tuning.DemandStep/4 &&
+	facts := routingFieldsOf(row)
+	if facts == t.publishedRouting && math.Abs(row.Demand-t.publishedDemand) < tuning.DemandStep/4 &&
 		!moved(t.publishedEjectionEnd, row.EjectionLeft) && !moved(t.publishedWarmupEnd, row.WarmupLeft) {
 		return
 	}
 	t.changedInVersion = version
-	t.publishedFacts, t.publishedDemand = facts, row.Demand
+	t.publishedRouting, t.publishedDemand = facts, row.Demand
 	t.publishedEjectionEnd, t.publishedWarmupEnd = now+time.Duration(row.EjectionLeft), now+time.Duration(row.WarmupLeft)
 }
 
@@ -167,9 +167,9 @@
 	return row
 }
 
-// routingFacts are the parts of a target's row that affect proxies' routing. A change of any of them requires a new
+// routingFields are the parts of a target's row that affect proxies' routing. A change of any of them requires a new
 // table.
-type routingFacts struct {
+type routingFields struct {
 	addr, domain, ejectedBy      string
 	state                        wire.TargetState
 	draining, pending, warmingUp bool
@@ -178,9 +178,9 @@
 	published                    bool // false in the zero value, which stands for a target that is in no table yet
 }
 
-// routingFactsOf returns the routing facts of a row.
-func routingFactsOf(row *wire.Target) routingFacts {
-	return routingFacts{
+// routingFieldsOf returns the routing facts of a row.
+func routingFieldsOf(row *wire.Target) routingFields {
+	return routingFields{
 		addr: row.Addr, domain: row.Domain, state: row.State, ejectedBy: row.EjectedBy,
 		draining: row.Draining, pending: row.Pending, warmingUp: row.WarmupLeft > 0,
 		heartbeatingWhileEjected: row.Heartbeating && row.EjectionLeft > 0,
@@ -190,7 +190,7 @@
 }
 
 // urgentlyChangedTo reports whether requests that are routed correctly by f may be misrouted given the later facts.
-func (f routingFacts) urgentlyChangedTo(later routingFacts) bool {
+func (f routingFields) urgentlyChangedTo(later routingFields) bool {
 	if !f.published {
 		return false
 	}
@@ -230,7 +230,7 @@
 			return urgent
 		}
 		result = max(result, update)
-		if !t.publishedFacts.published {
+		if !t.publishedRouting.published {
 			unpublished++
 		}
 	}
@@ -244,11 +244,11 @@
 // changes of demand may be published again.
 func (c *Controller) pendingTargetUpdate(now time.Duration, t *target, demandDue bool) urgency {
 	row := c.tableRow(now, t)
-	facts := routingFactsOf(&row)
+	facts := routingFieldsOf(&row)
 	switch {
-	case t.publishedFacts.urgentlyChangedTo(facts):
+	case t.publishedRouting.urgentlyChangedTo(facts):
 		return urgent
-	case facts != t.publishedFacts:
+	case facts != t.publishedRouting:
 		return deferrable
 	case t.warmupExtended(now):
 		return urgent
@@ -258,15 +258,15 @@
 	return unchanged
 }
 
-// targetChanged rebuilds the table, if one is due, after an event of one target. Unless the outlier policies have made
+// rebuildTableAfterTargetChange rebuilds the table, if one is due, after an event of one target. Unless the outlier policies have made
 // a decision since all targets were last compared, only this target's routing facts can have changed, so the other
 // targets are not compared. Changes that come with the passing of time are found by the next tick.
-func (c *Controller) targetChanged(now time.Duration, t *target) {
+func (c *Controller) rebuildTableAfterTargetChange(now time.Duration, t *target) {
 	if c.leadership != Leading {
 		return
 	}
 	row := c.tableRow(now, t)
-	if c.table != nil && c.decisionCount == c.decisionCountAtTable && routingFactsOf(&row) == t.publishedFacts && !t.warmupExtended(now) {
+	if c.table != nil && c.decisionCount == c.decisionCountAtTable && routingFieldsOf(&row) == t.publishedRouting && !t.warmupExtended(now) {
 		c.counts.TablesUnchanged++
 		return
 	}
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -56,7 +56,7 @@
 
 	// The target's row in the latest table, and the table version in which that row last changed.
 
-	publishedFacts       routingFacts
+	publishedRouting     routingFields
 	publishedDemand      float64
 	publishedEjectionEnd time.Duration
 	publishedWarmupEnd   time.Duration
--- a/internal/controlplane/targetview.go
+++ b/internal/controlplane/targetview.go
@@ -13,7 +13,7 @@
 	wire.Target
 	// Ejection is the outlier policy that ejected it, "" if it is not ejected, and EjectionLeftMs the remaining time of
 	// the ejection in milliseconds.
-	Ejection       string `json:"bar,omitempty"`
+	EjectionPolicy string `json:"bar,omitempty"`
 	EjectionLeftMs int64  `json:"bar_left_ms,omitempty"`
 	// Why is a text for operators: whether the target gets requests, and if not, why.
 	Why string `json:"why"`
@@ -30,7 +30,7 @@
 		view := TargetView{Target: t.Target, LastHeartbeatMs: milliseconds(now - t.lastHeartbeatAt)}
 		view.Heartbeating, view.WarmupLeft = t.isHeartbeating(now), t.warmupLeft(now)
 		if until, policy := c.detector.Ejected(now, id); until > now {
-			view.Ejection, view.EjectionLeftMs = policy, (until - now).Milliseconds()
+			view.EjectionPolicy, view.EjectionLeftMs = policy, (until - now).Milliseconds()
 		}
 		view.Why = c.explainTarget(t, view)
 		views = append(views, view)
@@ -44,8 +44,8 @@
 	switch {
 	case t.Draining:
 		return "held: it said that it is leaving"
-	case view.Ejection != "":
-		return fmt.Sprintf("barred by policy %s: %s", view.Ejection, c.detector.Stats()[view.Ejection].Policy.When)
+	case view.EjectionPolicy != "":
+		return fmt.Sprintf("barred by policy %s: %s", view.EjectionPolicy, c.detector.Stats()[view.EjectionPolicy].Policy.When)
 	case t.unconfirmed:
 		return "known by hearsay: not served until it has answered for itself"
 	case t.Pending:
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -185,7 +185,7 @@
 				}
 				k.runSeconds(1)
 			}
-			k.members[before].cannotDecode("entry 9", errors.New("damaged in memory"))
+			k.members[before].abstainAfterDecodeError("entry 9", errors.New("damaged in memory"))
 			k.runSeconds(10)
 			if after := k.leader(); after == "" || after == before {
 				t.Errorf("leader %q after %s could not decode an entry, want another member", after, before)
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -135,7 +135,7 @@
 		}
 		d.persisted.ApplyBatch(batch)
 	}
-	if err := controlplane.CheckImage(&d.persisted); err != nil {
+	if err := controlplane.CheckPersistentState(&d.persisted); err != nil {
 		return err
 	}
 	if d.persisted.Disk != 0 {
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -78,8 +78,8 @@
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: tuning.CallerHeader,
-		IdleTimeout:       tuning.CallerIdle,
+		ReadHeaderTimeout: tuning.CallerHeaderTimeout,
+		IdleTimeout:       tuning.CallerIdleTimeout,
 		MaxHeaderBytes:    tuning.ServerHeaderMax,
 	}
 }
--- a/internal/daemon/proxy.go
+++ b/internal/daemon/proxy.go
@@ -81,7 +81,7 @@
 	call := func(ctx context.Context, id uint64, event statemachine.Event) statemachine.Command {
 		return process.Loop.Call(ctx, id, event, statemachine.Cancel{ID: id})
 	}
-	daemon.forwarder = reverseproxy.New(reverseproxy.Owner{Now: process.Now, Notify: process.Loop.Post, Ask: call}, daemon.pool)
+	daemon.forwarder = reverseproxy.New(reverseproxy.StateMachine{Now: process.Now, Notify: process.Loop.Post, Ask: call}, daemon.pool)
 	daemon.forwarder.SourceAddr = settings.localAddr()
 	daemon.forwarder.Headers = process.platform.Headers
 	daemon.forwarder.SendForwardedFor = process.platform.Headers == reverseproxy.DefaultHeaders()
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -1,5 +1,5 @@
 // Policy sessions over HTTP. POST /v1/judge evaluates a stream of target events, one per line, and responds to each
-// line at once. The session of an interrupted request is kept for tuning.SessionKept, so that the client can resume
+// line at once. The session of an interrupted request is kept for tuning.SessionResumeWindow, so that the client can resume
 // after the last line read. Sessions have no effect on the fleet.
 
 package daemon
@@ -79,10 +79,10 @@
 	}
 }
 
-// dropExpired removes sessions that have been released for longer than tuning.SessionKept.
+// dropExpired removes sessions that have been released for longer than tuning.SessionResumeWindow.
 func dropExpired(sessions map[string]*session) {
 	for id, s := range sessions {
-		if !s.releasedAt.IsZero() && time.Since(s.releasedAt) > tuning.SessionKept {
+		if !s.releasedAt.IsZero() && time.Since(s.releasedAt) > tuning.SessionResumeWindow {
 			delete(sessions, id)
 		}
 	}
@@ -98,8 +98,8 @@
 		return nil, &sessionError{http.StatusConflict, "that stream has its reader"}
 	case id != "":
 		s.releasedAt = time.Time{}
-	case len(sessions) >= tuning.Sessions:
-		return nil, &sessionError{http.StatusServiceUnavailable, fmt.Sprintf("%d streams are open", tuning.Sessions)}
+	case len(sessions) >= tuning.SessionsMax:
+		return nil, &sessionError{http.StatusServiceUnavailable, fmt.Sprintf("%d streams are open", tuning.SessionsMax)}
 	default:
 		s = &session{Session: outlier.NewSession(&config.Config{}), id: fmt.Sprintf("%016x", rand.Uint64())}
 		sessions[s.id] = s
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -51,7 +51,7 @@
 	for {
 		conn, err := listener.Accept()
 		if isTransient(err) {
-			time.Sleep(tuning.Redial)
+			time.Sleep(tuning.RedialDelay)
 			continue
 		}
 		if err != nil {
@@ -179,7 +179,7 @@
 	conn, err := dialer.DialContext(ctx, "tcp", s.addr)
 	if err != nil {
 		select {
-		case <-time.After(tuning.Redial):
+		case <-time.After(tuning.RedialDelay):
 		case <-ctx.Done():
 		}
 		for len(s.queue) > 0 {
--- a/internal/dataplane/connections.go
+++ b/internal/dataplane/connections.go
@@ -18,7 +18,7 @@
 	if serviceConfig.ConnCap <= 0 {
 		return tuning.IdleConnsMax
 	}
-	idle := serviceConfig.ConnCap / tuning.IdleConnParts
+	idle := serviceConfig.ConnCap / tuning.IdleConnDivisor
 	spare := max(0, idle-target.slots) / max(1, len(p.liveProxies))
 	return min(tuning.IdleConnsMax, idle, target.quota+spare)
 }
@@ -27,5 +27,5 @@
 // connections are all in use accepts a new one when one of its requests ends, so the wait is a fraction of the
 // route's latency target.
 func connectTimeout(route *config.Route) time.Duration {
-	return min(max(tuning.ConnectTimeoutMin, route.LatencyTarget()/tuning.ConnectParts), tuning.DialTimeout)
+	return min(max(tuning.ConnectTimeoutMin, route.LatencyTarget()/tuning.ConnectTimeoutDivisor), tuning.DialTimeout)
 }
--- a/internal/dataplane/connections_test.go
+++ b/internal/dataplane/connections_test.go
@@ -23,7 +23,7 @@
 			target := &targetState{Target: wire.Target{Slots: uint32(c.slots)}, slots: c.slots, quota: evenShare(c.slots, 5, names[i], names)}
 			kept += proxy.maxIdleConnections(target, config.Service{ConnCap: c.cap})
 		}
-		if most := c.cap / tuning.IdleConnParts; kept > most && kept > c.slots || kept == 0 {
+		if most := c.cap / tuning.IdleConnDivisor; kept > most && kept > c.slots || kept == 0 {
 			t.Errorf("%+v: the proxies keep %d idle connections, want 1 to %d", c, kept, most)
 		}
 	}
--- a/internal/dataplane/fairness.go
+++ b/internal/dataplane/fairness.go
@@ -23,7 +23,7 @@
 
 // advance moves the counts on to the time span that contains now.
 func (f *fairness) advance(now time.Duration) {
-	span := int64(now / tuning.FairSpan)
+	span := int64(now / tuning.FairnessWindow)
 	switch span - f.span {
 	case 0:
 		return
@@ -46,11 +46,11 @@
 }
 
 // starved reports whether the rate of forwarded requests of a priority level is below tuning.FairPart of the
-// service's average. It returns false if the previous time span is unknown or saw fewer than tuning.FairLeast
+// service's average. It returns false if the previous time span is unknown or saw fewer than tuning.FairnessMinRequests
 // requests of the level, since the rate is then uncertain.
 func (f *fairness) starved(now time.Duration, level int) bool {
 	f.advance(now)
-	if f.previous.arrived[level] < tuning.FairLeast {
+	if f.previous.arrived[level] < tuning.FairnessMinRequests {
 		return false
 	}
 	arrived, forwarded := 0.0, 0.0
@@ -59,7 +59,7 @@
 		forwarded += f.previous.forwarded[l] + f.current.forwarded[l]
 	}
 	own := (f.previous.forwarded[level] + f.current.forwarded[level]) / (f.previous.arrived[level] + f.current.arrived[level])
-	return own < tuning.FairPart*forwarded/arrived
+	return own < tuning.FairnessMinRatio*forwarded/arrived
 }
 
 // priorityLevel maps a priority to one of tuning.PriorityLevels levels. Level 0 is the highest; all lower
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -38,7 +38,7 @@
 // whether a connection is likely to be open, and whether an ejection was lifted recently.
 func (t *targetState) selectionCost(now time.Duration) float64 {
 	cost := t.utilization(now) + t.Demand + min(tuning.SpeedPenalty*t.slowness(now), tuning.SpeedPenaltyMax)
-	if t.lastUsedAt > 0 && now-t.lastUsedAt < tuning.ConnIdle {
+	if t.lastUsedAt > 0 && now-t.lastUsedAt < tuning.ConnIdleTimeout {
 		cost -= tuning.OpenConnBonus
 	}
 	if t.wasReinstated(now) {
--- a/internal/dataplane/peers.go
+++ b/internal/dataplane/peers.go
@@ -112,12 +112,12 @@
 }
 
 // peerTableInterval returns the minimum time between two fetches of a later table from a peer. A peer sends all
-// rows, so the interval grows with the table to use at most 1/tuning.PeerTableParts of a slow link, whatever
+// rows, so the interval grows with the table to use at most 1/tuning.PeerTableRateDivisor of a slow link, whatever
 // the size of the fleet. Without this limit, a proxy that is cut off from a leader which keeps making new
 // tables would saturate its own link and those of its peers.
 func (p *Proxy) peerTableInterval() time.Duration {
 	bytes := tuning.TableRowBytes * (len(p.table.Targets) + len(p.table.Proxies))
-	return max(2*tuning.PullEvery, time.Duration(bytes)*time.Second*tuning.PeerTableParts/tuning.SlowLink)
+	return max(2*tuning.PullEvery, time.Duration(bytes)*time.Second*tuning.PeerTableRateDivisor/tuning.SlowLink)
 }
 
 // handlePeerPull answers another proxy's poll or its request for this proxy's table.
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -125,7 +125,7 @@
 // New returns a proxy that has just started and has no table.
 func New(settings Settings) *Proxy {
 	if settings.Retry.Window < tuning.WindowBuckets {
-		settings.Retry = RetryBudget{Ratio: 1 / float64(tuning.RetryShare), Window: tuning.RetryWindow, Slack: tuning.RetryFree}
+		settings.Retry = RetryBudget{Ratio: 1 / float64(tuning.RetryRatioDivisor), Window: tuning.RetryWindow, Slack: tuning.RetrySlack}
 	}
 	return &Proxy{
 		settings:             settings,
--- a/internal/dataplane/queue.go
+++ b/internal/dataplane/queue.go
@@ -44,7 +44,7 @@
 		timeout = time.Duration(req.serviceConfig.QueueTimeoutMs) * time.Millisecond
 		return timeout, p.shareOf(req.serviceConfig.QueueLength, req.serviceName)
 	}
-	timeout = expectedTime(&req.route) / tuning.WaitTargetParts
+	timeout = expectedTime(&req.route) / tuning.QueueTimeoutDivisor
 	timeout = min(req.startedAt+timeout-now, req.deadline-now-req.routeState.meanTime())
 	length = tuning.QueueMin
 	if service.meanMs > 0 {
--- a/internal/dataplane/rejection.go
+++ b/internal/dataplane/rejection.go
@@ -54,5 +54,5 @@
 	}
 	base = max(base/8, 1)
 	wait := base + time.Duration(spread%uint64(base))
-	return max(tuning.RetryAfterFloor, min(wait, (r.deadline-now)/tuning.RetryAfterTimeParts))
+	return max(tuning.RetryAfterFloor, min(wait, (r.deadline-now)/tuning.RetryAfterDivisor))
 }
--- a/internal/dataplane/retrybudget.go
+++ b/internal/dataplane/retrybudget.go
@@ -69,7 +69,7 @@
 // countRequest adds the credit that a request earns.
 func (c *retryCredit) countRequest(now time.Duration, budget RetryBudget) {
 	c.addSlack(now, budget)
-	c.credit += budget.Ratio * tuning.RetryEarn
+	c.credit += budget.Ratio * tuning.RetryCreditPerRequest
 	bucket := budget.bucket(now)
 	count := &c.counts[bucket%tuning.WindowBuckets]
 	if count.bucket != bucket {
@@ -97,7 +97,7 @@
 			recent += count.requests
 		}
 	}
-	c.credit = min(c.credit, c.slack/2+budget.Ratio*tuning.RetrySave*float64(recent))
+	c.credit = min(c.credit, c.slack/2+budget.Ratio*tuning.RetryCarryOver*float64(recent))
 }
 
 // available reports whether there is credit for one retry.
--- a/internal/dataplane/retrybudget_test.go
+++ b/internal/dataplane/retrybudget_test.go
@@ -35,8 +35,8 @@
 			}
 		}
 	}
-	if retried > 600/tuning.RetryShare+tuning.RetryFree || float64(retried) < 600*tuning.RetryEarn/tuning.RetryShare {
-		t.Fatalf("%d retries for 600 requests, want %v to %v", retried, 600*tuning.RetryEarn/tuning.RetryShare, 600/tuning.RetryShare+tuning.RetryFree)
+	if retried > 600/tuning.RetryRatioDivisor+tuning.RetrySlack || float64(retried) < 600*tuning.RetryCreditPerRequest/tuning.RetryRatioDivisor {
+		t.Fatalf("%d retries for 600 requests, want %v to %v", retried, 600*tuning.RetryCreditPerRequest/tuning.RetryRatioDivisor, 600/tuning.RetryRatioDivisor+tuning.RetrySlack)
 	}
 }
 
--- a/internal/dataplane/reverseproxy/attempt.go
+++ b/internal/dataplane/reverseproxy/attempt.go
@@ -114,7 +114,7 @@
 	case !a.idempotent:
 		return tuning.NonIdempotentIdleMax
 	}
-	return tuning.ConnIdle
+	return tuning.ConnIdleTimeout
 }
 
 // requestID returns the id that the response must repeat, "" if the caller sent none.
--- a/internal/dataplane/reverseproxy/faults_test.go
+++ b/internal/dataplane/reverseproxy/faults_test.go
@@ -38,7 +38,7 @@
 	}
 	states, random := map[uint64]*requestState{}, make(chan *rand.Rand, 1) // random also serves as the lock of states
 	random <- rand.New(rand.NewPCG(seed, 99))
-	stateMachine := Owner{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}}
+	stateMachine := StateMachine{Now: func() time.Duration { return 1 }, Notify: func(statemachine.Event) {}}
 	stateMachine.Ask = func(_ context.Context, id uint64, event statemachine.Event) statemachine.Command {
 		rnd := <-random
 		defer func() { random <- rnd }()
--- a/internal/dataplane/reverseproxy/limits.go
+++ b/internal/dataplane/reverseproxy/limits.go
@@ -33,7 +33,7 @@
 	case service.HasHealthCheck() && common > 0:
 		return common
 	case service.HasHealthCheck():
-		return max(own, tuning.CallerBody)
+		return max(own, tuning.CallerBodyMax)
 	case common > 0:
 		return min(own, common)
 	}
--- a/internal/dataplane/reverseproxy/limits_test.go
+++ b/internal/dataplane/reverseproxy/limits_test.go
@@ -48,7 +48,7 @@
 		limits  *config.Limits
 		want    int64
 	}{
-		{config.Service{BodyMax: 5, HealthPath: "/h"}, nil, tuning.CallerBody},
+		{config.Service{BodyMax: 5, HealthPath: "/h"}, nil, tuning.CallerBodyMax},
 		{config.Service{BodyMax: 5, HealthPath: "/h"}, &config.Limits{BodyBytes: 9}, 9},
 		{config.Service{BodyMax: 5}, &config.Limits{BodyBytes: 9}, 5},
 		{config.Service{BodyMax: 5}, &config.Limits{HeaderBytes: 9}, 5},
@@ -95,10 +95,10 @@
 		limits *config.Limits
 		want   [4]time.Duration // maximum of each deadline: header, body, idle connection, next header
 	}{
-		{nil, [4]time.Duration{tuning.CallerHeader, 30 * time.Minute, tuning.CallerIdle, tuning.CallerHeader}},
+		{nil, [4]time.Duration{tuning.CallerHeaderTimeout, 30 * time.Minute, tuning.CallerIdleTimeout, tuning.CallerHeaderTimeout}},
 		{&config.Limits{HeaderMs: 10 * minute, IdleMs: 20 * minute}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, 20*time.Minute + tuning.IdleSlack, 10 * time.Minute}},
-		{&config.Limits{HeaderMs: 10 * minute}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, tuning.CallerIdle, 10 * time.Minute}},
-		{&config.Limits{IdleMs: 20 * minute}, [4]time.Duration{tuning.CallerHeader, 30 * time.Minute, 20*time.Minute + tuning.IdleSlack, tuning.CallerHeader}},
+		{&config.Limits{HeaderMs: 10 * minute}, [4]time.Duration{10 * time.Minute, 30 * time.Minute, tuning.CallerIdleTimeout, 10 * time.Minute}},
+		{&config.Limits{IdleMs: 20 * minute}, [4]time.Duration{tuning.CallerHeaderTimeout, 30 * time.Minute, 20*time.Minute + tuning.IdleSlack, tuning.CallerHeaderTimeout}},
 	} {
 		forwarder := newForwarder(t, func(_ context.Context, id uint64, _ statemachine.Event) statemachine.Command {
 			return statemachine.Reject{ID: id, Status: 503, Code: "busy"}
@@ -106,7 +106,7 @@
 		forwarder.Limits.Store(tc.limits)
 		listener := listen(t)
 		set := make(chan time.Duration, 16)
-		server := &http.Server{Handler: forwarder, ConnContext: forwarder.ConnContext, ReadHeaderTimeout: tuning.CallerHeader, IdleTimeout: tuning.CallerIdle}
+		server := &http.Server{Handler: forwarder, ConnContext: forwarder.ConnContext, ReadHeaderTimeout: tuning.CallerHeaderTimeout, IdleTimeout: tuning.CallerIdleTimeout}
 		go server.Serve(forwarder.WrapListener(deadlineListener{listener, set}))
 		conn := dial(t, listener.Addr().String())
 		reader := bufio.NewReader(conn)
--- a/internal/dataplane/reverseproxy/listener.go
+++ b/internal/dataplane/reverseproxy/listener.go
@@ -100,15 +100,15 @@
 
 // SetReadDeadline is called by the server and, while a request is active, by the forwarder. It converts the server's
 // fixed timeouts to the configured ones, which may change at any time. The server's timeout for reading a header
-// (tuning.CallerHeader) and its idle timeout (tuning.CallerIdle) are told apart by their length.
+// (tuning.CallerHeaderTimeout) and its idle timeout (tuning.CallerIdleTimeout) are told apart by their length.
 func (c *callerConn) SetReadDeadline(deadline time.Time) error {
 	if left := time.Until(deadline); !c.requestActive && !deadline.IsZero() && left > 0 {
 		limits := c.forwarder.limits()
 		switch {
-		case left <= tuning.CallerHeader && limits.HeaderMs > 0:
-			deadline = deadline.Add(time.Duration(limits.HeaderMs)*time.Millisecond - tuning.CallerHeader)
-		case left > tuning.CallerHeader && limits.IdleMs > 0:
-			deadline = deadline.Add(time.Duration(limits.IdleMs)*time.Millisecond + tuning.IdleSlack - tuning.CallerIdle)
+		case left <= tuning.CallerHeaderTimeout && limits.HeaderMs > 0:
+			deadline = deadline.Add(time.Duration(limits.HeaderMs)*time.Millisecond - tuning.CallerHeaderTimeout)
+		case left > tuning.CallerHeaderTimeout && limits.IdleMs > 0:
+			deadline = deadline.Add(time.Duration(limits.IdleMs)*time.Millisecond + tuning.IdleSlack - tuning.CallerIdleTimeout)
 		}
 	}
 	return c.Conn.SetReadDeadline(deadline)
--- a/internal/dataplane/reverseproxy/pool.go
+++ b/internal/dataplane/reverseproxy/pool.go
@@ -33,7 +33,7 @@
 
 // sweep periodically closes expired connections until the pool is closed.
 func (p *Pool) sweep() {
-	ticker := time.NewTicker(tuning.ConnIdle / 4)
+	ticker := time.NewTicker(tuning.ConnIdleTimeout / 4)
 	defer ticker.Stop()
 	for {
 		select {
@@ -221,5 +221,5 @@
 // isExpired reports whether a connection has been idle for too long or for longer than the target announced to keep it
 // open. The connection must be in no slot, so that only the calling goroutine uses it.
 func (c *Conn) isExpired(now time.Time) bool {
-	return c.idleFor(now) >= tuning.ConnIdle || !c.reuseUntil.IsZero() && now.After(c.reuseUntil)
+	return c.idleFor(now) >= tuning.ConnIdleTimeout || !c.reuseUntil.IsZero() && now.After(c.reuseUntil)
 }
--- a/internal/dataplane/reverseproxy/pool_test.go
+++ b/internal/dataplane/reverseproxy/pool_test.go
@@ -50,12 +50,12 @@
 		return conn
 	}
 	deadline := time.Now().Add(time.Hour)
-	expired, idle := open(tuning.ConnIdle), open(2*tuning.NonIdempotentIdleMax)
+	expired, idle := open(tuning.ConnIdleTimeout), open(2*tuning.NonIdempotentIdleMax)
 	if conns.take(tuning.NonIdempotentIdleMax, deadline) != nil {
 		t.Fatal("a request that is not idempotent got a connection that was idle for too long")
 	}
 	recent := open(0)
-	if conns.take(tuning.NonIdempotentIdleMax, deadline) != recent || conns.take(tuning.ConnIdle, deadline) != idle || conns.take(tuning.ConnIdle, deadline) != nil {
+	if conns.take(tuning.NonIdempotentIdleMax, deadline) != recent || conns.take(tuning.ConnIdleTimeout, deadline) != idle || conns.take(tuning.ConnIdleTimeout, deadline) != nil {
 		t.Fatal("the connections were not taken most recently used first, or an expired one was taken")
 	}
 	conns.closeExpired(time.Now())
@@ -74,7 +74,7 @@
 		open(0)
 	}
 	n := 0
-	for conns.take(tuning.ConnIdle, deadline) != nil {
+	for conns.take(tuning.ConnIdleTimeout, deadline) != nil {
 		n++
 	}
 	if n != tuning.IdleConnsMax {
--- a/internal/dataplane/reverseproxy/reverseproxy.go
+++ b/internal/dataplane/reverseproxy/reverseproxy.go
@@ -1,7 +1,7 @@
 // Package reverseproxy forwards callers' HTTP requests to targets and passes the targets' responses back.
 //
 // The package does not select targets and makes no decisions about queueing, limits or retries. It asks the proxy's
-// state machine (Owner, implemented by package dataplane) and carries out the Forward or Reject command that it
+// state machine (StateMachine, implemented by package dataplane) and carries out the Forward or Reject command that it
 // returns. It manages its own connections to targets (upstream.go, pool.go) instead of using net/http's transport,
 // which resends some requests on its own.
 //
@@ -31,8 +31,8 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// Owner is the forwarder's interface to the proxy's state machine. Its functions may be called from any goroutine.
-type Owner struct {
+// StateMachine is the forwarder's interface to the proxy's state machine. Its functions may be called from any goroutine.
+type StateMachine struct {
 	// Now returns the state machine's time: the time since the process started.
 	Now func() time.Duration
 	// Notify passes an event to the state machine without waiting for a result.
@@ -46,7 +46,7 @@
 // Forwarder is the http.Handler for callers' requests. Exported fields that are not safe for concurrent use must be
 // set before the first request is served.
 type Forwarder struct {
-	stateMachine Owner
+	stateMachine StateMachine
 	pool         *Pool
 	nextID       atomic.Uint64
 
@@ -72,7 +72,7 @@
 }
 
 // New returns a forwarder that asks stateMachine for targets and keeps idle connections to them in pool.
-func New(stateMachine Owner, pool *Pool) *Forwarder {
+func New(stateMachine StateMachine, pool *Pool) *Forwarder {
 	return &Forwarder{
 		stateMachine:     stateMachine,
 		pool:             pool,
@@ -117,10 +117,10 @@
 	status  int
 
 	// Result of the attempts so far.
-	ran         config.Ran    // config.RanNo, or config.RanUnknown once the request may have run
-	lastError   *attemptError // nil if no attempt has failed
-	errorStatus int           // 502 or 504 once the request may have run, else 0
-	fallback    *response     // first server error (5xx) of a target, passed on if no other target gives a response
+	ran         config.RanStatus // config.RanNo, or config.RanUnknown once the request may have run
+	lastError   *attemptError    // nil if no attempt has failed
+	errorStatus int              // 502 or 504 once the request may have run, else 0
+	fallback    *response        // first server error (5xx) of a target, passed on if no other target gives a response
 }
 
 // serve forwards a request. It runs on the server's goroutine or on that of a pipelined request.
@@ -197,7 +197,7 @@
 }
 
 // fail responds to the caller with an error. ran tells the caller whether the request may have run.
-func (q *request) fail(reqErr *requestError, ran config.Ran) {
+func (q *request) fail(reqErr *requestError, ran config.RanStatus) {
 	q.status = reqErr.status
 	if ran == config.RanUnknown {
 		q.forwarder.Counts.RunUnknown.Add(1)
--- a/internal/dataplane/reverseproxy/reverseproxy_test.go
+++ b/internal/dataplane/reverseproxy/reverseproxy_test.go
@@ -40,7 +40,7 @@
 		method, path, body string
 		headers            []string
 		status             int
-		ran                config.Ran
+		ran                config.RanStatus
 	}{
 		{"GET", "/a/../b", "", nil, 400, "no"},
 		{"GET", "/a%2fb", "", nil, 400, "no"},
--- a/internal/dataplane/reverseproxy/testproxy_test.go
+++ b/internal/dataplane/reverseproxy/testproxy_test.go
@@ -147,9 +147,9 @@
 	url, addr string
 	client    *http.Client
 
-	asked    []any        // the events passed to Owner.Ask
-	notified chan any     // the events passed to Owner.Notify
-	now      atomic.Int64 // the time that Owner.Now returns
+	asked    []any        // the events passed to StateMachine.Ask
+	notified chan any     // the events passed to StateMachine.Notify
+	now      atomic.Int64 // the time that StateMachine.Now returns
 
 	// Fields of the state machine's Forward commands.
 	service  config.Service
@@ -171,7 +171,7 @@
 	}
 	f.pool.SetTargets(addressesOf(targets...))
 	lock := make(chan bool, 1)
-	f.forwarder = New(Owner{
+	f.forwarder = New(StateMachine{
 		Now:    func() time.Duration { return time.Duration(f.now.Load()) },
 		Notify: func(event statemachine.Event) { f.notified <- event },
 		Ask: func(_ context.Context, id uint64, event statemachine.Event) statemachine.Command {
@@ -196,7 +196,7 @@
 	pool := NewPool()
 	t.Cleanup(pool.Close)
 	now := func() time.Duration { return 1 }
-	return New(Owner{Now: now, Notify: func(statemachine.Event) {}, Ask: ask}, pool)
+	return New(StateMachine{Now: now, Notify: func(statemachine.Event) {}, Ask: ask}, pool)
 }
 
 // addressesOf returns the targets' addresses in the form that Pool.SetTargets takes.
@@ -269,7 +269,7 @@
 	return resp.StatusCode, resp.Header, string(read)
 }
 
-// lastRetry returns the last event passed to Owner.Ask, which must be a Retry.
+// lastRetry returns the last event passed to StateMachine.Ask, which must be a Retry.
 func (f *testProxy) lastRetry() statemachine.Retry {
 	return f.asked[len(f.asked)-1].(statemachine.Retry)
 }
--- a/internal/dataplane/reverseproxy/upstream.go
+++ b/internal/dataplane/reverseproxy/upstream.go
@@ -170,7 +170,7 @@
 }
 
 // Get sends a GET request and reads the response. headers alternates names and values. reusable reports whether the
-// connection may be used again. A body of more than tuning.ProbeBody bytes is not read completely, and the connection
+// connection may be used again. A body of more than tuning.ProbeBodyMax bytes is not read completely, and the connection
 // is then not reusable.
 func (c *Conn) Get(deadline time.Time, host, path string, headers ...string) (resp *http.Response, body []byte, reusable bool, err error) {
 	c.netConn.SetDeadline(deadline)
@@ -185,7 +185,7 @@
 	if resp, err = c.readHeader(http.MethodGet); err != nil {
 		return nil, nil, false, err
 	}
-	body, complete, err := readComplete(resp, tuning.ProbeBody)
+	body, complete, err := readComplete(resp, tuning.ProbeBodyMax)
 	return resp, body, complete && !resp.Close && c.reader.Buffered() == 0, err
 }
 
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -38,7 +38,7 @@
 // responseReserve returns the part of the shutdown time that is reserved for the last responses of targets and
 // for passing them on.
 func responseReserve(longest time.Duration) time.Duration {
-	return min(tuning.ShutdownReserve, longest/tuning.ShutdownReserveParts)
+	return min(tuning.ShutdownReserve, longest/tuning.ShutdownReserveDivisor)
 }
 
 // admitDuringShutdown limits the request's deadline to the end of the process if this proxy is stopping, and
@@ -77,7 +77,7 @@
 	if target := route.LatencyTarget(); target > 0 {
 		return target
 	}
-	return route.Timeout() / tuning.WaitTimeoutParts
+	return route.Timeout() / tuning.ExpectedTimeDivisor
 }
 
 // rejectStopping rejects a request so that the caller retries at another proxy. The wait before the retry is
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -42,7 +42,7 @@
 	p.table = table
 	p.targets = p.targetsOf(now, table, received)
 	maps.DeleteFunc(p.leavingSince, func(id wire.TargetID, since time.Duration) bool {
-		return p.targets[id] == nil && now-since > tuning.TombstoneKeep
+		return p.targets[id] == nil && now-since > tuning.TombstoneTTL
 	})
 	p.publishTargets(now)
 	p.processQueues(now)
--- a/internal/mfctl/client.go
+++ b/internal/mfctl/client.go
@@ -19,7 +19,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-var httpClient = &http.Client{Timeout: tuning.CtlCall}
+var httpClient = &http.Client{Timeout: tuning.CtlCallTimeout}
 
 // request is a call of the HTTP API. It can be sent to any member.
 type request struct {
--- a/internal/mfctl/fleet.go
+++ b/internal/mfctl/fleet.go
@@ -56,7 +56,7 @@
 		if t.WarmupLeft > 0 {
 			warmupLeft = fmt.Sprintf("%.1fs", time.Duration(t.WarmupLeft).Seconds())
 		}
-		if t.Ejection != "" {
+		if t.EjectionPolicy != "" {
 			ejectionLeft = fmt.Sprintf("%.1fs", float64(t.EjectionLeftMs)/1000)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%.2f\t%s\t%s\t%.0f\t%s\t%s\n", t.Service, t.Name, t.Addr, t.Domain,
--- a/internal/mfctl/status.go
+++ b/internal/mfctl/status.go
@@ -97,7 +97,7 @@
 	fmt.Fprintln(table, "MEMBER\tROLE\tLEADERSHIP\tLEADER\tEPOCH\tTERM\tREVISION\tTABLE\tTARGETS\tPROXIES\tEMPTIED DOMAINS")
 	for _, s := range r.views {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, s.Role, s.Leadership, s.Leader,
-			s.Epoch, s.Term, s.Revision, s.Table.Version, s.Targets, s.Proxies, strings.Join(s.Emptied, ","))
+			s.Epoch, s.Term, s.Revision, s.Table.Version, s.Targets, s.Proxies, strings.Join(s.EmptiedDomains, ","))
 	}
 }
 
--- a/internal/shared/config/errorbody.go
+++ b/internal/shared/config/errorbody.go
@@ -2,13 +2,13 @@
 
 import "encoding/json"
 
-// Ran is whether a request that got an error response ran at a target, or a change took effect.
-type Ran string
+// RanStatus is whether a request that got an error response ran at a target, or a change took effect.
+type RanStatus string
 
-// Values of Ran.
+// Values of RanStatus.
 const (
-	RanNo      Ran = "no"      // it did not run or take effect
-	RanUnknown Ran = "unknown" // it may have run or taken effect
+	RanNo      RanStatus = "no"      // it did not run or take effect
+	RanUnknown RanStatus = "unknown" // it may have run or taken effect
 )
 
 // ErrorBody is the body of every error response of a daemon.
@@ -21,7 +21,7 @@
 	// Message is the human-readable cause.
 	Message string `json:"message"`
 	// Ran is whether the request ran. Default: RanNo.
-	Ran Ran `json:"ran"`
+	Ran RanStatus `json:"ran"`
 	// Faults are the faults of the document in the request, if it has any.
 	Faults []Fault `json:"faults,omitempty"`
 	// Revision is the revision of the configuration in force, 0 if it is not reported.
--- a/internal/shared/config/fields.go
+++ b/internal/shared/config/fields.go
@@ -63,7 +63,7 @@
 		switch {
 		case !ok:
 			c.add(joinPath(at, key), "is a %s, wants int", typeName(value))
-		case f != math.Trunc(f) || math.Abs(f) > tuning.ExactMax:
+		case f != math.Trunc(f) || math.Abs(f) > tuning.ExactIntegerMax:
 			c.add(joinPath(at, key), "%v is not a whole number", f)
 		default:
 			*member(to) = int(f)
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -105,8 +105,8 @@
 		return fmt.Sprintf("at_ns goes back: %d after %d", e.At, s.lastAt)
 	case e.Count < 0 || e.Errors < 0 || e.Slow < 0 || e.Errors > e.Count || e.Slow > e.Count:
 		return "count, errors and slow don't fit together"
-	case !s.targets[e.ID()] && len(s.targets) >= tuning.SessionTargets:
-		return fmt.Sprintf("more than %d targets in one stream", tuning.SessionTargets)
+	case !s.targets[e.ID()] && len(s.targets) >= tuning.SessionTargetsMax:
+		return fmt.Sprintf("more than %d targets in one stream", tuning.SessionTargetsMax)
 	}
 	return ""
 }
--- a/internal/shared/state/apply.go
+++ b/internal/shared/state/apply.go
@@ -94,7 +94,7 @@
 	switch status {
 	case AlreadyAccepted:
 		return OutcomeAccepted, revision
-	case Forgotten:
+	case StatusUnknown:
 		return OutcomeUnknown, s.Revision
 	}
 	return OutcomeStale, s.Revision
--- a/internal/shared/state/changes.go
+++ b/internal/shared/state/changes.go
@@ -161,7 +161,7 @@
 const (
 	NeverAccepted   ChangeStatus = iota // not accepted, and never will be, since its base is outdated
 	AlreadyAccepted                     // accepted earlier
-	Forgotten                           // unknown: its base is older than AcceptedChanges.CompleteSince
+	StatusUnknown                       // unknown: its base is older than AcceptedChanges.CompleteSince
 )
 
 // FindChange returns the status of a configuration change with an earlier base and, if it was accepted, the
@@ -171,7 +171,7 @@
 		return AlreadyAccepted, revision
 	}
 	if base < s.Changes.CompleteSince {
-		return Forgotten, 0
+		return StatusUnknown, 0
 	}
 	return NeverAccepted, 0
 }
--- a/internal/shared/state/changes_test.go
+++ b/internal/shared/state/changes_test.go
@@ -30,10 +30,10 @@
 	for i := range changes {
 		base, isKept := uint64(i), i >= changes-kept
 		status, revision := s.FindChange(digestOfChange(i), base)
-		if isKept && (status != AlreadyAccepted || revision != base+1) || !isKept && status != Forgotten {
+		if isKept && (status != AlreadyAccepted || revision != base+1) || !isKept && status != StatusUnknown {
 			t.Fatalf("change %d: status %d, revision %d", i, status, revision)
 		}
-		want := Forgotten
+		want := StatusUnknown
 		if isKept {
 			want = NeverAccepted
 		}
@@ -108,7 +108,7 @@
 func TestStateWithoutAcceptedChanges(t *testing.T) {
 	s := State{Revision: 7}
 	s.initCompleteSince()
-	if status, _ := s.FindChange(ChangeDigest{1}, 6); status != Forgotten {
-		t.Errorf("status %d, want %d", status, Forgotten)
+	if status, _ := s.FindChange(ChangeDigest{1}, 6); status != StatusUnknown {
+		t.Errorf("status %d, want %d", status, StatusUnknown)
 	}
 }
--- a/internal/shared/targetreport/heartbeats.go
+++ b/internal/shared/targetreport/heartbeats.go
@@ -22,10 +22,10 @@
 	s.last = now
 }
 
-// IsSteady reports whether heartbeats arrive as from a running target: at least tuning.ProofHeartbeats over at least
-// tuning.ProofSpan, the last one within tuning.TargetHeartbeatTimeout. A single delayed heartbeat does not count.
+// IsSteady reports whether heartbeats arrive as from a running target: at least tuning.AliveHeartbeatsMin over at least
+// tuning.AliveHeartbeatsSpan, the last one within tuning.TargetHeartbeatTimeout. A single delayed heartbeat does not count.
 func (s *Streak) IsSteady(now time.Duration) bool {
-	return s.count >= tuning.ProofHeartbeats && s.last-s.first >= tuning.ProofSpan && now-s.last < tuning.TargetHeartbeatTimeout
+	return s.count >= tuning.AliveHeartbeatsMin && s.last-s.first >= tuning.AliveHeartbeatsSpan && now-s.last < tuning.TargetHeartbeatTimeout
 }
 
 // Count returns the number of heartbeats in the series.
--- a/internal/shared/tuning/change.go
+++ b/internal/shared/tuning/change.go
@@ -5,7 +5,7 @@
 // Operators' changes.
 const (
 	// CallWait is the time limit for a change. After it the response reports that the outcome is unknown.
-	CallWait = 6 * time.Second
+	ChangeTimeout = 6 * time.Second
 	// InForceUsual is the time within which a committed change is usually in force, even with a proxy that can send
 	// but not receive. If it takes longer, the reason for the wait is logged.
 	InForceUsual = 1600 * time.Millisecond
@@ -27,7 +27,7 @@
 	AcceptedChangesInTables = 64
 	// CtlCall is how long mfctl waits for one response. It exceeds CallWait, so that the member's own response
 	// ends a change.
-	CtlCall = 10 * time.Second
+	CtlCallTimeout = 10 * time.Second
 	// CtlRetry is how long mfctl waits before it asks the next member if there is no leader.
 	CtlRetry = 200 * time.Millisecond
 )
--- a/internal/shared/tuning/config.go
+++ b/internal/shared/tuning/config.go
@@ -50,5 +50,5 @@
 	// proxies keep the window in memory.
 	ObjectiveMinutes = 60
 	// ExactMax is the magnitude up to which integers in JSON are exact when they are read as float64.
-	ExactMax = 1 << 53
+	ExactIntegerMax = 1 << 53
 )
--- a/internal/shared/tuning/connection.go
+++ b/internal/shared/tuning/connection.go
@@ -6,7 +6,7 @@
 const (
 	// ConnIdle is how long an idle connection is kept. Common servers close theirs after 5 s; a shorter time makes it
 	// rare that a request is sent on a connection that is being closed.
-	ConnIdle = 4 * time.Second
+	ConnIdleTimeout = 4 * time.Second
 	// IdleTimeoutMargin is how much earlier than the idle timeout announced by a target a connection is closed. It
 	// covers a network hop each way, and the clocks and queues in between.
 	IdleTimeoutMargin = 500 * time.Millisecond
@@ -17,9 +17,9 @@
 	// IdleConnsMax is how many idle connections a proxy keeps to a target. Targets limit the connections from all
 	// proxies together, and some use a slot for each.
 	IdleConnsMax = 8
-	// IdleConnParts is the divisor of a target's connection limit that gives how many idle connections all proxies
+	// IdleConnDivisor is the divisor of a target's connection limit that gives how many idle connections all proxies
 	// keep together. The rest is left for requests and probes.
-	IdleConnParts = 2
+	IdleConnDivisor = 2
 	// AckTimeout is how long data sent to a target or daemon may stay unacknowledged by TCP before the connection is
 	// closed. Source: the 2 s rule.
 	AckTimeout = 2 * time.Second
@@ -38,13 +38,13 @@
 
 // Callers' connections.
 const (
-	// CallerIdle is how long an idle connection is kept.
-	CallerIdle = 60 * time.Second
+	// CallerIdleTimeout is how long an idle connection is kept.
+	CallerIdleTimeout = 60 * time.Second
 	// IdleSlack is how much longer than announced an idle connection is kept, so that a caller that respects the
 	// announced limit never writes to a connection that is being closed.
 	IdleSlack = time.Second
-	// CallerHeader is the time limit for receiving a request header.
-	CallerHeader = 3 * TargetHeartbeatTimeout
+	// CallerHeaderTimeout is the time limit for receiving a request header.
+	CallerHeaderTimeout = 3 * TargetHeartbeatTimeout
 	// CallerAckTimeout is AckTimeout for callers. It exceeds the pauses of a caller that reads slowly.
 	CallerAckTimeout = 10 * time.Second
 	// HeaderMax is the largest accepted header, in bytes.
@@ -52,8 +52,8 @@
 	// ServerHeaderMax is the number of bytes up to which a header is read. It exceeds HeaderMax, so that a header
 	// that is too large still gets a response.
 	ServerHeaderMax = 4 * HeaderMax
-	// CallerBody is the largest request body for a service with a health path, in bytes.
-	CallerBody = 64 << 20
+	// CallerBodyMax is the largest request body for a service with a health path, in bytes.
+	CallerBodyMax = 64 << 20
 	// PipelineMax is how many pipelined requests of one connection are started before the responses to earlier ones
 	// are written.
 	PipelineMax = 8
@@ -67,7 +67,7 @@
 	// messages and is not larger, since a member has a connection to each proxy.
 	WireBuffer = 4 << 10
 	// WireMax bounds one message, in bytes. The largest one is a snapshot with all kept documents.
-	WireMax = 8 << 20
+	MessageMax = 8 << 20
 	// CompressFrom is the size from which a document or state is compressed, in bytes. Smaller ones fit into a few
 	// packets.
 	CompressFrom = 2 << 10
@@ -78,5 +78,5 @@
 	SendQueueTTL = 500 * time.Millisecond
 	// Redial is how long after a failed attempt to open a connection the next one is made. Daemons that start at the
 	// same time find each other within this time, and only messages that are repeated anyway are sent until then.
-	Redial = 20 * time.Millisecond
+	RedialDelay = 20 * time.Millisecond
 )
--- a/internal/shared/tuning/consensus.go
+++ b/internal/shared/tuning/consensus.go
@@ -14,9 +14,9 @@
 	// ElectionTimeoutSpread is the range of the delay added to ElectionTimeoutMin, derived from name and term, so
 	// that members rarely become candidates at the same time.
 	ElectionTimeoutSpread = 400 * time.Millisecond
-	// LeaderQuiet is how long a member must not have heard from a leader to report that in a pre-vote: three
+	// LeaderSilenceMin is how long a member must not have heard from a leader to report that in a pre-vote: three
 	// heartbeats. A leader that is alive but late reports itself that it leads.
-	LeaderQuiet = 3 * HeartbeatEvery
+	LeaderSilenceMin = 3 * HeartbeatEvery
 	// PreVoteInterval is how often a member without contact to a leader asks whether all others have none either.
 	PreVoteInterval = 60 * time.Millisecond
 	// SyncStall is how long a disk sync may take before a leader stops making decisions. It is below
--- a/internal/shared/tuning/healthcheck.go
+++ b/internal/shared/tuning/healthcheck.go
@@ -21,10 +21,10 @@
 	IndirectAfter = PullEvery
 	// IndirectProbes is how many proxies are asked to do so.
 	IndirectProbes = 2
-	// ProbePace is the factor by which probes may start faster than at the steady rate. If all targets are due at
-	// once, the last one waits ProbeEvery / ProbePace = 0.36 s. Without this limit, opening 300 connections in one
+	// ProbeRateFactor is the factor by which probes may start faster than at the steady rate. If all targets are due at
+	// once, the last one waits ProbeEvery / ProbeRateFactor = 0.36 s. Without this limit, opening 300 connections in one
 	// tick would take a small machine longer than LeaderLease. A target that missed a probe never waits.
-	ProbePace = 1.25
+	ProbeRateFactor = 1.25
 	// ProbesPerTickMin is the number of probes that may always start in a tick. A small fleet needs two ticks.
 	ProbesPerTickMin = 16
 	// ServingProbeIntervals is the maximum number of probe intervals between probes of a target that responds to
@@ -36,8 +36,8 @@
 	// NewServiceProbeSpread is the time over which the first probes are spread when a configuration adds the service.
 	// Together with NewServiceSilence it ensures that a target that has just died is ejected in time.
 	NewServiceProbeSpread = ProbeEvery / 2
-	// ProbeBody is how much of the body of a probe's response is read, in bytes.
-	ProbeBody = 4 << 10
+	// ProbeBodyMax is how much of the body of a probe's response is read, in bytes.
+	ProbeBodyMax = 4 << 10
 	// ProbeConnIdle is how long an idle connection for probes is kept, so that none to removed targets remain open.
 	ProbeConnIdle = 10 * time.Second
 )
@@ -66,11 +66,11 @@
 	// heartbeats: slightly more than three intervals. Together with one push it must stay below the 2 s rule, since
 	// a service whose targets are all ejected is served by those that send heartbeats.
 	TargetHeartbeatTimeout = 1600 * time.Millisecond
-	// ProofHeartbeats is how many heartbeats, over at least ProofSpan, show that a target is alive if no probe
+	// AliveHeartbeatsMin is how many heartbeats, over at least AliveHeartbeatsSpan, show that a target is alive if no probe
 	// reaches it. A delayed heartbeat arrives alone and a repeated one together with the first, whereas a live target
 	// sends one every TargetHeartbeatEvery.
-	ProofHeartbeats = 3
-	ProofSpan       = 900 * time.Millisecond
+	AliveHeartbeatsMin  = 3
+	AliveHeartbeatsSpan = 900 * time.Millisecond
 	// TargetExpiry is how long a target must miss both heartbeats and probes to be removed.
 	TargetExpiry = 20 * time.Second
 	// TargetReportWait is how long a target's report that it is leaving or gone may wait for confirmation by a
@@ -86,8 +86,8 @@
 	// RegistryMax is the maximum number of targets, and of tombstones, in the registry. At 300 bytes each they take
 	// 2.4 MB, which with all other state is below half of a WAL file.
 	RegistryMax = 4096
-	// TombstoneKeep is how long after its last heartbeat an incarnation that is gone or superseded is rejected.
-	TombstoneKeep = 2 * time.Minute
+	// TombstoneTTL is how long after its last heartbeat an incarnation that is gone or superseded is rejected.
+	TombstoneTTL = 2 * time.Minute
 	// SlotsMax and WarmupMax bound what a target may report of itself. They are far above any realistic value.
 	SlotsMax  = 1000000
 	WarmupMax = time.Hour
--- a/internal/shared/tuning/lease.go
+++ b/internal/shared/tuning/lease.go
@@ -33,9 +33,9 @@
 	// PeerTableFanout is how many of these peers, in a fleet with more than PeerLeaseFanout peers, are also asked for
 	// the ejections in their tables.
 	PeerTableFanout = 4
-	// PeerTableParts is the divisor of SlowLink that gives the rate at which a proxy without a leader fetches tables
+	// PeerTableRateDivisor is the divisor of SlowLink that gives the rate at which a proxy without a leader fetches tables
 	// from its peers.
-	PeerTableParts = 4
+	PeerTableRateDivisor = 4
 	// ProxyLive is how long after its last pull a proxy keeps its share of the targets' caps.
 	ProxyLive = 2 * time.Second
 	// ProxyExpiry is how long a proxy must be silent before the leader removes it from the proxy membership. It exceeds
--- a/internal/shared/tuning/load.go
+++ b/internal/shared/tuning/load.go
@@ -42,11 +42,11 @@
 const (
 	// QueueMin is the number of requests that may always be queued for a service.
 	QueueMin = 2
-	// WaitTargetParts is the divisor of a route's latency target that gives the time limit in the queue. A rejection
+	// QueueTimeoutDivisor is the divisor of a route's latency target that gives the time limit in the queue. A rejection
 	// after a longer wait would come too late. For a route without a latency target, the deadline divided by
-	// WaitTimeoutParts is used as the latency target.
-	WaitTargetParts  = 4
-	WaitTimeoutParts = 4
+	// ExpectedTimeDivisor is used as the latency target.
+	QueueTimeoutDivisor = 4
+	ExpectedTimeDivisor = 4
 	// PressureTTL is how long a service counts as under pressure after a sign of overload.
 	PressureTTL = time.Second
 	// PriorityLevels is the number of distinct priority levels.
@@ -55,12 +55,12 @@
 	// service is under pressure.
 	PriorityReserve = 0.1
 	// FairSpan is the period in which a service's requests are counted by priority. It is long compared to a burst.
-	FairSpan = 5 * time.Second
+	FairnessWindow = 5 * time.Second
 	// FairPart times the service's ratio of forwarded to arrived requests is the ratio that is guaranteed to each
 	// level. It is above a quarter, below which a level would count as starved.
-	FairPart = 0.4
-	// FairLeast is how many requests of a level must have arrived in a FairSpan for this guarantee.
-	FairLeast = 4
+	FairnessMinRatio = 0.4
+	// FairnessMinRequests is how many requests of a level must have arrived in a FairSpan for this guarantee.
+	FairnessMinRequests = 4
 )
 
 // Retry-After of rejections.
@@ -71,6 +71,6 @@
 	RetryAfterSpan = 3 * time.Second
 	// RetryAfterFloor is the smallest Retry-After.
 	RetryAfterFloor = 20 * time.Millisecond
-	// RetryAfterTimeParts is the divisor of the caller's remaining time that gives the largest Retry-After.
-	RetryAfterTimeParts = 3
+	// RetryAfterDivisor is the divisor of the caller's remaining time that gives the largest Retry-After.
+	RetryAfterDivisor = 3
 )
--- a/internal/shared/tuning/policy.go
+++ b/internal/shared/tuning/policy.go
@@ -27,10 +27,10 @@
 const (
 	// SessionLineMax bounds a line, in bytes.
 	SessionLineMax = 256 << 10
-	// SessionTargets is the maximum number of targets in one session.
-	SessionTargets = 4096
+	// SessionTargetsMax is the maximum number of targets in one session.
+	SessionTargetsMax = 4096
 	// Sessions is the maximum number of concurrent sessions in a daemon.
-	Sessions = 16
-	// SessionKept is how long a session can be resumed after its connection ended.
-	SessionKept = 2 * time.Minute
+	SessionsMax = 16
+	// SessionResumeWindow is how long a session can be resumed after its connection ended.
+	SessionResumeWindow = 2 * time.Minute
 )
--- a/internal/shared/tuning/retry.go
+++ b/internal/shared/tuning/retry.go
@@ -6,14 +6,14 @@
 const (
 	// RetryWindow is the window of the retry budget.
 	RetryWindow = 10 * time.Second
-	// RetryShare is the divisor of a window's number of requests that gives the number of allowed retries.
-	RetryShare = 5
-	// RetryFree is the number of retries per window that a service has in addition, shared by the proxies.
-	RetryFree = 10
-	// RetryEarn is the part of the budget's ratio that each request earns immediately, and RetrySave the part that may
+	// RetryRatioDivisor is the divisor of a window's number of requests that gives the number of allowed retries.
+	RetryRatioDivisor = 5
+	// RetrySlack is the number of retries per window that a service has in addition, shared by the proxies.
+	RetrySlack = 10
+	// RetryCreditPerRequest is the part of the budget's ratio that each request earns immediately, and RetryCarryOver the part that may
 	// be carried over from the previous window. Rounding included, their sum stays below the ratio.
-	RetryEarn = 0.85
-	RetrySave = 0.1
+	RetryCreditPerRequest = 0.85
+	RetryCarryOver        = 0.1
 	// WindowBuckets is the number of buckets in which a window's requests are counted.
 	WindowBuckets = 20
 	// RetryTimeMin is the time that must be left for a retry after an error of the target: a few network hops and a
@@ -33,10 +33,10 @@
 	// ConnectTimeoutMin is the time limit for opening a connection if there is another target. It exceeds any round
 	// trip time between domains, and is below the delay that a lost first packet causes.
 	ConnectTimeoutMin = 100 * time.Millisecond
-	// ConnectParts is the divisor of a route's latency target that gives a longer limit, up to DialTimeout. A target
+	// ConnectTimeoutDivisor is the divisor of a route's latency target that gives a longer limit, up to DialTimeout. A target
 	// whose slots are all taken accepts a connection only when a request ends, and requests take longer where latency
 	// targets are long.
-	ConnectParts = 4
+	ConnectTimeoutDivisor = 4
 	// ConnectAttemptsMax is how many times a request may fail before anything of it is sent. Such failures do not count
 	// as attempts, which are counted by the targets that the request was sent to.
 	ConnectAttemptsMax = 4
--- a/internal/shared/tuning/shutdown.go
+++ b/internal/shared/tuning/shutdown.go
@@ -17,8 +17,8 @@
 	// ShutdownReserve is how long before the end of the shutdown targets must have responded, since a machine that may
 	// be busy must still forward their last responses. After half of it the proxy responds itself.
 	ShutdownReserve = 500 * time.Millisecond
-	// ShutdownReserveParts is the divisor that gives a shorter reserve if the time for the shutdown is short.
-	ShutdownReserveParts = 8
+	// ShutdownReserveDivisor is the divisor that gives a shorter reserve if the time for the shutdown is short.
+	ShutdownReserveDivisor = 8
 	// ShutdownWriteTimeout is how much longer a proxy that shuts down waits for responses to be written. It is below
 	// ShutdownMargin.
 	ShutdownWriteTimeout = 200 * time.Millisecond
--- a/internal/shared/tuning/sums_test.go
+++ b/internal/shared/tuning/sums_test.go
@@ -57,11 +57,11 @@
 		sum  time.Duration
 		max  time.Duration
 	}{
-		{"the loss of a follower", shortest/ReplaceParts + MembersEvery + changes, shortest},
+		{"the loss of a follower", shortest/ReplacementDivisor + MembersEvery + changes, shortest},
 		{"the loss of the leader, with a split vote", 2*(ElectionTimeoutMin+ElectionTimeoutSpread) + NewLeaderGrace + changes, shortest},
 		{"hellos of all members, before a new leader counts silent ones as lost", 3*HelloEvery + TickEvery, NewLeaderGrace},
 		{"three lost hellos and a late one, before a replacement", 4*HelloEvery + TickEvery, ReplaceAfterMin},
-		{"the shortest time before a replacement, within its part of the shortest catch-up time", ReplaceAfterMin, shortest / ReplaceParts},
+		{"the shortest time before a replacement, within its part of the shortest catch-up time", ReplaceAfterMin, shortest / ReplacementDivisor},
 		{"the shutdown of a leader: election, catch-up of the standby and both membership changes", ElectionTimeoutMin + ElectionTimeoutSpread + 10*HeartbeatEvery + changes, HandoverWait},
 		{"the time that both machines of a planned replacement are present", HandoverWait + time.Second, GrowAfter},
 	} {
--- a/internal/shared/wire/compress.go
+++ b/internal/shared/wire/compress.go
@@ -49,12 +49,12 @@
 	if len(b) == 0 || b[0] != compressedHeader {
 		return b, nil
 	}
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b[1:])), tuning.WireMax+1))
+	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b[1:])), tuning.MessageMax+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "decompress payload")
 	}
-	if len(text) > tuning.WireMax {
-		return nil, errors.Newf("decompressed payload exceeds %d bytes", tuning.WireMax)
+	if len(text) > tuning.MessageMax {
+		return nil, errors.Newf("decompressed payload exceeds %d bytes", tuning.MessageMax)
 	}
 	return text, nil
 }
--- a/internal/shared/wire/compress_test.go
+++ b/internal/shared/wire/compress_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 2*tuning.WireMax>>20 + 1 {
+	for range 2*tuning.MessageMax>>20 + 1 {
 		if _, err := w.Write(make([]byte, 1<<20)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/shared/wire/stream.go
+++ b/internal/shared/wire/stream.go
@@ -102,8 +102,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if words > tuning.WireMax/wordSize || packedSize > tuning.WireMax*2 {
-		return nil, errors.Newf("message of %d words, packed into %d bytes, exceeds the limit of %d bytes", words, packedSize, tuning.WireMax)
+	if words > tuning.MessageMax/wordSize || packedSize > tuning.MessageMax*2 {
+		return nil, errors.Newf("message of %d words, packed into %d bytes, exceeds the limit of %d bytes", words, packedSize, tuning.MessageMax)
 	}
 	if cap(r.packed) > tuning.WireBuffer {
 		r.packed, r.unpacked = nil, nil
--- a/internal/verification/linearizability/check.go
+++ b/internal/verification/linearizability/check.go
@@ -14,7 +14,7 @@
 
 // Check returns an error if the calls are not linearizable. The error lists the calls around the first one that the
 // longest linearizable prefix found does not contain.
-func (l *Log) Check() error {
+func (l *History) Check() error {
 	calls := l.relevantOperations()
 	var operations []porcupine.Operation
 	for _, o := range calls {
--- a/internal/verification/linearizability/history.go
+++ b/internal/verification/linearizability/history.go
@@ -69,8 +69,8 @@
 	o.finish(at, returned, revision, value)
 }
 
-// Void records a reply that guarantees that a change had no effect, or that a read got no reply.
-func (o *Operation) Void(at time.Duration) { o.finish(at, noEffect, 0, "") }
+// NoEffect records a reply that guarantees that a change had no effect, or that a read got no reply.
+func (o *Operation) NoEffect(at time.Duration) { o.finish(at, noEffect, 0, "") }
 
 func (o *Operation) finish(at time.Duration, result outcome, revision uint64, value string) {
 	o.repliedAt, o.outcome, o.revision, o.value = at, result, revision, value
@@ -85,33 +85,33 @@
 	return fmt.Sprintf("%.3f to %.3f: %s: %s %d", o.sentAt.Seconds(), o.repliedAt.Seconds(), call, o.outcome, o.revision)
 }
 
-// Log records the calls of one run. All times are measured by the same clock.
-type Log struct{ operations []*Operation }
+// History records the calls of one run. All times are measured by the same clock.
+type History struct{ operations []*Operation }
 
 // Write records the invocation of a change.
-func (l *Log) Write(at time.Duration, c Change) *Operation {
+func (l *History) Write(at time.Duration, c Change) *Operation {
 	return l.add(&Operation{change: c, sentAt: at})
 }
 
 // Read records the invocation of a read of the configuration.
-func (l *Log) Read(at time.Duration) *Operation { return l.add(&Operation{read: true, sentAt: at}) }
+func (l *History) Read(at time.Duration) *Operation { return l.add(&Operation{read: true, sentAt: at}) }
 
-func (l *Log) add(o *Operation) *Operation {
+func (l *History) add(o *Operation) *Operation {
 	l.operations = append(l.operations, o)
 	return o
 }
 
 // Reset removes all calls recorded so far, for a run that deliberately destroys all state.
-func (l *Log) Reset() { l.operations = nil }
+func (l *History) Reset() { l.operations = nil }
 
 // ForgetUnacknowledged removes reads and rejections whose replies contain a revision above highest, the highest
 // acknowledged one. It is called when a majority of the control daemons' disks is lost, since changes that were
 // committed but not yet acknowledged may be lost with them.
-func (l *Log) ForgetUnacknowledged(highest uint64) {
+func (l *History) ForgetUnacknowledged(highest uint64) {
 	l.operations = slices.DeleteFunc(l.operations, func(o *Operation) bool {
 		return (o.outcome == returned || o.outcome == stale) && o.revision > highest
 	})
 }
 
 // Len returns the number of recorded calls.
-func (l *Log) Len() int { return len(l.operations) }
+func (l *History) Len() int { return len(l.operations) }
--- a/internal/verification/linearizability/history_test.go
+++ b/internal/verification/linearizability/history_test.go
@@ -15,71 +15,71 @@
 	for _, c := range []struct {
 		name         string
 		linearizable bool
-		calls        func(l *Log)
+		calls        func(l *History)
 	}{
-		{"a write, then its value", true, func(l *Log) {
+		{"a write, then its value", true, func(l *History) {
 			l.Write(0, change(0, "a")).Acknowledge(10*ms, 1)
 			l.Read(11*ms).Return(12*ms, 1, "a")
 		}},
-		{"an old value read after the acknowledgement", false, func(l *Log) {
+		{"an old value read after the acknowledgement", false, func(l *History) {
 			l.Write(0, change(0, "a")).Acknowledge(10*ms, 1)
 			l.Read(11*ms).Return(12*ms, 0, "")
 		}},
-		{"an old value read during the write, with a late reply", true, func(l *Log) {
+		{"an old value read during the write, with a late reply", true, func(l *History) {
 			l.Write(0, change(0, "a")).Acknowledge(10*ms, 1)
 			l.Read(5*ms).Return(500*ms, 0, "")
 		}},
-		{"another value under the same revision", false, func(l *Log) {
+		{"another value under the same revision", false, func(l *History) {
 			l.Write(0, change(0, "a")).Acknowledge(10*ms, 1)
 			l.Read(11*ms).Return(12*ms, 1, "b")
 		}},
-		{"two changes acknowledged on one base", false, func(l *Log) {
+		{"two changes acknowledged on one base", false, func(l *History) {
 			l.Write(0, change(0, "a")).Acknowledge(10*ms, 1)
 			l.Write(0, change(0, "b")).Acknowledge(10*ms, 1)
 		}},
-		{"one of two changes on one base acknowledged", true, func(l *Log) {
+		{"one of two changes on one base acknowledged", true, func(l *History) {
 			l.Write(0, change(0, "a")).Acknowledge(10*ms, 1)
 			l.Write(0, change(0, "b")).Reject(10*ms, 1)
 		}},
-		{"the value of a rejected change is read", false, func(l *Log) {
+		{"the value of a rejected change is read", false, func(l *History) {
 			l.Write(0, change(0, "b")).Reject(10*ms, 1)
 			l.Write(0, change(0, "a")).Acknowledge(10*ms, 1)
 			l.Read(11*ms).Return(12*ms, 1, "b")
 		}},
-		{"sent again after another change was based on it", true, func(l *Log) {
+		{"sent again after another change was based on it", true, func(l *History) {
 			l.Write(0, change(0, "a"))
 			l.Write(5*ms, change(1, "b")).Acknowledge(10*ms, 2)
 			l.Write(20*ms, change(0, "a")).Acknowledge(25*ms, 1)
 			l.Read(30*ms).Return(31*ms, 2, "b")
 		}},
-		{"sent again and rejected after its acknowledgement", false, func(l *Log) {
+		{"sent again and rejected after its acknowledgement", false, func(l *History) {
 			l.Write(0, change(0, "a")).Acknowledge(10*ms, 1)
 			l.Write(20*ms, change(0, "a")).Reject(25*ms, 1)
 		}},
-		{"sent again with its token", true, func(l *Log) {
+		{"sent again with its token", true, func(l *History) {
 			l.Write(0, Change{Base: 0, Key: "a", Token: "x"}).Acknowledge(10*ms, 1)
 			l.Write(20*ms, Change{Base: 1, Key: "b", Token: "x"}).Acknowledge(25*ms, 1)
 		}},
-		{"an open change takes effect late", true, func(l *Log) {
+		{"an open change takes effect late", true, func(l *History) {
 			l.Write(0, change(0, "a"))
 			l.Read(10*ms).Return(11*ms, 0, "")
 			l.Read(20*ms).Return(21*ms, 1, "a")
 		}},
-		{"an open change is undone after it took effect", false, func(l *Log) {
+		{"an open change is undone after it took effect", false, func(l *History) {
 			l.Write(0, change(0, "a"))
 			l.Read(20*ms).Return(21*ms, 1, "a")
 			l.Read(30*ms).Return(31*ms, 0, "")
 		}},
-		{"the value of a change without effect is read", false, func(l *Log) {
-			l.Write(0, change(0, "a")).Void(10 * ms)
+		{"the value of a change without effect is read", false, func(l *History) {
+			l.Write(0, change(0, "a")).NoEffect(10 * ms)
 			l.Read(20*ms).Return(21*ms, 1, "a")
 		}},
-		{"a revision number chosen by the operator", true, func(l *Log) {
+		{"a revision number chosen by the operator", true, func(l *History) {
 			l.Write(0, Change{Base: 0, Revision: 40, Key: "a"}).Acknowledge(10*ms, 40)
 			l.Write(20*ms, Change{Base: 40, Revision: 39, Key: "b"})
 			l.Read(20*ms).Return(21*ms, 40, "")
 		}},
-		{"an unacknowledged change is lost with a majority of the disks", true, func(l *Log) {
+		{"an unacknowledged change is lost with a majority of the disks", true, func(l *History) {
 			l.Write(0, change(0, "a")).Acknowledge(10*ms, 1)
 			l.Write(11*ms, change(1, "b"))
 			l.Read(20*ms).Return(21*ms, 2, "b")
@@ -88,7 +88,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var l Log
+			var l History
 			c.calls(&l)
 			if err := l.Check(); (err == nil) != c.linearizable {
 				t.Errorf("linearizable: got %v, want %v; error %v", err == nil, c.linearizable, err)
@@ -100,7 +100,7 @@
 // The check terminates for a history of hundreds of revisions with eight concurrent changes each, most of which remain
 // open because their replies were lost, and with changes sent again.
 func TestCheckOfManyOpenCallsTerminates(t *testing.T) {
-	var l Log
+	var l History
 	const changes = 400
 	for i := range uint64(changes) {
 		at := time.Duration(i) * 100 * ms
@@ -120,7 +120,7 @@
 // they are not rejected in the order in which they were sent. It still detects a rejected change that was accepted.
 func TestCheckOfManyRejectionsTerminates(t *testing.T) {
 	for _, wrong := range []bool{false, true} {
-		var l Log
+		var l History
 		l.Write(0, change(0, "first")).Acknowledge(ms, 1)
 		l.Write(10*ms, change(1, "won")).Acknowledge(900*ms, 2)
 		for i := range 40 {
--- a/internal/verification/linearizability/reduce.go
+++ b/internal/verification/linearizability/reduce.go
@@ -36,7 +36,7 @@
 // valid for the other read is valid for both. A rejection is omitted if another change on the same base was rejected at
 // the same revision during it and no call shows that the change itself was ever accepted. Otherwise, if forty changes
 // wait for a leader that rejects them all at once, the check would have to try an order for each subset of them.
-func (l *Log) relevantOperations() (calls []*Operation) {
+func (l *History) relevantOperations() (calls []*Operation) {
 	rejected, accepted := l.decidedChanges()
 	opened, reads, rejections := map[callIdentity]bool{}, l.readsByResult(), l.rejectionsByRevision()
 	for _, o := range l.operations {
@@ -65,7 +65,7 @@
 }
 
 // decidedChanges returns the changes that were rejected, and the keys of the accepted changes by their base.
-func (l *Log) decidedChanges() (rejected map[changeIdentity]bool, accepted map[uint64]string) {
+func (l *History) decidedChanges() (rejected map[changeIdentity]bool, accepted map[uint64]string) {
 	rejected, accepted = map[changeIdentity]bool{}, map[uint64]string{}
 	for _, o := range l.operations {
 		switch {
@@ -92,7 +92,7 @@
 // readsByResult groups the reads that returned by their result.
 type readsByResult map[readResult][]*Operation
 
-func (l *Log) readsByResult() readsByResult {
+func (l *History) readsByResult() readsByResult {
 	reads := readsByResult{}
 	for _, o := range l.operations {
 		if o.outcome == returned {
@@ -115,7 +115,7 @@
 // accepted, with their token or another one.
 type rejectionsByRevision map[rejection][]*Operation
 
-func (l *Log) rejectionsByRevision() rejectionsByRevision {
+func (l *History) rejectionsByRevision() rejectionsByRevision {
 	accepted, acceptedTokens := map[changeIdentity]bool{}, map[string]bool{}
 	for _, o := range l.operations {
 		if o.outcome == acknowledged {
--- a/internal/verification/simulator/attempt.go
+++ b/internal/verification/simulator/attempt.go
@@ -35,7 +35,7 @@
 	}
 	a := &attempt{world: w, process: process, request: request, command: command}
 	w.checkChoice(a)
-	maxIdle := tuning.ConnIdle
+	maxIdle := tuning.ConnIdleTimeout
 	if request.nonIdempotent && w.Plan.ConnectionLimit > 0 {
 		maxIdle = tuning.NonIdempotentIdleMax
 	}
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -60,7 +60,7 @@
 		return
 	}
 	if w.disabledGuard == guardIdleConnections { // a fixed share of the limit for each proxy; further connections are closed
-		process.idle[id] = slices.DeleteFunc(process.idle[id], func(o *connection) bool { return w.now-o.idleSince >= tuning.ConnIdle })
+		process.idle[id] = slices.DeleteFunc(process.idle[id], func(o *connection) bool { return w.now-o.idleSince >= tuning.ConnIdleTimeout })
 		if len(process.idle[id]) < max(1, w.Plan.ConnectionLimit/idleLimitShares) {
 			process.idle[id] = append(process.idle[id], returned)
 		}
@@ -82,7 +82,7 @@
 			continue
 		}
 		for _, c := range p.idle[id] {
-			if c.target == t && w.now-c.idleSince < tuning.ConnIdle {
+			if c.target == t && w.now-c.idleSince < tuning.ConnIdleTimeout {
 				count++
 			}
 		}
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -30,7 +30,7 @@
 		old := w.followerMembers(w.Leader())[seed%2]
 		w.ReplaceControlDaemon(old, false, 0, func(time.Duration) {})
 		w.Run(w.now + time.Millisecond)
-		w.requireWithin(t, testCatchUp, "the successor becomes a member", func() bool { return w.isListed(w.process("r1")) })
+		w.requireWithin(t, testCatchUp, "the successor becomes a member", func() bool { return w.isMember(w.process("r1")) })
 		w.Kill(w.process("r1"))
 		w.Run(w.now + 20*time.Millisecond)
 		w.requireChange(t)
@@ -73,7 +73,7 @@
 			w.ReplaceControlDaemon(old, true, 0, func(time.Duration) {})
 			w.requireWithin(t, controlStopGrace, "the old member exits", func() bool { return !old.alive })
 			w.requireWithin(t, failoverBound, "a member leads", w.hasLeader)
-			if w.isListed(old) || len(w.memberNames()) < n {
+			if w.isMember(old) || len(w.memberNames()) < n {
 				t.Errorf("seed %d: with %d control daemons, %s exited and left members %v\n%s", seed, controlDaemons, old.name, w.memberNames(), w.Trace(20))
 			}
 			requireNoFailure(t, w)
@@ -86,7 +86,7 @@
 func TestLostLeaderIsReplacedInTime(t *testing.T) {
 	t.Parallel()
 	const bound = 6 * time.Second
-	limit := max(bound/tuning.ReplaceParts, tuning.ElectionTimeoutMin+tuning.ElectionTimeoutSpread+tuning.NewLeaderGrace) + 500*time.Millisecond
+	limit := max(bound/tuning.ReplacementDivisor, tuning.ElectionTimeoutMin+tuning.ElectionTimeoutSpread+tuning.NewLeaderGrace) + 500*time.Millisecond
 	for seed := range uint64(9) {
 		controlDaemons := []int{3, 5, 7}[seed%3]
 		p := replacementPlan(controlDaemons, 3)
@@ -97,7 +97,7 @@
 		old := w.Leader()
 		w.ReplaceControlDaemon(old, false, 0, func(time.Duration) {})
 		w.Run(w.now + time.Millisecond)
-		d := w.requireWithin(t, bound, "the successor replaces the leader", func() bool { return w.isListed(w.process("r1")) && !w.isListed(old) })
+		d := w.requireWithin(t, bound, "the successor replaces the leader", func() bool { return w.isMember(w.process("r1")) && !w.isMember(old) })
 		if d > limit {
 			t.Errorf("seed %d: the leader was replaced after %v, want at most %v", seed, d, limit)
 		}
@@ -113,7 +113,7 @@
 	w.Run(w.now + time.Second)
 	w.requireChange(t)
 	w.Run(w.now + 300*time.Millisecond)
-	if s.controller.Revision() != w.Leader().controller.Revision() || w.isListed(s) {
+	if s.controller.Revision() != w.Leader().controller.Revision() || w.isMember(s) {
 		t.Errorf("the standby has revision %d, want the leader's %d; it must not be one of the members %v", s.controller.Revision(), w.Leader().controller.Revision(), w.memberNames())
 	}
 }
@@ -132,7 +132,7 @@
 		w.Run(w.now + 500*time.Millisecond)
 		w.Kill(old)
 		w.removeMachine(old)
-		w.requireWithin(t, tuning.LearnerTimeout+testCatchUp, "the other standby replaces the lost member", func() bool { return w.isListed(healthy) && !w.isListed(old) })
+		w.requireWithin(t, tuning.LearnerTimeout+testCatchUp, "the other standby replaces the lost member", func() bool { return w.isMember(healthy) && !w.isMember(old) })
 		requireNoFailure(t, w)
 	}
 }
@@ -147,7 +147,7 @@
 		w.Run(w.now + 500*time.Millisecond)
 		w.Kill(old)
 		w.Run(w.now + testCatchUp)
-		if !w.isListed(old) {
+		if !w.isMember(old) {
 			t.Errorf("seed %d: %s is no member any more, without a usable standby: members %v", seed, old.name, w.memberNames())
 		}
 		w.Restart(old)
@@ -174,7 +174,7 @@
 		}
 		w.requireWithin(t, controlStopGrace, "both members exit", func() bool { return !first.alive && !second.alive })
 		w.requireWithin(t, failoverBound, "a member leads", w.hasLeader)
-		if w.isListed(first) || w.isListed(second) || len(w.memberNames()) != 7 {
+		if w.isMember(first) || w.isMember(second) || len(w.memberNames()) != 7 {
 			t.Errorf("seed %d: %s and %s exited and left members %v, want 7 others\n%s", seed, first.name, second.name, w.memberNames(), w.Trace(20))
 		}
 		requireNoFailure(t, w)
--- a/internal/verification/simulator/helpers_test.go
+++ b/internal/verification/simulator/helpers_test.go
@@ -98,7 +98,7 @@
 func (w *World) hasLeader() bool { return w.Leader() != nil }
 
 // isListed reports whether the leader counts p as a member.
-func (w *World) isListed(p *Process) bool { return slices.Contains(w.memberNames(), p.name) }
+func (w *World) isMember(p *Process) bool { return slices.Contains(w.memberNames(), p.name) }
 
 // followerMember returns a living member that does not lead, nil if there is none.
 func (w *World) followerMember() *Process {
--- a/internal/verification/simulator/history.go
+++ b/internal/verification/simulator/history.go
@@ -77,7 +77,7 @@
 		Config   json.RawMessage `json:"config"`
 	}
 	if r.Status != http.StatusOK || json.Unmarshal(r.Body, &body) != nil {
-		read.Void(w.now)
+		read.NoEffect(w.now)
 		return
 	}
 	value := ""
@@ -103,7 +103,7 @@
 		write.Reject(w.now, body.Error.Revision)
 	case http.StatusGatewayTimeout: // the operation stays open, since it may take effect at any later time or never
 	default:
-		write.Void(w.now)
+		write.NoEffect(w.now)
 	}
 }
 
--- a/internal/verification/simulator/load_test.go
+++ b/internal/verification/simulator/load_test.go
@@ -175,8 +175,8 @@
 					}
 				}
 			}
-			if share := float64(full) / float64(samples); share > 1.0/tuning.PeerTableParts {
-				t.Errorf("the links of partitioned proxies were full in a share of %.2f of the samples, want at most %.2f", share, 1.0/tuning.PeerTableParts)
+			if share := float64(full) / float64(samples); share > 1.0/tuning.PeerTableRateDivisor {
+				t.Errorf("the links of partitioned proxies were full in a share of %.2f of the samples, want at most %.2f", share, 1.0/tuning.PeerTableRateDivisor)
 			} else {
 				t.Logf("the links were full in a share of %.2f of the samples", share)
 			}
--- a/internal/verification/simulator/membership_test.go
+++ b/internal/verification/simulator/membership_test.go
@@ -89,7 +89,7 @@
 			w.runUntil(tuning.HandoverWait, func() bool { return !p.alive })
 		} else {
 			w.Kill(p)
-			w.Run(w.now + tuning.CatchUpDefault/tuning.ReplaceParts + time.Second)
+			w.Run(w.now + tuning.CatchUpDefault/tuning.ReplacementDivisor + time.Second)
 		}
 		if p.alive || w.Leader() == nil {
 			t.Fatalf("%+v: %s alive %v, leader %v\n%s", c, p.name, p.alive, w.Leader() != nil, w.Trace(20))
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -66,7 +66,7 @@
 
 // checks holds what the rules' checks need to know about the run so far.
 type checks struct {
-	history        linearizability.Log
+	history        linearizability.History
 	acknowledged   uint64                   // highest acknowledged revision
 	acknowledgedAt map[uint64]time.Duration // time of the first acknowledgement of each revision
 	emptiedAt      map[string]time.Duration // time at which the emptying of each emptied domain was acknowledged
@@ -233,7 +233,7 @@
 }
 
 func (w *World) checkRetryBudgetOf(service string, attempts []attemptRecord) {
-	free := max(tuning.RetryFree, w.Plan.Proxies)
+	free := max(tuning.RetrySlack, w.Plan.Proxies)
 	oldest, retries, traffic := 0, 0, 0 // counts for the window that ends with the latest attempt
 	for _, latest := range attempts {
 		traffic++
@@ -247,7 +247,7 @@
 			}
 			oldest++
 		}
-		if retries > traffic/tuning.RetryShare+free+2 {
+		if retries > traffic/tuning.RetryRatioDivisor+free+2 {
 			w.violated(ruleRetryBudget, "service %s: %d retries among %d attempts in 10 s", service, retries, traffic)
 		}
 	}
--- a/internal/verification/simulator/stored_test.go
+++ b/internal/verification/simulator/stored_test.go
@@ -80,7 +80,7 @@
 			}
 			var read consensus.PersistentState
 			read.ApplyBatch(b)
-			if err := controlplane.CheckImage(&read); err != nil {
+			if err := controlplane.CheckPersistentState(&read); err != nil {
 				t.Fatal(err)
 			}
 			if again, err := wire.EncodeBatch(read.Checkpoint()); err != nil || !bytes.Equal(again, want) {
--- a/internal/verification/simulator/total_loss_test.go
+++ b/internal/verification/simulator/total_loss_test.go
@@ -200,7 +200,7 @@
 		w.AwaitRecovery(15 * time.Second)
 		w.Finish()
 		requireNoFailure(t, w)
-		if s := w.Leader().controller.Status(0); s.Epoch != 2 || s.Revision != 2 || len(s.Emptied) != 1 {
+		if s := w.Leader().controller.Status(0); s.Epoch != 2 || s.Revision != 2 || len(s.EmptiedDomains) != 1 {
 			t.Fatalf("seed %d: want epoch 2, revision 2 and one emptied domain: %+v", seed, s)
 		}
 	}
