--- a/internal/controlplane/answer_test.go
+++ b/internal/controlplane/answer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The keys of response bodies must be in alphabetical order. Clients have always received them so.
+// The keys of response bodies must stay in alphabetical order, in which clients have always received them.
 func TestResponseKeysAreSorted(t *testing.T) {
 	for _, answer := range []any{
 		acceptedAnswer{}, configAnswer{}, historyAnswer{}, daemonsAnswer{}, targetsAnswer{}, policiesAnswer{}, domainsAnswer{}, diffAnswer{},
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -70,7 +70,8 @@
 	c.forwardCall(now, call, request, report)
 }
 
-// forwardCall relays a call from this member, which is not the leader, to the leader.
+// forwardCall handles a client's call while this member is not Leading: it relays the call to the leader, or rejects it
+// if no leader is known.
 func (c *Controller) forwardCall(now time.Duration, call *pendingCall, request *wire.Call, report wire.Target) {
 	leader := ""
 	if !c.stopping {
@@ -80,7 +81,7 @@
 		c.forwardHeartbeat(now, call, report, leader)
 		return
 	}
-	// A member that is Gathering becomes the leader shortly, so a target that leaves waits here instead of being relayed.
+	// A member that is Gathering becomes the leader shortly, so a leave notice waits here instead of being relayed.
 	leadsSoon := call.targetReport && c.leadership == Gathering
 	if !leadsSoon && (leader == "" || leader == c.settings.Self.Name || c.directory[leader] == nil) {
 		c.answer(call, noLeaderReply())
--- a/internal/controlplane/apiroutes.go
+++ b/internal/controlplane/apiroutes.go
@@ -89,7 +89,8 @@
 	c.reject(call, 404, config.ErrorBody{Code: "not_found", Message: "no such call: " + request.Method + " " + request.Path})
 }
 
-// The types below are response bodies. Their keys are in alphabetical order; clients have always received them so.
+// The types below are response bodies. Their keys stay in alphabetical order, in which clients have always received
+// them.
 
 // configAnswer holds the configuration and its revision.
 type configAnswer struct {
--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -150,7 +150,7 @@
 	lock := &wire.Batch{BootstrapLock: plan.offer, Founders: plan.members, BootstrapEpoch: plan.epoch}
 	c.persistentState.ApplyBatch(lock)
 	if c.node == nil {
-		c.syncImage()
+		c.syncCheckpoint()
 		c.bootstrapLockSeq = c.batchOffset
 		return
 	}
@@ -229,5 +229,5 @@
 		intent.Founders = append(intent.Founders, placeholderMember(i+1))
 	}
 	c.persistentState.ApplyBatch(intent)
-	c.syncImage()
+	c.syncCheckpoint()
 }
--- a/internal/controlplane/consensus/linkedcluster_test.go
+++ b/internal/controlplane/consensus/linkedcluster_test.go
@@ -13,8 +13,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// linkedCluster simulates members whose links have limited bandwidth and whose syncs take time. A message that would wait
-// longer than tuning.SendQueueTTL for its link is dropped, as a daemon does.
+// linkedCluster simulates members whose links have limited bandwidth and whose syncs take time. A message that would
+// wait longer than tuning.SendQueueTTL for its link is dropped, as a daemon would drop it.
 type linkedCluster struct {
 	now                time.Duration
 	names              []string
--- a/internal/controlplane/consensus/mutation_test.go
+++ b/internal/controlplane/consensus/mutation_test.go
@@ -22,10 +22,10 @@
 	return members[1:]
 }
 
-// mutations disable one safety rule each, by a fault of the model checker or a method in export_test.go. The model checker
-// must then find a violated invariant: by exhaustive search where few transitions lead to a violation, otherwise by random
-// walks. A case whose name ends with "consequence" ignores the invariant that its mutation violates first and checks that a
-// later one is violated too.
+// mutations disable one safety rule each, by a fault that the model checker injects or by a method in export_test.go.
+// The model checker must then find a violated invariant: by exhaustive search where few transitions lead to a
+// violation, otherwise by random walks. A case whose name ends with "consequence" ignores the invariant that its
+// mutation violates first and checks that a later one is violated too.
 var mutations = []struct {
 	name       string
 	scenario   string
--- a/internal/controlplane/consensus/replication_test.go
+++ b/internal/controlplane/consensus/replication_test.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// A follower whose syncs take 60 ms (30 times 2 ms) stays in contact and keeps up. A leader whose disk stalls loses its
-// lease, doesn't count unsynced entries as its own acknowledgement, and is replaced.
+// A follower whose syncs take 60 ms, while those of the other members take no time, stays in contact and keeps up. A
+// leader whose disk stalls loses its lease, doesn't count unsynced entries as its own acknowledgement, and is replaced.
 func TestSlowAndStalledDisks(t *testing.T) {
 	cluster := newLinkedCluster("a", "b", "c")
 	rnd := rand.New(rand.NewPCG(11, 12))
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -42,7 +42,7 @@
 	persistentState consensus.PersistentState // the contents of the disk once all emitted batches are synced
 	node            *consensus.Node           // nil while this daemon takes part in no epoch
 	state           state.State               // replicated state, up to the last applied entry
-	batchOffset     uint64                    // number of the last batch that replaced the image, added to the node's batch numbers
+	batchOffset     uint64                    // number of the last batch that replaced the whole persistent state, added to the node's batch numbers
 	syncedSeq       uint64                    // number of the last batch known to be on disk
 
 	// Discovery of other daemons.
@@ -64,7 +64,7 @@
 	visibleFoundersSince  time.Duration                  // since when visibleFounders has been the same
 	recoveryConsent       discovery.RecoveryConsent      // given by an operator to this daemon
 	proxyRecoveredStates  map[string]proxyRecoveredState // by proxy, its decoded state of an earlier epoch
-	unreadRecoveredStates map[string][]byte              // by proxy, the same as received and not decoded yet
+	unreadRecoveredStates map[string][]byte              // by proxy, the encoded form of a newer one that is not decoded yet
 
 	// The initial state of an epoch, while this member is Recovering.
 
@@ -169,18 +169,18 @@
 	waiters        []*inForceWaiter        // callers and state changes that wait until a table is in force
 }
 
-// New returns the state machine of a control daemon that starts from the given disk image. The caller must have set
-// image.Disk, also for a new disk.
-func New(now time.Duration, settings Settings, image consensus.PersistentState) *Controller {
+// New returns the state machine of a control daemon that starts from the state on its disk. The caller must have set
+// persistentState.Disk, also for a new disk.
+func New(now time.Duration, settings Settings, persistentState consensus.PersistentState) *Controller {
 	c := &Controller{
 		settings:              settings,
 		startedAt:             now,
-		persistentState:       image,
+		persistentState:       persistentState,
 		state:                 state.New(),
 		directory:             discovery.Directory{},
 		sentDirectories:       map[string]sentDirectory{},
 		peerContacts:          map[string]contact{},
-		bootstrapSize:         bootstrapSize(settings, image),
+		bootstrapSize:         bootstrapSize(settings, persistentState),
 		proxyRecoveredStates:  map[string]proxyRecoveredState{},
 		unreadRecoveredStates: map[string][]byte{},
 		requestedMembers:      map[string]bool{},
@@ -191,8 +191,8 @@
 		relayedCalls:          map[uint64]*pendingCall{},
 		lastRelayID:           settings.Self.Incarnation << relayIDBits,
 	}
-	c.settings.Self.Disk = image.Disk
-	if image.Epoch != 0 {
+	c.settings.Self.Disk = persistentState.Disk
+	if persistentState.Epoch != 0 {
 		c.startNode(now)
 	}
 	return c
@@ -203,19 +203,19 @@
 const relayIDBits = 20
 
 // bootstrapSize returns the number of members that bootstrap the first control plane, 0 if this process may not.
-func bootstrapSize(settings Settings, image consensus.PersistentState) int {
+func bootstrapSize(settings Settings, persistentState consensus.PersistentState) int {
 	switch {
 	case settings.BootstrapSize > 0:
 		return settings.BootstrapSize
 	case settings.Bootstrap && slices.Contains(settings.Seeds, settings.Self.Addr):
 		return len(slices.Compact(slices.Sorted(slices.Values(settings.Seeds))))
-	case image.BootstrapLock != 0: // restarted during its bootstrap
-		return len(image.Founders)
+	case persistentState.BootstrapLock != 0: // restarted during its bootstrap
+		return len(persistentState.Founders)
 	}
 	return 0
 }
 
-// startNode starts the consensus node in the epoch of the disk image and restores the state of its snapshot.
+// startNode starts the consensus node in the epoch of the persistent state and restores the snapshot.
 func (c *Controller) startNode(now time.Duration) {
 	c.node = consensus.New(now, c.settings.Self.Name, c.persistentState)
 	c.undecodable = nil
@@ -234,7 +234,7 @@
 // Step applies one event at the time now, which must not decrease between calls, and returns the commands to carry out in
 // order. A call is answered by a statemachine.Reply among the commands of this step or of a later one.
 func (c *Controller) Step(now time.Duration, event statemachine.Event) []statemachine.Command {
-	// The lease may have expired since the last step. Then no event may be handled as the leader.
+	// The lease may have expired since the last step. In that case this member must not handle the event as the leader.
 	c.updateLeadership(now)
 	switch e := event.(type) {
 	case statemachine.Receive:
@@ -306,11 +306,11 @@
 	}
 }
 
-// syncImage writes a complete image that replaces everything written before. No node may be running, since the numbers
-// of its batches are relative to the earlier image.
-func (c *Controller) syncImage() {
+// syncCheckpoint writes the whole persistent state, which replaces everything written before. No node may be running,
+// since the numbers of its batches are relative to the last such write.
+func (c *Controller) syncCheckpoint() {
 	if c.node != nil {
-		panic("syncImage called while a consensus node is running")
+		panic("syncCheckpoint called while a consensus node is running")
 	}
 	c.batchOffset++
 	batch := c.persistentState.Checkpoint()
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -78,9 +78,9 @@
 	return c.directory.Leader(now)
 }
 
-// relayTo returns the leader to which a waiting call may be relayed again, "" if there is none. A voting member relays
-// again only to a leader that it has contact with.
-func (c *Controller) relayTo(now time.Duration) string {
+// relayDestination returns the leader to which a waiting call may be relayed again, "" if there is none. A voting
+// member relays again only to a leader that it has contact with.
+func (c *Controller) relayDestination(now time.Duration) string {
 	if !c.isNonVoter() {
 		return c.activeLeader(now)
 	}
--- a/internal/controlplane/epoch.go
+++ b/internal/controlplane/epoch.go
@@ -26,7 +26,7 @@
 // beginEpoch starts the epoch that this member has locked as one of its founders.
 func (c *Controller) beginEpoch(now time.Duration) {
 	locked := &c.persistentState
-	image := consensus.PersistentState{
+	persistentState := consensus.PersistentState{
 		Epoch:          locked.BootstrapEpoch,
 		Disk:           locked.Disk,
 		BootstrapLock:  locked.BootstrapLock,
@@ -34,25 +34,25 @@
 		BootstrapEpoch: locked.BootstrapEpoch,
 		// The member list is stored as a snapshot at entry 1, so that a member that is not a founder gets it from the leader.
 		Snapshot:       wire.Snapshot{Index: 1, Members: locked.Founders},
-		RecoveredState: c.recoveredStateOfDisk(),
+		RecoveredState: c.recoveredStateFromDisk(),
 	}
 	c.recoveryConsent = discovery.RecoveryConsent{}
-	c.startEpoch(now, image)
+	c.startEpoch(now, persistentState)
 	present := 0
-	for _, founder := range image.Founders {
+	for _, founder := range persistentState.Founders {
 		if founder.Disk != 0 {
 			present++
 		}
 	}
-	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: "", To: fmt.Sprint(image.Epoch),
-		Reason: fmt.Sprintf("%d of %d members agreed to bootstrap", present, len(image.Founders))})
+	c.emit(statemachine.StateChange{Subject: statemachine.SubjectEpoch, From: "", To: fmt.Sprint(persistentState.Epoch),
+		Reason: fmt.Sprintf("%d of %d members agreed to bootstrap", present, len(persistentState.Founders))})
 }
 
-// recoveredStateOfDisk returns the state that this member carries from its epoch into the next one, as an encoded
+// recoveredStateFromDisk returns the state that this member carries from its epoch into the next one, as an encoded
 // state.RecoveredState. It is the state built from the snapshot and log on its disk or, if this member was not a voting
-// member of an epoch with a committed state, the one that it carried over from an earlier epoch. Of a damaged disk it is
-// the state before the damage; its epoch, term and index show how old it is.
-func (c *Controller) recoveredStateOfDisk() []byte {
+// member of an epoch with a committed state, the one that it carried over from an earlier epoch. Of a damaged disk it
+// is the state before the damage; its epoch, term and index show how old it is.
+func (c *Controller) recoveredStateFromDisk() []byte {
 	stored, term, err := stateFromDisk(&c.persistentState)
 	if err != nil {
 		c.ReportDamage("state on this disk", err)
@@ -71,11 +71,11 @@
 	c.startEpoch(now, consensus.PersistentState{Epoch: epoch, Disk: c.persistentState.Disk})
 }
 
-// startEpoch replaces the disk image and the consensus node by those of another epoch.
-func (c *Controller) startEpoch(now time.Duration, image consensus.PersistentState) {
+// startEpoch replaces the persistent state and the consensus node by those of another epoch.
+func (c *Controller) startEpoch(now time.Duration, persistentState consensus.PersistentState) {
 	c.node, c.currentOffer = nil, 0
-	c.persistentState = image
+	c.persistentState = persistentState
 	c.batchOffset += batchesPerNode
-	c.syncImage()
+	c.syncCheckpoint()
 	c.startNode(now)
 }
--- a/internal/controlplane/failuretolerance.go
+++ b/internal/controlplane/failuretolerance.go
@@ -20,7 +20,7 @@
 	Machines int `json:"machines"`
 	// Tolerable reports whether Machines is at least 1.
 	Tolerable bool `json:"bearable"`
-	// DomainsAtRisk lists the failure domains whose failure as a whole would now cost the majority.
+	// DomainsAtRisk lists the failure domains whose complete failure would now leave no majority.
 	DomainsAtRisk []string `json:"domains_at_risk,omitempty"`
 	// Blockers lists the reasons why the next failure is not tolerated. It is empty if Tolerable is true.
 	Blockers []Blocker `json:"obstacles,omitempty"`
--- a/internal/controlplane/gather.go
+++ b/internal/controlplane/gather.go
@@ -10,8 +10,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// mergeTable merges a proxy's table. Drains, warm-ups and ejections are merged from every table, but targets only from a
-// table later than all merged so far, while Gathering. Ejections, too, are merged only while Gathering.
+// mergeTable merges a proxy's table. Drains and warm-ups are merged from every table. Ejections are merged only while
+// Gathering, and targets only while Gathering from a table that is later than all merged so far.
 func (c *Controller) mergeTable(now time.Duration, table *wire.Table) {
 	if c.leadership == Gathering && c.latestMergedKey.Less(table.Key) {
 		c.latestMergedKey = table.Key
--- a/internal/controlplane/healthcheck.go
+++ b/internal/controlplane/healthcheck.go
@@ -144,8 +144,8 @@
 	c.rebuildTableAfterTargetChange(now, t)
 }
 
-// admitClaimant admits the claimant that a probe was sent to, if it answered and displaces the conflicting targets. It
-// returns nil if it doesn't.
+// admitClaimant admits the claimant that a probe was sent to, if it answered and displaces the conflicting targets.
+// Otherwise it returns nil.
 func (c *Controller) admitClaimant(now time.Duration, result statemachine.ProbeResult, answered bool) *target {
 	claimant := c.claims[result.ID]
 	if claimant == nil {
--- a/internal/controlplane/healthcheck_test.go
+++ b/internal/controlplane/healthcheck_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// When a configuration first names the services of many targets, the probes of all of them are due at once. At most half
-// as many again as usual may begin in a tick, and all targets must be probed within one interval.
+// When a configuration first names the services of many targets, the probes of all of them are due at once. At most 1.5
+// times the usual number may begin in a tick, and all targets must be probed within one interval.
 func TestProbesArePaced(t *testing.T) {
 	fleet := newIdleFleet(largeProxies, largeTargets)
 	fleet.configureServices(t)
@@ -62,7 +62,7 @@
 		mostPerTick = max(mostPerTick, fleet.controller.counts.Probes-probesBeforeTick)
 	}
 	if usual := uint64(largeTargets * tuning.TickEvery / tuning.ProbeEvery); mostPerTick > usual+usual/2 {
-		t.Errorf("%d probes began in one tick, want at most half as many again as the usual %d", mostPerTick, usual)
+		t.Errorf("%d probes began in one tick, want at most 1.5 times the usual %d", mostPerTick, usual)
 	}
 	if probes := fleet.controller.counts.Probes - probesBefore; probes < largeTargets {
 		t.Errorf("%d probes of %d targets began within %v, want all", probes, largeTargets, tuning.ProbeEvery)
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -1,4 +1,4 @@
-// This file handles the heartbeats of targets. A heartbeat also announces that a target is leaving or signs off.
+// This file handles the heartbeats of targets. A heartbeat can also announce that a target is leaving, or sign it off.
 
 package controlplane
 
--- a/internal/controlplane/idlefleet_test.go
+++ b/internal/controlplane/idlefleet_test.go
@@ -161,7 +161,7 @@
 	missing := row
 	row.Heartbeating, missing.Heartbeating = true, false
 	if routingFieldsOf(&row) == routingFieldsOf(&missing) {
-		t.Fatal("the routing facts of an ejected target are the same with and without heartbeats, want them to differ")
+		t.Fatal("the routing fields of an ejected target are the same with and without heartbeats, want them to differ")
 	}
 }
 
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -26,7 +26,7 @@
 	call          *pendingCall // to be answered with reply; nil if no caller waits
 	reply         statemachine.Reply
 	pendingTarget wire.TargetID // may get requests from then on
-	proxyChange   bool          // the previous proxy membership no longer counts from then on
+	proxyChange   bool          // the previous proxy membership is retired then
 
 	// Further conditions.
 
@@ -39,8 +39,8 @@
 // isInForce reports whether a waiter's table is in force and its further conditions are met. A table is in force once
 // both of these hold:
 //
-//   - A majority of the proxies has confirmed it, in the current membership and in the previous one while that counts.
-//     Any two majorities have a proxy in common, and that proxy reports the later table to a new leader.
+//   - A majority of the proxies has confirmed it, in the current membership and, until that is retired, in the previous
+//     one. Any two majorities have a proxy in common, and that proxy reports the later table to a new leader.
 //   - The lease of each proxy that has not confirmed it has expired, whether it was granted by the leader or by a peer
 //     that had not confirmed the table either.
 func (c *Controller) isInForce(now time.Duration, waiter *inForceWaiter) bool {
@@ -82,15 +82,15 @@
 	return c.node.CanChangeMembers() && w.joining == isMember
 }
 
-// hasConfirmed reports whether a proxy has confirmed this table, or a later one, of the current term.
+// hasConfirmed reports whether a proxy has confirmed the table of this version, or a later one, of the current term.
 func (c *Controller) hasConfirmed(name string, version uint64) bool {
 	proxy := c.proxies[name]
 	return proxy != nil && proxy.tableKey.Epoch == c.node.Epoch() && proxy.tableKey.Term == c.node.Term() && proxy.tableKey.Version >= version
 }
 
-// majorityConfirmed reports whether a table is confirmed by a majority of the proxies, and by a majority of the previous
-// membership while that counts. It is true without proxies. It allocates no lists, since it runs after every event for
-// every waiter.
+// majorityConfirmed reports whether a table is confirmed by a majority of the proxies and, until the previous
+// membership is retired, by a majority of that too. It returns true if there are no proxies. It allocates no lists,
+// since it runs after every event for every waiter.
 func (c *Controller) majorityConfirmed(version uint64) bool {
 	confirmed := 0
 	for i := range c.state.Proxies {
@@ -193,8 +193,9 @@
 	return !w.proxyChange
 }
 
-// retainWaiters keeps the waiters when leadership is lost but may be resumed, which usually happens soon, so that callers
-// still get a definite answer. Confirmations by proxies are counted anew, since a new term may begin.
+// retainWaiters keeps the waiters when leadership is lost but may be resumed, which usually happens soon, so that
+// callers still get a definite answer. The time of the majority is reset, since a new term may begin, in which earlier
+// confirmations don't count.
 func (c *Controller) retainWaiters(now time.Duration) {
 	if c.stopping || !c.mayResumeLeadership(now) {
 		c.abandonWaiters()
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// canBeLeader reports whether this member has the lease and neither stops nor abstains.
+// canBeLeader reports whether this member has the lease, is not stopping, and does not have to abstain (see abstains).
 func (c *Controller) canBeLeader(now time.Duration) bool {
 	return c.node != nil && !c.stopping && !c.abstains() && c.node.HasLease(now)
 }
@@ -102,7 +102,7 @@
 // received from proxies so far. More may arrive until tuning.RecoveryWait is over.
 func (c *Controller) beginRecovering(now time.Duration) {
 	c.recoveredState, c.unreadableRecoveredState = state.RecoveredState{}, false
-	c.addRecoveredFromImage()
+	c.addRecoveredFromDisk()
 	c.decodeProxyStates()
 	for _, name := range slices.Sorted(maps.Keys(c.proxyRecoveredStates)) {
 		c.addRecovered(c.proxyRecoveredStates[name].RecoveredState)
@@ -111,8 +111,8 @@
 	c.initialStateProposed = false
 }
 
-// addRecoveredFromImage adds the recovered state of an earlier epoch on this member's disk, if there is one.
-func (c *Controller) addRecoveredFromImage() {
+// addRecoveredFromDisk adds the recovered state of an earlier epoch on this member's disk, if there is one.
+func (c *Controller) addRecoveredFromDisk() {
 	if len(c.persistentState.RecoveredState) == 0 {
 		return
 	}
@@ -150,7 +150,7 @@
 	}
 	c.beginTerm()
 	// An earlier leader may have granted a lease to any proxy until just now, and a table is in force only after such
-	// leases have expired. So every proxy, known in memory or only from the log, counts as granted a lease now.
+	// leases have expired. So every proxy, known in memory or only from the log, is treated as if it got a lease now.
 	for _, proxy := range c.proxies {
 		proxy.leaseGrantedAt, proxy.tableMerged = now, false
 		if !resumed {
--- a/internal/controlplane/memberview.go
+++ b/internal/controlplane/memberview.go
@@ -1,4 +1,4 @@
-// This file builds the operators' view of the control plane itself: the leader and the voters that its lease rests on,
+// This file builds the operators' view of the control plane itself: the leader and the voters that support its lease,
 // unresponsive members, and the progress of learners. failuretolerance.go adds whether the next failure is tolerated.
 
 package controlplane
@@ -56,7 +56,7 @@
 	// Voters is the number of members, Majority how many of them have to have an entry to commit it.
 	Voters   int `json:"voters"`
 	Majority int `json:"majority"`
-	// LeaseVoters are the voters whose recent responses the leader's lease rests on.
+	// LeaseVoters are the voters whose recent responses support the leader's lease.
 	LeaseVoters      []string             `json:"lease,omitempty"`
 	Members          []MemberView         `json:"members,omitempty"`
 	FailureTolerance FailureToleranceView `json:"next_loss"`
@@ -159,8 +159,8 @@
 	return view
 }
 
-// noContactFor returns the time since a daemon last acknowledged entries or sent a hello. It counts at most from the
-// start of this process, and acknowledgements only from this leadership.
+// noContactFor returns the time since a daemon last acknowledged entries or sent a hello. The time goes back no further
+// than the start of this process, and only acknowledgements to this leadership count.
 func (c *Controller) noContactFor(now time.Duration, progress consensus.ReplicaProgress) time.Duration {
 	return now - max(c.peerContacts[progress.Member.Name].lastAt, progress.AckedAt, c.startedAt)
 }
--- a/internal/controlplane/outlierdetection.go
+++ b/internal/controlplane/outlierdetection.go
@@ -45,8 +45,8 @@
 	c.evaluateEvent(requests)
 }
 
-// addTargetStats adds the statistics that a proxy reports on its targets. A success among them confirms that the target
-// is alive.
+// addTargetStats adds the statistics that a proxy reports on its targets. A success or an answered indirect probe among
+// them confirms that the target is alive.
 func (c *Controller) addTargetStats(now time.Duration, reported []wire.TargetStats) {
 	for i := range reported {
 		stats := &reported[i]
--- a/internal/controlplane/pendingcall.go
+++ b/internal/controlplane/pendingcall.go
@@ -50,7 +50,7 @@
 func (c *Controller) tickRelayedCalls(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.relayedCalls)) {
 		call := c.relayedCalls[id]
-		leader := c.relayTo(now)
+		leader := c.relayDestination(now)
 		switch {
 		case call.relayExpired(now):
 			delete(c.relayedCalls, id)
--- a/internal/controlplane/proxylease.go
+++ b/internal/controlplane/proxylease.go
@@ -187,7 +187,7 @@
 	proxy.bytesInFlight += size
 }
 
-// pushMessage returns the message that carries a push to the current incarnation of a proxy. Its timestamp is by that
+// pushMessage returns the message that carries a push to the current incarnation of a proxy. Its timestamp is from that
 // incarnation's clock.
 func (c *Controller) pushMessage(proxy *proxyState, push *wire.Push) *wire.Message {
 	return &wire.Message{Kind: wire.KindPush, Epoch: c.node.Epoch(), Term: c.node.Term(), Timestamp: proxy.pullTimestamp, Disk: proxy.incarnation, Push: push}
--- a/internal/controlplane/recoveredstate.go
+++ b/internal/controlplane/recoveredstate.go
@@ -91,8 +91,8 @@
 	c.recoveredState = recovered
 }
 
-// canRecover reports whether the epoch may begin with what has been collected. If the only states found can't be decoded,
-// it may begin empty only with an operator's consent, since an acknowledged configuration may be lost by that.
+// canRecover reports whether the epoch may begin with what has been collected. If the only states found can't be
+// decoded, it may begin empty only with an operator's consent, since an acknowledged configuration may then be lost.
 func (c *Controller) canRecover() bool {
 	return len(c.recoveredState.State) > 0 || !c.unreadableRecoveredState || c.emptyStateAllowed
 }
--- a/internal/controlplane/recoveredstate_test.go
+++ b/internal/controlplane/recoveredstate_test.go
@@ -108,7 +108,7 @@
 	return state.RecoveredState{Epoch: 1, Term: 3, Index: index, State: mustEncode(t, stored)}
 }
 
-// unreadableStates are valid JSON, but not valid states or with a configuration that can't be activated.
+// unreadableStates are valid JSON, but either no valid states, or states with a configuration that can't be activated.
 var unreadableStates = []struct{ name, text string }{
 	{"field of a wrong type", `{"seq":"ninety"}`},
 	{"not an object", `[1,2]`},
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -17,8 +17,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// recoveryAnswer is the body of the answer to an operator's consent, with the numbers that it was accepted on. The fields
-// are in the alphabetical order of their keys, in which clients have always received them.
+// recoveryAnswer is the body of the answer to an operator's consent, with the numbers on which the decision was based.
+// The keys stay in alphabetical order, in which clients have always received them.
 type recoveryAnswer struct {
 	LostDisks   int  `json:"lost"`       // members whose disks are lost
 	Unreachable int  `json:"not_seen"`   // members that are not visible and not declared lost
@@ -51,7 +51,7 @@
 // handleRecoveryConsent handles an operator's consent that the visible members begin a new epoch without waiting for the
 // others. The comma-separated list lost names the members whose machines are lost for good. The consent is rejected
 // while a majority of the last membership may still be running. In an epoch that can't begin because no state found can
-// be decoded, it allows the epoch to begin with an empty state.
+// be decoded, the consent allows the epoch to begin with an empty state.
 func (c *Controller) handleRecoveryConsent(now time.Duration, lost string) statemachine.Reply {
 	if c.leadership == Recovering && !c.canRecover() {
 		c.emptyStateAllowed = true
--- a/internal/controlplane/replacement.go
+++ b/internal/controlplane/replacement.go
@@ -16,7 +16,7 @@
 type learnerProgress struct {
 	since      time.Duration // when it became a learner
 	matchIndex uint64        // index of the last entry that it was known to have at the latest review
-	advancedAt time.Duration // when matchIndex last changed, or it had caught up
+	advancedAt time.Duration // when matchIndex last changed, or the learner was last seen caught up
 }
 
 // membershipReview classifies the members and the other visible control daemons at one time, as the leader sees them.
@@ -26,7 +26,7 @@
 	unreachable []wire.Member // without contact for too long, or placeholders without a machine
 	stopping    []wire.Member // in contact, and have announced that they are stopping
 	standbys    []wire.Daemon // visible daemons that can become members
-	stalled     []wire.Daemon // the same, but they are learners without progress
+	stalled     []wire.Daemon // like standbys, but learners that make no progress
 	removed     []wire.Daemon // former members that have to learn of their removal
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// trackStandbys records since when each standby has been available, and forgets those that no longer are.
+// trackStandbys records since when each standby has been available, and drops those that are no longer available.
 func (c *Controller) trackStandbys(now time.Duration, standbys []wire.Daemon) {
 	since := map[string]time.Duration{}
 	for _, standby := range standbys {
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -59,8 +59,9 @@
 	return lost.term != 0 && lost.epoch == c.node.Epoch() && now-lost.lostAt < tuning.LeadershipResumeWindow && c.node.NoOtherLeaderSince(lost.term)
 }
 
-// canResumeAtOnce reports whether this member can lead again without gathering tables: no other member led and no proxy's
-// lease ran out in between, so no proxy has made decisions of its own that this member would have to learn.
+// canResumeAtOnce reports whether this member can lead again without gathering tables: no other member led in between,
+// and it leads again either in the same term or within tuning.ResumeAtOnce. That time is shorter than the lease that a
+// proxy got with its last pull, so no such proxy has made decisions of its own that this member would have to learn.
 func (c *Controller) canResumeAtOnce(now time.Duration) bool {
 	if !c.canResumeLeadership(now) || c.table == nil {
 		return false
--- a/internal/controlplane/storedstate.go
+++ b/internal/controlplane/storedstate.go
@@ -10,30 +10,31 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// CheckPersistentState checks whether a member's disk image can be used completely. The error, marked state.ErrDamaged, names the
-// first part that can't be. In that case the member must not use the image, but start as one that lost its disk.
-func CheckPersistentState(image *consensus.PersistentState) error {
-	if err := image.Validate(); err != nil {
+// CheckPersistentState checks whether all of the state on a member's disk can be used. The error, marked state.ErrDamaged, names
+// the first part that can't be. In that case the member must not use any of it, but start as a member that lost its
+// disk.
+func CheckPersistentState(persistentState *consensus.PersistentState) error {
+	if err := persistentState.Validate(); err != nil {
 		return errors.Mark(err, state.ErrDamaged)
 	}
-	_, _, err := stateFromDisk(image)
+	_, _, err := stateFromDisk(persistentState)
 	return err
 }
 
-// stateFromDisk returns the state after all entries in a disk image, and the term of the last one. Without a majority it
-// is unknown which entries were committed. Any of them may have been acknowledged, so all of them are applied. With an
+// stateFromDisk returns the state after all entries on a disk, and the term of the last one. Without a majority it is
+// unknown which entries were committed. Any of them may have been acknowledged, so all of them are applied. With an
 // error it returns the state before the damaged part.
-func stateFromDisk(image *consensus.PersistentState) (stored state.State, term uint64, err error) {
-	stored, err = state.Decode(image.Snapshot.Data)
+func stateFromDisk(persistentState *consensus.PersistentState) (stored state.State, term uint64, err error) {
+	stored, err = state.Decode(persistentState.Snapshot.Data)
 	if err != nil {
-		return stored, 0, errors.Wrapf(err, "snapshot %d", image.Snapshot.Index)
+		return stored, 0, errors.Wrapf(err, "snapshot %d", persistentState.Snapshot.Index)
 	}
-	term = image.Snapshot.Term
-	for i := range image.Log {
-		if err := applyStored(&stored, &image.Log[i]); err != nil {
-			return stored, term, errors.Wrapf(err, "entry %d", image.Log[i].Index)
+	term = persistentState.Snapshot.Term
+	for i := range persistentState.Log {
+		if err := applyStored(&stored, &persistentState.Log[i]); err != nil {
+			return stored, term, errors.Wrapf(err, "entry %d", persistentState.Log[i].Index)
 		}
-		term = image.Log[i].Term
+		term = persistentState.Log[i].Term
 	}
 	return stored, term, nil
 }
--- a/internal/controlplane/storedstate_test.go
+++ b/internal/controlplane/storedstate_test.go
@@ -18,12 +18,13 @@
 	return wire.Entry{Index: index, Term: 1, Kind: kind, Data: data}
 }
 
-// imageOf returns a disk image with a snapshot at entry 1 and a log.
-func imageOf(snapshot []byte, log ...wire.Entry) *consensus.PersistentState {
+// diskWith returns the contents of a disk with a snapshot at entry 1 and a log.
+func diskWith(snapshot []byte, log ...wire.Entry) *consensus.PersistentState {
 	return &consensus.PersistentState{Epoch: 1, Disk: 7, Snapshot: wire.Snapshot{Index: 1, Data: snapshot}, Log: log}
 }
 
-// CheckPersistentState accepts a disk image only if all of it can be used: a member must not start from a part of what it stored.
+// CheckPersistentState accepts the contents of a disk only if all of it can be used: a member must not start from only a part of
+// what it stored.
 func TestCheckImage(t *testing.T) {
 	initial := state.New()
 	initial.Recovered = true
@@ -32,25 +33,25 @@
 	long := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: strings.Repeat("d", 2*tuning.CompressFrom)})
 	undecodableEpoch := state.EncodeCommand(state.Command{Operation: state.OpRecover, State: json.RawMessage(`7`)})
 	for _, c := range []struct {
-		name      string
-		image     *consensus.PersistentState
-		isDamaged bool
+		name            string
+		persistentState *consensus.PersistentState
+		isDamaged       bool
 	}{
 		{"empty", &consensus.PersistentState{Disk: 7}, false},
-		{"bootstrapped", imageOf(nil), false},
-		{"complete", imageOf(snapshot, logEntry(2, consensus.EntryNoop, nil), logEntry(3, consensus.EntryMembers, []byte("[]")),
+		{"bootstrapped", diskWith(nil), false},
+		{"complete", diskWith(snapshot, logEntry(2, consensus.EntryNoop, nil), logEntry(3, consensus.EntryMembers, []byte("[]")),
 			logEntry(4, consensus.EntryData, change), logEntry(5, consensus.EntryData, long)), false},
-		{"snapshot", imageOf(snapshot[:len(snapshot)-1]), true},
-		{"entry", imageOf(snapshot, logEntry(2, consensus.EntryData, change[:len(change)-1])), true},
-		{"compressed entry", imageOf(snapshot, logEntry(2, consensus.EntryData, long[:len(long)-1])), true},
-		{"members", imageOf(snapshot, logEntry(2, consensus.EntryMembers, []byte("["))), true},
-		{"gap after the snapshot", imageOf(snapshot, logEntry(3, consensus.EntryData, change)), true},
-		{"gap in the log", imageOf(snapshot, logEntry(2, consensus.EntryNoop, nil), logEntry(4, consensus.EntryNoop, nil)), true},
-		{"first state of the epoch", imageOf(nil, logEntry(2, consensus.EntryData, undecodableEpoch)), true},
-		{"snapshot that is no state", imageOf([]byte(`{"seq":"x"}`)), true},
+		{"snapshot", diskWith(snapshot[:len(snapshot)-1]), true},
+		{"entry", diskWith(snapshot, logEntry(2, consensus.EntryData, change[:len(change)-1])), true},
+		{"compressed entry", diskWith(snapshot, logEntry(2, consensus.EntryData, long[:len(long)-1])), true},
+		{"members", diskWith(snapshot, logEntry(2, consensus.EntryMembers, []byte("["))), true},
+		{"gap after the snapshot", diskWith(snapshot, logEntry(3, consensus.EntryData, change)), true},
+		{"gap in the log", diskWith(snapshot, logEntry(2, consensus.EntryNoop, nil), logEntry(4, consensus.EntryNoop, nil)), true},
+		{"first state of the epoch", diskWith(nil, logEntry(2, consensus.EntryData, undecodableEpoch)), true},
+		{"snapshot that is no state", diskWith([]byte(`{"seq":"x"}`)), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			err := CheckPersistentState(c.image)
+			err := CheckPersistentState(c.persistentState)
 			if c.isDamaged && !errors.Is(err, state.ErrDamaged) || !c.isDamaged && err != nil {
 				t.Errorf("error %v; want damage: %v", err, c.isDamaged)
 			}
@@ -63,8 +64,8 @@
 	initial := state.New()
 	initial.Recovered = true
 	change := state.EncodeCommand(state.Command{Operation: state.OpEmptyDomain, Name: "d1", Token: "x"})
-	image := imageOf(state.Encode(&initial), logEntry(2, consensus.EntryData, change), logEntry(3, consensus.EntryData, []byte("{")))
-	stored, _, err := stateFromDisk(image)
+	persistentState := diskWith(state.Encode(&initial), logEntry(2, consensus.EntryData, change), logEntry(3, consensus.EntryData, []byte("{")))
+	stored, _, err := stateFromDisk(persistentState)
 	if err == nil || stored.Index != 2 || len(stored.EmptiedDomains) != 1 {
 		t.Errorf("state %+v, error %v; want the state after entry 2 and an error", stored, err)
 	}
--- a/internal/controlplane/survey.go
+++ b/internal/controlplane/survey.go
@@ -79,8 +79,9 @@
 	return count
 }
 
-// eligibleFounders returns the visible daemons that may begin the next epoch: those named in the latest membership or, if
-// none is known, those that report that they may begin the first epoch. With a fixed size those are all.
+// eligibleFounders returns the visible daemons that may begin the next epoch: those named in the latest membership or,
+// if none is known, those that report that they may begin the first epoch. With a fixed size, those are all visible
+// daemons.
 func (s *membershipSurvey) eligibleFounders(visible []wire.Daemon) []wire.Daemon {
 	return slices.DeleteFunc(slices.Clone(visible), func(d wire.Daemon) bool {
 		if len(s.last.Members) == 0 {
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -178,7 +178,7 @@
 	published                    bool // false in the zero value, which stands for a target that is in no table yet
 }
 
-// routingFieldsOf returns the routing facts of a row.
+// routingFieldsOf returns the fields of a row that affect proxies' routing.
 func routingFieldsOf(row *wire.Target) routingFields {
 	return routingFields{
 		addr: row.Addr, domain: row.Domain, state: row.State, ejectedBy: row.EjectedBy,
@@ -189,8 +189,9 @@
 	}
 }
 
-// urgentlyChangedTo reports whether requests that are routed correctly by f may be misrouted given the later facts.
-func (f routingFields) urgentlyChangedTo(later routingFields) bool {
+// needsUrgentUpdate reports whether requests that are routed by f may be misrouted now that the target has the later
+// fields.
+func (f routingFields) needsUrgentUpdate(later routingFields) bool {
 	if !f.published {
 		return false
 	}
@@ -246,7 +247,7 @@
 	row := c.tableRow(now, t)
 	facts := routingFieldsOf(&row)
 	switch {
-	case t.publishedRouting.urgentlyChangedTo(facts):
+	case t.publishedRouting.needsUrgentUpdate(facts):
 		return urgent
 	case facts != t.publishedRouting:
 		return deferrable
@@ -259,8 +260,8 @@
 }
 
 // rebuildTableAfterTargetChange rebuilds the table, if one is due, after an event of one target. Unless the outlier policies have made
-// a decision since all targets were last compared, only this target's routing facts can have changed, so the other
-// targets are not compared. Changes that come with the passing of time are found by the next tick.
+// a decision since all targets were last compared, only this target's routing fields can have changed, so the other
+// targets are not compared. The next tick finds changes that are due to the passing of time.
 func (c *Controller) rebuildTableAfterTargetChange(now time.Duration, t *target) {
 	if c.leadership != Leading {
 		return
--- a/internal/controlplane/tabledelta.go
+++ b/internal/controlplane/tabledelta.go
@@ -18,7 +18,7 @@
 	withState, withDocument bool
 }
 
-// removedTarget is a target that the previous table had and a table no longer has.
+// removedTarget is a target that was in one table and is no longer in the next one.
 type removedTarget struct {
 	version uint64 // of the first table without the target
 	id      wire.TargetID
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -44,7 +44,7 @@
 
 	// Requests, as reported by proxies.
 
-	lastSuccessAt    time.Duration    // time of the last report with a success
+	lastSuccessAt    time.Duration    // time of the last report with a success or an answered indirect probe
 	stats            wire.TargetStats // reported since statsEvaluatedAt
 	statsEvaluatedAt time.Duration    // when the outlier policies last got stats
 
@@ -115,7 +115,7 @@
 }
 
 // warmUpAfterRestore starts a warm-up of the service's configured duration for a target of a restored domain, since it
-// may have gone cold while the domain got no requests. The next heartbeat may already have been sent before the
+// may have to warm up again after the time without requests. The next heartbeat may already have been sent before the
 // restoration, so only the one after it may end the warm-up.
 func (c *Controller) warmUpAfterRestore(t *target) {
 	restoredAt, restored := c.domainRestoredAt[t.Domain]
--- a/internal/controlplane/targetapi.go
+++ b/internal/controlplane/targetapi.go
@@ -1,4 +1,4 @@
-// This file handles targets' reports at the leader: heartbeats, leavings and sign-offs.
+// This file handles targets' reports at the leader: heartbeats, leave notices and sign-offs.
 
 package controlplane
 
@@ -12,9 +12,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// reportTarget handles a report and answers it: a heartbeat at once, and a leaving or sign-off once it is committed and a
-// majority of the proxies has confirmed a table that contains it. The leases of the other proxies run out by
-// themselves.
+// reportTarget handles a report and answers it: a heartbeat at once, and a leave notice or sign-off once it is
+// committed and a majority of the proxies has confirmed a table that contains it. The leases of the other proxies run
+// out by themselves.
 func (c *Controller) reportTarget(now time.Duration, call *pendingCall, report wire.Target) {
 	ids := []wire.TargetID{report.ID()}
 	if report.Service == "" {
@@ -41,8 +41,8 @@
 	})
 }
 
-// recordWithdrawal records for each of some targets the first table version in which it is draining or absent, and
-// returns the version from which on all of them are. It records nothing for a target that still gets requests, because
+// recordWithdrawal records for each of the targets the first table version in which it is draining or absent, and
+// returns the first version in which all of them are. It records nothing for a target that still gets requests, because
 // the report came too late to change anything.
 func (c *Controller) recordWithdrawal(ids []wire.TargetID) (version uint64) {
 	for _, id := range ids {
--- a/internal/controlplane/targetregistry.go
+++ b/internal/controlplane/targetregistry.go
@@ -1,8 +1,8 @@
-// This file maintains the registry, the part of the targets that is in the replicated log: which targets exist and at
+// This file maintains the registry, the data on targets that is kept in the replicated log: which targets exist and at
 // which addresses, which are leaving, and which have signed off. It is written in batches, and does not contain
 // ejections, health checks or heartbeats. A leader that finds no proxy with a table, as after the loss of all
 // processes, begins from the registry. Targets loaded from it are unconfirmed until they have answered this leader. A
-// leaving or sign-off is acknowledged to the target only once it is committed to the registry.
+// leave notice or sign-off is acknowledged to the target only once it is committed to the registry.
 
 package controlplane
 
@@ -52,9 +52,9 @@
 	c.recordShareOffset(registration.Service, registration.Name, registration.ShareOffset)
 }
 
-// persistRegistrations proposes a registry write with the changes since the last one, if that was at least the duration
-// every ago. If a target waits for an acknowledgement, tuning.TickEvery is enough. The write waits while more than a
-// quarter of tuning.ProposedBytesMax is uncommitted, since operators' changes take priority.
+// persistRegistrations proposes a registry write with the changes since the last write, if the interval every has
+// passed since then. If a target waits for an acknowledgement, tuning.TickEvery is enough. The write waits while more
+// than a quarter of tuning.ProposedBytesMax is uncommitted, since operators' changes take priority.
 func (c *Controller) persistRegistrations(now, every time.Duration) {
 	sinceLast := now - c.registryPersistedAt
 	due := sinceLast >= every || c.persistSoon && sinceLast >= tuning.TickEvery
@@ -153,8 +153,8 @@
 	}
 }
 
-// departureCommitted reports whether a target's leaving or sign-off is committed to the registry, as far as this member
-// knows of one. A full registry takes no more entries, so it returns true then: a later leader can then learn of the
+// departureCommitted reports whether a target's leave notice or sign-off, if this member knows of one, is committed to
+// the registry. A full registry takes no more entries, so it returns true then: a later leader can then learn of the
 // departure only from the proxies' tables.
 func (c *Controller) departureCommitted(id wire.TargetID) bool {
 	if len(c.state.Tombstones) >= tuning.RegistryMax || len(c.state.Registrations) >= tuning.RegistryMax {
--- a/internal/controlplane/undecodable.go
+++ b/internal/controlplane/undecodable.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// abstains reports whether this member must neither lead nor make decisions in its node's epoch.
+// abstains reports whether this member must neither lead nor make decisions in its node's epoch: it can't decode
+// committed data, or it has locked a later epoch.
 func (c *Controller) abstains() bool { return c.undecodable != nil || c.superseded() }
 
 // resign transfers leadership of the log to another member, which may be able to decode it. If there is none, it ticks
--- a/internal/controlplane/wal/recovery.go
+++ b/internal/controlplane/wal/recovery.go
@@ -12,8 +12,8 @@
 		if header.generation <= newest {
 			return nil
 		}
-		_, sound, err := s.readData(header, offset)
-		if sound {
+		_, valid, err := s.readData(header, offset)
+		if valid {
 			newest = header.generation
 		}
 		return err
@@ -29,18 +29,18 @@
 		return nil, 0, err
 	}
 	next = end
-	lastSound := int64(-1) // highest number of a valid record after end, -1 if there is none
+	lastValid := int64(-1) // highest number of a valid record after end, -1 if there is none
 	err = s.eachHeader(end, buffer, func(offset int64, header recordHeader) error {
 		mirrorsReadRecord := header.isMirror() && header.number < uint32(len(records))
 		if header.generation != generation || mirrorsReadRecord {
 			return nil
 		}
-		data, sound, err := s.readData(header, offset)
-		if err != nil || !sound {
+		data, valid, err := s.readData(header, offset)
+		if err != nil || !valid {
 			return err
 		}
 		if header.isRecord() {
-			lastSound = max(lastSound, int64(header.number))
+			lastValid = max(lastValid, int64(header.number))
 			return nil
 		}
 		// This is the mirror of a write that is itself unreadable. Make the next write go to another segment, even if
@@ -55,9 +55,9 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	if lastSound >= int64(len(records)) {
+	if lastValid >= int64(len(records)) {
 		// Each write is synced before the next one begins, so the damaged records before a valid one were acknowledged.
-		return nil, 0, errors.Wrapf(ErrDamaged, "unsound at byte %d, but record %d of generation %d behind it is sound", end, lastSound, generation)
+		return nil, 0, errors.Wrapf(ErrDamaged, "unsound at byte %d, but record %d of generation %d behind it is sound", end, lastValid, generation)
 	}
 	return records, next, nil
 }
@@ -73,11 +73,11 @@
 		if !ok || !header.isRecord() || header.generation != generation || header.number != uint32(len(records)) {
 			return records, end, nil
 		}
-		data, sound, err := s.readData(header, end)
+		data, valid, err := s.readData(header, end)
 		if err != nil {
 			return nil, 0, err
 		}
-		if !sound {
+		if !valid {
 			return records, end, nil
 		}
 		records = append(records, header.records(data)...)
--- a/internal/controlplane/wal/segment.go
+++ b/internal/controlplane/wal/segment.go
@@ -76,8 +76,8 @@
 	return header, header.isPlausible(offset, s.readable), nil
 }
 
-// readData reads the data that follows the header at offset; sound reports whether its checksum is valid.
-func (s *segment) readData(header recordHeader, offset int64) (data []byte, sound bool, err error) {
+// readData reads the data that follows the header at offset; valid reports whether its checksum is valid.
+func (s *segment) readData(header recordHeader, offset int64) (data []byte, valid bool, err error) {
 	data = make([]byte, header.length)
 	if _, err := s.file.ReadAt(data, offset+headerSize); err != nil {
 		return nil, false, errors.Wrap(err, "read segment")
@@ -85,8 +85,8 @@
 	return data, header.checksum == header.expectedChecksum(data), nil
 }
 
-// eachHeader calls visit for every plausible header from offset from on, skipping any other bytes between headers. It reads
-// the file through buffer.
+// eachHeader calls visit for every plausible header, starting at offset from, and skips any other bytes between
+// headers. It reads the file through buffer.
 func (s *segment) eachHeader(from int64, buffer []byte, visit func(offset int64, header recordHeader) error) error {
 	for at := from; at+headerSize <= s.readable; {
 		b := buffer[:min(int64(len(buffer)), s.readable-at)]
--- a/internal/controlplane/wal/wal_test.go
+++ b/internal/controlplane/wal/wal_test.go
@@ -50,7 +50,7 @@
 	return texts, nil
 }
 
-// The remains of a last write that a crash interrupted are dropped; the records before it are kept.
+// What a crash left of an interrupted last write is dropped; the records before it are kept.
 func TestTornWriteIsDropped(t *testing.T) {
 	for keep := range 30 {
 		dir := t.TempDir()
@@ -76,7 +76,7 @@
 func TestDamagedLastWriteIsReadFromMirror(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		do   func(log *Log) error // does the last write
+		do   func(log *Log) error // makes the last write
 		want string               // the records expected after the damage
 	}{
 		{"one", func(log *Log) error { _, err := log.Append([]byte("three")); return err }, "[checkpoint one two three]"},
--- a/internal/dataplane/attempts_test.go
+++ b/internal/dataplane/attempts_test.go
@@ -46,7 +46,7 @@
 			response = responseTo(1, proxy.step(statemachine.Retry{ID: 1, Sent: sent}))
 		}
 		if reject, ok := response.(statemachine.Reject); mayHaveRun && (!ok || reject.Status == 503 || reject.Status == 429) {
-			t.Fatalf("%+v invites a retry of a request that may have run", response)
+			t.Fatalf("got %+v, which permits a retry of a request that may have run", response)
 		}
 	})
 }
--- a/internal/dataplane/connections_test.go
+++ b/internal/dataplane/connections_test.go
@@ -10,7 +10,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// All proxies together keep idle no more than half of the connections that a target accepts.
+// All proxies together keep at most half of the connections that a target accepts as idle connections.
 func TestIdleConnectionsOfAllProxies(t *testing.T) {
 	for _, c := range []struct{ proxies, cap, slots int }{{8, 96, 6}, {12, 130, 3}, {64, 32, 6}, {69, 53, 3}, {281, 84, 6}, {285, 210, 3}, {3, 2, 1}, {64, 4, 6}} {
 		var names []string
--- a/internal/dataplane/fairness_test.go
+++ b/internal/dataplane/fairness_test.go
@@ -13,9 +13,9 @@
 	every time.Duration
 }
 
-// offerLoad sends classes of requests to a proxy for a time span. Each forwarded request takes the time work at
-// its target. It returns the fraction of forwarded requests of each class, and of all requests under the key
-// "all".
+// offerLoad sends classes of requests to a proxy for a time span. Each forwarded request occupies its target
+// for the duration work. It returns the fraction of forwarded requests of each class, and of all requests under
+// the key "all".
 func offerLoad(proxy *testProxy, work, span time.Duration, classes []requestClass) map[string]float64 {
 	arrived, forwarded := map[string]int{}, map[string]int{}
 	classOf := map[uint64]string{}
--- a/internal/dataplane/health.go
+++ b/internal/dataplane/health.go
@@ -20,11 +20,11 @@
 	reply := targetreport.AnswerAtProxy(call, func(report wire.Target) {
 		p.handleHeartbeat(now, report)
 		if leader := p.leader(now); leader != "" {
-			p.sendHeartbeat(leader, &report)
+			p.forwardHeartbeat(leader, &report)
 		}
 		if p.state != Leased && p.table != nil {
 			for _, proxy := range p.table.Proxies {
-				p.sendHeartbeat(proxy.Name, &report)
+				p.forwardHeartbeat(proxy.Name, &report)
 			}
 		}
 	})
@@ -32,12 +32,13 @@
 	p.emit(reply)
 }
 
-func (p *Proxy) sendHeartbeat(name string, report *wire.Target) {
+func (p *Proxy) forwardHeartbeat(name string, report *wire.Target) {
 	p.send(name, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: report})
 }
 
 // handleHeartbeat records a target's heartbeat. Only a report that the target is leaving takes effect at once:
-// it then gets no more requests. Everything else is decided by the leader, or noted for when there is none.
+// it then gets no more requests. Otherwise only the arrival is recorded and, while this proxy serves on peer
+// leases, a possible successor of a known target; the leader decides on everything else.
 func (p *Proxy) handleHeartbeat(now time.Duration, report wire.Target) {
 	id := report.ID()
 	target := p.targets[id]
@@ -101,8 +102,8 @@
 	}
 }
 
-// handleProbeResult updates the target's health by the result of a probe. A result for an unknown target may be
-// from a successor, see takeOver.
+// handleProbeResult updates the target's health from the result of a probe. A result for an unknown target may
+// be that of a successor, see takeOver.
 func (p *Proxy) handleProbeResult(now time.Duration, result statemachine.ProbeResult) {
 	target := p.targets[result.ID]
 	if target == nil {
--- a/internal/dataplane/health_test.go
+++ b/internal/dataplane/health_test.go
@@ -80,7 +80,7 @@
 	if n, ids := reported(proxy.advance(time.Millisecond)); n != 0 {
 		t.Fatalf("reported again without a change: %v", ids)
 	}
-	proxy.table(1, routeConfig, readyTarget("a", withSlots(2)), readyTarget("b", withSlots(2)))
+	proxy.sendTable(1, routeConfig, readyTarget("a", withSlots(2)), readyTarget("b", withSlots(2)))
 	if n, ids := reported(proxy.advance(time.Millisecond)); n != 1 || len(ids) != 0 {
 		t.Fatalf("reported %d times: %v, want an empty set once", n, ids)
 	}
--- a/internal/dataplane/invalidtable_test.go
+++ b/internal/dataplane/invalidtable_test.go
@@ -22,7 +22,7 @@
 			key, leaseUntil, reports := proxy.machine.Table().Key, proxy.machine.leaseUntil, 0
 			proxy.now += tuning.PullEvery
 			for range 3 {
-				for _, cmd := range proxy.table(1, document, readyTarget("z")) {
+				for _, cmd := range proxy.sendTable(1, document, readyTarget("z")) {
 					if change, ok := cmd.(statemachine.StateChange); ok && change.Subject == "damage" {
 						reports++
 					}
@@ -39,7 +39,7 @@
 				t.Errorf("request not forwarded by the previous table: %v", forwarded)
 			}
 			proxy.version += 2
-			proxy.table(1, ruleConfig, readyTarget("c"))
+			proxy.sendTable(1, ruleConfig, readyTarget("c"))
 			if proxy.machine.Table().Targets[0].Name != "c" || proxy.machine.leaseUntil == leaseUntil {
 				t.Error("a later valid table was not applied")
 			}
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -20,8 +20,9 @@
 // leader returns the member that the control daemons last named as their leader, or "" if none is known.
 func (p *Proxy) leader(now time.Duration) string { return p.directory.Leader(now) }
 
-// suspectsLeader reports whether the leader has not answered for longer than two pulls. From then on the proxy
-// polls its peers and probes the targets, so that the state of both is known when the lease expires.
+// suspectsLeader reports whether no pull sent within the last tuning.LeaderSuspectAfter, slightly more than two
+// pull intervals, has renewed the lease; in a large fleet the time is longer. From then on the proxy polls its
+// peers and probes the targets, so that the state of both is known when the lease expires.
 func (p *Proxy) suspectsLeader(now time.Duration) bool {
 	after := tuning.LeaderSuspectAfter
 	if p.table != nil && len(p.table.Proxies) > tuning.PeerLeaseFanout {
@@ -32,7 +33,7 @@
 }
 
 // leaderUnreachable reports whether this proxy has to go on without the leader. A proxy that has never had the
-// right to serve waits for the leader as long as it still receives anything from it.
+// right to serve waits for the leader as long as the leader's pushes still arrive.
 func (p *Proxy) leaderUnreachable(now time.Duration) bool {
 	return p.suspectsLeader(now) && (p.hasServed || p.lastLeaderPushAt == 0 || now-p.lastLeaderPushAt > tuning.ProxyLive)
 }
@@ -96,7 +97,7 @@
 func processKey(peer *discovery.Peer) string { return fmt.Sprint(peer.Name, " ", peer.Incarnation) }
 
 // recoveredStateDue reports whether the next hello to a control daemon should carry the recovered state. The
-// state is large, so it is sent only to daemons that were heard from recently: once to each process, then at
+// state is large, so it is sent only to daemons that sent a message recently: once to each process, then at
 // most every tuning.RecoveredStateEvery.
 func (p *Proxy) recoveredStateDue(now time.Duration, peer *discovery.Peer, process string) bool {
 	if p.state == Leased || now-peer.LastContact >= 4*tuning.HelloEvery {
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -47,7 +47,8 @@
 	return cost
 }
 
-// recordLoad updates the load and speed of a target, and the window of its service, by the end of an attempt.
+// recordLoad updates the load and speed of a target, and the window of its service, from the result of an
+// attempt.
 func (p *Proxy) recordLoad(now time.Duration, target *targetState, req *request, service *serviceState, event *statemachine.AttemptDone) {
 	if load := event.Load; load != nil {
 		target.otherLoad = max(0, float64(load.Running+load.Waiting-target.inFlight))
@@ -88,8 +89,7 @@
 	t.latencyObservedAt = now
 }
 
-// minWindow returns the smallest window: how many of this proxy's requests the service's targets may always
-// have.
+// minWindow returns the smallest size of the window, below which rejections by targets don't shrink it.
 func (s *serviceState) minWindow() float64 {
 	return tuning.QuotaOvercommit*s.evenQuota + tuning.QuotaExtra
 }
@@ -99,8 +99,8 @@
 	return tuning.QuotaOvercommitMax*s.evenQuota + tuning.QuotaExtra
 }
 
-// growWindow widens the window after a served request, by one for each full window of them. It does nothing
-// while the window is not fully used.
+// growWindow widens the window after a served request by the inverse of its size, so by about one each time
+// that as many requests as the window holds were served. It does nothing while the window is not fully used.
 func (s *serviceState) growWindow() {
 	if float64(s.inFlight)+1 >= s.window {
 		s.window = min(s.maxWindow(), s.window+1/max(1, s.window))
--- a/internal/dataplane/peers.go
+++ b/internal/dataplane/peers.go
@@ -48,8 +48,8 @@
 }
 
 // pollPeers asks peers to confirm that they have no later table. In a large fleet each round asks only some of
-// them, those first that were asked longest ago. All peers are thus asked within a peer lease, and the work of
-// one proxy grows no faster than the number of proxies.
+// them, beginning with those that were asked longest ago. All peers are thus asked within a peer lease, and the
+// work of one proxy grows no faster than the number of proxies.
 func (p *Proxy) pollPeers(now time.Duration) {
 	for name := range p.peerAskedAt {
 		if !slices.ContainsFunc(p.table.Proxies, func(proxy wire.Proxy) bool { return proxy.Name == name }) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// peersInPollOrder returns the other member proxies, those first that were asked longest ago.
+// peersInPollOrder returns the other member proxies, beginning with those that were asked longest ago.
 func (p *Proxy) peersInPollOrder() (peers []*wire.Proxy) {
 	for i := range p.table.Proxies {
 		if peer := &p.table.Proxies[i]; peer.Name != p.settings.Self.Name {
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -180,7 +180,7 @@
 
 func (p *Proxy) emit(command statemachine.Command) { p.commands = append(p.commands, command) }
 
-// updateState sets the state by the current leases and table.
+// updateState derives the state from the current leases and table.
 func (p *Proxy) updateState(now time.Duration) {
 	switch {
 	case p.table == nil:
--- a/internal/dataplane/queue.go
+++ b/internal/dataplane/queue.go
@@ -54,7 +54,7 @@
 }
 
 // preemptQueued rejects the last request in the queue to make room for one of higher priority. It returns false
-// if the last one has no lower priority.
+// if the priority of the last one is not lower.
 func (p *Proxy) preemptQueued(now time.Duration, req *request, service *serviceState) bool {
 	if len(service.queue) == 0 {
 		return false
--- a/internal/dataplane/quota.go
+++ b/internal/dataplane/quota.go
@@ -162,7 +162,7 @@
 	for i, proxy := range proxies {
 		hashes[i] = hashString(proxy)
 	}
-	remaining := evenSums(total, proxies, hashes)
+	remaining := evenTotals(total, proxies, hashes)
 	order := poolOrder(pools)
 	for _, sameDomain := range []bool{true, false} {
 		for _, i := range order {
@@ -182,19 +182,20 @@
 	return quotas
 }
 
-// evenSums divides a number of slots evenly among the proxies. Those with the lowest hashes get the remainder.
-func evenSums(total int, proxies []string, hashes []uint64) []int {
-	sums, order := make([]int, len(proxies)), make([]int, len(proxies))
+// evenTotals returns how many of total slots each proxy gets if they are divided evenly. Those with the lowest
+// hashes get the remainder.
+func evenTotals(total int, proxies []string, hashes []uint64) []int {
+	totals, order := make([]int, len(proxies)), make([]int, len(proxies))
 	for i := range proxies {
-		sums[i], order[i] = total/len(proxies), i
+		totals[i], order[i] = total/len(proxies), i
 	}
 	slices.SortFunc(order, func(a, b int) int {
 		return cmp.Or(cmp.Compare(hashes[a], hashes[b]), cmp.Compare(proxies[a], proxies[b]))
 	})
 	for _, i := range order[:total%len(proxies)] {
-		sums[i]++
+		totals[i]++
 	}
-	return sums
+	return totals
 }
 
 // poolOrder returns the indexes of the pools in the order in which they are distributed, which is by hash.
--- a/internal/dataplane/quota_test.go
+++ b/internal/dataplane/quota_test.go
@@ -16,7 +16,7 @@
 		atWarming, atReady := 0, 0
 		for i := range count {
 			proxy := newTestProxy(fmt.Sprintf("g%d", i+1), count, ruleConfig)
-			proxy.table(count, ruleConfig, readyTarget("a", warming), readyTarget("b"))
+			proxy.sendTable(count, ruleConfig, readyTarget("a", warming), readyTarget("b"))
 			for id := uint64(1); ; id++ {
 				forward, ok := proxy.admit(id).(statemachine.Forward)
 				if !ok {
--- a/internal/dataplane/retrybudget.go
+++ b/internal/dataplane/retrybudget.go
@@ -1,7 +1,8 @@
-// The retry budget limits how many attempts a service's targets get beyond the first one of each request. With
-// each request a proxy earns a little less than the ratio, and over time it earns its share of the slack. The
-// credit saved up before a window plus the credit earned within it stay, summed over all proxies, within ratio
-// and slack. This holds even if proxies restart, since a new process starts without credit.
+// The retry budget limits how many attempts a service's targets get beyond the first one of each request. Each
+// request adds a little less than Ratio to a proxy's credit, and the proxy's share of Slack is added over time.
+// The credit that all proxies had saved up before a window plus what they earn within it is at most Ratio times
+// the number of requests plus Slack. This holds even if proxies restart, since a new process starts without
+// credit.
 
 package dataplane
 
@@ -76,7 +77,7 @@
 		*count = bucketCount{bucket: bucket}
 	}
 	count.requests++
-	c.limit(now, budget)
+	c.capCredit(now, budget)
 }
 
 // addSlack adds the slack earned since the last call. Half of the slack may be saved up and the other half is
@@ -86,11 +87,11 @@
 		c.credit += c.slack / 2 * float64(now-c.updatedAt) / float64(budget.Window)
 	}
 	c.started, c.updatedAt = true, now
-	c.limit(now, budget)
+	c.capCredit(now, budget)
 }
 
-// limit caps the credit that may be saved up.
-func (c *retryCredit) limit(now time.Duration, budget RetryBudget) {
+// capCredit limits the credit that may be saved up.
+func (c *retryCredit) capCredit(now time.Duration, budget RetryBudget) {
 	bucket, recent := budget.bucket(now), int64(0)
 	for _, count := range c.counts {
 		if count.bucket > bucket-tuning.WindowBuckets {
--- a/internal/dataplane/retrybudget_test.go
+++ b/internal/dataplane/retrybudget_test.go
@@ -13,8 +13,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Retries stay within the budget's ratio of the requests plus the slack, and reach at least what the requests
-// earn.
+// The number of retries is at most the budget's ratio times the number of requests plus the slack, and at least
+// what the requests earn.
 func TestRetriesSpendWhatRequestsEarn(t *testing.T) {
 	proxy := newTestProxy("g1", 1, ruleConfig, readyTarget("a"), readyTarget("b"), readyTarget("c"))
 	retried := 0
@@ -40,9 +40,8 @@
 	}
 }
 
-// In any window, the retries of all proxies together stay within the ratio of the requests plus the slack. This
-// holds for any distribution of the requests over the proxies, any restarts of proxies and any outcomes of
-// attempts.
+// In any window, the retries of all proxies together are at most ratio times requests plus slack. This holds
+// for any distribution of the requests over the proxies, any restarts of proxies and any outcomes of attempts.
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := RetryBudget{rapid.Float64Range(0.05, 0.3).Draw(t, "ratio"), 10 * time.Second, rapid.Float64Range(1, 80).Draw(t, "slack")}
@@ -50,7 +49,7 @@
 		proxies := make([]*testProxy, n)
 		start := func(i int, now time.Duration) {
 			proxy := &testProxy{machine: New(Settings{Self: wire.Daemon{Name: fmt.Sprintf("g%d", i+1), Kind: wire.ProxyDaemon, Incarnation: 9}, Retry: budget}), now: now}
-			proxy.table(n, routeConfig, readyTarget("a", withSlots(50)), readyTarget("b", withSlots(50)), readyTarget("c", withSlots(50)))
+			proxy.sendTable(n, routeConfig, readyTarget("a", withSlots(50)), readyTarget("b", withSlots(50)), readyTarget("c", withSlots(50)))
 			proxies[i] = proxy
 		}
 		for i := range proxies {
--- a/internal/dataplane/reverseproxy/faults_test.go
+++ b/internal/dataplane/reverseproxy/faults_test.go
@@ -89,7 +89,8 @@
 	incomplete int             // number of requests that ended without a complete response
 }
 
-// check compares a response with its request and reports whether the connection stays open. ids: callers send ids.
+// check compares a response with its request and reports whether the connection stays open. ids tells whether callers
+// send ids.
 func (c *callerResults) check(id string, once bool, resp *http.Response, ids bool) bool {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
--- a/internal/dataplane/reverseproxy/retries.go
+++ b/internal/dataplane/reverseproxy/retries.go
@@ -28,8 +28,8 @@
 			return
 		}
 		target := command.(statemachine.Forward)
-		sent, over := q.tryTarget(&target)
-		if over {
+		sent, ended := q.tryTarget(&target)
+		if ended {
 			return
 		}
 		command = q.forwarder.stateMachine.Ask(q.incoming.Context(), q.id, statemachine.Retry{ID: q.id, Sent: sent})
@@ -59,8 +59,8 @@
 }
 
 // tryTarget attempts to send the request to a target. sent means that part of the request may have reached the target;
-// over means that the request has ended.
-func (q *request) tryTarget(target *statemachine.Forward) (sent, over bool) {
+// ended means that the request has ended.
+func (q *request) tryTarget(target *statemachine.Forward) (sent, ended bool) {
 	q.service = target.Service
 	if !q.limitBody(target) {
 		q.returnTarget()
@@ -102,7 +102,7 @@
 
 // finishAttempt ends the request after an attempt, unless another attempt may follow. It reports whether the request
 // has ended.
-func (q *request) finishAttempt(result *attemptResult, idempotent bool) (over bool) {
+func (q *request) finishAttempt(result *attemptResult, idempotent bool) (ended bool) {
 	switch {
 	case result.status != 0:
 		q.countServed(result)
--- a/internal/dataplane/reverseproxy/uploads_test.go
+++ b/internal/dataplane/reverseproxy/uploads_test.go
@@ -71,7 +71,7 @@
 }
 
 // TestTargetLostDuringUpload checks that if the target closes its connection while the caller is still sending, the
-// caller is not blamed: it gets a 502, and the attempt counts as a lost response.
+// failure is not attributed to the caller: it gets a 502, and the attempt counts as a lost response.
 func TestTargetLostDuringUpload(t *testing.T) {
 	listener := listen(t)
 	go func() {
--- a/internal/dataplane/routing_test.go
+++ b/internal/dataplane/routing_test.go
@@ -51,7 +51,7 @@
 	if requests["s"] != 180 || requests["t"] != 20 {
 		t.Fatalf("requests by service: %v, want 180 for s and 20 for t", requests)
 	}
-	proxy.table(1, routeConfig, readyTarget("a", withSlots(8)))
+	proxy.sendTable(1, routeConfig, readyTarget("a", withSlots(8)))
 	for id := uint64(201); id <= 230; id++ {
 		if forward, ok := proxy.admitOnRoute(id, "/x/", 0).(statemachine.Forward); !ok || forward.Service != "s" {
 			t.Fatalf("got %+v, want a forward to service s, the only one with a target", forward)
--- a/internal/dataplane/selection_test.go
+++ b/internal/dataplane/selection_test.go
@@ -28,16 +28,16 @@
 		t.Fatalf("%d of 30 requests sent to the ejected target", n)
 	}
 	proxy.now += 100 * time.Millisecond
-	proxy.table(1, ruleConfig, readyTarget("a"), readyTarget("b"), readyTarget("c"))
+	proxy.sendTable(1, ruleConfig, readyTarget("a"), readyTarget("b"), readyTarget("c"))
 	if n := requestsToC(30); n != 0 {
 		t.Fatalf("%d of 30 requests sent to the target whose ejection was just lifted", n)
 	}
 	proxy.now += tuning.ReconcileEvery + 100*time.Millisecond
-	proxy.table(1, ruleConfig, readyTarget("a"), readyTarget("b"), readyTarget("c"))
+	proxy.sendTable(1, ruleConfig, readyTarget("a"), readyTarget("b"), readyTarget("c"))
 	if n := requestsToC(30); n < 5 || n > 15 {
 		t.Fatalf("%d of 30 requests sent to one of three equal targets, want 5 to 15", n)
 	}
-	proxy.table(1, ruleConfig, readyTarget("a"), readyTarget("b", highDemand), readyTarget("c"))
+	proxy.sendTable(1, ruleConfig, readyTarget("a"), readyTarget("b", highDemand), readyTarget("c"))
 	if n := requestsToC(30); n < 10 {
 		t.Fatalf("%d of 30 requests sent to c while b is busy, want 10 or more", n)
 	}
--- a/internal/dataplane/slotselection.go
+++ b/internal/dataplane/slotselection.go
@@ -26,7 +26,7 @@
 	noTier                  // the target can't be chosen now
 )
 
-// choice is the best target found among some of them.
+// choice is the result of bestAmong: the best of the examined targets.
 type choice struct {
 	target        *targetState // nil if none can be chosen now
 	tier          tier
--- a/internal/dataplane/slotselection_test.go
+++ b/internal/dataplane/slotselection_test.go
@@ -148,7 +148,7 @@
 	local, remote := func(t *wire.Target) { t.Domain = "z1" }, func(t *wire.Target) { t.Domain = "z2" }
 	proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(4), local), readyTarget("b", withSlots(4), remote), readyTarget("c", withSlots(4), remote))
 	proxy.machine.settings.Self.Domain = "z1"
-	proxy.table(1, routeConfig, readyTarget("a", withSlots(4), local), readyTarget("b", withSlots(4), remote), readyTarget("c", withSlots(4), remote))
+	proxy.sendTable(1, routeConfig, readyTarget("a", withSlots(4), local), readyTarget("b", withSlots(4), remote), readyTarget("c", withSlots(4), remote))
 	targets := map[string]*targetState{}
 	for _, target := range proxy.machine.targets {
 		targets[target.Name] = target
--- a/internal/dataplane/table_test.go
+++ b/internal/dataplane/table_test.go
@@ -21,10 +21,10 @@
 		return nil
 	}
 	proxy := newTestProxy("g1", 1, ruleConfig, readyTarget("a"))
-	if limits := reported(proxy.table(1, strings.Replace(ruleConfig, "{", `{"limits":{"header_bytes":99,"idle_ms":7},`, 1), readyTarget("a"))); limits == nil || *limits != (config.Limits{HeaderBytes: 99, IdleMs: 7}) {
+	if limits := reported(proxy.sendTable(1, strings.Replace(ruleConfig, "{", `{"limits":{"header_bytes":99,"idle_ms":7},`, 1), readyTarget("a"))); limits == nil || *limits != (config.Limits{HeaderBytes: 99, IdleMs: 7}) {
 		t.Fatalf("got limits %+v, want header_bytes 99 and idle_ms 7", limits)
 	}
-	if limits := reported(proxy.table(1, ruleConfig, readyTarget("a"))); limits != nil {
+	if limits := reported(proxy.sendTable(1, ruleConfig, readyTarget("a"))); limits != nil {
 		t.Fatalf("got limits %+v of an earlier configuration, want none", *limits)
 	}
 }
--- a/internal/dataplane/takeover_test.go
+++ b/internal/dataplane/takeover_test.go
@@ -56,7 +56,7 @@
 			t.Errorf("%s: got %+v, want a forward to the successor: %v", c.name, forward, c.replaced)
 		}
 		proxy.now += time.Millisecond
-		proxy.table(3, ruleConfig, readyTarget("a"), other)
+		proxy.sendTable(3, ruleConfig, readyTarget("a"), other)
 		if forward, ok := proxy.admit(3).(statemachine.Forward); ok && forward.Target.Incarnation == 2 {
 			t.Errorf("%s: the successor still gets requests although the leader's table doesn't have it", c.name)
 		}
--- a/internal/dataplane/testproxy_test.go
+++ b/internal/dataplane/testproxy_test.go
@@ -20,12 +20,12 @@
 // given targets.
 func newTestProxy(name string, count int, document string, ts ...wire.Target) *testProxy {
 	proxy := &testProxy{machine: New(Settings{Self: wire.Daemon{Name: name, Kind: wire.ProxyDaemon, Incarnation: 9}}), now: time.Second}
-	proxy.table(count, document, ts...)
+	proxy.sendTable(count, document, ts...)
 	return proxy
 }
 
-// table sends the proxy a later table and a lease.
-func (p *testProxy) table(count int, document string, ts ...wire.Target) []statemachine.Command {
+// sendTable sends the proxy a later table and a lease.
+func (p *testProxy) sendTable(count int, document string, ts ...wire.Target) []statemachine.Command {
 	p.version++
 	t := &wire.Table{Key: wire.TableKey{Epoch: 1, Term: 1, Version: p.version}, Revision: p.version, Document: []byte(document), Targets: ts}
 	for i := range count {
--- a/internal/dataplane/warmup.go
+++ b/internal/dataplane/warmup.go
@@ -52,9 +52,9 @@
 	return int(hash32(t.Service)>>8) + int(t.ShareOffset)*(total%max(1, len(proxies)))
 }
 
-// limitWarmingShare delays an increase of this proxy's share of the cap of a target in the state warming. Until
-// then, the requests that other proxies sent within their shares of an earlier membership may still be running.
-// The shares of one table add up to the cap, but shares of two successive tables may exceed it.
+// limitWarmingShare delays an increase of this proxy's share of the cap of a target in the state warming until
+// all requests that other proxies sent within their shares of an earlier membership must have ended. The shares
+// of one table add up to the cap, but shares of two successive tables may exceed it.
 func (p *Proxy) limitWarmingShare(now time.Duration, target *targetState, serviceConfig config.Service) {
 	if target.State != wire.TargetWarming {
 		target.warmingShare, target.nextWarmingShare, target.warmingShareRisesAt = 0, 0, 0
--- a/internal/dataplane/warmup_test.go
+++ b/internal/dataplane/warmup_test.go
@@ -104,7 +104,7 @@
 				var old, all []*testProxy
 				for i := range from + added {
 					if proxy := newTestProxy(fmt.Sprintf("g%d", i+1), from, document); i < from {
-						proxy.table(from, document, readyTarget("a", warming))
+						proxy.sendTable(from, document, readyTarget("a", warming))
 						old = append(old, proxy)
 						all = append(all, proxy)
 					} else {
@@ -115,7 +115,7 @@
 				for _, proxy := range all {
 					proxy.now += 200 * time.Millisecond
 					proxy.version = 8
-					proxy.table(from+added, document, readyTarget("a", warming))
+					proxy.sendTable(from+added, document, readyTarget("a", warming))
 				}
 				if n := running + fill(all); n > warmCap {
 					t.Fatalf("%d proxies and %d added: %d requests at a target with a cap of %d", from, added, n, warmCap)
@@ -137,11 +137,11 @@
 // After the state warming, the capacity of a target rises to the full cap in steps of at most one.
 func TestSlowStartAfterWarming(t *testing.T) {
 	proxy := newTestProxy("g1", 1, ruleConfig)
-	proxy.table(1, ruleConfig, readyTarget("a", warming))
+	proxy.sendTable(1, ruleConfig, readyTarget("a", warming))
 	last := 0
 	for i := range 40 {
 		if i == 1 {
-			proxy.table(1, ruleConfig, readyTarget("a"))
+			proxy.sendTable(1, ruleConfig, readyTarget("a"))
 		}
 		capacity := proxy.machine.View(proxy.now).Targets[0].Capacity
 		if capacity < last || capacity > last+1 && i > 0 {
@@ -155,8 +155,8 @@
 	}
 }
 
-// All proxies together send a target that is warming up no more than half above its rate in any second, for any
-// memberships that the proxies have and any restarts of proxies.
+// In any second, all proxies together send a target that is warming up at most 1.5 times its rate of requests,
+// whichever memberships the proxies have and however often they restart.
 func TestWarmupRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 14).Draw(t, "proxies")
@@ -254,7 +254,8 @@
 }
 
 // The shares of a warm-up rate and of the retry slack add up to no more than the whole while the membership
-// changes. The proxies have either the old table or the one of the change, or either that or the new table.
+// changes. At any time each proxy has one of two successive tables: the old one or that of the change, or that
+// of the change or the new one.
 func TestSharesOfWarmupRateAndRetrySlack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var before, after, all []string
@@ -319,7 +320,8 @@
 }
 
 // A target that is both in the state warming and in its warm-up gets no more concurrent requests than its cap,
-// over all proxies, and no more than its warm-up rate. It does get at least a part of both.
+// over all proxies, and no more than its warm-up rate. It still gets a part of what each of the two limits
+// allows.
 func TestWarmupRateInStateWarming(t *testing.T) {
 	const documentFormat = `{"services":{"s":{"cap":64,"warm_cap":%d,"health_path":"/h","cold_s":30,"cold_per_s":%d}},"routes":{"r":{"host":"h","prefix":"/a/","kind":"repeatable","timeout_ms":2000,"service":"s","attempts":1}}}`
 	for _, slots := range []uint32{0, 8} {
@@ -331,7 +333,7 @@
 						var proxies []*testProxy
 						for i := range count {
 							proxy := newTestProxy(fmt.Sprintf("g%d", i+1), count, fmt.Sprintf(documentFormat, warmCap, rate))
-							proxy.table(count, fmt.Sprintf(documentFormat, warmCap, rate), target)
+							proxy.sendTable(count, fmt.Sprintf(documentFormat, warmCap, rate), target)
 							proxies = append(proxies, proxy)
 						}
 						setup := fmt.Sprintf("%d proxies, %d slots, warming cap %d, %d/s, incarnation %d", count, slots, warmCap, rate, incarnation)
