--- a/cmd/mfchaos/faults.go
+++ b/cmd/mfchaos/faults.go
@@ -101,14 +101,14 @@
 			return
 		}
 		to := f.deployment.Services[f.random.IntN(len(f.deployment.Services))]
-		g := f.pickRunning(f.proxies)
-		g.signal(syscall.SIGSTOP) // so that one proxy misses the change
+		proxy := f.pickRunning(f.proxies)
+		proxy.signal(syscall.SIGSTOP) // so that one proxy misses the change
 		a.kill()
 		b := f.newBackend(to, fmt.Sprintf("%s-new%d", to.Name, f.random.IntN(1000)), a.addr, a.domain, "0s")
-		f.logf("address %s passes from %s to %s while %s is suspended", a.addr, a.name, b.name, g.name)
+		f.logf("address %s passes from %s to %s while %s is suspended", a.addr, a.name, b.name, proxy.name)
 		f.restart(b)
 		f.sleepBetween(500, 2500)
-		g.signal(syscall.SIGCONT)
+		proxy.signal(syscall.SIGCONT)
 		f.sleepBetween(3000, 4000)
 		b.stop(8 * time.Second)
 		f.restart(a)
@@ -239,13 +239,13 @@
 	{"settings changed under a daemon", func(f *fleet) {
 		p := f.pickRunning(slices.Concat(f.proxies, f.controls))
 		file := f.path("set", p.name+".json")
-		was, err := os.ReadFile(file)
+		original, err := os.ReadFile(file)
 		if err != nil {
 			f.recordViolation(ruleTestEnvironment, "%v", err)
 			return
 		}
 		f.logf("settings file of %s: invalid, then with another log level, then restored", p.name)
-		for _, b := range [][]byte{[]byte("{ nonsense"), bytes.Replace(was, []byte(`"info"`), []byte(`"debug"`), 1), was} {
+		for _, b := range [][]byte{[]byte("{ nonsense"), bytes.Replace(original, []byte(`"info"`), []byte(`"debug"`), 1), original} {
 			os.WriteFile(file, b, 0o644)
 			f.sleepBetween(2500, 2500)
 			if s, _ := httpGet("http://" + p.http + "/live"); s != 200 {
@@ -367,16 +367,16 @@
 		return
 	}
 	f.inForceSeconds = append(f.inForceSeconds, took.Seconds())
-	for _, g := range f.proxies {
-		if g.stopped || g.frozen {
+	for _, proxy := range f.proxies {
+		if proxy.stopped || proxy.frozen {
 			continue
 		}
 		var v struct {
 			Revision int
 			State    string
 		}
-		if _, body := httpGet("http://" + g.http + "/v1/status"); json.Unmarshal(body, &v) == nil && v.Revision < base+1 && (v.State == "granted" || v.State == "orphan") {
-			f.recordViolation(ruleConfigurationInForce, "%s serves revision %d after %d was acknowledged", g.name, v.Revision, base+1)
+		if _, body := httpGet("http://" + proxy.http + "/v1/status"); json.Unmarshal(body, &v) == nil && v.Revision < base+1 && (v.State == "granted" || v.State == "orphan") {
+			f.recordViolation(ruleConfigurationInForce, "%s serves revision %d after %d was acknowledged", proxy.name, v.Revision, base+1)
 		}
 	}
 }
--- a/cmd/mfchaos/fleet.go
+++ b/cmd/mfchaos/fleet.go
@@ -192,9 +192,9 @@
 	if f.routes {
 		p.args = append(p.args, "--health", healthURL, "--named", "--cold", warmupTime.String())
 	}
-	for i, g := range f.proxies {
+	for i, proxy := range f.proxies {
 		if i%4 == len(name)%4 {
-			p.args = append(p.args, "--daemon", relayAddressOf(g.http))
+			p.args = append(p.args, "--daemon", relayAddressOf(proxy.http))
 		}
 	}
 	for _, c := range f.controls {
@@ -233,10 +233,10 @@
 	end := time.Now().Add(within)
 	for {
 		ready, want := 0, 0
-		for _, g := range f.proxies {
-			if !g.stopped && !g.frozen {
+		for _, proxy := range f.proxies {
+			if !proxy.stopped && !proxy.frozen {
 				want++
-				if s, _ := httpGet("http://" + g.http + "/ready"); s == http.StatusOK {
+				if s, _ := httpGet("http://" + proxy.http + "/ready"); s == http.StatusOK {
 					ready++
 				}
 			}
--- a/cmd/mfchaos/measure.go
+++ b/cmd/mfchaos/measure.go
@@ -195,7 +195,7 @@
 
 // isEligible reports whether any proxy lists a target as not ejected.
 func (f *fleet) isEligible(target *process) bool {
-	for _, g := range f.proxies {
+	for _, proxy := range f.proxies {
 		var v struct {
 			Targets []struct {
 				Service, Name     string
@@ -203,7 +203,7 @@
 				OwnEjectionLeftMs int64 `json:"own_bar_left_ms"`
 			}
 		}
-		_, b := httpGet("http://" + g.http + "/v1/status")
+		_, b := httpGet("http://" + proxy.http + "/v1/status")
 		json.Unmarshal(b, &v)
 		for _, t := range v.Targets {
 			if t.Name == target.name && t.EjectionLeftMs == 0 && t.OwnEjectionLeftMs == 0 {
--- a/cmd/mfchaos/net.go
+++ b/cmd/mfchaos/net.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// network is the cuts and the delay that the fleet's relays apply.
+// network holds the cuts and the delay that the fleet's relays apply.
 type network struct {
 	cuts  atomic.Pointer[map[[2]string]bool] // pairs of sending and receiving machine; the map is replaced, never modified
 	delay atomic.Int64                       // added to each read, in ns; 0: none
--- a/cmd/mfchaos/script.go
+++ b/cmd/mfchaos/script.go
@@ -20,8 +20,8 @@
 		mix = filepath.Join("sample", "press-mix.json")
 	}
 	args := []string{"--mix", mix, "--rate", fmt.Sprint(rate), "--for", duration.String(), "--ledgers", f.path("ledger"), "-o", "json"}
-	for _, g := range f.proxies {
-		args = append(args, "--gate", g.listen+"="+g.http)
+	for _, proxy := range f.proxies {
+		args = append(args, "--gate", proxy.listen+"="+proxy.http)
 	}
 	return args
 }
--- a/cmd/mfchaos/soak_callers.go
+++ b/cmd/mfchaos/soak_callers.go
@@ -1,5 +1,5 @@
-// This file is the callers of a soak. Each keeps one connection open, leaves it idle for up to seconds between requests and
-// uses it until the proxy closes it, whether or not the proxy is ready.
+// This file implements the callers of a soak. Each keeps one connection open, leaves it idle for up to callerPauseMax between
+// requests and uses it until the proxy closes it, whether or not the proxy is ready.
 
 package main
 
@@ -59,7 +59,7 @@
 	retryAfter time.Duration // from the header Retry-After, at most callerPauseMax
 }
 
-// soakCallers is all callers of a run.
+// soakCallers holds the callers of a run.
 type soakCallers struct {
 	soak     *soak
 	ready    atomic.Pointer[[]*process] // proxies that are ready, or all if none is
@@ -109,11 +109,11 @@
 func (c *soakCallers) refreshReady() {
 	ready := make([]*process, len(c.soak.proxies))
 	var asked sync.WaitGroup
-	for i, g := range c.soak.proxies {
+	for i, proxy := range c.soak.proxies {
 		asked.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), readyPollInterval)
 			defer cancel()
-			request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.http+"/ready", nil)
+			request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+proxy.http+"/ready", nil)
 			if err != nil {
 				return
 			}
@@ -123,7 +123,7 @@
 			}
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				ready[i] = g
+				ready[i] = proxy
 			}
 		})
 	}
--- a/cmd/mfchaos/soak_operator.go
+++ b/cmd/mfchaos/soak_operator.go
@@ -1,6 +1,5 @@
-// This file is the operator of a soak, who changes the configuration and empties domains, one action shortly after the other,
-// and sends each again until it has a conclusive reply. It also checks that what was acknowledged survives the loss of all
-// processes.
+// This file implements the operator of a soak. It changes the configuration and empties domains with short pauses, and sends
+// each call again until it has a conclusive reply. It also checks that acknowledged changes survive the loss of all processes.
 
 package main
 
@@ -30,7 +29,7 @@
 	recoverWait         = 15 * time.Second // for the fleet to serve after the restart of all daemons
 )
 
-// soakOperator is an operator and what was acknowledged to it.
+// soakOperator sends an operator's calls and keeps the acknowledged state.
 type soakOperator struct {
 	soak     *soak
 	random   *rand.Rand
--- a/cmd/mfchaos/soak_script.go
+++ b/cmd/mfchaos/soak_script.go
@@ -1,4 +1,4 @@
-// This file is the script of a soak: from a seed it stops proxies, control daemons and back ends, sends SIGHUPs and, with
+// This file implements the script of a soak: from a seed it stops proxies, control daemons and back ends, sends SIGHUPs and, with
 // option faults, kills daemons, at times that overlap. One goroutine owns all processes while the script runs.
 
 package main
@@ -33,7 +33,7 @@
 type managedProcess struct {
 	*process
 	phase          phase
-	stopAt         time.Time // when it was sent SIGTERM, or SIGKILL after the grace period
+	signaledAt     time.Time // when it was sent SIGTERM, or SIGKILL after the grace period
 	startAt        time.Time // when it is to be started again
 	logSizeAtStart int64     // size of its log in bytes when it was last started; 0 for the first start
 	wipe           bool      // its data is deleted before its next start
@@ -53,7 +53,7 @@
 	act  func()
 }
 
-// script is the processes and recurring actions of a run.
+// script holds the processes and recurring actions of a run.
 type script struct {
 	soak      *soak
 	random    *rand.Rand
@@ -65,7 +65,7 @@
 }
 
 // runSoakScript runs the script and an operator until the span is over and all processes are up again. It returns the operator,
-// which holds what was acknowledged to it.
+// which holds the acknowledged state.
 func (s *soak) runSoakScript() *soakOperator {
 	script := &script{soak: s, random: s.options.random(1), exits: make(chan processExit, 16)}
 	script.proxies, script.controls, script.targets = script.manage(s.proxies), script.manage(s.controls), script.manage(s.backends)
@@ -144,10 +144,10 @@
 func (c *script) superviseProcesses(now time.Time) {
 	for _, a := range slices.Concat(c.proxies, c.controls, c.targets) {
 		switch {
-		case a.phase == phaseStopping && now.Sub(a.stopAt) > c.soak.options.grace+stopSlack && a.kind != backendProgram:
+		case a.phase == phaseStopping && now.Sub(a.signaledAt) > c.soak.options.grace+stopSlack && a.kind != backendProgram:
 			c.soak.recordViolation(ruleGracefulStop, "%s did not stop within its grace period", a.name)
 			a.signal(syscall.SIGKILL)
-			a.stopAt = now
+			a.signaledAt = now
 		case a.phase == phaseDown && now.After(a.startAt):
 			c.start(a)
 		}
@@ -227,7 +227,7 @@
 
 // stop sends SIGTERM.
 func (c *script) stop(a *managedProcess) {
-	a.phase, a.stopAt = phaseStopping, time.Now()
+	a.phase, a.signaledAt = phaseStopping, time.Now()
 	c.soak.log.add(eventStop, a.name)
 	a.signal(syscall.SIGTERM)
 }
--- a/cmd/mfchaos/soak_verdict.go
+++ b/cmd/mfchaos/soak_verdict.go
@@ -12,8 +12,8 @@
 	// the first half of that period and its target still works on it in the last sixth. These are the divisors of the period.
 	excusedSendDivisor = 2
 	excusedEndDivisor  = 6
-	// closeRaceWindow is for requests that a proxy closed the connection on: if one has not run and its connection was closed
-	// sooner than this after its last byte, the proxy may have closed without having read it.
+	// closeRaceWindow is the time after a request's last byte within which its proxy may close the connection without having read
+	// the request. Such a request must not have run.
 	closeRaceWindow = 2 * time.Second
 )
 
--- a/cmd/mfload/collector.go
+++ b/cmd/mfload/collector.go
@@ -143,8 +143,9 @@
 	}
 }
 
-// checkRequestLogs reads the back ends' request logs and counts the requests whose ids begin with prefix and that
-// should not have run, or not there.
+// checkRequestLogs reads the back ends' request logs and counts violations by the requests whose ids begin with prefix:
+// non-idempotent requests that ran more than once, and requests that ran although they were rejected, at the wrong
+// service, or at a target that had been leaving for too long.
 func (c *collector) checkRequestLogs(dir, prefix string) error {
 	ran := map[string]int{}
 	err := requestlog.ReadAll(dir, func(entry requestlog.Entry) {
--- a/cmd/mfload/generator.go
+++ b/cmd/mfload/generator.go
@@ -48,7 +48,7 @@
 	kind      *requestKind
 	id        string    // unique; sent in testbackend.RequestIDHeader
 	due       time.Time // scheduled start, from which latency is measured
-	impatient bool      // its client retries immediately after a rejection
+	impatient bool      // its client retries immediately after an error response of a proxy
 	random    uint64    // selects the proxy and the request body
 	retry     int       // number of retries before this request; 0: first attempt
 }
@@ -94,13 +94,14 @@
 		defer g.inFlight.Add(-1)
 		done := g.send(planned)
 		g.outcomes <- done
-		if planned.impatient && done.rejected() && planned.retry < maxRetries && time.Now().Before(g.until) {
+		if planned.impatient && done.isProxyError() && planned.retry < maxRetries && time.Now().Before(g.until) {
 			g.start(planned.nextRetry())
 		}
 	}()
 }
 
-// nextRetry returns the retry that an impatient client sends after a rejection. It is a new request with its own id.
+// nextRetry returns the retry that an impatient client sends after an error response of a proxy. It is a new request with
+// its own id.
 func (p plannedRequest) nextRetry() plannedRequest {
 	p.id = fmt.Sprintf("%s.%d", p.id, p.retry+1)
 	p.due = time.Now()
--- a/cmd/mfload/mix.go
+++ b/cmd/mfload/mix.go
@@ -17,7 +17,7 @@
 	Weight       float64 `json:"weight"`           // share in the mix, relative to the other kinds
 	BodySize     int     `json:"body,omitempty"`   // size of the request body, in bytes
 	ResponseSize int     `json:"answer,omitempty"` // size of the response's padding, in bytes
-	Impatient    float64 `json:"hard,omitempty"`   // fraction of its clients that retry immediately after a rejection, up to maxRetries times
+	Impatient    float64 `json:"hard,omitempty"`   // fraction of its clients that retry immediately after an error response of a proxy, up to maxRetries times
 }
 
 // mixes has the built-in mixes by name, which model the deployments that the project was designed for.
--- a/cmd/mfload/request.go
+++ b/cmd/mfload/request.go
@@ -38,8 +38,8 @@
 	err        string // why there is no complete response; "": there is one
 }
 
-// rejected reports whether the response is an error response of a proxy.
-func (o *outcome) rejected() bool { return o.ran != ranUnset }
+// isProxyError reports whether the response is an error response of a proxy.
+func (o *outcome) isProxyError() bool { return o.ran != ranUnset }
 
 // send sends a request and checks its response.
 func (g *generator) send(planned plannedRequest) outcome {
@@ -91,7 +91,7 @@
 	switch {
 	case err != nil:
 		o.err = "read response body: " + err.Error()
-	case o.rejected():
+	case o.isProxyError():
 		o.checkError(got)
 	case o.status < http.StatusInternalServerError:
 		o.checkResponse(got, body)
--- a/cmd/mfsim/options.go
+++ b/cmd/mfsim/options.go
@@ -63,7 +63,7 @@
 
 // Exit statuses other than 0.
 const (
-	statusFailed = 1 // a rule was violated, or a scene did not cause or show what it should
+	statusFailed = 1 // a rule was violated, a scene's threat did not occur, or no rule was violated without its guard
 	statusUsage  = 2 // the command line is wrong
 )
 
--- a/cmd/mfsim/scenes.go
+++ b/cmd/mfsim/scenes.go
@@ -8,8 +8,8 @@
 	"myrtlefold/internal/verification/simulator"
 )
 
-// shownPerSceneMax limits the failures that are printed: no more are printed once this many seeds have passed or violated one of
-// the scene's rules.
+// shownPerSceneMax is the number of seeds that passed or violated one of the scene's rules after which no further failures are
+// printed.
 const shownPerSceneMax = 3
 
 // listScenes prints each scene with its threat and its guard.
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// readCall reads the body of a call. It returns false if reading fails, and then has responded if the body is too
-// large.
+// readCall reads the body of a call. It returns false if reading fails. If the body is too large, it also sends the
+// error response.
 func readCall(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocumentMax+1))
 	var tooLarge *http.MaxBytesError
--- a/internal/daemon/packedtables.go
+++ b/internal/daemon/packedtables.go
@@ -14,7 +14,7 @@
 }
 
 // pack returns the packed encoding of a table. It returns nil for a nil table and for one that can't be encoded:
-// writing the message then fails with the same error, which is logged there.
+// writing the message then fails with the same error, and the sender logs it.
 func (p *packedTables) pack(table *wire.Table) *wire.PackedTable {
 	if table == nil {
 		return nil
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -83,7 +83,7 @@
 			return
 		}
 		if message.From == "" {
-			message.From = sender // only the first message of a connection names the sender
+			message.From = sender // the sender is named only in the first message and when it changes
 		}
 		sender = message.From
 		t.traffic.add(received, message.Kind, reader.Size)
--- a/internal/mfctl/mfctl_test.go
+++ b/internal/mfctl/mfctl_test.go
@@ -254,7 +254,7 @@
 }
 
 // A change whose response was lost may have been applied. A 503 from another member before or after it must not be
-// reported as 'nothing changed'. A read has no such outcome.
+// reported as 'nothing changed'. The outcome of a read is never reported as unknown.
 func TestLostResponseIsUnknownOutcome(t *testing.T) {
 	broken := startMember(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	idle := startMember(t, noLeader)
--- a/internal/mfctl/status_test.go
+++ b/internal/mfctl/status_test.go
@@ -61,29 +61,29 @@
 		}
 	}
 	if _, out := runCommand(t, append(startMembers(t, leaderView(0)), "status")...); !strings.Contains(out, "core-4 replaces it as soon as it has caught up") {
-		t.Errorf("replacement possible at once: %s", out)
+		t.Errorf("output lacks that the replacement is possible at once:\n%s", out)
 	}
 	follower := controlplane.StatusView{Name: "core-2", Role: "follower", ControlPlane: controlplane.ControlPlaneView{Leader: "core-1", LeaderLastContactMs: 9120}}
 	code, out = runCommand(t, append(startMembers(t, follower), "status")...)
 	if code != exitOK || !strings.Contains(out, "failure tolerance is unknown\n  core-2 was last in contact with leader core-1 9.1s ago\n") {
-		t.Errorf("no leader among the views: exit code %d: %s", code, out)
+		t.Errorf("without a leader: exit code %d, want %d and the last contact with the leader:\n%s", code, exitOK, out)
 	}
 	damaged := leaderView(0)
 	damaged.Damage, damaged.DiskError = []controlplane.Damage{{Subject: "snapshot", Reason: "does not decode"}}, "no space left on device"
 	if _, out = runCommand(t, append(startMembers(t, damaged), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 rejects writes: no space left on device\n") {
-		t.Errorf("damaged member: %s", out)
+		t.Errorf("output lacks the damage or the disk error of core-1:\n%s", out)
 	}
 	gathering := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", ControlPlane: controlplane.ControlPlaneView{Leader: "core-3"}}
 	if _, out = runCommand(t, append(startMembers(t, gathering), "status")...); !strings.Contains(out, "  core-3 is elected and collects the state of the proxies") {
-		t.Errorf("member that gathers state: %s", out)
+		t.Errorf("output lacks that core-3 collects the state of the proxies:\n%s", out)
 	}
 	code, out = runCommand(t, append(startMembers(t, leaderView(4790)), "-o", "json", "status")...)
 	if code != exitOK || !strings.Contains(out, `"next_loss":{"known":true,"machines":0,"bearable":false,"domains_at_risk":["north","west"],"obstacles":[{"kind":"silent","member":"core-2","replaceable_in_ms":4790,"by":"core-4"}]}`) {
-		t.Errorf("JSON output: exit code %d: %s", code, out)
+		t.Errorf("JSON output: exit code %d, want %d and the failure tolerance: %s", code, exitOK, out)
 	}
 }
 
-// Each kind of blocker and each failure tolerance has its text.
+// blockerText and toleranceText describe each kind of blocker and of failure tolerance.
 func TestBlockerTexts(t *testing.T) {
 	soon := int64(2500)
 	view := controlplane.ControlPlaneView{Voters: 2, Majority: 2}
--- a/internal/mfctl/stream.go
+++ b/internal/mfctl/stream.go
@@ -42,7 +42,7 @@
 	return exitNoLeader
 }
 
-// copyStream prints a stream until it ends. It returns served false if the member does not serve the stream.
+// copyStream prints a stream until it ends. served is false if the member does not serve the stream.
 func copyStream(request *http.Request) (served bool, err error) {
 	got, err := (&http.Client{}).Do(request) // no timeout, unlike httpClient
 	if err != nil {
--- a/internal/shared/config/checker.go
+++ b/internal/shared/config/checker.go
@@ -53,8 +53,8 @@
 	notHost      = "must be a lower-case host name without port, or empty for all"
 )
 
-// isPlainPath reports whether a path has no query, wildcards, empty segments or segments that begin with a dot. Empty
-// and dot segments would let one path be written in several ways.
+// isPlainPath reports whether a path has no query, fragment, wildcard or space, no empty segments and no segments that
+// begin with a dot. Empty and dot segments would let one path be written in several ways.
 func isPlainPath(path string) bool {
 	return !strings.ContainsAny(path, "?#* ") && !strings.Contains(path, "//") && !strings.Contains(path, "/.")
 }
--- a/internal/shared/config/config.go
+++ b/internal/shared/config/config.go
@@ -21,7 +21,7 @@
 
 // Config is a parsed configuration. It is not modified after Parse.
 type Config struct {
-	// Revision is the operator's number for the document. Default: 0, the current revision plus one.
+	// Revision is the operator's number for the document. Default: 0, which means the current revision plus one.
 	Revision uint64 `json:"revision,omitempty"`
 	// Services are the services by name. Default: none.
 	Services map[string]Service `json:"services"`
@@ -29,7 +29,7 @@
 	Rules []Rule `json:"rules"`
 	// Routes are the routes by name. Default: none.
 	Routes map[string]Route `json:"routes,omitempty"`
-	// Limits bound the requests and connections of callers. Default: nil, the limits of package tuning.
+	// Limits bound the requests and connections of callers. Default: nil, which means the limits in package tuning.
 	Limits *Limits `json:"limits,omitempty"`
 	// Policies are the outlier detector's policies by name. The default policy is among them only if the document
 	// defines it: see PoliciesInForce. Default: none.
--- a/internal/shared/config/limits.go
+++ b/internal/shared/config/limits.go
@@ -4,14 +4,14 @@
 
 // Limits bound the requests and connections of callers, for all services.
 type Limits struct {
-	// HeaderBytes is the largest request header, in bytes. Default: 0, tuning.HeaderMax.
+	// HeaderBytes is the largest request header, in bytes. Default: 0, which means tuning.HeaderMax.
 	HeaderBytes int `json:"header_bytes,omitempty"`
 	// BodyBytes is the largest request body, in bytes. Default: 0, which means the service's BodyMax and, for a
 	// service with a health path, at least tuning.CallerBodyMax.
 	BodyBytes int `json:"body_bytes,omitempty"`
-	// HeaderMs is the time limit for receiving a request header, in ms. Default: 0, tuning.CallerHeaderTimeout.
+	// HeaderMs is the time limit for receiving a request header, in ms. Default: 0, which means tuning.CallerHeaderTimeout.
 	HeaderMs int `json:"header_ms,omitempty"`
-	// IdleMs is how long an idle connection is kept, in ms. Default: 0, tuning.CallerIdleTimeout.
+	// IdleMs is how long an idle connection is kept, in ms. Default: 0, which means tuning.CallerIdleTimeout.
 	IdleMs int `json:"idle_ms,omitempty"`
 }
 
--- a/internal/shared/config/namedchange.go
+++ b/internal/shared/config/namedchange.go
@@ -12,7 +12,7 @@
 // NamedChange is a partial change of a configuration that adds, replaces and removes single items by name, such as one
 // route among many. The kind of an item is its section of the document: services, routes, policies or aims.
 type NamedChange struct {
-	// Revision is the operator's number for the changed document. Default: 0, the current revision plus one.
+	// Revision is the operator's number for the changed document. Default: 0, which means the current revision plus one.
 	Revision uint64 `json:"revision,omitempty"`
 	// Set holds items to add or to replace, by kind and name. Default: none.
 	Set map[string]map[string]json.RawMessage `json:"set,omitempty"`
--- a/internal/shared/config/objective.go
+++ b/internal/shared/config/objective.go
@@ -17,7 +17,7 @@
 	SuccessRatio float64 `koanf:"part" json:"part"`
 	// LatencyTargetMs is the longest response time of a successful request, in ms. Default: 0, no limit.
 	LatencyTargetMs int `koanf:"under_ms" json:"under_ms,omitempty"`
-	// WindowMinutes is the length of the window, in minutes. Default: 60, the longest.
+	// WindowMinutes is the length of the window, in minutes. Default: 60, which is also the maximum.
 	WindowMinutes int `koanf:"window_min" json:"window_min"`
 }
 
--- a/internal/shared/outlier/detector.go
+++ b/internal/shared/outlier/detector.go
@@ -123,8 +123,8 @@
 	delete(d.decided, id)
 }
 
-// Ejected returns when the last active decision of a live policy on a target expires, ejection or draining,
-// and that policy's name; 0 and "" if no such decision is active.
+// Ejected returns when the last active decision of the live policies on a target expires, whether it is an
+// ejection or draining, and the policy's name. If no such decision is active, it returns 0 and "".
 func (d *Detector) Ejected(now time.Duration, id wire.TargetID) (until time.Duration, policy string) {
 	if len(d.decided[id]) == 0 {
 		return 0, ""
@@ -138,7 +138,7 @@
 	return until, policy
 }
 
-// Restore adds a decision that was made under an earlier leader and is valid for another left. It does
+// Restore adds a decision that was made under an earlier leader and expires after the duration left. It does
 // nothing if the policy is not in force or not live.
 func (d *Detector) Restore(now time.Duration, id wire.TargetID, policy string, left time.Duration) {
 	if p := d.policies[policy]; p != nil && p.settings.Mode == config.ModeLive && left > 0 {
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -13,9 +13,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Session evaluates policies on a caller's stream of JSON lines. A line is an event, whose decisions are
-// returned, or replaces policies. A rejected line gets an error and changes nothing. A session has no effect
-// on the fleet. It is not safe for concurrent use.
+// Session evaluates policies on a caller's stream of JSON lines. Each line either holds an event, for which the
+// resulting decisions are returned, or replaces policies. A rejected line gets an error and changes nothing. A
+// session has no effect on the fleet. It is not safe for concurrent use.
 type Session struct {
 	Lines    uint64 // number of lines evaluated so far
 	detector *Detector
@@ -24,7 +24,7 @@
 	targets  map[wire.TargetID]bool // targets seen so far
 }
 
-// inputLine is a line of a stream: an event, either as the line itself or in its field, or policies to
+// inputLine is a line of a stream: an event, either as the line itself or in the field "event", or policies to
 // replace.
 type inputLine struct {
 	Event    *Event                     `json:"event"`
@@ -32,7 +32,7 @@
 	bareEvent
 }
 
-// bareEvent is embedded in inputLine so that the fields of an event may be those of the line itself.
+// bareEvent is embedded in inputLine to decode a line that is itself an event.
 type bareEvent Event
 
 // parseLine decodes a line and sets Event if the line itself is an event.
--- a/internal/shared/state/changes.go
+++ b/internal/shared/state/changes.go
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// AcceptedChanges holds the digests of the latest accepted changes, at most tuning.AcceptedChangesKept of each kind. With
-// them a change is recognized that is sent again long after it was accepted, when its record is no longer kept.
+// AcceptedChanges holds the digests of the latest accepted changes, at most tuning.AcceptedChangesKept of each kind. They
+// identify a change that is sent again long after it was accepted, when its record is no longer kept.
 type AcceptedChanges struct {
 	// Configurations are changes of the configuration. Their digests cover kind, base and text of the change.
 	Configurations acceptedChanges `json:"configurations,omitempty"`
--- a/internal/shared/state/command.go
+++ b/internal/shared/state/command.go
@@ -19,8 +19,8 @@
 	OpRegisterTargets Operation = "targets"  // applies a batch of changes to the target registry
 )
 
-// Command is the content of a log entry: an operation and its arguments. Fields whose comment names no
-// operation are set for every change that an operator requested.
+// Command is the content of a log entry: an operation and its arguments. Fields whose comment names an
+// operation are set for that operation only.
 type Command struct {
 	// Operation determines which of the other fields are used.
 	Operation Operation `json:"op"`
@@ -32,7 +32,7 @@
 	Base uint64 `json:"base,omitempty"`
 	// Document is the new configuration of an OpConfigure.
 	Document json.RawMessage `json:"doc,omitempty"`
-	// Description describes the change in human-readable form. Default: "", operation and name.
+	// Description describes the change in human-readable form. Default: "", which stands for operation and name.
 	Description string `json:"what,omitempty"`
 	// Name is the name of the failure domain, proxy or member to which the operation applies.
 	Name string `json:"name,omitempty"`
--- a/internal/shared/statemachine/event.go
+++ b/internal/shared/statemachine/event.go
@@ -33,7 +33,7 @@
 	// Call is an operator's or a target's call of the HTTP API. A Reply with the same ID follows.
 	Call struct {
 		ID                  uint64
-		Token               string // identifies a change, so that repeated calls make it only once
+		Token               string // identifies a change, so that repeated calls apply it only once
 		Method, Path, Query string
 		Body                []byte
 	}
--- a/internal/shared/targetreport/heartbeats.go
+++ b/internal/shared/targetreport/heartbeats.go
@@ -22,7 +22,7 @@
 	s.last = now
 }
 
-// IsSteady reports whether heartbeats arrive as from a running target: at least tuning.AliveHeartbeatsMin over at least
+// IsSteady reports whether the heartbeats show that the target is running: at least tuning.AliveHeartbeatsMin over at least
 // tuning.AliveHeartbeatsSpan, the last one within tuning.TargetHeartbeatTimeout. A single delayed heartbeat does not count.
 func (s *Streak) IsSteady(now time.Duration) bool {
 	return s.count >= tuning.AliveHeartbeatsMin && s.last-s.first >= tuning.AliveHeartbeatsSpan && now-s.last < tuning.TargetHeartbeatTimeout
--- a/internal/shared/targetreport/targetreport.go
+++ b/internal/shared/targetreport/targetreport.go
@@ -21,8 +21,8 @@
 	namedPath  = reportPath + "/"
 )
 
-// IsLeaving reports whether a report announces that its target is leaving or gone. It must be in force before it is
-// acknowledged with status 200, since the target stops after that.
+// IsLeaving reports whether a report announces that its target is leaving or gone. Such a report must be in force
+// before it is acknowledged with status 200, since the target stops after that.
 func IsLeaving(report wire.Target) bool {
 	return report.State == wire.TargetLeaving || report.State == wire.TargetGone
 }
--- a/internal/shared/tuning/load.go
+++ b/internal/shared/tuning/load.go
@@ -56,7 +56,7 @@
 	PriorityReserve = 0.1
 	// FairSpan is the period in which a service's requests are counted by priority. It is long compared to a burst.
 	FairnessWindow = 5 * time.Second
-	// FairPart times the service's ratio of forwarded to arrived requests is the ratio that is guaranteed to each
+	// FairPart is the fraction of the service's ratio of forwarded to arrived requests that is guaranteed to each
 	// level. It is above a quarter, below which a level would count as starved.
 	FairnessMinRatio = 0.4
 	// FairnessMinRequests is how many requests of a level must have arrived in a FairSpan for this guarantee.
--- a/internal/shared/tuning/policy.go
+++ b/internal/shared/tuning/policy.go
@@ -17,7 +17,8 @@
 	// StatsEvery is how often the proxies' observations of a target are combined into one event. PolicyWindow of these
 	// events cover RetryWindow.
 	StatsEvery = 500 * time.Millisecond
-	// EventsKept is how many events a leader keeps for readers that resume the event stream.
+	// EventsKept is how many of the latest events a leader keeps at least, and about twice that at most, for readers
+	// that resume the event stream.
 	EventsKept = 4096
 	// StreamBuffer is how many lines are buffered for a slow reader of the stream before it misses some.
 	StreamBuffer = 512
--- a/internal/shared/tuning/sums_test.go
+++ b/internal/shared/tuning/sums_test.go
@@ -16,7 +16,7 @@
 		max  time.Duration
 	}{
 		{"from a target's death to its ejection at every proxy", 2*ProbeEvery + ProbeTimeout + UrgentTableDelayMax + push, 2 * time.Second},
-		{"from a proxy's suspicion of the leader to its own ejection, on peer leases", ProxyLease/2 + 2*ProbeEvery + ProbeTimeout + push, 2 * time.Second},
+		{"from a target's death to its ejection by a proxy without a leader, on peer leases", ProxyLease/2 + 2*ProbeEvery + ProbeTimeout + push, 2 * time.Second},
 		{"from a target's last heartbeat until it no longer counts as alive by its heartbeats", TargetHeartbeatTimeout + push, 2 * time.Second},
 		{"from a change's commit until it is in force, one proxy being isolated", drift(ProxyLease) + LeaseMargin + push, 2 * time.Second},
 		{"from a change's commit until it is in force, one proxy sending but not receiving", TableAckTimeout + drift(ProxyLease) + LeaseMargin + push, 2 * time.Second},
@@ -24,7 +24,7 @@
 		{"the end of a lease at the proxy, before the leader counts it as expired after the pull", drift(ProxyLease) + TickEvery, ProxyLease + LeaseMargin},
 		{"the end of a leader's lease, before the next election timeout", drift(LeaderLease) + TickEvery, ElectionTimeoutMin},
 		{"a leader with a stalled disk stops deciding, before the next election timeout", SyncStall + TickEvery, ElectionTimeoutMin},
-		{"from a target's death to its ejection, its service being added to the configuration in between", NewServiceSilence + NewServiceProbeSpread + ProbeEvery + ProbeTimeout + push, 2 * time.Second},
+		{"from a target's death to its ejection, if its service is added to the configuration in between", NewServiceSilence + NewServiceProbeSpread + ProbeEvery + ProbeTimeout + push, 2 * time.Second},
 		{"the response of an indirect probe, before the leader's own probe times out", IndirectAfter + 2*TickEvery + push, ProbeTimeout},
 		{"three lost heartbeats, before the heartbeat timeout", 3*TargetHeartbeatEvery + TickEvery, TargetHeartbeatTimeout},
 		{"two rounds of peer lease requests, before half the leader's lease is over", PullEvery*2 + TickEvery, ProxyLease / 2},
--- a/internal/shared/tuning/table.go
+++ b/internal/shared/tuning/table.go
@@ -34,7 +34,7 @@
 	DemandEvery = time.Second
 	// DemandStep is how much a target's demand must change for that; 1 is the target's full capacity.
 	DemandStep = 0.125
-	// SlowLink is the capacity of a slow link that is left beside its other traffic, in bytes a second.
+	// SlowLink is the capacity that other traffic leaves on a slow link, in bytes a second.
 	SlowLink = 128 << 10
 	// TableBytesInFlight bounds the size of unacknowledged tables in flight to a proxy, in bytes: 0.1 s on a link of
 	// SlowLink.
--- a/internal/shared/wire/malformed_test.go
+++ b/internal/shared/wire/malformed_test.go
@@ -86,7 +86,7 @@
 			reflected := &Message{}
 			decodeByReflection(t, MessageC_TypeID, b, reflected)
 			if !bytes.Equal(again, encodedByReflection(t, MessageC_TypeID, NewRootMessageC, emptyListsToNil(reflected))) {
-				t.Fatalf("decoded by Decode and by reflection differ:\ngot  %+v\nwant %+v", m, reflected)
+				t.Fatalf("Decode and decoding by reflection give different messages:\ngot  %+v\nwant %+v", m, reflected)
 			}
 			m, err = Decode(again)
 			must(t, err)
@@ -102,7 +102,7 @@
 			reflected := &Batch{}
 			decodeByReflection(t, BatchC_TypeID, b, reflected)
 			if !bytes.Equal(again, encodedByReflection(t, BatchC_TypeID, NewRootBatchC, emptyListsToNil(reflected))) {
-				t.Fatalf("decoded by Decode and by reflection differ:\ngot  %+v\nwant %+v", m, reflected)
+				t.Fatalf("Decode and decoding by reflection give different messages:\ngot  %+v\nwant %+v", m, reflected)
 			}
 		}
 	})
--- a/internal/shared/wire/stream.go
+++ b/internal/shared/wire/stream.go
@@ -53,8 +53,8 @@
 	return c
 }
 
-// writeFrame writes a frame whose packed message is the concatenation of parts and takes words words unpacked. It
-// returns the size of the frame in bytes.
+// writeFrame writes a frame whose packed message is the concatenation of parts. words is the size of the unpacked
+// message in words. It returns the size of the frame in bytes.
 func (w *Writer) writeFrame(words int, parts ...[]byte) (size int, err error) {
 	for _, p := range parts {
 		size += len(p)
@@ -170,7 +170,8 @@
 	return dst, nil
 }
 
-// Tag bytes that are followed by a count byte: of further zero words after allZero, of unpacked words after noZero.
+// Tag bytes that are followed by a count byte. After allZero it is the number of further zero words; after noZero it is
+// the number of words that follow without packing.
 const (
 	allZero = 0x00
 	noZero  = 0xff
--- a/internal/shared/wire/target.go
+++ b/internal/shared/wire/target.go
@@ -52,7 +52,7 @@
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// TargetStats is the statistics of one target that one proxy observed since its previous report.
+// TargetStats holds the statistics of one target that one proxy collected since its previous report.
 type TargetStats struct {
 	Service       string
 	Name          string
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -198,7 +198,7 @@
 				t.Fatal(err)
 			}
 			if again, err := wire.Encode(read); err != nil || !bytes.Equal(again, want) {
-				t.Fatalf("error %v; or decoding and encoding the golden file changed it", err)
+				t.Fatalf("decoding and encoding the golden file changed it or failed: error %v", err)
 			}
 			if !reflect.DeepEqual(read, m) {
 				t.Fatalf("decoded golden file is %+v", read)
--- a/internal/verification/modelcheck/modelcheck_test.go
+++ b/internal/verification/modelcheck/modelcheck_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Random walks beyond the scenarios' bounds find no violated invariant, and they elect leaders and commit entries, so that the
-// invariants are put to the test.
+// Random walks beyond the scenarios' bounds find no violated invariant. They must elect leaders and commit entries, since
+// otherwise the invariants could not be violated.
 func TestWalksFindNoViolation(t *testing.T) {
 	for i := range Scenarios {
 		report := Walk(&Scenarios[i], 1, walksInTests, walkLength)
--- a/internal/verification/modelcheck/scenario.go
+++ b/internal/verification/modelcheck/scenario.go
@@ -50,7 +50,8 @@
 	AfterStep func(node *consensus.Node, now time.Duration)
 	// ChangeMembers is called instead of Node.ProposeMembers.
 	ChangeMembers func(node *consensus.Node, now time.Duration, members []wire.Member)
-	// Ignore names invariants that are not reported, so that violations that follow from theirs show.
+	// Ignore lists invariants whose violations are not reported, so that a violation of another invariant that follows from
+	// them is.
 	Ignore []string
 }
 
--- a/internal/verification/simulator/bulk_changes.go
+++ b/internal/verification/simulator/bulk_changes.go
@@ -38,10 +38,10 @@
 // sendRepeatedly sends a change. If the reply is lost, it sends the change again to another member until a reply arrives.
 func (w *World) sendRepeatedly(p *Process, c *operatorChange, onReply func(statemachine.Reply)) {
 	pending := w.call(p, c.method, c.path, c.query, c.body, c.token, onReply)
-	arrives := pending.onReply
+	deliverReply := pending.onReply
 	pending.onReply = func(r statemachine.Reply) {
 		if !w.losesReply(c) {
-			arrives(r)
+			deliverReply(r)
 			return
 		}
 		w.Stats.LostReplies++
@@ -74,8 +74,8 @@
 	w.sendRepeatedly(to, c, onReply)
 }
 
-// mayChangeInBulk counts bulk changes. It reports whether the run's maximum allows that many more.
-func (w *World) mayChangeInBulk(changes int) bool {
+// reserveBulkChanges reports whether the run's maximum allows that many more bulk changes, and if so counts them.
+func (w *World) reserveBulkChanges(changes int) bool {
 	if w.operators.bulkChanges+changes > maxBulkChanges {
 		return false
 	}
@@ -87,7 +87,7 @@
 func (w *World) changeRepeatedly(interval, span time.Duration) {
 	for at := time.Duration(0); at < span; at += interval {
 		w.schedule(at, func() {
-			if p := w.pickProcess(wire.ControlDaemon, true); p != nil && w.mayChangeInBulk(1) {
+			if p := w.pickProcess(wire.ControlDaemon, true); p != nil && w.reserveBulkChanges(1) {
 				w.putNextConfig(p)
 			}
 		})
@@ -104,7 +104,7 @@
 // changeConcurrently sends several changes on the same base at once to random members. Some have the same document under
 // different tokens, others have different documents.
 func (w *World) changeConcurrently() {
-	if !w.mayChangeInBulk(concurrentChanges) {
+	if !w.reserveBulkChanges(concurrentChanges) {
 		return
 	}
 	base, number := w.Revision(), w.nextDocumentNumber()
--- a/internal/verification/simulator/callers.go
+++ b/internal/verification/simulator/callers.go
@@ -132,7 +132,7 @@
 	w.callers.open[r.id] = r
 	w.Stats.Requests++
 	method, path := http.MethodGet, "/a"
-	if r.nonIdempotent && w.disabledGuard != guardAtMostOnce { // with the guard disabled, the proxy takes the request for idempotent
+	if r.nonIdempotent && w.disabledGuard != guardAtMostOnce { // with the guard disabled, the proxy treats the request as idempotent
 		method, path = http.MethodPost, "/once/a"
 	}
 	w.deliver(r.proxy, statemachine.Admit{ID: r.id, Host: "x", Path: "/" + r.service + path, Method: method})
--- a/internal/verification/simulator/commands.go
+++ b/internal/verification/simulator/commands.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// execute executes a command, as the daemon's shell does.
+// execute executes a command, as package daemon does.
 func (w *World) execute(process *Process, command statemachine.Command) {
 	switch c := command.(type) {
 	case statemachine.Send:
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -49,9 +49,9 @@
 	return nil
 }
 
-// returnConnection keeps a connection idle after a complete response. Of the proxy's idle connections to the
-// target, it keeps the most recently used ones, up to the number most.
-func (w *World) returnConnection(process *Process, id wire.TargetID, returned *connection, most int) {
+// returnConnection keeps a connection idle after a complete response, unless the target is no longer in the proxy's table. Of
+// the proxy's idle connections to the target, it keeps the most recently used ones, at most limit.
+func (w *World) returnConnection(process *Process, id wire.TargetID, returned *connection, limit int) {
 	if returned.target.sendsSurplus && w.random.Float64() < surplusShare {
 		returned.surplusAt = w.now + w.randomMilliseconds(0, maxSurplusDelay)
 	}
@@ -67,7 +67,7 @@
 		return
 	}
 	idle := append(process.idle[id], returned)
-	process.idle[id] = idle[max(0, len(idle)-most):]
+	process.idle[id] = idle[max(0, len(idle)-limit):]
 }
 
 // overConnectionLimit reports whether a target has reached its connection limit, counting active and idle connections, so that
--- a/internal/verification/simulator/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -36,7 +36,7 @@
 // expendableControlDaemon returns a random control daemon whose loss leaves a healthy majority, or nil if there is none now.
 func (w *World) expendableControlDaemon() *Process {
 	if w.processes.replacing > 0 || w.processes.replaced > 0 && w.partitionedLately() {
-		return nil // partitioned machines count as lost, and a removed one doesn't return to make up for them
+		return nil // partitioned machines count as lost, and a removed machine does not come back in their place
 	}
 	daemons := w.daemons(wire.ControlDaemon)
 	for _, p := range daemons {
--- a/internal/verification/simulator/guards.go
+++ b/internal/verification/simulator/guards.go
@@ -7,8 +7,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Guard is a mechanism of the daemons or their shells that upholds a rule. A scene or test disables a guard in the simulated
-// shells, or in the data that they forward, to show that the rule's check can fail. mfsim --rules prints its text.
+// Guard is a mechanism of the daemons' state machines, or of the processes around them, that upholds a rule. A scene or test
+// disables a guard in the simulated processes, or in the data that they forward, to show that the rule's check can fail. mfsim
+// --rules prints its text.
 type Guard string
 
 // Guards of requests and targets.
--- a/internal/verification/simulator/limited_link.go
+++ b/internal/verification/simulator/limited_link.go
@@ -22,7 +22,7 @@
 }
 
 // transmit returns the time that a message takes, including the wait for earlier messages. If it would wait longer than
-// tuning.SendQueueTTL, it is dropped, as the daemons' shells do, and ok is false.
+// tuning.SendQueueTTL, it is dropped, as by daemon.Transport, and ok is false.
 func (l *limitedLink) transmit(now time.Duration, bytes int) (took time.Duration, ok bool) {
 	free := max(l.busyUntil, now)
 	if free-now > tuning.SendQueueTTL {
--- a/internal/verification/simulator/limited_resources.go
+++ b/internal/verification/simulator/limited_resources.go
@@ -111,14 +111,14 @@
 	return 2*eventCost + dialCost
 }
 
-// transmit queues bytes on a proxy's link, at the time ready and behind earlier messages. It returns the time at which they are
-// transmitted and the link is free again.
+// transmit queues bytes on a proxy's link behind earlier messages; transmission starts no earlier than ready. It returns the
+// time at which they are transmitted and the link is free again.
 func (w *World) transmit(ready time.Duration, linkUntil *time.Duration, bytes int) time.Duration {
 	*linkUntil = max(*linkUntil, ready) + time.Duration(float64(bytes)*float64(time.Second)/w.Plan.Resources.ProxyLink)
 	return *linkUntil
 }
 
-// linkIsFull reports whether a message would wait longer than tuning.SendQueueTTL for a link, so that a shell drops it.
+// linkIsFull reports whether a message would wait longer than tuning.SendQueueTTL for a link, so that the sender drops it.
 func (w *World) linkIsFull(linkUntil time.Duration) bool {
 	return linkUntil-w.now > tuning.SendQueueTTL
 }
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -49,7 +49,7 @@
 
 	frozen     bool
 	heldEvents []statemachine.Event // events that arrived while it was frozen
-	afterThaw  []func()             // shell operations to run at the thaw, before the held events
+	afterThaw  []func()             // I/O operations to run at the thaw, before the held events
 	frozenAt   time.Duration        // time on its own clock when it was last frozen
 	stopping   bool                 // it has received the stop signal
 	// rejectsConnections means that it accepts no new connections and has closed those without a request.
@@ -238,7 +238,7 @@
 	process.frozen = false
 	held := process.heldEvents
 	process.heldEvents = nil
-	for _, resume := range process.afterThaw { // the shell's threads resume before the state machine handles an event
+	for _, resume := range process.afterThaw { // the I/O goroutines resume before the state machine handles an event
 		resume()
 	}
 	process.afterThaw = nil
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// forgetAcknowledgements discards all acknowledgements, for runs that lose all state intentionally.
+// forgetAcknowledgements discards all acknowledged revisions and all recorded changes, for runs that lose all state
+// intentionally.
 func (w *World) forgetAcknowledgements() {
 	w.checks.acknowledged, w.operators.changes = 0, nil
 	clear(w.checks.acknowledgedAt)
@@ -225,7 +226,7 @@
 }
 
 // CheckRetryBudget checks that the retries in any window of tuning.RetryWindow stay within the budget: a fifth of the attempts,
-// plus a fixed number of free retries.
+// plus a number of free retries that depends on the number of proxies.
 func (w *World) CheckRetryBudget() {
 	for _, service := range slices.Sorted(maps.Keys(w.callers.attempts)) {
 		w.checkRetryBudgetOf(service, w.callers.attempts[service])
@@ -291,7 +292,7 @@
 	}
 }
 
-// checkNothingInFlight checks that no proxy counts requests in flight once all requests have ended.
+// checkNothingInFlight checks that no proxy with a lease from the leader counts requests in flight once all requests have ended.
 func (w *World) checkNothingInFlight() {
 	for _, name := range w.processes.names {
 		if p := w.process(name); w.Failure == "" && p.proxy != nil && p.alive && p.proxy.State() == dataplane.Leased && p.proxy.InFlight() > 0 {
--- a/internal/verification/simulator/world.go
+++ b/internal/verification/simulator/world.go
@@ -4,7 +4,7 @@
 // and restart. Targets, callers and operators are simulated too. Rules are checked at each step that can break them. All
 // randomness comes from the seed: the same seed gives the same trace.
 //
-// The simulator doesn't run the daemons' shells (HTTP, connections, files). The tests of package daemon and mfchaos do.
+// The simulator doesn't run the daemons' I/O code (HTTP, connections, files). The tests of package daemon and mfchaos do.
 //
 // World is the entry point to the code. The files process.go and commands.go run the state machines, day.go defines a random run
 // with faults, rules.go the checks, and scenes.go the runs which show that each check can fail.
