--- a/internal/controlplane/consensus/append_test.go
+++ b/internal/controlplane/consensus/append_test.go
@@ -24,13 +24,13 @@
 	}
 	entry := func(index, term uint64) wire.Entry { return wire.Entry{Index: index, Term: term} }
 	if r := sendAppend(1, 1, 0, 2, entry(2, 1), entry(3, 1), entry(4, 1)); !r.Success || r.MatchIndex != 4 || n.Commit() != 2 {
-		t.Fatalf("append of new entries: response %+v, commit %d", r, n.Commit())
+		t.Fatalf("append of new entries: response %+v, commit %d; want success with MatchIndex 4, and commit 2", r, n.Commit())
 	}
 	if r := sendAppend(2, 3, 2, 2); r.Success || r.MatchIndex != 2 {
 		t.Fatalf("append after an entry of another term: response %+v, want a rejection with MatchIndex 2", r)
 	}
 	if r := sendAppend(2, 2, 1, 3, entry(3, 2)); !r.Success || n.LastIndex() != 3 || n.Commit() != 3 {
-		t.Fatalf("append of a conflicting entry: response %+v, last index %d, commit %d", r, n.LastIndex(), n.Commit())
+		t.Fatalf("append of a conflicting entry: response %+v, last index %d, commit %d; want success, and 3 for both", r, n.LastIndex(), n.Commit())
 	}
 	n.Step(1, &wire.Message{Kind: wire.KindAppend, From: "b", Disk: 2, Epoch: 1, Term: 3,
 		Append: &wire.Append{PrevIndex: 2, PrevTerm: 1, Commit: 3, Entries: []wire.Entry{entry(3, 3)}}})
@@ -39,7 +39,7 @@
 		t.Fatalf("an append that conflicts with a committed entry wasn't only rejected: Ready is %+v", ready)
 	}
 	if at, _ := n.termAt(3); at != 2 || n.Term() != 2 || n.Commit() != 3 {
-		t.Fatalf("a rejected append changed the node: entry 3 has term %d, node has term %d and commit %d", at, n.Term(), n.Commit())
+		t.Fatalf("a rejected append changed the node: entry 3 has term %d, node has term %d and commit %d; want 2, 2 and 3", at, n.Term(), n.Commit())
 	}
 }
 
@@ -71,24 +71,24 @@
 	}
 	receive(&wire.Append{}) // starts the term
 	if _, r := receive(snapshotChunk(snapshot, 5, 9)); r.Success || r.Chunk != nil {
-		t.Fatalf("response to a chunk before the first one: %+v", r)
+		t.Fatalf("response to a chunk before the first one: %+v, want a rejection without a chunk", r)
 	}
 	if _, r := receive(snapshotChunk(snapshot, 0, 5)); r.Success || r.Chunk == nil || r.Chunk.Offset != 5 {
-		t.Fatalf("response to the first 5 bytes: %+v", r)
+		t.Fatalf("response to the first 5 bytes: %+v, want a rejection with a chunk at offset 5", r)
 	}
 	receive(snapshotChunk(snapshot, 0, 5))
 	bad := snapshotChunk(snapshot, 5, 15)
 	bad.Chunk.Data = []byte("DAMAGED!!!")
 	if _, r := receive(bad); r.Success || r.Chunk != nil || n.Commit() != 1 {
-		t.Fatalf("response to a corrupted snapshot: %+v, commit %d", r, n.Commit())
+		t.Fatalf("response to a corrupted snapshot: %+v, commit %d; want a rejection without a chunk, and commit 1", r, n.Commit())
 	}
 	receive(snapshotChunk(snapshot, 0, 5))
 	ready, r := receive(snapshotChunk(snapshot, 5, 15))
 	if r != nil || ready.Snapshot == nil || string(ready.Snapshot.Data) != string(snapshot.Data) || len(ready.Batches) != 1 {
-		t.Fatalf("complete snapshot before its sync: response %+v, snapshot in Ready %v, %d batches", r, ready.Snapshot, len(ready.Batches))
+		t.Fatalf("complete snapshot before its sync: response %+v, snapshot in Ready %v, %d batches; want no response, the snapshot and one batch", r, ready.Snapshot, len(ready.Batches))
 	}
 	if _, r := receive(&wire.Append{PrevIndex: 50, PrevTerm: 1}); r == nil || !r.Success || r.MatchIndex >= 50 {
-		t.Fatalf("response to a heartbeat before the sync: %+v", r)
+		t.Fatalf("response to a heartbeat before the sync: %+v, want success with a MatchIndex below 50", r)
 	}
 	n.Advance(1, ready.Batches[0].Seq)
 	if a := n.Ready().Messages[0].Append; !a.Success || a.MatchIndex != 50 {
@@ -101,7 +101,7 @@
 	n := newFollower(wire.Entry{Index: 2, Term: 1}, wire.Entry{Index: 3, Term: 1}, wire.Entry{Index: 4, Term: 1})
 	n.Step(1, appendFromB(1, snapshotChunk(wire.Snapshot{Index: 3, Term: 1, Members: n.members, Data: []byte("s")}, 0, 1)))
 	if ready := n.Ready(); n.LastIndex() != 4 || ready.Snapshot != nil {
-		t.Fatalf("last index is %d, want 4; snapshot in Ready: %v", n.LastIndex(), ready.Snapshot)
+		t.Fatalf("last index is %d, want 4; snapshot in Ready is %v, want none", n.LastIndex(), ready.Snapshot)
 	}
 }
 
--- a/internal/controlplane/consensus/election_test.go
+++ b/internal/controlplane/consensus/election_test.go
@@ -33,14 +33,14 @@
 	n.Step(leaseExpired, voteRequest(5, 2, "b", false))
 	ready := n.Ready()
 	if grantedVotes(ready) != 0 || len(ready.Batches) == 0 {
-		t.Fatal("a vote was sent before it was synced")
+		t.Fatal("a vote was sent before it was synced, or no batch with the vote was emitted")
 	}
 	for _, b := range ready.Batches {
 		state.ApplyBatch(b)
 	}
 	n.Advance(leaseExpired, ready.Batches[len(ready.Batches)-1].Seq)
 	if grantedVotes(n.Ready()) != 1 {
-		t.Fatal("no vote was sent after the sync")
+		t.Fatal("not exactly one vote was sent after the sync")
 	}
 	n = New(0, "a", state)
 	n.Step(leaseExpired, voteRequest(5, 3, "c", false))
@@ -53,12 +53,12 @@
 	}
 	n.Step(leaseExpired, voteRequest(6, 9, "c", false))
 	if ready := n.Ready(); len(ready.Messages) > 0 || n.Term() == 6 {
-		t.Fatal("answered a candidate whose disk isn't a member's")
+		t.Fatal("answered a candidate whose disk isn't a member's, or adopted its term")
 	}
 }
 
-// After a restart a member may have supported a leader's lease just before, so it doesn't vote until that lease must have
-// expired, unless that leader itself transfers leadership.
+// Just before a restart a member may have supported a leader's lease. After the restart it doesn't vote until that lease
+// must have expired, unless the leader itself transfers leadership.
 func TestVoteWaitsForLeaderLease(t *testing.T) {
 	n, _ := newTestNode("a")
 	n.Step(tuning.ElectionTimeoutMin/2, voteRequest(5, 2, "b", false))
--- a/internal/controlplane/consensus/leadershiptransfer.go
+++ b/internal/controlplane/consensus/leadershiptransfer.go
@@ -35,6 +35,7 @@
 	n.stepDown(now)
 	n.electionDeadline = now + transferBackoff
 	n.leaderMessageAt = n.electionDeadline
+	// A vote reply with Transfer set asks its receiver to campaign immediately.
 	timeoutNow := &wire.Message{Kind: wire.KindVote, To: successor.member.Name, Vote: &wire.Vote{Transfer: true, Reply: true}}
 	n.send(timeoutNow, false)
 	return true
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -86,7 +86,7 @@
 	leader           string        // name of the leader, possibly this node; "" if unknown
 	leaderContactAt  time.Duration // when the node last accepted a leader's message; its start counts as contact
 	leaderMessageAt  time.Duration // when the node last received any leader's message, even of an earlier term; never if none since its start
-	electionDeadline time.Duration // when a node without contact to a leader starts a pre-vote
+	electionDeadline time.Duration // when a node without contact with a leader starts a pre-vote
 
 	votes        map[string]bool // members that voted for this node in its current campaign
 	consents     map[string]bool // in a unanimous election: members that reported no contact with a leader
--- a/internal/controlplane/consensus/persistentstate.go
+++ b/internal/controlplane/consensus/persistentstate.go
@@ -24,8 +24,8 @@
 	// Snapshot replaces the log's entries up to Snapshot.Index; Log holds the entries after it.
 	Snapshot wire.Snapshot
 	Log      []wire.Entry
-	// BootstrapLock is the bootstrap offer that the disk is committed to, 0 for none. Founders and BootstrapEpoch are
-	// the members and the epoch of that offer.
+	// BootstrapLock is the bootstrap offer that the disk is committed to, 0 for none. Founders and BootstrapEpoch,
+	// further down, are the members and the epoch of that offer.
 	BootstrapLock uint64
 	// RecoveredState is encoded state that is kept for disaster recovery, empty if there is none.
 	RecoveredState []byte
--- a/internal/controlplane/consensus/replication_test.go
+++ b/internal/controlplane/consensus/replication_test.go
@@ -54,7 +54,7 @@
 	})
 	t.Logf("caught up after %v: %d snapshot transfer(s), %d of %d bytes sent, longest time without contact %v, largest message %d bytes", cluster.now-from, transfers, sent, total, longestSilence, cluster.largestMessage)
 	if !caught || cluster.now-from > 5*time.Second {
-		t.Fatalf("learner hasn't caught up after %v", cluster.now-from)
+		t.Fatalf("after %v, learner has caught up: %v; want this within 5s", cluster.now-from, caught)
 	}
 	if !compacted {
 		t.Error("no newer snapshot was taken during the transfer, so the test doesn't cover that case")
@@ -165,7 +165,7 @@
 			}
 			t.Logf("took %v, %d bytes sent of which %d were needed, %d messages lost", cluster.now-from, sent, needed, lost)
 			if lost == 0 || needed < size || sent > 2*needed || cluster.now-from > 5*time.Second {
-				t.Errorf("%d bytes sent of which %d were needed (content has %d), %d messages lost, took %v", sent, needed, size, lost, cluster.now-from)
+				t.Errorf("%d bytes sent of which %d were needed (content has %d), %d messages lost, took %v; want lost messages, all of the content, at most twice the needed bytes, and at most 5s", sent, needed, size, lost, cluster.now-from)
 			}
 		})
 	}
@@ -207,7 +207,7 @@
 	cluster := newLinkedCluster("a", "b", "c")
 	rnd := rand.New(rand.NewPCG(9, 10))
 	cluster.run(2*time.Second, noCondition)
-	cluster.proposeContinuously(t, nil)
+	cluster.proposeContinuously(t, nil) // only for its snapshots of the last changes; the loop below proposes
 	doc := func() []byte { return randomBytes(rnd, 200+rnd.IntN(8<<10)) }
 	for i := range 10000 {
 		name, n := cluster.leader(t)
@@ -251,7 +251,7 @@
 	cluster.run(2*time.Second, noCondition)
 	name, n := cluster.leader(t)
 	slow := cluster.names[(slices.Index(cluster.names, name)+1)%3]
-	cluster.syncTime[slow] = 30 * 2 * time.Millisecond
+	cluster.syncTime[slow] = 60 * time.Millisecond
 	tick := cluster.proposeContinuously(t, func() []byte { return randomBytes(rnd, 4<<10) })
 	var longestSilence time.Duration
 	cluster.run(10*time.Second, func() bool {
@@ -263,7 +263,7 @@
 		return false
 	})
 	if lag := n.LastIndex() - n.progress[slow].match; lag > 3 || longestSilence > 2*tuning.HeartbeatEvery {
-		t.Errorf("%s, whose disk is slow, is %d entries behind and was without contact for %v", slow, lag, longestSilence)
+		t.Errorf("%s, whose disk is slow, is %d entries behind and was without contact for %v, want at most 3 and %v", slow, lag, longestSilence, 2*tuning.HeartbeatEvery)
 	}
 
 	cluster.syncTime[name] = 10 * time.Second
@@ -285,7 +285,7 @@
 		t.Fatal("no other leader was elected")
 	}
 	if n.stable >= index {
-		t.Errorf("stable index is %d, but entry %d isn't synced", n.stable, index)
+		t.Errorf("stable index is %d, want less than %d, since that entry isn't synced", n.stable, index)
 	}
 	cluster.run(10*time.Second, noCondition)
 	if pending := len(n.pendingMessages); pending > tuning.SendQueue {
--- a/internal/controlplane/gather.go
+++ b/internal/controlplane/gather.go
@@ -71,8 +71,8 @@
 	c.recordShareOffset(row.Service, row.Name, row.ShareOffset)
 }
 
-// markSuccessorsPending gives no requests to other targets at the address of an earlier target until no table with the
-// earlier one is in use: a proxy with such a table would send them requests meant for the earlier target.
+// markSuccessorsPending withholds requests from the other targets at the address of an earlier target until no table that
+// lists the earlier one is in use: a proxy with such a table would send them requests meant for the earlier target.
 func (c *Controller) markSuccessorsPending(earlier wire.Target) {
 	for _, t := range c.targets {
 		if t.Addr == earlier.Addr && t.Name != earlier.Name {
--- a/internal/controlplane/healthcheck.go
+++ b/internal/controlplane/healthcheck.go
@@ -60,7 +60,7 @@
 	if t.probeSentAt != 0 && now-t.probeSentAt > 2*tuning.ProbeTimeout {
 		t.probeSentAt = 0
 	}
-	if _, named := c.activeConfig.Services[id.Service]; !named {
+	if _, configured := c.activeConfig.Services[id.Service]; !configured {
 		c.deferProbe(now, t)
 		return
 	}
@@ -94,8 +94,8 @@
 
 // isProbeDue reports whether a target's service is configured, no probe of it is outstanding, and its interval is over.
 func (c *Controller) isProbeDue(now time.Duration, id wire.TargetID, t *target) bool {
-	_, named := c.activeConfig.Services[id.Service]
-	return named && t.probeSentAt == 0 && now-t.lastProbeAt >= tuning.ProbeEvery && !c.canSkipProbe(now, t)
+	_, configured := c.activeConfig.Services[id.Service]
+	return configured && t.probeSentAt == 0 && now-t.lastProbeAt >= tuning.ProbeEvery && !c.canSkipProbe(now, t)
 }
 
 // canSkipProbe reports whether a probe that is due may be skipped because a proxy had a response from the target within
@@ -105,8 +105,8 @@
 	if len(c.targets) <= tuning.ProbeAllMax || t.lastProbeMissed || t.unconfirmed || t.warmupEnd > now {
 		return false
 	}
-	lastSuccessSince := t.lastSuccessAt - tuning.PullEvery // a proxy reports a response only with its next pull
-	return now-lastSuccessSince < tuning.ProbeEvery && now-t.lastProbeAt < tuning.ServingProbeIntervals*tuning.ProbeEvery
+	earliestSuccessAt := t.lastSuccessAt - tuning.PullEvery // a proxy reports a response only with its next pull
+	return now-earliestSuccessAt < tuning.ProbeEvery && now-t.lastProbeAt < tuning.ServingProbeIntervals*tuning.ProbeEvery
 }
 
 func (c *Controller) sendProbe(now time.Duration, id wire.TargetID, t *target) {
@@ -171,7 +171,8 @@
 }
 
 // recordProbeMiss counts a missed probe and reports whether it counts against the target. It does not if a proxy had a
-// response since the probe was sent, which shows that the fault is between the leader and the target.
+// response since the probe was sent, which shows that the fault is between the leader and the target. The proxy may have
+// had that response up to tuning.PullEvery before it reported it.
 func (c *Controller) recordProbeMiss(t *target, result statemachine.ProbeResult) bool {
 	c.counts.ProbeMisses++
 	if t.lastSuccessAt-tuning.PullEvery >= result.SentAt {
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -11,12 +11,15 @@
 	"myrtlefold/internal/shared/wire"
 )
 
+// relayedTimestamp is the timestamp of a heartbeat that a daemon relayed. A heartbeat from the target itself has 0.
+const relayedTimestamp = 1
+
 // handleHeartbeat handles a heartbeat that comes from the target itself or was relayed by another daemon. A member that is
 // neither Gathering nor Leading relays it to the leader if mayRelay is set. A relayed heartbeat is not relayed again.
 func (c *Controller) handleHeartbeat(now time.Duration, report wire.Target, mayRelay bool) {
 	if c.leadership != Leading && c.leadership != Gathering {
 		if mayRelay {
-			c.send(c.leader(now), &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: &report})
+			c.send(c.leader(now), &wire.Message{Kind: wire.KindHeartbeat, Timestamp: relayedTimestamp, Heartbeat: &report})
 		}
 		return
 	}
--- a/internal/controlplane/hello.go
+++ b/internal/controlplane/hello.go
@@ -18,17 +18,17 @@
 // sendHellos sends a hello to each control daemon in the directory and to each seed address that belongs to none of them.
 func (c *Controller) sendHellos(now time.Duration) {
 	maps.DeleteFunc(c.sentDirectories, func(name string, _ sentDirectory) bool { return name != "" && c.directory[name] == nil })
-	reached := map[string]bool{c.settings.Self.Addr: true}
+	sentTo := map[string]bool{c.settings.Self.Addr: true}
 	for _, name := range slices.Sorted(maps.Keys(c.directory)) {
 		peer := c.directory[name]
-		if peer.Kind == wire.ControlDaemon && !reached[peer.Addr] {
-			reached[peer.Addr] = true
+		if peer.Kind == wire.ControlDaemon && !sentTo[peer.Addr] {
+			sentTo[peer.Addr] = true
 			c.emit(statemachine.Send{Addr: peer.Addr, Message: c.helloTo(now, name, false)})
 		}
 	}
 	for _, addr := range c.settings.Seeds {
-		if !reached[addr] {
-			reached[addr] = true
+		if !sentTo[addr] {
+			sentTo[addr] = true
 			delete(c.sentDirectories, "") // what one unknown daemon was sent does not apply to the next one
 			c.emit(statemachine.Send{Addr: addr, Message: c.helloTo(now, "", false)})
 		}
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -194,7 +194,7 @@
 }
 
 // retainWaiters keeps the waiters when leadership is lost but may be resumed, which usually happens soon, so that
-// callers still get a definite answer. The time of the majority is reset, since a new term may begin, in which earlier
+// callers still get a definite answer. Their majorityConfirmedAt is reset, since a new term may begin, in which earlier
 // confirmations don't count.
 func (c *Controller) retainWaiters(now time.Duration) {
 	if c.stopping || !c.mayResumeLeadership(now) {
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -202,8 +202,8 @@
 	c.restartWaiters(now)
 }
 
-// restartWaiters replaces the waiters that have no caller by ones for the current table, since tables of an earlier term
-// are no longer confirmed.
+// restartWaiters replaces the waiters that have no caller by ones for the current table, since confirmations of tables
+// of an earlier term no longer count.
 func (c *Controller) restartWaiters(now time.Duration) {
 	c.waiters = slices.DeleteFunc(c.waiters, func(w *inForceWaiter) bool { return w.call == nil && w.member == "" })
 	if len(c.state.PreviousProxies) > 0 {
--- a/internal/controlplane/pendingcall.go
+++ b/internal/controlplane/pendingcall.go
@@ -11,7 +11,7 @@
 
 // pendingCall is a call that has not been answered yet.
 type pendingCall struct {
-	token      string
+	token      string // identifies a change across retries
 	callID     uint64 // ID of the caller's request to this daemon, 0 if another daemon relayed the call
 	receivedAt time.Duration
 
@@ -20,7 +20,7 @@
 	relayedFrom   string
 	relayedFromID uint64
 
-	// call is the message relayed to the leader, nil if the call was not relayed.
+	// request is the message relayed to the leader, nil if the call was not relayed.
 	request     *wire.Call
 	relayedTo   string        // the leader that it was last relayed to
 	relayCount  int           // how often it was relayed, or executed here after a relay
@@ -34,7 +34,7 @@
 	targetReport bool
 }
 
-// expirePendingChanges answers changes that were not committed within tuning.CallWait. The outcome is unknown: they may
+// expirePendingChanges answers changes that were not committed within tuning.ChangeTimeout. The outcome is unknown: they may
 // still be committed.
 func (c *Controller) expirePendingChanges(now time.Duration) {
 	for _, token := range slices.Sorted(maps.Keys(c.pendingChanges)) {
@@ -68,7 +68,7 @@
 }
 
 // relayExpired reports whether a relayed call has waited too long for the leader's reply. The leader answers a change
-// within tuning.CallWait; tuning.LeaderLease is added for the reply to arrive.
+// within tuning.ChangeTimeout; tuning.LeaderLease is added for the reply to arrive.
 func (p *pendingCall) relayExpired(now time.Duration) bool {
 	waited := now - p.receivedAt
 	return waited > tuning.ChangeTimeout+tuning.LeaderLease || p.targetReport && waited > tuning.TargetReportWait
--- a/internal/controlplane/proxylease.go
+++ b/internal/controlplane/proxylease.go
@@ -73,7 +73,7 @@
 }
 
 // discoverProxy records contact with a proxy in the directory, and returns the proxy's incarnation. A pull may omit the
-// proxy's description if the directory has it under the incarnation that the message names. If it does not, found is
+// proxy's description if the directory has it under the incarnation that the message names in its Disk field. If it does not, found is
 // false and the proxy gets no push, so that it sends its description with its next pull.
 func (c *Controller) discoverProxy(now time.Duration, m *wire.Message) (incarnation uint64, found bool) {
 	peer, self := c.directory[m.From], m.Pull.Self
@@ -187,8 +187,8 @@
 	proxy.bytesInFlight += size
 }
 
-// pushMessage returns the message that carries a push to the current incarnation of a proxy. Its timestamp is from that
-// incarnation's clock.
+// pushMessage returns the message that carries a push to the current incarnation of a proxy, which its Disk field names.
+// Its timestamp is from that incarnation's clock.
 func (c *Controller) pushMessage(proxy *proxyState, push *wire.Push) *wire.Message {
 	return &wire.Message{Kind: wire.KindPush, Epoch: c.node.Epoch(), Term: c.node.Term(), Timestamp: proxy.pullTimestamp, Disk: proxy.incarnation, Push: push}
 }
--- a/internal/controlplane/recoveredstate_test.go
+++ b/internal/controlplane/recoveredstate_test.go
@@ -87,11 +87,12 @@
 	return &recoveringMember{idleFleet{now: time.Second, controller: controller}, proxyStates}
 }
 
-// runSeconds runs the member for some seconds, in each of which every proxy sends its state once.
+// runSeconds runs the member for some seconds, in each of which it receives every state in a hello of a proxy.
 func (m *recoveringMember) runSeconds(t *testing.T, seconds int) {
 	t.Helper()
 	for range seconds {
 		for _, recovered := range m.proxyStates {
+			// States that begin with the same character come from the same proxy.
 			proxy := wire.Daemon{Name: "g" + string(recovered.State[:1]), Kind: wire.ProxyDaemon, Addr: "g"}
 			m.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHello, From: proxy.Name,
 				Hello: &wire.Hello{Self: proxy, RecoveredState: mustEncode(t, recovered)}}})
@@ -148,7 +149,7 @@
 			member.runSeconds(t, 20)
 			c := member.controller
 			if c.Leading() || c.state.Recovered || len(c.Status(member.now).Damage) == 0 {
-				t.Errorf("before an operator's consent: leading: %v, recovered: %v, damage %v", c.Leading(), c.state.Recovered, c.damage)
+				t.Errorf("before an operator's consent: leading: %v, recovered: %v, damage %v; want neither, and a damage report", c.Leading(), c.state.Recovered, c.damage)
 			}
 			member.step(statemachine.Call{ID: 1, Method: "POST", Path: recoveryPath})
 			member.runSeconds(t, 3)
--- a/internal/controlplane/rejection_test.go
+++ b/internal/controlplane/rejection_test.go
@@ -20,8 +20,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// rejectionKinds has the error codes of the HTTP API, with the rejection kinds that clients may get with each. A new code
-// has to be added here.
+// rejectionKinds maps each error code of the HTTP API to the rejection kinds that clients may get with it. A new code has
+// to be added here.
 var rejectionKinds = map[string][]config.Rejection{
 	"stale":        {config.RejectedVersion},
 	"invalid":      {config.RejectedInvalid},
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -26,7 +26,7 @@
 	Revision   uint64        `json:"revision"`
 	StateIndex uint64        `json:"seq"`
 	Members    []wire.Member `json:"members"`
-	// Emptied are the failure domains that operators have emptied.
+	// EmptiedDomains are the failure domains that operators have emptied.
 	EmptiedDomains []string `json:"emptied"`
 	// Table is the key of the latest table that this member made as the leader.
 	Table        wire.TableKey    `json:"table"`
--- a/internal/controlplane/storedstate.go
+++ b/internal/controlplane/storedstate.go
@@ -10,9 +10,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// CheckPersistentState checks whether all of the state on a member's disk can be used. The error, marked state.ErrDamaged, names
-// the first part that can't be. In that case the member must not use any of it, but start as a member that lost its
-// disk.
+// CheckPersistentState checks whether all of the state on a member's disk can be used. The error, marked
+// state.ErrDamaged, names the first part that can't be. In that case the member must not use any of it, but start as a
+// member that lost its disk.
 func CheckPersistentState(persistentState *consensus.PersistentState) error {
 	if err := persistentState.Validate(); err != nil {
 		return errors.Mark(err, state.ErrDamaged)
--- a/internal/controlplane/storedstate_test.go
+++ b/internal/controlplane/storedstate_test.go
@@ -23,9 +23,9 @@
 	return &consensus.PersistentState{Epoch: 1, Disk: 7, Snapshot: wire.Snapshot{Index: 1, Data: snapshot}, Log: log}
 }
 
-// CheckPersistentState accepts the contents of a disk only if all of it can be used: a member must not start from only a part of
-// what it stored.
-func TestCheckImage(t *testing.T) {
+// CheckPersistentState accepts the contents of a disk only if all of it can be used: a member must not start from only a
+// part of what it stored.
+func TestCheckPersistentState(t *testing.T) {
 	initial := state.New()
 	initial.Recovered = true
 	snapshot := state.Encode(&initial)
@@ -53,7 +53,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			err := CheckPersistentState(c.persistentState)
 			if c.isDamaged && !errors.Is(err, state.ErrDamaged) || !c.isDamaged && err != nil {
-				t.Errorf("error %v; want damage: %v", err, c.isDamaged)
+				t.Errorf("error %v; want an error marked ErrDamaged: %v", err, c.isDamaged)
 			}
 		})
 	}
@@ -76,12 +76,12 @@
 	document := json.RawMessage(`{"services":{` + strings.Repeat(`"fares":{"attempts":3},`, 2000) + `"x":{}}}`)
 	entry := state.EncodeCommand(state.Command{Operation: state.OpConfigure, Document: document})
 	if command, err := state.DecodeCommand(entry); err != nil || string(command.Document) != string(document) || 5*len(entry) > len(document) {
-		t.Errorf("entry: error %v, or another document, or too long: %d bytes for a document of %d", err, len(entry), len(document))
+		t.Errorf("entry: error %v, or another document, or %d bytes, which is more than a fifth of the document's %d", err, len(entry), len(document))
 	}
 	configured := state.New()
 	configured.Document = document
 	snapshot := state.Encode(&configured)
 	if decoded, err := state.Decode(snapshot); err != nil || string(decoded.Document) != string(document) || 5*len(snapshot) > len(document) {
-		t.Errorf("snapshot: error %v, or another document, or too long: %d bytes for a document of %d", err, len(snapshot), len(document))
+		t.Errorf("snapshot: error %v, or another document, or %d bytes, which is more than a fifth of the document's %d", err, len(snapshot), len(document))
 	}
 }
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -46,7 +46,7 @@
 }
 
 // tableSpacing returns the minimum time between two tables. An urgent update is published at once if the last table is
-// older than that. Updates in quick succession, as during a rollout, are combined into one table: each table costs the
+// older than the minimum. Updates in quick succession, as during a rollout, are combined into one table: each table costs the
 // leader messages to and from every proxy, and its load must not grow with the number of updates.
 func (c *Controller) tableSpacing(update urgency) time.Duration {
 	proxies := len(c.state.Proxies)
@@ -94,13 +94,13 @@
 	moved := func(published time.Duration, left int64) bool {
 		return left > 0 && (published-now-time.Duration(left)).Abs() > tuning.TimeLeftStep
 	}
-	facts := routingFieldsOf(row)
-	if facts == t.publishedRouting && math.Abs(row.Demand-t.publishedDemand) < tuning.DemandStep/4 &&
+	routing := routingFieldsOf(row)
+	if routing == t.publishedRouting && math.Abs(row.Demand-t.publishedDemand) < tuning.DemandStep/4 &&
 		!moved(t.publishedEjectionEnd, row.EjectionLeft) && !moved(t.publishedWarmupEnd, row.WarmupLeft) {
 		return
 	}
 	t.changedInVersion = version
-	t.publishedRouting, t.publishedDemand = facts, row.Demand
+	t.publishedRouting, t.publishedDemand = routing, row.Demand
 	t.publishedEjectionEnd, t.publishedWarmupEnd = now+time.Duration(row.EjectionLeft), now+time.Duration(row.WarmupLeft)
 }
 
@@ -245,11 +245,11 @@
 // changes of demand may be published again.
 func (c *Controller) pendingTargetUpdate(now time.Duration, t *target, demandDue bool) urgency {
 	row := c.tableRow(now, t)
-	facts := routingFieldsOf(&row)
+	routing := routingFieldsOf(&row)
 	switch {
-	case t.publishedRouting.needsUrgentUpdate(facts):
+	case t.publishedRouting.needsUrgentUpdate(routing):
 		return urgent
-	case facts != t.publishedRouting:
+	case routing != t.publishedRouting:
 		return deferrable
 	case t.warmupExtended(now):
 		return urgent
@@ -259,9 +259,9 @@
 	return unchanged
 }
 
-// rebuildTableAfterTargetChange rebuilds the table, if one is due, after an event of one target. Unless the outlier policies have made
-// a decision since all targets were last compared, only this target's routing fields can have changed, so the other
-// targets are not compared. The next tick finds changes that are due to the passing of time.
+// rebuildTableAfterTargetChange rebuilds the table, if one is due, after an event of one target. Unless the outlier
+// policies have made a decision since all targets were last compared, only this target's routing fields can have changed,
+// so the other targets are not compared. The next tick finds changes that are due to the passing of time.
 func (c *Controller) rebuildTableAfterTargetChange(now time.Duration, t *target) {
 	if c.leadership != Leading {
 		return
--- a/internal/controlplane/targetregistry.go
+++ b/internal/controlplane/targetregistry.go
@@ -52,12 +52,12 @@
 	c.recordShareOffset(registration.Service, registration.Name, registration.ShareOffset)
 }
 
-// persistRegistrations proposes a registry write with the changes since the last write, if the interval every has
-// passed since then. If a target waits for an acknowledgement, tuning.TickEvery is enough. The write waits while more
+// persistRegistrations proposes a registry write with the changes since the last write, if the interval has passed
+// since then. If a target waits for an acknowledgement, tuning.TickEvery is enough. The write waits while more
 // than a quarter of tuning.ProposedBytesMax is uncommitted, since operators' changes take priority.
-func (c *Controller) persistRegistrations(now, every time.Duration) {
+func (c *Controller) persistRegistrations(now, interval time.Duration) {
 	sinceLast := now - c.registryPersistedAt
-	due := sinceLast >= every || c.persistSoon && sinceLast >= tuning.TickEvery
+	due := sinceLast >= interval || c.persistSoon && sinceLast >= tuning.TickEvery
 	if !due || c.node.UncommittedBytes() > tuning.ProposedBytesMax/4 {
 		return
 	}
@@ -121,12 +121,12 @@
 // addChangedTombstones adds to a write the tombstones that are missing, outdated or to be dropped. There is one for each
 // target that was leaving when it was removed, that signed off or that was superseded.
 func (c *Controller) addChangedTombstones(change *state.RegistryChange) {
-	addIfChanged := func(id wire.TargetID, signedOff bool) {
+	addIfChanged := func(id wire.TargetID, gone bool) {
 		persisted, found := c.persistedTombstones[id]
-		if found && persisted == signedOff || !found && len(c.persistedTombstones) >= tuning.RegistryMax {
+		if found && persisted == gone || !found && len(c.persistedTombstones) >= tuning.RegistryMax {
 			return
 		}
-		change.AddTombstones = append(change.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Gone: signedOff})
+		change.AddTombstones = append(change.AddTombstones, state.Tombstone{Service: id.Service, Name: id.Name, Incarnation: id.Incarnation, Gone: gone})
 	}
 	for id := range c.leavingTargets {
 		if c.tombstones[id] == 0 {
--- a/internal/controlplane/targetview.go
+++ b/internal/controlplane/targetview.go
@@ -11,8 +11,8 @@
 // TargetView is the operators' view of a target.
 type TargetView struct {
 	wire.Target
-	// Ejection is the outlier policy that ejected it, "" if it is not ejected, and EjectionLeftMs the remaining time of
-	// the ejection in milliseconds.
+	// EjectionPolicy is the outlier policy that ejected it, "" if it is not ejected, and EjectionLeftMs the remaining time
+	// of the ejection in milliseconds.
 	EjectionPolicy string `json:"bar,omitempty"`
 	EjectionLeftMs int64  `json:"bar_left_ms,omitempty"`
 	// Why is a text for operators: whether the target gets requests, and if not, why.
--- a/internal/controlplane/undecodable.go
+++ b/internal/controlplane/undecodable.go
@@ -1,8 +1,8 @@
 // This file handles committed data that a member can't decode: a log entry, a snapshot or a configuration. If the
 // process exited, it would exit again on the same data at each start. Instead the member reports the damage and
 // abstains for the rest of the epoch: it neither leads nor makes decisions, and answers calls with 503. Its log is
-// intact, so it continues to vote and to acknowledge entries. At the next start CheckPersistentState finds the disk damaged; the
-// disk then counts as lost, and the member gets the state from the others under a new disk number.
+// intact, so it continues to vote and to acknowledge entries. At the next start CheckPersistentState finds the disk
+// damaged; the disk then counts as lost, and the member gets the state from the others under a new disk number.
 
 package controlplane
 
--- a/internal/controlplane/wal/powercut_test.go
+++ b/internal/controlplane/wal/powercut_test.go
@@ -212,7 +212,7 @@
 		}
 		log.Close()
 		if got, err := readRecords(t, dir); err != nil || fmt.Sprint(got) != "[checkpoint]" {
-			t.Fatalf("seed %d: records %v after the first checkpoint, error %v", seed, got, err)
+			t.Fatalf("seed %d: records %v after the first checkpoint, error %v; want only the checkpoint", seed, got, err)
 		}
 	}
 }
@@ -254,7 +254,7 @@
 		}
 		log.Close()
 		if got, err := readRecords(t, dir); err != nil || fmt.Sprint(got) != "[new]" {
-			t.Fatalf("seed %d: records %v after Recreate, error %v", seed, got, err)
+			t.Fatalf("seed %d: records %v after Recreate, error %v; want [new]", seed, got, err)
 		}
 		rotated, after := fileContents{}, readFiles(t, dir)
 		for name, b := range after { // the checkpoint is synced before the files are extended to their full size
@@ -270,7 +270,7 @@
 			simulatePowerCut(rnd, rotated, after).write(t, interrupted)
 		}
 		if got, err := readRecords(t, interrupted); !errors.Is(err, ErrDamaged) && (err != nil || fmt.Sprint(got) != "[new]") {
-			t.Fatalf("seed %d: records %v after a power cut during Recreate, error %v", seed, got, err)
+			t.Fatalf("seed %d: records %v after a power cut during Recreate, error %v; want [new] or ErrDamaged", seed, got, err)
 		}
 	}
 }
--- a/internal/controlplane/wal/wal_test.go
+++ b/internal/controlplane/wal/wal_test.go
@@ -52,7 +52,7 @@
 
 // What a crash left of an interrupted last write is dropped; the records before it are kept.
 func TestTornWriteIsDropped(t *testing.T) {
-	for keep := range 30 {
+	for keep := range 30 { // number of bytes of the write that reached the disk, modulo its size
 		dir := t.TempDir()
 		appendRecords(t, dir, "one", "two", "three")
 		file := filepath.Join(dir, "ring-0")
@@ -62,11 +62,11 @@
 		os.WriteFile(file, content, 0o600)
 		got, err := readRecords(t, dir)
 		if err != nil || fmt.Sprint(got) != "[checkpoint one two]" {
-			t.Fatalf("keep %d: records %v after a torn write, error %v", keep, got, err)
+			t.Fatalf("keep %d: records %v after a torn write, error %v; want [checkpoint one two]", keep, got, err)
 		}
 		appendRecords(t, dir, "four")
 		if got, err = readRecords(t, dir); err != nil || fmt.Sprint(got) != "[checkpoint one two four]" {
-			t.Fatalf("keep %d: records %v after the next write, error %v", keep, got, err)
+			t.Fatalf("keep %d: records %v after the next write, error %v; want [checkpoint one two four]", keep, got, err)
 		}
 	}
 }
@@ -76,10 +76,10 @@
 func TestDamagedLastWriteIsReadFromMirror(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		do   func(log *Log) error // makes the last write
+		last func(log *Log) error // makes the last write
 		want string               // the records expected after the damage
 	}{
-		{"one", func(log *Log) error { _, err := log.Append([]byte("three")); return err }, "[checkpoint one two three]"},
+		{"record", func(log *Log) error { _, err := log.Append([]byte("three")); return err }, "[checkpoint one two three]"},
 		{"group", func(log *Log) error { _, err := log.Append([]byte("three"), []byte("four")); return err }, "[checkpoint one two three four]"},
 		{"checkpoint", func(log *Log) error { return log.Rotate([]byte("three")) }, "[three]"},
 	} {
@@ -90,7 +90,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := test.do(log); err != nil {
+			if err := test.last(log); err != nil {
 				t.Fatal(err)
 			}
 			file := log.segments[log.current].file.Name()
@@ -115,7 +115,7 @@
 			}
 			log.Close()
 			if got, rerr := readRecords(t, dir); err != nil || rerr != nil || !strings.Contains(got[len(got)-1], "five") {
-				t.Fatalf("%s: records %v after the next write, write error %v, read error %v", test.name, got, err, rerr)
+				t.Fatalf("%s: records %v after the next write, write error %v, read error %v; want a last record with \"five\"", test.name, got, err, rerr)
 			}
 		}
 	}
@@ -150,7 +150,7 @@
 }
 
 // A single flipped bit anywhere before a later valid record is reported as damage.
-func TestDamageBeforeSoundRecordIsAnError(t *testing.T) {
+func TestDamageBeforeValidRecordIsAnError(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp("", "wal")
 		if err != nil {
@@ -194,7 +194,7 @@
 	log.Close()
 	got, err := readRecords(t, dir)
 	if err != nil || got[len(got)-1] != last {
-		t.Fatalf("last of %d records isn't %q, error %v", len(got), last, err)
+		t.Fatalf("error %v, or the last of %d records is not the last one written, %q", err, len(got), last)
 	}
 	for i := range 3 {
 		if st, _ := os.Stat(filepath.Join(dir, fmt.Sprintf(segmentFile, i))); st.Size() != segmentSize {
