--- a/internal/controlplane/epoch.go
+++ b/internal/controlplane/epoch.go
@@ -50,8 +50,8 @@
 
 // recoveredStateFromDisk returns the state that this member carries from its epoch into the next one, as an encoded
 // state.RecoveredState. It is the state built from the snapshot and log on its disk or, if this member was not a voting
-// member of an epoch with a committed state, the one that it carried over from an earlier epoch. If the
-// disk is damaged, it is the state before the damage; its epoch, term and index show how old it is.
+// member of an epoch with a committed state, the one that it carried over from an earlier epoch. If the disk
+// is damaged, it is the state before the damage; its epoch, term and index show how old it is.
 func (c *Controller) recoveredStateFromDisk() []byte {
 	stored, term, err := stateFromDisk(&c.persistentState)
 	if err != nil {
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -11,7 +11,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// relayedTimestamp is the timestamp of a heartbeat that a daemon relayed. A heartbeat from the target itself has 0.
+// relayedTimestamp marks a heartbeat message that must not be relayed again. Control daemons and proxies set it when they
+// relay a heartbeat.
 const relayedTimestamp = 1
 
 // handleHeartbeat handles a heartbeat that comes from the target itself or was relayed by another daemon. A member that is
--- a/internal/controlplane/pendingcall.go
+++ b/internal/controlplane/pendingcall.go
@@ -34,8 +34,8 @@
 	targetReport bool
 }
 
-// expirePendingChanges answers changes that were not committed within tuning.ChangeTimeout. The outcome is unknown: they may
-// still be committed.
+// expirePendingChanges answers changes that were not committed within tuning.ChangeTimeout. The outcome is unknown: they
+// may still be committed.
 func (c *Controller) expirePendingChanges(now time.Duration) {
 	for _, token := range slices.Sorted(maps.Keys(c.pendingChanges)) {
 		if call := c.pendingChanges[token]; now-call.receivedAt > tuning.ChangeTimeout {
--- a/internal/controlplane/proxylease.go
+++ b/internal/controlplane/proxylease.go
@@ -73,8 +73,8 @@
 }
 
 // discoverProxy records contact with a proxy in the directory, and returns the proxy's incarnation. A pull may omit the
-// proxy's description if the directory has it under the incarnation that the message names in its Disk field. If it does not, found is
-// false and the proxy gets no push, so that it sends its description with its next pull.
+// proxy's description if the directory has it under the incarnation that the message names in its Disk field. If the
+// directory does not, found is false and the proxy gets no push, so that it sends its description with its next pull.
 func (c *Controller) discoverProxy(now time.Duration, m *wire.Message) (incarnation uint64, found bool) {
 	peer, self := c.directory[m.From], m.Pull.Self
 	switch {
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -46,8 +46,8 @@
 }
 
 // tableSpacing returns the minimum time between two tables. An urgent update is published at once if the last table is
-// older than the minimum. Updates in quick succession, as during a rollout, are combined into one table: each table costs the
-// leader messages to and from every proxy, and its load must not grow with the number of updates.
+// older than the minimum. Updates in quick succession, as during a rollout, are combined into one table: each table costs
+// the leader messages to and from every proxy, and its load must not grow with the number of updates.
 func (c *Controller) tableSpacing(update urgency) time.Duration {
 	proxies := len(c.state.Proxies)
 	if update == urgent {
