--- a/internal/dataplane/attempts.go
+++ b/internal/dataplane/attempts.go
@@ -78,14 +78,16 @@
 		r.attempts--
 		r.failedConnects++
 	}
-	reachedOther := r.lastOutcome == statemachine.WrongIdentity && r.serviceConfig.HasHealthCheck()
-	if sent || reachedOther || r.lastOutcome == statemachine.TargetRejected {
+	// A target with a health check that is not the intended one has read the request before it responds.
+	otherResponded := r.lastOutcome == statemachine.WrongIdentity && r.serviceConfig.HasHealthCheck()
+	if sent || otherResponded || r.lastOutcome == statemachine.TargetRejected {
 		r.isRetry = true
 	}
 }
 
 // mayHaveRun reports whether the target of the latest attempt may have executed the request. The argument sent
-// is true if any part of the request was written to the target.
+// is true if any part of the request was written to the target. On a route, the outcomes below count as possible
+// execution even if sent is false.
 func (r *request) mayHaveRun(sent bool) bool {
 	switch r.lastOutcome {
 	case statemachine.Served, statemachine.ServerError, statemachine.ResponseLost:
--- a/internal/dataplane/attempts_test.go
+++ b/internal/dataplane/attempts_test.go
@@ -65,7 +65,7 @@
 			response = responseTo(id, proxy.step(statemachine.Retry{ID: id}))
 		}
 		if reject, ok := response.(statemachine.Reject); choices != tuning.ConnectAttemptsMax || !ok || reject.Status != 503 || reject.Code != "tries" {
-			t.Fatalf("%s: %d targets chosen, want %d, then %+v", path, choices, tuning.ConnectAttemptsMax, response)
+			t.Fatalf("%s: %d targets chosen, want %d; then got %+v, want a rejection with status 503 and code tries", path, choices, tuning.ConnectAttemptsMax, response)
 		}
 		proxy.advance(tuning.ClosedEjection)
 	}
@@ -137,7 +137,7 @@
 					}
 				}
 				if sentTo[id] = append(sentTo[id], forward.Target.ID()); len(sentTo[id]) > forward.Route.Attempts {
-					t.Fatalf("request %d on route %s is sent to %d targets", id, forward.RouteName, len(sentTo[id]))
+					t.Fatalf("request %d on route %s is sent to %d targets, want at most %d", id, forward.RouteName, len(sentTo[id]), forward.Route.Attempts)
 				}
 				if len(sentTo[id]) == 2 {
 					secondTargets++
@@ -152,6 +152,6 @@
 		}
 	})
 	if secondTargets < 50 {
-		t.Fatalf("only %d second targets in %d retries, too few to test anything", secondTargets, retries)
+		t.Fatalf("requests were sent to a second target only %d times in %d retries, want 50 or more", secondTargets, retries)
 	}
 }
--- a/internal/dataplane/connections_test.go
+++ b/internal/dataplane/connections_test.go
@@ -10,7 +10,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// All proxies together keep at most half of the connections that a target accepts as idle connections.
+// All proxies together keep at most half of the connections that a target accepts as idle connections, or one
+// for each of its slots if those are more.
 func TestIdleConnectionsOfAllProxies(t *testing.T) {
 	for _, c := range []struct{ proxies, cap, slots int }{{8, 96, 6}, {12, 130, 3}, {64, 32, 6}, {69, 53, 3}, {281, 84, 6}, {285, 210, 3}, {3, 2, 1}, {64, 4, 6}} {
 		var names []string
@@ -24,7 +25,7 @@
 			kept += proxy.maxIdleConnections(target, config.Service{ConnCap: c.cap})
 		}
 		if most := c.cap / tuning.IdleConnDivisor; kept > most && kept > c.slots || kept == 0 {
-			t.Errorf("%+v: the proxies keep %d idle connections, want 1 to %d", c, kept, most)
+			t.Errorf("%+v: the proxies keep %d idle connections, want 1 to %d", c, kept, max(most, c.slots))
 		}
 	}
 	if n := (&Proxy{}).maxIdleConnections(&targetState{}, config.Service{}); n != tuning.IdleConnsMax {
--- a/internal/dataplane/counts.go
+++ b/internal/dataplane/counts.go
@@ -1,17 +1,19 @@
 package dataplane
 
 // Counts holds a proxy's counters since its start. On /metrics and in /v1/status each counter has the name
-// given by its tags, or its Go name if it has none.
+// given by its tags, or else one made from its Go name. Some tags keep a former name, such as OnceKept for
+// NotRepeatable and OtherShare for SplitFallbacks, since operators' tools use it.
 type Counts struct {
 	// Forwarded counts attempts that were forwarded to a target, both first attempts and retries.
 	Forwarded uint64 `json:"Admitted" metric:"admitted"`
-	// Unmatched counts requests that match no route and no rule.
+	// Unmatched counts requests that match no route and no rule, or only rules for other methods.
 	Unmatched uint64 `json:"Refused" metric:"refused"`
 	// Busy counts rejections because all targets, or the queue, were full.
 	Busy uint64
 	// NoTarget counts rejections because the service has no target that may be used.
 	NoTarget uint64
-	// NotServing counts rejections because this proxy holds neither the leader's lease nor peer leases.
+	// NotServing counts new requests that were rejected because this proxy holds neither the leader's lease nor
+	// peer leases.
 	NotServing uint64
 	// Stopping counts rejections because this proxy is shutting down.
 	Stopping uint64
@@ -25,8 +27,8 @@
 	Tables uint64
 	// StaleTables counts received tables that were older than the current one.
 	StaleTables uint64
-	// ExpiredChoices counts attempts that were abandoned because their target had been chosen more than
-	// tuning.ChoiceTTL ago.
+	// ExpiredChoices counts attempts that were abandoned before anything was sent, because their target had been
+	// chosen more than tuning.ChoiceTTL ago or because the request's deadline had passed.
 	ExpiredChoices uint64 `json:"StaleChoices" metric:"stale_choices"`
 	// OwnEjections counts ejections that this proxy decided on by itself.
 	OwnEjections uint64 `json:"OwnBars" metric:"own_bars"`
@@ -34,13 +36,15 @@
 	AvoidedTargets uint64 `json:"Shunned" metric:"shunned"`
 	// InvalidTables counts tables that were rejected because their configuration is invalid.
 	InvalidTables uint64 `json:"UnsoundTables" metric:"unsound_tables"`
-	// NoRoute counts those of Unmatched whose host and path match nothing with any method.
+	// NoRoute counts the requests among Unmatched whose host and path match no route, and no rule for any method.
 	NoRoute uint64
-	// WithinQuota counts attempts within this proxy's quota of the target's slots.
+	// WithinQuota counts choices of a target at which a slot of this proxy's quota was free. This counter, Borrowed
+	// and ToWarmingUp cover only services whose targets report how many slots they have.
 	WithinQuota uint64 `json:"Dealt" metric:"dealt"`
-	// Borrowed counts attempts beyond that quota, or within it while other proxies use the slot.
+	// Borrowed counts choices of a target at which the quota was used up, or at which other proxies used the slots
+	// of the quota, or to which a connection had failed recently.
 	Borrowed uint64
-	// ToWarmingUp counts attempts at targets that are warming up.
+	// ToWarmingUp counts choices of a target that was warming up.
 	ToWarmingUp uint64 `json:"ToCold" metric:"to_cold"`
 	// WarmupWaits is always 0. It is kept so that its metric still exists.
 	WarmupWaits uint64 `json:"ColdWaits" metric:"cold_waits"`
--- a/internal/dataplane/fairness.go
+++ b/internal/dataplane/fairness.go
@@ -15,7 +15,7 @@
 	arrived, forwarded [tuning.PriorityLevels]float64
 }
 
-// fairness counts a service's requests in the current time span of tuning.FairSpan and in the one before.
+// fairness counts a service's requests in the current time span of tuning.FairnessWindow and in the one before.
 type fairness struct {
 	span              int64 // index of the current time span
 	current, previous priorityCounts
@@ -45,9 +45,10 @@
 	f.current.forwarded[level]++
 }
 
-// starved reports whether the rate of forwarded requests of a priority level is below tuning.FairPart of the
-// service's average. It returns false if the previous time span is unknown or saw fewer than tuning.FairnessMinRequests
-// requests of the level, since the rate is then uncertain.
+// starved reports whether the ratio of forwarded to arrived requests of a priority level is below
+// tuning.FairnessMinRatio times that of all requests of the service. It returns false if fewer than
+// tuning.FairnessMinRequests requests of the level arrived in the previous time span, since the level's ratio is
+// then uncertain.
 func (f *fairness) starved(now time.Duration, level int) bool {
 	f.advance(now)
 	if f.previous.arrived[level] < tuning.FairnessMinRequests {
@@ -58,8 +59,8 @@
 		arrived += f.previous.arrived[l] + f.current.arrived[l]
 		forwarded += f.previous.forwarded[l] + f.current.forwarded[l]
 	}
-	own := (f.previous.forwarded[level] + f.current.forwarded[level]) / (f.previous.arrived[level] + f.current.arrived[level])
-	return own < tuning.FairnessMinRatio*forwarded/arrived
+	levelRatio := (f.previous.forwarded[level] + f.current.forwarded[level]) / (f.previous.arrived[level] + f.current.arrived[level])
+	return levelRatio < tuning.FairnessMinRatio*forwarded/arrived
 }
 
 // priorityLevel maps a priority to one of tuning.PriorityLevels levels. Level 0 is the highest; all lower
--- a/internal/dataplane/hashing.go
+++ b/internal/dataplane/hashing.go
@@ -1,6 +1,6 @@
 // Rendezvous hashing: each name is hashed together with a key, and the names with the lowest hashes are
-// selected. All proxies thus make the same selection without communicating, and adding or removing a name
-// changes the selection for few others.
+// selected for that key. All proxies thus make the same selection without communicating, and adding or removing
+// a name changes the selection for few keys.
 
 package dataplane
 
@@ -17,7 +17,8 @@
 	return mixHashes(hash.Sum64(), 0)
 }
 
-// hash32 returns the hash that determines which names receive the remainder of an even division.
+// hash32 returns the hash of a limit's name that determines which proxies receive the remainder when the limit is
+// divided evenly.
 func hash32(text string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(text))
--- a/internal/dataplane/health.go
+++ b/internal/dataplane/health.go
@@ -1,5 +1,5 @@
-// Health of targets as seen by a proxy: it handles their heartbeats, probes them while the leader is suspected
-// or when the leader asks for it, and ejects targets that don't respond.
+// Health checks of targets by a proxy. The proxy handles the heartbeats of targets, probes them while it suspects
+// that the leader has failed or when the leader asks for it, and ejects targets that don't respond.
 
 package dataplane
 
@@ -82,8 +82,9 @@
 	return hashString(id.Service+" "+id.Name+" "+p.settings.Self.Name)%proxies < tuning.ProbersPerTarget
 }
 
-// probeIfDue probes a target if its interval has passed. If all targets are probed, the interval is
-// tuning.SuspectProbeEvery. Otherwise it is the leader's, and a response to a request counts as a probe.
+// probeIfDue probes a target if its interval has passed. If this proxy probes all targets, the interval is
+// tuning.SuspectProbeEvery. Otherwise it is tuning.ProbeEvery, as for the leader's probes, and a request that the
+// target served counts as a probe.
 func (p *Proxy) probeIfDue(now time.Duration, target *targetState, probeAll bool) {
 	interval, last := tuning.SuspectProbeEvery, target.probedAt
 	if !probeAll {
@@ -133,7 +134,8 @@
 }
 
 // countMissedProbe counts a probe that a target did not answer, and ejects the target after tuning.ProbeMisses
-// in a row. While the leader is not suspected, the ejection is left to the leader.
+// in a row. While the leader is not suspected, the ejection is left to the leader. The argument indirect is true
+// if the leader requested the probe.
 func (p *Proxy) countMissedProbe(now time.Duration, target *targetState, indirect bool) {
 	suspectsLeader := p.suspectsLeader(now)
 	if indirect && !suspectsLeader {
--- a/internal/dataplane/invalidtable_test.go
+++ b/internal/dataplane/invalidtable_test.go
@@ -36,7 +36,7 @@
 				t.Errorf("%d rejections counted and %d reported, want 3 and 1", proxy.machine.Counts.InvalidTables, reports)
 			}
 			if forwarded, ok := proxy.admit(1).(statemachine.Forward); !ok || forwarded.Target.Name != "a" {
-				t.Errorf("request not forwarded by the previous table: %v", forwarded)
+				t.Errorf("got %+v, want a forward to target a of the previous table", forwarded)
 			}
 			proxy.version += 2
 			proxy.sendTable(1, ruleConfig, readyTarget("c"))
--- a/internal/dataplane/lease_test.go
+++ b/internal/dataplane/lease_test.go
@@ -9,8 +9,9 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A proxy without peers rejects the first request after its lease has expired. A push gives no lease if it
-// answers an earlier process of the same name, has a timestamp in the future, or is from an earlier leader.
+// A proxy whose table no peer has confirmed rejects the first request after its lease has expired. A push gives no
+// lease if it answers an earlier process of the same name, has a timestamp in the future, or is from an earlier
+// leader.
 func TestNothingIsServedAfterTheLease(t *testing.T) {
 	proxy := newTestProxy("g1", 3, ruleConfig, readyTarget("a"))
 	proxy.now += tuning.ProxyLease - time.Millisecond
@@ -31,7 +32,7 @@
 		m.Push = &wire.Push{LeaseGranted: true, Key: proxy.machine.Table().Key}
 		proxy.step(statemachine.Receive{Message: m})
 		if proxy.machine.Serving() {
-			t.Fatalf("serving after the push %+v", m)
+			t.Fatalf("serving after the push %+v, want it to give no lease", m)
 		}
 	}
 }
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -25,8 +25,9 @@
 	return inUse / float64(max(1, t.slots))
 }
 
-// slowness returns by how much the target's response times exceed the mean, as a fraction of the mean. The
-// value decays to 0 over tuning.SpeedTTL, so that a slow target is tried again.
+// slowness returns by how much the target's response times exceed the mean response times of their routes, as a
+// fraction of those means: 0.5 if they are 1.5 times as long, a negative value if they are shorter. The value
+// decays to 0 over tuning.SpeedTTL, so that a slow target is tried again.
 func (t *targetState) slowness(now time.Duration) float64 {
 	if age := now - t.latencyObservedAt; t.latencyObservedAt > 0 && age < tuning.SpeedTTL {
 		return (t.latencyRatio - 1) * (1 - float64(age)/float64(tuning.SpeedTTL))
@@ -47,8 +48,8 @@
 	return cost
 }
 
-// recordLoad updates the load and speed of a target, and the window of its service, from the result of an
-// attempt.
+// recordLoad updates the load and speed of a target, the window of its service, and the mean response times of
+// its service and route from the result of an attempt.
 func (p *Proxy) recordLoad(now time.Duration, target *targetState, req *request, service *serviceState, event *statemachine.AttemptDone) {
 	if load := event.Load; load != nil {
 		target.otherLoad = max(0, float64(load.Running+load.Waiting-target.inFlight))
--- a/internal/dataplane/peers.go
+++ b/internal/dataplane/peers.go
@@ -112,9 +112,9 @@
 }
 
 // peerTableInterval returns the minimum time between two fetches of a later table from a peer. A peer sends all
-// rows, so the interval grows with the table to use at most 1/tuning.PeerTableRateDivisor of a slow link, whatever
-// the size of the fleet. Without this limit, a proxy that is cut off from a leader which keeps making new
-// tables would saturate its own link and those of its peers.
+// rows of its table, so the interval grows with the table to use at most 1/tuning.PeerTableRateDivisor of a slow
+// link, whatever the size of the fleet. Without this limit, a proxy that is cut off from a leader which keeps
+// making new tables would saturate its own link and those of its peers.
 func (p *Proxy) peerTableInterval() time.Duration {
 	bytes := tuning.TableRowBytes * (len(p.table.Targets) + len(p.table.Proxies))
 	return max(2*tuning.PullEvery, time.Duration(bytes)*time.Second*tuning.PeerTableRateDivisor/tuning.SlowLink)
@@ -210,8 +210,9 @@
 	return removed
 }
 
-// adoptPeerSuccessor replaces a target that the peer has removed by its later incarnation, and returns that. It
-// returns nil if there is no such target.
+// adoptPeerSuccessor adds the target of a row of a peer's table if the peer has put it in the place of another
+// incarnation, which this proxy still has. It removes that incarnation and returns the added target, or nil if
+// there is no such incarnation.
 func (p *Proxy) adoptPeerSuccessor(now time.Duration, row *wire.Target, removed map[wire.TargetID]bool) *targetState {
 	for id := range p.targets {
 		if id.Service == row.Service && id.Name == row.Name && removed[id] && p.leavingSince[row.ID()] == 0 {
--- a/internal/dataplane/peers_test.go
+++ b/internal/dataplane/peers_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// A proxy that resumes with the same table as its peers adopts a restarted target from them, which they have
-// put in the place of its earlier incarnation.
+// A proxy that resumes with the same table as its peers adopts a restarted target that the peers have put in the
+// place of its earlier incarnation.
 func TestResumedProxyAdoptsPeerSuccessors(t *testing.T) {
 	proxy := newTestProxy("g1", 3, ruleConfig, readyTarget("a"))
 	proxy.loseLeader()
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -54,7 +54,8 @@
 	// GracePeriod is the time from the request to stop until the process is killed. 0 means unknown; a shutdown
 	// then takes at most tuning.ShutdownTimeout.
 	GracePeriod time.Duration
-	// ReadyWhenEmptied keeps the proxy ready for callers while its domain is emptied.
+	// ReadyWhenEmptied keeps the proxy ready for callers while its failure domain is emptied, so that the domain's
+	// targets get no new requests.
 	ReadyWhenEmptied bool
 }
 
@@ -203,7 +204,8 @@
 	p.state = state
 	p.reindex(now)
 	if state == Leased {
-		// The leader decides on ejections again. It has received the statistics of the time without it.
+		// The leader decides on ejections again, so this proxy's own ones end. The pull that obtained the lease
+		// reported the statistics of the time without a leader.
 		for _, target := range p.targets {
 			target.missedProbes, target.probePendingSince, target.probedAt, target.ownEjectionUntil = 0, 0, 0, 0
 		}
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// BenchmarkRequestWithSlots measures the same on a route, with targets that report their slots.
+// BenchmarkRequestWithSlots measures the same as BenchmarkRequest for a request on a route, with targets that
+// report their slots.
 func BenchmarkRequestWithSlots(b *testing.B) {
 	for _, n := range []int{36, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/dataplane/queue.go
+++ b/internal/dataplane/queue.go
@@ -37,8 +37,9 @@
 
 // queueLimits returns how long the request may be queued, and the maximum length of the queue. A timeout of 0
 // or less means that it may not be queued. For a rule, both are settings of the service. On a route, a request
-// may be queued for a fraction of the latency target, and the length is the number of requests that the
-// service's targets are expected to take within that time.
+// may be queued for a fraction of its expected time, if the route's mean response time then remains until its
+// deadline. The length is the number of requests that the service's targets are expected to take while the
+// request is queued.
 func (p *Proxy) queueLimits(now time.Duration, req *request, service *serviceState) (timeout time.Duration, length int) {
 	if req.routeState == nil {
 		timeout = time.Duration(req.serviceConfig.QueueTimeoutMs) * time.Millisecond
--- a/internal/dataplane/quota.go
+++ b/internal/dataplane/quota.go
@@ -1,7 +1,7 @@
-// Division of limits that hold for all proxies together. If targets report how many requests they process
-// concurrently, each of those slots is assigned to one live proxy. As long as every proxy keeps to its quota,
-// no request waits at a target, without any communication among proxies. If targets don't report slots, a
-// configured cap is divided evenly.
+// Division of limits that hold for all proxies together. Targets may report their slots: how many requests they
+// process concurrently. Each slot is then assigned to one live proxy, and the slots of a target that are assigned
+// to a proxy are its quota there. As long as every proxy keeps to its quotas, no request waits at a target,
+// without any communication among proxies. If targets don't report slots, a configured cap is divided evenly.
 
 package dataplane
 
@@ -132,7 +132,7 @@
 
 // slotPool describes the slots of one target that are to be distributed.
 type slotPool struct {
-	hash   uint64
+	hash   uint64 // targetHash of the target
 	domain string
 	slots  int
 	target *targetState
@@ -210,7 +210,7 @@
 
 // nextRecipient returns the index of the proxy that gets the next slot of a pool, or -1 if there is none. Of
 // the proxies that may get a slot and have part of their total remaining, it is the one with the fewest slots
-// of this pool, and among equals the one with the highest hash.
+// of this pool, and among equals the one whose hash together with the pool's is highest.
 func nextRecipient(pool *slotPool, quotas, remaining []int, hashes []uint64, mayGet func(proxy int) bool) int {
 	best, highest := -1, uint64(0)
 	for i := range quotas {
--- a/internal/dataplane/quota_test.go
+++ b/internal/dataplane/quota_test.go
@@ -60,12 +60,12 @@
 				n, sums[j] = n+quotas[i][j], sums[j]+quotas[i][j]
 			}
 			if n != pool.slots {
-				t.Fatalf("%d slots of a target distributed, want %d", n, pool.slots)
+				t.Fatalf("%d slots of a target distributed, want all %d", n, pool.slots)
 			}
 		}
 		for j, n := range sums {
 			if n != total/count && n != total/count+1 {
-				t.Fatalf("proxy %d has %d of %d slots with %d proxies", j, n, total, count)
+				t.Fatalf("proxy %d has %d of %d slots with %d proxies, want %d or %d", j, n, total, count, total/count, total/count+1)
 			}
 		}
 	})
@@ -116,7 +116,7 @@
 	}
 	for name, n := range requests {
 		if n > 3 {
-			t.Errorf("%d requests at target %s with 3 slots", n, name)
+			t.Errorf("%d requests at target %s with 3 slots, want at most 3", n, name)
 		}
 	}
 	if len(requests) < 4 {
--- a/internal/dataplane/request.go
+++ b/internal/dataplane/request.go
@@ -50,8 +50,8 @@
 	// Load.
 	inFlight   int           // this proxy's requests at targets
 	window     float64       // limit of inFlight for borrowing slots beyond the quota
-	pressureAt time.Duration // time of the latest sign that there are more requests than slots
-	meanMs     float64       // mean response time in ms
+	pressureAt time.Duration // time of the latest sign that there are more requests than slots, 0 if never
+	meanMs     float64       // mean response time in ms, 0 if none was observed
 	queue      []uint64      // ids of queued requests in the order in which they are served
 
 	retryCredit  retryCredit
--- a/internal/dataplane/retrybudget.go
+++ b/internal/dataplane/retrybudget.go
@@ -13,9 +13,10 @@
 )
 
 // RetryBudget limits the attempts that a service's targets get beyond the first of each request. Over all
-// proxies and in any Window, there are at most Ratio times the number of requests plus Slack.
+// proxies and in any time span of length Window, there are at most Ratio times the number of requests plus Slack
+// such attempts.
 type RetryBudget struct {
-	Ratio  float64
+	Ratio  float64 // attempts per request
 	Window time.Duration
 	Slack  float64 // number of attempts
 }
@@ -29,8 +30,9 @@
 // one whole retry.
 func (r RetryBudget) slackSharers(members int) int { return max(1, min(members, int(r.Slack/2))) }
 
-// slackShare returns a proxy's share of the slack. Which members have a share is selected by rendezvous hashing
-// with the hash of the service. While a membership change is under way, a proxy has a share only if it is
+// slackShare returns a proxy's share of the slack, given the current members and the previous ones, which are
+// empty unless a membership change is under way. The members with a share are selected by rendezvous hashing with
+// the hash of the service. While a membership change is under way, a proxy has a share only if it is
 // selected from both memberships, and gets the smaller of the two shares. So two tables that are in use at the
 // same time never give out more than the slack.
 func (r RetryBudget) slackShare(serviceHash uint64, self string, memberships ...[]string) float64 {
@@ -57,10 +59,10 @@
 
 // retryCredit tracks this proxy's part of a service's retry budget.
 type retryCredit struct {
-	credit    float64       // retries that may be spent now
-	slack     float64       // this proxy's share of the slack, updated with each table
-	updatedAt time.Duration // when the slack was last added to the credit
-	started   bool
+	credit    float64                           // retries that may be spent now
+	slack     float64                           // this proxy's share of the slack, updated with each table
+	updatedAt time.Duration                     // when the slack was last added to the credit
+	started   bool                              // updatedAt has been set
 	counts    [tuning.WindowBuckets]bucketCount // a ring buffer, indexed by the bucket modulo its length
 }
 
@@ -90,7 +92,8 @@
 	c.capCredit(now, budget)
 }
 
-// capCredit limits the credit that may be saved up.
+// capCredit limits the credit that may be saved up to half of the slack and a part of what the requests of the
+// last window earned.
 func (c *retryCredit) capCredit(now time.Duration, budget RetryBudget) {
 	bucket, recent := budget.bucket(now), int64(0)
 	for _, count := range c.counts {
--- a/internal/dataplane/retrybudget_test.go
+++ b/internal/dataplane/retrybudget_test.go
@@ -57,6 +57,7 @@
 		}
 		var arrivals, retries []time.Duration
 		id := uint64(0)
+		// If calm is not 0, phases of that length without failures alternate with phases with failures.
 		calm := time.Duration(rapid.IntRange(0, 12).Draw(t, "calm")) * time.Second
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		for now := time.Second; now < 30*time.Second; now += 100 * time.Millisecond {
@@ -100,9 +101,10 @@
 			return n
 		}
 		for from := time.Duration(0); from < 30*time.Second; from += 500 * time.Millisecond {
+			// Retries are earned by requests in the window, but those earned up to a window earlier may be saved up.
 			requests := max(countBetween(arrivals, from, from+budget.Window), countBetween(arrivals, from-budget.Window/2, from+budget.Window/2), countBetween(arrivals, from-budget.Window, from))
 			if n := countBetween(retries, from, from+budget.Window); float64(n) > budget.Ratio*float64(requests)+budget.Slack {
-				t.Fatalf("%d retries for %d requests in the window from %v, with ratio %v and slack %v", n, requests, from, budget.Ratio, budget.Slack)
+				t.Fatalf("%d retries for %d requests in the window from %v, want at most ratio %v times requests plus slack %v", n, requests, from, budget.Ratio, budget.Slack)
 			}
 		}
 	})
@@ -117,6 +119,6 @@
 	proxy.advance(150 * time.Millisecond)
 	service := proxy.machine.service("s")
 	if most := service.retryCredit.slack + float64(proxy.machine.Counts.Forwarded)*proxy.machine.settings.Retry.Ratio; proxy.machine.Counts.Forwarded > 20 || service.retryCredit.credit > most {
-		t.Fatalf("credit %v after %d forwarded requests, want at most %v and 20 requests", service.retryCredit.credit, proxy.machine.Counts.Forwarded, most)
+		t.Fatalf("credit %v after %d forwarded requests, want a credit of at most %v and at most 20 forwarded requests", service.retryCredit.credit, proxy.machine.Counts.Forwarded, most)
 	}
 }
--- a/internal/dataplane/reverseproxy/counts.go
+++ b/internal/dataplane/reverseproxy/counts.go
@@ -9,7 +9,7 @@
 	Requests atomic.Uint64 `metric:"exchanges"`
 	// Served counts the requests that got a target's response, whatever its status.
 	Served atomic.Uint64 `metric:"served"`
-	// RunUnknown counts the requests that got an error from the proxy and may have run.
+	// RunUnknown counts the requests that got an error from the proxy and may have run at a target.
 	RunUnknown atomic.Uint64 `metric:"unknown"`
 	// NotRun counts the requests that got an error from the proxy and have not run.
 	NotRun atomic.Uint64 `metric:"not_run"`
--- a/internal/dataplane/reverseproxy/draining_test.go
+++ b/internal/dataplane/reverseproxy/draining_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		if resp.StatusCode != http.StatusOK || !resp.Close {
-			t.Errorf("%s: got status %d, closes its connection: %v", method, resp.StatusCode, resp.Close)
+			t.Errorf("%s: got status %d, closes its connection: %v, want 200 and true", method, resp.StatusCode, resp.Close)
 		}
 	}
 }
--- a/internal/dataplane/reverseproxy/faults_test.go
+++ b/internal/dataplane/reverseproxy/faults_test.go
@@ -272,7 +272,7 @@
 		all = append(all, fault)
 	}
 	// Without a health check no ids are sent and checked. A surplus response is then detected only if it arrives
-	// together with the response before it or while the connection is idle.
+	// together with the response before it or while the connection is idle, so the other surplus responses are omitted.
 	framed := []targetFault{chunkedResponse, interimFirst, surplusAtOnce, closesAfter, closesWithoutResponse, resets, resetsUnread, truncatedResponse, truncatedHeader, garbage, largeResponse, largeTruncated}
 	for _, tc := range []struct {
 		name        string
@@ -289,7 +289,7 @@
 				}
 			}
 			if res.served < 300 {
-				t.Errorf("%s, seed %d: only %d requests served", tc.name, seed, res.served)
+				t.Errorf("%s, seed %d: only %d requests served, want 300 or more", tc.name, seed, res.served)
 			}
 			for fault := range targetFaults {
 				injected[fault] += faulty.injected[fault].Load()
@@ -300,11 +300,11 @@
 		}
 		for _, fault := range tc.faults {
 			if injected[fault] < 10 {
-				t.Errorf("%s: fault %q was injected only %d times", tc.name, targetFaultNames[fault], injected[fault])
+				t.Errorf("%s: fault %q was injected only %d times, want 10 or more", tc.name, targetFaultNames[fault], injected[fault])
 			}
 		}
 		if reused < 100 || pipelined < 100 || deferred < 20 || tc.healthCheck && mismatched < 20 {
-			t.Errorf("%s: too few cases exercised: reused %d, pipelined %d, deferred %d, mismatched %d", tc.name, reused, pipelined, deferred, mismatched)
+			t.Errorf("%s: too few cases exercised: reused %d, pipelined %d, deferred %d, mismatched %d, want 100, 100, 20 and, with a health check, 20", tc.name, reused, pipelined, deferred, mismatched)
 		}
 		t.Logf("%s: injected %v, mismatched %d, opened %d, reused %d, pipelined %d, deferred %d", tc.name, injected, mismatched, opened, reused, pipelined, deferred)
 	}
@@ -319,6 +319,6 @@
 		wrong += len(res.wrong)
 	}
 	if wrong == 0 {
-		t.Fatal("no caller got a response that belongs to another request")
+		t.Fatal("no caller got a response that belongs to another request, want some without the check of ids")
 	}
 }
--- a/internal/dataplane/reverseproxy/headers.go
+++ b/internal/dataplane/reverseproxy/headers.go
@@ -24,8 +24,8 @@
 
 // Headers holds the names of the headers exchanged with callers and targets. DefaultHeaders returns the defaults.
 type Headers struct {
-	// Deadline is a request header: the time left for the request, in milliseconds. The target is sent what then
-	// remains of it.
+	// Deadline is a request header: the time left for the request, in milliseconds. The proxy sends the target the
+	// time that is left when it forwards the request.
 	Deadline string
 	// Ran is a header of the proxy's errors: whether the request ran at a target, "no" or "unknown".
 	Ran string
--- a/internal/dataplane/reverseproxy/limits_test.go
+++ b/internal/dataplane/reverseproxy/limits_test.go
@@ -121,7 +121,7 @@
 				fmt.Fprint(conn, "GET / HTTP/1.1\r\n")
 			}
 			if got := <-set; got > want || got < want/2 {
-				t.Errorf("limits %+v: deadline %d is in %v, want %v", tc.limits, i, got, want)
+				t.Errorf("limits %+v: read deadline %d is in %v, want %v to %v", tc.limits, i, got, want/2, want)
 			}
 		}
 		conn.Close()
--- a/internal/dataplane/reverseproxy/pipelining_test.go
+++ b/internal/dataplane/reverseproxy/pipelining_test.go
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(resp.Body); string(body) != fmt.Sprintf("/%d", i) || resp.Header.Get("A") != fmt.Sprint(i) {
-			t.Fatalf("response %d has body %q, header %v", i, body, resp.Header)
+			t.Fatalf("response %d has body %q, header %v, want body /%[1]d and id %[1]d", i, body, resp.Header)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 			t.Fatalf("response %d: %v", i, err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || !bytes.HasPrefix(body, fmt.Appendf(nil, "/%dx", i)) || len(body) != 2+3*tuning.ResponseBufferMax || i < 2 && resp.Close {
-			t.Fatalf("response %d: body %.100q of %d bytes, error %v, closes the connection: %v", i, body, len(body), err, resp.Close)
+			t.Fatalf("response %d: body %.100q of %d bytes, error %v, closes the connection: %v, want a complete body that starts with /%[1]dx, and none but the last response to close the connection", i, body, len(body), err, resp.Close)
 		}
 	}
 	if n := proxy.forwarder.Counts.Pipelined.Load(); n != 2 {
@@ -158,7 +158,7 @@
 			<-started.done
 			count++
 			if started.number > len(requests) || requests[started.number-1].RequestURI != started.request.RequestURI || requests[started.number-1].Method != started.request.Method {
-				t.Fatalf("the request for %s was started as number %d of %q", started.request.RequestURI, started.number, all)
+				t.Fatalf("the request for %s was started as number %d of %q, where the server reads another request", started.request.RequestURI, started.number, all)
 			}
 		}
 	})
@@ -218,7 +218,7 @@
 	waitFor(t, "both requests are deferred", func() bool { return proxy.forwarder.Counts.Deferred.Load() == 2 })
 	for range 2 {
 		if done := (<-proxy.notified).(statemachine.AttemptDone); done.Outcome != statemachine.ClientGone || !done.Last {
-			t.Fatal("the target was not returned to the state machine:", done)
+			t.Fatalf("got notification %+v, want outcome ClientGone and Last, which return the target", done)
 		}
 	}
 	close(first)
@@ -229,7 +229,7 @@
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(resp.Body); string(body) != fmt.Sprintf("/%d", i) || resp.Header.Get("A") != fmt.Sprint(i) {
-			t.Fatalf("response %d has body %q, header %v", i, body, resp.Header)
+			t.Fatalf("response %d has body %q, header %v, want body /%[1]d and id %[1]d", i, body, resp.Header)
 		}
 	}
 	if a.runs.Load() != 3 {
--- a/internal/dataplane/reverseproxy/pool.go
+++ b/internal/dataplane/reverseproxy/pool.go
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// put adds a connection to a target, of which at most limit are kept.
+// put adds an idle connection to a target. At most limit idle connections to the target are kept.
 func (p *Pool) put(id wire.TargetID, conn *Conn, limit int) {
 	if conns := (*p.targets.Load())[id]; conns != nil {
 		conns.put(conn, limit)
@@ -111,8 +111,8 @@
 	unreachable atomic.Bool // the target is unreachable
 }
 
-// put adds a connection and closes the least recently used ones, so that at most limit are kept. A connection that was
-// just used can serve any request, an older one only idempotent requests.
+// put adds a connection and closes the least recently used ones, so that at most limit are kept. The most recently used
+// ones are the most useful: an older one can serve only idempotent requests.
 func (t *targetConns) put(conn *Conn, limit int) {
 	conn.lastUsed.Store(int64(time.Since(processStart)))
 	if limit <= 0 {
@@ -181,7 +181,7 @@
 	}
 }
 
-// newest returns the most recently used connection and its slot, nil if there is none.
+// newest returns the most recently used connection and the index of its slot, nil if there is none.
 func (t *targetConns) newest() (newest *Conn, slot int) {
 	for i := range t.slots {
 		if conn := t.slots[i].Load(); conn != nil && (newest == nil || conn.lastUsed.Load() > newest.lastUsed.Load()) {
--- a/internal/dataplane/reverseproxy/pool_test.go
+++ b/internal/dataplane/reverseproxy/pool_test.go
@@ -18,12 +18,12 @@
 		proxy.request(t, "GET", "/x", "")
 	}
 	if done := <-proxy.notified; done.(statemachine.AttemptDone).Outcome != statemachine.Served {
-		t.Fatal("unexpected notification:", done)
+		t.Fatalf("got notification %+v, want outcome Served", done)
 	}
 	take := func(pool *Pool) *Conn { return pool.take(a.Target.ID(), time.Hour, time.Now().Add(time.Hour)) }
 	conn := take(proxy.pool)
 	if conn == nil {
-		t.Fatal("no connection was kept")
+		t.Fatal("no connection was kept after three requests")
 	}
 	proxy.pool.put(a.Target.ID(), conn, 1)
 	proxy.pool.SetTargets(map[wire.TargetID]string{})
@@ -56,7 +56,7 @@
 	}
 	recent := open(0)
 	if conns.take(tuning.NonIdempotentIdleMax, deadline) != recent || conns.take(tuning.ConnIdleTimeout, deadline) != idle || conns.take(tuning.ConnIdleTimeout, deadline) != nil {
-		t.Fatal("the connections were not taken most recently used first, or an expired one was taken")
+		t.Fatal("want the recent connection, then the idle one, and no expired one")
 	}
 	conns.closeExpired(time.Now())
 	if expired.isIdle() {
--- a/internal/dataplane/reverseproxy/response.go
+++ b/internal/dataplane/reverseproxy/response.go
@@ -134,8 +134,9 @@
 	return result
 }
 
-// mayRetryServerError reports whether the request may be sent to another target after a target's server error. A 504 is
-// passed on as the target's response, and a retry needs at least tuning.RetryTimeMin.
+// mayRetryServerError reports whether the request may be sent to another target after a target's server error. This
+// holds only for idempotent requests on routes with a kind. A 504 is passed on as the target's response, and a retry
+// needs at least tuning.RetryTimeMin.
 func (a *attempt) mayRetryServerError(received *http.Response) bool {
 	return isServerError(received) && a.idempotent && a.target.Route.Kind != "" &&
 		received.StatusCode != http.StatusGatewayTimeout && time.Until(a.deadline) > tuning.RetryTimeMin
--- a/internal/dataplane/reverseproxy/retries_test.go
+++ b/internal/dataplane/reverseproxy/retries_test.go
@@ -64,14 +64,14 @@
 	a := newBackend(t, "a", echo)
 	proxy := newTestProxy(t, a.Target)
 	if status, _, _ := proxy.request(t, "POST", "/x", "body"); status != 200 {
-		t.Fatal("unexpected status", status)
+		t.Fatalf("got status %d before the choice expired, want 200", status)
 	}
 	<-proxy.notified
 	proxy.now.Store(int64(tuning.ChoiceTTL + 1)) // the pool has a connection now
 	for range 2 {
 		status, header, _ := proxy.request(t, "POST", "/x", "body")
 		if done := (<-proxy.notified).(statemachine.AttemptDone); status != 503 || header.Get(RanHeader) != "no" || done.Outcome != statemachine.ChoiceExpired {
-			t.Fatalf("got status %d, ran %q, outcome %v", status, header.Get(RanHeader), done.Outcome)
+			t.Fatalf("got status %d, ran %q, outcome %v, want status 503, ran \"no\", outcome ChoiceExpired", status, header.Get(RanHeader), done.Outcome)
 		}
 		if retry := proxy.asked[len(proxy.asked)-1].(statemachine.Retry); retry.Sent {
 			t.Fatal("the request was reported as sent")
@@ -159,7 +159,7 @@
 	for _, targets := range [][]wire.Target{{a.Target}, {a.Target, b.Target}} {
 		proxy := newTestProxy(t, targets...).withHealthCheck(config.KindRepeatable)
 		if status, header, body := proxy.request(t, "GET", "/x", "", "A", "1"); status != 500 || body != "first" || header.Get("Z") != "1" || header.Get("A") != "1" {
-			t.Fatalf("%d targets: got status %d, header %v, body %q", len(targets), status, header, body)
+			t.Fatalf("%d targets: got status %d, header %v, body %q, want status 500 and body \"first\" with headers Z and A of the first target", len(targets), status, header, body)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	} {
 		proxy := newTestProxy(t, tc.targets...).withHealthCheck(tc.kind)
 		if status, header, _ := proxy.request(t, "POST", "/x", "", "A", "1"); status != tc.status || header.Get("R") != tc.ran {
-			t.Fatalf("%+v: got status %d, header %v", tc, status, header)
+			t.Fatalf("%+v: got status %d, header %v, want status %d, ran (header R) %q", tc, status, header, tc.status, tc.ran)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		proxy := newTestProxy(t, a.Target, a.Target).withHealthCheck(kind)
 		proxy.timeLeft = 60 * time.Millisecond
 		if status, header, _ := proxy.request(t, "GET", "/x", "", "A", "1"); status != 504 || header.Get("R") != "unknown" || a.runs.Load() != 1 {
-			t.Fatalf("route kind %s: got status %d, header %v, %d requests at the target", kind, status, header, a.runs.Load())
+			t.Fatalf("route kind %s: got status %d, header %v, %d requests at the target, want status 504, ran (header R) \"unknown\", 1 request", kind, status, header, a.runs.Load())
 		}
 	}
 }
@@ -207,7 +207,7 @@
 		a := newRawBackend(t, "a", respond(status, strings.Repeat("x", tuning.ResponseBufferMax+1)))
 		proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 		if got, h, _ := proxy.request(t, "POST", "/x", "", "A", "1"); got != 502 || h.Get("R") != "unknown" || h.Get("P") != "" {
-			t.Errorf("target's status %d: the caller got status %d, header %v", status, got, h)
+			t.Errorf("target's status %d: the caller got status %d, header %v, want status 502, ran (header R) \"unknown\", no proof (header P)", status, got, h)
 		}
 	}
 }
@@ -241,7 +241,7 @@
 		}()
 		status, _, body := proxy.request(t, "GET", "/", "")
 		if want := map[int64]string{0: "late", 1: "fine"}[tc.second]; status != 200 || body != want || b.runs.Load() != tc.second {
-			t.Errorf("%+v: got status %d, body %s, %d requests at the second target", tc, status, body, b.runs.Load())
+			t.Errorf("%+v: got status %d, body %s, %d requests at the second target, want 200, %s, %d", tc, status, body, b.runs.Load(), want, tc.second)
 		}
 		if tc.second > 0 {
 			close(mayRespond)
--- a/internal/dataplane/reverseproxy/reverseproxy_test.go
+++ b/internal/dataplane/reverseproxy/reverseproxy_test.go
@@ -68,10 +68,10 @@
 	got, err := io.ReadAll(resp.Body)
 	r := <-a.requests
 	if err != nil || string(got) != body || resp.StatusCode != 207 || resp.Header.Get("X-Hop") != "" || resp.Trailer.Get("X-Sum") != "s" || resp.Header.Get("X-Len") != fmt.Sprint(len(body)) {
-		t.Fatalf("unexpected response: error %v, status %d, header %v, trailer %v, body of %d bytes", err, resp.StatusCode, resp.Header, resp.Trailer, len(got))
+		t.Fatalf("got error %v, status %d, header %v, trailer %v, body of %d bytes, want the target's response without the hop-by-hop header X-Hop", err, resp.StatusCode, resp.Header, resp.Trailer, len(got))
 	}
 	if r.Header.Get("X-Mine") != "" || r.Header.Get("X-Forwarded-For") == "" || r.URL.RawQuery != "a=1&a=2" || r.Host != proxy.addr || r.Header.Get(DeadlineHeader) == "" {
-		t.Fatalf("unexpected request at the target: header %v, URL %v, host %v", r.Header, r.URL, r.Host)
+		t.Fatalf("the target got header %v, URL %v, host %v, want the caller's request without the hop-by-hop header X-Mine, with X-Forwarded-For and a deadline", r.Header, r.URL, r.Host)
 	}
 }
 
@@ -84,26 +84,26 @@
 	fmt.Fprint(conn, "POST /a%41/b?x=%2f&&y HTTP/1.1\r\nHost: h.example\r\nA: 77\r\nD: 900\r\nE: another\r\nTransfer-Encoding: chunked\r\nConnection: Mine\r\nMine: 1\r\nKept: v\r\n\r\n2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 200 || resp.Header.Get("A") != "77" || resp.Header.Get("Date") != "" || resp.Header.Get("Content-Type") != "" || resp.ContentLength != 2 {
-		t.Fatal("unexpected response:", err, resp)
+		t.Fatalf("got error %v, response %+v, want status 200, id 77, 2 bytes, no Date or Content-Type", err, resp)
 	}
 	r := <-a.requests
 	if r.RequestURI != "/a%41/b?x=%2f&&y" || r.Host != "h.example" || r.Method != "POST" || <-a.bodies != "abcde" || r.ContentLength != 5 {
-		t.Fatal("unexpected request at the target:", r.RequestURI, r.Host, r.ContentLength)
+		t.Fatalf("the target got %s %s, host %s, %d bytes, want the caller's POST with 5 bytes, \"abcde\"", r.Method, r.RequestURI, r.Host, r.ContentLength)
 	}
 	var left int
 	fmt.Sscan(r.Header.Get("D"), &left)
 	if left < 1 || left > int((proxy.timeLeft-tuning.NetHop).Milliseconds()) {
-		t.Fatal("the target is sent a deadline in ms of", left)
+		t.Fatalf("the target is sent a deadline of %d ms, want 1 to %d", left, (proxy.timeLeft - tuning.NetHop).Milliseconds())
 	}
 	r.Header.Del("D")
 	if got, want := fmt.Sprint(r.Header), fmt.Sprint(http.Header{"A": {"77"}, "E": {"a"}, "Kept": {"v"}, "Content-Length": {"5"}}); got != want {
 		t.Fatalf("the target is sent header %s, want %s", got, want)
 	}
 	if done := (<-proxy.notified).(statemachine.AttemptDone); done.Load == nil || *done.Load != (statemachine.TargetLoad{Running: 3, Waiting: 1, Slots: 4}) {
-		t.Fatal("the state machine is notified of load", done.Load)
+		t.Fatalf("the state machine is notified of load %+v, want 3 running, 1 waiting, 4 slots", done.Load)
 	}
 	if admit := proxy.asked[0].(statemachine.Admit); admit.Timeout <= 0 || admit.Timeout > 900*time.Millisecond {
-		t.Fatal("the state machine is asked with timeout", admit.Timeout)
+		t.Fatalf("the state machine is asked with timeout %v, want more than 0 and at most 900 ms", admit.Timeout)
 	}
 	if a.conns.Load() != 1 || a.runs.Load() != 1 {
 		t.Fatal("the target was sent more than one request, or on more than one connection")
@@ -190,7 +190,7 @@
 		t.Fatalf("the caller's connection got %q, want nothing", body)
 	}
 	if done := (<-proxy.notified).(statemachine.AttemptDone); done.Outcome != statemachine.ClientGone || !done.Last {
-		t.Fatal("unexpected notification:", done)
+		t.Fatalf("got notification %+v, want outcome ClientGone and Last", done)
 	}
 }
 
@@ -268,11 +268,11 @@
 	for _, workTime := range []time.Duration{0, 2 * time.Second} {
 		proxy.workTime = workTime
 		if status, _, _ := proxy.request(t, "GET", "/x", "", "D", "60000"); status != http.StatusOK {
-			t.Fatal("unexpected status", status)
+			t.Fatalf("got status %d, want 200", status)
 		}
 		ms, err := strconv.Atoi(<-deadlines)
 		if most := proxy.timeLeft; err != nil || workTime == 0 && ms > int(most.Milliseconds()) || workTime > 0 && ms > int(workTime.Milliseconds()) {
-			t.Errorf("with %v left and a work time of %v, the target is sent a deadline of %d ms, error %v", proxy.timeLeft, workTime, ms, err)
+			t.Errorf("with %v left and a work time of %v, the target is sent a deadline of %d ms, error %v, want at most the shorter of the two (0 is no work time)", proxy.timeLeft, workTime, ms, err)
 		}
 	}
 }
--- a/internal/dataplane/reverseproxy/streaming_test.go
+++ b/internal/dataplane/reverseproxy/streaming_test.go
@@ -25,7 +25,7 @@
 			b, err = io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err == nil && (resp.StatusCode != 502 || resp.Header.Get(RanHeader) != "unknown" || bytes.Contains(b, []byte("half"))) {
-				t.Fatalf("the caller got %q as a complete response", b)
+				t.Fatalf("the caller got %q as a complete response, want an error with status 502 that says \"unknown\", or a closed connection", b)
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 	for i := range 3 {
 		line, err := r.ReadBytes('\n')
 		if err != nil || !bytes.Equal(line, fmt.Appendf(nil, "part %d\n", i)) {
-			t.Fatalf("read %q, %v as part %d", line, err, i)
+			t.Fatalf("read %q, error %v, want part %d", line, err, i)
 		}
 		next <- true
 	}
@@ -86,7 +86,7 @@
 			body, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err != nil || resp.StatusCode != tc.status || resp.Header.Get("Content-Length") != tc.length || resp.Trailer.Get("T") != tc.trailer || string(body) != tc.body {
-				t.Fatalf("target's response %q: the caller got error %v, status %d, header %v, trailer %v, body %q", tc.response, err, resp.StatusCode, resp.Header, resp.Trailer, body)
+				t.Fatalf("target's response %q: the caller got error %v, status %d, header %v, trailer %v, body %q, want %+v", tc.response, err, resp.StatusCode, resp.Header, resp.Trailer, body, tc)
 			}
 		}
 		if a.conns.Load() != 1 {
--- a/internal/dataplane/reverseproxy/uploads.go
+++ b/internal/dataplane/reverseproxy/uploads.go
@@ -18,8 +18,8 @@
 const streamBufferBytes = 32 << 10
 
 // requestBody is the body of a caller's request: the part that was read before the state machine was asked for a
-// target, and the rest, which is sent on as it arrives. While sendRest runs on its own goroutine, the fields after rest
-// belong to that goroutine.
+// target, and the rest, which is sent on as it arrives. While sendRest runs on its own goroutine, the fields remaining,
+// restRead, tooLarge and aborted belong to that goroutine.
 type requestBody struct {
 	buffered []byte
 	rest     io.Reader   // nil if the whole body is buffered
--- a/internal/dataplane/reverseproxy/uploads_test.go
+++ b/internal/dataplane/reverseproxy/uploads_test.go
@@ -27,7 +27,7 @@
 		req.Header.Set("A", "1")
 		resp, err := proxy.client.Do(req)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatal("unexpected response:", err, resp)
+			t.Fatalf("got error %v, response %+v, want status 200", err, resp)
 		}
 		resp.Body.Close()
 		if <-a.bodies != big {
@@ -47,10 +47,10 @@
 		body, _ := io.ReadAll(conn)
 		conn.Close()
 		if len(body) > 0 && !bytes.HasPrefix(body, []byte("HTTP/1.1 400")) {
-			t.Fatalf("%s: the caller got %q", header, body)
+			t.Fatalf("%s: the caller got %q, want status 400 or no response", header, body)
 		}
 		if done := (<-proxy.notified).(statemachine.AttemptDone); done.Outcome != statemachine.ClientGone {
-			t.Fatal("unexpected notification:", done)
+			t.Fatalf("got notification %+v, want outcome ClientGone", done)
 		}
 	}
 	if a.runs.Load() != 2 {
@@ -66,7 +66,7 @@
 	fmt.Fprintf(conn, "PUT /x HTTP/1.1\r\nHost: h\r\nA: 1\r\nContent-Length: 999999\r\n\r\n%s", big)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 413 || !resp.Close {
-		t.Fatal("unexpected response:", err, resp)
+		t.Fatalf("got error %v, response %+v, want status 413 that closes the connection", err, resp)
 	}
 }
 
@@ -89,10 +89,10 @@
 	fmt.Fprintf(conn, "PUT /x HTTP/1.1\r\nHost: h\r\nA: 1\r\nContent-Length: 999999\r\n\r\n%s", strings.Repeat("x", tuning.ReplayMax/2))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 502 || resp.Header.Get("R") != "unknown" {
-		t.Fatal("unexpected response:", err, resp)
+		t.Fatalf("got error %v, response %+v, want status 502, ran (header R) \"unknown\"", err, resp)
 	}
 	if done := (<-proxy.notified).(statemachine.AttemptDone); done.Outcome != statemachine.ResponseLost {
-		t.Fatal("unexpected notification:", done)
+		t.Fatalf("got notification %+v, want outcome ResponseLost", done)
 	}
 }
 
@@ -105,7 +105,7 @@
 		fmt.Fprintf(conn, "PUT /x HTTP/1.1\r\nHost: h\r\nA: 1\r\nD: 50\r\n%s\r\n\r\n1", header)
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != 408 || resp.Header.Get("R") != "no" || !resp.Close {
-			t.Fatalf("%s: unexpected response: %v, %v", header, err, resp)
+			t.Fatalf("%s: got error %v, response %+v, want status 408, ran (header R) \"no\", that closes the connection", header, err, resp)
 		}
 	}
 	if a.runs.Load() != 0 || len(proxy.asked) != 0 {
--- a/internal/dataplane/reverseproxy/upstream_test.go
+++ b/internal/dataplane/reverseproxy/upstream_test.go
@@ -22,7 +22,7 @@
 	proxy := newTestProxy(t, other)
 	status, header, _ := proxy.request(t, "POST", "/x", "body")
 	if status != 503 || header.Get(RanHeader) != "no" || a.runs.Load() != 0 {
-		t.Fatalf("got status %d, ran %q, %d requests at the target", status, header.Get(RanHeader), a.runs.Load())
+		t.Fatalf("got status %d, ran %q, %d requests at the target, want status 503, ran \"no\", 0 requests", status, header.Get(RanHeader), a.runs.Load())
 	}
 }
 
@@ -48,7 +48,7 @@
 		proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 		for range 3 {
 			if status, _, body := proxy.request(t, "POST", "/x", "", "A", "1"); status != 200 || body != "ok" {
-				t.Fatalf("%s: got status %d, body %q", tc.name, status, body)
+				t.Fatalf("%s: got status %d, body %q, want 200 and \"ok\"", tc.name, status, body)
 			}
 		}
 		if a.conns.Load() != tc.conns {
@@ -124,7 +124,7 @@
 	proxy := newTestProxy(t, a.Target).withHealthCheck(config.KindOnce)
 	for i, id := range []string{"1", "", "2"} {
 		if status, _, _ := proxy.request(t, "POST", "/x", "", "A", id); status != 200 {
-			t.Fatalf("request %d: got status %d", i, status)
+			t.Fatalf("request %d: got status %d, want 200", i, status)
 		}
 	}
 	if a.conns.Load() != 2 {
@@ -171,6 +171,6 @@
 		t.Fatal("the attempt was abandoned although its response had arrived")
 	}
 	if resp, err := conn.readHeader("GET"); err != nil || resp.StatusCode != 200 {
-		t.Fatal("unexpected response:", resp, err)
+		t.Fatalf("got response %+v, error %v, want status 200", resp, err)
 	}
 }
--- a/internal/dataplane/routing.go
+++ b/internal/dataplane/routing.go
@@ -17,7 +17,7 @@
 	split          []config.Share // nil until it is set up for the current configuration
 	currentWeights []float64      // by share: increased by its weight at each choice, reduced by totalWeight when chosen
 	totalWeight    float64        // sum of the weights of all shares
-	meanMs         float64        // mean response time in ms
+	meanMs         float64        // mean response time in ms, 0 if none was observed
 	samples        int            // number of response times in the mean
 }
 
--- a/internal/dataplane/selection_test.go
+++ b/internal/dataplane/selection_test.go
@@ -25,12 +25,12 @@
 		return count
 	}
 	if n := requestsToC(30); n != 0 {
-		t.Fatalf("%d of 30 requests sent to the ejected target", n)
+		t.Fatalf("%d of 30 requests sent to the ejected target, want 0", n)
 	}
 	proxy.now += 100 * time.Millisecond
 	proxy.sendTable(1, ruleConfig, readyTarget("a"), readyTarget("b"), readyTarget("c"))
 	if n := requestsToC(30); n != 0 {
-		t.Fatalf("%d of 30 requests sent to the target whose ejection was just lifted", n)
+		t.Fatalf("%d of 30 requests sent to the target whose ejection was just lifted, want 0", n)
 	}
 	proxy.now += tuning.ReconcileEvery + 100*time.Millisecond
 	proxy.sendTable(1, ruleConfig, readyTarget("a"), readyTarget("b"), readyTarget("c"))
--- a/internal/dataplane/shutdown_test.go
+++ b/internal/dataplane/shutdown_test.go
@@ -53,7 +53,7 @@
 			case statemachine.Forward:
 				r.acceptedAt = r.now
 				if waited := r.now - r.stopAt; waited > min(r.grace/2, tuning.ShutdownLingerMax) && waited+min(longest, response.WorkTime, response.TimeLeft) > r.grace {
-					t.Fatalf("seed %d: grace period %v, accepted a request of up to %v at %v after the request to stop", seed, r.grace, longest, waited)
+					t.Fatalf("seed %d: grace period %v, accepted a request of up to %v at %v after the request to stop, want it rejected since it may not end in time", seed, r.grace, longest, waited)
 				}
 				workTime := time.Duration(random.Int64N(int64(longest)))
 				if response.WorkTime > 0 && id%2 == 0 {
@@ -72,7 +72,7 @@
 		}
 		switch {
 		case r.exitAt == 0 || len(r.endsAt) > 0:
-			t.Fatalf("seed %d: grace period %v, not stopped or stopped with %d requests in flight", seed, r.grace, len(r.endsAt))
+			t.Fatalf("seed %d: grace period %v, not stopped or stopped with %d requests in flight, want stopped with none", seed, r.grace, len(r.endsAt))
 		case r.acceptedAt == 0:
 			t.Fatalf("seed %d: grace period %v, accepted no request after the request to stop", seed, r.grace)
 		}
--- a/internal/dataplane/slotselection.go
+++ b/internal/dataplane/slotselection.go
@@ -1,6 +1,6 @@
 // Selection policy for targets that report how many slots they have. Beyond its own quota of slots, a proxy
-// borrows slots at targets whose known load is low. The number of its requests is limited by a window, which
-// shrinks when a target reports that it is full.
+// borrows slots at targets whose known load is low. The number of its requests in flight up to which it may do so
+// is its window, which grows while requests are served and shrinks when a target rejects one because it is full.
 
 package dataplane
 
@@ -21,7 +21,7 @@
 	quotaRemote             // a slot of its quota, at a target in another domain
 	freeRemote              // a free slot reported by a target in another domain
 	warmupDue               // the target is warming up, and the next request may be sent to it
-	borrowed                // a slot of other proxies' quotas
+	borrowed                // a slot of other proxies' quotas, or of its quota while others use that
 	avoided                 // a connection to the target failed recently
 	noTier                  // the target can't be chosen now
 )
@@ -92,8 +92,8 @@
 }
 
 // priorityAllows reports whether the request's priority allows any target. While the service is under pressure,
-// each priority level leaves a part of the window to every higher level that has requests. A request beyond
-// that may only go to targets that report a free slot.
+// each priority level leaves a part of the window to every higher level that had requests recently. A request
+// that would use such a part may only go to targets that report a free slot.
 func (p *Proxy) priorityAllows(now time.Duration, req *request, service *serviceState) bool {
 	level := priorityLevel(req.priority)
 	if level == 0 || !service.underPressure(now) {
@@ -139,7 +139,7 @@
 func (t *targetState) quotaTier(now time.Duration) tier {
 	switch {
 	case t.utilization(now) >= 1:
-		return borrowed // other proxies have borrowed the slot in the meantime
+		return borrowed // all slots are in use, so other proxies have borrowed those of this proxy's quota
 	case t.local:
 		return quotaLocal
 	}
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -25,7 +25,9 @@
 	}
 	table := p.fullTable(received)
 	if table == nil {
-		return false // meant for an earlier process of this name, or late; the next pull asks for whatever is missing
+		// This process doesn't have the omitted parts: the message was meant for an earlier process of this name, or
+		// arrived late. The next pull asks for whatever is missing.
+		return false
 	}
 	if !p.applyConfiguration(table) {
 		return false
--- a/internal/dataplane/takeover.go
+++ b/internal/dataplane/takeover.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// isSupersededBy reports whether the target has stopped working, so that its successor may replace it.
+// isSupersededBy reports whether the successor may replace the target, because the target is leaving, has missed
+// its probes, or had the address that the successor now has.
 func (t *targetState) isSupersededBy(successor *targetState) bool {
 	return t.leaving || t.Draining || t.missedProbes >= tuning.ProbeMisses || t.Addr == successor.Addr
 }
--- a/internal/dataplane/testproxy_test.go
+++ b/internal/dataplane/testproxy_test.go
@@ -13,7 +13,7 @@
 type testProxy struct {
 	machine *Proxy
 	now     time.Duration
-	version uint64
+	version uint64 // of the last table that was sent to it
 }
 
 // newTestProxy returns a proxy with a lease and a table that has count proxies, named g1, g2 and so on, and the
--- a/internal/dataplane/warmup_test.go
+++ b/internal/dataplane/warmup_test.go
@@ -118,7 +118,7 @@
 					proxy.sendTable(from+added, document, readyTarget("a", warming))
 				}
 				if n := running + fill(all); n > warmCap {
-					t.Fatalf("%d proxies and %d added: %d requests at a target with a cap of %d", from, added, n, warmCap)
+					t.Fatalf("%d proxies and %d added: %d requests at a warming target, want at most its cap of %d", from, added, n, warmCap)
 				}
 				shares := 0
 				for _, proxy := range all {
@@ -155,8 +155,8 @@
 	}
 }
 
-// In any second, all proxies together send a target that is warming up at most 1.5 times its rate of requests,
-// whichever memberships the proxies have and however often they restart.
+// In any second, all proxies together send a target that is warming up at most 1.5 times as many requests as its
+// rate allows, and two more, whichever memberships the proxies have and however often they restart.
 func TestWarmupRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 14).Draw(t, "proxies")
@@ -244,11 +244,11 @@
 				from++
 			}
 			if count := float64(i - from + 1); count > rate*1.5+2 {
-				t.Fatalf("%v requests in the second up to %v, rate %v", count, at, rate)
+				t.Fatalf("%v requests in the second up to %v at a rate of %v, want at most %v", count, at, rate, rate*1.5+2)
 			}
 		}
 		if restarts == 0 && !joins && rate >= 1 && len(sent) < int(rate*1.5) {
-			t.Fatalf("only %d requests in 3 s at a rate of %v", len(sent), rate)
+			t.Fatalf("only %d requests in 3 s at a rate of %v, want %d or more", len(sent), rate, int(rate*1.5))
 		}
 	})
 }
@@ -358,7 +358,7 @@
 							return n
 						}
 						if n := run(false); n > warmCap || n < min(warmCap, count, max(1, rate/2)) {
-							t.Fatalf("%s: %d requests in flight at the same time", setup, n)
+							t.Fatalf("%s: %d requests in flight at the same time, want %d to %d", setup, n, min(warmCap, count, max(1, rate/2)), warmCap)
 						}
 						for _, proxy := range proxies {
 							for id := range proxy.machine.requests {
