--- a/internal/dataplane/fairness.go
+++ b/internal/dataplane/fairness.go
@@ -15,7 +15,8 @@
 	arrived, forwarded [tuning.PriorityLevels]float64
 }
 
-// fairness counts a service's requests in the current time span of tuning.FairnessWindow and in the one before.
+// fairness counts a service's requests in the current time span of length tuning.FairnessWindow and in the previous
+// one.
 type fairness struct {
 	span              int64 // index of the current time span
 	current, previous priorityCounts
--- a/internal/dataplane/reverseproxy/faults_test.go
+++ b/internal/dataplane/reverseproxy/faults_test.go
@@ -273,12 +273,12 @@
 	}
 	// Without a health check no ids are sent and checked. A surplus response is then detected only if it arrives
 	// together with the response before it or while the connection is idle, so the other surplus responses are omitted.
-	framed := []targetFault{chunkedResponse, interimFirst, surplusAtOnce, closesAfter, closesWithoutResponse, resets, resetsUnread, truncatedResponse, truncatedHeader, garbage, largeResponse, largeTruncated}
+	faultsWithoutIDs := []targetFault{chunkedResponse, interimFirst, surplusAtOnce, closesAfter, closesWithoutResponse, resets, resetsUnread, truncatedResponse, truncatedHeader, garbage, largeResponse, largeTruncated}
 	for _, tc := range []struct {
 		name        string
 		healthCheck bool
 		faults      []targetFault
-	}{{"ids", true, all}, {"identity", false, framed}} {
+	}{{"ids", true, all}, {"identity", false, faultsWithoutIDs}} {
 		var injected [targetFaults]int64
 		var mismatched, opened, reused, pipelined, deferred uint64
 		for seed := range uint64(4) {
--- a/internal/dataplane/reverseproxy/retries_test.go
+++ b/internal/dataplane/reverseproxy/retries_test.go
@@ -144,7 +144,7 @@
 						t.Fatal("the first attempt was not reported as sent")
 					}
 					if got := <-b.bodies; got != "body" {
-						t.Fatalf("the request was sent again with body %q", got)
+						t.Fatalf("the request was sent again with body %q, want the same body again", got)
 					}
 				}
 			})
--- a/internal/dataplane/reverseproxy/reverseproxy_test.go
+++ b/internal/dataplane/reverseproxy/reverseproxy_test.go
@@ -159,7 +159,7 @@
 				body, _ := io.ReadAll(resp.Body)
 				resp.Body.Close()
 				if resp.StatusCode != 200 || string(body) != req.URL.Path || resp.Header.Get("A") != req.Header.Get("A") {
-					results <- fmt.Errorf("request for %s got status %d, body %q", req.URL.Path, resp.StatusCode, body)
+					results <- fmt.Errorf("request for %s got status %d, body %q, want status 200 and its own path and id", req.URL.Path, resp.StatusCode, body)
 					return
 				}
 			}
--- a/internal/dataplane/reverseproxy/streaming_test.go
+++ b/internal/dataplane/reverseproxy/streaming_test.go
@@ -123,7 +123,7 @@
 			body, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if truncated != (err != nil) || !truncated && string(body) != big || a.runs.Load() != 1 {
-				t.Fatalf("truncated %v, chunked %v: the caller got error %v, body of %d bytes; %d requests at the target", truncated, chunked, err, len(body), a.runs.Load())
+				t.Fatalf("truncated %v, chunked %v: the caller got error %v, body of %d bytes; %d requests at the target; want an error if truncated, else the whole body, and 1 request", truncated, chunked, err, len(body), a.runs.Load())
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 			}
 			body, err := io.ReadAll(want.Body)
 			if err != nil || want.StatusCode != resp.StatusCode || want.Header.Get("A") != "1" || !bytes.Equal(body, got) {
-				t.Fatalf("the target sent %q, the caller got status %d, body %q; error %v", s, resp.StatusCode, got, err)
+				t.Fatalf("the target sent %q, the caller got status %d, body %q, want the same status and body; error in the target's body: %v", s, resp.StatusCode, got, err)
 			}
 			return
 		}
--- a/internal/dataplane/reverseproxy/testproxy_test.go
+++ b/internal/dataplane/reverseproxy/testproxy_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// echo responds with the body of the request.
+// echo responds with "ran " and the body of the request.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(w, "ran %s", body)
@@ -237,7 +237,8 @@
 	}
 }
 
-// testHeaders returns short header names.
+// testHeaders returns header names of one letter, such as R for Headers.Ran. They include Proof, which turns its check
+// on.
 func testHeaders() Headers {
 	return Headers{Deadline: "D", Ran: "R", Attempt: "A", ExpectTarget: "E", NotRun: "N", Load: "L", Identity: "I", WarmupLeft: "C", Proof: "P"}
 }
--- a/internal/dataplane/slotselection.go
+++ b/internal/dataplane/slotselection.go
@@ -1,6 +1,7 @@
 // Selection policy for targets that report how many slots they have. Beyond its own quota of slots, a proxy
-// borrows slots at targets whose known load is low. The number of its requests in flight up to which it may do so
-// is its window, which grows while requests are served and shrinks when a target rejects one because it is full.
+// borrows slots at targets whose known load is low. Unless a target reports a free slot, it does so only while the
+// number of its requests in flight is below a window, which grows while requests are served and shrinks when a
+// target rejects a request because it is full.
 
 package dataplane
 
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -223,8 +223,8 @@
 	return row
 }
 
-// publishTargets must be called after each change of the targets. It rebuilds the index and reports the
-// addresses, so that connections to removed targets are closed.
+// publishTargets must be called after each change of the targets. It rebuilds the data for target selection and
+// emits the targets' addresses, so that connections to removed targets are closed.
 func (p *Proxy) publishTargets(now time.Duration) {
 	p.reindex(now)
 	addresses := map[wire.TargetID]string{}
