--- a/internal/dataplane/attempts.go
+++ b/internal/dataplane/attempts.go
@@ -86,8 +86,8 @@
 }
 
 // mayHaveRun reports whether the target of the latest attempt may have executed the request. The argument sent
-// is true if any part of the request was written to the target. On a route, the outcomes below count as possible
-// execution even if sent is false.
+// is true if any part of the request was written to the target. On a route, a response or the loss of one counts as
+// possible execution even if sent is false.
 func (r *request) mayHaveRun(sent bool) bool {
 	switch r.lastOutcome {
 	case statemachine.Served, statemachine.ServerError, statemachine.ResponseLost:
--- a/internal/dataplane/counts.go
+++ b/internal/dataplane/counts.go
@@ -2,7 +2,7 @@
 
 // Counts holds a proxy's counters since its start. On /metrics and in /v1/status each counter has the name
 // given by its tags, or else one made from its Go name. Some tags keep a former name, such as OnceKept for
-// NotRepeatable and OtherShare for SplitFallbacks, since operators' tools use it.
+// NotRepeatable and OtherShare for SplitFallbacks, so that metrics and status remain compatible.
 type Counts struct {
 	// Forwarded counts attempts that were forwarded to a target, both first attempts and retries.
 	Forwarded uint64 `json:"Admitted" metric:"admitted"`
--- a/internal/dataplane/slotselection.go
+++ b/internal/dataplane/slotselection.go
@@ -17,12 +17,12 @@
 
 // Tiers, in order of preference.
 const (
-	quotaLocal  tier = iota // a slot of this proxy's quota, at a target in its domain
-	freeLocal               // a free slot reported by a target in its domain
+	quotaLocal  tier = iota // a slot of this proxy's quota, at a target in the proxy's domain
+	freeLocal               // a free slot reported by a target in the proxy's domain
 	quotaRemote             // a slot of its quota, at a target in another domain
 	freeRemote              // a free slot reported by a target in another domain
 	warmupDue               // the target is warming up, and the next request may be sent to it
-	borrowed                // a slot of other proxies' quotas, or of its quota while others use that
+	borrowed                // a slot of other proxies' quotas, or of its own quota while others use it
 	avoided                 // a connection to the target failed recently
 	noTier                  // the target can't be chosen now
 )
