--- a/internal/dataplane/reverseproxy/streaming_test.go
+++ b/internal/dataplane/reverseproxy/streaming_test.go
@@ -25,7 +25,7 @@
 			b, err = io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err == nil && (resp.StatusCode != 502 || resp.Header.Get(RanHeader) != "unknown" || bytes.Contains(b, []byte("half"))) {
-				t.Fatalf("the caller got %q as a complete response", b)
+				t.Fatalf("the caller got %q as a complete response, want an error with status 502 that says \"unknown\", or a closed connection", b)
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 	for i := range 3 {
 		line, err := r.ReadBytes('\n')
 		if err != nil || !bytes.Equal(line, fmt.Appendf(nil, "part %d\n", i)) {
-			t.Fatalf("read %q, %v as part %d", line, err, i)
+			t.Fatalf("read %q, error %v, want part %d", line, err, i)
 		}
 		next <- true
 	}
@@ -86,7 +86,7 @@
 			body, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err != nil || resp.StatusCode != tc.status || resp.Header.Get("Content-Length") != tc.length || resp.Trailer.Get("T") != tc.trailer || string(body) != tc.body {
-				t.Fatalf("target's response %q: the caller got error %v, status %d, header %v, trailer %v, body %q", tc.response, err, resp.StatusCode, resp.Header, resp.Trailer, body)
+				t.Fatalf("target's response %q: the caller got error %v, status %d, header %v, trailer %v, body %q, want %+v", tc.response, err, resp.StatusCode, resp.Header, resp.Trailer, body, tc)
 			}
 		}
 		if a.conns.Load() != 1 {
@@ -123,7 +123,7 @@
 			body, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if truncated != (err != nil) || !truncated && string(body) != big || a.runs.Load() != 1 {
-				t.Fatalf("truncated %v, chunked %v: the caller got error %v, body of %d bytes; %d requests at the target", truncated, chunked, err, len(body), a.runs.Load())
+				t.Fatalf("truncated %v, chunked %v: the caller got error %v, body of %d bytes; %d requests at the target; want an error if truncated, else the whole body, and 1 request", truncated, chunked, err, len(body), a.runs.Load())
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 			}
 			body, err := io.ReadAll(want.Body)
 			if err != nil || want.StatusCode != resp.StatusCode || want.Header.Get("A") != "1" || !bytes.Equal(body, got) {
-				t.Fatalf("the target sent %q, the caller got status %d, body %q; error %v", s, resp.StatusCode, got, err)
+				t.Fatalf("the target sent %q, the caller got status %d, body %q, want the same status and body; error in the target's body: %v", s, resp.StatusCode, got, err)
 			}
 			return
 		}
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -25,7 +25,9 @@
 	}
 	table := p.fullTable(received)
 	if table == nil {
-		return false // meant for an earlier process of this name, or late; the next pull asks for whatever is missing
+		// This process doesn't have the omitted parts: the message was meant for an earlier process of this name, or
+		// arrived late. The next pull asks for whatever is missing.
+		return false
 	}
 	if !p.applyConfiguration(table) {
 		return false
@@ -221,8 +223,8 @@
 	return row
 }
 
-// publishTargets must be called after each change of the targets. It rebuilds the index and reports the
-// addresses, so that connections to removed targets are closed.
+// publishTargets must be called after each change of the targets. It rebuilds the data for target selection and
+// emits the targets' addresses, so that connections to removed targets are closed.
 func (p *Proxy) publishTargets(now time.Duration) {
 	p.reindex(now)
 	addresses := map[wire.TargetID]string{}
