--- a/internal/verification/modelcheck/canonical.go
+++ b/internal/verification/modelcheck/canonical.go
@@ -18,8 +18,8 @@
 const (
 	// noServer encodes the empty server name.
 	noServer = 255
-	// maxServers is the upper bound for the servers of a scenario. The vacant member of a server's name is encoded as
-	// the server's number plus maxServers.
+	// maxServers is the upper bound for the servers of a scenario. A vacant member, whose name begins with a
+	// server's name, is encoded as the server's number plus maxServers.
 	maxServers = 32
 )
 
@@ -31,7 +31,8 @@
 	messages   [][]byte
 	signatures []signature
 	order      []int
-	// distinct means that servers differ in clock rate or have vacant members, so they are not interchangeable.
+	// distinct means that servers differ in clock rate or that there are vacant members named after servers, so that the servers
+	// are not interchangeable.
 	distinct bool
 }
 
@@ -101,7 +102,7 @@
 func (c *canonicalizer) signatureOf(state *State, i int) signature {
 	server := state.servers[i]
 	node := server.node
-	result := signature{uint64(node.Role()), node.Term(), node.Commit(), node.LastIndex(), node.Snapshot().Index, server.disks,
+	result := signature{uint64(node.Role()), node.Term(), node.Commit(), node.LastIndex(), node.Snapshot().Index, server.disksLost,
 		uint64(len(server.pending)), server.disk.Term, server.applied.index, uint64(len(node.Members()))}
 	if c.distinct {
 		result = signature{uint64(i)}
@@ -159,7 +160,7 @@
 	server := s.servers[i]
 	c.encoder.Node(server.node, server.clock(s.now))
 	c.encoder.PersistentState(&server.disk)
-	c.encoder.Uints(server.applied.index, server.disks, uint64(len(server.pending)))
+	c.encoder.Uints(server.applied.index, server.disksLost, uint64(len(server.pending)))
 	for _, batch := range server.pending {
 		c.encoder.Batch(batch)
 	}
--- a/internal/verification/modelcheck/invariant.go
+++ b/internal/verification/modelcheck/invariant.go
@@ -95,7 +95,7 @@
 		s.history.leaders = append(s.history.leaders, leaderRecord{term, server.name})
 		s.checkElectionVotes(server, term)
 	case s.history.leaders[known].server != server.name:
-		s.fail(ElectionSafety, "%s and %s in term %d", s.history.leaders[known].server, server.name, term)
+		s.fail(ElectionSafety, "%s and %s both lead in term %d", s.history.leaders[known].server, server.name, term)
 	}
 	s.checkLeaderCompleteness(server, term)
 }
@@ -278,7 +278,7 @@
 }
 
 // recordVote records a vote and checks that the member, identified by name and disk, hasn't voted for another candidate in
-// the term, also before a restart.
+// the term, including votes from before a restart.
 func (s *State) recordVote(server *server, term uint64, candidate string) {
 	voter := wire.Member{Name: server.name, Disk: server.disk.Disk}
 	for _, vote := range s.history.votes {
--- a/internal/verification/modelcheck/scenario.go
+++ b/internal/verification/modelcheck/scenario.go
@@ -50,7 +50,7 @@
 	AfterStep func(node *consensus.Node, now time.Duration)
 	// ChangeMembers is called instead of Node.ProposeMembers.
 	ChangeMembers func(node *consensus.Node, now time.Duration, members []wire.Member)
-	// Ignore names invariants that are not reported, so that violations that follow from theirs show.
+	// Ignore names invariants whose violations are not reported, so that a test can show the violations that follow from them.
 	Ignore []string
 }
 
@@ -69,7 +69,7 @@
 var Scenarios = []Scenario{
 	{
 		Name:        "first-start",
-		Description: "three servers start at once without waiting; disks sync late",
+		Description: "three servers start at the same time; disks sync late",
 		Servers:     3,
 		Voters:      3,
 		MaxInFlight: 5,
--- a/internal/verification/modelcheck/server.go
+++ b/internal/verification/modelcheck/server.go
@@ -21,13 +21,13 @@
 
 // server is one server of the cluster.
 type server struct {
-	name    string
-	node    *consensus.Node
-	disk    consensus.PersistentState // synced state, which survives a restart
-	pending []*wire.Batch             // batches written but not known to be synced, oldest first
-	applied stateMachine
-	disks   uint64 // number of disks lost so far
-	rate    int64  // clock rate in thousandths of true time
+	name      string
+	node      *consensus.Node
+	disk      consensus.PersistentState // synced state, which survives a restart
+	pending   []*wire.Batch             // batches written but not known to be synced, oldest first
+	applied   stateMachine
+	disksLost uint64 // number of disks lost so far
+	rate      int64  // clock rate in thousandths of true time
 }
 
 // newServer starts a server for the first time. The initial members have a snapshot with the member list on disk; the disks
--- a/internal/verification/modelcheck/setup.go
+++ b/internal/verification/modelcheck/setup.go
@@ -15,7 +15,7 @@
 // setupNoContact lets the election timeout of every member expire.
 func setupNoContact(s *State) { s.now += longestTimeout }
 
-// setupLeader leads to a leader that all members follow and one committed entry.
+// setupLeader runs the servers until there are a leader that all members follow and one committed entry.
 func setupLeader(s *State) {
 	s.runFor(2 * time.Second)
 	s.propose(s.leader(), "start")
@@ -23,16 +23,17 @@
 	s.runFor(2 * heartbeat)
 }
 
-// setupCompacted leads to a leader whose snapshot covers its whole log, so that a member that lacks entries needs the snapshot.
+// setupCompacted runs the servers until there is a leader whose snapshot covers its whole log, so that a member that lacks
+// entries needs the snapshot.
 func setupCompacted(s *State) {
 	setupLeader(s)
 	s.compact(s.leader())
 	s.quiesce()
 }
 
-// setupOvertaken leads to a majority that holds an entry of the first term. The leader of that term was elected again in the
-// third term and restarted before it synced an entry of the third term. Another server holds an entry of the second term at
-// the same index. This is the case in which an entry of an earlier term is not committed although a majority holds it (Ongaro
+// setupOvertaken runs the servers until a majority holds an entry of the first term. The leader of that term was elected again
+// in the third term and restarted before it synced an entry of the third term. Another server holds an entry of the second
+// term at the same index. This is the case in which an entry of an earlier term is not committed although a majority holds it (Ongaro
 // and Ousterhout, "In Search of an Understandable Consensus Algorithm", section 5.4.2).
 func setupOvertaken(s *State) {
 	setupLeader(s)
@@ -50,8 +51,8 @@
 	s.network = nil
 }
 
-// setupLaggingMember leads to a member that lacks entries covered by the leader's snapshot, with a chunk of that snapshot in
-// flight.
+// setupLaggingMember runs the servers until a member lacks entries covered by the leader's snapshot and a chunk of that
+// snapshot is in flight.
 func setupLaggingMember(state *State) {
 	setupLeader(state)
 	leader := state.leader()
@@ -124,7 +125,7 @@
 // quiesce delivers all messages and syncs all disks until nothing is pending.
 func (s *State) quiesce() { s.quiesceExcept("") }
 
-// quiesceExcept does the same, but drops messages to one server.
+// quiesceExcept is like quiesce but drops the messages to one server.
 func (s *State) quiesceExcept(isolated string) {
 	for busy := true; busy; {
 		busy = false
--- a/internal/verification/modelcheck/state.go
+++ b/internal/verification/modelcheck/state.go
@@ -158,8 +158,8 @@
 // daemon join.
 func (s *State) wipe(i int) {
 	server := s.cloneServer(i)
-	server.disks++
-	server.disk = consensus.PersistentState{Epoch: epoch, Disk: diskNumber(i, server.disks)}
+	server.disksLost++
+	server.disk = consensus.PersistentState{Epoch: epoch, Disk: diskNumber(i, server.disksLost)}
 	s.start(i, server)
 }
 
--- a/internal/verification/modelcheck/transition.go
+++ b/internal/verification/modelcheck/transition.go
@@ -146,12 +146,12 @@
 	members := leader.node.Members()
 	for _, member := range members {
 		if len(members) == 1 {
-			break // the last member can't be removed
+			break // the only member can't be removed
 		}
 		add(Transition{Kind: DropMember, Server: i, Member: member})
 	}
 	for j, other := range s.servers {
-		member := wire.Member{Name: other.name, Disk: diskNumber(j, other.disks)}
+		member := wire.Member{Name: other.name, Disk: diskNumber(j, other.disksLost)}
 		if j == i || slices.ContainsFunc(members, func(m wire.Member) bool { return m.Name == member.Name }) {
 			continue
 		}
