--- a/internal/verification/simulator/attempt.go
+++ b/internal/verification/simulator/attempt.go
@@ -69,7 +69,7 @@
 	return !a.connection.target.hanging && a.world.connected(a.process.name, a.connection.target.name)
 }
 
-// write writes the first byte of the request. A frozen process continues here when it thaws.
+// write writes the first byte of the request. If the process is frozen, it does so after the thaw.
 func (a *attempt) write() {
 	world, process, request := a.world, a.process, a.request
 	if !process.alive || process.incarnation != request.incarnation {
@@ -195,7 +195,7 @@
 	a.fail(0, failure{outcome: statemachine.ResponseLost, sent: true})
 }
 
-// whileOpen runs a function after a delay, provided that the request is still open then and its proxy hasn't restarted.
+// whileOpen runs a function after a delay, unless the request has ended by then or its proxy has been killed or restarted.
 func (a *attempt) whileOpen(delay time.Duration, run func()) {
 	w, p, r := a.world, a.process, a.request
 	w.schedule(delay, func() {
--- a/internal/verification/simulator/bootstrap_test.go
+++ b/internal/verification/simulator/bootstrap_test.go
@@ -18,7 +18,7 @@
 			t.Run(fmt.Sprintf("%d of %d", c.seeds, c.controlDaemons), func(t *testing.T) {
 				t.Parallel()
 				w := New(seed, bootstrapPlan(c.controlDaemons, c.seeds))
-				if seed%3 > 0 { // restarted, a seed goes on with the bootstrap that is locked on its disk
+				if seed%3 > 0 { // a restarted seed continues the bootstrap whose lock is on its disk
 					w.schedule(w.randomMilliseconds(100, 2500), func() {
 						p := w.process(w.processes.names[w.random.IntN(c.seeds)])
 						w.Kill(p)
@@ -62,6 +62,6 @@
 	w.Run(60 * time.Second)
 	requireNoFailure(t, w)
 	if w.Leader() != nil {
-		t.Fatalf("%s leads a control plane that no seed may have bootstrapped\n%s", w.Leader().name, w.Trace(20))
+		t.Fatalf("%s leads, want no leader: no control daemon may bootstrap a control plane\n%s", w.Leader().name, w.Trace(20))
 	}
 }
--- a/internal/verification/simulator/bulk_changes.go
+++ b/internal/verification/simulator/bulk_changes.go
@@ -11,13 +11,13 @@
 
 // Parameters of bulk changes: many in a row, many at once, and many that are sent again because their replies are lost.
 const (
-	// stormInterval is the time between two changes of the fault "storm of changes".
-	stormInterval = 100 * time.Millisecond
+	// successiveChangeInterval is the time between two changes of the fault "many successive changes".
+	successiveChangeInterval = 100 * time.Millisecond
 	// concurrentChanges is the number of changes sent at once, and concurrentDocuments the number of different
 	// documents among them.
 	concurrentChanges   = 8
 	concurrentDocuments = 3
-	// replyLossShare is the fraction of replies lost during the fault "answers to changes lost".
+	// replyLossShare is the fraction of replies lost during the fault "replies to changes lost".
 	replyLossShare = 0.7
 	// lostReplyInterval is the time between two changes during that fault.
 	lostReplyInterval = 400 * time.Millisecond
--- a/internal/verification/simulator/bulk_changes_test.go
+++ b/internal/verification/simulator/bulk_changes_test.go
@@ -7,27 +7,27 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// Random runs with many changes at once break no rule and their history is linearizable. They must also lose replies,
+// Random runs with many operators' changes violate no rule, and their history is linearizable. They must also lose replies,
 // and the number of changes must stay within the bound that keeps the check of the history fast.
 func TestDaysOfBulkChanges(t *testing.T) {
 	t.Parallel()
-	kinds := faultsNamed(t, "storm of changes", "answers to changes lost", "eight orders at once", "leader killed", "leader frozen")
+	kinds := faultsNamed(t, "many successive changes", "replies to changes lost", "eight concurrent changes", "leader killed", "leader frozen")
 	lost := 0
 	for seed := range uint64(6) {
 		w := Day(500+seed, Small, kinds, 12, 25*time.Second)
 		requireNoFailure(t, w)
 		lost += w.Stats.LostReplies
 		if w.operators.bulkChanges == 0 || w.operators.bulkChanges > maxBulkChanges {
-			t.Errorf("seed %d: %d changes in bulk, want 1 to %d", w.Seed, w.operators.bulkChanges, maxBulkChanges)
+			t.Errorf("seed %d: %d bulk changes, want 1 to %d", w.Seed, w.operators.bulkChanges, maxBulkChanges)
 		}
 		began := time.Now()
 		w.CheckHistory()
 		if took := time.Since(began); took > 5*time.Second {
-			t.Errorf("seed %d: the check of the history of %d calls took %v", w.Seed, w.checks.history.Len(), took)
+			t.Errorf("seed %d: the check of the history of %d calls took %v, want at most 5s", w.Seed, w.checks.history.Len(), took)
 		}
 	}
 	if lost == 0 {
-		t.Error("no reply was lost in any run")
+		t.Error("no reply to a change was lost in any run, want at least one")
 	}
 }
 
@@ -45,11 +45,11 @@
 	}
 	for _, c := range w.operators.changes {
 		if c.state == changeOpen {
-			t.Errorf("change %s on revision %d was never answered", c.token, c.base)
+			t.Errorf("change %s on revision %d got no final reply", c.token, c.base)
 		}
 	}
 	if w.Stats.AcceptedChanges-1 != int(w.Revision()-before) {
-		t.Errorf("%d changes were accepted, but the revision went from %d to %d", w.Stats.AcceptedChanges-1, before, w.Revision())
+		t.Errorf("%d changes were accepted, but the revision went from %d to %d, want an increase of one for each", w.Stats.AcceptedChanges-1, before, w.Revision())
 	}
 	w.Finish()
 	requireNoFailure(t, w)
@@ -65,7 +65,7 @@
 	w.Run(w.now + 8*time.Second)
 	w.CheckHistory()
 	if w.Failure == "" {
-		t.Error("rejected repetitions broke no rule")
+		t.Error("no rule was violated, want a violation by the rejected repetitions")
 	}
 	t.Log(w.Failure)
 }
--- a/internal/verification/simulator/callers.go
+++ b/internal/verification/simulator/callers.go
@@ -132,7 +132,7 @@
 	w.callers.open[r.id] = r
 	w.Stats.Requests++
 	method, path := http.MethodGet, "/a"
-	if r.nonIdempotent && w.disabledGuard != guardAtMostOnce { // with the guard disabled, the proxy takes the request for idempotent
+	if r.nonIdempotent && w.disabledGuard != guardAtMostOnce { // with the guard disabled, the proxy treats the request as idempotent
 		method, path = http.MethodPost, "/once/a"
 	}
 	w.deliver(r.proxy, statemachine.Admit{ID: r.id, Host: "x", Path: "/" + r.service + path, Method: method})
@@ -187,9 +187,9 @@
 	}
 }
 
-// cancelRequests cancels each open request at a proxy with probability part, as if its caller had closed the connection. It
-// increments count for each.
-func (w *World) cancelRequests(p *Process, part float64, count *int) {
+// cancelRequests cancels each open request at a proxy with the given probability, as if its caller had closed the connection. It
+// increments count for each canceled request.
+func (w *World) cancelRequests(p *Process, probability float64, count *int) {
 	var ids []uint64
 	for id, r := range w.callers.open {
 		if r.isAt(p) {
@@ -198,7 +198,7 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if w.random.Float64() < part {
+		if w.random.Float64() < probability {
 			*count++
 			delete(w.callers.open, id)
 			w.deliver(p, statemachine.Cancel{ID: id})
--- a/internal/verification/simulator/calm_fleet_test.go
+++ b/internal/verification/simulator/calm_fleet_test.go
@@ -10,27 +10,28 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Bounds that the users' platform sets on operators' work while there are no faults.
+// Requirements of the users' deployments while there are no faults.
 const (
-	calmDomainChangeTime = time.Second            // longest time until emptying or restoring a domain is acknowledged
-	minReadyEighths      = 7                      // fewest of eight samples in which a connected proxy is ready
-	sampleInterval       = 100 * time.Millisecond // time between two samples
+	maxDomainChangeTime = time.Second            // longest time until emptying or restoring a domain is acknowledged
+	minReadyEighths     = 7                      // minimum number of eighths of the samples in which a proxy is ready
+	sampleInterval      = 100 * time.Millisecond // time between two samples
 )
 
-// calmPlans returns plans of fleets by name: the small one, one of many proxies, and one with standbys.
-func calmPlans() map[string]Plan {
+// faultFreePlans returns the plans of fleets that run without faults, by name: the small one, one with many proxies, and one
+// with standbys.
+func faultFreePlans() map[string]Plan {
 	many := Small
 	many.Proxies, many.Rate = 69, 20
-	spares := bootstrapPlan(11, 3)
-	spares.Proxies = 24
-	return map[string]Plan{"small": Small, "69 proxies": many, "11 core machines": spares}
+	standbys := bootstrapPlan(11, 3)
+	standbys.Proxies = 24
+	return map[string]Plan{"small": Small, "69 proxies": many, "11 control machines": standbys}
 }
 
 // Without faults, any control daemon acknowledges within a second that a domain is emptied or restored, also while
 // another domain is empty already.
 func TestDomainIsEmptiedWithinASecond(t *testing.T) {
 	t.Parallel()
-	for name, plan := range calmPlans() {
+	for name, plan := range faultFreePlans() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := Start(5, plan)
@@ -45,12 +46,12 @@
 					}
 				})
 				w.Run(w.now + 2*time.Second)
-				if took == 0 || took > calmDomainChangeTime {
-					t.Errorf("%s at %s: acknowledged after %v (0s: never)", call, daemons[i%len(daemons)], took)
+				if took == 0 || took > maxDomainChangeTime {
+					t.Errorf("%s at %s: acknowledged after %v (0s: never), want at most %v", call, daemons[i%len(daemons)], took, maxDomainChangeTime)
 				}
 				slowest = max(slowest, took)
 			}
-			t.Logf("the slowest was acknowledged after %v", slowest)
+			t.Logf("the slowest domain change was acknowledged after %v", slowest)
 			requireNoFailure(t, w)
 		})
 	}
@@ -59,7 +60,7 @@
 // Without faults, proxies report that they are ready while configurations change.
 func TestProxiesAreReadyDuringChanges(t *testing.T) {
 	t.Parallel()
-	for name, plan := range calmPlans() {
+	for name, plan := range faultFreePlans() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := Start(6, plan)
@@ -78,7 +79,7 @@
 			}
 			for _, name := range w.daemonNames(wire.ProxyDaemon) {
 				if 8*ready[name] < minReadyEighths*samples {
-					t.Errorf("proxy %s was ready in %d of %d samples", name, ready[name], samples)
+					t.Errorf("proxy %s was ready in %d of %d samples, want at least %d eighths of them", name, ready[name], samples, minReadyEighths)
 				}
 			}
 			requireNoFailure(t, w)
@@ -119,7 +120,7 @@
 	}
 	for _, svc := range services {
 		if samples[svc] == 0 || available[svc]*10 < samples[svc]*9 {
-			t.Errorf("service %s had an available target in %d of %d samples of proxies' tables", svc, available[svc], samples[svc])
+			t.Errorf("service %s had an available target in %d of %d samples of proxies' tables, want at least 90 %%", svc, available[svc], samples[svc])
 		}
 	}
 	requireNoFailure(t, w)
--- a/internal/verification/simulator/commands.go
+++ b/internal/verification/simulator/commands.go
@@ -26,7 +26,7 @@
 // step lets a process's state machine handle one event, and executes the resulting commands.
 func (w *World) step(p *Process, event statemachine.Event) { w.stepAt(p, event, p.localTime()) }
 
-// stepAt does the same with the given time of the process's own clock.
+// stepAt is like step, with the given time of the process's own clock.
 func (w *World) stepAt(process *Process, event statemachine.Event, now time.Duration) {
 	if !process.alive {
 		return
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -49,9 +49,9 @@
 	return nil
 }
 
-// returnConnection keeps a connection idle after a complete response. Of the proxy's idle connections to the
-// target, it keeps the most recently used ones, up to the number most.
-func (w *World) returnConnection(process *Process, id wire.TargetID, returned *connection, most int) {
+// returnConnection keeps a connection idle after a complete response. It keeps at most maxCount idle connections of the proxy to
+// the target, the most recently used ones.
+func (w *World) returnConnection(process *Process, id wire.TargetID, returned *connection, maxCount int) {
 	if returned.target.sendsSurplus && w.random.Float64() < surplusShare {
 		returned.surplusAt = w.now + w.randomMilliseconds(0, maxSurplusDelay)
 	}
@@ -67,7 +67,7 @@
 		return
 	}
 	idle := append(process.idle[id], returned)
-	process.idle[id] = idle[max(0, len(idle)-most):]
+	process.idle[id] = idle[max(0, len(idle)-maxCount):]
 }
 
 // overConnectionLimit reports whether a target has reached its connection limit, counting active and idle connections, so that
@@ -115,19 +115,19 @@
 	}
 }
 
-// resetConnections resets a fraction of a proxy's connections to targets and callers, and all its connections to other daemons.
+// resetConnections resets the given fraction of a proxy's connections to targets and callers, and all its connections to other daemons.
 // Targets abort the requests in flight on these connections, which count as run.
-func (w *World) resetConnections(p *Process, part float64) {
-	w.logf("reset a fraction of %.2f of the connections of %s", part, p.name)
+func (w *World) resetConnections(p *Process, fraction float64) {
+	w.logf("reset a fraction of %.2f of the connections of %s", fraction, p.name)
 	for id, idle := range p.idle {
-		p.idle[id] = idle[:len(idle)-int(part*float64(len(idle)))]
+		p.idle[id] = idle[:len(idle)-int(fraction*float64(len(idle)))]
 	}
 	for _, a := range slices.Clone(p.attempts) {
-		if w.random.Float64() < part && a.end() {
+		if w.random.Float64() < fraction && a.end() {
 			w.Stats.ResetAttempts++
 			a.loseResponse()
 		}
 	}
-	w.cancelRequests(p, part, &w.Stats.Abandoned)
+	w.cancelRequests(p, fraction, &w.Stats.Abandoned)
 	w.resetDaemonConnections(p)
 }
--- a/internal/verification/simulator/connection_test.go
+++ b/internal/verification/simulator/connection_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// connectionLimitedFleet is a fleet in which a target takes fewer connections than there are proxies. Most requests
-// must not run twice, and they take long: idle connections are soon too old to carry them.
+// connectionLimitedFleet returns a plan in which a target accepts fewer connections than there are proxies. Most requests
+// are non-idempotent and take long, so idle connections are often too old to be reused for them.
 func connectionLimitedFleet() Plan {
 	p := largeControlPlane()
 	p.Resources = nil
@@ -34,9 +34,9 @@
 	return float64(w.Stats.OverConnectionLimit-before.OverConnectionLimit) / opened, opened / float64(w.Stats.Requests-before.Requests), w
 }
 
-// Targets that take fewer connections than there are proxies never get more than they take, also while a release moves
-// slots between proxies all the time: how many idle connections a proxy keeps follows from what all proxies together
-// may keep.
+// Targets that accept fewer connections than there are proxies never get more connections than they accept, even while a
+// rolling release constantly changes how their slots are divided among the proxies: the limit of idle connections per proxy
+// is derived from the limit for all proxies.
 func TestConnectionsStayUnderTheirLimit(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -44,9 +44,9 @@
 			t.Parallel()
 			overShare, openedPerRequest, w := releaseUnderConnectionLimit(seed, guardNone)
 			if overShare > 0 {
-				t.Errorf("a share of %.4f of the connections was over the limit", overShare)
+				t.Errorf("a fraction of %.4f of the connections was over the limit, want 0", overShare)
 			}
-			t.Logf("share over the limit %.4f, %.2f connections opened per request, at most %d at once to a target", overShare, openedPerRequest, w.Stats.MostConnections)
+			t.Logf("fraction over the limit %.4f, %.2f connections opened per request, at most %d concurrent connections to a target", overShare, openedPerRequest, w.Stats.MostConnections)
 			requireNoFailure(t, w)
 		})
 	}
@@ -57,7 +57,7 @@
 	t.Parallel()
 	overShare, openedPerRequest, w := releaseUnderConnectionLimit(0, guardIdleConnections)
 	if overShare == 0 {
-		t.Error("no connection was over the limit with the guard disabled")
+		t.Error("no connection was over the limit with the guard disabled, want at least one")
 	}
-	t.Logf("share over the limit %.4f, %.2f connections opened per request, at most %d at once to a target", overShare, openedPerRequest, w.Stats.MostConnections)
+	t.Logf("fraction over the limit %.4f, %.2f connections opened per request, at most %d concurrent connections to a target", overShare, openedPerRequest, w.Stats.MostConnections)
 }
--- a/internal/verification/simulator/day_test.go
+++ b/internal/verification/simulator/day_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Random runs break no rule with a control plane that seeds bootstrapped.
+// Random runs with a control plane that was bootstrapped from seeds violate no rule.
 func TestDaysOfBootstrappedControlPlanes(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 32; seed++ {
@@ -21,7 +21,7 @@
 	}
 }
 
-// Random runs of the small fleet break no rule. mfsim runs more seeds.
+// Random runs of the small fleet violate no rule. mfsim runs more seeds.
 func TestDaysOfRandomFaults(t *testing.T) {
 	t.Parallel()
 	n := uint64(64)
@@ -36,7 +36,7 @@
 	}
 }
 
-// Random runs break no rule at any size of the control plane, also if it survives no loss of a member.
+// Random runs violate no rule at any size of the control plane, even one that tolerates no loss of a member.
 func TestDaysOfAnyControlPlaneSize(t *testing.T) {
 	t.Parallel()
 	for _, controlDaemons := range []int{1, 2, 4, 8, 11} {
--- a/internal/verification/simulator/disk.go
+++ b/internal/verification/simulator/disk.go
@@ -19,7 +19,7 @@
 	slowdown int                       // factor by which syncs take longer; 0: normal speed
 	syncing  bool                      // a slow sync is in progress
 	full     bool                      // writes are rejected
-	// rejecting means that a write was rejected and is retried.
+	// rejecting means that a write was rejected and is being retried.
 	rejecting bool
 }
 
--- a/internal/verification/simulator/disk_test.go
+++ b/internal/verification/simulator/disk_test.go
@@ -14,7 +14,7 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := Start(seed+1, Small)
-		p := w.daemons(wire.ControlDaemon)[seed%3] // over the seeds, every member
+		p := w.daemons(wire.ControlDaemon)[seed%3] // each seed takes the next member
 		started, written := p.incarnation, len(p.disk.image.Log)
 		w.fillDisk(p, 6*time.Second)
 		for n := range 3 {
@@ -39,7 +39,7 @@
 			t.Errorf("seed %d: the process of %s ended\n%s", w.Seed, p.name, w.Trace(30))
 		}
 		if !p.alive || p.controller.Revision() < w.checks.acknowledged {
-			t.Errorf("seed %d: %s has not caught up since its disk has space\n%s", w.Seed, p.name, w.Trace(30))
+			t.Errorf("seed %d: %s has not caught up after its disk got free space again\n%s", w.Seed, p.name, w.Trace(30))
 		}
 		w.Finish()
 		requireNoFailure(t, w)
--- a/internal/verification/simulator/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -9,7 +9,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Fault is a kind of fault, or of operator activity that is combined with faults. Name is a value of mfsim's flag --kind.
+// Fault is a kind of fault, or a kind of operator activity that runs inject among the faults. Name is a value of mfsim's flag --kind.
 type Fault struct {
 	Name   string
 	Inject func(w *World) // starts the fault and schedules its end
@@ -36,7 +36,7 @@
 // expendableControlDaemon returns a random control daemon whose loss leaves a healthy majority, or nil if there is none now.
 func (w *World) expendableControlDaemon() *Process {
 	if w.processes.replacing > 0 || w.processes.replaced > 0 && w.partitionedLately() {
-		return nil // partitioned machines count as lost, and a removed one doesn't return to make up for them
+		return nil // partitioned machines count as lost, and a replaced machine doesn't return to restore the majority
 	}
 	daemons := w.daemons(wire.ControlDaemon)
 	for _, p := range daemons {
@@ -59,7 +59,7 @@
 	w.restartLater(p, w.randomMilliseconds(low, high))
 }
 
-// killAndRestartAll does the same with several processes.
+// killAndRestartAll kills several processes and restarts each of them after a random delay of low to high milliseconds.
 func (w *World) killAndRestartAll(processes []*Process, low, high int) {
 	for _, p := range processes {
 		w.killAndRestart(p, low, high)
--- a/internal/verification/simulator/faults_control.go
+++ b/internal/verification/simulator/faults_control.go
@@ -15,12 +15,12 @@
 
 // controlFaults are the faults of control daemons: kills, power failures, freezes, disk faults, slow machines and partitions.
 var controlFaults = []Fault{
-	{"core killed", func(w *World) {
+	{"control daemon killed", func(w *World) {
 		if p := w.expendableControlDaemon(); p != nil {
 			w.killAndRestart(p, 200, 4000)
 		}
 	}},
-	{"core herd killed", func(w *World) {
+	{"all control daemons killed", func(w *World) {
 		if w.expendableControlDaemon() == nil {
 			return
 		}
@@ -29,14 +29,14 @@
 		}
 		w.schedule(w.randomMilliseconds(0, 20), func() { w.killAndRestartAll(w.daemons(wire.ControlDaemon), 200, 2000) })
 	}},
-	{"core gone for long, service rolled", func(w *World) {
+	{"all control daemons down for long, rolling restart of a service", func(w *World) {
 		if w.expendableControlDaemon() == nil {
 			return
 		}
 		w.killAndRestartAll(w.daemons(wire.ControlDaemon), 9000, 20000)
 		w.schedule(time.Second, w.rollingRestart)
 	}},
-	{"power fails everywhere", func(w *World) {
+	{"power failure of the whole fleet", func(w *World) {
 		if w.expendableControlDaemon() == nil {
 			return
 		}
@@ -53,14 +53,14 @@
 			w.killAndRestart(p, 200, 4000)
 		}
 	}},
-	{"core loses disk", func(w *World) {
+	{"control daemon loses disk", func(w *World) {
 		if p := w.expendableControlDaemon(); p != nil {
 			w.Kill(p)
 			w.WipeDisk(p)
 			w.restartLater(p, w.randomMilliseconds(200, 3000))
 		}
 	}},
-	{"leader stopped", func(w *World) {
+	{"leader restarted gracefully", func(w *World) {
 		if p := w.expendableLeader(); p != nil {
 			w.logf("stop %s", p.name)
 			w.stopProcess(p)
@@ -90,15 +90,15 @@
 			w.StallDisk(p, w.randomMilliseconds(300, 3000))
 		}
 	}},
-	{"core split", (*World).splitControlPlane},
+	{"control plane partitioned", (*World).splitControlPlane},
 	{"leader isolated", func(w *World) {
 		if p := w.Leader(); p != nil {
 			w.isolate([]string{p.name}, w.randomMilliseconds(500, 5000), true, w.random.IntN(2) == 0)
 		}
 	}},
-	{"leader cut off from targets", (*World).partitionLeaderFromTargets},
-	{"core cut off from proxies", (*World).partitionControlPlaneFromProxies},
-	{"core connections reset", func(w *World) {
+	{"leader partitioned from targets", (*World).partitionLeaderFromTargets},
+	{"control plane partitioned from proxies", (*World).partitionControlPlaneFromProxies},
+	{"control daemon connections reset", func(w *World) {
 		for range 3 {
 			w.schedule(w.randomMilliseconds(0, 1000), func() {
 				w.logf("reset the connections of all control daemons")
@@ -108,7 +108,7 @@
 			})
 		}
 	}},
-	{"core machine slow", func(w *World) {
+	{"control machine slow", func(w *World) {
 		if p := w.pickProcess(wire.ControlDaemon, true); p != nil {
 			w.slowProcess(p, slowMachine, w.randomMilliseconds(2000, 10000))
 		}
@@ -118,7 +118,7 @@
 			w.slowProcess(p, slowMachine, w.randomMilliseconds(2000, 10000))
 		}
 	}},
-	{"core disk slow", func(w *World) {
+	{"control daemon's disk slow", func(w *World) {
 		if p := w.pickProcess(wire.ControlDaemon, true); p != nil {
 			w.slowDisk(p, slowDiskTimes, w.randomMilliseconds(2000, 10000))
 		}
@@ -128,23 +128,23 @@
 			w.slowDisk(p, slowDiskTimes, w.randomMilliseconds(2000, 10000))
 		}
 	}},
-	{"core disk full", func(w *World) {
+	{"control daemon's disk full", func(w *World) {
 		if p := w.expendableControlDaemon(); p != nil {
 			w.fillDisk(p, w.randomMilliseconds(1000, 6000))
 		}
 	}},
-	{"core frozen by twos and threes", func(w *World) {
+	{"two or three control daemons frozen", func(w *World) {
 		for _, p := range w.twoOrThreeControlDaemons() {
 			w.Freeze(p, w.randomMilliseconds(300, 20000))
 		}
 	}},
-	{"core hurt by twos and threes", func(w *World) {
+	{"two or three control daemons faulty", func(w *World) {
 		for _, p := range w.twoOrThreeControlDaemons() {
 			w.schedule(w.randomMilliseconds(0, 1500), func() { w.injectRandomFault(p) })
 		}
 	}},
-	{"core machine replaced for good", func(w *World) { w.replaceRandomControlDaemon(false) }},
-	{"core machine replaced by plan", func(w *World) { w.replaceRandomControlDaemon(true) }},
+	{"control machine replaced after a loss", func(w *World) { w.replaceRandomControlDaemon(false) }},
+	{"control machine replaced as planned", func(w *World) { w.replaceRandomControlDaemon(true) }},
 }
 
 // expendableLeader returns the leader, or nil if there is none or its loss would leave no healthy majority.
@@ -204,14 +204,14 @@
 
 // twoOrThreeControlDaemons returns two or three random control daemons that are running and not frozen.
 func (w *World) twoOrThreeControlDaemons() []*Process {
-	var living []*Process
+	var running []*Process
 	for _, p := range w.daemons(wire.ControlDaemon) {
 		if p.alive && !p.frozen {
-			living = append(living, p)
+			running = append(running, p)
 		}
 	}
-	w.random.Shuffle(len(living), func(i, j int) { living[i], living[j] = living[j], living[i] })
-	return living[:min(len(living), 2+w.random.IntN(2))]
+	w.random.Shuffle(len(running), func(i, j int) { running[i], running[j] = running[j], running[i] })
+	return running[:min(len(running), 2+w.random.IntN(2))]
 }
 
 // injectRandomFault injects into a control daemon one fault of a random kind that ends by itself.
--- a/internal/verification/simulator/faults_network.go
+++ b/internal/verification/simulator/faults_network.go
@@ -10,13 +10,13 @@
 
 // networkFaults are the faults of domains, links and delayed messages, and targets that move to another address.
 var networkFaults = []Fault{
-	{"domain cut off", func(w *World) {
+	{"domain isolated", func(w *World) {
 		domain := w.randomDomain()
 		w.logf("isolate domain %s", domain)
 		w.isolateDomain(domain, w.randomMilliseconds(3000, 30000))
 	}},
-	{"late words", (*World).sendStaleReports},
-	{"target moves", func(w *World) {
+	{"stale target reports", (*World).sendStaleReports},
+	{"target moves to another address", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.usableTargets(t.service) > 1 {
 			w.CrashTarget(t)
 			w.schedule(w.randomMilliseconds(0, 1500), func() {
@@ -25,8 +25,8 @@
 			})
 		}
 	}},
-	{"domain loses power", (*World).cutPowerOfDomain},
-	{"net loses and delays", func(w *World) {
+	{"power failure of a domain", (*World).cutPowerOfDomain},
+	{"network loses and delays messages", func(w *World) {
 		w.logf("network loses and delays messages")
 		w.degradeNetwork(0.05, 30*time.Millisecond, 0.03)
 		w.schedule(w.randomMilliseconds(1000, 5000), w.restoreNetwork)
--- a/internal/verification/simulator/faults_operator.go
+++ b/internal/verification/simulator/faults_operator.go
@@ -10,7 +10,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// operatorFaults are operators' changes and planned work, some combined with faults.
+// operatorFaults are operators' changes, planned restarts and replacements, and combinations of these with faults.
 var operatorFaults = []Fault{
 	{"config", func(w *World) {
 		if p := w.pickProcess(wire.ControlDaemon, true); p != nil {
@@ -31,8 +31,8 @@
 		}
 	}},
 	{"policy replaced", (*World).replacePolicies},
-	{"member swapped", (*World).swapMember},
-	{"machines restarted in turn", func(w *World) {
+	{"member replaced by operator", (*World).swapMember},
+	{"control daemons restarted in turn", func(w *World) {
 		if w.expendableControlDaemon() == nil {
 			return
 		}
@@ -45,7 +45,7 @@
 			})
 		}
 	}},
-	{"all proxies forget", func(w *World) {
+	{"all proxies killed", func(w *World) {
 		w.logf("kill all proxies at once")
 		w.killAndRestartAll(w.daemons(wire.ProxyDaemon), 100, 1000)
 	}},
@@ -72,7 +72,7 @@
 			w.SendChange(p, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), document, &change{kind: changeInvalid})
 		}
 	}},
-	{"config and leader killed", func(w *World) {
+	{"config change, then leader killed", func(w *World) {
 		p := w.expendableLeader()
 		if p == nil {
 			return
@@ -85,9 +85,9 @@
 		})
 	}},
 	{"domain emptied and restored", (*World).emptyAndRestoreDomain},
-	{"storm of changes", func(w *World) { w.changeRepeatedly(stormInterval, w.randomMilliseconds(2000, 6000)) }},
-	{"answers to changes lost", func(w *World) { w.loseReplies(w.randomMilliseconds(2000, 6000)) }},
-	{"eight orders at once", (*World).changeConcurrently},
+	{"many successive changes", func(w *World) { w.changeRepeatedly(successiveChangeInterval, w.randomMilliseconds(2000, 6000)) }},
+	{"replies to changes lost", func(w *World) { w.loseReplies(w.randomMilliseconds(2000, 6000)) }},
+	{"eight concurrent changes", (*World).changeConcurrently},
 }
 
 // replacePolicies replaces the default policy, and shortly afterwards adds a policy in shadow mode.
--- a/internal/verification/simulator/faults_proxy.go
+++ b/internal/verification/simulator/faults_proxy.go
@@ -9,12 +9,12 @@
 
 // proxyFaults are the faults of proxies: kills, replacements, freezes, partitions, graceful restarts, resets and slowness.
 var proxyFaults = []Fault{
-	{"gate killed", func(w *World) {
+	{"proxy killed", func(w *World) {
 		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
 			w.killAndRestart(p, 200, 6000)
 		}
 	}},
-	{"gate herd killed", func(w *World) {
+	{"most proxies killed", func(w *World) {
 		span := w.randomMilliseconds(200, 3000)
 		for _, p := range w.daemons(wire.ProxyDaemon) {
 			if p.alive && w.random.IntN(3) > 0 {
@@ -23,25 +23,25 @@
 			}
 		}
 	}},
-	{"gate added, another gone for good", (*World).replaceProxy},
-	{"gate frozen", func(w *World) {
+	{"proxy added, another lost permanently", (*World).replaceProxy},
+	{"proxy frozen", func(w *World) {
 		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
 			w.Freeze(p, w.randomMilliseconds(300, 5000))
 		}
 	}},
-	{"gate frozen with work in hand", (*World).freezeBusyProxy},
-	{"gate isolated", func(w *World) {
+	{"proxy frozen before writing requests", (*World).freezeBusyProxy},
+	{"proxy isolated", func(w *World) {
 		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
 			w.isolate([]string{p.name}, w.randomMilliseconds(500, 6000), true, true)
 		}
 	}},
-	{"gate cut one way", func(w *World) {
+	{"proxy isolated in one direction", func(w *World) {
 		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
 			outbound := w.random.IntN(2) == 0
 			w.isolate([]string{p.name}, w.randomMilliseconds(500, 6000), outbound, !outbound)
 		}
 	}},
-	{"gate restarted", func(w *World) {
+	{"proxy restarted gracefully", func(w *World) {
 		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
 			w.logf("stop %s", p.name)
 			w.restartGracefully(p, 7*time.Second)
@@ -58,7 +58,7 @@
 			})
 		}
 	}},
-	{"callers leave", func(w *World) {
+	{"callers cancel requests", func(w *World) {
 		for i := range 10 {
 			w.schedule(time.Duration(i)*200*time.Millisecond, func() {
 				for _, p := range w.daemons(wire.ProxyDaemon) {
@@ -67,7 +67,7 @@
 			})
 		}
 	}},
-	{"gate slow", func(w *World) {
+	{"proxy slow", func(w *World) {
 		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
 			w.slowProcess(p, slowMachine, w.randomMilliseconds(2000, 10000))
 		}
--- a/internal/verification/simulator/faults_target.go
+++ b/internal/verification/simulator/faults_target.go
@@ -16,7 +16,7 @@
 			w.restartTarget(t, w.randomMilliseconds(500, 8000), w.randomMilliseconds(0, 3000))
 		}
 	}},
-	{"target vanishes", func(w *World) {
+	{"target crash without restart", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.usableTargets(t.service) > 2 {
 			w.CrashTarget(t)
 		}
@@ -28,14 +28,14 @@
 			w.schedule(w.randomMilliseconds(1000, 8000), func() { t.hanging = false })
 		}
 	}},
-	{"target loses answers", func(w *World) {
+	{"target loses responses", func(w *World) {
 		if t := w.pickTarget(); t != nil {
 			w.logf("%s loses responses", t.fullName())
 			t.losesResponses = true
 			w.schedule(w.randomMilliseconds(1000, 5000), func() { t.losesResponses = false })
 		}
 	}},
-	{"service loses answers", func(w *World) {
+	{"service loses responses", func(w *World) {
 		service, span := w.randomService(), w.randomMilliseconds(2000, 9000)
 		w.logf("all targets of %s lose responses", service)
 		for _, t := range w.targets.of(service) {
@@ -51,22 +51,22 @@
 			w.schedule(span, func() { t.serviceTime = t.usualServiceTime })
 		}
 	}},
-	{"service comes back cold", (*World).restartService},
-	{"target leaves", func(w *World) {
+	{"service restarts and warms up", (*World).restartService},
+	{"target drained", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.usableTargets(t.service) > 1 {
 			w.DrainTarget(t, func() { w.restartTarget(t, w.randomMilliseconds(100, 3000), w.randomMilliseconds(0, 3000)) })
 		}
 	}},
-	{"target turns cold", func(w *World) {
+	{"target warms up again", func(w *World) {
 		if t := w.pickTarget(); t != nil && w.Plan.WarmupRate > 0 {
 			w.logf("%s warms up again", t.fullName())
 			w.warmUpAgain(t)
 		}
 	}},
-	{"service rolled", (*World).rollingRestart},
-	{"address handed over", (*World).reassignAddress},
-	{"service removed, its addresses handed over", (*World).removeService},
-	{"targets send surplus answers", func(w *World) {
+	{"rolling restart of a service", (*World).rollingRestart},
+	{"address reassigned", (*World).reassignAddress},
+	{"service removed, its addresses reassigned", (*World).removeService},
+	{"targets send surplus responses", func(w *World) {
 		span := w.randomMilliseconds(3000, 12000)
 		w.logf("all targets send surplus responses for %v", span)
 		for _, t := range w.targets.all {
@@ -77,16 +77,16 @@
 }
 
 // of returns the running targets of a service.
-func (t *targets) of(service string) (living []*Target) {
+func (t *targets) of(service string) (running []*Target) {
 	for _, target := range t.all {
 		if target.alive && target.service == service {
-			living = append(living, target)
+			running = append(running, target)
 		}
 	}
-	return living
+	return running
 }
 
-// restartService crashes all targets of a service. They restart slow and in state warming.
+// restartService crashes all targets of a service and restarts them in state warming, with a longer service time at first.
 func (w *World) restartService() {
 	service := w.randomService()
 	w.logf("all targets of %s restart and warm up", service)
--- a/internal/verification/simulator/guards.go
+++ b/internal/verification/simulator/guards.go
@@ -95,8 +95,8 @@
 	return m
 }
 
-// mutateReorderedMessage does the same for a reordered message of a leader: with guardTableVersions disabled, a push carries the
-// table from the time of its sending as if it were the latest version.
+// mutateReorderedMessage returns a reordered message as it would be without the disabled guard: with guardTableVersions disabled,
+// a leader's push presents the table that it carries as a later version than any other.
 func (w *World) mutateReorderedMessage(from *Process, m *wire.Message) *wire.Message {
 	if w.disabledGuard != guardTableVersions || m.Push == nil || from.controller == nil || from.controller.Table() == nil {
 		return m
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -82,7 +82,7 @@
 	for seed := range uint64(24) {
 		w := Start(seed, p)
 		w.isolate([]string{"g1"}, 4*time.Second, true, true)
-		for _, tg := range w.targets.all { // the proxy and the targets still reach each other
+		for _, tg := range w.targets.all { // the proxy can still reach the targets
 			delete(w.network.blocked, link{"g1", tg.name})
 			delete(w.network.blocked, link{tg.name, "g1"})
 		}
@@ -120,7 +120,7 @@
 	w.stopProcess(g)
 	w.Run(w.now + 2*time.Second)
 	if !g.alive {
-		t.Fatal("the proxy exited before its requests ended")
+		t.Fatal("the stopping proxy exited before its requests ended")
 	}
 	w.Run(w.now + 5*time.Second)
 	requireNoFailure(t, w)
@@ -183,7 +183,7 @@
 	requireNoFailure(t, w)
 	for _, x := range w.Leader().controller.Table().Targets {
 		if x.Name == leaving.name && (!x.Draining || x.EjectionLeft != 0) {
-			t.Fatalf("the leaving target is not draining, or is ejected: %+v", x)
+			t.Fatalf("the leaving target must be draining and not ejected: %+v", x)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 		w := Start(seed, p)
 		l := w.Leader()
 		w.isolate([]string{"g1", l.name}, 10*time.Second, true, true)
-		w.partition(bothDirections(l.name, "g1"), 3800*time.Millisecond) // it ends before the thaw, so that the first event after the thaw is a recent message
+		w.partition(bothDirections(l.name, "g1"), 3800*time.Millisecond) // this partition ends before the thaw, so that the first event after the thaw is a recent message
 		for _, tg := range w.targets.all {
 			delete(w.network.blocked, link{"g1", tg.name})
 			delete(w.network.blocked, link{tg.name, "g1"})
@@ -305,7 +305,7 @@
 		}
 		for _, x := range g.proxy.View(g.localTime()).Targets {
 			if x.OwnEjectionLeftMs > 0 {
-				t.Fatalf("seed %d: the proxy still ejects %s by itself for %d ms", seed, x.Name, x.OwnEjectionLeftMs)
+				t.Fatalf("seed %d: the reconnected proxy keeps its own ejection of %s for another %d ms, want none", seed, x.Name, x.OwnEjectionLeftMs)
 			}
 		}
 		requireNoFailure(t, w)
@@ -317,7 +317,7 @@
 func latestAttemptAfterCrash(t *testing.T, seed uint64, do func(w *World, tg *Target)) time.Duration {
 	t.Helper()
 	p := Small
-	p.Rate = 60 // so few that the crash is not noticed first by requests whose connections do not open
+	p.Rate = 60 // low enough that health checks, not failed connection attempts of requests, detect the crash first
 	w := Start(seed, p)
 	w.Run(w.now + time.Second)
 	do(w, w.targets.all[int(seed)%len(w.targets.all)])
@@ -363,7 +363,7 @@
 // date at the thaw, so these requests must go to other targets or be rejected.
 func TestThawedProxyDropsExpiredChoices(t *testing.T) {
 	t.Parallel()
-	freeze := faultNamed(t, "gate frozen with work in hand")
+	freeze := faultNamed(t, "proxy frozen before writing requests")
 	expired := uint64(0)
 	for seed := range uint64(12) {
 		w := Start(seed, Small)
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A member that is stopped when its successor starts stays a member, and keeps running, until the successor is one; also
-// over a network that is slow and loses messages.
+// A member that gets the stop signal when its successor starts keeps running and remains a member until the successor has
+// become a member, even over a network that is slow and loses messages.
 func TestPlannedSuccessorJoinsBeforeOldMemberExits(t *testing.T) {
 	t.Parallel()
 	for _, controlDaemons := range []int{1, 3, 4, 5, 7, 11} {
@@ -74,15 +74,15 @@
 			w.requireWithin(t, controlStopGrace, "the old member exits", func() bool { return !old.alive })
 			w.requireWithin(t, failoverBound, "a member leads", w.hasLeader)
 			if w.isMember(old) || len(w.memberNames()) < n {
-				t.Errorf("seed %d: with %d control daemons, %s exited and left members %v\n%s", seed, controlDaemons, old.name, w.memberNames(), w.Trace(20))
+				t.Errorf("seed %d: with %d control daemons, %s exited and left members %v, want at least %d without it\n%s", seed, controlDaemons, old.name, w.memberNames(), n, w.Trace(20))
 			}
 			requireNoFailure(t, w)
 		}
 	}
 }
 
-// A lost leader is replaced as fast as any other member, or after an election if that takes longer: the time for which
-// its followers did not hear it before one of them was elected counts towards the time until a member is replaced.
+// A lost leader is replaced as fast as any other member, or right after the election of a new leader if that takes longer.
+// The time without contact to the lost leader before the election counts towards the wait before a member is replaced.
 func TestLostLeaderIsReplacedInTime(t *testing.T) {
 	t.Parallel()
 	const bound = 6 * time.Second
@@ -148,7 +148,7 @@
 		w.Kill(old)
 		w.Run(w.now + testCatchUp)
 		if !w.isMember(old) {
-			t.Errorf("seed %d: %s is no member any more, without a usable standby: members %v", seed, old.name, w.memberNames())
+			t.Errorf("seed %d: %s was removed although no standby is usable: members %v", seed, old.name, w.memberNames())
 		}
 		w.Restart(old)
 		w.Run(w.now + time.Second)
@@ -168,7 +168,7 @@
 		w.runUntil(2*tuning.GrowAfter, w.hasMembers(7))
 		w.Run(w.now + testCatchUp)
 		first := w.Leader()
-		second := slices.MinFunc(w.followerMembers(first), func(a, b *Process) int { return cmp.Compare(a.name, b.name) }) // the first that leadership would be transferred to
+		second := slices.MinFunc(w.followerMembers(first), func(a, b *Process) int { return cmp.Compare(a.name, b.name) }) // the member to which leadership would be transferred first
 		for _, old := range []*Process{first, second} {
 			w.ReplaceControlDaemon(old, true, time.Millisecond, func(time.Duration) {})
 		}
--- a/internal/verification/simulator/helpers_test.go
+++ b/internal/verification/simulator/helpers_test.go
@@ -14,7 +14,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// requireNoFailure ends the test if the run has broken a rule.
+// requireNoFailure ends the test if the run has violated a rule.
 func requireNoFailure(t *testing.T, w *World) {
 	t.Helper()
 	if w.Failure != "" {
@@ -32,7 +32,7 @@
 }
 
 // requireWithin runs the world in steps of 2 ms until a condition holds, and returns how long that took. It ends the
-// test if the condition does not hold in time or a rule is broken; what describes the condition.
+// test if the condition does not hold in time or a rule is violated. what describes the condition.
 func (w *World) requireWithin(t *testing.T, within time.Duration, what string, holds func() bool) time.Duration {
 	t.Helper()
 	from := w.now
@@ -72,12 +72,12 @@
 	return p
 }
 
-// followers returns the living control daemons other than the leader, standbys included.
+// followers returns the running control daemons other than the leader, including standbys.
 func (w *World) followers() []*Process {
 	return slices.DeleteFunc(w.daemons(wire.ControlDaemon), func(p *Process) bool { return !p.alive || p == w.Leader() })
 }
 
-// memberNames returns the names of the members in the leader's view, none without a leader.
+// memberNames returns the names of the members in the leader's view, or nil if there is no leader.
 func (w *World) memberNames() (names []string) {
 	leader := w.Leader()
 	if leader == nil {
@@ -97,10 +97,10 @@
 // hasLeader reports whether there is a leader.
 func (w *World) hasLeader() bool { return w.Leader() != nil }
 
-// isListed reports whether the leader counts p as a member.
+// isMember reports whether p is a member in the leader's view.
 func (w *World) isMember(p *Process) bool { return slices.Contains(w.memberNames(), p.name) }
 
-// followerMember returns a living member that does not lead, nil if there is none.
+// followerMember returns a running member other than the leader, or nil if there is none.
 func (w *World) followerMember() *Process {
 	for _, p := range w.followerMembers(w.Leader()) {
 		if p.alive {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// followerMembers returns all members but the leader, dead ones included.
+// followerMembers returns all members except the leader, including those that are not running.
 func (w *World) followerMembers(leader *Process) (members []*Process) {
 	for _, name := range w.memberNames() {
 		if name != leader.name {
@@ -120,7 +120,7 @@
 	return members
 }
 
-// checkMembership checks that the control plane has so many members, that all of them are alive and that, if there
+// checkMembership checks that the control plane has the given number of members, that all of them are running and that, if there
 // are three or more, the loss of any one domain leaves a majority.
 func (w *World) checkMembership(t *testing.T, members int) {
 	t.Helper()
@@ -128,7 +128,7 @@
 	for _, name := range names {
 		perDomain[w.process(name).domain]++
 		if !w.process(name).alive {
-			t.Errorf("seed %d: member %s is dead", w.Seed, name)
+			t.Errorf("seed %d: member %s is not running", w.Seed, name)
 		}
 	}
 	if len(names) != members {
@@ -151,8 +151,8 @@
 	return leader.controller.Status(leader.localTime()).ControlPlane
 }
 
-// requireLeader runs the world for 200 ms, then ends the test unless a member leads within failoverBound. The round is
-// only named in the failure.
+// requireLeader runs the world for 200 ms, then ends the test unless a member leads within failoverBound. round
+// appears only in the failure text.
 func (w *World) requireLeader(t *testing.T, round int) {
 	t.Helper()
 	w.Run(w.now + 200*time.Millisecond)
@@ -175,7 +175,7 @@
 }
 
 // changeTenTimesASecond sends a new configuration to a random control daemon every 100 ms, until span has passed or no
-// control daemon is alive.
+// control daemon is running.
 func (w *World) changeTenTimesASecond(span time.Duration) {
 	end := w.now + span
 	var next func()
@@ -219,7 +219,7 @@
 	}
 }
 
-// leasedProxies counts the living proxies that hold a lease from the leader.
+// leasedProxies counts the running proxies that hold a lease from the leader.
 func leasedProxies(w *World) (count int) {
 	for _, p := range w.daemons(wire.ProxyDaemon) {
 		if p.alive && p.proxy.State() == dataplane.Leased {
@@ -229,7 +229,7 @@
 	return count
 }
 
-// lostLeases returns how often the living control daemons have lost leadership since they were started.
+// lostLeases returns how often the running control daemons have lost their leases since they were started.
 func (w *World) lostLeases() (count uint64) {
 	for _, p := range w.daemons(wire.ControlDaemon) {
 		if p.alive {
@@ -260,7 +260,7 @@
 	}
 }
 
-// tableEntry returns a target's entry in a table, nil if there is none.
+// tableEntry returns a target's entry in a table, or nil if there is none.
 func tableEntry(table *wire.Table, name string) *wire.Target {
 	for i := range table.Targets {
 		if table.Targets[i].Name == name {
@@ -270,7 +270,7 @@
 	return nil
 }
 
-// documentWithRoutes returns a configuration of the plan with so many generated routes in place of the plan's.
+// documentWithRoutes returns a configuration of the plan with the given number of generated routes instead of the plan's.
 func (w *World) documentWithRoutes(number, routes int) []byte {
 	return w.editDocument(number, func(document map[string]any) {
 		services := w.services()
@@ -295,8 +295,8 @@
 }
 
 const (
-	// testCatchUp is the shortest time that the platform gives a control plane between the start of a lost member's
-	// successor and the next loss.
+	// testCatchUp is the minimum time between the start of a lost member's successor and the next loss that the control plane
+	// must tolerate.
 	testCatchUp = 4 * time.Second
 	// failoverBound is the longest time from the loss of a member until a leader acknowledges changes again.
 	failoverBound = 4 * time.Second
--- a/internal/verification/simulator/history_test.go
+++ b/internal/verification/simulator/history_test.go
@@ -62,8 +62,8 @@
 }
 
 // A leader may freeze, for longer than any lease, after it has decided and before it has sent its replies and leases.
-// The late replies to operators must still be correct: what was decided held at a moment after the call had come. The
-// late leases must have no effect: a lease counts from the proxy's own timestamp.
+// Each late reply to an operator must describe a state that was current at some moment after the call arrived. The late
+// leases must have no effect, since a lease runs from the proxy's own timestamp.
 func TestLateRepliesAndLeasesAreSafe(t *testing.T) {
 	t.Parallel()
 	delayed := 0
@@ -112,7 +112,7 @@
 					return
 				}
 			}
-			t.Error("the histories of all 10 seeds were linearizable with the guard disabled")
+			t.Error("the histories of all 10 seeds were linearizable with the guard disabled, want at least one that is not")
 		})
 	}
 }
--- a/internal/verification/simulator/isolation_test.go
+++ b/internal/verification/simulator/isolation_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// allowance is what a faulty member may still do, since it receives messages.
+// allowance is what a faulty member that still receives messages may do.
 type allowance struct {
 	forward bool // forward calls to the leader, and so reply other than 503 and 504
 	lead    bool // keep leadership
@@ -76,7 +76,7 @@
 	call := func(method, path, query string, body []byte) {
 		sentAt := w.now
 		w.call(p, method, path, query, body, "", func(r statemachine.Reply) {
-			// Calls of the first second do not count: the fault may not be noticed yet, and the lease may not have ended.
+			// Calls in the first second are not checked: the fault may not have been detected yet, and the lease may not have ended.
 			if sentAt-begin > time.Second && w.now-begin < faultSpan {
 				replies[r.Status]++
 			}
@@ -120,7 +120,7 @@
 	return violations
 }
 
-// A member that does not reach the leader must not acknowledge a target's report, so that the target sends it to another
+// A member that cannot reach the leader must not acknowledge a target's report, so that the target sends it to another
 // member.
 func TestReportToIsolatedMemberIsNotAcknowledged(t *testing.T) {
 	t.Parallel()
--- a/internal/verification/simulator/large_fleet_test.go
+++ b/internal/verification/simulator/large_fleet_test.go
@@ -8,7 +8,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// largeFleet is a fleet of many proxies, each of which has a sixth of a processor and a link of limited bandwidth.
+// largeFleet returns the plan of a fleet with many proxies, each of which has a sixth of a processor and a link of limited bandwidth.
 func largeFleet() Plan {
 	p := Small
 	p.Proxies, p.Services, p.Rate = 69, map[string]int{"fares": 243, "pay": 51}, 20
@@ -85,8 +85,8 @@
 	}
 }
 
-// largeControlPlane is a fleet with more control daemons than members. Each of them has a quarter of a processor, and
-// they alone receive the targets' heartbeats. Each proxy has a sixth of a processor.
+// largeControlPlane returns the plan of a fleet with more control daemons than members. Each control daemon has a quarter
+// of a processor, and only control daemons receive the targets' heartbeats. Each proxy has a sixth of a processor.
 func largeControlPlane() Plan {
 	p := Small
 	p.ControlDaemons, p.Seeds, p.Proxies, p.Domains, p.Rate = 11, 3, 64, 4, 20
@@ -97,7 +97,7 @@
 }
 
 // On limited processors and links, changes are acknowledged within 4 s, and no acknowledged change is lost, after each
-// of these: standbys replace members that are removed for good, many proxies crash, members lose their disks, and all
+// of these: standbys replace members that are removed permanently, many proxies crash, members lose their disks, and all
 // daemons crash at once.
 func TestLargeControlPlaneRecoversOnLimitedResources(t *testing.T) {
 	t.Parallel()
@@ -142,7 +142,7 @@
 				w.Kill(old)
 				w.forgetMachine(old)
 				w.Run(w.now + 3*time.Second)
-				requireChange("after a leader was removed for good")
+				requireChange("after a leader was removed permanently")
 			}
 			crashed := w.daemonNames(wire.ProxyDaemon)[:30]
 			for _, g := range crashed {
--- a/internal/verification/simulator/leadership_test.go
+++ b/internal/verification/simulator/leadership_test.go
@@ -9,7 +9,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// countTargets returns how many targets a leader knows, and how many of these are not used until they have answered one
+// countTargets returns how many targets a leader knows, and how many of these get no requests until they have passed one
 // of its health checks.
 func (w *World) countTargets(p *Process) (known, unverified int) {
 	all := p.controller.Targets(w.now)
@@ -61,10 +61,10 @@
 		if after.Term > before.Term {
 			laterTerm++
 		} else if sameTerm++; after.Counts.Elections != before.Counts.Elections {
-			t.Errorf("seed %d: the leader started its leadership anew in the same term", seed)
+			t.Errorf("seed %d: the leader discarded its state in the same term", seed)
 		}
 		if fewestKnown < knownBefore || mostUnverified > 0 {
-			t.Errorf("seed %d: the leader knew %d targets, then %d at the fewest, and had to verify up to %d again, want 0\n%s", seed, knownBefore, fewestKnown, mostUnverified, w.Trace(20))
+			t.Errorf("seed %d: the leader knew %d targets before the loss of its lease, later as few as %d, and had to verify up to %d again, want no loss and 0 verifications\n%s", seed, knownBefore, fewestKnown, mostUnverified, w.Trace(20))
 		}
 		w.Run(w.now + 2*time.Second)
 		requireNoFailure(t, w)
@@ -102,7 +102,7 @@
 		w.Run(w.now + 3*time.Second)
 		requireNoFailure(t, w)
 	}
-	t.Logf("%d leaders started afresh after another member had led", restarted)
+	t.Logf("%d leaders rebuilt their state after another member had led", restarted)
 }
 
 // After a time without a leader that is longer than it takes to detect a target's crash, a leader verifies the targets
--- a/internal/verification/simulator/limited_link_test.go
+++ b/internal/verification/simulator/limited_link_test.go
@@ -22,7 +22,7 @@
 	return false
 }
 
-// documentWithServices returns a configuration with so many random services in addition to those of the plan.
+// documentWithServices returns a configuration with the given number of random services in addition to those of the plan.
 func (w *World) documentWithServices(number, services int) []byte {
 	return w.editDocument(number, func(document map[string]any) {
 		all := document["services"].(map[string]any)
@@ -47,7 +47,7 @@
 
 // A member catches up over a link of 128 KiB a second while ten changes of about 30 KB a second go on: one that lost its
 // disk receives the whole state and becomes a voter again, and one that only restarted receives what it missed. The
-// leader stays the same, no rule is broken, and at least 150 changes are acknowledged meanwhile.
+// leader stays the same, no rule is violated, and at least 150 changes are acknowledged meanwhile.
 func TestMemberCatchesUpOverALimitedLink(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -80,11 +80,11 @@
 		took := w.now - restartedAt
 		if w.Failure != "" || !caughtUp() {
 			l := w.Leader()
-			t.Fatalf("seed %d: %s; not caught up: a member: %v, after %v, revision %d of %d", seed, w.Failure, w.isMemberWithDisk(p), took, p.controller.Revision(), l.controller.Revision())
+			t.Fatalf("seed %d: the member did not catch up (rule violation %q): is a member: %v, after %v, revision %d of %d", seed, w.Failure, w.isMemberWithDisk(p), took, p.controller.Revision(), l.controller.Revision())
 		}
 		w.Run(w.now + 3*time.Second)
 		if w.Leader() != leader || w.Failure != "" {
-			t.Errorf("seed %d: the leader changed or a rule was broken: %s", seed, w.Failure)
+			t.Errorf("seed %d: the leader changed or a rule was violated: %q", seed, w.Failure)
 		}
 		if !caughtUp() {
 			t.Errorf("seed %d: the member fell behind again: revision %d of %d", seed, p.controller.Revision(), w.Revision())
--- a/internal/verification/simulator/limited_resources.go
+++ b/internal/verification/simulator/limited_resources.go
@@ -111,8 +111,8 @@
 	return 2*eventCost + dialCost
 }
 
-// transmit queues bytes on a proxy's link, at the time ready and behind earlier messages. It returns the time at which they are
-// transmitted and the link is free again.
+// transmit queues a message of the given size on a proxy's link at the time ready, behind earlier messages. It returns the time
+// at which the message is transmitted and the link is free again, and stores it in linkUntil.
 func (w *World) transmit(ready time.Duration, linkUntil *time.Duration, bytes int) time.Duration {
 	*linkUntil = max(*linkUntil, ready) + time.Duration(float64(bytes)*float64(time.Second)/w.Plan.Resources.ProxyLink)
 	return *linkUntil
--- a/internal/verification/simulator/load_test.go
+++ b/internal/verification/simulator/load_test.go
@@ -77,7 +77,7 @@
 				t.Logf("the leader used %.2f of its processor: %s", utilization, leader.processorTimeByTask(before))
 			}
 			if n := leasedProxies(w); n < 64 {
-				t.Errorf("%d of 64 proxies hold a lease after the release", n)
+				t.Errorf("%d of 64 proxies hold a lease after the release, want all", n)
 			}
 			requireNoFailure(t, w)
 		})
@@ -132,7 +132,7 @@
 				t.Errorf("each target was checked %.1f times a second, want at most %.1f", perTarget, limit)
 			}
 			if share := float64(w.Stats.Served-served) / float64(w.Stats.Requests-requests); share < 0.97 {
-				t.Errorf("a share of %.3f of the requests was served without a leader, want at least 0.97", share)
+				t.Errorf("a fraction of %.3f of the requests was served without a leader, want at least 0.97", share)
 			}
 			t.Logf("%.1f health checks of each target a second", perTarget)
 		})
--- a/internal/verification/simulator/membership_test.go
+++ b/internal/verification/simulator/membership_test.go
@@ -10,8 +10,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Members are lost for good one after another, the leader in every third round, while other leaders crash. An empty
-// daemon at another address replaces each, and the list of seeds changes with it.
+// Members are lost permanently one after another, the leader in every third round, while other leaders crash. Each is
+// replaced by a daemon with an empty disk at another address, and the list of seeds changes accordingly.
 func TestLostMembersAreReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(16) {
@@ -68,9 +68,9 @@
 	}
 }
 
-// A member that stops gracefully hands its place to a standby before its process ends; without a standby it remains a
-// member while its machine restarts. A crashed member is replaced in the same way. When either returns, the control
-// plane has its full number of members.
+// A member that stops gracefully is replaced by a standby before its process ends; without a standby it remains a member
+// while its machine restarts. The same applies to a crashed member. After the stopped or crashed member returns, the
+// control plane has its full number of members.
 func TestStoppingMemberIsReplacedByAStandby(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -92,15 +92,15 @@
 			w.Run(w.now + tuning.CatchUpDefault/tuning.ReplacementDivisor + time.Second)
 		}
 		if p.alive || w.Leader() == nil {
-			t.Fatalf("%+v: %s alive %v, leader %v\n%s", c, p.name, p.alive, w.Leader() != nil, w.Trace(20))
+			t.Fatalf("%+v: %s running: %v, want false; there is a leader: %v, want true\n%s", c, p.name, p.alive, w.Leader() != nil, w.Trace(20))
 		}
 		if isMember := slices.Contains(w.memberNames(), p.name); isMember != (c.controlDaemons == 5) {
-			t.Errorf("%+v: members after %s ended: %v\n%s", c, p.name, w.memberNames(), w.Trace(20))
+			t.Errorf("%+v: %s is a member after it ended: %v, want %v; members %v\n%s", c, p.name, isMember, c.controlDaemons == 5, w.memberNames(), w.Trace(20))
 		}
 		w.Run(w.now + 30*time.Second)
 		requireNoFailure(t, w)
 		if isMember := slices.Contains(w.memberNames(), p.name); isMember != (c.controlDaemons == 5) {
-			t.Errorf("%+v: members 30 s after %s ended: %v\n%s", c, p.name, w.memberNames(), w.Trace(20))
+			t.Errorf("%+v: %s is a member 30 s after it ended: %v, want %v; members %v\n%s", c, p.name, isMember, c.controlDaemons == 5, w.memberNames(), w.Trace(20))
 		}
 		w.Restart(p)
 		w.Run(w.now + 5*time.Second)
--- a/internal/verification/simulator/operator.go
+++ b/internal/verification/simulator/operator.go
@@ -176,7 +176,7 @@
 	w.operators.changes = append(w.operators.changes, sent)
 	w.Stats.Changes++
 	if sent.kind == changeRestore {
-		delete(w.checks.emptiedAt, sent.domain) // requests may go to the domain again as soon as the call is sent
+		delete(w.checks.emptiedAt, sent.domain) // the domain may get requests again as soon as the call is sent
 	}
 	operation := &operatorChange{method: method, path: path, query: query, body: body, token: sent.token}
 	w.sendRepeatedly(process, operation, func(r statemachine.Reply) {
--- a/internal/verification/simulator/operator_test.go
+++ b/internal/verification/simulator/operator_test.go
@@ -59,7 +59,7 @@
 	}
 	_, m := w.callAndWait(t, f, "GET", "/v1/config/diff", "from=1&to=2", "", "d")
 	if b, _ := json.Marshal(m["merge_patch"]); string(b) != `{"services":{"fares":{"cap":41}}}` {
-		t.Errorf("diff from revision 1 to 2: %s", b)
+		t.Errorf("merge patch from revision 1 to 2: %s, want cap 41 of service fares", b)
 	}
 	if r, m := w.callAndWait(t, f, "GET", "/v1/config", "", "", "g"); r.Status != 200 || m["revision"].(float64) != 5 {
 		t.Errorf("GET /v1/config: %d %s, want revision 5", r.Status, r.Body)
@@ -162,7 +162,7 @@
 				t.Fatal(err)
 			}
 			if largest = max(largest, len(rec)); largest > tuning.WALFileSize/2 {
-				t.Fatalf("change %d: the checkpoint of %s has %d bytes", i, n, len(rec))
+				t.Fatalf("change %d: the checkpoint of %s has %d bytes, want at most %d", i, n, len(rec), tuning.WALFileSize/2)
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 			return closedOut, muteOut
 		}
 		if closedOut, muteOut := ejected(); !closedOut || !muteOut {
-			t.Fatalf("seed %d: ejected: target with closed port %v, target without reports %v\n%s", seed, closedOut, muteOut, w.Trace(20))
+			t.Fatalf("seed %d: ejected: target with closed port %v, target without reports %v, want both\n%s", seed, closedOut, muteOut, w.Trace(20))
 		}
 		if seed%2 == 0 {
 			w.Kill(w.Leader())
@@ -238,7 +238,7 @@
 			w.Run(w.now + 10*time.Millisecond)
 			if w.Leader() != nil && w.Leader().controller.Table() != nil {
 				if closedOut, muteOut := ejected(); !closedOut || !muteOut {
-					t.Fatalf("seed %d: no longer ejected: target with closed port %v, target without reports %v\n%s", seed, !closedOut, !muteOut, w.Trace(20))
+					t.Fatalf("seed %d: no longer ejected: target with closed port %v, target without reports %v, want neither\n%s", seed, !closedOut, !muteOut, w.Trace(20))
 				}
 			}
 		}
--- a/internal/verification/simulator/overload_test.go
+++ b/internal/verification/simulator/overload_test.go
@@ -74,8 +74,8 @@
 		if served[i] < c.lo || served[i] > c.hi {
 			t.Errorf("offered %v/s: served %v/s, want %v to %v", c.rate, served[i], c.lo, c.hi)
 		}
-		// At an offered load equal to the capacity this is the only lower bound. A request is in flight for its
-		// service time and 1 ms of network delay.
+		// For the step whose offered load equals the capacity, the formula gives the only lower bound of the throughput. A
+		// request is in flight for its service time and 1 ms of network delay.
 		expected := servedWithoutQueue(c.rate, 0.3, 101*time.Millisecond, Small.Proxies, capacity/10/Small.Proxies)
 		stdErr := math.Sqrt((squares[i] - served[i]*served[i]) / (seeds - 1))
 		t.Logf("offered %v/s: served %.1f/s, standard error %.1f, %.1f by the Erlang B formula", c.rate, served[i], stdErr, expected)
--- a/internal/verification/simulator/pending_change_test.go
+++ b/internal/verification/simulator/pending_change_test.go
@@ -9,8 +9,8 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// A change is pending while its leader loses the lease briefly and keeps the lead, in the same term or after an
-// election that it wins. The caller must get the change's outcome, not that it is unknown.
+// A leader with a pending change loses its lease briefly and then leads again, in the same term or in a later one after it
+// wins an election. The caller must get the outcome of the change, not a reply that the outcome is unknown.
 func TestPendingChangeSurvivesBriefLeaseLoss(t *testing.T) {
 	t.Parallel()
 	regained, reelected := 0, 0 // leaders that led again, and those of them that did so in a later term
--- a/internal/verification/simulator/persistent_connection_test.go
+++ b/internal/verification/simulator/persistent_connection_test.go
@@ -23,7 +23,7 @@
 	t.Parallel()
 	for seed := range uint64(20) {
 		w := Start(seed, persistentConnectionPlan())
-		for _, target := range w.targets.all { // service times as on the users' platforms
+		for _, target := range w.targets.all { // service times as in the users' deployments
 			target.serviceTime = w.randomMilliseconds(100, 900) // below the shortest timeout of a configuration
 		}
 		w.Run(w.now + 3*time.Second)
@@ -68,7 +68,7 @@
 		w.Run(w.now + controlStopGrace)
 		requireNoFailure(t, w)
 		if p.alive || replies < 50 {
-			t.Fatalf("seed %d: %s alive %v, %d replies, want it ended and at least 50", seed, p.name, p.alive, replies)
+			t.Fatalf("seed %d: %s running: %v, want false; %d replies, want at least 50", seed, p.name, p.alive, replies)
 		}
 	}
 }
--- a/internal/verification/simulator/proxy_membership_test.go
+++ b/internal/verification/simulator/proxy_membership_test.go
@@ -58,10 +58,10 @@
 	}
 }
 
-// Random runs break no rule in which many proxies crash and many new ones join, partitions included.
+// Random runs in which many proxies crash and many new ones join, with partitions, violate no rule.
 func TestDaysOfProxyCrashesAndStandbys(t *testing.T) {
 	t.Parallel()
-	kinds := append(faultsNamed(t, "gate herd killed", "gate isolated", "domain cut off", "leader killed", "config", "core cut off from proxies"),
+	kinds := append(faultsNamed(t, "most proxies killed", "proxy isolated", "domain isolated", "leader killed", "config", "control plane partitioned from proxies"),
 		Fault{"four new proxies join", func(w *World) {
 			if len(w.daemonNames(wire.ProxyDaemon)) > w.Plan.Proxies+8 {
 				return
--- a/internal/verification/simulator/repeated_change_test.go
+++ b/internal/verification/simulator/repeated_change_test.go
@@ -30,13 +30,13 @@
 }
 
 // An accepted change that is sent again to any member is acknowledged again: after hundreds of later changes, under
-// another leader, and after restarts and snapshots. A change that lost against it is rejected again. Once all disks
-// are lost, either may instead get 504 (outcome unknown), except for the latest change.
+// another leader, and after restarts and snapshots. A different change on the same base, which was rejected, is rejected
+// again. Once all disks are lost, either may instead get 504 (outcome unknown), except for the latest change.
 func TestRepeatedChangeIsAcknowledgedAgain(t *testing.T) {
 	t.Parallel()
 	const changes = 300 // enough for a snapshot, which is taken each tuning.LogMax entries
 	w := Start(21, Small)
-	var accepted, lost []testChange
+	var accepted, rejected []testChange
 	for i := range changes {
 		c := testChange{base: w.Revision(), doc: w.Document(i + 10)}
 		r, revision := w.sendConfiguration(t, w.Leader(), c)
@@ -45,7 +45,7 @@
 		}
 		c.revision = revision
 		accepted = append(accepted, c)
-		lost = append(lost, testChange{base: c.base, doc: w.Document(i + 5000)})
+		rejected = append(rejected, testChange{base: c.base, doc: w.Document(i + 5000)})
 	}
 	last := len(accepted) - 1
 	sendAgain := func(when string, mayForget bool) {
@@ -57,11 +57,11 @@
 			case r.Status == 200 && revision == accepted[i].revision:
 			case r.Status == 504 && mayForget && i != last:
 			default:
-				t.Errorf("%s: change %d sent again: %d %s", when, i, r.Status, r.Body)
+				t.Errorf("%s: change %d sent again: %d %s, want 200 with revision %d", when, i, r.Status, r.Body, accepted[i].revision)
 			}
-			r, _ = w.sendConfiguration(t, p, lost[i])
+			r, _ = w.sendConfiguration(t, p, rejected[i])
 			if r.Status != 412 && !(r.Status == 504 && mayForget && i != last) {
-				t.Errorf("%s: the change that lost against change %d, sent again: %d %s", when, i, r.Status, r.Body)
+				t.Errorf("%s: the rejected change on the base of change %d, sent again: %d %s, want 412", when, i, r.Status, r.Body)
 			}
 		}
 	}
@@ -94,8 +94,8 @@
 }
 
 // Three different documents, one of them with an id, are sent on the same base to several members at once, each more
-// than once. One of them wins and all of its copies are acknowledged as one change; the others are rejected. No reply
-// may say only that a change is in progress.
+// than once. One document is accepted and all of its copies are acknowledged as one change; the others are rejected. No
+// call may get a reply that only says that a change is in progress.
 func TestOneOfConcurrentChangesWins(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -114,12 +114,12 @@
 		}
 		w.Run(w.now + 3*time.Second)
 		if len(got) != 8 {
-			t.Fatalf("seed %d: %d replies to 8 calls", seed, len(got))
+			t.Fatalf("seed %d: %d replies to 8 calls, want one for each", seed, len(got))
 		}
-		winner := slices.IndexFunc(got, func(r reply) bool { return r.status == 200 })
+		acceptedReply := slices.IndexFunc(got, func(r reply) bool { return r.status == 200 })
 		for _, r := range got {
 			want := reply{r.change, 412, 0}
-			if winner >= 0 && r.change == got[winner].change {
+			if acceptedReply >= 0 && r.change == got[acceptedReply].change {
 				want = reply{r.change, 200, 2}
 			}
 			if r != want {
@@ -182,8 +182,8 @@
 	}
 }
 
-// The same change sent twice at once takes effect once; a different change on the same base loses, or wins and both
-// copies lose.
+// Two copies of one document and a different document are sent at once on the same base. Either both copies are acknowledged
+// as one change and the other document is rejected, or the other document is accepted and both copies are rejected.
 func TestSameChangeSentTwiceAtOnceIsOneChange(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -213,7 +213,7 @@
 			}
 		}
 		if len(got) != 3 || first+2*second != 2 || first == 1 {
-			t.Errorf("seed %d: replies %q (document, status, revision), want one winner", seed, got)
+			t.Errorf("seed %d: replies %q (document, status, revision), want only document 0 accepted, in both copies, or only document 1", seed, got)
 		}
 		requireNoFailure(t, w)
 	}
--- a/internal/verification/simulator/replacement_test.go
+++ b/internal/verification/simulator/replacement_test.go
@@ -10,14 +10,14 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// machineLoss is a way to lose a control machine for a while or for good.
+// machineLoss is a way to lose a control machine temporarily or permanently.
 type machineLoss struct {
 	name string // what happens to the machine, for the trace
 	// inject causes the loss. It calls allowNext once, with the time from which the next loss is allowed.
 	inject func(w *World, p *Process, allowNext func(at time.Duration))
 }
 
-// machineLosses begins with the replacements, unplanned and planned.
+// machineLosses lists the ways to lose a control machine. The first two are the unplanned and the planned replacement.
 var machineLosses = []machineLoss{
 	{"replaced", func(w *World, p *Process, allowNext func(time.Duration)) {
 		w.ReplaceControlDaemon(p, false, w.randomMilliseconds(0, 1500), func(started time.Duration) { allowNext(started + testCatchUp) })
@@ -50,7 +50,8 @@
 	}},
 }
 
-// chooseMachines draws that many living machines to lose next: the leader, other members or standbys.
+// chooseMachines returns the given number of running machines, chosen at random, to lose next: the leader, other members or
+// standbys.
 func (w *World) chooseMachines(t *testing.T, machines int) (chosen []*Process) {
 	t.Helper()
 	if w.Leader() == nil {
@@ -72,8 +73,8 @@
 	return chosen
 }
 
-// loseMachines loses that many machines at once, each in a random one of the given ways, and waits until the next loss
-// is allowed. A leader must decide again within failoverBound.
+// loseMachines loses the given number of machines at once, each in a random one of the given ways, and waits until the next loss
+// is allowed. A leader must acknowledge changes again within failoverBound.
 func (w *World) loseMachines(t *testing.T, round int, kinds []machineLoss, machines int) {
 	t.Helper()
 	nextAllowed, ongoing := time.Duration(0), machines
@@ -98,8 +99,8 @@
 	return p
 }
 
-// Losses follow one another as soon as the platform allows, on control planes of several sizes. A leader must decide again
-// after each of them; in the end it accepts changes, and no acknowledged change is lost.
+// Losses follow one another as soon as they are allowed (see testCatchUp), on control planes of several sizes. After each of
+// them a leader must be elected; in the end it accepts changes, and no acknowledged change is lost.
 func TestLossRightAfterRepairIsTolerated(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ controlDaemons, domains, atOnce, members int }{
@@ -232,13 +233,13 @@
 	}
 }
 
-// Random runs with faults of control machines only, several of which lose a machine for good, spaced as the platform
-// allows.
+// Random runs with faults of control machines only, several of which remove a machine permanently, at the intervals that the control
+// plane must tolerate.
 func TestDaysOfReplacements(t *testing.T) {
 	t.Parallel()
-	kinds := faultsNamed(t, "core machine replaced for good", "core machine replaced by plan", "core machine replaced for good", "core killed",
-		"leader killed", "leader stopped", "core loses disk", "leader frozen", "leader isolated", "core herd killed",
-		"power fails everywhere", "net loses and delays", "config burst", "domain loses power", "machines restarted in turn")
+	kinds := faultsNamed(t, "control machine replaced after a loss", "control machine replaced as planned", "control machine replaced after a loss", "control daemon killed",
+		"leader killed", "leader restarted gracefully", "control daemon loses disk", "leader frozen", "leader isolated", "all control daemons killed",
+		"power failure of the whole fleet", "network loses and delays messages", "config burst", "power failure of a domain", "control daemons restarted in turn")
 	replaced := 0
 	for seed := uint64(1); seed <= 40; seed++ {
 		p := replacementPlan([]int{3, 4, 5, 7, 11}[seed%5], 3+int(seed/5%2))
@@ -252,8 +253,8 @@
 	t.Logf("%d machines were replaced in all runs", replaced)
 }
 
-// A machine replaced for good counts as a lost disk in the recorded history: two of three within diskLossWindow are the
-// loss of a majority's disks, after which the history forgets reads of what may be lost; one is not.
+// A permanently replaced machine counts as a lost disk in the recorded history. Two of three within diskLossWindow count as
+// the loss of a majority of the disks, after which the history forgets reads of state that may be lost; one does not.
 func TestReplacedMachineCountsAsLostDisk(t *testing.T) {
 	t.Parallel()
 	w := Start(31, bootstrapPlan(3, 3))
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -59,8 +59,8 @@
 	drainingBound = 2 * time.Second
 	crashedBound  = 2 * time.Second
 	// crashedAfterLeaderLossBound is the bound if the leader was lost around the time of the crash. In the worst case the
-	// leader was one failed health check short of ejecting the target. A proxy then has to detect the loss of the leader and
-	// make two health checks of its own, in addition to the time that the leader had used.
+	// leader was one failed health check short of ejecting the target. A proxy must then detect the loss of the leader and make
+	// two health checks of its own, which adds to the time that passed under that leader.
 	crashedAfterLeaderLossBound = 2500 * time.Millisecond
 )
 
@@ -83,7 +83,7 @@
 func (w *World) violated(rule Rule, format string, a ...any) {
 	if w.Failure == "" {
 		w.Failure = string(rule) + ": " + fmt.Sprintf(format, a...)
-		w.logf("RULE BROKEN %s", w.Failure)
+		w.logf("rule violated: %s", w.Failure)
 	}
 }
 
@@ -219,7 +219,7 @@
 	}
 	w.Stats.WarmupArrivals++
 	t.recentArrivals = append(slices.DeleteFunc(t.recentArrivals, func(at time.Duration) bool { return w.now-at >= time.Second }), w.now)
-	if most := w.Plan.WarmupRate*1.5 + 5; float64(len(t.recentArrivals)) > most {
+	if limit := w.Plan.WarmupRate*1.5 + 5; float64(len(t.recentArrivals)) > limit {
 		w.violated(ruleWarmupRate, "target %s got %d requests within a second, its warm-up rate is %v", t.fullName(), len(t.recentArrivals), w.Plan.WarmupRate)
 	}
 }
--- a/internal/verification/simulator/status_test.go
+++ b/internal/verification/simulator/status_test.go
@@ -13,7 +13,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// memberNamed returns a member from the leader's view, the zero value if the view does not contain it.
+// memberNamed returns a member from the leader's view, or the zero value if the view does not contain it.
 func memberNamed(view controlplane.ControlPlaneView, name string) controlplane.MemberView {
 	for _, m := range view.Members {
 		if m.Name == name {
@@ -210,18 +210,18 @@
 	}
 }
 
-// failoverWithin bounds the time from a loss that the status called tolerable until a leader decides again. It covers an
+// failoverWithin bounds the time from a loss that the status called tolerable until there is a leader again. It covers an
 // election after the longest lease, a second election, and the wait for the proxies' tables.
 const failoverWithin = 5 * time.Second
 
-// detectionDelay is the time until the status shows a loss: a voter counts until it has not replied for the length of a
-// lease.
+// detectionDelay is the time until the status shows a loss: a voter counts as responsive until it has not replied for the
+// length of a lease.
 const detectionDelay = tuning.LeaderLease + 2*tuning.HeartbeatEvery
 
 // controlPlaneSize is the number of control daemons and of the seeds among them.
 type controlPlaneSize struct{ controlDaemons, seeds int }
 
-// A leader decides again after every loss that the status calls tolerable: any voters, as many as it says, and any domain
+// There is a leader again after every loss that the status calls tolerable: any voters, as many as it says, and any domain
 // that it does not list as at risk.
 func TestControlPlaneSurvivesTolerableLosses(t *testing.T) {
 	t.Parallel()
@@ -255,7 +255,7 @@
 	}
 }
 
-// chooseLoss draws as many living voters as may be lost, the leader among them in even rounds. In every third round it
+// chooseLoss returns as many running voters, chosen at random, as may be lost, the leader among them in even rounds. In every third round it
 // takes all voters of the leader's domain instead, unless that domain is at risk.
 func (w *World) chooseLoss(v controlplane.ControlPlaneView, round int) (names []string) {
 	var voters []string
--- a/internal/verification/simulator/table_test.go
+++ b/internal/verification/simulator/table_test.go
@@ -112,10 +112,10 @@
 	for _, c := range receive(4, &wire.Message{Kind: wire.KindPull, From: "g2", Timestamp: 4, Pull: &wire.Pull{Self: wire.Daemon{Name: "g2", Kind: wire.ProxyDaemon, Addr: "g2"}}}) {
 		if s, ok := c.(statemachine.Send); ok && s.Message.Push != nil {
 			if s.Message.Push.LeaseGranted || g.Serving() {
-				t.Fatalf("an unconfirmed proxy grants a lease (%v) or serves (%v)", s.Message.Push.LeaseGranted, g.Serving())
+				t.Fatalf("an unconfirmed proxy grants a lease: %v, serves: %v, want neither", s.Message.Push.LeaseGranted, g.Serving())
 			}
 			return
 		}
 	}
-	t.Fatal("the proxy does not answer a pull")
+	t.Fatal("the proxy did not answer a pull")
 }
--- a/internal/verification/simulator/target.go
+++ b/internal/verification/simulator/target.go
@@ -27,7 +27,7 @@
 	incarnation                    uint64
 	alive                          bool
 	state                          wire.TargetState
-	drainAcknowledgedAt            time.Duration // when a daemon first acknowledged that it is leaving; 0: none has
+	drainAcknowledgedAt            time.Duration // when a daemon first acknowledged its report that it is leaving; 0: none has
 	crashedAt                      time.Duration
 
 	// Reports.
@@ -172,8 +172,8 @@
 	return candidates[w.random.IntN(len(candidates))]
 }
 
-// usableTargets returns the number of targets of a service that can serve. Faults leave the last targets of a service alone:
-// the safety rules would be checked without them too, but the run must be able to serve requests.
+// usableTargets returns the number of targets of a service that can serve. Faults spare the last usable targets of a service,
+// so that the run can still serve requests.
 func (w *World) usableTargets(service string) int {
 	count := 0
 	for _, t := range w.targets.all {
--- a/internal/verification/simulator/target_report_test.go
+++ b/internal/verification/simulator/target_report_test.go
@@ -10,7 +10,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// proxiesAvoiding counts the living proxies whose table omits a target or marks it as draining.
+// proxiesAvoiding counts the running proxies whose table omits a target or marks it as draining.
 func (w *World) proxiesAvoiding(name string) (count int) {
 	for _, p := range w.daemons(wire.ProxyDaemon) {
 		if p.alive && p.proxy.Table() != nil {
@@ -224,7 +224,7 @@
 		}
 		report(1000, 9000)
 		if l := left(); l < 8*time.Second || l > 9*time.Second {
-			t.Fatalf("seed %d: warm-up left %v after a report of 9 s", seed, l)
+			t.Fatalf("seed %d: warm-up left %v after a report of 9 s, want 8 s to 9 s", seed, l)
 		}
 		if report(1001, 500); left() < 8*time.Second {
 			t.Errorf("seed %d: a later report of a shorter time reduced the warm-up to %v", seed, left())
--- a/internal/verification/simulator/target_test.go
+++ b/internal/verification/simulator/target_test.go
@@ -7,7 +7,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Missing heartbeats alone must not remove a target for good. A domain isolated for longer than the entries of unreachable
+// Missing heartbeats alone must not remove a target permanently. A domain isolated for longer than the entries of unreachable
 // targets are kept is back at full capacity within 4 s of the end of the partition.
 func TestHealedTargetsServeWithinSeconds(t *testing.T) {
 	t.Parallel()
@@ -26,7 +26,7 @@
 	}
 }
 
-// A stale report of an earlier start of a target must neither evict the present start nor bring the earlier one back,
+// A stale report of an earlier incarnation of a target must neither evict the current incarnation nor restore the earlier one,
 // whether or not the leader that knew of the restart is still alive.
 func TestStaleReportEvictsNoTarget(t *testing.T) {
 	t.Parallel()
@@ -44,7 +44,7 @@
 		}
 		w.Run(w.now + 4*time.Second)
 		if !w.offered(n) {
-			t.Fatalf("seed %d: the new start is not offered\n%s", seed, w.Trace(20))
+			t.Fatalf("seed %d: the new incarnation is not offered\n%s", seed, w.Trace(20))
 		}
 		if seed%2 == 0 {
 			w.Kill(w.Leader())
@@ -58,13 +58,13 @@
 			w.reportTarget(w.Leader(), old, wire.TargetWarming)
 			w.Run(w.now + 50*time.Millisecond)
 			if w.offered(old) {
-				t.Fatalf("seed %d: the old start is offered\n%s", seed, w.Trace(20))
+				t.Fatalf("seed %d: the old incarnation is offered\n%s", seed, w.Trace(20))
 			}
 		}
 		w.Run(w.now + 2*time.Second)
 		requireNoFailure(t, w)
 		if !w.offered(n) || w.offered(old) {
-			t.Fatalf("seed %d: new start offered %v, old start offered %v\n%s", seed, w.offered(n), w.offered(old), w.Trace(20))
+			t.Fatalf("seed %d: new incarnation offered: %v, want true; old incarnation offered: %v, want false\n%s", seed, w.offered(n), w.offered(old), w.Trace(20))
 		}
 	}
 }
@@ -102,7 +102,7 @@
 			}
 		}
 		requireNoFailure(t, w)
-		if switches > 2 { // a new leader may decide anew
+		if switches > 2 { // a new leader may choose the other target
 			t.Errorf("seed %d: the offered target changed %d times, want at most 2", seed, switches)
 		}
 	}
@@ -161,7 +161,7 @@
 // throughout, and the fleet recovers once the control daemons restart.
 func TestRollingReplacementWithoutControlPlane(t *testing.T) {
 	t.Parallel()
-	roll := faultNamed(t, "service rolled")
+	roll := faultNamed(t, "rolling restart of a service")
 	for seed := range uint64(6) {
 		w := Start(seed, Small)
 		for _, p := range w.daemons(wire.ControlDaemon) {
--- a/internal/verification/simulator/total_loss_test.go
+++ b/internal/verification/simulator/total_loss_test.go
@@ -50,7 +50,7 @@
 }
 
 // An operator starts a recovery of the control plane at one survivor while an isolated member returns, with which it is
-// a majority of the old control plane. Either the old or the new control plane may go on, never both.
+// a majority of the old control plane. Either the old or the new control plane may continue, never both.
 func TestOperatorRecoveryDuringReturnOfMember(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -60,7 +60,7 @@
 		w.failControlMachines("wlc", seed%2 == 0)
 		w.Run(w.now + 8*time.Second)
 		if w.Leader() != nil {
-			t.Fatalf("seed %d: a minority leads", seed)
+			t.Fatalf("seed %d: a minority elected a leader, want none", seed)
 		}
 		r, _ := w.callAndWait(t, w.process("c1"), "POST", "/v1/core/refound", "", "", "")
 		if r.Status != 202 {
@@ -81,7 +81,7 @@
 // proxies that keep and that lose their state. There must never be two control planes, which is checked at each step:
 //   - If the old control plane can't decide whatever the unreachable members hold, and a majority of the machines is
 //     reachable, a new one leads within 15 s.
-//   - If it might still decide, no new one bootstraps until an operator vouches that the missing machines are gone, and
+//   - If it might still decide, no new one bootstraps until an operator confirms that the missing machines are gone, and
 //     not even then while a majority may merely be isolated.
 //   - Unreachable members join again once they are reachable.
 func TestTotalLossLeavesOneControlPlane(t *testing.T) {
@@ -116,7 +116,7 @@
 				restarted, isolated := count("w")+count("l"), count("c")
 				elects := 2*count("w") > n                                   // the old control plane elects a leader
 				bootstraps := 2*restarted > n && 2*(n-count("l")) <= n       // so many disks are lost that the old one can't
-				bootstrapsOnConsent := 2*restarted > n-count("g") && !elects // an operator vouches for the machines that are gone
+				bootstrapsOnConsent := 2*restarted > n-count("g") && !elects // an operator confirms which machines are gone
 				w.failControlMachines(failures, forget)
 				w.Run(w.now + 15*time.Second)
 				requireNoFailure(t, w)
--- a/internal/verification/simulator/world.go
+++ b/internal/verification/simulator/world.go
@@ -32,7 +32,7 @@
 type World struct {
 	Plan    Plan
 	Seed    uint64
-	Failure string // the first broken rule, a colon and a description; "" while all rules hold
+	Failure string // name of the first violated rule, a colon and a description; "" while all rules hold
 	Stats   Stats
 
 	scheduler
