--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// resetConnections resets the given fraction of a proxy's connections to targets and callers, and all its connections to other daemons.
-// Targets abort the requests in flight on these connections, which count as run.
+// resetConnections resets the given fraction of a proxy's connections to targets and callers, and all its connections to other
+// daemons. Targets abort the requests in flight on these connections, which count as run.
 func (w *World) resetConnections(p *Process, fraction float64) {
 	w.logf("reset a fraction of %.2f of the connections of %s", fraction, p.name)
 	for id, idle := range p.idle {
--- a/internal/verification/simulator/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -9,7 +9,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Fault is a kind of fault, or a kind of operator activity that runs inject among the faults. Name is a value of mfsim's flag --kind.
+// Fault is a kind of fault, or a kind of operator activity that runs inject among the faults. Name is a value of mfsim's flag
+// --kind.
 type Fault struct {
 	Name   string
 	Inject func(w *World) // starts the fault and schedules its end
--- a/internal/verification/simulator/history_test.go
+++ b/internal/verification/simulator/history_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// The check of the history fails if a guard of the control plane is disabled.
+// With any of these guards of the control plane disabled, the history of at least one of 10 seeds is not linearizable.
 func TestDisabledGuardsBreakLinearizability(t *testing.T) {
 	t.Parallel()
 	for _, disabled := range []Guard{guardReadsAtLeader, guardMajorityBeforeReply, guardIdempotentChanges, guardFreshClock} {
--- a/internal/verification/simulator/large_fleet_test.go
+++ b/internal/verification/simulator/large_fleet_test.go
@@ -8,7 +8,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// largeFleet returns the plan of a fleet with many proxies, each of which has a sixth of a processor and a link of limited bandwidth.
+// largeFleet returns the plan of a fleet with many proxies, each of which has a sixth of a processor and a link of
+// limited bandwidth.
 func largeFleet() Plan {
 	p := Small
 	p.Proxies, p.Services, p.Rate = 69, map[string]int{"fares": 243, "pay": 51}, 20
@@ -24,7 +25,7 @@
 		w := Start(seed, largeFleet())
 		w.Run(w.now + 4*time.Second)
 		if n := leasedProxies(w); n < 69 {
-			t.Fatalf("seed %d: %d of 69 proxies hold a lease at %v\n%s", seed, n, w.now, w.Trace(40))
+			t.Fatalf("seed %d: %d of 69 proxies hold a lease at %v, want all\n%s", seed, n, w.now, w.Trace(40))
 		}
 		for range 2 {
 			before := w.checks.acknowledged
@@ -34,7 +35,7 @@
 			}
 			w.Kill(w.Leader())
 			if w.Run(w.now + 6*time.Second); leasedProxies(w) < 69 {
-				t.Errorf("seed %d: %d of 69 proxies hold a lease 6 s after the leader crashed\n%s", seed, leasedProxies(w), w.Trace(40))
+				t.Errorf("seed %d: %d of 69 proxies hold a lease 6 s after the leader crashed, want all\n%s", seed, leasedProxies(w), w.Trace(40))
 			}
 			for _, p := range w.daemons(wire.ControlDaemon) {
 				w.Restart(p)
@@ -49,7 +50,7 @@
 			w.Restart(p)
 		}
 		if w.Run(w.now + 4*time.Second); leasedProxies(w) < 69 {
-			t.Errorf("seed %d: %d of 69 proxies hold a lease 4 s after all were restarted", seed, leasedProxies(w))
+			t.Errorf("seed %d: %d of 69 proxies hold a lease 4 s after all were restarted, want all", seed, leasedProxies(w))
 		}
 		requireNoFailure(t, w)
 	}
@@ -71,7 +72,7 @@
 			for range 30 {
 				w.Run(w.now + 100*time.Millisecond)
 				if n := leasedProxies(w); n < 69 {
-					t.Fatalf("seed %d: %d of 69 proxies hold a lease at %v\n%s", seed, n, w.now, w.Trace(40))
+					t.Fatalf("seed %d: %d of 69 proxies hold a lease at %v, want all\n%s", seed, n, w.now, w.Trace(40))
 				}
 			}
 			if w.checks.acknowledged == before {
@@ -122,7 +123,7 @@
 				t.Logf("seed %d, %s: a change took %v", seed, when, w.now-began)
 			}
 			if !w.runUntil(10*time.Second, func() bool { return len(w.memberNames()) == 7 && leasedProxies(w) == 64 }) {
-				t.Fatalf("seed %d: members %v, want 7; %d of 64 proxies hold a lease after 10 s\n%s", seed, w.memberNames(), leasedProxies(w), w.Trace(40))
+				t.Fatalf("seed %d: after 10 s: members %v, want 7; %d of 64 proxies hold a lease, want all\n%s", seed, w.memberNames(), leasedProxies(w), w.Trace(40))
 			}
 			requireChange("without a fault")
 			for i, planned := range []bool{true, false} {
@@ -153,7 +154,7 @@
 				w.Restart(w.process(g))
 			}
 			if w.Run(w.now + 4*time.Second); leasedProxies(w) < 64 {
-				t.Errorf("seed %d: %d of 64 proxies hold a lease 4 s after 30 of them were restarted", seed, leasedProxies(w))
+				t.Errorf("seed %d: %d of 64 proxies hold a lease 4 s after 30 of them were restarted, want all", seed, leasedProxies(w))
 			}
 			requireChange("after 30 proxies were restarted")
 			for _, m := range w.memberNames()[:2] {
--- a/internal/verification/simulator/load_test.go
+++ b/internal/verification/simulator/load_test.go
@@ -26,13 +26,13 @@
 	t.Helper()
 	w := Start(seed, p)
 	if !w.runUntil(10*time.Second, func() bool { return len(w.memberNames()) == 7 && leasedProxies(w) == 64 }) {
-		t.Fatalf("after 10 s: members %v, want 7; %d of 64 proxies hold a lease", w.memberNames(), leasedProxies(w))
+		t.Fatalf("after 10 s: members %v, want 7; %d of 64 proxies hold a lease, want all", w.memberNames(), leasedProxies(w))
 	}
 	return w
 }
 
-// processorTimeByTask lists the processor time that a process has spent on each task since before was recorded, the
-// longest first.
+// processorTimeByTask lists the processor time that a process has spent on each task in addition to the times in before, in
+// descending order.
 func (p *Process) processorTimeByTask(before map[task]time.Duration) string {
 	spent := func(t task) time.Duration { return p.usage.processorTime[t] - before[t] }
 	tasks := slices.SortedFunc(maps.Keys(p.usage.processorTime), func(a, b task) int { return cmp.Compare(spent(b), spent(a)) })
@@ -43,8 +43,8 @@
 	return strings.Join(lines, ", ")
 }
 
-// processorUtilization returns the share of its processor that a process has used since a moment at which before was
-// recorded, from 0 to 1.
+// processorUtilization returns the fraction of its processor that a process has used since the given time, at which the
+// processor times in before were recorded.
 func (w *World) processorUtilization(p *Process, before map[task]time.Duration, since time.Duration) float64 {
 	total := time.Duration(0)
 	for t, spent := range p.usage.processorTime {
@@ -53,7 +53,7 @@
 	return float64(total) / float64(w.now-since) / w.Plan.Resources.share(p)
 }
 
-// maxUtilizationInRelease is the largest share of its processor that the leader may use during a rolling release.
+// maxUtilizationInRelease is the maximum fraction of its processor that the leader may use during a rolling release.
 const maxUtilizationInRelease = 0.85
 
 // The leader keeps its lease during a rolling release of three fifths of a large fleet's targets, six at a time: what it
@@ -69,7 +69,7 @@
 			w.releaseTargets(0.6, 6, 600*time.Millisecond)
 			w.Run(w.now + 9*time.Second)
 			if n := w.lostLeases() - lost; n > 0 {
-				t.Errorf("leadership was lost %d times in a release; the leader spent its processor time on: %s", n, leader.processorTimeByTask(before))
+				t.Errorf("leases were lost %d times in a release, want none; the leader spent its processor time on: %s", n, leader.processorTimeByTask(before))
 			}
 			if utilization := w.processorUtilization(leader, before, since); utilization > maxUtilizationInRelease {
 				t.Errorf("the leader used %.2f of its processor, want at most %.2f: %s", utilization, maxUtilizationInRelease, leader.processorTimeByTask(before))
@@ -99,13 +99,13 @@
 			w.slowProcess(leader, 3, 4*time.Second)
 			w.Run(w.now + 3*time.Second)
 			if n := leasedProxies(w); n < 64 {
-				t.Errorf("%d of 64 proxies hold a lease 3 s after the leader's machine became slow; leadership was lost %d times\n%s", n, w.lostLeases()-lost, w.Trace(30))
+				t.Errorf("%d of 64 proxies hold a lease 3 s after the leader's machine became slow, want all; leases were lost %d times\n%s", n, w.lostLeases()-lost, w.Trace(30))
 			}
 			w.Run(w.now + time.Second)
 			lostBefore := w.lostLeases()
 			w.Run(w.now + 3*time.Second)
 			if n := w.lostLeases() - lostBefore; n > 0 {
-				t.Errorf("leadership was lost %d more times; the old leader spent its processor time on: %s", n, leader.processorTimeByTask(before))
+				t.Errorf("leases were lost %d more times, want none; the old leader spent its processor time on: %s", n, leader.processorTimeByTask(before))
 			}
 			requireNoFailure(t, w)
 		})
@@ -139,7 +139,7 @@
 	}
 }
 
-// During a release the leader makes new tables all the time. Proxies that are partitioned from the control plane
+// During a release the leader continuously creates new tables. Proxies that are partitioned from the control plane
 // meanwhile fetch their peers' tables at a limited rate, so that these don't fill their links, which carry requests too.
 func TestIsolatedProxiesKeepTheirLinksFree(t *testing.T) {
 	t.Parallel()
@@ -176,12 +176,12 @@
 				}
 			}
 			if share := float64(full) / float64(samples); share > 1.0/tuning.PeerTableRateDivisor {
-				t.Errorf("the links of partitioned proxies were full in a share of %.2f of the samples, want at most %.2f", share, 1.0/tuning.PeerTableRateDivisor)
+				t.Errorf("the links of partitioned proxies were full in a fraction of %.2f of the samples, want at most %.2f", share, 1.0/tuning.PeerTableRateDivisor)
 			} else {
-				t.Logf("the links were full in a share of %.2f of the samples", share)
+				t.Logf("the links were full in a fraction of %.2f of the samples", share)
 			}
 			if !w.runUntil(2500*time.Millisecond, func() bool { return leasedProxies(w) == 69 }) {
-				t.Errorf("%d of 69 proxies hold a lease 2.5 s after the last sample", leasedProxies(w))
+				t.Errorf("%d of 69 proxies hold a lease 2.5 s after the last sample, want all", leasedProxies(w))
 			}
 			requireNoFailure(t, w)
 		})
--- a/internal/verification/simulator/operator_test.go
+++ b/internal/verification/simulator/operator_test.go
@@ -200,7 +200,7 @@
 	hastyEjections, hastyWrong, hastyDelay := score("hasty")
 	t.Logf("default: %v ejections, %v wrong, %v ms; hasty: %v ejections, %v wrong, %v ms", ejections, wrong, delay, hastyEjections, hastyWrong, hastyDelay)
 	if ejections != 1 || hastyEjections < 3 || hastyDelay >= delay {
-		t.Errorf("default: %v ejections after %v ms, want 1; hasty: %v after %v ms, want at least 3, and sooner", ejections, delay, hastyEjections, hastyDelay)
+		t.Errorf("default: %v ejections, want 1, after %v ms; hasty: %v ejections, want at least 3, after %v ms, want less than default", ejections, delay, hastyEjections, hastyDelay)
 	}
 }
 
--- a/internal/verification/simulator/repeated_change_test.go
+++ b/internal/verification/simulator/repeated_change_test.go
@@ -144,7 +144,7 @@
 		}
 	}
 	if r, _ := w.callAndWait(t, w.Leader(), "POST", "/v1/domains/d1/empty", "", "", "empty0"); r.Status != 200 {
-		t.Errorf("the first call sent again: %d %s", r.Status, r.Body)
+		t.Errorf("the first call sent again: %d %s, want 200", r.Status, r.Body)
 	}
 	if _, m := w.callAndWait(t, w.Leader(), "GET", "/v1/domains", "", "", ""); len(m["emptied"].([]any)) > 0 {
 		t.Errorf("emptied domains %v, want none", m["emptied"])
@@ -256,8 +256,8 @@
 	patch := `{"revision":30,"set":{"services":{"fares":{"cap":33,"warm_cap":6,"timeout_ms":1000}}},"drop":{"services":["nobody"]}}`
 	steps := []struct {
 		method, path, query, body string
-		status                    int
-		rev                       float64 // the revision in the reply
+		status                    int     // wanted in the reply, like rev and at
+		rev                       float64 // the revision
 		at                        string  // the path of the first invalid field; "": none
 	}{
 		{"PUT", "/v1/config", "base=1", doc(1, 2), 422, 1, "revision"},
--- a/internal/verification/simulator/replacement_test.go
+++ b/internal/verification/simulator/replacement_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// The only machine of a control plane is replaced as planned, five times. Each hands over everything that it has
-// acknowledged before its process ends.
+// The only machine of a control plane is replaced as planned, five times. Each transfers all acknowledged changes to its
+// successor before its process ends.
 func TestSingleMemberHandsOverBeforeItStops(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -233,8 +233,8 @@
 	}
 }
 
-// Random runs with faults of control machines only, several of which remove a machine permanently, at the intervals that the control
-// plane must tolerate.
+// Random runs with faults of control machines only, several of which remove a machine permanently, at the intervals that
+// the control plane must tolerate.
 func TestDaysOfReplacements(t *testing.T) {
 	t.Parallel()
 	kinds := faultsNamed(t, "control machine replaced after a loss", "control machine replaced as planned", "control machine replaced after a loss", "control daemon killed",
--- a/internal/verification/simulator/scenes_test.go
+++ b/internal/verification/simulator/scenes_test.go
@@ -49,8 +49,8 @@
 
 // Each kind of fault may reduce availability only so far: without such bounds a system that rejects everything would
 // pass, as it violates no rule. There are bounds for the fraction of requests that are not served, for the longest time in
-// which some service gives no response, and, for faults during which a change is possible, for the time until it is in force. The bounds are about
-// a third above the worst of 6 seeds (docs/measured.md).
+// which some service gives no response, and, for faults during which a change is possible, for the time until it is in
+// force. The bounds are about a third above the worst of 6 seeds (docs/measured.md).
 func TestFaultsLeaveTheServiceAvailable(t *testing.T) {
 	t.Parallel()
 	unserved := map[string]float64{ // percent of the requests; 0.6 for faults not listed
@@ -82,7 +82,7 @@
 					t.Errorf("seed %d: no response from some service for %v, limit %v", seed+1, r.LongestGap, limit)
 				}
 				if !slices.Contains(slow, f.Name) && (r.Outcome != "in force" || r.ChangeLatency > 2*time.Second) {
-					t.Errorf("seed %d: a change was %q after %v, want it in force within 2 s", seed+1, r.Outcome, r.ChangeLatency)
+					t.Errorf("seed %d: the outcome of a change was %q after %v, want it in force within 2 s", seed+1, r.Outcome, r.ChangeLatency)
 				}
 			}
 		})
--- a/internal/verification/simulator/status_test.go
+++ b/internal/verification/simulator/status_test.go
@@ -121,7 +121,7 @@
 	w.runUntil(10*time.Second, w.hasLeader)
 	v := w.controlPlaneView(t)
 	if v.FailureTolerance.Tolerable || len(v.FailureTolerance.Blockers) != 1 || v.FailureTolerance.Blockers[0].Kind != controlplane.BlockerTooFewMembers || v.FailureTolerance.Blockers[0].Successor != "" {
-		t.Errorf("want too few members as the only blocker: %+v", v.FailureTolerance)
+		t.Errorf("failure tolerance of a single member, want too few members as the only blocker: %+v", v.FailureTolerance)
 	}
 }
 
@@ -135,10 +135,10 @@
 	w.Run(w.now + 2*time.Second)
 	v := w.controlPlaneView(t)
 	if m := memberNamed(v, f.name); m.State != controlplane.MemberStopping {
-		t.Errorf("%s has the stop signal, want it shown as stopping: %+v", f.name, m)
+		t.Errorf("%s got the stop signal, want it shown as stopping: %+v", f.name, m)
 	}
 	if len(v.FailureTolerance.Blockers) != 1 || v.FailureTolerance.Blockers[0].Kind != controlplane.BlockerStopping || v.FailureTolerance.Blockers[0].ReplaceableInMs != nil {
-		t.Errorf("want the stopping member as the only blocker, without a time of replacement: %+v", v.FailureTolerance.Blockers)
+		t.Errorf("blockers, want only the stopping member, without a time of replacement: %+v", v.FailureTolerance.Blockers)
 	}
 	w.Restart(f)
 	if !w.runUntil(5*time.Second, func() bool { return w.Leader() != nil && w.controlPlaneView(t).FailureTolerance.Tolerable }) {
@@ -173,7 +173,7 @@
 	}
 	n := l.controller.Status(0).Counts
 	if n.RepeatsAnswered != 1 || n.RejectedVersion != 1 || n.RejectedInvalid != 1 || n.AnsweredUnknown != 0 {
-		t.Errorf("want one repeated, one stale and one invalid change: %+v", n)
+		t.Errorf("counters after the changes, want one repeated, one stale and one invalid change and no unknown reply: %+v", n)
 	}
 	f := w.followerMember()
 	w.isolate([]string{l.name}, 4*time.Second, true, true)
@@ -181,14 +181,14 @@
 	w.call(l, "PUT", "/v1/config", "base="+strconv.FormatUint(w.Revision(), 10), w.Document(5), "", func(r statemachine.Reply) { unknown = r.Status })
 	w.Run(w.now + 2*time.Second)
 	if unknown != 504 {
-		t.Errorf("a change at an isolated leader got %d, want 504", unknown)
+		t.Errorf("a change at an isolated leader got status %d, want 504", unknown)
 	}
 	if r, _ := w.callAndWait(t, l, "GET", "/v1/config", "", "", ""); r.Status != 503 {
-		t.Errorf("a read at an isolated leader got %d, want 503", r.Status)
+		t.Errorf("a read at an isolated leader got status %d, want 503", r.Status)
 	}
 	n = l.controller.Status(0).Counts
 	if n.LeasesLost != 1 || n.AnsweredUnavailable != 1 || n.AnsweredUnknown != 1 {
-		t.Errorf("want one lost lease, one unavailable and one unknown reply: %+v", n)
+		t.Errorf("counters after the isolation, want one lost lease, one unavailable and one unknown reply: %+v", n)
 	}
 	w.Run(w.now + 5*time.Second)
 	w.Kill(f)
@@ -243,7 +243,7 @@
 				if !w.runUntil(failoverWithin, w.hasLeader) {
 					t.Fatalf("round %d: no leader %v after the loss of %v, which the status called tolerable: %+v\n%s", round, failoverWithin, lost, v, w.Trace(40))
 				}
-				w.schedule(w.randomMilliseconds(0, 12000), func() { // often only after the next loss
+				w.schedule(w.randomMilliseconds(0, 12000), func() { // often not before the next loss
 					for _, name := range lost {
 						w.Restart(w.process(name))
 					}
@@ -255,8 +255,8 @@
 	}
 }
 
-// chooseLoss returns as many running voters, chosen at random, as may be lost, the leader among them in even rounds. In every third round it
-// takes all voters of the leader's domain instead, unless that domain is at risk.
+// chooseLoss returns as many running voters, chosen at random, as may be lost, including the leader in even rounds. In every
+// third round it returns all voters of the leader's domain instead, unless that domain is at risk.
 func (w *World) chooseLoss(v controlplane.ControlPlaneView, round int) (names []string) {
 	var voters []string
 	for _, m := range v.Members {
--- a/internal/verification/simulator/table_test.go
+++ b/internal/verification/simulator/table_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		first      *wire.Table // the table that the proxy holds; nil: none
 		stateIndex uint64      // of the partial table
-		accepted   bool
+		accepted   bool        // whether the proxy must accept the partial table
 	}{{nil, 5, false}, {full, 5, true}, {full, 6, false}} {
 		g := dataplane.New(dataplane.Settings{Self: wire.Daemon{Name: "g1", Kind: wire.ProxyDaemon, Incarnation: 9}})
 		g.Step(1, statemachine.Receive{Message: hello})
@@ -33,12 +33,12 @@
 		push(3, &partial)
 		table := g.Table()
 		if accepted := table != nil && table.Key.Version == 2; accepted != c.accepted || accepted && (string(table.Document) != "{}" || len(table.State) == 0) {
-			t.Errorf("%+v: the proxy holds %+v", c, table)
+			t.Errorf("%+v: the proxy holds the table %+v, want the partial table accepted: %v", c, table, c.accepted)
 		}
 		for _, cmd := range g.Step(time.Second, statemachine.Tick{}) {
 			if s, ok := cmd.(statemachine.Send); ok && s.Message.Pull != nil {
 				if p := s.Message.Pull; (p.Revision != 0) != (c.first != nil) || c.first != nil && p.StateIndex != 5 {
-					t.Errorf("%+v: the proxy pulls with revision %d and state index %d", c, p.Revision, p.StateIndex)
+					t.Errorf("%+v: the proxy pulls with revision %d and state index %d, want those of the first table, or 0 if there is none", c, p.Revision, p.StateIndex)
 				}
 			}
 		}
--- a/internal/verification/simulator/target_report_test.go
+++ b/internal/verification/simulator/target_report_test.go
@@ -22,8 +22,8 @@
 	return count
 }
 
-// reportJSON returns a numbered report of a target. It has an unknown field, which daemons must ignore, and ends with the
-// given fields, which start with a comma.
+// reportJSON returns a numbered report of a target, with an unknown field, which daemons must ignore, and the given
+// additional JSON fields, which begin with a comma.
 func reportJSON(t *Target, state wire.TargetState, number uint64, fields string) string {
 	return fmt.Sprintf(`{"service":%q,"incarnation":%d,"address":%q,"domain":%q,"state":%q,"number":%d,"mood":["any"]%s}`, t.service, t.incarnation, t.address, t.domain, state, number, fields)
 }
@@ -55,7 +55,7 @@
 		t.Fatalf("%s does not number its reports", a.name)
 	}
 	if e := tableEntry(w.Leader().controller.Table(), a.name); e == nil || e.Slots != DefaultSlots || e.Number == 0 {
-		t.Fatalf("table entry, want %d slots and a number: %+v", DefaultSlots, e)
+		t.Fatalf("table entry of the target, want %d slots and a number: %+v", DefaultSlots, e)
 	}
 	for _, n := range []uint64{a.lastNumber, 1} {
 		if s, _ := put(f, reportJSON(a, wire.TargetLeaving, n, "")); s != 200 {
@@ -70,7 +70,7 @@
 	}
 	w.Run(w.now + 300*time.Millisecond)
 	if e := tableEntry(w.Leader().controller.Table(), a.name); e.Slots != 7 {
-		t.Errorf("table entry after a report of 7 slots: %+v", e)
+		t.Errorf("table entry after a report of 7 slots, want these slots: %+v", e)
 	}
 	requireNoFailure(t, w)
 }
--- a/internal/verification/simulator/target_test.go
+++ b/internal/verification/simulator/target_test.go
@@ -118,7 +118,7 @@
 		w.DrainTarget(old, func() {})
 		w.Run(w.now + 6*time.Second)
 		if old.alive {
-			t.Fatalf("seed %d: %s runs 6 s after it was drained", seed, old.name)
+			t.Fatalf("seed %d: %s still runs 6 s after its drain began", seed, old.name)
 		}
 		w.Kill(w.Leader())
 		for w.Leader() == nil {
