--- a/internal/verification/simulator/bulk_changes.go
+++ b/internal/verification/simulator/bulk_changes.go
@@ -74,7 +74,7 @@
 	w.sendRepeatedly(to, c, onReply)
 }
 
-// mayChangeInBulk counts bulk changes. It reports whether the run's maximum allows that many more.
+// mayChangeInBulk reports whether the run's maximum allows the given number of further bulk changes. If so, it counts them.
 func (w *World) mayChangeInBulk(changes int) bool {
 	if w.operators.bulkChanges+changes > maxBulkChanges {
 		return false
--- a/internal/verification/simulator/load_test.go
+++ b/internal/verification/simulator/load_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// A leader whose machine becomes three times slower loses its lease again and again. It must transfer leadership to
+// A leader whose machine becomes three times slower loses its lease repeatedly. It must transfer leadership to
 // another member: 3 s later all proxies hold leases, although that machine is still slow.
 func TestSlowLeaderHandsLeadershipOver(t *testing.T) {
 	t.Parallel()
--- a/internal/verification/simulator/total_loss_test.go
+++ b/internal/verification/simulator/total_loss_test.go
@@ -115,7 +115,7 @@
 				count := func(f string) int { return strings.Count(failures, f) }
 				restarted, isolated := count("w")+count("l"), count("c")
 				elects := 2*count("w") > n                                   // the old control plane elects a leader
-				bootstraps := 2*restarted > n && 2*(n-count("l")) <= n       // so many disks are lost that the old one can't
+				bootstraps := 2*restarted > n && 2*(n-count("l")) <= n       // so many disks are lost that the old control plane can't elect a leader
 				bootstrapsOnConsent := 2*restarted > n-count("g") && !elects // an operator confirms which machines are gone
 				w.failControlMachines(failures, forget)
 				w.Run(w.now + 15*time.Second)
