--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -115,19 +115,19 @@
 	}
 }
 
-// resetConnections resets a fraction of a proxy's connections to targets and callers, and all its connections to other daemons.
-// Targets abort the requests in flight on these connections, which count as run.
-func (w *World) resetConnections(p *Process, part float64) {
-	w.logf("reset a fraction of %.2f of the connections of %s", part, p.name)
+// resetConnections resets the given fraction of a proxy's connections to targets and callers, and all its connections to other
+// daemons. Targets abort the requests in flight on these connections, which count as run.
+func (w *World) resetConnections(p *Process, fraction float64) {
+	w.logf("reset a fraction of %.2f of the connections of %s", fraction, p.name)
 	for id, idle := range p.idle {
-		p.idle[id] = idle[:len(idle)-int(part*float64(len(idle)))]
+		p.idle[id] = idle[:len(idle)-int(fraction*float64(len(idle)))]
 	}
 	for _, a := range slices.Clone(p.attempts) {
-		if w.random.Float64() < part && a.end() {
+		if w.random.Float64() < fraction && a.end() {
 			w.Stats.ResetAttempts++
 			a.loseResponse()
 		}
 	}
-	w.cancelRequests(p, part, &w.Stats.Abandoned)
+	w.cancelRequests(p, fraction, &w.Stats.Abandoned)
 	w.resetDaemonConnections(p)
 }
--- a/internal/verification/simulator/history_test.go
+++ b/internal/verification/simulator/history_test.go
@@ -62,8 +62,8 @@
 }
 
 // A leader may freeze, for longer than any lease, after it has decided and before it has sent its replies and leases.
-// The late replies to operators must still be correct: what was decided held at a moment after the call had come. The
-// late leases must have no effect: a lease counts from the proxy's own timestamp.
+// Each late reply to an operator must describe a state that was current at some moment after the call arrived. The late
+// leases must have no effect, since a lease runs from the proxy's own timestamp.
 func TestLateRepliesAndLeasesAreSafe(t *testing.T) {
 	t.Parallel()
 	delayed := 0
@@ -97,7 +97,7 @@
 	}
 }
 
-// The check of the history fails if a guard of the control plane is disabled.
+// With any of these guards of the control plane disabled, the history of at least one of 10 seeds is not linearizable.
 func TestDisabledGuardsBreakLinearizability(t *testing.T) {
 	t.Parallel()
 	for _, disabled := range []Guard{guardReadsAtLeader, guardMajorityBeforeReply, guardIdempotentChanges, guardFreshClock} {
@@ -112,7 +112,7 @@
 					return
 				}
 			}
-			t.Error("the histories of all 10 seeds were linearizable with the guard disabled")
+			t.Error("the histories of all 10 seeds were linearizable with the guard disabled, want at least one that is not")
 		})
 	}
 }
