--- a/internal/controlplane/healthcheck.go
+++ b/internal/controlplane/healthcheck.go
@@ -135,7 +135,7 @@
 	} else if !c.recordProbeMiss(t, result) {
 		return
 	}
-	event := t.outlierEvent(now, config.SliceProbe)
+	event := t.outlierEvent(now, config.SignalProbe)
 	event.Success, event.Milliseconds = answered, result.Milliseconds
 	c.evaluateEvent(event)
 	if wasUnconfirmed && !t.unconfirmed {
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -95,11 +95,11 @@
 
 // evaluateHeartbeat passes a heartbeat to the outlier policies, and the demand if the target has reported one.
 func (c *Controller) evaluateHeartbeat(now time.Duration, t *target) {
-	heartbeat := t.outlierEvent(now, config.SliceHeartbeat)
+	heartbeat := t.outlierEvent(now, config.SignalHeartbeat)
 	heartbeat.Success, heartbeat.State = true, t.State
 	c.evaluateEvent(heartbeat)
 	if t.HasDemand {
-		demand := t.outlierEvent(now, config.SliceDemand)
+		demand := t.outlierEvent(now, config.SignalDemand)
 		demand.Demand = t.Demand
 		c.evaluateEvent(demand)
 	}
@@ -107,13 +107,13 @@
 
 // evaluateHeartbeatGap passes an event to the outlier policies that reports for how long no heartbeat has arrived.
 func (c *Controller) evaluateHeartbeatGap(now time.Duration, t *target) {
-	gap := t.outlierEvent(now, config.SliceHeartbeat)
+	gap := t.outlierEvent(now, config.SignalHeartbeat)
 	gap.State = t.State
 	gap.Milliseconds = float64(now-t.lastHeartbeatAt) / float64(time.Millisecond)
 	c.evaluateEvent(gap)
 }
 
-// outlierEvent returns an outlier event of a target without the fields that are specific to the slice.
-func (t *target) outlierEvent(now time.Duration, slice config.Slice) outlier.Event {
-	return outlier.Event{At: now, Slice: slice, Service: t.Service, Name: t.Name, Incarnation: t.Incarnation}
+// outlierEvent returns an outlier event of a target without the fields that are specific to the signal.
+func (t *target) outlierEvent(now time.Duration, signal config.Signal) outlier.Event {
+	return outlier.Event{At: now, Signal: signal, Service: t.Service, Name: t.Name, Incarnation: t.Incarnation}
 }
--- a/internal/controlplane/outlierdetection.go
+++ b/internal/controlplane/outlierdetection.go
@@ -39,7 +39,7 @@
 		return
 	}
 	t.stats = wire.TargetStats{}
-	requests := t.outlierEvent(now, config.SliceRequest)
+	requests := t.outlierEvent(now, config.SignalRequest)
 	requests.Count, requests.Errors, requests.Slow = int(stats.Successes+stats.Errors), int(stats.Errors), int(stats.Slow)
 	requests.Milliseconds = stats.TotalMs
 	c.evaluateEvent(requests)
--- a/internal/mfctl/policy.go
+++ b/internal/mfctl/policy.go
@@ -141,7 +141,7 @@
 		if stats.Score != nil {
 			score = *stats.Score
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\n", name, policy.Mode, policy.Slice,
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\n", name, policy.Mode, policy.Signal,
 			policy.Decide, policy.TTLMs, stats.Evaluated, stats.Failed, stats.TargetsOut, score.Ejections, score.WrongEjections,
 			score.Errors, score.MissedErrors, score.TimeToEjectMs, policy.When, stats.Error)
 	}
--- a/internal/shared/config/policy.go
+++ b/internal/shared/config/policy.go
@@ -6,16 +6,16 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// Slice is a kind of observations of a target. The conditions of a policy evaluate the observations of one slice. The
-// values appear in configurations, recordings and event streams.
-type Slice string
+// Signal is a kind of observation of a target. The conditions of a policy evaluate the observations of one signal.
+// Settings, recordings and event streams call it slice, and hold these values.
+type Signal string
 
-// Slices of observations.
+// Signals.
 const (
-	SliceProbe     Slice = "probe"    // results of health checks
-	SliceHeartbeat Slice = "beat"     // the target's heartbeats
-	SliceRequest   Slice = "exchange" // outcomes of callers' requests
-	SliceDemand    Slice = "demand"   // the load that the target reports
+	SignalProbe     Signal = "probe"    // results of health checks
+	SignalHeartbeat Signal = "beat"     // the target's heartbeats
+	SignalRequest   Signal = "exchange" // outcomes of callers' requests
+	SignalDemand    Signal = "demand"   // the load that the target reports
 )
 
 // DecisionKind is the kind of a policy's decision. The values appear in configurations and event streams.
@@ -38,11 +38,11 @@
 	ModeOff    PolicyMode = "off"    // the policy is not evaluated
 )
 
-// Policy is a policy of the outlier detector: a condition on one slice of observations of a target, and a decision.
+// Policy is a policy of the outlier detector: a condition on one signal of a target, and a decision.
 // Conditions are expressions of package expr. docs/policy.md lists the variables that they may use.
 type Policy struct {
-	// Slice is the slice of observations that the conditions evaluate.
-	Slice Slice `koanf:"slice" json:"slice"`
+	// Signal is the kind of observation that the conditions evaluate.
+	Signal Signal `koanf:"slice" json:"slice"`
 	// When is the condition under which the decision is made.
 	When string `koanf:"when" json:"when"`
 	// Clear is the condition that ends the decision early. Default: "", none. Then an ejection ends when its time to
@@ -66,7 +66,7 @@
 // tuning.EjectionTTL, and an answered one ends the ejection.
 func DefaultPolicy() Policy {
 	return Policy{
-		Slice:  SliceProbe,
+		Signal: SignalProbe,
 		When:   fmt.Sprintf("misses_in_row >= %d", tuning.ProbeMisses),
 		Clear:  "ok_in_row >= 1",
 		Decide: DecideEject,
--- a/internal/shared/outlier/compare_test.go
+++ b/internal/shared/outlier/compare_test.go
@@ -20,10 +20,10 @@
 			faulty := i == 0 && at > 30*time.Second && at < 60*time.Second
 			e := Event{At: at, Service: "s", Name: n, Incarnation: 1}
 			probe, request, heartbeat, demand := e, e, e, e
-			probe.Slice, probe.Success, probe.Milliseconds = "probe", true, 2
-			request.Slice, request.Count, request.Milliseconds = "exchange", 10, 200
-			heartbeat.Slice, heartbeat.Success, heartbeat.State = "beat", true, wire.TargetReady
-			demand.Slice, demand.Demand = "demand", 0.3
+			probe.Signal, probe.Success, probe.Milliseconds = "probe", true, 2
+			request.Signal, request.Count, request.Milliseconds = "exchange", 10, 200
+			heartbeat.Signal, heartbeat.Success, heartbeat.State = "beat", true, wire.TargetReady
+			demand.Signal, demand.Demand = "demand", 0.3
 			sendsHeartbeats := true
 			if faulty {
 				switch fault {
--- a/internal/shared/outlier/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -38,12 +38,12 @@
 	}
 }
 
-// compile checks and compiles a condition on a slice. Its error comes from package expr, with line and column,
+// compile checks and compiles a condition on a signal. Its error comes from package expr, with line and column,
 // or names an operator that is too costly.
-func compile(slice config.Slice, condition string) (*vm.Program, error) {
+func compile(signal config.Signal, condition string) (*vm.Program, error) {
 	visitor := &costVisitor{}
 	options := []expr.Option{
-		expr.Env(environments[slice]),
+		expr.Env(environments[signal]),
 		expr.AsBool(),
 		expr.MaxNodes(tuning.PolicyNodes),
 		expr.DisableAllBuiltins(),
@@ -68,12 +68,12 @@
 	add := func(path, format string, args ...any) {
 		faults = append(faults, config.Fault{Path: path, Text: fmt.Sprintf(format, args...)})
 	}
-	if _, ok := environments[policy.Slice]; !ok {
-		add("slice", unknownSlice, policy.Slice)
+	if _, ok := environments[policy.Signal]; !ok {
+		add("slice", unknownSignal, policy.Signal)
 	} else {
-		faults = append(faults, checkCondition(policy.Slice, "when", policy.When)...)
+		faults = append(faults, checkCondition(policy.Signal, "when", policy.When)...)
 		if policy.Clear != "" {
-			faults = append(faults, checkCondition(policy.Slice, "clear", policy.Clear)...)
+			faults = append(faults, checkCondition(policy.Signal, "clear", policy.Clear)...)
 		}
 	}
 	ttl := time.Duration(policy.TTLMs) * time.Millisecond
@@ -96,8 +96,8 @@
 }
 
 // checkCondition returns the fault of the condition in the named field, nil if the condition compiles.
-func checkCondition(slice config.Slice, field, condition string) []config.Fault {
-	_, err := compile(slice, condition)
+func checkCondition(signal config.Signal, field, condition string) []config.Fault {
+	_, err := compile(signal, condition)
 	if err == nil {
 		return nil
 	}
--- a/internal/shared/outlier/condition_test.go
+++ b/internal/shared/outlier/condition_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestCheckFindsFaults(t *testing.T) {
-	good := config.Policy{Slice: "probe", When: "missed > 3", Decide: "bar", TTLMs: 1000, Mode: "live"}
+	good := config.Policy{Signal: "probe", When: "missed > 3", Decide: "bar", TTLMs: 1000, Mode: "live"}
 	if fs := Check(good); len(fs) > 0 {
 		t.Fatal(fs)
 	}
@@ -20,7 +20,7 @@
 		path   string
 		text   string
 	}{
-		{func(p *config.Policy) { p.Slice = "weather" }, "slice", "no slice"},
+		{func(p *config.Policy) { p.Signal = "weather" }, "slice", "no slice"},
 		{func(p *config.Policy) { p.When = "misssed > 3" }, "when", "line 1, column 1: unknown name misssed"},
 		{func(p *config.Policy) { p.When = "error_ratio > 1" }, "when", "unknown name error_ratio"},
 		{func(p *config.Policy) { p.When = "missed > \"x\"" }, "when", "column 8"},
--- a/internal/shared/outlier/detector.go
+++ b/internal/shared/outlier/detector.go
@@ -33,7 +33,7 @@
 type Detector struct {
 	policies    map[string]*policy // by name
 	policyNames []string           // the keys of policies, sorted
-	windows     map[wire.TargetID]map[config.Slice]*window
+	windows     map[wire.TargetID]map[config.Signal]*window
 	decided     map[wire.TargetID]map[string]activeDecision // by target and policy name
 }
 
@@ -69,7 +69,7 @@
 func New() *Detector {
 	return &Detector{
 		policies: map[string]*policy{},
-		windows:  map[wire.TargetID]map[config.Slice]*window{},
+		windows:  map[wire.TargetID]map[config.Signal]*window{},
 		decided:  map[wire.TargetID]map[string]activeDecision{},
 	}
 }
@@ -102,8 +102,8 @@
 func newPolicy(name string, settings config.Policy) *policy {
 	p := &policy{name: name, settings: settings}
 	var err error
-	if p.when, err = compile(settings.Slice, settings.When); err == nil && settings.Clear != "" {
-		p.clear, err = compile(settings.Slice, settings.Clear)
+	if p.when, err = compile(settings.Signal, settings.When); err == nil && settings.Clear != "" {
+		p.clear, err = compile(settings.Signal, settings.Clear)
 	}
 	if err != nil {
 		panic(errors.Wrapf(err, "policy %s passed Check but does not compile", name))
@@ -178,18 +178,18 @@
 func (d *Detector) Step(event Event) []Decision {
 	id := event.ID()
 	if d.windows[id] == nil {
-		d.windows[id] = map[config.Slice]*window{}
+		d.windows[id] = map[config.Signal]*window{}
 	}
-	w := d.windows[id][event.Slice]
+	w := d.windows[id][event.Signal]
 	if w == nil {
 		w = &window{}
-		d.windows[id][event.Slice] = w
+		d.windows[id][event.Signal] = w
 	}
 	w.add(event)
 	environment := d.environment(id, event, w)
 	var decisions []Decision
 	for _, name := range d.policyNames {
-		if p := d.policies[name]; p.settings.Slice == event.Slice {
+		if p := d.policies[name]; p.settings.Signal == event.Signal {
 			decisions = append(decisions, d.evaluate(p, event.At, id, environment)...)
 		}
 	}
--- a/internal/shared/outlier/detector_test.go
+++ b/internal/shared/outlier/detector_test.go
@@ -11,7 +11,7 @@
 )
 
 func probeEvent(at time.Duration, name string, ok bool) Event {
-	return Event{At: at, Slice: "probe", Service: "s", Name: name, Incarnation: 1, Success: ok, Milliseconds: 1}
+	return Event{At: at, Signal: "probe", Service: "s", Name: name, Incarnation: 1, Success: ok, Milliseconds: 1}
 }
 
 func decisionKinds(ds []Decision) string {
@@ -63,8 +63,8 @@
 
 // A policy whose evaluation fails decides nothing, the failure is counted, and its earlier decision expires.
 func TestFailedEvaluationDecidesNothing(t *testing.T) {
-	detector := detectorWith(map[string]config.Policy{"odd": {Slice: "exchange", When: "count % errors == 0", Decide: "bar", TTLMs: 1000, Mode: "live"}})
-	e := Event{At: time.Second, Slice: "exchange", Service: "s", Name: "a", Incarnation: 1, Count: 4, Errors: 2}
+	detector := detectorWith(map[string]config.Policy{"odd": {Signal: "exchange", When: "count % errors == 0", Decide: "bar", TTLMs: 1000, Mode: "live"}})
+	e := Event{At: time.Second, Signal: "exchange", Service: "s", Name: "a", Incarnation: 1, Count: 4, Errors: 2}
 	if got := decisionKinds(detector.Step(e)); got != "odd bar" {
 		t.Fatal(got)
 	}
@@ -83,7 +83,7 @@
 // A changed policy keeps its ejections, a removed policy loses them, and decisions of a shadow policy have no
 // effect, also after the policy becomes live.
 func TestReplaceKeepsDecisions(t *testing.T) {
-	p := config.Policy{Slice: "probe", When: "missed >= 1", Decide: "bar", TTLMs: 60000, Mode: "live"}
+	p := config.Policy{Signal: "probe", When: "missed >= 1", Decide: "bar", TTLMs: 60000, Mode: "live"}
 	shadow := p
 	shadow.Mode = "shadow"
 	id := wire.TargetID{Service: "s", Name: "a", Incarnation: 1}
--- a/internal/shared/outlier/environment.go
+++ b/internal/shared/outlier/environment.go
@@ -7,7 +7,7 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// An environment struct holds the variables that a condition on one slice may use. The expr tags are the
+// An environment struct holds the variables that a condition on one signal may use. The expr tags are the
 // variables' names, which docs/policy.md explains. Samples are the events in the target's window.
 
 // probeEnvironment holds the variables of conditions on health checks.
@@ -53,25 +53,25 @@
 	Samples     int     `expr:"samples"`      // number of samples
 }
 
-// environments maps each slice to the type that conditions on it are compiled against.
-var environments = map[config.Slice]any{
-	config.SliceProbe:     probeEnvironment{},
-	config.SliceHeartbeat: heartbeatEnvironment{},
-	config.SliceRequest:   requestEnvironment{},
-	config.SliceDemand:    demandEnvironment{},
+// environments maps each signal to a zero value of the struct that holds the variables of conditions on it.
+var environments = map[config.Signal]any{
+	config.SignalProbe:     probeEnvironment{},
+	config.SignalHeartbeat: heartbeatEnvironment{},
+	config.SignalRequest:   requestEnvironment{},
+	config.SignalDemand:    demandEnvironment{},
 }
 
-// unknownSlice is the format of the fault for an unknown slice.
-const unknownSlice = "no slice %q: probe, beat, exchange or demand"
+// unknownSignal is the format of the fault for an unknown signal.
+const unknownSignal = "no slice %q: probe, beat, exchange or demand"
 
-// environment returns the environment for the event's slice. The event must be the latest one in w.
+// environment returns the environment for the event's signal. The event must be the latest one in w.
 func (d *Detector) environment(id wire.TargetID, event Event, w *window) any {
-	switch event.Slice {
-	case config.SliceProbe:
+	switch event.Signal {
+	case config.SignalProbe:
 		return w.probeEnvironment(event)
-	case config.SliceHeartbeat:
+	case config.SignalHeartbeat:
 		return w.heartbeatEnvironment(event)
-	case config.SliceRequest:
+	case config.SignalRequest:
 		return d.requestEnvironment(id, event.At, w)
 	}
 	return d.demandEnvironment(id, event, w)
@@ -131,7 +131,7 @@
 		env.MeanMs = own.Milliseconds / float64(own.Count)
 	}
 	service := Event{}
-	for other := range d.otherWindows(id, config.SliceRequest) {
+	for other := range d.otherWindows(id, config.SignalRequest) {
 		total := other.totals(now)
 		service.Count += total.Count
 		service.Errors += total.Errors
@@ -151,7 +151,7 @@
 		env.Mean += e.Demand / float64(len(w.events))
 	}
 	others := 0.0
-	for other := range d.otherWindows(id, config.SliceDemand) {
+	for other := range d.otherWindows(id, config.SignalDemand) {
 		if e := other.events[len(other.events)-1]; latest.At-e.At < requestWindow {
 			env.ServiceMean += e.Demand
 			others++
--- a/internal/shared/outlier/event.go
+++ b/internal/shared/outlier/event.go
@@ -7,10 +7,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// Event is one observation of a target. Apart from time and identity, only the fields of its slice are set.
+// Event is one observation of a target. Apart from time and identity, only the fields of its signal are set.
 type Event struct {
 	At          time.Duration `json:"at_ns"` // on the recorder's clock, in ns
-	Slice       config.Slice  `json:"slice"`
+	Signal      config.Signal `json:"slice"`
 	Service     string        `json:"service"`
 	Name        string        `json:"name"`
 	Incarnation uint64        `json:"incarnation"`
--- a/internal/shared/outlier/score.go
+++ b/internal/shared/outlier/score.go
@@ -103,7 +103,7 @@
 			s.scores[name] = score
 		}
 		score.Events++
-		if event.Slice != config.SliceRequest {
+		if event.Signal != config.SignalRequest {
 			continue
 		}
 		score.Errors += event.Errors
@@ -191,10 +191,10 @@
 // isFault reports whether an event is a sign of a fault: a missed health check or heartbeat, or requests of
 // which more than half failed or were slow.
 func (e *Event) isFault() bool {
-	switch e.Slice {
-	case config.SliceProbe, config.SliceHeartbeat:
+	switch e.Signal {
+	case config.SignalProbe, config.SignalHeartbeat:
 		return !e.Success
-	case config.SliceRequest:
+	case config.SignalRequest:
 		return (e.Errors+e.Slow)*2 > e.Count
 	}
 	return false
@@ -203,21 +203,21 @@
 // endsFault reports whether an event shows that a fault is over. If the latest sign was a missed health check,
 // that is an answered health check, else requests of which less than a tenth failed or were slow.
 func (h *history) endsFault(e Event) bool {
-	switch e.Slice {
-	case config.SliceProbe:
-		return e.Success && h.lastFaultySlice() == config.SliceProbe
-	case config.SliceRequest:
-		return h.lastFaultySlice() != config.SliceProbe && e.Count > 0 && (e.Errors+e.Slow)*10 < e.Count
+	switch e.Signal {
+	case config.SignalProbe:
+		return e.Success && h.lastFaultySignal() == config.SignalProbe
+	case config.SignalRequest:
+		return h.lastFaultySignal() != config.SignalProbe && e.Count > 0 && (e.Errors+e.Slow)*10 < e.Count
 	}
 	return false
 }
 
-// lastFaultySlice returns the slice of the latest event with a missed health check or a failed or slow request,
+// lastFaultySignal returns the signal of the latest event with a missed health check or a failed or slow request,
 // "" if there is none.
-func (h *history) lastFaultySlice() config.Slice {
+func (h *history) lastFaultySignal() config.Signal {
 	for _, e := range slices.Backward(h.events) {
-		if e.Slice == config.SliceProbe && !e.Success || e.Slice == config.SliceRequest && e.Errors+e.Slow > 0 {
-			return e.Slice
+		if e.Signal == config.SignalProbe && !e.Success || e.Signal == config.SignalRequest && e.Errors+e.Slow > 0 {
+			return e.Signal
 		}
 	}
 	return ""
@@ -231,11 +231,11 @@
 		if now-e.At > healthyWindow {
 			continue
 		}
-		switch e.Slice {
-		case config.SliceRequest:
+		switch e.Signal {
+		case config.SignalRequest:
 			requests += e.Count
 			bad += e.Errors + e.Slow
-		case config.SliceProbe, config.SliceHeartbeat:
+		case config.SignalProbe, config.SignalHeartbeat:
 			if !e.Success {
 				return false
 			}
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -40,7 +40,7 @@
 	if err := json.Unmarshal(text, &line); err != nil {
 		return line, err
 	}
-	if line.Event == nil && line.Slice != "" {
+	if line.Event == nil && line.Signal != "" {
 		event := Event(line.bareEvent)
 		line.Event = &event
 	}
@@ -96,9 +96,9 @@
 
 // checkEvent returns why an event is rejected, "" if it is valid.
 func (s *Session) checkEvent(e *Event) string {
-	switch _, known := environments[e.Slice]; {
+	switch _, known := environments[e.Signal]; {
 	case !known:
-		return fmt.Sprintf(unknownSlice, e.Slice)
+		return fmt.Sprintf(unknownSignal, e.Signal)
 	case e.Service == "" || e.Name == "" || e.Incarnation == 0:
 		return "an event needs service, name and incarnation"
 	case e.At < s.lastAt:
--- a/internal/shared/outlier/session_test.go
+++ b/internal/shared/outlier/session_test.go
@@ -13,7 +13,7 @@
 func TestSessionEvaluatesLines(t *testing.T) {
 	session := NewSession(&config.Config{})
 	ev := func(ms int, ok bool) string {
-		b, _ := json.Marshal(Event{At: time.Duration(ms) * time.Millisecond, Slice: "probe", Service: "s", Name: "a", Incarnation: 1, Success: ok})
+		b, _ := json.Marshal(Event{At: time.Duration(ms) * time.Millisecond, Signal: "probe", Service: "s", Name: "a", Incarnation: 1, Success: ok})
 		return string(b)
 	}
 	for i, c := range []struct{ in, want string }{
--- a/internal/shared/outlier/window.go
+++ b/internal/shared/outlier/window.go
@@ -14,7 +14,7 @@
 // requestWindow is the age up to which requests, and the demand of a service's other targets, count in conditions.
 const requestWindow = tuning.RetryWindow
 
-// window holds the latest events of one slice of one target.
+// window holds the latest events of one signal of one target.
 type window struct {
 	events  []Event // at most tuning.PolicyWindow, the oldest first
 	streak  int     // number of consecutive events up to the latest with the outcome success
@@ -23,7 +23,7 @@
 
 func (w *window) add(e Event) {
 	success := e.Success
-	if e.Slice == config.SliceRequest {
+	if e.Signal == config.SignalRequest {
 		success = e.Errors == 0
 	}
 	if w.success != success {
@@ -51,15 +51,15 @@
 	return total
 }
 
-// otherWindows yields the windows of a slice for all other targets of the same service. They are sorted by
+// otherWindows yields the windows of a signal for all other targets of the same service. They are sorted by
 // target, since sums of floats depend on their order and must be the same in every run.
-func (d *Detector) otherWindows(id wire.TargetID, slice config.Slice) iter.Seq[*window] {
+func (d *Detector) otherWindows(id wire.TargetID, signal config.Signal) iter.Seq[*window] {
 	return func(yield func(*window) bool) {
 		for _, other := range slices.SortedFunc(maps.Keys(d.windows), wire.TargetID.Compare) {
 			if other.Service != id.Service || other == id {
 				continue
 			}
-			if w := d.windows[other][slice]; w != nil && !yield(w) {
+			if w := d.windows[other][signal]; w != nil && !yield(w) {
 				return
 			}
 		}
