--- a/internal/shared/config/decode.go
+++ b/internal/shared/config/decode.go
@@ -61,7 +61,7 @@
 }
 
 // rejectFractions is a decode hook that returns an error for an int field whose value is a fraction or exceeds
-// tuning.ExactMax.
+// tuning.ExactIntegerMax.
 func rejectFractions(_, to reflect.Type, v any) (any, error) {
 	if f, ok := v.(float64); ok && to.Kind() == reflect.Int && (f != math.Trunc(f) || math.Abs(f) > tuning.ExactIntegerMax) {
 		return nil, errors.Newf("%v is not a whole number", f)
--- a/internal/shared/config/fuzz_test.go
+++ b/internal/shared/config/fuzz_test.go
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			if _, faults, err = Parse(n, acceptPolicy); err != nil || len(faults) > 0 {
-				t.Fatalf("with a revision the document is no longer valid: %v %v\n%s", err, faults, n)
+				t.Fatalf("with a revision the document is no longer valid: error %v, faults %v\n%s", err, faults, n)
 			}
 		}
 	})
@@ -103,7 +103,7 @@
 		}
 		again, faults, err := n.Apply(out)
 		if err != nil || len(faults) > 0 || !bytes.Equal(out, again) {
-			t.Fatalf("applied twice, the change gives another document: %v %v\n%s\n%s", err, faults, out, again)
+			t.Fatalf("applied twice, the change gives another document: error %v, faults %v\nonce  %s\ntwice %s", err, faults, out, again)
 		}
 		for k, names := range n.Drop {
 			var items map[string]json.RawMessage
--- a/internal/shared/config/json_test.go
+++ b/internal/shared/config/json_test.go
@@ -23,21 +23,21 @@
 		`{"a":"\x01"}`:                    "invalid character",
 	} {
 		if _, _, err := Parse([]byte(doc), nil); err == nil || !errors.Is(err, ErrNotJSON) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", doc, err)
+			t.Errorf("%s: error %v, want ErrNotJSON with %q", doc, err, want)
 		}
 	}
 	for _, doc := range []string{`{}`, ` { "a" : [ ] , "b":[1, -2.5e3 ,"x\"\\\u00e9é\ud83d", true,false,null,{}],"":{"x":{}}}` + "\n"} {
 		got, err := parseObject([]byte(doc))
 		var want map[string]any
 		if e := json.Unmarshal([]byte(doc), &want); e != nil || err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %v, want %v (%v, %v)", doc, got, want, err, e)
+			t.Errorf("%s: parsed as %v with error %v, want %v; encoding/json has error %v", doc, got, err, want, e)
 		}
 	}
 	same := func(a, b string) bool {
 		x, err := Canonical([]byte(a))
 		y, err2 := Canonical([]byte(b))
 		if err != nil || err2 != nil {
-			t.Fatal(err, err2)
+			t.Fatalf("Canonical: errors %v and %v, want none", err, err2)
 		}
 		return string(x) == string(y)
 	}
--- a/internal/shared/config/parse_test.go
+++ b/internal/shared/config/parse_test.go
@@ -30,7 +30,7 @@
 	want := []string{"aims.x.odd", "aims.x.part", "aims.x.service", "bounds", "policies.p.slice", "rules[0].path", "rules[0].service", "rules[1].junk", "rules[1].methods[0]", "rules[3]",
 		"rules[4].path", "services.B!", "services.a.cap", "services.c.odd", "services.c.tries", "services.c.warm_cap", "services.d", "services.e.wait_ms"}
 	if !slices.Equal(got, want) {
-		t.Fatalf("got  %v\nwant %v", got, want)
+		t.Fatalf("fault paths\ngot  %v\nwant %v", got, want)
 	}
 }
 
@@ -47,14 +47,14 @@
 	want := "limits.idle_ms limits.odd routes.a.attempts routes.a.odd routes.a.timeout_ms routes.b.split[1].weight routes.c" +
 		" routes.d.timeout_ms routes.d.split[0].service routes.d.split"
 	if err != nil || strings.Join(got, " ") != want {
-		t.Errorf("%v\ngot  %s\nwant %s", err, strings.Join(got, " "), want)
+		t.Errorf("error %v, fault paths\ngot  %s\nwant %s", err, strings.Join(got, " "), want)
 	}
 }
 
 func TestDocumentThatIsNotOneObject(t *testing.T) {
 	for _, doc := range []string{``, `[]`, `{"services":`, `{} {}`, `{"a":1,"a":2}`, `{"services":{"x":{"cap":1,"cap":2}}}`, `null`, "{\"a\":\x00}"} {
 		if _, _, err := Parse([]byte(doc), acceptPolicy); !errors.Is(err, ErrNotJSON) {
-			t.Errorf("%q: %v", doc, err)
+			t.Errorf("%q: error %v, want ErrNotJSON", doc, err)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 			t.Fatal(err)
 		}
 		if _, fs, err := Parse(b, acceptPolicy); err != nil || len(fs) > 0 {
-			t.Error(n, err, fs)
+			t.Errorf("%s is not valid: error %v, faults %v", n, err, fs)
 		}
 	}
 }
--- a/internal/shared/config/policy.go
+++ b/internal/shared/config/policy.go
@@ -10,7 +10,7 @@
 // Settings, recordings and event streams call it slice, and hold these values.
 type Signal string
 
-// Signals.
+// The signals.
 const (
 	SignalProbe     Signal = "probe"    // results of health checks
 	SignalHeartbeat Signal = "beat"     // the target's heartbeats
--- a/internal/shared/config/targetreport.go
+++ b/internal/shared/config/targetreport.go
@@ -55,7 +55,7 @@
 }
 
 // ParseNamedTargetReport parses and validates the body of a heartbeat with the target's name in the path of the call.
-// Such a name is used for one start only, so the incarnation may be missing.
+// A target that uses this call has a new name after each of its starts, so the incarnation may be missing. Default: 1.
 func ParseNamedTargetReport(name string, body []byte) (wire.Target, []Fault) {
 	r, faults := unmarshalReport(body, TargetReport{Incarnation: 1})
 	if len(faults) > 0 {
--- a/internal/shared/outlier/compare_test.go
+++ b/internal/shared/outlier/compare_test.go
@@ -65,7 +65,7 @@
 func TestShippedPoliciesBeatTheDefault(t *testing.T) {
 	files, _ := filepath.Glob("../../../sample/policies/*.json")
 	if len(files) < 4 {
-		t.Fatal(files)
+		t.Fatalf("sample policies %v, want at least 4", files)
 	}
 	for _, f := range files {
 		name := strings.TrimSuffix(filepath.Base(f), ".json")
@@ -73,7 +73,7 @@
 		p := config.Policy{Mode: "live"}
 		faults, derr := config.Decode(b, &p)
 		if err != nil || derr != nil || len(append(faults, Check(p)...)) > 0 {
-			t.Fatal(f, err, derr, faults)
+			t.Fatalf("%s is not a valid policy: errors %v and %v, faults %v", f, err, derr, append(faults, Check(p)...))
 		}
 		ps := map[string]config.Policy{"default": config.DefaultPolicy(), name: p}
 		for _, s := range Compare(recording("none"), ps) {
@@ -92,6 +92,6 @@
 		}
 	}
 	if s := Compare(recording("crash"), map[string]config.Policy{"default": config.DefaultPolicy()})[0]; s.Ejections != 1 || s.TimeToEjectMs != 500 || s.WrongEjections != 0 {
-		t.Errorf("default policy on a crash: %+v", s)
+		t.Errorf("default policy on a crash: %+v, want one ejection after 500 ms, not a wrong one", s)
 	}
 }
--- a/internal/shared/outlier/condition_test.go
+++ b/internal/shared/outlier/condition_test.go
@@ -13,7 +13,7 @@
 func TestCheckFindsFaults(t *testing.T) {
 	good := config.Policy{Signal: "probe", When: "missed > 3", Decide: "bar", TTLMs: 1000, Mode: "live"}
 	if fs := Check(good); len(fs) > 0 {
-		t.Fatal(fs)
+		t.Fatalf("faults %v in a valid policy", fs)
 	}
 	for _, c := range []struct {
 		change func(*config.Policy)
@@ -56,7 +56,7 @@
 		p := config.Policy{Mode: "live"}
 		faults, err := config.Decode(m[1], &p)
 		if err != nil || len(append(faults, Check(p)...)) > 0 {
-			t.Errorf("%s\n%v %v %v", m[1], err, faults, Check(p))
+			t.Errorf("example is not valid: error %v, faults %v %v in\n%s", err, faults, Check(p), m[1])
 		}
 		n++
 	}
--- a/internal/shared/outlier/detector.go
+++ b/internal/shared/outlier/detector.go
@@ -31,9 +31,9 @@
 // Detector evaluates the policies in force on the events of any number of targets. It is not safe for
 // concurrent use.
 type Detector struct {
-	policies    map[string]*policy // by name
-	policyNames []string           // the keys of policies, sorted
-	windows     map[wire.TargetID]map[config.Signal]*window
+	policies    map[string]*policy                          // by name
+	policyNames []string                                    // the keys of policies, sorted
+	windows     map[wire.TargetID]map[config.Signal]*window // latest events by target and signal
 	decided     map[wire.TargetID]map[string]activeDecision // by target and policy name
 }
 
--- a/internal/shared/outlier/detector_test.go
+++ b/internal/shared/outlier/detector_test.go
@@ -47,17 +47,17 @@
 		got := decisionKinds(detector.Step(probeEvent(c.at, "a", c.ok)))
 		until, _ := detector.Ejected(c.at, id)
 		if got != c.want || until > c.at != c.ejected {
-			t.Fatalf("step %d: %q, ejected until %v", i, got, until)
+			t.Fatalf("step %d: decisions %q, want %q; ejected until %v, want ejected: %v", i, got, c.want, until, c.ejected)
 		}
 	}
 	if got := decisionKinds(detector.Tick(9*s + tuning.EjectionTTL - 1)); got != "" {
-		t.Fatal(got)
+		t.Fatalf("decisions %q just before the ejection expires, want none", got)
 	}
 	if got := decisionKinds(detector.Tick(9*s + tuning.EjectionTTL)); got != "default lapse" {
-		t.Fatal(got)
+		t.Fatalf("decisions %q when the ejection expires, want default lapse", got)
 	}
 	if until, _ := detector.Ejected(9*s+tuning.EjectionTTL, id); until != 0 {
-		t.Fatal(until)
+		t.Fatalf("ejected until %v after the ejection expired, want 0", until)
 	}
 }
 
@@ -66,17 +66,17 @@
 	detector := detectorWith(map[string]config.Policy{"odd": {Signal: "exchange", When: "count % errors == 0", Decide: "bar", TTLMs: 1000, Mode: "live"}})
 	e := Event{At: time.Second, Signal: "exchange", Service: "s", Name: "a", Incarnation: 1, Count: 4, Errors: 2}
 	if got := decisionKinds(detector.Step(e)); got != "odd bar" {
-		t.Fatal(got)
+		t.Fatalf("decisions %q when the condition is met, want odd bar", got)
 	}
 	e.At, e.Errors = 12*time.Second, 0 // the first event is older than requestWindow: modulo by zero
 	if got := decisionKinds(detector.Step(e)); got != "" {
-		t.Fatal(got)
+		t.Fatalf("decisions %q after a failed evaluation, want none", got)
 	}
 	if s := detector.Stats()["odd"]; s.Failed != 1 || s.Error == "" {
-		t.Fatalf("%+v", s)
+		t.Fatalf("stats %+v, want one failed evaluation and its error", s)
 	}
 	if got := decisionKinds(detector.Tick(12 * time.Second)); got != "odd lapse" {
-		t.Fatal(got)
+		t.Fatalf("decisions %q when the earlier ejection expires, want odd lapse", got)
 	}
 }
 
@@ -90,10 +90,10 @@
 	detector := detectorWith(map[string]config.Policy{"p": p, "q": shadow})
 	ds := detector.Step(probeEvent(1, "a", false))
 	if decisionKinds(ds) != "p bar,q bar" || ds[0].Shadow || !ds[1].Shadow {
-		t.Fatal(ds)
+		t.Fatalf("decisions %+v, want an ejection by p and a shadow ejection by q", ds)
 	}
 	if _, why := detector.Ejected(2, id); why != "p" {
-		t.Fatal(why)
+		t.Fatalf("ejected by policy %q, want p", why)
 	}
 	p.When = "missed >= 5"
 	detector.Replace(&config.Config{Policies: map[string]config.Policy{"p": p, "q": shadow}})
--- a/internal/shared/outlier/environment.go
+++ b/internal/shared/outlier/environment.go
@@ -8,7 +8,7 @@
 )
 
 // An environment struct holds the variables that a condition on one signal may use. The expr tags are the
-// variables' names, which docs/policy.md explains. Samples are the events in the target's window.
+// variables' names, which docs/policy.md explains. "Samples" in the comments are the events in the target's window for the signal.
 
 // probeEnvironment holds the variables of conditions on health checks.
 type probeEnvironment struct {
@@ -48,8 +48,8 @@
 // demandEnvironment holds the variables of conditions on demand.
 type demandEnvironment struct {
 	Demand      float64 `expr:"demand"`       // latest reported demand of the target
-	Mean        float64 `expr:"mean"`         // mean of the samples
-	ServiceMean float64 `expr:"service_mean"` // mean of the latest demand of the service's other targets, 0 if unknown
+	Mean        float64 `expr:"mean"`         // mean demand of the samples
+	ServiceMean float64 `expr:"service_mean"` // mean of the latest demands of the service's other targets, 0 if unknown
 	Samples     int     `expr:"samples"`      // number of samples
 }
 
--- a/internal/shared/outlier/event.go
+++ b/internal/shared/outlier/event.go
@@ -32,8 +32,8 @@
 	return wire.TargetID{Service: e.Service, Name: e.Name, Incarnation: e.Incarnation}
 }
 
-// Kinds of a Decision that ends an earlier one. config.DecideEject and config.DecideDrain are the kinds that
-// begin one.
+// Kinds of a Decision that ends an ejection or draining. The kinds of a Decision that begins one are
+// config.DecideEject and config.DecideDrain.
 const (
 	KindClear config.DecisionKind = "clear" // the clear condition was met
 	KindLapse config.DecisionKind = "lapse" // the time to live expired
@@ -49,7 +49,7 @@
 	Incarnation uint64              `json:"incarnation"`
 	TTLMs       int64               `json:"ttl_ms,omitempty"` // time to live of an ejection, in ms, else 0
 	Shadow      bool                `json:"shadow,omitempty"` // made by a shadow policy and without effect
-	Reason      string              `json:"why,omitempty"`    // human-readable: the condition that was met or why it ended
+	Reason      string              `json:"why,omitempty"`    // human-readable: the condition that was met or why the earlier decision ended
 }
 
 // milliseconds converts d to milliseconds, the unit of conditions and scores.
--- a/internal/shared/outlier/score.go
+++ b/internal/shared/outlier/score.go
@@ -19,7 +19,7 @@
 	MissedErrors      int     `json:"missed"`             // part of Errors at targets that were not out
 	Slow              int     `json:"slow"`               // slow requests
 	MissedSlow        int     `json:"missed_slow"`        // part of Slow at targets that were not out
-	TimeToEjectMs     float64 `json:"to_bar_ms"`          // median time from the first sign of a fault to the decision, in ms
+	TimeToEjectMs     float64 `json:"to_bar_ms"`          // median time from the first sign of a fault to the decision, in ms, 0 if unknown
 	EjectedMs         float64 `json:"barred_ms"`          // total time that targets were out, in ms
 	Transitions       int     `json:"moves"`              // number of times a target went out or came back
 	FailedEvaluations uint64  `json:"failed_evaluations"` // number of evaluations that failed
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -17,7 +17,7 @@
 // resulting decisions are returned, or replaces policies. A rejected line gets an error and changes nothing. A
 // session has no effect on the fleet. It is not safe for concurrent use.
 type Session struct {
-	Lines    uint64 // number of lines evaluated so far
+	Lines    uint64 // number of lines passed to Evaluate so far, rejected ones included
 	detector *Detector
 	config   config.Config          // only its policies are used
 	lastAt   time.Duration          // time of the latest event
--- a/internal/shared/outlier/window.go
+++ b/internal/shared/outlier/window.go
@@ -17,8 +17,8 @@
 // window holds the latest events of one signal of one target.
 type window struct {
 	events  []Event // at most tuning.PolicyWindow, the oldest first
-	streak  int     // number of consecutive events up to the latest with the outcome success
-	success bool    // outcome of the latest event
+	streak  int     // number of consecutive events up to the latest whose outcome equals the field success
+	success bool    // outcome of the latest event: Event.Success or, for requests, whether none failed
 }
 
 func (w *window) add(e Event) {
--- a/internal/shared/state/changes_test.go
+++ b/internal/shared/state/changes_test.go
@@ -31,7 +31,7 @@
 		base, isKept := uint64(i), i >= changes-kept
 		status, revision := s.FindChange(digestOfChange(i), base)
 		if isKept && (status != AlreadyAccepted || revision != base+1) || !isKept && status != StatusUnknown {
-			t.Fatalf("change %d: status %d, revision %d", i, status, revision)
+			t.Fatalf("change %d: status %d, revision %d, want status %d with revision %d if kept (%v), else status %d", i, status, revision, AlreadyAccepted, base+1, isKept, StatusUnknown)
 		}
 		want := StatusUnknown
 		if isKept {
@@ -98,7 +98,7 @@
 		before := s.Revision
 		s.Apply(s.Index+1, Command{Operation: OpConfigure, Token: c.token, Base: c.base, Document: json.RawMessage(`{"x":1}`), Digest: &c.digest})
 		if r := s.FindRecord(c.token); r == nil || r.Outcome != c.outcome || s.Revision != before {
-			t.Errorf("%+v: record %+v, revision %d, want %d", c, r, s.Revision, before)
+			t.Errorf("%+v: record %+v, want outcome %s; revision %d, want %d", c, r, c.outcome, s.Revision, before)
 		}
 	}
 }
--- a/internal/shared/targetreport/targetreport_test.go
+++ b/internal/shared/targetreport/targetreport_test.go
@@ -22,7 +22,7 @@
 				t.Fatal(err)
 			}
 			if len(response.Body) > acknowledgementMax || response.Status/100 != 2 || fields["beat_at"] != nil {
-				t.Errorf("status %d, %d bytes, fields %v", response.Status, len(response.Body), fields)
+				t.Errorf("status %d, %d bytes, fields %v, want a 2xx status, at most %d bytes and no beat_at", response.Status, len(response.Body), fields, acknowledgementMax)
 			}
 		})
 	}
--- a/internal/shared/tuning/change.go
+++ b/internal/shared/tuning/change.go
@@ -4,7 +4,7 @@
 
 // Operators' changes.
 const (
-	// CallWait is the time limit for a change. After it the response reports that the outcome is unknown.
+	// ChangeTimeout is the time limit for a change. After it the response reports that the outcome is unknown.
 	ChangeTimeout = 6 * time.Second
 	// InForceUsual is the time within which a committed change is usually in force, even with a proxy that can send
 	// but not receive. If it takes longer, the reason for the wait is logged.
@@ -25,7 +25,7 @@
 	// for disaster recovery. They take 2 KiB of TableBytesInFlight. It exceeds the number of changes that can be in
 	// progress when the control plane is lost.
 	AcceptedChangesInTables = 64
-	// CtlCall is how long mfctl waits for one response. It exceeds CallWait, so that the member's own response
+	// CtlCallTimeout is how long mfctl waits for one response. It exceeds ChangeTimeout, so that the member's own response
 	// ends a change.
 	CtlCallTimeout = 10 * time.Second
 	// CtlRetry is how long mfctl waits before it asks the next member if there is no leader.
--- a/internal/shared/tuning/config.go
+++ b/internal/shared/tuning/config.go
@@ -6,7 +6,7 @@
 	TimeoutDefaultMs = 5000
 	// CapDefault is the limit of requests in flight to one target from all proxies.
 	CapDefault = 64
-	// WarmCapDefault is the same limit for a target that is warming up.
+	// WarmCapDefault is the limit of requests in flight to one target from all proxies for a target that is warming up.
 	WarmCapDefault = 4
 	// AttemptsDefault is the maximum number of times a request is sent, the first attempt included.
 	AttemptsDefault = 3
@@ -49,6 +49,6 @@
 	// ObjectiveMinutes is the longest window of an objective, in minutes, and the default. It is bounded since
 	// proxies keep the window in memory.
 	ObjectiveMinutes = 60
-	// ExactMax is the magnitude up to which integers in JSON are exact when they are read as float64.
+	// ExactIntegerMax is the magnitude up to which integers in JSON are exact when they are read as float64.
 	ExactIntegerMax = 1 << 53
 )
--- a/internal/shared/tuning/connection.go
+++ b/internal/shared/tuning/connection.go
@@ -4,7 +4,7 @@
 
 // Connections to targets.
 const (
-	// ConnIdle is how long an idle connection is kept. Common servers close theirs after 5 s; a shorter time makes it
+	// ConnIdleTimeout is how long an idle connection is kept. Common servers close theirs after 5 s; a shorter time makes it
 	// rare that a request is sent on a connection that is being closed.
 	ConnIdleTimeout = 4 * time.Second
 	// IdleTimeoutMargin is how much earlier than the idle timeout announced by a target a connection is closed. It
@@ -15,7 +15,7 @@
 	// whether the request ran; opening a new connection shows this before anything is sent.
 	NonIdempotentIdleMax = 200 * time.Millisecond
 	// IdleConnsMax is how many idle connections a proxy keeps to a target. Targets limit the connections from all
-	// proxies together, and some use a slot for each.
+	// proxies together, and some dedicate one of their request slots to each.
 	IdleConnsMax = 8
 	// IdleConnDivisor is the divisor of a target's connection limit that gives how many idle connections all proxies
 	// keep together. The rest is left for requests and probes.
@@ -66,7 +66,7 @@
 	// WireBuffer is the size of a connection's read buffer and of its write buffer, in bytes. It holds a few small
 	// messages and is not larger, since a member has a connection to each proxy.
 	WireBuffer = 4 << 10
-	// WireMax bounds one message, in bytes. The largest one is a snapshot with all kept documents.
+	// MessageMax bounds one message, in bytes. The largest one is a snapshot with all kept documents.
 	MessageMax = 8 << 20
 	// CompressFrom is the size from which a document or state is compressed, in bytes. Smaller ones fit into a few
 	// packets.
@@ -76,7 +76,7 @@
 	// SendQueueTTL is how long a message may stay in the queue. A lease that arrives later is useless, and old
 	// messages delay new ones.
 	SendQueueTTL = 500 * time.Millisecond
-	// Redial is how long after a failed attempt to open a connection the next one is made. Daemons that start at the
+	// RedialDelay is how long after a failed attempt to open a connection the next one is made. Daemons that start at the
 	// same time find each other within this time, and only messages that are repeated anyway are sent until then.
 	RedialDelay = 20 * time.Millisecond
 )
--- a/internal/shared/tuning/healthcheck.go
+++ b/internal/shared/tuning/healthcheck.go
@@ -19,7 +19,7 @@
 	// must arrive within ProbeTimeout - IndirectAfter = 0.25 s, which covers two network hops, a probe and a tick.
 	// It does not delay ejections, which happen at the second miss.
 	IndirectAfter = PullEvery
-	// IndirectProbes is how many proxies are asked to do so.
+	// IndirectProbes is how many proxies are asked to probe a target whose probe is unanswered.
 	IndirectProbes = 2
 	// ProbeRateFactor is the factor by which probes may start faster than at the steady rate. If all targets are due at
 	// once, the last one waits ProbeEvery / ProbeRateFactor = 0.36 s. Without this limit, opening 300 connections in one
--- a/internal/shared/tuning/load.go
+++ b/internal/shared/tuning/load.go
@@ -27,7 +27,7 @@
 	// have been a few.
 	ResponseTimeWeight = 0.05
 	// QuotaOvercommit and QuotaExtra give the minimum of the window that bounds a proxy's requests in flight to a
-	// service, so that queues at its targets stay short: QuotaOvercommit times the proxy's even quota of the slots,
+	// service, so that queues at its targets stay short: QuotaOvercommit times the proxy's equal part of the targets' slots,
 	// plus QuotaExtra requests.
 	QuotaOvercommit = 1.5
 	QuotaExtra      = 1
@@ -54,12 +54,12 @@
 	// PriorityReserve is the part of the window that each level leaves to each higher level with requests while the
 	// service is under pressure.
 	PriorityReserve = 0.1
-	// FairSpan is the period in which a service's requests are counted by priority. It is long compared to a burst.
+	// FairnessWindow is the period in which a service's requests are counted by priority. It is long compared to a burst.
 	FairnessWindow = 5 * time.Second
-	// FairPart is the fraction of the service's ratio of forwarded to arrived requests that is guaranteed to each
+	// FairnessMinRatio is the fraction of the service's ratio of forwarded to arrived requests that is guaranteed to each
 	// level. It is above a quarter, below which a level would count as starved.
 	FairnessMinRatio = 0.4
-	// FairnessMinRequests is how many requests of a level must have arrived in a FairSpan for this guarantee.
+	// FairnessMinRequests is how many requests of a level must have arrived in a FairnessWindow for this guarantee.
 	FairnessMinRequests = 4
 )
 
--- a/internal/shared/tuning/policy.go
+++ b/internal/shared/tuning/policy.go
@@ -6,7 +6,7 @@
 const (
 	// PoliciesMax is the maximum number of policies in force.
 	PoliciesMax = 16
-	// PolicyWindow is the maximum number of samples that a condition evaluates.
+	// PolicyWindow is the number of a target's latest events that a condition evaluates at most.
 	PolicyWindow = 32
 	// PolicyNodes bounds the size of a condition, in nodes of its syntax tree.
 	PolicyNodes = 200
@@ -17,8 +17,8 @@
 	// StatsEvery is how often the proxies' observations of a target are combined into one event. PolicyWindow of these
 	// events cover RetryWindow.
 	StatsEvery = 500 * time.Millisecond
-	// EventsKept is how many of the latest events a leader keeps at least, and about twice that at most, for readers
-	// that resume the event stream.
+	// EventsKept is the minimum number of latest events that a leader keeps for readers that resume the event stream.
+	// It keeps at most about twice as many.
 	EventsKept = 4096
 	// StreamBuffer is how many lines are buffered for a slow reader of the stream before it misses some.
 	StreamBuffer = 512
@@ -30,7 +30,7 @@
 	SessionLineMax = 256 << 10
 	// SessionTargetsMax is the maximum number of targets in one session.
 	SessionTargetsMax = 4096
-	// Sessions is the maximum number of concurrent sessions in a daemon.
+	// SessionsMax is the maximum number of concurrent sessions in a daemon.
 	SessionsMax = 16
 	// SessionResumeWindow is how long a session can be resumed after its connection ended.
 	SessionResumeWindow = 2 * time.Minute
--- a/internal/shared/tuning/retry.go
+++ b/internal/shared/tuning/retry.go
@@ -10,9 +10,9 @@
 	RetryRatioDivisor = 5
 	// RetrySlack is the number of retries per window that a service has in addition, shared by the proxies.
 	RetrySlack = 10
-	// RetryCreditPerRequest times the ratio is the credit for retries that each request adds, and RetryCarryOver times the ratio, for
-	// each request in the window, limits the credit that may be saved up. Their sum is below 1, which leaves room for
-	// rounding.
+	// RetryCreditPerRequest is the part of the ratio of allowed retries that each request adds to the credit for
+	// retries. RetryCarryOver is the part of the ratio, for each request in the window, up to which credit may be saved
+	// up. Their sum is below 1, which leaves room for rounding.
 	RetryCreditPerRequest = 0.85
 	RetryCarryOver        = 0.1
 	// WindowBuckets is the number of buckets in which a window's requests are counted.
--- a/internal/shared/tuning/shutdown.go
+++ b/internal/shared/tuning/shutdown.go
@@ -15,13 +15,13 @@
 	// ShutdownMargin is the part of the grace period that is left unused.
 	ShutdownMargin = 300 * time.Millisecond
 	// ShutdownReserve is how long before the end of the shutdown targets must have responded, since a machine that may
-	// be busy must still forward their last responses. After half of it the proxy responds itself.
+	// be busy must still forward their last responses. After half of the reserve the proxy responds itself.
 	ShutdownReserve = 500 * time.Millisecond
-	// ShutdownReserveDivisor is the divisor that gives a shorter reserve if the time for the shutdown is short.
+	// ShutdownReserveDivisor is the divisor of the time for the shutdown that gives the longest reserve.
 	ShutdownReserveDivisor = 8
 	// ShutdownWriteTimeout is how much longer a proxy that shuts down waits for responses to be written. It is below
 	// ShutdownMargin.
 	ShutdownWriteTimeout = 200 * time.Millisecond
-	// ShutdownPoll is how often it checks whether they are written.
+	// ShutdownPoll is how often a proxy that shuts down checks whether all responses are written.
 	ShutdownPoll = 5 * time.Millisecond
 )
--- a/internal/shared/tuning/table.go
+++ b/internal/shared/tuning/table.go
@@ -10,7 +10,7 @@
 	// TableEvery is the minimum time between tables for changes that are not urgent. If many targets appear or become
 	// ready at the same time, they are sent in one table.
 	TableEvery = 80 * time.Millisecond
-	// TableDelayPerRow is added to it for each pair of a target and a proxy, since every proxy computes the shares of
+	// TableDelayPerRow is added to TableEvery for each pair of a target and a proxy, since every proxy computes the shares of
 	// every target: 0.1 s for 300 targets and 70 proxies.
 	TableDelayPerRow = 5 * time.Microsecond
 	// UrgentTableDelayPerProxy is the minimum time between tables for urgent changes, for each proxy. Sending a table
@@ -18,7 +18,7 @@
 	// times that on a quarter of a processor. So such tables use at most two fifths of a small machine, however many
 	// targets leave at the same time.
 	UrgentTableDelayPerProxy = 2 * time.Millisecond
-	// UrgentTableDelayMax bounds that time, so that an ejection is in force everywhere within 2 s.
+	// UrgentTableDelayMax bounds the time between tables for urgent changes, so that an ejection is in force everywhere within 2 s.
 	UrgentTableDelayMax = 200 * time.Millisecond
 	// TablesKept is the number of latest tables whose creation time a leader remembers. It exceeds the number that it
 	// makes in TableAckTimeout.
@@ -32,7 +32,7 @@
 	TimeLeftStep = 250 * time.Millisecond
 	// DemandEvery is the minimum time between tables that are sent only because demand changed.
 	DemandEvery = time.Second
-	// DemandStep is how much a target's demand must change for that; 1 is the target's full capacity.
+	// DemandStep is how much a target's demand must change for such a table; 1 is the target's full capacity.
 	DemandStep = 0.125
 	// SlowLink is the capacity that other traffic leaves on a slow link, in bytes a second.
 	SlowLink = 128 << 10
--- a/internal/shared/wire/compress.go
+++ b/internal/shared/wire/compress.go
@@ -44,7 +44,7 @@
 }
 
 // Decompress reverses Compress. It returns an error if b is truncated or malformed, or if the
-// decompressed text is longer than tuning.WireMax bytes.
+// decompressed text is longer than tuning.MessageMax bytes.
 func Decompress(b []byte) ([]byte, error) {
 	if len(b) == 0 || b[0] != compressedHeader {
 		return b, nil
--- a/internal/shared/wire/compress_test.go
+++ b/internal/shared/wire/compress_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Decompress rejects truncated input, and input that decompresses to more than tuning.WireMax bytes.
+// Decompress rejects truncated input, and input that decompresses to more than tuning.MessageMax bytes.
 func TestMalformedCompressedTextIsAnError(t *testing.T) {
 	whole := Compress(bytes.Repeat([]byte("one and another "), tuning.CompressFrom))
 	for n := 1; n < len(whole); n++ {
@@ -62,6 +62,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Decompress(b.Bytes()); err == nil {
-		t.Error("Decompress accepted a payload that exceeds tuning.WireMax")
+		t.Error("Decompress accepted a payload that exceeds tuning.MessageMax")
 	}
 }
--- a/internal/shared/wire/daemon.go
+++ b/internal/shared/wire/daemon.go
@@ -20,7 +20,7 @@
 	Incarnation    uint64     `json:"incarnation"`       // random number, new at each start of the process
 	Disk           uint64     `json:"-"`                 // number that identifies its disk; 0 for a proxy
 	Epoch          uint64     `json:"epoch"`             // bootstrap epoch that it belongs to; 0: not bootstrapped yet
-	BootstrapLock  uint64     `json:"-"`                 // bootstrap offer that its disk is locked to; 0: none
+	BootstrapLock  uint64     `json:"-"`                 // BootstrapOffer that its disk is locked to; 0: none
 	Ready          bool       `json:"ready"`             // for a proxy: it serves callers; for a member: it knows a leader
 	State          string     `json:"state"`             // role of the member or state of the proxy, shown to operators
 	BootstrapOffer uint64     `json:"-"`                 // hash of the founding members that it currently sees; 0: none
--- a/internal/shared/wire/malformed_test.go
+++ b/internal/shared/wire/malformed_test.go
@@ -102,7 +102,7 @@
 			reflected := &Batch{}
 			decodeByReflection(t, BatchC_TypeID, b, reflected)
 			if !bytes.Equal(again, encodedByReflection(t, BatchC_TypeID, NewRootBatchC, emptyListsToNil(reflected))) {
-				t.Fatalf("Decode and decoding by reflection give different messages:\ngot  %+v\nwant %+v", m, reflected)
+				t.Fatalf("DecodeBatch and decoding by reflection give different batches:\ngot  %+v\nwant %+v", m, reflected)
 			}
 		}
 	})
--- a/internal/shared/wire/stream.go
+++ b/internal/shared/wire/stream.go
@@ -92,7 +92,7 @@
 
 // Next returns the unpacked bytes of the next message, for Decode. They are valid until the next call. It
 // returns an error if reading from the connection fails, or if the message is malformed or larger than
-// tuning.WireMax bytes. After an error the connection cannot be read any further.
+// tuning.MessageMax bytes. After an error the connection cannot be read any further.
 func (r *Reader) Next() ([]byte, error) {
 	words, err := binary.ReadUvarint(r.buffered)
 	if err != nil {
