--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -74,7 +74,7 @@
 		return s.replacePolicies(line.Policies)
 	}
 	if line.Event == nil {
-		return nil // another line of a recorded stream: a decision, or the number of lines that the reader missed
+		return nil // another line of a recorded stream: a decision, or how many lines the reader of that stream missed
 	}
 	event := *line.Event
 	if why := s.checkEvent(&event); why != "" {
--- a/internal/shared/tuning/sums_test.go
+++ b/internal/shared/tuning/sums_test.go
@@ -75,6 +75,6 @@
 // leaves time to send the report to the leader again.
 func TestLeavingReportIsAnsweredInTime(t *testing.T) {
 	if TargetReportWait+2*TickEvery >= 900*time.Millisecond || TargetReportRetry >= TargetReportWait/2 || TargetReportWait <= 2*PullEvery {
-		t.Errorf("the response may take %v, with a retry after %v", TargetReportWait, TargetReportRetry)
+		t.Errorf("the response may take %v, want more than two pulls and, with two ticks, less than 900 ms; the retry follows after %v, want less than half of the wait", TargetReportWait, TargetReportRetry)
 	}
 }
