--- a/internal/shared/outlier/condition_test.go
+++ b/internal/shared/outlier/condition_test.go
@@ -11,16 +11,16 @@
 )
 
 func TestCheckFindsFaults(t *testing.T) {
-	good := config.Policy{Slice: "probe", When: "missed > 3", Decide: "bar", TTLMs: 1000, Mode: "live"}
+	good := config.Policy{Signal: "probe", When: "missed > 3", Decide: "bar", TTLMs: 1000, Mode: "live"}
 	if fs := Check(good); len(fs) > 0 {
-		t.Fatal(fs)
+		t.Fatalf("faults %v in a valid policy", fs)
 	}
 	for _, c := range []struct {
 		change func(*config.Policy)
 		path   string
 		text   string
 	}{
-		{func(p *config.Policy) { p.Slice = "weather" }, "slice", "no slice"},
+		{func(p *config.Policy) { p.Signal = "weather" }, "slice", "no slice"},
 		{func(p *config.Policy) { p.When = "misssed > 3" }, "when", "line 1, column 1: unknown name misssed"},
 		{func(p *config.Policy) { p.When = "error_ratio > 1" }, "when", "unknown name error_ratio"},
 		{func(p *config.Policy) { p.When = "missed > \"x\"" }, "when", "column 8"},
@@ -56,7 +56,7 @@
 		p := config.Policy{Mode: "live"}
 		faults, err := config.Decode(m[1], &p)
 		if err != nil || len(append(faults, Check(p)...)) > 0 {
-			t.Errorf("%s\n%v %v %v", m[1], err, faults, Check(p))
+			t.Errorf("example is not valid: error %v, faults %v %v in\n%s", err, faults, Check(p), m[1])
 		}
 		n++
 	}
--- a/internal/shared/outlier/session.go
+++ b/internal/shared/outlier/session.go
@@ -17,7 +17,7 @@
 // resulting decisions are returned, or replaces policies. A rejected line gets an error and changes nothing. A
 // session has no effect on the fleet. It is not safe for concurrent use.
 type Session struct {
-	Lines    uint64 // number of lines evaluated so far
+	Lines    uint64 // number of lines passed to Evaluate so far, rejected ones included
 	detector *Detector
 	config   config.Config          // only its policies are used
 	lastAt   time.Duration          // time of the latest event
@@ -40,7 +40,7 @@
 	if err := json.Unmarshal(text, &line); err != nil {
 		return line, err
 	}
-	if line.Event == nil && line.Slice != "" {
+	if line.Event == nil && line.Signal != "" {
 		event := Event(line.bareEvent)
 		line.Event = &event
 	}
@@ -74,7 +74,7 @@
 		return s.replacePolicies(line.Policies)
 	}
 	if line.Event == nil {
-		return nil // another line of a recorded stream: a decision, or the number of lines that the reader missed
+		return nil // another line of a recorded stream: a decision, or how many lines the reader of that stream missed
 	}
 	event := *line.Event
 	if why := s.checkEvent(&event); why != "" {
@@ -96,9 +96,9 @@
 
 // checkEvent returns why an event is rejected, "" if it is valid.
 func (s *Session) checkEvent(e *Event) string {
-	switch _, known := environments[e.Slice]; {
+	switch _, known := environments[e.Signal]; {
 	case !known:
-		return fmt.Sprintf(unknownSlice, e.Slice)
+		return fmt.Sprintf(unknownSignal, e.Signal)
 	case e.Service == "" || e.Name == "" || e.Incarnation == 0:
 		return "an event needs service, name and incarnation"
 	case e.At < s.lastAt:
