--- a/cmd/mfbackend/faults.go
+++ b/cmd/mfbackend/faults.go
@@ -103,7 +103,7 @@
 	go sendSurplus(conn, surplusResponse{header: header, body: body, id: id, attemptHeader: headers.Attempt, delay: f.delay})
 }
 
-// respondBroken sends nothing, half of the response, or garbage before it, and closes the connection.
+// respondBroken closes the connection after it has sent nothing, half of the response, or data that is not HTTP.
 func (f fault) respondBroken(w http.ResponseWriter, body []byte) {
 	conn, output, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/cmd/mfbackend/server.go
+++ b/cmd/mfbackend/server.go
@@ -42,7 +42,7 @@
 	state         atomic.Value          // a wire.TargetState
 	fault         atomic.Pointer[fault] // current fault
 	leavingSince  atomic.Int64          // when it began to leave, in ns since 1970; 0: it is not leaving
-	reportNumber  atomic.Uint64         // number of the last report sent by name
+	reportNumber  atomic.Uint64         // sequence number of the last report; counted only with option uniqueName
 	inFlight      atomic.Int64          // number of requests, including waiting ones
 	waiting       atomic.Int64          // number of requests that wait for a slot
 	occupiedSlots chan struct{}         // holds one element for each running request
--- a/cmd/mfbackend/server_test.go
+++ b/cmd/mfbackend/server_test.go
@@ -88,24 +88,24 @@
 	expectOther := http.Header{}
 	expectOther.Set(headers.ExpectTarget, "c")
 	if response, _ := send(t, http.MethodGet, url, expectOther, nil); response.StatusCode != http.StatusMisdirectedRequest || response.Header.Get(headers.NotRun) == "" {
-		t.Error("request for another target:", response.Status, response.Header)
+		t.Errorf("request for another target: status %s, header %v; want 421 with header %s", response.Status, response.Header, headers.NotRun)
 	}
 	b.occupiedSlots <- struct{}{}
 	brief := http.Header{}
 	brief.Set(headers.Deadline, "10")
 	if response, _ := send(t, http.MethodGet, url, brief, nil); response.StatusCode != http.StatusServiceUnavailable || response.Header.Get(headers.NotRun) == "" {
-		t.Error("request without a free slot:", response.Status, response.Header)
+		t.Errorf("request without a free slot: status %s, header %v; want 503 with header %s", response.Status, response.Header, headers.NotRun)
 	}
 	b.releaseSlot()
 	late := http.Header{}
 	late.Set(headers.Deadline, "10")
 	late.Set(testbackend.ProcessingTimeHeader, "1000")
 	if response, _ := send(t, http.MethodGet, url, late, nil); response.StatusCode != http.StatusGatewayTimeout || response.Header.Get(headers.NotRun) != "" {
-		t.Error("request that exceeds its deadline:", response.Status, response.Header)
+		t.Errorf("request that exceeds its deadline: status %s, header %v; want 504 without header %s", response.Status, response.Header, headers.NotRun)
 	}
 	send(t, http.MethodPost, url+testbackend.FaultPath+"?"+testbackend.FaultParameter+"=fail", nil, nil)
 	if response, _ := send(t, http.MethodGet, url, nil, nil); response.StatusCode != http.StatusInternalServerError {
-		t.Error("request with fault fail:", response.Status)
+		t.Errorf("request with fault fail: status %s, want 500", response.Status)
 	}
 }
 
--- a/cmd/mfchaos/checks.go
+++ b/cmd/mfchaos/checks.go
@@ -18,7 +18,7 @@
 	ruleCorrectResponse      = "correct response content"        // a response has the content that its request asked for
 	ruleOwnResponse          = "response matches request"        // a request gets its own response
 	ruleRightService         = "correct service"                 // a request reaches only targets of its service
-	ruleDrainingTarget       = "no requests to draining targets" // a draining target gets no new requests after 2 s
+	ruleDrainingTarget       = "no requests to draining targets" // a target gets no new requests later than 2 s after it began to drain
 	ruleWarmupRate           = "warm-up rate limit"              // a target that warms up gets at most 1.5 times its service's warm-up rate in any second
 	ruleRetryAfter           = "Retry-After on rejection"        // a temporary rejection has a Retry-After
 	ruleEmptiedDomain        = "no requests to emptied domains"  // an emptied domain gets no requests
@@ -75,8 +75,8 @@
 }
 
 // checkWarmupRate checks in the request logs that no back end, while it warmed up, ran more requests in any second than 1.5
-// times its service's warm-up rate. The proxies that share a rate may each send one request beyond it; so few share it that
-// these requests stay within half of the rate.
+// times its service's warm-up rate. Each of the proxies that share this rate may exceed it by one request. The fleets
+// have so few proxies that this excess stays within half of the rate.
 func (f *fleet) checkWarmupRate() {
 	var configuration struct {
 		Services map[string]struct {
--- a/cmd/mfchaos/faults.go
+++ b/cmd/mfchaos/faults.go
@@ -174,9 +174,9 @@
 	}},
 	{"machine cut one way", func(f *fleet) {
 		if p := f.pickRunning(slices.Concat(f.proxies, f.controls)); p != nil {
-			out := f.random.IntN(2) == 0
-			f.logf("cut one direction of %s's network, outbound: %v", p.name, out)
-			f.isolate([]*process{p}, out, !out, 2000, 6000)
+			outbound := f.random.IntN(2) == 0
+			f.logf("cut one direction of %s's network, outbound: %v", p.name, outbound)
+			f.isolate([]*process{p}, outbound, !outbound, 2000, 6000)
 		}
 	}},
 	{"leader isolated", func(f *fleet) {
@@ -311,40 +311,6 @@
 	}},
 }
 
-// cutPower kills all processes of a random domain for a while. With loseDisks it also deletes their data.
-func (f *fleet) cutPower(loseDisks bool) {
-	domain := f.deployment.Domains[f.random.IntN(len(f.deployment.Domains))]
-	f.logf("domain %s loses power; loses its disks too: %v", domain, loseDisks)
-	var off []*process
-	for _, p := range slices.Concat(f.controls, f.proxies, f.backends) {
-		if p.domain == domain && !p.stopped {
-			p.kill()
-			off = append(off, p)
-			if loseDisks {
-				os.RemoveAll(f.path("data", p.name))
-			}
-		}
-	}
-	f.sleepBetween(2000, 5000)
-	for _, p := range off {
-		f.restart(p)
-	}
-}
-
-// isolate cuts some processes off from all others for a random time between two bounds in ms: what they send if out is set,
-// what they receive if back is set.
-func (f *fleet) isolate(isolated []*process, out, back bool, minMs, maxMs int) {
-	var others []*process
-	for _, p := range slices.Concat(f.controls, f.proxies, f.backends) {
-		if !slices.Contains(isolated, p) {
-			others = append(others, p)
-		}
-	}
-	f.network.setCuts(directedPairs(isolated, others, out, back))
-	f.sleepBetween(minMs, maxMs)
-	f.network.setCuts(nil)
-}
-
 // awaitFullCapacity checks that the fleet serves at full capacity within 15 s.
 func (f *fleet) awaitFullCapacity() {
 	t := time.Now()
@@ -355,7 +321,8 @@
 	f.logf("full capacity after %.1f s", time.Since(t).Seconds())
 }
 
-// reconfigure puts the configuration again and checks that every running proxy that serves follows the new revision.
+// reconfigure sends the unchanged configuration as a new revision, and checks that every running proxy that serves requests
+// has that revision.
 func (f *fleet) reconfigure() {
 	base := f.revision()
 	t := time.Now()
@@ -380,27 +347,3 @@
 		}
 	}
 }
-
-// loseAllState kills all daemons and deletes their data at the end of a run, and checks that the fleet can be configured
-// and serves again within 15 s.
-func (f *fleet) loseAllState() {
-	f.logf("kill all daemons and delete their data")
-	f.history.Reset()
-	for _, p := range slices.Concat(f.controls, f.proxies) {
-		p.kill()
-	}
-	os.RemoveAll(f.path("data"))
-	t := time.Now()
-	for _, p := range slices.Concat(f.controls, f.proxies) {
-		f.restart(p)
-	}
-	err := f.putInitialConfig(15 * time.Second)
-	if err == nil {
-		err = f.awaitServing(max(0, 15*time.Second-time.Since(t)))
-	}
-	if err != nil {
-		f.recordViolation(ruleRecoveryTime, "after the loss of all state: %v", err)
-		return
-	}
-	f.logf("serving again %.1f s after the loss of all state", time.Since(t).Seconds())
-}
--- a/cmd/mfchaos/history.go
+++ b/cmd/mfchaos/history.go
@@ -26,7 +26,7 @@
 	finishedAt time.Duration // since the fleet's start
 }
 
-// putConfig puts a configuration on a base revision and records the call in the history.
+// putConfig sends a configuration that is based on revision base, and records the call in the history.
 func (f *fleet) putConfig(doc []byte, base int, flags ...string) (out string, code int) {
 	write := f.recordChange(doc, base)
 	call := f.runConfigPut(doc, base, flags...)
--- a/cmd/mfchaos/measure.go
+++ b/cmd/mfchaos/measure.go
@@ -20,8 +20,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// measureLatencies prints the latencies that the README states: until a configuration is in force, from a target's crash
-// until no proxy chooses it any more, and of requests through a proxy compared with direct ones.
+// measureLatencies prints the times that the README states: from sending a configuration until it is in force, from a target's
+// crash until the last proxy ejects it, and the latency of requests through a proxy compared with direct ones.
 func (f *fleet) measureLatencies(rounds int) int {
 	f.random = rand.New(rand.NewPCG(1, 2))
 	var inForceMs, ejectionMs, directMs, proxiedMs, ratios []float64
@@ -58,12 +58,12 @@
 		proxied := f.medianLatency("http://"+f.proxies[0].listen, s.service, 300)
 		directMs, proxiedMs, ratios = append(directMs, direct), append(proxiedMs, proxied), append(ratios, proxied/direct)
 	}
-	f.logf("median ms of a request without work: directly to a back end %s, through a proxy %s, ratio of each pair %s", summarize(directMs), summarize(proxiedMs), summarize(ratios))
+	f.logf("median ms of a request with a processing time of 0: directly to a back end %s, through a proxy %s, ratio of each pair %s", summarize(directMs), summarize(proxiedMs), summarize(ratios))
 	return 0
 }
 
 // comparePolicies loads the fleet with a faulty target, first without and then with the shipped policy for that fault. The
-// policy is put after a quarter of the second load, so that the load also covers the change.
+// policy is added after a quarter of the second load, so that requests are also in flight during the change.
 func (f *fleet) comparePolicies(phase time.Duration) int {
 	failures := 0
 	recording, err := os.Create(f.path("events.jsonl"))
@@ -214,7 +214,7 @@
 	return false
 }
 
-// medianLatency sends requests without work to a service, one after the other, and returns the median latency in ms.
+// medianLatency sends requests with a processing time of 0 to a service, one after the other, and returns the median latency in ms.
 func (f *fleet) medianLatency(base, service string, count int) float64 {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 	var ms []float64
--- a/cmd/mfchaos/net.go
+++ b/cmd/mfchaos/net.go
@@ -52,22 +52,23 @@
 // reach them (relay).
 type addressPrefixes struct{ bind, relay string }
 
-// addressPrefixesOf returns the prefixes for a second octet; the relay addresses use the next one.
+// addressPrefixesOf returns the prefixes with the given second octet for bind addresses and the next higher one for relay
+// addresses.
 func addressPrefixesOf(net int) addressPrefixes {
 	return addressPrefixes{fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+1)}
 }
 
-// directedPairs returns the pairs of sending and receiving machine between two groups: from a to b if out is set, from b to
-// a if back is set.
-func directedPairs(a, b []*process, out, back bool) map[[2]string]bool {
+// directedPairs returns the pairs of sending and receiving machine between two groups: from a to b if aToB is set, and
+// from b to a if bToA is set.
+func directedPairs(a, b []*process, aToB, bToA bool) map[[2]string]bool {
 	m := map[[2]string]bool{}
 	for _, x := range a {
 		for _, y := range b {
 			p, q := machineOf(x.bind), machineOf(y.bind)
-			if out && p != q {
+			if aToB && p != q {
 				m[[2]string{p, q}] = true
 			}
-			if back && p != q {
+			if bToA && p != q {
 				m[[2]string{q, p}] = true
 			}
 		}
@@ -101,7 +102,8 @@
 	return nil
 }
 
-// forward connects a caller's connection with an address, once the network between the two machines is not cut.
+// forward connects to an address as soon as the network between the two machines is not cut, and copies data between that
+// connection and the caller's until either direction ends.
 func (n *network) forward(caller net.Conn, address string) {
 	defer caller.Close()
 	src, dst := machineOf(caller.RemoteAddr().String()), machineOf(address)
@@ -120,7 +122,8 @@
 	<-done
 }
 
-// copyStream copies one direction of a connection, which cuts and delays hold back.
+// copyStream copies the data that machine src sends to machine dst. It holds the data back while that direction is cut, and
+// delays each read by n.delay.
 func (n *network) copyStream(source, destination net.Conn, src, dst string) {
 	buffer := make([]byte, 64<<10)
 	for {
--- a/cmd/mfchaos/operator.go
+++ b/cmd/mfchaos/operator.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	if f.config, err = config.WithoutRevision(doc); err != nil { // it is put several times, each time on another revision
+	if f.config, err = config.WithoutRevision(doc); err != nil { // it is sent several times, each time based on another revision
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	return nil
@@ -53,7 +53,7 @@
 	return string(out), c.ProcessState.ExitCode()
 }
 
-// putInitialConfig puts the configuration until it is accepted, or a timeout is over.
+// putInitialConfig sends the configuration repeatedly until it is accepted or the timeout has expired.
 func (f *fleet) putInitialConfig(within time.Duration) error {
 	end := time.Now().Add(within)
 	for {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// putOverHTTP puts the configuration by the leader's HTTP API and returns the status.
+// putOverHTTP sends the configuration, based on revision base, to the leader's HTTP API and returns the HTTP status.
 func (f *fleet) putOverHTTP(base int) (int, error) {
 	req, _ := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/v1/config?base=%d", f.leader().http, base), bytes.NewReader(f.config))
 	resp, err := (&http.Client{Timeout: 10 * time.Second}).Do(req)
--- a/cmd/mfchaos/soak_callers.go
+++ b/cmd/mfchaos/soak_callers.go
@@ -136,7 +136,7 @@
 }
 
 // runCaller runs one caller: it opens connections until the run ends, and uses each until it is closed. Every fourth caller
-// keeps to one proxy, ready or not; every fifth pipelines requests.
+// always uses the same proxy, ready or not; every fifth pipelines requests.
 func (c *soakCallers) runCaller(number int, rnd *rand.Rand) []requestOutcome {
 	var outcomes []requestOutcome
 	keepsProxy := number%4 == 0
@@ -152,9 +152,9 @@
 			c.sleep(time.Duration(20+rnd.IntN(80)) * time.Millisecond)
 			continue
 		}
-		k := &callerConnection{callers: c, conn: conn, reader: bufio.NewReader(conn), proxy: to.name, random: rnd, pipelines: pipelines,
+		connection := &callerConnection{callers: c, conn: conn, reader: bufio.NewReader(conn), proxy: to.name, random: rnd, pipelines: pipelines,
 			prefix: fmt.Sprintf("%d-%d-%d", c.soak.options.seed, number, round)}
-		outcomes = append(outcomes, k.run()...)
+		outcomes = append(outcomes, connection.run()...)
 		conn.Close()
 		c.sleep(time.Duration(rnd.IntN(50)) * time.Millisecond)
 	}
@@ -192,16 +192,16 @@
 }
 
 // run sends requests until the connection is closed or the run ends.
-func (k *callerConnection) run() (outcomes []requestOutcome) {
-	for !k.callers.isStopped() {
-		batch, open := k.roundTrip()
+func (c *callerConnection) run() (outcomes []requestOutcome) {
+	for !c.callers.isStopped() {
+		batch, open := c.roundTrip()
 		outcomes = append(outcomes, batch...)
 		if !open {
 			return outcomes
 		}
-		k.callers.sleep(batch[len(batch)-1].retryAfter)
-		if k.random.IntN(3) > 0 { // a third of the requests follow without a pause
-			k.callers.sleep(time.Duration(k.random.Int64N(int64(callerPauseMax))))
+		c.callers.sleep(batch[len(batch)-1].retryAfter)
+		if c.random.IntN(3) > 0 { // a third of the requests follow without a pause
+			c.callers.sleep(time.Duration(c.random.Int64N(int64(callerPauseMax))))
 		}
 	}
 	return outcomes
@@ -209,24 +209,24 @@
 
 // roundTrip sends one request, or several pipelined ones, and reads the responses; open is false if the connection has
 // ended.
-func (k *callerConnection) roundTrip() (batch []requestOutcome, open bool) {
+func (c *callerConnection) roundTrip() (batch []requestOutcome, open bool) {
 	requests := 1
-	if k.pipelines {
-		requests += k.random.IntN(pipelinedRequestsMax)
+	if c.pipelines {
+		requests += c.random.IntN(pipelinedRequestsMax)
 	}
 	var text []byte
 	for i := range requests {
-		kind := &requestKinds[k.random.IntN(len(requestKinds))]
+		kind := &requestKinds[c.random.IntN(len(requestKinds))]
 		if requests > 1 {
 			kind = &requestKinds[0]
 		}
-		id := fmt.Sprintf("%s-%d", k.prefix, k.sent)
-		k.sent++
-		batch = append(batch, requestOutcome{id: id, kind: kind, proxy: k.proxy, pipelined: i > 0})
-		text = append(text, k.buildRequest(kind, id)...)
+		id := fmt.Sprintf("%s-%d", c.prefix, c.sent)
+		c.sent++
+		batch = append(batch, requestOutcome{id: id, kind: kind, proxy: c.proxy, pipelined: i > 0})
+		text = append(text, c.buildRequest(kind, id)...)
 	}
-	k.conn.SetDeadline(time.Now().Add(2 * k.callers.soak.options.grace))
-	_, err := k.conn.Write(text)
+	c.conn.SetDeadline(time.Now().Add(2 * c.callers.soak.options.grace))
+	_, err := c.conn.Write(text)
 	sent := time.Now()
 	for i := range batch {
 		batch[i].sentAt, batch[i].notWritten = sent, err != nil
@@ -234,7 +234,7 @@
 	open = err == nil
 	for i := range batch {
 		if open {
-			open = k.readResponse(&batch[i])
+			open = c.readResponse(&batch[i])
 		}
 		if batch[i].status == 0 {
 			batch[i].finishedAt = time.Now()
@@ -243,13 +243,13 @@
 	return batch, open
 }
 
-// buildRequest returns the bytes of a request with a random work time.
-func (k *callerConnection) buildRequest(kind *requestKind, id string) []byte {
+// buildRequest returns the bytes of a request with a random processing time.
+func (c *callerConnection) buildRequest(kind *requestKind, id string) []byte {
 	names := reverseproxy.DefaultHeaders()
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: soak\r\nExchange-Id: %s\r\nExchange-Service: %s\r\n%s: %s\r\n%s: %d\r\n",
 		kind.method, kind.path, id, kind.service, names.Attempt, id, names.Deadline, requestDeadline.Milliseconds())
-	fmt.Fprintf(&b, "Stub-Work-Ms: %d\r\n", 20+k.random.IntN(1000))
+	fmt.Fprintf(&b, "Stub-Work-Ms: %d\r\n", 20+c.random.IntN(1000))
 	if kind.body > 0 {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", kind.body)
 	}
@@ -259,8 +259,8 @@
 }
 
 // readResponse reads one response; it returns false if the connection ends with the response or before it is complete.
-func (k *callerConnection) readResponse(outcome *requestOutcome) bool {
-	response, err := http.ReadResponse(k.reader, &http.Request{Method: outcome.kind.method})
+func (c *callerConnection) readResponse(outcome *requestOutcome) bool {
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: outcome.kind.method})
 	if err != nil {
 		return false
 	}
--- a/cmd/mfchaos/soak_operator.go
+++ b/cmd/mfchaos/soak_operator.go
@@ -87,8 +87,8 @@
 	return response.StatusCode, reply
 }
 
-// sendUntilConclusive sends a call to random control daemons until a reply has a status from 200 to 499, or changeGiveUpAfter is
-// over; then it returns status 0.
+// sendUntilConclusive sends a call to random control daemons until a reply has a status from 200 to 499. If there is none
+// within changeGiveUpAfter, it returns status 0.
 func (o *soakOperator) sendUntilConclusive(method, path string, body []byte) (status int, reply []byte) {
 	for started := time.Now(); time.Since(started) < changeGiveUpAfter; {
 		control := o.soak.controls[o.random.IntN(len(o.soak.controls))]
@@ -102,7 +102,7 @@
 	return 0, nil
 }
 
-// change puts a different configuration on the newest acknowledged revision.
+// change sends a different configuration that is based on the newest acknowledged revision.
 func (o *soakOperator) change() {
 	doc, err := config.MergePatch(o.soak.config, fmt.Appendf(nil, `{"limits":{"body_bytes":%d}}`, tuning.BodyMaxDefault-o.random.IntN(tuning.BodyMaxDefault/2)))
 	if err != nil {
--- a/cmd/mfchaos/soak_script.go
+++ b/cmd/mfchaos/soak_script.go
@@ -1,5 +1,6 @@
-// This file implements the script of a soak: from a seed it stops proxies, control daemons and back ends, sends SIGHUPs and, with
-// option faults, kills daemons, at times that overlap. One goroutine owns all processes while the script runs.
+// This file implements the script of a soak. At random times drawn from a seed it stops proxies, control daemons and back ends,
+// sends SIGHUPs and, with option faults, kills daemons; several may be down at once. One goroutine owns all processes while the
+// script runs.
 
 package main
 
@@ -14,7 +15,7 @@
 
 const (
 	scriptInterval    = 20 * time.Millisecond  // between two steps of the script
-	quietGracePeriods = 2                      // grace periods before the end of the script in which no action starts
+	quietGracePeriods = 2                      // number of grace periods at the end of the script in which no action starts
 	restartPause      = 50 * time.Millisecond  // least time from a process's exit to its restart
 	restartJitter     = 400 * time.Millisecond // bound of the random time added to restartPause
 	stopSlack         = 500 * time.Millisecond // time that a busy machine may need beyond the grace period
@@ -89,24 +90,24 @@
 	return operator
 }
 
-// manage wraps processes that are running, and has their exits reported.
+// manage returns managed processes for running ones and begins to wait for their exits.
 func (c *script) manage(procs []*process) []*managedProcess {
 	var all []*managedProcess
-	for _, p := range procs {
-		a := &managedProcess{process: p}
-		all = append(all, a)
-		c.notifyOnExit(a)
+	for _, running := range procs {
+		p := &managedProcess{process: running}
+		all = append(all, p)
+		c.notifyOnExit(p)
 	}
 	return all
 }
 
 // notifyOnExit waits for a process in the background and sends its exit to the script.
-func (c *script) notifyOnExit(a *managedProcess) {
-	cmd := a.cmd
-	go func() { c.exits <- processExit{a, cmd, cmd.Wait()} }()
+func (c *script) notifyOnExit(p *managedProcess) {
+	cmd := p.cmd
+	go func() { c.exits <- processExit{p, cmd, cmd.Wait()} }()
 }
 
-// scheduleAll draws the mean interval of each action.
+// scheduleAll schedules every action with a random mean interval.
 func (c *script) scheduleAll() {
 	randomBetween := func(low, high time.Duration) time.Duration {
 		return low + time.Duration(c.random.Int64N(int64(high-low)))
@@ -123,7 +124,7 @@
 	}
 }
 
-// schedule adds an action with a mean interval.
+// schedule adds an action with a mean interval, which is also the time until it first runs.
 func (c *script) schedule(gap time.Duration, do func()) {
 	c.recurring = append(c.recurring, &recurringAction{next: time.Now().Add(gap), gap: gap, act: do})
 }
@@ -139,46 +140,46 @@
 	}
 }
 
-// superviseProcesses kills daemons that have not stopped within their grace period, which is a violation, and starts the
-// processes whose time has come.
+// superviseProcesses kills daemons that have not stopped within their grace period, which is a violation, and restarts
+// the processes that are due.
 func (c *script) superviseProcesses(now time.Time) {
-	for _, a := range slices.Concat(c.proxies, c.controls, c.targets) {
+	for _, p := range slices.Concat(c.proxies, c.controls, c.targets) {
 		switch {
-		case a.phase == phaseStopping && now.Sub(a.signaledAt) > c.soak.options.grace+stopSlack && a.kind != backendProgram:
-			c.soak.recordViolation(ruleGracefulStop, "%s did not stop within its grace period", a.name)
-			a.signal(syscall.SIGKILL)
-			a.signaledAt = now
-		case a.phase == phaseDown && now.After(a.startAt):
-			c.start(a)
+		case p.phase == phaseStopping && now.Sub(p.signaledAt) > c.soak.options.grace+stopSlack && p.kind != backendProgram:
+			c.soak.recordViolation(ruleGracefulStop, "%s did not stop within its grace period", p.name)
+			p.signal(syscall.SIGKILL)
+			p.signaledAt = now
+		case p.phase == phaseDown && now.After(p.startAt):
+			c.start(p)
 		}
 	}
 }
 
 // start starts a process again.
-func (c *script) start(a *managedProcess) {
-	if a.wipe {
-		os.RemoveAll(c.soak.path("data", a.name))
-		a.wipe = false
+func (c *script) start(p *managedProcess) {
+	if p.wipe {
+		os.RemoveAll(c.soak.path("data", p.name))
+		p.wipe = false
 	}
-	a.logSizeAtStart = c.logSize(a)
-	if err := c.soak.startProcess(a.process); err != nil {
+	p.logSizeAtStart = c.logSize(p)
+	if err := c.soak.startProcess(p.process); err != nil {
 		c.soak.recordViolation(ruleTestEnvironment, "%v", err)
 		return
 	}
-	a.phase = phaseUp
-	c.notifyOnExit(a)
+	p.phase = phaseUp
+	c.notifyOnExit(p)
 }
 
 // logSize returns the size of a process's log in bytes. The log is kept over all starts.
-func (c *script) logSize(a *managedProcess) int64 {
-	info, err := os.Stat(c.soak.path("log", a.name+".log"))
+func (c *script) logSize(p *managedProcess) int64 {
+	info, err := os.Stat(c.soak.path("log", p.name+".log"))
 	if err != nil {
 		return 0
 	}
 	return info.Size()
 }
 
-// handleExits handles the exits that have been reported since the last step.
+// handleExits calls processExited for the exits that have been reported since the last step.
 func (c *script) handleExits(now time.Time) {
 	for {
 		select {
@@ -192,26 +193,26 @@
 
 // processExited checks that an exit was asked for and had no error, and sets when the process is started again.
 func (c *script) processExited(now time.Time, exit processExit) {
-	a := exit.process
-	if a.cmd != exit.cmd {
+	p := exit.process
+	if p.cmd != exit.cmd {
 		return
 	}
 	switch {
-	case a.phase == phaseUp:
-		c.soak.recordViolation(ruleNoCrash, "%s: %v", a.name, exit.err)
-	case a.phase == phaseStopping && c.logSize(a) == a.logSizeAtStart && a.kind != backendProgram:
+	case p.phase == phaseUp:
+		c.soak.recordViolation(ruleNoCrash, "%s: %v", p.name, exit.err)
+	case p.phase == phaseStopping && c.logSize(p) == p.logSizeAtStart && p.kind != backendProgram:
 		// It got SIGTERM before its program had logged anything, so it may not handle the signal yet and has accepted nothing.
-	case a.phase == phaseStopping && exit.err != nil:
-		c.soak.recordViolation(ruleGracefulStop, "%s: %v", a.name, exit.err)
+	case p.phase == phaseStopping && exit.err != nil:
+		c.soak.recordViolation(ruleGracefulStop, "%s: %v", p.name, exit.err)
 	}
-	a.stopped, a.phase = true, phaseDown
-	a.startAt = now.Add(restartPause + time.Duration(c.random.Int64N(int64(restartJitter))))
+	p.stopped, p.phase = true, phaseDown
+	p.startAt = now.Add(restartPause + time.Duration(c.random.Int64N(int64(restartJitter))))
 }
 
 // allUp reports whether all processes are up.
 func (c *script) allUp() bool {
-	for _, a := range slices.Concat(c.proxies, c.controls, c.targets) {
-		if a.phase != phaseUp {
+	for _, p := range slices.Concat(c.proxies, c.controls, c.targets) {
+		if p.phase != phaseUp {
 			return false
 		}
 	}
@@ -220,24 +221,24 @@
 
 // shuffledUp returns the processes that are neither stopping nor down, in random order.
 func (c *script) shuffledUp(of []*managedProcess) []*managedProcess {
-	up := slices.DeleteFunc(slices.Clone(of), func(a *managedProcess) bool { return a.phase != phaseUp })
+	up := slices.DeleteFunc(slices.Clone(of), func(p *managedProcess) bool { return p.phase != phaseUp })
 	c.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
 	return up
 }
 
 // stop sends SIGTERM.
-func (c *script) stop(a *managedProcess) {
-	a.phase, a.signaledAt = phaseStopping, time.Now()
-	c.soak.log.add(eventStop, a.name)
-	a.signal(syscall.SIGTERM)
+func (c *script) stop(p *managedProcess) {
+	p.phase, p.signaledAt = phaseStopping, time.Now()
+	c.soak.log.add(eventStop, p.name)
+	p.signal(syscall.SIGTERM)
 }
 
 // kill sends SIGKILL.
-func (c *script) kill(a *managedProcess) {
-	c.soak.log.add(eventKill, a.name)
-	a.phase = phaseDown
-	a.startAt = time.Now().Add(time.Hour) // replaced when its exit is handled
-	a.signal(syscall.SIGKILL)
+func (c *script) kill(p *managedProcess) {
+	c.soak.log.add(eventKill, p.name)
+	p.phase = phaseDown
+	p.startAt = time.Now().Add(time.Hour) // replaced when its exit is handled
+	p.signal(syscall.SIGKILL)
 }
 
 // stopProxies stops up to a quarter of the proxies at once, but never the last one that is up.
@@ -259,10 +260,10 @@
 // stopTarget stops a back end whose service has another one that is up.
 func (c *script) stopTarget() {
 	up := c.shuffledUp(c.targets)
-	for _, a := range up {
-		others := slices.ContainsFunc(up, func(o *managedProcess) bool { return o != a && o.service == a.service })
+	for _, p := range up {
+		others := slices.ContainsFunc(up, func(o *managedProcess) bool { return o != p && o.service == p.service })
 		if others {
-			c.stop(a)
+			c.stop(p)
 			return
 		}
 	}
@@ -271,10 +272,10 @@
 // sendSIGHUP sends a SIGHUP to a random daemon unless it is down; it may be starting or stopping.
 func (c *script) sendSIGHUP() {
 	daemons := slices.Concat(c.proxies, c.controls)
-	a := daemons[c.random.IntN(len(daemons))]
-	if a.phase != phaseDown {
-		c.soak.log.add(eventSIGHUP, a.name)
-		a.signal(syscall.SIGHUP)
+	p := daemons[c.random.IntN(len(daemons))]
+	if p.phase != phaseDown {
+		c.soak.log.add(eventSIGHUP, p.name)
+		p.signal(syscall.SIGHUP)
 	}
 }
 
@@ -296,7 +297,7 @@
 
 // killAllControls kills all control daemons that are up.
 func (c *script) killAllControls() {
-	for _, a := range c.shuffledUp(c.controls) {
-		c.kill(a)
+	for _, p := range c.shuffledUp(c.controls) {
+		c.kill(p)
 	}
 }
--- a/cmd/mfchaos/soak_verdict.go
+++ b/cmd/mfchaos/soak_verdict.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// A request may lose its response when its proxy's process is killed at the end of the grace period, if it was sent within
-	// the first half of that period and its target still works on it in the last sixth. These are the divisors of the period.
+	// A request may lose its response when its proxy is killed at the end of the grace period, provided that it was sent in the
+	// first 1/excusedSendDivisor of that period and its target still works on it in the last 1/excusedEndDivisor.
 	excusedSendDivisor = 2
 	excusedEndDivisor  = 6
 	// closeRaceWindow is the time after a request's last byte within which its proxy may close the connection without having read
@@ -72,9 +72,9 @@
 	return s.classifyTruncated(outcome, ran[outcome.id] > 0)
 }
 
-// classifyUnknown returns the class of a request whose proxy responded that it may have run. A 502 is allowed: the target
-// closed the connection. A 504 before the caller's deadline and the route's timeout is a decision of the proxy, for which a
-// graceful stop is no valid reason.
+// classifyUnknown returns the class of a request whose proxy responded that it may have run. A 502 is allowed, since it
+// means that the target closed the connection. A 504 before the caller's deadline and the route's timeout is a violation if the
+// proxy was in a graceful stop: the stop must not make it time a request out early.
 func (s *soak) classifyUnknown(o *requestOutcome) outcomeClass {
 	waited := o.finishedAt.Sub(o.sentAt)
 	stop := latestEvent(s.log.snapshot(), eventStop, o.proxy, o.finishedAt)
--- a/cmd/mfchaos/upgrade.go
+++ b/cmd/mfchaos/upgrade.go
@@ -1,4 +1,5 @@
-// This file tests upgrades: a fleet of earlier daemons is upgraded to the current ones and rolled back, one daemon at a time,
+// This file tests upgrades: a fleet of daemons of an earlier version is upgraded to the current version and rolled back,
+// one daemon at a time,
 // while callers keep their connections and an operator changes the configuration. Then all daemons are killed at once and
 // the current ones start with the data that the earlier ones stored. Nothing acknowledged may be lost, and no control daemon
 // may report damaged data.
@@ -50,8 +51,8 @@
 	return programs{controlProgram: filepath.Join(f.bin, controlProgram), proxyProgram: filepath.Join(f.bin, proxyProgram)}
 }
 
-// runUpgrade upgrades a running fleet of earlier daemons, rolls it back and starts it again with the current programs. It
-// returns the exit code.
+// runUpgrade upgrades a running fleet of daemons of an earlier version, rolls it back and starts it again with the current
+// programs. It returns the exit code.
 func (f *fleet) runUpgrade(opts *upgradeOptions) int {
 	s := &soak{fleet: f, options: &opts.soak, startedAt: time.Now(), log: newEventLog()}
 	f.logf("upgrade %d: %d control daemons, %d proxies, %d targets, %d callers", opts.soak.seed, len(f.controls), len(f.proxies), len(f.backends), opts.soak.callers)
@@ -70,7 +71,7 @@
 	return s.report(outcomes)
 }
 
-// rollTo restarts one daemon after another with another program.
+// rollTo restarts all daemons, one after another, each with the program that to has for its kind.
 func (s *soak) rollTo(direction string, to programs) {
 	for _, p := range slices.Concat(s.controls, s.proxies) {
 		s.log.add(eventStop, p.name)
@@ -82,7 +83,7 @@
 		s.awaitReady(p)
 		time.Sleep(upgradePause)
 	}
-	s.logf("rolled %s", direction)
+	s.logf("all daemons rolled %s", direction)
 }
 
 // awaitReady waits until a daemon is ready.
--- a/cmd/mfsim/days.go
+++ b/cmd/mfsim/days.go
@@ -17,7 +17,7 @@
 	kinds []simulator.Fault // kinds of faults to inject; empty: all
 }
 
-// result is a simulated day; its world is nil when a worker has finished.
+// result is a simulated day. A nil world reports that a worker has finished.
 type result struct {
 	job
 	world *simulator.World
@@ -76,7 +76,7 @@
 
 // summary is the totals over days.
 type summary struct {
-	failed, ran, steps int // days that violated a rule, all days, and their events
+	failed, ran, steps int // days that violated a rule, all days, and the simulation steps of all days
 	served, requests   int
 	latestToDraining   time.Duration     // longest time from a target's acknowledged draining to an attempt there
 	latestToCrashed    time.Duration     // longest time from a target's crash to an attempt there
--- a/cmd/mfsim/options.go
+++ b/cmd/mfsim/options.go
@@ -16,14 +16,14 @@
 	from, seeds  uint64        // first seed and number of seeds
 	faults       int           // number of faults in a day
 	span         time.Duration // virtual time in which faults begin
-	kinds        []string      // empty: all
+	kinds        []string      // names of the kinds of faults to inject; empty: all
 	pairs        bool
 	listKinds    bool
 	rule         string // name of a scene; "": none
 	listRules    bool
 	withoutGuard bool
 	availability bool
-	trace        int // lines
+	trace        int // maximum number of lines of trace that are printed for a failed seed
 	plan         string
 	digest       bool
 	check        *checkCommand // nil unless the command is check
--- a/cmd/mfsim/scenes.go
+++ b/cmd/mfsim/scenes.go
@@ -8,8 +8,8 @@
 	"myrtlefold/internal/verification/simulator"
 )
 
-// shownPerSceneMax is the number of seeds that passed or violated one of the scene's rules after which no further failures are
-// printed.
+// shownPerSceneMax limits the printed failures: runScene prints the failure of a seed only while at most this many seeds have
+// passed or violated one of the scene's rules.
 const shownPerSceneMax = 3
 
 // listScenes prints each scene with its threat and its guard.
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// A disk that can't be read completely counts as lost: it is recreated once, under a new number, and the damage is
+// A disk that can't be read completely counts as lost: it is recreated once, with a new disk number, and the damage is
 // returned. The cases damage a record, remove a file, and store a valid record whose entry does not decode.
 func TestDamagedDiskCountsAsLost(t *testing.T) {
 	for name, damage := range map[string]func(t *testing.T, dir string){
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -57,7 +57,7 @@
 	select {
 	case seeds := <-got:
 		if !slices.Equal(seeds, []string{"127.0.0.1:4"}) {
-			t.Errorf("seeds %v, want the changed ones", seeds)
+			t.Errorf("seeds %v, want the changed ones, 127.0.0.1:4", seeds)
 		}
 	case <-time.After(time.Minute):
 		t.Fatal("changed seeds did not take effect")
@@ -73,7 +73,7 @@
 	select {
 	case seeds := <-got:
 		if !slices.Equal(seeds, []string{"127.0.0.1:5"}) {
-			t.Errorf("seeds %v, want those of the last valid settings", seeds)
+			t.Errorf("seeds %v, want those of the last valid settings, 127.0.0.1:5", seeds)
 		}
 	case <-time.After(time.Minute):
 		t.Fatal("seeds changed after invalid settings did not take effect")
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -19,7 +19,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// session is a policy session. The request that opened it owns it until it is released.
+// session is a policy session. The request that opened or resumed it owns it until that request ends.
 type session struct {
 	*outlier.Session
 	id         string
--- a/internal/verification/linearizability/check.go
+++ b/internal/verification/linearizability/check.go
@@ -35,8 +35,8 @@
 // explainedCalls is the number of calls shown before and after the first one that cannot be linearized.
 const explainedCalls = 12
 
-// explain lists the calls around the first completed one that is not in the longest order found, which it marks
-// with >.
+// explain lists the calls around the first completed call that is missing from the longest linearizable order found, and
+// marks that call with >.
 func explain(calls []*Operation, info porcupine.LinearizationInfo) string {
 	ordered := longestOrder(info)
 	first := -1
--- a/internal/verification/linearizability/reduce.go
+++ b/internal/verification/linearizability/reduce.go
@@ -44,17 +44,17 @@
 		case noEffect:
 			continue
 		case returned:
-			if reads.containShorter(o) {
+			if reads.hasShorterDuring(o) {
 				continue
 			}
 		case stale:
-			if rejections.containShorter(o) {
+			if rejections.hasShorterDuring(o) {
 				continue
 			}
 		case open:
-			winner, decided := accepted[o.change.Base]
+			acceptedKey, decided := accepted[o.change.Base]
 			identity := callIdentity{o.change.identity(), o.change.Token}
-			if o.read || opened[identity] || rejected[o.change.identity()] || decided && winner != o.change.Key {
+			if o.read || opened[identity] || rejected[o.change.identity()] || decided && acceptedKey != o.change.Key {
 				continue
 			}
 			opened[identity] = true
@@ -78,7 +78,7 @@
 	return rejected, accepted
 }
 
-// spans reports whether the call other was sent and replied to during the call o, and was shorter.
+// spans reports whether the call other was sent and replied to during the call o, and took less time.
 func spans(o, other *Operation) bool {
 	return other.sentAt >= o.sentAt && other.repliedAt <= o.repliedAt && other.repliedAt-other.sentAt < o.repliedAt-o.sentAt
 }
@@ -103,8 +103,8 @@
 	return reads
 }
 
-// containShorter reports whether a read with the same result as o started and ended during o, and was shorter.
-func (r readsByResult) containShorter(o *Operation) bool {
+// hasShorterDuring reports whether a read with the same result as o started and ended during o, and took less time.
+func (r readsByResult) hasShorterDuring(o *Operation) bool {
 	return slices.ContainsFunc(r[readResult{o.revision, o.value}], func(other *Operation) bool { return spans(o, other) })
 }
 
@@ -133,9 +133,9 @@
 	return rejections
 }
 
-// containShorter reports whether r has the change o, and another change with the same rejection was sent and rejected
-// during o, and was shorter.
-func (r rejectionsByRevision) containShorter(o *Operation) bool {
+// hasShorterDuring reports whether r has the change o, and another change with the same rejection was sent and rejected
+// during o, and took less time.
+func (r rejectionsByRevision) hasShorterDuring(o *Operation) bool {
 	candidates := r[rejection{o.change.Base, o.revision}]
 	return slices.Contains(candidates, o) && slices.ContainsFunc(candidates, func(other *Operation) bool { return spans(o, other) })
 }
