--- a/cmd/mfchaos/process.go
+++ b/cmd/mfchaos/process.go
@@ -31,7 +31,7 @@
 	http         string // address of its HTTP API
 	listen       string // address for callers; proxies only
 	service      string // back ends only
-	frozen       bool   // suspended; not set by the present faults, which resume a process before they end
+	frozen       bool   // suspended; the current faults do not set it, since each resumes its process before it ends
 	stopped      bool   // it has ended and was waited for
 }
 
--- a/cmd/mfchaos/soak.go
+++ b/cmd/mfchaos/soak.go
@@ -1,5 +1,5 @@
-// This file runs the soak test: daemons and back ends are stopped and reconfigured at overlapping times, while callers keep
-// their connections and use them until the proxy closes them. Everything random is drawn from a seed.
+// This file runs the soak test: daemons and back ends are stopped at overlapping times and the configuration is changed, while
+// callers keep their connections and use them until the proxy closes them. Everything random is drawn from a seed.
 
 package main
 
@@ -17,8 +17,8 @@
 // soakOptions are the flags of command soak.
 type soakOptions struct {
 	seed     uint64
-	span     time.Duration // of the script
-	grace    time.Duration // from SIGTERM until a process is killed
+	span     time.Duration // duration of the script
+	grace    time.Duration // time from SIGTERM until a process is killed
 	proxies  int
 	controls int
 	targets  int // back ends of both services together
@@ -49,7 +49,7 @@
 type soak struct {
 	*fleet
 	options   *soakOptions
-	startedAt time.Time // of the script and the callers; the fleet started earlier
+	startedAt time.Time // start of the script and the callers; the fleet started earlier
 	log       eventLog
 }
 
--- a/cmd/mfchaos/soak_log.go
+++ b/cmd/mfchaos/soak_log.go
@@ -1,4 +1,4 @@
-// This file records what a soak did to which process and when.
+// This file records the stops, kills, signals and configuration changes of a soak with their times.
 
 package main
 
@@ -22,7 +22,7 @@
 type soakEvent struct {
 	at   time.Time
 	kind eventKind
-	name string // of the process; "" for changes
+	name string // of the process; "" for changes and unanswered calls
 }
 
 // eventLog holds the events of a run in order. The entries are kept in a channel of capacity 1, which also serves as a lock.
--- a/cmd/mfload/collector.go
+++ b/cmd/mfload/collector.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxExamples  = 20   // in a report
+	maxExamples  = 20   // maximum number of examples in a report
 	leaveGraceMs = 2000 // time for which a target may still get requests after it announced that it is leaving, in ms
 )
 
--- a/cmd/mfload/generator.go
+++ b/cmd/mfload/generator.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	maxRetries      = 5    // of an impatient client
+	maxRetries      = 5    // maximum number of retries that an impatient client sends after its first request
 	outcomeQueue    = 4096 // capacity of generator.outcomes
 	requestTimeout  = 15 * time.Second
 	idleConnTimeout = 10 * time.Second
-	maxIdleConns    = 256                  // to one proxy
+	maxIdleConns    = 256                  // maximum number of idle connections to one proxy
 	drainPoll       = 5 * time.Millisecond // interval of checks for requests in flight at the end of a run
 )
 
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -75,7 +75,7 @@
 	p := newDiskProcess(t)
 	d, persisted, err := p.OpenDisk()
 	if err != nil || persisted.Disk == 0 {
-		t.Fatalf("open empty disk: error %v, disk number %d", err, persisted.Disk)
+		t.Fatalf("open empty disk: error %v, disk number %d, want a number other than 0", err, persisted.Disk)
 	}
 	go d.Run(t.Context())
 	want := consensus.PersistentState{Disk: persisted.Disk}
@@ -148,7 +148,7 @@
 				t.Fatal(err)
 			}
 		},
-		"a file gone": func(t *testing.T, dir string) {
+		"a missing file": func(t *testing.T, dir string) {
 			if err := os.Remove(filepath.Join(dir, "ring-2")); err != nil {
 				t.Fatal(err)
 			}
@@ -173,10 +173,10 @@
 		damage(t, p.Settings.Data)
 		_, persisted, found, err := p.openDiskWithRetry(nil)
 		if err != nil || found == nil || persisted.Disk == before.Disk || persisted.Disk == 0 || persisted.Term != 0 || len(persisted.Log) != 0 {
-			t.Errorf("%s: error %v, damage %v, disk %d after %d, term %d, %d entries", name, err, found, persisted.Disk, before.Disk, persisted.Term, len(persisted.Log))
+			t.Errorf("%s: error %v, damage %v, disk number %d after %d, term %d, %d entries; want damage, a new disk number, term 0 and no entries", name, err, found, persisted.Disk, before.Disk, persisted.Term, len(persisted.Log))
 		}
 		if _, again, found, err := p.openDiskWithRetry(nil); err != nil || found != nil || again.Disk != persisted.Disk {
-			t.Errorf("%s: at the next start: error %v, damage %v, disk %d after %d", name, err, found, again.Disk, persisted.Disk)
+			t.Errorf("%s: at the next start: error %v, damage %v, disk number %d after %d; want no damage and the same number", name, err, found, again.Disk, persisted.Disk)
 		}
 	}
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// limitMemory sets the memory limit of the Go runtime to a share of the process's limit. The rest is for memory that
-// the runtime doesn't count.
+// limitMemory sets the memory limit of the Go runtime to tuning.MemoryShare of the process's limit, and its GC percentage.
+// The rest of the process's limit is for memory that the runtime doesn't count.
 func limitMemory(settings Settings) {
 	if settings.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(float64(settings.MemoryMb<<20) * tuning.MemoryShare))
--- a/internal/daemon/proxy.go
+++ b/internal/daemon/proxy.go
@@ -20,8 +20,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// The first ids of HTTP API calls. A proxy's are in the upper half so that they don't collide with the ids of its
-// callers' requests.
+// Ids of the first HTTP API call of a control daemon and of a proxy. A proxy's calls have ids in the upper half of the
+// range, so that they don't collide with the ids of its callers' requests.
 const (
 	firstCallID      = 1
 	firstProxyCallID = 1<<63 + 1
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -42,7 +42,7 @@
 		}
 		s, got := loadSettings(t, kind, string(b), Settings{Name: "other"})
 		if len(got) > 0 || s.Name != "other" || s.Domain != "hill" {
-			t.Fatalf("sample of %s: faults %v, settings %+v", kind, got, s)
+			t.Fatalf("sample of %s: faults %v, settings %+v; want no faults, name other and domain hill", kind, got, s)
 		}
 	}
 }
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -45,7 +45,7 @@
 		t.Fatalf("line %+v, want line 11 of term 4", line)
 	}
 	other := &streamReader{lines: make(chan streamRecord, 64)}
-	stream.subscribe(subscription{reader: other, after: &position{term: 2, seq: 900}}) // a line of another leader
+	stream.subscribe(subscription{reader: other, after: &position{term: 2, seq: 900}}) // a line that another leader published
 	if line := next(other); line.Missed == 0 {
 		t.Fatalf("line %+v, want a number of missed lines", line)
 	}
@@ -103,7 +103,7 @@
 	var result outlier.Result
 	lines, answers, response := openTestSession(t, server.URL)
 	if err := answers.Decode(&opened); err != nil || opened.LinesRead != 0 {
-		t.Fatalf("new session: error %v, first line %+v", err, opened)
+		t.Fatalf("new session: error %v, first line %+v, want 0 lines read", err, opened)
 	}
 	checkStatus("?resume="+opened.Stream, http.StatusConflict)
 	fmt.Fprintln(lines, "nonsense")
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// connect opens the connection. If that fails, it waits for tuning.Redial and drops the queued messages, which are
+// connect opens the connection. If that fails, it waits for tuning.RedialDelay and drops the queued messages, which are
 // stale by then.
 func (s *sender) connect(ctx context.Context) bool {
 	dialer := reverseproxy.NewDialer(s.localAddr, tuning.ProbeTimeout)
--- a/internal/mfctl/fleet.go
+++ b/internal/mfctl/fleet.go
@@ -115,13 +115,13 @@
 	fmt.Fprintln(table, "OBJECTIVE\tSERVICE\tWINDOW MIN\tLATENCY MS\tTARGET\tACHIEVED\tREQUESTS\tERROR BUDGET LEFT")
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
 		sum := sums[name]
-		met, budgetLeft := "-", "-"
+		achieved, budgetLeft := "-", "-"
 		if sum.Total > 0 {
 			missed, allowed := float64(sum.Total-sum.Good), float64(sum.Total)*(1-sum.SuccessRatio)
-			met = fmt.Sprintf("%.4f", float64(sum.Good)/float64(sum.Total))
+			achieved = fmt.Sprintf("%.4f", float64(sum.Good)/float64(sum.Total))
 			budgetLeft = fmt.Sprintf("%.0f %%", 100*(1-missed/allowed))
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%g\t%s\t%d\t%s\n", name, sum.Service, sum.WindowMinutes, sum.LatencyTargetMs,
-			sum.SuccessRatio, met, sum.Total, budgetLeft)
+			sum.SuccessRatio, achieved, sum.Total, budgetLeft)
 	}
 }
--- a/internal/mfctl/mfctl_test.go
+++ b/internal/mfctl/mfctl_test.go
@@ -66,7 +66,7 @@
 	split := []string{"--change", "../../sample/change-split.json", "--change", "../../sample/change-unsplit.json"}
 	for name, changes := range map[string][]string{"kelani": nil, "kiyihat": nil, "press": nil, "kelani-routes": nil, "press-routes": nil, "kiyihat-routes": split} {
 		if code, out := runCommand(t, append([]string{"config", "check", "../../sample/" + name + ".json"}, changes...)...); code != exitOK {
-			t.Errorf("%s: exit code %d: %s", name, code, out)
+			t.Errorf("%s: exit code %d, want %d: %s", name, code, exitOK, out)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	bad := writeDocument(t, `{"services":{"a":{"cap":0,"odd":1}},"routes":{"r":{"host":"","prefix":"x","kind":"sometimes","timeout_ms":0,"attempts":1,"service":"b"}}}`)
 	code, out := runCommand(t, "config", "check", bad)
 	if code != exitInvalid {
-		t.Fatalf("exit code %d: %s", code, out)
+		t.Fatalf("invalid configuration: exit code %d, want %d: %s", code, exitInvalid, out)
 	}
 	for _, at := range []string{"services.a.cap", "services.a.odd", "routes.r.prefix", "routes.r.kind", "routes.r.timeout_ms", "routes.r.service"} {
 		if !strings.Contains(out, at+": ") {
@@ -84,10 +84,10 @@
 		}
 	}
 	if code, out := runCommand(t, "config", "check", writeDocument(t, `{"services":`)); code != exitInvalid {
-		t.Fatalf("exit code %d: %s", code, out)
+		t.Fatalf("incomplete JSON: exit code %d, want %d: %s", code, exitInvalid, out)
 	}
 	if code, out := runCommand(t, "config", "check", "no-such-file"); code != exitUsage {
-		t.Fatalf("exit code %d: %s", code, out)
+		t.Fatalf("missing file: exit code %d, want %d: %s", code, exitUsage, out)
 	}
 	for _, c := range []struct{ change, at string }{
 		{`{"drop":{"services":["payments"]}}`, "routes.payments.service"},
@@ -209,7 +209,7 @@
 	a, b = member("a", roster), member("b", roster)
 	code, out := runCommand(t, "status", "--at", a)
 	if code != exitOK || queries["a"] != 1 || queries["b"] != 1 || strings.Count(out, "follower") != 2 {
-		t.Fatalf("exit code %d, queries %v, want one of each member: %s", code, queries, out)
+		t.Fatalf("exit code %d, queries %v; want %d, one query and one line for each member: %s", code, queries, exitOK, out)
 	}
 }
 
--- a/internal/mfctl/status_test.go
+++ b/internal/mfctl/status_test.go
@@ -46,7 +46,7 @@
 	formerLeader := controlplane.StatusView{Name: "core-9", Role: "leader", Epoch: 1, Term: 3, ControlPlane: controlplane.ControlPlaneView{HoldsLease: true, FailureTolerance: controlplane.FailureToleranceView{Evaluated: true, Tolerable: true, Machines: 1}}}
 	code, out := runCommand(t, append(startMembers(t, formerLeader, leaderView(4790)), "status")...)
 	if code != exitOK {
-		t.Fatalf("status: exit code %d: %s", code, out)
+		t.Fatalf("status: exit code %d, want %d: %s", code, exitOK, out)
 	}
 	for _, want := range []string{
 		"control plane: core-1 has led for 1m12.3s in term 4; lease granted by 2 of 3 members (core-1, core-3), majority is 2\n",
@@ -61,7 +61,7 @@
 		}
 	}
 	if _, out := runCommand(t, append(startMembers(t, leaderView(0)), "status")...); !strings.Contains(out, "core-4 replaces it as soon as it has caught up") {
-		t.Errorf("output lacks that the replacement is possible at once:\n%s", out)
+		t.Errorf("output does not say that core-4 can replace the member as soon as it has caught up:\n%s", out)
 	}
 	follower := controlplane.StatusView{Name: "core-2", Role: "follower", ControlPlane: controlplane.ControlPlaneView{Leader: "core-1", LeaderLastContactMs: 9120}}
 	code, out = runCommand(t, append(startMembers(t, follower), "status")...)
@@ -73,9 +73,9 @@
 	if _, out = runCommand(t, append(startMembers(t, damaged), "status")...); !strings.Contains(out, "\nDAMAGE at core-1: snapshot: does not decode\n") || !strings.Contains(out, "\nDISK of core-1 rejects writes: no space left on device\n") {
 		t.Errorf("output lacks the damage or the disk error of core-1:\n%s", out)
 	}
-	gathering := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", ControlPlane: controlplane.ControlPlaneView{Leader: "core-3"}}
-	if _, out = runCommand(t, append(startMembers(t, gathering), "status")...); !strings.Contains(out, "  core-3 is elected and collects the state of the proxies") {
-		t.Errorf("output lacks that core-3 collects the state of the proxies:\n%s", out)
+	elected := controlplane.StatusView{Name: "core-3", Role: "leader", Leadership: "warming", ControlPlane: controlplane.ControlPlaneView{Leader: "core-3"}}
+	if _, out = runCommand(t, append(startMembers(t, elected), "status")...); !strings.Contains(out, "  core-3 is elected and collects the state of the proxies") {
+		t.Errorf("output does not say that core-3 collects the state of the proxies:\n%s", out)
 	}
 	code, out = runCommand(t, append(startMembers(t, leaderView(4790)), "-o", "json", "status")...)
 	if code != exitOK || !strings.Contains(out, `"next_loss":{"known":true,"machines":0,"bearable":false,"domains_at_risk":["north","west"],"obstacles":[{"kind":"silent","member":"core-2","replaceable_in_ms":4790,"by":"core-4"}]}`) {
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -161,7 +161,8 @@
 	checkJSON[daemon.Settings](t, "settings", readBack)
 }
 
-// messages returns one message of each kind by its name, with every field of its part set.
+// messages returns one message of each kind by its name. It sets every field of the struct for that kind, such as
+// Message.Hello.
 func messages(t *testing.T) map[string]*wire.Message {
 	t.Helper()
 	header := func(kind wire.Kind) *wire.Message {
--- a/internal/verification/fuzzing/source_test.go
+++ b/internal/verification/fuzzing/source_test.go
@@ -57,7 +57,7 @@
 	return text
 }
 
-// fill sets every field of v, and allocates pointers, slices and nested structs.
+// fill sets v, including nested structs and slices, from the fuzzed bytes. A quarter of the pointers remain nil.
 func (s *fuzzSource) fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
