--- a/cmd/mfchaos/fleet.go
+++ b/cmd/mfchaos/fleet.go
@@ -179,7 +179,7 @@
 
 // Settings of back ends when the configuration uses routes.
 const (
-	healthPath = "/health" // path of the health check in the sample configurations
+	checkPath = "/health" // path of the health check in the sample configurations
 	warmupTime = 6 * time.Second
 )
 
@@ -191,7 +191,7 @@
 	p.args = []string{"--service", service.Name, "--name", name, "--addr", addr, "--bind", bind, "--from", hostOf(bind), "--domain", domain, "--work", service.RequestTime, "--bears", strconv.Itoa(service.Concurrency),
 		"--warm", warmingTime, "--ledger", f.path("ledger", name+".ledger")}
 	if f.routes {
-		p.args = append(p.args, "--health", healthPath, "--named", "--cold", warmupTime.String())
+		p.args = append(p.args, "--health", checkPath, "--named", "--cold", warmupTime.String())
 	}
 	for i, proxy := range f.proxies {
 		if i%4 == len(name)%4 {
