--- a/cmd/mfbackend/main.go
+++ b/cmd/mfbackend/main.go
@@ -30,7 +30,7 @@
 	bind                  string        // IP:port to listen on; "": addr
 	from                  string        // source IP of heartbeats; "": chosen by the system
 	daemons               []string      // HTTP addresses of the daemons
-	processingTime        time.Duration // of a request
+	processingTime        time.Duration // of a request without testbackend.ProcessingTimeHeader
 	slots                 int64         // number of requests that run concurrently; others wait
 	warmup                time.Duration // time after the start for which its state is warming
 	warmupRateTime        time.Duration // time after the start for which it is limited to its service's warm-up rate
--- a/cmd/mfchaos/deployment.go
+++ b/cmd/mfchaos/deployment.go
@@ -14,8 +14,8 @@
 type Service struct {
 	Name        string
 	Targets     int    // number of back ends
-	RequestTime string // time that a back end works on a request, as a Go duration
-	Concurrency int    // requests that a back end works on at once; more wait
+	RequestTime string // processing time of a request, as a Go duration
+	Concurrency int    // number of requests that a back end runs concurrently; others wait
 	WarmupTime  string // time for which a restarted back end reports the state warming, as a Go duration
 }
 
--- a/cmd/mfchaos/fleet.go
+++ b/cmd/mfchaos/fleet.go
@@ -179,7 +179,7 @@
 
 // Settings of back ends when the configuration uses routes.
 const (
-	checkPath = "/health" // path of the health check in the sample configurations
+	checkPath  = "/health" // path of the health check in the sample configurations
 	warmupTime = 6 * time.Second
 )
 
--- a/cmd/mfload/mfload_test.go
+++ b/cmd/mfload/mfload_test.go
@@ -108,7 +108,7 @@
 	}
 	r := c.finish(options{duration: time.Second})
 	if r.RanTwice != 1 || r.RanThoughRejected != 1 || r.Misrouted != 1 || r.PastLeaveGrace != 1 || r.MaxLeavingForMs != leaveGraceMs+1 || !r.failed() {
-		t.Errorf("violations in the request logs: %+v", r)
+		t.Errorf("report %+v; want a failed run with one violation of each kind and at most %d ms leaving", r, leaveGraceMs+1)
 	}
 }
 
--- a/internal/daemon/healthcheck_test.go
+++ b/internal/daemon/healthcheck_test.go
@@ -86,7 +86,7 @@
 					t.Fatalf("result %+v, want warm-up time left %v and report missing %v", got, c.warmupLeft, c.noReport)
 				}
 				if r := got.Report; r != nil && (r.ID() != (wire.TargetID{Service: "s", Name: c.targetName, Incarnation: 3}) || r.State != c.state || (r.Demand == nil) != (c.demand == nil) || r.Demand != nil && *r.Demand != *c.demand) {
-					t.Fatalf("report %+v, want target %q in state %q", r, c.targetName, c.state)
+					t.Fatalf("report %+v, want target %q in state %q, with a demand of 0.5: %v", r, c.targetName, c.state, c.demand != nil)
 				}
 			}
 			if connections.Load() != 1 {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -115,7 +115,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if p, code := Start(wire.ControlDaemon, c.args, DefaultPlatform()); p != nil || code != c.code {
-				t.Errorf("exit code %d, want %d", code, c.code)
+				t.Errorf("returned a process: %v, exit code %d; want no process and exit code %d", p != nil, code, c.code)
 			}
 		})
 	}
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -56,7 +56,7 @@
 		}
 		s, faults := loadSettings(t, kind, string(b), Settings{})
 		if len(faults) > 0 || s.Size != 0 {
-			t.Errorf("%s: faults %v, size %d", file, faults, s.Size)
+			t.Errorf("%s: faults %v, size %d; want no faults and size 0", file, faults, s.Size)
 		}
 	}
 }
@@ -65,9 +65,9 @@
 func TestSizeByFlag(t *testing.T) {
 	base := []string{"--name", "c", "--domain", "d", "--addr", "127.0.0.1:1", "--http", "127.0.0.1:2", "--data", "x", "--seed", "127.0.0.1:1"}
 	for _, c := range []struct {
-		args  []string
-		size  int
-		found bool
+		args      []string
+		size      int
+		bootstrap bool
 	}{{nil, 3, false}, {[]string{"--size", "5"}, 5, false}, {[]string{"--size", "0", "--found"}, 0, true}} {
 		flags, app := &Flags{}, kingpin.New("x", "")
 		flags.Bind(app, wire.ControlDaemon)
@@ -75,8 +75,8 @@
 			t.Fatal(err)
 		}
 		loaded, err := flags.Load(wire.ControlDaemon)
-		if s := loaded.Settings; err != nil || len(loaded.Faults) > 0 || s.Size != c.size || s.Bootstrap != c.found {
-			t.Errorf("flags %v: settings %+v, faults %v, error %v", c.args, s, loaded.Faults, err)
+		if s := loaded.Settings; err != nil || len(loaded.Faults) > 0 || s.Size != c.size || s.Bootstrap != c.bootstrap {
+			t.Errorf("flags %v: settings %+v, faults %v, error %v; want size %d, bootstrap %v and no faults", c.args, s, loaded.Faults, err, c.size, c.bootstrap)
 		}
 	}
 }
--- a/internal/verification/linearizability/check.go
+++ b/internal/verification/linearizability/check.go
@@ -14,8 +14,8 @@
 
 // Check returns an error if the calls are not linearizable. The error lists the calls around the first one that the
 // longest linearizable prefix found does not contain.
-func (l *History) Check() error {
-	calls := l.relevantOperations()
+func (h *History) Check() error {
+	calls := h.relevantOperations()
 	var operations []porcupine.Operation
 	for _, o := range calls {
 		end := int64(o.repliedAt)
--- a/internal/verification/linearizability/history.go
+++ b/internal/verification/linearizability/history.go
@@ -7,7 +7,7 @@
 // change that is sent again is acknowledged with the revision that it created the first time.
 //
 // The package makes no calls itself; package simulator and command mfchaos make and record them. Package porcupine
-// searches for an order. Start with Log; reduce.go omits calls that only prolong the search, and model.go defines the
+// searches for an order. Start with History; reduce.go omits calls that only prolong the search, and model.go defines the
 // register.
 package linearizability
 
@@ -60,8 +60,8 @@
 	o.finish(at, acknowledged, revision, "")
 }
 
-// Reject records that a change was rejected because its base is not the current revision, which is 0 if it is not
-// known.
+// Reject records that a change was rejected because its base is not the current revision. current is the revision that the
+// rejection contains, or 0 if it contains none.
 func (o *Operation) Reject(at time.Duration, current uint64) { o.finish(at, stale, current, "") }
 
 // Return records the revision and the value that a read returned.
@@ -89,29 +89,29 @@
 type History struct{ operations []*Operation }
 
 // Write records the invocation of a change.
-func (l *History) Write(at time.Duration, c Change) *Operation {
-	return l.add(&Operation{change: c, sentAt: at})
+func (h *History) Write(at time.Duration, c Change) *Operation {
+	return h.add(&Operation{change: c, sentAt: at})
 }
 
 // Read records the invocation of a read of the configuration.
-func (l *History) Read(at time.Duration) *Operation { return l.add(&Operation{read: true, sentAt: at}) }
+func (h *History) Read(at time.Duration) *Operation { return h.add(&Operation{read: true, sentAt: at}) }
 
-func (l *History) add(o *Operation) *Operation {
-	l.operations = append(l.operations, o)
+func (h *History) add(o *Operation) *Operation {
+	h.operations = append(h.operations, o)
 	return o
 }
 
 // Reset removes all calls recorded so far, for a run that deliberately destroys all state.
-func (l *History) Reset() { l.operations = nil }
+func (h *History) Reset() { h.operations = nil }
 
 // ForgetUnacknowledged removes reads and rejections whose replies contain a revision above highest, the highest
 // acknowledged one. It is called when a majority of the control daemons' disks is lost, since changes that were
 // committed but not yet acknowledged may be lost with them.
-func (l *History) ForgetUnacknowledged(highest uint64) {
-	l.operations = slices.DeleteFunc(l.operations, func(o *Operation) bool {
+func (h *History) ForgetUnacknowledged(highest uint64) {
+	h.operations = slices.DeleteFunc(h.operations, func(o *Operation) bool {
 		return (o.outcome == returned || o.outcome == stale) && o.revision > highest
 	})
 }
 
 // Len returns the number of recorded calls.
-func (l *History) Len() int { return len(l.operations) }
+func (h *History) Len() int { return len(h.operations) }
--- a/internal/verification/linearizability/reduce.go
+++ b/internal/verification/linearizability/reduce.go
@@ -36,10 +36,10 @@
 // valid for the other read is valid for both. A rejection is omitted if another change on the same base was rejected at
 // the same revision during it and no call shows that the change itself was ever accepted. Otherwise, if forty changes
 // wait for a leader that rejects them all at once, the check would have to try an order for each subset of them.
-func (l *History) relevantOperations() (calls []*Operation) {
-	rejected, accepted := l.decidedChanges()
-	opened, reads, rejections := map[callIdentity]bool{}, l.readsByResult(), l.rejectionsByRevision()
-	for _, o := range l.operations {
+func (h *History) relevantOperations() (calls []*Operation) {
+	rejected, accepted := h.decidedChanges()
+	opened, reads, rejections := map[callIdentity]bool{}, h.readsByResult(), h.rejectionsByRevision()
+	for _, o := range h.operations {
 		switch o.outcome {
 		case noEffect:
 			continue
@@ -65,9 +65,9 @@
 }
 
 // decidedChanges returns the changes that were rejected, and the keys of the accepted changes by their base.
-func (l *History) decidedChanges() (rejected map[changeIdentity]bool, accepted map[uint64]string) {
+func (h *History) decidedChanges() (rejected map[changeIdentity]bool, accepted map[uint64]string) {
 	rejected, accepted = map[changeIdentity]bool{}, map[uint64]string{}
-	for _, o := range l.operations {
+	for _, o := range h.operations {
 		switch {
 		case o.outcome == stale:
 			rejected[o.change.identity()] = true
@@ -92,9 +92,9 @@
 // readsByResult groups the reads that returned by their result.
 type readsByResult map[readResult][]*Operation
 
-func (l *History) readsByResult() readsByResult {
+func (h *History) readsByResult() readsByResult {
 	reads := readsByResult{}
-	for _, o := range l.operations {
+	for _, o := range h.operations {
 		if o.outcome == returned {
 			result := readResult{o.revision, o.value}
 			reads[result] = append(reads[result], o)
@@ -115,16 +115,16 @@
 // accepted, with their token or another one.
 type rejectionsByRevision map[rejection][]*Operation
 
-func (l *History) rejectionsByRevision() rejectionsByRevision {
+func (h *History) rejectionsByRevision() rejectionsByRevision {
 	accepted, acceptedTokens := map[changeIdentity]bool{}, map[string]bool{}
-	for _, o := range l.operations {
+	for _, o := range h.operations {
 		if o.outcome == acknowledged {
 			accepted[o.change.identity()] = true
 			acceptedTokens[o.change.Token] = o.change.Token != ""
 		}
 	}
 	rejections := rejectionsByRevision{}
-	for _, o := range l.operations {
+	for _, o := range h.operations {
 		if o.outcome == stale && o.revision != 0 && !accepted[o.change.identity()] && !acceptedTokens[o.change.Token] {
 			at := rejection{o.change.Base, o.revision}
 			rejections[at] = append(rejections[at], o)
