--- a/cmd/mfchaos/main.go
+++ b/cmd/mfchaos/main.go
@@ -2,8 +2,9 @@
 // seeded script while mfload sends load, and prints for each rule whether it held. It is the only program that starts
 // processes, and it ends only those, by their process IDs.
 //
-// Begin with fleet, in fleet.go, and fleet.runCommand here, which runs a command; faults.go has the faults, checks.go the
-// rules that a run is checked against, soak.go the soak test and upgrade.go the rolling upgrade between two versions.
+// Begin with fleet, in fleet.go, and fleet.runCommand here, which runs a command; faults.go and outage.go have the faults,
+// checks.go the rules that a run is checked against, soak.go the soak test and upgrade.go the rolling upgrade between two
+// versions.
 package main
 
 import (
