--- a/internal/verification/linearizability/check.go
+++ b/internal/verification/linearizability/check.go
@@ -14,8 +14,8 @@
 
 // Check returns an error if the calls are not linearizable. The error lists the calls around the first one that the
 // longest linearizable prefix found does not contain.
-func (l *History) Check() error {
-	calls := l.relevantOperations()
+func (h *History) Check() error {
+	calls := h.relevantOperations()
 	var operations []porcupine.Operation
 	for _, o := range calls {
 		end := int64(o.repliedAt)
@@ -35,8 +35,8 @@
 // explainedCalls is the number of calls shown before and after the first one that cannot be linearized.
 const explainedCalls = 12
 
-// explain lists the calls around the first completed one that is not in the longest order found, which it marks
-// with >.
+// explain lists the calls around the first completed call that is missing from the longest linearizable order found, and
+// marks that call with >.
 func explain(calls []*Operation, info porcupine.LinearizationInfo) string {
 	ordered := longestOrder(info)
 	first := -1
--- a/internal/verification/linearizability/reduce.go
+++ b/internal/verification/linearizability/reduce.go
@@ -36,25 +36,25 @@
 // valid for the other read is valid for both. A rejection is omitted if another change on the same base was rejected at
 // the same revision during it and no call shows that the change itself was ever accepted. Otherwise, if forty changes
 // wait for a leader that rejects them all at once, the check would have to try an order for each subset of them.
-func (l *History) relevantOperations() (calls []*Operation) {
-	rejected, accepted := l.decidedChanges()
-	opened, reads, rejections := map[callIdentity]bool{}, l.readsByResult(), l.rejectionsByRevision()
-	for _, o := range l.operations {
+func (h *History) relevantOperations() (calls []*Operation) {
+	rejected, accepted := h.decidedChanges()
+	opened, reads, rejections := map[callIdentity]bool{}, h.readsByResult(), h.rejectionsByRevision()
+	for _, o := range h.operations {
 		switch o.outcome {
 		case noEffect:
 			continue
 		case returned:
-			if reads.containShorter(o) {
+			if reads.hasShorterDuring(o) {
 				continue
 			}
 		case stale:
-			if rejections.containShorter(o) {
+			if rejections.hasShorterDuring(o) {
 				continue
 			}
 		case open:
-			winner, decided := accepted[o.change.Base]
+			acceptedKey, decided := accepted[o.change.Base]
 			identity := callIdentity{o.change.identity(), o.change.Token}
-			if o.read || opened[identity] || rejected[o.change.identity()] || decided && winner != o.change.Key {
+			if o.read || opened[identity] || rejected[o.change.identity()] || decided && acceptedKey != o.change.Key {
 				continue
 			}
 			opened[identity] = true
@@ -65,9 +65,9 @@
 }
 
 // decidedChanges returns the changes that were rejected, and the keys of the accepted changes by their base.
-func (l *History) decidedChanges() (rejected map[changeIdentity]bool, accepted map[uint64]string) {
+func (h *History) decidedChanges() (rejected map[changeIdentity]bool, accepted map[uint64]string) {
 	rejected, accepted = map[changeIdentity]bool{}, map[uint64]string{}
-	for _, o := range l.operations {
+	for _, o := range h.operations {
 		switch {
 		case o.outcome == stale:
 			rejected[o.change.identity()] = true
@@ -78,7 +78,7 @@
 	return rejected, accepted
 }
 
-// spans reports whether the call other was sent and replied to during the call o, and was shorter.
+// spans reports whether the call other was sent and replied to during the call o, and took less time.
 func spans(o, other *Operation) bool {
 	return other.sentAt >= o.sentAt && other.repliedAt <= o.repliedAt && other.repliedAt-other.sentAt < o.repliedAt-o.sentAt
 }
@@ -92,9 +92,9 @@
 // readsByResult groups the reads that returned by their result.
 type readsByResult map[readResult][]*Operation
 
-func (l *History) readsByResult() readsByResult {
+func (h *History) readsByResult() readsByResult {
 	reads := readsByResult{}
-	for _, o := range l.operations {
+	for _, o := range h.operations {
 		if o.outcome == returned {
 			result := readResult{o.revision, o.value}
 			reads[result] = append(reads[result], o)
@@ -103,8 +103,8 @@
 	return reads
 }
 
-// containShorter reports whether a read with the same result as o started and ended during o, and was shorter.
-func (r readsByResult) containShorter(o *Operation) bool {
+// hasShorterDuring reports whether a read with the same result as o started and ended during o, and took less time.
+func (r readsByResult) hasShorterDuring(o *Operation) bool {
 	return slices.ContainsFunc(r[readResult{o.revision, o.value}], func(other *Operation) bool { return spans(o, other) })
 }
 
@@ -115,16 +115,16 @@
 // accepted, with their token or another one.
 type rejectionsByRevision map[rejection][]*Operation
 
-func (l *History) rejectionsByRevision() rejectionsByRevision {
+func (h *History) rejectionsByRevision() rejectionsByRevision {
 	accepted, acceptedTokens := map[changeIdentity]bool{}, map[string]bool{}
-	for _, o := range l.operations {
+	for _, o := range h.operations {
 		if o.outcome == acknowledged {
 			accepted[o.change.identity()] = true
 			acceptedTokens[o.change.Token] = o.change.Token != ""
 		}
 	}
 	rejections := rejectionsByRevision{}
-	for _, o := range l.operations {
+	for _, o := range h.operations {
 		if o.outcome == stale && o.revision != 0 && !accepted[o.change.identity()] && !acceptedTokens[o.change.Token] {
 			at := rejection{o.change.Base, o.revision}
 			rejections[at] = append(rejections[at], o)
@@ -133,9 +133,9 @@
 	return rejections
 }
 
-// containShorter reports whether r has the change o, and another change with the same rejection was sent and rejected
-// during o, and was shorter.
-func (r rejectionsByRevision) containShorter(o *Operation) bool {
+// hasShorterDuring reports whether r has the change o, and another change with the same rejection was sent and rejected
+// during o, and took less time.
+func (r rejectionsByRevision) hasShorterDuring(o *Operation) bool {
 	candidates := r[rejection{o.change.Base, o.revision}]
 	return slices.Contains(candidates, o) && slices.ContainsFunc(candidates, func(other *Operation) bool { return spans(o, other) })
 }
