--- a/cmd/mfsim/scenes.go
+++ b/cmd/mfsim/scenes.go
@@ -41,7 +41,7 @@
 		switch {
 		case world.Failure == "":
 			held++
-		case scene.ShownBy(world):
+		case scene.ViolatedIn(world):
 			shown++
 		}
 		if world.Failure != "" && held+shown <= shownPerSceneMax {
--- a/internal/controlplane/healthcheck.go
+++ b/internal/controlplane/healthcheck.go
@@ -76,7 +76,7 @@
 func (c *Controller) deferProbe(now time.Duration, t *target) {
 	spread := time.Duration(t.ShareOffset) * tuning.TickEvery % tuning.NewServiceProbeSpread
 	t.lastProbeAt = now - tuning.ProbeEvery + spread
-	stopped := t.heartbeatStreak.Count() >= tuning.AliveHeartbeatsMin && now-t.lastHeartbeatAt > tuning.NewServiceSilence
+	stopped := t.heartbeatStreak.Count() >= tuning.AliveHeartbeatsMin && now-t.lastHeartbeatAt > tuning.UnprobedHeartbeatTimeout
 	t.unconfirmed = t.unconfirmed || stopped
 }
 
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// reportLongWait logs, once per waiter, why a change is not in force after tuning.InForceUsual.
+// reportLongWait logs, once per waiter, why a change is not in force after tuning.UsualInForceTime.
 func (c *Controller) reportLongWait(now time.Duration, w *inForceWaiter) {
-	if w.call == nil || w.longWaitReported || now-w.waitingSince <= tuning.InForceUsual {
+	if w.call == nil || w.longWaitReported || now-w.waitingSince <= tuning.UsualInForceTime {
 		return
 	}
 	w.longWaitReported = true
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -22,9 +22,9 @@
 )
 
 // maintainMembers proposes the next membership change, if one is needed and this member may change the membership. It
-// reviews the membership every tuning.MembersEvery, and at once after a change has been committed.
+// reviews the membership every tuning.MembershipReviewEvery, and at once after a change has been committed.
 func (c *Controller) maintainMembers(now time.Duration) {
-	if !c.mayChangeMembers(now) || now-c.membersReviewedAt < tuning.MembersEvery && !c.memberChangePending {
+	if !c.mayChangeMembers(now) || now-c.membersReviewedAt < tuning.MembershipReviewEvery && !c.memberChangePending {
 		return
 	}
 	c.membersReviewedAt = now
--- a/internal/shared/tuning/change.go
+++ b/internal/shared/tuning/change.go
@@ -6,9 +6,9 @@
 const (
 	// ChangeTimeout is the time limit for a change. After it the response reports that the outcome is unknown.
 	ChangeTimeout = 6 * time.Second
-	// InForceUsual is the time within which a committed change is usually in force, even with a proxy that can send
+	// UsualInForceTime is the time within which a committed change is usually in force, even with a proxy that can send
 	// but not receive. If it takes longer, the reason for the wait is logged.
-	InForceUsual = 1600 * time.Millisecond
+	UsualInForceTime = 1600 * time.Millisecond
 	// PendingCallsKept is how long calls stay pending after the leader lost its leadership, in case it resumes: the
 	// duration of an election with one lost vote message. After it they get the response that the outcome is
 	// unknown.
--- a/internal/shared/tuning/healthcheck.go
+++ b/internal/shared/tuning/healthcheck.go
@@ -30,11 +30,11 @@
 	// ServingProbeIntervals is the maximum number of probe intervals between probes of a target that responds to
 	// requests. In fleets of at most ProbeAllMax targets, every target is probed at each interval.
 	ServingProbeIntervals = 3
-	// NewServiceSilence is how long a target of a service that is not in the configuration, and so is not probed, may
+	// UnprobedHeartbeatTimeout is how long a target of a service that is not in the configuration, and so is not probed, may
 	// send no heartbeat after steady ones before it counts as unconfirmed: slightly more than one interval.
-	NewServiceSilence = TargetHeartbeatEvery + 100*time.Millisecond
+	UnprobedHeartbeatTimeout = TargetHeartbeatEvery + 100*time.Millisecond
 	// NewServiceProbeSpread is the time over which the first probes are spread when a configuration adds the service.
-	// Together with NewServiceSilence it ensures that a target that has just died is ejected in time.
+	// Together with UnprobedHeartbeatTimeout it ensures that a target that has just died is ejected in time.
 	NewServiceProbeSpread = ProbeEvery / 2
 	// ProbeBodyMax is how much of the body of a probe's response is read, in bytes.
 	ProbeBodyMax = 4 << 10
--- a/internal/shared/tuning/membership.go
+++ b/internal/shared/tuning/membership.go
@@ -38,8 +38,8 @@
 	// VotersMax is the number of voting members to which a control plane grows if no size is configured. With it any
 	// three machines, or a domain of three, may fail, and an entry needs a sync by only four members.
 	VotersMax = 7
-	// MembersEvery is how often a leader checks the members while no change of the membership is in progress.
-	MembersEvery = HeartbeatEvery
+	// MembershipReviewEvery is how often a leader checks the members while no change of the membership is in progress.
+	MembershipReviewEvery = HeartbeatEvery
 	// CatchUpDefault is the time after the start of a replacement within which the control plane must be able to
 	// survive the next loss, unless the settings give another time.
 	CatchUpDefault = 8 * time.Second
--- a/internal/shared/tuning/sums_test.go
+++ b/internal/shared/tuning/sums_test.go
@@ -24,7 +24,7 @@
 		{"the end of a lease at the proxy, before the leader counts it as expired after the pull", drift(ProxyLease) + TickEvery, ProxyLease + LeaseMargin},
 		{"the end of a leader's lease, before the next election timeout", drift(LeaderLease) + TickEvery, ElectionTimeoutMin},
 		{"a leader with a stalled disk stops deciding, before the next election timeout", SyncStall + TickEvery, ElectionTimeoutMin},
-		{"from a target's death to its ejection, if its service is added to the configuration in between", NewServiceSilence + NewServiceProbeSpread + ProbeEvery + ProbeTimeout + push, 2 * time.Second},
+		{"from a target's death to its ejection, if its service is added to the configuration in between", UnprobedHeartbeatTimeout + NewServiceProbeSpread + ProbeEvery + ProbeTimeout + push, 2 * time.Second},
 		{"the response of an indirect probe, before the leader's own probe times out", IndirectAfter + 2*TickEvery + push, ProbeTimeout},
 		{"three lost heartbeats, before the heartbeat timeout", 3*TargetHeartbeatEvery + TickEvery, TargetHeartbeatTimeout},
 		{"two rounds of peer lease requests, before half the leader's lease is over", PullEvery*2 + TickEvery, ProxyLease / 2},
@@ -51,13 +51,13 @@
 		shortest = 4 * time.Second
 		change   = 100 * time.Millisecond // two syncs and a round trip, with room
 	)
-	changes := 3*MembersEvery + 2*change
+	changes := 3*MembershipReviewEvery + 2*change
 	for _, c := range []struct {
 		what string
 		sum  time.Duration
 		max  time.Duration
 	}{
-		{"the loss of a follower", shortest/ReplacementDivisor + MembersEvery + changes, shortest},
+		{"the loss of a follower", shortest/ReplacementDivisor + MembershipReviewEvery + changes, shortest},
 		{"the loss of the leader, with a split vote", 2*(ElectionTimeoutMin+ElectionTimeoutSpread) + NewLeaderGrace + changes, shortest},
 		{"hellos of all members, before a new leader counts silent ones as lost", 3*HelloEvery + TickEvery, NewLeaderGrace},
 		{"three lost hellos and a late one, before a replacement", 4*HelloEvery + TickEvery, ReplaceAfterMin},
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// ShownBy reports whether the run in w violated one of the scene's rules.
-func (s *Scene) ShownBy(w *World) bool {
+// ViolatedIn reports whether the run in w violated one of the scene's rules.
+func (s *Scene) ViolatedIn(w *World) bool {
 	rule, _, _ := strings.Cut(w.Failure, ":")
 	return w.Failure != "" && slices.Contains(s.Rules, Rule(rule))
 }
--- a/internal/verification/simulator/scenes_test.go
+++ b/internal/verification/simulator/scenes_test.go
@@ -34,7 +34,7 @@
 			var seen []string
 			for seed := range uint64(30) {
 				w := s.Run(seed+1, Small, true)
-				if s.ShownBy(w) {
+				if s.ViolatedIn(w) {
 					t.Logf("seed %d: %s", w.Seed, w.Failure)
 					return
 				}
