--- a/cmd/mfbackend/faults.go
+++ b/cmd/mfbackend/faults.go
@@ -80,7 +80,7 @@
 	case faultLose, faultHalf, faultGarbage:
 		f.respondBroken(w, body)
 	case faultFail:
-		daemon.WriteJSON(w, http.StatusInternalServerError, failure{Error: "asked to fail", ID: response.ID, Service: response.Service})
+		daemon.WriteJSON(w, http.StatusInternalServerError, failure{Error: "failure injected on request", ID: response.ID, Service: response.Service})
 	default:
 		setBodyHeaders(w.Header(), body)
 		w.Write(body)
--- a/cmd/mfbackend/server.go
+++ b/cmd/mfbackend/server.go
@@ -173,7 +173,7 @@
 	defer cancel()
 	if !b.acquireSlot(ctx) {
 		if r.Context().Err() == nil {
-			b.reject(w, r, http.StatusServiceUnavailable, "the time given is over")
+			b.reject(w, r, http.StatusServiceUnavailable, "no slot became free before the deadline")
 		}
 		return
 	}
@@ -186,7 +186,7 @@
 	echoAttempt(w, r)
 	b.setLoad(w.Header())
 	if !inTime {
-		daemon.WriteJSON(w, http.StatusGatewayTimeout, failure{Error: "not done in the time given", ID: entry.ID, Service: entry.Service})
+		daemon.WriteJSON(w, http.StatusGatewayTimeout, failure{Error: "the deadline expired before the request was completed", ID: entry.ID, Service: entry.Service})
 		return
 	}
 	fault.respond(w, b.response(r, entry, body))
@@ -210,11 +210,11 @@
 // no capacity.
 func (b *backend) admit(w http.ResponseWriter, r *http.Request) bool {
 	if expected := r.Header.Get(headers.ExpectTarget); expected != "" && expected != b.name {
-		b.reject(w, r, http.StatusMisdirectedRequest, "this is "+b.name)
+		b.reject(w, r, http.StatusMisdirectedRequest, "the request is intended for another target; this is "+b.name)
 		return false
 	}
 	if b.waiting.Load() >= b.slots {
-		b.reject(w, r, http.StatusServiceUnavailable, "no room")
+		b.reject(w, r, http.StatusServiceUnavailable, "no free capacity")
 		return false
 	}
 	return true
--- a/internal/controlplane/activeconfig.go
+++ b/internal/controlplane/activeconfig.go
@@ -26,7 +26,7 @@
 	if parsed == nil || !bytes.Equal(c.lastCheckedConfig.document, c.state.Document) {
 		var err error
 		if parsed, _, err = outlier.ParseConfig(c.state.Document); err != nil {
-			c.abstainAfterDecodeError(fmt.Sprintf("configuration %d", c.state.Revision), err)
+			c.abstainAfterDecodeError(fmt.Sprintf("configuration of revision %d", c.state.Revision), err)
 			if c.activeConfig == nil {
 				c.activeConfig = &config.Config{} // placeholder until the end of this step, when leadership is revoked
 			}
--- a/internal/controlplane/admission.go
+++ b/internal/controlplane/admission.go
@@ -61,7 +61,7 @@
 	}
 	for _, incumbent := range conflicting {
 		id := incumbent.ID()
-		c.removeTarget(now, id, "superseded by another start, or at its address by another target")
+		c.removeTarget(now, id, "superseded by another incarnation, or by another target at its address")
 		c.tombstones[id] = now
 		sameTarget := id.Service == claimant.Service && id.Name == claimant.Name
 		claimant.addressReused = claimant.addressReused || incumbent.Addr == claimant.Addr && !sameTarget
@@ -96,7 +96,7 @@
 	t.ShareOffset = c.shareOffset(id)
 	c.targets[id] = t
 	if c.leavingTargets[id] != 0 {
-		c.drainTarget(now, t, "it was leaving when it fell silent")
+		c.drainTarget(now, t, "it was leaving when contact with it was lost")
 	}
 	// A proxy that still uses an earlier table would send this target the requests meant for the previous target at its
 	// address. The target gets no requests until every such table is out of use.
--- a/internal/controlplane/answer.go
+++ b/internal/controlplane/answer.go
@@ -88,7 +88,7 @@
 		return
 	}
 	c.reject(call, 504, config.ErrorBody{Code: "unknown", Ran: config.RanUnknown, ID: call.token,
-		Message: "it cannot be told whether the change was agreed or is in force everywhere; ask for it by its id"})
+		Message: "it is unknown whether the change was committed or is in force everywhere; look it up by its id"})
 }
 
 // rejectInvalid rejects a change that is not JSON (err is set) or whose content has faults.
@@ -98,7 +98,7 @@
 		c.reject(call, 400, config.ErrorBody{Code: "not_json", Message: err.Error()})
 		return
 	}
-	c.reject(call, 422, config.ErrorBody{Code: "invalid", Message: fmt.Sprintf("%d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision})
+	c.reject(call, 422, config.ErrorBody{Code: "invalid", Message: fmt.Sprintf("the change has %d faults; nothing was changed", len(faults)), Faults: faults, Revision: c.state.Revision})
 }
 
 // acceptedAnswer is a response body. Its keys are in alphabetical order.
@@ -116,26 +116,26 @@
 // staleBaseReply rejects a change that is based on a revision other than the current one.
 func (c *Controller) staleBaseReply(token string) statemachine.Reply {
 	return reply.Problem(412, config.ErrorBody{Code: "stale", Revision: c.state.Revision, ID: token,
-		Message: fmt.Sprintf("built on another revision than the present %d; nothing was changed", c.state.Revision)})
+		Message: fmt.Sprintf("based on a revision other than the current %d; nothing was changed", c.state.Revision)})
 }
 
 // noLeaderReply rejects a call while no leader can execute it.
 func noLeaderReply() statemachine.Reply {
-	return reply.Problem(503, config.ErrorBody{Code: "no_leader", Message: "no leader that a majority has heard; nothing was changed"})
+	return reply.Problem(503, config.ErrorBody{Code: "no_leader", Message: "no leader is in contact with a majority; nothing was changed"})
 }
 
 // notPropagatedReply answers a target's report that has not reached a majority of the proxies in time, and asks the
 // target to send it again, to any daemon.
 func notPropagatedReply() statemachine.Reply {
-	return reply.Problem(503, config.ErrorBody{Code: "unheard", Message: "no leader has made this known to most proxies in time; say it again, to any daemon"})
+	return reply.Problem(503, config.ErrorBody{Code: "unheard", Message: "no leader confirmed in time that the report reached a majority of the proxies; send it again, to any daemon"})
 }
 
 // busyReply rejects a change while too many proposed bytes are not committed yet (see tuning.ProposedBytesMax).
 func busyReply() statemachine.Reply {
-	return reply.Problem(503, config.ErrorBody{Code: "busy", Message: "too much is waiting to be agreed; nothing was changed"})
+	return reply.Problem(503, config.ErrorBody{Code: "busy", Message: "too much proposed data is not committed yet; nothing was changed"})
 }
 
 // tooLargeReply rejects a configuration larger than tuning.DocumentMax bytes.
 func tooLargeReply() statemachine.Reply {
-	return reply.Problem(413, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
+	return reply.Problem(413, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("the configuration or the change exceeds %d bytes", tuning.DocumentMax)})
 }
--- a/internal/controlplane/apiroutes.go
+++ b/internal/controlplane/apiroutes.go
@@ -147,7 +147,7 @@
 func (c *Controller) answerChange(request *apiRequest) {
 	record := c.state.FindRecord(request.path.name)
 	if record == nil {
-		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Ran: config.RanUnknown, Message: "no such change has been agreed so far"})
+		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Ran: config.RanUnknown, Message: "no change with this id has been committed so far"})
 		return
 	}
 	withoutDocument := *record
@@ -182,7 +182,7 @@
 func (c *Controller) changeDomain(request *apiRequest) {
 	domain := request.path.name
 	if !slices.Contains(c.failureDomains(), domain) && !slices.Contains(c.state.EmptiedDomains, domain) {
-		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("no target or proxy stands in domain %q", domain)})
+		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: fmt.Sprintf("no target or proxy is in domain %q", domain)})
 		return
 	}
 	c.proposeChange(request.now, request.call, state.Command{Operation: state.Operation(request.path.action), Name: domain})
@@ -193,11 +193,11 @@
 func (c *Controller) forgetProxy(request *apiRequest) {
 	name := request.path.name
 	if !c.isProxyMember(name) {
-		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: "no such proxy in the roster"})
+		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: "no such proxy in the proxy membership"})
 		return
 	}
 	if proxy := c.proxies[name]; proxy != nil && request.now-proxy.lastPullAt < tuning.ProxyLive {
-		c.reject(request.call, 409, config.ErrorBody{Code: "alive", Message: "that proxy is still asking for its table"})
+		c.reject(request.call, 409, config.ErrorBody{Code: "alive", Message: "that proxy is still pulling its table"})
 		return
 	}
 	c.proposeChange(request.now, request.call, state.Command{Operation: state.OpForgetProxy, Name: name})
@@ -207,11 +207,11 @@
 func (c *Controller) addMember(request *apiRequest) {
 	name := request.path.name
 	if slices.Contains(namesOf(c.node.Members()), name) {
-		c.reject(request.call, 409, config.ErrorBody{Code: "member", Message: name + " is a member"})
+		c.reject(request.call, 409, config.ErrorBody{Code: "member", Message: name + " is already a member"})
 		return
 	}
 	if peer := c.directory[name]; peer == nil || peer.Kind != wire.ControlDaemon {
-		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: "no core daemon of that name has been heard"})
+		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: "no control daemon of that name is known"})
 		return
 	}
 	c.proposeChange(request.now, request.call, state.Command{Operation: state.OpAddMember, Name: name})
@@ -224,11 +224,11 @@
 	i := slices.IndexFunc(members, func(m wire.Member) bool { return m.Name == name })
 	switch {
 	case i < 0:
-		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: name + " is no member"})
+		c.reject(request.call, 404, config.ErrorBody{Code: "not_found", Message: name + " is not a member"})
 	case len(members) == 1 || !c.node.CanChangeMembers():
-		c.reject(request.call, 409, config.ErrorBody{Code: "busy", Message: "the last member stays, and changes of members go one at a time"})
+		c.reject(request.call, 409, config.ErrorBody{Code: "busy", Message: "the last member cannot be removed, and only one membership change may be in progress at a time"})
 	case name == c.settings.Self.Name:
-		c.reject(request.call, 503, config.ErrorBody{Code: "leading", Message: name + " leads; it hands leadership over first and nothing was changed; ask again"})
+		c.reject(request.call, 503, config.ErrorBody{Code: "leading", Message: name + " is the leader and transfers leadership first; nothing was changed; retry"})
 		c.node.TransferLeadership(request.now)
 	default:
 		command := state.Command{Operation: state.OpRemoveMember, Name: name}
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -59,7 +59,7 @@
 // discardInitialState drops a committed initial state of the epoch that could not be decoded. The leader then proposes
 // another recovered state; it proposes an empty one only if an operator allows that.
 func (c *Controller) discardInitialState(index uint64) {
-	c.ReportDamage("state offered for this epoch", errors.Newf("entry %d does not decode", index))
+	c.ReportDamage("initial state proposed for this epoch", errors.Newf("entry %d cannot be decoded", index))
 	c.initialStateProposed, c.recoveredState, c.unreadableRecoveredState = false, state.RecoveredState{}, true
 }
 
--- a/internal/controlplane/configapi.go
+++ b/internal/controlplane/configapi.go
@@ -102,7 +102,7 @@
 	}
 	base, ok := queryNumber(request.query, "base")
 	if !ok {
-		c.reject(call, 428, config.ErrorBody{Code: "base_missing", Message: "name the revision this was built on: base=N or If-Match", Revision: c.state.Revision})
+		c.reject(call, 428, config.ErrorBody{Code: "base_missing", Message: "the base revision is missing: set base=N or If-Match", Revision: c.state.Revision})
 		return nil
 	}
 	canonical, err := config.Canonical(text)
@@ -171,7 +171,7 @@
 	}
 	parsed, faults, err := outlier.ParseConfig(document)
 	if err == nil && parsed.Revision != 0 && parsed.Revision <= c.state.Revision {
-		faults = append(faults, config.Fault{Path: "revision", Text: fmt.Sprintf("not above the present %d", c.state.Revision)})
+		faults = append(faults, config.Fault{Path: "revision", Text: fmt.Sprintf("must be greater than the current revision %d", c.state.Revision)})
 	}
 	if err != nil || len(faults) > 0 {
 		c.rejectInvalid(change.call, faults, err)
--- a/internal/controlplane/consensus/persistentstate.go
+++ b/internal/controlplane/consensus/persistentstate.go
@@ -93,7 +93,7 @@
 	next := s.Snapshot.Index + 1
 	for _, e := range s.Log {
 		if e.Index != next {
-			return errors.Newf("log entry %d where %d is due", e.Index, next)
+			return errors.Newf("log has entry %d where entry %d is expected", e.Index, next)
 		}
 		next++
 		if e.Kind != EntryMembers {
@@ -101,7 +101,7 @@
 		}
 		var members []wire.Member
 		if err := json.Unmarshal(e.Data, &members); err != nil {
-			return errors.Wrapf(err, "members entry %d", e.Index)
+			return errors.Wrapf(err, "decode membership change entry %d", e.Index)
 		}
 	}
 	return nil
--- a/internal/controlplane/gather.go
+++ b/internal/controlplane/gather.go
@@ -26,7 +26,7 @@
 			continue
 		}
 		if row.Draining {
-			c.drainTarget(now, t, "a proxy's table holds it")
+			c.drainTarget(now, t, "it is draining in a proxy's table")
 		}
 		t.warmupEnd = max(t.warmupEnd, now+time.Duration(row.WarmupLeft))
 		c.warmUpAfterRestore(t)
@@ -66,7 +66,7 @@
 	t.EjectionLeft, t.EjectedBy, t.Draining, t.WarmupLeft = 0, "", false, 0
 	c.targets[id] = t
 	if c.leavingTargets[id] != 0 {
-		c.drainTarget(now, t, "it was leaving, as agreed")
+		c.drainTarget(now, t, "it was recorded as leaving")
 	}
 	c.recordShareOffset(row.Service, row.Name, row.ShareOffset)
 }
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -119,7 +119,7 @@
 	var recovered state.RecoveredState
 	if err := json.Unmarshal(c.persistentState.RecoveredState, &recovered); err != nil {
 		c.unreadableRecoveredState = true
-		c.ReportDamage("memory of an earlier epoch on this disk", err)
+		c.ReportDamage("recovered state of an earlier epoch on this disk", err)
 		return
 	}
 	c.addRecovered(recovered)
--- a/internal/controlplane/outlierdetection.go
+++ b/internal/controlplane/outlierdetection.go
@@ -26,7 +26,7 @@
 			c.evaluateHeartbeatGap(now, t)
 		}
 		if now-t.lastAliveAt > tuning.TargetExpiry {
-			c.removeTarget(now, id, "silent and unreachable")
+			c.removeTarget(now, id, "no heartbeats and no answered probes")
 		}
 	}
 }
--- a/internal/controlplane/recoveredstate.go
+++ b/internal/controlplane/recoveredstate.go
@@ -67,7 +67,7 @@
 	}
 	latest := proxyRecoveredState{RecoveredState: recovered}
 	if decoded, err := state.Decode(recovered.State); err != nil {
-		c.ReportDamage("memory of proxy "+proxy, err)
+		c.ReportDamage("recovered state from proxy "+proxy, err)
 	} else if len(decoded.Members) > 0 {
 		latest.members = discovery.Membership{Epoch: recovered.Epoch, Index: recovered.Index, Members: decoded.Members}
 	}
@@ -85,7 +85,7 @@
 	}
 	if _, err := state.DecodeRecovered(recovered); err != nil {
 		c.unreadableRecoveredState = true
-		c.ReportDamage(fmt.Sprintf("memory of epoch %d, entry %d", recovered.Epoch, recovered.Index), err)
+		c.ReportDamage(fmt.Sprintf("recovered state of epoch %d, entry %d", recovered.Epoch, recovered.Index), err)
 		return
 	}
 	c.recoveredState = recovered
--- a/internal/controlplane/recovery.go
+++ b/internal/controlplane/recovery.go
@@ -66,9 +66,9 @@
 	founders := survey.eligibleFounders(visible)
 	switch {
 	case 2*len(founders) <= survey.size:
-		return reply.Problem(409, config.ErrorBody{Code: "may_live", Message: fmt.Sprintf("%d of %d machines are seen, and the others may be a living majority; name those that are gone for good; nothing was changed", len(founders), survey.size)})
+		return reply.Problem(409, config.ErrorBody{Code: "may_live", Message: fmt.Sprintf("%d of %d machines are visible, and the others may still form a majority; name those that are permanently lost; nothing was changed", len(founders), survey.size)})
 	case survey.canElect():
-		return reply.Problem(409, config.ErrorBody{Code: "living", Message: fmt.Sprintf("%d of %d members are here with their disks and can elect a leader; nothing was changed", survey.withDisk, len(survey.last.Members))})
+		return reply.Problem(409, config.ErrorBody{Code: "living", Message: fmt.Sprintf("%d of %d members are visible with their disks and can elect a leader; nothing was changed", survey.withDisk, len(survey.last.Members))})
 	}
 	c.recoveryConsent = discovery.RecoveryConsent{Granted: true, LostMembers: lostMembers, GrantedAt: now}
 	answer := recoveryAnswer{LostDisks: survey.lostDisk, Unreachable: survey.unreachable, Recovering: true, Visible: len(founders)}
@@ -80,13 +80,13 @@
 // neither is so.
 func (c *Controller) checkConsent(now time.Duration, visible []wire.Daemon, lostMembers []string) *statemachine.Reply {
 	if name := c.daemonWithLeader(now, visible); name != "" {
-		rejection := reply.Problem(409, config.ErrorBody{Code: "living", Message: name + " hears a leader; nothing was changed"})
+		rejection := reply.Problem(409, config.ErrorBody{Code: "living", Message: name + " is in contact with a leader; nothing was changed"})
 		return &rejection
 	}
 	for _, name := range lostMembers {
 		peer := c.directory[name]
 		if name == c.settings.Self.Name || peer != nil && now-peer.LastContact < tuning.DaemonExpiry {
-			rejection := reply.Problem(409, config.ErrorBody{Code: "alive", Message: fmt.Sprintf("%s was heard less than %v ago; nothing was changed", name, tuning.DaemonExpiry)})
+			rejection := reply.Problem(409, config.ErrorBody{Code: "alive", Message: fmt.Sprintf("there was contact with %s less than %v ago; nothing was changed", name, tuning.DaemonExpiry)})
 			return &rejection
 		}
 	}
--- a/internal/controlplane/storedstate.go
+++ b/internal/controlplane/storedstate.go
@@ -51,7 +51,7 @@
 	beginsEpoch := command.Operation == state.OpRecover && !stored.Recovered
 	stored.Apply(entry.Index, command)
 	if beginsEpoch && !stored.Recovered {
-		return errors.Mark(errors.New("the epoch's first state does not decode"), state.ErrDamaged)
+		return errors.Mark(errors.New("the initial state of the epoch cannot be decoded"), state.ErrDamaged)
 	}
 	return nil
 }
--- a/internal/controlplane/target.go
+++ b/internal/controlplane/target.go
@@ -130,7 +130,7 @@
 func (c *Controller) advanceState(now time.Duration, t *target, reported wire.TargetState) {
 	switch {
 	case reported == wire.TargetLeaving:
-		c.drainTarget(now, t, "a beat says leaving")
+		c.drainTarget(now, t, "a heartbeat reports that it is leaving")
 	case reported == wire.TargetReady && !t.Draining:
 		t.State = reported
 	}
--- a/internal/controlplane/targetview.go
+++ b/internal/controlplane/targetview.go
@@ -43,19 +43,19 @@
 func (c *Controller) explainTarget(t *target, view TargetView) string {
 	switch {
 	case t.Draining:
-		return "held: it said that it is leaving"
+		return "draining: it reported that it is leaving"
 	case view.EjectionPolicy != "":
-		return fmt.Sprintf("barred by policy %s: %s", view.EjectionPolicy, c.detector.Stats()[view.EjectionPolicy].Policy.When)
+		return fmt.Sprintf("ejected by policy %s: %s", view.EjectionPolicy, c.detector.Stats()[view.EjectionPolicy].Policy.When)
 	case t.unconfirmed:
-		return "known by hearsay: not served until it has answered for itself"
+		return "unconfirmed: no requests until it answers or sends steady heartbeats"
 	case t.Pending:
-		return "pending: its address's earlier target is not yet out of every table"
+		return "pending: an earlier target at its address is not yet out of every proxy's table"
 	case slices.Contains(c.state.EmptiedDomains, t.Domain):
-		return "its domain is emptied"
+		return "its failure domain is emptied"
 	case t.State == wire.TargetWarming:
-		return "warming: up to its share"
+		return "warming: limited to its share"
 	case view.WarmupLeft > 0:
-		return "cold: up to its service's cold rate"
+		return "warming up: limited to its service's warm-up rate (cold_per_s)"
 	}
 	return "serving"
 }
--- a/internal/controlplane/undecodable.go
+++ b/internal/controlplane/undecodable.go
@@ -18,7 +18,7 @@
 
 // abstainAfterDecodeError reports committed data that could not be decoded, and makes this member abstain.
 func (c *Controller) abstainAfterDecodeError(subject string, err error) {
-	c.ReportDamage("agreed "+subject, err)
+	c.ReportDamage("committed "+subject, err)
 	if c.undecodable == nil {
 		c.undecodable = errors.Mark(errors.Wrap(err, subject), state.ErrDamaged)
 	}
--- a/internal/controlplane/wal/recovery.go
+++ b/internal/controlplane/wal/recovery.go
@@ -57,7 +57,7 @@
 	}
 	if lastValid >= int64(len(records)) {
 		// Each write is synced before the next one begins, so the damaged records before a valid one were acknowledged.
-		return nil, 0, errors.Wrapf(ErrDamaged, "unsound at byte %d, but record %d of generation %d behind it is sound", end, lastValid, generation)
+		return nil, 0, errors.Wrapf(ErrDamaged, "no valid record at byte %d, but record %d of generation %d after it is valid", end, lastValid, generation)
 	}
 	return records, next, nil
 }
--- a/internal/controlplane/wal/wal.go
+++ b/internal/controlplane/wal/wal.go
@@ -27,7 +27,7 @@
 var ErrDamaged = errors.New("ring damaged")
 
 // ErrTooLarge marks the error for a checkpoint that doesn't fit into a segment. Rotate fails until the state is smaller.
-var ErrTooLarge = errors.New("state larger than a segment of the write-ahead log")
+var ErrTooLarge = errors.New("checkpoint does not fit into a segment of the write-ahead log")
 
 // noSegment is the value of Log.current before the first checkpoint.
 const noSegment = -1
@@ -126,7 +126,7 @@
 	}
 	for i := len(l.segments) - 1; i >= 0; i-- {
 		if s := l.segments[i]; s.isShort() {
-			return nil, errors.Wrapf(ErrDamaged, "%s is missing or short beside generation %d", s.file.Name(), l.generation)
+			return nil, errors.Wrapf(ErrDamaged, "%s is missing or shorter than allocated, but the log has records of generation %d", s.file.Name(), l.generation)
 		}
 	}
 	current := l.segments[l.current]
--- a/internal/controlplane/wal/write.go
+++ b/internal/controlplane/wal/write.go
@@ -35,7 +35,7 @@
 func (l *Log) Rotate(checkpoint []byte) error {
 	size := headerSize + int64(len(checkpoint))
 	if size > l.segmentSize/2 {
-		return errors.Wrapf(ErrTooLarge, "%d bytes, half a segment is %d", len(checkpoint), l.segmentSize/2)
+		return errors.Wrapf(ErrTooLarge, "checkpoint of %d bytes and its header exceed half a segment, %d bytes", len(checkpoint), l.segmentSize/2)
 	}
 	next := (l.current + 1) % len(l.segments)
 	header := newHeader(singleRecord, l.generation+1, 0, checkpoint)
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -140,7 +140,7 @@
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.DocumentMax+1))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		writeError(w, http.StatusRequestEntityTooLarge, 0, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("at most %d bytes", tuning.DocumentMax)})
+		writeError(w, http.StatusRequestEntityTooLarge, 0, config.ErrorBody{Code: "too_large", Message: fmt.Sprintf("the request body exceeds %d bytes", tuning.DocumentMax)})
 	}
 	return body, err == nil
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -104,7 +104,7 @@
 		return nil, exitUsage
 	}
 	if *check {
-		fmt.Println("settings are sound")
+		fmt.Println("settings are valid")
 		return nil, exitOK
 	}
 	limitMemory(loaded.Settings)
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -93,13 +93,13 @@
 	s := sessions[id]
 	switch {
 	case id != "" && s == nil:
-		return nil, &sessionError{http.StatusNotFound, "no such stream is kept; begin anew"}
+		return nil, &sessionError{http.StatusNotFound, "the session does not exist or has expired; open a new one"}
 	case id != "" && s.releasedAt.IsZero():
-		return nil, &sessionError{http.StatusConflict, "that stream has its reader"}
+		return nil, &sessionError{http.StatusConflict, "the session is in use by another request"}
 	case id != "":
 		s.releasedAt = time.Time{}
 	case len(sessions) >= tuning.SessionsMax:
-		return nil, &sessionError{http.StatusServiceUnavailable, fmt.Sprintf("%d streams are open", tuning.SessionsMax)}
+		return nil, &sessionError{http.StatusServiceUnavailable, fmt.Sprintf("too many open sessions: %d", tuning.SessionsMax)}
 	default:
 		s = &session{Session: outlier.NewSession(&config.Config{}), id: fmt.Sprintf("%016x", rand.Uint64())}
 		sessions[s.id] = s
@@ -122,7 +122,7 @@
 func (s *Sessions) open(id string) (*session, *sessionError) {
 	reply := make(chan sessionReply, 1)
 	if !s.request(sessionRequest{id: id, reply: reply}) {
-		return nil, &sessionError{http.StatusServiceUnavailable, "the daemon stops"}
+		return nil, &sessionError{http.StatusServiceUnavailable, "the daemon is stopping"}
 	}
 	r := <-reply
 	return r.session, r.err
--- a/internal/daemon/stream.go
+++ b/internal/daemon/stream.go
@@ -113,7 +113,7 @@
 func (r *streamReader) offer(line streamRecord) {
 	if r.dropped > 0 {
 		select {
-		case r.lines <- streamRecord{Term: line.Term, Seq: line.Seq, Missed: r.dropped, Note: "the reader was too slow"}:
+		case r.lines <- streamRecord{Term: line.Term, Seq: line.Seq, Missed: r.dropped, Note: "lines were dropped because the reader was too slow"}:
 			r.dropped = 0
 		default:
 		}
@@ -136,7 +136,7 @@
 		}
 		if gap {
 			missed := max(1, line.Seq-min(line.Seq, last.seq+1))
-			r.offer(streamRecord{Term: line.Term, Seq: line.Seq, Missed: missed, Note: "lines before this one are no longer kept here, or stood with another leader"})
+			r.offer(streamRecord{Term: line.Term, Seq: line.Seq, Missed: missed, Note: "earlier lines are no longer kept here, or were published by another leader"})
 			gap = false
 		}
 		r.offer(line)
@@ -170,7 +170,7 @@
 func (s *EventStream) Serve(w http.ResponseWriter, r *http.Request) {
 	after, err := parseFrom(r.URL.Query().Get("from"))
 	if err != nil {
-		writeError(w, http.StatusBadRequest, 0, config.ErrorBody{Code: "bad_request", Message: "from is term.seq of the last line read"})
+		writeError(w, http.StatusBadRequest, 0, config.ErrorBody{Code: "bad_request", Message: "from must be the term.seq of the last line read"})
 		return
 	}
 	w.Header().Set("Content-Type", "application/jsonl")
--- a/internal/dataplane/invalidtable.go
+++ b/internal/dataplane/invalidtable.go
@@ -22,14 +22,14 @@
 func readConfiguration(table *wire.Table) (*config.Config, error) {
 	document, err := wire.Decompress(table.Document)
 	if err != nil {
-		return nil, errors.Wrap(err, "configuration not decompressed")
+		return nil, errors.Wrap(err, "decompress the configuration")
 	}
 	configuration, faults, err := outlier.ParseConfig(document)
 	if err != nil {
-		return nil, errors.Wrap(err, "configuration not decoded")
+		return nil, errors.Wrap(err, "decode the configuration")
 	}
 	if len(faults) > 0 {
-		return nil, errors.Newf("configuration invalid: %v", faults)
+		return nil, errors.Newf("invalid configuration: %v", faults)
 	}
 	return configuration, nil
 }
--- a/internal/dataplane/rejection.go
+++ b/internal/dataplane/rejection.go
@@ -16,15 +16,15 @@
 
 // Rejections, by reason.
 var (
-	rejectedNoRule      = rejection{statemachine.StatusNotFound, "no_rule", "no rule for this host and path"}
-	rejectedNotServing  = rejection{statemachine.StatusServiceUnavailable, "not_serving", "this proxy has no fresh table"}
-	rejectedStopping    = rejection{statemachine.StatusServiceUnavailable, "stopping", "this proxy is stopping and takes no more such requests"}
-	rejectedDeadline    = rejection{statemachine.StatusServiceUnavailable, "late", "it could not be answered in time"}
+	rejectedNoRule      = rejection{statemachine.StatusNotFound, "no_rule", "no route or rule for this host and path"}
+	rejectedNotServing  = rejection{statemachine.StatusServiceUnavailable, "not_serving", "this proxy has no up-to-date table"}
+	rejectedStopping    = rejection{statemachine.StatusServiceUnavailable, "stopping", "this proxy is shutting down and may not finish the request in time"}
+	rejectedDeadline    = rejection{statemachine.StatusServiceUnavailable, "late", "the request cannot be answered before its deadline"}
 	rejectedBusy        = rejection{statemachine.StatusServiceUnavailable, "busy", "every target of the service is busy"}
-	rejectedNoTarget    = rejection{statemachine.StatusServiceUnavailable, "no_target", "no target of the service may be used"}
-	rejectedNoAttempt   = rejection{statemachine.StatusServiceUnavailable, "tries", "no try is left"}
+	rejectedNoTarget    = rejection{statemachine.StatusServiceUnavailable, "no_target", "the service has no eligible target"}
+	rejectedNoAttempt   = rejection{statemachine.StatusServiceUnavailable, "tries", "no attempts are left"}
 	rejectedRetryBudget = rejection{statemachine.StatusServiceUnavailable, "retry_budget", "the service's retry budget is used up"}
-	rejectedMayHaveRun  = rejection{statemachine.StatusBadGateway, "may_have_run", "it may have run and must not run again"}
+	rejectedMayHaveRun  = rejection{statemachine.StatusBadGateway, "may_have_run", "the request may have run and must not be retried"}
 )
 
 // reject ends a request with the given response.
--- a/internal/dataplane/reverseproxy/errors.go
+++ b/internal/dataplane/reverseproxy/errors.go
@@ -24,12 +24,12 @@
 // Errors in callers' requests.
 var (
 	errHeaderTooLarge = &requestError{status: http.StatusRequestHeaderFieldsTooLarge, code: "header", message: "the header is too large"}
-	errNotForwardable = badRequest("neither tunnels nor paths that could be read two ways are carried")
+	errNotForwardable = badRequest("CONNECT and TRACE requests and ambiguous paths are not forwarded")
 	errBodyIncomplete = badRequest("the body ended early")
-	errBodyTooLarge   = &requestError{status: http.StatusRequestEntityTooLarge, code: "body", message: "the body is over the service's limit"}
+	errBodyTooLarge   = &requestError{status: http.StatusRequestEntityTooLarge, code: "body", message: "the body exceeds the service's size limit"}
 	errBodyTimeout    = &requestError{
 		status: http.StatusRequestTimeout, retryAfter: tuning.RetryAfterMin,
-		code: "late", message: "the body did not come in the time that the caller gave",
+		code: "late", message: "the body did not arrive before the request's deadline",
 	}
 )
 
@@ -52,22 +52,22 @@
 var (
 	errNoConnection     = &attemptError{"closed", "no connection to the target"}
 	errConnectionClosed = &attemptError{"closed", "the connection to the target was closed"}
-	errConnectDeadline  = &attemptError{"late", "the deadline came before a connection to the target"}
-	errChoiceExpired    = &attemptError{"stale", "the choice of a target grew too old before anything was sent"}
-	errWrongIdentity    = &attemptError{"foreign", "the target's address answers for another"}
+	errConnectDeadline  = &attemptError{"late", "the deadline passed before a connection to the target was open"}
+	errChoiceExpired    = &attemptError{"stale", "the choice of a target expired before anything was sent"}
+	errWrongIdentity    = &attemptError{"foreign", "another target responded at the target's address"}
 )
 
 // Errors that occur after part of the request was written.
 var (
-	errResponseLost       = &attemptError{"lost", "the target's answer was lost"}
-	errResponseTruncated  = &attemptError{"lost", "the target's answer was cut"}
-	errResponseDeadline   = &attemptError{"late", "no answer within the deadline"}
-	errMismatchedID       = &attemptError{"strange", "the target's answer is another exchange's"}
-	errUnverifiedResponse = &attemptError{"strange", "the target's answer is not its own"}
-	errTargetUnreachable  = &attemptError{"dark", "nothing reaches the target, which has not answered"}
-	errTargetRejected     = &attemptError{"turned_away", "the target turned it away"}
-	errTargetFailed       = &attemptError{"failed", "the target failed"}
-	errAmbiguousStatus    = &attemptError{"unclear", "the target failed"}
+	errResponseLost       = &attemptError{"lost", "the target's response was lost"}
+	errResponseTruncated  = &attemptError{"lost", "the target's response was truncated"}
+	errResponseDeadline   = &attemptError{"late", "no response before the deadline"}
+	errMismatchedID       = &attemptError{"strange", "the target's response belongs to another request"}
+	errUnverifiedResponse = &attemptError{"strange", "the response is not verified to come from the target"}
+	errTargetUnreachable  = &attemptError{"dark", "the target became unreachable before it responded"}
+	errTargetRejected     = &attemptError{"turned_away", "the target rejected the request without running it"}
+	errTargetFailed       = &attemptError{"failed", "the target responded with a server error"}
+	errAmbiguousStatus    = &attemptError{"unclear", "the target's status does not show whether the request ran"}
 )
 
 // Errors on a connection to a target. An attempt maps them to one of the errors above.
--- a/internal/dataplane/reverseproxy/retries.go
+++ b/internal/dataplane/reverseproxy/retries.go
@@ -44,7 +44,7 @@
 	reqErr := requestError{rejection.Status, rejection.RetryAfter, rejection.Code, rejection.Message}
 	if q.lastError != nil {
 		reqErr.code = q.lastError.code
-		reqErr.message += "; before that: " + q.lastError.code
+		reqErr.message += "; the previous attempt failed with: " + q.lastError.code
 		if q.errorStatus != 0 {
 			reqErr.status = q.errorStatus
 		}
--- a/internal/dataplane/reverseproxy/reverseproxy.go
+++ b/internal/dataplane/reverseproxy/reverseproxy.go
@@ -191,7 +191,7 @@
 	}
 	ms, err := strconv.Atoi(value)
 	if err != nil || ms <= 0 {
-		return 0, badRequest(name + " must be a whole number over 0")
+		return 0, badRequest(name + " must be a whole number greater than 0")
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
--- a/internal/dataplane/routing.go
+++ b/internal/dataplane/routing.go
@@ -98,7 +98,7 @@
 	switch {
 	case !ok && len(allowed) > 0:
 		p.Counts.Unmatched++
-		p.emit(statemachine.Reject{ID: event.ID, Status: statemachine.StatusMethodNotAllowed, Code: "method", Message: "the rule for this path takes other methods", Allowed: allowed})
+		p.emit(statemachine.Reject{ID: event.ID, Status: statemachine.StatusMethodNotAllowed, Code: "method", Message: "the rule for this path does not allow this method", Allowed: allowed})
 		return false
 	case !ok:
 		p.Counts.Unmatched++
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -31,7 +31,7 @@
 	}
 	p.stopping, p.stopRequestedAt = true, now
 	p.emit(statemachine.CloseAfterResponse{})
-	reason := fmt.Sprintf("asked to, with %d requests under way", len(p.requests))
+	reason := fmt.Sprintf("stop requested with %d requests in flight", len(p.requests))
 	p.emit(statemachine.StateChange{Subject: statemachine.SubjectShutdown, From: "serving", To: "stopping", Reason: reason})
 }
 
@@ -97,9 +97,9 @@
 	waited := now - p.stopRequestedAt
 	switch {
 	case waited > longest && len(p.requests) > 0:
-		p.finishShutdown(longest-waited, fmt.Sprintf("out of time, with %d requests under way", len(p.requests)))
+		p.finishShutdown(longest-waited, fmt.Sprintf("shutdown timed out with %d requests in flight", len(p.requests)))
 	case waited > linger && len(p.requests) == 0:
-		p.finishShutdown(longest-waited, "no request is under way")
+		p.finishShutdown(longest-waited, "no requests are in flight")
 	}
 }
 
--- a/internal/dataplane/takeover.go
+++ b/internal/dataplane/takeover.go
@@ -71,7 +71,7 @@
 			Subject: statemachine.SubjectTarget,
 			From:    fmt.Sprint(id.Incarnation),
 			To:      fmt.Sprint(successor.Incarnation),
-			Reason:  "a later start of " + id.Service + "/" + id.Name + " answers, and no leader is there",
+			Reason:  "a later incarnation of " + id.Service + "/" + id.Name + " answers, and there is no leader",
 		})
 		p.replaceTarget(now, id, successor)
 		return
--- a/internal/shared/config/checker.go
+++ b/internal/shared/config/checker.go
@@ -32,7 +32,7 @@
 // checkName checks the length and the characters of a name.
 func (c *checker) checkName(path, name string) {
 	if name == "" || len(name) > tuning.ItemNameMax || strings.ContainsFunc(name, isInvalidNameRune) {
-		c.add(path, "a name is 1 to %d of a-z, 0-9, - and _", tuning.ItemNameMax)
+		c.add(path, "a name must have 1 to %d of the characters a-z, 0-9, - and _", tuning.ItemNameMax)
 	}
 }
 
--- a/internal/shared/config/fields.go
+++ b/internal/shared/config/fields.go
@@ -20,7 +20,7 @@
 func readFields[T any](c *checker, at string, v any, table fields[T], to *T) {
 	object, ok := v.(map[string]any)
 	if !ok {
-		c.add(at, "is a %s, wants object", typeName(v))
+		c.add(at, "is a %s, must be an object", typeName(v))
 		return
 	}
 	before := len(c.faults)
@@ -39,7 +39,7 @@
 	return func(c *checker, at, key string, value any, to *T) {
 		s, ok := value.(string)
 		if !ok {
-			c.add(joinPath(at, key), "is a %s, wants string", typeName(value))
+			c.add(joinPath(at, key), "is a %s, must be a string", typeName(value))
 		}
 		*member(to) = S(s)
 	}
@@ -50,7 +50,7 @@
 	return func(c *checker, at, key string, value any, to *T) {
 		f, ok := value.(float64)
 		if !ok {
-			c.add(joinPath(at, key), "is a %s, wants number", typeName(value))
+			c.add(joinPath(at, key), "is a %s, must be a number", typeName(value))
 		}
 		*member(to) = f
 	}
@@ -62,7 +62,7 @@
 		f, ok := value.(float64)
 		switch {
 		case !ok:
-			c.add(joinPath(at, key), "is a %s, wants int", typeName(value))
+			c.add(joinPath(at, key), "is a %s, must be a whole number", typeName(value))
 		case f != math.Trunc(f) || math.Abs(f) > tuning.ExactIntegerMax:
 			c.add(joinPath(at, key), "%v is not a whole number", f)
 		default:
--- a/internal/shared/config/json.go
+++ b/internal/shared/config/json.go
@@ -92,7 +92,7 @@
 	}
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return nil, &parseError{"", "is too large a number"}
+		return nil, &parseError{"", "is a number out of range"}
 	}
 	return f, nil
 }
@@ -112,7 +112,7 @@
 		}
 		before := len(object)
 		if object[key] = v; len(object) == before {
-			return nil, &parseError{key, "is given twice"}
+			return nil, &parseError{key, "is a duplicate key"}
 		}
 	}
 	p.offset++
--- a/internal/shared/config/namedchange.go
+++ b/internal/shared/config/namedchange.go
@@ -40,9 +40,9 @@
 	for _, key := range slices.Sorted(maps.Keys(raw)) {
 		switch key {
 		case "revision":
-			check.unmarshal(key, raw[key], &change.Revision, "a whole number over 0")
+			check.unmarshal(key, raw[key], &change.Revision, "a whole number greater than 0")
 			if len(check.faults) == 0 && change.Revision == 0 {
-				check.add(key, "must be a whole number over 0")
+				check.add(key, "must be a whole number greater than 0")
 			}
 		case "set":
 			change.Set = unmarshalByKind[map[string]json.RawMessage](check, key, raw[key], "an object of named items")
@@ -118,7 +118,7 @@
 	}
 	items := map[string]json.RawMessage{}
 	if raw, ok := s.document[kind]; ok && (json.Unmarshal(raw, &items) != nil || items == nil) {
-		s.faults = append(s.faults, Fault{Path: kind, Text: "is not a set of named items"})
+		s.faults = append(s.faults, Fault{Path: kind, Text: "must be an object of named items"})
 		items = map[string]json.RawMessage{}
 	}
 	s.items[kind] = items
--- a/internal/shared/config/objective.go
+++ b/internal/shared/config/objective.go
@@ -35,7 +35,7 @@
 	for _, name := range slices.Sorted(maps.Keys(cfg.Objectives)) {
 		o, at := cfg.Objectives[name], joinPath("aims", name)
 		if _, ok := cfg.Services[o.Service]; !ok {
-			c.add(at+".service", "no service %q", o.Service)
+			c.add(at+".service", "service %q does not exist", o.Service)
 		}
 		if !(o.SuccessRatio > 0 && o.SuccessRatio < 1) {
 			c.add(at+".part", "%v is not between 0 and 1", o.SuccessRatio)
--- a/internal/shared/config/parse.go
+++ b/internal/shared/config/parse.go
@@ -78,7 +78,7 @@
 func (c *checker) readRevision(cfg *Config, v any) {
 	f, ok := v.(float64)
 	if !ok || f < 1 || f != math.Trunc(f) || f > tuning.ExactIntegerMax {
-		c.add("revision", "must be a whole number over 0")
+		c.add("revision", "must be a whole number greater than 0")
 		return
 	}
 	cfg.Revision = uint64(f)
--- a/internal/shared/config/policy.go
+++ b/internal/shared/config/policy.go
@@ -78,7 +78,7 @@
 
 func (c *checker) readPolicies(cfg *Config, value any) {
 	if m, ok := value.(map[string]any); ok && len(m) > tuning.PoliciesMax {
-		c.add("policies", "%d policies, at most %d", len(m), tuning.PoliciesMax)
+		c.add("policies", "%d policies exceed the limit of %d", len(m), tuning.PoliciesMax)
 	}
 	c.readItems("policies", value, func(at, name string, item any) {
 		p := Policy{Mode: ModeLive}
--- a/internal/shared/config/route.go
+++ b/internal/shared/config/route.go
@@ -134,7 +134,7 @@
 	path := joinPath(at, key)
 	list, ok := value.([]any)
 	if !ok {
-		c.add(path, "is a %s, wants array", typeName(value))
+		c.add(path, "is a %s, must be an array", typeName(value))
 	}
 	for i, item := range list {
 		var s Share
@@ -182,18 +182,18 @@
 		c.add(path+".host", notHost)
 	}
 	if !slices.Contains([]RouteKind{KindRepeatable, KindOnce, KindDownload}, route.Kind) {
-		c.add(path+".kind", "%s, %s or %s, not %q", KindRepeatable, KindOnce, KindDownload, route.Kind)
+		c.add(path+".kind", "must be %s, %s or %s, not %q", KindRepeatable, KindOnce, KindDownload, route.Kind)
 	}
 	c.checkRange(path, "timeout_ms", route.TimeoutMs, 1, tuning.TimeoutMaxMs)
 	c.checkRange(path, "aim_ms", route.LatencyTargetMs, 0, tuning.TimeoutMaxMs)
 	c.checkRange(path, "attempts", route.Attempts, 1, tuning.RouteAttemptsMax)
 	c.checkRange(path, "priority", route.Priority, 0, tuning.PriorityMax)
 	if (route.Service == "") == (len(route.Split) == 0) {
-		c.add(path, "wants either service or split")
+		c.add(path, "must have either service or split")
 	}
 	if route.Service != "" {
 		if _, ok := cfg.Services[route.Service]; !ok {
-			c.add(path+".service", "no service %q", route.Service)
+			c.add(path+".service", "service %q does not exist", route.Service)
 		}
 	}
 	c.checkSplit(path, route.Split, cfg)
@@ -203,7 +203,7 @@
 	sum := 0.0
 	for i, s := range split {
 		if _, ok := cfg.Services[s.Service]; !ok {
-			c.add(fmt.Sprintf("%s.split[%d].service", at, i), "no service %q", s.Service)
+			c.add(fmt.Sprintf("%s.split[%d].service", at, i), "service %q does not exist", s.Service)
 		}
 		if s.Weight < 0 || math.IsNaN(s.Weight) || math.IsInf(s.Weight, 0) {
 			c.add(fmt.Sprintf("%s.split[%d].weight", at, i), "%v is below 0", s.Weight)
--- a/internal/shared/config/rule.go
+++ b/internal/shared/config/rule.go
@@ -111,7 +111,7 @@
 		c.add(path+".host", notHost)
 	}
 	if _, ok := cfg.Services[rule.Service]; !ok {
-		c.add(path+".service", "no service %q", rule.Service)
+		c.add(path+".service", "service %q does not exist", rule.Service)
 	}
 	for i, method := range rule.Methods {
 		if !slices.Contains(ruleMethods, method) {
--- a/internal/shared/config/service.go
+++ b/internal/shared/config/service.go
@@ -82,7 +82,7 @@
 	c.checkRange(path, "tries", service.Attempts, 1, tuning.ServiceAttemptsMax)
 	c.checkRange(path, "slow_ms", service.SlowMs, 0, tuning.TimeoutMaxMs)
 	if service.WarmCap > service.Cap {
-		c.add(path+".warm_cap", "%d is over cap %d", service.WarmCap, service.Cap)
+		c.add(path+".warm_cap", "%d is greater than cap %d", service.WarmCap, service.Cap)
 	}
 	if service.HealthPath != "" && (!strings.HasPrefix(service.HealthPath, "/") || strings.ContainsAny(service.HealthPath, "?#* ")) {
 		c.add(path+".health_path", notPlainPath)
@@ -95,9 +95,9 @@
 		c.add(path+".cold_per_s", "%v is not between 0 and %d", service.WarmupRate, int(tuning.WarmupRateMax))
 	}
 	if service.Proto != "" && service.Proto != "h1" || service.TLS {
-		c.add(path+".proto", "targets are spoken to by h1 without TLS")
+		c.add(path+".proto", "only h1 without TLS is supported")
 	}
 	if (service.QueueTimeoutMs > 0) != (service.QueueLength > 0) {
-		c.add(path+".wait_ms", "wait_ms and wait_len go together")
+		c.add(path+".wait_ms", "wait_ms and wait_len must be set together")
 	}
 }
--- a/internal/shared/config/targetreport.go
+++ b/internal/shared/config/targetreport.go
@@ -104,17 +104,17 @@
 	c.checkName("service", report.Service)
 	c.checkName("name", report.Name)
 	if report.Incarnation == 0 {
-		c.add("incarnation", "must be over 0 and grow with each start")
+		c.add("incarnation", "must be greater than 0 and increase with each start")
 	}
 	if address, err := netip.ParseAddrPort(report.Address); err != nil || address.Port() == 0 {
 		c.add("address", "must be IP:port")
 	}
 	states := []wire.TargetState{wire.TargetWarming, wire.TargetReady, wire.TargetLeaving, wire.TargetGone}
 	if !slices.Contains(states, report.State) {
-		c.add("state", "warming, ready, leaving or gone, not %q", report.State)
+		c.add("state", "must be warming, ready, leaving or gone, not %q", report.State)
 	}
 	if len(report.Domain) > tuning.DomainNameMax {
-		c.add("domain", "at most %d bytes", tuning.DomainNameMax)
+		c.add("domain", "must have at most %d bytes", tuning.DomainNameMax)
 	}
 	if report.Slots < 0 || report.Slots > tuning.SlotsMax {
 		c.add("slots", "%d is not between 0 and %d", report.Slots, tuning.SlotsMax)
--- a/internal/shared/outlier/condition.go
+++ b/internal/shared/outlier/condition.go
@@ -54,7 +54,7 @@
 	}
 	program, err := expr.Compile(condition, options...)
 	if err == nil && visitor.found != "" && !slices.Contains(allowedFunctions, visitor.found) {
-		err = errors.Newf("%q costs too much to be used here", visitor.found)
+		err = errors.Newf("%q is not allowed: its run time is not bounded by the size of the condition", visitor.found)
 	}
 	return program, err
 }
@@ -80,17 +80,17 @@
 	switch policy.Decide {
 	case config.DecideEject:
 		if ttl <= 0 || ttl > tuning.EjectionMaxTTL {
-			add("ttl_ms", "a bar needs a ttl_ms between 1 and %d", tuning.EjectionMaxTTL.Milliseconds())
+			add("ttl_ms", "a bar requires ttl_ms between 1 and %d", tuning.EjectionMaxTTL.Milliseconds())
 		}
 	case config.DecideDrain:
 		if policy.TTLMs != 0 {
-			add("ttl_ms", "a hold has none: it ends with its condition")
+			add("ttl_ms", "must be 0 for a hold, which ends with its condition")
 		}
 	default:
-		add("decide", "bar or hold, not %q", policy.Decide)
+		add("decide", "must be bar or hold, not %q", policy.Decide)
 	}
 	if !slices.Contains([]config.PolicyMode{config.ModeLive, config.ModeShadow, config.ModeOff}, policy.Mode) {
-		add("mode", "live, shadow or off, not %q", policy.Mode)
+		add("mode", "must be live, shadow or off, not %q", policy.Mode)
 	}
 	return faults
 }
--- a/internal/shared/outlier/detector.go
+++ b/internal/shared/outlier/detector.go
@@ -164,7 +164,7 @@
 		for _, name := range slices.Sorted(maps.Keys(d.decided[id])) {
 			if p := d.policies[name]; d.decided[id][name].until <= now {
 				delete(d.decided[id], name)
-				lapsed = append(lapsed, p.decision(now, KindLapse, id, "time to live is over"))
+				lapsed = append(lapsed, p.decision(now, KindLapse, id, "time to live expired"))
 			}
 		}
 		if len(d.decided[id]) == 0 {
@@ -221,7 +221,7 @@
 		}
 	case decided && (cleared || active.drain && policy.clear == nil):
 		delete(d.decided[id], policy.name)
-		return []Decision{policy.decision(now, KindClear, id, cmp.Or(policy.settings.Clear, "condition is over"))}
+		return []Decision{policy.decision(now, KindClear, id, cmp.Or(policy.settings.Clear, "condition no longer holds"))}
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 	value, err := p.machine.Run(condition, environment)
 	met, ok := value.(bool)
 	if err == nil && !ok {
-		err = errors.Newf("gave %T, not a bool", value)
+		err = errors.Newf("condition returned %T, want bool", value)
 	}
 	if err != nil {
 		p.failed++
--- a/internal/shared/state/changes.go
+++ b/internal/shared/state/changes.go
@@ -22,10 +22,10 @@
 // UnmarshalText decodes the output of MarshalText. It rejects text of any other length.
 func (d *ChangeDigest) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(d)) {
-		return errors.Newf("an order's digest has %d characters", len(text))
+		return errors.Newf("change digest has %d characters", len(text))
 	}
 	_, err := hex.Decode(d[:], text)
-	return errors.Wrap(err, "an order's digest")
+	return errors.Wrap(err, "decode change digest")
 }
 
 // DigestOf returns the digest of the parts of a change. Each part is prefixed with its length, so that
@@ -98,10 +98,10 @@
 func (l *acceptedChanges) UnmarshalText(text []byte) error {
 	raw, err := base64.StdEncoding.AppendDecode(nil, bytes.TrimSpace(text))
 	if err != nil {
-		return errors.Wrap(err, "orders taken")
+		return errors.Wrap(err, "decode accepted changes")
 	}
 	if len(raw)%acceptedChangeBytes != 0 {
-		return errors.Newf("orders taken: %d bytes are no whole number of records", len(raw))
+		return errors.Newf("accepted changes: %d bytes are not a whole number of records", len(raw))
 	}
 	*l = make(acceptedChanges, len(raw)/acceptedChangeBytes)
 	for i := range *l {
--- a/internal/shared/state/encoding.go
+++ b/internal/shared/state/encoding.go
@@ -13,7 +13,7 @@
 )
 
 // ErrDamaged marks the error for a state or command that can't be decoded completely.
-var ErrDamaged = errors.New("agreed state damaged")
+var ErrDamaged = errors.New("replicated state is damaged")
 
 // EncodeCommand encodes a command for a log entry.
 func EncodeCommand(command Command) []byte {
--- a/internal/shared/targetreport/targetreport.go
+++ b/internal/shared/targetreport/targetreport.go
@@ -43,11 +43,11 @@
 	case call.Method == "POST" && call.Path == reportPath:
 		report, faults = config.ParseTargetReport(call.Body)
 	default:
-		noSuchCall := reply.Problem(405, config.ErrorBody{Code: "method", Message: "POST /v1/targets, PUT /v1/targets/{name}, DELETE /v1/targets/{name} or DELETE /v1/targets/{service}/{name}?incarnation=N"})
+		noSuchCall := reply.Problem(405, config.ErrorBody{Code: "method", Message: "no such call; targets use POST /v1/targets, PUT /v1/targets/{name}, DELETE /v1/targets/{name} or DELETE /v1/targets/{service}/{name}?incarnation=N"})
 		return report, &noSuchCall
 	}
 	if len(faults) > 0 {
-		invalid := reply.Problem(422, config.ErrorBody{Code: "invalid", Message: "not a target's word", Faults: faults})
+		invalid := reply.Problem(422, config.ErrorBody{Code: "invalid", Message: "invalid target report", Faults: faults})
 		return report, &invalid
 	}
 	return report, nil
@@ -92,7 +92,7 @@
 		return *rejection
 	}
 	if report.Service == "" {
-		return reply.Problem(405, config.ErrorBody{Code: "method", Message: "a sign-off by name alone is for a core member"})
+		return reply.Problem(405, config.ErrorBody{Code: "method", Message: "only a control daemon accepts a sign-off by name alone"})
 	}
 	record(report)
 	return statemachine.Reply{Status: 202, Body: Acknowledgement(report).Body}
