--- a/cmd/mfbackend/server_test.go
+++ b/cmd/mfbackend/server_test.go
@@ -129,10 +129,10 @@
 	response, body := send(t, http.MethodGet, url+"/health", nil, nil)
 	if response.StatusCode != http.StatusOK || string(bytes.TrimSpace(body)) != `{"state":"ready"}` || response.Header.Get(headers.Identity) != "b" ||
 		response.Header.Get(headers.Load) != "0,0,1" || response.Header.Get(headers.WarmupLeft) == "" {
-		t.Errorf("ready back end: status %s, body %s, header %v", response.Status, body, response.Header)
+		t.Errorf("ready back end: status %s, body %s, header %v; want 200 with state ready, identity b, load 0,0,1 and the rest of the warm-up time", response.Status, body, response.Header)
 	}
 	b.state.Store(wire.TargetLeaving)
 	if response, body := send(t, http.MethodGet, url+"/health", nil, nil); response.StatusCode != http.StatusServiceUnavailable || string(bytes.TrimSpace(body)) != `{"error":"leaving"}` {
-		t.Errorf("leaving back end: status %s, body %s", response.Status, body)
+		t.Errorf("leaving back end: status %s, body %s; want 503 with error leaving", response.Status, body)
 	}
 }
--- a/cmd/mfchaos/checks_test.go
+++ b/cmd/mfchaos/checks_test.go
@@ -8,6 +8,6 @@
 		t.Errorf("report without examples: got %v, want none", l)
 	}
 	if l := examplesOf(map[string]any{"examples": []any{"late"}}); len(l) != 1 {
-		t.Errorf("report with one example: got %v, want it", l)
+		t.Errorf("report with one example: got %v, want [late]", l)
 	}
 }
--- a/cmd/mfchaos/measure.go
+++ b/cmd/mfchaos/measure.go
@@ -97,7 +97,7 @@
 			}
 			json.Unmarshal(out, &report)
 			failures += report.Wrong + report.RanTwice + report.Unanswered
-			f.logf("%s has fault mode %s, with policy %s: %v; offered %d, served %d, failed %d, refused %d, no answer %d, p50 %.0f p99 %.0f ms", f.backends[0].name, c.faultMode, c.policy, withPolicy,
+			f.logf("%s has fault mode %s, with policy %s: %v; offered %d, served %d, unknown %d, rejected %d, unanswered %d, p50 %.0f p99 %.0f ms", f.backends[0].name, c.faultMode, c.policy, withPolicy,
 				report.Offered, report.Served, report.Unknown, report.Refused, report.Unanswered, report.LatencyMs["p50"], report.LatencyMs["p99"])
 		}
 		f.setFaultMode(f.backends[0], "ok")
@@ -154,7 +154,7 @@
 			failures++
 		}
 	}
-	f.logf("%8s %8s %8s %8s %8s %9s %9s %9s  retry-after", "rate", "offered", "goodput", "refused", "unknown", "p50 ms", "p99 ms", "reject ms")
+	f.logf("%8s %8s %8s %8s %8s %9s %9s %9s  retry-after", "rate", "offered", "goodput", "rejected", "unknown", "p50 ms", "p99 ms", "reject ms")
 	for _, part := range []float64{0.5, 0.9, 1, 2, 0.5} {
 		load(f.deployment.Rate * part)
 	}
--- a/cmd/mfchaos/soak.go
+++ b/cmd/mfchaos/soak.go
@@ -45,7 +45,7 @@
 		{"records", max(1, o.targets-monitoring), "250ms", 6, "0s"}, {"monitoring", monitoring, "90ms", 6, "0s"}}}
 }
 
-// soak is one run of a soak or an upgrade.
+// soak is one run of the soak test or of the upgrade test.
 type soak struct {
 	*fleet
 	options   *soakOptions
--- a/cmd/mfchaos/upgrade.go
+++ b/cmd/mfchaos/upgrade.go
@@ -1,8 +1,7 @@
 // This file tests upgrades: a fleet of daemons of an earlier version is upgraded to the current version and rolled back,
-// one daemon at a time,
-// while callers keep their connections and an operator changes the configuration. Then all daemons are killed at once and
-// the current ones start with the data that the earlier ones stored. Nothing acknowledged may be lost, and no control daemon
-// may report damaged data.
+// one daemon at a time, while callers keep their connections and an operator changes the configuration. Then all daemons are
+// killed at once, and daemons of the current version start with the data that the earlier version stored. Nothing acknowledged
+// may be lost, and no control daemon may report damaged data.
 
 package main
 
--- a/cmd/mfload/collector.go
+++ b/cmd/mfload/collector.go
@@ -21,8 +21,8 @@
 
 // The groups of clients.
 const (
-	patientClients   clientGroup = "polite"  // do not retry
-	impatientClients clientGroup = "at_once" // retry immediately
+	clientsWithoutRetries clientGroup = "polite"  // do not retry
+	clientsWithRetries    clientGroup = "at_once" // retry immediately
 )
 
 // outcomeClass is the class under which an outcome is counted.
@@ -45,7 +45,7 @@
 	rejectionLatencies []float64                    // of rejected requests, in ms
 	latenciesByKind    map[string][]float64         // of served requests, by requestKind.Name, in ms
 	latenciesByGroup   map[clientGroup][]float64    // of served requests, in ms
-	rejected           map[string]bool              // ids of requests that were rejected and so must not run
+	rejected           map[string]bool              // ids of rejected requests, which must not have run
 	notIdempotent      map[string]bool              // ids of requests that must not run twice
 	seconds            map[int]map[outcomeClass]int // counts by the second in which requests were due
 	begin              time.Time                    // start of the run
@@ -57,7 +57,7 @@
 			Latencies:   quantiles{},
 			Kinds:       map[string]quantiles{},
 			RetryAfters: map[string]int{},
-			Groups:      map[clientGroup]*groupReport{patientClients: {}, impatientClients: {}},
+			Groups:      map[clientGroup]*groupReport{clientsWithoutRetries: {}, clientsWithRetries: {}},
 		},
 		latenciesByKind:  map[string][]float64{},
 		latenciesByGroup: map[clientGroup][]float64{},
@@ -74,9 +74,9 @@
 	if result.kind.Method == http.MethodPost {
 		c.notIdempotent[result.id] = true
 	}
-	name := patientClients
-	if result.impatient {
-		name = impatientClients
+	name := clientsWithoutRetries
+	if result.retriesAtOnce {
+		name = clientsWithRetries
 	}
 	group := c.report.Groups[name]
 	group.Requests++
--- a/cmd/mfload/generator.go
+++ b/cmd/mfload/generator.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxRetries      = 5    // maximum number of retries that an impatient client sends after its first request
+	maxRetries      = 5    // maximum number of retries that a client of clientsWithRetries sends after its first request
 	outcomeQueue    = 4096 // capacity of generator.outcomes
 	requestTimeout  = 15 * time.Second
 	idleConnTimeout = 10 * time.Second
@@ -45,12 +45,12 @@
 
 // plannedRequest is a request that is scheduled to be sent.
 type plannedRequest struct {
-	kind      *requestKind
-	id        string    // unique; sent in testbackend.RequestIDHeader
-	due       time.Time // scheduled start, from which latency is measured
-	impatient bool      // its client retries immediately after an error response of a proxy
-	random    uint64    // selects the proxy and the request body
-	retry     int       // number of retries before this request; 0: first attempt
+	kind          *requestKind
+	id            string    // unique; sent in testbackend.RequestIDHeader
+	due           time.Time // scheduled start, from which latency is measured
+	retriesAtOnce bool      // its client retries immediately after an error response of a proxy
+	random        uint64    // selects the proxy and the request body
+	retry         int       // number of retries before this request; 0: first attempt
 }
 
 // run sends requests as a Poisson process, with kinds drawn from the mix, and closes g.outcomes after the last request
@@ -68,11 +68,11 @@
 		time.Sleep(time.Until(due))
 		kind := drawKind(mix, random)
 		g.start(plannedRequest{
-			kind:      kind,
-			id:        fmt.Sprintf("%s%d", g.idPrefix, n),
-			due:       due,
-			impatient: random.Float64() < kind.Impatient,
-			random:    random.Uint64(),
+			kind:          kind,
+			id:            fmt.Sprintf("%s%d", g.idPrefix, n),
+			due:           due,
+			retriesAtOnce: random.Float64() < kind.RetryingClients,
+			random:        random.Uint64(),
 		})
 	}
 	for g.inFlight.Load() > 0 {
@@ -85,7 +85,7 @@
 // instead.
 func (g *generator) start(planned plannedRequest) {
 	if g.inFlight.Load() >= g.maxInFlight {
-		unsent := plannedRequest{kind: planned.kind, id: planned.id, due: planned.due} // impatient is not set: counts as a patient client
+		unsent := plannedRequest{kind: planned.kind, id: planned.id, due: planned.due} // retriesAtOnce is not set: its client counts among clientsWithoutRetries
 		g.outcomes <- outcome{plannedRequest: unsent, err: "too many requests in flight"}
 		return
 	}
@@ -94,13 +94,13 @@
 		defer g.inFlight.Add(-1)
 		done := g.send(planned)
 		g.outcomes <- done
-		if planned.impatient && done.isProxyError() && planned.retry < maxRetries && time.Now().Before(g.until) {
+		if planned.retriesAtOnce && done.isProxyError() && planned.retry < maxRetries && time.Now().Before(g.until) {
 			g.start(planned.nextRetry())
 		}
 	}()
 }
 
-// nextRetry returns the retry that an impatient client sends after an error response of a proxy. It is a new request with
+// nextRetry returns the retry that a client of clientsWithRetries sends after an error response of a proxy. It is a new request with
 // its own id.
 func (p plannedRequest) nextRetry() plannedRequest {
 	p.id = fmt.Sprintf("%s.%d", p.id, p.retry+1)
--- a/cmd/mfload/mfload_test.go
+++ b/cmd/mfload/mfload_test.go
@@ -108,7 +108,7 @@
 	}
 	r := c.finish(options{duration: time.Second})
 	if r.RanTwice != 1 || r.RanThoughRejected != 1 || r.Misrouted != 1 || r.PastLeaveGrace != 1 || r.MaxLeavingForMs != leaveGraceMs+1 || !r.failed() {
-		t.Errorf("report %+v; want a failed run with one violation of each kind and at most %d ms leaving", r, leaveGraceMs+1)
+		t.Errorf("report %+v; want a failed run with one violation of each kind and %d ms as the longest time from a target's announcement that it is leaving to the start of a request", r, leaveGraceMs+1)
 	}
 }
 
@@ -117,7 +117,7 @@
 	c := newCollector()
 	kind := &requestKind{Name: "fare", Method: http.MethodGet}
 	c.add(outcome{plannedRequest: plannedRequest{kind: kind, id: "1", due: c.begin}, status: 200, seconds: 0.01})
-	c.add(outcome{plannedRequest: plannedRequest{kind: kind, id: "2", due: c.begin, impatient: true}, status: 503, ran: ranNo, code: "full", retryAfter: "1", seconds: 0.002})
+	c.add(outcome{plannedRequest: plannedRequest{kind: kind, id: "2", due: c.begin, retriesAtOnce: true}, status: 503, ran: ranNo, code: "full", retryAfter: "1", seconds: 0.002})
 	c.report.Seconds = 1
 	var printed bytes.Buffer
 	c.finish(options{duration: time.Second, perSecond: true}).print(&printed)
--- a/cmd/mfload/report.go
+++ b/cmd/mfload/report.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// report is the result of a run. All counts are of requests.
+// report is the result of a run. All integers except MaxLeavingForMs are numbers of requests.
 type report struct {
 	Seconds           float64                      `json:"seconds"`
 	Offered           int                          `json:"offered"`
@@ -16,14 +16,14 @@
 	Rejected          int                          `json:"refused"`
 	Unknown           int                          `json:"unknown"`
 	Unanswered        int                          `json:"no_answer"`
-	WithoutRetryAfter int                          `json:"refused_without_retry_after"`
+	WithoutRetryAfter int                          `json:"refused_without_retry_after"` // rejections with status 503 that lack Retry-After
 	Wrong             int                          `json:"wrong_answers"`
-	Mismatched        int                          `json:"answers_of_others"`
+	Mismatched        int                          `json:"answers_of_others"` // part of Wrong: responses to another request
 	RanTwice          int                          `json:"ran_twice"`
 	RanThoughRejected int                          `json:"ran_though_refused"`
-	Misrouted         int                          `json:"wrong_service"`
-	PastLeaveGrace    int                          `json:"to_leaving_after_2s"`
-	MaxLeavingForMs   int64                        `json:"latest_to_leaving_ms"`
+	Misrouted         int                          `json:"wrong_service"`        // ran at another service than intended
+	PastLeaveGrace    int                          `json:"to_leaving_after_2s"`  // ran more than leaveGraceMs after their target announced that it is leaving
+	MaxLeavingForMs   int64                        `json:"latest_to_leaving_ms"` // longest time from such an announcement to the start of a request, in ms
 	Goodput           float64                      `json:"goodput_per_s"`
 	RejectionMedianMs float64                      `json:"refusal_median_ms"`
 	Latencies         quantiles                    `json:"latency_ms"`
@@ -36,9 +36,9 @@
 
 // groupReport is the result for the clients of one group, including their retries.
 type groupReport struct {
-	Clients   int       `json:"user_agents"` // requests without their retries
-	Requests  int       `json:"asked"`       // requests with their retries
-	Served    int       `json:"user_agents_served"`
+	Clients   int       `json:"user_agents"`        // number of clients; each sends one request and its retries
+	Requests  int       `json:"asked"`              // number of requests, retries included
+	Served    int       `json:"user_agents_served"` // number of requests that were served, retries included
 	Latencies quantiles `json:"latency_ms"`
 }
 
@@ -77,7 +77,7 @@
 		kind := r.Kinds[name]
 		fmt.Fprintf(w, "  %-12s %6.0f  p50 %.1f p99 %.1f\n", name, kind["count"], kind[median], kind["p99"])
 	}
-	for _, name := range []clientGroup{patientClients, impatientClients} {
+	for _, name := range []clientGroup{clientsWithoutRetries, clientsWithRetries} {
 		group := r.Groups[name]
 		fmt.Fprintf(w, "  %-12s %6d clients sent %d requests, %d were served  p50 %.1f p99 %.1f\n",
 			name, group.Clients, group.Requests, group.Served, group.Latencies[median], group.Latencies["p99"])
--- a/internal/mfctl/client.go
+++ b/internal/mfctl/client.go
@@ -95,7 +95,7 @@
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// unknownOutcome returns the response that stands for a lost one: a member may have accepted the change.
+// unknownOutcome returns the response that takes the place of a lost one: a member may have accepted the change.
 func unknownOutcome(id string) response {
 	return response{status: http.StatusGatewayTimeout, body: config.ErrorBody{
 		Code:      "unknown",
--- a/internal/mfctl/fleet.go
+++ b/internal/mfctl/fleet.go
@@ -30,15 +30,20 @@
 	defer table.Flush()
 	fmt.Fprintln(table, "NAME\tKIND\tDOMAIN\tADDRESS\tHTTP\tREADY\tSTATE\tMEMBERSHIP\tLAST CONTACT MS\tTABLE\tINCARNATION")
 	for _, d := range daemons {
-		membership := "-"
-		if d.Member {
-			membership = "member"
-		} else if d.ProxyMember {
-			membership = "proxy member"
-		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%s\t%.0f\t%d\t%x\n", d.Name, d.Kind, d.Domain, d.Addr, d.HTTP,
-			d.Ready, d.State, membership, d.LastContactMs, d.TableVersion, d.Incarnation)
+			d.Ready, d.State, membershipText(d), d.LastContactMs, d.TableVersion, d.Incarnation)
+	}
+}
+
+// membershipText returns the membership of a daemon in the control plane or among the proxies, a dash if it has none.
+func membershipText(d controlplane.DaemonView) string {
+	switch {
+	case d.Member:
+		return "member"
+	case d.ProxyMember:
+		return "proxy member"
 	}
+	return "-"
 }
 
 // printTargets prints the response body of /v1/targets as a table.
--- a/internal/mfctl/output.go
+++ b/internal/mfctl/output.go
@@ -76,17 +76,20 @@
 var rejectionTexts = map[config.Rejection]string{
 	config.RejectedVersion:   "stale version",
 	config.RejectedInvalid:   "invalid",
-	config.RejectedUndecided: "undecided",
+	config.RejectedUndecided: "unavailable", // "outcome unknown" if the change may have been applied
 	config.RejectedConflict:  "conflict",
 	config.RejectedNotFound:  "not found",
 }
 
-// rejectionText returns the kind and code of a rejection, such as "undecided (no_leader)".
+// rejectionText returns the kind and code of a rejection, such as "unavailable (no_leader)".
 func rejectionText(rejected config.ErrorBody) string {
 	kind, known := rejectionTexts[rejected.Rejection]
 	if !known {
 		return rejected.Code
 	}
+	if rejected.Rejection == config.RejectedUndecided && rejected.Ran == config.RanUnknown {
+		kind = "outcome unknown"
+	}
 	return fmt.Sprintf("%s (%s)", kind, rejected.Code)
 }
 
--- a/internal/shared/config/policy.go
+++ b/internal/shared/config/policy.go
@@ -7,7 +7,7 @@
 )
 
 // Signal is a kind of observation of a target. The conditions of a policy evaluate the observations of one signal.
-// Settings, recordings and event streams call it slice, and hold these values.
+// In configurations, recordings and event streams the field is called slice and holds these values.
 type Signal string
 
 // The signals.
--- a/internal/shared/config/route.go
+++ b/internal/shared/config/route.go
@@ -17,7 +17,7 @@
 // Kinds of routes.
 const (
 	KindRepeatable RouteKind = "repeatable" // idempotent: a request may run more than once
-	KindOnce       RouteKind = "once"       // not idempotent: a request runs at most once for each call
+	KindOnce       RouteKind = "once"       // not idempotent: a request must not run more than once
 	KindDownload   RouteKind = "download"   // idempotent, with large responses
 )
 
@@ -32,8 +32,8 @@
 	Kind RouteKind `json:"kind"`
 	// TimeoutMs is the deadline of a request, counted from its arrival, in ms. No default: it must be set.
 	TimeoutMs int `json:"timeout_ms"`
-	// LatencyTargetMs is the response time in ms within which a response has the most value for the caller. Queueing
-	// and Retry-After depend on it. Default: 0, none.
+	// LatencyTargetMs is the target for the response time, in ms. Queueing and Retry-After depend on it.
+	// Default: 0, none.
 	LatencyTargetMs int `json:"aim_ms,omitempty"`
 	// Priority is the priority of requests when capacity is insufficient; 0 is the highest. Default: 0.
 	Priority int `json:"priority,omitempty"`
@@ -57,7 +57,7 @@
 // Timeout returns the deadline of a request, counted from its arrival.
 func (r *Route) Timeout() time.Duration { return time.Duration(r.TimeoutMs) * time.Millisecond }
 
-// LatencyTarget returns the response time within which a response has the most value, 0 if none is set.
+// LatencyTarget returns the target for the response time, 0 if none is set.
 func (r *Route) LatencyTarget() time.Duration {
 	return time.Duration(r.LatencyTargetMs) * time.Millisecond
 }
--- a/internal/shared/outlier/compare_test.go
+++ b/internal/shared/outlier/compare_test.go
@@ -88,7 +88,7 @@
 		}
 		t.Logf("%+v\n%+v", def, own)
 		if own.Ejections == 0 || own.WrongEjections > 0 || own.MissedErrors+own.MissedSlow >= (def.MissedErrors+def.MissedSlow)*8/10 {
-			t.Errorf("%s does not beat the default: %+v against %+v", name, own, def)
+			t.Errorf("policy %s has score %+v, the default policy %+v; want ejections, no wrong ones, and less than 80 %% of the default policy's missed errors and slow requests", name, own, def)
 		}
 	}
 	if s := Compare(recording("crash"), map[string]config.Policy{"default": config.DefaultPolicy()})[0]; s.Ejections != 1 || s.TimeToEjectMs != 500 || s.WrongEjections != 0 {
--- a/internal/shared/outlier/detector_test.go
+++ b/internal/shared/outlier/detector_test.go
@@ -98,11 +98,11 @@
 	p.When = "missed >= 5"
 	detector.Replace(&config.Config{Policies: map[string]config.Policy{"p": p, "q": shadow}})
 	if _, why := detector.Ejected(3, id); why != "p" {
-		t.Fatalf("a changed policy's ejection ended: %q", why)
+		t.Fatalf("after the condition of policy p changed, the target is ejected by policy %q, want p", why)
 	}
 	detector.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
 	if _, why := detector.Ejected(4, id); why != "" {
-		t.Fatalf("a removed policy's ejection stayed: %q", why)
+		t.Fatalf("after policy p was removed, the target is ejected by policy %q, want none", why)
 	}
 	shadow.Mode = "live"
 	detector.Replace(&config.Config{Policies: map[string]config.Policy{"q": shadow}})
--- a/internal/shared/reply/reply.go
+++ b/internal/shared/reply/reply.go
@@ -11,7 +11,7 @@
 	"myrtlefold/internal/shared/tuning"
 )
 
-// statusUnavailable is the HTTP status of a response that leaves the outcome of a call open.
+// statusUnavailable is the HTTP status of a response to a call that can't be decided now and should be retried.
 const statusUnavailable = 503
 
 // Body encodes a value as JSON, followed by a newline. It panics if the value can't be encoded.
@@ -23,7 +23,7 @@
 	return append(text, '\n')
 }
 
-// Problem returns the response to a call that is rejected or whose outcome is open. It derives the kind of rejection from
+// Problem returns the response to a call that is rejected or whose outcome is unknown. It derives the kind of rejection from
 // the HTTP status and sets Retry-After for a 503.
 func Problem(status int, body config.ErrorBody) statemachine.Reply {
 	body.Rejection = config.RejectionOf(status)
--- a/internal/shared/state/apply.go
+++ b/internal/shared/state/apply.go
@@ -85,7 +85,7 @@
 
 // outcomeOfStaleBase returns the outcome of a configuration that is not the next one, and the revision to
 // record with it. If the same change was already accepted by an earlier command, the outcome is
-// OutcomeAccepted with the revision of that time.
+// OutcomeAccepted with the revision that the change led to.
 func (s *State) outcomeOfStaleBase(command Command) (outcome Outcome, revision uint64) {
 	if command.Digest == nil {
 		return OutcomeStale, s.Revision
--- a/internal/shared/state/changes.go
+++ b/internal/shared/state/changes.go
@@ -74,8 +74,8 @@
 	return append(slices.Clip(l), change)
 }
 
-// latest returns the latest limit changes, and the revision of the latest change that it omits, 0 if it omits
-// none.
+// latest returns the latest changes, at most limit of them, and the revision of the latest change that it omits, 0 if
+// it omits none.
 func (l acceptedChanges) latest(limit int) (kept acceptedChanges, omitted uint64) {
 	n := len(l) - limit
 	if n <= 0 {
@@ -136,7 +136,7 @@
 	*a = a.latest(tuning.AcceptedChangesKept)
 }
 
-// latest returns the latest limit changes of each kind, with CompleteSince raised to match.
+// latest returns the latest changes of each kind, at most limit of them, with CompleteSince raised to match.
 func (a AcceptedChanges) latest(limit int) AcceptedChanges {
 	var omitted uint64
 	a.Configurations, omitted = a.Configurations.latest(limit)
--- a/internal/shared/state/registry.go
+++ b/internal/shared/state/registry.go
@@ -18,7 +18,7 @@
 	Addr        string `json:"a"`            // host:port for requests
 	Domain      string `json:"d,omitempty"`  // failure domain, "" if unknown
 	Slots       uint32 `json:"sl,omitempty"` // requests that it processes concurrently, 0 if not reported
-	ShareOffset uint32 `json:"t,omitempty"`  // offset used to split its quota among proxies
+	ShareOffset uint32 `json:"t,omitempty"`  // serial number within its service, used to split caps among proxies
 	WarmingUp   bool   `json:"c,omitempty"`  // it was warming up when the registration was written
 	Leaving     bool   `json:"l,omitempty"`  // it announced its shutdown and drains
 }
--- a/internal/shared/statemachine/event.go
+++ b/internal/shared/statemachine/event.go
@@ -27,7 +27,7 @@
 		ID           wire.TargetID // the probed target, as in the Probe
 		SentAt       time.Duration
 		Milliseconds float64              // response time, in ms
-		Report       *config.TargetReport // report of the responder, nil if the probe was missed; State "" means alive
+		Report       *config.TargetReport // report of the responder, nil if the probe was missed; State "": alive, state not reported
 		WarmupLeft   time.Duration        // remaining warm-up time that the target reports
 	}
 	// Call is an operator's or a target's call of the HTTP API. A Reply with the same ID follows.
--- a/internal/shared/targetreport/targetreport.go
+++ b/internal/shared/targetreport/targetreport.go
@@ -1,5 +1,5 @@
 // Package targetreport parses the calls with which targets report their state to the HTTP API (heartbeats, announcements
-// that they are leaving, and sign-offs) and tracks how regularly their heartbeats arrive. Both control daemons and
+// that they are leaving, and sign-offs when they have ended) and tracks how regularly their heartbeats arrive. Both control daemons and
 // proxies accept these calls; the package does not decide how they act on a report. Start with Parse.
 package targetreport
 
--- a/internal/shared/tuning/change.go
+++ b/internal/shared/tuning/change.go
@@ -21,7 +21,7 @@
 	// AcceptedChangesKept is how many digests of accepted changes are kept to recognise a change that is sent again:
 	// enough for several days with hundreds of changes a day. At 32 bytes each they add 128 KiB to a snapshot.
 	AcceptedChangesKept = 4096
-	// AcceptedChangesInTables is the number of these digests in the copy of the state that tables carry to proxies
+	// AcceptedChangesInTables is the number of digests of accepted changes in the copy of the state that tables carry to proxies
 	// for disaster recovery. They take 2 KiB of TableBytesInFlight. It exceeds the number of changes that can be in
 	// progress when the control plane is lost.
 	AcceptedChangesInTables = 64
--- a/internal/shared/tuning/consensus.go
+++ b/internal/shared/tuning/consensus.go
@@ -14,8 +14,8 @@
 	// ElectionTimeoutSpread is the range of the delay added to ElectionTimeoutMin, derived from name and term, so
 	// that members rarely become candidates at the same time.
 	ElectionTimeoutSpread = 400 * time.Millisecond
-	// LeaderSilenceMin is how long a member must not have heard from a leader to report that in a pre-vote: three
-	// heartbeats. A leader that is alive but late reports itself that it leads.
+	// LeaderSilenceMin is how long a member must have received nothing from a leader before it reports in a pre-vote that
+	// it has no leader: three heartbeat intervals. A leader that is alive but late reports in the pre-vote that it leads.
 	LeaderSilenceMin = 3 * HeartbeatEvery
 	// PreVoteInterval is how often a member without contact to a leader asks whether all others have none either.
 	PreVoteInterval = 60 * time.Millisecond
--- a/internal/shared/tuning/lease.go
+++ b/internal/shared/tuning/lease.go
@@ -30,8 +30,8 @@
 	// PeerLeaseTurns * PeerLeaseFanout. Three rounds end before a peer lease expires, since 3 x 150 ms and a network
 	// hop are below 600 ms.
 	PeerLeaseTurns = 3
-	// PeerTableFanout is how many of these peers, in a fleet with more than PeerLeaseFanout peers, are also asked for
-	// the ejections in their tables.
+	// PeerTableFanout is how many of the peers that a proxy asks for leases are also asked for the ejections in their
+	// tables, in a fleet with more than PeerLeaseFanout peers.
 	PeerTableFanout = 4
 	// PeerTableRateDivisor is the divisor of SlowLink that gives the rate at which a proxy without a leader fetches tables
 	// from its peers.
--- a/internal/shared/tuning/membership.go
+++ b/internal/shared/tuning/membership.go
@@ -43,10 +43,12 @@
 	// CatchUpDefault is the time after the start of a replacement within which the control plane must be able to
 	// survive the next loss, unless the settings give another time.
 	CatchUpDefault = 8 * time.Second
-	// ReplacementDivisor is the divisor of the catch-up time that gives how long a member must be silent before a standby replaces
-	// it. The rest is for an election, NewLeaderGrace and two changes (TestLostMemberIsReplacedInTime).
+	// ReplacementDivisor is the divisor of the catch-up time that gives how long a member must be silent before a
+	// standby replaces it. The rest is for an election, NewLeaderGrace and two membership changes
+	// (TestLostMemberIsReplacedInTime).
 	ReplacementDivisor = 2
-	// ReplaceAfterMin is the minimum time that a member must be silent before it is replaced: five hellos, so that a member with a delayed one is not replaced.
+	// ReplaceAfterMin is the minimum time that a member must be silent before it is replaced: five hello intervals,
+	// so that a member with a delayed hello is not replaced.
 	ReplaceAfterMin = 5 * HelloEvery
 	// NewLeaderGrace is how long a new leader waits for hellos before it considers a member lost: four hellos.
 	NewLeaderGrace = 4 * HelloEvery
--- a/internal/shared/tuning/shutdown.go
+++ b/internal/shared/tuning/shutdown.go
@@ -7,15 +7,15 @@
 	// ShutdownLinger is how long a proxy that shuts down still accepts requests after it reports that it is not ready,
 	// so that callers can move to other proxies.
 	ShutdownLinger = 1500 * time.Millisecond
-	// ShutdownLingerMax is the same if a grace period is configured and long enough: two missed checks at 1 s, and a
-	// little more.
+	// ShutdownLingerMax is the same if a grace period is configured and long enough: two missed readiness checks
+	// at intervals of 1 s, and a little more.
 	ShutdownLingerMax = 2500 * time.Millisecond
 	// ShutdownTimeout is how long a proxy that shuts down completes its requests if no grace period is configured.
 	ShutdownTimeout = 20 * time.Second
 	// ShutdownMargin is the part of the grace period that is left unused.
 	ShutdownMargin = 300 * time.Millisecond
-	// ShutdownReserve is how long before the end of the shutdown targets must have responded, since a machine that may
-	// be busy must still forward their last responses. After half of the reserve the proxy responds itself.
+	// ShutdownReserve is the last part of a shutdown, in which a machine that may be busy forwards the last responses.
+	// Targets must have responded before it begins. After half of the reserve the proxy responds in their place.
 	ShutdownReserve = 500 * time.Millisecond
 	// ShutdownReserveDivisor is the divisor of the time for the shutdown that gives the longest reserve.
 	ShutdownReserveDivisor = 8
--- a/internal/shared/tuning/sums_test.go
+++ b/internal/shared/tuning/sums_test.go
@@ -32,7 +32,7 @@
 		{"the event interval at which half a policy's window covers the retry window", RetryWindow / (PolicyWindow / 2), StatsEvery * 2},
 	} {
 		if c.sum > c.max {
-			t.Errorf("%s: %v is over %v", c.what, c.sum, c.max)
+			t.Errorf("%s: the sum is %v, want at most %v", c.what, c.sum, c.max)
 		}
 	}
 	if RetryWindow > PolicyWindow*StatsEvery {
@@ -49,7 +49,7 @@
 func TestLostMemberIsReplacedInTime(t *testing.T) {
 	const (
 		shortest = 4 * time.Second
-		change   = 100 * time.Millisecond // two syncs and a round trip, with room
+		change   = 100 * time.Millisecond // two syncs and a round trip, with a margin
 	)
 	changes := 3*MembershipReviewEvery + 2*change
 	for _, c := range []struct {
@@ -66,7 +66,7 @@
 		{"the time that both machines of a planned replacement are present", HandoverWait + time.Second, GrowAfter},
 	} {
 		if c.sum > c.max {
-			t.Errorf("%s: %v is over %v", c.what, c.sum, c.max)
+			t.Errorf("%s: the sum is %v, want at most %v", c.what, c.sum, c.max)
 		}
 	}
 }
--- a/internal/shared/tuning/table.go
+++ b/internal/shared/tuning/table.go
@@ -32,7 +32,7 @@
 	TimeLeftStep = 250 * time.Millisecond
 	// DemandEvery is the minimum time between tables that are sent only because demand changed.
 	DemandEvery = time.Second
-	// DemandStep is how much a target's demand must change for such a table; 1 is the target's full capacity.
+	// DemandStep is how much a target's demand must change for a table to be sent because of it; 1 is the target's full capacity.
 	DemandStep = 0.125
 	// SlowLink is the capacity that other traffic leaves on a slow link, in bytes a second.
 	SlowLink = 128 << 10
--- a/internal/shared/wire/table.go
+++ b/internal/shared/wire/table.go
@@ -2,7 +2,8 @@
 
 import "cmp"
 
-// TableKey identifies a table and orders tables by epoch, then term, then version; the highest key wins.
+// TableKey identifies a table and orders tables by epoch, then term, then version. A table replaces only tables with
+// lower keys.
 // It serves as a fencing token against tables of a deposed leader.
 type TableKey struct {
 	Epoch   uint64 // bootstrap epoch
--- a/internal/shared/wire/target.go
+++ b/internal/shared/wire/target.go
@@ -31,7 +31,7 @@
 	EjectedBy    string      `json:"bar_why,omitempty"`      // name of the policy that ejected it
 	Pending      bool        `json:"pending,omitempty"`      // gets no requests until its identity is confirmed
 	Heartbeating bool        `json:"beating"`                // its heartbeats arrive
-	ShareOffset  uint32      `json:"-"`                      // position among the targets of its service, used to split caps among proxies
+	ShareOffset  uint32      `json:"-"`                      // serial number within its service, used to split caps among proxies
 	Slots        uint32      `json:"slots,omitempty"`        // number of requests it runs concurrently; 0: not reported
 	WarmupLeft   int64       `json:"cold_left_ns,omitempty"` // remaining time of its limit to the service's warm-up rate, in ns
 	Number       uint64      `json:"number,omitempty"`       // increasing sequence number of its report; 0: not numbered
--- a/internal/verification/compatibility/compat_test.go
+++ b/internal/verification/compatibility/compat_test.go
@@ -133,7 +133,7 @@
 			t.Fatal(err)
 		}
 		if again, err := json.MarshalIndent(&v, "", " "); err != nil || !bytes.Equal(again, want) {
-			t.Fatalf("error %v; decoding and encoding the golden file gave: %s", err, again)
+			t.Fatalf("error %v; decoding and encoding the golden file must not change it, gave: %s", err, again)
 		}
 	})
 }
@@ -202,7 +202,7 @@
 				t.Fatalf("decoding and encoding the golden file changed it or failed: error %v", err)
 			}
 			if !reflect.DeepEqual(read, m) {
-				t.Fatalf("decoded golden file is %+v", read)
+				t.Fatalf("decoding the golden file gave %+v, want %+v", read, m)
 			}
 		})
 	}
@@ -233,7 +233,7 @@
 			t.Fatalf("read frame of %s: %v", name, err)
 		}
 		if m, err := wire.Decode(next); err != nil || m.Kind.String() != name {
-			t.Fatalf("decode frame of %s: error %v, or another kind", name, err)
+			t.Fatalf("decode frame of %s: error %v, want a message of this kind", name, err)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 	}
 	read, err := wire.DecodeBatch(want)
 	if err != nil || !reflect.DeepEqual(read, batch) {
-		t.Fatalf("error %v; decoded golden file is %+v", err, read)
+		t.Fatalf("decoding the golden file gave error %v and %+v, want %+v", err, read, batch)
 	}
 }
 
--- a/internal/verification/linearizability/history_test.go
+++ b/internal/verification/linearizability/history_test.go
@@ -112,7 +112,7 @@
 		h.Read(at+60*ms).Return(at+70*ms, i+1, "won")
 	}
 	if err := h.Check(); err != nil {
-		t.Error(err)
+		t.Errorf("linearizable history was not accepted: %v", err)
 	}
 }
 
@@ -135,7 +135,7 @@
 			h.Write(1100*ms, change(1, "lost5")).Acknowledge(1200*ms, 2)
 		}
 		if err := h.Check(); (err != nil) != wrong {
-			t.Errorf("history with a change both rejected and accepted: %v; got error %v", wrong, err)
+			t.Errorf("error %v for a history in which a rejected change was also accepted: %v; want an error only if it was", err, wrong)
 		}
 	}
 }
--- a/internal/verification/requestlog/requestlog.go
+++ b/internal/verification/requestlog/requestlog.go
@@ -85,7 +85,7 @@
 	return w.output.Close()
 }
 
-// ReadAll calls visit for the entries of all request logs in a folder, in the order of each file. It skips lines that
+// ReadAll calls visit for the entries of all request logs in a directory, in the order of each file. It skips lines that
 // cannot be parsed, since a killed back end can leave a partial line.
 func ReadAll(dir string, visit func(Entry)) error {
 	names, err := filepath.Glob(filepath.Join(dir, Pattern))
