--- a/cmd/mfchaos/faults.go
+++ b/cmd/mfchaos/faults.go
@@ -55,8 +55,7 @@
 func backendsOf(f *fleet) []*process { return f.backends }
 
 // faults are all kinds of faults. Each ends before the next begins: its processes are running again and the network is
-// healed. Since the names are values of --fault, they keep the words of the command line: a gate is a proxy, a core a
-// control daemon or, in core split, the whole control plane.
+// healed. The names are values of --fault, in which gate stands for a proxy and core for a control daemon.
 var faults = []fault{
 	{"target killed", killAndRestart(backendsOf, 1000, 4000)},
 	{"target frozen", freezeAndResume(backendsOf, 2000, 5000)},
--- a/cmd/mfload/generator.go
+++ b/cmd/mfload/generator.go
@@ -71,7 +71,7 @@
 			kind:          kind,
 			id:            fmt.Sprintf("%s%d", g.idPrefix, n),
 			due:           due,
-			retriesAtOnce: random.Float64() < kind.RetryingClients,
+			retriesAtOnce: random.Float64() < kind.RetryingFraction,
 			random:        random.Uint64(),
 		})
 	}
@@ -85,7 +85,7 @@
 // instead.
 func (g *generator) start(planned plannedRequest) {
 	if g.inFlight.Load() >= g.maxInFlight {
-		unsent := plannedRequest{kind: planned.kind, id: planned.id, due: planned.due} // retriesAtOnce is not set: its client counts among clientsWithoutRetries
+		unsent := plannedRequest{kind: planned.kind, id: planned.id, due: planned.due} // retriesAtOnce is not set: it counts for clientsWithoutRetries
 		g.outcomes <- outcome{plannedRequest: unsent, err: "too many requests in flight"}
 		return
 	}
@@ -100,8 +100,8 @@
 	}()
 }
 
-// nextRetry returns the retry that a client of clientsWithRetries sends after an error response of a proxy. It is a new request with
-// its own id.
+// nextRetry returns the retry that a client of clientsWithRetries sends after an error response of a proxy. It is a new
+// request with its own id.
 func (p plannedRequest) nextRetry() plannedRequest {
 	p.id = fmt.Sprintf("%s.%d", p.id, p.retry+1)
 	p.due = time.Now()
--- a/cmd/mfload/mix.go
+++ b/cmd/mfload/mix.go
@@ -10,14 +10,14 @@
 
 // requestKind describes one kind of request in a mix.
 type requestKind struct {
-	Name            string  `json:"name"`             // name of the kind in reports
-	Service         string  `json:"service"`          // service that the request is intended for
-	Method          string  `json:"method"`           // HTTP method; POST requests count as not idempotent
-	Path            string  `json:"path"`             // URL path
-	Weight          float64 `json:"weight"`           // share in the mix, relative to the other kinds
-	BodySize        int     `json:"body,omitempty"`   // size of the request body, in bytes
-	ResponseSize    int     `json:"answer,omitempty"` // size of the response's padding, in bytes
-	RetryingClients float64 `json:"hard,omitempty"`   // fraction of its clients that retry immediately after an error response of a proxy, up to maxRetries times
+	Name             string  `json:"name"`             // name of the kind in reports
+	Service          string  `json:"service"`          // service that the request is intended for
+	Method           string  `json:"method"`           // HTTP method; POST requests count as not idempotent
+	Path             string  `json:"path"`             // URL path
+	Weight           float64 `json:"weight"`           // share in the mix, relative to the other kinds
+	BodySize         int     `json:"body,omitempty"`   // size of the request body, in bytes
+	ResponseSize     int     `json:"answer,omitempty"` // size of the response's padding, in bytes
+	RetryingFraction float64 `json:"hard,omitempty"`   // fraction of its clients that retry immediately after an error response of a proxy, up to maxRetries times
 }
 
 // mixes has the built-in mixes by name, which model the deployments that the project was designed for.
