--- a/internal/controlplane/admission.go
+++ b/internal/controlplane/admission.go
@@ -73,8 +73,8 @@
 // mayDisplace reports whether a claimant may take over the name and address of an incumbent.
 //
 //   - If the claimant answered a probe at the incumbent's own address, the address is the claimant's.
-//   - If it answered at another address, the incumbent keeps its name unless it is unconfirmed, draining or missing its
-//     probes. Two processes with one name are a deployment mistake, and the first one is already in use.
+//   - If it answered at another address, the incumbent keeps its name unless the incumbent is unconfirmed, draining or
+//     missing its probes. Two processes with one name are a deployment mistake, and the first one is already in use.
 //   - If it did not answer, for example because the leader's probes don't get through, its steady heartbeats suffice
 //     only against an incumbent that misses its probes and sends no heartbeats either.
 func mayDisplace(now time.Duration, incumbent, claimant *target, answered bool) bool {
@@ -146,7 +146,7 @@
 	maps.DeleteFunc(c.withdrawnInVersion, func(id wire.TargetID, _ uint64) bool {
 		return c.targets[id] == nil && c.claims[id] == nil && c.tombstones[id] == 0
 	})
-	// Most of these names never come back, and assigning a new offset to one that does costs little.
+	// Most names without a target never come back, and assigning a new offset to one that does costs little.
 	if len(c.shareOffsetByName) > 2*len(c.targets)+tuning.ShareOffsetsKept {
 		c.shareOffsetByName = map[serviceTarget]uint32{}
 	}
--- a/internal/controlplane/answer.go
+++ b/internal/controlplane/answer.go
@@ -59,7 +59,7 @@
 		return // tickRelayedCalls relays it again until it expires
 	}
 	if response.Status == statusUnavailable && call.relayCount > 1 {
-		call.relayedTo = "" // an earlier leader may have committed it; relay it again, since the next leader will know
+		call.relayedTo = "" // an earlier leader may have committed it; relay it again, since the next leader knows whether it did
 		return
 	}
 	delete(c.relayedCalls, response.ID)
@@ -80,8 +80,8 @@
 	c.answer(call, c.staleBaseReply(call.token))
 }
 
-// answerUnknown answers a change that may or may not take effect. A target's report is answered as unavailable
-// instead: repeating a report is harmless, so the target sends it again, to any daemon, until it is acknowledged.
+// answerUnknown answers a change that may or may not take effect with 504. For a target's report it sends 503 instead,
+// which asks the target to send the report again, to any daemon: repeating a report is harmless.
 func (c *Controller) answerUnknown(call *pendingCall) {
 	if call.targetReport {
 		c.answer(call, notPropagatedReply())
--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -81,7 +81,7 @@
 
 // mayBootstrapIncomplete reports whether the founders may begin an epoch without an operator's consent although some are
 // missing. They may if the missing ones had tuning.BootstrapWait to appear and the last control plane would have no
-// majority even with them, or if another founder makes the same offer, since it has already established this.
+// majority even with them, or if another founder makes the same offer, since that founder has already checked this.
 func (c *Controller) mayBootstrapIncomplete(now time.Duration, survey *membershipSurvey, founders []wire.Daemon, offer uint64) bool {
 	if now-c.visibleFoundersSince >= tuning.BootstrapWait && survey.canNeverElect() {
 		return true
--- a/internal/controlplane/consensus/canonical.go
+++ b/internal/controlplane/consensus/canonical.go
@@ -246,7 +246,7 @@
 		c.Member(p.member)
 		c.Bool(p.voter)
 		c.Uints(p.next, p.match)
-		c.Age(now, p.ackedAt, tuning.ElectionTimeoutMin)
+		c.Age(now, p.answeredMessageSentAt, tuning.ElectionTimeoutMin)
 		c.Age(now, p.rewoundAt, tuning.ElectionTimeoutMin)
 		c.Uint(uint64(len(p.inflight)))
 		for _, sent := range p.inflight {
--- a/internal/controlplane/consensus/canonical_test.go
+++ b/internal/controlplane/consensus/canonical_test.go
@@ -21,7 +21,7 @@
 			"members", "electorate", "role", "roleSince", "leader", "leaderContactAt", "leaderMessageAt", "electionDeadline",
 			"votes", "consents", "unanimous", "outranked", "campaignedAt", "lastVoteAt", "progress", "heartbeatAt", "termStartIndex",
 			"batchSeq", "hardStateSeq", "unsyncedBatches", "pendingMessages", "ready"}},
-		{progress{}, []string{"member", "voter", "next", "match", "ackedAt", "inflight", "rewoundAt", "chunks"}},
+		{progress{}, []string{"member", "voter", "next", "match", "answeredMessageSentAt", "inflight", "rewoundAt", "chunks"}},
 		{sentEntries{}, []string{"lastIndex", "bytes"}},
 		{chunkSender{}, []string{"content", "prevTerm", "acknowledged", "inFlight", "sentAt"}},
 		{chunkReceiver{}, []string{"content", "data", "complete"}},
--- a/internal/controlplane/consensus/cluster_test.go
+++ b/internal/controlplane/consensus/cluster_test.go
@@ -14,7 +14,7 @@
 	now         time.Duration
 	nodes       map[string]*Node
 	states      map[string]*PersistentState
-	partitioned map[string]bool // "ab": messages from a to b are lost
+	partitioned map[string]bool // by sender and receiver, for example "ab": messages from a to b are lost
 	inFlight    []messageInFlight
 }
 
--- a/internal/controlplane/consensus/leadershiptransfer.go
+++ b/internal/controlplane/consensus/leadershiptransfer.go
@@ -24,7 +24,7 @@
 func (n *Node) TransferLeadershipTo(now, maxAckAge time.Duration, eligible func(wire.Member) bool) bool {
 	var successor *progress
 	for _, p := range n.sortedProgress() {
-		if p.voter && eligible(p.member) && now-p.ackedAt < maxAckAge && (successor == nil || p.match > successor.match) {
+		if p.voter && eligible(p.member) && now-p.answeredMessageSentAt < maxAckAge && (successor == nil || p.match > successor.match) {
 			successor = p
 		}
 	}
@@ -34,7 +34,7 @@
 	// From here on this node makes no decisions, so the successor's election need not wait for its lease to expire.
 	n.stepDown(now)
 	n.electionDeadline = now + transferBackoff
-	n.leaderMessageAt = n.electionDeadline
+	n.leaderMessageAt = n.electionDeadline // in the future, so that noLeaderContact is false until this time too
 	// A vote reply with Transfer set asks its receiver to campaign immediately.
 	timeoutNow := &wire.Message{Kind: wire.KindVote, To: successor.member.Name, Vote: &wire.Vote{Transfer: true, Reply: true}}
 	n.send(timeoutNow, false)
--- a/internal/controlplane/consensus/lease.go
+++ b/internal/controlplane/consensus/lease.go
@@ -17,13 +17,13 @@
 // candidates for tuning.ElectionTimeoutMin after it received the message, so no other leader can be elected before this
 // lease expires, even if clock rates differ by a few per cent.
 func (n *Node) HasLease(now time.Duration) bool {
-	return n.role == Leader && n.commit >= n.termStartIndex && !n.DiskStalled(now) && n.majorityAckedAt(now) > now-tuning.LeaderLease
+	return n.role == Leader && n.commit >= n.termStartIndex && !n.DiskStalled(now) && n.majorityAnsweredMessageSentAt(now) > now-tuning.LeaderLease
 }
 
-// majorityAckedAt returns the latest time, by this node's clock, such that a majority has acknowledged messages that this
+// majorityAnsweredMessageSentAt returns the latest time, by this node's clock, such that a majority has acknowledged messages that this
 // node sent at that time or later.
-func (n *Node) majorityAckedAt(now time.Duration) time.Duration {
-	return majorityValue(n, now, never, func(p *progress) time.Duration { return p.ackedAt })
+func (n *Node) majorityAnsweredMessageSentAt(now time.Duration) time.Duration {
+	return majorityValue(n, now, never, func(p *progress) time.Duration { return p.answeredMessageSentAt })
 }
 
 // HasLeader reports whether this node is the leader or had recent contact with one.
--- a/internal/controlplane/consensus/lease_test.go
+++ b/internal/controlplane/consensus/lease_test.go
@@ -44,7 +44,7 @@
 }
 
 // A member that leads again determines from its log whether another leader made decisions since its earlier term. None did
-// if it had only lost contact with the majority for a while; one may have if another member was elected meanwhile.
+// if no other member was elected in between, for example while the links to the majority were cut for a short time.
 func TestNoOtherLeaderSince(t *testing.T) {
 	leads := func(cluster *simpleCluster, name string) func() bool {
 		return func() bool { return cluster.leader() == name }
@@ -90,7 +90,7 @@
 				hasTermBetween = hasTermBetween || e.Term > term && e.Term < n.Term()
 			}
 			if got := n.NoOtherLeaderSince(term); got == hasTermBetween || another && got {
-				t.Errorf("NoOtherLeaderSince(%d) is %v, log has entries of a term in between: %v, another member was elected: %v", term, got, hasTermBetween, another)
+				t.Errorf("NoOtherLeaderSince(%d) is %v, log has entries of a term in between: %v, another member was elected: %v; want true exactly if neither is so", term, got, hasTermBetween, another)
 			}
 		})
 	}
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -202,7 +202,7 @@
 // tickHeartbeat sends the leader's heartbeats when they are due. The leader steps down if its disk is stalled or it has lost
 // contact with a majority for tuning.ElectionTimeoutMin.
 func (n *Node) tickHeartbeat(now time.Duration) {
-	majorityContactAt := max(n.majorityAckedAt(now), n.roleSince)
+	majorityContactAt := max(n.majorityAnsweredMessageSentAt(now), n.roleSince)
 	if n.DiskStalled(now) || now-majorityContactAt > tuning.ElectionTimeoutMin {
 		n.stepDown(now)
 		return
--- a/internal/controlplane/consensus/persistence.go
+++ b/internal/controlplane/consensus/persistence.go
@@ -30,8 +30,8 @@
 	return n.batchSeq
 }
 
-// Advance reports that all batches up to seq are synced. Their entries then count towards this node's own acknowledgement,
-// and messages that waited for these batches are released.
+// Advance reports that all batches up to seq are synced. Their entries then count as acknowledged by this node
+// itself, and messages that waited for these batches are released.
 func (n *Node) Advance(now time.Duration, seq uint64) {
 	for len(n.unsyncedBatches) > 0 && n.unsyncedBatches[0].seq <= seq {
 		n.stable = max(n.stable, min(n.unsyncedBatches[0].lastIndex, n.lastIndex()))
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -14,14 +14,14 @@
 
 // progress is a leader's record of the replication to another member or a learner.
 type progress struct {
-	member    wire.Member
-	voter     bool          // false for a learner
-	next      uint64        // index of the next entry to send
-	match     uint64        // index of the last entry that the member is known to have on disk
-	ackedAt   time.Duration // when the leader sent the latest message that the member has answered, by the leader's clock; never if none
-	inflight  []sentEntries // entries sent and not yet acknowledged, in order
-	rewoundAt time.Duration // when next was last set back after a loss
-	chunks    *chunkSender  // the chunked transfer in progress, nil if none
+	member                wire.Member
+	voter                 bool          // false for a learner
+	next                  uint64        // index of the next entry to send
+	match                 uint64        // index of the last entry that the member is known to have on disk
+	answeredMessageSentAt time.Duration // when the leader sent the latest message that the member has answered, by its own clock; never if none was answered
+	inflight              []sentEntries // entries sent and not yet acknowledged, in order
+	rewoundAt             time.Duration // when next was last set back after a loss
+	chunks                *chunkSender  // the chunked transfer in progress, nil if none
 }
 
 // sentEntries describes the entries of one message in flight.
@@ -33,7 +33,7 @@
 // newProgress returns the initial progress of a member. It assumes that the member has all entries of the leader; the
 // member's first rejection corrects that.
 func (n *Node) newProgress(member wire.Member, voter bool) *progress {
-	return &progress{member: member, voter: voter, next: n.lastIndex() + 1, ackedAt: never}
+	return &progress{member: member, voter: voter, next: n.lastIndex() + 1, answeredMessageSentAt: never}
 }
 
 func (p *progress) inflightBytes() (bytes int) {
@@ -66,7 +66,9 @@
 }
 
 // recentlyActive reports whether the member has answered a message sent within tuning.LeaderLease.
-func (p *progress) recentlyActive(now time.Duration) bool { return now-p.ackedAt < tuning.LeaderLease }
+func (p *progress) recentlyActive(now time.Duration) bool {
+	return now-p.answeredMessageSentAt < tuning.LeaderLease
+}
 
 // sortedProgress returns the progress of all members and learners, sorted by name so that messages are sent in a
 // deterministic order.
@@ -80,10 +82,10 @@
 	Voter  bool // false for a learner
 	// Match is the index of the last entry that the member is known to have on disk.
 	Match uint64
-	// AckedAt is when the leader sent the latest message that the member has answered, by the leader's clock; 0 if the
-	// member has answered none in this term.
-	AckedAt time.Duration
-	// RecentlyActive reports whether AckedAt is within tuning.LeaderLease.
+	// AnsweredMessageSentAt is when the leader sent the latest message that the member has answered, by the leader's clock. It is 0
+	// if the member has answered none in this term.
+	AnsweredMessageSentAt time.Duration
+	// RecentlyActive reports whether AnsweredMessageSentAt is within tuning.LeaderLease.
 	RecentlyActive bool
 	// NeedsSnapshot reports whether the member lacks entries that the leader no longer holds.
 	NeedsSnapshot bool
@@ -95,15 +97,15 @@
 	if n.role != Leader {
 		return nil
 	}
-	list := []ReplicaProgress{{Member: n.self, Voter: n.isSelfVoter(), Match: n.stable, AckedAt: now, RecentlyActive: true}}
+	list := []ReplicaProgress{{Member: n.self, Voter: n.isSelfVoter(), Match: n.stable, AnsweredMessageSentAt: now, RecentlyActive: true}}
 	for _, p := range n.sortedProgress() {
 		list = append(list, ReplicaProgress{
-			Member:         p.member,
-			Voter:          p.voter,
-			Match:          p.match,
-			AckedAt:        max(0, p.ackedAt),
-			RecentlyActive: p.recentlyActive(now),
-			NeedsSnapshot:  n.needsSnapshot(p),
+			Member:                p.member,
+			Voter:                 p.voter,
+			Match:                 p.match,
+			AnsweredMessageSentAt: max(0, p.answeredMessageSentAt),
+			RecentlyActive:        p.recentlyActive(now),
+			NeedsSnapshot:         n.needsSnapshot(p),
 		})
 	}
 	return list
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -143,7 +143,7 @@
 	if sentAt < n.roleSince || sentAt > now {
 		sentAt = never // this leader can't have sent the message at that time in this term
 	}
-	peer.ackedAt = max(peer.ackedAt, sentAt)
+	peer.answeredMessageSentAt = max(peer.answeredMessageSentAt, sentAt)
 	if peer.chunks != nil {
 		peer.chunks.acknowledge(message.Append.Chunk, sentAt)
 	}
--- a/internal/controlplane/consensus/replication_test.go
+++ b/internal/controlplane/consensus/replication_test.go
@@ -46,8 +46,8 @@
 			firstSnapshot = n.snapshot.Index
 		}
 		compacted = compacted || n.snapshot.Index > firstSnapshot
-		if p := n.progress["d"]; p.ackedAt > from {
-			longestSilence = max(longestSilence, cluster.now-p.ackedAt)
+		if p := n.progress["d"]; p.answeredMessageSentAt > from {
+			longestSilence = max(longestSilence, cluster.now-p.answeredMessageSentAt)
 		}
 		match, ok := n.Match(learner)
 		return ok && match > 0 && match >= n.Commit() // completely, not within tuning.LearnerLag as for CaughtUp
@@ -72,7 +72,7 @@
 		tick()
 		_, n := cluster.leader(t)
 		if lag := n.LastIndex() - n.progress["d"].match; lag > 10 {
-			t.Fatalf("learner fell %d entries behind again at %v", lag, cluster.now)
+			t.Fatalf("learner fell %d entries behind again at %v, want at most 10", lag, cluster.now)
 		}
 		return false
 	})
@@ -92,7 +92,7 @@
 	cluster.run(20*time.Second, func() bool {
 		tick()
 		_, n := cluster.leader(t)
-		longestSilence = max(longestSilence, cluster.now-n.progress[slow].ackedAt)
+		longestSilence = max(longestSilence, cluster.now-n.progress[slow].answeredMessageSentAt)
 		if b := n.progress[slow].inflightBytes(); b > tuning.AppendMax {
 			t.Fatalf("%d bytes in flight to %s, limit is %d", b, slow, tuning.AppendMax)
 		}
@@ -104,7 +104,7 @@
 	from := cluster.now
 	_, n := cluster.leader(t)
 	if !cluster.run(15*time.Second, func() bool { return n.progress[slow].match >= n.Commit() }) {
-		t.Fatalf("%s hasn't caught up after the changes ended: match %d, commit %d", slow, n.progress[slow].match, n.Commit())
+		t.Fatalf("%s hasn't caught up within 15s after the changes ended: match %d, commit %d", slow, n.progress[slow].match, n.Commit())
 	}
 	t.Logf("longest time without contact %v; caught up %v after the changes ended", longestSilence, cluster.now-from)
 }
@@ -157,7 +157,7 @@
 				n.AddLearner(wire.Member{Name: "d", Disk: 9})
 				return n.progress["d"].match >= n.LastIndex() && n.Commit() == n.LastIndex()
 			}) {
-				t.Fatalf("transfer not complete: match %d, last index %d", n.progress["d"].match, n.LastIndex())
+				t.Fatalf("transfer not complete within 20s: match %d, last index %d", n.progress["d"].match, n.LastIndex())
 			}
 			needed := 0
 			for _, bytes := range chunkBytes {
@@ -194,7 +194,7 @@
 		_, n = cluster.leader(t)
 		return n.progress[unreachable] != nil && n.progress[unreachable].match >= n.Commit()
 	}) {
-		t.Fatalf("%s never caught up", unreachable)
+		t.Fatalf("%s hasn't caught up within 5s after it became reachable", unreachable)
 	}
 	t.Logf("caught up after %v", cluster.now-from)
 	if cluster.snapshotsInstalled[unreachable] != 0 {
@@ -259,7 +259,7 @@
 		if _, leader := cluster.leader(t); leader != n {
 			t.Fatal("another leader was elected because of a slow follower")
 		}
-		longestSilence = max(longestSilence, cluster.now-n.progress[slow].ackedAt)
+		longestSilence = max(longestSilence, cluster.now-n.progress[slow].answeredMessageSentAt)
 		return false
 	})
 	if lag := n.LastIndex() - n.progress[slow].match; lag > 3 || longestSilence > 2*tuning.HeartbeatEvery {
@@ -282,7 +282,7 @@
 		}
 		return false
 	}) {
-		t.Fatal("no other leader was elected")
+		t.Fatal("no other leader was elected within 5s after the leader with a stalled disk lost its lease")
 	}
 	if n.stable >= index {
 		t.Errorf("stable index is %d, want less than %d, since that entry isn't synced", n.stable, index)
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -64,7 +64,7 @@
 	visibleFoundersSince  time.Duration                  // since when visibleFounders has been the same
 	recoveryConsent       discovery.RecoveryConsent      // given by an operator to this daemon
 	proxyRecoveredStates  map[string]proxyRecoveredState // by proxy, its decoded state of an earlier epoch
-	unreadRecoveredStates map[string][]byte              // by proxy, the encoded form of a newer one that is not decoded yet
+	unreadRecoveredStates map[string][]byte              // by proxy, the encoded state that it sent last, if that is not decoded yet
 
 	// The initial state of an epoch, while this member is Recovering.
 
@@ -119,8 +119,8 @@
 	// leavingTargets holds when a leaving target was removed or, while not admitted, reported that it leaves. It drains
 	// again if it comes back.
 	leavingTargets map[wire.TargetID]time.Duration
-	// withdrawnInVersion holds the first table in which a leaving target is draining or absent, so that a repeated report
-	// need not wait for a later one.
+	// withdrawnInVersion holds, by leaving target, the version of the first table in which it is draining or absent, so
+	// that a repeated report need not wait for a later table.
 	withdrawnInVersion map[wire.TargetID]uint64
 	domainRestoredAt   map[string]time.Duration // by domain, when it was last restored after being emptied
 	lastShareOffset    map[string]uint32        // by service, the last share offset assigned
@@ -140,7 +140,7 @@
 	detector             *outlier.Detector
 	scorer               *outlier.Scorer
 	decisionCount        uint64 // decisions that took effect so far
-	decisionCountAtTable uint64 // decisionCount when a table was last checked to be due
+	decisionCountAtTable uint64 // decisionCount when rebuildTableAfterTargetChange last compared all targets
 
 	// Tables. See table.go and tabledelta.go.
 
@@ -152,8 +152,8 @@
 	compressedDocument      compressedDocument               // cached by documentForTables
 	deltas                  map[deltaKey]*wire.Table         // forms of the latest table that were sent to proxies
 	removedTargets          []removedTarget                  // the latest targets removed from tables
-	proxiesChangedInVersion uint64                           // the first table with the current list of proxies
-	oldestDeltaBase         uint64                           // the earliest table that a delta can be based on
+	proxiesChangedInVersion uint64                           // version of the first table with the current list of proxies
+	oldestDeltaBase         uint64                           // version of the earliest table that a delta can be based on
 	latestMergedKey         wire.TableKey                    // key of the latest table that was merged while Gathering
 
 	// Proxies.
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -66,7 +66,7 @@
 }
 
 // leader returns the daemon to forward calls and reports to, "" if no leader is known. A voting member uses the leader
-// that its consensus node knows, as it may be the only one that knows it. Any other daemon uses the leader that members
+// that its consensus node knows, which no other daemon may have announced yet. Any other daemon uses the leader that members
 // announce in their hellos.
 func (c *Controller) leader(now time.Duration) string {
 	if leader := c.activeLeader(now); leader != "" {
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// evaluateHeartbeatGap passes an event to the outlier policies that reports for how long no heartbeat has arrived.
+// evaluateHeartbeatGap passes to the outlier policies an event that states for how long no heartbeat has arrived.
 func (c *Controller) evaluateHeartbeatGap(now time.Duration, t *target) {
 	gap := t.outlierEvent(now, config.SignalHeartbeat)
 	gap.State = t.State
--- a/internal/controlplane/inforce.go
+++ b/internal/controlplane/inforce.go
@@ -33,7 +33,7 @@
 	member       string          // this member of the control plane has joined or left, "": no condition
 	joining      bool            // true: member has to join, false: it has to leave
 	departures   []wire.TargetID // the leave notices or sign-offs of these targets are committed
-	majorityOnly bool            // weaker: a majority of the proxies is enough, even if leases of the others have not expired
+	majorityOnly bool            // waives a condition: the leases of proxies that have not confirmed the table need not have expired
 }
 
 // isInForce reports whether a waiter's table is in force and its further conditions are met. A table is in force once
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -137,7 +137,7 @@
 
 // sinceLastContact returns the time since this member last had contact with the named one. It is 0 for this member
 // itself, and for all members until this one has led for tuning.NewLeaderGrace, which gives every running member time
-// to make contact. After that, time before this member led counts too.
+// to make contact. After that, the result includes time before this member led.
 func (c *Controller) sinceLastContact(now time.Duration, name string) time.Duration {
 	if name == c.settings.Self.Name || now-c.node.RoleSince() < tuning.NewLeaderGrace {
 		return 0
--- a/internal/controlplane/memberview.go
+++ b/internal/controlplane/memberview.go
@@ -159,8 +159,9 @@
 	return view
 }
 
-// noContactFor returns the time since a daemon last acknowledged entries or sent a hello. The time goes back no further
-// than the start of this process, and only acknowledgements to this leadership count.
+// noContactFor returns the time since the last contact with a daemon: since its last hello arrived, or since this leader
+// sent the latest message that the daemon has answered in this term, whichever is shorter. The time goes back no further
+// than the start of this process.
 func (c *Controller) noContactFor(now time.Duration, progress consensus.ReplicaProgress) time.Duration {
-	return now - max(c.peerContacts[progress.Member.Name].lastAt, progress.AckedAt, c.startedAt)
+	return now - max(c.peerContacts[progress.Member.Name].lastAt, progress.AnsweredMessageSentAt, c.startedAt)
 }
--- a/internal/controlplane/proxylease.go
+++ b/internal/controlplane/proxylease.go
@@ -137,7 +137,7 @@
 		return false
 	}
 	if c.tableVersion-key.Version >= tuning.TablesKept {
-		return true // older than tableMadeAt goes back
+		return true // tableMadeAt no longer has the time of the table after it
 	}
 	return now-c.tableMadeAt[(key.Version+1)%tuning.TablesKept] >= tuning.TableAckTimeout
 }
--- a/internal/controlplane/proxymembership.go
+++ b/internal/controlplane/proxymembership.go
@@ -58,8 +58,8 @@
 	return entries
 }
 
-// expiredProxies returns the names of the members that have not pulled for tuning.ProxyExpiry. A leader can't tell before
-// it has led for that long itself.
+// expiredProxies returns the names of the proxies in the membership that have not pulled for tuning.ProxyExpiry. A leader
+// can't tell before it has led for that long itself.
 func (c *Controller) expiredProxies(now time.Duration) (names []string) {
 	if now-c.leadershipSince <= tuning.ProxyExpiry {
 		return nil
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -65,8 +65,8 @@
 	case c.node.Removed() || c.isNonVoter() && !c.node.HasLeader(now):
 		return true
 	case !c.isNonVoter() && (c.hasStandby(now) || len(c.node.Members())%2 == 0):
-		// A standby still has to join as the successor, or it has joined, which the even number of members shows, and
-		// this member has to be removed. This member's vote may be needed for either change.
+		// Either a standby still has to join as the successor; or it has joined, which makes the number of members even,
+		// and this member still has to be removed. This member's vote may be needed for either change.
 		return false
 	}
 	return waited > tuning.ElectionTimeoutMin || c.node.Role() != consensus.Leader
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -33,7 +33,7 @@
 	Targets      int              `json:"targets"` // known to this member as the leader
 	Proxies      int              `json:"proxies"` // in the proxy membership
 	ControlPlane ControlPlaneView `json:"core"`
-	// Damage lists the latest data since the start that could not be decoded.
+	// Damage lists the data that could not be decoded since the process started, at most tuning.DamageReportsKept cases.
 	Damage []Damage `json:"damage,omitempty"`
 	// DiskError is why this member's disk currently rejects writes, "" if it accepts them.
 	DiskError string `json:"disk_refuses,omitempty"`
--- a/internal/controlplane/undecodable_test.go
+++ b/internal/controlplane/undecodable_test.go
@@ -46,7 +46,8 @@
 			}
 			status := c.Status(fleet.now)
 			if c.Leading() || c.HoldsLease(fleet.now) || status.Current || len(status.Damage) != 1 || c.counts.DamageReports != 1 {
-				t.Fatalf("leading: %v, damage %v; want no leader and one damage report", c.Leading(), status.Damage)
+				t.Fatalf("leading: %v, holds the lease: %v, status is current: %v, damage %v, %d damage reports counted; want false for the first three and one damage report",
+					c.Leading(), c.HoldsLease(fleet.now), status.Current, status.Damage, c.counts.DamageReports)
 			}
 			if !errors.Is(c.undecodable, state.ErrDamaged) {
 				t.Errorf("undecodable is %v, want an error marked ErrDamaged", c.undecodable)
@@ -86,7 +87,7 @@
 		c.apply(fleet.now, wire.Entry{Index: 1000 + uint64(i), Kind: consensus.EntryData, Data: command})
 	}
 	if len(c.state.EmptiedDomains) > 0 || c.node.Snapshot().Index != snapshot {
-		t.Error("entries after the undecodable one were applied")
+		t.Errorf("after further entries: emptied domains %v, snapshot at entry %d; want none, and the snapshot still at entry %d", c.state.EmptiedDomains, c.node.Snapshot().Index, snapshot)
 	}
 }
 
--- a/internal/controlplane/wal/format.go
+++ b/internal/controlplane/wal/format.go
@@ -13,12 +13,12 @@
 // The kinds of records. They share their two low-order bytes, which come first on disk.
 const (
 	singleRecord recordKind = 0x4d46524e // one record
-	singleMirror recordKind = 0x4d45524e // mirror of one record
+	singleMirror recordKind = 0x4d45524e // mirror (second copy, see the package comment) of one record
 	recordGroup  recordKind = 0x4d47524e // several records written together, which are recovered all or not at all
 	groupMirror  recordKind = 0x4d48524e // mirror of a group
 )
 
-// mirror returns the kind of the mirror of a record or group of kind k.
+// mirror returns the kind that marks the mirror of a record or group of kind k.
 func (k recordKind) mirror() recordKind {
 	if k == recordGroup {
 		return groupMirror
--- a/internal/controlplane/wal/recovery.go
+++ b/internal/controlplane/wal/recovery.go
@@ -45,7 +45,7 @@
 		}
 		// This is the mirror of a write that is itself unreadable. Make the next write go to another segment, even if
 		// this write was interrupted and never acknowledged: otherwise a later recovery could find this mirror after
-		// newer records and count it.
+		// newer records and add its content to them.
 		next = s.size
 		if header.number == uint32(len(records)) {
 			records = append(records, header.records(data)...)
--- a/internal/controlplane/wal/segment.go
+++ b/internal/controlplane/wal/segment.go
@@ -96,7 +96,7 @@
 		if err := s.eachHeaderIn(b, at, visit); err != nil {
 			return err
 		}
-		// Overlap reads, since a prefix may lie across the end of the buffer.
+		// Overlap reads, since the bytes of kindPrefix may lie across the end of the buffer.
 		at += int64(len(b) - len(kindPrefix) + 1)
 	}
 	return nil
--- a/internal/controlplane/wal/wal.go
+++ b/internal/controlplane/wal/wal.go
@@ -8,9 +8,10 @@
 //
 // Each write, of one record or of a group, has one header with the segment's generation, the first record's number and a
 // checksum, so that after a power cut the write is recovered completely or not at all. The write is followed immediately by
-// a copy of itself, its mirror, which the next write overwrites. The mirror makes it possible to distinguish an interrupted
-// write, which was never acknowledged, from damage to the last synced write: the former has no valid mirror and is dropped,
-// the latter is read from its mirror. Damage before a valid record is an error, since acknowledged records are lost then.
+// its mirror, a second copy of the same header and data, which the next write overwrites. If the last write is invalid but
+// its mirror is valid, the write may have been acknowledged and damaged later, so it is read from the mirror. If neither is
+// valid, the write is taken for an interrupted one, which was never acknowledged, and is dropped. Damage before a valid
+// record is an error, since acknowledged records are lost then.
 //
 // Start reading at Open in this file and Log.Append in write.go. The on-disk format is in format.go, recovery in
 // recovery.go.
--- a/internal/controlplane/wal/wal_test.go
+++ b/internal/controlplane/wal/wal_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// After an interrupted write of a group, of which part of the mirror reached the disk, that mirror must not be recovered
-// after newer records were written.
+// The write of a group is interrupted when only a part of the group's mirror has reached the disk. A recovery after newer
+// records were written must not restore the group from that mirror.
 func TestMirrorOfTornWriteIsDropped(t *testing.T) {
 	dir := t.TempDir()
 	appendRecords(t, dir, "one")
