--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -95,8 +95,8 @@
 }
 
 // countVote records a vote if vote is set. It then checks whether the campaign has enough votes and consents, and if so
-// starts the election after a pre-vote, or becomes leader after an election. A unanimous election needs the votes of a majority and the consent of every member of the electorate,
-// and only the candidate that no other outranks continues it.
+// starts the election after a pre-vote, or becomes leader after an election. A unanimous election needs the votes of a
+// majority and the consent of every member of the electorate, and only the candidate that no other outranks continues it.
 func (n *Node) countVote(now time.Duration, name string, vote bool) {
 	if vote && !n.votes[name] {
 		n.votes[name], n.lastVoteAt = true, now
--- a/internal/controlplane/consensus/lease.go
+++ b/internal/controlplane/consensus/lease.go
@@ -20,8 +20,8 @@
 	return n.role == Leader && n.commit >= n.termStartIndex && !n.DiskStalled(now) && n.majorityAnsweredMessageSentAt(now) > now-tuning.LeaderLease
 }
 
-// majorityAnsweredMessageSentAt returns the latest time, by this node's clock, such that a majority has acknowledged messages that this
-// node sent at that time or later.
+// majorityAnsweredMessageSentAt returns the latest time, by this node's clock, such that a majority has
+// answered messages that this node sent at that time or later.
 func (n *Node) majorityAnsweredMessageSentAt(now time.Duration) time.Duration {
 	return majorityValue(n, now, never, func(p *progress) time.Duration { return p.answeredMessageSentAt })
 }
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -18,7 +18,7 @@
 	voter                 bool          // false for a learner
 	next                  uint64        // index of the next entry to send
 	match                 uint64        // index of the last entry that the member is known to have on disk
-	answeredMessageSentAt time.Duration // when the leader sent the latest message that the member has answered, by its own clock; never if none was answered
+	answeredMessageSentAt time.Duration // when the leader sent the latest message that the member has answered; never if none
 	inflight              []sentEntries // entries sent and not yet acknowledged, in order
 	rewoundAt             time.Duration // when next was last set back after a loss
 	chunks                *chunkSender  // the chunked transfer in progress, nil if none
@@ -82,8 +82,8 @@
 	Voter  bool // false for a learner
 	// Match is the index of the last entry that the member is known to have on disk.
 	Match uint64
-	// AnsweredMessageSentAt is when the leader sent the latest message that the member has answered, by the leader's clock. It is 0
-	// if the member has answered none in this term.
+	// AnsweredMessageSentAt is when the leader sent the latest message that the member has answered, by the
+	// leader's clock. It is 0 if the member has answered none in this term.
 	AnsweredMessageSentAt time.Duration
 	// RecentlyActive reports whether AnsweredMessageSentAt is within tuning.LeaderLease.
 	RecentlyActive bool
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -150,7 +150,7 @@
 	tableRefreshedAt        time.Duration                    // when a table was last built as a regular refresh, without a change
 	demandPublishedAt       time.Duration                    // when a table last published the demand of targets
 	compressedDocument      compressedDocument               // cached by documentForTables
-	deltas                  map[deltaKey]*wire.Table         // forms of the latest table that were sent to proxies
+	tableForms              map[tableFormKey]*wire.Table     // forms of the latest table that were sent to proxies
 	removedTargets          []removedTarget                  // the latest targets removed from tables
 	proxiesChangedInVersion uint64                           // version of the first table with the current list of proxies
 	oldestDeltaBase         uint64                           // version of the earliest table that a delta can be based on
--- a/internal/controlplane/indirectprobe.go
+++ b/internal/controlplane/indirectprobe.go
@@ -14,8 +14,8 @@
 // indirectProber is a proxy that may probe a target on behalf of the leader.
 type indirectProber struct {
 	name, domain   string
-	random         uint32 // sort key: a deterministic hash of proxy, target and time, so that the order differs between probes
-	rankInDomain   int    // position from 0 among the probers of its domain, in the order of random
+	sortHash       uint32 // sort key: a hash of proxy, target and time, so that the order differs between probes
+	rankInDomain   int    // position from 0 among the probers of its domain, in the order of sortHash
 	inLeaderDomain bool   // whether it is in the leader's failure domain
 }
 
@@ -42,11 +42,11 @@
 		hash := fnv.New32a()
 		fmt.Fprint(hash, entry.Name, id, now)
 		probers = append(probers, indirectProber{
-			name: entry.Name, domain: entry.Domain, random: hash.Sum32(), inLeaderDomain: entry.Domain == c.settings.Self.Domain,
+			name: entry.Name, domain: entry.Domain, sortHash: hash.Sum32(), inLeaderDomain: entry.Domain == c.settings.Self.Domain,
 		})
 	}
 	slices.SortFunc(probers, func(a, b indirectProber) int {
-		return cmp.Or(cmp.Compare(a.random, b.random), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(a.sortHash, b.sortHash), cmp.Compare(a.name, b.name))
 	})
 	perDomain := map[string]int{}
 	for i := range probers {
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -180,8 +180,9 @@
 }
 
 // hasGatheredEnough reports whether the tables of enough proxies are merged, out of total in the membership. Any table
-// that was in force is held by a majority of the proxies, so a majority suffices to know all of them. It waits longer
-// for ejections and drains that only the remaining proxies know or, if the membership is empty, for the first proxies.
+// that was in force is held by a majority of the proxies, so the tables of a majority include the latest such table. With
+// a majority it still waits for the remaining proxies for some time, since only they may know of some ejections and
+// drains. With an empty membership it waits for the first proxies. It waits no longer than tuning.GatherTablesWait.
 func hasGatheredEnough(merged, total int, waited time.Duration) bool {
 	switch {
 	case waited > tuning.GatherTablesWait:
@@ -240,7 +241,7 @@
 	c.lastShareOffset, c.shareOffsetByName = map[string]uint32{}, map[serviceTarget]uint32{}
 	c.detector, c.activeRevision = outlier.New(), 0
 	c.scorer = outlier.NewScorer(c.detector)
-	c.table, c.deltas, c.removedTargets = nil, nil, nil
+	c.table, c.tableForms, c.removedTargets = nil, nil, nil
 	c.latestMergedKey = wire.TableKey{}
 	c.proxiesChangedInVersion, c.oldestDeltaBase = c.tableVersion+1, c.tableVersion+1
 	c.leadershipTerms = nil
--- a/internal/controlplane/resume.go
+++ b/internal/controlplane/resume.go
@@ -61,8 +61,8 @@
 
 // canResumeAtOnce reports whether this member can lead again without gathering tables: no other member led in between,
 // and it leads again either in the same term or within tuning.ResumeAtOnce. That time is shorter than the lease that a
-// proxy got with its last pull, so a proxy that pulled just before the loss has made no decisions of its own since, which this member would have to
-// learn.
+// proxy got with its last pull, so a proxy that pulled just before the loss has since made no decisions of its own that
+// this member would have to learn.
 func (c *Controller) canResumeAtOnce(now time.Duration) bool {
 	if !c.canResumeLeadership(now) || c.table == nil {
 		return false
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -26,7 +26,7 @@
 	if refresh {
 		c.tableRefreshedAt = now
 	}
-	c.table, c.deltas = table, nil
+	c.table, c.tableForms = table, nil
 	c.sendTable(now)
 }
 
--- a/internal/controlplane/tabledelta.go
+++ b/internal/controlplane/tabledelta.go
@@ -10,10 +10,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// deltaKey identifies a form of the latest table: a delta to the table of baseTerm and baseVersion or, if these are 0,
+// tableFormKey identifies a form of the latest table: a delta to the table of baseTerm and baseVersion or, if these are 0,
 // all proxies and targets. The state and the document are included only if set. Proxies that lack the same parts share
 // a form.
-type deltaKey struct {
+type tableFormKey struct {
 	baseTerm, baseVersion   uint64
 	withState, withDocument bool
 }
@@ -33,42 +33,42 @@
 	}
 	switch {
 	case c.isOwnTable(proxy.tableKey) && proxy.tableKey.Version >= c.oldestDeltaBase:
-		return c.delta(deltaKey{proxy.tableKey.Term, proxy.tableKey.Version, needsState, needsDocument})
+		return c.tableForm(tableFormKey{proxy.tableKey.Term, proxy.tableKey.Version, needsState, needsDocument})
 	case proxy.tableKey.Epoch == c.table.Key.Epoch && !needsDocument:
-		return c.delta(deltaKey{withState: needsState})
+		return c.tableForm(tableFormKey{withState: needsState})
 	}
 	return c.table
 }
 
-// delta returns a form of the latest table. It makes each form once per table.
-func (c *Controller) delta(key deltaKey) *wire.Table {
-	if made := c.deltas[key]; made != nil {
+// tableForm returns a form of the latest table. It makes each form once per table.
+func (c *Controller) tableForm(key tableFormKey) *wire.Table {
+	if made := c.tableForms[key]; made != nil {
 		return made
 	}
-	if c.deltas == nil {
-		c.deltas = map[deltaKey]*wire.Table{}
+	if c.tableForms == nil {
+		c.tableForms = map[tableFormKey]*wire.Table{}
 	}
-	c.deltas[key] = c.makeDelta(key)
-	return c.deltas[key]
+	c.tableForms[key] = c.makeTableForm(key)
+	return c.tableForms[key]
 }
 
-func (c *Controller) makeDelta(key deltaKey) *wire.Table {
-	delta := *c.table
+func (c *Controller) makeTableForm(key tableFormKey) *wire.Table {
+	form := *c.table
 	if !key.withDocument {
-		delta.Document = nil
+		form.Document = nil
 	}
 	if !key.withState {
-		delta.State = nil
+		form.State = nil
 	}
 	if key.baseVersion != 0 {
-		c.omitUnchanged(&delta, key)
+		c.omitUnchanged(&form, key)
 	}
-	return &delta
+	return &form
 }
 
 // omitUnchanged turns a complete table into a delta: it omits proxies and targets that are the same as in the base, and
 // adds the targets removed since.
-func (c *Controller) omitUnchanged(delta *wire.Table, key deltaKey) {
+func (c *Controller) omitUnchanged(delta *wire.Table, key tableFormKey) {
 	delta.DeltaBase = wire.TableKey{Epoch: delta.Key.Epoch, Term: key.baseTerm, Version: key.baseVersion}
 	delta.Targets, delta.RemovedTargets = nil, nil
 	if c.proxiesChangedInVersion <= key.baseVersion {
--- a/internal/controlplane/targetapi.go
+++ b/internal/controlplane/targetapi.go
@@ -13,8 +13,8 @@
 )
 
 // reportTarget handles a report and answers it: a heartbeat at once, and a leave notice or sign-off once it is
-// committed and a majority of the proxies has confirmed a table that contains it. It does not wait until the
-// leases of the other proxies have expired.
+// committed and a majority of the proxies has confirmed a table that contains it. It does not wait until the leases of
+// the other proxies have expired.
 func (c *Controller) reportTarget(now time.Duration, call *pendingCall, report wire.Target) {
 	ids := []wire.TargetID{report.ID()}
 	if report.Service == "" {
@@ -42,8 +42,8 @@
 }
 
 // recordWithdrawal records for each of the targets the first table version in which it is draining or absent, and
-// returns the first version in which all of them are. It records nothing for a target that still gets requests,
-// as after a delayed report, which was ignored.
+// returns the first version in which all of them are. It records nothing for a target that still gets requests: its
+// report arrived late and was ignored.
 func (c *Controller) recordWithdrawal(ids []wire.TargetID) (version uint64) {
 	for _, id := range ids {
 		withdrawnIn := c.withdrawnInVersion[id]
