--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(lines, want) {
-		t.Fatalf("testdata/%s differs from:\n%s", name, lines)
+		t.Fatalf("the lines differ from those in testdata/%s; got:\n%s", name, lines)
 	}
 }
 
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -20,7 +20,7 @@
 	loop       *Loop
 	controller *controlplane.Controller
 	now        time.Duration
-	accepted   int
+	accepted   int // number of calls that were answered with status 200
 }
 
 func newSingleMember(tb testing.TB, p *Process) *singleMember {
@@ -33,6 +33,7 @@
 	return &singleMember{disk: disk, loop: p.Loop, now: time.Second, controller: controlplane.New(time.Second, controlplane.Settings{Self: self, BootstrapSize: 1}, persisted)}
 }
 
+// step passes an event to the controller and syncs the batches that it returns. It fails the test if a call is rejected.
 func (m *singleMember) step(tb testing.TB, event statemachine.Event) {
 	tb.Helper()
 	var batches []*wire.Batch
@@ -55,6 +56,7 @@
 	}
 }
 
+// lead sends ticks until the member is the leader.
 func (m *singleMember) lead(tb testing.TB) {
 	tb.Helper()
 	for end := m.now + 10*time.Second; !m.controller.Leading() && m.now < end; m.now += tuning.TickEvery {
@@ -77,6 +79,7 @@
 	return append(doc, "}}"...)
 }
 
+// change replaces the configuration the given number of times, each time with one of the given number of services.
 func (m *singleMember) change(tb testing.TB, changes, services int) {
 	tb.Helper()
 	rnd := rand.New(rand.NewPCG(uint64(changes), uint64(services)))
@@ -85,10 +88,11 @@
 		m.now += time.Millisecond
 	}
 	if m.accepted != changes {
-		tb.Fatalf("%d of %d changes accepted", m.accepted, changes)
+		tb.Fatalf("%d of %d changes accepted, want all", m.accepted, changes)
 	}
 }
 
+// persistedBytes returns the size of the encoded checkpoint of a persisted state.
 func persistedBytes(tb testing.TB, persisted *consensus.PersistentState) int {
 	tb.Helper()
 	b, err := wire.EncodeBatch(persisted.Checkpoint())
@@ -131,7 +135,7 @@
 				for b.Loop() {
 					again := newSingleMember(b, p)
 					if again.controller.Revision() > uint64(changes) {
-						b.Fatalf("revision %d after %d changes", again.controller.Revision(), changes)
+						b.Fatalf("revision %d after %d changes, want no more than one for each change", again.controller.Revision(), changes)
 					}
 				}
 				b.ReportMetric(float64(size), "image-bytes")
--- a/internal/dataplane/attempts.go
+++ b/internal/dataplane/attempts.go
@@ -78,7 +78,7 @@
 		r.attempts--
 		r.failedConnects++
 	}
-	// A target with a health check that is not the intended one has read the request before it responds.
+	// If the service has a health check, a target that is not the intended one has read the request before it responds.
 	otherResponded := r.lastOutcome == statemachine.WrongIdentity && r.serviceConfig.HasHealthCheck()
 	if sent || otherResponded || r.lastOutcome == statemachine.TargetRejected {
 		r.isRetry = true
--- a/internal/dataplane/attempts_test.go
+++ b/internal/dataplane/attempts_test.go
@@ -32,7 +32,7 @@
 				t.Fatal("forwarded again although the previous attempt may have run")
 			}
 			if sends >= 3 || failedConnects >= tuning.ConnectAttemptsMax {
-				t.Fatalf("forwarded again after %d attempts and %d failed connects, more than allowed", sends, failedConnects)
+				t.Fatalf("forwarded again after %d attempts and %d failed connects, want fewer than 3 and fewer than %d", sends, failedConnects, tuning.ConnectAttemptsMax)
 			}
 			outcome := rapid.SampledFrom([]statemachine.Outcome{statemachine.ServerError, statemachine.ResponseLost, statemachine.ConnectFailed, statemachine.WrongIdentity, statemachine.ChoiceExpired, statemachine.TargetRejected}).Draw(t, "outcome")
 			mayHaveRun = outcome == statemachine.ServerError || outcome == statemachine.ResponseLost
--- a/internal/dataplane/fairness_test.go
+++ b/internal/dataplane/fairness_test.go
@@ -75,7 +75,7 @@
 		got := offerLoad(proxy, 50*time.Millisecond, 30*time.Second, []requestClass{{"/once/", highEvery}, {"/low/", 20 * time.Millisecond}})
 		t.Logf("high priority every %v: fractions forwarded: %v", highEvery, got)
 		if got["/low/"] < got["all"]/4 {
-			t.Errorf("high priority every %v: fraction forwarded is %.2f for low priority and %.2f for all, want a quarter of that for low priority", highEvery, got["/low/"], got["all"])
+			t.Errorf("high priority every %v: fraction forwarded is %.2f for low priority and %.2f for all, want at least a quarter of the latter for low priority", highEvery, got["/low/"], got["all"])
 		}
 		if got["/once/"] < got["/low/"]-0.05 {
 			t.Errorf("high priority every %v: fraction forwarded is %.2f for high priority and %.2f for low, want at most 0.05 less for high", highEvery, got["/once/"], got["/low/"])
--- a/internal/dataplane/hashing.go
+++ b/internal/dataplane/hashing.go
@@ -17,8 +17,8 @@
 	return mixHashes(hash.Sum64(), 0)
 }
 
-// hash32 returns the hash of a limit's name that determines which proxies receive the remainder when the limit is
-// divided evenly.
+// hash32 returns the hash of a service's name. It determines which proxies receive the remainder when a limit of
+// the service is divided evenly.
 func hash32(text string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(text))
--- a/internal/dataplane/health.go
+++ b/internal/dataplane/health.go
@@ -32,6 +32,8 @@
 	p.emit(reply)
 }
 
+// forwardHeartbeat forwards a target's report to another daemon. Timestamp 1 marks it as relayed, so that a control
+// daemon doesn't relay it again.
 func (p *Proxy) forwardHeartbeat(name string, report *wire.Target) {
 	p.send(name, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: report})
 }
--- a/internal/dataplane/invalidtable_test.go
+++ b/internal/dataplane/invalidtable_test.go
@@ -41,7 +41,7 @@
 			proxy.version += 2
 			proxy.sendTable(1, ruleConfig, readyTarget("c"))
 			if proxy.machine.Table().Targets[0].Name != "c" || proxy.machine.leaseUntil == leaseUntil {
-				t.Error("a later valid table was not applied")
+				t.Error("a later valid table was not applied, or the lease for it was not accepted")
 			}
 		})
 	}
--- a/internal/dataplane/lease.go
+++ b/internal/dataplane/lease.go
@@ -32,8 +32,8 @@
 	return now > leaseBegan+after
 }
 
-// leaderUnreachable reports whether this proxy has to go on without the leader. A proxy that has never had the
-// right to serve waits for the leader as long as the leader's pushes still arrive.
+// leaderUnreachable reports whether this proxy must rely on its peers instead of the leader. A proxy that has never
+// had the right to serve waits for the leader as long as the leader's pushes still arrive.
 func (p *Proxy) leaderUnreachable(now time.Duration) bool {
 	return p.suspectsLeader(now) && (p.hasServed || p.lastLeaderPushAt == 0 || now-p.lastLeaderPushAt > tuning.ProxyLive)
 }
@@ -43,7 +43,8 @@
 	before := p.leader(now)
 	p.directory.Merge(now, p.settings.Self.Name, hello)
 	if leader := p.leader(now); leader != before && leader == from && now > p.lastPullAt {
-		p.pullTable(now) // a new leader needs the proxies' tables, and they need its lease
+		// Tells the new leader which table this proxy has and asks it for a lease, before the next pull is due.
+		p.pullTable(now)
 	}
 	if !hello.Reply {
 		reply := &wire.Hello{Self: p.selfReport(), Reply: true, Daemons: p.directory.Daemons()}
@@ -161,8 +162,8 @@
 
 // handlePush handles a push from a leader, or from a peer in answer to a poll.
 func (p *Proxy) handlePush(now time.Duration, message *wire.Message) {
-	// The timestamp is from this process's clock only if the push answers this very process: Disk is the
-	// incarnation that sent the pull.
+	// A push repeats the timestamp and the incarnation (Disk) of the pull that it answers. The timestamp is from
+	// this process's clock only if the incarnation is its own.
 	isReply := message.Disk == p.settings.Self.Incarnation && message.Timestamp > 0 && time.Duration(message.Timestamp) <= now
 	if peer := p.directory[message.From]; peer != nil && peer.Kind == wire.ProxyDaemon {
 		p.handlePeerPush(now, message, isReply)
--- a/internal/dataplane/load.go
+++ b/internal/dataplane/load.go
@@ -80,6 +80,7 @@
 }
 
 // observe adds a response time, given as its ratio to the mean of its route, to the target's latency ratio.
+// The previous latency ratio counts only as far as it has not decayed, see slowness.
 func (t *targetState) observe(now time.Duration, ratio float64) {
 	t.latencyRatio = 1 + t.slowness(now)
 	if t.latencyRatio == 1 {
--- a/internal/dataplane/peers.go
+++ b/internal/dataplane/peers.go
@@ -1,5 +1,6 @@
-// Serving without a leader. Each proxy polls the others. As long as a majority has confirmed within a peer
-// lease that it has no later table, the proxy may keep serving by its own.
+// Serving without a leader. Each proxy polls the others. If a peer confirms that it has no later table, this
+// proxy holds a peer lease from it, which ends tuning.PeerLease after the poll was sent. With peer leases from a
+// majority, the proxy may keep serving by its own table.
 
 package dataplane
 
@@ -13,8 +14,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// hasPeerMajority reports whether a majority of the member proxies has confirmed this proxy's table within a
-// peer lease. While a membership change is under way, a majority of the previous members is needed too.
+// hasPeerMajority reports whether a majority of the member proxies confirms this proxy's table, see confirms. While
+// a membership change is under way, a majority of the previous members is needed too.
 func (p *Proxy) hasPeerMajority(now time.Duration) bool {
 	confirmed := 0
 	for i := range p.table.Proxies {
@@ -37,8 +38,8 @@
 	return 2*confirmed > len(p.table.PreviousProxies)
 }
 
-// confirms reports whether a proxy counts towards the majority: a peer that has confirmed within the peer
-// lease, or this proxy itself once it has had the right to serve.
+// confirms reports whether a proxy counts towards the majority: a peer whose peer lease is valid, or this proxy
+// itself once it has had the right to serve.
 func (p *Proxy) confirms(now time.Duration, name string) bool {
 	if name == p.settings.Self.Name {
 		return p.hasServed
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -4,12 +4,13 @@
 // it in a process, and the simulator runs it in virtual time. It doesn't forward any bytes; that is the task of
 // package reverseproxy.
 //
-// A proxy serves only by a table that is known to be up to date. In state Leased, the leader has answered a
-// pull that was sent less than a lease ago. In state PeerServing, the proxy has no lease, but a majority of the
-// member proxies, including itself, answered within a peer lease, and it has applied the latest table among
-// theirs. The leader reports a change as in force only after a majority has confirmed it and all other leases
-// have expired, so a proxy that serves on peer leases can't miss it. In any other case the proxy is Isolated,
-// or has NoTable yet, and rejects requests. Proxy.updateState chooses the state.
+// A proxy serves only by a table that is known to be up to date. In state Leased, the leader has answered a pull
+// that was sent less than a lease ago. In state PeerServing, the proxy has no lease, but a majority of the
+// member proxies, including itself, answered a poll that was sent less than a peer lease (tuning.PeerLease) ago,
+// and it has applied the latest table among theirs. The leader reports a change as in force only after a
+// majority has confirmed it and the leases of all other proxies have expired, so a proxy that serves on peer
+// leases can't miss it. In any other case the proxy is Isolated, or has NoTable yet, and rejects requests.
+// Proxy.updateState chooses the state.
 //
 // Begin reading with Proxy and Step in proxy.go. A request passes through admission.go, routing.go,
 // selection.go or slotselection.go, queue.go and attempts.go; rejection.go has the reasons to reject it.
@@ -70,7 +71,7 @@
 	directory            discovery.Directory
 	lastHelloAt          time.Duration
 	lastPullAt           time.Duration
-	pullAtNextTick       bool                     // the leader waits for the result of an indirect probe
+	pullAtNextTick       bool                     // the leader waits for the answer to a probe that it requested
 	reportedSelf         wire.Daemon              // as of the last pull with a description of this proxy
 	reportedTo           string                   // the leader that received that pull
 	recoveredStateSentAt map[string]time.Duration // by control daemon's process, see processKey
--- a/internal/dataplane/reverseproxy/limits.go
+++ b/internal/dataplane/reverseproxy/limits.go
@@ -25,8 +25,9 @@
 }
 
 // maxBodyBytes returns the maximum size of the body of a request for a service, in bytes. For a service with a health
-// check, the configured limit for all callers replaces the service's own limit. For other services, the smaller of the
-// two limits applies.
+// check, the configured limit for all callers replaces the service's own limit; if none is configured, the larger of
+// the service's own limit and tuning.CallerBodyMax applies. For other services, the smaller of the configured limit and
+// the service's own one applies.
 func (f *Forwarder) maxBodyBytes(service *config.Service) int64 {
 	own, common := int64(service.BodyMax), int64(f.limits().BodyBytes)
 	switch {
--- a/internal/dataplane/reverseproxy/pipelining_test.go
+++ b/internal/dataplane/reverseproxy/pipelining_test.go
@@ -163,7 +163,7 @@
 		}
 	})
 	if count == 0 {
-		t.Fatal("no request was pipelined")
+		t.Fatal("no request was pipelined in any run, so pipelining was not tested")
 	}
 }
 
--- a/internal/dataplane/reverseproxy/uploads_test.go
+++ b/internal/dataplane/reverseproxy/uploads_test.go
@@ -54,7 +54,7 @@
 		}
 	}
 	if a.runs.Load() != 2 {
-		t.Fatal("a request with an incomplete body looked complete to the target")
+		t.Fatalf("the target got %d complete requests, want 2: those with an incomplete body must not look complete", a.runs.Load())
 	}
 	early := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("P", "1")
--- a/internal/dataplane/reverseproxy/upstream.go
+++ b/internal/dataplane/reverseproxy/upstream.go
@@ -236,8 +236,8 @@
 // readUpTo reads up to limit bytes from source. complete reports whether the end of source was reached.
 func readUpTo(source io.Reader, limit int) (data []byte, complete bool, err error) {
 	const (
-		firstBytes = 4 << 10
-		growth     = 4
+		firstBytes   = 4 << 10
+		growthFactor = 4
 	)
 	data = make([]byte, 0, min(limit, firstBytes))
 	for {
@@ -245,7 +245,7 @@
 			if len(data) >= limit {
 				return data, false, nil
 			}
-			data = append(make([]byte, 0, min(limit, growth*cap(data))), data...)
+			data = append(make([]byte, 0, min(limit, growthFactor*cap(data))), data...)
 		}
 		n, err := source.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
--- a/internal/dataplane/routing_test.go
+++ b/internal/dataplane/routing_test.go
@@ -71,7 +71,7 @@
 		t.Fatalf("got %+v, want a rejection with code %q", reject, statemachine.CodeNotPipelined)
 	}
 	if counts := proxy.machine.Counts; counts.Forwarded != 0 || counts.Unmatched != 0 || proxy.machine.InFlight() != 0 || proxy.machine.service("s").retryCredit.credit != 0 {
-		t.Fatalf("the rejected request left counts %+v, %d requests in flight and retry credit %v", counts, proxy.machine.InFlight(), proxy.machine.service("s").retryCredit.credit)
+		t.Fatalf("the rejected request left counts %+v, %d requests in flight and retry credit %v, want no request counted, 0 and 0", counts, proxy.machine.InFlight(), proxy.machine.service("s").retryCredit.credit)
 	}
 	if _, ok := proxy.admitOnRoute(1, "/once/", 0).(statemachine.Forward); !ok {
 		t.Fatal("non-idempotent request not forwarded although it is not pipelined")
--- a/internal/dataplane/shutdown_test.go
+++ b/internal/dataplane/shutdown_test.go
@@ -57,7 +57,7 @@
 				}
 				workTime := time.Duration(random.Int64N(int64(longest)))
 				if response.WorkTime > 0 && id%2 == 0 {
-					workTime = min(workTime, response.WorkTime) // every other target respects its work time
+					workTime = min(workTime, response.WorkTime) // for every other request the target respects its work time
 				}
 				r.endsAt[id] = r.now + min(workTime, response.TimeLeft) // the proxy responds itself at the deadline
 			case statemachine.Reject:
--- a/internal/dataplane/slotselection.go
+++ b/internal/dataplane/slotselection.go
@@ -37,16 +37,16 @@
 // chooseBySlots chooses a target by tier, then by cost. Different proxies, and successive choices of one proxy,
 // start at different targets, so that targets of equal cost share the requests.
 func (p *Proxy) chooseBySlots(now time.Duration, req *request, service *serviceState) (target *targetState, hasCandidates bool) {
-	mayBorrow := p.priorityAllows(now, req, service)
+	anyTarget := p.priorityAllows(now, req, service)
 	p.rotation++
 	// In most cases a slot of this proxy's quota in its own domain is free, and no other target is examined.
-	best := p.bestAmong(now, req, service, service.quotaTargets, eligible, mayBorrow)
+	best := p.bestAmong(now, req, service, service.quotaTargets, eligible, anyTarget)
 	if best.target != nil && best.tier == quotaLocal {
 		p.countChoice(best.tier)
 		return best.target, true
 	}
 	for _, class := range []eligibility{eligible, lastResort} {
-		best = p.bestAmong(now, req, service, service.targets, class, mayBorrow)
+		best = p.bestAmong(now, req, service, service.targets, class, anyTarget)
 		if !best.hasCandidates {
 			continue
 		}
@@ -58,9 +58,9 @@
 	return nil, false
 }
 
-// bestAmong returns the best of the targets with the given eligibility. Without mayBorrow, only targets that
+// bestAmong returns the best of the targets with the given eligibility. If anyTarget is false, only targets that
 // report a free slot are chosen.
-func (p *Proxy) bestAmong(now time.Duration, req *request, service *serviceState, targets []*targetState, class eligibility, mayBorrow bool) choice {
+func (p *Proxy) bestAmong(now time.Duration, req *request, service *serviceState, targets []*targetState, class eligibility, anyTarget bool) choice {
 	best := choice{tier: noTier}
 	cost, count := 0.0, len(targets)
 	for i := range targets {
@@ -70,7 +70,7 @@
 		}
 		best.hasCandidates = true
 		tier := candidate.tier(now, req, service)
-		if tier == noTier || tier > best.tier || !mayBorrow && !candidate.hasFreeSlot(now) {
+		if tier == noTier || tier > best.tier || !anyTarget && !candidate.hasFreeSlot(now) {
 			continue
 		}
 		if candidateCost := candidate.selectionCost(now); tier < best.tier || candidateCost < cost {
--- a/internal/dataplane/table.go
+++ b/internal/dataplane/table.go
@@ -80,8 +80,9 @@
 }
 
 // deltaApplies reports whether a delta may be applied to the current table, which must be its base or a later
-// one. A leader that regains the leadership continues the numbering of versions. So everything that changed
-// since a base of its earlier term has also changed since any later table of the delta's term.
+// one. The base may be from an earlier term of a leader that has regained the leadership. That leader continues
+// the numbering of versions, so a delta from such a base contains every change since any later table of the
+// delta's term.
 func deltaApplies(delta *wire.Table, current wire.TableKey) bool {
 	base := delta.DeltaBase
 	return current.Epoch == base.Epoch && current.Version >= base.Version && (current.Term == base.Term || current.Term == delta.Key.Term)
--- a/internal/dataplane/takeover.go
+++ b/internal/dataplane/takeover.go
@@ -1,6 +1,6 @@
-// Replacement of restarted targets while there is no leader to add them to the table: a new incarnation takes
-// the place of the earlier one. This allows a service to be restarted target by target while the control plane
-// is down.
+// Replacement of restarted targets while there is no leader to add them to the table: a new incarnation (the
+// successor) takes the place of the earlier one. This allows a service to be restarted target by target while
+// the control plane is down.
 
 package dataplane
 
@@ -50,8 +50,8 @@
 	successor.heartbeats.RecordHeartbeat(now)
 }
 
-// takeOver replaces a target by its successor after that has answered a probe with its own identity, unless the
-// earlier incarnation may still be working.
+// takeOver replaces a target by its successor after the successor has answered a probe with its own identity, unless
+// the earlier incarnation may still be working.
 func (p *Proxy) takeOver(now time.Duration, result *statemachine.ProbeResult) {
 	for id, earlier := range p.targets {
 		successor := earlier.successor
--- a/internal/dataplane/takeover_test.go
+++ b/internal/dataplane/takeover_test.go
@@ -10,8 +10,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// A proxy that serves on peer leases replaces a restarted target by its later incarnation after that has
-// answered a probe with its own identity. It adds no other target, and drops the later incarnation if a
+// A proxy that serves on peer leases replaces a restarted target by its later incarnation after the later one
+// has answered a probe with its own identity. It adds no other target, and drops the later incarnation if a
 // leader's table doesn't have it.
 func TestPeerServingTakesSuccessor(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/dataplane/target.go
+++ b/internal/dataplane/target.go
@@ -15,7 +15,7 @@
 	leaving    bool                // it is draining or leaving, by the table or by its own heartbeat
 	heartbeats targetreport.Streak // as received by this proxy
 	newToFleet bool                // added while this proxy had a lease, or as a successor, so no proxy sent it requests by an earlier table
-	successor  *targetState        // a later incarnation that only a leader could add to the table; nil if there is none
+	successor  *targetState        // another incarnation that is not in the table, see recordSuccessor; nil if there is none
 
 	// Ejection.
 	ejectedUntil         time.Duration // end of the ejection by the table
--- a/internal/dataplane/testproxy_test.go
+++ b/internal/dataplane/testproxy_test.go
@@ -17,7 +17,7 @@
 }
 
 // newTestProxy returns a proxy with a lease and a table that has count proxies, named g1, g2 and so on, and the
-// given targets.
+// given targets. Its incarnation is 9, which the answers to its pulls repeat in Disk.
 func newTestProxy(name string, count int, document string, ts ...wire.Target) *testProxy {
 	proxy := &testProxy{machine: New(Settings{Self: wire.Daemon{Name: name, Kind: wire.ProxyDaemon, Incarnation: 9}}), now: time.Second}
 	proxy.sendTable(count, document, ts...)
--- a/internal/dataplane/view.go
+++ b/internal/dataplane/view.go
@@ -39,7 +39,7 @@
 	InFlight          int   `json:"in_flight"`       // this proxy's requests
 	EjectionLeftMs    int64 `json:"bar_left_ms"`     // remaining time of the table's ejection
 	OwnEjectionLeftMs int64 `json:"own_bar_left_ms"` // remaining time of this proxy's own ejection
-	Capacity          int   `json:"room"`            // how many of this proxy's requests the target may have
+	Capacity          int   `json:"room"`            // this proxy's share of the cap or, if targets report slots, its quota
 }
 
 // View returns the proxy's state as shown to operators.
--- a/internal/dataplane/warmup_test.go
+++ b/internal/dataplane/warmup_test.go
@@ -45,19 +45,21 @@
 		if len(after) < len(before) {
 			all = before
 		}
-		// Either the old table and that of the change are in use together, or that of the change and the new one.
+		// A membership change has three tables: the old one, an intermediate one that also lists the previous
+		// proxies, and the new one. The old and the intermediate one are in use together or, if late is set, the
+		// intermediate and the new one.
 		late := rapid.Bool().Draw(t, "late")
-		hasChange := map[string]int{}
+		hasIntermediate := map[string]int{}
 		for _, n := range all {
-			hasChange[n] = rapid.IntRange(0, 1).Draw(t, n)
+			hasIntermediate[n] = rapid.IntRange(0, 1).Draw(t, n)
 		}
 		for offset := firstOffset; offset < firstOffset+3; offset++ {
 			sum := 0
 			for _, n := range all {
 				switch {
-				case !late && hasChange[n] == 0:
+				case !late && hasIntermediate[n] == 0:
 					sum += share(n, offset, before, nil)
-				case late && hasChange[n] == 0:
+				case late && hasIntermediate[n] == 0:
 					sum += share(n, offset, after, nil)
 				default:
 					sum += share(n, offset, after, before)
@@ -205,7 +207,7 @@
 					start(i, now)
 					sendTable(proxies[i], versions[i], now)
 				case 1:
-					// All proxies have a change before the next one is made.
+					// The next table is made only when all proxies have the latest one.
 					lowest := versions[0]
 					for j := range n {
 						lowest = min(lowest, versions[j])
@@ -254,8 +256,8 @@
 }
 
 // The shares of a warm-up rate and of the retry slack add up to no more than the whole while the membership
-// changes. At any time each proxy has one of two successive tables: the old one or that of the change, or that
-// of the change or the new one.
+// changes. A change has three tables: the old one, an intermediate one that also lists the previous proxies, and
+// the new one. At any time each proxy has one of two successive tables.
 func TestSharesOfWarmupRateAndRetrySlack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var before, after, all []string
