--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -11,6 +11,8 @@
 	"myrtlefold/internal/shared/wire"
 )
 
+// loadSettings loads settings from a file with the text doc and from the given flags. It returns them and the sorted
+// paths of their faults.
 func loadSettings(t *testing.T, kind wire.DaemonKind, doc string, given Settings) (Settings, []string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "set.json")
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -88,6 +88,7 @@
 func TestSessions(t *testing.T) {
 	server := httptest.NewServer(NewSessions(t.Context()))
 	defer server.Close()
+	// missedCheck writes the event of a missed health check at a time in ns.
 	missedCheck := func(w io.Writer, at int) {
 		fmt.Fprintf(w, `{"at_ns":%d,"slice":"probe","service":"s","name":"a","incarnation":1}`+"\n", at)
 	}
--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -65,7 +65,7 @@
 	settings Settings
 	state    State
 	commands []statemachine.Command // of the current step
-	nameHash uint64                 // makes proxies of different names start at different targets and peers
+	nameHash uint64                 // hash of this proxy's name; makes proxies begin with different targets and peers
 
 	// Known daemons, and the messages sent to the control plane.
 	directory            discovery.Directory
@@ -86,9 +86,9 @@
 
 	// Peer leases.
 	lastPeerPollAt   time.Duration
-	peerAskedAt      map[string]time.Duration // when a peer was last polled
-	peerConfirmedAt  map[string]time.Duration // when the latest poll was sent that a peer has confirmed
-	peerTableAskedAt time.Duration            // when a peer was last asked for its table
+	peerAskedAt      map[string]time.Duration // by peer: when it was last polled
+	peerConfirmedAt  map[string]time.Duration // by peer: when the latest poll that it has confirmed was sent
+	peerTableAskedAt time.Duration            // when any peer was last asked for its table
 
 	// The current table and its configuration.
 	table           *wire.Table
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Objectives count what callers got. Slow, rejected and lost requests miss them, and requests whose client
-// disconnected don't count. Counts older than the window are dropped.
+// Objectives count requests by what their callers got. Requests that are slow, are rejected or lose their response
+// miss the objective, and requests whose client disconnected don't count. Counts older than the window are dropped.
 func TestObjectiveCounts(t *testing.T) {
 	proxy := newTestProxy("g1", 1, `{"services":{"s":{"cap":1,"warm_cap":1}},"rules":[{"path":"/s","service":"s"}],
 		"aims":{"quick":{"service":"s","part":0.9,"under_ms":50,"window_min":2}}}`, readyTarget("a"))
--- a/internal/dataplane/quota.go
+++ b/internal/dataplane/quota.go
@@ -143,7 +143,7 @@
 }
 
 // distributeSlots distributes the slots of all pools among the proxies. The result has, for each pool, the
-// number of its slots that each proxy gets. The totals of two proxies differ by at most one slot. Slots of a
+// number of its slots that each proxy gets. The totals of any two proxies differ by at most one slot. Slots of a
 // pool go first to proxies of its own domain, up to their totals, then to any proxy. They are assigned one at a
 // time by rendezvous hashing, so few slots move when a target or a proxy is added or removed, and each proxy
 // has slots at many targets, some of which are fast.
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -1,7 +1,8 @@
-// Graceful shutdown of a proxy. The proxy becomes unready at once, but keeps serving while callers move away;
-// its responses close their connections. After this linger time it accepts only requests that can finish before
-// the process ends, because callers may use open connections until then. As soon as no request is in flight, or
-// when the time is up, it stops accepting requests on all connections and the process ends.
+// Graceful shutdown of a proxy. The proxy becomes unready at once, but keeps serving for the linger time, while
+// callers move away; its responses close their connections. After the linger time it accepts only requests that
+// can finish before the process ends. It still accepts those because callers may use open connections until the
+// process ends. As soon as no request is in flight, or when the time is up, it stops accepting requests on all
+// connections and the process ends.
 
 package dataplane
 
--- a/internal/dataplane/takeover.go
+++ b/internal/dataplane/takeover.go
@@ -15,7 +15,8 @@
 
 // recordSuccessor records the heartbeat of another incarnation of a known target. That successor replaces the
 // target once it has answered a probe with its own identity. It must have the same service and name, and an
-// address that no other target has. Any other new target has to wait for a leader.
+// address that no other target has. Any other new target has to wait for a leader. A recorded successor with steady
+// heartbeats is kept when yet another incarnation reports.
 func (p *Proxy) recordSuccessor(now time.Duration, report *wire.Target) {
 	var earlier *targetState
 	for id, target := range p.targets {
