--- a/internal/dataplane/proxy.go
+++ b/internal/dataplane/proxy.go
@@ -4,12 +4,13 @@
 // it in a process, and the simulator runs it in virtual time. It doesn't forward any bytes; that is the task of
 // package reverseproxy.
 //
-// A proxy serves only by a table that is known to be up to date. In state Leased, the leader has answered a
-// pull that was sent less than a lease ago. In state PeerServing, the proxy has no lease, but a majority of the
-// member proxies, including itself, answered within a peer lease, and it has applied the latest table among
-// theirs. The leader reports a change as in force only after a majority has confirmed it and all other leases
-// have expired, so a proxy that serves on peer leases can't miss it. In any other case the proxy is Isolated,
-// or has NoTable yet, and rejects requests. Proxy.updateState chooses the state.
+// A proxy serves only by a table that is known to be up to date. In state Leased, the leader has answered a pull
+// that was sent less than a lease ago. In state PeerServing, the proxy has no lease, but a majority of the
+// member proxies, including itself, answered a poll that was sent less than a peer lease (tuning.PeerLease) ago,
+// and it has applied the latest table among theirs. The leader reports a change as in force only after a
+// majority has confirmed it and the leases of all other proxies have expired, so a proxy that serves on peer
+// leases can't miss it. In any other case the proxy is Isolated, or has NoTable yet, and rejects requests.
+// Proxy.updateState chooses the state.
 //
 // Begin reading with Proxy and Step in proxy.go. A request passes through admission.go, routing.go,
 // selection.go or slotselection.go, queue.go and attempts.go; rejection.go has the reasons to reject it.
@@ -64,13 +65,13 @@
 	settings Settings
 	state    State
 	commands []statemachine.Command // of the current step
-	nameHash uint64                 // makes proxies of different names start at different targets and peers
+	nameHash uint64                 // hash of this proxy's name; makes proxies begin with different targets and peers
 
 	// Known daemons, and the messages sent to the control plane.
 	directory            discovery.Directory
 	lastHelloAt          time.Duration
 	lastPullAt           time.Duration
-	pullAtNextTick       bool                     // the leader waits for the result of an indirect probe
+	pullAtNextTick       bool                     // the leader waits for the answer to a probe that it requested
 	reportedSelf         wire.Daemon              // as of the last pull with a description of this proxy
 	reportedTo           string                   // the leader that received that pull
 	recoveredStateSentAt map[string]time.Duration // by control daemon's process, see processKey
@@ -85,9 +86,9 @@
 
 	// Peer leases.
 	lastPeerPollAt   time.Duration
-	peerAskedAt      map[string]time.Duration // when a peer was last polled
-	peerConfirmedAt  map[string]time.Duration // when the latest poll was sent that a peer has confirmed
-	peerTableAskedAt time.Duration            // when a peer was last asked for its table
+	peerAskedAt      map[string]time.Duration // by peer: when it was last polled
+	peerConfirmedAt  map[string]time.Duration // by peer: when the latest poll that it has confirmed was sent
+	peerTableAskedAt time.Duration            // when any peer was last asked for its table
 
 	// The current table and its configuration.
 	table           *wire.Table
--- a/internal/dataplane/takeover.go
+++ b/internal/dataplane/takeover.go
@@ -1,6 +1,6 @@
-// Replacement of restarted targets while there is no leader to add them to the table: a new incarnation takes
-// the place of the earlier one. This allows a service to be restarted target by target while the control plane
-// is down.
+// Replacement of restarted targets while there is no leader to add them to the table: a new incarnation (the
+// successor) takes the place of the earlier one. This allows a service to be restarted target by target while
+// the control plane is down.
 
 package dataplane
 
@@ -15,7 +15,8 @@
 
 // recordSuccessor records the heartbeat of another incarnation of a known target. That successor replaces the
 // target once it has answered a probe with its own identity. It must have the same service and name, and an
-// address that no other target has. Any other new target has to wait for a leader.
+// address that no other target has. Any other new target has to wait for a leader. A recorded successor with steady
+// heartbeats is kept when yet another incarnation reports.
 func (p *Proxy) recordSuccessor(now time.Duration, report *wire.Target) {
 	var earlier *targetState
 	for id, target := range p.targets {
@@ -50,8 +51,8 @@
 	successor.heartbeats.RecordHeartbeat(now)
 }
 
-// takeOver replaces a target by its successor after that has answered a probe with its own identity, unless the
-// earlier incarnation may still be working.
+// takeOver replaces a target by its successor after the successor has answered a probe with its own identity, unless
+// the earlier incarnation may still be working.
 func (p *Proxy) takeOver(now time.Duration, result *statemachine.ProbeResult) {
 	for id, earlier := range p.targets {
 		successor := earlier.successor
