--- a/cmd/mfsim/availability.go
+++ b/cmd/mfsim/availability.go
@@ -77,7 +77,7 @@
 	for _, m := range measured {
 		sum.Requests += m.Requests
 		sum.Rejected += m.Rejected
-		sum.Failed += m.Failed
+		sum.Unknown += m.Unknown
 		sum.Abandoned += m.Abandoned
 		gaps, recoveries = append(gaps, m.LongestGap), append(recoveries, m.Recovery)
 		outcomes[m.Outcome]++
@@ -95,7 +95,7 @@
 		}
 	}
 	return row{sum.UnservedShare(), fmt.Sprintf("| %s | %s | %s | %s | %s | %s | %s | %s |", strings.Join(measured[0].Faults, " + "),
-		percent(sum.Rejected), percent(sum.Failed), percent(sum.Abandoned), medianAndMax(gaps), medianAndMax(recoveries), medianAndMax(latencies), strings.Join(others, ", "))}
+		percent(sum.Rejected), percent(sum.Unknown), percent(sum.Abandoned), medianAndMax(gaps), medianAndMax(recoveries), medianAndMax(latencies), strings.Join(others, ", "))}
 }
 
 // medianAndMax formats the median and the maximum of some durations in seconds. It sorts the durations.
--- a/cmd/mfsim/days.go
+++ b/cmd/mfsim/days.go
@@ -11,7 +11,7 @@
 	"myrtlefold/internal/verification/simulator"
 )
 
-// job is a day to simulate: a random scenario, see simulator.Day.
+// job is a day to simulate: one run of random faults, see simulator.RunRandomFaults.
 type job struct {
 	seed  uint64
 	kinds []simulator.Fault // kinds of faults to inject; empty: all
@@ -34,7 +34,7 @@
 	for range workers {
 		go func() {
 			for j := range jobs {
-				results <- result{j, simulator.Day(j.seed, plan, j.kinds, opts.faultsPerDay(), opts.span)}
+				results <- result{j, simulator.RunRandomFaults(j.seed, plan, j.kinds, opts.faultsPerDay(), opts.span)}
 			}
 			results <- result{} // the worker has finished
 		}()
--- a/cmd/mfsim/options.go
+++ b/cmd/mfsim/options.go
@@ -17,15 +17,15 @@
 	faults       int           // number of faults in a day
 	span         time.Duration // virtual time in which faults begin
 	kinds        []string      // names of the kinds of faults to inject; empty: all
-	pairs        bool
+	pairs        bool          // run each pair of kinds of faults once per seed
 	listKinds    bool
 	rule         string // name of a scene; "": none
 	listRules    bool
-	withoutGuard bool
-	availability bool
-	trace        int // maximum number of lines of trace that are printed for a failed seed
+	withoutGuard bool // disable the guard of the scene named by rule
+	availability bool // measure availability instead of simulating days
+	trace        int  // maximum number of lines of trace that are printed for a failed seed
 	plan         string
-	digest       bool
+	digest       bool          // print the digest of each run
 	check        *checkCommand // nil unless the command is check
 }
 
--- a/cmd/mfsim/scenes.go
+++ b/cmd/mfsim/scenes.go
@@ -31,7 +31,7 @@
 // runScene runs one scene with all seeds and returns the exit status. With its guard, no seed may violate a rule; without the
 // guard, at least one seed must violate one of the scene's rules. In both cases the threat must have occurred.
 func runScene(scene *simulator.Scene, opts options) int {
-	held, shown, occurrences := 0, 0, 0
+	passed, violating, occurrences := 0, 0, 0
 	for seed := opts.from; seed < opts.from+opts.seeds; seed++ {
 		world := scene.Run(seed, opts.simulatorPlan(), opts.withoutGuard)
 		if opts.digest {
@@ -40,19 +40,19 @@
 		occurrences += scene.Occurrences(&world.Stats)
 		switch {
 		case world.Failure == "":
-			held++
+			passed++
 		case scene.ViolatedIn(world):
-			shown++
+			violating++
 		}
-		if world.Failure != "" && held+shown <= shownPerSceneMax {
+		if world.Failure != "" && passed+violating <= shownPerSceneMax {
 			fmt.Printf("seed %d: %s\n", seed, world.Failure)
 			if !opts.withoutGuard {
 				fmt.Println(world.Trace(opts.trace))
 			}
 		}
 	}
-	fmt.Printf("%s: %s\nthreat occurred %d times in %d seeds; all rules held in %d, a rule of the scene (%s) was violated in %d\n", scene.Name, scene.Threat, occurrences, opts.seeds, held, scene.RuleNames(), shown)
-	if !opts.withoutGuard && held < int(opts.seeds) || opts.withoutGuard && shown == 0 || occurrences == 0 {
+	fmt.Printf("%s: %s\nthreat occurred %d times in %d seeds; all rules held in %d, a rule of the scene (%s) was violated in %d\n", scene.Name, scene.Threat, occurrences, opts.seeds, passed, scene.RuleNames(), violating)
+	if !opts.withoutGuard && passed < int(opts.seeds) || opts.withoutGuard && violating == 0 || occurrences == 0 {
 		return statusFailed
 	}
 	return 0
--- a/internal/verification/modelcheck/canonical.go
+++ b/internal/verification/modelcheck/canonical.go
@@ -31,9 +31,9 @@
 	messages   [][]byte
 	signatures []signature
 	order      []int
-	// distinct means that servers differ in clock rate or that there are vacant members named after servers, so that the servers
+	// serversDiffer means that servers differ in clock rate or that there are vacant members named after servers, so that the servers
 	// are not interchangeable.
-	distinct bool
+	serversDiffer bool
 }
 
 // signature summarizes a server's state without using server names. Only servers with equal signatures are permuted in the
@@ -47,7 +47,7 @@
 )
 
 func newCanonicalizer(scenario *Scenario) *canonicalizer {
-	c := &canonicalizer{distinct: len(scenario.ClockRates) > 1 || scenario.VacantMembers > 0}
+	c := &canonicalizer{serversDiffer: len(scenario.ClockRates) > 1 || scenario.VacantMembers > 0}
 	if len(scenario.TimeSteps) == 1 && scenario.TimeSteps[0] == longestTimeout && len(scenario.ClockRates) == 0 {
 		c.encoder.DeadlineStep = longestTimeout // all deadlines within the next step pass together
 	}
@@ -104,7 +104,7 @@
 	node := server.node
 	result := signature{uint64(node.Role()), node.Term(), node.Commit(), node.LastIndex(), node.Snapshot().Index, server.disksLost,
 		uint64(len(server.pending)), server.disk.Term, server.applied.index, uint64(len(node.Members()))}
-	if c.distinct {
+	if c.serversDiffer {
 		result = signature{uint64(i)}
 	}
 	for _, inFlight := range state.network {
--- a/internal/verification/modelcheck/modelcheck_test.go
+++ b/internal/verification/modelcheck/modelcheck_test.go
@@ -18,7 +18,7 @@
 			t.Error(report)
 		}
 		if report.Transitions < report.States {
-			t.Errorf("%d states reached by only %d transitions", report.States, report.Transitions)
+			t.Errorf("%s: %d states reached by %d transitions, want at least one transition for each state", report.Scenario, report.States, report.Transitions)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		if key := c.key(ticked); i == 0 {
 			first = key
 		} else if key != first {
-			t.Errorf("the state with %s as candidate has a different key than the one with a", serverName(i))
+			t.Errorf("the state with %s as candidate has a different key than the one with server a as candidate", serverName(i))
 		}
 	}
 	if first == base {
--- a/internal/verification/modelcheck/report.go
+++ b/internal/verification/modelcheck/report.go
@@ -15,7 +15,7 @@
 	Depth       int  // largest number of transitions from the first state
 	Complete    bool // whether all states within the scenario's bounds were reached
 	Leaders     int  // largest number of terms with a leader in one history
-	Committed   int  // largest number of entries committed in one history, not counting the start
+	Committed   int  // largest number of entries committed in one history, not counting the initial snapshot
 	// Violation names the violated invariant and describes the violation; "" if there was none. Counterexample is the
 	// sequence of transitions that leads to it.
 	Violation      string
--- a/internal/verification/modelcheck/scenario.go
+++ b/internal/verification/modelcheck/scenario.go
@@ -37,7 +37,7 @@
 	Faults Faults
 }
 
-// Faults change the behavior of a scenario's servers, so that tests can show that an invariant is violated. The zero value
+// Faults change the behavior of a scenario's servers, so that tests can show that each invariant's check can fail. The zero value
 // changes nothing.
 type Faults struct {
 	// AcknowledgeEarly reports whether to acknowledge a batch to the node before it is synced.
--- a/internal/verification/simulator/availability.go
+++ b/internal/verification/simulator/availability.go
@@ -12,13 +12,13 @@
 // Availability measures the effect of one or more simultaneous faults on the service. It complements the rules, which a
 // system that rejects every request doesn't violate.
 type Availability struct {
-	Faults                                []string
-	Requests, Rejected, Failed, Abandoned int
-	LongestGap                            time.Duration // longest time in which some service served no request
-	Recovery                              time.Duration // from the beginning of the faults to full capacity
-	ChangeLatency                         time.Duration // from sending a configuration change, changeDelay after the faults, to its final reply
-	Outcome                               ChangeOutcome
-	Failure                               string // the rule that was violated and a description; "" if none
+	Faults                                 []string
+	Requests, Rejected, Unknown, Abandoned int
+	LongestGap                             time.Duration // longest time in which some service served no request
+	Recovery                               time.Duration // from the beginning of the faults to full capacity
+	ChangeLatency                          time.Duration // from sending a configuration change, changeDelay after the faults, to its final reply
+	Outcome                                ChangeOutcome
+	Failure                                string // the rule that was violated and a description; "" if none
 }
 
 // ChangeOutcome is the outcome of the configuration change that is sent during a fault.
@@ -47,7 +47,7 @@
 
 // UnservedShare returns the fraction of requests that were not served.
 func (a *Availability) UnservedShare() float64 {
-	return float64(a.Rejected+a.Failed+a.Abandoned) / float64(max(1, a.Requests))
+	return float64(a.Rejected+a.Unknown+a.Abandoned) / float64(max(1, a.Requests))
 }
 
 // MeasureAvailability starts a fleet, injects all faults at the same moment, and measures the availability in the
@@ -73,7 +73,7 @@
 		}
 	}
 	result.Requests, result.Rejected = world.Stats.Requests-before.Requests, world.Stats.Rejected-before.Rejected
-	result.Failed, result.Abandoned = world.Stats.Unknown-before.Unknown, world.Stats.Abandoned-before.Abandoned
+	result.Unknown, result.Abandoned = world.Stats.Unknown-before.Unknown, world.Stats.Abandoned-before.Abandoned
 	result.LongestGap = world.Stats.LongestGap
 	for _, at := range world.callers.lastServed {
 		result.LongestGap = max(result.LongestGap, world.now-at)
--- a/internal/verification/simulator/bootstrap_test.go
+++ b/internal/verification/simulator/bootstrap_test.go
@@ -8,21 +8,21 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// For any number of seeds and control daemons, one control plane is bootstrapped and grows to the size at which it
-// survives the loss of a machine or a domain. A seed may restart meanwhile, also with an empty disk; from bootstrapWindow
+// For any number of seed nodes and control daemons, one control plane is bootstrapped and grows to the size at which it
+// survives the loss of a machine or a domain. A seed node may restart meanwhile, also with an empty disk; from bootstrapWindow
 // on it starts without the bootstrap setting.
-func TestSeedsBootstrapOneControlPlane(t *testing.T) {
+func TestSeedNodesBootstrapOneControlPlane(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ controlDaemons, seeds, wantMembers int }{{1, 1, 1}, {3, 1, 3}, {5, 1, 5}, {2, 2, 2}, {3, 3, 3}, {4, 3, 3}, {5, 3, 5}, {6, 3, 5}, {7, 3, 7}, {11, 3, 7}} {
+	for _, c := range []struct{ controlDaemons, seedNodes, wantMembers int }{{1, 1, 1}, {3, 1, 3}, {5, 1, 5}, {2, 2, 2}, {3, 3, 3}, {4, 3, 3}, {5, 3, 5}, {6, 3, 5}, {7, 3, 7}, {11, 3, 7}} {
 		for seed := range uint64(12) {
-			t.Run(fmt.Sprintf("%d of %d", c.seeds, c.controlDaemons), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d of %d", c.seedNodes, c.controlDaemons), func(t *testing.T) {
 				t.Parallel()
-				w := New(seed, bootstrapPlan(c.controlDaemons, c.seeds))
-				if seed%3 > 0 { // a restarted seed continues the bootstrap whose lock is on its disk
+				w := New(seed, bootstrapPlan(c.controlDaemons, c.seedNodes))
+				if seed%3 > 0 { // a restarted seed node continues the bootstrap whose lock is on its disk
 					w.schedule(w.randomMilliseconds(100, 2500), func() {
-						p := w.process(w.processes.names[w.random.IntN(c.seeds)])
+						p := w.process(w.processes.names[w.random.IntN(c.seedNodes)])
 						w.Kill(p)
-						if seed%3 == 2 && c.seeds == 3 {
+						if seed%3 == 2 && c.seedNodes == 3 {
 							w.WipeDisk(p)
 						}
 						w.schedule(w.randomMilliseconds(50, 1200), func() { w.Restart(p) })
@@ -33,14 +33,14 @@
 				requireNoFailure(t, w)
 				w.checkMembership(t, c.wantMembers)
 				if e := w.Leader().controller.Status(0).Epoch; e != 1 && seed%3 == 0 {
-					t.Errorf("the control plane was bootstrapped more than once: epoch %d, want 1", e)
+					t.Errorf("seed %d: the control plane was bootstrapped more than once: epoch %d, want 1", seed, e)
 				}
 				w.PutConfig(w.Leader(), 0, 1)
 				w.AwaitRecovery(10 * time.Second)
 				requireNoFailure(t, w)
 				for _, n := range w.daemonNames(wire.ControlDaemon) { // a standby forwards calls too
 					if !w.process(n).controller.Ready() {
-						t.Errorf("control daemon %s is not ready", n)
+						t.Errorf("seed %d: control daemon %s is not ready", seed, n)
 					}
 				}
 			})
@@ -48,7 +48,7 @@
 	}
 }
 
-// Control daemons that aren't seeds, and seeds that start with empty disks and without the bootstrap setting, must not
+// Control daemons that aren't seed nodes, and seed nodes that start with empty disks and without the bootstrap setting, must not
 // bootstrap a control plane.
 func TestDaemonsWithoutBootstrapSettingDoNotBootstrap(t *testing.T) {
 	t.Parallel()
--- a/internal/verification/simulator/bulk_changes.go
+++ b/internal/verification/simulator/bulk_changes.go
@@ -56,8 +56,8 @@
 	return c.repetitions > 0 && r.Status == http.StatusServiceUnavailable
 }
 
-// losesReply randomly decides whether a reply is lost. Only replies to configuration changes are: a repeated change of a
-// domain could take effect after a later change of the same domain.
+// losesReply randomly decides whether a reply is lost. Only replies to configuration changes are lost, since a repeated change
+// of a domain could take effect after a later change of the same domain.
 func (w *World) losesReply(c *operatorChange) bool {
 	return w.now < w.operators.repliesLostUntil && c.repetitions < maxRepetitions &&
 		changesConfiguration(c.method, c.path) && w.random.Float64() < replyLossShare
--- a/internal/verification/simulator/bulk_changes_test.go
+++ b/internal/verification/simulator/bulk_changes_test.go
@@ -7,14 +7,14 @@
 	"myrtlefold/internal/shared/statemachine"
 )
 
-// Random runs with many operators' changes violate no rule, and their history is linearizable. They must also lose replies,
+// Runs of random faults with many operators' changes violate no rule, and their history is linearizable. They must also lose replies,
 // and the number of changes must stay within the bound that keeps the check of the history fast.
-func TestDaysOfBulkChanges(t *testing.T) {
+func TestRandomFaultsWithBulkChanges(t *testing.T) {
 	t.Parallel()
 	kinds := faultsNamed(t, "many successive changes", "replies to changes lost", "eight concurrent changes", "leader killed", "leader frozen")
 	lost := 0
 	for seed := range uint64(6) {
-		w := Day(500+seed, Small, kinds, 12, 25*time.Second)
+		w := RunRandomFaults(500+seed, Small, kinds, 12, 25*time.Second)
 		requireNoFailure(t, w)
 		lost += w.Stats.LostReplies
 		if w.operators.bulkChanges == 0 || w.operators.bulkChanges > maxBulkChanges {
--- a/internal/verification/simulator/clocks_test.go
+++ b/internal/verification/simulator/clocks_test.go
@@ -11,8 +11,8 @@
 )
 
 // A jump of the wall clock must not change what daemons do. State machines are given the time with each event, so they
-// must not read a clock, draw random numbers, do I/O or start goroutines. The shells around them may use wall time only
-// to make names.
+// must not read a clock, draw random numbers, do I/O or start goroutines. The I/O code around them may use wall time only
+// to generate ids.
 func TestStateMachinesReadNoClock(t *testing.T) {
 	t.Parallel()
 	stateMachineDirs := []string{"controlplane", "dataplane", "shared/outlier", "controlplane/consensus",
--- a/internal/verification/simulator/connection.go
+++ b/internal/verification/simulator/connection.go
@@ -21,8 +21,8 @@
 	// maxSurplusDelay is the maximum delay of a surplus response in milliseconds. Some arrive while the connection is
 	// idle, some while it carries the next request.
 	maxSurplusDelay = 60
-	// idleLimitShares is the divisor of the connection limit that gives the idle connections of each proxy when
-	// guardIdleConnections is disabled.
+	// idleLimitShares is the number of equal shares into which the connection limit is divided when guardIdleConnections is
+	// disabled. Each proxy keeps at most one share, but at least one connection, idle.
 	idleLimitShares = 16
 )
 
--- a/internal/verification/simulator/disk.go
+++ b/internal/verification/simulator/disk.go
@@ -59,11 +59,11 @@
 	})
 }
 
-// slowDisk makes each sync of a disk take times as long for a while. Syncs then run one at a time.
-func (w *World) slowDisk(p *Process, times int, span time.Duration) {
-	w.logf("disk of %s is %d times slower for %v", p.name, times, span)
+// slowDisk makes each sync of a disk take factor times as long for a while. Syncs then run one at a time.
+func (w *World) slowDisk(p *Process, factor int, span time.Duration) {
+	w.logf("disk of %s is %d times slower for %v", p.name, factor, span)
 	d := p.disk
-	d.slowdown = times
+	d.slowdown = factor
 	w.schedule(span, func() { d.slowdown = 0 })
 }
 
--- a/internal/verification/simulator/disk_test.go
+++ b/internal/verification/simulator/disk_test.go
@@ -28,7 +28,7 @@
 			t.Fatalf("seed %d: the full disk rejected %d writes, want some; revision %d acknowledged, want 3 or later\n%s", w.Seed, w.Stats.RejectedWrites, w.checks.acknowledged, w.Trace(30))
 		}
 		if limit := int(6*time.Second/tuning.DiskRetry) + 1; w.Stats.RejectedWrites > limit {
-			t.Errorf("seed %d: %d writes were rejected, one every %v makes at most %d", w.Seed, w.Stats.RejectedWrites, tuning.DiskRetry, limit)
+			t.Errorf("seed %d: %d writes were rejected in 6 s, want at most %d, one every %v", w.Seed, w.Stats.RejectedWrites, limit, tuning.DiskRetry)
 		}
 		if len(p.disk.image.Log) != written {
 			t.Errorf("seed %d: the full disk of %s was written to", w.Seed, p.name)
--- a/internal/verification/simulator/calm_fleet_test.go
+++ b/internal/verification/simulator/fault_free_test.go
@@ -13,7 +13,7 @@
 // Requirements of the users' deployments while there are no faults.
 const (
 	maxDomainChangeTime = time.Second            // longest time until emptying or restoring a domain is acknowledged
-	minReadyEighths     = 7                      // minimum number of eighths of the samples in which a proxy is ready
+	minReadyEighths     = 7                      // a proxy must be ready in at least this many eighths of the samples
 	sampleInterval      = 100 * time.Millisecond // time between two samples
 )
 
@@ -40,7 +40,7 @@
 			slowest := time.Duration(0)
 			for i, call := range []string{"d1/empty", "d2/empty", "d1/restore", "d1/empty", "d2/restore", "d1/restore"} {
 				from, took := w.now, time.Duration(0)
-				w.call(w.process(daemons[i%len(daemons)]), "POST", "/v1/domains/"+call, "", nil, fmt.Sprintf("calm-%d", i), func(r statemachine.Reply) {
+				w.call(w.process(daemons[i%len(daemons)]), "POST", "/v1/domains/"+call, "", nil, fmt.Sprintf("call-%d", i), func(r statemachine.Reply) {
 					if r.Status == 200 {
 						took = w.now - from
 					}
@@ -95,11 +95,11 @@
 	services := []string{"fares", "pay"}
 	r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(3, 40, services[:1])), "")
 	if r.Status != 200 {
-		t.Fatalf("the configuration was rejected: %d %s", r.Status, r.Body)
+		t.Fatalf("the configuration was rejected: %d %s, want 200", r.Status, r.Body)
 	}
 	w.Run(w.now + 3*time.Second)
 	if r, _ = w.callAndWait(t, w.Leader(), "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), string(w.DocumentFor(4, 40, services)), ""); r.Status != 200 {
-		t.Fatalf("the configuration was rejected: %d %s", r.Status, r.Body)
+		t.Fatalf("the configuration was rejected: %d %s, want 200", r.Status, r.Body)
 	}
 	w.Run(w.now + 2*time.Second)
 	available, samples := map[string]int{}, map[string]int{}
--- a/internal/verification/simulator/faults_control.go
+++ b/internal/verification/simulator/faults_control.go
@@ -6,11 +6,11 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// slowMachine is the factor by which a slow machine takes longer for everything, and slowDiskTimes the factor by which a slow
+// slowMachineFactor is the factor by which a slow machine takes longer for everything, and slowDiskFactor the factor by which a slow
 // disk takes longer for a sync.
 const (
-	slowMachine   = 5
-	slowDiskTimes = 30
+	slowMachineFactor = 5
+	slowDiskFactor    = 30
 )
 
 // controlFaults are the faults of control daemons: kills, power failures, freezes, disk faults, slow machines and partitions.
@@ -110,22 +110,22 @@
 	}},
 	{"control machine slow", func(w *World) {
 		if p := w.pickProcess(wire.ControlDaemon, true); p != nil {
-			w.slowProcess(p, slowMachine, w.randomMilliseconds(2000, 10000))
+			w.slowProcess(p, slowMachineFactor, w.randomMilliseconds(2000, 10000))
 		}
 	}},
 	{"leader's machine slow", func(w *World) {
 		if p := w.Leader(); p != nil {
-			w.slowProcess(p, slowMachine, w.randomMilliseconds(2000, 10000))
+			w.slowProcess(p, slowMachineFactor, w.randomMilliseconds(2000, 10000))
 		}
 	}},
 	{"control daemon's disk slow", func(w *World) {
 		if p := w.pickProcess(wire.ControlDaemon, true); p != nil {
-			w.slowDisk(p, slowDiskTimes, w.randomMilliseconds(2000, 10000))
+			w.slowDisk(p, slowDiskFactor, w.randomMilliseconds(2000, 10000))
 		}
 	}},
 	{"leader's disk slow", func(w *World) {
 		if p := w.Leader(); p != nil {
-			w.slowDisk(p, slowDiskTimes, w.randomMilliseconds(2000, 10000))
+			w.slowDisk(p, slowDiskFactor, w.randomMilliseconds(2000, 10000))
 		}
 	}},
 	{"control daemon's disk full", func(w *World) {
@@ -226,9 +226,9 @@
 	case 1:
 		w.StallDisk(process, span)
 	case 2:
-		w.slowDisk(process, slowDiskTimes, span)
+		w.slowDisk(process, slowDiskFactor, span)
 	case 3:
-		w.slowProcess(process, slowMachine, span)
+		w.slowProcess(process, slowMachineFactor, span)
 	case 4:
 		w.resetDaemonConnections(process)
 	case 5:
--- a/internal/verification/simulator/faults_proxy.go
+++ b/internal/verification/simulator/faults_proxy.go
@@ -69,7 +69,7 @@
 	}},
 	{"proxy slow", func(w *World) {
 		if p := w.pickProcess(wire.ProxyDaemon, true); p != nil {
-			w.slowProcess(p, slowMachine, w.randomMilliseconds(2000, 10000))
+			w.slowProcess(p, slowMachineFactor, w.randomMilliseconds(2000, 10000))
 		}
 	}},
 }
--- a/internal/verification/simulator/guards_test.go
+++ b/internal/verification/simulator/guards_test.go
@@ -166,7 +166,7 @@
 	w.targets.listening[tg.address] = tg
 	w.Run(w.now + 2*time.Second)
 	if tablesUsing() != 5 {
-		t.Fatalf("%d of 5 tables use the target after its port is open again", tablesUsing())
+		t.Fatalf("%d of 5 tables use the target after its port is open again, want all", tablesUsing())
 	}
 	version = w.Leader().controller.Table().Key.Version
 	unchanged := w.Leader().controller.Status(0).Counts.TablesUnchanged
--- a/internal/verification/simulator/handover_test.go
+++ b/internal/verification/simulator/handover_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// A standby has everything that was committed before any member is lost.
+// A standby receives all committed changes, even while no member is lost.
 func TestStandbyFollowsTheLog(t *testing.T) {
 	t.Parallel()
 	w := startThreeMembers(t, 1)
--- a/internal/verification/simulator/helpers_test.go
+++ b/internal/verification/simulator/helpers_test.go
@@ -64,11 +64,11 @@
 	return faults
 }
 
-// bootstrapPlan is a fleet whose settings don't give the size of the control plane: its seeds bootstrap it, and the
+// bootstrapPlan is a fleet whose settings don't give the size of the control plane: its seed nodes bootstrap it, and the
 // leader adds members and replaces lost ones.
-func bootstrapPlan(controlDaemons, seeds int) Plan {
+func bootstrapPlan(controlDaemons, seedNodes int) Plan {
 	p := Small
-	p.ControlDaemons, p.Seeds, p.Rate = controlDaemons, seeds, 20
+	p.ControlDaemons, p.SeedNodes, p.Rate = controlDaemons, seedNodes, 20
 	return p
 }
 
--- a/internal/verification/simulator/isolation_test.go
+++ b/internal/verification/simulator/isolation_test.go
@@ -27,7 +27,7 @@
 		{"receives nothing", func(w *World, p *Process) { w.isolate([]string{p.name}, faultSpan, false, true) }, allowance{}},
 		{"frozen", func(w *World, p *Process) { w.Freeze(p, faultSpan) }, allowance{}},
 		{"disk stalls", func(w *World, p *Process) { w.StallDisk(p, faultSpan) }, allowance{forward: true}},
-		{"slow", func(w *World, p *Process) { w.slowProcess(p, slowMachine, faultSpan) }, allowance{forward: true, lead: true}},
+		{"slow", func(w *World, p *Process) { w.slowProcess(p, slowMachineFactor, faultSpan) }, allowance{forward: true, lead: true}},
 	} {
 		for _, leads := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, leads %v", fault.name, leads), func(t *testing.T) {
--- a/internal/verification/simulator/large_fleet_test.go
+++ b/internal/verification/simulator/large_fleet_test.go
@@ -90,7 +90,7 @@
 // of a processor, and only control daemons receive the targets' heartbeats. Each proxy has a sixth of a processor.
 func largeControlPlane() Plan {
 	p := Small
-	p.ControlDaemons, p.Seeds, p.Proxies, p.Domains, p.Rate = 11, 3, 64, 4, 20
+	p.ControlDaemons, p.SeedNodes, p.Proxies, p.Domains, p.Rate = 11, 3, 64, 4, 20
 	p.Services = map[string]int{"fares": 181, "pay": 111, "papers": 15}
 	p.ReportToControlOnly, p.HeartbeatEvery, p.Slots = true, 1500*time.Millisecond, 6
 	p.Resources = &LimitedResources{ControlShare: 0.24, ProxyShare: 0.16, ProxyLink: 587e3}
--- a/internal/verification/simulator/leadership_test.go
+++ b/internal/verification/simulator/leadership_test.go
@@ -61,7 +61,7 @@
 		if after.Term > before.Term {
 			laterTerm++
 		} else if sameTerm++; after.Counts.Elections != before.Counts.Elections {
-			t.Errorf("seed %d: the leader discarded its state in the same term", seed)
+			t.Errorf("seed %d: the leader, which resumed in the same term, has discarded its state, want it kept", seed)
 		}
 		if fewestKnown < knownBefore || mostUnverified > 0 {
 			t.Errorf("seed %d: the leader knew %d targets before the loss of its lease, later as few as %d, and had to verify up to %d again, want no loss and 0 verifications\n%s", seed, knownBefore, fewestKnown, mostUnverified, w.Trace(20))
--- a/internal/verification/simulator/load_test.go
+++ b/internal/verification/simulator/load_test.go
@@ -127,7 +127,7 @@
 			healthChecks, requests, served := w.Stats.ProxyHealthChecks, w.Stats.Requests, w.Stats.Served
 			const span = 3
 			w.Run(w.now + span*time.Second)
-			perTarget := float64(w.Stats.ProxyHealthChecks-healthChecks) / span / 307 // the targets of the fleet
+			perTarget := float64(w.Stats.ProxyHealthChecks-healthChecks) / span / 307 // number of targets in the fleet
 			if limit := tuning.ProbersPerTarget / tuning.ProbeEvery.Seconds(); perTarget > limit {
 				t.Errorf("each target was checked %.1f times a second, want at most %.1f", perTarget, limit)
 			}
--- a/internal/verification/simulator/membership_test.go
+++ b/internal/verification/simulator/membership_test.go
@@ -11,7 +11,7 @@
 )
 
 // Members are lost permanently one after another, the leader in every third round, while other leaders crash. Each is
-// replaced by a daemon with an empty disk at another address, and the list of seeds changes accordingly.
+// replaced by a daemon with an empty disk at another address, and the list of seed nodes changes accordingly.
 func TestLostMembersAreReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(16) {
@@ -23,7 +23,7 @@
 			for round := range 8 {
 				members := w.memberNames()
 				if len(members) == 0 {
-					t.Fatalf("no leader in round %d\n%s", round, w.Trace(40))
+					t.Fatalf("seed %d: no leader in round %d\n%s", seed, round, w.Trace(40))
 				}
 				old := w.process(members[w.random.IntN(len(members))])
 				if round%3 == 2 {
@@ -34,7 +34,7 @@
 				w.schedule(w.randomMilliseconds(0, 6000), func() {
 					name := fmt.Sprintf("n%d", round)
 					w.addProcess(wire.ControlDaemon, name, int(old.domain[1]-'1'))
-					w.processes.seeds = []string{members[0], members[len(members)-1], name}
+					w.processes.seedNodes = []string{members[0], members[len(members)-1], name}
 					w.startProcess(w.process(name))
 				})
 				if controlDaemons > 3 {
@@ -59,10 +59,10 @@
 			w.Finish()
 			requireNoFailure(t, w)
 			if r := w.Leader().controller.Revision(); r < 8 {
-				t.Errorf("revision %d, want at least 8", r)
+				t.Errorf("seed %d: revision %d, want at least 8", seed, r)
 			}
 			if e := w.Leader().controller.Status(0).Epoch; e != 1 {
-				t.Errorf("epoch %d, want 1", e)
+				t.Errorf("seed %d: epoch %d, want 1", seed, e)
 			}
 		})
 	}
@@ -124,7 +124,7 @@
 		}
 		w.runUntil(4*time.Second, w.hasLeader)
 		if w.Leader() == nil {
-			t.Fatalf("seed %d: no leader\n%s", seed, w.Trace(30))
+			t.Fatalf("seed %d: no leader 4 s after the loss of a domain\n%s", seed, w.Trace(30))
 		}
 		w.Run(w.now + 90*time.Second)
 		requireNoFailure(t, w)
@@ -154,7 +154,7 @@
 		w.Run(w.now + 75*time.Second)
 		requireNoFailure(t, w)
 		if w.Leader() == nil {
-			t.Fatalf("no leader\n%s", w.Trace(30))
+			t.Fatalf("no leader 75 s after the loss of a member\n%s", w.Trace(30))
 		}
 	}
 }
@@ -180,7 +180,7 @@
 			}
 			requireNoFailure(t, w)
 			if c.state != changeAccepted {
-				t.Fatalf("POST /v1/core/%s was %s\n%s", call, c.state, w.Trace(40))
+				t.Fatalf("POST /v1/core/%s was %s, want accepted\n%s", call, c.state, w.Trace(40))
 			}
 		}
 		w.Kill(w.process(old))
--- a/internal/verification/simulator/operator_test.go
+++ b/internal/verification/simulator/operator_test.go
@@ -180,7 +180,7 @@
 	w := Start(11, Small)
 	r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/policies/hasty", "base=1", `{"slice":"probe","when":"misses_in_row >= 1","clear":"ok_in_row >= 1","decide":"bar","ttl_ms":30000,"mode":"shadow"}`, "p")
 	if r.Status != 200 {
-		t.Fatalf("PUT /v1/policies/hasty: %d %s", r.Status, r.Body)
+		t.Fatalf("PUT /v1/policies/hasty: %d %s, want 200", r.Status, r.Body)
 	}
 	for i := range 4 { // pauses that only the hasty policy takes for crashes; a real crash follows
 		w.targets.all[i].hanging = true
@@ -212,7 +212,7 @@
 		w := Start(seed, Small)
 		r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/policies/mute", "base=1", `{"slice":"beat","when":"silent_ms > 2000","clear":"silent_ms == 0","decide":"hold"}`, "p")
 		if r.Status != 200 {
-			t.Fatalf("seed %d: PUT /v1/policies/mute: %d %s", seed, r.Status, r.Body)
+			t.Fatalf("seed %d: PUT /v1/policies/mute: %d %s, want 200", seed, r.Status, r.Body)
 		}
 		closed, mute := w.targets.all[0], w.targets.all[1]
 		delete(w.targets.listening, closed.address) // its port is closed, its heartbeats go on
@@ -232,7 +232,7 @@
 		if seed%2 == 0 {
 			w.Kill(w.Leader())
 		} else if r, _ := w.callAndWait(t, w.Leader(), "PUT", "/v1/policies/mute", "base=2", `{"slice":"beat","when":"silent_ms > 2100","clear":"silent_ms == 0","decide":"hold"}`, "q"); r.Status != 200 {
-			t.Fatalf("seed %d: second PUT /v1/policies/mute: %d %s", seed, r.Status, r.Body)
+			t.Fatalf("seed %d: second PUT /v1/policies/mute: %d %s, want 200", seed, r.Status, r.Body)
 		}
 		for range 300 {
 			w.Run(w.now + 10*time.Millisecond)
--- a/internal/verification/simulator/overload_test.go
+++ b/internal/verification/simulator/overload_test.go
@@ -8,8 +8,8 @@
 
 // servedWithoutQueue returns the most requests a second that a fleet can serve if each proxy admits up to slots
 // requests at once and queues none. It applies the Erlang B formula to each proxy. rate is the offered load in requests
-// a second; a share resubmitted of the rejected requests is sent again at once to a random proxy, up to three times,
-// and a retry at the proxy that rejected it finds that proxy still full.
+// a second, and resubmitted the fraction of rejected requests that callers send again at once to a random proxy, up to
+// three times. A request sent again to the proxy that rejected it finds that proxy still full.
 func servedWithoutQueue(rate, resubmitted float64, serviceTime time.Duration, proxies, slots int) float64 {
 	blocked, offered := 0.0, rate // blocking probability, and offered load including retries
 	for range 100 {               // a fixed-point iteration, which converges far sooner
@@ -61,7 +61,7 @@
 			squares[i] += got * got / seeds
 			t.Logf("seed %d, offered %4.0f/s: served %.0f/s, rejected %.0f/s", w.Seed, c.rate, got, float64(rejected)/8)
 			if (rejected > int(c.rate/2)) != c.rejected {
-				t.Errorf("seed %d, offered %v/s: served %v/s, rejected %d in 8 s, want more than %d: %v", w.Seed, c.rate, got, rejected, int(c.rate/2), c.rejected)
+				t.Errorf("seed %d, offered %v/s: served %v/s, rejected %d in 8 s, want more than %d rejections: %v", w.Seed, c.rate, got, rejected, int(c.rate/2), c.rejected)
 			}
 		}
 		w.CheckRetryBudget()
--- a/internal/verification/simulator/pending_change_test.go
+++ b/internal/verification/simulator/pending_change_test.go
@@ -56,7 +56,7 @@
 		w.call(l, "PUT", "/v1/config", fmt.Sprintf("base=%d", w.Revision()), w.Document(5), "", func(r statemachine.Reply) { status = r.Status })
 		w.runUntil(10*time.Second, func() bool { return status >= 0 })
 		if status != 504 || w.now-sent > tuning.LeaderLease+tuning.PendingCallsKept+100*time.Millisecond {
-			t.Errorf("seed %d: status %d after %v, want 504", seed, status, w.now-sent)
+			t.Errorf("seed %d: status %d after %v, want 504 within %v", seed, status, w.now-sent, tuning.LeaderLease+tuning.PendingCallsKept+100*time.Millisecond)
 		}
 		w.Run(w.now + 12*time.Second)
 		requireNoFailure(t, w)
--- a/internal/verification/simulator/plan.go
+++ b/internal/verification/simulator/plan.go
@@ -7,10 +7,10 @@
 	ControlDaemons int // number of control daemons at the start, including standbys
 	Proxies        int // number of proxies at the start
 	Domains        int // number of failure domains, to which daemons and targets are assigned in turn
-	// Seeds is the number of control daemons that are the seeds of all daemons. The control daemons then bootstrap with the
-	// setting for a first start. 0: the first three daemons are the seeds, and ControlDaemons is the configured number of
-	// members to bootstrap.
-	Seeds             int
+	// SeedNodes is the number of seed nodes: the control daemons whose addresses all daemons get when they start. Control daemons
+	// that start within bootstrapWindow then have the setting for a first bootstrap. 0: the first three daemons are the seed
+	// nodes, and ControlDaemons is the configured number of members to bootstrap.
+	SeedNodes         int
 	Services          map[string]int // number of targets of each service
 	ConfiguredDomains []string       // domains in the control daemons' settings
 
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -18,7 +18,7 @@
 	byName    map[string]*Process // including daemons whose machines were removed
 	byAddress map[string]*Process
 	names     []string // names of daemons whose machines weren't removed, in the order of addition
-	seeds     []string // names of the daemons whose addresses a starting process gets
+	seedNodes []string // names of the seed nodes, whose addresses a starting process gets
 	replaced  int      // number of permanent replacements of control machines
 	replacing int      // number of these replacements in progress
 	swapping  bool     // an operator is replacing a member; only one at a time does
@@ -100,7 +100,7 @@
 func (w *World) startProcess(p *Process) {
 	w.resetProcess(p)
 	var seeds []string
-	for _, name := range w.processes.seeds {
+	for _, name := range w.processes.seedNodes {
 		seeds = append(seeds, w.process(name).address)
 	}
 	self := wire.Daemon{Name: p.name, Kind: p.kind, Domain: p.domain, Addr: p.address, HTTP: p.address, Incarnation: w.random.Uint64() | 1}
@@ -132,7 +132,7 @@
 	image.Log = slices.Clone(image.Log)
 	settings := controlplane.Settings{Self: self, Seeds: seeds, Domains: w.Plan.ConfiguredDomains,
 		BootstrapSize: w.Plan.ControlDaemons, CatchUpTime: w.Plan.CatchUp, MachineLosses: w.Plan.Losses, StopGrace: controlStopGrace}
-	if w.Plan.Seeds > 0 {
+	if w.Plan.SeedNodes > 0 {
 		settings.BootstrapSize, settings.Bootstrap = 0, w.now < bootstrapWindow
 	}
 	p.controller = controlplane.New(p.localTime(), settings, image)
--- a/internal/verification/simulator/proxy_membership_test.go
+++ b/internal/verification/simulator/proxy_membership_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Random runs in which many proxies crash and many new ones join, with partitions, violate no rule.
-func TestDaysOfProxyCrashesAndStandbys(t *testing.T) {
+// Runs of random faults in which many proxies crash and many new ones join, with partitions, violate no rule.
+func TestRandomProxyCrashesAndJoins(t *testing.T) {
 	t.Parallel()
 	kinds := append(faultsNamed(t, "most proxies killed", "proxy isolated", "domain isolated", "leader killed", "config", "control plane partitioned from proxies"),
 		Fault{"four new proxies join", func(w *World) {
@@ -73,7 +73,7 @@
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			requireNoFailure(t, Day(seed, Small, kinds, 14, 25*time.Second))
+			requireNoFailure(t, RunRandomFaults(seed, Small, kinds, 14, 25*time.Second))
 		})
 	}
 }
@@ -86,12 +86,12 @@
 		p.Proxies, p.Rate = 40, 60
 		w := New(seed, p)
 		if !w.runUntil(10*time.Second, w.hasLeader) {
-			t.Fatalf("no leader\n%s", w.Trace(20))
+			t.Fatalf("seed %d: no leader within 10 s\n%s", seed, w.Trace(20))
 		}
 		from := w.now
 		w.PutConfig(w.Leader(), 0, 1)
 		if !w.AwaitServing(4 * time.Second) {
-			t.Fatalf("not all proxies serve after %v: %s", w.now-from, w.describeDaemons())
+			t.Fatalf("seed %d: not all proxies serve after %v, want all within 4s: %s", seed, w.now-from, w.describeDaemons())
 		}
 		requireNoFailure(t, w)
 	}
--- a/internal/verification/simulator/day.go
+++ b/internal/verification/simulator/random_faults.go
@@ -50,15 +50,16 @@
 	return world
 }
 
-// Day runs one random scenario, a simulated day, which the seed determines: it injects a number of faults, drawn from kinds or
-// from Faults if kinds is empty, at random times within span. Then it heals all faults, waits for recovery and makes the final
-// checks.
-func Day(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration) *World {
-	return day(seed, plan, kinds, faults, span, func(*World) {})
+// RunRandomFaults starts a fleet and injects the given number of faults at random times within span. Their kinds are drawn from
+// kinds, or from Faults if kinds is empty. Then it heals all faults, waits for recovery and makes the final checks. The seed
+// determines the run. mfsim calls such a run a day.
+func RunRandomFaults(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration) *World {
+	return runRandomFaults(seed, plan, kinds, faults, span, func(*World) {})
 }
 
-// day is like Day but calls prepare once the fleet serves. If there are as many kinds as faults, each kind is injected once.
-func day(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration, prepare func(*World)) *World {
+// runRandomFaults is like RunRandomFaults but calls prepare once the fleet serves. If there are as many kinds as faults, each
+// kind is injected once.
+func runRandomFaults(seed uint64, plan Plan, kinds []Fault, faults int, span time.Duration, prepare func(*World)) *World {
 	world := Start(seed, plan)
 	if world.Failure != "" {
 		return world
--- a/internal/verification/simulator/registration_test.go
+++ b/internal/verification/simulator/registration_test.go
@@ -42,7 +42,7 @@
 		w.Run(w.now + tuning.DialTimeout)
 		for _, x := range w.targets.all {
 			if w.offered(x) != (x != crashed) {
-				t.Errorf("seed %d: %s/%s: offered %v, crashed %v", seed, x.service, x.name, w.offered(x), x == crashed)
+				t.Errorf("seed %d: %s/%s: offered: %v, want %v", seed, x.service, x.name, w.offered(x), x != crashed)
 			}
 		}
 		for end := w.now + tuning.TargetExpiry + time.Second; w.now < end && w.Run(w.now+100*time.Millisecond); {
@@ -70,7 +70,7 @@
 		}
 		b := []byte(fmt.Sprintf(`{"service":%q,"name":%q,"incarnation":%d,"address":%q,"domain":%q,"state":"leaving"}`, report.Service, report.Name, report.Incarnation, report.Addr, report.Domain))
 		if r, _ := w.callAndWait(t, w.daemons(wire.ControlDaemon)[int(seed)%3], method, path, query, string(b), ""); r.Status != 200 {
-			t.Fatalf("seed %d: %s %s: %d %s", seed, method, path, r.Status, r.Body)
+			t.Fatalf("seed %d: %s %s: %d %s, want 200", seed, method, path, r.Status, r.Body)
 		}
 		w.restartAllAfterPowerLoss()
 		for end := w.now + 6*time.Second; w.now < end && w.Run(w.now+200*time.Millisecond); {
--- a/internal/verification/simulator/repeated_change_test.go
+++ b/internal/verification/simulator/repeated_change_test.go
@@ -41,7 +41,7 @@
 		c := testChange{base: w.Revision(), doc: w.Document(i + 10)}
 		r, revision := w.sendConfiguration(t, w.Leader(), c)
 		if r.Status != 200 {
-			t.Fatalf("change %d: %d %s", i, r.Status, r.Body)
+			t.Fatalf("change %d: %d %s, want 200", i, r.Status, r.Body)
 		}
 		c.revision = revision
 		accepted = append(accepted, c)
@@ -139,7 +139,7 @@
 	for i := range 3 * tuning.ChangesKept {
 		for _, what := range []string{"empty", "restore"} {
 			if r, _ := w.callAndWait(t, w.daemons(wire.ControlDaemon)[i%w.Plan.ControlDaemons], "POST", "/v1/domains/d1/"+what, "", "", fmt.Sprintf("%s%d", what, i)); r.Status != 200 {
-				t.Fatalf("POST /v1/domains/d1/%s, round %d: %d %s", what, i, r.Status, r.Body)
+				t.Fatalf("POST /v1/domains/d1/%s, round %d: %d %s, want 200", what, i, r.Status, r.Body)
 			}
 		}
 	}
--- a/internal/verification/simulator/replacement.go
+++ b/internal/verification/simulator/replacement.go
@@ -49,7 +49,7 @@
 func (w *World) startSuccessor(old *Process, name string) {
 	w.logf("%s replaces %s", name, old.name)
 	w.addProcess(wire.ControlDaemon, name, domainIndex(old.domain))
-	w.processes.seeds = w.seedsFor(name)
+	w.processes.seedNodes = w.seedNodesFor(name)
 	w.startProcess(w.process(name))
 }
 
@@ -64,11 +64,11 @@
 // domainIndex returns the index of a domain, starting at 0, from its name.
 func domainIndex(domain string) int { return int(domain[1] - '1') }
 
-// replaceRandomControlDaemon replaces a control machine, in half of the cases the leader's. It does nothing if the plan has no
-// seeds, since only then does the control plane replace members itself, or if another control machine is lost.
+// replaceRandomControlDaemon replaces a control machine, in half of the cases the leader's. It does nothing if another
+// control machine is lost, or if the plan has no seed nodes: without them the control plane doesn't replace members itself.
 func (w *World) replaceRandomControlDaemon(planned bool) {
 	p := w.expendableControlDaemon()
-	if p == nil || w.Plan.Seeds == 0 || w.partitionedLately() {
+	if p == nil || w.Plan.SeedNodes == 0 || w.partitionedLately() {
 		return
 	}
 	if leader := w.Leader(); leader != nil && w.random.IntN(2) == 0 {
@@ -103,16 +103,16 @@
 	w.processes.names = slices.DeleteFunc(w.processes.names, func(name string) bool { return name == old.name })
 }
 
-// seedsFor returns the names of the seeds of a process that starts now: up to three running control daemons other than itself, or
+// seedNodesFor returns the names of the seed nodes of a process that starts now: up to three running control daemons other than itself, or
 // itself if there are none.
-func (w *World) seedsFor(self string) (seeds []string) {
+func (w *World) seedNodesFor(self string) (seedNodes []string) {
 	for _, p := range w.daemons(wire.ControlDaemon) {
-		if p.alive && p.name != self && len(seeds) < 3 {
-			seeds = append(seeds, p.name)
+		if p.alive && p.name != self && len(seedNodes) < 3 {
+			seedNodes = append(seedNodes, p.name)
 		}
 	}
-	if len(seeds) == 0 {
+	if len(seedNodes) == 0 {
 		return []string{self}
 	}
-	return seeds
+	return seedNodes
 }
--- a/internal/verification/simulator/replacement_test.go
+++ b/internal/verification/simulator/replacement_test.go
@@ -233,9 +233,9 @@
 	}
 }
 
-// Random runs with faults of control machines only, several of which remove a machine permanently, at the intervals that
+// Runs of random faults of control machines only, several of which remove a machine permanently, at the intervals that
 // the control plane must tolerate.
-func TestDaysOfReplacements(t *testing.T) {
+func TestRandomFaultsWithMachineReplacements(t *testing.T) {
 	t.Parallel()
 	kinds := faultsNamed(t, "control machine replaced after a loss", "control machine replaced as planned", "control machine replaced after a loss", "control daemon killed",
 		"leader killed", "leader restarted gracefully", "control daemon loses disk", "leader frozen", "leader isolated", "all control daemons killed",
@@ -243,7 +243,7 @@
 	replaced := 0
 	for seed := uint64(1); seed <= 40; seed++ {
 		p := replacementPlan([]int{3, 4, 5, 7, 11}[seed%5], 3+int(seed/5%2))
-		w := Day(seed, p, kinds, 30, 50*time.Second)
+		w := RunRandomFaults(seed, p, kinds, 30, 50*time.Second)
 		requireNoFailure(t, w)
 		replaced += w.Stats.ReplacedMachines
 	}
--- a/internal/verification/simulator/rules.go
+++ b/internal/verification/simulator/rules.go
@@ -51,7 +51,7 @@
 	ruleBootstrap    Rule = "bootstrap"                 // a new fleet elects a leader and serves in time
 	ruleRecoveryTime Rule = "recovery time"             // the fleet serves again within recoveryBound after healing
 	ruleFullCapacity Rule = "full capacity"             // all ready targets are in use again within recoveryBound after healing
-	ruleServingAgain Rule = "throughput after recovery" // after recovery at least servedShare of the requests are served
+	ruleServingAgain Rule = "throughput after recovery" // after recovery at least servedShare of the plan's request rate is served
 )
 
 // Maximum times until a draining or crashed target gets no more requests. The requirement is "about 2 s".
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -107,7 +107,7 @@
 		return w
 	}
 	faults := s.faults()
-	return day(seed, plan, faults, len(faults), sceneSpan, func(w *World) {
+	return runRandomFaults(seed, plan, faults, len(faults), sceneSpan, func(w *World) {
 		w.disabledGuard, w.checks.plannedOnly = disabled, s.Planned
 		if disabled == guardClockRate {
 			w.redrawClockRates()
--- a/internal/verification/simulator/scenes_test.go
+++ b/internal/verification/simulator/scenes_test.go
@@ -73,10 +73,10 @@
 			for seed := range uint64(2) {
 				r := MeasureAvailability(seed+1, Small, f)
 				if r.Failure != "" {
-					t.Error(r.Failure)
+					t.Errorf("seed %d: %s", seed+1, r.Failure)
 				}
 				if limit := max(0.6, unserved[f.Name]); 100*r.UnservedShare() > limit {
-					t.Errorf("seed %d: %.2f %% not served, limit %v %%: %d rejected, %d failed, %d without response, of %d requests", seed+1, 100*r.UnservedShare(), limit, r.Rejected, r.Failed, r.Abandoned, r.Requests)
+					t.Errorf("seed %d: %.2f %% not served, limit %v %%: %d rejected, %d of unknown outcome, %d without response, of %d requests", seed+1, 100*r.UnservedShare(), limit, r.Rejected, r.Unknown, r.Abandoned, r.Requests)
 				}
 				if limit := max(800*time.Millisecond, gap[f.Name]); r.LongestGap > limit {
 					t.Errorf("seed %d: no response from some service for %v, limit %v", seed+1, r.LongestGap, limit)
--- a/internal/verification/simulator/slow_process.go
+++ b/internal/verification/simulator/slow_process.go
@@ -10,10 +10,10 @@
 // eventCost / slowProcessorShare, times its slowdown, for an event.
 const slowProcessorShare = 0.32
 
-// slowProcess makes everything that a process does take times as long for a while.
-func (w *World) slowProcess(p *Process, times float64, span time.Duration) {
-	w.logf("%s is %v times slower for %v", p.name, times, span)
-	p.slowdown = times
+// slowProcess makes everything that a process does take factor times as long for a while.
+func (w *World) slowProcess(p *Process, factor float64, span time.Duration) {
+	w.logf("%s is %v times slower for %v", p.name, factor, span)
+	p.slowdown = factor
 	incarnation := p.incarnation
 	w.schedule(span, func() {
 		if p.incarnation == incarnation {
--- a/internal/verification/simulator/stats.go
+++ b/internal/verification/simulator/stats.go
@@ -19,8 +19,8 @@
 	TargetRejections                 int           // attempts that full targets rejected
 	WarmupArrivals                   int           // attempts at targets whose warm-up rate is enforced
 	MostWhileWarming                 int           // maximum number of concurrent requests at a target in state warming
-	LatestToDraining                 time.Duration // longest time from the acknowledgement of a target's draining to an attempt
-	LatestToCrashed                  time.Duration // longest time from a target's crash to an attempt
+	LatestToDraining                 time.Duration // longest time from the acknowledgement of a target's draining to an attempt there
+	LatestToCrashed                  time.Duration // longest time from a target's crash to an attempt there
 
 	// Connections of proxies to targets.
 	OpenedConnections     int // connections opened for requests
--- a/internal/verification/simulator/target_report_test.go
+++ b/internal/verification/simulator/target_report_test.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if e := tableEntry(w.Leader().controller.Table(), a.name); e.Draining {
-		t.Error("a report with an old number drains the target")
+		t.Error("a report with an old number drained the target, want no effect")
 	}
 	if s, _ := put(f, reportJSON(a, wire.TargetReady, a.lastNumber+100, `,"slots":7`)); s != 202 {
 		t.Errorf("report to a follower: %d, want 202", s)
@@ -211,7 +211,7 @@
 	for seed := range uint64(4) {
 		w := Start(seed, Small)
 		if r, _ := w.callAndWait(t, w.Leader(), "PATCH", "/v1/config", "base=1", `{"services":{"fares":{"cold_s":20,"cold_per_s":5},"pay":{"cold_s":20,"cold_per_s":5}}}`, ""); r.Status != 200 {
-			t.Fatalf("seed %d: PATCH /v1/config: %d %s", seed, r.Status, r.Body)
+			t.Fatalf("seed %d: PATCH /v1/config: %d %s, want 200", seed, r.Status, r.Body)
 		}
 		a := w.targets.all[0]
 		a.withoutHeartbeats = true
@@ -240,7 +240,7 @@
 		}
 		for _, what := range []string{"empty", "restore"} {
 			if r, _ := w.callAndWait(t, w.Leader(), "POST", "/v1/domains/"+a.domain+"/"+what, "", "", ""); r.Status != 200 {
-				t.Fatalf("seed %d: POST /v1/domains/%s/%s: %d %s", seed, a.domain, what, r.Status, r.Body)
+				t.Fatalf("seed %d: POST /v1/domains/%s/%s: %d %s, want 200", seed, a.domain, what, r.Status, r.Body)
 			}
 		}
 		if left() < 17*time.Second {
--- a/internal/verification/simulator/target_test.go
+++ b/internal/verification/simulator/target_test.go
@@ -21,7 +21,7 @@
 		}
 		requireNoFailure(t, w)
 		if took := w.now - healed; took > 4*time.Second {
-			t.Errorf("after an isolation of %v: %s is still missing %v after its end", isolated, w.missingTarget(), took)
+			t.Errorf("after an isolation of %v: %s is still missing %v after its end, want no missing target after 4s", isolated, w.missingTarget(), took)
 		}
 	}
 }
--- a/internal/verification/simulator/total_loss_test.go
+++ b/internal/verification/simulator/total_loss_test.go
@@ -17,8 +17,8 @@
 	machineIsolated = 'c' // it runs on with its disk but is isolated until the test reconnects it
 )
 
-// failControlMachines has all control machines fail at once, each by its character in failures. The proxies run on, or
-// are restarted too and forget what they know.
+// failControlMachines has all control machines fail at once, each as its character in failures says. If forget is set, the
+// proxies restart too and lose their state; otherwise they run on.
 func (w *World) failControlMachines(failures string, forget bool) {
 	w.logf("failures %s, proxies forget %v", failures, forget)
 	var isolated []string
@@ -49,8 +49,8 @@
 	}
 }
 
-// An operator starts a recovery of the control plane at one survivor while an isolated member returns, with which it is
-// a majority of the old control plane. Either the old or the new control plane may continue, never both.
+// An operator starts a recovery of the control plane at one survivor while an isolated member returns. These two are a
+// majority of the old control plane. Either the old or the new control plane may continue, never both.
 func TestOperatorRecoveryDuringReturnOfMember(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -64,7 +64,7 @@
 		}
 		r, _ := w.callAndWait(t, w.process("c1"), "POST", "/v1/core/refound", "", "", "")
 		if r.Status != 202 {
-			t.Fatalf("seed %d: POST /v1/core/refound: %d %s", seed, r.Status, r.Body)
+			t.Fatalf("seed %d: POST /v1/core/refound: %d %s, want 202", seed, r.Status, r.Body)
 		}
 		w.Run(w.now + time.Duration(seed)*25*time.Millisecond)
 		clear(w.network.blocked)
@@ -79,9 +79,9 @@
 
 // Runs every combination of kept disks, lost disks, machines gone and isolated machines for 3 and 5 members, each with
 // proxies that keep and that lose their state. There must never be two control planes, which is checked at each step:
-//   - If the old control plane can't decide whatever the unreachable members hold, and a majority of the machines is
-//     reachable, a new one leads within 15 s.
-//   - If it might still decide, no new one bootstraps until an operator confirms that the missing machines are gone, and
+//   - If so many disks are lost that the old control plane can't elect a leader, even with all unreachable members, and a
+//     majority of the machines is reachable, a new control plane leads within 15 s.
+//   - If the old one might still elect a leader, no new one bootstraps until an operator confirms that the missing machines are gone, and
 //     not even then while a majority may merely be isolated.
 //   - Unreachable members join again once they are reachable.
 func TestTotalLossLeavesOneControlPlane(t *testing.T) {
@@ -252,7 +252,7 @@
 		for _, p := range w.fleet() {
 			w.Restart(p)
 		}
-		w.network.loss, w.network.delay = 0.2, 100*time.Millisecond // so that seeds discover one another at different times
+		w.network.loss, w.network.delay = 0.2, 100*time.Millisecond // so that seed nodes discover one another at different times
 		w.schedule(5*time.Second, func() { w.network.loss, w.network.delay = 0, time.Millisecond })
 		end := w.now + 15*time.Second
 		for w.Leader() == nil && w.now < end {
--- a/internal/verification/simulator/world.go
+++ b/internal/verification/simulator/world.go
@@ -6,8 +6,8 @@
 //
 // The simulator doesn't run the daemons' I/O code (HTTP, connections, files). The tests of package daemon and mfchaos do.
 //
-// World is the entry point to the code. The files process.go and commands.go run the state machines, day.go defines a random run
-// with faults, rules.go the checks, and scenes.go the runs which show that each check can fail.
+// World is the entry point to the code. The files process.go and commands.go run the state machines, random_faults.go defines a
+// run of random faults, rules.go the checks, and scenes.go the runs which show that each check can fail.
 package simulator
 
 import (
@@ -25,7 +25,7 @@
 const GCPercent = 400
 
 // bootstrapWindow is the time from the start of the run within which control daemons start with the setting for a first
-// bootstrap, if the plan has seeds.
+// bootstrap, if the plan has seed nodes.
 const bootstrapWindow = 1050 * time.Millisecond
 
 // World is one run: the simulated machines, the network, the clients, and what the run recorded.
@@ -60,7 +60,7 @@
 	return w
 }
 
-// startDaemons adds the plan's daemons and starts them: all at once, or at random times within a second if the plan has seeds.
+// startDaemons adds the plan's daemons and starts them: all at once, or at random times within a second if the plan has seed nodes.
 func (w *World) startDaemons() {
 	for i := range w.Plan.ControlDaemons {
 		w.addProcess(wire.ControlDaemon, fmt.Sprintf("c%d", i+1), i%w.Plan.Domains)
@@ -68,13 +68,13 @@
 	for i := range w.Plan.Proxies {
 		w.addProcess(wire.ProxyDaemon, fmt.Sprintf("g%d", i+1), i%w.Plan.Domains)
 	}
-	w.processes.seeds = w.processes.names[:min(3, len(w.processes.names))]
-	if w.Plan.Seeds > 0 {
-		w.processes.seeds = w.processes.names[:w.Plan.Seeds]
+	w.processes.seedNodes = w.processes.names[:min(3, len(w.processes.names))]
+	if w.Plan.SeedNodes > 0 {
+		w.processes.seedNodes = w.processes.names[:w.Plan.SeedNodes]
 	}
 	for _, name := range w.processes.names {
 		p := w.process(name)
-		if w.Plan.Seeds == 0 {
+		if w.Plan.SeedNodes == 0 {
 			w.startProcess(p)
 		} else {
 			w.schedule(w.randomMilliseconds(0, 1000), func() { w.startProcess(p) })
--- a/internal/verification/simulator/world_test.go
+++ b/internal/verification/simulator/world_test.go
@@ -18,7 +18,7 @@
 // Two runs with the same seed have the same trace and number of events.
 func TestSameSeedGivesSameRun(t *testing.T) {
 	t.Parallel()
-	a, b := Day(7, Small, nil, 12, 20*time.Second), Day(7, Small, nil, 12, 20*time.Second)
+	a, b := RunRandomFaults(7, Small, nil, 12, 20*time.Second), RunRandomFaults(7, Small, nil, 12, 20*time.Second)
 	if a.Hash() != b.Hash() {
 		t.Fatalf("two runs with the same seed differ:\n%s\n---\n%s", a.Trace(20), b.Trace(20))
 	}
