--- a/internal/verification/simulator/attempt.go
+++ b/internal/verification/simulator/attempt.go
@@ -219,10 +219,10 @@
 // retryOrGiveUp asks the proxy for a retry, or ends the request if a retry is not allowed.
 func (a *attempt) retryOrGiveUp(failed failure) {
 	world, process, request := a.world, a.process, a.request
-	budgeted := world.disabledGuard != guardRetryBudget
+	countRetries := world.disabledGuard != guardRetryBudget
 	if failed.outcome == statemachine.TargetRejected {
 		request.nextIsRetry = true
-		world.deliver(process, statemachine.Retry{ID: request.id, Sent: budgeted})
+		world.deliver(process, statemachine.Retry{ID: request.id, Sent: countRetries})
 		return
 	}
 	request.sent = request.sent || failed.sent
@@ -230,7 +230,7 @@
 	switch {
 	case !failed.timedOut && !mayRunTwice:
 		request.nextIsRetry = failed.sent
-		world.deliver(process, statemachine.Retry{ID: request.id, Sent: failed.sent && budgeted})
+		world.deliver(process, statemachine.Retry{ID: request.id, Sent: failed.sent && countRetries})
 	case request.sent:
 		world.deliver(process, statemachine.Cancel{ID: request.id})
 		world.finishRequest(request, outcomeUnknown)
--- a/internal/verification/simulator/availability.go
+++ b/internal/verification/simulator/availability.go
@@ -13,7 +13,7 @@
 // system that rejects every request doesn't violate.
 type Availability struct {
 	Faults                                 []string
-	Requests, Rejected, Unknown, Abandoned int
+	Requests, Rejected, Unknown, Abandoned int           // numbers of requests: all, and by outcome as in Stats
 	LongestGap                             time.Duration // longest time in which some service served no request
 	Recovery                               time.Duration // from the beginning of the faults to full capacity
 	ChangeLatency                          time.Duration // from sending a configuration change, changeDelay after the faults, to its final reply
--- a/internal/verification/simulator/faults.go
+++ b/internal/verification/simulator/faults.go
@@ -16,7 +16,8 @@
 	Inject func(w *World) // starts the fault and schedules its end
 }
 
-// Faults lists all kinds of faults. Runs draw them by index, so append new kinds to the end of their list.
+// Faults lists all kinds of faults. Runs draw them by index, so any change of the order or number of kinds changes the runs of
+// existing seeds.
 var Faults = slices.Concat(targetFaults, proxyFaults, controlFaults, networkFaults, operatorFaults)
 
 // FaultByName returns the fault with the given name, ignoring case. The result is false if there is none.
--- a/internal/verification/simulator/helpers_test.go
+++ b/internal/verification/simulator/helpers_test.go
@@ -157,7 +157,7 @@
 	t.Helper()
 	w.Run(w.now + 200*time.Millisecond)
 	if !w.runUntil(failoverBound, w.hasLeader) {
-		t.Fatalf("seed %d, round %d: no leader\n%s", w.Seed, round, w.Trace(60))
+		t.Fatalf("seed %d, round %d: no leader within %v\n%s", w.Seed, round, failoverBound, w.Trace(60))
 	}
 }
 
--- a/internal/verification/simulator/pending_change_test.go
+++ b/internal/verification/simulator/pending_change_test.go
@@ -19,7 +19,7 @@
 		w.Run(w.now + 3*time.Second)
 		l, before := w.Leader(), w.lostLeases()
 		if l == nil {
-			t.Fatalf("seed %d: no leader", seed)
+			t.Fatalf("seed %d: no leader 3 s after the start", seed)
 		}
 		term, status := l.controller.Status(w.now).Term, -1
 		w.isolateFromControlDaemons(l, tuning.LeaderLease+time.Duration(seed%2)*tuning.HeartbeatEvery)
--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -15,7 +15,7 @@
 	Rules       []Rule             // one of these is violated if the guard is disabled
 	Threat      string             // description of the situation, for mfsim --rules
 	Faults      []string           // names of the faults to inject
-	Repeats     int                // number of times that each of them is injected
+	Repeats     int                // number of times that each fault is injected
 	AdjustPlan  func(*Plan)        // changes the plan for the scene; nil: no change
 	Script      func(w *World)     // runs instead of the faults; nil: the faults are injected
 	Planned     bool               // the scene has only planned stops and changes, so no request may be lost
--- a/internal/verification/simulator/total_loss_test.go
+++ b/internal/verification/simulator/total_loss_test.go
@@ -259,7 +259,7 @@
 			w.Run(w.now + 100*time.Millisecond)
 		}
 		if w.Leader() == nil {
-			t.Fatalf("seed %d: no leader\n%s", seed, w.Trace(40))
+			t.Fatalf("seed %d: no leader within 15 s of the restart\n%s", seed, w.Trace(40))
 		}
 		w.PutConfig(w.Leader(), 0, 3)
 		w.AwaitRecovery(end - w.now)
