--- a/internal/verification/simulator/digest.go
+++ b/internal/verification/simulator/digest.go
@@ -1,7 +1,7 @@
 // This file computes the digest of a run: a hash over all events that the state machines handled and all commands that they
 // returned, in order, including the encoded messages and disk batches. Each kind of event and command has a constant text and
-// its fields are written one by one, so that the digest depends on the daemons' behavior and not on names in their code. Recorded digests depend on
-// these texts. Log lines are excluded.
+// its fields are written one by one, so that the digest depends on the daemons' behavior and not on names in their code.
+// Recorded digests depend on these texts. Log lines are excluded.
 
 package simulator
 
