--- a/internal/verification/simulator/scenes.go
+++ b/internal/verification/simulator/scenes.go
@@ -15,7 +15,7 @@
 	Rules       []Rule             // one of these is violated if the guard is disabled
 	Threat      string             // description of the situation, for mfsim --rules
 	Faults      []string           // names of the faults to inject
-	Repeats     int                // number of times that each of them is injected
+	Repeats     int                // number of times that each fault is injected
 	AdjustPlan  func(*Plan)        // changes the plan for the scene; nil: no change
 	Script      func(w *World)     // runs instead of the faults; nil: the faults are injected
 	Planned     bool               // the scene has only planned stops and changes, so no request may be lost
@@ -107,7 +107,7 @@
 		return w
 	}
 	faults := s.faults()
-	return day(seed, plan, faults, len(faults), sceneSpan, func(w *World) {
+	return runRandomFaults(seed, plan, faults, len(faults), sceneSpan, func(w *World) {
 		w.disabledGuard, w.checks.plannedOnly = disabled, s.Planned
 		if disabled == guardClockRate {
 			w.redrawClockRates()
