--- a/internal/verification/simulator/bootstrap_test.go
+++ b/internal/verification/simulator/bootstrap_test.go
@@ -13,16 +13,16 @@
 // on it starts without the bootstrap setting.
 func TestSeedNodesBootstrapOneControlPlane(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ controlDaemons, seedNodes, wantMembers int }{{1, 1, 1}, {3, 1, 3}, {5, 1, 5}, {2, 2, 2}, {3, 3, 3}, {4, 3, 3}, {5, 3, 5}, {6, 3, 5}, {7, 3, 7}, {11, 3, 7}} {
+	for _, c := range []struct{ controlDaemons, seedDaemons, wantMembers int }{{1, 1, 1}, {3, 1, 3}, {5, 1, 5}, {2, 2, 2}, {3, 3, 3}, {4, 3, 3}, {5, 3, 5}, {6, 3, 5}, {7, 3, 7}, {11, 3, 7}} {
 		for seed := range uint64(12) {
-			t.Run(fmt.Sprintf("%d of %d", c.seedNodes, c.controlDaemons), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d of %d", c.seedDaemons, c.controlDaemons), func(t *testing.T) {
 				t.Parallel()
-				w := New(seed, bootstrapPlan(c.controlDaemons, c.seedNodes))
+				w := New(seed, bootstrapPlan(c.controlDaemons, c.seedDaemons))
 				if seed%3 > 0 { // a restarted seed node continues the bootstrap whose lock is on its disk
 					w.schedule(w.randomMilliseconds(100, 2500), func() {
-						p := w.process(w.processes.names[w.random.IntN(c.seedNodes)])
+						p := w.process(w.processes.names[w.random.IntN(c.seedDaemons)])
 						w.Kill(p)
-						if seed%3 == 2 && c.seedNodes == 3 {
+						if seed%3 == 2 && c.seedDaemons == 3 {
 							w.WipeDisk(p)
 						}
 						w.schedule(w.randomMilliseconds(50, 1200), func() { w.Restart(p) })
--- a/internal/verification/simulator/helpers_test.go
+++ b/internal/verification/simulator/helpers_test.go
@@ -66,9 +66,9 @@
 
 // bootstrapPlan is a fleet whose settings don't give the size of the control plane: its seed nodes bootstrap it, and the
 // leader adds members and replaces lost ones.
-func bootstrapPlan(controlDaemons, seedNodes int) Plan {
+func bootstrapPlan(controlDaemons, seedDaemons int) Plan {
 	p := Small
-	p.ControlDaemons, p.SeedNodes, p.Rate = controlDaemons, seedNodes, 20
+	p.ControlDaemons, p.SeedNodes, p.Rate = controlDaemons, seedDaemons, 20
 	return p
 }
 
--- a/internal/verification/simulator/membership_test.go
+++ b/internal/verification/simulator/membership_test.go
@@ -34,7 +34,7 @@
 				w.schedule(w.randomMilliseconds(0, 6000), func() {
 					name := fmt.Sprintf("n%d", round)
 					w.addProcess(wire.ControlDaemon, name, int(old.domain[1]-'1'))
-					w.processes.seedNodes = []string{members[0], members[len(members)-1], name}
+					w.processes.seedDaemons = []string{members[0], members[len(members)-1], name}
 					w.startProcess(w.process(name))
 				})
 				if controlDaemons > 3 {
--- a/internal/verification/simulator/process.go
+++ b/internal/verification/simulator/process.go
@@ -15,13 +15,13 @@
 
 // processes holds the daemons of the fleet.
 type processes struct {
-	byName    map[string]*Process // including daemons whose machines were removed
-	byAddress map[string]*Process
-	names     []string // names of daemons whose machines weren't removed, in the order of addition
-	seedNodes []string // names of the seed nodes, whose addresses a starting process gets
-	replaced  int      // number of permanent replacements of control machines
-	replacing int      // number of these replacements in progress
-	swapping  bool     // an operator is replacing a member; only one at a time does
+	byName      map[string]*Process // including daemons whose machines were removed
+	byAddress   map[string]*Process
+	names       []string // names of daemons whose machines weren't removed, in the order of addition
+	seedDaemons []string // names of the seed nodes, whose addresses a starting process gets
+	replaced    int      // number of permanent replacements of control machines
+	replacing   int      // number of these replacements in progress
+	swapping    bool     // an operator is replacing a member; only one at a time does
 }
 
 func newProcesses() processes {
@@ -100,7 +100,7 @@
 func (w *World) startProcess(p *Process) {
 	w.resetProcess(p)
 	var seeds []string
-	for _, name := range w.processes.seedNodes {
+	for _, name := range w.processes.seedDaemons {
 		seeds = append(seeds, w.process(name).address)
 	}
 	self := wire.Daemon{Name: p.name, Kind: p.kind, Domain: p.domain, Addr: p.address, HTTP: p.address, Incarnation: w.random.Uint64() | 1}
--- a/internal/verification/simulator/replacement.go
+++ b/internal/verification/simulator/replacement.go
@@ -49,7 +49,7 @@
 func (w *World) startSuccessor(old *Process, name string) {
 	w.logf("%s replaces %s", name, old.name)
 	w.addProcess(wire.ControlDaemon, name, domainIndex(old.domain))
-	w.processes.seedNodes = w.seedNodesFor(name)
+	w.processes.seedDaemons = w.seedDaemonsFor(name)
 	w.startProcess(w.process(name))
 }
 
@@ -103,16 +103,16 @@
 	w.processes.names = slices.DeleteFunc(w.processes.names, func(name string) bool { return name == old.name })
 }
 
-// seedNodesFor returns the names of the seed nodes of a process that starts now: up to three running control daemons other than itself, or
+// seedDaemonsFor returns the names of the seed nodes of a process that starts now: up to three running control daemons other than itself, or
 // itself if there are none.
-func (w *World) seedNodesFor(self string) (seedNodes []string) {
+func (w *World) seedDaemonsFor(self string) (seedDaemons []string) {
 	for _, p := range w.daemons(wire.ControlDaemon) {
-		if p.alive && p.name != self && len(seedNodes) < 3 {
-			seedNodes = append(seedNodes, p.name)
+		if p.alive && p.name != self && len(seedDaemons) < 3 {
+			seedDaemons = append(seedDaemons, p.name)
 		}
 	}
-	if len(seedNodes) == 0 {
+	if len(seedDaemons) == 0 {
 		return []string{self}
 	}
-	return seedNodes
+	return seedDaemons
 }
--- a/internal/verification/simulator/status_test.go
+++ b/internal/verification/simulator/status_test.go
@@ -219,7 +219,7 @@
 const detectionDelay = tuning.LeaderLease + 2*tuning.HeartbeatEvery
 
 // controlPlaneSize is the number of control daemons and of the seed nodes among them.
-type controlPlaneSize struct{ controlDaemons, seedNodes int }
+type controlPlaneSize struct{ controlDaemons, seedDaemons int }
 
 // There is a leader again after every loss that the status calls tolerable: any voters, as many as it says, and any domain
 // that it does not list as at risk.
@@ -229,7 +229,7 @@
 		size := []controlPlaneSize{{3, 3}, {4, 3}, {5, 3}, {7, 3}, {11, 3}}[seed%5]
 		t.Run(fmt.Sprintf("%d machines, seed %d", size.controlDaemons, seed), func(t *testing.T) {
 			t.Parallel()
-			w := Start(seed, bootstrapPlan(size.controlDaemons, size.seedNodes))
+			w := Start(seed, bootstrapPlan(size.controlDaemons, size.seedDaemons))
 			w.runUntil(10*time.Second, w.hasMembers(min(size.controlDaemons, 7)))
 			for round := range 8 {
 				if !w.runUntil(90*time.Second, func() bool { return w.Leader() != nil && w.controlPlaneView(t).FailureTolerance.Tolerable }) {
--- a/internal/verification/simulator/world.go
+++ b/internal/verification/simulator/world.go
@@ -68,9 +68,9 @@
 	for i := range w.Plan.Proxies {
 		w.addProcess(wire.ProxyDaemon, fmt.Sprintf("g%d", i+1), i%w.Plan.Domains)
 	}
-	w.processes.seedNodes = w.processes.names[:min(3, len(w.processes.names))]
+	w.processes.seedDaemons = w.processes.names[:min(3, len(w.processes.names))]
 	if w.Plan.SeedNodes > 0 {
-		w.processes.seedNodes = w.processes.names[:w.Plan.SeedNodes]
+		w.processes.seedDaemons = w.processes.names[:w.Plan.SeedNodes]
 	}
 	for _, name := range w.processes.names {
 		p := w.process(name)
