--- a/internal/mfctl/mfctl_test.go
+++ b/internal/mfctl/mfctl_test.go
@@ -223,8 +223,8 @@
 	}{
 		{412, config.ErrorBody{Code: "stale", Rejection: config.RejectedVersion}, exitStale, "stale version (stale)"},
 		{422, config.ErrorBody{Code: "invalid", Rejection: config.RejectedInvalid}, exitInvalid, "invalid (invalid)"},
-		{503, config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}, exitNoLeader, "undecided (no_leader)"},
-		{504, config.ErrorBody{Code: "unknown", Rejection: config.RejectedUndecided}, exitUnknown, "undecided (unknown)"},
+		{503, config.ErrorBody{Code: "no_leader", Rejection: config.RejectedUndecided}, exitNoLeader, "no definite answer (no_leader)"},
+		{504, config.ErrorBody{Code: "unknown", Rejection: config.RejectedUndecided}, exitUnknown, "no definite answer (unknown)"},
 		{409, config.ErrorBody{Code: "member", Rejection: config.RejectedConflict}, exitFailed, "conflict (member)"},
 		{404, config.ErrorBody{Code: "not_found", Rejection: config.RejectedNotFound}, exitFailed, "not found (not_found)"},
 	} {
@@ -248,7 +248,7 @@
 	server.Close()
 	up := startMember(t, noLeader)
 	code, out := runCommand(t, "--wait", "100ms", "--at", up, "--at", down, "domain", "empty", "north")
-	if code != exitNoLeader || !strings.Contains(out, "undecided (no_leader)") {
+	if code != exitNoLeader || !strings.Contains(out, "no definite answer (no_leader)") {
 		t.Errorf("exit code %d, want %d: %s", code, exitNoLeader, out)
 	}
 }
@@ -260,7 +260,7 @@
 	idle := startMember(t, noLeader)
 	for _, order := range [][]string{{broken, idle}, {idle, broken}} {
 		code, out := runCommand(t, "--wait", "100ms", "--at", order[0], "--at", order[1], "domain", "empty", "north")
-		if code != exitUnknown || !strings.Contains(out, "undecided (unknown)") || !strings.Contains(out, "  id 20") {
+		if code != exitUnknown || !strings.Contains(out, "no definite answer (unknown)") || !strings.Contains(out, "  id 20") {
 			t.Errorf("exit code %d, want %d and the id of the change: %s", code, exitUnknown, out)
 		}
 	}
--- a/internal/mfctl/output.go
+++ b/internal/mfctl/output.go
@@ -76,12 +76,12 @@
 var rejectionTexts = map[config.Rejection]string{
 	config.RejectedVersion:   "stale version",
 	config.RejectedInvalid:   "invalid",
-	config.RejectedUndecided: "undecided",
+	config.RejectedUndecided: "no definite answer",
 	config.RejectedConflict:  "conflict",
 	config.RejectedNotFound:  "not found",
 }
 
-// rejectionText returns the kind and code of a rejection, such as "undecided (no_leader)".
+// rejectionText returns the kind and code of a rejection, such as "no definite answer (no_leader)".
 func rejectionText(rejected config.ErrorBody) string {
 	kind, known := rejectionTexts[rejected.Rejection]
 	if !known {
