--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -11,16 +11,12 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// relayedTimestamp marks a heartbeat message that must not be relayed again. Control daemons and proxies set it when they
-// relay a heartbeat.
-const relayedTimestamp = 1
-
 // handleHeartbeat handles a heartbeat that comes from the target itself or was relayed by another daemon. A member that is
 // neither Gathering nor Leading relays it to the leader if mayRelay is set. A relayed heartbeat is not relayed again.
 func (c *Controller) handleHeartbeat(now time.Duration, report wire.Target, mayRelay bool) {
 	if c.leadership != Leading && c.leadership != Gathering {
 		if mayRelay {
-			c.send(c.leader(now), &wire.Message{Kind: wire.KindHeartbeat, Timestamp: relayedTimestamp, Heartbeat: &report})
+			c.send(c.leader(now), &wire.Message{Kind: wire.KindHeartbeat, Timestamp: wire.RelayedHeartbeatTimestamp, Heartbeat: &report})
 		}
 		return
 	}
--- a/internal/controlplane/idlefleet_test.go
+++ b/internal/controlplane/idlefleet_test.go
@@ -100,7 +100,7 @@
 		for i := range f.targets {
 			if due(time.Duration(i)*13*time.Millisecond, tuning.TargetHeartbeatEvery) {
 				heartbeat := f.targets[i]
-				f.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHeartbeat, Timestamp: relayedTimestamp, Heartbeat: &heartbeat}})
+				f.step(statemachine.Receive{Message: &wire.Message{Kind: wire.KindHeartbeat, Timestamp: wire.RelayedHeartbeatTimestamp, Heartbeat: &heartbeat}})
 			}
 		}
 	}
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -34,7 +34,7 @@
 	case wire.KindPull:
 		c.handlePull(now, message)
 	case wire.KindHeartbeat:
-		if message.Heartbeat != nil { // with timestamp 0 it may be relayed, see relayedTimestamp
+		if message.Heartbeat != nil { // with timestamp 0 it may be relayed, see wire.RelayedHeartbeatTimestamp
 			c.handleHeartbeat(now, *message.Heartbeat, message.Timestamp == 0)
 		}
 	case wire.KindCall:
--- a/internal/controlplane/nonfinite_test.go
+++ b/internal/controlplane/nonfinite_test.go
@@ -16,7 +16,7 @@
 		target := wire.Target{Service: "s0", Name: "t0", Incarnation: 9, Addr: "10.0.0.1:1", State: wire.TargetReady, Demand: demand, HasDemand: true}
 		stats := wire.TargetStats{Service: "s0", Name: "t0", Incarnation: 9, Successes: 1, TotalMs: demand, Demand: demand, HasDemand: true}
 		for name, m := range map[string]wire.Message{
-			"heartbeat":  {Kind: wire.KindHeartbeat, Timestamp: relayedTimestamp, Heartbeat: &target},
+			"heartbeat":  {Kind: wire.KindHeartbeat, Timestamp: wire.RelayedHeartbeatTimestamp, Heartbeat: &target},
 			"statistics": {Kind: wire.KindPull, From: "g1", Pull: &wire.Pull{Stats: []wire.TargetStats{stats}}},
 			"table":      {Kind: wire.KindPull, From: "g1", Pull: &wire.Pull{Table: &wire.Table{Targets: []wire.Target{target}}}},
 		} {
--- a/internal/dataplane/health.go
+++ b/internal/dataplane/health.go
@@ -32,10 +32,10 @@
 	p.emit(reply)
 }
 
-// forwardHeartbeat forwards a target's report to another daemon. Timestamp 1 marks it as relayed, so that a control
-// daemon doesn't relay it again.
+// forwardHeartbeat forwards a target's report to another daemon, marked as relayed, so that a control daemon doesn't
+// relay it again.
 func (p *Proxy) forwardHeartbeat(name string, report *wire.Target) {
-	p.send(name, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: 1, Heartbeat: report})
+	p.send(name, &wire.Message{Kind: wire.KindHeartbeat, Timestamp: wire.RelayedHeartbeatTimestamp, Heartbeat: report})
 }
 
 // handleHeartbeat records a target's heartbeat. Only a report that the target is leaving takes effect at once:
--- a/internal/shared/wire/message.go
+++ b/internal/shared/wire/message.go
@@ -39,6 +39,10 @@
 // String returns the name of the kind in reports, or "" for an undefined kind.
 func (k Kind) String() string { return kindNames[k] }
 
+// RelayedHeartbeatTimestamp is the Timestamp of a heartbeat message that must not be relayed again. Control daemons and
+// proxies set it when they relay a heartbeat.
+const RelayedHeartbeatTimestamp = 1
+
 // Message is a message between daemons. Only the part that corresponds to Kind is set.
 type Message struct {
 	Kind      Kind
