--- a/cmd/mfchaos/deployment.go
+++ b/cmd/mfchaos/deployment.go
@@ -12,11 +12,11 @@
 
 // Service is a service of a deployment and the behaviour of its test back ends.
 type Service struct {
-	Name        string
-	Targets     int    // number of back ends
-	RequestTime string // processing time of a request, as a Go duration
-	Concurrency int    // number of requests that a back end runs concurrently; others wait
-	WarmupTime  string // time for which a restarted back end reports the state warming, as a Go duration
+	Name             string
+	Targets          int    // number of back ends
+	RequestTime      string // processing time of a request, as a Go duration
+	Concurrency      int    // number of requests that a back end runs concurrently; others wait
+	WarmingStateTime string // time for which a restarted back end reports the state warming, as a Go duration
 }
 
 // deployments are the values of --deployment.
--- a/cmd/mfchaos/faults.go
+++ b/cmd/mfchaos/faults.go
@@ -90,7 +90,7 @@
 				n++
 				f.logf("stop %s and start it again", p.name)
 				p.stop(8 * time.Second)
-				*p = *f.newBackend(s, p.name, p.addr, p.domain, s.WarmupTime)
+				*p = *f.newBackend(s, p.name, p.addr, p.domain, s.WarmingStateTime)
 				f.restart(p)
 			}
 		}
@@ -230,7 +230,7 @@
 		for _, p := range f.backends {
 			if p.service == s.Name && !p.stopped {
 				p.kill()
-				*p = *f.newBackend(s, p.name, p.addr, p.domain, s.WarmupTime)
+				*p = *f.newBackend(s, p.name, p.addr, p.domain, s.WarmingStateTime)
 				f.restart(p)
 			}
 		}
--- a/cmd/mfchaos/fleet.go
+++ b/cmd/mfchaos/fleet.go
@@ -179,19 +179,19 @@
 
 // Settings of back ends when the configuration uses routes.
 const (
-	checkPath  = "/health" // path of the health check in the sample configurations
-	warmupTime = 6 * time.Second
+	checkPath       = "/health"       // path of the health check in the sample configurations
+	limitedRateTime = 6 * time.Second // time after its start for which a back end gets requests at its service's warm-up rate only
 )
 
-// newBackend returns the process of a back end without starting it. warmingTime is the time after its start for which it
-// reports the state warming, as a Go duration.
-func (f *fleet) newBackend(service Service, name, addr, domain, warmingTime string) *process {
+// newBackend returns the process of a back end without starting it. warmingStateTime is the time after its start for which
+// it reports the state warming, as a Go duration; it is independent of limitedRateTime.
+func (f *fleet) newBackend(service Service, name, addr, domain, warmingStateTime string) *process {
 	bind := bindAddressOf(addr)
 	p := &process{name: name, kind: backendProgram, domain: domain, addr: addr, bind: bind, http: bind, service: service.Name}
 	p.args = []string{"--service", service.Name, "--name", name, "--addr", addr, "--bind", bind, "--from", hostOf(bind), "--domain", domain, "--work", service.RequestTime, "--bears", strconv.Itoa(service.Concurrency),
-		"--warm", warmingTime, "--ledger", f.path("ledger", name+".ledger")}
+		"--warm", warmingStateTime, "--ledger", f.path("ledger", name+".ledger")}
 	if f.routes {
-		p.args = append(p.args, "--health", checkPath, "--named", "--cold", warmupTime.String())
+		p.args = append(p.args, "--health", checkPath, "--named", "--cold", limitedRateTime.String())
 	}
 	for i, proxy := range f.proxies {
 		if i%4 == len(name)%4 {
--- a/cmd/mfchaos/soak_operator.go
+++ b/cmd/mfchaos/soak_operator.go
@@ -126,7 +126,7 @@
 			o.revision, o.document = revision, text
 		}
 	default:
-		o.soak.recordViolation(ruleChangeAccepted, "change on revision %d, the newest acknowledged: status %d, %.200s", o.revision, status, reply)
+		o.soak.recordViolation(ruleChangeAccepted, "a valid change on revision %d, the newest acknowledged one, was not accepted: status %d, %.200s", o.revision, status, reply)
 		o.revision, o.document = o.readConfig()
 	}
 }
@@ -148,7 +148,8 @@
 	return 0, nil
 }
 
-// emptyOrRestore empties one domain, or restores the one that is emptied.
+// emptyOrRestore empties one failure domain, which drains its targets: they get no requests. If a domain is emptied already,
+// it restores that one instead.
 func (o *soakOperator) emptyOrRestore() {
 	for domain, confirmed := range o.emptied {
 		if !confirmed {
--- a/cmd/mfload/collector.go
+++ b/cmd/mfload/collector.go
@@ -19,7 +19,7 @@
 // clientGroup groups clients by their behavior after a rejection.
 type clientGroup string
 
-// The groups of clients.
+// The groups of clients. The values are the names of the groups in the report.
 const (
 	clientsWithoutRetries clientGroup = "polite"  // do not retry
 	clientsWithRetries    clientGroup = "at_once" // retry immediately
@@ -33,8 +33,8 @@
 	classOffered    outcomeClass = "offered"
 	classServed     outcomeClass = "served"
 	classRejected   outcomeClass = "refused"
-	classUnknown    outcomeClass = "unknown"
-	classUnanswered outcomeClass = "no_answer"
+	classUnknown    outcomeClass = "unknown"   // response that leaves open whether the request ran to its end
+	classUnanswered outcomeClass = "no_answer" // no response was received
 	classWrong      outcomeClass = "wrong"
 )
 
--- a/internal/dataplane/fairness_test.go
+++ b/internal/dataplane/fairness_test.go
@@ -68,17 +68,18 @@
 }
 
 // While requests of high priority keep exceeding the capacity of the targets, requests of low priority are
-// still forwarded at a quarter of the average rate or more.
+// still forwarded at a quarter of the average rate or more. The route of /once/ has the highest priority, 0, and
+// that of /low/ has priority 3.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	for _, highEvery := range []time.Duration{8 * time.Millisecond, 4 * time.Millisecond, 2 * time.Millisecond} {
 		proxy := newTestProxy("g1", 1, routeConfig, readyTarget("a", withSlots(4)), readyTarget("b", withSlots(4)))
 		got := offerLoad(proxy, 50*time.Millisecond, 30*time.Second, []requestClass{{"/once/", highEvery}, {"/low/", 20 * time.Millisecond}})
-		t.Logf("high priority every %v: fractions forwarded: %v", highEvery, got)
+		t.Logf("a request of high priority every %v: fractions forwarded: %v", highEvery, got)
 		if got["/low/"] < got["all"]/4 {
-			t.Errorf("high priority every %v: fraction forwarded is %.2f for low priority and %.2f for all, want at least a quarter of the latter for low priority", highEvery, got["/low/"], got["all"])
+			t.Errorf("a request of high priority every %v: fraction forwarded is %.2f for low priority and %.2f for all, want at least a quarter of the latter for low priority", highEvery, got["/low/"], got["all"])
 		}
 		if got["/once/"] < got["/low/"]-0.05 {
-			t.Errorf("high priority every %v: fraction forwarded is %.2f for high priority and %.2f for low, want at most 0.05 less for high", highEvery, got["/once/"], got["/low/"])
+			t.Errorf("a request of high priority every %v: fraction forwarded is %.2f for high priority and %.2f for low, want the fraction for high priority to be at most 0.05 below the one for low", highEvery, got["/once/"], got["/low/"])
 		}
 	}
 }
--- a/internal/dataplane/reverseproxy/faultytargets_test.go
+++ b/internal/dataplane/reverseproxy/faultytargets_test.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// respond sends the response with the given fault and reports whether the connection stays open. previous is the id of
-// the request before on the connection.
+// respond sends the response with the given fault and reports whether the connection stays open. id is the id of the
+// request, and previous that of the preceding request on the same connection.
 func (f *faultyTargets) respond(conn *net.TCPConn, rnd *rand.Rand, fault targetFault, id, previous string) bool {
 	complete := responseTo(id, rnd.IntN(300))
 	large := responseTo(id, tuning.ResponseBufferMax+1000)
--- a/internal/dataplane/selection.go
+++ b/internal/dataplane/selection.go
@@ -90,7 +90,7 @@
 }
 
 // candidates returns the service's eligible targets, or those of last resort if none is eligible. It omits
-// targets that are warming up and get no requests from this proxy. The slice is valid until the next call.
+// targets that are warming up at a rate of which this proxy has no share. The slice is valid until the next call.
 func (p *Proxy) candidates(now time.Duration, req *request, service *serviceState) []*targetState {
 	p.eligibleBuffer, p.lastResortBuffer = p.eligibleBuffer[:0], p.lastResortBuffer[:0]
 	for _, target := range service.targets {
--- a/internal/dataplane/target.go
+++ b/internal/dataplane/target.go
@@ -40,8 +40,10 @@
 	local  bool // it is in this proxy's domain
 
 	// Warm-up: for some time after its start the target gets requests at a limited rate only.
-	warmupUntil    time.Duration // end of the warm-up
-	warmupInterval time.Duration // between two requests of this proxy during the warm-up; 0 if it sends none
+	warmupUntil time.Duration // end of the warm-up
+	// warmupInterval is the time between two requests of this proxy during the warm-up. Only some proxies share the
+	// limited rate; it is 0 at the others, which send no requests until the warm-up ends.
+	warmupInterval time.Duration
 	nextWarmupAt   time.Duration // when this proxy may send the next request
 
 	// State warming: until the target is ready it has a smaller cap, and then a slow start.
--- a/internal/shared/wire/consensus.go
+++ b/internal/shared/wire/consensus.go
@@ -78,8 +78,8 @@
 	TruncateFrom   uint64    // entries from this index on are removed before Entries are appended; 0: none are removed
 	Entries        []Entry   // appended to the log
 	Snapshot       *Snapshot // replaces the log entries up to its index
-	BootstrapLock  uint64    // Daemon.BootstrapOffer that the disk is locked to
-	RecoveredState []byte    // state kept for disaster recovery, encoded by Compress
+	BootstrapLock  uint64    // Daemon.BootstrapOffer that the disk is committed to
+	RecoveredState []byte    // copy of the replicated state, from which a bootstrap or a disaster recovery may begin; encoded by Compress
 	Founders       []Member  // founding members of the bootstrap that BootstrapLock refers to
 	BootstrapEpoch uint64    // epoch of the bootstrap that BootstrapLock refers to
 }
--- a/internal/verification/simulator/faults_control.go
+++ b/internal/verification/simulator/faults_control.go
@@ -6,11 +6,10 @@
 	"myrtlefold/internal/shared/wire"
 )
 
-// slowMachineFactor is the factor by which a slow machine takes longer for everything, and slowDiskFactor the factor by which a slow
-// disk takes longer for a sync.
+// The factors by which slow hardware takes longer than usual.
 const (
-	slowMachineFactor = 5
-	slowDiskFactor    = 30
+	slowMachineFactor = 5  // of a slow machine, for everything
+	slowDiskFactor    = 30 // of a slow disk, for a sync
 )
 
 // controlFaults are the faults of control daemons: kills, power failures, freezes, disk faults, slow machines and partitions.
