--- a/cmd/mfchaos/soak_operator.go
+++ b/cmd/mfchaos/soak_operator.go
@@ -1,4 +1,4 @@
-// This file implements the operator of a soak. It changes the configuration and empties domains with short pauses, and sends
+// This file implements the operator of a soak. It changes the configuration and empties failure domains with short pauses, and sends
 // each call again until it has a conclusive reply. It also checks that acknowledged changes survive the loss of all processes.
 
 package main
@@ -53,7 +53,7 @@
 	o.running.Wait()
 }
 
-// run changes the configuration until it is stopped; every eighth action empties or restores a domain.
+// run changes the configuration until it is stopped; every eighth action empties or restores a failure domain.
 func (o *soakOperator) run() {
 	for i := 0; ; i++ {
 		select {
@@ -148,7 +148,7 @@
 	return 0, nil
 }
 
-// emptyOrRestore empties one failure domain, which drains its targets: they get no requests. If a domain is emptied already,
+// emptyOrRestore empties one failure domain, which drains its targets: they get no new requests. If a domain is emptied already,
 // it restores that one instead.
 func (o *soakOperator) emptyOrRestore() {
 	for domain, confirmed := range o.emptied {
--- a/internal/controlplane/consensus/persistentstate.go
+++ b/internal/controlplane/consensus/persistentstate.go
@@ -27,7 +27,8 @@
 	// BootstrapLock is the bootstrap offer that the disk is committed to, 0 for none. Founders and BootstrapEpoch,
 	// further down, are the members and the epoch of that offer.
 	BootstrapLock uint64
-	// RecoveredState is encoded state that is kept for disaster recovery, empty if there is none.
+	// RecoveredState is a copy of the replicated state, from which a bootstrap or a disaster recovery may begin, encoded
+	// by Compress. It is empty if there is none.
 	RecoveredState []byte
 	Founders       []wire.Member
 	BootstrapEpoch uint64
--- a/internal/dataplane/reverseproxy/faultytargets_test.go
+++ b/internal/dataplane/reverseproxy/faultytargets_test.go
@@ -107,7 +107,7 @@
 	defer f.goroutines.Done()
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
-	previous := "early"
+	previous := "early" // id in a surplus response that comes with the first request
 	for {
 		fault := f.faults[rnd.IntN(len(f.faults))]
 		if rnd.IntN(2) == 0 {
