--- a/cmd/mfload/collector.go
+++ b/cmd/mfload/collector.go
@@ -16,7 +16,7 @@
 	leaveGraceMs = 2000 // time for which a target may still get requests after it announced that it is leaving, in ms
 )
 
-// clientGroup groups clients by their behavior after a rejection.
+// clientGroup groups clients by their behavior after an error response of a proxy.
 type clientGroup string
 
 // The groups of clients. The values are the names of the groups in the report.
@@ -34,7 +34,7 @@
 	classServed     outcomeClass = "served"
 	classRejected   outcomeClass = "refused"
 	classUnknown    outcomeClass = "unknown"   // response that leaves open whether the request ran to its end
-	classUnanswered outcomeClass = "no_answer" // no response was received
+	classUnanswered outcomeClass = "no_answer" // no complete response, or not sent because too many requests were in flight
 	classWrong      outcomeClass = "wrong"
 )
 
--- a/cmd/mfload/mfload_test.go
+++ b/cmd/mfload/mfload_test.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// The text report has a fixed format. In it, polite clients do not retry, and at_once clients retry immediately after a rejection.
+// The text report has a fixed format. In it, polite clients do not retry, and at_once clients retry
+// immediately after an error response of a proxy.
 func TestPrintedReport(t *testing.T) {
 	c := newCollector()
 	kind := &requestKind{Name: "fare", Method: http.MethodGet}
@@ -126,7 +127,7 @@
   fare              1  p50 10.0 p99 10.0
   polite            1 clients sent 1 requests, 1 were served  p50 10.0 p99 10.0
   at_once           1 clients sent 1 requests, 0 were served  p50 0.0 p99 0.0
-ran twice 0, ran although rejected 0, wrong responses 0, ran at the wrong service 0, ran over 2 s after the target announced that it is leaving 0 (maximum 0 ms), rejected without Retry-After 0
+ran twice 0, ran although rejected 0, wrong responses 0, ran at the wrong service 0, started over 2 s after the target announced that it is leaving 0 (maximum 0 ms), rejected without Retry-After 0
 {"offered":2,"refused":1,"served":1}
   example: fare 2: 503 full
 `
--- a/cmd/mfload/report.go
+++ b/cmd/mfload/report.go
@@ -15,7 +15,7 @@
 	Served            int                          `json:"served"`
 	Rejected          int                          `json:"refused"`
 	Unknown           int                          `json:"unknown"`                     // responses that leave open whether the request ran to its end
-	Unanswered        int                          `json:"no_answer"`                   // requests without a response
+	Unanswered        int                          `json:"no_answer"`                   // requests without a complete response, or not sent because too many were in flight
 	WithoutRetryAfter int                          `json:"refused_without_retry_after"` // rejections with status 503 that lack Retry-After
 	Wrong             int                          `json:"wrong_answers"`
 	Mismatched        int                          `json:"answers_of_others"` // part of Wrong: responses to another request
@@ -82,7 +82,7 @@
 		fmt.Fprintf(w, "  %-12s %6d clients sent %d requests, %d were served  p50 %.1f p99 %.1f\n",
 			name, group.Clients, group.Requests, group.Served, group.Latencies[median], group.Latencies["p99"])
 	}
-	fmt.Fprintf(w, "ran twice %d, ran although rejected %d, wrong responses %d, ran at the wrong service %d, ran over 2 s after the target announced that it is leaving %d (maximum %d ms), rejected without Retry-After %d\n",
+	fmt.Fprintf(w, "ran twice %d, ran although rejected %d, wrong responses %d, ran at the wrong service %d, started over 2 s after the target announced that it is leaving %d (maximum %d ms), rejected without Retry-After %d\n",
 		r.RanTwice, r.RanThoughRejected, r.Wrong, r.Misrouted, r.PastLeaveGrace, r.MaxLeavingForMs, r.WithoutRetryAfter)
 	for _, second := range r.PerSecond {
 		counts, _ := json.Marshal(second)
