--- a/cmd/mfload/collector.go
+++ b/cmd/mfload/collector.go
@@ -16,10 +16,10 @@
 	leaveGraceMs = 2000 // time for which a target may still get requests after it announced that it is leaving, in ms
 )
 
-// clientGroup groups clients by their behavior after a rejection.
+// clientGroup groups clients by their behavior after an error response of a proxy.
 type clientGroup string
 
-// The groups of clients.
+// The groups of clients. The values are the names of the groups in the report.
 const (
 	clientsWithoutRetries clientGroup = "polite"  // do not retry
 	clientsWithRetries    clientGroup = "at_once" // retry immediately
@@ -33,8 +33,8 @@
 	classOffered    outcomeClass = "offered"
 	classServed     outcomeClass = "served"
 	classRejected   outcomeClass = "refused"
-	classUnknown    outcomeClass = "unknown"
-	classUnanswered outcomeClass = "no_answer"
+	classUnknown    outcomeClass = "unknown"   // response that leaves open whether the request ran to its end
+	classUnanswered outcomeClass = "no_answer" // no complete response, or not sent because too many requests were in flight
 	classWrong      outcomeClass = "wrong"
 )
 
