--- a/internal/shared/wire/daemon.go
+++ b/internal/shared/wire/daemon.go
@@ -20,10 +20,10 @@
 	Incarnation    uint64     `json:"incarnation"`       // random number, new at each start of the process
 	Disk           uint64     `json:"-"`                 // number that identifies its disk; 0 for a proxy
 	Epoch          uint64     `json:"epoch"`             // bootstrap epoch that it belongs to; 0: not bootstrapped yet
-	BootstrapOffer uint64     `json:"-"`                 // hash of the founding members that it currently sees; 0: none
 	BootstrapLock  uint64     `json:"-"`                 // BootstrapOffer that it stored on its disk and is committed to; 0: none
 	Ready          bool       `json:"ready"`             // for a proxy: it serves callers; for a member: it knows a leader
 	State          string     `json:"state"`             // role of the member or state of the proxy, shown to operators
+	BootstrapOffer uint64     `json:"-"`                 // hash of the founding members that it currently sees; 0: none
 }
 
 // Hello is a discovery message. It carries the sender, the daemons that it knows, and the leader.
